--- a/cmd/sablelab/count.go
+++ b/cmd/sablelab/count.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	return r.Read(name, log)
 }
 
@@ -70,25 +70,25 @@
 	if !servers {
 		head = append(count.Names[:], "held", "places", "half-within", "nine-in-ten")
 	}
-	fmt.Fprint(w, "at\t")
+	_, _ = fmt.Fprint(w, "at\t")
 	for _, name := range head {
-		fmt.Fprint(w, name, "\t")
+		_, _ = fmt.Fprint(w, name, "\t")
 	}
-	fmt.Fprintln(w)
+	_, _ = fmt.Fprintln(w)
 	for _, row := range f.Rows {
-		fmt.Fprint(w, row.At, "\t")
+		_, _ = fmt.Fprint(w, row.At, "\t")
 		if servers {
 			for _, name := range f.Names {
-				fmt.Fprint(w, row.Servers[name], "\t")
+				_, _ = fmt.Fprint(w, row.Servers[name], "\t")
 			}
 		} else {
 			for _, n := range row.Columns {
-				fmt.Fprint(w, n, "\t")
+				_, _ = fmt.Fprint(w, n, "\t")
 			}
-			fmt.Fprintf(w, "%d\t%.2f\t%v\t%v\t", row.Held, row.Places, row.Middle.Round(time.Millisecond), row.Late.Round(time.Millisecond))
+			_, _ = fmt.Fprintf(w, "%d\t%.2f\t%v\t%v\t", row.Held, row.Places, row.Middle.Round(time.Millisecond), row.Late.Round(time.Millisecond))
 		}
-		fmt.Fprintln(w)
+		_, _ = fmt.Fprintln(w)
 	}
-	fmt.Fprintf(w, "%d logs, %d lines unread\n", f.Logs, f.Unread)
+	_, _ = fmt.Fprintf(w, "%d logs, %d lines unread\n", f.Logs, f.Unread)
 	return w.Flush()
 }
--- a/cmd/sablelab/demo.go
+++ b/cmd/sablelab/demo.go
@@ -43,8 +43,8 @@
 		return err
 	}
 	w := &x.World
-	config.Write(field.Config(w, 0, f.Procs[0].Addr, f.Agent(0), 1, f.Known(0)))
-	config.Close()
+	_, _ = config.Write(field.Config(w, 0, f.Procs[0].Addr, f.Agent(0), 1, f.Known(0)))
+	_ = config.Close()
 	fmt.Printf("The first balancer's configuration, written out: %s\n\n", config.Name())
 	run, _, v, err := f.Run(l.ctx, func(at time.Duration, text string) { fmt.Printf("%6.2fs  %s\n", at.Seconds(), text) })
 	if err != nil {
--- a/cmd/sablelab/fronts.go
+++ b/cmd/sablelab/fronts.go
@@ -109,7 +109,7 @@
 }
 
 func (p *frontProcess) close() {
-	p.in.Close()
-	p.cmd.Process.Kill() // it holds nothing that would be lost
-	p.cmd.Wait()
+	_ = p.in.Close()
+	_ = p.cmd.Process.Kill() // it holds nothing that would be lost
+	_ = p.cmd.Wait()
 }
--- a/cmd/sablelab/hollow.go
+++ b/cmd/sablelab/hollow.go
@@ -289,8 +289,8 @@
 	h := xxhash.New()
 	for k := range scale.Keys {
 		v, is := get(settingKey(k))
-		fmt.Fprintf(h, "%d %v %d ", k, is, len(v))
-		h.Write(v)
+		_, _ = fmt.Fprintf(h, "%d %v %d ", k, is, len(v))
+		_, _ = h.Write(v)
 	}
 	return h.Sum64()
 }
--- a/cmd/sablelab/scale.go
+++ b/cmd/sablelab/scale.go
@@ -340,7 +340,7 @@
 					r.mu.Unlock()
 					return
 				}
-				pause(ctx, putAgain)
+				_ = pause(ctx, putAgain)
 			}
 		})
 	}
--- a/cmd/sablelab/scale_test.go
+++ b/cmd/sablelab/scale_test.go
@@ -47,7 +47,7 @@
 func TestHollowBalancersTellTheirLives(t *testing.T) {
 	orderIn, orderOut := io.Pipe()
 	toldIn, toldOut := io.Pipe()
-	defer orderOut.Close()
+	defer func() { _ = orderOut.Close() }()
 	opened := make(chan *toldFollower, 10)
 	h := &hollows{out: gob.NewEncoder(toldOut), open: func(_ *hollowBegin, one hollowOne, applied func(uint64)) client {
 		f := &toldFollower{one: one, applied: applied}
@@ -120,7 +120,7 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("told %v\nwanted %v", got, want)
 	}
-	orderOut.Close()
+	_ = orderOut.Close()
 	if err := <-ended; err != nil {
 		t.Errorf("at the end of its orders: %v", err)
 	}
@@ -154,7 +154,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer ln.Close()
+		defer func() { _ = ln.Close() }()
 		members = append(members, ln.Addr().(*net.TCPAddr).AddrPort())
 		go func() {
 			for {
@@ -163,8 +163,8 @@
 					return
 				}
 				go func() {
-					defer c.Close()
-					io.Copy(c, c)
+					defer func() { _ = c.Close() }()
+					_, _ = io.Copy(c, c)
 				}()
 			}
 		}()
@@ -179,10 +179,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	says := func(text string, within time.Duration) error {
-		io.WriteString(c, text)
-		c.SetReadDeadline(time.Now().Add(within))
+		_, _ = io.WriteString(c, text)
+		_ = c.SetReadDeadline(time.Now().Add(within))
 		_, err := io.ReadFull(c, make([]byte, len(text)))
 		return err
 	}
@@ -203,7 +203,7 @@
 	}
 	p.close()
 	if c, err := net.Dial("tcp", reached[0].String()); err == nil {
-		c.Close()
+		_ = c.Close()
 		t.Error("a front stands after its process")
 	}
 }
@@ -281,12 +281,12 @@
 			break
 		}
 		if time.Now().After(end) {
-			cmd.Process.Kill()
-			cmd.Wait()
+			_ = cmd.Process.Kill()
+			_ = cmd.Wait()
 			t.Fatalf("nothing begins\n%s", out)
 		}
 	}
-	cmd.Process.Signal(syscall.SIGTERM)
+	_ = cmd.Process.Signal(syscall.SIGTERM)
 	err := cmd.Wait()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != exitFailure || !strings.Contains(out.String(), "verdict: not kept: partial: interrupted") {
--- a/cmd/sablelab/scale_world.go
+++ b/cmd/sablelab/scale_world.go
@@ -66,9 +66,9 @@
 		}
 		addr := ln.Addr().(*net.TCPAddr).AddrPort()
 		udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
-		ln.Close()
+		_ = ln.Close()
 		if err == nil {
-			udp.Close()
+			_ = udp.Close()
 			return addr, nil
 		}
 		last = err
@@ -221,7 +221,7 @@
 // end ends it as planned.
 func (c *control) end() {
 	c.meter()
-	c.Signal(syscall.SIGTERM)
+	_ = c.Signal(syscall.SIGTERM)
 	select {
 	case <-c.Exited():
 	case <-time.After(handOverIn):
@@ -396,17 +396,17 @@
 	}
 	h.planned = true
 	if outright {
-		cmd.Process.Kill()
+		_ = cmd.Process.Kill()
 	}
-	h.in.Close()
+	_ = h.in.Close()
 	h.mu.Unlock()
 	select {
 	case <-done:
 	case <-time.After(answerIn):
-		cmd.Process.Kill()
+		_ = cmd.Process.Kill()
 		<-done
 	}
-	cmd.Wait()
+	_ = cmd.Wait()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.last != nil {
@@ -649,7 +649,7 @@
 				number := w.looked + 1
 				w.looked = number
 				w.mu.Unlock()
-				h.look(number, false) // what they told so far counts
+				_, _ = h.look(number, false) // what they told so far counts
 				now := boottime.Now()
 				h.stop(true)
 				w.mu.Lock()
@@ -709,7 +709,7 @@
 		f.close()
 	}
 	if w.dir != "" {
-		os.RemoveAll(w.dir)
+		_ = os.RemoveAll(w.dir)
 	}
 }
 
--- a/cmd/sabletally/commands.go
+++ b/cmd/sabletally/commands.go
@@ -142,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	defer r.Body.Close()
+	defer func() { _ = r.Body.Close() }()
 	text, err := io.ReadAll(r.Body)
 	switch {
 	case err != nil:
@@ -166,37 +166,37 @@
 // show puts a report in a table.
 func show(out io.Writer, s fleet.Report) {
 	if !s.Member {
-		fmt.Fprintf(out, "fleet %s: this process is no member: %s\n", s.Fleet, s.Why)
+		_, _ = fmt.Fprintf(out, "fleet %s: this process is no member: %s\n", s.Fleet, s.Why)
 		return
 	}
 	if f := s.Following; f != nil {
-		fmt.Fprintf(out, "fleet %s: follows %s; version %d, %s, %.1f s old; %d keys of %d bytes, %d changes, %d snapshots, %d times not current, %d conflicts\n",
+		_, _ = fmt.Fprintf(out, "fleet %s: follows %s; version %d, %s, %.1f s old; %d keys of %d bytes, %d changes, %d snapshots, %d times not current, %d conflicts\n",
 			s.Fleet, cmp.Or(strings.Join(f.Relays, ", "), "nobody"), f.Version, s.Standing, f.Age, f.Keys, f.Bytes, f.Changes, f.Snapshots, f.Lapses, f.Conflicts)
 		return
 	}
 	if p := s.Publishing; p != nil {
-		fmt.Fprintf(out, "publishes version %d, %.1f s old; %d of %d followers, %d have it, lowest %d, %d wait for a snapshot, %d take nothing; %d snapshots, %d lapsed, %d full\n",
+		_, _ = fmt.Fprintf(out, "publishes version %d, %.1f s old; %d of %d followers, %d have it, lowest %d, %d wait for a snapshot, %d take nothing; %d snapshots, %d lapsed, %d full\n",
 			p.Version, p.Age, p.Followers, p.Most, p.Current, p.Lowest, p.Waiting, p.Blocked, p.Snapshots, p.Lapsed, p.Full)
 	}
 	if h := s.Held; h != nil {
 		defer func() {
-			fmt.Fprintf(out, "epoch %d of %d members, %d records here (%d bytes, file %d), slots by holders: %v", h.Epoch, h.Members, h.Records, h.Bytes, h.File, h.Slots)
+			_, _ = fmt.Fprintf(out, "epoch %d of %d members, %d records here (%d bytes, file %d), slots by holders: %v", h.Epoch, h.Members, h.Records, h.Bytes, h.File, h.Slots)
 			if h.Voters > 0 {
-				fmt.Fprintf(out, "; one of %d voters", h.Voters)
+				_, _ = fmt.Fprintf(out, "; one of %d voters", h.Voters)
 			}
 			if h.Leads {
-				fmt.Fprint(out, ", leads the log")
+				_, _ = fmt.Fprint(out, ", leads the log")
 			}
 			if h.Disk != "" {
-				fmt.Fprintf(out, "; promises nothing: %s", h.Disk)
+				_, _ = fmt.Fprintf(out, "; promises nothing: %s", h.Disk)
 			}
-			fmt.Fprintln(out)
+			_, _ = fmt.Fprintln(out)
 		}()
 	}
-	fmt.Fprintf(out, "fleet %s: %s, %d of %d members here, on %d machines for %d copies; health %d, stopped %d times\n", s.Fleet, s.Standing, s.Here,
+	_, _ = fmt.Fprintf(out, "fleet %s: %s, %d of %d members here, on %d machines for %d copies; health %d, stopped %d times\n", s.Fleet, s.Standing, s.Here,
 		len(s.Others)+1, s.Machines, s.Copies, s.Health, s.Stalls)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "member\tmachine\tzone\tsite\taddress\tlife\tstate\tsince\tid")
+	_, _ = fmt.Fprintln(t, "member\tmachine\tzone\tsite\taddress\tlife\tstate\tsince\tid")
 	for _, m := range append([]fleet.One{*s.Self}, s.Others...) {
 		state, since := m.State, time.Duration(m.Seconds*float64(time.Second)).Round(time.Second).String()
 		if m.ID == s.Self.ID {
@@ -205,7 +205,7 @@
 		if m.By != "" {
 			state += ", replaced"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%.8s\n", m.Name, m.Machine, m.Zone, m.Site, m.Addr, m.Life, state, since, m.ID)
+		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%.8s\n", m.Name, m.Machine, m.Zone, m.Site, m.Addr, m.Life, state, since, m.ID)
 	}
-	t.Flush()
+	_ = t.Flush()
 }
--- a/cmd/sabletally/control.go
+++ b/cmd/sabletally/control.go
@@ -58,7 +58,7 @@
 	}
 	ends := on(syscall.SIGTERM, syscall.SIGINT)
 	log := logger(os.Getenv("SABLETALLY_LOG")).With(zap.String("name", name))
-	defer log.Sync()
+	defer func() { _ = log.Sync() }()
 	var seed [8]byte
 	rand.Read(seed[:]) // never fails
 	member, err := fleet.Open(file, name, binary.BigEndian.Uint64(seed[:]), false, log)
@@ -85,14 +85,14 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/fleet", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(member.Report())
+		_ = json.NewEncoder(w).Encode(member.Report())
 	})
 	mux.HandleFunc("GET /control/ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !member.Current() {
 			http.Error(w, "not current: no majority of the voters is heard through", http.StatusServiceUnavailable)
 			return
 		}
-		io.WriteString(w, "yes\n")
+		_, _ = io.WriteString(w, "yes\n")
 	})
 	mux.HandleFunc("GET "+itemPath+"{name...}", func(w http.ResponseWriter, r *http.Request) {
 		value, version, is := member.Get(views.Config + r.PathValue("name"))
@@ -102,7 +102,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
-		w.Write(value)
+		_, _ = w.Write(value)
 	})
 	change := func(w http.ResponseWriter, r *http.Request) {
 		p, err := asked(w, r)
@@ -115,7 +115,7 @@
 		if d := <-done; d.Refused != "" {
 			http.Error(w, d.Refused, http.StatusConflict)
 		} else {
-			fmt.Fprintf(w, "%d\n", d.Version)
+			_, _ = fmt.Fprintf(w, "%d\n", d.Version)
 		}
 	}
 	mux.HandleFunc("PUT "+itemPath+"{name...}", change)
@@ -198,7 +198,7 @@
 	if err != nil {
 		return err
 	}
-	defer r.Body.Close()
+	defer func() { _ = r.Body.Close() }()
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
 		return err
--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -202,8 +202,8 @@
 		r, err := (&http.Client{Timeout: bound}).Do(req)
 		if err == nil {
 			var text bytes.Buffer
-			text.ReadFrom(r.Body)
-			r.Body.Close()
+			_, _ = text.ReadFrom(r.Body)
+			_ = r.Body.Close()
 			if r.StatusCode == http.StatusOK {
 				v, err := strconv.ParseUint(strings.TrimSpace(text.String()), 10, 64)
 				if err != nil {
@@ -322,11 +322,11 @@
 
 	// One is stopped, sleeps over changes and its followers' leases, and wakes on old state.
 	stopped := (lost + 2) % 5
-	m.control[stopped].Signal(syscall.SIGSTOP)
+	_ = m.control[stopped].Signal(syscall.SIGSTOP)
 	asleep := m.Ties.Reached(stopped).String()
 	m.soon("its followers are elsewhere", feed.Lease, m.each(func(s follow.Status) bool { return current(s) && !slices.Contains(s.Relays, asleep) }))
 	m.everywhere((stopped+1)%5, "config/limits", "three")
-	m.control[stopped].Signal(syscall.SIGCONT)
+	_ = m.control[stopped].Signal(syscall.SIGCONT)
 	m.want("it has what it missed", m.all, func(r fleet.Report) bool {
 		return field.Together(5)(r) && r.Publishing.Age >= 0 && r.Publishing.Age < feed.Lease.Seconds()
 	})
@@ -368,7 +368,7 @@
 	})
 	had := snapshots()
 	for _, p := range m.control {
-		p.Signal(syscall.SIGKILL)
+		_ = p.Signal(syscall.SIGKILL)
 	}
 	for _, p := range m.control {
 		p.Kill()
@@ -389,7 +389,7 @@
 	// Most voters are lost: nobody can tell any more whether there is something newer.
 	m.want("five vote", m.all, func(r fleet.Report) bool { return r.Held.Voters == 5 })
 	for _, p := range m.control[:3] {
-		p.Signal(syscall.SIGKILL)
+		_ = p.Signal(syscall.SIGKILL)
 	}
 	for _, p := range m.control[:3] {
 		p.Kill()
@@ -486,7 +486,7 @@
 	if r, err := young.Fleet(); err != nil || r.Member || r.Why == "" {
 		t.Fatalf("two processes are the follower: %+v, %v", r, err)
 	}
-	p.Signal(syscall.SIGTERM)
+	_ = p.Signal(syscall.SIGTERM)
 	<-p.Exited()
 	m.balancers = []*field.Process{young}
 	m.soon("the new process follows", bound, m.following(func(f *fleet.Following) bool { return f.Current }))
@@ -500,7 +500,7 @@
 		t.Fatal(err)
 	}
 	at := slices.IndexFunc(m.seeds(), func(a netip.AddrPort) bool { return a.String() == r.Following.Relays[0] })
-	m.control[at].Signal(syscall.SIGTERM)
+	_ = m.control[at].Signal(syscall.SIGTERM)
 	<-m.control[at].Exited()
 	if err := m.control[at].Err(); err != nil {
 		t.Errorf("c%d ended with %v", at, err)
@@ -549,7 +549,7 @@
 		}
 	}
 	one := asks(first, "pay", 1)
-	io.WriteString(session(), "UP 1\r\n")
+	_, _ = io.WriteString(session(), "UP 1\r\n")
 	one.want("UP 1\r\n")
 	asks(second, "pay", 1).want("UP 1\r\n") // what was answered is answered with the same word
 	for lost, grade := range []string{"pay", "order"} {
--- a/cmd/sabletally/descriptors_test.go
+++ b/cmd/sabletally/descriptors_test.go
@@ -35,12 +35,12 @@
 				if nc, err := net.Dial("tcp", addr); err == nil {
 					c.came.Add(1)
 					ended := make(chan struct{})
-					go func() { io.Copy(io.Discard, nc); close(ended) }()
+					go func() { _, _ = io.Copy(io.Discard, nc); close(ended) }()
 					select {
 					case <-ended:
 					case <-c.stop:
 					}
-					nc.Close()
+					_ = nc.Close()
 				}
 				select {
 				case <-time.After(comesAgain):
@@ -102,10 +102,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	addr, env := ln.Addr().String(), []string{"MGMT", "SHARED", "PROBES=yes", fmt.Sprint("SABLETALLY_FILES=", files)}
 	if refuses {
-		ln.Close()
+		_ = ln.Close()
 		env = append(env, "EDGE_DISCOVERY="+addr)
 	}
 	s := &besieged{files: files, site: begin(t, env, "s-1")}
@@ -117,7 +117,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { ln.Close() })
+			t.Cleanup(func() { _ = ln.Close() })
 			go pass(ln, s.agent.Addr())
 		}
 	} else {
@@ -139,14 +139,14 @@
 			return
 		}
 		go func() {
-			defer near.Close()
+			defer func() { _ = near.Close() }()
 			far, err := net.Dial("tcp", to)
 			if err != nil {
 				return
 			}
-			defer far.Close()
-			go func() { io.Copy(far, near); far.Close() }()
-			io.Copy(near, far)
+			defer func() { _ = far.Close() }()
+			go func() { _, _ = io.Copy(far, near); far.Close() }()
+			_, _ = io.Copy(near, far)
 		}()
 	}
 }
@@ -158,7 +158,7 @@
 		s.t.Errorf("%d, %q", code, says)
 	}
 	a := s.client(open)
-	defer a.Close()
+	defer func() { _ = a.Close() }()
 	switch got := a.line(); {
 	case strings.HasPrefix(got, "UP"):
 		s.served++
@@ -199,7 +199,7 @@
 	}
 	s.works()
 	s.t.Logf("linked %v after the next process began; the two hold %d", linked, len(descriptors(s.t, old))+len(descriptors(s.t, s.child)))
-	old.Signal(syscall.SIGTERM)
+	_ = old.Signal(syscall.SIGTERM)
 	gone(s.t, old)
 	s.works()
 	many.end()
@@ -251,7 +251,7 @@
 					up++
 				case strings.HasPrefix(got, "BUSY"):
 					busy++
-					a.Close()
+					_ = a.Close()
 				default:
 					t.Errorf("%q", got)
 				}
--- a/cmd/sabletally/fleet_cost_test.go
+++ b/cmd/sabletally/fleet_cost_test.go
@@ -37,7 +37,7 @@
 	script := four(t, a, 100)
 	go func() {
 		for e := range script.Sessions {
-			io.WriteString(e, "UP 1\r\n")
+			_, _ = io.WriteString(e, "UP 1\r\n")
 		}
 	}()
 	m := enlistNow(t, many, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
@@ -62,9 +62,9 @@
 				if err != nil {
 					return
 				}
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				id := 1 + 1000*(n+1) + i
-				fmt.Fprintf(c, openOf, id, grade, id)
+				_, _ = fmt.Fprintf(c, openOf, id, grade, id)
 				got, _ := bufio.NewReader(c).ReadString('\n')
 				mu.Lock()
 				defer mu.Unlock()
@@ -72,7 +72,7 @@
 					failed++
 					return
 				}
-				h.RecordValue(time.Since(due).Microseconds())
+				_ = h.RecordValue(time.Since(due).Microseconds())
 			}()
 		}
 		all.Wait()
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -91,7 +91,7 @@
 func (m *members) anew() {
 	m.t.Helper()
 	for _, p := range m.procs {
-		p.Signal(syscall.SIGKILL)
+		_ = p.Signal(syscall.SIGKILL)
 	}
 	for _, p := range m.procs {
 		p.Kill()
@@ -218,9 +218,9 @@
 	m.Ties.Set(func(_, _ int, tie *standin.Tie) {
 		*tie = standin.Tie{Loss: 0.3, Mixed: 0.3, Late: 20 * time.Millisecond}
 	})
-	m.procs[4].Signal(syscall.SIGSTOP)
+	_ = m.procs[4].Signal(syscall.SIGSTOP)
 	m.want("the stopped one is missed, over bad ways", m.without(4), gone(4))
-	m.procs[4].Signal(syscall.SIGCONT)
+	_ = m.procs[4].Signal(syscall.SIGCONT)
 	m.Ties.Set(func(_, _ int, tie *standin.Tie) { *tie = standin.Tie{} })
 	m.together()
 	if r := m.report(4); r.Stalls == 0 || r.Self.Life != 1 {
@@ -260,7 +260,7 @@
 	if is := m.report(0).Self; is.Life != 2 {
 		t.Errorf("%+v", is)
 	}
-	m.procs[2].Signal(syscall.SIGTERM)
+	_ = m.procs[2].Signal(syscall.SIGTERM)
 	m.want("one that leaves says so", m.without(2), func(r fleet.Report) bool { return field.Sees(r, "n2") == "left" && r.Standing == "together" })
 	<-m.procs[2].Exited()
 }
@@ -312,7 +312,7 @@
 		})
 	}
 	// One that leaves as planned hands over before it ends.
-	m.procs[2].Signal(syscall.SIGTERM)
+	_ = m.procs[2].Signal(syscall.SIGTERM)
 	<-m.procs[2].Exited()
 	if tail := m.procs[2].Tail(); !strings.Contains(tail, `"fleet: handed over","name":"n2","all":true`) {
 		t.Errorf("it left with what it held: %s", tail)
@@ -388,7 +388,7 @@
 	// What was answered is answered with the same word.
 	for id := 1; id <= 5; id++ {
 		first := asks(1, "pay", id)
-		io.WriteString(session(), fmt.Sprintf("UP %d\r\n", id))
+		_, _ = io.WriteString(session(), fmt.Sprintf("UP %d\r\n", id))
 		first.want(fmt.Sprintf("UP %d\r\n", id))
 		asks(2, "pay", id).want(fmt.Sprintf("UP %d\r\n", id))
 	}
@@ -464,9 +464,9 @@
 	if err != nil {
 		return ""
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(bound))
-	fmt.Fprintf(c, openOf, id, grade, id)
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(bound))
+	_, _ = fmt.Fprintf(c, openOf, id, grade, id)
 	text, _ := bufio.NewReader(c).ReadString('\n')
 	return text
 }
@@ -549,13 +549,13 @@
 				if e.UID != "s-1" {
 					t.Errorf("sent to %s, which drains", e.UID)
 				}
-				io.WriteString(e, "UP 1\r\n")
+				_, _ = io.WriteString(e, "UP 1\r\n")
 			case <-time.After(bound):
 				t.Fatal("no server was asked")
 			}
 			one.want("UP 1\r\n")
 			t.Logf("ready after %v, served after %v", ready, time.Since(began))
-			p.Signal(syscall.SIGUSR1)
+			_ = p.Signal(syscall.SIGUSR1)
 			m.logsOf(p, `"why":"asked"`)
 			tail := p.Tail()
 			tail = tail[strings.LastIndex(tail, `"why":"asked"`):]
@@ -585,7 +585,7 @@
 	if r, err := young.Fleet(); err != nil || r.Member || r.Why == "" {
 		t.Fatalf("two processes are the member: %+v, %v", r, err)
 	}
-	m.procs[1].Signal(syscall.SIGTERM)
+	_ = m.procs[1].Signal(syscall.SIGTERM)
 	<-m.procs[1].Exited()
 	m.procs[1] = young
 	for end := time.Now().Add(bound); ; time.Sleep(10 * time.Millisecond) {
@@ -635,7 +635,7 @@
 		p    *field.Process
 		want bool
 	}{{m.procs[0], true}, {off, false}} {
-		c.p.Signal(syscall.SIGQUIT) // which writes where each goroutine is, and ends it
+		_ = c.p.Signal(syscall.SIGQUIT) // which writes where each goroutine is, and ends it
 		<-c.p.Exited()
 		text := c.p.Tail()
 		if !strings.Contains(text, "internal/balancer.(*Loop).Run") {
--- a/cmd/sabletally/main.go
+++ b/cmd/sabletally/main.go
@@ -68,7 +68,7 @@
 	// which the runtime takes away only after up to ten milliseconds. Guards against a loop that waits for it on one core.
 	runtime.GOMAXPROCS(2*cores + 1)
 	debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * 3 / 4)
-	netpoll.Configure(netpoll.Config{PollerNum: balancer.Pollers(cores), BufferSize: 4096, LoggerOutput: aside{log, "netpoll"},
+	_ = netpoll.Configure(netpoll.Config{PollerNum: balancer.Pollers(cores), BufferSize: 4096, LoggerOutput: aside{log, "netpoll"},
 		// Guards against senders at full speed: what the poller has read is taken in before it reads on.
 		Runner: func(_ context.Context, f func()) { go f(); runtime.Gosched() }})
 
--- a/cmd/sabletally/main_test.go
+++ b/cmd/sabletally/main_test.go
@@ -37,7 +37,7 @@
 		os.Exit(m.Run())
 	}
 	if files, err := strconv.ParseUint(os.Getenv("SABLETALLY_FILES"), 10, 32); err == nil {
-		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: files, Max: files})
+		_ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: files, Max: files})
 	}
 	main()
 }
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	return ln
 }
 
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { syscall.Close(fd) })
+	t.Cleanup(func() { _ = syscall.Close(fd) })
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 		for {
 			select {
 			case e := <-s.Sessions:
-				io.WriteString(e, "UP 1\r\n")
+				_, _ = io.WriteString(e, "UP 1\r\n")
 			case <-done:
 				return
 			}
@@ -304,7 +304,7 @@
 	s.t.Helper()
 	a := s.client(open)
 	e := s.session()
-	io.WriteString(e, "UP 77 receipt\r\n")
+	_, _ = io.WriteString(e, "UP 77 receipt\r\n")
 	a.want("UP 77 receipt\r\n")
 	return a, e
 }
@@ -325,8 +325,8 @@
 	if l, _ := e.R.ReadString('\n'); l != "M 2 def\r\n" {
 		t.Fatalf("%q", l)
 	}
-	io.WriteString(e, "LOAD 18410.797\r\nM 1 abc\r\nBYE\r\n")
-	e.Close()
+	_, _ = io.WriteString(e, "LOAD 18410.797\r\nM 1 abc\r\nBYE\r\n")
+	_ = e.Close()
 	a.want("LOAD 18410.797\r\n")
 	a.want("M 1 abc\r\n")
 	a.want("BYE\r\n")
@@ -336,15 +336,15 @@
 func TestEndsGoOnAsTheyCame(t *testing.T) {
 	s := begin(t, nil, "s-1")
 	a, e := s.up()
-	a.Close()
+	_ = a.Close()
 	ends(t, e.R, false)
 	a, e = s.up()
-	a.Conn.(*net.TCPConn).SetLinger(0)
-	a.Close()
+	_ = a.Conn.(*net.TCPConn).SetLinger(0)
+	_ = a.Close()
 	ends(t, e.R, true)
 	a, e = s.up()
-	e.Conn.(*net.TCPConn).SetLinger(0)
-	e.Close()
+	_ = e.Conn.(*net.TCPConn).SetLinger(0)
+	_ = e.Close()
 	ends(t, a.r, true)
 }
 
@@ -352,7 +352,7 @@
 	s := begin(t, nil, "s-1")
 	a := s.client(open)
 	e := s.session()
-	a.Close()
+	_ = a.Close()
 	ends(t, e.R, false)
 	if l := s.counted("left"); l != 1 {
 		t.Fatalf("%d left", l)
@@ -365,7 +365,7 @@
 	s.mu.Lock()
 	s.log.Reset()
 	s.mu.Unlock()
-	s.child.Signal(syscall.SIGUSR1)
+	_ = s.child.Signal(syscall.SIGUSR1)
 	text, _, _ := strings.Cut(s.waitLog(`"why":"asked"`), "\n")
 	fields := map[string]any{}
 	if err := json.Unmarshal([]byte("{"+text), &fields); err != nil {
@@ -382,7 +382,7 @@
 	s := begin(t, nil, "s-1", "s-2", "s-3", "dead-1", "dead-2")
 	a := s.client(open)
 	first := s.session()
-	io.WriteString(first, "BUSY\r\n")
+	_, _ = io.WriteString(first, "BUSY\r\n")
 	second := s.session()
 	ends(t, first.R, false) // the old one is closed by then
 	// It says nothing: given up in time for a third, which comes only after this one's end.
@@ -391,7 +391,7 @@
 	if first.UID == second.UID || third.UID == second.UID || third.UID == first.UID {
 		t.Fatalf("%s, %s, %s", first.UID, second.UID, third.UID)
 	}
-	io.WriteString(third, "UP 3\r\n")
+	_, _ = io.WriteString(third, "UP 3\r\n")
 	a.want("UP 3\r\n")
 }
 
@@ -405,7 +405,7 @@
 			for {
 				select {
 				case e := <-s.Sessions:
-					io.WriteString(e, say)
+					_, _ = io.WriteString(e, say)
 				case <-answered:
 					return
 				}
@@ -443,15 +443,15 @@
 				if err != nil {
 					return
 				}
-				io.WriteString(c, say)
+				_, _ = io.WriteString(c, say)
 				if say == "" {
-					c.(*net.TCPConn).SetLinger(0)
+					_ = c.(*net.TCPConn).SetLinger(0)
 				} else {
-					c.(*net.TCPConn).CloseWrite()
+					_ = c.(*net.TCPConn).CloseWrite()
 					got, _ := io.ReadAll(c)
 					said <- string(got)
 				}
-				c.Close()
+				_ = c.Close()
 			}
 		}()
 		s.list(uid, ln.Addr().String(), "in_service")
@@ -487,7 +487,7 @@
 func TestADrainingServerLosesItsClientsByMove(t *testing.T) {
 	s := begin(t, nil, "s-1", "s-2")
 	a, e := s.up()
-	io.WriteString(e, "LOAD 1000\r\nhalf a li") // a line that is not whole is not passed on
+	_, _ = io.WriteString(e, "LOAD 1000\r\nhalf a li") // a line that is not whole is not passed on
 	a.want("LOAD 1000\r\n")
 	s.list(e.UID, "", "terminating")
 	a.want("MOVE\r\n")
@@ -510,7 +510,7 @@
 	if took := time.Since(began); took < 1500*time.Millisecond || took > 3500*time.Millisecond {
 		t.Fatalf("after %v", took)
 	}
-	e.R.ReadString('\n')
+	_, _ = e.R.ReadString('\n')
 	ends(t, e.R, true)
 }
 
@@ -523,12 +523,12 @@
 	}
 	late := s.client(open) // its setup try is out when the signal comes
 	e := s.session()
-	s.child.Signal(syscall.SIGTERM)
+	_ = s.child.Signal(syscall.SIGTERM)
 	s.waitLog("leaving")
 	if got := s.client(open).line(); !strings.HasPrefix(got, "BUSY ") {
 		t.Fatalf("a newcomer got %q", got)
 	}
-	io.WriteString(e, "UP 9\r\n")
+	_, _ = io.WriteString(e, "UP 9\r\n")
 	late.want("UP 9\r\n")
 	for _, a := range append(clients, late) {
 		a.want("MOVE\r\n")
@@ -558,10 +558,10 @@
 	s.session()
 	before := s.client(strings.Replace(open, "d=1500", "d=50000,at=s-1", 1))
 	s.session()
-	s.child.Signal(syscall.SIGTERM)
+	_ = s.child.Signal(syscall.SIGTERM)
 	signalled := time.Now()
-	s.child.Signal(syscall.SIGTERM) // twice is as good as once
-	s.child.Signal(syscall.SIGHUP)
+	_ = s.child.Signal(syscall.SIGTERM) // twice is as good as once
+	_ = s.child.Signal(syscall.SIGHUP)
 	before.want("ERR\r\n")
 	if got := harmless.line(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("%q for one that may run again", got)
@@ -584,32 +584,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	os.Remove(s.config)
+	_ = os.Remove(s.config)
 	if err := syscall.Mkfifo(s.config, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.child.Signal(syscall.SIGHUP)
+	_ = s.child.Signal(syscall.SIGHUP)
 	file, err := os.OpenFile(s.config, os.O_WRONLY, 0) // comes back once it is read
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 50 { // those that are the same may fall together on their way
-		s.child.Signal(syscall.SIGUSR1)
+		_ = s.child.Signal(syscall.SIGUSR1)
 		time.Sleep(time.Millisecond)
 	}
-	s.child.Signal(syscall.SIGHUP)
-	s.child.Signal(syscall.SIGTERM)
+	_ = s.child.Signal(syscall.SIGHUP)
+	_ = s.child.Signal(syscall.SIGTERM)
 	s.waitLog(`"leaving"`)
 	a.want("MOVE\r\n")
-	file.Write(text)
+	_, _ = file.Write(text)
 	if again, err := os.CreateTemp(filepath.Dir(s.config), ""); err != nil { // for the second
 		t.Fatal(err)
 	} else {
-		again.Write(text)
-		again.Close()
-		os.Rename(again.Name(), s.config)
+		_, _ = again.Write(text)
+		_ = again.Close()
+		_ = os.Rename(again.Name(), s.config)
 	}
-	file.Close()
+	_ = file.Close()
 	s.waitLog(`"reloaded"`)
 	s.waitLog(`"why":"asked"`)
 }
@@ -641,13 +641,13 @@
 				s := begin(t, []string{"LONG"}, "s-1", "s-2", "s-3")
 				a := s.client(strings.Replace(strings.Replace(open, "c=feed", "c="+grade, 1), "d=1500", "d=3000", 1))
 				first := s.session()
-				io.WriteString(first, c.text)
+				_, _ = io.WriteString(first, c.text)
 				switch c.how {
 				case "reset":
-					first.Conn.(*net.TCPConn).SetLinger(0)
-					first.Close()
+					_ = first.Conn.(*net.TCPConn).SetLinger(0)
+					_ = first.Close()
 				case "end":
-					first.Conn.(*net.TCPConn).CloseWrite()
+					_ = first.Conn.(*net.TCPConn).CloseWrite()
 				}
 				if grade == "pay" && c.ran {
 					a.want("ERR\r\n")
@@ -657,9 +657,9 @@
 					if c.how != "reset" && !ended(t, first.Conn) {
 						t.Error("the second try came before the end of the first")
 					}
-					io.WriteString(second, "UP 2\r\n")
+					_, _ = io.WriteString(second, "UP 2\r\n")
 					a.want("UP 2\r\n")
-					a.Close()
+					_ = a.Close()
 					ends(t, second.R, false)
 				}
 				if n := s.counted("panics"); n != 0 {
@@ -723,12 +723,12 @@
 			}
 			switch tcp := a.Conn.(*net.TCPConn); how {
 			case "half-close":
-				tcp.CloseWrite()
+				_ = tcp.CloseWrite()
 			case "reset":
-				tcp.SetLinger(0)
-				tcp.Close()
+				_ = tcp.SetLinger(0)
+				_ = tcp.Close()
 			default:
-				tcp.Close()
+				_ = tcp.Close()
 			}
 			for end := time.Now().Add(bound); s.counted("left") == 0; {
 				if time.Now().After(end) {
@@ -793,13 +793,13 @@
 	b.write("OPEN " + id + " 2 c=feed,d=900\r\n")
 	b.want("ERR SYNTAX\r\n")
 	ends(t, b.r, false)
-	io.WriteString(e, "M 1\r\n")
+	_, _ = io.WriteString(e, "M 1\r\n")
 	a.want("M 1\r\n")
-	a.Close()
+	_ = a.Close()
 	ends(t, e.R, false)
 	s.waitLog(`"stood"`) // the relay ends the server's side before the loop has heard
 	again.write("OPEN " + id + " 2 c=feed,d=900\r\n")
-	io.WriteString(s.session(), "UP 1\r\n")
+	_, _ = io.WriteString(s.session(), "UP 1\r\n")
 	again.want("UP 1\r\n")
 	if n := s.counted("same-id"); n != 1 {
 		t.Fatal(n)
@@ -872,7 +872,7 @@
 		if e.UID != uid {
 			t.Fatalf("%s in place of %s", e.UID, uid)
 		}
-		io.WriteString(e, "UP 1\r\n")
+		_, _ = io.WriteString(e, "UP 1\r\n")
 		a.want("UP 1\r\n")
 		s.list(uid, "", "terminating") // the module knows of it: it moves
 		a.want("MOVE\r\n")
@@ -922,7 +922,7 @@
 		s.mu.Lock()
 		s.log.Reset()
 		s.mu.Unlock()
-		s.child.Signal(syscall.SIGHUP)
+		_ = s.child.Signal(syscall.SIGHUP)
 		s.waitLog(word)
 	}
 	for _, bad := range []string{"", string(text[:len(text)/2]), strings.Replace(string(text), `"discovery":"`, `"discovery":"?`, 1)} {
@@ -955,7 +955,7 @@
 	if good, bad, errs := s.counted("reloads"), s.counted("reload-errors"), s.counted("list-errors"); good != 2 || bad != 3 || errs != 0 {
 		t.Fatalf("%d reloads, %d refused, %d list errors", good, bad, errs)
 	}
-	s.child.Signal(syscall.SIGTERM)
+	_ = s.child.Signal(syscall.SIGTERM)
 	s.waitLog(`"leaving"`)
 	reload(text, `"reloaded"`)
 	a.want("MOVE\r\n")
@@ -972,7 +972,7 @@
 			up++
 		case strings.HasPrefix(got, "BUSY"):
 			busy++
-			a.Close()
+			_ = a.Close()
 		default:
 			t.Fatalf("%q", got)
 		}
@@ -991,7 +991,7 @@
 		t.Fatalf("%d up, %d busy", up, busy)
 	}
 	for _, a := range clients {
-		a.Close()
+		_ = a.Close()
 	}
 	for end := time.Now().Add(bound); s.counted("open") > 0; {
 		if time.Now().After(end) {
@@ -1019,7 +1019,7 @@
 	if _, err := io.Copy(io.Discard, a); err == nil {
 		t.Fatal("the slow reader was ended as if all was well")
 	}
-	io.WriteString(calm, "BYE\r\n")
+	_, _ = io.WriteString(calm, "BYE\r\n")
 }
 
 func TestABadConfigurationNamesTheKey(t *testing.T) {
@@ -1032,7 +1032,7 @@
 		"settings: PeersTotal": {"PeersTotal", "Peers"}, "settings: Limits.MostSetupTries": {"MostSetupTries", "Tries"},
 	} {
 		path := filepath.Join(t.TempDir(), "config.json")
-		os.WriteFile(path, []byte(strings.Replace(whole, change[0], change[1], 1)), 0o600)
+		_ = os.WriteFile(path, []byte(strings.Replace(whole, change[0], change[1], 1)), 0o600)
 		child := exec.Command(os.Args[0])
 		child.Env = append(os.Environ(), "SABLETALLY_CHILD=1", "EDGE_CONFIG="+path)
 		out, err := child.CombinedOutput()
--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -49,13 +49,13 @@
 	s.yes("PUT", "/control/out-of-service")
 	s.yes("PUT", "/control/out-of-service")
 	s.client("PING\r\n").want("NO\r\n")
-	s.child.Signal(syscall.SIGHUP) // which ends no drain
+	_ = s.child.Signal(syscall.SIGHUP) // which ends no drain
 	s.waitLog(`"reloaded"`)
 	s.client("PING\r\n").want("NO\r\n")
 	if code, says := s.call("GET", "/control/ready"); code != 503 || !strings.Contains(says, "out of service") {
 		t.Fatalf("%d, %q", code, says)
 	}
-	io.WriteString(e, "UP 9\r\n")
+	_, _ = io.WriteString(e, "UP 9\r\n")
 	late.want("UP 9\r\n")
 	for _, a := range append(clients, late) {
 		a.want("MOVE\r\n")
@@ -77,11 +77,11 @@
 	if n := s.counted("drains"); n != 2 {
 		t.Fatal(n)
 	}
-	s.child.Signal(syscall.SIGTERM)
+	_ = s.child.Signal(syscall.SIGTERM)
 	s.waitLog("leaving")
 	for call, want := range map[string]int{"GET /control/ready": 503, "PUT /control/out-of-service": 200, "PUT /control/in-service": 409} {
 		var method, path string
-		fmt.Sscan(call, &method, &path)
+		_, _ = fmt.Sscan(call, &method, &path)
 		if code, says := s.call(method, path); code != want {
 			t.Errorf("%s while it leaves: %d, %q", call, code, says)
 		}
@@ -106,7 +106,7 @@
 		return a, s.session()
 	}
 	stands, at := order()
-	io.WriteString(at, "UP 1\r\n")
+	_, _ = io.WriteString(at, "UP 1\r\n")
 	stands.want("UP 1\r\n")
 	waits, out := order()
 	late, never := order()
@@ -114,25 +114,25 @@
 	unknown := s.client(strings.Replace(open, "c=feed", "c=order", 1))
 	unknown.want("ERR SYNTAX\r\n")
 	s.load(strings.NewReplacer("non_idempotent", "read_like", `"MostSetupTries":6`, `"MostSetupTries":2`).Replace(first), `"reloaded"`)
-	io.WriteString(out, "ERR\r\n") // it may have run: never again
+	_, _ = io.WriteString(out, "ERR\r\n") // it may have run: never again
 	waits.want("ERR\r\n")
 	for range 2 { // never ran: it goes on, as often as it was promised
-		io.WriteString(never, "BUSY\r\n")
+		_, _ = io.WriteString(never, "BUSY\r\n")
 		never = s.session()
 	}
-	io.WriteString(never, "UP 3\r\n")
+	_, _ = io.WriteString(never, "UP 3\r\n")
 	late.want("UP 3\r\n")
 	// A first line that waits in the socket's buffer at a switch is answered by the old rules or the new ones.
-	s.child.Signal(syscall.SIGSTOP)
+	_ = s.child.Signal(syscall.SIGSTOP)
 	s.hand(strings.Replace(first, `"order"`, `"other"`, 1))
 	buffered := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(open))
-	s.child.Signal(syscall.SIGCONT)
+	_ = s.child.Signal(syscall.SIGCONT)
 	answered := make(chan bool)
 	go func() {
 		for {
 			select {
 			case e := <-s.Sessions:
-				io.WriteString(e, "UP 4\r\n") // a failure more, and the brake could nack what comes below
+				_, _ = io.WriteString(e, "UP 4\r\n") // a failure more, and the brake could nack what comes below
 			case <-answered:
 				return
 			}
@@ -145,8 +145,8 @@
 	s.waitLog(`"reloaded"`) // else the next load could take this one's word for its own
 	s.load(strings.NewReplacer("non_idempotent", "read_like", `"MostSetupTries":6`, `"MostSetupTries":2`).Replace(first), `"reloaded"`)
 	again, try := order() // by the new rules
-	io.WriteString(try, "ERR\r\n")
-	io.WriteString(s.session(), "ERR\r\n")
+	_, _ = io.WriteString(try, "ERR\r\n")
+	_, _ = io.WriteString(s.session(), "ERR\r\n")
 	if got := again.line(); !strings.HasPrefix(got, "BUSY ") {
 		t.Fatalf("%q after two tries of two", got)
 	}
@@ -244,7 +244,7 @@
 		if l, _ := e.R.ReadString('\n'); l != "M 1 x\r\n" {
 			t.Fatalf("%q", l)
 		}
-		io.WriteString(e, "M 1 x\r\nM 0 hal") // answered, or it would count as a server that says nothing
+		_, _ = io.WriteString(e, "M 1 x\r\nM 0 hal") // answered, or it would count as a server that says nothing
 		a.want("M 1 x\r\n")
 		clients, ends = append(clients, a), append(ends, e)
 	}
@@ -253,30 +253,30 @@
 		out := s.client(strings.Replace(open, "d=1500", "d=8000", 1))
 		at := s.session()
 		old := s.next()
-		old.Signal(syscall.SIGTERM)
+		_ = old.Signal(syscall.SIGTERM)
 		s.waitLog("leaving")
-		io.WriteString(at, "UP 3\r\n")
+		_, _ = io.WriteString(at, "UP 3\r\n")
 		out.want("UP 3\r\n")
 		half.write(fmt.Sprint(round) + " 2 c=feed,d=5000\r\n")
-		io.WriteString(s.session(), "UP 4\r\n")
+		_, _ = io.WriteString(s.session(), "UP 4\r\n")
 		half.want("UP 4\r\n")
 		silent.write(fmt.Sprintf("OPEN 99%d 2 c=feed,d=5000\r\n", round))
-		io.WriteString(s.session(), "UP 5\r\n")
+		_, _ = io.WriteString(s.session(), "UP 5\r\n")
 		silent.want("UP 5\r\n")
 		gone(t, old)
 		out.write("M 9\r\n")
 		if l, _ := at.R.ReadString('\n'); l != "M 9\r\n" {
 			t.Fatalf("%q", l)
 		}
-		io.WriteString(at, "M 9\r\n")
+		_, _ = io.WriteString(at, "M 9\r\n")
 		for n, a := range clients {
-			io.WriteString(ends[n], "f\r\n")
+			_, _ = io.WriteString(ends[n], "f\r\n")
 			a.want("M 0 half\r\n")
 			a.write("y\r\nM 2 ")
 			if l, _ := ends[n].R.ReadString('\n'); l != "M 2 y\r\n" {
 				t.Fatalf("%q", l)
 			}
-			io.WriteString(ends[n], "M 2 y\r\nM 0 hal")
+			_, _ = io.WriteString(ends[n], "M 2 y\r\nM 0 hal")
 			a.want("M 2 y\r\n")
 		}
 		if n, m := s.counted("inherited"), s.counted("open"); n != 23+3*round || m != 23+3*round {
@@ -297,7 +297,7 @@
 	a, e := s.up()
 	old := s.beside()
 	s.waitLog("a new process is beside this one")
-	old.Signal(syscall.SIGTERM)
+	_ = old.Signal(syscall.SIGTERM)
 	gone(t, old)
 	a.write("M 1\r\n")
 	if l, _ := e.R.ReadString('\n'); l != "M 1\r\n" {
@@ -318,13 +318,13 @@
 		clients[a] = e
 	}
 	old := s.next()
-	s.child.Signal(syscall.SIGSTOP)
-	old.Signal(syscall.SIGTERM)
+	_ = s.child.Signal(syscall.SIGSTOP)
+	_ = old.Signal(syscall.SIGTERM)
 	gone(t, old)
-	s.child.Signal(syscall.SIGCONT)
+	_ = s.child.Signal(syscall.SIGCONT)
 	moved := 0
 	for a, e := range clients {
-		io.WriteString(e, "M 1\r\n")
+		_, _ = io.WriteString(e, "M 1\r\n")
 		switch got := a.line(); got {
 		case "MOVE\r\n":
 			moved++
@@ -348,8 +348,8 @@
 		clients = append(clients, a)
 	}
 	old := s.next()
-	s.child.Signal(syscall.SIGSTOP)
-	old.Signal(syscall.SIGTERM)
+	_ = s.child.Signal(syscall.SIGSTOP)
+	_ = old.Signal(syscall.SIGTERM)
 	got := make(chan string, len(clients))
 	for _, a := range clients {
 		go func() {
@@ -380,7 +380,7 @@
 	s.waitLog("the old process has ended")
 	s.up()
 	old = s.next()
-	old.Signal(syscall.SIGTERM)
+	_ = old.Signal(syscall.SIGTERM)
 	gone(t, old)
 	// The new process confirms before it takes, so the end of the old one does not tell that it has counted yet.
 	for end := time.Now().Add(bound); ; {
@@ -412,7 +412,7 @@
 	old := s.next()
 	s.child.Kill()
 	s.waitLog("the new process has gone")
-	old.Signal(syscall.SIGTERM)
+	_ = old.Signal(syscall.SIGTERM)
 	a.want("MOVE\r\n")
 	ends(t, a.r, false)
 	gone(t, old)
@@ -423,7 +423,7 @@
 	s := begin(t, []string{"MGMT", "SHARED"}, "s-1")
 	s.yes("PUT", "/control/out-of-service")
 	old := s.next() // it says yes: it may take over
-	old.Signal(syscall.SIGTERM)
+	_ = old.Signal(syscall.SIGTERM)
 	gone(t, old)
 	s.client("PING\r\n").want("NO\r\n")
 	s.yes("PUT", "/control/in-service")
@@ -443,7 +443,7 @@
 				t.Fatal(err)
 			}
 			s.Hold(c)
-			io.WriteString(c, "PUT /control/out")
+			_, _ = io.WriteString(c, "PUT /control/out")
 		}
 		s.client([]string{"", "OPEN 12"}[n%2])
 		if n%300 == 299 {
--- a/cmd/sabletally/ready_test.go
+++ b/cmd/sabletally/ready_test.go
@@ -104,10 +104,10 @@
 		if err != nil {
 			continue
 		}
-		c.SetDeadline(end)
-		io.WriteString(c, "PING\r\n")
+		_ = c.SetDeadline(end)
+		_, _ = io.WriteString(c, "PING\r\n")
 		text, _ := bufio.NewReader(c).ReadString('\n')
-		c.Close()
+		_ = c.Close()
 		if text == "PONG\r\n" {
 			return nil
 		}
@@ -162,7 +162,7 @@
 			a.Misbehave(c.fault)
 			a.Book(c.desk)
 			for _, p := range procs {
-				p.Signal(syscall.SIGKILL)
+				_ = p.Signal(syscall.SIGKILL)
 			}
 			for i, p := range procs {
 				p.Kill()
@@ -193,7 +193,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			a.Misbehave(c.fault)
 			for _, p := range m.procs {
-				p.Signal(syscall.SIGKILL)
+				_ = p.Signal(syscall.SIGKILL)
 			}
 			for _, p := range m.procs {
 				p.Kill()
@@ -231,9 +231,9 @@
 		for end := time.Now().Add(bound); ; time.Sleep(askEach) {
 			c, err := net.Dial("tcp", p.Addr)
 			if err == nil {
-				t.Cleanup(func() { c.Close() })
-				c.SetDeadline(time.Now().Add(bound))
-				io.WriteString(c, "PING\r\n")
+				t.Cleanup(func() { _ = c.Close() })
+				_ = c.SetDeadline(time.Now().Add(bound))
+				_, _ = io.WriteString(c, "PING\r\n")
 				return bufio.NewReader(c)
 			}
 			if time.Now().After(end) {
@@ -249,8 +249,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(bound))
+		t.Cleanup(func() { _ = c.Close() })
+		_ = c.SetDeadline(time.Now().Add(bound))
 		go func() {
 			if text, _ := bufio.NewReader(c).ReadString('\n'); strings.HasPrefix(text, "BUSY") {
 				once.Do(func() { close(shed) })
--- a/cmd/sabletally/switch_test.go
+++ b/cmd/sabletally/switch_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
@@ -39,7 +39,7 @@
 	s.mu.Lock()
 	s.log.Reset()
 	s.mu.Unlock()
-	s.child.Signal(syscall.SIGHUP)
+	_ = s.child.Signal(syscall.SIGHUP)
 }
 
 // TestTheMoveAndTheWayBack switches to settings of another shape and back while one circuit stands and one's try is out:
@@ -70,9 +70,9 @@
 			s.load(bad, []string{"peers is missing", "peers.others: 1 addresses", "settings.ServiceGrades[0].Utility is missing", `\"a\" is gone`, `Weights \"heavy\"`, "peers.listen"}[n])
 		}
 		s.load(moved, `"settings"`)
-		io.WriteString(out, "UP 5\r\n")
+		_, _ = io.WriteString(out, "UP 5\r\n")
 		waits.want("UP 5\r\n")
-		peer.SetReadDeadline(time.Now().Add(bound))
+		_ = peer.SetReadDeadline(time.Now().Add(bound))
 		text, held := make([]byte, peers.Most), 0.0
 		for held == 0 { // until what stands is told of
 			n, _, err := peer.ReadFromUDPAddrPort(text)
@@ -97,14 +97,14 @@
 		viewer := s.client(strings.NewReplacer("c=feed,t=acme", "c=viewer", "d=1500", "d=15000").Replace(open))
 		at := s.session()
 		s.load(back, `"settings"`) // its circuit is still held
-		io.WriteString(at, "BYE\r\n")
+		_, _ = io.WriteString(at, "BYE\r\n")
 		viewer.want("BYE\r\n")
 		ended := s.client(strings.Replace(open, "c=feed", "c=desk", 1))
 		ended.want("ERR SYNTAX\r\n") // a grade that nobody names
 		if c, _ := s.up(); c == nil {
 			t.Fatal(round)
 		}
-		io.WriteString(e, "BYE\r\n")
+		_, _ = io.WriteString(e, "BYE\r\n")
 		stands.want("BYE\r\n")
 		select {
 		case again := <-s.Sessions:
--- a/internal/balancer/conn.go
+++ b/internal/balancer/conn.go
@@ -111,10 +111,10 @@
 func adopt(nc netpoll.Connection, to sink, fds *atomic.Int64) *conn {
 	c := &conn{nc: nc, to: to, fds: fds}
 	c.stage.Store(int32(Connected))
-	nc.SetWriteTimeout(writeFor)
+	_ = nc.SetWriteTimeout(writeFor)
 	// Guards against floods: netpoll reads whatever has come, however far behind its reader is.
-	unix.SetsockoptInt(c.fd(), unix.SOL_SOCKET, unix.SO_RCVBUF, inMost/2)
-	nc.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
+	_ = unix.SetsockoptInt(c.fd(), unix.SOL_SOCKET, unix.SO_RCVBUF, inMost/2)
+	_ = nc.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
 	return c
 }
 
@@ -135,7 +135,7 @@
 		return err
 	}
 	if c.cut || c.waits.Load() > inMost {
-		r.Release()
+		_ = r.Release()
 		if !c.cut {
 			c.cut = true
 			c.to.post(event{conn: c, broken: &Broken{Stage: Stage(c.stage.Load()), Cause: errFlooded}})
@@ -147,7 +147,7 @@
 		return nil
 	}
 	c.split.Add(p)
-	r.Release()
+	_ = r.Release()
 	c.cutLines()
 	return nil
 }
@@ -333,7 +333,7 @@
 		if len(b) == 0 || c.closed {
 			c.writing = false
 			if c.ending && !c.closed {
-				unix.Shutdown(c.fd(), unix.SHUT_WR)
+				_ = unix.Shutdown(c.fd(), unix.SHUT_WR)
 			}
 			c.mu.Unlock()
 			return
@@ -350,7 +350,7 @@
 				c.stage.Store(int32(Connected))
 			}
 			c.to.post(event{conn: c, broken: &Broken{Stage: Stage(c.stage.Load()), Abrupt: true, Cause: err}})
-			c.nc.Close()
+			_ = c.nc.Close()
 			return
 		}
 	}
@@ -368,10 +368,10 @@
 }
 
 // close ends the connection now; abort does so by a reset.
-func (c *conn) close() { c.nc.Close() }
+func (c *conn) close() { _ = c.nc.Close() }
 
 // shut closes it beside the caller: netpoll's own goroutine would wait for itself.
-func (c *conn) shut() { go c.nc.Close() }
+func (c *conn) shut() { go func() { _ = c.nc.Close() }() }
 
 // word writes a last line past the buffer, as far as the kernel takes it, to a client whose connection is closed next. What it has
 // sent is read first: a close with unread bytes is a reset, which may take the line along.
@@ -382,13 +382,13 @@
 		return
 	}
 	var unread [line.Longest]byte
-	unix.Recvfrom(c.fd(), unread[:], unix.MSG_DONTWAIT)
-	unix.Write(c.fd(), b)
+	_, _, _ = unix.Recvfrom(c.fd(), unread[:], unix.MSG_DONTWAIT)
+	_, _ = unix.Write(c.fd(), b)
 }
 
 func (c *conn) abort() {
 	c.reset()
-	c.nc.Close()
+	_ = c.nc.Close()
 }
 
 // reset has the kernel drop the connection at once; netpoll then finds it ended. Guards against senders at full
@@ -398,7 +398,7 @@
 	defer c.mu.Unlock()
 	if !c.closed {
 		nobody := unix.RawSockaddr{Family: unix.AF_UNSPEC}
-		unix.Syscall(unix.SYS_CONNECT, uintptr(c.fd()), uintptr(unsafe.Pointer(&nobody)), unsafe.Sizeof(nobody))
+		_, _, _ = unix.Syscall(unix.SYS_CONNECT, uintptr(c.fd()), uintptr(unsafe.Pointer(&nobody)), unsafe.Sizeof(nobody))
 	}
 }
 
@@ -441,6 +441,6 @@
 		c.passTo = func(held []byte) { to(fd, held) }
 	}
 	c.mu.Unlock()
-	c.nc.Close()
+	_ = c.nc.Close()
 	return fd, isHanded
 }
--- a/internal/balancer/crossing_test.go
+++ b/internal/balancer/crossing_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close(); d.Close() })
+	t.Cleanup(func() { _ = c.Close(); d.Close() })
 	return c.(*net.TCPConn), d.(*net.TCPConn)
 }
 
@@ -68,11 +68,11 @@
 		t.Fatal(err)
 	}
 	fd := -1
-	raw.Control(func(at uintptr) { fd, err = unix.FcntlInt(at, unix.F_DUPFD_CLOEXEC, 3) })
+	_ = raw.Control(func(at uintptr) { fd, err = unix.FcntlInt(at, unix.F_DUPFD_CLOEXEC, 3) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
+	_ = c.Close()
 	return fd
 }
 
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	l := alone(t, ln.Addr().String(), effect)
 	x := &crossing{t: t, l: l, want: make(chan bool, 1), mine: make(chan net.Conn, 1), asked: make(chan string, 4), told: make(chan string, 4)}
 	go func() {
@@ -92,7 +92,7 @@
 				return
 			}
 			go func() {
-				c.SetDeadline(time.Now().Add(crossBound))
+				_ = c.SetDeadline(time.Now().Add(crossBound))
 				r := bufio.NewReader(c)
 				got, _ := r.ReadString('\n')
 				if got != "" {
@@ -105,7 +105,7 @@
 				default:
 				}
 				rest, _ := io.ReadAll(r)
-				c.Close()
+				_ = c.Close()
 				x.told <- got + string(rest)
 			}()
 		}
@@ -118,9 +118,9 @@
 	l.fds.Add(1)
 	c := adopt(nc, l, &l.fds)
 	c.door = l.door
-	nc.SetOnRequest(c.onRequest)
+	_ = nc.SetOnRequest(c.onRequest)
 	x.client = near
-	io.WriteString(near, "OPEN 1 2 c=feed,d=20000\r\n")
+	_, _ = io.WriteString(near, "OPEN 1 2 c=feed,d=20000\r\n")
 	x.until("the try's connection is up", func() bool {
 		if cir := l.circuits[1]; cir != nil {
 			x.cir = cir
@@ -221,15 +221,15 @@
 			x := cross(t, policy.Idempotent)
 			switch tcp := x.client.(*net.TCPConn); how {
 			case "half-close":
-				tcp.CloseWrite()
+				_ = tcp.CloseWrite()
 			case "reset":
-				tcp.SetLinger(0)
-				tcp.Close()
+				_ = tcp.SetLinger(0)
+				_ = tcp.Close()
 			case "unread bytes and end":
-				io.WriteString(tcp, strings.Repeat("x", 100))
-				tcp.Close()
+				_, _ = io.WriteString(tcp, strings.Repeat("x", 100))
+				_ = tcp.Close()
 			default:
-				tcp.Close()
+				_ = tcp.Close()
 			}
 			c := x.cir.client
 			x.until("its end is here", func() bool { return x.has(func(ev event) bool { return ev.conn == c && ev.broken != nil }) })
@@ -271,7 +271,7 @@
 	if got := x.settled(); got != "" {
 		t.Errorf("a draining server was told %q", got)
 	}
-	x.client.SetReadDeadline(time.Now().Add(crossBound))
+	_ = x.client.SetReadDeadline(time.Now().Add(crossBound))
 	if got, err := bufio.NewReader(x.client).ReadString('\n'); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("the client got %q, %v", got, err)
 	}
@@ -315,7 +315,7 @@
 			}
 			if silent {
 				x.turns("a silent discovery is waited for no longer", func() bool { return len(x.asked) > 0 })
-				x.client.Close()
+				_ = x.client.Close()
 			}
 			if got := x.settled(); (got != "") != silent {
 				t.Errorf("stalled %v, silent %v: the server was told %q", stalled, silent, got)
@@ -359,14 +359,14 @@
 		do    func(x *crossing, server net.Conn)
 		after string // what the client reads, to the end
 	}{
-		{"the client ends", func(x *crossing, _ net.Conn) { x.client.Close() }, ""},
-		{"the client resets", func(x *crossing, _ net.Conn) { x.client.(*net.TCPConn).SetLinger(0); x.client.Close() }, ""},
-		{"the server ends", func(_ *crossing, server net.Conn) { server.Close() }, "UP 1\r\n"},
+		{"the client ends", func(x *crossing, _ net.Conn) { _ = x.client.Close() }, ""},
+		{"the client resets", func(x *crossing, _ net.Conn) { _ = x.client.(*net.TCPConn).SetLinger(0); x.client.Close() }, ""},
+		{"the server ends", func(_ *crossing, server net.Conn) { _ = server.Close() }, "UP 1\r\n"},
 		{"the server says more and ends", func(_ *crossing, server net.Conn) {
-			io.WriteString(server, "M 1\r\nUP 2\r\nBYE\r\n")
-			server.Close()
+			_, _ = io.WriteString(server, "M 1\r\nUP 2\r\nBYE\r\n")
+			_ = server.Close()
 		}, "UP 1\r\nM 1\r\nUP 2\r\nBYE\r\n"},
-		{"the server resets", func(_ *crossing, server net.Conn) { server.(*net.TCPConn).SetLinger(0); server.Close() }, "?"},
+		{"the server resets", func(_ *crossing, server net.Conn) { _ = server.(*net.TCPConn).SetLinger(0); server.Close() }, "?"},
 		{"the server drains", func(x *crossing, _ net.Conn) {
 			x.l.post(event{do: func() {
 				x.l.list(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.at.address, Heft: 1, State: policy.Draining},
@@ -381,7 +381,7 @@
 			x.see()
 			x.turns("the server gets its line", func() bool { return len(x.mine) > 0 })
 			server := <-x.mine
-			io.WriteString(server, "UP 1\r\n")
+			_, _ = io.WriteString(server, "UP 1\r\n")
 			conn := x.cir.client
 			conn.mu.Lock() // the hand-over waits for it
 			x.until("it stands", func() bool {
@@ -399,7 +399,7 @@
 			conn.mu.Unlock()
 			got := make(chan string, 1)
 			go func() {
-				x.client.SetReadDeadline(time.Now().Add(crossBound))
+				_ = x.client.SetReadDeadline(time.Now().Add(crossBound))
 				all, _ := io.ReadAll(x.client)
 				got <- string(all)
 			}()
@@ -407,7 +407,7 @@
 			if text := <-got; c.after != "?" && c.after != "" && text != c.after {
 				t.Errorf("the client got %q", text)
 			}
-			server.SetDeadline(time.Now().Add(crossBound))
+			_ = server.SetDeadline(time.Now().Add(crossBound))
 			if _, err := io.ReadAll(server); err != nil && strings.Contains(err.Error(), "timeout") {
 				t.Error("the server's side is open")
 			}
@@ -430,7 +430,7 @@
 		t.Errorf("the server was told %q", got)
 	}
 	x.l.turn()
-	x.client.SetReadDeadline(time.Now().Add(crossBound))
+	_ = x.client.SetReadDeadline(time.Now().Add(crossBound))
 	if got, err := bufio.NewReader(x.client).ReadString('\n'); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("the client got %q, %v", got, err)
 	}
@@ -453,9 +453,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(crossBound))
-	io.WriteString(c, "OPEN 1 2 c=feed,d=20000\r\n")
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(crossBound))
+	_, _ = io.WriteString(c, "OPEN 1 2 c=feed,d=20000\r\n")
 	go l.Serve(door)
 	if got, err := io.ReadAll(c); !strings.HasPrefix(string(got), "BUSY") || err != nil {
 		t.Fatalf("%q, %v", got, err)
@@ -473,15 +473,15 @@
 		do   func(x *crossing, server *net.TCPConn)
 	}
 	acts := []act{
-		{"the client ends", true, func(x *crossing, _ *net.TCPConn) { x.client.Close() }},
-		{"the client resets", true, func(x *crossing, _ *net.TCPConn) { x.client.(*net.TCPConn).SetLinger(0); x.client.Close() }},
-		{"the client says more", false, func(x *crossing, _ *net.TCPConn) { io.WriteString(x.client, "M 1\r\n") }},
-		{"up", false, func(_ *crossing, server *net.TCPConn) { io.WriteString(server, "UP 1\r\n") }},
-		{"up and more", false, func(_ *crossing, server *net.TCPConn) { io.WriteString(server, "UP 1\r\nLOAD 1\r\nUP 2\r\n") }},
-		{"turned away", false, func(_ *crossing, server *net.TCPConn) { io.WriteString(server, "BUSY\r\n") }},
-		{"an error", false, func(_ *crossing, server *net.TCPConn) { io.WriteString(server, "ERR\r\n") }},
-		{"the server ends", false, func(_ *crossing, server *net.TCPConn) { server.CloseWrite() }},
-		{"the server resets", false, func(_ *crossing, server *net.TCPConn) { server.SetLinger(0); server.Close() }},
+		{"the client ends", true, func(x *crossing, _ *net.TCPConn) { _ = x.client.Close() }},
+		{"the client resets", true, func(x *crossing, _ *net.TCPConn) { _ = x.client.(*net.TCPConn).SetLinger(0); x.client.Close() }},
+		{"the client says more", false, func(x *crossing, _ *net.TCPConn) { _, _ = io.WriteString(x.client, "M 1\r\n") }},
+		{"up", false, func(_ *crossing, server *net.TCPConn) { _, _ = io.WriteString(server, "UP 1\r\n") }},
+		{"up and more", false, func(_ *crossing, server *net.TCPConn) { _, _ = io.WriteString(server, "UP 1\r\nLOAD 1\r\nUP 2\r\n") }},
+		{"turned away", false, func(_ *crossing, server *net.TCPConn) { _, _ = io.WriteString(server, "BUSY\r\n") }},
+		{"an error", false, func(_ *crossing, server *net.TCPConn) { _, _ = io.WriteString(server, "ERR\r\n") }},
+		{"the server ends", false, func(_ *crossing, server *net.TCPConn) { _ = server.CloseWrite() }},
+		{"the server resets", false, func(_ *crossing, server *net.TCPConn) { _ = server.SetLinger(0); server.Close() }},
 		{"the server drains", false, func(x *crossing, _ *net.TCPConn) {
 			x.l.post(event{do: func() {
 				x.l.list(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.at.address, Heft: 1, State: policy.Draining}}}, false)
@@ -506,9 +506,9 @@
 					x.see()
 					x.turns("the server gets its line", func() bool { return len(x.mine) > 0 })
 					server := (<-x.mine).(*net.TCPConn)
-					defer server.Close() // and not before: one that nobody holds would be closed
-					server.SetDeadline(time.Now().Add(crossBound))
-					x.client.SetDeadline(time.Now().Add(crossBound))
+					defer func() { _ = server.Close() }() // and not before: one that nobody holds would be closed
+					_ = server.SetDeadline(time.Now().Add(crossBound))
+					_ = x.client.SetDeadline(time.Now().Add(crossBound))
 					asked := len(x.asked)
 					for _, a := range []act{first, second} {
 						if a.do(x, server); !a.left {
--- a/internal/balancer/descriptors_test.go
+++ b/internal/balancer/descriptors_test.go
@@ -42,7 +42,7 @@
 	y.l.fds.Add(1)
 	y.client, y.c = near, adopt(nc, y.l, &y.l.fds)
 	y.c.door = y.l.door
-	nc.SetOnRequest(y.c.onRequest)
+	_ = nc.SetOnRequest(y.c.onRequest)
 	ln := line.Decode(fmt.Appendf(nil, asks, id))
 	y.c.phase.Store(waiting)
 	y.l.now = time.Since(y.l.start)
--- a/internal/balancer/heir.go
+++ b/internal/balancer/heir.go
@@ -290,7 +290,7 @@
 
 func closeAll(fds []int) {
 	for _, fd := range fds {
-		unix.Close(fd)
+		_ = unix.Close(fd)
 	}
 }
 
@@ -383,7 +383,7 @@
 	l.door.put(c, l.door.silent)
 	c.split.Add(sent)
 	c.cutLines()
-	nc.SetOnRequest(c.onRequest)
+	_ = nc.SetOnRequest(c.onRequest)
 }
 
 // succeeded takes the end of the old process: this one is the balancer now.
--- a/internal/balancer/heir_test.go
+++ b/internal/balancer/heir_test.go
@@ -35,7 +35,7 @@
 	if u.servers, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { u.servers.Close() })
+	t.Cleanup(func() { _ = u.servers.Close() })
 	go func() {
 		for {
 			c, err := u.servers.Accept()
@@ -44,10 +44,10 @@
 			}
 			go func() { // UP, then each line back
 				r := bufio.NewReader(c)
-				r.ReadString('\n')
-				io.WriteString(c, "UP 1\r\n")
-				io.Copy(c, r)
-				c.Close()
+				_, _ = r.ReadString('\n')
+				_, _ = io.WriteString(c, "UP 1\r\n")
+				_, _ = io.Copy(c, r)
+				_ = c.Close()
 			}()
 		}
 	}()
@@ -59,8 +59,8 @@
 	<-u.old.welcomed
 	for n := range clients {
 		rw := u.client()
-		fmt.Fprintf(rw, "OPEN %d 2 c=feed,d=20000\r\n", n+1)
-		rw.Flush()
+		_, _ = fmt.Fprintf(rw, "OPEN %d 2 c=feed,d=20000\r\n", n+1)
+		_ = rw.Flush()
 		if got, err := rw.ReadString('\n'); got != "UP 1\r\n" {
 			t.Fatalf("%q, %v", got, err)
 		}
@@ -75,8 +75,8 @@
 	if err != nil {
 		u.t.Fatal(err)
 	}
-	u.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(crossBound))
+	u.t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(crossBound))
 	return bufio.NewReadWriter(bufio.NewReader(c), bufio.NewWriterSize(c, 16))
 }
 
@@ -132,7 +132,7 @@
 	if err != nil {
 		u.t.Fatal(err)
 	}
-	u.t.Cleanup(func() { c.Close() })
+	u.t.Cleanup(func() { _ = c.Close() })
 	if _, err := c.Write([]byte(`{"V":1,"Kind":2,"Confirms":true}`)); err != nil {
 		u.t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 func (u *upgrading) take(c *net.UnixConn, many int) {
 	u.t.Helper()
 	text, rights := make([]byte, 256<<10), make([]byte, 256)
-	c.SetDeadline(time.Now().Add(crossBound))
+	_ = c.SetDeadline(time.Now().Add(crossBound))
 	for taken := 0; taken < many; {
 		_, m, _, _, err := c.ReadMsgUnix(text, rights)
 		if err != nil {
@@ -195,7 +195,7 @@
 	in(u.old, func() { u.old.heirGone(u.old.succession.heir, errors.New("as the test wants")) })
 	u.hasLeft()
 	moves, passed := int(u.old.Moves.Load()), int(u.old.Passed.Load())
-	heir.Close() // what is unread ends with it
+	_ = heir.Close() // what is unread ends with it
 	moved, bare := u.answers()
 	nacked := 0
 	switch got, err := silent.ReadString('\n'); { // it may be among those that were sent
@@ -228,7 +228,7 @@
 				if never := clients - confirmed - 16; hangs && never > 0 {
 					u.until("those that were not sent are moved", func() bool { return int(u.old.Moves.Load()) == never })
 				}
-				heir.Close()
+				_ = heir.Close()
 				if moved, bare := u.answers(); moved != clients-confirmed || bare != confirmed {
 					t.Errorf("%d moved, %d ended", moved, bare)
 				}
@@ -263,8 +263,8 @@
 			})
 			u.leave()
 			for n, rw := range u.clients {
-				io.WriteString(rw, "M 1\r\n")
-				rw.Flush()
+				_, _ = io.WriteString(rw, "M 1\r\n")
+				_ = rw.Flush()
 				if got, err := rw.ReadString('\n'); got != "M 1\r\n" && got != "MOVE\r\n" {
 					t.Errorf("client %d got %q, %v", n, got, err)
 				}
@@ -300,16 +300,16 @@
 	go func() {
 		defer close(cut)
 		near, err := ln.AcceptUnix()
-		ln.Close()
+		_ = ln.Close()
 		if err != nil {
 			return
 		}
-		defer near.Close()
+		defer func() { _ = near.Close() }()
 		far, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: to, Net: "unixpacket"})
 		if err != nil {
 			return
 		}
-		defer far.Close()
+		defer func() { _ = far.Close() }()
 		var mu sync.Mutex
 		passed := 0
 		pass := func(from, to *net.UnixConn, on bool) {
@@ -321,17 +321,17 @@
 				}
 				mu.Lock()
 				if passed++; passed <= most || on {
-					to.WriteMsgUnix(text[:n], rights[:m], nil)
+					_, _, _ = to.WriteMsgUnix(text[:n], rights[:m], nil)
 				}
 				if passed == most+1 {
-					far.CloseWrite()
+					_ = far.CloseWrite()
 				}
 				mu.Unlock()
 				if msgs, err := unix.ParseSocketControlMessage(rights[:m]); err == nil {
 					for i := range msgs {
 						fds, _ := unix.ParseUnixRights(&msgs[i])
 						for _, fd := range fds {
-							unix.Close(fd)
+							_ = unix.Close(fd)
 						}
 					}
 				}
--- a/internal/balancer/left_test.go
+++ b/internal/balancer/left_test.go
@@ -49,9 +49,9 @@
 func (u *unread) Close() error {
 	u.once.Do(func() {
 		for _, do := range u.told {
-			do(u)
+			_ = do(u)
 		}
-		unix.Close(u.fd)
+		_ = unix.Close(u.fd)
 	})
 	return nil
 }
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	s := &counted{t: t, ln: ln, says: says, may: make(chan struct{}), passed: make(chan int, 1)}
 	go func() {
 		for {
@@ -87,7 +87,7 @@
 			if c.RemoteAddr().String() == s.fence {
 				s.passed <- s.begun
 				s.mu.Unlock()
-				c.Close()
+				_ = c.Close()
 				continue
 			}
 			s.begun++
@@ -99,8 +99,8 @@
 }
 
 func (s *counted) serve(c net.Conn) {
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(crossBound))
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(crossBound))
 	r := bufio.NewReader(c)
 	got, err := r.ReadString('\n')
 	if err != nil {
@@ -112,11 +112,11 @@
 	if s.says != "" {
 		select {
 		case <-s.may:
-			io.WriteString(c, s.says)
+			_, _ = io.WriteString(c, s.says)
 		case <-time.After(crossBound):
 		}
 	}
-	io.Copy(io.Discard, r)
+	_, _ = io.Copy(io.Discard, r)
 }
 
 // attempts is how many connections were begun up to now: one of the test's own stands behind them in the queue.
@@ -131,7 +131,7 @@
 	}
 	s.fence = c.LocalAddr().String()
 	s.mu.Unlock()
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	select {
 	case n := <-s.passed:
 		return n
@@ -167,7 +167,7 @@
 	near, far := pipe(t)
 	y.client = near
 	u := &unread{fd: descriptor(t, far)}
-	t.Cleanup(func() { u.Close() })
+	t.Cleanup(func() { _ = u.Close() })
 	l.fds.Add(1)
 	y.c = adopt(u, l, &l.fds)
 	y.c.door = l.door
@@ -204,7 +204,7 @@
 	t.Helper()
 	flood := strings.HasPrefix(how, "more")
 	if flood {
-		client.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
+		_ = client.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 		for {
 			if _, err := client.Write(make([]byte, 64<<10)); err != nil {
 				break
@@ -212,7 +212,7 @@
 		}
 	}
 	if strings.HasPrefix(how, "unread") {
-		io.WriteString(client, strings.Repeat("x", 100))
+		_, _ = io.WriteString(client, strings.Repeat("x", 100))
 		for _, n := kernel(t, fd); n < 100; _, n = kernel(t, fd) {
 			time.Sleep(time.Millisecond)
 		}
@@ -233,12 +233,12 @@
 func goes(how string, client *net.TCPConn) {
 	switch {
 	case how == "half-close":
-		client.CloseWrite()
+		_ = client.CloseWrite()
 	case strings.HasSuffix(how, "reset"):
-		client.SetLinger(0)
-		client.Close()
+		_ = client.SetLinger(0)
+		_ = client.Close()
 	default:
-		client.Close()
+		_ = client.Close()
 	}
 }
 
@@ -473,7 +473,7 @@
 	for i := range many {
 		near, far := pipe(t)
 		u := &unread{fd: descriptor(t, far)}
-		t.Cleanup(func() { u.Close() })
+		t.Cleanup(func() { _ = u.Close() })
 		l.fds.Add(1)
 		y.c = adopt(u, l, &l.fds)
 		y.c.door = l.door
@@ -487,7 +487,7 @@
 	for i, c := range clients {
 		how := ends[i%5]
 		if strings.HasPrefix(how, "unread") {
-			io.WriteString(c, strings.Repeat("x", 100))
+			_, _ = io.WriteString(c, strings.Repeat("x", 100))
 		}
 		goes(how, c)
 	}
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer servers.Close()
+	defer func() { _ = servers.Close() }()
 	door, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,8 +55,8 @@
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() }) // and not before: one that nobody holds would be closed
-			bufio.NewReader(c).ReadString('\n')
+			t.Cleanup(func() { _ = c.Close() }) // and not before: one that nobody holds would be closed
+			_, _ = bufio.NewReader(c).ReadString('\n')
 			asked <- c
 		}
 	}()
@@ -71,9 +71,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(20 * time.Second))
+		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 		last++
-		fmt.Fprintf(c, "OPEN %d 2 c=feed,d=20000\r\n", last)
+		_, _ = fmt.Fprintf(c, "OPEN %d 2 c=feed,d=20000\r\n", last)
 		return c, bufio.NewReader(c), <-asked
 	}
 	in := func(do func()) { // the loop, and waits for it
@@ -88,10 +88,10 @@
 	_, stands, server := client()
 	goesOn, r, other := client()
 	for _, c := range []net.Conn{server, other} {
-		io.WriteString(c, "UP 1\r\n")
+		_, _ = io.WriteString(c, "UP 1\r\n")
 	}
-	stands.ReadString('\n')
-	r.ReadString('\n')
+	_, _ = stands.ReadString('\n')
+	_, _ = r.ReadString('\n')
 	fail(1)
 	if got, err := waits.ReadString('\n'); !strings.HasPrefix(got, "ERR") {
 		t.Fatalf("%q, %v", got, err)
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	in(func() { panic("one that is nobody's") })
-	io.WriteString(goesOn, "M 1\r\n")
+	_, _ = io.WriteString(goesOn, "M 1\r\n")
 	if got, _ := bufio.NewReader(other).ReadString('\n'); got != "M 1\r\n" {
 		t.Fatalf("%q", got)
 	}
@@ -125,9 +125,9 @@
 		if err != nil {
 			return
 		}
-		c.(*net.TCPConn).CloseWrite()
+		_ = c.(*net.TCPConn).CloseWrite()
 		got, _ := io.ReadAll(c)
-		c.Close()
+		_ = c.Close()
 		told <- string(got)
 	}()
 	dep := &deployment.Deployment{Policy: &policy.Deployment{Peers: 1, Grades: []policy.Grade{{}}}}
--- a/internal/balancer/serve.go
+++ b/internal/balancer/serve.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	g, fd := &Gate{addr: ln.Addr()}, 0
 	raw, err := ln.(*net.TCPListener).SyscallConn()
 	if err == nil {
--- a/internal/deployment/station.go
+++ b/internal/deployment/station.go
@@ -75,7 +75,7 @@
 	if was != nil {
 		s.Discovery = or(in.Discovery, s.Discovery)
 	}
-	json.Unmarshal(text, &s.shape) // it has been read above
+	_ = json.Unmarshal(text, &s.shape) // it has been read above
 	if _, _, err := net.SplitHostPort(s.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %v", err)
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -366,7 +366,7 @@
 	if err != nil {
 		return List{}, err
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(res.Body, largest))
 	if err != nil {
 		return List{}, err
--- a/internal/fleet/agree/agree.go
+++ b/internal/fleet/agree/agree.go
@@ -141,7 +141,7 @@
 		if err := proto.Unmarshal(saved.Hard, hard); err != nil {
 			return nil, fmt.Errorf("agree: the vote: %w", err)
 		}
-		n.store.SetHardState(hard)
+		_ = n.store.SetHardState(hard)
 	}
 	for i, text := range saved.Entries {
 		e := &pb.Entry{}
@@ -171,7 +171,7 @@
 	if err := n.store.ApplySnapshot(snap); err != nil {
 		return err
 	}
-	n.store.SetHardState(&pb.HardState{Term: &one, Commit: &one})
+	_ = n.store.SetHardState(&pb.HardState{Term: &one, Commit: &one})
 	if err := n.restore(snap); err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 	if now >= n.elect {
 		n.later()
 		if !n.Leads() && slices.Contains(n.Voters(), n.id) {
-			n.rn.Campaign()
+			_ = n.rn.Campaign()
 		}
 	}
 }
@@ -332,7 +332,7 @@
 			n.append(rd.Entries)
 		}
 		if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
-			n.store.SetHardState(rd.HardState)
+			_ = n.store.SetHardState(rd.HardState)
 			n.write.Hard = marshal(rd.HardState)
 		}
 		msgs = append(msgs, rd.Messages...)
--- a/internal/fleet/contact/bench_test.go
+++ b/internal/fleet/contact/bench_test.go
@@ -127,7 +127,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				b.Cleanup(func() { ml.Shutdown() })
+				b.Cleanup(func() { _ = ml.Shutdown() })
 				return ml, at
 			}
 			knows := func(ml *memberlist.Memberlist, many int) {
--- a/internal/fleet/contact/contact.go
+++ b/internal/fleet/contact/contact.go
@@ -125,7 +125,7 @@
 // Leaving has the others know that this member will go; it is still here for all it holds. It waits leaveIn at most.
 func (c *Contact) Leaving() {
 	c.leaving.Store(true)
-	c.ml.UpdateNode(leaveIn)
+	_ = c.ml.UpdateNode(leaveIn)
 }
 
 // Leave says goodbye, for leaveIn at most, and closes; Close does without the goodbye, where another process goes on as
@@ -138,7 +138,7 @@
 	}
 	if c.ml.NumMembers() > 1 {
 		c.words.QueueBroadcast(bye{ID: c.opt.Self.ID, Life: c.opt.Self.Life})
-		c.ml.Leave(leaveIn)
+		_ = c.ml.Leave(leaveIn)
 	}
 	c.Close()
 }
@@ -147,7 +147,7 @@
 func (c *Contact) Close() {
 	c.once.Do(func() {
 		close(c.done)
-		c.ml.Shutdown()
+		_ = c.ml.Shutdown()
 		c.all.Wait()
 	})
 }
--- a/internal/fleet/contact/weigh_test.go
+++ b/internal/fleet/contact/weigh_test.go
@@ -135,7 +135,7 @@
 	f.knows = f.cut + time.Since(began)
 	w.net.Set(usual)
 	time.Sleep(time.Minute)
-	w.ports[many-3].Shutdown()
+	_ = w.ports[many-3].Shutdown()
 	f.death = half(many - 3)
 	return f
 }
--- a/internal/fleet/contact/wire.go
+++ b/internal/fleet/contact/wire.go
@@ -55,10 +55,10 @@
 		return nil, err
 	}
 	if w.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen)); err != nil {
-		w.tcp.Close()
+		_ = w.tcp.Close()
 		return nil, err
 	}
-	w.udp.SetReadBuffer(bufferKiB << 10) // less is what the kernel grants: more is lost then, and sent again
+	_ = w.udp.SetReadBuffer(bufferKiB << 10) // less is what the kernel grants: more is lost then, and sent again
 	w.all.Add(2)
 	go w.read()
 	go w.accept()
@@ -108,7 +108,7 @@
 		if w.held.Add(1) > most {
 			w.held.Add(-1)
 			w.Unopened.Add(1)
-			c.Close()
+			_ = c.Close()
 			continue
 		}
 		s := w.hold(c, &w.held)
@@ -122,9 +122,9 @@
 
 // sort hands a stream to whom it is for, by its first byte.
 func (w *Wire) sort(s *taken) {
-	s.SetReadDeadline(time.Now().Add(firstIn))
+	_ = s.SetReadDeadline(time.Now().Add(firstIn))
 	n, err := io.ReadFull(s.Conn, s.first[:])
-	s.SetReadDeadline(time.Time{})
+	_ = s.SetReadDeadline(time.Time{})
 	to := w.streams
 	if err == nil {
 		switch s.first[0] {
@@ -137,14 +137,14 @@
 		}
 	}
 	if err != nil {
-		s.Close()
+		_ = s.Close()
 		return
 	}
 	s.unread = n
 	select {
 	case to <- s:
 	case <-w.done.Done():
-		s.Close()
+		_ = s.Close()
 	}
 }
 
@@ -171,7 +171,7 @@
 }
 
 func (w *Wire) hold(c net.Conn, counts *atomic.Int64) *taken {
-	return &taken{Conn: c, counts: counts, stop: context.AfterFunc(w.done, func() { c.Close() })}
+	return &taken{Conn: c, counts: counts, stop: context.AfterFunc(w.done, func() { _ = c.Close() })}
 }
 
 // Unwrap is the connection itself.
@@ -241,8 +241,8 @@
 // Shutdown closes the address and waits until nothing is read any more.
 func (w *Wire) Shutdown() error {
 	w.end()
-	w.tcp.Close()
-	w.udp.Close()
+	_ = w.tcp.Close()
+	_ = w.udp.Close()
 	w.all.Wait()
 	return nil
 }
--- a/internal/fleet/contact/wire_test.go
+++ b/internal/fleet/contact/wire_test.go
@@ -18,14 +18,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Shutdown()
+	defer func() { _ = w.Shutdown() }()
 	to := w.tcp.Addr().String()
 	open := func() net.Conn {
 		c, err := net.Dial("tcp", to)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		if _, err := c.Write([]byte{LinkMark - 1}); err != nil || LinkMark-1 == stream.Mark {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 		open()
 		select {
 		case s := <-w.StreamCh():
-			t.Cleanup(func() { s.Close() })
+			t.Cleanup(func() { _ = s.Close() })
 		case <-until:
 			t.Fatalf("%d of %d streams were taken within %v", n, members, within)
 		}
@@ -45,7 +45,7 @@
 		t.Errorf("%d found no room", n)
 	}
 	c := open()
-	c.SetReadDeadline(time.Now().Add(within))
+	_ = c.SetReadDeadline(time.Now().Add(within))
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Error("one more was not closed")
 	}
--- a/internal/fleet/copies/copies.go
+++ b/internal/fleet/copies/copies.go
@@ -764,12 +764,12 @@
 // sum is a record's part in its slot's digest.
 func sum(r Record) uint64 {
 	d := xxhash.New()
-	d.WriteString(r.Key)
-	d.Write([]byte{0, byte(r.Version), byte(r.Version >> 8), byte(r.Version >> 16), byte(r.Version >> 24), map[bool]byte{true: 1}[r.Gone]})
-	d.Write(r.Value)
-	d.WriteString(r.Op)
+	_, _ = d.WriteString(r.Key)
+	_, _ = d.Write([]byte{0, byte(r.Version), byte(r.Version >> 8), byte(r.Version >> 16), byte(r.Version >> 24), map[bool]byte{true: 1}[r.Gone]})
+	_, _ = d.Write(r.Value)
+	_, _ = d.WriteString(r.Op)
 	for _, op := range r.Past {
-		d.WriteString(op)
+		_, _ = d.WriteString(op)
 	}
 	return d.Sum64()
 }
--- a/internal/fleet/core/bench_test.go
+++ b/internal/fleet/core/bench_test.go
@@ -90,7 +90,7 @@
 				size := 0
 				done := metered(b)
 				for range b.N {
-					c.Step(Packet{From: from, To: c.cfg.Self.ID, Fleet: "f", Poll: &Poll{Version: since}})
+					_ = c.Step(Packet{From: from, To: c.cfg.Self.ID, Fleet: "f", Poll: &Poll{Version: since}})
 					text, err := cbor.Marshal(c.out.Packets[0])
 					if err != nil {
 						b.Fatal(err)
--- a/internal/fleet/core/changes.go
+++ b/internal/fleet/core/changes.go
@@ -292,7 +292,7 @@
 	one.froms[from] = true
 	if c.now >= one.next { // lost where the library has no room: then at the next time that it is asked for
 		one.next = c.now + time.Second
-		c.log.Propose(views.Entry{Put: []views.Put{one.put}})
+		_ = c.log.Propose(views.Entry{Put: []views.Put{one.put}})
 	}
 }
 
--- a/internal/fleet/core/core.go
+++ b/internal/fleet/core/core.go
@@ -452,7 +452,7 @@
 	}
 	seen := append(slices.Clone(c.seen), steer.Seen{Member: c.cfg.Self, Here: true, Going: c.leaves, For: time.Hour})
 	if e, is := c.steer.Decide(c.now, c.log.State(), seen, len(c.log.Voters()) >= c.cfg.Voters); is {
-		c.log.Propose(e)
+		_ = c.log.Propose(e)
 	}
 	if c.now >= c.vote {
 		c.vote = c.now + voteEach
--- a/internal/fleet/core/core_test.go
+++ b/internal/fleet/core/core_test.go
@@ -410,7 +410,7 @@
 	}
 
 	c := w.cores[0]
-	c.Step(Packet{From: id(3), Poll: &Poll{}})
+	_ = c.Step(Packet{From: id(3), Poll: &Poll{}})
 	r, err := c.Ready()
 	if err != nil {
 		t.Fatal(err)
@@ -426,13 +426,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	young.Step(Packet{From: id(0), Told: &old})
+	_ = young.Step(Packet{From: id(0), Told: &old})
 	if young.Feed().Version() != old.Version || len(young.State().Members) != 3 || young.Feed().Len() == 0 {
 		t.Errorf("it has version %d, %d keys", young.Feed().Version(), young.Feed().Len())
 	}
 	old.Version += 7
 	was := c.Feed().Version()
-	c.Step(Packet{From: id(3), Told: &old})
+	_ = c.Step(Packet{From: id(3), Told: &old})
 	if c.Feed().Version() != was {
 		t.Error("an older member's answer took the place of a state with items")
 	}
@@ -446,7 +446,7 @@
 	was := c.Feed().Digest()
 	other := feed.NewSnapshot("f", c.Feed().Version(), []feed.Item{{Key: "epoch", Value: []byte("9")}, {Key: "fleet", Value: []byte("f")}})
 	for range 2 {
-		c.Step(Packet{From: id(0), Told: &Told{Fleet: "f", Form: Form, Version: other.Version, Digest: other.Digest, Snapshot: other}})
+		_ = c.Step(Packet{From: id(0), Told: &Told{Fleet: "f", Form: Form, Version: other.Version, Digest: other.Digest, Snapshot: other}})
 	}
 	r, _ := c.Ready()
 	if c.Feed().Digest() != was || r.Installed != nil {
--- a/internal/fleet/core/voters.go
+++ b/internal/fleet/core/voters.go
@@ -77,7 +77,7 @@
 		begin = append(begin, agree.Number(best.ID))
 	}
 	c.moved = c.now
-	c.log.Vote(begin, stops)
+	_ = c.log.Vote(begin, stops)
 }
 
 // crowded picks a voter of a site that has most of them, and tells who may take its place: one of a site that has fewer then than
--- a/internal/fleet/feed/bench_test.go
+++ b/internal/fleet/feed/bench_test.go
@@ -57,7 +57,7 @@
 				b.StopTimer() // acknowledged, so that no window fills
 				at++
 				for i := range n {
-					relay.Step(time.Duration(at)*time.Millisecond, uint64(i+1), Msg{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}})
+					_ = relay.Step(time.Duration(at)*time.Millisecond, uint64(i+1), Msg{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}})
 				}
 				relay.Ready()
 				b.StartTimer()
@@ -89,7 +89,7 @@
 					relay.Clock(now)
 					relay.Fresh(now, log.Version())
 					for i := beat; i < n; i += 10 {
-						relay.Step(now, uint64(i+1), Msg{Renew: &Renew{Number: number, Heard: number - 1, Version: log.Version(), Digest: log.Digest()}})
+						_ = relay.Step(now, uint64(i+1), Msg{Renew: &Renew{Number: number, Heard: number - 1, Version: log.Version(), Digest: log.Digest()}})
 					}
 					for _, s := range relay.Ready().Sends {
 						sent += len(s.Out.Text())
@@ -116,7 +116,7 @@
 				addrs = append(addrs, fmt.Sprintf("r%d", i))
 				items = append(items, memberItem(b, views.Member{ID: addrs[i], Addr: addrs[i], Zone: fmt.Sprintf("z%d", i%11), Site: fmt.Sprintf("s%d", i%11%3)}))
 			}
-			log.Next(items)
+			_, _ = log.Next(items)
 			f := NewFollower(FollowerConfig{ID: "b0", Site: "s0", Seeds: addrs}, 0)
 			now, bytes, n := time.Duration(0), 0, 0
 			hear := func(addr string, m *Msg) {
--- a/internal/fleet/feed/feed_test.go
+++ b/internal/fleet/feed/feed_test.go
@@ -529,14 +529,14 @@
 	for _, knows := range []bool{false, true} {
 		other := NewLog(LogConfig{Most: 10, Bytes: 1000})
 		for range 3 {
-			other.Next([]Item{{Key: FleetKey, Value: []byte("g")}})
+			_, _ = other.Next([]Item{{Key: FleetKey, Value: []byte("g")}})
 		}
 		f := NewFollower(FollowerConfig{ID: "b0", Fleet: "f", Seeds: []string{"r0", "r1"}}, 0)
 		f.Clock(0)
 		f.Opened("r0")
 		if knows {
 			mine := NewLog(LogConfig{Most: 10, Bytes: 1000})
-			mine.Next([]Item{{Key: FleetKey, Value: []byte("f")}})
+			_, _ = mine.Next([]Item{{Key: FleetKey, Value: []byte("f")}})
 			if err := f.Step("r0", Msg{Snapshot: mine.Snapshot()}); err != nil {
 				t.Fatal(err)
 			}
@@ -559,7 +559,7 @@
 	// Doubled: each message to the follower comes twice.
 	r.hold = func(from, to string, m *Msg) bool {
 		if to == c.id {
-			c.f.Step(from, *m)
+			_ = c.f.Step(from, *m)
 		}
 		return false
 	}
@@ -894,10 +894,10 @@
 	sends, at := 0, time.Duration(0)
 	for n := uint64(1); n < 500 && len(relay.peers) > 0; n++ {
 		at += 100 * time.Millisecond
-		log.Next([]Item{config(int(n))})
+		_, _ = log.Next([]Item{config(int(n))})
 		relay.Published()
-		relay.Step(at, 1, Msg{Renew: &Renew{Number: n}})
-		relay.Step(at, 1, Msg{Want: &Want{}})
+		_ = relay.Step(at, 1, Msg{Renew: &Renew{Number: n}})
+		_ = relay.Step(at, 1, Msg{Want: &Want{}})
 		relay.Clock(at)
 		sends += len(relay.Ready().Sends)
 	}
--- a/internal/fleet/feed/rig_test.go
+++ b/internal/fleet/feed/rig_test.go
@@ -212,7 +212,7 @@
 		}
 		c.do(func() {
 			if c.conns[s.addr] == one.Conn {
-				c.f.Step(s.addr, m)
+				_ = c.f.Step(s.addr, m)
 			}
 		})
 		if !c.stopped {
@@ -251,9 +251,9 @@
 		}
 		s.do(func() {
 			if m.Hello != nil {
-				s.relay.Opened(r.now, num, *m.Hello)
+				_ = s.relay.Opened(r.now, num, *m.Hello)
 			} else {
-				s.relay.Step(r.now, num, m)
+				_ = s.relay.Step(r.now, num, m)
 			}
 		})
 		if !s.stopped {
--- a/internal/fleet/feed/state.go
+++ b/internal/fleet/feed/state.go
@@ -261,7 +261,7 @@
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], xxhash.Sum64String(relay))
 	d := xxhash.New()
-	d.WriteString(follower)
-	d.Write(b[:])
+	_, _ = d.WriteString(follower)
+	_, _ = d.Write(b[:])
 	return mix(d.Sum64())
 }
--- a/internal/fleet/feed/state_test.go
+++ b/internal/fleet/feed/state_test.go
@@ -212,8 +212,8 @@
 func TestAnOldChangeOfAnotherHistoryIsFound(t *testing.T) {
 	a, b := NewLog(LogConfig{Most: 8, Bytes: 1000}), NewLog(LogConfig{Most: 8, Bytes: 1000})
 	for i := range 4 {
-		a.Next([]Item{{Key: "k", Value: []byte{byte(i)}}})
-		b.Next([]Item{{Key: "k", Value: []byte{byte(i / 2)}}})
+		_, _ = a.Next([]Item{{Key: "k", Value: []byte{byte(i)}}})
+		_, _ = b.Next([]Item{{Key: "k", Value: []byte{byte(i / 2)}}})
 	}
 	cs, _ := b.Since(1, b.ring[0].change.After)
 	if err := a.Apply(*cs[0]); !errors.Is(err, ErrConflict) {
--- a/internal/fleet/feed/walk_test.go
+++ b/internal/fleet/feed/walk_test.go
@@ -291,9 +291,9 @@
 	switch {
 	case !c.open:
 	case m.Hello != nil:
-		r.core.Opened(w.now, c.num, *m.Hello)
+		_ = r.core.Opened(w.now, c.num, *m.Hello)
 	default:
-		r.core.Step(w.now, c.num, *m)
+		_ = r.core.Step(w.now, c.num, *m)
 	}
 	w.relay(c.r)
 }
@@ -311,7 +311,7 @@
 	case w.broken == snapshotOver && m.Snapshot != nil && m.Snapshot.Version < st.Version():
 		*st = *NewState()
 	}
-	f.core.Step(addr, m)
+	_ = f.core.Step(addr, m)
 }
 
 // take delivers the first message of a way, harmed if so.
@@ -402,7 +402,7 @@
 	var i, way int
 	switch verb, _, _ = strings.Cut(m, " "); verb {
 	case "take", "lose", "double", "harm":
-		fmt.Sscanf(m, "%s %d %s %d", &verb, &i, &addr, &way)
+		_, _ = fmt.Sscanf(m, "%s %d %s %d", &verb, &i, &addr, &way)
 		f := w.follow[i]
 		switch verb {
 		case "take":
@@ -420,7 +420,7 @@
 			w.take(f, addr, way, true)
 		}
 	case "stop":
-		fmt.Sscanf(m, "%s %s %d", &verb, &what, &i)
+		_, _ = fmt.Sscanf(m, "%s %s %d", &verb, &what, &i)
 		at := &w.relays[i%2].stopped
 		if what == "follower" {
 			at = &w.follow[i].stopped
@@ -429,7 +429,7 @@
 			w.left.stalls--
 		}
 	case "restart":
-		fmt.Sscanf(m, "%s %s %d", &verb, &what, &i)
+		_, _ = fmt.Sscanf(m, "%s %s %d", &verb, &what, &i)
 		w.left.restarts--
 		if what == "relay" {
 			w.startRelay(i)
@@ -449,7 +449,7 @@
 		}
 		w.startFollower(i)
 	case "learn":
-		fmt.Sscanf(m, "%s %d", &verb, &i)
+		_, _ = fmt.Sscanf(m, "%s %d", &verb, &i)
 		w.learn(i)
 	case "agree":
 		w.left.versions--
@@ -497,47 +497,47 @@
 	var h maphash.Hash
 	h.SetSeed(walkSeed)
 	ago := func(d time.Duration) time.Duration { return max(w.now-d, -time.Minute) }
-	fmt.Fprint(&h, w.left, w.source.Version(), w.err)
+	_, _ = fmt.Fprint(&h, w.left, w.source.Version(), w.err)
 	for _, t := range w.truth {
-		fmt.Fprint(&h, " ", min(ago(t), time.Minute))
+		_, _ = fmt.Fprint(&h, " ", min(ago(t), time.Minute))
 	}
 	for _, r := range w.relays {
-		fmt.Fprint(&h, "|", r.log.Version(), r.log.Changes(), r.stopped, r.core.known, ago(r.core.fresh.at), ago(r.core.now), len(r.core.claims), len(r.core.queue))
+		_, _ = fmt.Fprint(&h, "|", r.log.Version(), r.log.Changes(), r.stopped, r.core.known, ago(r.core.fresh.at), ago(r.core.now), len(r.core.claims), len(r.core.queue))
 		for e := r.core.order.Front(); e != nil; e = e.Next() {
 			p := e.Value.(*peer)
-			fmt.Fprint(&h, ";", p.hello.ID, p.hello.Life, ago(p.heard), p.version, p.sent, p.parked, p.behind, p.whole, p.queued, len(p.out), p.bytes, p.answers, p.read, p.asked)
+			_, _ = fmt.Fprint(&h, ";", p.hello.ID, p.hello.Life, ago(p.heard), p.version, p.sent, p.parked, p.behind, p.whole, p.queued, len(p.out), p.bytes, p.answers, p.read, p.asked)
 		}
 	}
 	for _, f := range w.follow {
 		c := f.core
-		fmt.Fprint(&h, "|", c.state.Version(), c.known, ago(c.asOf), c.stands, f.stopped, ago(c.now), c.mismatch, ago(c.returnAt), c.hastens)
+		_, _ = fmt.Fprint(&h, "|", c.state.Version(), c.known, ago(c.asOf), c.stands, f.stopped, ago(c.now), c.mismatch, ago(c.returnAt), c.hastens)
 		for _, a := range []string{"r0", "r1"} {
 			if y := c.upstreams[a]; y != nil {
-				fmt.Fprint(&h, ";", y.state, ago(y.began), ago(y.heard), ago(y.answered), y.proved, y.synced, y.parked, y.number, y.read, len(y.asks), y.claims, ago(y.renewAt), y.wants, y.wanted,
+				_, _ = fmt.Fprint(&h, ";", y.state, ago(y.began), ago(y.heard), ago(y.answered), y.proved, y.synced, y.parked, y.number, y.read, len(y.asks), y.claims, ago(y.renewAt), y.wants, y.wanted,
 					y.wantedAt, y.whole, y.unacked, y.fails, y.failed, ago(y.pass), y.told)
 			}
 			if s := f.conns[a]; s != nil {
 				for way := range s.ways {
-					fmt.Fprint(&h, "/", s.open, len(s.ways[way]))
+					_, _ = fmt.Fprint(&h, "/", s.open, len(s.ways[way]))
 					for _, m := range s.ways[way] {
 						if m != nil {
 							switch {
 							case m.Renew != nil:
-								fmt.Fprint(&h, *m.Renew)
+								_, _ = fmt.Fprint(&h, *m.Renew)
 							case m.Renewed != nil:
-								fmt.Fprint(&h, *m.Renewed)
+								_, _ = fmt.Fprint(&h, *m.Renewed)
 							case m.Change != nil:
-								fmt.Fprint(&h, "c", m.Change.Version)
+								_, _ = fmt.Fprint(&h, "c", m.Change.Version)
 							case m.Snapshot != nil:
-								fmt.Fprint(&h, "s", m.Snapshot.Version)
+								_, _ = fmt.Fprint(&h, "s", m.Snapshot.Version)
 							case m.Want != nil:
-								fmt.Fprint(&h, *m.Want)
+								_, _ = fmt.Fprint(&h, *m.Want)
 							case m.Ack != nil:
-								fmt.Fprint(&h, *m.Ack)
+								_, _ = fmt.Fprint(&h, *m.Ack)
 							case m.Hello != nil:
-								fmt.Fprint(&h, *m.Hello)
+								_, _ = fmt.Fprint(&h, *m.Hello)
 							default:
-								fmt.Fprint(&h, "?")
+								_, _ = fmt.Fprint(&h, "?")
 							}
 						}
 					}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -116,7 +116,7 @@
 	t, err := contact.Open(contact.Options{Fleet: f.file.Fleet, Self: self, Seeds: f.file.Seeds, Copies: f.file.Copies, Forget: f.file.Gone,
 		Most: config.MostMembers - 1, Seed: f.seed ^ s.Life, Wire: w, Log: f.log, Now: boottime.Now})
 	if err != nil {
-		w.Shutdown()
+		_ = w.Shutdown()
 		s.Close()
 		return err
 	}
--- a/internal/fleet/follow/conn.go
+++ b/internal/fleet/follow/conn.go
@@ -29,7 +29,7 @@
 		f.closed(c, false)
 		return
 	}
-	defer nc.Close()
+	defer func() { _ = nc.Close() }()
 	c.mu.Lock()
 	c.c = nc
 	c.mu.Unlock()
@@ -75,7 +75,7 @@
 		return
 	}
 	if len(c.queue) >= queueMost {
-		c.c.Close()
+		_ = c.c.Close()
 		return
 	}
 	c.queue = append(c.queue, body)
@@ -106,7 +106,7 @@
 			c.queue = nil
 			if len(queue) == 0 {
 				if c.writing = false; last {
-					c.c.Close()
+					_ = c.c.Close()
 				}
 				c.mu.Unlock()
 				return
@@ -116,9 +116,9 @@
 			if last {
 				within = byeIn
 			}
-			c.c.SetWriteDeadline(time.Now().Add(within))
+			_ = c.c.SetWriteDeadline(time.Now().Add(within))
 			if !c.send(queue) {
-				c.c.Close() // which its reader finds
+				_ = c.c.Close() // which its reader finds
 			}
 		}
 	}()
--- a/internal/fleet/follow/follow.go
+++ b/internal/fleet/follow/follow.go
@@ -307,7 +307,7 @@
 	is := !f.over && f.conns[c.addr] == c
 	if is {
 		f.tick(false)
-		f.core.Step(c.addr, m) // what follows from an error is done by the core, and told
+		_ = f.core.Step(c.addr, m) // what follows from an error is done by the core, and told
 		switch {
 		case m.Result != nil:
 			done = f.result(m.Result)
--- a/internal/fleet/hold/hold.go
+++ b/internal/fleet/hold/hold.go
@@ -122,7 +122,7 @@
 	}
 	c, err := core.New(opt.Core, saved, opt.Now())
 	if err != nil {
-		s.Close()
+		_ = s.Close()
 		return nil, err
 	}
 	h := &Hold{opt: opt, core: c, store: s, wake: make(chan struct{}, 1), done: make(chan struct{}), waiting: map[string]func(copies.Result){},
@@ -185,7 +185,7 @@
 		close(h.done)
 		h.all.Wait()
 		h.links.all.Wait()
-		h.store.Close()
+		_ = h.store.Close()
 	})
 }
 
--- a/internal/fleet/hold/link.go
+++ b/internal/fleet/hold/link.go
@@ -134,7 +134,7 @@
 	var c net.Conn
 	defer func() {
 		if c != nil {
-			c.Close()
+			_ = c.Close()
 		}
 	}()
 	var next time.Time
@@ -169,10 +169,10 @@
 				continue
 			}
 		}
-		c.SetWriteDeadline(time.Now().Add(writeIn))
+		_ = c.SetWriteDeadline(time.Now().Add(writeIn))
 		if _, err := c.Write(text); err != nil {
 			k.of.dropped.Add(1)
-			c.Close()
+			_ = c.Close()
 			c = nil
 			continue
 		}
@@ -188,19 +188,19 @@
 	if raw, is := c.(interface{ Unwrap() net.Conn }); is {
 		if t, is := raw.Unwrap().(*net.TCPConn); is { // else a way that was cut is found out minutes after it is whole again
 			if sc, err := t.SyscallConn(); err == nil {
-				sc.Control(func(fd uintptr) {
-					unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadAfter.Milliseconds()))
+				_ = sc.Control(func(fd uintptr) {
+					_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadAfter.Milliseconds()))
 				})
 			}
 		}
 	}
 	text, err := frame(hello{Fleet: k.of.fleet, Form: contact.Form, From: k.of.self, To: k.id})
 	if err == nil {
-		c.SetWriteDeadline(time.Now().Add(writeIn))
+		_ = c.SetWriteDeadline(time.Now().Add(writeIn))
 		_, err = c.Write(append([]byte{contact.LinkMark}, text...))
 	}
 	if err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil, err
 	}
 	return c, nil
@@ -217,7 +217,7 @@
 			l.all.Add(1)
 			go func() {
 				defer l.all.Done()
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				if err := l.read(c); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 					l.odd.Add(1)
 				}
@@ -229,7 +229,7 @@
 // read takes in what one member says, until its link ends.
 func (l *links) read(c net.Conn) error {
 	r := bufio.NewReaderSize(c, 64<<10)
-	c.SetReadDeadline(time.Now().Add(helloIn))
+	_ = c.SetReadDeadline(time.Now().Add(helloIn))
 	if _, err := r.Discard(1); err != nil {
 		return err
 	}
@@ -241,7 +241,7 @@
 		return fmt.Errorf("a link of fleet %q, form %d, for member %s", h.Fleet, h.Form, h.To)
 	}
 	for {
-		c.SetReadDeadline(time.Now().Add(2 * idle))
+		_ = c.SetReadDeadline(time.Now().Add(2 * idle))
 		var p core.Packet
 		n, err := unframe(r, &p)
 		if err != nil {
--- a/internal/fleet/publish/conn.go
+++ b/internal/fleet/publish/conn.go
@@ -55,7 +55,7 @@
 	c.mu.Unlock()
 	if full {
 		c.of.overflow.Add(1)
-		c.c.Close()
+		_ = c.c.Close()
 		return
 	}
 	c.poke()
@@ -90,7 +90,7 @@
 func (c *conn) write(over <-chan struct{}) {
 	defer c.of.all.Done()
 	defer close(c.written)
-	defer c.c.Close()
+	defer func() { _ = c.c.Close() }()
 	for {
 		c.mu.Lock()
 		queue, last := c.queue, c.last
@@ -115,7 +115,7 @@
 		if last {
 			within = endIn
 		}
-		c.c.SetWriteDeadline(time.Now().Add(within))
+		_ = c.c.SetWriteDeadline(time.Now().Add(within))
 		out := net.Buffers(queue) // nobody else's any more; WriteTo lets go of each part that is written
 		if _, err := out.WriteTo(c.c); err != nil {
 			return
@@ -127,9 +127,9 @@
 
 // serve is the reading goroutine.
 func (p *Publisher) serve(nc net.Conn) error {
-	defer nc.Close()
+	defer func() { _ = nc.Close() }()
 	r := bufio.NewReaderSize(nc, 4<<10)
-	nc.SetReadDeadline(time.Now().Add(helloIn))
+	_ = nc.SetReadDeadline(time.Now().Add(helloIn))
 	if _, err := r.Discard(1); err != nil { // the mark
 		return err
 	}
@@ -167,7 +167,7 @@
 	}
 	defer p.close(c)
 	for {
-		nc.SetReadDeadline(time.Now().Add(quietMost))
+		_ = nc.SetReadDeadline(time.Now().Add(quietMost))
 		if body, err = read(readMost); err != nil {
 			return err
 		}
--- a/internal/fleet/publish/publish.go
+++ b/internal/fleet/publish/publish.go
@@ -210,7 +210,7 @@
 		close(p.done)
 		p.mu.Lock()
 		for _, c := range p.conns {
-			c.c.Close()
+			_ = c.c.Close()
 		}
 		p.mu.Unlock()
 		p.all.Wait()
--- a/internal/fleet/publish/publish_test.go
+++ b/internal/fleet/publish/publish_test.go
@@ -88,7 +88,7 @@
 				t.Fatal(err)
 			}
 			addr = ln.Addr().(*net.TCPAddr).AddrPort()
-			ln.Close()
+			_ = ln.Close()
 			if w, err = contact.Listen(addr, addr, most+publish.More); err == nil {
 				break
 			} else if try == 19 {
@@ -132,7 +132,7 @@
 }
 
 func (r *tier) end(i int) {
-	r.wires[i].Shutdown()
+	_ = r.wires[i].Shutdown()
 	r.all[i].Close()
 }
 
@@ -219,13 +219,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer slow.Close()
-	slow.(*net.TCPConn).SetReadBuffer(4096)
+	defer func() { _ = slow.Close() }()
+	_ = slow.(*net.TCPConn).SetReadBuffer(4096)
 	words := []byte{stream.Mark}
 	for _, body := range [][]byte{stream.Encode(stream.Greeting{Fleet: "lab"}), feed.Encode(&feed.Msg{Hello: &feed.Hello{Form: feed.Form, ID: "slow", Life: 1}})} {
 		words = append(append(words, stream.Header(body)...), body...)
 	}
-	slow.Write(words)
+	_, _ = slow.Write(words)
 	until(t, "the slow one is there", func() bool { return r.all[0].Status().Followers.Here == 21 })
 
 	value := make([]byte, 8<<10)
@@ -344,13 +344,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		words := []byte{stream.Mark}
 		for _, body := range bodies {
 			words = append(append(words, stream.Header(body)...), body...)
 		}
-		c.Write(words)
-		c.SetReadDeadline(time.Now().Add(bound))
+		_, _ = c.Write(words)
+		_ = c.SetReadDeadline(time.Now().Add(bound))
 		text, err := io.ReadAll(c)
 		if ne, is := err.(net.Error); is && ne.Timeout() {
 			t.Errorf("%s: it is held", name)
--- a/internal/fleet/seat/seat.go
+++ b/internal/fleet/seat/seat.go
@@ -60,14 +60,14 @@
 	}
 	s := &Seat{dir: dir, lock: lock}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
 			err = ErrTaken
 		}
 		return nil, err
 	}
 	if err := s.sit(fleet, machine); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, err
 	}
 	return s, nil
@@ -161,12 +161,12 @@
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }()
 	return d.Sync()
 }
 
 // Close lets go of the directory.
-func (s *Seat) Close() { s.lock.Close() }
+func (s *Seat) Close() { _ = s.lock.Close() }
 
 // ---- The card's form: a line of JSON, then a line with its checksum.
 
--- a/internal/fleet/seat/seat_test.go
+++ b/internal/fleet/seat/seat_test.go
@@ -43,7 +43,7 @@
 		`fleet "g", not of "f"`:    func(dir string, card []byte) { put(dir, again(card, `"fleet":"f"`, `"fleet":"g"`)) },
 		`machine "m9"'s directory`: func(dir string, card []byte) { put(dir, again(card, `"m1"`, `"m9"`)) },
 		"is not empty": func(dir string, card []byte) {
-			os.Rename(filepath.Join(dir, "member"), filepath.Join(dir, "records"))
+			_ = os.Rename(filepath.Join(dir, "member"), filepath.Join(dir, "records"))
 		},
 	} {
 		dir := t.TempDir()
@@ -64,7 +64,7 @@
 	}
 }
 
-func put(dir string, card []byte) { os.WriteFile(filepath.Join(dir, "member"), card, 0o600) }
+func put(dir string, card []byte) { _ = os.WriteFile(filepath.Join(dir, "member"), card, 0o600) }
 
 // again changes a card and gives it the checksum that is due then.
 func again(card []byte, old, new string) []byte {
--- a/internal/fleet/store/look_test.go
+++ b/internal/fleet/store/look_test.go
@@ -26,7 +26,7 @@
 	if _, err := Look(dir); err == nil {
 		t.Error("read while a process has it")
 	}
-	s.Close()
+	_ = s.Close()
 	before, _ := os.ReadFile(filepath.Join(dir, "holdings.db"))
 	got, err := Look(dir)
 	if err != nil || got.Fleet != "f" || !reflect.DeepEqual(got.Slots[3].Records, []copies.Record{record("a", 1)}) {
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -57,7 +57,7 @@
 	s := &Store{db: db}
 	saved, err := s.read()
 	if err != nil {
-		db.Close()
+		_ = db.Close()
 		return nil, core.Saved{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return s, saved, nil
@@ -76,7 +76,7 @@
 		}
 		return core.Saved{}, fmt.Errorf("%s: %w", path, err)
 	}
-	defer db.Close()
+	defer func() { _ = db.Close() }()
 	out := core.Saved{}
 	err = db.View(func(tx *bbolt.Tx) (err error) {
 		for _, name := range [][]byte{meta, entries, slots, records} {
@@ -264,7 +264,7 @@
 // Size is the file's, in bytes.
 func (s *Store) Size() int64 {
 	var n int64
-	s.db.View(func(tx *bbolt.Tx) error { n = tx.Size(); return nil })
+	_ = s.db.View(func(tx *bbolt.Tx) error { n = tx.Size(); return nil })
 	return n
 }
 
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -45,12 +45,12 @@
 		if err := s.Write(c.write); err != nil {
 			t.Fatal(err)
 		}
-		s.Close()
+		_ = s.Close()
 		s, got, err := Open(dir)
 		if err != nil || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%+v, %v; wanted %+v", got, err, c.want)
 		}
-		s.Close()
+		_ = s.Close()
 	}
 }
 
@@ -77,10 +77,10 @@
 		if err := s.db.Update(spoil); err != nil {
 			t.Fatal(err)
 		}
-		s.Close()
+		_ = s.Close()
 		if s, _, err := Open(dir); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), dir) {
 			t.Errorf("%v; wanted %q", err, want)
-			s.Close()
+			_ = s.Close()
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.db.Close()
+	_ = s.db.Close()
 	one := core.Ready{Slots: []copies.Write{{Slot: 3, Records: []copies.Record{record("a", 1)}}}}
 	first := s.Write(one)
 	if first == nil || s.Write(one) != first {
--- a/internal/lab/bench/bench.go
+++ b/internal/lab/bench/bench.go
@@ -59,17 +59,17 @@
 
 // Close ends it and all that it holds.
 func (s *Server) Close() {
-	s.ln.Close()
+	_ = s.ln.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
 func (s *Server) serve(c net.Conn) {
 	defer func() {
-		c.Close()
+		_ = c.Close()
 		s.mu.Lock()
 		delete(s.conns, c)
 		s.mu.Unlock()
@@ -114,9 +114,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	c.SetDeadline(time.Now().Add(answerIn))
+	_ = c.SetDeadline(time.Now().Add(answerIn))
 	if _, err = fmt.Fprintf(c, "OPEN %x %x c=feed,d=%d\r\n", id, id*0x9e3779b97f4a7c15, limit.Milliseconds()); err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil, nil, err
 	}
 	r := bufio.NewReaderSize(c, 512)
@@ -125,7 +125,7 @@
 		err = fmt.Errorf("answered %q", raw)
 	}
 	if err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil, nil, err
 	}
 	return c, r, nil
@@ -133,8 +133,8 @@
 
 // drop ends a connection by a reset: none of thousands of ports is left waiting.
 func drop(c net.Conn) {
-	c.(*net.TCPConn).SetLinger(0)
-	c.Close()
+	_ = c.(*net.TCPConn).SetLinger(0)
+	_ = c.Close()
 }
 
 // Spell is what one measurement found. Latencies are microseconds, from when a thing was due.
@@ -200,7 +200,7 @@
 			defer all.Done()
 			if err := do(due, func(d time.Duration) {
 				mu.Lock()
-				h.RecordValue(min(max(1, d.Microseconds()), longest))
+				_ = h.RecordValue(min(max(1, d.Microseconds()), longest))
 				mu.Unlock()
 			}); err != nil {
 				failed.Add(1)
@@ -246,7 +246,7 @@
 			defer func() { <-room; all.Done() }()
 			s.conns[i], s.readers[i], errs[i] = t.open(time.Minute)
 			if errs[i] == nil {
-				s.conns[i].SetDeadline(time.Time{})
+				_ = s.conns[i].SetDeadline(time.Time{})
 			}
 		}()
 	}
@@ -287,7 +287,7 @@
 		go func() {
 			defer all.Done()
 			c, r := s.conns[i], s.readers[i]
-			c.SetDeadline(end.Add(answerIn))
+			_ = c.SetDeadline(end.Add(answerIn))
 			for ctx.Err() == nil && time.Now().Before(end) {
 				if _, err := c.Write(text); err != nil {
 					return
@@ -313,7 +313,7 @@
 		i := int(next.Add(1)) % len(s.conns)
 		locks[i].Lock()
 		defer locks[i].Unlock()
-		s.conns[i].SetDeadline(time.Now().Add(answerIn))
+		_ = s.conns[i].SetDeadline(time.Now().Add(answerIn))
 		if _, err := s.conns[i].Write([]byte(lineText)); err != nil {
 			return err
 		}
@@ -331,7 +331,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Time{})
+	_ = c.SetDeadline(time.Time{})
 	var both sync.WaitGroup
 	both.Add(2)
 	text := bytes.Repeat([]byte(lineText), 1000)
--- a/internal/lab/count/count.go
+++ b/internal/lab/count/count.go
@@ -229,7 +229,7 @@
 			row.Columns[h.column]++
 		}
 		if h.column == Stands {
-			took.RecordValue(min(max(h.took.Microseconds(), 1), slowest))
+			_ = took.RecordValue(min(max(h.took.Microseconds(), 1), slowest))
 		}
 		if h.change == 0 {
 			continue
--- a/internal/lab/count/count_test.go
+++ b/internal/lab/count/count_test.go
@@ -16,7 +16,7 @@
 		if err != nil || r.Read(name, log) != nil {
 			t.Fatal(err)
 		}
-		defer log.Close()
+		defer func() { _ = log.Close() }()
 	}
 	f, err := r.Sum(time.Second)
 	if err != nil {
--- a/internal/lab/feedworld/play.go
+++ b/internal/lab/feedworld/play.go
@@ -138,10 +138,10 @@
 					return
 				}
 				if snap != nil {
-					r.log.Install(*snap) // one that came late is older than what is here
+					_ = r.log.Install(*snap) // one that came late is older than what is here
 				}
 				for _, c := range changes {
-					r.log.Apply(*c)
+					_ = r.log.Apply(*c)
 				}
 				r.core.Published()
 				r.core.Fresh(asked, newest)
--- a/internal/lab/feedworld/world.go
+++ b/internal/lab/feedworld/world.go
@@ -472,9 +472,9 @@
 				delete(r.conns, c.num)
 				r.core.Closed(c.num)
 			case m.Hello != nil:
-				r.core.Opened(w.time(&r.node), c.num, *m.Hello)
+				_ = r.core.Opened(w.time(&r.node), c.num, *m.Hello)
 			default:
-				r.core.Step(w.time(&r.node), c.num, *m)
+				_ = r.core.Step(w.time(&r.node), c.num, *m)
 			}
 			w.readyRelay(r)
 		})
--- a/internal/lab/field/band.go
+++ b/internal/lab/field/band.go
@@ -105,7 +105,7 @@
 		select {
 		case <-p.Exited():
 		default:
-			p.Signal(syscall.SIGCONT)
+			_ = p.Signal(syscall.SIGCONT)
 			run = append(run, i)
 		}
 	}
--- a/internal/lab/field/field.go
+++ b/internal/lab/field/field.go
@@ -660,9 +660,9 @@
 		a.Close()
 	}
 	for _, c := range f.closers {
-		c.Close()
+		_ = c.Close()
 	}
-	os.RemoveAll(f.dir)
+	_ = os.RemoveAll(f.dir)
 }
 
 var acts = map[timetable.Act]string{
--- a/internal/lab/field/proc.go
+++ b/internal/lab/field/proc.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	if out == nil {
 		out = io.Discard
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	defer r.Body.Close()
+	defer func() { _ = r.Body.Close() }()
 	text, err := io.ReadAll(r.Body)
 	return r.StatusCode, string(text), err
 }
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	p.Addr = ln.Addr().String()
 	if p.shared, err = ln.(*net.TCPListener).File(); err != nil {
 		return err
@@ -135,8 +135,8 @@
 // Unshare lets go of both.
 func (p *Process) Unshare() {
 	if p.shared != nil {
-		p.shared.Close()
-		os.RemoveAll(p.tmp)
+		_ = p.shared.Close()
+		_ = os.RemoveAll(p.tmp)
 	}
 }
 
@@ -199,7 +199,7 @@
 	go func() {
 		for lines := bufio.NewReader(out); ; {
 			text, err := lines.ReadBytes('\n')
-			p.log.Write(text)
+			_, _ = p.log.Write(text)
 			p.mu.Lock()
 			p.tail = append(p.tail, text...)
 			p.tail = p.tail[max(0, len(p.tail)-logKept):]
@@ -251,9 +251,9 @@
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	io.WriteString(c, "PING\r\n")
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
+	_, _ = io.WriteString(c, "PING\r\n")
 	text, err := bufio.NewReader(c).ReadString('\n')
 	return err == nil && text == "PONG\r\n"
 }
@@ -301,7 +301,7 @@
 
 // Kill ends it outright and waits for that.
 func (p *Process) Kill() {
-	p.Signal(syscall.SIGKILL)
+	_ = p.Signal(syscall.SIGKILL)
 	if done := p.Exited(); done != nil {
 		<-done
 	}
@@ -331,8 +331,8 @@
 		return 0
 	}
 	var user, sys int64
-	fmt.Sscan(fields[11], &user)
-	fmt.Sscan(fields[12], &sys)
+	_, _ = fmt.Sscan(fields[11], &user)
+	_, _ = fmt.Sscan(fields[12], &sys)
 	return time.Duration(user+sys) * time.Second / 100
 }
 
@@ -348,7 +348,7 @@
 	for _, l := range strings.Split(string(text), "\n") {
 		if rest, is := strings.CutPrefix(l, "VmRSS:"); is {
 			var kb int64
-			fmt.Sscan(rest, &kb)
+			_, _ = fmt.Sscan(rest, &kb)
 			return kb
 		}
 	}
--- a/internal/lab/fleetworld/world.go
+++ b/internal/lab/fleetworld/world.go
@@ -171,7 +171,7 @@
 	w.ids++
 	delete(w.byID, n.id)
 	h := fnv.New64a()
-	fmt.Fprint(h, w.plan.Seed, w.ids)
+	_, _ = fmt.Fprint(h, w.plan.Seed, w.ids)
 	n.id = fmt.Sprintf("%016x%016x", h.Sum64(), w.ids)
 	w.byID[n.id] = n
 	n.self = memberOf(n)
@@ -314,7 +314,7 @@
 		}
 		w.after(late, func() {
 			if t := w.byID[p.To]; t != nil {
-				w.run(t, t.born, func() { t.core.Step(p) })
+				w.run(t, t.born, func() { _ = t.core.Step(p) })
 			}
 		})
 	}
@@ -348,7 +348,7 @@
 	}
 	h.Write(p.Raft)
 	for _, m := range p.Copies {
-		fmt.Fprint(h, m.Kind, m.Slot, m.Ballot, m.Seq)
+		_, _ = fmt.Fprint(h, m.Kind, m.Slot, m.Ballot, m.Seq)
 	}
 	w.sum = h.Sum64()
 }
--- a/internal/lab/fleetworld/world_test.go
+++ b/internal/lab/fleetworld/world_test.go
@@ -40,8 +40,8 @@
 // TestTheSameSeedIsTheSameHistory plays one twice.
 func TestTheSameSeedIsTheSameHistory(t *testing.T) {
 	a, b := New(usual(9)), New(usual(9))
-	a.Play()
-	b.Play()
+	_ = a.Play()
+	_ = b.Play()
 	if a.Sum() != b.Sum() || len(a.Acts) != len(b.Acts) {
 		t.Errorf("%x and %x", a.Sum(), b.Sum())
 	}
--- a/internal/lab/host/host.go
+++ b/internal/lab/host/host.go
@@ -90,7 +90,7 @@
 func (h *Host) Run(ctx context.Context, ln net.Listener, at string) error {
 	w := discovery.New(at, h.dep.Policy.Peers, h.dep.AskForList, func(l discovery.List) { h.in(func() { h.list(l, false) }) }, func(error) {})
 	go w.Run(ctx)
-	go func() { <-ctx.Done(); ln.Close() }()
+	go func() { <-ctx.Done(); _ = ln.Close() }()
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -195,12 +195,12 @@
 	for {
 		raw, err := r.ReadSlice('\n')
 		if err != nil {
-			client.Close()
+			_ = client.Close()
 			return
 		}
 		ln := line.Decode(bytes.Clone(raw))
 		if ln.Bad == nil && ln.Kind == line.Ping {
-			client.Write(line.PongLine)
+			_, _ = client.Write(line.PongLine)
 			continue
 		}
 		grade, known := 0, false
@@ -208,8 +208,8 @@
 			grade, known = h.dep.Grades[ln.Ask.Grade]
 		}
 		if ln.Bad != nil || ln.Kind != line.Open || !known || !ln.Ask.Limited {
-			client.Write(line.BadLine)
-			client.Close()
+			_, _ = client.Write(line.BadLine)
+			_ = client.Close()
 			return
 		}
 		c := &circuit{ask: ln.Ask, client: client}
@@ -245,7 +245,7 @@
 		}
 		h.mu.Unlock()
 		if server != nil {
-			server.Write(raw)
+			_, _ = server.Write(raw)
 		}
 	}
 }
@@ -273,16 +273,16 @@
 	if h.broken == AnswersTwice && c.id%someOf == 0 {
 		text = append(bytes.Clone(text), line.ErrLine...)
 	}
-	c.client.Write(text)
+	_, _ = c.client.Write(text)
 	finish(c.client)
 }
 
 // finish ends the sending; the reader closes once the other side has ended too, or a little later.
 func finish(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		t.CloseWrite()
+		_ = t.CloseWrite()
 	}
-	time.AfterFunc(time.Second, func() { c.Close() })
+	time.AfterFunc(time.Second, func() { _ = c.Close() })
 }
 
 func (c *circuit) dropServer() {
@@ -291,7 +291,7 @@
 		c.cancel = nil
 	}
 	if c.server != nil {
-		c.server.Close()
+		_ = c.server.Close()
 		c.server = nil
 	}
 }
@@ -299,7 +299,7 @@
 func (h *Host) move(c *circuit, how policy.Outcome) {
 	id, try := c.id, c.tries-1
 	h.forget(c)
-	c.client.Write(line.MoveLine)
+	_, _ = c.client.Write(line.MoveLine)
 	finish(c.client)
 	c.dropServer()
 	h.d.TryEnded(id, try, true, how)
@@ -308,7 +308,7 @@
 // left takes a client's end.
 func (h *Host) left(c *circuit) {
 	if c.over {
-		c.client.Close()
+		_ = c.client.Close()
 		return
 	}
 	id, try, held := c.id, c.tries-1, c.out || c.open
@@ -317,7 +317,7 @@
 	}
 	h.forget(c)
 	c.dropServer()
-	c.client.Close()
+	_ = c.client.Close()
 	if held {
 		h.d.TryEnded(id, try, true, policy.Cancelled)
 	}
@@ -352,8 +352,8 @@
 // second sends a copy that nobody waits for, and holds it for a while.
 func second(address string, text []byte) {
 	if c, err := net.DialTimeout("tcp", address, time.Second); err == nil {
-		c.Write(text)
-		time.AfterFunc(time.Second, func() { c.Close() })
+		_, _ = c.Write(text)
+		time.AfterFunc(time.Second, func() { _ = c.Close() })
 	}
 }
 
@@ -373,12 +373,12 @@
 			live = false
 		default:
 			c.server = nc
-			nc.Write(c.ask.Onward(within - time.Since(c.called)))
+			_, _ = nc.Write(c.ask.Onward(within - time.Since(c.called)))
 		}
 	})
 	if !live {
 		if nc != nil {
-			nc.Close()
+			_ = nc.Close()
 		}
 		return
 	}
@@ -405,7 +405,7 @@
 			return
 		}
 		if open && err == nil {
-			c.client.Write(raw)
+			_, _ = c.client.Write(raw)
 			continue
 		}
 		h.in(func() {
@@ -443,7 +443,7 @@
 		if h.broken == AnswersTwice && c.id%someOf == 0 {
 			raw = append(raw, []byte("BUSY 100\r\n")...)
 		}
-		c.client.Write(raw)
+		_, _ = c.client.Write(raw)
 		return false
 	case ln.Kind == line.Load:
 		h.d.LoadNoted(c.id, c.tries-1, ln.Figure)
@@ -469,14 +469,14 @@
 	go func() {
 		how, report := policy.ConnectFailed, policy.NoReport
 		if c, err := net.DialTimeout("tcp", address, max(h.dep.ConnectWithin, 50*time.Millisecond)); err == nil {
-			c.SetDeadline(time.Now().Add(probeFor))
+			_ = c.SetDeadline(time.Now().Add(probeFor))
 			text := line.PingLine
 			if h.dep.Policy.ReportsOnAsk {
 				text = line.AskLoad
 			}
-			c.Write(text)
+			_, _ = c.Write(text)
 			raw, err := bufio.NewReader(c).ReadBytes('\n')
-			c.Close()
+			_ = c.Close()
 			if ln := line.Decode(raw); err == nil && ln.Kind == line.Pong {
 				how = policy.Succeeded
 				if x, told := ln.Fields["x0"]; told {
--- a/internal/lab/memnet/memnet.go
+++ b/internal/lab/memnet/memnet.go
@@ -238,7 +238,7 @@
 		end := s.end
 		s.mu.Unlock()
 		if end.IsZero() {
-			s.Conn.Close()
+			_ = s.Conn.Close()
 		}
 		time.Sleep(time.Until(end))
 		return 0, os.ErrDeadlineExceeded
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -94,7 +94,7 @@
 func Write(w io.Writer, events []Event) error {
 	out := bufio.NewWriter(w)
 	for _, e := range events {
-		fmt.Fprintf(out, "%d %s b%d s%d c%x g%d %d %g %s\n",
+		_, _ = fmt.Fprintf(out, "%d %s b%d s%d c%x g%d %d %g %s\n",
 			e.At.Nanoseconds(), e.What, e.Balancer, e.Server, e.Circuit, e.Grade, e.Len.Nanoseconds(), e.N, e.Text)
 	}
 	return out.Flush()
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -96,7 +96,7 @@
 	if m.counts(now) {
 		m.run.Setups++
 		m.now.Setups++
-		m.setups.RecordValue(min(max(1, took.Microseconds()), longest))
+		_ = m.setups.RecordValue(min(max(1, took.Microseconds()), longest))
 	}
 }
 
@@ -112,7 +112,7 @@
 		m.now.Served += stands.Seconds()
 	}
 	if took > 0 {
-		m.messages.RecordValue(min(max(1, took.Microseconds()), longest))
+		_ = m.messages.RecordValue(min(max(1, took.Microseconds()), longest))
 	}
 }
 
--- a/internal/lab/scale/ledger.go
+++ b/internal/lab/scale/ledger.go
@@ -202,7 +202,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, t time.Duration) {
-	h.RecordValue(min(longest, max(1, t.Microseconds()))) // within its bounds: no error
+	_ = h.RecordValue(min(longest, max(1, t.Microseconds()))) // within its bounds: no error
 }
 
 // waited is the longest that a balancer was reachable at a stretch without a change that should have been put, and whether it was so at
--- a/internal/lab/scale/verdict.go
+++ b/internal/lab/scale/verdict.go
@@ -130,7 +130,9 @@
 func (f *Figures) Print(to io.Writer, t *Targets) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	n := float64(max(1, f.Balancers))
-	row := func(what, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", what, fmt.Sprintf(format, args...)) }
+	row := func(what, format string, args ...any) {
+		_, _ = fmt.Fprintf(w, "%s\t%s\n", what, fmt.Sprintf(format, args...))
+	}
 	row("balancers, control, voters", "%d, %d, %d in %d zones of %d regions", f.Balancers, f.Control, f.Voters, f.Zones, f.Regions)
 	row("faults", "%s", f.FaultsSay)
 	row("changes", "%d in %.0f s; put %.1f ms late at worst by the test; %d not accepted", f.Changes, f.Seconds, f.LateMs, f.NotAccepted)
--- a/internal/lab/standin/client.go
+++ b/internal/lab/standin/client.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return load.Failed, 0, false
 	}
-	defer nc.Close()
+	defer func() { _ = nc.Close() }()
 	id := c.ids.Add(1)
 	note := func(w record.What, more record.Event) {
 		if more.At == 0 {
@@ -167,7 +167,7 @@
 		return load.Failed, 0, false // its last byte was not written: nothing was taken
 	}
 	note(record.Taken, record.Event{At: max(at, 1), Len: limit}) // from before the write: a server may be faster than this goroutine
-	nc.SetReadDeadline(c.Clock.At(at + limit + lateAnswer))
+	_ = nc.SetReadDeadline(c.Clock.At(at + limit + lateAnswer))
 	r := bufio.NewReaderSize(nc, lineMost)
 	raw, err := r.ReadSlice('\n')
 	if err != nil {
@@ -207,7 +207,7 @@
 
 // rest reads on after a final answer that is no UP: a second answer would be one too many.
 func (p *person) rest(nc net.Conn, r *bufio.Reader, note func(record.What, record.Event)) {
-	nc.SetReadDeadline(time.Now().Add(afterEnd))
+	_ = nc.SetReadDeadline(time.Now().Add(afterEnd))
 	for {
 		raw, err := r.ReadSlice('\n')
 		if err != nil {
@@ -235,7 +235,7 @@
 // stay sends a line at each of its times, whether or not the last was answered, until the connection is over.
 func (p *person) stay(ctx context.Context, nc net.Conn, r *bufio.Reader, note func(record.What, record.Event)) (how load.How) {
 	c := p.c
-	nc.SetReadDeadline(time.Time{})
+	_ = nc.SetReadDeadline(time.Time{})
 	var mu sync.Mutex
 	waits := map[time.Duration]bool{} // due times of lines without an answer
 	ended := make(chan load.How, 1)
@@ -295,7 +295,7 @@
 	var dropped <-chan time.Time
 	leave := func(how load.How) load.How {
 		note(record.Left, record.Event{})
-		nc.Close()
+		_ = nc.Close()
 		<-ended
 		return how
 	}
@@ -321,7 +321,7 @@
 			mu.Lock()
 			waits[due] = true
 			mu.Unlock()
-			nc.Write(fmt.Appendf(nil, "M %d\r\n", int64(due))) // an error shows as the connection's end
+			_, _ = nc.Write(fmt.Appendf(nil, "M %d\r\n", int64(due))) // an error shows as the connection's end
 		}
 	}
 }
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -108,8 +108,8 @@
 	if err := a.listen(); err != nil {
 		return err
 	}
-	ln.Close()
-	time.AfterFunc(oldStays, func() { srv.Close() })
+	_ = ln.Close()
+	time.AfterFunc(oldStays, func() { _ = srv.Close() })
 	return nil
 }
 
@@ -117,7 +117,7 @@
 func (a *Agent) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.srv.Close()
+	_ = a.srv.Close()
 }
 
 // Set takes a line of the list; what it replaces is told no more.
@@ -233,13 +233,13 @@
 		if a.text != "" {
 			text := a.text
 			a.mu.Unlock()
-			io.WriteString(w, text)
+			_, _ = io.WriteString(w, text)
 			return
 		}
 		if fault == Sound && (!watch || a.rev > from) {
 			text := a.answer(!watch || from == 0, from)
 			a.mu.Unlock()
-			w.Write(text)
+			_, _ = w.Write(text)
 			return
 		}
 		if fault == Faulty {
@@ -259,7 +259,7 @@
 			a.mu.Lock()
 			text := a.answer(false, from)
 			a.mu.Unlock()
-			w.Write(text)
+			_, _ = w.Write(text)
 			return
 		case <-r.Context().Done():
 			return
@@ -272,11 +272,11 @@
 	switch turn % 4 {
 	case 0: // half a list
 		w.Header().Set("Content-Length", "400")
-		io.WriteString(w, `{"rev":9,"all":true,"targets":[{"uid":"s-`)
+		_, _ = io.WriteString(w, `{"rev":9,"all":true,"targets":[{"uid":"s-`)
 	case 1:
-		io.WriteString(w, `{"rev":9}`)
+		_, _ = io.WriteString(w, `{"rev":9}`)
 	case 2:
-		io.WriteString(w, `{"rev":9,"all":true,"targets":[{"uid":"odd","endpoint":"127.0.0.1:1","state":"sleeping"}]}`)
+		_, _ = io.WriteString(w, `{"rev":9,"all":true,"targets":[{"uid":"odd","endpoint":"127.0.0.1:1","state":"sleeping"}]}`)
 	case 3:
 		http.Error(w, "no", http.StatusInternalServerError)
 	}
--- a/internal/lab/standin/fronts.go
+++ b/internal/lab/standin/fronts.go
@@ -77,7 +77,7 @@
 	f.mu.Unlock()
 	f.Cut(nil)
 	for c := range conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -103,7 +103,7 @@
 }
 
 func (f *Fronts) end(c net.Conn) {
-	c.Close()
+	_ = c.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.conns, c)
@@ -137,13 +137,13 @@
 		select {
 		case <-changed:
 		case <-late:
-			near.SetLinger(0)
+			_ = near.SetLinger(0)
 			return
 		}
 	}
 	far, err := net.Dial("tcp", f.members[to].String())
 	if err != nil {
-		near.SetLinger(0) // so that who dialed is reset, as by a port that nobody listens at
+		_ = near.SetLinger(0) // so that who dialed is reset, as by a port that nobody listens at
 		return
 	}
 	defer f.end(far)
@@ -174,8 +174,8 @@
 			}
 		}
 		if err != nil {
-			in.Close()
-			out.Close()
+			_ = in.Close()
+			_ = out.Close()
 			return
 		}
 	}
@@ -192,7 +192,7 @@
 			continue
 		}
 		if cut, _ := f.between(f.sender(sent.Addr()), to); !cut {
-			own.udp.WriteToUDPAddrPort(buffer[:n], f.members[to])
+			_, _ = own.udp.WriteToUDPAddrPort(buffer[:n], f.members[to])
 		}
 	}
 }
--- a/internal/lab/standin/fronts_test.go
+++ b/internal/lab/standin/fronts_test.go
@@ -26,8 +26,8 @@
 				return
 			}
 			go func() {
-				defer c.Close()
-				io.Copy(c, c)
+				defer func() { _ = c.Close() }()
+				_, _ = io.Copy(c, c)
 			}()
 		}
 	}()
@@ -45,12 +45,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
 func answered(c net.Conn, within time.Duration) (string, error) {
-	c.SetReadDeadline(time.Now().Add(within))
+	_ = c.SetReadDeadline(time.Now().Add(within))
 	return bufio.NewReader(c).ReadString('\n')
 }
 
@@ -71,14 +71,14 @@
 	friend := dialFrom(t, members[1].Addr(), f.Reached(0))
 	other := dialFrom(t, members[2].Addr(), f.Reached(0))
 	for name, c := range map[string]net.Conn{"stranger": stranger, "friend": friend, "other": other} {
-		io.WriteString(c, "one\n")
+		_, _ = io.WriteString(c, "one\n")
 		if text, err := answered(c, 5*time.Second); err != nil || text != "one\n" {
 			t.Fatalf("%s: %q, %v", name, text, err)
 		}
 	}
 	f.Cut([]int{2})
 	for name, c := range map[string]net.Conn{"stranger": stranger, "friend": friend, "other": other} {
-		io.WriteString(c, "two\n")
+		_, _ = io.WriteString(c, "two\n")
 		within := 5 * time.Second
 		if name == "other" {
 			within = 200 * time.Millisecond // nothing comes, however long one waits; the healing below shows that it was held
@@ -88,8 +88,8 @@
 		}
 	}
 	// Datagrams to member 0: the other's is lost, the friend's and a stranger's come.
-	all[0].udp.SetReadDeadline(time.Now().Add(5 * time.Second))
-	say := func(from *net.UDPConn, text string) { from.WriteToUDPAddrPort([]byte(text), f.Reached(0)) }
+	_ = all[0].udp.SetReadDeadline(time.Now().Add(5 * time.Second))
+	say := func(from *net.UDPConn, text string) { _, _ = from.WriteToUDPAddrPort([]byte(text), f.Reached(0)) }
 	say(all[2].udp, "other")
 	say(all[1].udp, "friend")
 	buffer := make([]byte, 100)
@@ -97,7 +97,7 @@
 		t.Errorf("%q, %v", buffer[:n], err)
 	}
 	late := dialFrom(t, members[2].Addr(), f.Reached(1)) // taken by the front, and not answered
-	io.WriteString(late, "late\n")
+	_, _ = io.WriteString(late, "late\n")
 	if text, err := answered(late, 200*time.Millisecond); err == nil {
 		t.Errorf("over a cut way came %q", text)
 	}
@@ -108,7 +108,7 @@
 	if text, err := answered(late, 5*time.Second); err != nil || text != "late\n" {
 		t.Errorf("healed: %q, %v", text, err)
 	}
-	all[0].udp.SetReadDeadline(time.Now().Add(5 * time.Second))
+	_ = all[0].udp.SetReadDeadline(time.Now().Add(5 * time.Second))
 	say(all[2].udp, "again")
 	if n, _, err := all[0].udp.ReadFromUDPAddrPort(buffer); err != nil || string(buffer[:n]) != "again" {
 		t.Errorf("%q, %v", buffer[:n], err)
@@ -117,7 +117,7 @@
 	gone, err := net.Dial("tcp", f.Reached(0).String())
 	if err == nil {
 		_, err = answered(gone, 5*time.Second)
-		gone.Close()
+		_ = gone.Close()
 	}
 	if !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a member that is gone: %v", err)
--- a/internal/lab/standin/link.go
+++ b/internal/lab/standin/link.go
@@ -90,7 +90,7 @@
 	l.closed = true
 	l.mu.Unlock()
 	if l.ln != nil {
-		l.ln.Close()
+		_ = l.ln.Close()
 	}
 	l.Reset()
 	l.Set(func(*Condition) {})
@@ -138,8 +138,8 @@
 	go func() { defer both.Done(); l.pass(near, far, true) }()
 	go func() { defer both.Done(); l.pass(far, near, false) }()
 	both.Wait()
-	near.Close()
-	far.Close()
+	_ = near.Close()
+	_ = far.Close()
 	l.keep(far, false)
 }
 
@@ -205,7 +205,7 @@
 			reset(to)
 		default:
 			if t, ok := to.(*net.TCPConn); ok {
-				t.CloseWrite()
+				_ = t.CloseWrite()
 			}
 		}
 	}
--- a/internal/lab/standin/rude.go
+++ b/internal/lab/standin/rude.go
@@ -56,13 +56,13 @@
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(rudeWithin))
+	defer func() { _ = c.Close() }()
+	_ = c.SetDeadline(time.Now().Add(rudeWithin))
 	if text := k.Send(rng); len(text) > 0 {
 		go c.Write(text)
 	}
 	if k.Name == "half" {
-		c.(*net.TCPConn).CloseWrite()
+		_ = c.(*net.TCPConn).CloseWrite()
 	}
 	for buf := make([]byte, 4096); ; {
 		n, err := c.Read(buf)
@@ -83,7 +83,7 @@
 // inPieces writes a line but for its last bytes, which it answers: the line counts from those. An error shows at them.
 func inPieces(nc net.Conn, text string) string {
 	for len(text) > pieceMost {
-		io.WriteString(nc, text[:pieceMost])
+		_, _ = io.WriteString(nc, text[:pieceMost])
 		text = text[pieceMost:]
 		time.Sleep(pieceEach)
 	}
@@ -102,13 +102,13 @@
 			if err != nil {
 				return
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			if n%2 == 0 {
-				io.WriteString(c, "OPEN 12")
+				_, _ = io.WriteString(c, "OPEN 12")
 			}
-			closed := context.AfterFunc(ctx, func() { c.Close() })
+			closed := context.AfterFunc(ctx, func() { _ = c.Close() })
 			defer closed()
-			io.Copy(io.Discard, c)
+			_, _ = io.Copy(io.Discard, c)
 		})
 	})
 }
--- a/internal/lab/standin/script.go
+++ b/internal/lab/standin/script.go
@@ -58,7 +58,7 @@
 
 // Hold keeps a connection until Close.
 func (s *Script) Hold(c net.Conn) {
-	c.SetDeadline(time.Now().Add(s.bound))
+	_ = c.SetDeadline(time.Now().Add(s.bound))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.held = append(s.held, c)
@@ -71,10 +71,10 @@
 		first, err := e.R.ReadString('\n')
 		switch {
 		case err != nil:
-			c.Close()
+			_ = c.Close()
 			return
 		case first == string(line.PingLine):
-			c.Write(line.PongLine)
+			_, _ = c.Write(line.PongLine)
 		default:
 			e.First = first
 			s.Sessions <- e
@@ -88,9 +88,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, ln := range s.lns {
-		ln.Close()
+		_ = ln.Close()
 	}
 	for _, c := range s.held {
-		c.Close()
+		_ = c.Close()
 	}
 }
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -195,9 +195,9 @@
 // reset ends a connection by a reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		_ = t.SetLinger(0)
 	}
-	c.Close()
+	_ = c.Close()
 }
 
 func (e *session) note(w record.What, more record.Event) {
@@ -359,7 +359,7 @@
 	switch {
 	case ways.Silent:
 	case ways.Torn && len(text) > 8:
-		e.c.Write(text[:len(text)/2])
+		_, _ = e.c.Write(text[:len(text)/2])
 		go e.end("server", true)
 	case ways.Drip:
 		for i := range text {
@@ -369,7 +369,7 @@
 			time.Sleep(dripEach)
 		}
 	default:
-		e.c.Write(text)
+		_, _ = e.c.Write(text)
 	}
 }
 
@@ -395,7 +395,7 @@
 	if abrupt {
 		reset(e.c)
 	} else {
-		e.c.Close()
+		_ = e.c.Close()
 	}
 }
 
@@ -427,7 +427,7 @@
 	ln := s.ln
 	s.mu.Unlock()
 	if ln != nil {
-		ln.Close()
+		_ = ln.Close()
 	}
 	for _, e := range s.all() {
 		e.end("server", true)
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -48,9 +48,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(c, text)
+	t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
+	_, _ = io.WriteString(c, text)
 	return &client{c, bufio.NewReader(c), t}
 }
 
@@ -93,7 +93,7 @@
 	c := dial(t, s.Addr(), "OPEN 2a 2 c=feed,d=900,g=5,h=1.5\r\n")
 	c.want("UP 2a\r\n")
 	c.want("LOAD ")
-	io.WriteString(c, "M 77\r\n")
+	_, _ = io.WriteString(c, "M 77\r\n")
 	if due, sent := echo([]byte(c.want("M 77 t="))); due != 77 || sent == 0 {
 		t.Fatal(due, sent)
 	}
@@ -103,7 +103,7 @@
 	if e := wait(t, log, record.Over, "refused"); e.Circuit != 0x2d || e.Server != 4 {
 		t.Fatal(e)
 	}
-	c.Close()
+	_ = c.Close()
 	if e := wait(t, log, record.Over, "peer"); e.Circuit != 0x2a {
 		t.Fatal(e)
 	}
@@ -136,7 +136,7 @@
 	}
 	c := up("1")
 	s.Misbehave(func(w *Ways) { w.Torn = true })
-	io.WriteString(c, "M 1\r\n")
+	_, _ = io.WriteString(c, "M 1\r\n")
 	if text, err := c.r.ReadString('\n'); err == nil || !strings.HasPrefix("M 1 t=", text) && text != "" && !strings.HasPrefix(text, "M 1") {
 		t.Fatalf("%q, %v", text, err)
 	}
@@ -150,12 +150,12 @@
 	s.Misbehave(func(w *Ways) { *w = Ways{} })
 	c = up("2")
 	s.Misbehave(func(w *Ways) { w.Silent = true })
-	io.WriteString(c, "M 1\r\n")
-	c.SetReadDeadline(time.Now().Add(100 * ms))
+	_, _ = io.WriteString(c, "M 1\r\n")
+	_ = c.SetReadDeadline(time.Now().Add(100 * ms))
 	if b, err := c.r.ReadByte(); err == nil {
 		t.Fatalf("a silent server said %q", b)
 	}
-	c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	s.Misbehave(func(w *Ways) { w.Silent = false })
 	c.ends(true)
 	s.Misbehave(func(w *Ways) { w.HalfOpen = true })
@@ -174,8 +174,8 @@
 		if err != nil {
 			break
 		}
-		defer c.Close()
-		fmt.Fprintf(c, "OPEN %x 2 c=feed,d=900\r\n", id)
+		defer func() { _ = c.Close() }()
+		_, _ = fmt.Fprintf(c, "OPEN %x 2 c=feed,d=900\r\n", id)
 		if got, err := bufio.NewReader(c).ReadString('\n'); err != nil || got == "" {
 			break
 		}
@@ -253,7 +253,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	taken := make(chan net.Conn, 10)
 	go func() {
 		for {
@@ -271,13 +271,13 @@
 	defer l.Close()
 	near := dial(t, l.Addr(), "hello\n")
 	far := &client{<-taken, nil, t}
-	far.SetDeadline(time.Now().Add(20 * time.Second))
+	_ = far.SetDeadline(time.Now().Add(20 * time.Second))
 	far.r = bufio.NewReader(far)
 	far.want("hello\n")
 	l.Set(func(c *Condition) { c.Late, c.Jitter = 100*ms, 50*ms })
 	began := time.Now()
 	for i := range 20 { // in order, whatever the jitter
-		fmt.Fprintf(near, "%d\n", i)
+		_, _ = fmt.Fprintf(near, "%d\n", i)
 	}
 	for i := range 20 {
 		far.want(fmt.Sprintf("%d\n", i))
@@ -286,28 +286,28 @@
 		t.Fatalf("after %v", took)
 	}
 	l.Set(func(c *Condition) { *c = Condition{CutOut: true} }) // from the far side nothing comes, towards it all
-	io.WriteString(far, "lost\n")
-	io.WriteString(near, "found\n")
+	_, _ = io.WriteString(far, "lost\n")
+	_, _ = io.WriteString(near, "found\n")
 	far.want("found\n")
-	near.SetReadDeadline(time.Now().Add(100 * ms))
+	_ = near.SetReadDeadline(time.Now().Add(100 * ms))
 	if b, err := near.r.ReadByte(); err == nil {
 		t.Fatalf("%q came over a cut link", b)
 	}
-	near.SetReadDeadline(time.Now().Add(20 * time.Second))
+	_ = near.SetReadDeadline(time.Now().Add(20 * time.Second))
 	l.Set(func(c *Condition) { *c = Condition{Rate: 10000} })
 	near.want("lost\n")
 	began = time.Now()
-	io.WriteString(far, strings.Repeat("x", 2999)+"\n")
+	_, _ = io.WriteString(far, strings.Repeat("x", 2999)+"\n")
 	near.want("x")
 	if took := time.Since(began); took < 200*ms {
 		t.Fatalf("3,000 bytes at 10,000 a second took %v", took)
 	}
 	l.Set(func(c *Condition) { *c = Condition{} })
-	far.Close() // an end goes on as an end
+	_ = far.Close() // an end goes on as an end
 	near.ends(false)
 	near = dial(t, l.Addr(), "again\n")
 	other := <-taken
 	l.Reset()
 	near.ends(true)
-	other.Close()
+	_ = other.Close()
 }
--- a/internal/lab/standin/ties.go
+++ b/internal/lab/standin/ties.go
@@ -102,14 +102,14 @@
 		if f.udp, last = net.ListenUDP("udp", net.UDPAddrFromAddrPort(f.addr)); last == nil {
 			return f, nil
 		}
-		ln.Close()
+		_ = ln.Close()
 	}
 	return nil, fmt.Errorf("ties: %w", last)
 }
 
 func (f *front) close() {
-	f.tcp.Close()
-	f.udp.Close()
+	_ = f.tcp.Close()
+	_ = f.udp.Close()
 }
 
 // Listen is where a member listens, Reached where the others reach it.
@@ -209,10 +209,10 @@
 		t.mu.Unlock()
 		pass := func(late time.Duration) {
 			if late == 0 {
-				f.udp.WriteToUDPAddrPort(text, t.real[to])
+				_, _ = f.udp.WriteToUDPAddrPort(text, t.real[to])
 				return
 			}
-			time.AfterFunc(late, func() { f.udp.WriteToUDPAddrPort(text, t.real[to]) })
+			time.AfterFunc(late, func() { _, _ = f.udp.WriteToUDPAddrPort(text, t.real[to]) })
 		}
 		switch {
 		case tie.Cut || lost:
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -51,7 +51,7 @@
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
-		f.Value.Set("14")
+		_ = f.Value.Set("14")
 	}
 	os.Exit(m.Run())
 }
@@ -70,7 +70,7 @@
 			timetable.Fault{Kind: timetable.BalancerRestart, At: 12 * time.Second, For: 3 * time.Second, Part: 1})
 		_, events, _ := run(t, w, baseline.Ours, seed)
 		var out bytes.Buffer
-		record.Write(&out, events)
+		_ = record.Write(&out, events)
 		return out.String()
 	}
 	first := log(7)
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -75,13 +75,13 @@
 }
 
 // Serve answers calls until Close.
-func (s *Server) Serve() { s.http.Serve(s.ln) }
+func (s *Server) Serve() { _ = s.http.Serve(s.ln) }
 
 // Addr is where it listens.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 // Close ends it and its connections.
-func (s *Server) Close() { s.http.Close() }
+func (s *Server) Close() { _ = s.http.Close() }
 
 // calls answers calls by path and method. No call needs a body, and none is read.
 func calls(b Balancer, pages Pages) http.Handler {
@@ -96,7 +96,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if show := pages[r.URL.Path]; show != nil && r.Method == http.MethodGet {
 			w.Header().Set("Content-Type", "application/json")
-			json.NewEncoder(w).Encode(show())
+			_ = json.NewEncoder(w).Encode(show())
 			return
 		}
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -105,7 +105,7 @@
 		switch {
 		case methods == nil:
 			w.WriteHeader(http.StatusNotFound)
-			fmt.Fprintf(w, "there is no call %q here\n", r.URL.Path)
+			_, _ = fmt.Fprintf(w, "there is no call %q here\n", r.URL.Path)
 		case do == nil:
 			var all []string
 			for m := range methods {
@@ -114,7 +114,7 @@
 			slices.Sort(all)
 			w.Header().Set("Allow", strings.Join(all, ", "))
 			w.WriteHeader(http.StatusMethodNotAllowed)
-			fmt.Fprintf(w, "%s is called with %s\n", r.URL.Path, strings.Join(all, " or "))
+			_, _ = fmt.Fprintf(w, "%s is called with %s\n", r.URL.Path, strings.Join(all, " or "))
 		default:
 			if err := do(); err != nil {
 				code := http.StatusServiceUnavailable
@@ -122,10 +122,10 @@
 					code = http.StatusConflict
 				}
 				w.WriteHeader(code)
-				fmt.Fprintln(w, err)
+				_, _ = fmt.Fprintln(w, err)
 				return
 			}
-			io.WriteString(w, "yes\n")
+			_, _ = io.WriteString(w, "yes\n")
 		}
 	})
 }
@@ -166,7 +166,7 @@
 	c.at = b.all.PushBack(c)
 	b.mu.Unlock()
 	if old != nil {
-		old.Conn.Close()
+		_ = old.Conn.Close()
 	}
 	return c, nil
 }
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -38,8 +38,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(bound))
-	t.Cleanup(func() { c.Close() })
+	_ = c.SetDeadline(time.Now().Add(bound))
+	t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
@@ -82,7 +82,7 @@
 	} {
 		f.ready, f.in = x.ready, x.in
 		c := dial(t, s)
-		io.WriteString(c, x.call+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, x.call+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 		if code, head, body := answered(t, c); code != x.code || !strings.Contains(body, x.says) || head.Get("Allow") != x.allow {
 			t.Errorf("%s: %d, %q, %v", x.call, code, body, head)
 		}
@@ -100,13 +100,13 @@
 	for n := range 30 {
 		c := dial(t, s)
 		if n%2 == 0 {
-			io.WriteString(c, "PUT /control/out-of-service HTTP/1.1\r\nHo")
+			_, _ = io.WriteString(c, "PUT /control/out-of-service HTTP/1.1\r\nHo")
 		}
 		silent = append(silent, c)
 	}
 	c := dial(t, s)
 	for _, part := range []string{"G", "ET /control/ready HTT", "P/1.1\r", "\nHost: x\r\n\r", "\n"} {
-		io.WriteString(c, part)
+		_, _ = io.WriteString(c, part)
 	}
 	if code, _, _ := answered(t, c); code != 200 {
 		t.Fatal(code)
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -41,7 +41,7 @@
 	config := net.ListenConfig{}
 	if shared { // guards against an upgrade that can't start: the old process still listens there
 		config.Control = func(_, _ string, raw syscall.RawConn) (err error) {
-			raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) })
+			_ = raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) })
 			return err
 		}
 	}
@@ -77,7 +77,7 @@
 // Close ends both ways at once; what has not been sent is lost.
 func (l *Link) Close() {
 	close(l.send)
-	l.conn.Close()
+	_ = l.conn.Close()
 }
 
 func (l *Link) write() {
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -28,7 +28,7 @@
 		b.t.Fatal(err)
 	}
 	far := get(b.t, b.taken)
-	io.WriteString(far, "UP 1\r\n")
+	_, _ = io.WriteString(far, "UP 1\r\n")
 	c.Listen()
 	get(b.t, b.said)
 	near, err := net.Dial("tcp", b.ln.Addr().String())
@@ -39,7 +39,7 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	near.SetDeadline(time.Now().Add(bound))
+	_ = near.SetDeadline(time.Now().Add(bound))
 	if _, err := io.ReadFull(near, make([]byte, 6)); err != nil {
 		b.t.Fatal(err)
 	}
@@ -63,8 +63,8 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	file.Close()
-	c.Close()
+	_ = file.Close()
+	_ = c.Close()
 	return fd
 }
 
@@ -86,8 +86,8 @@
 		for _, one := range all {
 			one.pair.Abort()
 			one.pair.Close()
-			unix.Close(one.client)
-			unix.Close(one.server)
+			_ = unix.Close(one.client)
+			_ = unix.Close(one.server)
 		}
 		for end := time.Now().Add(bound); r.fds.Load() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -91,14 +91,14 @@
 	}
 	c.interest = to
 	ev := unix.EpollEvent{Events: to, Fd: c.slot, Pad: c.gen}
-	unix.EpollCtl(c.sh.epfd, unix.EPOLL_CTL_MOD, c.fd, &ev)
+	_ = unix.EpollCtl(c.sh.epfd, unix.EPOLL_CTL_MOD, c.fd, &ev)
 }
 
 // shut closes the descriptor; mu is held.
 func (c *Conn) shut() {
 	if !c.closed {
 		c.detach()
-		unix.Close(c.fd)
+		_ = unix.Close(c.fd)
 	}
 }
 
@@ -107,7 +107,7 @@
 	c.closed = true
 	c.stalledAt.Store(0)
 	// Another descriptor of the same socket may be open for a moment: the set would go on telling of it.
-	unix.EpollCtl(c.sh.epfd, unix.EPOLL_CTL_DEL, c.fd, nil)
+	_ = unix.EpollCtl(c.sh.epfd, unix.EPOLL_CTL_DEL, c.fd, nil)
 	c.sh.drop(c)
 	c.sh.of.fds.Add(-1)
 	c.out, c.written = nil, 0
@@ -125,7 +125,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closed {
-		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	c.shut()
 }
@@ -491,7 +491,7 @@
 		c.stalled.Store(false)
 		c.want(unix.EPOLLOUT, false)
 		if c.ending {
-			unix.Shutdown(c.fd, unix.SHUT_WR)
+			_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 		}
 	}
 	c.mu.Unlock()
@@ -526,7 +526,7 @@
 	c.ending, c.state = true, ending
 	c.want(unix.EPOLLIN, true)
 	if len(c.out) == 0 {
-		unix.Shutdown(c.fd, unix.SHUT_WR)
+		_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
 }
 
--- a/internal/relay/dial_test.go
+++ b/internal/relay/dial_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { at.Close() })
+	t.Cleanup(func() { _ = at.Close() })
 	go func() {
 		for {
 			text := make([]byte, 512)
@@ -39,7 +39,7 @@
 				answer[7] = 1
 				answer = append(answer, 0xc0, 12, 0, 1, 0, 1, 0, 0, 0, 0, 0, 4, 127, 0, 0, 1)
 			}
-			at.WriteTo(answer, from)
+			_, _ = at.WriteTo(answer, from)
 		}
 	}()
 	was := net.DefaultResolver
@@ -95,10 +95,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer mine.Close()
+			defer func() { _ = mine.Close() }()
 			for n := 0; ; n++ {
 				got := get(t, b.taken)
-				got.Close()
+				_ = got.Close()
 				if got.RemoteAddr().String() != mine.LocalAddr().String() {
 					continue
 				}
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -64,7 +64,7 @@
 		p.asked.Store(max(int64(s.now()-t.AskedAgo), 1))
 	}
 	for side, e := range [2]End{t.Client, t.Server} {
-		unix.SetNonblock(e.FD, true)
+		_ = unix.SetNonblock(e.FD, true)
 		c := s.adopt(sh, e.FD, resting, nil)
 		c.mine, c.held = Side(side), e.Held
 		p.side[side] = c
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -117,7 +117,7 @@
 			err = unix.EpollCtl(epfd, unix.EPOLL_CTL_ADD, bell, &unix.EpollEvent{Events: unix.EPOLLIN, Fd: bellSlot})
 		}
 		if err != nil {
-			unix.Close(epfd)
+			_ = unix.Close(epfd)
 			s.Close()
 			return nil, fmt.Errorf("epoll: %w", err)
 		}
@@ -144,7 +144,7 @@
 // ring wakes the shard's goroutine; mu is held, and it has not ended.
 func (sh *shard) ring() {
 	one := [8]byte{7: 1}
-	unix.Write(sh.bell, one[:])
+	_, _ = unix.Write(sh.bell, one[:])
 }
 
 // do has the shard's goroutine do something between two events: nothing of its connections is on its way then.
@@ -160,7 +160,7 @@
 // rung does what the bell was rung for; false: it was the end.
 func (sh *shard) rung() bool {
 	var text [8]byte
-	unix.Read(sh.bell, text[:])
+	_, _ = unix.Read(sh.bell, text[:])
 	sh.mu.Lock()
 	jobs, ended := sh.jobs, sh.ended
 	sh.jobs = nil
@@ -315,13 +315,13 @@
 	if err != nil {
 		return nil, os.NewSyscallError("socket", err)
 	}
-	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if !wanted() {
-		unix.Close(fd)
+		_ = unix.Close(fd)
 		return nil, ErrUnwanted
 	}
 	if err := unix.Connect(fd, to); err != nil && err != unix.EINPROGRESS {
-		unix.Close(fd)
+		_ = unix.Close(fd)
 		return nil, os.NewSyscallError("connect", err)
 	}
 	dialed := s.place(s.all[int(s.next.Add(1))%len(s.all)], fd, dialing, data)
@@ -350,7 +350,7 @@
 // Nothing may be sent to the server's connection any more. On an error the client is told of a failure, as who has its
 // circuit can't any more, and the descriptor is closed.
 func (s *Shards) Stand(client int, server *Conn, first []byte, number uint64, data any) (*Pair, error) {
-	unix.SetNonblock(client, true)
+	_ = unix.SetNonblock(client, true)
 	c := s.adopt(server.sh, client, resting, nil)
 	p := &Pair{s: s, server: number, Data: data}
 	p.side[Client], p.side[Server] = c, server
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -79,7 +79,7 @@
 			b.taken <- c
 		}
 	}()
-	t.Cleanup(func() { b.ln.Close(); b.Shards.Close() })
+	t.Cleanup(func() { _ = b.ln.Close(); b.Shards.Close() })
 	return b
 }
 
@@ -116,8 +116,8 @@
 }
 
 func (b *bench) outer(c net.Conn) *side {
-	c.SetDeadline(time.Now().Add(bound))
-	b.t.Cleanup(func() { c.Close() })
+	_ = c.SetDeadline(time.Now().Add(bound))
+	b.t.Cleanup(func() { _ = c.Close() })
 	return &side{c, bufio.NewReaderSize(c, 1<<16), b.t}
 }
 
@@ -138,7 +138,7 @@
 func (b *bench) pair() (p *Pair, client, server *side) {
 	b.t.Helper()
 	c, server := b.dial()
-	io.WriteString(server, "UP 1\r\n")
+	_, _ = io.WriteString(server, "UP 1\r\n")
 	c.Listen()
 	if raw := get(b.t, b.said); raw != "UP 1\r\n" {
 		b.t.Fatal(raw)
@@ -167,8 +167,8 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	file.Close()
-	far.Close()
+	_ = file.Close()
+	_ = far.Close()
 	return fd
 }
 
@@ -182,7 +182,7 @@
 		t.Fatal(err)
 	}
 	far.want("OPEN\r\n")
-	io.WriteString(far, "LOAD 1\r\nUP 1\r\nhal") // one line at a time, however many have come
+	_, _ = io.WriteString(far, "LOAD 1\r\nUP 1\r\nhal") // one line at a time, however many have come
 	c.Listen()
 	if got := get(t, b.said); got != "LOAD 1\r\n" {
 		t.Fatal(got)
@@ -197,7 +197,7 @@
 		t.Fatal(got)
 	}
 	c.Listen()
-	far.Close()
+	_ = far.Close()
 	if err := get(t, b.gone); err != nil {
 		t.Fatal(err)
 	}
@@ -207,15 +207,15 @@
 		t.Fatalf("%d descriptors", n)
 	}
 	c, far = b.dial()
-	io.WriteString(far, strings.Repeat("x", 5000))
+	_, _ = io.WriteString(far, strings.Repeat("x", 5000))
 	c.Listen()
 	if err := get(t, b.gone); !errors.Is(err, ErrTooLong) {
 		t.Fatal(err)
 	}
 	c.Close()
 	c, far = b.dial()
-	far.Conn.(*net.TCPConn).SetLinger(0)
-	far.Close()
+	_ = far.Conn.(*net.TCPConn).SetLinger(0)
+	_ = far.Close()
 	for c.Early() == nil {
 		time.Sleep(time.Millisecond)
 	}
@@ -223,7 +223,7 @@
 		t.Fatal("a line was written to a connection that was reset")
 	}
 	c.Close()
-	b.ln.Close()
+	_ = b.ln.Close()
 	if _, err := b.Dial(b.ln.Addr().String(), 1<<20, func() bool { return true }, nil); err == nil {
 		if err := get(t, b.connected); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Fatal(err)
@@ -252,13 +252,13 @@
 				}
 			}
 		}
-		io.WriteString(far, "UP 1\r\n")
+		_, _ = io.WriteString(far, "UP 1\r\n")
 		until(func() bool { return waits(6) })
 		c.Listen()
 		if got := get(t, b.said); got != "UP 1\r\n" {
 			t.Fatal(got)
 		}
-		io.WriteString(far, "UP 2\r\n")
+		_, _ = io.WriteString(far, "UP 2\r\n")
 		until(func() bool { return waits(6) })
 		near, err := net.Dial("tcp", b.ln.Addr().String())
 		if err != nil {
@@ -270,7 +270,7 @@
 		client := b.outer(near)
 		client.want("UP 1\r\n")
 		client.want("UP 2\r\n")
-		client.Close()
+		_ = client.Close()
 		far.ends(false)
 		get(t, b.ended)
 	}
@@ -299,49 +299,49 @@
 func TestLinesPassWholeAndEndsAsTheyCome(t *testing.T) {
 	b := begin(t, 2)
 	_, client, server := b.pair()
-	io.WriteString(client, "M 1 a\r\nM 2")
+	_, _ = io.WriteString(client, "M 1 a\r\nM 2")
 	server.want("M 1 a\r\n")
-	io.WriteString(client, " b\r\n")
+	_, _ = io.WriteString(client, " b\r\n")
 	server.want("M 2 b\r\n")
-	io.WriteString(server, "LOAD 5\r\nM 1 a\r\nhalf")
+	_, _ = io.WriteString(server, "LOAD 5\r\nM 1 a\r\nhalf")
 	client.want("LOAD 5\r\n")
 	client.want("M 1 a\r\n")
 	if l := get(t, b.loads); string(l.Raw) != "LOAD 5\r\n" {
 		t.Fatalf("%q", l.Raw)
 	}
-	io.WriteString(server, "\r\nBYE\r\n")
+	_, _ = io.WriteString(server, "\r\nBYE\r\n")
 	client.want("half\r\n")
-	server.Close()
+	_ = server.Close()
 	client.want("BYE\r\n")
 	client.ends(false)
 	if e := get(t, b.ended); e.by != Server || e.abrupt || e.why != nil || !e.p.Byed() || e.p.Moved() {
 		t.Fatal(e)
 	}
-	client.Close()
+	_ = client.Close()
 
 	_, client, server = b.pair()
-	client.Close()
+	_ = client.Close()
 	server.ends(false)
 	if e := get(t, b.ended); e.by != Client || e.abrupt {
 		t.Fatal(e)
 	}
 	_, client, server = b.pair()
-	client.Conn.(*net.TCPConn).SetLinger(0)
-	client.Close()
+	_ = client.Conn.(*net.TCPConn).SetLinger(0)
+	_ = client.Close()
 	server.ends(true)
 	if e := get(t, b.ended); e.by != Client || !e.abrupt {
 		t.Fatal(e)
 	}
 	_, client, server = b.pair()
-	server.Conn.(*net.TCPConn).SetLinger(0)
-	server.Close()
+	_ = server.Conn.(*net.TCPConn).SetLinger(0)
+	_ = server.Close()
 	client.ends(true)
 	if e := get(t, b.ended); e.by != Server || !e.abrupt {
 		t.Fatal(e)
 	}
 	for _, bad := range []string{"M 1\n", strings.Repeat("x", 5000), strings.Repeat("x", 4095) + "\r\n"} {
 		_, client, server = b.pair()
-		io.WriteString(client, bad)
+		_, _ = io.WriteString(client, bad)
 		server.ends(true)
 		if e := get(t, b.ended); e.by != Client || !e.abrupt || e.why == nil {
 			t.Fatal(e)
@@ -410,7 +410,7 @@
 	sent := make(chan int)
 	go func() {
 		n := 0
-		server.SetWriteDeadline(time.Now().Add(500 * time.Millisecond))
+		_ = server.SetWriteDeadline(time.Now().Add(500 * time.Millisecond))
 		for {
 			k, err := server.Write(text)
 			n += k
@@ -421,7 +421,7 @@
 		sent <- n
 	}()
 	for i := range 100 {
-		fmt.Fprintf(calm, "M %d\r\n", i)
+		_, _ = fmt.Fprintf(calm, "M %d\r\n", i)
 		other.want(fmt.Sprintf("M %d\r\n", i))
 	}
 	n := get(t, sent)
@@ -441,8 +441,8 @@
 	if e := get(t, b.ended); !errors.Is(e.why, ErrSlow) || e.p != p {
 		t.Fatal(e)
 	}
-	server.Close()
-	io.WriteString(calm, "M 1\r\n")
+	_ = server.Close()
+	_, _ = io.WriteString(calm, "M 1\r\n")
 	other.want("M 1\r\n")
 }
 
@@ -451,14 +451,14 @@
 func TestAPairGoesOnElsewhere(t *testing.T) {
 	here, there := begin(t, 1), begin(t, 2)
 	p, client, server := here.pair()
-	client.Conn.(*net.TCPConn).SetReadBuffer(128 << 10)
-	unix.SetsockoptInt(p.side[Client].fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 128<<10)
+	_ = client.Conn.(*net.TCPConn).SetReadBuffer(128 << 10)
+	_ = unix.SetsockoptInt(p.side[Client].fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 128<<10)
 	const lines = 4000
 	text := strings.Repeat("x", 1000)
 	for _, from := range []*side{client, server} {
 		go func() {
 			for n := range lines {
-				fmt.Fprintf(from, "%d %s\r\n", n, text)
+				_, _ = fmt.Fprintf(from, "%d %s\r\n", n, text)
 			}
 		}()
 	}
@@ -494,7 +494,7 @@
 	if waited == 0 {
 		t.Fatal("nothing waited to be written")
 	}
-	server.Close()
+	_ = server.Close()
 	client.ends(false)
 }
 
@@ -502,13 +502,13 @@
 	b := begin(t, 2)
 	_, client, server := b.pair()
 	silent, quiet, _ := b.pair()
-	io.WriteString(client, "M 1\r\n")
+	_, _ = io.WriteString(client, "M 1\r\n")
 	server.want("M 1\r\n")
 	time.Sleep(20 * time.Millisecond)
-	io.WriteString(server, "LOAD 1\r\nM 1\r\n")
+	_, _ = io.WriteString(server, "LOAD 1\r\nM 1\r\n")
 	client.want("LOAD 1\r\n")
 	client.want("M 1\r\n")
-	io.WriteString(quiet, "M 1\r\n")
+	_, _ = io.WriteString(quiet, "M 1\r\n")
 	for end := time.Now().Add(bound); silent.asked.Load() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -536,16 +536,16 @@
 	sh.mu.Lock()
 	sh.times = nil
 	sh.mu.Unlock()
-	io.WriteString(client, "M 1\r\n")
+	_, _ = io.WriteString(client, "M 1\r\n")
 	server.want("M 1\r\n")
-	io.WriteString(server, "M 1\r\n")
+	_, _ = io.WriteString(server, "M 1\r\n")
 	get(t, b.panics)
 	if e := get(t, b.ended); !errors.Is(e.why, ErrPanic) {
 		t.Fatal(e)
 	}
 	client.ends(true)
 	server.ends(true)
-	io.WriteString(calm, "M 1\r\n")
+	_, _ = io.WriteString(calm, "M 1\r\n")
 	other.want("M 1\r\n")
 }
 
@@ -566,15 +566,15 @@
 		k := rng.IntN(len(all))
 		x := all[k]
 		text := fmt.Sprintf("M %d\r\n", i)
-		io.WriteString(x.client, text)
+		_, _ = io.WriteString(x.client, text)
 		x.server.want(text)
 		switch rng.IntN(4) {
 		case 0:
-			x.client.Close()
+			_ = x.client.Close()
 			x.server.ends(false)
 		case 1:
-			x.server.Conn.(*net.TCPConn).SetLinger(0)
-			x.server.Close()
+			_ = x.server.Conn.(*net.TCPConn).SetLinger(0)
+			_ = x.server.Close()
 			x.client.ends(true)
 		case 2:
 			if x.p.End([]byte("MOVE\r\n"), true) {
@@ -584,8 +584,8 @@
 		default:
 			continue
 		}
-		x.client.Close()
-		x.server.Close()
+		_ = x.client.Close()
+		_ = x.server.Close()
 		all = append(all[:k], all[k+1:]...)
 	}
 }
@@ -594,8 +594,8 @@
 func BenchmarkLine(b *testing.B) {
 	r := begin(b, 1)
 	_, client, server := r.pair()
-	client.SetDeadline(time.Time{})
-	server.SetDeadline(time.Time{})
+	_ = client.SetDeadline(time.Time{})
+	_ = server.SetDeadline(time.Time{})
 	text := []byte("M 123456789 0123456789abcdef\r\n")
 	go func() {
 		buf := make([]byte, 4096)
@@ -604,14 +604,14 @@
 			if err != nil {
 				return
 			}
-			server.Write(buf[:n])
+			_, _ = server.Write(buf[:n])
 		}
 	}()
 	buf := make([]byte, len(text))
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		client.Write(text)
+		_, _ = client.Write(text)
 		if _, err := io.ReadFull(client.r, buf); err != nil || !bytes.Equal(buf, text) {
 			b.Fatal(err, string(buf))
 		}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -103,9 +103,9 @@
 		var head [replySize]byte
 		le.PutUint32(head[0:], uint32(replySize+len(h.records)+len(h.tail)))
 		le.PutUint32(head[4:], h.answered)
-		out.Write(head[:])
-		out.Write(h.records)
-		out.Write(h.tail)
+		_, _ = out.Write(head[:])
+		_, _ = out.Write(h.records)
+		_, _ = out.Write(h.tail)
 		if err := out.Flush(); err != nil {
 			return fmt.Errorf("reply: %v", err)
 		}
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -124,7 +124,7 @@
 func (it item) settle(o Outcome) {
 	if o != Back {
 		for _, fd := range it.fds {
-			unix.Close(fd)
+			_ = unix.Close(fd)
 		}
 	}
 	if it.done != nil {
@@ -176,10 +176,10 @@
 
 func start(c *net.UnixConn, heed func(*Link, Message, []int), gone func(*Link, error)) (*Link, error) {
 	if err := own(c); err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil, err
 	}
-	c.SetWriteBuffer(sendBuffer)
+	_ = c.SetWriteBuffer(sendBuffer)
 	l := &Link{conn: c, heed: heed, gone: gone, rest: Left}
 	l.wake = sync.NewCond(&l.mu)
 	l.late = time.AfterFunc(takeFor, l.tooLate)
@@ -250,7 +250,7 @@
 			}
 		}
 		l.mu.Unlock()
-		l.conn.SetWriteDeadline(time.Now().Add(takeFor))
+		_ = l.conn.SetWriteDeadline(time.Now().Add(takeFor))
 		if _, _, err := l.conn.WriteMsgUnix(it.text, rights, nil); err != nil {
 			l.mu.Lock()
 			if n := len(l.unconfirmed) - 1; len(it.fds) > 0 {
@@ -298,7 +298,7 @@
 		l.end(why)
 		return
 	}
-	l.conn.CloseWrite()
+	_ = l.conn.CloseWrite()
 	time.AfterFunc(confirmFor, func() { l.end(why) })
 }
 
@@ -327,7 +327,7 @@
 	if err != nil {
 		return err
 	}
-	l.conn.SetWriteDeadline(time.Now().Add(takeFor))
+	_ = l.conn.SetWriteDeadline(time.Now().Add(takeFor))
 	if _, _, err := l.conn.WriteMsgUnix(text, nil, nil); err != nil && !parted(err) {
 		return fmt.Errorf("confirming: %w", err)
 	}
@@ -341,7 +341,7 @@
 	if err != nil {
 		return false
 	}
-	raw.Control(func(fd uintptr) {
+	_ = raw.Control(func(fd uintptr) {
 		at := []unix.PollFd{{Fd: int32(fd)}}
 		_, err := unix.Poll(at, 0)
 		is = err == nil && at[0].Revents&unix.POLLHUP != 0
@@ -386,7 +386,7 @@
 		}
 		if err != nil {
 			for _, fd := range fds {
-				unix.Close(fd)
+				_ = unix.Close(fd)
 			}
 			l.end(err)
 			return
@@ -433,7 +433,7 @@
 func (l *Link) end(why error) {
 	l.once.Do(func() {
 		l.mute()
-		l.conn.Close()
+		_ = l.conn.Close()
 		l.gone(l, why)
 	})
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -70,9 +70,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.Close() })
+	t.Cleanup(func() { _ = r.Close() })
 	fd, err := unix.Dup(int(w.Fd()))
-	w.Close()
+	_ = w.Close()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,8 +94,8 @@
 		if m.Kind != Client || len(m.First) != 1 || m.First[0] != byte(n) {
 			t.Fatalf("%d: %+v", n, m)
 		}
-		unix.Write(fd, []byte("x"))
-		unix.Close(fd)
+		_, _ = unix.Write(fd, []byte("x"))
+		_ = unix.Close(fd)
 		if text, err := io.ReadAll(r); string(text) != "x" || err != nil { // nobody else holds it any more
 			t.Fatalf("%q, %v", text, err)
 		}
@@ -116,15 +116,15 @@
 func TestWhatIsNotSentIsTheCallersAgain(t *testing.T) {
 	_, old, _, from, to := linked(t)
 	to.Close()
-	get(t, old.gone)
+	_ = get(t, old.gone)
 	lost := make(chan Outcome, 1)
 	fd, r := pipe(t)
 	from.Tell(Message{Kind: Client}, func(o Outcome) { lost <- o }, fd)
 	if o := get(t, lost); o != Back {
 		t.Fatalf("outcome %d", o)
 	}
-	unix.Write(fd, []byte("mine"))
-	unix.Close(fd)
+	_, _ = unix.Write(fd, []byte("mine"))
+	_ = unix.Close(fd)
 	if text, err := io.ReadAll(r); string(text) != "mine" || err != nil {
 		t.Fatalf("%q, %v", text, err)
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	from = get(t, old.link)
 	if _, err := c.Write([]byte(`{"V":1,"Kind":2,"Confirms":true}`)); err != nil {
 		t.Fatal(err)
@@ -162,9 +162,9 @@
 		if o := get(t, outcomes[n]); o != Back {
 			t.Fatalf("%d, never sent: outcome %d", n, o)
 		}
-		unix.Close(fds[n])
+		_ = unix.Close(fds[n])
 	}
-	get(t, gone)
+	_ = get(t, gone)
 	text, rights := make([]byte, textMost), make([]byte, unix.CmsgSpace(fdsMost*4))
 	for n := range onTheWay {
 		if o := get(t, outcomes[n]); o != Left {
@@ -175,8 +175,8 @@
 		if err != nil || len(its) != 1 {
 			t.Fatalf("%d: %v, %v", n, its, err)
 		}
-		unix.Write(its[0], []byte("its"))
-		unix.Close(its[0])
+		_, _ = unix.Write(its[0], []byte("its"))
+		_ = unix.Close(its[0])
 		if got, err := io.ReadAll(ends[n]); string(got) != "its" || err != nil { // nobody else holds it
 			t.Fatalf("%d: %q, %v", n, got, err)
 		}
@@ -208,18 +208,18 @@
 			}
 			outcomes[2*onTheWay-1] <- Back
 		}
-		c.Close()
+		_ = c.Close()
 		for n := 2; n < 2*onTheWay; n++ {
 			if o := get(t, outcomes[n]); o != Back {
 				t.Fatalf("hangs %v, %d: outcome %d", hangs, n, o)
 			}
-			unix.Write(fds[n], []byte("mine"))
-			unix.Close(fds[n])
+			_, _ = unix.Write(fds[n], []byte("mine"))
+			_ = unix.Close(fds[n])
 			if got, err := io.ReadAll(ends[n]); string(got) != "mine" || err != nil {
 				t.Fatalf("%d: %q, %v", n, got, err)
 			}
 		}
-		get(t, gone)
+		_ = get(t, gone)
 	}
 }
 
@@ -231,21 +231,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetReadDeadline(time.Now().Add(bound))
+	_ = c.SetReadDeadline(time.Now().Add(bound))
 	if err := raw.Read(func(fd uintptr) bool { // the first is on the way
 		_, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		return err != unix.EAGAIN
 	}); err != nil {
 		t.Fatal(err)
 	}
-	c.CloseWrite()
+	_ = c.CloseWrite()
 	left := 0
 	for n := range 2 * onTheWay {
 		switch o := get(t, outcomes[n]); {
 		case o == Left && left == n:
 			left++
 		case o == Back:
-			unix.Close(fds[n])
+			_ = unix.Close(fds[n])
 		default:
 			t.Fatalf("%d: outcome %d, %d were left before", n, o, left)
 		}
@@ -253,7 +253,7 @@
 	if left == 0 || left > onTheWay {
 		t.Fatalf("%d are left", left)
 	}
-	get(t, gone)
+	_ = get(t, gone)
 	text, rights := make([]byte, textMost), make([]byte, unix.CmsgSpace(fdsMost*4))
 	for n := range left {
 		_, m, _, _, err := c.ReadMsgUnix(text, rights)
@@ -261,7 +261,7 @@
 		if err != nil || len(its) != 1 {
 			t.Fatalf("%d of %d that are left: %v, %v", n, left, its, err)
 		}
-		unix.Close(its[0])
+		_ = unix.Close(its[0])
 	}
 	if n, _, _, _, err := c.ReadMsgUnix(text, rights); n != 0 {
 		t.Fatalf("one more than the %d that are left: %q, %v", left, text[:n], err)
@@ -277,12 +277,12 @@
 			t.Fatal(err)
 		}
 		get(t, old.link)
-		c.SetWriteBuffer(sendBuffer)
+		_ = c.SetWriteBuffer(sendBuffer)
 		if _, err := c.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		get(t, old.gone)
-		c.Close()
+		_ = get(t, old.gone)
+		_ = c.Close()
 		select {
 		case m := <-old.said:
 			t.Errorf("%.20s: %+v", text, m)
@@ -302,15 +302,15 @@
 		t.Fatal(err)
 	}
 	ln.SetUnlinkOnClose(false)
-	ln.Close() // as a process that was killed leaves it
+	_ = ln.Close() // as a process that was killed leaves it
 	if l, err := Dial(path, s.heed, s.ended); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
 	if err := Listen(path, func(l *Link) { s.link <- l }, s.heed, s.ended); err != nil {
 		t.Fatal(err)
 	}
-	os.Remove(path)
-	os.WriteFile(path, nil, 0o600) // no socket
+	_ = os.Remove(path)
+	_ = os.WriteFile(path, nil, 0o600) // no socket
 	if l, err := Dial(path, s.heed, s.ended); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
@@ -345,10 +345,10 @@
 	if err := unix.Prlimit(0, unix.RLIMIT_NOFILE, &none, nil); err != nil {
 		t.Fatal(err)
 	}
-	free := func() { unix.Prlimit(0, unix.RLIMIT_NOFILE, &was, nil) }
+	free := func() { _ = unix.Prlimit(0, unix.RLIMIT_NOFILE, &was, nil) }
 	defer free()
 	if fd, err := unix.Dup(next); err != unix.EMFILE {
-		unix.Close(fd)
+		_ = unix.Close(fd)
 		t.Fatalf("%d, %v: a descriptor is left", fd, err)
 	}
 	if err := unix.Connect(next, &unix.SockaddrUnix{Name: path}); err != nil {
