--- a/cmd/sabletally/commands.go
+++ b/cmd/sabletally/commands.go
@@ -19,11 +19,11 @@
 
 	"github.com/alecthomas/kong"
 
-	"sabletally/internal/blocks"
 	"sabletally/internal/fleet"
 	"sabletally/internal/fleet/config"
-	"sabletally/internal/fleet/seat"
+	"sabletally/internal/fleet/datadir"
 	"sabletally/internal/fleet/store"
+	"sabletally/internal/hclconfig"
 )
 
 const askWithin = 5 * time.Second // a balancer's operators' address answers within one
@@ -57,7 +57,7 @@
 			return 2
 		}
 		eachFault(err, func(err error) { fmt.Fprintln(os.Stderr, err) })
-		if _, is := errors.AsType[blocks.Faults](err); is {
+		if _, is := errors.AsType[hclconfig.Faults](err); is {
 			return 2
 		}
 		return 1
@@ -67,7 +67,7 @@
 
 // eachFault hands out what is wrong one by one.
 func eachFault(err error, each func(error)) {
-	all, is := errors.AsType[blocks.Faults](err)
+	all, is := errors.AsType[hclconfig.Faults](err)
 	if !is {
 		each(err)
 	}
@@ -105,7 +105,7 @@
 
 // Run reads a directory.
 func (c verifyCmd) Run() error {
-	card, err := seat.Look(c.Dir)
+	card, err := datadir.Look(c.Dir)
 	if err != nil {
 		return err
 	}
--- a/cmd/sabletally/control.go
+++ b/cmd/sabletally/control.go
@@ -20,17 +20,17 @@
 
 	"go.uber.org/zap"
 
+	"sabletally/internal/admin"
 	"sabletally/internal/fleet"
 	"sabletally/internal/fleet/config"
-	"sabletally/internal/fleet/views"
-	"sabletally/internal/mgmt"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
 	handWithin  = 5 * time.Second // a control process that ends has others take over what it holds
 	itemWithin  = 4 * time.Second // a change of an item is answered; an operators' call ends after five
 	controlMost = 64              // operators' connections
-	itemPath    = "/control/" + views.Config
+	itemPath    = "/control/" + shardmap.Config
 	versionHead = "Sabletally-Version"
 )
 
@@ -67,7 +67,7 @@
 	}
 	defer member.Leave()
 	if c.Mgmt != "" {
-		m, err := mgmt.OpenWith(c.Mgmt, controlMost, controlCalls(member), aside{log, "mgmt"})
+		m, err := admin.OpenWith(c.Mgmt, controlMost, controlCalls(member), aside{log, "mgmt"})
 		if err != nil {
 			return fmt.Errorf("mgmt: %w", err)
 		}
@@ -95,7 +95,7 @@
 		_, _ = io.WriteString(w, "yes\n")
 	})
 	mux.HandleFunc("GET "+itemPath+"{name...}", func(w http.ResponseWriter, r *http.Request) {
-		value, version, is := member.Get(views.Config + r.PathValue("name"))
+		value, version, is := member.Get(shardmap.Config + r.PathValue("name"))
 		w.Header().Set(versionHead, strconv.FormatUint(version, 10))
 		if !is {
 			http.Error(w, "there is no such item", http.StatusNotFound)
@@ -110,8 +110,8 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		done := make(chan views.Done, 1)
-		member.Put(p, itemWithin, func(d views.Done) { done <- d })
+		done := make(chan shardmap.Done, 1)
+		member.Put(p, itemWithin, func(d shardmap.Done) { done <- d })
 		if d := <-done; d.Refused != "" {
 			http.Error(w, d.Refused, http.StatusConflict)
 		} else {
@@ -124,8 +124,8 @@
 }
 
 // asked reads a change: the body is the value, ?op= names the operation, ?if= the version of the key that has to be in force.
-func asked(w http.ResponseWriter, r *http.Request) (p views.Put, err error) {
-	p = views.Put{Key: views.Config + r.PathValue("name"), Gone: r.Method == http.MethodDelete, Op: r.URL.Query().Get("op")}
+func asked(w http.ResponseWriter, r *http.Request) (p shardmap.Put, err error) {
+	p = shardmap.Put{Key: shardmap.Config + r.PathValue("name"), Gone: r.Method == http.MethodDelete, Op: r.URL.Query().Get("op")}
 	if p.Op == "" {
 		p.Op = rand.Text()
 	}
@@ -136,7 +136,7 @@
 		}
 	}
 	if !p.Gone {
-		if p.Value, err = io.ReadAll(http.MaxBytesReader(w, r.Body, views.MostValue)); err != nil {
+		if p.Value, err = io.ReadAll(http.MaxBytesReader(w, r.Body, shardmap.MostValue)); err != nil {
 			return p, fmt.Errorf("the value: %w", err)
 		}
 	}
@@ -186,8 +186,8 @@
 
 // item makes a call about an item and prints what is answered.
 func item(address, method, key string, q url.Values, body []byte) error {
-	if !strings.HasPrefix(key, views.Config) {
-		return fmt.Errorf("key %q is none of operators': it begins with %q", key, views.Config)
+	if !strings.HasPrefix(key, shardmap.Config) {
+		return fmt.Errorf("key %q is none of operators': it begins with %q", key, shardmap.Config)
 	}
 	u := url.URL{Scheme: "http", Host: address, Path: "/control/" + key, RawQuery: q.Encode()}
 	req, err := http.NewRequest(method, u.String(), bytes.NewReader(body))
--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -23,10 +23,10 @@
 
 	"sabletally/internal/fleet"
 	"sabletally/internal/fleet/boottime"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/follow"
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/subscriber"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/emulator"
 )
 
 // These tests start control processes, and balancers that follow them: real ones, and the followers of such in this process.
@@ -38,19 +38,19 @@
 
 // tier is a fleet with control processes.
 type tier struct {
-	*field.Band
+	*cluster.Band
 	t         *testing.T
 	dir       string
-	control   []*field.Process
+	control   []*cluster.Process
 	all       []int
 	followers []*hollow
-	balancers []*field.Process
+	balancers []*cluster.Process
 	puts      int
 }
 
 // hollow is a balancer's follower without a balancer.
 type hollow struct {
-	*follow.Follow
+	*subscriber.Follow
 	at int // its place among the ways
 
 	mu   sync.Mutex
@@ -62,7 +62,7 @@
 func newTier(t *testing.T, control, zones, followers int) *tier {
 	t.Parallel()
 	dir := t.TempDir()
-	b, err := field.NewBand(control+followers, dir, 12)
+	b, err := cluster.NewBand(control+followers, dir, 12)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 	m := &tier{Band: b, t: t, dir: dir}
 	for i := range control {
 		name := fmt.Sprintf("c%d", i)
-		p, err := field.NewProcess(name, []string{os.Args[0], "fleet", "control", filepath.Join(dir, fmt.Sprintf("fleet-%d.hcl", i)), "--name", name},
+		p, err := cluster.NewProcess(name, []string{os.Args[0], "fleet", "control", filepath.Join(dir, fmt.Sprintf("fleet-%d.hcl", i)), "--name", name},
 			[]string{"SABLETALLY_CHILD=1"}, dir, nil)
 		if err == nil {
 			err = b.Enlist(i, min(3, control), zones, p)
@@ -94,11 +94,11 @@
 		}
 	})
 	m.want("the control processes are together and publish", m.all, func(r fleet.Report) bool {
-		return field.Together(control)(r) && repaired(r) && r.Publishing.Age >= 0 && r.Publishing.Age < feed.Lease.Seconds()
+		return cluster.Together(control)(r) && repaired(r) && r.Publishing.Age >= 0 && r.Publishing.Age < changefeed.Lease.Seconds()
 	})
 	for i := range followers {
 		f := &hollow{at: control + i}
-		f.Follow = follow.Open(follow.Options{Fleet: "lab", Name: fmt.Sprint("f", i), ID: fmt.Sprint("follower-", i), Life: 1, Zone: field.Zone(i % zones),
+		f.Follow = subscriber.Open(subscriber.Options{Fleet: "lab", Name: fmt.Sprint("f", i), ID: fmt.Sprint("follower-", i), Life: 1, Zone: cluster.Zone(i % zones),
 			Site: "s", Seeds: m.seeds(), Seed: uint64(i), From: b.Ties.Listen(f.at).Addr(), Now: boottime.Now, Log: zap.NewNop(), Applied: f.applied})
 		t.Cleanup(f.Close)
 		m.followers = append(m.followers, f)
@@ -123,7 +123,7 @@
 }
 
 // applied notes a step that is none: back, or over a gap.
-func (f *hollow) applied(version uint64, _ []feed.Item, whole bool) {
+func (f *hollow) applied(version uint64, _ []changefeed.Item, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if version <= f.last || !whole && version != f.last+1 {
@@ -160,7 +160,7 @@
 }
 
 // each asks all followers but those left out.
-func (m *tier) each(is func(follow.Status) bool, but ...*hollow) func() error {
+func (m *tier) each(is func(subscriber.Status) bool, but ...*hollow) func() error {
 	return func() error {
 		for _, f := range m.followers {
 			if s := f.Status(); !slices.Contains(but, f) && !is(s) {
@@ -187,7 +187,7 @@
 	}
 }
 
-func current(s follow.Status) bool { return s.Current && len(s.Relays) == 2 }
+func current(s subscriber.Status) bool { return s.Current && len(s.Relays) == 2 }
 
 // put changes an item by a control process, and answers the version that has it.
 func (m *tier) put(i int, key, value string) uint64 {
@@ -224,7 +224,7 @@
 	m.t.Helper()
 	v := m.put(i, key, value)
 	m.soon(fmt.Sprintf("%s is in force everywhere, as version %d", key, v), inForce, func() error {
-		if err := m.each(func(s follow.Status) bool { return s.Version >= v }, but...)(); err != nil {
+		if err := m.each(func(s subscriber.Status) bool { return s.Version >= v }, but...)(); err != nil {
 			return err
 		}
 		return m.following(func(f *fleet.Following) bool { return f.Version >= v && f.Current })()
@@ -237,13 +237,13 @@
 }
 
 // balancer makes a balancer that follows the control processes, on a machine of its own.
-func (m *tier) balancer(name, machine string, shared bool) *field.Process {
+func (m *tier) balancer(name, machine string, shared bool) *cluster.Process {
 	m.t.Helper()
 	return m.balancerWith(name, machine, "", shared, agent(m.t))
 }
 
 // balancerWith is one with a discovery; extra goes into its file.
-func (m *tier) balancerWith(name, machine, extra string, shared bool, a *standin.Agent) *field.Process {
+func (m *tier) balancerWith(name, machine, extra string, shared bool, a *emulator.Agent) *cluster.Process {
 	m.t.Helper()
 	dir := m.t.TempDir()
 	var seeds []string
@@ -252,11 +252,11 @@
 	}
 	file := filepath.Join(dir, "fleet.hcl")
 	text := fmt.Sprintf("fleet \"lab\" {\n  role = \"balancer\"\n  seeds = [%s]\n  data = %q\n  machine = %q\n  zone = %q\n  site = \"s\"\n}\n%s",
-		strings.Join(seeds, ", "), filepath.Join(dir, "data-"+machine), machine, field.Zone(0), extra)
+		strings.Join(seeds, ", "), filepath.Join(dir, "data-"+machine), machine, cluster.Zone(0), extra)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		m.t.Fatal(err)
 	}
-	p, err := field.NewProcess(name, []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr(), "SABLETALLY_FLEET=" + file}, dir, nil)
+	p, err := cluster.NewProcess(name, []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr(), "SABLETALLY_FLEET=" + file}, dir, nil)
 	if err == nil && shared {
 		if err = p.Share(); err == nil {
 			m.t.Cleanup(p.Unshare)
@@ -308,7 +308,7 @@
 	was := lapses()
 	m.control[lost].Kill()
 	away := m.Ties.Reached(lost).String()
-	m.soon(fmt.Sprintf("c%d is lost, which %d follow: they are elsewhere", lost, most), feed.Lease, m.each(func(s follow.Status) bool {
+	m.soon(fmt.Sprintf("c%d is lost, which %d follow: they are elsewhere", lost, most), changefeed.Lease, m.each(func(s subscriber.Status) bool {
 		return current(s) && !slices.Contains(s.Relays, away)
 	}))
 	if now := lapses(); now != was {
@@ -318,24 +318,24 @@
 	if err := m.control[lost].Launch(); err != nil {
 		t.Fatal(err)
 	}
-	m.want("it is back", m.all, field.Together(5))
+	m.want("it is back", m.all, cluster.Together(5))
 
 	// One is stopped, sleeps over changes and its followers' leases, and wakes on old state.
 	stopped := (lost + 2) % 5
 	_ = m.control[stopped].Signal(syscall.SIGSTOP)
 	asleep := m.Ties.Reached(stopped).String()
-	m.soon("its followers are elsewhere", feed.Lease, m.each(func(s follow.Status) bool { return current(s) && !slices.Contains(s.Relays, asleep) }))
+	m.soon("its followers are elsewhere", changefeed.Lease, m.each(func(s subscriber.Status) bool { return current(s) && !slices.Contains(s.Relays, asleep) }))
 	m.everywhere((stopped+1)%5, "config/limits", "three")
 	_ = m.control[stopped].Signal(syscall.SIGCONT)
 	m.want("it has what it missed", m.all, func(r fleet.Report) bool {
-		return field.Together(5)(r) && r.Publishing.Age >= 0 && r.Publishing.Age < feed.Lease.Seconds()
+		return cluster.Together(5)(r) && r.Publishing.Age >= 0 && r.Publishing.Age < changefeed.Lease.Seconds()
 	})
 	m.everywhere(stopped, "config/limits", "four")
 
 	// A follower is cut off, and knows that by itself.
 	alone := m.followers[4]
-	m.Ties.Set(func(from, to int, tie *standin.Tie) { tie.Cut = from == alone.at || to == alone.at })
-	m.soon("one that is cut off says so", feed.Lease, func() error {
+	m.Ties.Set(func(from, to int, tie *emulator.Tie) { tie.Cut = from == alone.at || to == alone.at })
+	m.soon("one that is cut off says so", changefeed.Lease, func() error {
 		if s := alone.Status(); s.Current {
 			return fmt.Errorf("%+v", s)
 		}
@@ -346,7 +346,7 @@
 		t.Errorf("cut off it has %q", v)
 	}
 	before := alone.Status().Count.Snapshots
-	m.Ties.Set(func(_, _ int, tie *standin.Tie) { *tie = standin.Tie{} })
+	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
 	m.soon("it is current again", bound, all)
 	if s := alone.Status(); s.Count.Snapshots != before {
 		t.Errorf("it was sent %d snapshots for a change that was kept", s.Count.Snapshots-before)
@@ -364,7 +364,7 @@
 		if err != nil {
 			return err
 		}
-		return m.each(func(s follow.Status) bool { return s.Version == r.Held.Version })()
+		return m.each(func(s subscriber.Status) bool { return s.Version == r.Held.Version })()
 	})
 	had := snapshots()
 	for _, p := range m.control {
@@ -373,8 +373,8 @@
 	for _, p := range m.control {
 		p.Kill()
 	}
-	m.soon("without any nobody is current", feed.Lease, m.each(func(s follow.Status) bool { return !s.Current }))
-	m.soon("nor is a balancer", feed.Lease, m.following(func(f *fleet.Following) bool { return !f.Current }))
+	m.soon("without any nobody is current", changefeed.Lease, m.each(func(s subscriber.Status) bool { return !s.Current }))
+	m.soon("nor is a balancer", changefeed.Lease, m.following(func(f *fleet.Following) bool { return !f.Current }))
 	for _, p := range m.control {
 		if err := p.Launch(); err != nil {
 			t.Fatal(err)
@@ -394,8 +394,8 @@
 	for _, p := range m.control[:3] {
 		p.Kill()
 	}
-	m.soon("with most voters lost nobody is current", feed.Lease, m.each(func(s follow.Status) bool { return !s.Current }))
-	m.soon("nor is a balancer", feed.Lease, m.following(func(f *fleet.Following) bool { return !f.Current }))
+	m.soon("with most voters lost nobody is current", changefeed.Lease, m.each(func(s subscriber.Status) bool { return !s.Current }))
+	m.soon("nor is a balancer", changefeed.Lease, m.following(func(f *fleet.Following) bool { return !f.Current }))
 	if code, text, err := m.control[4].Call(http.MethodGet, "/control/ready"); err != nil || code != http.StatusServiceUnavailable {
 		t.Errorf("c4 is ready with two of five voters: %d %s %v", code, text, err)
 	}
@@ -432,7 +432,7 @@
 // upgrades it. Guards against a balancer that takes clients although it was told not to, and an upgrade that is two followers.
 func TestAWordByAFollower(t *testing.T) {
 	m := newTier(t, 3, 3, 0)
-	says := func(p *field.Process, want string) {
+	says := func(p *cluster.Process, want string) {
 		t.Helper()
 		m.soon(p.Name+" says "+want, bound, func() error {
 			code, text, err := p.Call("GET", "/control/ready")
@@ -442,7 +442,7 @@
 			return err
 		})
 	}
-	tells := func(p *field.Process, path, want string) {
+	tells := func(p *cluster.Process, path, want string) {
 		t.Helper()
 		if code, text, err := p.Call("PUT", path); code != 200 {
 			t.Fatal(code, text, err)
@@ -488,7 +488,7 @@
 	}
 	_ = p.Signal(syscall.SIGTERM)
 	<-p.Exited()
-	m.balancers = []*field.Process{young}
+	m.balancers = []*cluster.Process{young}
 	m.soon("the new process follows", bound, m.following(func(f *fleet.Following) bool { return f.Current }))
 	if r, err := young.Fleet(); err != nil || r.Self.ID != was.Self.ID || r.Self.Life != was.Self.Life+1 {
 		t.Errorf("%+v after %+v, %v", r.Self, was.Self, err)
@@ -505,7 +505,7 @@
 	if err := m.control[at].Err(); err != nil {
 		t.Errorf("c%d ended with %v", at, err)
 	}
-	m.soon("its follower is elsewhere", feed.Lease, m.following(func(f *fleet.Following) bool {
+	m.soon("its follower is elsewhere", changefeed.Lease, m.following(func(f *fleet.Following) bool {
 		return f.Current && len(f.Relays) > 0 && !slices.Contains(f.Relays, r.Following.Relays[0])
 	}))
 }
@@ -525,7 +525,7 @@
 		}
 	}
 	m.soon("both follow", bound, m.following(func(f *fleet.Following) bool { return f.Current }))
-	asks := func(p *field.Process, grade string, id int) *ask {
+	asks := func(p *cluster.Process, grade string, id int) *ask {
 		t.Helper()
 		c, err := net.Dial("tcp", p.Addr)
 		if err != nil {
@@ -537,7 +537,7 @@
 		return one
 	}
 	ran := map[string]int{} // by id: first lines that came to a server
-	session := func() *standin.Session {
+	session := func() *emulator.Session {
 		t.Helper()
 		select {
 		case e := <-script.Sessions:
@@ -606,7 +606,7 @@
 		}
 	}
 	a := agent(t)
-	p, err := field.NewProcess("n", []string{os.Args[0]}, nil, dir, nil)
+	p, err := cluster.NewProcess("n", []string{os.Args[0]}, nil, dir, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sabletally/descriptors_test.go
+++ b/cmd/sabletally/descriptors_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/emulator"
 )
 
 // crowd is clients that connect and say nothing, and come again a little after they are ended.
@@ -64,7 +64,7 @@
 }
 
 // descriptors is what a process holds now, each by what it is.
-func descriptors(t *testing.T, p *field.Process) []string {
+func descriptors(t *testing.T, p *cluster.Process) []string {
 	t.Helper()
 	dir := fmt.Sprintf("/proc/%d/fd", p.Pid())
 	all, err := os.ReadDir(dir)
@@ -98,7 +98,7 @@
 
 // besiege begins with a discovery that refuses connections, or that takes them and says nothing.
 func besiege(t *testing.T, files int, refuses bool) *besieged {
-	ln, err := net.Listen("tcp", standin.Loopback())
+	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,8 +121,8 @@
 			go pass(ln, s.agent.Addr())
 		}
 	} else {
-		s.agent.Misbehave(standin.Mute)
-		s.back = func() { s.agent.Misbehave(standin.Sound) }
+		s.agent.Misbehave(emulator.Mute)
+		s.back = func() { s.agent.Misbehave(emulator.Sound) }
 	}
 	if err := s.child.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/sabletally/fleet_cost_test.go
+++ b/cmd/sabletally/fleet_cost_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/lab/emulator"
 )
 
 // The cost of a held grade: go test ./cmd/sabletally -run TestCostOfHolding -cost -v
@@ -42,7 +42,7 @@
 	}()
 	m := enlistNow(t, many, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
 	m.want("every slot has its holders", m.all, repaired)
-	m.Ties.Set(func(_, _ int, tie *standin.Tie) { tie.Late = late })
+	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { tie.Late = late })
 	if err := m.procs[0].Yes(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -17,17 +17,17 @@
 	"time"
 
 	"sabletally/internal/fleet"
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/emulator"
 )
 
 // These tests start several processes of the program as members of a fleet and put faults between them.
 
 // members is a fleet of the program.
 type members struct {
-	*field.Band
+	*cluster.Band
 	t     *testing.T
-	procs []*field.Process
+	procs []*cluster.Process
 	all   []int
 }
 
@@ -35,18 +35,18 @@
 	return enlistWith(t, many, shared, "", agent(t))
 }
 
-func enlistWith(t *testing.T, many int, shared bool, more string, a *standin.Agent) *members {
+func enlistWith(t *testing.T, many int, shared bool, more string, a *emulator.Agent) *members {
 	t.Parallel()
 	return enlistNow(t, many, shared, more, a)
 }
 
-func enlistNow(t *testing.T, many int, shared bool, more string, a *standin.Agent) *members {
+func enlistNow(t *testing.T, many int, shared bool, more string, a *emulator.Agent) *members {
 	return enlistAll(t, many, shared, "", more, a)
 }
 
-func enlistAll(t *testing.T, many int, shared bool, less, more string, a *standin.Agent) *members {
+func enlistAll(t *testing.T, many int, shared bool, less, more string, a *emulator.Agent) *members {
 	dir := t.TempDir()
-	b, err := field.NewBand(many, dir, 11)
+	b, err := cluster.NewBand(many, dir, 11)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	b.Less, b.More = less, more
 	m := &members{Band: b, t: t}
 	for i := range many {
-		p, err := field.NewProcess(fmt.Sprintf("n%d", i), []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
+		p, err := cluster.NewProcess(fmt.Sprintf("n%d", i), []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,21 +102,21 @@
 }
 
 // four are scripted servers that a discovery lists.
-func four(t *testing.T, a *standin.Agent, most int) *standin.Script {
-	script := standin.NewScript(most, 4*bound)
+func four(t *testing.T, a *emulator.Agent, most int) *emulator.Script {
+	script := emulator.NewScript(most, 4*bound)
 	t.Cleanup(script.Close)
 	for _, uid := range []string{"s-1", "s-2", "s-3", "s-4"} {
 		addr, err := script.Listen(uid)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Set(entry(uid, addr, standin.InService))
+		a.Set(entry(uid, addr, emulator.InService))
 	}
 	return script
 }
 
 // logsOf waits until a process's log has a word.
-func (m *members) logsOf(p *field.Process, word string) {
+func (m *members) logsOf(p *cluster.Process, word string) {
 	m.t.Helper()
 	for end := time.Now().Add(bound); !strings.Contains(p.Tail(), word); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -139,7 +139,7 @@
 }
 
 // single starts a balancer beside them that is no member.
-func (m *members) single() *field.Process {
+func (m *members) single() *cluster.Process {
 	m.t.Helper()
 	p := m.unstarted(agent(m.t))
 	if err := p.Start(); err != nil {
@@ -149,10 +149,10 @@
 }
 
 // unstarted is one that is still to be started.
-func (m *members) unstarted(a *standin.Agent) *field.Process {
+func (m *members) unstarted(a *emulator.Agent) *cluster.Process {
 	m.t.Helper()
 	dir := m.t.TempDir()
-	p, err := field.NewProcess("single", []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
+	p, err := cluster.NewProcess("single", []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
 	if err == nil {
 		err = p.Operate()
 	}
@@ -167,7 +167,7 @@
 }
 
 // station is a balancer's configuration.
-func station(name string, p *field.Process, a *standin.Agent, seed int) []byte {
+func station(name string, p *cluster.Process, a *emulator.Agent, seed int) []byte {
 	return fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":2048},
 		"known":%s,"settings":%s}`, name, p.Addr, a.Addr(), seed, a.Known(), strings.Replace(settings, `[{"Name":"feed"`, `[`+grade("pay")+grade("order")+`{"Name":"feed"`, 1))
 }
@@ -188,7 +188,7 @@
 
 func (m *members) together() {
 	m.t.Helper()
-	m.want("all see all", m.all, field.Together(len(m.all)))
+	m.want("all see all", m.all, cluster.Together(len(m.all)))
 }
 
 func (m *members) without(i int) []int {
@@ -211,17 +211,17 @@
 	m := enlist(t, 5, false)
 	gone := func(i int) func(fleet.Report) bool {
 		return func(r fleet.Report) bool {
-			return field.Sees(r, fmt.Sprintf("n%d", i)) == "gone" && r.Standing == "together"
+			return cluster.Sees(r, fmt.Sprintf("n%d", i)) == "gone" && r.Standing == "together"
 		}
 	}
 
-	m.Ties.Set(func(_, _ int, tie *standin.Tie) {
-		*tie = standin.Tie{Loss: 0.3, Mixed: 0.3, Late: 20 * time.Millisecond}
+	m.Ties.Set(func(_, _ int, tie *emulator.Tie) {
+		*tie = emulator.Tie{Loss: 0.3, Mixed: 0.3, Late: 20 * time.Millisecond}
 	})
 	_ = m.procs[4].Signal(syscall.SIGSTOP)
 	m.want("the stopped one is missed, over bad ways", m.without(4), gone(4))
 	_ = m.procs[4].Signal(syscall.SIGCONT)
-	m.Ties.Set(func(_, _ int, tie *standin.Tie) { *tie = standin.Tie{} })
+	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
 	m.together()
 	if r := m.report(4); r.Stalls == 0 || r.Self.Life != 1 {
 		t.Errorf("the one that was stopped knows of no stall: %+v", r)
@@ -243,16 +243,16 @@
 		return slices.ContainsFunc(r.Others, func(o fleet.One) bool { return o.ID == was && o.State == "gone" && o.By != "" })
 	})
 
-	m.Ties.Set(func(from, to int, tie *standin.Tie) { tie.Cut = from < 2 != (to < 2) })
+	m.Ties.Set(func(from, to int, tie *emulator.Tie) { tie.Cut = from < 2 != (to < 2) })
 	m.want("two stand apart", []int{0, 1}, func(r fleet.Report) bool { return r.Standing == "apart" && r.Here == 2 })
-	m.want("three go on", []int{2, 3, 4}, field.Together(3))
-	m.Ties.Set(func(_, _ int, tie *standin.Tie) { *tie = standin.Tie{} })
+	m.want("three go on", []int{2, 3, 4}, cluster.Together(3))
+	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
 	m.together()
 
-	m.Ties.Set(func(from, to int, tie *standin.Tie) { tie.Cut = from == 1 }) // what it says is lost, what it is told is not
+	m.Ties.Set(func(from, to int, tie *emulator.Tie) { tie.Cut = from == 1 }) // what it says is lost, what it is told is not
 	m.want("one that nobody hears is missed", m.without(1), gone(1))
 	m.want("and knows that it is apart", []int{1}, func(r fleet.Report) bool { return r.Standing == "apart" })
-	m.Ties.Set(func(_, _ int, tie *standin.Tie) { *tie = standin.Tie{} })
+	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
 	m.together()
 
 	m.anew()
@@ -261,7 +261,7 @@
 		t.Errorf("%+v", is)
 	}
 	_ = m.procs[2].Signal(syscall.SIGTERM)
-	m.want("one that leaves says so", m.without(2), func(r fleet.Report) bool { return field.Sees(r, "n2") == "left" && r.Standing == "together" })
+	m.want("one that leaves says so", m.without(2), func(r fleet.Report) bool { return cluster.Sees(r, "n2") == "left" && r.Standing == "together" })
 	<-m.procs[2].Exited()
 }
 
@@ -308,7 +308,7 @@
 		starts(lost, map[bool]string{true: "out of service", false: "yes"}[lost == 3])
 		m.want(fmt.Sprintf("what n%d held is copied anew", lost), m.all, func(r fleet.Report) bool {
 			old := slices.IndexFunc(r.Others, func(o fleet.One) bool { return o.ID == was.Self.ID && o.State == "here" })
-			return field.Together(5)(r) && repaired(r) && r.Held.Epoch > was.Held.Epoch && r.Held.Members == 5 && old < 0
+			return cluster.Together(5)(r) && repaired(r) && r.Held.Epoch > was.Held.Epoch && r.Held.Members == 5 && old < 0
 		})
 	}
 	// One that leaves as planned hands over before it ends.
@@ -375,7 +375,7 @@
 		return one
 	}
 	ran := map[string]int{} // by id: first lines that came to a server
-	session := func() *standin.Session {
+	session := func() *emulator.Session {
 		select {
 		case e := <-script.Sessions:
 			ran[strings.Fields(e.First)[1]]++
@@ -491,26 +491,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			a := agent(t)
-			script := standin.NewScript(50, 4*bound)
+			script := emulator.NewScript(50, 4*bound)
 			t.Cleanup(script.Close)
 			addr, err := script.Listen("s-1")
 			if err != nil {
 				t.Fatal(err)
 			}
-			a.Set(entry("s-1", addr, standin.InService))
+			a.Set(entry("s-1", addr, emulator.InService))
 			drains, err := script.Listen("s-2")
 			if err != nil {
 				t.Fatal(err)
 			}
-			a.Set(entry("s-2", drains, standin.Terminating))
+			a.Set(entry("s-2", drains, emulator.Terminating))
 			if c.candidates { // a young list is as good as discovery's: these would be tried
 				for _, uid := range []string{"dead-1", "dead-2", "dead-3"} {
-					a.Set(entry(uid, refused(t), standin.InService))
+					a.Set(entry(uid, refused(t), emulator.InService))
 				}
 			}
 			m := enlistAll(t, 3, false, c.less, "", a)
 			m.want("the list is held", m.all, func(r fleet.Report) bool { return repaired(r) && r.Held.Records > 0 })
-			a.Misbehave(standin.Mute)
+			a.Misbehave(emulator.Mute)
 			p := m.procs[2]
 			if c.name == "no fleet" {
 				p = m.unstarted(a)
@@ -589,7 +589,7 @@
 	<-m.procs[1].Exited()
 	m.procs[1] = young
 	for end := time.Now().Add(bound); ; time.Sleep(10 * time.Millisecond) {
-		if r, err := young.Fleet(); err == nil && field.Together(3)(r) {
+		if r, err := young.Fleet(); err == nil && cluster.Together(3)(r) {
 			if r.Self.ID != was.ID || r.Self.Life != was.Life+1 {
 				t.Fatalf("%+v after %+v", r.Self, was)
 			}
@@ -613,7 +613,7 @@
 func TestWithoutAFileThereIsNoFleet(t *testing.T) {
 	m := enlist(t, 2, false)
 	off := m.single()
-	count := func(p *field.Process) (fds, fleet int) {
+	count := func(p *cluster.Process) (fds, fleet int) {
 		dir := fmt.Sprintf("/proc/%d/fd", p.Pid())
 		all, err := os.ReadDir(dir)
 		if err != nil {
@@ -632,7 +632,7 @@
 		t.Errorf("descriptors of a fleet's directory: %d with a file, %d without", on, none)
 	}
 	for _, c := range []struct {
-		p    *field.Process
+		p    *cluster.Process
 		want bool
 	}{{m.procs[0], true}, {off, false}} {
 		_ = c.p.Signal(syscall.SIGQUIT) // which writes where each goroutine is, and ends it
--- a/cmd/sabletally/main.go
+++ b/cmd/sabletally/main.go
@@ -18,11 +18,11 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
+	"sabletally/internal/admin"
 	"sabletally/internal/balancer"
 	"sabletally/internal/deployment"
 	"sabletally/internal/fleet"
 	"sabletally/internal/fleet/config"
-	"sabletally/internal/mgmt"
 )
 
 const (
@@ -79,14 +79,14 @@
 	}
 	sockets := s.Sockets
 	if s.Mgmt != "" {
-		sockets -= mgmt.Conns(s.Sockets)
+		sockets -= admin.Conns(s.Sockets)
 	}
 	l, err := balancer.New(log, s.Deployment, s.Seed, s.Known, sockets)
 	if err != nil {
 		log.Error("can't start", zap.Error(err))
 		return 2
 	}
-	pages := mgmt.Pages{}
+	pages := admin.Pages{}
 	var member *fleet.Fleet
 	if file != nil {
 		err := file.Known(s.Deployment.Grades)
@@ -119,7 +119,7 @@
 		return 2
 	}
 	if s.Mgmt != "" { // last: who is answered there finds a loop that runs
-		m, err := mgmt.Open(s.Mgmt, mgmt.Conns(s.Sockets), operated{l, member, s.Name}, pages, aside{log, "mgmt"})
+		m, err := admin.Open(s.Mgmt, admin.Conns(s.Sockets), operated{l, member, s.Name}, pages, aside{log, "mgmt"})
 		if err != nil {
 			log.Error("can't start", zap.NamedError("mgmt", err))
 			return 2
--- a/cmd/sabletally/main_test.go
+++ b/cmd/sabletally/main_test.go
@@ -21,9 +21,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/record"
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/emulator"
+	"sabletally/internal/lab/history"
 )
 
 // These tests start the program and speak to it over loopback. Its servers and its discovery are the lab's stand-ins;
@@ -50,10 +50,10 @@
 
 // site is one balancer with its stand-ins.
 type site struct {
-	*standin.Script
+	*emulator.Script
 	t      *testing.T
-	agent  *standin.Agent
-	child  *field.Process
+	agent  *emulator.Agent
+	child  *cluster.Process
 	config string // the configuration's file
 	mu     sync.Mutex
 	addrs  map[string]string // of the servers in the list
@@ -98,18 +98,18 @@
 // begin starts discovery, the named servers and the program. A name that begins with "dead" is not listened at.
 func begin(t *testing.T, env []string, servers ...string) *site {
 	t.Parallel()
-	s := &site{t: t, Script: standin.NewScript(200, bound), addrs: map[string]string{}, logged: make(chan struct{}, 1)}
+	s := &site{t: t, Script: emulator.NewScript(200, bound), addrs: map[string]string{}, logged: make(chan struct{}, 1)}
 	t.Cleanup(s.Close)
 	s.agent = agent(t)
 	for _, uid := range servers {
 		if strings.HasPrefix(uid, "dead") {
-			s.list(uid, refused(t), standin.InService)
+			s.list(uid, refused(t), emulator.InService)
 		} else {
 			s.serve(uid)
 		}
 	}
 	dir := t.TempDir()
-	child, err := field.NewProcess("n0", []string{os.Args[0]}, append([]string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + s.agent.Addr()}, env...), dir, s)
+	child, err := cluster.NewProcess("n0", []string{os.Args[0]}, append([]string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + s.agent.Addr()}, env...), dir, s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,8 +158,8 @@
 }
 
 // agent is a discovery whose words nobody judges here.
-func agent(t *testing.T) *standin.Agent {
-	a, err := standin.NewAgent(0, &standin.Clock{}, record.New(0), func(string) int { return 0 })
+func agent(t *testing.T) *emulator.Agent {
+	a, err := emulator.NewAgent(0, &emulator.Clock{}, history.New(0), func(string) int { return 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +186,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.list(uid, addr, standin.InService)
+	s.list(uid, addr, emulator.InService)
 }
 
 // list changes one line of discovery's list.
@@ -200,11 +200,11 @@
 	s.agent.Set(entry(uid, addr, state))
 }
 
-func entry(uid, addr, state string) standin.Entry {
-	return standin.Entry{UID: uid, Endpoint: addr, Zone: "a", Machine: "m", Cell: 1, State: state, Heft: 1}
+func entry(uid, addr, state string) emulator.Entry {
+	return emulator.Entry{UID: uid, Endpoint: addr, Zone: "a", Machine: "m", Cell: 1, State: state, Heft: 1}
 }
 
-func (s *site) session() *standin.Session {
+func (s *site) session() *emulator.Session {
 	select {
 	case e := <-s.Sessions:
 		return e
@@ -300,7 +300,7 @@
 const open = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme,d=1500,g=5c0f6e1a2b3d4c59,x=y\r\n"
 
 // up opens a circuit and answers both its ends.
-func (s *site) up() (*ask, *standin.Session) {
+func (s *site) up() (*ask, *emulator.Session) {
 	s.t.Helper()
 	a := s.client(open)
 	e := s.session()
@@ -712,7 +712,7 @@
 					}
 				}
 			}()
-			s.list("s-1", ln.Addr().String(), standin.InService)
+			s.list("s-1", ln.Addr().String(), emulator.InService)
 			s.waitLog(`"server":"s-1"`)
 			a := s.client(strings.Replace(open, "d=1500", "d=1700", 1))
 			var asked *ask
@@ -933,13 +933,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.Set(entry("s-2", servers, standin.InService))
+	other.Set(entry("s-2", servers, emulator.InService))
 	old := strings.Split(strings.SplitN(string(text), `"discovery":"`, 2)[1], `"`)[0]
 	again := []byte(strings.Replace(string(text), old, other.Addr(), 1))
 	reload(again, `"server":"s-2"`)
 	reload(again, `"reloaded"`)
 	s.list("s-3", "127.0.0.1:1", "in_service") // the old one's word, on a watch that has ended
-	other.Set(entry("s-4", servers, standin.InService))
+	other.Set(entry("s-4", servers, emulator.InService))
 	s.waitLog(`"server":"s-4"`)
 	if s.mu.Lock(); strings.Contains(s.log.String(), `"server":"s-3"`) {
 		t.Error("the old discovery is still heard")
--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/emulator"
 )
 
 func (s *site) call(method, path string) (int, string) {
@@ -101,7 +101,7 @@
 	grade := `"Name":"order","Effect":"non_idempotent","Group":"all","LatencyGoalUs":300000,"OuterLimitUs":9000000,"Utility":1`
 	first := strings.Replace(string(text), `[{"Name":"feed"`, `[{`+grade+`},{"Name":"feed"`, 1)
 	s.load(first, `"reloaded"`)
-	order := func() (*ask, *standin.Session) {
+	order := func() (*ask, *emulator.Session) {
 		a := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(open))
 		return a, s.session()
 	}
@@ -187,7 +187,7 @@
 			t.Errorf("%v: %s", x, said)
 		}
 	}
-	s.list("s-2", "127.0.0.1:1", standin.InService) // still the old discovery's word
+	s.list("s-2", "127.0.0.1:1", emulator.InService) // still the old discovery's word
 	s.waitLog(`"server":"s-2"`)
 	if good, bad := s.counted("reloads"), s.counted("reload-errors"); good != 0 || bad != n {
 		t.Fatalf("%d reloads, %d refused", good, bad)
@@ -195,7 +195,7 @@
 }
 
 // next starts another process beside the site's and waits for its yes; beside does not wait.
-func (s *site) next() *field.Process {
+func (s *site) next() *cluster.Process {
 	s.t.Helper()
 	old := s.beside()
 	if err := s.child.Yes(); err != nil {
@@ -204,7 +204,7 @@
 	return old
 }
 
-func (s *site) beside() *field.Process {
+func (s *site) beside() *cluster.Process {
 	s.t.Helper()
 	old := s.child
 	child, err := old.Beside()
@@ -219,7 +219,7 @@
 	return old
 }
 
-func gone(t *testing.T, p *field.Process) {
+func gone(t *testing.T, p *cluster.Process) {
 	t.Helper()
 	select {
 	case <-p.Exited():
@@ -237,7 +237,7 @@
 func TestUpgradesPassOnWhatIsHeld(t *testing.T) {
 	s := begin(t, []string{"MGMT", "SHARED"}, "s-1")
 	var clients []*ask
-	var ends []*standin.Session
+	var ends []*emulator.Session
 	for range 20 {
 		a, e := s.up()
 		a.write("M 1 x\r\nM 2 ")
@@ -312,7 +312,7 @@
 // others are moved by the old one, and nobody is left waiting.
 func TestAnUpgradeThatHangs(t *testing.T) {
 	s := begin(t, []string{"MGMT", "SHARED"}, "s-1")
-	clients, ends := map[*ask]*standin.Session{}, 24
+	clients, ends := map[*ask]*emulator.Session{}, 24
 	for range ends {
 		a, e := s.up()
 		clients[a] = e
--- a/cmd/sabletally/ready_test.go
+++ b/cmd/sabletally/ready_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/emulator"
 )
 
 // These tests restart many processes at once and measure each one's time from its start to its first PONG, as a client at the door
@@ -35,7 +35,7 @@
 func keepBusy(t *testing.T, programs int) {
 	dir := t.TempDir()
 	for i := range programs {
-		p, err := field.NewProcess(fmt.Sprintf("busy%d", i), []string{"sh", "-c", "while :; do :; done"}, nil, dir, nil)
+		p, err := cluster.NewProcess(fmt.Sprintf("busy%d", i), []string{"sh", "-c", "while :; do :; done"}, nil, dir, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 }
 
 // startAll starts processes at once and wants nine in ten of each kind to be ready within readyBy.
-func startAll(t *testing.T, procs []*field.Process, kind func(i int) string) {
+func startAll(t *testing.T, procs []*cluster.Process, kind func(i int) string) {
 	t.Helper()
 	took, faults := make([]time.Duration, len(procs)), make([]error, len(procs))
 	var all sync.WaitGroup
@@ -93,7 +93,7 @@
 }
 
 // firstPong waits for it, as a client that comes again while it is refused or closed.
-func firstPong(p *field.Process) error {
+func firstPong(p *cluster.Process) error {
 	for end := time.Now().Add(readyAll); time.Now().Before(end); time.Sleep(askEach) {
 		select {
 		case <-p.Exited():
@@ -120,7 +120,7 @@
 func TestManyRestartedAtOnceAreReady(t *testing.T) {
 	const none = `{"rev":0,"all":true,"targets":[]}`
 	keepBusy(t, 8) // beside 32 balancers
-	script := standin.NewScript(1, 10*time.Minute)
+	script := emulator.NewScript(1, 10*time.Minute)
 	t.Cleanup(script.Close)
 	server, err := script.Listen("s")
 	if err != nil {
@@ -128,16 +128,16 @@
 	}
 	a := agent(t)
 	for i := range listed {
-		a.Set(entry(fmt.Sprintf("s-%d", i), server, standin.InService))
+		a.Set(entry(fmt.Sprintf("s-%d", i), server, emulator.InService))
 	}
 	known := string(a.Known())
 	kind := func(i int) string {
 		return []string{"own agent", "shared"}[i%2] + []string{", list known", ", none known"}[i/2%2]
 	}
 	dir := t.TempDir()
-	var procs []*field.Process
+	var procs []*cluster.Process
 	for i := range 4 * ofEach {
-		p, err := field.NewProcess(fmt.Sprintf("n%d", i), []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1"}, dir, nil)
+		p, err := cluster.NewProcess(fmt.Sprintf("n%d", i), []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1"}, dir, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -148,15 +148,15 @@
 	for _, c := range []struct {
 		name      string
 		discovery string
-		fault     standin.Fault
-		desk      *standin.Desk
+		fault     emulator.Fault
+		desk      *emulator.Desk
 	}{
-		{"sound", a.Addr(), standin.Sound, nil},
-		{"slow", a.Addr(), standin.Sound, standin.NewDesk(200*time.Millisecond, 2*time.Second)},
-		{"no time", a.Addr(), standin.Sound, standin.NewDesk(time.Hour, 0)},
-		{"silent", a.Addr(), standin.Mute, nil},
-		{"faulty", a.Addr(), standin.Faulty, nil},
-		{"refused", refused(t), standin.Sound, nil},
+		{"sound", a.Addr(), emulator.Sound, nil},
+		{"slow", a.Addr(), emulator.Sound, emulator.NewDesk(200*time.Millisecond, 2*time.Second)},
+		{"no time", a.Addr(), emulator.Sound, emulator.NewDesk(time.Hour, 0)},
+		{"silent", a.Addr(), emulator.Mute, nil},
+		{"faulty", a.Addr(), emulator.Faulty, nil},
+		{"refused", refused(t), emulator.Sound, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a.Misbehave(c.fault)
@@ -187,9 +187,9 @@
 	keepBusy(t, 12) // beside nine balancers
 	for _, c := range []struct {
 		name  string
-		fault standin.Fault
+		fault emulator.Fault
 		cut   bool
-	}{{"discovery sound", standin.Sound, false}, {"discovery silent", standin.Mute, false}, {"cut off", standin.Mute, true}} {
+	}{{"discovery sound", emulator.Sound, false}, {"discovery silent", emulator.Mute, false}, {"cut off", emulator.Mute, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			a.Misbehave(c.fault)
 			for _, p := range m.procs {
@@ -198,7 +198,7 @@
 			for _, p := range m.procs {
 				p.Kill()
 			}
-			m.Ties.Set(func(_, _ int, tie *standin.Tie) { tie.Cut = c.cut })
+			m.Ties.Set(func(_, _ int, tie *emulator.Tie) { tie.Cut = c.cut })
 			startAll(t, m.procs, func(int) string { return "members" })
 			if alone := "ready without its operators' word"; c.cut {
 				for _, p := range m.procs {
@@ -214,8 +214,8 @@
 func TestWhoAsksIsNotShedBeforeIdleClients(t *testing.T) {
 	t.Parallel()
 	a := agent(t)
-	a.Misbehave(standin.Mute)
-	p, err := field.NewProcess("n0", []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1"}, t.TempDir(), nil)
+	a.Misbehave(emulator.Mute)
+	p, err := cluster.NewProcess("n0", []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1"}, t.TempDir(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sabletally/switch_test.go
+++ b/cmd/sabletally/switch_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/peers"
+	"sabletally/internal/loadgossip"
 )
 
 // other is a stand-in for another balancer: it hears what is told.
@@ -73,13 +73,13 @@
 		_, _ = io.WriteString(out, "UP 5\r\n")
 		waits.want("UP 5\r\n")
 		_ = peer.SetReadDeadline(time.Now().Add(bound))
-		text, held := make([]byte, peers.Most), 0.0
+		text, held := make([]byte, loadgossip.Most), 0.0
 		for held == 0 { // until what stands is told of
 			n, _, err := peer.ReadFromUDPAddrPort(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			told, err := peers.Decode(text[:n])
+			told, err := loadgossip.Decode(text[:n])
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/sabletally/world_test.go
+++ b/cmd/sabletally/world_test.go
@@ -5,9 +5,9 @@
 	"os"
 	"testing"
 
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/judge"
-	"sabletally/internal/lab/plan"
+	"sabletally/internal/lab/checker"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/experiment"
 	"sabletally/internal/lab/report"
 )
 
@@ -152,12 +152,12 @@
 }
 
 // judged plays the small world on sockets; a broken rule fails the test.
-func judged(t *testing.T, timetable string) (judge.Verdict, report.Run) {
-	x, err := plan.Parse([]byte(small+timetable), "world.hcl")
+func judged(t *testing.T, timetable string) (checker.Verdict, report.Run) {
+	x, err := experiment.Parse([]byte(small+timetable), "world.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := field.Start(x.World, field.Arm{Name: "ours", Command: []string{os.Args[0]}, Env: []string{"SABLETALLY_CHILD=1"}}, 3)
+	f, err := cluster.Start(x.World, cluster.Arm{Name: "ours", Command: []string{os.Args[0]}, Env: []string{"SABLETALLY_CHILD=1"}}, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sablelab/balancer.go
+++ b/cmd/testbed/balancer.go
@@ -12,7 +12,7 @@
 
 	"sabletally/internal/deployment"
 	"sabletally/internal/lab/baseline"
-	"sabletally/internal/lab/host"
+	"sabletally/internal/lab/reference"
 )
 
 type balancerCmd struct {
@@ -28,7 +28,7 @@
 	if c.Broken != "" {
 		c.Policy = baseline.Random
 	}
-	h, err := host.New(s, c.Policy, c.Broken)
+	h, err := reference.New(s, c.Policy, c.Broken)
 	if err != nil {
 		return err
 	}
--- a/cmd/sablelab/count.go
+++ b/cmd/testbed/count.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"sabletally/internal/lab/count"
+	"sabletally/internal/lab/logstats"
 )
 
 type countCmd struct {
@@ -23,7 +23,7 @@
 }
 
 func (c *countCmd) Run() error {
-	var r count.Reader
+	var r logstats.Reader
 	for _, path := range c.Logs {
 		files := []string{path}
 		if info, err := os.Stat(path); err != nil {
@@ -55,7 +55,7 @@
 	return printFleet(os.Stdout, f, c.By == "servers")
 }
 
-func readLog(r *count.Reader, name string) error {
+func readLog(r *logstats.Reader, name string) error {
 	log, err := os.Open(name)
 	if err != nil {
 		return err
@@ -64,11 +64,11 @@
 	return r.Read(name, log)
 }
 
-func printFleet(to io.Writer, f *count.Fleet, servers bool) error {
+func printFleet(to io.Writer, f *logstats.Fleet, servers bool) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	head := f.Names
 	if !servers {
-		head = append(count.Names[:], "held", "places", "half-within", "nine-in-ten")
+		head = append(logstats.Names[:], "held", "places", "half-within", "nine-in-ten")
 	}
 	_, _ = fmt.Fprint(w, "at\t")
 	for _, name := range head {
--- a/cmd/sablelab/demo.go
+++ b/cmd/testbed/demo.go
@@ -11,8 +11,8 @@
 	"path/filepath"
 	"time"
 
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/plan"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/experiment"
 )
 
 //go:embed demo.hcl
@@ -23,7 +23,7 @@
 }
 
 func (c *demoCmd) Run(l *lab) error {
-	x, err := plan.Parse(demoFile, "demo.hcl")
+	x, err := experiment.Parse(demoFile, "demo.hcl")
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	}
 	fmt.Printf("A world of %d stand-in servers, %d balancers (%s) and about %.0f clients, for %v.\n",
 		len(x.World.Machines), x.World.Balancers, filepath.Base(binary), float64(x.World.Load.Standing)+x.World.Load.Rate*(x.World.Load.Length-x.World.Load.Fill).Seconds(), x.World.Load.Length)
-	f, err := field.Start(x.World, field.Arm{Name: "demo", Command: []string{binary}}, x.Seeds[0])
+	f, err := cluster.Start(x.World, cluster.Arm{Name: "demo", Command: []string{binary}}, x.Seeds[0])
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 		return err
 	}
 	w := &x.World
-	_, _ = config.Write(field.Config(w, 0, f.Procs[0].Addr, f.Agent(0), 1, f.Known(0)))
+	_, _ = config.Write(cluster.Config(w, 0, f.Procs[0].Addr, f.Agent(0), 1, f.Known(0)))
 	_ = config.Close()
 	fmt.Printf("The first balancer's configuration, written out: %s\n\n", config.Name())
 	run, _, v, err := f.Run(l.ctx, func(at time.Duration, text string) { fmt.Printf("%6.2fs  %s\n", at.Seconds(), text) })
@@ -66,9 +66,9 @@
 }
 
 // keep starts the world again, without faults or load, and leaves it up until it is interrupted.
-func (c *demoCmd) keep(l *lab, x *plan.Experiment) error {
+func (c *demoCmd) keep(l *lab, x *experiment.Experiment) error {
 	x.World.Faults = nil
-	f, err := field.Start(x.World, field.Arm{Name: "demo", Command: []string{l.beside("sabletally")}}, 1)
+	f, err := cluster.Start(x.World, cluster.Arm{Name: "demo", Command: []string{l.beside("sabletally")}}, 1)
 	if err != nil {
 		return err
 	}
--- a/cmd/sablelab/demo.hcl
+++ b/cmd/testbed/demo.hcl
@@ -1,4 +1,4 @@
-# The world of `sablelab demo`.
+# The world of `testbed demo`.
 experiment {
   title  = "A small world: one server drains, one crashes"
   mode   = "sockets"
--- a/cmd/sablelab/fleet_test.go
+++ b/cmd/testbed/fleet_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"sabletally/internal/lab/plan"
-	"sabletally/internal/lab/virtual"
+	"sabletally/internal/lab/experiment"
+	"sabletally/internal/lab/simulation"
 )
 
 // The days of a big fleet, eighty balancers with a few connections each, keep the four rules and serve so much of what is
@@ -14,11 +14,11 @@
 	for day, least := range map[string]float64{"herd": 0.6, "zone": 0.85, "join": 0.85, "full": 0.9} {
 		t.Run(day, func(t *testing.T) {
 			t.Parallel()
-			x, err := plan.Load("../../lab/experiments/fleet-" + day + ".hcl")
+			x, err := experiment.Load("../../lab/experiments/fleet-" + day + ".hcl")
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, _, v, err := virtual.Run(x.World, "ours", 1)
+			r, _, v, err := simulation.Run(x.World, "ours", 1)
 			if err != nil || len(v.Broken) > 0 || r.Served < least {
 				t.Fatalf("%.3f of %.3f served, %v, %v", r.Served, least, v, err)
 			}
--- a/cmd/sablelab/fronts.go
+++ b/cmd/testbed/fronts.go
@@ -13,7 +13,7 @@
 	"os/exec"
 	"syscall"
 
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/lab/emulator"
 )
 
 // frontOrder is one order; the first one has Members.
@@ -37,7 +37,7 @@
 	if err := orders.Decode(&first); err != nil {
 		return fmt.Errorf("fronts were told nothing: %w", err)
 	}
-	f, err := standin.NewFronts(first.Members, first.Before)
+	f, err := emulator.NewFronts(first.Members, first.Before)
 	if err != nil {
 		return errors.Join(err, out.Encode(frontTold{Error: err.Error()}))
 	}
--- a/cmd/sablelab/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command sablelab is the lab: worlds of stand-ins, load and faults round balancers under test, judged from what the
+// Command testbed is the lab: worlds of stand-ins, load and faults round balancers under test, judged from what the
 // stand-ins saw. It must never be needed to run a balancer.
 package main
 
@@ -14,7 +14,7 @@
 	"github.com/alecthomas/kong"
 	"golang.org/x/sys/unix"
 
-	"sabletally/internal/blocks"
+	"sabletally/internal/hclconfig"
 	"sabletally/internal/lab/scale"
 )
 
@@ -69,16 +69,16 @@
 	defer stop()
 	self, err := os.Executable()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "sablelab:", err)
+		fmt.Fprintln(os.Stderr, "testbed:", err)
 		os.Exit(exitFailure)
 	}
-	k := kong.Parse(&cli, kong.Name("sablelab"), kong.UsageOnError(), kong.Exit(func(code int) {
+	k := kong.Parse(&cli, kong.Name("testbed"), kong.UsageOnError(), kong.Exit(func(code int) {
 		os.Exit(min(code, exitBadFile)) // kong's own code for a bad argument is 80
 	}), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Description("A world of stand-ins round balancers under test, on loopback or in virtual time, judged by the four rules."))
 	err = k.Run(&lab{ctx: ctx, self: self})
 	progress("")
-	var faults blocks.Faults
+	var faults hclconfig.Faults
 	var bad scale.BadArgument
 	switch {
 	case err == nil:
@@ -88,13 +88,13 @@
 	case errors.Is(err, errNotKept): // which is printed
 		os.Exit(exitFailure)
 	case errors.As(err, &bad):
-		fmt.Fprintln(os.Stderr, "sablelab:", bad)
+		fmt.Fprintln(os.Stderr, "testbed:", bad)
 		os.Exit(exitBadFile)
 	case errors.As(err, &faults):
 		fmt.Fprintln(os.Stderr, faults)
 		os.Exit(exitBadFile)
 	default:
-		fmt.Fprintln(os.Stderr, "sablelab:", err)
+		fmt.Fprintln(os.Stderr, "testbed:", err)
 		os.Exit(exitFailure)
 	}
 }
--- a/cmd/sablelab/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"sabletally/internal/lab/baseline"
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/judge"
-	"sabletally/internal/lab/plan"
+	"sabletally/internal/lab/checker"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/experiment"
 )
 
 // TestMain is the program itself where a test starts it.
@@ -23,14 +23,14 @@
 }
 
 // play runs the experiment of broken balancers with one balancer, for a shorter time.
-func play(t *testing.T, args ...string) judge.Verdict {
+func play(t *testing.T, args ...string) checker.Verdict {
 	t.Helper()
-	x, err := plan.Load("../../lab/experiments/broken.hcl")
+	x, err := experiment.Load("../../lab/experiments/broken.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	x.World.Load.Length = 5 * time.Second
-	f, err := field.Start(x.World, field.Arm{Name: "it", Command: append([]string{os.Args[0], "balancer"}, args...), Env: []string{"SABLELAB_CHILD=1"}}, 1)
+	f, err := cluster.Start(x.World, cluster.Arm{Name: "it", Command: append([]string{os.Args[0], "balancer"}, args...), Env: []string{"SABLELAB_CHILD=1"}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,8 +47,8 @@
 
 // TestBrokenBalancersAreCaught wants each found out by the right rule, and by no other.
 func TestBrokenBalancersAreCaught(t *testing.T) {
-	for broken, rule := range map[string]judge.Rule{"answers-twice": judge.OneAnswer, "never-answers": judge.OneAnswer,
-		"two-tries": judge.NoTwice, "sends-to-drained": judge.DrainsKept} {
+	for broken, rule := range map[string]checker.Rule{"answers-twice": checker.OneAnswer, "never-answers": checker.OneAnswer,
+		"two-tries": checker.NoTwice, "sends-to-drained": checker.DrainsKept} {
 		t.Run(broken, func(t *testing.T) {
 			t.Parallel()
 			v := play(t, "--broken", broken)
--- a/cmd/sablelab/run.go
+++ b/cmd/testbed/run.go
@@ -12,13 +12,13 @@
 	"sync"
 	"time"
 
-	"sabletally/internal/blocks"
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/judge"
-	"sabletally/internal/lab/plan"
-	"sabletally/internal/lab/record"
+	"sabletally/internal/hclconfig"
+	"sabletally/internal/lab/checker"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/experiment"
+	"sabletally/internal/lab/history"
 	"sabletally/internal/lab/report"
-	"sabletally/internal/lab/virtual"
+	"sabletally/internal/lab/simulation"
 )
 
 type runCmd struct {
@@ -32,7 +32,7 @@
 }
 
 func (c *runCmd) Run(l *lab) error {
-	x, err := plan.Load(c.File)
+	x, err := experiment.Load(c.File)
 	if err != nil {
 		return err
 	}
@@ -49,8 +49,8 @@
 			}
 		}
 	}
-	r := &report.Report{Name: x.Name, Title: x.Title, Mode: x.Mode, Command: "sablelab " + strings.Join(os.Args[1:], " "), Made: time.Now(), Cores: runtime.NumCPU()}
-	if x.Mode == plan.Virtual {
+	r := &report.Report{Name: x.Name, Title: x.Title, Mode: x.Mode, Command: "testbed " + strings.Join(os.Args[1:], " "), Made: time.Now(), Cores: runtime.NumCPU()}
+	if x.Mode == experiment.Virtual {
 		err = c.virtual(l, x, r)
 	} else {
 		err = c.sockets(l, x, r)
@@ -78,11 +78,11 @@
 	return nil
 }
 
-func chosen(all []plan.Arm, names []string) ([]plan.Arm, error) {
+func chosen(all []experiment.Arm, names []string) ([]experiment.Arm, error) {
 	if len(names) == 0 {
 		return all, nil
 	}
-	var some []plan.Arm
+	var some []experiment.Arm
 	for _, n := range names {
 		found := false
 		for _, a := range all {
@@ -98,9 +98,9 @@
 }
 
 // virtual runs all arms and seeds beside each other: each is one goroutine and has a seed of its own.
-func (c *runCmd) virtual(l *lab, x *plan.Experiment, r *report.Report) error {
+func (c *runCmd) virtual(l *lab, x *experiment.Experiment, r *report.Report) error {
 	type job struct {
-		arm  plan.Arm
+		arm  experiment.Arm
 		seed uint64
 	}
 	var jobs []job
@@ -123,7 +123,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			run, events, _, err := virtual.Run(x.World, j.arm.Policy, j.seed)
+			run, events, _, err := simulation.Run(x.World, j.arm.Policy, j.seed)
 			run.Arm, run.Seed = j.arm.Name, j.seed
 			if err == nil {
 				err = c.keep(run, events)
@@ -146,7 +146,7 @@
 }
 
 // sockets runs arms one after the other, seed by seed: what the machine does meanwhile meets all arms alike.
-func (c *runCmd) sockets(l *lab, x *plan.Experiment, r *report.Report) error {
+func (c *runCmd) sockets(l *lab, x *experiment.Experiment, r *report.Report) error {
 	n := 0
 	for _, seed := range x.Seeds {
 		for _, a := range x.Arms {
@@ -165,12 +165,12 @@
 	return nil
 }
 
-func (c *runCmd) one(l *lab, x *plan.Experiment, a plan.Arm, seed uint64) (report.Run, []record.Event, judge.Verdict, error) {
+func (c *runCmd) one(l *lab, x *experiment.Experiment, a experiment.Arm, seed uint64) (report.Run, []history.Event, checker.Verdict, error) {
 	w := x.World
 	w.Limits = a.Limits
-	f, err := field.Start(w, field.Arm{Name: a.Name, Command: l.command(a), Env: a.Env, Logs: c.Logs}, seed)
+	f, err := cluster.Start(w, cluster.Arm{Name: a.Name, Command: l.command(a), Env: a.Env, Logs: c.Logs}, seed)
 	if err != nil {
-		return report.Run{}, nil, judge.Verdict{}, err
+		return report.Run{}, nil, checker.Verdict{}, err
 	}
 	defer f.Close()
 	var note func(time.Duration, string)
@@ -186,7 +186,7 @@
 }
 
 // command is what starts an arm's balancer.
-func (l *lab) command(a plan.Arm) []string {
+func (l *lab) command(a experiment.Arm) []string {
 	switch {
 	case a.Policy != "":
 		return []string{l.self, "balancer", "--policy", a.Policy}
@@ -199,19 +199,19 @@
 }
 
 // keep writes a run's events where that is asked for.
-func (c *runCmd) keep(run report.Run, events []record.Event) error {
+func (c *runCmd) keep(run report.Run, events []history.Event) error {
 	if c.Events == "" {
 		return nil
 	}
 	return writeEvents(filepath.Join(c.Events, fmt.Sprintf("%s-%d.txt", run.Arm, run.Seed)), events)
 }
 
-func writeEvents(path string, events []record.Event) error {
+func writeEvents(path string, events []history.Event) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	err = record.Write(io.Writer(file), events)
+	err = history.Write(io.Writer(file), events)
 	if again := file.Close(); err == nil {
 		err = again
 	}
@@ -223,10 +223,10 @@
 }
 
 func (c *checkCmd) Run(*lab) error {
-	var all blocks.Faults
+	var all hclconfig.Faults
 	for _, path := range c.Files {
-		x, err := plan.Load(path)
-		if f, is := err.(blocks.Faults); is {
+		x, err := experiment.Load(path)
+		if f, is := err.(hclconfig.Faults); is {
 			all = append(all, f...)
 			continue
 		}
--- a/cmd/sablelab/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
+	"sabletally/internal/lab/emulator"
 	"sabletally/internal/lab/scale"
-	"sabletally/internal/lab/standin"
 )
 
 // told is a follower that a test moves.
@@ -150,7 +150,7 @@
 	t.Setenv("SABLELAB_CHILD", "1")
 	var members []netip.AddrPort
 	for range 2 {
-		ln, err := net.Listen("tcp", standin.Loopback())
+		ln, err := net.Listen("tcp", emulator.Loopback())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/sablelab/scale_world.go
+++ b/cmd/testbed/scale_world.go
@@ -25,10 +25,10 @@
 
 	"sabletally/internal/fleet"
 	"sabletally/internal/fleet/boottime"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/lab/field"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/emulator"
 	"sabletally/internal/lab/scale"
-	"sabletally/internal/lab/standin"
 )
 
 const (
@@ -46,7 +46,7 @@
 
 // control is one control process.
 type control struct {
-	*field.Process
+	*cluster.Process
 	Addr  netip.AddrPort // where it is reached
 	place scale.Place
 
@@ -60,7 +60,7 @@
 func freeAddress() (netip.AddrPort, error) {
 	var last error
 	for range 20 { // a port that is free for the one may be taken for the other
-		ln, err := net.Listen("tcp", standin.Loopback())
+		ln, err := net.Listen("tcp", emulator.Loopback())
 		if err != nil {
 			return netip.AddrPort{}, err
 		}
@@ -139,7 +139,7 @@
 		if err != nil {
 			return all, fronts, err
 		}
-		if c.Process, err = field.NewProcess(name, []string{binary, "fleet", "control", file, "--mgmt", mgmt.String()}, nil, dir, log(name)); err != nil {
+		if c.Process, err = cluster.NewProcess(name, []string{binary, "fleet", "control", file, "--mgmt", mgmt.String()}, nil, dir, log(name)); err != nil {
 			return all, fronts, err
 		}
 		c.Mgmt = mgmt.String()
@@ -473,7 +473,7 @@
 
 func newScaleWorld(p *scale.Plan, hosts [][]int, self, binary, logs string, ledger *scale.Ledger) (w *scaleWorld, err error) {
 	w = &scaleWorld{plan: p, of: hosts, ledger: ledger}
-	if w.dir, err = os.MkdirTemp("", "sablelab-scale"); err != nil {
+	if w.dir, err = os.MkdirTemp("", "testbed-scale"); err != nil {
 		return nil, err
 	}
 	log := func(string) io.Writer { return nil }
@@ -736,7 +736,7 @@
 				not[i] = err.Error()
 			case r.Here != len(w.control) || r.Held == nil || r.Held.Members != len(w.control):
 				not[i] = fmt.Sprintf("%s sees %d control processes here", c.Name, r.Here)
-			case r.Publishing == nil || r.Publishing.Version < version || r.Publishing.Age < 0 || r.Publishing.Age > feed.Lease.Seconds():
+			case r.Publishing == nil || r.Publishing.Version < version || r.Publishing.Age < 0 || r.Publishing.Age > changefeed.Lease.Seconds():
 				not[i] = c.Name + " is not current"
 			}
 		})
--- a/cmd/sablelab/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"sabletally/internal/lab/bench"
-	"sabletally/internal/lab/field"
-	"sabletally/internal/lab/record"
-	"sabletally/internal/lab/scene"
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/lab/cluster"
+	"sabletally/internal/lab/emulator"
+	"sabletally/internal/lab/history"
+	"sabletally/internal/lab/topology"
 	"sabletally/policy"
 )
 
@@ -52,8 +52,8 @@
 type throughputArm struct {
 	throughput
 	command []string
-	process *field.Process
-	agent   *standin.Agent
+	process *cluster.Process
+	agent   *emulator.Agent
 	target  *bench.Target
 }
 
@@ -72,7 +72,7 @@
 		defer s.Close()
 		addrs = append(addrs, s.Addr())
 	}
-	dir, err := os.MkdirTemp("", "sablelab")
+	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
 		return err
 	}
@@ -133,24 +133,24 @@
 
 // start starts an arm's balancer, with nothing in its way: no probes, many descriptors.
 func (a *throughputArm) start(num int, dir string, servers []string, idle int) error {
-	w := scene.World{Balancers: 1, Zones: 1, GradeNames: []string{"feed"}, OuterLimits: []time.Duration{time.Minute},
+	w := topology.World{Balancers: 1, Zones: 1, GradeNames: []string{"feed"}, OuterLimits: []time.Duration{time.Minute},
 		MessageGoal: 10 * time.Second, DrainGrace: time.Second, ConnectWithin: 10 * time.Second,
 		Deployment: policy.Deployment{Grades: []policy.Grade{{SetupGoal: 10 * time.Second, MessageGoal: 10 * time.Second, Utility: 1}},
 			MostTries: 3, FallMultiple: 3, FallFor: time.Second, ColdFrom: 1, ColdFor: time.Second},
-		Limits: scene.Limits{Cores: float64(a.Cores), MemoryMB: 4096, Sockets: 2*idle + 8192}}
-	agent, err := standin.NewAgent(num, &standin.Clock{}, record.New(1000), func(string) int { return 0 })
+		Limits: topology.Limits{Cores: float64(a.Cores), MemoryMB: 4096, Sockets: 2*idle + 8192}}
+	agent, err := emulator.NewAgent(num, &emulator.Clock{}, history.New(1000), func(string) int { return 0 })
 	if err != nil {
 		return err
 	}
 	for i, s := range servers {
-		agent.Set(standin.Entry{UID: fmt.Sprintf("s-%d", i), Endpoint: s, Zone: field.Zone(0), State: standin.InService, Heft: 1})
+		agent.Set(emulator.Entry{UID: fmt.Sprintf("s-%d", i), Endpoint: s, Zone: cluster.Zone(0), State: emulator.InService, Heft: 1})
 	}
 	a.agent = agent
-	if a.process, err = field.NewProcess(fmt.Sprintf("%s-%d", a.Arm, a.Cores), a.command, nil, dir, nil); err != nil {
+	if a.process, err = cluster.NewProcess(fmt.Sprintf("%s-%d", a.Arm, a.Cores), a.command, nil, dir, nil); err != nil {
 		return err
 	}
 	a.process.CPUs = a.Cores
-	if err := a.process.Write(field.Config(&w, 0, a.process.Addr, agent.Addr(), 7, json.RawMessage(agent.Known()))); err != nil {
+	if err := a.process.Write(cluster.Config(&w, 0, a.process.Addr, agent.Addr(), 7, json.RawMessage(agent.Known()))); err != nil {
 		return err
 	}
 	a.target = bench.NewTarget(a.process.Addr)
--- a/internal/mgmt/mgmt.go
+++ b/internal/admin/admin.go
@@ -1,7 +1,7 @@
-// Package mgmt is the operators' address: HTTP/1.1, one call to a connection. It owns the calls' names, their answers and
+// Package admin is the operators' address: HTTP/1.1, one call to a connection. It owns the calls' names, their answers and
 // the connections that they come on, which are bounded and set apart from clients'. It must never wait for the loop, and
 // never decide what a call means for a circuit: it asks what is published and passes on what is wanted.
-package mgmt
+package admin
 
 import (
 	"container/list"
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/admin/admin_test.go
@@ -1,4 +1,4 @@
-package mgmt
+package admin
 
 import (
 	"bufio"
--- a/internal/balancer/conn.go
+++ b/internal/balancer/conn.go
@@ -16,7 +16,7 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 )
 
 const (
@@ -70,7 +70,7 @@
 // event is one thing that happened to a connection.
 type event struct {
 	conn   *conn
-	lines  []line.Line
+	lines  []protocol.Line
 	size   int      // bytes of the lines
 	broken *Broken  // the connection is over
 	do     func()   // anything else; run by the loop
@@ -81,10 +81,10 @@
 	nc    netpoll.Connection
 	to    sink
 	stage atomic.Int32
-	waits atomic.Int64  // bytes posted that the loop has not taken yet
-	split line.Splitter // the reading side's alone
-	cut   bool          // the stream can't be cut any further
-	rest  int           // bytes that came after that
+	waits atomic.Int64      // bytes posted that the loop has not taken yet
+	split protocol.Splitter // the reading side's alone
+	cut   bool              // the stream can't be cut any further
+	rest  int               // bytes that came after that
 	phase atomic.Int32
 	door  *door
 
@@ -158,7 +158,7 @@
 	for {
 		l, ok, err := c.split.Next()
 		if err != nil {
-			l, ok, c.cut = line.Line{Bad: err}, true, true
+			l, ok, c.cut = protocol.Line{Bad: err}, true, true
 		}
 		if !ok && !(c.phase.Load() == waiting && c.split.Held()) {
 			break
@@ -178,23 +178,23 @@
 
 // asked minds what a client may send before its circuit stands; l is the line that comes after so many others
 // at once. Guards against hundreds of commands at once: the first is not served before the rest is seen.
-func (c *conn) asked(l *line.Line, others int) {
+func (c *conn) asked(l *protocol.Line, others int) {
 	switch phase := c.phase.Load(); {
 	case l.Bad != nil:
 		c.cut = true
 		return
 	case phase == atFirst:
-		c.asks.Store(l.Kind == line.Ping)
-		c.door.spoke(c, l.Kind == line.Ping)
-		if l.Kind == line.Ping && others < pingMost {
+		c.asks.Store(l.Kind == protocol.Ping)
+		c.door.spoke(c, l.Kind == protocol.Ping)
+		if l.Kind == protocol.Ping && others < pingMost {
 			return
 		}
 		c.phase.Store(waiting)
-		if l.Kind != line.Ping && !c.split.Held() {
+		if l.Kind != protocol.Ping && !c.split.Held() {
 			return
 		}
 	}
-	l.Bad, c.cut = line.ErrUnasked, true
+	l.Bad, c.cut = protocol.ErrUnasked, true
 }
 
 // fail has the loop end the connection, and its circuit with the answer that it is owed.
@@ -381,7 +381,7 @@
 	if c.closed {
 		return
 	}
-	var unread [line.Longest]byte
+	var unread [protocol.Longest]byte
 	_, _, _ = unix.Recvfrom(c.fd(), unread[:], unix.MSG_DONTWAIT)
 	_, _ = unix.Write(c.fd(), b)
 }
--- a/internal/balancer/cost_test.go
+++ b/internal/balancer/cost_test.go
@@ -14,7 +14,7 @@
 )
 
 // BenchmarkSetup is a circuit from its client's dial to its end, 64 at a time, balancer, clients and servers in one process: for
-// profiles and allocations. `sablelab throughput` tells how many a second.
+// profiles and allocations. `testbed throughput` tells how many a second.
 func BenchmarkSetup(b *testing.B) {
 	var known discovery.List
 	for i := range 8 {
--- a/internal/balancer/descriptors_test.go
+++ b/internal/balancer/descriptors_test.go
@@ -10,7 +10,7 @@
 
 	"sabletally/internal/deployment"
 	"sabletally/internal/discovery"
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 	"sabletally/policy"
 )
 
@@ -43,11 +43,11 @@
 	y.client, y.c = near, adopt(nc, y.l, &y.l.fds)
 	y.c.door = y.l.door
 	_ = nc.SetOnRequest(y.c.onRequest)
-	ln := line.Decode(fmt.Appendf(nil, asks, id))
+	ln := protocol.Decode(fmt.Appendf(nil, asks, id))
 	y.c.phase.Store(waiting)
 	y.l.now = time.Since(y.l.start)
 	y.l.bal.Clock(y.l.now)
-	y.l.happened(event{conn: y.c, lines: []line.Line{ln}})
+	y.l.happened(event{conn: y.c, lines: []protocol.Line{ln}})
 }
 
 // TestCircuitsTakenAtOnceLeaveWhatIsKept has as many circuits taken before the first of them is dialed as there is room for: what they
@@ -101,7 +101,7 @@
 	y, l := full(t)
 	l.fds.Store(l.most)
 	for range probeFds + 3 {
-		l.ask(policy.ServerID(line.Hash("s-1")))
+		l.ask(policy.ServerID(protocol.Hash("s-1")))
 	}
 	y.turns("the probes within the share are there, and the others are over", func() bool { return y.s.told() == probeFds && l.NoRoom.Load() == 3 })
 	if n := y.s.attempts(); n != probeFds {
--- a/internal/balancer/called.go
+++ b/internal/balancer/dial.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 	"sabletally/internal/relay"
 	"sabletally/policy"
 )
@@ -26,7 +26,7 @@
 type called struct {
 	cir   *circuit // nil for a probe
 	up    func(c *relay.Conn, err error)
-	said  func(c *relay.Conn, ln line.Line)
+	said  func(c *relay.Conn, ln protocol.Line)
 	gone  func(c *relay.Conn, why error)
 	conn  atomic.Pointer[relay.Conn]
 	off   atomic.Bool // it is not wanted any more
@@ -71,7 +71,7 @@
 		}
 	})
 	if cir != nil {
-		a.said = func(c *relay.Conn, ln line.Line) {
+		a.said = func(c *relay.Conn, ln protocol.Line) {
 			if cir.server == c {
 				l.verdict(cir, ln)
 			}
@@ -122,7 +122,7 @@
 
 func (r told) Said(c *relay.Conn, raw []byte) {
 	a := c.Data.(*called)
-	ln := line.Decode(raw)
+	ln := protocol.Decode(raw)
 	r.l.post(event{of: a.cir, do: func() { a.said(c, ln) }})
 }
 
@@ -140,7 +140,7 @@
 	r.l.post(event{do: func() {
 		for _, one := range all {
 			cir := one.Pair.Data.(*circuit)
-			if ln := line.Decode(one.Raw); ln.Bad == nil && r.l.circuits[cir.id] == cir {
+			if ln := protocol.Decode(one.Raw); ln.Bad == nil && r.l.circuits[cir.id] == cir {
 				cir.arrival.Load = ln.Figure
 				r.l.bal.LoadNoted(cir.id, max(cir.tries-1, 0), ln.Figure)
 			}
--- a/internal/balancer/recall.go
+++ b/internal/balancer/endpoint_recovery.go
@@ -12,7 +12,7 @@
 
 	"sabletally/internal/discovery"
 	"sabletally/internal/fleet"
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 	"sabletally/internal/relay"
 	"sabletally/policy"
 )
@@ -138,13 +138,13 @@
 		c.more()
 	}
 	a = l.dial(s.Endpoint, connectMost, nil, func(conn *relay.Conn, err error) {
-		if err != nil || conn.Early() != nil || conn.Ask(line.PingLine) != nil {
+		if err != nil || conn.Early() != nil || conn.Ask(protocol.PingLine) != nil {
 			end(false)
 			return
 		}
 		conn.Listen()
 	})
-	a.said = func(_ *relay.Conn, ln line.Line) { end(ln.Bad == nil && ln.Kind == line.Pong) }
+	a.said = func(_ *relay.Conn, ln protocol.Line) { end(ln.Bad == nil && ln.Kind == protocol.Pong) }
 	a.gone = func(*relay.Conn, error) { end(false) }
 	l.after(connectMost+l.probeWithin(), func() { end(false) })
 }
--- a/internal/balancer/heir.go
+++ b/internal/balancer/handover.go
@@ -15,9 +15,9 @@
 	"golang.org/x/sys/unix"
 
 	"sabletally/internal/discovery"
-	"sabletally/internal/line"
+	"sabletally/internal/hotrestart"
+	"sabletally/internal/protocol"
 	"sabletally/internal/relay"
-	"sabletally/internal/upgrade"
 	"sabletally/policy"
 )
 
@@ -33,9 +33,9 @@
 	memory int64 // bytes that the processes may hold together
 	base   int64 // descriptors that this one holds beside connections
 
-	old       *upgrade.Link // to the process before this one,
-	heir      *upgrade.Link // and to the one after it,
-	heirReady bool          // which takes what is held
+	old       *hotrestart.Link // to the process before this one,
+	heir      *hotrestart.Link // and to the one after it,
+	heirReady bool             // which takes what is held
 
 	unsettled int // circuits and clients that are passed on, with no word yet of what became of them
 	left      int // that it was sent and has not confirmed
@@ -47,14 +47,14 @@
 func (l *Loop) Succeed(g *Gate, dir, name string, memory int64, base int) error {
 	l.shared = true
 	l.gate.Store(g)
-	path, err := upgrade.Path(dir, name)
+	path, err := hotrestart.Path(dir, name)
 	if err != nil {
 		return err
 	}
 	s := &succession{path: path, memory: memory, base: int64(base)}
-	old, err := upgrade.Dial(path, func(from *upgrade.Link, m upgrade.Message, fds []int) {
+	old, err := hotrestart.Dial(path, func(from *hotrestart.Link, m hotrestart.Message, fds []int) {
 		l.post(event{do: func() { l.inherit(m, fds) }})
-	}, func(_ *upgrade.Link, why error) {
+	}, func(_ *hotrestart.Link, why error) {
 		l.post(event{do: func() { l.succeeded(why) }})
 	})
 	if err != nil {
@@ -77,17 +77,17 @@
 // tellReady tells the old process, if there is one, that this one takes what it holds.
 func (l *Loop) tellReady() {
 	if s := l.succession; l.ready && s != nil && s.old != nil {
-		s.old.Tell(upgrade.Message{Kind: upgrade.Ready, Confirms: true}, nil)
+		s.old.Tell(hotrestart.Message{Kind: hotrestart.Ready, Confirms: true}, nil)
 	}
 }
 
 // await opens the socket for the next process.
 func (l *Loop) await() {
-	err := upgrade.Listen(l.succession.path, func(link *upgrade.Link) {
+	err := hotrestart.Listen(l.succession.path, func(link *hotrestart.Link) {
 		l.post(event{do: func() { l.heirCame(link) }})
-	}, func(from *upgrade.Link, m upgrade.Message, fds []int) {
+	}, func(from *hotrestart.Link, m hotrestart.Message, fds []int) {
 		l.post(event{do: func() { l.heirSaid(from, m, fds) }})
-	}, func(link *upgrade.Link, why error) {
+	}, func(link *hotrestart.Link, why error) {
 		l.post(event{do: func() { l.heirGone(link, why) }})
 	})
 	if err != nil {
@@ -108,9 +108,9 @@
 func (l *Loop) count() {
 	s := l.succession
 	l.after(tellEach, l.count)
-	for _, link := range []*upgrade.Link{s.old, s.heir} {
+	for _, link := range []*hotrestart.Link{s.old, s.heir} {
 		if link != nil {
-			link.Tell(upgrade.Message{Kind: upgrade.Descriptors, Descriptors: l.fds.Load() + s.base}, nil)
+			link.Tell(hotrestart.Message{Kind: hotrestart.Descriptors, Descriptors: l.fds.Load() + s.base}, nil)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 // ---- The old process.
 
 // heirCame takes a link from a new process. The newest one counts: one before it has not come to be ready, or was replaced.
-func (l *Loop) heirCame(link *upgrade.Link) {
+func (l *Loop) heirCame(link *hotrestart.Link) {
 	s := l.succession
 	if l.isLeaving() { // what is held is on its way to another, or is moved
 		link.Close()
@@ -137,14 +137,14 @@
 	l.heired.Store(true)
 	l.log.Info("a new process is beside this one")
 	l.share(true)
-	known := &upgrade.Known{Out: l.isOut()}
+	known := &hotrestart.Known{Out: l.isOut()}
 	for _, sv := range l.servers {
 		if t := &sv.timed; len(t.low) > 0 && sv.state != policy.Gone {
-			known.Servers = append(known.Servers, upgrade.Probed{UID: sv.listedAs.UID, Boot: boot(sv), Last: t.last, Before: t.before,
+			known.Servers = append(known.Servers, hotrestart.Probed{UID: sv.listedAs.UID, Boot: boot(sv), Last: t.last, Before: t.before,
 				Low: t.low, Pace: sv.pace})
 		}
 	}
-	link.Tell(upgrade.Message{Kind: upgrade.Hello, Known: known}, nil)
+	link.Tell(hotrestart.Message{Kind: hotrestart.Hello, Known: known}, nil)
 }
 
 func boot(sv *server) int64 {
@@ -154,22 +154,22 @@
 	return sv.listedAs.Boot.UnixMilli()
 }
 
-func (l *Loop) heirSaid(from *upgrade.Link, m upgrade.Message, fds []int) {
+func (l *Loop) heirSaid(from *hotrestart.Link, m hotrestart.Message, fds []int) {
 	closeAll(fds) // none is owed here
 	switch s := l.succession; {
 	case from != s.heir:
-	case m.Kind == upgrade.Ready:
+	case m.Kind == hotrestart.Ready:
 		s.heirReady = true
 		// Guards against a signal that overtakes this word: the platform hears the yes at another address.
 		if l.isLeaving() {
 			l.passAll()
 		}
-	case m.Kind == upgrade.Descriptors:
+	case m.Kind == hotrestart.Descriptors:
 		l.beside.Store(m.Descriptors)
 	}
 }
 
-func (l *Loop) heirGone(link *upgrade.Link, why error) {
+func (l *Loop) heirGone(link *hotrestart.Link, why error) {
 	if s := l.succession; link == s.heir {
 		l.log.Info("the new process has gone", zap.NamedError("why", why))
 		s.heir, s.heirReady = nil, false
@@ -180,7 +180,7 @@
 }
 
 // takesAll answers the link to a new process that takes what is held; nil where there is none.
-func (l *Loop) takesAll() *upgrade.Link {
+func (l *Loop) takesAll() *hotrestart.Link {
 	if s := l.succession; s != nil && s.heirReady {
 		return s.heir
 	}
@@ -218,7 +218,7 @@
 				return
 			}
 			l.succession.unsettled++
-			m := upgrade.Message{Kind: upgrade.Circuit, First: cir.ask.Raw(), At: cir.at.listedAs.UID, Load: cir.arrival.Load, Pair: &t}
+			m := hotrestart.Message{Kind: hotrestart.Circuit, First: cir.ask.Raw(), At: cir.at.listedAs.UID, Load: cir.arrival.Load, Pair: &t}
 			link.Tell(m, l.settled(link, func() { l.sendAway(t) }), t.Client.FD, t.Server.FD)
 		}})
 	})
@@ -226,19 +226,19 @@
 
 // settled is told what became of something that was passed on; back has it where it is this process's again. Guards against an old
 // process that ends while somebody is on the way: the link's end may be heard before what it could not send.
-func (l *Loop) settled(link *upgrade.Link, back func()) func(upgrade.Outcome) {
-	return func(o upgrade.Outcome) {
+func (l *Loop) settled(link *hotrestart.Link, back func()) func(hotrestart.Outcome) {
+	return func(o hotrestart.Outcome) {
 		l.post(event{do: func() {
 			s := l.succession
 			s.unsettled--
 			switch o {
-			case upgrade.Back:
+			case hotrestart.Back:
 				if link == s.heir { // or clients would go to and fro until the link's end is heard
 					s.heirReady = false
 				}
 				back()
 				return
-			case upgrade.Left:
+			case hotrestart.Left:
 				s.left++
 			}
 			l.Passed.Add(1)
@@ -254,7 +254,7 @@
 		l.log.Info("no relay", zap.Error(err))
 		return
 	}
-	if p.End(line.MoveLine, false) {
+	if p.End(protocol.MoveLine, false) {
 		l.Moves.Add(1)
 	}
 	l.after(lingerFor, p.Close)
@@ -272,7 +272,7 @@
 				return
 			}
 			// One that comes back is nacked here.
-			link.Tell(upgrade.Message{Kind: upgrade.Client, First: sent}, l.settled(link, func() { l.takeClient(fd, sent) }), fd)
+			link.Tell(hotrestart.Message{Kind: hotrestart.Client, First: sent}, l.settled(link, func() { l.takeClient(fd, sent) }), fd)
 		}})
 	})
 	switch {
@@ -281,7 +281,7 @@
 		l.succession.unsettled++ // from here on, as its descriptor is not counted any more before its word is here
 	case how == stillWriting: // an answer to PING: its line is here by then, or the end
 		if first != nil {
-			l.end(c, line.Turned(l.comeAgain()))
+			l.end(c, protocol.Turned(l.comeAgain()))
 		} else {
 			l.door.put(c, l.door.silent)
 		}
@@ -297,17 +297,17 @@
 // ---- The new process.
 
 // inherit takes what the old process says.
-func (l *Loop) inherit(m upgrade.Message, fds []int) {
+func (l *Loop) inherit(m hotrestart.Message, fds []int) {
 	switch {
-	case m.Kind == upgrade.Hello && m.Known != nil:
+	case m.Kind == hotrestart.Hello && m.Known != nil:
 		l.learn(m.Known)
-	case m.Kind == upgrade.Descriptors:
+	case m.Kind == hotrestart.Descriptors:
 		l.beside.Store(m.Descriptors)
-	case m.Kind == upgrade.Client:
+	case m.Kind == hotrestart.Client:
 		l.Inherited.Add(1)
 		l.takeClient(fds[0], m.First)
 		return
-	case m.Kind == upgrade.Circuit && m.Pair != nil:
+	case m.Kind == hotrestart.Circuit && m.Pair != nil:
 		l.Inherited.Add(1)
 		m.Pair.Client.FD, m.Pair.Server.FD = fds[0], fds[1]
 		l.takeCircuit(m)
@@ -317,7 +317,7 @@
 }
 
 // learn takes what would be slow to learn anew.
-func (l *Loop) learn(k *upgrade.Known) {
+func (l *Loop) learn(k *hotrestart.Known) {
 	l.bal.Spent() // what the old process has let to cold servers of late counts
 	for _, p := range k.Servers {
 		sv := l.byUID[p.UID]
@@ -335,9 +335,9 @@
 }
 
 // takeCircuit has a circuit go on here under the rules of this process's settings; it stands, so none of them is owed.
-func (l *Loop) takeCircuit(m upgrade.Message) {
-	ln := line.Decode(m.First)
-	if ln.Kind != line.Open || ln.Bad != nil || l.byAsk[ln.Ask.ID] != nil {
+func (l *Loop) takeCircuit(m hotrestart.Message) {
+	ln := protocol.Decode(m.First)
+	if ln.Kind != protocol.Open || ln.Bad != nil || l.byAsk[ln.Ask.ID] != nil {
 		l.Errors.Add(1)
 		l.log.Error("a circuit of the old process can't be read", zap.Error(ln.Bad))
 		l.sendAway(*m.Pair)
@@ -345,7 +345,7 @@
 	}
 	sv := l.byUID[m.At]
 	if sv == nil { // a list that is older or newer: it stands where it stands
-		sv = &server{id: policy.ServerID(line.Hash(m.At)), state: policy.Gone, listedAs: discovery.Server{UID: m.At}}
+		sv = &server{id: policy.ServerID(protocol.Hash(m.At)), state: policy.Gone, listedAs: discovery.Server{UID: m.At}}
 		l.servers[sv.id], l.byUID[m.At] = sv, sv
 	}
 	l.last++
--- a/internal/balancer/heir_test.go
+++ b/internal/balancer/handover_test.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"sabletally/internal/upgrade"
+	"sabletally/internal/hotrestart"
 	"sabletally/policy"
 )
 
@@ -124,7 +124,7 @@
 // deafHeir is a new process that has said it is ready and takes only what take reads.
 func (u *upgrading) deafHeir() *net.UnixConn {
 	u.t.Helper()
-	path, err := upgrade.Path(u.dir, "n")
+	path, err := hotrestart.Path(u.dir, "n")
 	if err != nil {
 		u.t.Fatal(err)
 	}
@@ -284,11 +284,11 @@
 // cut is closed once all has.
 func between(t *testing.T, oldDir, newDir string, most int, cut chan bool) {
 	t.Helper()
-	to, err := upgrade.Path(oldDir, "n")
+	to, err := hotrestart.Path(oldDir, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := upgrade.Path(newDir, "n")
+	at, err := hotrestart.Path(newDir, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/balancer/held.go
+++ b/internal/balancer/idempotency.go
@@ -10,8 +10,8 @@
 
 	"sabletally/internal/fleet"
 	"sabletally/internal/fleet/boottime"
-	"sabletally/internal/fleet/intents"
-	"sabletally/internal/line"
+	"sabletally/internal/fleet/idempotency"
+	"sabletally/internal/protocol"
 )
 
 const (
@@ -89,7 +89,7 @@
 		return
 	}
 	switch v.Verdict {
-	case intents.Go:
+	case idempotency.Go:
 		if cir.turn != turn || !cir.out {
 			return
 		}
@@ -98,17 +98,17 @@
 			h.write = nil
 			do()
 		}
-	case intents.Same:
+	case idempotency.Same:
 		l.Same.Add(1)
 		l.log.Info("fleet: answered before", zap.Stringer("circuit", cir), zap.ByteString("answer", v.Answer))
 		l.conclude(cir, v.Answer)
-	case intents.Broken:
+	case idempotency.Broken:
 		l.log.Info("fleet: broken off, as another owner may have run it", zap.Stringer("circuit", cir))
-		l.giveUp(cir, line.ErrLine)
+		l.giveUp(cir, protocol.ErrLine)
 	default:
 		l.NotHeld.Add(1)
 		l.Nacked.Add(1)
-		l.conclude(cir, line.Turned(l.comeAgain()))
+		l.conclude(cir, protocol.Turned(l.comeAgain()))
 	}
 }
 
@@ -130,7 +130,7 @@
 }
 
 // confirm has a server's yes promised, then goes on with it. What ends meanwhile waits for that.
-func (l *Loop) confirm(cir *circuit, ln line.Line) {
+func (l *Loop) confirm(cir *circuit, ln protocol.Line) {
 	h := cir.held
 	cir.turn++ // no time-out is the try's any more
 	h.tells = true
@@ -142,7 +142,7 @@
 	})
 }
 
-func (l *Loop) confirmed(cir *circuit, ln line.Line, v fleet.Verdict) {
+func (l *Loop) confirmed(cir *circuit, ln protocol.Line, v fleet.Verdict) {
 	h := cir.held
 	defer h.free()
 	if l.circuits[cir.id] != cir {
@@ -150,13 +150,13 @@
 	}
 	h.tells = false
 	switch {
-	case v.Verdict == intents.Broken || v.Verdict == intents.Same && string(v.Answer) != string(ln.Raw):
+	case v.Verdict == idempotency.Broken || v.Verdict == idempotency.Same && string(v.Answer) != string(ln.Raw):
 		l.log.Info("fleet: broken off by another owner before its answer was held", zap.Stringer("circuit", cir))
-		l.giveUp(cir, line.ErrLine)
+		l.giveUp(cir, protocol.ErrLine)
 	case h.gone: // it ran, and stands no more
 		l.conclude(cir, ln.Raw)
 	default:
-		if v.Verdict == intents.CantSay {
+		if v.Verdict == idempotency.CantSay {
 			l.NotHeld.Add(1)
 			l.log.Warn("fleet: an answer is told that is not held", zap.Stringer("circuit", cir))
 		}
--- a/internal/balancer/service.go
+++ b/internal/balancer/lifecycle.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 )
 
 const (
@@ -177,7 +177,7 @@
 	for _, id := range slices.Sorted(maps.Keys(l.circuits)) {
 		switch cir := l.circuits[id]; {
 		case cir.standing:
-			l.giveUp(cir, line.ErrLine)
+			l.giveUp(cir, protocol.ErrLine)
 		case cir.out:
 			l.timeIsUp(cir, errLeaving)
 		}
@@ -201,7 +201,7 @@
 	l.bal.Leave(l.now+from, l.now+within)
 	for _, cir := range l.circuits {
 		if cir.standing { // waits for its server for longer than there is time
-			l.giveUp(cir, line.ErrLine)
+			l.giveUp(cir, protocol.ErrLine)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 // pong answers a question for readiness once the list is here: yes or no.
 func (l *Loop) pong() []byte {
 	if l.isOut() {
-		return line.NoLine
+		return protocol.NoLine
 	}
-	return line.PongLine
+	return protocol.PongLine
 }
--- a/internal/balancer/serve.go
+++ b/internal/balancer/listener.go
@@ -18,7 +18,7 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 )
 
 const (
@@ -244,7 +244,7 @@
 func (l *Loop) turnAway() {
 	for _, c := range l.door.silentSince(time.Now()) {
 		if c.circuit == nil && !c.over {
-			l.end(c, line.Turned(l.comeAgain()))
+			l.end(c, protocol.Turned(l.comeAgain()))
 		}
 	}
 }
@@ -259,14 +259,14 @@
 		}
 		l.Shed.Add(1)
 		if silent {
-			old.word(line.Turned(l.comeAgain()))
+			old.word(protocol.Turned(l.comeAgain()))
 		}
 		old.shut()
 		runtime.Gosched() // the poller, which runs this, would go on accepting first
 	}
 	if l.fds.Load() > l.mostFds() { // nothing to shed: all are circuits
 		l.NoRoom.Add(1)
-		c.word(line.Turned(l.comeAgain()))
+		c.word(protocol.Turned(l.comeAgain()))
 		c.close()
 	}
 }
@@ -281,7 +281,7 @@
 			l.door.put(c, l.door.silent)
 		default:
 			l.Late.Add(1)
-			l.end(c, line.ErrLine)
+			l.end(c, protocol.ErrLine)
 		}
 	}
 }
--- a/internal/balancer/loop.go
+++ b/internal/balancer/loop.go
@@ -20,8 +20,8 @@
 	"sabletally/internal/deployment"
 	"sabletally/internal/discovery"
 	"sabletally/internal/fleet"
-	"sabletally/internal/line"
-	"sabletally/internal/peers"
+	"sabletally/internal/loadgossip"
+	"sabletally/internal/protocol"
 	"sabletally/internal/relay"
 	"sabletally/policy"
 )
@@ -51,10 +51,10 @@
 	most   int64        // of those at most, less
 	beside atomic.Int64 // what the other process of an upgrade holds
 
-	link     *peers.Link  // to the other balancers, nil where they are not told
-	linked   *peers.Link  // the newest one that was opened, and whether another process of this balancer may run
-	shared   bool         // beside it, which only Reconfigure looks at
-	fleet    *fleet.Fleet // holds circuits of some grades for others; nil where there is none
+	link     *loadgossip.Link // to the other balancers, nil where they are not told
+	linked   *loadgossip.Link // the newest one that was opened, and whether another process of this balancer may run
+	shared   bool             // beside it, which only Reconfigure looks at
+	fleet    *fleet.Fleet     // holds circuits of some grades for others; nil where there is none
 	relays   *relay.Shards
 	watch    *discovery.Watch
 	unwatch  context.CancelFunc // ends it
@@ -336,10 +336,10 @@
 	case policy.Nack:
 		l.Nacked.Add(1)
 		l.withdraw(c)
-		l.answer(c, line.Turned(d.For))
+		l.answer(c, protocol.Turned(d.For))
 	case policy.BreakOff:
 		l.BrokenOff.Add(1)
-		l.answer(c, line.ErrLine)
+		l.answer(c, protocol.ErrLine)
 	case policy.Move:
 		l.move(c, policy.Cancelled)
 	}
@@ -352,7 +352,7 @@
 	named := map[policy.ServerID]bool{}
 	lines := make([]policy.Listed, 0, len(list.Servers))
 	for _, s := range list.Servers {
-		id := policy.ServerID(line.Hash(s.UID))
+		id := policy.ServerID(protocol.Hash(s.UID))
 		named[id] = true
 		sv := l.servers[id]
 		if sv == nil {
@@ -379,7 +379,7 @@
 			started = s.Boot.Sub(l.start)
 		}
 		lines = append(lines, policy.Listed{
-			Server: id, Zone: zone, Cell: s.Cell, Kind: line.Hash(s.Model), State: s.State, Heft: sv.heft(), Started: started,
+			Server: id, Zone: zone, Cell: s.Cell, Kind: protocol.Hash(s.Model), State: s.State, Heft: sv.heft(), Started: started,
 		})
 	}
 	if list.Whole {
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -15,7 +15,7 @@
 
 	"sabletally/internal/deployment"
 	"sabletally/internal/discovery"
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 	"sabletally/internal/relay"
 	"sabletally/policy"
 )
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cir := &circuit{id: 1, client: &conn{nc: nc}, at: &server{}, ask: &line.Ask{}, out: true, turn: 1, giveUp: time.Hour}
+	cir := &circuit{id: 1, client: &conn{nc: nc}, at: &server{}, ask: &protocol.Ask{}, out: true, turn: 1, giveUp: time.Hour}
 	up := make(chan *relay.Conn, 1)
 	l.dial(ln.Addr().String(), 20*time.Second, cir, func(c *relay.Conn, err error) { up <- c })
 	for len(up) == 0 {
--- a/internal/balancer/left_test.go
+++ b/internal/balancer/planned_end_test.go
@@ -16,8 +16,8 @@
 	"sabletally/internal/discovery"
 	"sabletally/internal/fleet"
 	"sabletally/internal/fleet/boottime"
-	"sabletally/internal/fleet/intents"
-	"sabletally/internal/line"
+	"sabletally/internal/fleet/idempotency"
+	"sabletally/internal/protocol"
 	"sabletally/policy"
 )
 
@@ -185,12 +185,12 @@
 
 // says has the loop read the client's line at its next turn.
 func (y *leaver) says(text string) {
-	ln := line.Decode([]byte(text))
+	ln := protocol.Decode([]byte(text))
 	if ln.Bad != nil {
 		y.t.Fatal(ln.Bad)
 	}
 	y.c.phase.Store(waiting)
-	y.l.post(event{conn: y.c, lines: []line.Line{ln}})
+	y.l.post(event{conn: y.c, lines: []protocol.Line{ln}})
 }
 
 // leave has the client go, and the loop be late by more than it may.
@@ -394,7 +394,7 @@
 				t.Fatal("it does not wait")
 			}
 			y.leave()
-			y.l.promised(cir, cir.turn, fleet.Verdict{Verdict: intents.Go, Until: boottime.Now() + time.Hour})
+			y.l.promised(cir, cir.turn, fleet.Verdict{Verdict: idempotency.Go, Until: boottime.Now() + time.Hour})
 			y.nothing(1, 0)
 		}},
 		{"to go back to its server", func(t *testing.T, how string) {
@@ -429,7 +429,7 @@
 			y.l.takeClient(fd, fmt.Appendf(nil, asks, 2))
 			y.l.mu.Lock()
 			y.l.inbox = y.l.inbox[:1]
-			if got := y.l.inbox[0].lines; len(got) != 1 || got[0].Kind != line.Open {
+			if got := y.l.inbox[0].lines; len(got) != 1 || got[0].Kind != protocol.Open {
 				t.Errorf("%v", got)
 			}
 			y.l.mu.Unlock()
--- a/internal/balancer/probe.go
+++ b/internal/balancer/probe.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 	"sabletally/internal/relay"
 	"sabletally/policy"
 )
@@ -37,7 +37,7 @@
 	p := &probe{at: l.servers[id]}
 	within := l.probeWithin()
 	p.called = l.dial(p.at.address, connectMost, nil, func(c *relay.Conn, err error) { l.probeDialed(p, c, err) })
-	p.called.said = func(_ *relay.Conn, ln line.Line) { l.probeLine(p, ln) }
+	p.called.said = func(_ *relay.Conn, ln protocol.Line) { l.probeLine(p, ln) }
 	p.called.gone = func(*relay.Conn, error) { l.probed(p, policy.Reset, nil) }
 	if limit := l.dep.ConnectWithin; limit > 0 {
 		within += limit
@@ -63,9 +63,9 @@
 		l.probed(p, policy.ConnectFailed, nil)
 		return
 	}
-	text := line.PingLine
+	text := protocol.PingLine
 	if l.dep.Policy.ReportsOnAsk {
-		text = line.AskLoad
+		text = protocol.AskLoad
 	}
 	if c.Early() != nil || c.Ask(text) != nil {
 		l.probed(p, policy.Reset, nil)
@@ -75,12 +75,12 @@
 }
 
 // probeLine takes an answer: PONG, with or before the load report, or anything else.
-func (l *Loop) probeLine(p *probe, ln line.Line) {
+func (l *Loop) probeLine(p *probe, ln protocol.Line) {
 	switch {
 	case p.done:
 	case p.ponged:
 		l.probed(p, policy.Succeeded, ln.Report())
-	case ln.Kind != line.Pong || ln.Bad != nil:
+	case ln.Kind != protocol.Pong || ln.Bad != nil:
 		l.probed(p, policy.Failed, nil)
 	case l.dep.Policy.ReportsOnAsk && len(ln.Fields) == 0:
 		p.ponged = true
--- a/internal/balancer/crossing_test.go
+++ b/internal/balancer/race_test.go
@@ -16,9 +16,9 @@
 
 	"sabletally/internal/deployment"
 	"sabletally/internal/discovery"
-	"sabletally/internal/lab/record"
-	"sabletally/internal/lab/standin"
-	"sabletally/internal/line"
+	"sabletally/internal/lab/emulator"
+	"sabletally/internal/lab/history"
+	"sabletally/internal/protocol"
 	"sabletally/internal/relay"
 	"sabletally/policy"
 )
@@ -284,15 +284,15 @@
 	for _, stalled := range []bool{false, true} {
 		for _, silent := range []bool{false, true} {
 			x := cross(t, policy.Idempotent)
-			agent, err := standin.NewAgent(0, &standin.Clock{}, record.New(0), func(string) int { return 0 })
+			agent, err := emulator.NewAgent(0, &emulator.Clock{}, history.New(0), func(string) int { return 0 })
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(agent.Close)
 			if silent {
-				agent.Misbehave(standin.Mute)
+				agent.Misbehave(emulator.Mute)
 			}
-			agent.Set(standin.Entry{UID: "s-1", Endpoint: x.cir.at.address, State: standin.Terminating, Heft: 1})
+			agent.Set(emulator.Entry{UID: "s-1", Endpoint: x.cir.at.address, State: emulator.Terminating, Heft: 1})
 			ctx, stop := context.WithCancel(context.Background())
 			t.Cleanup(stop)
 			heard := x.l.Lists.Load()
@@ -334,7 +334,7 @@
 	c.mu.Unlock()
 	x.cir.called.ended, x.cir.called, x.cir.server = true, nil, x.up
 	x.l.now = time.Since(x.l.start)
-	x.l.stands(x.cir, line.Decode([]byte("UP 1\r\n")))
+	x.l.stands(x.cir, protocol.Decode([]byte("UP 1\r\n")))
 	began := time.Now()
 	x.turns("it is tried no more", func() bool { return len(x.l.circuits) == 0 })
 	if took := time.Since(began); took < pairWithin/2 {
--- a/internal/balancer/circuit.go
+++ b/internal/balancer/session.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/zap"
 
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 	"sabletally/internal/relay"
 	"sabletally/policy"
 )
@@ -36,7 +36,7 @@
 // circuit is one circuit, from its first line to its end.
 type circuit struct {
 	id       policy.CircuitID
-	ask      *line.Ask
+	ask      *protocol.Ask
 	client   *conn
 	called   *called        // the newest try's dial
 	server   *relay.Conn    // its connection, once that stands
@@ -58,31 +58,31 @@
 }
 
 // firstLine takes a client's first line.
-func (l *Loop) firstLine(c *conn, ln line.Line) {
+func (l *Loop) firstLine(c *conn, ln protocol.Line) {
 	switch {
-	case ln.Bad == nil && ln.Kind == line.Ping:
+	case ln.Bad == nil && ln.Kind == protocol.Ping:
 		if l.ready {
 			c.send(l.pong())
 			c.asks.Store(false)
 		} else if c.pings++; c.pings == 1 {
 			l.pinged = append(l.pinged, c)
 		}
-	case ln.Bad == nil && ln.Kind == line.Open:
+	case ln.Bad == nil && ln.Kind == protocol.Open:
 		l.take(c, ln.Ask)
 	default:
 		if ln.Bad != nil {
 			l.log.Info("bad line", zap.Error(ln.Bad))
 		}
-		if ln.Bad == line.ErrUnasked {
+		if ln.Bad == protocol.ErrUnasked {
 			l.Unasked.Add(1)
 		}
 		l.Malformed.Add(1)
-		l.end(c, line.BadLine)
+		l.end(c, protocol.BadLine)
 	}
 }
 
 // take takes a circuit, which is owed one final answer from here on.
-func (l *Loop) take(c *conn, a *line.Ask) {
+func (l *Loop) take(c *conn, a *protocol.Ask) {
 	if l.passesOn() { // nothing new is begun here
 		l.passClient(c, a.Raw())
 		return
@@ -93,18 +93,18 @@
 	// had them set aside.
 	if !known || !a.Limited {
 		l.Malformed.Add(1)
-		l.end(c, line.BadLine)
+		l.end(c, protocol.BadLine)
 		return
 	}
 	if l.fds.Load() >= l.mostFds()-l.most/spareFds { // none left for the server's side
 		l.NoRoom.Add(1)
 		l.Nacked.Add(1)
-		l.end(c, line.Turned(l.comeAgain()))
+		l.end(c, protocol.Turned(l.comeAgain()))
 		return
 	}
 	if l.byAsk[a.ID] != nil { // another client's, which stands or waits
 		l.SameID.Add(1)
-		l.end(c, line.BadLine)
+		l.end(c, protocol.BadLine)
 		return
 	}
 	left := a.Left - c.quietFor() - answerEarly
@@ -123,7 +123,7 @@
 }
 
 // arrival is a circuit for the module, by the settings that hold.
-func (l *Loop) arrival(id policy.CircuitID, a *line.Ask, left time.Duration) policy.Arrival {
+func (l *Loop) arrival(id policy.CircuitID, a *protocol.Ask, left time.Duration) policy.Arrival {
 	grade, known := l.dep.Grades[a.Grade]
 	if !known {
 		grade = len(l.dep.Grades)
@@ -346,7 +346,7 @@
 func (l *Loop) standAgain(cir *circuit) {
 	if l.now+standPause >= cir.until {
 		l.BrokenOff.Add(1)
-		l.answer(cir, line.ErrLine)
+		l.answer(cir, protocol.ErrLine)
 		return
 	}
 	l.after(standPause, func() { l.stand(cir) })
@@ -355,23 +355,23 @@
 // ---- Lines.
 
 // verdict takes the line that answers a setup try.
-func (l *Loop) verdict(cir *circuit, ln line.Line) {
+func (l *Loop) verdict(cir *circuit, ln protocol.Line) {
 	switch {
-	case ln.Bad != nil && ln.Kind != line.Busy:
+	case ln.Bad != nil && ln.Kind != protocol.Busy:
 		l.tryEnded(cir, policy.Failed, ln.Bad)
-	case ln.Kind == line.Up && cir.held != nil:
+	case ln.Kind == protocol.Up && cir.held != nil:
 		l.confirm(cir, ln)
-	case ln.Kind == line.Up:
+	case ln.Kind == protocol.Up:
 		l.stands(cir, ln)
-	case ln.Kind == line.Busy:
+	case ln.Kind == protocol.Busy:
 		l.tryEnded(cir, policy.TurnedAway, nil)
-	case ln.Kind == line.Load:
+	case ln.Kind == protocol.Load:
 		cir.arrival.Load = ln.Figure
 		l.bal.LoadNoted(cir.id, max(cir.tries-1, 0), ln.Figure)
 		cir.server.Listen()
-	case ln.Kind == line.Move:
+	case ln.Kind == protocol.Move:
 		l.tryEnded(cir, policy.Cancelled, nil)
-	case ln.Kind == line.Bye: // served to its end before it stood
+	case ln.Kind == protocol.Bye: // served to its end before it stood
 		id, try, client := cir.id, cir.tries-1, cir.client
 		l.Ended[policy.Succeeded].Add(1)
 		l.Served.Add(1)
@@ -387,7 +387,7 @@
 }
 
 // stands tells that a circuit has come to stand.
-func (l *Loop) stands(cir *circuit, ln line.Line) {
+func (l *Loop) stands(cir *circuit, ln protocol.Line) {
 	l.log.Debug("stands", zap.Stringer("circuit", cir), zap.String("server", cir.at.listedAs.UID),
 		zap.Duration("after", l.now-cir.calledAt), zap.Int("tries", cir.tries), zap.Uint64("group", cir.arrival.Group))
 	cir.turn++
@@ -435,7 +435,7 @@
 	cir.dropServer(false)
 	client := cir.client
 	l.stoodEnded(cir, policy.Reset)
-	l.end(client, line.ErrLine)
+	l.end(client, protocol.ErrLine)
 }
 
 // paired takes a pair, if the circuit still stands.
@@ -464,7 +464,7 @@
 // clientLine takes a client's line after its first: it has to wait for its answer, so this is no usual client.
 func (l *Loop) clientLine(cir *circuit) {
 	l.Unasked.Add(1)
-	l.giveUp(cir, line.BadLine)
+	l.giveUp(cir, protocol.BadLine)
 }
 
 // ---- Ends.
@@ -475,7 +475,7 @@
 		cir.away = true
 		return
 	}
-	if cir.pair == nil || !cir.pair.End(line.MoveLine, how == policy.Reset) {
+	if cir.pair == nil || !cir.pair.End(protocol.MoveLine, how == policy.Reset) {
 		return // its end is on its way
 	}
 	l.Moves.Add(1)
@@ -524,7 +524,7 @@
 		l.Errors.Add(1)
 		l.log.Info("connection broken", zap.Error(b))
 		if cir != nil && l.circuits[cir.id] == cir && !cir.open {
-			l.giveUp(cir, line.ErrLine) // it is still owed its answer
+			l.giveUp(cir, protocol.ErrLine) // it is still owed its answer
 			return
 		}
 		c.abort()
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -13,7 +13,7 @@
 
 	"sabletally/internal/deployment"
 	"sabletally/internal/discovery"
-	"sabletally/internal/peers"
+	"sabletally/internal/loadgossip"
 	"sabletally/policy"
 )
 
@@ -103,7 +103,7 @@
 
 // connect opens the link to the other balancers, or takes the one that there is where it listens at the same address.
 // It is called by one goroutine, which is not the loop's.
-func (l *Loop) connect(dep *deployment.Deployment, at deployment.Peers) (*peers.Link, error) {
+func (l *Loop) connect(dep *deployment.Deployment, at deployment.Peers) (*loadgossip.Link, error) {
 	if !dep.Policy.MayTell {
 		l.linked = nil
 		return nil, nil
@@ -112,10 +112,10 @@
 		l.linked.Know(at.Others)
 		return l.linked, nil
 	}
-	var link *peers.Link
+	var link *loadgossip.Link
 	ready := make(chan struct{})
-	counts := &peers.Counts{Sent: &l.Sent, Heard: &l.Heard, Dropped: &l.Dropped}
-	link, err := peers.Open(at.Listen, l.shared, at.Others, counts, func(from int, t policy.Told, done func()) {
+	counts := &loadgossip.Counts{Sent: &l.Sent, Heard: &l.Heard, Dropped: &l.Dropped}
+	link, err := loadgossip.Open(at.Listen, l.shared, at.Others, counts, func(from int, t policy.Told, done func()) {
 		<-ready
 		l.post(event{do: func() {
 			if done(); l.link == link {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/lab/emulator"
 )
 
 // answers stands for the network: what a call gets.
@@ -219,7 +219,7 @@
 	heard := func(shared bool) int64 {
 		var count atomic.Int64
 		synctest.Test(t, func(t *testing.T) {
-			desk := standin.NewDesk(125*time.Millisecond, 2*time.Second)
+			desk := emulator.NewDesk(125*time.Millisecond, 2*time.Second)
 			start := func(ctx context.Context, n int) {
 				for range n {
 					w := New("desk", 80, shared, func(l List) {
--- a/internal/fleet/feed/bench_test.go
+++ b/internal/fleet/changefeed/bench_test.go
@@ -1,4 +1,4 @@
-package feed
+package changefeed
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // full is a log with a state of the size that is wanted: 17 members, 256 views, and 500 KB of configuration.
@@ -14,7 +14,7 @@
 	l := NewLog(LogConfig{Most: 1024, Bytes: 1 << 20})
 	items := []Item{{Key: FleetKey, Value: []byte("0123456789abcdef")}, {Key: "epoch", Value: []byte("1")}}
 	for i := range 17 {
-		items = append(items, memberItem(b, views.Member{ID: fmt.Sprintf("%016x", i), Addr: fmt.Sprintf("10.0.0.%d:7400", i), Machine: fmt.Sprintf("machine%d", i),
+		items = append(items, memberItem(b, shardmap.Member{ID: fmt.Sprintf("%016x", i), Addr: fmt.Sprintf("10.0.0.%d:7400", i), Machine: fmt.Sprintf("machine%d", i),
 			Zone: fmt.Sprintf("zone%d", i%11), Site: fmt.Sprintf("region%d", i%11%3)}))
 	}
 	for i := range 256 {
@@ -114,7 +114,7 @@
 			var addrs []string
 			for i := range relays {
 				addrs = append(addrs, fmt.Sprintf("r%d", i))
-				items = append(items, memberItem(b, views.Member{ID: addrs[i], Addr: addrs[i], Zone: fmt.Sprintf("z%d", i%11), Site: fmt.Sprintf("s%d", i%11%3)}))
+				items = append(items, memberItem(b, shardmap.Member{ID: addrs[i], Addr: addrs[i], Zone: fmt.Sprintf("z%d", i%11), Site: fmt.Sprintf("s%d", i%11%3)}))
 			}
 			_, _ = log.Next(items)
 			f := NewFollower(FollowerConfig{ID: "b0", Site: "s0", Seeds: addrs}, 0)
--- a/internal/fleet/feed/feed_test.go
+++ b/internal/fleet/changefeed/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package changefeed
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // two is a rig of two relays of one region and a follower that is up to date.
@@ -709,7 +709,7 @@
 	list := func(without int) (all []Item) {
 		for i := range relays {
 			if i != without {
-				all = append(all, memberItem(t, views.Member{ID: fmt.Sprintf("r%d", i), Addr: fmt.Sprintf("r%d", i), Zone: fmt.Sprintf("z%d", i%11), Site: fmt.Sprintf("s%d", i%11%3)}))
+				all = append(all, memberItem(t, shardmap.Member{ID: fmt.Sprintf("r%d", i), Addr: fmt.Sprintf("r%d", i), Zone: fmt.Sprintf("z%d", i%11), Site: fmt.Sprintf("s%d", i%11%3)}))
 			}
 		}
 		return all
@@ -761,7 +761,7 @@
 	var all []Item
 	for i := range relays {
 		name := fmt.Sprintf("r%d", i)
-		all = append(all, memberItem(t, views.Member{ID: name, Addr: name, Zone: fmt.Sprintf("z%d", i%11), Site: "s"}))
+		all = append(all, memberItem(t, shardmap.Member{ID: name, Addr: name, Zone: fmt.Sprintf("z%d", i%11), Site: "s"}))
 	}
 	f := NewFollower(FollowerConfig{ID: "b", Zone: "z0", Site: "s"}, 0)
 	f.relist(Applied{Whole: true, Items: all})
--- a/internal/fleet/feed/follower.go
+++ b/internal/fleet/changefeed/follower.go
@@ -1,4 +1,4 @@
-package feed
+package changefeed
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -101,7 +101,7 @@
 	upstreams map[string]*upstream // by address
 	use       []*upstream          // those that are dialed or open, in that order of theirs; three at most
 	ranked    []*upstream          // those that are listed, the best first
-	listed    map[string]views.Member
+	listed    map[string]shardmap.Member
 	mismatch  bool
 	returnAt  time.Duration // 0: no better one is waited for
 	hastens   bool          // it was set as one in use does badly
@@ -167,7 +167,7 @@
 		cfg.Lease = Lease
 	}
 	f := &Follower{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0xf0110)), now: now, state: NewState(), upstreams: map[string]*upstream{},
-		listed: map[string]views.Member{}, stands: true, stoodAt: now, dialAt: now}
+		listed: map[string]shardmap.Member{}, stands: true, stoodAt: now, dialAt: now}
 	f.rank()
 	return f
 }
@@ -556,7 +556,7 @@
 			continue
 		}
 		delete(f.listed, id)
-		var m views.Member
+		var m shardmap.Member
 		if i.Gone {
 			continue
 		}
@@ -582,7 +582,7 @@
 		return cmp.Or(-cmp.Compare(score(f.cfg.ID, a), score(f.cfg.ID, b)), cmp.Compare(a, b))
 	})
 	f.ranked = f.ranked[:0]
-	add := func(m views.Member, key string) {
+	add := func(m shardmap.Member, key string) {
 		w := f.upstreams[m.Addr]
 		if w == nil {
 			w = &upstream{addr: m.Addr}
@@ -598,7 +598,7 @@
 		add(f.listed[id], id)
 	}
 	for _, s := range f.cfg.Seeds {
-		add(views.Member{Addr: s}, s)
+		add(shardmap.Member{Addr: s}, s)
 	}
 	slices.SortStableFunc(f.ranked, func(a, b *upstream) int {
 		return cmp.Or(cmp.Compare(f.tier(a), f.tier(b)), -cmp.Compare(a.score, b.score), cmp.Compare(a.addr, b.addr))
--- a/internal/fleet/feed/log.go
+++ b/internal/fleet/changefeed/log.go
@@ -1,4 +1,4 @@
-package feed
+package changefeed
 
 import "fmt"
 
--- a/internal/fleet/feed/rig_test.go
+++ b/internal/fleet/changefeed/rig_test.go
@@ -1,4 +1,4 @@
-package feed
+package changefeed
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // rig joins followers and relays without any delay: what one hands out comes to the other at once, but for what a test holds back.
@@ -52,7 +52,7 @@
 	items := []Item{{Key: FleetKey, Value: []byte("f")}}
 	for i, site := range sites {
 		id := fmt.Sprintf("r%d", i)
-		items = append(items, memberItem(t, views.Member{ID: id, Addr: id, Machine: id, Zone: fmt.Sprintf("z%d", i), Site: site}))
+		items = append(items, memberItem(t, shardmap.Member{ID: id, Addr: id, Machine: id, Zone: fmt.Sprintf("z%d", i), Site: site}))
 		r.addrs = append(r.addrs, id)
 	}
 	r.put(items...)
@@ -63,7 +63,7 @@
 	return r
 }
 
-func memberItem(t testing.TB, m views.Member) Item {
+func memberItem(t testing.TB, m shardmap.Member) Item {
 	text, err := json.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/feed/state.go
+++ b/internal/fleet/changefeed/state.go
@@ -1,4 +1,4 @@
-// Package feed is how what the control tier agrees on comes to those that follow it: one versioned state, the changes that lead from
+// Package changefeed is how what the control tier agrees on comes to those that follow it: one versioned state, the changes that lead from
 // version to version, what a relay (a control process) sends to whom, and what a follower (a balancer) takes and whom it follows. It
 // is pure: events and a time in, actions out, so that virtual time runs what ships. It must never read a clock, open a socket, draw
 // chance that was not handed in, apply half a change, mix two ways to a version, or go back to an older one.
@@ -8,7 +8,7 @@
 //
 // Each core is one goroutine's. What grows with what: a State and a Log with the items (bounded by MostBytes and MostKeys, the log's
 // ring by its LogConfig); a Relay with its own followers (bounded by RelayConfig.Most); a Follower with the list of relays alone.
-package feed
+package changefeed
 
 import (
 	"encoding/binary"
--- a/internal/fleet/feed/walk_test.go
+++ b/internal/fleet/changefeed/walk_test.go
@@ -1,4 +1,4 @@
-package feed
+package changefeed
 
 import (
 	"container/list"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 var (
@@ -82,7 +82,7 @@
 func newSmall(t testing.TB, followers int, left budget, broken walkBreak) *small {
 	w := &small{source: NewLog(LogConfig{Most: 100, Bytes: 1 << 20}), left: left, broken: broken, truth: []time.Duration{0}, digests: []uint64{0}}
 	w.agree(Item{Key: FleetKey, Value: []byte("f")},
-		memberItem(t, views.Member{ID: "r0", Addr: "r0", Zone: "z0", Site: "s"}), memberItem(t, views.Member{ID: "r1", Addr: "r1", Zone: "z1", Site: "s"}))
+		memberItem(t, shardmap.Member{ID: "r0", Addr: "r0", Zone: "z0", Site: "s"}), memberItem(t, shardmap.Member{ID: "r1", Addr: "r1", Zone: "z1", Site: "s"}))
 	for i := range w.relays {
 		w.relays[i] = &smallRelay{addr: fmt.Sprintf("r%d", i)}
 		w.startRelay(i)
--- a/internal/fleet/feed/whole.go
+++ b/internal/fleet/changefeed/whole.go
@@ -1,4 +1,4 @@
-package feed
+package changefeed
 
 // NewSnapshot is a state that came to be elsewhere than in a Log, as one message: its items in the order of their keys, their values
 // shared. Items that no State takes make one that none installs.
--- a/internal/fleet/config/config.go
+++ b/internal/fleet/config/config.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"sabletally/internal/blocks"
+	"sabletally/internal/hclconfig"
 )
 
 // Bounds of what a file may tell.
@@ -63,7 +63,7 @@
 
 // Known tells which grades that the file names are none of a deployment's: nil if all are.
 func (f *File) Known(grades map[string]int) error {
-	r := &blocks.Reader{}
+	r := &hclconfig.Reader{}
 	for _, g := range f.Intents {
 		if _, is := grades[g.Name]; !is {
 			r.At(g.at, "grades: %q is no grade of the settings", g.Name)
@@ -83,12 +83,12 @@
 
 // Parse reads a file's text; path is its name in messages.
 func Parse(text []byte, path string) (*File, error) {
-	r := &blocks.Reader{}
+	r := &hclconfig.Reader{}
 	body := r.File(text, path)
 	if body == nil {
 		return nil, r.Faults
 	}
-	top := r.Open("the file", body, blocks.Start(path), "", hcl.BlockHeaderSchema{Type: "fleet", LabelNames: []string{"name"}},
+	top := r.Open("the file", body, hclconfig.Start(path), "", hcl.BlockHeaderSchema{Type: "fleet", LabelNames: []string{"name"}},
 		hcl.BlockHeaderSchema{Type: "hold", LabelNames: []string{"kind"}})
 	f := &File{}
 	if in := top.Only("fleet", true); in != nil {
@@ -118,7 +118,7 @@
 	return f, nil
 }
 
-func (f *File) read(r *blocks.Reader, in *hcl.Block) {
+func (f *File) read(r *hclconfig.Reader, in *hcl.Block) {
 	b := r.Open("fleet", in.Body, in.DefRange, "role listen advertise seeds data copies machine zone site gone_after repair_after voters records megabytes list_young list_old followers")
 	f.Role = b.Text("role", Member, Control, Balancer)
 	b.Must("seeds", "data", "machine", "zone", "site")
@@ -191,7 +191,7 @@
 }
 
 // address reads an IP address with a port. Names are refused: a look-up that hangs would hang the start with it.
-func address(r *blocks.Reader, what, text string, at hcl.Range, told bool) netip.AddrPort {
+func address(r *hclconfig.Reader, what, text string, at hcl.Range, told bool) netip.AddrPort {
 	if !told {
 		return netip.AddrPort{}
 	}
--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/blocks"
+	"sabletally/internal/hclconfig"
 )
 
 const whole = `fleet "istanbul" {
@@ -103,7 +103,7 @@
 		{`copies  = 3`, `copies  =`, `f.hcl:5:12: Invalid expression`},
 	} {
 		_, err := Parse([]byte(strings.Replace(whole, c.old, c.new, 1)), "f.hcl")
-		if _, is := err.(blocks.Faults); !is || !strings.Contains(err.Error(), c.want) {
+		if _, is := err.(hclconfig.Faults); !is || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: got %v, wanted %q", c.new, err, c.want)
 		}
 	}
--- a/internal/fleet/agree/bench_test.go
+++ b/internal/fleet/consensus/bench_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // metered begins what is measured; the answer ends it, and tells the processor's time of one operation in ns, garbage collection within:
@@ -40,8 +40,8 @@
 	msgs, bytes, written int
 }
 
-func member(i int) views.Member {
-	return views.Member{ID: fmt.Sprintf("%016x%016x", i+1, i+1), Addr: fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
+func member(i int) shardmap.Member {
+	return shardmap.Member{ID: fmt.Sprintf("%016x%016x", i+1, i+1), Addr: fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
 		Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3)}
 }
 
@@ -112,7 +112,7 @@
 }
 
 // propose has an entry agreed, and checks that it took hold at all.
-func (v *voters) propose(e views.Entry) {
+func (v *voters) propose(e shardmap.Entry) {
 	before := v.leader().State().Version
 	if err := v.leader().Propose(e); err != nil {
 		v.b.Fatal(err)
@@ -153,8 +153,8 @@
 			v.msgs, v.bytes, v.written = 0, 0, 0
 			done := metered(b)
 			for i := range b.N {
-				num := i % views.Slots
-				v.propose(views.Entry{Slots: []views.Slot{{Slot: num, Of: v.leader().State().Views[num].Num, Full: full}}})
+				num := i % shardmap.Slots
+				v.propose(shardmap.Entry{Slots: []shardmap.Slot{{Slot: num, Of: v.leader().State().Views[num].Num, Full: full}}})
 			}
 			done()
 			v.count(b)
@@ -167,15 +167,15 @@
 	for _, n := range []int{17, 100, 300, 1000, 2300, 4600} {
 		b.Run(fmt.Sprintf("voters=5/members=%d", n), func(b *testing.B) {
 			v := voting(b, 5)
-			var all []views.Member
+			var all []shardmap.Member
 			for i := range n {
 				all = append(all, member(i))
 			}
-			v.propose(views.Entry{Epoch: v.leader().State().Epoch, Members: all})
+			v.propose(shardmap.Entry{Epoch: v.leader().State().Epoch, Members: all})
 			v.msgs, v.bytes, v.written = 0, 0, 0
 			done := metered(b)
 			for range b.N {
-				v.propose(views.Entry{Epoch: v.leader().State().Epoch, Members: all})
+				v.propose(shardmap.Entry{Epoch: v.leader().State().Epoch, Members: all})
 			}
 			done()
 			v.count(b)
--- a/internal/fleet/agree/agree.go
+++ b/internal/fleet/consensus/consensus.go
@@ -1,7 +1,7 @@
-// Package agree is one member's part in the log on which the views are agreed: the Raft of go.etcd.io/raft, stepped, with this
+// Package consensus is one member's part in the log on which the views are agreed: the Raft of go.etcd.io/raft, stepped, with this
 // package's clock and chance, so that the same seed gives the same run. It owns who votes and what was applied. It must never send
 // before what it hands out is on disk, and never let a member vote that has lost what it voted before: such a one has another ID.
-package agree
+package consensus
 
 import (
 	"encoding/binary"
@@ -15,8 +15,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -51,15 +51,15 @@
 type Ready struct {
 	Write   Write
 	Msgs    []Msg
-	Whole   *feed.Snapshot // the state was replaced by this; nil where it was not
-	Changes []Change       // of the state, in order, after that
-	Puts    []views.Done   // how operators' puts ended, of entries that came to be agreed
+	Whole   *changefeed.Snapshot // the state was replaced by this; nil where it was not
+	Changes []Change             // of the state, in order, after that
+	Puts    []shardmap.Done      // how operators' puts ended, of entries that came to be agreed
 }
 
 // Change is what one entry did to the state.
 type Change struct {
 	Version uint64
-	Items   []feed.Item
+	Items   []changefeed.Item
 }
 
 // Msg is a message to a voter, by its number.
@@ -80,11 +80,11 @@
 	elect time.Duration
 
 	applied, cut uint64
-	state        *views.State
+	state        *shardmap.State
 	write        Write
 	changes      []Change
-	whole        *feed.Snapshot
-	puts         []views.Done
+	whole        *changefeed.Snapshot
+	puts         []shardmap.Done
 	voted        bool // who votes has changed: a snapshot has to say so, or who begins to vote can't be sent one
 
 	confirm time.Duration // the next question
@@ -120,7 +120,7 @@
 // New makes a member's part of what is on disk.
 func New(member string, saved Saved, seed uint64, now time.Duration) (*Node, error) {
 	n := &Node{id: Number(member), store: raft.NewMemoryStorage(), rng: rand.New(rand.NewPCG(seed, 0xa92e)), conf: &pb.ConfState{},
-		now: now, tick: now, state: views.New()}
+		now: now, tick: now, state: shardmap.New()}
 	if n.id == 0 {
 		return nil, fmt.Errorf("agree: %q is no member's ID", member)
 	}
@@ -164,7 +164,7 @@
 
 // Found begins the log with this member as its only voter, and the fleet under an ID. It may be called before anything else was.
 func (n *Node) Found(fleet string) error {
-	state := views.New()
+	state := shardmap.New()
 	state.Fleet, state.Version = fleet, 1
 	one := uint64(1)
 	snap := &pb.Snapshot{Data: state.Snapshot(), Metadata: &pb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &pb.ConfState{Voters: []uint64{n.id}}}}
@@ -184,7 +184,7 @@
 }
 
 // State is what is agreed, as far as this member has heard. It is not to be changed.
-func (n *Node) State() *views.State { return n.state }
+func (n *Node) State() *shardmap.State { return n.state }
 
 // Leads tells whether this member leads the log; whatever it decides is agreed only once it is in the state.
 func (n *Node) Leads() bool { return n.rn.BasicStatus().RaftState == raft.StateLeader }
@@ -286,7 +286,7 @@
 }
 
 // Propose has the leader put an entry before the others; lost if this member leads no more.
-func (n *Node) Propose(e views.Entry) error { return n.rn.Propose(e.Encode()) }
+func (n *Node) Propose(e shardmap.Entry) error { return n.rn.Propose(e.Encode()) }
 
 // Vote has members begin to vote and one stop, by number and 0 for none, all in one step: in no state between are there fewer that
 // may be lost. One such change is under way at a time; another is refused.
@@ -399,7 +399,7 @@
 		if len(e.GetData()) == 0 {
 			return nil // a leader's first
 		}
-		entry, err := views.Decode(e.GetData())
+		entry, err := shardmap.Decode(e.GetData())
 		if err != nil {
 			return fmt.Errorf("agree: entry %d: %w", e.GetIndex(), err)
 		}
@@ -413,22 +413,22 @@
 }
 
 // Items are the values of a state under keys; a key that has none is gone.
-func Items(st *views.State, keys []string) []feed.Item {
-	items := make([]feed.Item, 0, len(keys))
+func Items(st *shardmap.State, keys []string) []changefeed.Item {
+	items := make([]changefeed.Item, 0, len(keys))
 	for _, k := range keys {
 		v, is := st.Value(k)
-		items = append(items, feed.Item{Key: k, Value: v, Gone: !is})
+		items = append(items, changefeed.Item{Key: k, Value: v, Gone: !is})
 	}
 	return items
 }
 
 // Whole is all of a state, as a map.
-func Whole(st *views.State) *feed.Snapshot {
-	return feed.NewSnapshot(st.Fleet, st.Version, Items(st, st.Keys()))
+func Whole(st *shardmap.State) *changefeed.Snapshot {
+	return changefeed.NewSnapshot(st.Fleet, st.Version, Items(st, st.Keys()))
 }
 
 func (n *Node) restore(snap *pb.Snapshot) error {
-	state, err := views.Restore(snap.GetData())
+	state, err := shardmap.Restore(snap.GetData())
 	if err != nil {
 		return fmt.Errorf("agree: the snapshot: %w", err)
 	}
--- a/internal/fleet/agree/agree_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -1,11 +1,11 @@
-package agree
+package consensus
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // log is three nodes whose messages are carried when a test says so.
@@ -178,7 +178,7 @@
 	}
 	keep()
 	for i := range 3 {
-		if err := n.Propose(views.Entry{Put: []views.Put{{Key: fmt.Sprint("config/", i), Op: fmt.Sprint(i)}}}); err != nil {
+		if err := n.Propose(shardmap.Entry{Put: []shardmap.Put{{Key: fmt.Sprint("config/", i), Op: fmt.Sprint(i)}}}); err != nil {
 			t.Fatal(err)
 		}
 		keep()
--- a/internal/fleet/seat/seat.go
+++ b/internal/fleet/datadir/datadir.go
@@ -1,7 +1,7 @@
-// Package seat owns a member's data directory: that one process has it at a time, which fleet and machine it belongs to, and
+// Package datadir owns a member's data directory: that one process has it at a time, which fleet and machine it belongs to, and
 // the member's id, which is drawn when the directory is empty. A member whose disk was lost is therefore another member. It must
 // never take over a directory that it can't read to the end, nor one of a newer format.
-package seat
+package datadir
 
 import (
 	"crypto/rand"
--- a/internal/fleet/seat/seat_test.go
+++ b/internal/fleet/datadir/datadir_test.go
@@ -1,4 +1,4 @@
-package seat
+package datadir
 
 import (
 	"errors"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,18 +14,18 @@
 	"go.uber.org/zap"
 
 	"sabletally/internal/fleet/boottime"
+	"sabletally/internal/fleet/changefeed"
 	"sabletally/internal/fleet/config"
-	"sabletally/internal/fleet/contact"
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/core"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/follow"
-	"sabletally/internal/fleet/hold"
-	"sabletally/internal/fleet/intents"
-	"sabletally/internal/fleet/members"
-	"sabletally/internal/fleet/publish"
-	"sabletally/internal/fleet/seat"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/datadir"
+	"sabletally/internal/fleet/gossip"
+	"sabletally/internal/fleet/idempotency"
+	"sabletally/internal/fleet/membership"
+	"sabletally/internal/fleet/node"
+	"sabletally/internal/fleet/nodeserver"
+	"sabletally/internal/fleet/publisher"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
+	"sabletally/internal/fleet/subscriber"
 )
 
 const (
@@ -43,12 +43,12 @@
 	seed uint64
 
 	mu    sync.Mutex
-	seat  *seat.Seat // nil until this process has the directory
-	wire  *contact.Wire
-	touch *contact.Contact
-	held  *hold.Hold
-	feed  *publish.Publisher // of a control process
-	tier  *follow.Follow     // in role "balancer" all that there is beside the seat
+	seat  *datadir.Seat // nil until this process has the directory
+	wire  *gossip.Wire
+	touch *gossip.Contact
+	held  *nodeserver.Hold
+	feed  *publisher.Publisher // of a control process
+	tier  *subscriber.Follow   // in role "balancer" all that there is beside the seat
 	list  list
 	said  int // words of operators'
 	over  chan struct{}
@@ -64,7 +64,7 @@
 	if err == nil {
 		return f, nil
 	}
-	if !wait || !errors.Is(err, seat.ErrTaken) {
+	if !wait || !errors.Is(err, datadir.ErrTaken) {
 		return nil, err
 	}
 	log.Info("fleet: the old process is the member yet")
@@ -81,7 +81,7 @@
 			if err == nil {
 				return
 			}
-			if !errors.Is(err, seat.ErrTaken) {
+			if !errors.Is(err, datadir.ErrTaken) {
 				f.mu.Lock()
 				f.err = err
 				f.mu.Unlock()
@@ -95,7 +95,7 @@
 
 // take takes directory and address, both or none.
 func (f *Fleet) take() error {
-	s, err := seat.Open(f.file.Data, f.file.Fleet, f.file.Machine)
+	s, err := datadir.Open(f.file.Data, f.file.Fleet, f.file.Machine)
 	if err != nil {
 		return fmt.Errorf("data: %w", err)
 	}
@@ -104,16 +104,16 @@
 	}
 	streams := 0
 	if f.file.Role == config.Control {
-		streams = f.file.Followers + publish.More
+		streams = f.file.Followers + publisher.More
 	}
-	w, err := contact.Listen(f.file.Listen, f.file.Advertise, streams)
+	w, err := gossip.Listen(f.file.Listen, f.file.Advertise, streams)
 	if err != nil {
 		s.Close()
 		return fmt.Errorf("listen: %w", err)
 	}
-	self := members.Member{ID: s.Member, Name: f.name, Addr: f.file.Advertise, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site,
-		Life: s.Life, Speaks: contact.Form, Oldest: contact.Oldest}
-	t, err := contact.Open(contact.Options{Fleet: f.file.Fleet, Self: self, Seeds: f.file.Seeds, Copies: f.file.Copies, Forget: f.file.Gone,
+	self := membership.Member{ID: s.Member, Name: f.name, Addr: f.file.Advertise, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site,
+		Life: s.Life, Speaks: gossip.Form, Oldest: gossip.Oldest}
+	t, err := gossip.Open(gossip.Options{Fleet: f.file.Fleet, Self: self, Seeds: f.file.Seeds, Copies: f.file.Copies, Forget: f.file.Gone,
 		Most: config.MostMembers - 1, Seed: f.seed ^ s.Life, Wire: w, Log: f.log, Now: boottime.Now})
 	if err != nil {
 		_ = w.Shutdown()
@@ -124,15 +124,15 @@
 	for _, a := range f.file.Seeds {
 		seeds = append(seeds, a.String())
 	}
-	var told hold.Feed
-	var p *publish.Publisher
+	var told nodeserver.Feed
+	var p *publisher.Publisher
 	if f.file.Role == config.Control {
-		p = publish.New(publish.Options{ID: s.Member, Fleet: f.file.Fleet, Most: f.file.Followers, Seed: f.seed ^ s.Life<<16, Wire: w, Now: boottime.Now, Log: f.log})
+		p = publisher.New(publisher.Options{ID: s.Member, Fleet: f.file.Fleet, Most: f.file.Followers, Seed: f.seed ^ s.Life<<16, Wire: w, Now: boottime.Now, Log: f.log})
 		told = p
 	}
-	h, err := hold.Open(hold.Options{Core: core.Config{Self: hold.Member(self), Life: s.Life, Found: rand.Text(), First: f.file.Seeds[0] == f.file.Advertise, Seeds: seeds,
+	h, err := nodeserver.Open(nodeserver.Options{Core: node.Config{Self: nodeserver.Member(self), Life: s.Life, Found: rand.Text(), First: f.file.Seeds[0] == f.file.Advertise, Seeds: seeds,
 		Voters: f.file.Voters, Copies: f.file.Copies, Evict: f.file.Repair, Repair: repairing, Seed: f.seed ^ s.Life<<32, Keys: f.file.Records,
-		Bytes: f.file.Bytes, Ops: opsMost, Keeps: []copies.Keep{{Prefix: intents.Prefix, For: intents.Keep}}}, Fleet: f.file.Fleet, Dir: f.file.Data, Wire: w, Touch: t, Now: boottime.Now, Log: f.log, Feed: told})
+		Bytes: f.file.Bytes, Ops: opsMost, Keeps: []replication.Keep{{Prefix: idempotency.Prefix, For: idempotency.Keep}}}, Fleet: f.file.Fleet, Dir: f.file.Data, Wire: w, Touch: t, Now: boottime.Now, Log: f.log, Feed: told})
 	if err != nil {
 		t.Close()
 		s.Close()
@@ -162,7 +162,7 @@
 }
 
 // follow has this process follow the control processes: it is no member, and nothing of one is opened.
-func (f *Fleet) follow(s *seat.Seat) error {
+func (f *Fleet) follow(s *datadir.Seat) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	select {
@@ -172,7 +172,7 @@
 	default:
 	}
 	f.seat = s
-	f.tier = follow.Open(follow.Options{Fleet: f.file.Fleet, Name: f.name, ID: s.Member, Life: s.Life, Machine: f.file.Machine, Zone: f.file.Zone,
+	f.tier = subscriber.Open(subscriber.Options{Fleet: f.file.Fleet, Name: f.name, ID: s.Member, Life: s.Life, Machine: f.file.Machine, Zone: f.file.Zone,
 		Site: f.file.Site, Seeds: f.file.Seeds, Seed: f.seed ^ s.Life<<32, Now: boottime.Now, Log: f.log})
 	f.log.Info("fleet: follower", zap.String("fleet", f.file.Fleet), zap.String("id", s.Member), zap.Uint64("life", s.Life), zap.Bool("fresh", s.Fresh),
 		zap.String("machine", f.file.Machine), zap.String("zone", f.file.Zone), zap.String("site", f.file.Site))
@@ -181,7 +181,7 @@
 
 // asker is where records are held: here among others, or at the control processes.
 type asker interface {
-	Ask(op copies.Op, within time.Duration, done func(copies.Result))
+	Ask(op replication.Op, within time.Duration, done func(replication.Result))
 }
 
 // holding is where records are held, and this process's ID; nil while another process of an upgrade has the directory.
@@ -199,12 +199,12 @@
 
 // Put has an operators' item changed, at a control process. done is called once, from another goroutine, within the span or a little
 // later; Refused says why it was not done, or is not known to be.
-func (f *Fleet) Put(p views.Put, within time.Duration, done func(views.Done)) {
+func (f *Fleet) Put(p shardmap.Put, within time.Duration, done func(shardmap.Done)) {
 	f.mu.Lock()
 	h := f.held
 	f.mu.Unlock()
 	if h == nil {
-		done(views.Done{Op: p.Op, Refused: "this process is no member of the fleet"})
+		done(shardmap.Done{Op: p.Op, Refused: "this process is no member of the fleet"})
 		return
 	}
 	h.Put(p, within, done)
@@ -231,7 +231,7 @@
 		return t.Current()
 	case p != nil:
 		s := p.Status()
-		return s.Known && s.Age <= feed.Lease
+		return s.Known && s.Age <= changefeed.Lease
 	}
 	return false
 }
@@ -245,7 +245,7 @@
 	if p != nil {
 		p.Leave()
 	}
-	if t == nil || !slices.ContainsFunc(t.Status().Others, func(k members.Known) bool { return k.State == members.Here && !k.Leaving }) {
+	if t == nil || !slices.ContainsFunc(t.Status().Others, func(k membership.Known) bool { return k.State == membership.Here && !k.Leaving }) {
 		return // there is nobody to hand over to
 	}
 	began := time.Now()
@@ -264,12 +264,12 @@
 }
 
 // Leave says goodbye to the others and ends this part; it takes a second at most.
-func (f *Fleet) Leave() { f.end((*contact.Contact).Leave) }
+func (f *Fleet) Leave() { f.end((*gossip.Contact).Leave) }
 
 // Close ends it without a goodbye, as another process goes on as this member.
-func (f *Fleet) Close() { f.end((*contact.Contact).Close) }
+func (f *Fleet) Close() { f.end((*gossip.Contact).Close) }
 
-func (f *Fleet) end(how func(*contact.Contact)) {
+func (f *Fleet) end(how func(*gossip.Contact)) {
 	f.mu.Lock()
 	select {
 	case <-f.over:
--- a/internal/fleet/stream/stream.go
+++ b/internal/fleet/framing/framing.go
@@ -1,6 +1,6 @@
-// Package stream is the form of words on a stream between a control process and a balancer that follows it: each has its length and
+// Package framing is the form of words on a stream between a control process and a balancer that follows it: each has its length and
 // its checksum before it. It must never hold more of a word than its reader allows.
-package stream
+package framing
 
 import (
 	"encoding/binary"
@@ -12,7 +12,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"sabletally/internal/fleet/copies"
+	"sabletally/internal/fleet/replication"
 )
 
 // Mark is the first byte of such a stream; others on the same address begin with another one.
@@ -68,8 +68,8 @@
 
 // Ask is an operation on what is held, as a follower has it asked.
 type Ask struct {
-	Op     copies.Op     `cbor:"1,keyasint"`
-	Within time.Duration `cbor:"2,keyasint"`
+	Op     replication.Op `cbor:"1,keyasint"`
+	Within time.Duration  `cbor:"2,keyasint"`
 }
 
 // Encode words a Greeting, an Ask or a copies.Result.
--- a/internal/fleet/contact/bench_test.go
+++ b/internal/fleet/gossip/bench_test.go
@@ -1,4 +1,4 @@
-package contact
+package gossip
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"sabletally/internal/fleet/members"
+	"sabletally/internal/fleet/membership"
 	"sabletally/internal/lab/memnet"
 )
 
@@ -71,7 +71,7 @@
 }
 
 // alive words what the library says of a member that is there: type 4, then its fields in msgpack of the older form.
-func alive(m members.Member) []byte {
+func alive(m membership.Member) []byte {
 	text := []byte{4, 0x86}
 	raw := func(b []byte) {
 		if len(b) < 32 {
@@ -98,9 +98,9 @@
 }
 
 // memberAt has an ID as they are drawn: what is worded of members goes over streams compressed.
-func memberAt(i int) members.Member {
+func memberAt(i int) membership.Member {
 	rng := rand.New(rand.NewPCG(uint64(i), 0x51))
-	return members.Member{ID: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()), Name: fmt.Sprintf("b%04d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7001),
+	return membership.Member{ID: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()), Name: fmt.Sprintf("b%04d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7001),
 		Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3), Life: 1, Speaks: Form, Oldest: Oldest}
 }
 
@@ -169,7 +169,7 @@
 }
 
 // described tells the library of a member and takes nothing else.
-type described struct{ self members.Member }
+type described struct{ self membership.Member }
 
 func (d *described) NodeMeta(int) []byte             { return describe(d.self) }
 func (d *described) NotifyMsg([]byte)                {}
--- a/internal/fleet/contact/contact.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,8 +1,8 @@
-// Package contact keeps a member in touch with the others: it runs the failure detector, which is memberlist's (SWIM with
+// Package gossip keeps a member in touch with the others: it runs the failure detector, which is memberlist's (SWIM with
 // Lifeguard), tells the pure table of package members what is seen, and carries out what that decides. It owns the fleet's
 // address and the goroutines on it. It must never decide who is to be called or believed, and never make a caller wait for
 // another member: what is known is published, and read without a question.
-package contact
+package gossip
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"github.com/hashicorp/memberlist"
 	"go.uber.org/zap"
 
-	"sabletally/internal/fleet/members"
+	"sabletally/internal/fleet/membership"
 )
 
 const (
@@ -28,7 +28,7 @@
 // Options is what a contact begins with.
 type Options struct {
 	Fleet  string
-	Self   members.Member
+	Self   membership.Member
 	Seeds  []netip.AddrPort
 	Copies int
 	Forget time.Duration
@@ -42,9 +42,9 @@
 
 // Status is what is known at one moment.
 type Status struct {
-	Self     members.Member
-	Standing members.Standing
-	Others   []members.Known
+	Self     membership.Member
+	Standing membership.Standing
+	Others   []membership.Known
 	Health   int // 0 where this member keeps up; each point widens its own time-outs by one more
 	Stalls   int
 	Refused  int // newcomers for whom there was no room
@@ -55,7 +55,7 @@
 type Contact struct {
 	opt  Options
 	ml   *memberlist.Memberlist
-	list *members.Table
+	list *membership.Table
 
 	mu      sync.Mutex
 	inbox   []func()
@@ -85,7 +85,7 @@
 // Open joins nobody yet: the table says whom to call.
 func Open(opt Options) (*Contact, error) {
 	c := &Contact{opt: opt, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	c.list = members.New(members.Config{Self: opt.Self, Seeds: opt.Seeds, Copies: opt.Copies, Forget: opt.Forget, Most: opt.Most, Seed: opt.Seed},
+	c.list = membership.New(membership.Config{Self: opt.Self, Seeds: opt.Seeds, Copies: opt.Copies, Forget: opt.Forget, Most: opt.Most, Seed: opt.Seed},
 		opt.Now())
 	c.beat.Store(int64(opt.Now()))
 	cfg := memberlist.DefaultLANConfig()
@@ -115,8 +115,8 @@
 // Status is what was known at the newest turn; the standing is of this moment.
 func (c *Contact) Status() Status {
 	s := *c.status.Load()
-	if s.Standing != members.Doubled && c.opt.Now()-time.Duration(c.beat.Load()) > members.StallFrom {
-		s.Standing = members.Waking
+	if s.Standing != membership.Doubled && c.opt.Now()-time.Duration(c.beat.Load()) > membership.StallFrom {
+		s.Standing = membership.Waking
 	}
 	s.Odd = c.odd.Load()
 	return s
@@ -156,7 +156,7 @@
 
 func (c *Contact) run() {
 	defer c.all.Done()
-	beat := time.NewTicker(members.Beat)
+	beat := time.NewTicker(membership.Beat)
 	defer beat.Stop()
 	for {
 		select {
@@ -233,7 +233,7 @@
 }
 
 // carryOut does one thing; what takes time runs beside and posts how it ended.
-func (c *Contact) carryOut(a members.Action) {
+func (c *Contact) carryOut(a membership.Action) {
 	beside := func(do func() func()) {
 		c.all.Add(1)
 		go func() {
@@ -242,20 +242,20 @@
 		}()
 	}
 	switch a.Do {
-	case members.Tell:
+	case membership.Tell:
 		c.say(a.Line)
-	case members.Call:
+	case membership.Call:
 		beside(func() func() {
 			_, err := c.ml.Join([]string{a.Addr.String()})
 			return func() { c.list.Called(a.Addr, err == nil) }
 		})
-	case members.Ask:
+	case membership.Ask:
 		at := c.at(a.ID)
 		beside(func() func() {
 			_, err := c.ml.Ping(a.ID, net.UDPAddrFromAddrPort(at))
 			return func() { c.list.Answered(a.ID, err == nil) }
 		})
-	case members.Look:
+	case membership.Look:
 		beside(func() func() {
 			_, err := c.ml.Ping(c.opt.Self.ID, net.UDPAddrFromAddrPort(a.Addr))
 			return func() { c.list.Found(a.Addr, err == nil) }
--- a/internal/fleet/contact/contact_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package contact
+package gossip
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/memberlist"
 	"go.uber.org/zap"
 
-	"sabletally/internal/fleet/members"
+	"sabletally/internal/fleet/membership"
 	"sabletally/internal/lab/memnet"
 )
 
@@ -46,7 +46,7 @@
 func (w *world) start(i int, id string) {
 	w.ports[i] = w.net.Port(i)
 	w.lives[id]++
-	self := members.Member{ID: id, Name: fmt.Sprintf("n%d", i), Addr: memnet.Addr(i), Machine: fmt.Sprintf("m%d", i), Zone: "a", Site: "s",
+	self := membership.Member{ID: id, Name: fmt.Sprintf("n%d", i), Addr: memnet.Addr(i), Machine: fmt.Sprintf("m%d", i), Zone: "a", Site: "s",
 		Life: w.lives[id], Speaks: Form, Oldest: Oldest}
 	opt := Options{Fleet: "f", Self: self, Copies: 3, Forget: 24 * time.Hour, Most: 1024, Seed: uint64(i), Wire: w.ports[i], Log: zap.NewNop(), Now: w.now, Tune: w.tune}
 	for s := range min(3, len(w.all)) {
@@ -70,7 +70,7 @@
 func sees(c *Contact) int {
 	n := 1
 	for _, k := range c.Status().Others {
-		if k.State == members.Here {
+		if k.State == membership.Here {
 			n++
 		}
 	}
@@ -99,7 +99,7 @@
 func (w *world) together(many int) func() bool {
 	return func() bool {
 		for _, c := range w.all {
-			if s := c.Status(); sees(c) != many || s.Standing != members.Together {
+			if s := c.Status(); sees(c) != many || s.Standing != membership.Together {
 				return false
 			}
 		}
@@ -117,9 +117,9 @@
 		w.net.Set(func(from, to int) memnet.Way { return memnet.Way{Cut: from < 3 != (to < 3)} })
 		w.until("the three stand apart and the four together", time.Minute, func() bool {
 			for i, c := range w.all {
-				want, many := members.Together, 4
+				want, many := membership.Together, 4
 				if i < 3 {
-					want, many = members.Apart, 3
+					want, many = membership.Apart, 3
 				}
 				if c.Status().Standing != want || sees(c) != many {
 					return false
@@ -166,7 +166,7 @@
 		w.until("the new one is here, the old one gone for good", 30*time.Second, func() bool {
 			for _, c := range w.all[:4] {
 				for _, k := range c.Status().Others {
-					if k.ID == id(4) && (k.State != members.Gone || k.By != id(99)) {
+					if k.ID == id(4) && (k.State != membership.Gone || k.By != id(99)) {
 						return false
 					}
 				}
@@ -180,7 +180,7 @@
 		w.until("it has left", 10*time.Second, func() bool {
 			for _, k := range w.all[0].Status().Others {
 				if k.ID == id(3) {
-					return k.State == members.Left
+					return k.State == membership.Left
 				}
 			}
 			return false
@@ -199,10 +199,10 @@
 		w.ports, w.all = append(w.ports, nil), append(w.all, nil)
 		w.start(5, id(2))
 		w.until("both know", 30*time.Second, func() bool {
-			return w.all[2].Status().Standing == members.Doubled && w.all[5].Status().Standing == members.Doubled
+			return w.all[2].Status().Standing == membership.Doubled && w.all[5].Status().Standing == membership.Doubled
 		})
 		for _, i := range []int{0, 1, 3, 4} {
-			if s := w.all[i].Status().Standing; s != members.Together {
+			if s := w.all[i].Status().Standing; s != membership.Together {
 				t.Errorf("member %d is %v", i, s)
 			}
 		}
@@ -254,7 +254,7 @@
 		w.all = append(w.all[:4], w.all[5])
 		w.until("it is here at its new address", time.Minute, func() bool {
 			for _, k := range w.all[0].Status().Others {
-				if k.ID == id(4) && k.Addr == memnet.Addr(5) && k.State == members.Here {
+				if k.ID == id(4) && k.Addr == memnet.Addr(5) && k.State == membership.Here {
 					return w.together(5)()
 				}
 			}
--- a/internal/fleet/contact/meta.go
+++ b/internal/fleet/gossip/meta.go
@@ -1,4 +1,4 @@
-package contact
+package gossip
 
 import (
 	"encoding/json"
@@ -7,13 +7,13 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"sabletally/internal/fleet/core"
-	"sabletally/internal/fleet/members"
+	"sabletally/internal/fleet/membership"
+	"sabletally/internal/fleet/node"
 )
 
 // Form is the newest form of words between members, and Oldest the oldest that is understood.
 // From 2 on members tell each other changes of the agreed state (core.Form).
-const Form, Oldest = core.Form, 1
+const Form, Oldest = node.Form, 1
 
 // meta is what goes with a member's address through the fleet: 512 bytes at most, which names of 64 keep to.
 type meta struct {
@@ -27,7 +27,7 @@
 	Leaving bool   `json:"g,omitempty"`
 }
 
-func describe(m members.Member) []byte {
+func describe(m membership.Member) []byte {
 	text, err := json.Marshal(meta{m.Name, m.Machine, m.Zone, m.Site, m.Life, m.Speaks, m.Oldest, m.Leaving})
 	if err != nil {
 		panic(err) // plain values
@@ -36,7 +36,7 @@
 }
 
 // read makes a member of what the library knows of one. A member that no words can be exchanged with is an error.
-func read(n *memberlist.Node) (m members.Member, err error) {
+func read(n *memberlist.Node) (m membership.Member, err error) {
 	var in meta
 	if err := json.Unmarshal(n.Meta, &in); err != nil {
 		return m, fmt.Errorf("member %s: %w", n.Name, err)
@@ -48,7 +48,7 @@
 	if in.Oldest > Form || in.Speaks < Oldest {
 		return m, fmt.Errorf("member %s (%s) speaks forms %d to %d, this one %d to %d", n.Name, in.Name, in.Oldest, in.Speaks, Oldest, Form)
 	}
-	return members.Member{ID: n.Name, Name: in.Name, Addr: netip.AddrPortFrom(addr.Unmap(), n.Port), Machine: in.Machine, Zone: in.Zone,
+	return membership.Member{ID: n.Name, Name: in.Name, Addr: netip.AddrPortFrom(addr.Unmap(), n.Port), Machine: in.Machine, Zone: in.Zone,
 		Site: in.Site, Life: in.Life, Speaks: in.Speaks, Oldest: in.Oldest, Leaving: in.Leaving}, nil
 }
 
--- a/internal/fleet/contact/weigh_test.go
+++ b/internal/fleet/gossip/weigh_test.go
@@ -1,4 +1,4 @@
-package contact
+package gossip
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"sabletally/internal/fleet/members"
+	"sabletally/internal/fleet/membership"
 	"sabletally/internal/lab/memnet"
 )
 
@@ -79,13 +79,13 @@
 	w.until("all see all", 5*time.Minute, w.together(many))
 	w.net.Set(usual)
 	time.Sleep(10 * time.Second)
-	gone := make([]map[string]members.State, many)
+	gone := make([]map[string]membership.State, many)
 	falsely := func() (n int) {
 		for i, c := range w.all {
-			now := map[string]members.State{}
+			now := map[string]membership.State{}
 			for _, k := range c.Status().Others {
 				now[k.ID] = k.State
-				if k.State == members.Gone && gone[i][k.ID] != members.Gone {
+				if k.State == membership.Gone && gone[i][k.ID] != membership.Gone {
 					n++
 				}
 			}
@@ -110,7 +110,7 @@
 					continue
 				}
 				for _, k := range c.Status().Others {
-					if k.ID == id(num) && k.State == members.Gone {
+					if k.ID == id(num) && k.State == membership.Gone {
 						n++
 					}
 				}
@@ -129,7 +129,7 @@
 	w.net.Set(func(from, to int) memnet.Way { return memnet.Way{Loss: loss, Cut: from == many-2} })
 	f.cut = half(many - 2)
 	began := time.Now()
-	for w.all[many-2].Status().Standing != members.Apart && time.Since(began) < 5*time.Minute {
+	for w.all[many-2].Status().Standing != membership.Apart && time.Since(began) < 5*time.Minute {
 		time.Sleep(100 * time.Millisecond)
 	}
 	f.knows = f.cut + time.Since(began)
--- a/internal/fleet/contact/wire.go
+++ b/internal/fleet/gossip/wire.go
@@ -1,4 +1,4 @@
-package contact
+package gossip
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"sabletally/internal/fleet/stream"
+	"sabletally/internal/fleet/framing"
 )
 
 const (
@@ -131,7 +131,7 @@
 		case LinkMark:
 			err = w.move(s, &w.linked, linksMost)
 			to = w.links
-		case stream.Mark:
+		case framing.Mark:
 			err = w.move(s, &w.followed, w.followers)
 			to = w.follows
 		}
--- a/internal/fleet/contact/wire_test.go
+++ b/internal/fleet/gossip/wire_test.go
@@ -1,4 +1,4 @@
-package contact
+package gossip
 
 import (
 	"net"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/stream"
+	"sabletally/internal/fleet/framing"
 )
 
 // TestStreamsOfAThousandMembers has as many streams open at once as there may be members: each is taken, and the next one is closed
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		if _, err := c.Write([]byte{LinkMark - 1}); err != nil || LinkMark-1 == stream.Mark {
+		if _, err := c.Write([]byte{LinkMark - 1}); err != nil || LinkMark-1 == framing.Mark {
 			t.Fatal(err)
 		}
 		return c
--- a/internal/fleet/held.go
+++ b/internal/fleet/held.go
@@ -9,8 +9,8 @@
 
 	"sabletally/internal/fleet/boottime"
 	"sabletally/internal/fleet/config"
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/intents"
+	"sabletally/internal/fleet/idempotency"
+	"sabletally/internal/fleet/replication"
 )
 
 // goFor is how long the right to write a first byte holds from when it was asked for. Whoever was stopped meanwhile asks anew.
@@ -25,18 +25,18 @@
 // What they call back comes from another goroutine, once, within the span or a little later, and must not wait.
 type Held struct {
 	of     *Fleet
-	intent *intents.Circuit
+	intent *idempotency.Circuit
 }
 
 // Hold begins for a circuit's id.
 func (f *Fleet) Hold(id uint64) *Held {
-	return &Held{of: f, intent: intents.New(id, rand.Text(), time.Now().Unix())}
+	return &Held{of: f, intent: idempotency.New(id, rand.Text(), time.Now().Unix())}
 }
 
 // Verdict of a question: with Go the first byte may go out until Until, by the clock of package boottime; with Same Answer
 // is the word.
 type Verdict struct {
-	intents.Verdict
+	idempotency.Verdict
 	Answer []byte
 	Until  time.Duration
 }
@@ -59,19 +59,19 @@
 	}
 }
 
-func (h *Held) ask(op copies.Op, within time.Duration, done func(Verdict)) {
+func (h *Held) ask(op replication.Op, within time.Duration, done func(Verdict)) {
 	hold, _ := h.of.holding()
 	if hold == nil {
-		done(Verdict{Verdict: intents.CantSay})
+		done(Verdict{Verdict: idempotency.CantSay})
 		return
 	}
 	h.step(hold, op, time.Now().Add(within), done)
 }
 
-func (h *Held) step(hold asker, op copies.Op, end time.Time, done func(Verdict)) {
-	hold.Ask(op, time.Until(end), func(r copies.Result) {
+func (h *Held) step(hold asker, op replication.Op, end time.Time, done func(Verdict)) {
+	hold.Ask(op, time.Until(end), func(r replication.Result) {
 		v, next := h.intent.Ended(r)
-		if v == intents.Wait {
+		if v == idempotency.Wait {
 			h.step(hold, next, end, done)
 			return
 		}
--- a/internal/fleet/intents/intents.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -1,15 +1,15 @@
-// Package intents decides what a balancer may do with a circuit whose grade is held: before the first byte goes to a server the
+// Package idempotency decides what a balancer may do with a circuit whose grade is held: before the first byte goes to a server the
 // fleet has to hold that it will, and before a success is told, that it was. It is pure: results of operations in, the next operation
 // or a word out. It must never let a byte out on an operation whose end is not known, and never let two owners take themselves for
 // the one: who takes over writes the old one's end first, in the one order that all holders have.
-package intents
+package idempotency
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"sabletally/internal/fleet/copies"
+	"sabletally/internal/fleet/replication"
 )
 
 const (
@@ -88,14 +88,14 @@
 func (c *Circuit) Left() bool { return c.ops > 0 && !c.over }
 
 // Begin asks for the right to write to a server: the first operation of it.
-func (c *Circuit) Begin(server string) copies.Op {
+func (c *Circuit) Begin(server string) replication.Op {
 	c.goal, c.steps = begin, 0
 	c.next = Intent{State: meant, Owner: c.Owner, Server: server}
 	return c.op(c.version)
 }
 
 // Tell has the final answer held.
-func (c *Circuit) Tell(answer []byte) copies.Op {
+func (c *Circuit) Tell(answer []byte) replication.Op {
 	c.goal, c.steps = tell, 0
 	c.next = Intent{State: answered, Owner: c.Owner, Answer: answer}
 	return c.op(c.version)
@@ -103,67 +103,67 @@
 
 // Withdraw says of an intent that is left that it never ran: the last thing that is asked for a circuit, and nobody waits for it.
 // Without it whoever asks again would be told that it may have run.
-func (c *Circuit) Withdraw() copies.Op {
+func (c *Circuit) Withdraw() replication.Op {
 	c.goal, c.steps = undo, 0
 	c.next = Intent{State: never, Owner: c.Owner}
 	if c.mine {
 		return c.op(c.version)
 	}
 	c.ops++ // not known whether it is there: look first
-	return copies.Op{ID: fmt.Sprintf("%s.%d", c.Owner, c.ops), Key: c.Key, Read: true}
+	return replication.Op{ID: fmt.Sprintf("%s.%d", c.Owner, c.ops), Key: c.Key, Read: true}
 }
 
-func (c *Circuit) op(version uint64) copies.Op {
+func (c *Circuit) op(version uint64) replication.Op {
 	text, err := json.Marshal(c.next)
 	if err != nil {
 		panic(err) // plain values
 	}
 	c.ops++
-	return copies.Op{ID: fmt.Sprintf("%s.%d", c.Owner, c.ops), Key: c.Key, If: version, Value: text, Born: c.Born}
+	return replication.Op{ID: fmt.Sprintf("%s.%d", c.Owner, c.ops), Key: c.Key, If: version, Value: text, Born: c.Born}
 }
 
 // Ended takes an operation's end: a verdict, or Wait and the next operation.
-func (c *Circuit) Ended(r copies.Result) (Verdict, copies.Op) {
+func (c *Circuit) Ended(r replication.Result) (Verdict, replication.Op) {
 	switch r.Outcome {
-	case copies.Done:
+	case replication.Done:
 		switch c.goal {
 		case takeOver:
 			c.over = true
-			return Broken, copies.Op{}
+			return Broken, replication.Op{}
 		case undo:
-			return CantSay, copies.Op{}
+			return CantSay, replication.Op{}
 		}
 		c.version, c.mine = r.Record.Version, true
 		if c.goal == tell {
-			return Promised, copies.Op{}
+			return Promised, replication.Op{}
 		}
-		return Go, copies.Op{}
-	case copies.Conflict:
+		return Go, replication.Op{}
+	case replication.Conflict:
 	default:
-		return CantSay, copies.Op{}
+		return CantSay, replication.Op{}
 	}
 	c.steps++
 	var there Intent
 	if r.Record.Gone || r.Record.Version == 0 { // it was held for its time and dropped
 		if c.mine || c.steps > stepsMost {
-			return CantSay, copies.Op{}
+			return CantSay, replication.Op{}
 		}
 		return Wait, c.op(0)
 	}
 	if err := json.Unmarshal(r.Record.Value, &there); err != nil || c.steps > stepsMost {
-		return CantSay, copies.Op{}
+		return CantSay, replication.Op{}
 	}
 	switch {
 	case c.goal == undo && there.Owner == c.Owner && there.State == meant:
 		return Wait, c.op(r.Record.Version)
 	case c.goal == undo:
-		return CantSay, copies.Op{}
+		return CantSay, replication.Op{}
 	case there.State == answered:
 		c.Answer, c.over = there.Answer, true
-		return Same, copies.Op{}
+		return Same, replication.Op{}
 	case there.State == broken, c.mine: // another one has taken over what this owner had
 		c.over = true
-		return Broken, copies.Op{}
+		return Broken, replication.Op{}
 	case there.State == never:
 		return Wait, c.op(r.Record.Version)
 	}
--- a/internal/fleet/intents/intents_test.go
+++ b/internal/fleet/idempotency/idempotency_test.go
@@ -1,31 +1,31 @@
-package intents
+package idempotency
 
 import (
 	"fmt"
 	"testing"
 
-	"sabletally/internal/fleet/copies"
+	"sabletally/internal/fleet/replication"
 )
 
 // world is one key in every state that two circuits and holders can bring about, walked whole.
 type world struct {
-	rec   copies.Record
+	rec   replication.Record
 	own   [2]Circuit
 	phase [2]int // 0 not begun, 1 asks, 2 may write, 3 wrote, 4 asks to tell, 5 ended
-	op    [2]copies.Op
-	late  [2]copies.Op // on its way yet, though nobody waits for it any more
+	op    [2]replication.Op
+	late  [2]replication.Op // on its way yet, though nobody waits for it any more
 	ran   [2]bool
 	word  [2]string
 }
 
 // apply is what the copies do with an operation, as one key's owner sees it.
-func apply(rec copies.Record, op copies.Op) (copies.Record, copies.Result) {
+func apply(rec replication.Record, op replication.Op) (replication.Record, replication.Result) {
 	there := rec.Version > 0 && !rec.Gone
 	if there && op.If != rec.Version || !there && op.If != 0 {
-		return rec, copies.Result{Op: op.ID, Outcome: copies.Conflict, Record: rec}
+		return rec, replication.Result{Op: op.ID, Outcome: replication.Conflict, Record: rec}
 	}
-	rec = copies.Record{Key: op.Key, Version: rec.Version + 1, Value: op.Value, Op: op.ID}
-	return rec, copies.Result{Op: op.ID, Outcome: copies.Done, Record: rec}
+	rec = replication.Record{Key: op.Key, Version: rec.Version + 1, Value: op.Value, Op: op.ID}
+	return rec, replication.Result{Op: op.ID, Outcome: replication.Done, Record: rec}
 }
 
 func (w world) String() string {
@@ -41,7 +41,7 @@
 		if w.late[i].ID != "" {
 			n := w
 			n.rec, _ = apply(w.rec, w.late[i])
-			n.late[i] = copies.Op{}
+			n.late[i] = replication.Op{}
 			all = append(all, n)
 		}
 		switch w.phase[i] {
@@ -57,10 +57,10 @@
 			heard.hear(i, res)
 			lost := w // done, and nobody hears
 			lost.rec = rec
-			lost.hear(i, copies.Result{Outcome: copies.Unknown})
+			lost.hear(i, replication.Result{Outcome: replication.Unknown})
 			refused, delayed := w, w
-			refused.hear(i, copies.Result{Outcome: copies.Refused})
-			delayed.hear(i, copies.Result{Outcome: copies.Unknown})
+			refused.hear(i, replication.Result{Outcome: replication.Refused})
+			delayed.hear(i, replication.Result{Outcome: replication.Unknown})
 			delayed.late[i] = w.op[i]
 			all = append(all, heard, lost, refused, delayed)
 		case 2:
@@ -69,7 +69,7 @@
 			stalls.phase[i] = 5
 			all = append(all, wrote, stalls)
 		case 6: // nacked: it withdraws, heard of or not
-			rec, res := w.rec, copies.Result{Outcome: copies.Conflict, Record: w.rec}
+			rec, res := w.rec, replication.Result{Outcome: replication.Conflict, Record: w.rec}
 			if !w.op[i].Read {
 				rec, res = apply(w.rec, w.op[i])
 			}
@@ -93,7 +93,7 @@
 	return all
 }
 
-func (w *world) hear(i int, r copies.Result) {
+func (w *world) hear(i int, r replication.Result) {
 	v, op := w.own[i].Ended(r)
 	switch v {
 	case Wait:
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -9,8 +9,8 @@
 
 	"go.uber.org/zap"
 
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/hold"
+	"sabletally/internal/fleet/nodeserver"
+	"sabletally/internal/fleet/replication"
 )
 
 const (
@@ -45,40 +45,40 @@
 	if h == nil {
 		return
 	}
-	h.Ask(op, wordTry, func(r copies.Result) {
+	h.Ask(op, wordTry, func(r replication.Result) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.list.out = false
-		if r.Outcome == copies.Done || r.Outcome == copies.Conflict { // written by another before: over it the next time
+		if r.Outcome == replication.Done || r.Outcome == replication.Conflict { // written by another before: over it the next time
 			f.list.version = r.Record.Version
 		}
-		if r.Outcome == copies.Done {
+		if r.Outcome == replication.Done {
 			f.list.rev = rev
 		}
 	})
 }
 
 // listOp is the write that is due, and where it is asked for: nil where none is.
-func (f *Fleet) listOp(rev uint64, known []byte) (*hold.Hold, copies.Op) {
+func (f *Fleet) listOp(rev uint64, known []byte) (*nodeserver.Hold, replication.Op) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.held
 	if h == nil || len(known) > listMost {
-		return nil, copies.Op{}
+		return nil, replication.Op{}
 	}
 	l := &f.list
 	l.newest = List{Rev: rev, At: time.Now().Unix(), Known: known}
 	since := time.Since(l.written)
 	if l.out || since < listEach || since < listAgain && rev == l.rev {
-		return nil, copies.Op{}
+		return nil, replication.Op{}
 	}
 	text, err := json.Marshal(l.newest)
 	if err != nil {
 		f.log.Error("fleet: a list that can't be written", zap.Error(err))
-		return nil, copies.Op{}
+		return nil, replication.Op{}
 	}
 	l.out, l.written = true, time.Now()
-	return h, copies.Op{ID: rand.Text(), Key: f.listKey(), If: l.version, Value: text, Here: true}
+	return h, replication.Op{ID: rand.Text(), Key: f.listKey(), If: l.version, Value: text, Here: true}
 }
 
 // RecallList asks for the list that is held and hands it on with its age, once, if there is one; it goes on asking while
@@ -89,8 +89,8 @@
 		defer f.all.Done()
 		for !stop() {
 			if h, _ := f.holding(); h != nil {
-				r := f.ask(copies.Op{ID: rand.Text(), Key: f.listKey(), Read: true})
-				if r.Outcome == copies.Conflict {
+				r := f.ask(replication.Op{ID: rand.Text(), Key: f.listKey(), Read: true})
+				if r.Outcome == replication.Conflict {
 					var l List
 					if r.Record.Version == 0 {
 						f.log.Info("fleet: no list is held")
--- a/internal/fleet/members/members.go
+++ b/internal/fleet/membership/membership.go
@@ -1,10 +1,10 @@
-// Package members decides what one member makes of the others: who is here, gone or has left, whom to call so that a fleet that
+// Package membership decides what one member makes of the others: who is here, gone or has left, whom to call so that a fleet that
 // came apart finds together again, and whether this member may take what it knows for true. It is pure: events and a time in,
 // actions out, so that virtual time runs what ships. It must never read a clock, open a socket or draw chance that was not handed
 // in, and it never says that a record is safe: who holds what is agreed elsewhere, and being seen here proves nothing there.
 //
 // Times are of one machine's clock that goes on while the process is stopped.
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/fleet/core/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -1,4 +1,4 @@
-package core
+package node
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"sabletally/internal/fleet/steer"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/placement"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // metered begins what is measured; the answer ends it, and tells the processor's time of one operation in ns, garbage collection within:
@@ -36,24 +36,24 @@
 // scales are the fleet sizes at which docs/CAPACITY.md takes its points.
 var scales = []int{17, 100, 300, 1000, 2300, 4600}
 
-func listed(n int) (all []views.Member) {
+func listed(n int) (all []shardmap.Member) {
 	for i := range n {
-		all = append(all, views.Member{ID: fmt.Sprintf("%032x", i+1), Addr: fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
+		all = append(all, shardmap.Member{ID: fmt.Sprintf("%032x", i+1), Addr: fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
 			Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3)})
 	}
 	return all
 }
 
 // follower is a member that has been told of a fleet of n, with a view of each slot; it neither votes nor holds anything.
-func follower(b *testing.B, n int) (*Core, []steer.Seen) {
+func follower(b *testing.B, n int) (*Core, []placement.Seen) {
 	all := listed(n)
 	c, err := New(Config{Self: all[0], Life: 1, Voters: 5, Copies: 3, Evict: 10 * time.Second, Repair: 4, Seed: 7, Keys: 1000, Bytes: 1 << 20, Ops: 100}, Saved{}, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
-	told := Told{Fleet: "f", Version: 2, Epoch: 1, Members: all, Slots: map[int]views.View{}, Leader: all[1].ID, Addr: all[1].Addr}
-	for num := range views.Slots {
-		told.Slots[num] = views.View{Num: 1, Full: views.Pick(num, all[1:], 3)}
+	told := Told{Fleet: "f", Version: 2, Epoch: 1, Members: all, Slots: map[int]shardmap.View{}, Leader: all[1].ID, Addr: all[1].Addr}
+	for num := range shardmap.Slots {
+		told.Slots[num] = shardmap.View{Num: 1, Full: shardmap.Pick(num, all[1:], 3)}
 	}
 	if err := c.Step(Packet{From: all[1].ID, To: all[0].ID, Fleet: "f", Told: &told}); err != nil {
 		b.Fatal(err)
@@ -61,9 +61,9 @@
 	if len(c.State().Members) != n {
 		b.Fatal("the list was not taken over")
 	}
-	var seen []steer.Seen
+	var seen []placement.Seen
 	for _, m := range all[1:] {
-		seen = append(seen, steer.Seen{Member: m, Here: true, For: time.Hour})
+		seen = append(seen, placement.Seen{Member: m, Here: true, For: time.Hour})
 	}
 	return c, seen
 }
--- a/internal/fleet/core/changes.go
+++ b/internal/fleet/node/changes.go
@@ -1,6 +1,6 @@
 // This file owns the agreed state as versioned changes: from the log, where this member votes, and from others' answers.
 
-package core
+package node
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"sabletally/internal/fleet/agree"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -42,10 +42,10 @@
 }
 
 // Feed is the newest that is agreed, as far as is known here, as a map. It is not to be changed.
-func (c *Core) Feed() *feed.State { return c.feed.State() }
+func (c *Core) Feed() *changefeed.State { return c.feed.State() }
 
 // Snapshot is the same as one message.
-func (c *Core) Snapshot() *feed.Snapshot { return c.feed.Snapshot() }
+func (c *Core) Snapshot() *changefeed.Snapshot { return c.feed.Snapshot() }
 
 // Changes is how many of the newest changes are kept here.
 func (c *Core) Changes() int { return c.feed.Changes() }
@@ -93,7 +93,7 @@
 			continue
 		}
 		if err := c.feed.Apply(*one); err != nil { // the next answer mends it, by a snapshot where the digest is another
-			if !errors.Is(err, feed.ErrOrder) {
+			if !errors.Is(err, changefeed.ErrOrder) {
 				c.odd("a change that does not fit", one.Version, err)
 			}
 			break
@@ -111,7 +111,7 @@
 }
 
 // heard takes over what the log has come to.
-func (c *Core) heard(r agree.Ready) {
+func (c *Core) heard(r consensus.Ready) {
 	if r.Whole != nil {
 		c.replace(r.Whole)
 	}
@@ -120,7 +120,7 @@
 			continue // it was told of before
 		}
 		if one.Version != c.feed.Version()+1 {
-			c.replace(agree.Whole(c.log.State()))
+			c.replace(consensus.Whole(c.log.State()))
 			break
 		}
 		change, err := c.feed.Next(one.Items)
@@ -137,11 +137,11 @@
 }
 
 // replace takes a whole state, if it is newer.
-func (c *Core) replace(s *feed.Snapshot) {
+func (c *Core) replace(s *changefeed.Snapshot) {
 	if s.Version < max(1, c.feed.Version()) || s.Version == c.feed.Version() && s.Digest == c.feed.Digest() {
 		return
 	}
-	if err := c.feed.Install(*s); errors.Is(err, feed.ErrConflict) {
+	if err := c.feed.Install(*s); errors.Is(err, changefeed.ErrConflict) {
 		c.conflict(s.Version)
 		return
 	} else if err != nil {
@@ -153,13 +153,13 @@
 }
 
 // take has what is known be what items say. Views are never taken back to an older one.
-func (c *Core) take(items []feed.Item, version uint64) {
+func (c *Core) take(items []changefeed.Item, version uint64) {
 	epoch, fleet, members := c.known.Epoch, c.known.Fleet, c.known.Members
 	next := *c.known
 	next.Views = slices.Clone(c.known.Views)
 	var changed []int
 	for _, one := range items {
-		num, is := views.SlotKey(one.Key)
+		num, is := shardmap.SlotKey(one.Key)
 		if is {
 			changed = append(changed, num)
 		}
@@ -168,8 +168,8 @@
 		}
 	}
 	if c.out.Installed != nil && c.out.Installed.Version == version { // who is not in it is no member
-		next.Members = slices.DeleteFunc(slices.Clone(next.Members), func(m views.Member) bool {
-			_, is := c.feed.State().Get(views.MemberKey(m.ID))
+		next.Members = slices.DeleteFunc(slices.Clone(next.Members), func(m shardmap.Member) bool {
+			_, is := c.feed.State().Get(shardmap.MemberKey(m.ID))
 			return !is
 		})
 	}
@@ -214,27 +214,27 @@
 
 // put is one that was asked for here.
 type put struct {
-	put   views.Put
+	put   shardmap.Put
 	until time.Duration
 	next  time.Duration // when the leader is asked again
 }
 
 // propose is one at the leader.
 type propose struct {
-	put   views.Put
+	put   shardmap.Put
 	froms map[string]bool // who asked
 	next  time.Duration   // when it is put before the others again
 }
 
 // Put has an operators' item changed within a span; how it ended comes with a Ready, under its operation. Asked for again with the
 // same operation meanwhile it is the same one.
-func (c *Core) Put(p views.Put, within time.Duration) {
+func (c *Core) Put(p shardmap.Put, within time.Duration) {
 	if why := p.Wrong(); why != "" {
-		c.out.Puts = append(c.out.Puts, views.Done{Op: p.Op, Refused: why})
+		c.out.Puts = append(c.out.Puts, shardmap.Done{Op: p.Op, Refused: why})
 		return
 	}
 	if len(c.puts) >= putsMost {
-		c.out.Puts = append(c.out.Puts, views.Done{Op: p.Op, Refused: "busy: too many changes wait"})
+		c.out.Puts = append(c.out.Puts, shardmap.Done{Op: p.Op, Refused: "busy: too many changes wait"})
 		return
 	}
 	c.puts[p.Op] = &put{put: p, until: c.now + within, next: c.now}
@@ -246,7 +246,7 @@
 	for _, op := range slices.Sorted(maps.Keys(c.puts)) {
 		p := c.puts[op]
 		if c.now >= p.until {
-			c.done(views.Done{Op: op, Refused: unanswered})
+			c.done(shardmap.Done{Op: op, Refused: unanswered})
 			continue
 		}
 		if c.now < p.next {
@@ -263,11 +263,11 @@
 }
 
 // asked takes a put at the leader.
-func (c *Core) asked(from string, p views.Put) {
+func (c *Core) asked(from string, p shardmap.Put) {
 	if !c.log.Leads() {
 		return // whoever asks hears soon who does
 	}
-	refuse := func(why string) { c.answer(from, views.Done{Op: p.Op, Refused: why}) }
+	refuse := func(why string) { c.answer(from, shardmap.Done{Op: p.Op, Refused: why}) }
 	if d, is := c.log.State().Done(p.Op); is {
 		c.answer(from, d)
 		return
@@ -292,7 +292,7 @@
 	one.froms[from] = true
 	if c.now >= one.next { // lost where the library has no room: then at the next time that it is asked for
 		one.next = c.now + time.Second
-		_ = c.log.Propose(views.Entry{Put: []views.Put{one.put}})
+		_ = c.log.Propose(shardmap.Entry{Put: []shardmap.Put{one.put}})
 	}
 }
 
@@ -316,7 +316,7 @@
 }
 
 // ended takes what the log says of a put.
-func (c *Core) ended(d views.Done) {
+func (c *Core) ended(d shardmap.Done) {
 	one := c.propose[d.Op]
 	if one == nil {
 		return
@@ -327,7 +327,7 @@
 	}
 }
 
-func (c *Core) answer(to string, d views.Done) {
+func (c *Core) answer(to string, d shardmap.Done) {
 	if to == c.cfg.Self.ID {
 		c.done(d)
 	} else {
@@ -336,7 +336,7 @@
 }
 
 // done ends a put that was asked for here.
-func (c *Core) done(d views.Done) {
+func (c *Core) done(d shardmap.Done) {
 	if c.puts[d.Op] != nil {
 		delete(c.puts, d.Op)
 		c.out.Puts = append(c.out.Puts, d)
--- a/internal/fleet/core/core.go
+++ b/internal/fleet/node/node.go
@@ -1,7 +1,7 @@
-// Package core is what a member of a fleet does but for sockets, disk and clock: it puts the agreed log (agree), the decision on
+// Package node is what a member of a fleet does but for sockets, disk and clock: it puts the agreed log (agree), the decision on
 // views (steer) and the copies together, and passes what is agreed to members that do not vote. Virtual time runs this very code. It
 // must never let anything out before what it leans on is on disk, and never take words of another fleet's.
-package core
+package node
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 	"slices"
 	"time"
 
-	"sabletally/internal/fleet/agree"
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/steer"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/placement"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -29,7 +29,7 @@
 
 // Config is what a member begins with.
 type Config struct {
-	Self   views.Member
+	Self   shardmap.Member
 	Life   uint64
 	Found  string   // the ID of a fleet that this member may found, drawn for it
 	First  bool     // this member is at the first of the seeds' addresses: it is who founds a fleet
@@ -42,20 +42,20 @@
 	Keys   int // records that are held here at most,
 	Bytes  int // and their bytes
 	Ops    int // operations that wait
-	Keeps  []copies.Keep
+	Keeps  []replication.Keep
 }
 
 // Saved is what is on disk.
 type Saved struct {
 	Fleet string
-	Agree agree.Saved
+	Agree consensus.Saved
 	Slots map[int]Slot
 }
 
 // Slot is a slot's part of it.
 type Slot struct {
-	Ballot  copies.Ballot
-	Records []copies.Record
+	Ballot  replication.Ballot
+	Records []replication.Record
 }
 
 // Packet is what goes from one member to another.
@@ -64,12 +64,12 @@
 	Addr      string
 	Fleet     string
 	Raft      []byte
-	Copies    []copies.Msg
-	Complaint *copies.Complaint
+	Copies    []replication.Msg
+	Complaint *replication.Complaint
 	Poll      *Poll
 	Told      *Told
-	Put       *views.Put  // to the log's leader
-	Done      *views.Done // back
+	Put       *shardmap.Put  // to the log's leader
+	Done      *shardmap.Done // back
 }
 
 // Form is the form of words from which on members tell each other changes of the agreed state, and may agree on operators' items. An
@@ -91,8 +91,8 @@
 	Since   uint64 // the version that was asked from; what changed before it is not told
 	Version uint64
 	Epoch   uint64
-	Members []views.Member // nothing where they have not changed
-	Slots   map[int]views.View
+	Members []shardmap.Member // nothing where they have not changed
+	Slots   map[int]shardmap.View
 	Leader  string // who leads the log, as far as is known
 	Addr    string // of who answers
 
@@ -101,22 +101,22 @@
 	Digest   uint64
 	Known    bool          // Age is known
 	Age      time.Duration // so long ago nothing newer than Version was agreed, at the moment of the answer
-	Changes  []*feed.Change
-	Snapshot *feed.Snapshot
+	Changes  []*changefeed.Change
+	Snapshot *changefeed.Snapshot
 }
 
 // Ready is what is to be done: Fleet, Agree and Slots are to be on disk before the packets go out and the results are told.
 type Ready struct {
 	Fleet   string // to be written once it is known
-	Agree   agree.Write
-	Slots   []copies.Write
+	Agree   consensus.Write
+	Slots   []replication.Write
 	Packets []Packet
-	Results []copies.Result
-	Puts    []views.Done // how puts ended that were asked for here
+	Results []replication.Result
+	Puts    []shardmap.Done // how puts ended that were asked for here
 	Lines   []Line
 
-	Installed *feed.Snapshot // the agreed state was replaced by this; before Changes
-	Changes   []*feed.Change
+	Installed *changefeed.Snapshot // the agreed state was replaced by this; before Changes
+	Changes   []*changefeed.Change
 }
 
 // Line is one thing for operators.
@@ -133,18 +133,18 @@
 	cfg   Config
 	now   time.Duration
 	rng   *rand.Rand
-	log   *agree.Node
-	held  *copies.Node
-	steer *steer.Steerer
+	log   *consensus.Node
+	held  *replication.Node
+	steer *placement.Steerer
 	term  uint64 // of the leadership that steer belongs to
 
-	feed    *feed.Log    // the newest that is known, from the log or from others, as a map, and its newest changes
-	known   *views.State // the same, but for operators' items
-	changed []uint64     // by slot: the version with which this member heard of its view
-	members uint64       // and of the list of members
+	feed    *changefeed.Log // the newest that is known, from the log or from others, as a map, and its newest changes
+	known   *shardmap.State // the same, but for operators' items
+	changed []uint64        // by slot: the version with which this member heard of its view
+	members uint64          // and of the list of members
 	leader  string
 
-	seen  []steer.Seen
+	seen  []placement.Seen
 	poll  time.Duration
 	found time.Duration
 	vote  time.Duration
@@ -169,15 +169,15 @@
 
 // New makes a member of what is on disk.
 func New(cfg Config, saved Saved, now time.Duration) (*Core, error) {
-	log, err := agree.New(cfg.Self.ID, saved.Agree, cfg.Seed, now)
+	log, err := consensus.New(cfg.Self.ID, saved.Agree, cfg.Seed, now)
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0xc02e)), log: log, known: views.New(), changed: make([]uint64, views.Slots),
-		fresh: map[string]time.Duration{}, poll: now, found: now, vote: now, said: saved.Fleet, feed: feed.NewLog(feed.LogConfig{Most: changesMost, Bytes: changesBytes}),
+	c := &Core{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0xc02e)), log: log, known: shardmap.New(), changed: make([]uint64, shardmap.Slots),
+		fresh: map[string]time.Duration{}, poll: now, found: now, vote: now, said: saved.Fleet, feed: changefeed.NewLog(changefeed.LogConfig{Most: changesMost, Bytes: changesBytes}),
 		polls: polls{}, puts: map[string]*put{}, propose: map[string]*propose{}}
 	c.known.Fleet = saved.Fleet
-	c.held = copies.New(copies.Config{ID: cfg.Self.ID, Life: cfg.Life, Least: min(2, cfg.Copies), MostKeys: cfg.Keys, MostBytes: cfg.Bytes,
+	c.held = replication.New(replication.Config{ID: cfg.Self.ID, Life: cfg.Life, Least: min(2, cfg.Copies), MostKeys: cfg.Keys, MostBytes: cfg.Bytes,
 		MostOps: cfg.Ops, Keeps: cfg.Keeps}, now)
 	for _, num := range sortedSlots(saved.Slots) {
 		c.held.Load(num, saved.Slots[num].Ballot, saved.Slots[num].Records)
@@ -195,10 +195,10 @@
 }
 
 // State is the newest that is agreed, as far as is known here. It is not to be changed.
-func (c *Core) State() *views.State { return c.known }
+func (c *Core) State() *shardmap.State { return c.known }
 
 // Held are the copies that lie here.
-func (c *Core) Held() *copies.Node { return c.held }
+func (c *Core) Held() *replication.Node { return c.held }
 
 // Leads tells whether this member leads the log; Voters are the numbers of those that vote.
 func (c *Core) Leads() bool      { return c.log.Leads() }
@@ -207,14 +207,14 @@
 // ---- What comes in.
 
 // Clock tells of the time, and how the other members are seen now.
-func (c *Core) Clock(now time.Duration, seen []steer.Seen) {
+func (c *Core) Clock(now time.Duration, seen []placement.Seen) {
 	c.now, c.seen = now, seen
 	c.log.Clock(now)
 	c.held.Clock(now)
 	c.begin()
 	c.lead()
 	c.push()
-	if n := c.log.Leader(); n != 0 && slices.Contains(c.log.Voters(), agree.Number(c.cfg.Self.ID)) {
+	if n := c.log.Leader(); n != 0 && slices.Contains(c.log.Voters(), consensus.Number(c.cfg.Self.ID)) {
 		if id := c.numbered(n); id != "" {
 			c.leads(id)
 		}
@@ -236,7 +236,7 @@
 func (c *Core) Wall(unix int64) { c.held.Wall(unix) }
 
 // Ask has an operation done within a span; its result comes with a Ready.
-func (c *Core) Ask(op copies.Op, within time.Duration) { c.held.Ask(op, within) }
+func (c *Core) Ask(op replication.Op, within time.Duration) { c.held.Ask(op, within) }
 
 // Broken tells that the disk can't be written: this member promises nothing any more, neither in the copies nor in the log.
 func (c *Core) Broken() { c.held.Broken() }
@@ -253,7 +253,7 @@
 	case p.Raft != nil:
 		return c.log.Step(p.Raft)
 	case p.Complaint != nil:
-		if c.steer != nil && c.log.Leads() && p.Complaint.Slot >= 0 && p.Complaint.Slot < views.Slots {
+		if c.steer != nil && c.log.Leads() && p.Complaint.Slot >= 0 && p.Complaint.Slot < shardmap.Slots {
 			c.steer.Complain(c.now, c.log.State(), *p.Complaint)
 		}
 	case p.Poll != nil:
@@ -316,7 +316,7 @@
 	since := p.Poll.Version
 	if p.Poll.Form >= Form {
 		c.since(p.Poll, t)
-	} else if t.Slots = map[int]views.View{}; since < c.known.Version {
+	} else if t.Slots = map[int]shardmap.View{}; since < c.known.Version {
 		if c.members > since {
 			t.Members = c.known.Members
 		}
@@ -350,7 +350,7 @@
 	}
 	// An answer to a process before this one, which knew more, leaves out what this one lacks. So does one of an older program that came
 	// back to a fleet that has operators' items already.
-	if t.Version <= c.known.Version || t.Since > c.known.Version || len(c.feed.State().All(views.Config)) > 0 {
+	if t.Version <= c.known.Version || t.Since > c.known.Version || len(c.feed.State().All(shardmap.Config)) > 0 {
 		return
 	}
 	if c.known.Fleet == "" {
@@ -362,15 +362,15 @@
 	}
 	c.known.Version = t.Version
 	for _, num := range sortedViews(t.Slots) {
-		if v := t.Slots[num]; num >= 0 && num < views.Slots && v.Num > c.known.Views[num].Num {
+		if v := t.Slots[num]; num >= 0 && num < shardmap.Slots && v.Num > c.known.Views[num].Num {
 			c.view(num, v, t.Version)
 		}
 	}
-	c.replace(agree.Whole(c.known))
+	c.replace(consensus.Whole(c.known))
 	c.wrote(epoch)
 }
 
-func sortedViews(m map[int]views.View) []int {
+func sortedViews(m map[int]shardmap.View) []int {
 	all := make([]int, 0, len(m))
 	for n := range m {
 		all = append(all, n)
@@ -379,7 +379,7 @@
 	return all
 }
 
-func (c *Core) view(num int, v views.View, version uint64) {
+func (c *Core) view(num int, v shardmap.View, version uint64) {
 	c.known.Views[num], c.changed[num] = v, version
 	c.held.View(num, v)
 }
@@ -439,18 +439,18 @@
 	c.leader = c.cfg.Self.ID
 	if c.steer == nil || c.term != c.log.Term() {
 		c.term = c.log.Term()
-		c.steer = steer.New(steer.Config{Copies: c.cfg.Copies, Least: min(2, c.cfg.Copies), Evict: c.cfg.Evict, Joining: c.cfg.Repair}, c.now)
+		c.steer = placement.New(placement.Config{Copies: c.cfg.Copies, Least: min(2, c.cfg.Copies), Evict: c.cfg.Evict, Joining: c.cfg.Repair}, c.now)
 	}
 	if c.leaves && c.now >= c.vote {
 		c.vote = c.now + voteEach
 		for _, m := range c.seen {
-			if id := agree.Number(m.ID); m.Here && !m.Going && slices.Contains(c.log.Voters(), id) {
+			if id := consensus.Number(m.ID); m.Here && !m.Going && slices.Contains(c.log.Voters(), id) {
 				c.log.Hand(id)
 				break
 			}
 		}
 	}
-	seen := append(slices.Clone(c.seen), steer.Seen{Member: c.cfg.Self, Here: true, Going: c.leaves, For: time.Hour})
+	seen := append(slices.Clone(c.seen), placement.Seen{Member: c.cfg.Self, Here: true, Going: c.leaves, For: time.Hour})
 	if e, is := c.steer.Decide(c.now, c.log.State(), seen, len(c.log.Voters()) >= c.cfg.Voters); is {
 		_ = c.log.Propose(e)
 	}
@@ -509,12 +509,12 @@
 // numbered is the member with a number, empty where it is not known.
 func (c *Core) numbered(id uint64) string {
 	for _, m := range c.seen {
-		if agree.Number(m.ID) == id {
+		if consensus.Number(m.ID) == id {
 			return m.ID
 		}
 	}
 	for _, m := range c.known.Members {
-		if agree.Number(m.ID) == id {
+		if consensus.Number(m.ID) == id {
 			return m.ID
 		}
 	}
--- a/internal/fleet/core/core_test.go
+++ b/internal/fleet/node/node_test.go
@@ -1,4 +1,4 @@
-package core
+package node
 
 import (
 	"errors"
@@ -11,10 +11,10 @@
 
 	"go.etcd.io/raft/v3"
 
-	"sabletally/internal/fleet/agree"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/steer"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/placement"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -33,7 +33,7 @@
 	cut   func(from, to int) bool
 	form  map[int]int // that one speaks, where it is not this program's
 	way   []carried
-	puts  map[string]views.Done // how puts ended
+	puts  map[string]shardmap.Done // how puts ended
 	lines []string
 	each  func() // after each step
 }
@@ -48,7 +48,7 @@
 // newWorld makes members at sites, in the order told; each is on a machine of its own, and in a zone of its own unless the site
 // is told with one, as in "a/1".
 func newWorld(t *testing.T, voters int, sites ...string) *world {
-	w := &world{t: t, down: map[int]bool{}, since: map[int]time.Duration{}, form: map[int]int{}, puts: map[string]views.Done{},
+	w := &world{t: t, down: map[int]bool{}, since: map[int]time.Duration{}, form: map[int]int{}, puts: map[string]shardmap.Done{},
 		cut: func(int, int) bool { return false }, each: func() {}}
 	for _, s := range sites {
 		w.join(voters, s)
@@ -63,7 +63,7 @@
 	if !told {
 		zone = fmt.Sprint("of ", i)
 	}
-	cfg := Config{Self: views.Member{ID: id(i), Addr: fmt.Sprintf("m%d", i), Machine: fmt.Sprintf("m%d", i), Zone: zone, Site: site}, Life: 1,
+	cfg := Config{Self: shardmap.Member{ID: id(i), Addr: fmt.Sprintf("m%d", i), Machine: fmt.Sprintf("m%d", i), Zone: zone, Site: site}, Life: 1,
 		Found: "f", First: i == 0, Seeds: []string{"m0"}, Voters: voters, Copies: 1, Evict: evict, Repair: 8, Seed: uint64(i), Keys: 10, Bytes: 1 << 20, Ops: 10}
 	c, err := New(cfg, Saved{}, w.now)
 	if err != nil {
@@ -88,13 +88,13 @@
 			if w.down[i] {
 				continue
 			}
-			var seen []steer.Seen
+			var seen []placement.Seen
 			for j := range w.cores {
 				if form, is := w.form[j]; j != i {
 					if !is {
 						form = Form
 					}
-					seen = append(seen, steer.Seen{Member: w.cfgs[j].Self, Here: !w.down[j], For: w.now - w.since[j], Speaks: form})
+					seen = append(seen, placement.Seen{Member: w.cfgs[j].Self, Here: !w.down[j], For: w.now - w.since[j], Speaks: form})
 				}
 			}
 			c.Clock(w.now, seen)
@@ -149,7 +149,7 @@
 func (w *world) voters() (all []int) {
 	if at := w.leader(); at >= 0 {
 		for _, n := range w.cores[at].Voters() {
-			all = append(all, slices.IndexFunc(w.cfgs, func(c Config) bool { return agree.Number(c.Self.ID) == n }))
+			all = append(all, slices.IndexFunc(w.cfgs, func(c Config) bool { return consensus.Number(c.Self.ID) == n }))
 		}
 	}
 	slices.Sort(all)
@@ -168,7 +168,7 @@
 
 // same tells whether all that are up know the same.
 func (w *world) same() bool {
-	var first *feed.State
+	var first *changefeed.State
 	for i, c := range w.cores {
 		if w.down[i] {
 			continue
@@ -183,7 +183,7 @@
 	return true
 }
 
-func (w *world) put(i int, p views.Put) views.Done {
+func (w *world) put(i int, p shardmap.Put) shardmap.Done {
 	w.t.Helper()
 	delete(w.puts, p.Op)
 	w.cores[i].Put(p, 5*time.Second)
@@ -329,7 +329,7 @@
 		}
 		w.run(15 * time.Second)
 		t.Logf("the oldest was %v", oldest)
-		if oldest > feed.Lease-feed.RenewEach*5/4 {
+		if oldest > changefeed.Lease-changefeed.RenewEach*5/4 {
 			t.Errorf("what somebody knew was %v old", oldest)
 		}
 	}
@@ -344,7 +344,7 @@
 	w.until("all know the same", 5*time.Second, w.same)
 	for i := range w.cores {
 		was := w.cores[i].Feed().Version()
-		p := views.Put{Key: fmt.Sprintf("config/%d", i), Value: []byte{byte(i)}, Op: fmt.Sprintf("op-%d", i)}
+		p := shardmap.Put{Key: fmt.Sprintf("config/%d", i), Value: []byte{byte(i)}, Op: fmt.Sprintf("op-%d", i)}
 		d := w.put(i, p)
 		if d.Refused != "" || d.Version != was+1 {
 			t.Fatalf("put by %d on version %d: %+v", i, was, d)
@@ -359,14 +359,14 @@
 	}
 	was := w.cores[0].Feed().Version()
 	for _, c := range []struct {
-		put  views.Put
+		put  shardmap.Put
 		want string
 	}{
-		{views.Put{Key: "member/x", Op: "a"}, "none of operators'"},
-		{views.Put{Key: "config/x"}, "an operation's name"},
-		{views.Put{Key: "config/x", Op: "b", Value: make([]byte, views.MostValue+1)}, "262144 are the most"},
-		{views.Put{Key: "config/0", Op: "c", Only: true}, "is in force, not 0"},
-		{views.Put{Key: "config/none", Op: "d", Gone: true}, "there is no config/none"},
+		{shardmap.Put{Key: "member/x", Op: "a"}, "none of operators'"},
+		{shardmap.Put{Key: "config/x"}, "an operation's name"},
+		{shardmap.Put{Key: "config/x", Op: "b", Value: make([]byte, shardmap.MostValue+1)}, "262144 are the most"},
+		{shardmap.Put{Key: "config/0", Op: "c", Only: true}, "is in force, not 0"},
+		{shardmap.Put{Key: "config/none", Op: "d", Gone: true}, "there is no config/none"},
 	} {
 		if d := w.put(2, c.put); !strings.Contains(d.Refused, c.want) || d.Version != 0 {
 			t.Errorf("%+v: wanted %q", d, c.want)
@@ -375,14 +375,14 @@
 	if now := w.cores[0].Feed().Version(); now != was {
 		t.Errorf("what was refused made version %d of %d", now, was)
 	}
-	if d := w.put(3, views.Put{Key: "config/0", Gone: true, Op: "gone"}); d.Version != was+1 {
+	if d := w.put(3, shardmap.Put{Key: "config/0", Gone: true, Op: "gone"}); d.Version != was+1 {
 		t.Errorf("%+v", d)
 	}
 	late := w.join(3, "a") // it has it by a snapshot
 	w.until("one that came later knows the same", 20*time.Second, func() bool { return w.same() && len(w.cores[late].State().Members) == 6 })
 	w.until("and the same by the log, built anew", time.Second, func() bool {
 		st := w.cores[w.leader()].log.State()
-		return agree.Whole(st).Digest == w.cores[late].Feed().Digest()
+		return consensus.Whole(st).Digest == w.cores[late].Feed().Digest()
 	})
 	if v, is := w.cores[late].Feed().Get("config/4"); !is || v[0] != 4 {
 		t.Errorf("config/4 there: %v %v", v, is)
@@ -400,12 +400,12 @@
 	w.until("all are members", 30*time.Second, func() bool {
 		return len(w.voters()) == 3 && len(w.cores[0].State().Members) == 4 && w.same()
 	})
-	if d := w.put(1, views.Put{Key: "config/a", Op: "a"}); !strings.Contains(d.Refused, id(3)) {
+	if d := w.put(1, shardmap.Put{Key: "config/a", Op: "a"}); !strings.Contains(d.Refused, id(3)) {
 		t.Errorf("%+v", d)
 	}
 	w.turn(3, true)
 	w.until("it is no member any more", 30*time.Second, func() bool { return len(w.cores[0].State().Members) == 3 })
-	if d := w.put(1, views.Put{Key: "config/a", Op: "b"}); d.Version == 0 {
+	if d := w.put(1, shardmap.Put{Key: "config/a", Op: "b"}); d.Version == 0 {
 		t.Errorf("%+v", d)
 	}
 
@@ -444,7 +444,7 @@
 	w.until("all know the same", 20*time.Second, func() bool { return w.cores[1].Feed().Version() > 1 && w.same() })
 	c := w.cores[1]
 	was := c.Feed().Digest()
-	other := feed.NewSnapshot("f", c.Feed().Version(), []feed.Item{{Key: "epoch", Value: []byte("9")}, {Key: "fleet", Value: []byte("f")}})
+	other := changefeed.NewSnapshot("f", c.Feed().Version(), []changefeed.Item{{Key: "epoch", Value: []byte("9")}, {Key: "fleet", Value: []byte("f")}})
 	for range 2 {
 		_ = c.Step(Packet{From: id(0), Told: &Told{Fleet: "f", Form: Form, Version: other.Version, Digest: other.Digest, Snapshot: other}})
 	}
--- a/internal/fleet/core/voters.go
+++ b/internal/fleet/node/voters.go
@@ -1,15 +1,15 @@
 // This file owns who votes: spread over sites, then zones, so that what is lost together is a minority.
 
-package core
+package node
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"sabletally/internal/fleet/agree"
-	"sabletally/internal/fleet/steer"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/placement"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // settledFor is how new a majority's word has to be before a voter is replaced that could stay.
@@ -20,14 +20,14 @@
 	sites, zones, machines map[string]int
 }
 
-func (s spread) add(m views.Member, by int) {
+func (s spread) add(m shardmap.Member, by int) {
 	s.sites[m.Site] += by
 	s.zones[m.Site+"/"+m.Zone] += by
 	s.machines[m.Machine] += by
 }
 
 // better orders candidates: of the site with the fewest voters, then of the zone, then by ID.
-func (s spread) better(a, b views.Member) int {
+func (s spread) better(a, b shardmap.Member) int {
 	return cmp.Or(cmp.Compare(s.sites[a.Site], s.sites[b.Site]), cmp.Compare(s.zones[a.Site+"/"+a.Zone], s.zones[b.Site+"/"+b.Zone]),
 		cmp.Compare(a.ID, b.ID))
 }
@@ -35,23 +35,23 @@
 // voters has members on further machines begin to vote: as many as are lacking, all at once, or one in place of one that is no
 // member any more, or of one at a site that has most of them. Two voters are never made: both would be needed then, and the second
 // one may be gone already, unnoticed.
-func (c *Core) voters(seen []steer.Seen) {
+func (c *Core) voters(seen []placement.Seen) {
 	st, voters := c.log.State(), c.log.Voters()
-	member := map[uint64]views.Member{}
+	member := map[uint64]shardmap.Member{}
 	for _, m := range st.Members {
-		member[agree.Number(m.ID)] = m
+		member[consensus.Number(m.ID)] = m
 	}
 	at := spread{map[string]int{}, map[string]int{}, map[string]int{}}
 	stops := uint64(0)
 	for _, id := range voters {
 		if m, is := member[id]; is {
 			at.add(m, 1)
-		} else if stops == 0 && id != agree.Number(c.cfg.Self.ID) {
+		} else if stops == 0 && id != consensus.Number(c.cfg.Self.ID) {
 			stops = id
 		}
 	}
 	lacking := 1
-	var least func(views.Member) bool // whom the new one may be
+	var least func(shardmap.Member) bool // whom the new one may be
 	if len(voters) < c.cfg.Voters {
 		lacking, stops = c.cfg.Voters-len(voters), 0
 	} else if stops == 0 {
@@ -59,22 +59,22 @@
 			return
 		}
 	}
-	var sound []views.Member
+	var sound []shardmap.Member
 	for _, m := range seen {
-		if id := agree.Number(m.ID); m.Here && !m.Going && m.For >= soundFor && member[id].ID == m.ID && !slices.Contains(voters, id) &&
+		if id := consensus.Number(m.ID); m.Here && !m.Going && m.For >= soundFor && member[id].ID == m.ID && !slices.Contains(voters, id) &&
 			(least == nil || least(m.Member)) {
 			sound = append(sound, m.Member)
 		}
 	}
 	var begin []uint64
 	for len(begin) < lacking {
-		sound = slices.DeleteFunc(sound, func(m views.Member) bool { return at.machines[m.Machine] > 0 })
+		sound = slices.DeleteFunc(sound, func(m shardmap.Member) bool { return at.machines[m.Machine] > 0 })
 		if len(sound) == 0 {
 			return
 		}
 		best := slices.MinFunc(sound, at.better)
 		at.add(best, 1)
-		begin = append(begin, agree.Number(best.ID))
+		begin = append(begin, consensus.Number(best.ID))
 	}
 	c.moved = c.now
 	_ = c.log.Vote(begin, stops)
@@ -83,17 +83,17 @@
 // crowded picks a voter of a site that has most of them, and tells who may take its place: one of a site that has fewer then than
 // the crowded one had. 0 where none is to go: also while a voter is away or a majority has not answered since the last
 // change, as that one is not needed to go on.
-func (c *Core) crowded(seen []steer.Seen, voters []uint64, member map[uint64]views.Member, at spread) (uint64, func(views.Member) bool) {
+func (c *Core) crowded(seen []placement.Seen, voters []uint64, member map[uint64]shardmap.Member, at spread) (uint64, func(shardmap.Member) bool) {
 	asOf, known := c.log.AsOf()
 	if !known || c.now-asOf > settledFor || asOf <= c.moved {
 		return 0, nil
 	}
 	here := map[uint64]bool{}
 	for _, m := range seen {
-		here[agree.Number(m.ID)] = m.Here && !m.Going
+		here[consensus.Number(m.ID)] = m.Here && !m.Going
 	}
-	self := agree.Number(c.cfg.Self.ID)
-	var last views.Member
+	self := consensus.Number(c.cfg.Self.ID)
+	var last shardmap.Member
 	for _, id := range voters {
 		m := member[id]
 		if !here[id] {
@@ -108,5 +108,5 @@
 	}
 	most := at.sites[last.Site]
 	at.add(last, -1)
-	return agree.Number(last.ID), func(m views.Member) bool { return m.Site != last.Site && at.sites[m.Site]+1 < most }
+	return consensus.Number(last.ID), func(m shardmap.Member) bool { return m.Site != last.Site && at.sites[m.Site]+1 < most }
 }
--- a/internal/fleet/hold/bench_test.go
+++ b/internal/fleet/nodeserver/bench_test.go
@@ -1,4 +1,4 @@
-package hold
+package nodeserver
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/core"
-	"sabletally/internal/fleet/members"
-	"sabletally/internal/fleet/steer"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/membership"
+	"sabletally/internal/fleet/node"
+	"sabletally/internal/fleet/placement"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // metered begins what is measured; the answer ends it, and tells the processor's time of one operation in ns, garbage collection within:
@@ -39,30 +39,30 @@
 func BenchmarkOut(b *testing.B) {
 	for _, n := range []int{17, 100, 300, 1000, 2300, 4600} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			var known []members.Known
-			var all []views.Member
+			var known []membership.Known
+			var all []shardmap.Member
 			for i := range n {
-				m := members.Member{ID: fmt.Sprintf("%032x", i+1), Name: fmt.Sprintf("b%04d", i), Machine: fmt.Sprintf("m%04d", i),
+				m := membership.Member{ID: fmt.Sprintf("%032x", i+1), Name: fmt.Sprintf("b%04d", i), Machine: fmt.Sprintf("m%04d", i),
 					Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7001), Zone: fmt.Sprintf("zone-%02d", i%11),
 					Site: fmt.Sprintf("region-%d", i%11%3)}
-				known = append(known, members.Known{Member: m})
+				known = append(known, membership.Known{Member: m})
 				all = append(all, Member(m))
 			}
-			c, err := core.New(core.Config{Self: all[0], Life: 1, Copies: 3}, core.Saved{}, 0)
+			c, err := node.New(node.Config{Self: all[0], Life: 1, Copies: 3}, node.Saved{}, 0)
 			if err != nil {
 				b.Fatal(err)
 			}
-			if err := c.Step(core.Packet{Fleet: "f", Told: &core.Told{Fleet: "f", Version: 2, Epoch: 1, Members: all}}); err != nil {
+			if err := c.Step(node.Packet{Fleet: "f", Told: &node.Told{Fleet: "f", Version: 2, Epoch: 1, Members: all}}); err != nil {
 				b.Fatal(err)
 			}
 			h := &Hold{core: c}
 			done := metered(b)
 			for range b.N {
-				var at []steer.Seen
+				var at []placement.Seen
 				for _, k := range known[1:] {
-					at = append(at, steer.Seen{Member: Member(k.Member), Here: true, For: time.Hour})
+					at = append(at, placement.Seen{Member: Member(k.Member), Here: true, For: time.Hour})
 				}
-				h.out(core.Ready{}, at)
+				h.out(node.Ready{}, at)
 			}
 			per := done()
 			b.ReportMetric(per/float64(beat)*100, "%core")
--- a/internal/fleet/hold/link.go
+++ b/internal/fleet/nodeserver/link.go
@@ -1,4 +1,4 @@
-package hold
+package nodeserver
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"sabletally/internal/fleet/contact"
-	"sabletally/internal/fleet/core"
+	"sabletally/internal/fleet/gossip"
+	"sabletally/internal/fleet/node"
 )
 
 const (
@@ -74,8 +74,8 @@
 // links are the ways to all other members, each opened when something is to be sent.
 type links struct {
 	fleet, self string
-	wire        *contact.Wire
-	heard       func(core.Packet)
+	wire        *gossip.Wire
+	heard       func(node.Packet)
 
 	mu  sync.Mutex
 	to  map[string]*link
@@ -93,7 +93,7 @@
 }
 
 // send puts a packet on the way to a member at an address. It never waits.
-func (l *links) send(id, addr string, p core.Packet) {
+func (l *links) send(id, addr string, p node.Packet) {
 	text, err := frame(p)
 	if err != nil || len(text) > frameMost {
 		l.dropped.Add(1)
@@ -194,10 +194,10 @@
 			}
 		}
 	}
-	text, err := frame(hello{Fleet: k.of.fleet, Form: contact.Form, From: k.of.self, To: k.id})
+	text, err := frame(hello{Fleet: k.of.fleet, Form: gossip.Form, From: k.of.self, To: k.id})
 	if err == nil {
 		_ = c.SetWriteDeadline(time.Now().Add(writeIn))
-		_, err = c.Write(append([]byte{contact.LinkMark}, text...))
+		_, err = c.Write(append([]byte{gossip.LinkMark}, text...))
 	}
 	if err != nil {
 		_ = c.Close()
@@ -237,12 +237,12 @@
 	if _, err := unframe(r, &h); err != nil {
 		return err
 	}
-	if h.Fleet != l.fleet || h.To != l.self || h.Form < contact.Oldest {
+	if h.Fleet != l.fleet || h.To != l.self || h.Form < gossip.Oldest {
 		return fmt.Errorf("a link of fleet %q, form %d, for member %s", h.Fleet, h.Form, h.To)
 	}
 	for {
 		_ = c.SetReadDeadline(time.Now().Add(2 * idle))
-		var p core.Packet
+		var p node.Packet
 		n, err := unframe(r, &p)
 		if err != nil {
 			return err
--- /dev/null
+++ b/internal/fleet/nodeserver/link_test.go
@@ -0,0 +1,38 @@
+package nodeserver
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+
+	"sabletally/internal/fleet/node"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
+)
+
+// TestAPacketIsReadAsItWasWritten words one with every part, and spoils its bytes. Guards against a decoder that has the views of
+// one packet share their lists, which gave every member views of its own.
+func TestAPacketIsReadAsItWasWritten(t *testing.T) {
+	p := node.Packet{From: "a", To: "b", Fleet: "f", Raft: []byte{1}, Complaint: &replication.Complaint{Slot: 3, About: "c"}, Poll: &node.Poll{Version: 7},
+		Copies: []replication.Msg{{Kind: replication.MsgWrite, Ballot: replication.Ballot{View: 1 << 63, Life: 2}, Records: []replication.Record{{Key: "k", Value: []byte("v")}}},
+			{Kind: replication.MsgResult, Result: replication.Result{Outcome: replication.Conflict, Record: replication.Record{Past: []string{"p"}}}}},
+		Told: &node.Told{Fleet: "f", Slots: map[int]shardmap.View{}}}
+	for n := range shardmap.Slots {
+		p.Told.Slots[n] = shardmap.View{Num: uint64(n), Full: []string{string(rune('a' + n%5)), string(rune('f' + n%3)), "z"}[:1+n%3]}
+	}
+	text, err := frame(p)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got node.Packet
+	if _, err := unframe(bytes.NewReader(text), &got); err != nil || !reflect.DeepEqual(got, p) {
+		t.Errorf("%v: %+v", err, got)
+	}
+	for _, at := range []int{0, 5, 9, len(text) - 1} {
+		bad := bytes.Clone(text)
+		bad[at] ^= 0x40
+		if _, err := unframe(bytes.NewReader(bad), &got); err == nil {
+			t.Errorf("byte %d changed, and nobody noticed", at)
+		}
+	}
+}
