--- a/internal/fleet/hold/hold.go
+++ b/internal/fleet/nodeserver/nodeserver.go
@@ -1,7 +1,7 @@
-// Package hold runs a member's core on sockets and disk: it owns the goroutine that the core lives in, the links to the others'
+// Package nodeserver runs a member's core on sockets and disk: it owns the goroutine that the core lives in, the links to the others'
 // cores, and the order in which things happen: first to disk, then out. Whoever asks it posts and is called back. It must never
 // be waited for by the balancer's loop, and never promise anything once the disk has failed.
-package hold
+package nodeserver
 
 import (
 	"errors"
@@ -12,15 +12,15 @@
 
 	"go.uber.org/zap"
 
-	"sabletally/internal/fleet/agree"
-	"sabletally/internal/fleet/contact"
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/core"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/members"
-	"sabletally/internal/fleet/steer"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/gossip"
+	"sabletally/internal/fleet/membership"
+	"sabletally/internal/fleet/node"
+	"sabletally/internal/fleet/placement"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
 	"sabletally/internal/fleet/store"
-	"sabletally/internal/fleet/views"
 )
 
 const (
@@ -31,11 +31,11 @@
 
 // Options is what it begins with.
 type Options struct {
-	Core  core.Config
+	Core  node.Config
 	Fleet string // its name in the files
 	Dir   string
-	Wire  *contact.Wire
-	Touch *contact.Contact
+	Wire  *gossip.Wire
+	Touch *gossip.Contact
 	Now   func() time.Duration
 	Log   *zap.Logger
 	Feed  Feed // nil where nobody follows this member
@@ -45,7 +45,7 @@
 type Feed interface {
 	// Changed tells that the state was replaced, if whole is not nil, and of the changes after that. False where there was no room: it is
 	// told of the whole state then.
-	Changed(whole *feed.Snapshot, changes []*feed.Change) bool
+	Changed(whole *changefeed.Snapshot, changes []*changefeed.Change) bool
 	// Fresh tells the time up to which nothing newer than a version was agreed.
 	Fresh(asOf time.Duration, version uint64)
 }
@@ -78,12 +78,12 @@
 // Hold is one member's.
 type Hold struct {
 	opt   Options
-	core  *core.Core
+	core  *node.Core
 	store *store.Store
 	links *links
 
 	mu      sync.Mutex
-	packets []core.Packet
+	packets []node.Packet
 	asks    []ask
 	puts    []putAsk
 	over    bool
@@ -93,8 +93,8 @@
 	all     sync.WaitGroup
 	once    sync.Once
 
-	waiting map[string]func(copies.Result) // the core's goroutine's
-	putting map[string][]func(views.Done)  // as well
+	waiting map[string]func(replication.Result) // the core's goroutine's
+	putting map[string][]func(shardmap.Done)    // as well
 	broken  error
 	untold  bool // the feed lacks changes
 	status  atomic.Pointer[Status]
@@ -103,15 +103,15 @@
 }
 
 type ask struct {
-	op     copies.Op
+	op     replication.Op
 	within time.Duration
-	done   func(copies.Result)
+	done   func(replication.Result)
 }
 
 type putAsk struct {
-	put    views.Put
+	put    shardmap.Put
 	within time.Duration
-	done   func(views.Done)
+	done   func(shardmap.Done)
 }
 
 // Open reads the disk and begins.
@@ -120,13 +120,13 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := core.New(opt.Core, saved, opt.Now())
+	c, err := node.New(opt.Core, saved, opt.Now())
 	if err != nil {
 		_ = s.Close()
 		return nil, err
 	}
-	h := &Hold{opt: opt, core: c, store: s, wake: make(chan struct{}, 1), done: make(chan struct{}), waiting: map[string]func(copies.Result){},
-		putting: map[string][]func(views.Done){}}
+	h := &Hold{opt: opt, core: c, store: s, wake: make(chan struct{}, 1), done: make(chan struct{}), waiting: map[string]func(replication.Result){},
+		putting: map[string][]func(shardmap.Done){}}
 	h.links = &links{fleet: opt.Fleet, self: opt.Core.Self.ID, wire: opt.Wire, heard: h.heard, to: map[string]*link{}}
 	h.publish()
 	h.all.Add(1)
@@ -138,7 +138,7 @@
 
 // Ask has an operation done, here or wherever its slot's primary is. done is called once, from another goroutine, within the span
 // or a little later; it must not wait.
-func (h *Hold) Ask(op copies.Op, within time.Duration, done func(copies.Result)) {
+func (h *Hold) Ask(op replication.Op, within time.Duration, done func(replication.Result)) {
 	h.mu.Lock()
 	over := h.over || len(h.asks) >= inboxMost
 	if !over {
@@ -146,7 +146,7 @@
 	}
 	h.mu.Unlock()
 	if over {
-		done(copies.Result{Op: op.ID, Outcome: copies.Refused, Why: copies.Busy})
+		done(replication.Result{Op: op.ID, Outcome: replication.Refused, Why: replication.Busy})
 		return
 	}
 	h.poke()
@@ -154,7 +154,7 @@
 
 // Put has an operators' item changed, wherever the log's leader is. done is called as with Ask; Refused says why where it was not
 // done, or is not known to be. Asked again with the same operation it is answered with the same version.
-func (h *Hold) Put(p views.Put, within time.Duration, done func(views.Done)) {
+func (h *Hold) Put(p shardmap.Put, within time.Duration, done func(shardmap.Done)) {
 	h.mu.Lock()
 	over := h.over || len(h.puts) >= inboxMost
 	if !over {
@@ -162,7 +162,7 @@
 	}
 	h.mu.Unlock()
 	if over {
-		done(views.Done{Op: p.Op, Refused: "busy: too many wait, or this process ends"})
+		done(shardmap.Done{Op: p.Op, Refused: "busy: too many wait, or this process ends"})
 		return
 	}
 	h.poke()
@@ -196,7 +196,7 @@
 	}
 }
 
-func (h *Hold) heard(p core.Packet) {
+func (h *Hold) heard(p node.Packet) {
 	h.mu.Lock()
 	if len(h.packets) >= inboxMost {
 		h.dropped.Add(1)
@@ -231,18 +231,18 @@
 	h.asks, h.puts = nil, nil
 	h.mu.Unlock()
 	for _, p := range puts {
-		p.done(views.Done{Op: p.put.Op, Refused: "this process ends"})
+		p.done(shardmap.Done{Op: p.put.Op, Refused: "this process ends"})
 	}
 	for op, all := range h.putting {
 		for _, done := range all {
-			done(views.Done{Op: op, Refused: "this process ends: it is not known whether it took hold"})
+			done(shardmap.Done{Op: op, Refused: "this process ends: it is not known whether it took hold"})
 		}
 	}
 	for _, a := range asks {
-		a.done(copies.Result{Op: a.op.ID, Outcome: copies.Refused, Why: copies.Busy})
+		a.done(replication.Result{Op: a.op.ID, Outcome: replication.Refused, Why: replication.Busy})
 	}
 	for id, done := range h.waiting {
-		done(copies.Result{Op: id, Outcome: copies.Unknown})
+		done(replication.Result{Op: id, Outcome: replication.Unknown})
 	}
 }
 
@@ -273,7 +273,7 @@
 		h.core.Put(p.put, p.within)
 	}
 	r, err := h.core.Ready()
-	if err == nil && h.opt.Touch.Status().Standing == members.Doubled {
+	if err == nil && h.opt.Touch.Status().Standing == membership.Doubled {
 		err = errors.New("another process has a copy of the directory")
 	}
 	if err == nil && h.broken == nil {
@@ -287,10 +287,10 @@
 	if h.broken != nil { // what it leans on is not on disk: nothing goes out
 		r.Packets = nil
 		for i := range r.Results {
-			r.Results[i] = copies.Result{Op: r.Results[i].Op, Outcome: copies.Unknown, Why: copies.Disk}
+			r.Results[i] = replication.Result{Op: r.Results[i].Op, Outcome: replication.Unknown, Why: replication.Disk}
 		}
 		for i := range r.Puts {
-			r.Puts[i] = views.Done{Op: r.Puts[i].Op, Refused: "this member's disk has failed: it is not known whether it took hold"}
+			r.Puts[i] = shardmap.Done{Op: r.Puts[i].Op, Refused: "this member's disk has failed: it is not known whether it took hold"}
 		}
 	}
 	h.out(r, at)
@@ -311,7 +311,7 @@
 	}
 }
 
-func (h *Hold) out(r core.Ready, at []steer.Seen) {
+func (h *Hold) out(r node.Ready, at []placement.Seen) {
 	for _, l := range r.Lines {
 		if l.Bad {
 			h.opt.Log.Error("fleet: "+l.What, zap.Uint64("version", l.Version), zap.String("is", l.Text))
@@ -341,7 +341,7 @@
 	for _, one := range r.Results {
 		if done := h.waiting[one.Op]; done != nil {
 			delete(h.waiting, one.Op)
-			if one.Outcome == copies.Refused || one.Outcome == copies.Unknown {
+			if one.Outcome == replication.Refused || one.Outcome == replication.Unknown {
 				h.opt.Log.Warn("fleet: not promised", zap.String("op", one.Op), zap.Stringer("outcome", one.Outcome), zap.Stringer("why", one.Why))
 			}
 			done(one)
@@ -350,20 +350,20 @@
 }
 
 // seen is how the other members are seen.
-func (h *Hold) seen() []steer.Seen {
+func (h *Hold) seen() []placement.Seen {
 	s := h.opt.Touch.Status()
 	now := h.opt.Now()
-	var all []steer.Seen
+	var all []placement.Seen
 	for _, k := range s.Others {
-		all = append(all, steer.Seen{Member: Member(k.Member), Left: k.State == members.Left, Going: k.Leaving, For: now - k.Since,
-			Here: k.State == members.Here, Speaks: k.Speaks})
+		all = append(all, placement.Seen{Member: Member(k.Member), Left: k.State == membership.Left, Going: k.Leaving, For: now - k.Since,
+			Here: k.State == membership.Here, Speaks: k.Speaks})
 	}
 	return all
 }
 
 // Member is what is agreed of a member.
-func Member(m members.Member) views.Member {
-	return views.Member{ID: m.ID, Addr: m.Addr.String(), Machine: m.Machine, Zone: m.Zone, Site: m.Site}
+func Member(m membership.Member) shardmap.Member {
+	return shardmap.Member{ID: m.ID, Addr: m.Addr.String(), Machine: m.Machine, Zone: m.Zone, Site: m.Site}
 }
 
 func (h *Hold) publish() {
@@ -375,7 +375,7 @@
 	s.AsOf, s.Known = h.core.AsOf()
 	for _, id := range h.core.Voters() {
 		for _, m := range st.Members {
-			if agree.Number(m.ID) == id {
+			if consensus.Number(m.ID) == id {
 				s.VotersAt = append(s.VotersAt, m.Site)
 			}
 		}
@@ -391,7 +391,7 @@
 	}
 	for w, n := range h.core.Held().Refusals {
 		if n > 0 {
-			s.Refusals[copies.Why(w).String()] = n
+			s.Refusals[replication.Why(w).String()] = n
 		}
 	}
 	if h.broken != nil {
--- a/internal/fleet/steer/bench_test.go
+++ b/internal/fleet/placement/bench_test.go
@@ -1,4 +1,4 @@
-package steer
+package placement
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // metered begins what is measured; the answer ends it, and tells the processor's time of one operation in ns, garbage collection within:
@@ -34,19 +34,19 @@
 var scales = []int{17, 100, 300, 1000, 2300, 4600}
 
 // calm is a fleet of n in which all are here, with the views that its list asks for.
-func calm(n int) (*views.State, []Seen) {
-	var all []views.Member
+func calm(n int) (*shardmap.State, []Seen) {
+	var all []shardmap.Member
 	var seen []Seen
 	for i := range n {
-		m := views.Member{ID: fmt.Sprintf("%032x", i+1), Addr: fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
+		m := shardmap.Member{ID: fmt.Sprintf("%032x", i+1), Addr: fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
 			Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3)}
 		all = append(all, m)
 		seen = append(seen, Seen{Member: m, Here: true, For: time.Hour})
 	}
-	st := views.New()
-	st.Apply(views.Entry{Found: "f", Members: all})
-	for num := range views.Slots {
-		st.Apply(views.Entry{Slots: []views.Slot{{Slot: num, Full: views.Pick(num, st.Members, 3)}}})
+	st := shardmap.New()
+	st.Apply(shardmap.Entry{Found: "f", Members: all})
+	for num := range shardmap.Slots {
+		st.Apply(shardmap.Entry{Slots: []shardmap.Slot{{Slot: num, Full: shardmap.Pick(num, st.Members, 3)}}})
 	}
 	return st, seen
 }
--- a/internal/fleet/steer/steer.go
+++ b/internal/fleet/placement/placement.go
@@ -1,16 +1,16 @@
-// Package steer decides which views the slots are to have: who stops being a holder, who begins to be one, who leads. It runs at
+// Package placement decides which views the slots are to have: who stops being a holder, who begins to be one, who leads. It runs at
 // the member that leads the agreed log, on what that one sees of the others, and is pure: what it decides takes hold only once it
 // is agreed, and is decided anew where it was overtaken. It must never leave out the last holder of what was promised: a slot whose
 // holders are all away waits for one of them, or for an operator's word.
-package steer
+package placement
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -22,7 +22,7 @@
 
 // Seen is how the leading member sees another one.
 type Seen struct {
-	views.Member
+	shardmap.Member
 	Here   bool
 	Left   bool          // it said so
 	Going  bool          // it will leave, and is still here
@@ -64,7 +64,7 @@
 }
 
 // Complain takes a holder's word about another one. One about a view that is over says nothing.
-func (t *Steerer) Complain(now time.Duration, st *views.State, c copies.Complaint) {
+func (t *Steerer) Complain(now time.Duration, st *shardmap.State, c replication.Complaint) {
 	v := st.Views[c.Slot]
 	if c.View != v.Num || !slices.Contains(v.Full, c.From) {
 		return
@@ -82,12 +82,12 @@
 
 // Decide answers what to propose now; false where nothing is due. Slots get their first views only once the log has its voters
 // (voted): what is promised before would be out of reach with the one member that knows who holds it.
-func (t *Steerer) Decide(now time.Duration, st *views.State, seen []Seen, voted bool) (views.Entry, bool) {
+func (t *Steerer) Decide(now time.Duration, st *shardmap.State, seen []Seen, voted bool) (shardmap.Entry, bool) {
 	if now < t.next || st.Fleet == "" {
-		return views.Entry{}, false
+		return shardmap.Entry{}, false
 	}
 	t.next = now + each
-	e := views.Entry{}
+	e := shardmap.Entry{}
 	if members, changed := t.members(st, seen); changed && now-t.frozen >= freezeEach && len(members) > 0 {
 		t.frozen = now
 		e.Epoch, e.Members = st.Epoch, members
@@ -95,7 +95,7 @@
 	if t.targets == nil || t.epoch != st.Epoch {
 		t.targets, t.epoch = make([][]string, len(st.Views)), st.Epoch
 		for num := range st.Views {
-			t.targets[num] = views.Pick(num, st.Members, t.cfg.Copies)
+			t.targets[num] = shardmap.Pick(num, st.Members, t.cfg.Copies)
 		}
 	}
 	here := map[string]bool{}
@@ -136,22 +136,22 @@
 }
 
 // members are those of the next epoch: who is here, and who has not been gone for long.
-func (t *Steerer) members(st *views.State, seen []Seen) ([]views.Member, bool) {
-	var next []views.Member
+func (t *Steerer) members(st *shardmap.State, seen []Seen) ([]shardmap.Member, bool) {
+	var next []shardmap.Member
 	for _, m := range seen {
-		was := slices.ContainsFunc(st.Members, func(o views.Member) bool { return o.ID == m.ID })
+		was := slices.ContainsFunc(st.Members, func(o shardmap.Member) bool { return o.ID == m.ID })
 		if m.Here && !m.Going || was && !m.Going && !m.Left && m.For < t.cfg.Evict {
 			next = append(next, m.Member)
 		}
 	}
-	slices.SortFunc(next, func(a, b views.Member) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(next, func(a, b shardmap.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return next, !slices.Equal(next, st.Members)
 }
 
 // slot decides on one slot's next view: one step at a time, each of which leaves all that was promised with all of Full.
-func (t *Steerer) slot(num int, v views.View, here map[string]bool, room bool) (views.Slot, bool) {
+func (t *Steerer) slot(num int, v shardmap.View, here map[string]bool, room bool) (shardmap.Slot, bool) {
 	target := t.targets[num]
-	next := views.Slot{Slot: num, Of: v.Num, Full: v.Full, Joining: v.Joining}
+	next := shardmap.Slot{Slot: num, Of: v.Num, Full: v.Full, Joining: v.Joining}
 	if len(target) == 0 {
 		return next, false
 	}
@@ -223,7 +223,7 @@
 }
 
 // tidy forgets what was said of views that are over, or long ago.
-func (t *Steerer) tidy(now time.Duration, st *views.State) {
+func (t *Steerer) tidy(now time.Duration, st *shardmap.State) {
 	for b, at := range t.blamed {
 		if st.Views[b.slot].Num != b.view || now-at > believe {
 			delete(t.blamed, b)
--- a/internal/fleet/publish/conn.go
+++ b/internal/fleet/publisher/conn.go
@@ -1,4 +1,4 @@
-package publish
+package publisher
 
 import (
 	"bufio"
@@ -8,18 +8,18 @@
 	"sync/atomic"
 	"time"
 
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/stream"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/framing"
+	"sabletally/internal/fleet/replication"
 )
 
 const (
 	helloIn    = 3 * time.Second
-	quietMost  = 2 * feed.Lease   // the relay ends who says nothing for a lease; this ends what the relay does not know
-	writeIn    = 30 * time.Second // of what is written at once; the relay ends who takes nothing for so long
-	endIn      = 2 * time.Second  // for the last words
-	readMost   = 1 << 20          // bytes of one word of a follower's
-	queueMost  = 2 * 4096         // heads and bodies of words that wait for one, and their bytes beside the largest word that there is
+	quietMost  = 2 * changefeed.Lease // the relay ends who says nothing for a lease; this ends what the relay does not know
+	writeIn    = 30 * time.Second     // of what is written at once; the relay ends who takes nothing for so long
+	endIn      = 2 * time.Second      // for the last words
+	readMost   = 1 << 20              // bytes of one word of a follower's
+	queueMost  = 2 * 4096             // heads and bodies of words that wait for one, and their bytes beside the largest word that there is
 	queueBytes = 8 << 20
 	withinMost = 10 * time.Second // of an operation
 	putWithin  = 5 * time.Second
@@ -62,9 +62,9 @@
 }
 
 // say has one message written to this follower alone.
-func (c *conn) say(m *feed.Msg) {
-	body := feed.Encode(m)
-	c.put(stream.Header(body), body)
+func (c *conn) say(m *changefeed.Msg) {
+	body := changefeed.Encode(m)
+	c.put(framing.Header(body), body)
 }
 
 // end has the connection end after what waits.
@@ -82,8 +82,8 @@
 	}
 }
 
-func (c *conn) result(number uint64, r copies.Result) {
-	c.say(&feed.Msg{Result: &feed.Opaque{Number: number, Body: stream.Encode(r)}})
+func (c *conn) result(number uint64, r replication.Result) {
+	c.say(&changefeed.Msg{Result: &changefeed.Opaque{Number: number, Body: framing.Encode(r)}})
 }
 
 // write is the writing goroutine; over is closed when the reading one ends.
@@ -134,16 +134,16 @@
 		return err
 	}
 	read := func(most int) ([]byte, error) {
-		body, err := stream.Read(r, most)
-		p.got.Add(int64(stream.Head + len(body)))
+		body, err := framing.Read(r, most)
+		p.got.Add(int64(framing.Head + len(body)))
 		return body, err
 	}
 	body, err := read(4 << 10)
 	if err != nil {
 		return err
 	}
-	var g stream.Greeting
-	if err := stream.Decode(body, &g); err != nil {
+	var g framing.Greeting
+	if err := framing.Decode(body, &g); err != nil {
 		return err
 	}
 	if g.Fleet != p.opt.Fleet {
@@ -152,12 +152,12 @@
 	if body, err = read(readMost); err != nil {
 		return err
 	}
-	m, err := feed.Decode(body)
+	m, err := changefeed.Decode(body)
 	if err != nil {
 		return err
 	}
 	if m.Hello == nil {
-		return fmt.Errorf("%w: no hello", feed.ErrMessage)
+		return fmt.Errorf("%w: no hello", changefeed.ErrMessage)
 	}
 	c, over := &conn{of: p, c: nc, wake: make(chan struct{}, 1), written: make(chan struct{})}, make(chan struct{})
 	defer close(over)
@@ -171,7 +171,7 @@
 		if body, err = read(readMost); err != nil {
 			return err
 		}
-		if m, err = feed.Decode(body); err != nil {
+		if m, err = changefeed.Decode(body); err != nil {
 			return err
 		}
 		p.mu.Lock()
@@ -183,8 +183,8 @@
 		}
 		switch {
 		case m.Op != nil:
-			var a stream.Ask
-			if err := stream.Decode(m.Op.Body, &a); err != nil {
+			var a framing.Ask
+			if err := framing.Decode(m.Op.Body, &a); err != nil {
 				return err
 			}
 			p.ask(c, m.Op.Number, a.Op, min(a.Within, withinMost))
@@ -195,7 +195,7 @@
 }
 
 // open tells the relay of a follower. What the relay says to one that it does not take is written before the connection ends.
-func (p *Publisher) open(c *conn, h feed.Hello, over <-chan struct{}) error {
+func (p *Publisher) open(c *conn, h changefeed.Hello, over <-chan struct{}) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
--- a/internal/fleet/publish/publish.go
+++ b/internal/fleet/publisher/publisher.go
@@ -1,7 +1,7 @@
-// Package publish is a control process's side of the connections that balancers follow it by: it owns their goroutines, what waits to
+// Package publisher is a control process's side of the connections that balancers follow it by: it owns their goroutines, what waits to
 // be written to each, and the operations that they have asked. It must never wait for a slow follower, and never be waited for by
 // the member's own core.
-package publish
+package publisher
 
 import (
 	"errors"
@@ -13,10 +13,10 @@
 
 	"go.uber.org/zap"
 
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/stream"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/framing"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -39,8 +39,8 @@
 
 // Holder is where operations and puts are asked.
 type Holder interface {
-	Ask(op copies.Op, within time.Duration, done func(copies.Result))
-	Put(p views.Put, within time.Duration, done func(views.Done))
+	Ask(op replication.Op, within time.Duration, done func(replication.Result))
+	Put(p shardmap.Put, within time.Duration, done func(shardmap.Done))
 }
 
 // Wire is where followers' streams come from.
@@ -62,8 +62,8 @@
 
 // Status is what was known at the newest turn.
 type Status struct {
-	Followers  feed.RelayFollowers
-	Count      feed.RelayCount
+	Followers  changefeed.RelayFollowers
+	Count      changefeed.RelayCount
 	Version    uint64
 	Digest     uint64
 	Age        time.Duration // of what is published, at the moment of the call
@@ -80,8 +80,8 @@
 	hold Holder
 
 	news        sync.Mutex // what the member's core has told
-	whole       *feed.Snapshot
-	fresh       []*feed.Change
+	whole       *changefeed.Snapshot
+	fresh       []*changefeed.Change
 	asOf        time.Duration
 	asOfVersion uint64
 	known       bool
@@ -90,9 +90,9 @@
 	wake        chan struct{}
 
 	mu    sync.Mutex // the relay and what belongs to it
-	log   *feed.Log
+	log   *changefeed.Log
 	state trimmed // of log
-	relay *feed.Relay
+	relay *changefeed.Relay
 	conns map[uint64]*conn
 	last  uint64 // connection's number
 	ops   map[string]asked
@@ -120,9 +120,9 @@
 // New makes one. It takes what the member's core tells from the first moment on, and followers from Serve on.
 func New(opt Options) *Publisher {
 	p := &Publisher{opt: opt, wake: make(chan struct{}, 1), conns: map[uint64]*conn{}, ops: map[string]asked{}, done: make(chan struct{})}
-	p.log = feed.NewLog(feed.LogConfig{Most: changesMost, Bytes: changesBytes})
+	p.log = changefeed.NewLog(changefeed.LogConfig{Most: changesMost, Bytes: changesBytes})
 	p.state.log = p.log
-	p.relay = feed.NewRelay(feed.RelayConfig{ID: opt.ID, Most: opt.Most, Window: window, SnapshotBytes: snapshotBytes, Lease: feed.Lease, Seed: opt.Seed},
+	p.relay = changefeed.NewRelay(changefeed.RelayConfig{ID: opt.ID, Most: opt.Most, Window: window, SnapshotBytes: snapshotBytes, Lease: changefeed.Lease, Seed: opt.Seed},
 		p.log, opt.Now())
 	p.status.Store(&published{})
 	return p
@@ -138,7 +138,7 @@
 
 // Changed takes what the member's core tells of the agreed state; it never waits. False where too much of it waits: it has to be told of
 // the whole then.
-func (p *Publisher) Changed(whole *feed.Snapshot, changes []*feed.Change) bool {
+func (p *Publisher) Changed(whole *changefeed.Snapshot, changes []*changefeed.Change) bool {
 	p.news.Lock()
 	if whole != nil {
 		p.whole, p.fresh = whole, nil
@@ -249,8 +249,8 @@
 	p.news.Lock()
 	asOf, version, known := p.asOf, p.asOfVersion, p.known && p.asOf != p.claimed
 	p.claimed = p.asOf
-	var whole *feed.Snapshot
-	var changes []*feed.Change
+	var whole *changefeed.Snapshot
+	var changes []*changefeed.Change
 	switch news := p.whole != nil || len(p.fresh) > 0; {
 	case news && now < p.hand:
 		wait = p.hand - now
@@ -284,7 +284,7 @@
 }
 
 // take follows the core's state. What does not fit is told, and leaves the state as it was: nothing is published then but what was.
-func (p *Publisher) take(whole *feed.Snapshot, changes []*feed.Change) {
+func (p *Publisher) take(whole *changefeed.Snapshot, changes []*changefeed.Change) {
 	if whole != nil {
 		if err := p.state.install(whole); err != nil {
 			p.opt.Log.Error("fleet: the agreed state is not published", zap.Uint64("version", whole.Version), zap.Error(err))
@@ -300,12 +300,12 @@
 // carryOut does what the relay asks for. mu is held.
 func (p *Publisher) carryOut() {
 	r := p.relay.Ready()
-	heads := map[*feed.Out][]byte{} // each made once for all who are sent it
+	heads := map[*changefeed.Out][]byte{} // each made once for all who are sent it
 	var words [][]byte
 	for i, s := range r.Sends {
 		head, is := heads[s.Out]
 		if !is {
-			head = stream.Header(s.Out.Text())
+			head = framing.Header(s.Out.Text())
 			heads[s.Out] = head
 		}
 		words = append(words, head, s.Out.Text())
@@ -327,18 +327,18 @@
 	}
 }
 
-func say(log *zap.Logger, l feed.Line) {
+func say(log *zap.Logger, l changefeed.Line) {
 	fields := []zap.Field{zap.String("follower", l.Peer), zap.Duration("for", l.For), zap.String("is", l.Text)}
 	switch l.Kind {
-	case feed.Woke:
+	case changefeed.Woke:
 		log.Warn("fleet: this process was stopped: followers are given time anew", fields...)
-	case feed.Lapsed:
+	case changefeed.Lapsed:
 		log.Warn("fleet: follower is not heard any more", fields...)
-	case feed.TooSlow:
+	case changefeed.TooSlow:
 		log.Warn("fleet: follower takes nothing", fields...)
-	case feed.Stranger:
+	case changefeed.Stranger:
 		log.Warn("fleet: follower of another fleet", fields...)
-	case feed.NewerForm:
+	case changefeed.NewerForm:
 		log.Warn("fleet: follower of a newer program", fields...)
 	default:
 		log.Warn("fleet: follower's words can't be read", append(fields, zap.Stringer("said", l))...)
@@ -372,7 +372,7 @@
 
 // ask has a follower's operation done where this member's are. One that is asked for again while it is under way is answered to who
 // asked last.
-func (p *Publisher) ask(c *conn, number uint64, op copies.Op, within time.Duration) {
+func (p *Publisher) ask(c *conn, number uint64, op replication.Op, within time.Duration) {
 	p.mu.Lock()
 	_, again := p.ops[op.ID]
 	full := !again && (c.ops.Load() >= opsEach || len(p.ops) >= opsAll)
@@ -388,9 +388,9 @@
 	switch {
 	case full:
 		p.busy.Add(1)
-		c.result(number, copies.Result{Op: op.ID, Outcome: copies.Refused, Why: copies.Busy})
+		c.result(number, replication.Result{Op: op.ID, Outcome: replication.Refused, Why: replication.Busy})
 	case !again:
-		p.hold.Ask(op, within, func(r copies.Result) {
+		p.hold.Ask(op, within, func(r replication.Result) {
 			p.mu.Lock()
 			a := p.ops[op.ID]
 			delete(p.ops, op.ID)
@@ -402,18 +402,18 @@
 }
 
 // change passes a put on to the log's leader.
-func (p *Publisher) change(c *conn, m *feed.Put) {
-	answer := func(d views.Done) {
-		c.say(&feed.Msg{PutDone: &feed.PutDone{Op: d.Op, Version: d.Version, Refused: d.Refused}})
+func (p *Publisher) change(c *conn, m *changefeed.Put) {
+	answer := func(d shardmap.Done) {
+		c.say(&changefeed.Msg{PutDone: &changefeed.PutDone{Op: d.Op, Version: d.Version, Refused: d.Refused}})
 	}
 	p.asks.Add(1)
 	if c.ops.Add(1) > opsEach {
 		c.ops.Add(-1)
 		p.busy.Add(1)
-		answer(views.Done{Op: m.Op, Refused: "busy: too many changes of this follower wait"})
+		answer(shardmap.Done{Op: m.Op, Refused: "busy: too many changes of this follower wait"})
 		return
 	}
-	p.hold.Put(views.Put{Key: m.Key, Value: m.Value, Gone: m.Gone, Op: m.Op, Only: !m.Any, If: m.If}, putWithin, func(d views.Done) {
+	p.hold.Put(shardmap.Put{Key: m.Key, Value: m.Value, Gone: m.Gone, Op: m.Op, Only: !m.Any, If: m.If}, putWithin, func(d shardmap.Done) {
 		c.ops.Add(-1)
 		answer(d)
 	})
--- a/internal/fleet/publish/publish_test.go
+++ b/internal/fleet/publisher/publisher_test.go
@@ -1,4 +1,4 @@
-package publish_test
+package publisher_test
 
 import (
 	"fmt"
@@ -13,13 +13,13 @@
 	"go.uber.org/zap"
 
 	"sabletally/internal/fleet/boottime"
-	"sabletally/internal/fleet/contact"
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/follow"
-	"sabletally/internal/fleet/publish"
-	"sabletally/internal/fleet/stream"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/framing"
+	"sabletally/internal/fleet/gossip"
+	"sabletally/internal/fleet/publisher"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
+	"sabletally/internal/fleet/subscriber"
 )
 
 const bound = 20 * time.Second
@@ -33,14 +33,14 @@
 	last atomic.Uint64
 }
 
-func (h *holder) Ask(op copies.Op, _ time.Duration, done func(copies.Result)) {
+func (h *holder) Ask(op replication.Op, _ time.Duration, done func(replication.Result)) {
 	h.do(op.ID, func() {
-		done(copies.Result{Op: op.ID, Outcome: copies.Done, Record: copies.Record{Key: op.Key, Version: 7}})
+		done(replication.Result{Op: op.ID, Outcome: replication.Done, Record: replication.Record{Key: op.Key, Version: 7}})
 	})
 }
 
-func (h *holder) Put(p views.Put, _ time.Duration, done func(views.Done)) {
-	h.do(p.Op, func() { done(views.Done{Op: p.Op, Version: h.last.Add(1)}) })
+func (h *holder) Put(p shardmap.Put, _ time.Duration, done func(shardmap.Done)) {
+	h.do(p.Op, func() { done(shardmap.Done{Op: p.Op, Version: h.last.Add(1)}) })
 }
 
 func (h *holder) do(op string, answer func()) {
@@ -66,10 +66,10 @@
 // tier is control processes' publishers, which are told the same.
 type tier struct {
 	t       *testing.T
-	log     *feed.Log
-	all     []*publish.Publisher
+	log     *changefeed.Log
+	all     []*publisher.Publisher
 	holders []*holder
-	wires   []*contact.Wire
+	wires   []*gossip.Wire
 	addrs   []netip.AddrPort
 	stop    chan struct{}
 	ends    sync.WaitGroup
@@ -78,9 +78,9 @@
 }
 
 func newTier(t *testing.T, many, most int) *tier {
-	r := &tier{t: t, log: feed.NewLog(feed.LogConfig{Most: 100, Bytes: 1 << 20}), stop: make(chan struct{})}
+	r := &tier{t: t, log: changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 1 << 20}), stop: make(chan struct{})}
 	for i := range many {
-		var w *contact.Wire
+		var w *gossip.Wire
 		var addr netip.AddrPort
 		for try := range 20 { // a port that is free for the one kind may be taken for the other
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,18 +89,18 @@
 			}
 			addr = ln.Addr().(*net.TCPAddr).AddrPort()
 			_ = ln.Close()
-			if w, err = contact.Listen(addr, addr, most+publish.More); err == nil {
+			if w, err = gossip.Listen(addr, addr, most+publisher.More); err == nil {
 				break
 			} else if try == 19 {
 				t.Fatal(err)
 			}
 		}
-		p := publish.New(publish.Options{ID: fmt.Sprint("c", i), Fleet: "lab", Most: most, Seed: uint64(i), Wire: w, Now: boottime.Now, Log: zap.NewNop()})
+		p := publisher.New(publisher.Options{ID: fmt.Sprint("c", i), Fleet: "lab", Most: most, Seed: uint64(i), Wire: w, Now: boottime.Now, Log: zap.NewNop()})
 		h := &holder{}
 		p.Serve(h)
 		r.all, r.holders, r.wires, r.addrs = append(r.all, p), append(r.holders, h), append(r.wires, w), append(r.addrs, addr)
 	}
-	r.change(feed.Item{Key: feed.FleetKey, Value: []byte("f")})
+	r.change(changefeed.Item{Key: changefeed.FleetKey, Value: []byte("f")})
 	r.ends.Add(1)
 	go func() {
 		defer r.ends.Done()
@@ -136,7 +136,7 @@
 	r.all[i].Close()
 }
 
-func (r *tier) change(items ...feed.Item) uint64 {
+func (r *tier) change(items ...changefeed.Item) uint64 {
 	r.t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,14 +145,14 @@
 		r.t.Fatal(err)
 	}
 	for _, p := range r.all {
-		p.Changed(nil, []*feed.Change{&c})
+		p.Changed(nil, []*changefeed.Change{&c})
 	}
 	return c.Version
 }
 
 // follower notes what it is told, and what it must not be.
 type follower struct {
-	*follow.Follow
+	*subscriber.Follow
 	mu   sync.Mutex
 	last uint64
 	bad  string
@@ -161,7 +161,7 @@
 
 func (r *tier) follower(i int) *follower {
 	f := &follower{}
-	applied := func(version uint64, items []feed.Item, whole bool) {
+	applied := func(version uint64, items []changefeed.Item, whole bool) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.went++
@@ -170,7 +170,7 @@
 		}
 		f.last = version
 	}
-	f.Follow = follow.Open(follow.Options{Fleet: "lab", Name: fmt.Sprint("b", i), ID: fmt.Sprint("id", i), Life: 1, Zone: "z", Site: "s", Seeds: r.addrs,
+	f.Follow = subscriber.Open(subscriber.Options{Fleet: "lab", Name: fmt.Sprint("b", i), ID: fmt.Sprint("id", i), Life: 1, Zone: "z", Site: "s", Seeds: r.addrs,
 		Seed: uint64(i), Now: boottime.Now, Log: zap.NewNop(), Applied: applied})
 	r.t.Cleanup(f.Close)
 	return f
@@ -194,7 +194,7 @@
 	}
 }
 
-func every(all []*follower, is func(follow.Status) bool) func() bool {
+func every(all []*follower, is func(subscriber.Status) bool) func() bool {
 	return func() bool {
 		for _, f := range all {
 			if !is(f.Status()) {
@@ -213,7 +213,9 @@
 	for i := range 20 {
 		all = append(all, r.follower(i))
 	}
-	until(t, "all are current, by two", every(all, func(s follow.Status) bool { return s.Current && len(s.Relays) == 2 && s.Version == 1 && s.Fleet == "f" }))
+	until(t, "all are current, by two", every(all, func(s subscriber.Status) bool {
+		return s.Current && len(s.Relays) == 2 && s.Version == 1 && s.Fleet == "f"
+	}))
 
 	slow, err := net.Dial("tcp", r.addrs[0].String())
 	if err != nil {
@@ -221,9 +223,9 @@
 	}
 	defer func() { _ = slow.Close() }()
 	_ = slow.(*net.TCPConn).SetReadBuffer(4096)
-	words := []byte{stream.Mark}
-	for _, body := range [][]byte{stream.Encode(stream.Greeting{Fleet: "lab"}), feed.Encode(&feed.Msg{Hello: &feed.Hello{Form: feed.Form, ID: "slow", Life: 1}})} {
-		words = append(append(words, stream.Header(body)...), body...)
+	words := []byte{framing.Mark}
+	for _, body := range [][]byte{framing.Encode(framing.Greeting{Fleet: "lab"}), changefeed.Encode(&changefeed.Msg{Hello: &changefeed.Hello{Form: changefeed.Form, ID: "slow", Life: 1}})} {
+		words = append(append(words, framing.Header(body)...), body...)
 	}
 	_, _ = slow.Write(words)
 	until(t, "the slow one is there", func() bool { return r.all[0].Status().Followers.Here == 21 })
@@ -231,9 +233,9 @@
 	value := make([]byte, 8<<10)
 	for i := range 200 { // 1.6 MB: more than the window, and than the ring of the source
 		value[0] = byte(i)
-		r.change(feed.Item{Key: fmt.Sprint("config/", i%7), Value: append([]byte(nil), value...)})
+		r.change(changefeed.Item{Key: fmt.Sprint("config/", i%7), Value: append([]byte(nil), value...)})
 	}
-	until(t, "all have the newest", every(all, func(s follow.Status) bool { return s.Version == 201 && s.Current }))
+	until(t, "all have the newest", every(all, func(s subscriber.Status) bool { return s.Version == 201 && s.Current }))
 	until(t, "all but the slow one have it there, which is let go", func() bool {
 		s := r.all[0].Status()
 		if s.Followers.Here == 21 && s.Followers.Lowest > 100 {
@@ -242,9 +244,9 @@
 		return s.Followers.Here == 20 && s.Followers.Current == 20 && s.Count.Lapsed == 1
 	})
 	r.end(0)
-	until(t, "all have left it", every(all, func(s follow.Status) bool { return len(s.Relays) == 1 && s.Current }))
-	r.change(feed.Item{Key: "config/last", Value: []byte("x")})
-	until(t, "all have the last", every(all, func(s follow.Status) bool { return s.Version == 202 && s.Digest == r.log.Digest() }))
+	until(t, "all have left it", every(all, func(s subscriber.Status) bool { return len(s.Relays) == 1 && s.Current }))
+	r.change(changefeed.Item{Key: "config/last", Value: []byte("x")})
+	until(t, "all have the last", every(all, func(s subscriber.Status) bool { return s.Version == 202 && s.Digest == r.log.Digest() }))
 	for _, f := range all {
 		f.check(t)
 		if s := f.Status(); s.Count.Snapshots > 1 || s.Count.Mismatches+s.Count.Conflicts+s.Count.Refused > 0 {
@@ -255,7 +257,7 @@
 		}
 	}
 	r.stale.Store(true) // nobody knows any more that nothing newer is agreed
-	until(t, "none is current", every(all, func(s follow.Status) bool { return !s.Current }))
+	until(t, "none is current", every(all, func(s subscriber.Status) bool { return !s.Current }))
 }
 
 // TestAFollowersOperations asks for more than is taken, and ends a control process that has not answered. Guards against followers that
@@ -263,14 +265,14 @@
 func TestAFollowersOperations(t *testing.T) {
 	r := newTier(t, 2, 100)
 	f, other := r.follower(1), r.follower(2)
-	until(t, "both follow two", every([]*follower{f, other}, func(s follow.Status) bool { return len(s.Relays) == 2 }))
-	ask := func(f *follower, id string, within time.Duration) <-chan copies.Result {
-		out := make(chan copies.Result, 2)
-		f.Ask(copies.Op{ID: id, Key: id}, within, func(r copies.Result) { out <- r })
+	until(t, "both follow two", every([]*follower{f, other}, func(s subscriber.Status) bool { return len(s.Relays) == 2 }))
+	ask := func(f *follower, id string, within time.Duration) <-chan replication.Result {
+		out := make(chan replication.Result, 2)
+		f.Ask(replication.Op{ID: id, Key: id}, within, func(r replication.Result) { out <- r })
 		return out
 	}
 	for i, f := range []*follower{f, other} {
-		if got := <-ask(f, fmt.Sprint("a", i), bound); got.Outcome != copies.Done || got.Op != fmt.Sprint("a", i) || got.Record.Version != 7 {
+		if got := <-ask(f, fmt.Sprint("a", i), bound); got.Outcome != replication.Done || got.Op != fmt.Sprint("a", i) || got.Record.Version != 7 {
 			t.Errorf("%+v", got)
 		}
 	}
@@ -280,11 +282,11 @@
 		h.mu.Unlock()
 	}
 	const most = 256
-	var out []<-chan copies.Result
+	var out []<-chan replication.Result
 	for i := range most + 1 {
 		out = append(out, ask(f, fmt.Sprint("b", i), bound))
 	}
-	if got := <-out[most]; got.Outcome != copies.Refused || got.Why != copies.Busy {
+	if got := <-out[most]; got.Outcome != replication.Refused || got.Why != replication.Busy {
 		t.Errorf("one too many: %+v", got)
 	}
 	asked := 0 // which of the two
@@ -292,7 +294,7 @@
 		asked = 1
 	}
 	until(t, "all are under way", func() bool { return r.holders[asked].count() == most })
-	if got := <-ask(other, "c", 50*time.Millisecond); got.Outcome != copies.Unknown {
+	if got := <-ask(other, "c", 50*time.Millisecond); got.Outcome != replication.Unknown {
 		t.Errorf("no answer in time: %+v", got)
 	}
 	r.holders[1-asked].mu.Lock()
@@ -302,21 +304,21 @@
 	for i, o := range out[:most] {
 		select {
 		case got := <-o:
-			if got.Outcome != copies.Done || got.Op != fmt.Sprint("b", i) {
+			if got.Outcome != replication.Done || got.Op != fmt.Sprint("b", i) {
 				t.Fatalf("asked again elsewhere: %+v", got)
 			}
 		case <-time.After(bound):
 			t.Fatalf("b%d was not asked again", i)
 		}
 	}
-	done := make(chan feed.PutDone, 1)
-	f.Put(feed.Put{Op: "p", Key: "config/a", Any: true}, bound, func(d feed.PutDone) { done <- d })
+	done := make(chan changefeed.PutDone, 1)
+	f.Put(changefeed.Put{Op: "p", Key: "config/a", Any: true}, bound, func(d changefeed.PutDone) { done <- d })
 	if d := <-done; d.Version == 0 || d.Refused != "" {
 		t.Errorf("%+v", d)
 	}
 	r.end(1 - asked)
 	until(t, "nobody is left", func() bool { return len(f.Status().Relays) == 0 })
-	if got := <-ask(f, "d", 50*time.Millisecond); got.Outcome != copies.Refused || got.Why != copies.Busy {
+	if got := <-ask(f, "d", 50*time.Millisecond); got.Outcome != replication.Refused || got.Why != replication.Busy {
 		t.Errorf("nobody was asked: %+v", got)
 	}
 }
@@ -329,15 +331,15 @@
 	for i := range 3 {
 		all = append(all, r.follower(i))
 	}
-	until(t, "three follow", every(all, func(s follow.Status) bool { return s.Current }))
+	until(t, "three follow", every(all, func(s subscriber.Status) bool { return s.Current }))
 	hello := func(id string) []byte {
-		return feed.Encode(&feed.Msg{Hello: &feed.Hello{Form: feed.Form, ID: id, Life: 1}})
+		return changefeed.Encode(&changefeed.Msg{Hello: &changefeed.Hello{Form: changefeed.Form, ID: id, Life: 1}})
 	}
-	lab := stream.Encode(stream.Greeting{Fleet: "lab"})
+	lab := framing.Encode(framing.Greeting{Fleet: "lab"})
 	for name, bodies := range map[string][][]byte{
 		"one too many":     {lab, hello("x")},
-		"of another fleet": {stream.Encode(stream.Greeting{Fleet: "other"}), hello("id0")},
-		"no hello":         {lab, feed.Encode(&feed.Msg{Renew: &feed.Renew{Number: 1}})},
+		"of another fleet": {framing.Encode(framing.Greeting{Fleet: "other"}), hello("id0")},
+		"no hello":         {lab, changefeed.Encode(&changefeed.Msg{Renew: &changefeed.Renew{Number: 1}})},
 		"no greeting":      {[]byte("?")},
 	} {
 		c, err := net.Dial("tcp", r.addrs[0].String())
@@ -345,9 +347,9 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		words := []byte{stream.Mark}
+		words := []byte{framing.Mark}
 		for _, body := range bodies {
-			words = append(append(words, stream.Header(body)...), body...)
+			words = append(append(words, framing.Header(body)...), body...)
 		}
 		_, _ = c.Write(words)
 		_ = c.SetReadDeadline(time.Now().Add(bound))
@@ -355,9 +357,9 @@
 		if ne, is := err.(net.Error); is && ne.Timeout() {
 			t.Errorf("%s: it is held", name)
 		}
-		var told feed.Msg
-		if len(text) > stream.Head {
-			told, _ = feed.Decode(text[stream.Head:])
+		var told changefeed.Msg
+		if len(text) > framing.Head {
+			told, _ = changefeed.Decode(text[framing.Head:])
 		}
 		if e := told.Elsewhere; (e != nil) != (name == "one too many") || e != nil && e.Wait <= 0 {
 			t.Errorf("%s: it is told %q", name, text)
@@ -380,9 +382,9 @@
 	value := make([]byte, 600)
 	before := f.Status().Got
 	for i := range 240 {
-		r.change(feed.Item{Key: fmt.Sprint("view/", i), Value: value})
+		r.change(changefeed.Item{Key: fmt.Sprint("view/", i), Value: value})
 	}
-	last := r.change(feed.Item{Key: "config/last", Value: []byte("x")})
+	last := r.change(changefeed.Item{Key: "config/last", Value: []byte("x")})
 	until(t, "it has the newest by both", func() bool {
 		return f.Status().Version == last && r.all[0].Status().Followers.Lowest == last && r.all[1].Status().Followers.Lowest == last
 	})
@@ -403,7 +405,7 @@
 		p.Changed(whole, nil)
 	}
 	late := r.follower(1)
-	until(t, "both are current", every([]*follower{f, late}, func(s follow.Status) bool { return s.Current && s.Version == last && len(s.Relays) == 2 }))
+	until(t, "both are current", every([]*follower{f, late}, func(s subscriber.Status) bool { return s.Current && s.Version == last && len(s.Relays) == 2 }))
 	if a, b := f.Status(), late.Status(); a.Digest != b.Digest || a.Count.Conflicts+b.Count.Conflicts+a.Count.Mismatches+b.Count.Mismatches > 0 {
 		t.Errorf("%+v\n%+v", a, b)
 	}
@@ -419,14 +421,14 @@
 	for i := range 10 {
 		all = append(all, r.follower(i))
 	}
-	until(t, "all are current", every(all, func(s follow.Status) bool { return s.Current && s.Version == 1 }))
+	until(t, "all are current", every(all, func(s subscriber.Status) bool { return s.Current && s.Version == 1 }))
 	has := func(version uint64) func() bool {
-		return every(all, func(s follow.Status) bool { return s.Version == version })
+		return every(all, func(s subscriber.Status) bool { return s.Version == version })
 	}
 	before, began := r.all[0].Status().Writes, time.Now()
 	last := uint64(0)
 	for i := range 200 {
-		last = r.change(feed.Item{Key: fmt.Sprint("config/", i%7), Value: fmt.Append(nil, i)})
+		last = r.change(changefeed.Item{Key: fmt.Sprint("config/", i%7), Value: fmt.Append(nil, i)})
 		time.Sleep(2 * time.Millisecond) // the source's pace
 	}
 	until(t, "all have the burst", has(last))
@@ -440,7 +442,7 @@
 	for i := range 10 { // the machine may be busy: one of ten tells
 		time.Sleep(250 * time.Millisecond) // idle for longer than a batch is gathered
 		began := time.Now()
-		last = r.change(feed.Item{Key: "config/a", Value: fmt.Append(nil, "idle ", i)})
+		last = r.change(changefeed.Item{Key: "config/a", Value: fmt.Append(nil, "idle ", i)})
 		until(t, "all have it", has(last))
 		soonest = min(soonest, time.Since(began))
 	}
@@ -466,7 +468,7 @@
 	if s := f.Status(); s.Version != 1 {
 		t.Fatalf("%+v", s)
 	}
-	r.change(feed.Item{Key: "view/1", Value: []byte("v")})
+	r.change(changefeed.Item{Key: "view/1", Value: []byte("v")})
 	until(t, "the version makes it young", func() bool {
 		p.Fresh(boottime.Now(), 2)
 		return p.Status().Age < time.Second/2 && f.Status().Version == 2 && f.Status().Age < time.Second/2
--- a/internal/fleet/publish/trim_test.go
+++ b/internal/fleet/publisher/trim_test.go
@@ -1,4 +1,4 @@
-package publish
+package publisher
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"testing"
 
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // TestTheSameHoweverItIsComeBy plays a history to publishers' states that hear it by changes, by snapshots, and by both by chance, begun
@@ -16,18 +16,18 @@
 func TestTheSameHoweverItIsComeBy(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		core := feed.NewLog(feed.LogConfig{Most: 100, Bytes: 1 << 20})
+		core := changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 1 << 20})
 		fresh := func() *trimmed {
-			return &trimmed{log: feed.NewLog(feed.LogConfig{Most: 100, Bytes: 1 << 20})}
+			return &trimmed{log: changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 1 << 20})}
 		}
 		byChanges, bySnapshots, mixed := fresh(), fresh(), fresh()
-		follower := feed.NewState()
+		follower := changefeed.NewState()
 		for step := range 200 {
-			items := []feed.Item{{Key: feed.FleetKey, Value: []byte("f")}}
+			items := []changefeed.Item{{Key: changefeed.FleetKey, Value: []byte("f")}}
 			if step > 0 {
 				items = nil
 				for range 1 + rng.IntN(3) {
-					i := feed.Item{Key: fmt.Sprintf("%s%d", []string{"view/", "view/", "view/", views.Config, feed.MemberPrefix}[rng.IntN(5)], len(items)*50+rng.IntN(50)),
+					i := changefeed.Item{Key: fmt.Sprintf("%s%d", []string{"view/", "view/", "view/", shardmap.Config, changefeed.MemberPrefix}[rng.IntN(5)], len(items)*50+rng.IntN(50)),
 						Value: fmt.Appendf(nil, "%d", rng.IntN(5))}
 					if rng.IntN(4) == 0 {
 						i.Value, i.Gone = nil, true
@@ -77,41 +77,41 @@
 			}
 		}
 
-		other := feed.NewLog(feed.LogConfig{Most: 100, Bytes: 1 << 20}) // another history, which differs in a view alone
+		other := changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 1 << 20}) // another history, which differs in a view alone
 		snap := core.Snapshot()
-		next, err := core.Next([]feed.Item{{Key: "view/7", Value: []byte("a")}})
+		next, err := core.Next([]changefeed.Item{{Key: "view/7", Value: []byte("a")}})
 		if err == nil {
 			err = byChanges.apply(&next)
 		}
 		if err == nil {
 			err = other.Install(*snap)
 		}
-		var odd, after feed.Change
+		var odd, after changefeed.Change
 		if err == nil {
-			odd, err = other.Next([]feed.Item{{Key: "view/7", Value: []byte("b")}})
+			odd, err = other.Next([]changefeed.Item{{Key: "view/7", Value: []byte("b")}})
 		}
 		if err == nil {
-			after, err = other.Next([]feed.Item{{Key: views.Config + "x", Value: []byte("b")}})
+			after, err = other.Next([]changefeed.Item{{Key: shardmap.Config + "x", Value: []byte("b")}})
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		before := byChanges.log.Digest()
-		if err := byChanges.apply(&odd); !errors.Is(err, feed.ErrConflict) {
+		if err := byChanges.apply(&odd); !errors.Is(err, changefeed.ErrConflict) {
 			t.Errorf("a change of another history: %v", err)
 		}
-		if err := byChanges.apply(&after); !errors.Is(err, feed.ErrDigest) {
+		if err := byChanges.apply(&after); !errors.Is(err, changefeed.ErrDigest) {
 			t.Errorf("a change that is of another history: %v", err)
 		}
 		if err := bySnapshots.install(snap); err != nil {
 			t.Errorf("what is there already: %v", err)
 		}
-		if err := byChanges.install(snap); !errors.Is(err, feed.ErrOrder) {
+		if err := byChanges.install(snap); !errors.Is(err, changefeed.ErrOrder) {
 			t.Errorf("an older snapshot: %v", err)
 		}
 		unlike := *snap
 		unlike.Digest++
-		if err := bySnapshots.install(&unlike); !errors.Is(err, feed.ErrConflict) {
+		if err := bySnapshots.install(&unlike); !errors.Is(err, changefeed.ErrConflict) {
 			t.Errorf("a snapshot of another history: %v", err)
 		}
 		if byChanges.log.Digest() != before || byChanges.digest != next.After {
--- a/internal/fleet/copies/bench_test.go
+++ b/internal/fleet/replication/bench_test.go
@@ -1,4 +1,4 @@
-package copies
+package replication
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // metered begins what is measured; the answer ends it, and tells the processor's time of one operation in ns, garbage collection within:
@@ -57,9 +57,9 @@
 }
 
 // view tells all of a view of every slot.
-func (h *holders) view(v views.View) {
+func (h *holders) view(v shardmap.View) {
 	for _, id := range h.ids {
-		for num := range views.Slots {
+		for num := range shardmap.Slots {
 			h.nodes[id].View(num, v)
 		}
 	}
@@ -114,7 +114,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			h.view(views.View{Num: 1, Full: h.ids[:size[0]]})
+			h.view(shardmap.View{Num: 1, Full: h.ids[:size[0]]})
 			asks := h.ids[len(h.ids)-1]
 			for n := range size[1] {
 				h.nodes[h.ids[0]].Ask(Op{ID: fmt.Sprint("o", n), Key: anywhere(n), Value: make([]byte, 256)}, time.Second)
@@ -161,13 +161,13 @@
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			var keys []string
 			for n := 0; len(keys) < records; n++ {
-				if key := anywhere(n); views.SlotOf(key) == num {
+				if key := anywhere(n); shardmap.SlotOf(key) == num {
 					keys = append(keys, key)
 				}
 			}
 			h := hold(3, 2, 100000)
 			full := h.ids[:2]
-			h.view(views.View{Num: 1, Full: full})
+			h.view(shardmap.View{Num: 1, Full: full})
 			for n, key := range keys {
 				h.nodes[h.ids[0]].Ask(Op{ID: fmt.Sprint("o", n), Key: key, Value: make([]byte, 256)}, time.Second)
 				if n%64 == 63 {
@@ -178,14 +178,14 @@
 			joins := h.nodes[h.ids[2]]
 			repair := func(view uint64) {
 				for _, id := range h.ids {
-					h.nodes[id].View(num, views.View{Num: view, Full: full, Joining: h.ids[2:]})
+					h.nodes[id].View(num, shardmap.View{Num: view, Full: full, Joining: h.ids[2:]})
 				}
 				h.settle()
 				if got, _ := joins.Held(); got != records {
 					b.Fatalf("%d of %d records were copied", got, records)
 				}
 				for _, id := range h.ids { // and it leaves again
-					h.nodes[id].View(num, views.View{Num: view + 1, Full: full})
+					h.nodes[id].View(num, shardmap.View{Num: view + 1, Full: full})
 				}
 				h.settle()
 				if got, _ := joins.Held(); got != 0 {
@@ -211,7 +211,7 @@
 	for _, records := range []int{0, 1000, 10000, 50000} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			h := hold(3, 2, 100000)
-			h.view(views.View{Num: 1, Full: slices.Clone(h.ids)})
+			h.view(shardmap.View{Num: 1, Full: slices.Clone(h.ids)})
 			h.fill(b, records, func(n int) string { return fmt.Sprintf("old/%016x", n) })
 			n := h.nodes[h.ids[0]]
 			now := time.Duration(0)
--- a/internal/fleet/copies/copies.go
+++ b/internal/fleet/replication/replication.go
@@ -1,8 +1,8 @@
-// Package copies keeps records on several members: each slot of the key space has a view, agreed elsewhere, whose primary orders
+// Package replication keeps records on several members: each slot of the key space has a view, agreed elsewhere, whose primary orders
 // writes and whose holders all have a write on disk before it is promised. It is the protocol alone, pure: messages, operations,
 // views and a time in; writes, messages and results out. It must never promise what fewer than the least number of holders have,
 // never take a write of an older ballot, and never agree on a view: two who decided that by themselves would both promise.
-package copies
+package replication
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -131,7 +131,7 @@
 
 // New makes a node that holds nothing.
 func New(cfg Config, now time.Duration) *Node {
-	n := &Node{cfg: cfg, now: now, slots: make([]slot, views.Slots), ops: map[string]*pending{}, heard: map[string]time.Duration{}, beat: now}
+	n := &Node{cfg: cfg, now: now, slots: make([]slot, shardmap.Slots), ops: map[string]*pending{}, heard: map[string]time.Duration{}, beat: now}
 	for i := range n.slots {
 		n.slots[i].records = map[string]Record{}
 	}
@@ -208,7 +208,7 @@
 }
 
 // View tells of a slot's newest view. Older ones than the one that is known change nothing.
-func (n *Node) View(num int, v views.View) {
+func (n *Node) View(num int, v shardmap.View) {
 	s := &n.slots[num]
 	if v.Num < s.ballot.View || v.Num == s.ballot.View && s.full != nil {
 		return
@@ -284,7 +284,7 @@
 
 // ask sends an operation to whoever leads its slot.
 func (n *Node) ask(p *pending) {
-	num := views.SlotOf(p.op.Key)
+	num := shardmap.SlotOf(p.op.Key)
 	s := &n.slots[num]
 	p.next = n.now + askAgain
 	if p.op.Here && !s.leads {
@@ -352,7 +352,7 @@
 
 // lead begins a view as its primary: what this member has is what there is, as all that was promised is on each of the
 // old view's holders. It serves once all holders have taken the same over.
-func (n *Node) lead(num int, v views.View) {
+func (n *Node) lead(num int, v shardmap.View) {
 	s := &n.slots[num]
 	s.resign()
 	s.ballot = Ballot{View: v.Num, Life: n.cfg.Life}
@@ -775,7 +775,7 @@
 }
 
 // Record is what this member has of a key: what it was told last, promised or not.
-func (n *Node) Record(key string) Record { return n.slots[views.SlotOf(key)].records[key] }
+func (n *Node) Record(key string) Record { return n.slots[shardmap.SlotOf(key)].records[key] }
 
 // Held is how many records and bytes lie here.
 func (n *Node) Held() (keys, bytes int) { return n.keys, n.bytes }
--- a/internal/fleet/copies/copies_test.go
+++ b/internal/fleet/replication/replication_test.go
@@ -1,4 +1,4 @@
-package copies
+package replication
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // band is three nodes whose messages come at once, but for those that a test holds back.
@@ -22,14 +22,14 @@
 	for _, id := range []string{"a", "b", "c"} {
 		b.nodes[id] = New(Config{ID: id, Life: 1, Least: 2, MostKeys: keys, MostBytes: bytes, MostOps: 100, Keeps: []Keep{{"old/", time.Minute}}}, 0)
 	}
-	b.view(views.View{Num: 1, Full: []string{"a", "b", "c"}}, "a", "b", "c")
+	b.view(shardmap.View{Num: 1, Full: []string{"a", "b", "c"}}, "a", "b", "c")
 	return b
 }
 
 // view tells some of a view of every slot.
-func (b *band) view(v views.View, to ...string) {
+func (b *band) view(v shardmap.View, to ...string) {
 	for _, id := range to {
-		for num := range views.Slots {
+		for num := range shardmap.Slots {
 			b.nodes[id].View(num, v)
 		}
 	}
@@ -117,7 +117,7 @@
 	if r := b.ask("a", Op{ID: "1", Key: "k", Value: []byte("1")}); r.Outcome != Done {
 		t.Fatal(r)
 	}
-	b.view(views.View{Num: 2, Full: []string{"b", "c"}}, "b", "c")
+	b.view(shardmap.View{Num: 2, Full: []string{"b", "c"}}, "b", "c")
 	if r := b.ask("c", Op{ID: "2", Key: "k", If: 1, Value: []byte("2")}); r.Outcome != Done {
 		t.Fatal(r)
 	}
@@ -164,7 +164,7 @@
 	if r := b.ask("b", Op{ID: "2", Key: "k", Read: true}); string(r.Record.Value) != "1" || b.done["1"].Outcome == Refused {
 		t.Errorf("%v, %v", r, b.done["1"])
 	}
-	b.view(views.View{Num: 2, Full: []string{"a"}}, "a", "b", "c")
+	b.view(shardmap.View{Num: 2, Full: []string{"a"}}, "a", "b", "c")
 	if r := b.ask("a", Op{ID: "3", Key: "k", If: 1, Value: []byte("3")}); r.Outcome == Done {
 		t.Error("promised on one machine")
 	}
--- a/internal/fleet/copies/words.go
+++ b/internal/fleet/replication/words.go
@@ -1,4 +1,4 @@
-package copies
+package replication
 
 // Record is one thing that is held.
 type Record struct {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"sabletally/internal/fleet/boottime"
-	"sabletally/internal/fleet/follow"
-	"sabletally/internal/fleet/members"
-	"sabletally/internal/fleet/publish"
-	"sabletally/internal/fleet/seat"
+	"sabletally/internal/fleet/datadir"
+	"sabletally/internal/fleet/membership"
+	"sabletally/internal/fleet/publisher"
+	"sabletally/internal/fleet/subscriber"
 )
 
 // Report is what operators are shown.
@@ -122,9 +122,9 @@
 	By      string  `json:"by,omitempty"`
 }
 
-func one(m members.Member) One {
+func one(m membership.Member) One {
 	return One{Name: m.Name, ID: m.ID, Addr: m.Addr.String(), Machine: m.Machine, Zone: m.Zone, Site: m.Site, Life: m.Life,
-		State: members.Here.String()}
+		State: membership.Here.String()}
 }
 
 // Report answers at once, from what is published.
@@ -166,7 +166,7 @@
 		o := one(k.Member)
 		o.State, o.Seconds, o.By = k.State.String(), (now - k.Since).Seconds(), k.By
 		r.Others = append(r.Others, o)
-		if k.State == members.Here {
+		if k.State == membership.Here {
 			r.Here++
 			machines[k.Machine] = true
 		}
@@ -176,20 +176,20 @@
 }
 
 // following fills in what a balancer shows that follows control processes.
-func (r *Report) following(f *Fleet, t *follow.Follow, place *seat.Seat) {
+func (r *Report) following(f *Fleet, t *subscriber.Follow, place *datadir.Seat) {
 	s := t.Status()
 	r.Member, r.Copies, r.Here, r.Standing = true, 0, 1, "current"
 	if !s.Current {
 		r.Standing = "not current"
 	}
-	r.Self = &One{Name: f.name, ID: place.Member, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site, Life: place.Life, State: members.Here.String()}
+	r.Self = &One{Name: f.name, ID: place.Member, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site, Life: place.Life, State: membership.Here.String()}
 	c := s.Count
 	r.Following = &Following{ID: s.Fleet, Version: s.Version, Digest: s.Digest, Keys: s.Keys, Bytes: s.Bytes, Current: s.Current, Age: seconds(s.Age, s.Known),
 		Relays: s.Relays, Changes: c.Changes, Snapshots: c.Snapshots, Gaps: c.Gaps, Mismatches: c.Mismatches, Conflicts: c.Conflicts, Refused: c.Refused,
 		Lapses: c.Lapses, Waiting: s.Waiting, Sent: s.Sent, Got: s.Got}
 }
 
-func publishing(s publish.Status, most int) *Publishing {
+func publishing(s publisher.Status, most int) *Publishing {
 	c := s.Count
 	return &Publishing{Followers: s.Followers.Here, Most: most, Current: s.Followers.Current, Waiting: s.Followers.Waiting, Blocked: s.Followers.Blocked,
 		Lowest: s.Followers.Lowest, Version: s.Version, Digest: s.Digest, Age: seconds(s.Age, s.Known), Changes: c.Changes, Snapshots: c.Snapshots, Came: c.Came,
--- a/internal/fleet/views/items.go
+++ b/internal/fleet/shardmap/items.go
@@ -1,7 +1,7 @@
 // This file owns what operators put into the agreed state, and the state as a map from key to bytes, which is what balancers
 // that follow it are sent.
 
-package views
+package shardmap
 
 import (
 	"encoding/json"
--- a/internal/fleet/views/items_test.go
+++ b/internal/fleet/shardmap/items_test.go
@@ -1,4 +1,4 @@
-package views
+package shardmap
 
 import (
 	"bytes"
--- a/internal/fleet/views/views.go
+++ b/internal/fleet/shardmap/shardmap.go
@@ -1,8 +1,8 @@
-// Package views is what the members agree on: the epochs, which are frozen lists of members, and for each slot of the key space its
+// Package shardmap is what the members agree on: the epochs, which are frozen lists of members, and for each slot of the key space its
 // view, which names the holders of the slot's records. It is a pure state machine under an agreed log: the same entries leave the
 // same state everywhere. It must never decide that something changes, and never take an entry that was made of another state
 // than the one in force: who was overtaken is refused.
-package views
+package shardmap
 
 import (
 	"cmp"
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -17,10 +17,10 @@
 	"go.etcd.io/bbolt"
 	berrors "go.etcd.io/bbolt/errors"
 
-	"sabletally/internal/fleet/agree"
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/core"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/node"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
 )
 
 // Format is the newest form of the file that this program writes and reads; older ones are read.
@@ -45,39 +45,39 @@
 
 // Open opens the file in a directory, which has to be this process's, and reads all of it. A file of a newer format, or one whose
 // records do not match their checksums, is an error that names it.
-func Open(dir string) (*Store, core.Saved, error) {
+func Open(dir string) (*Store, node.Saved, error) {
 	path := filepath.Join(dir, "holdings.db")
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWithin, FreelistType: bbolt.FreelistMapType})
 	if err != nil {
 		if errors.Is(err, berrors.ErrTimeout) {
 			err = errors.New("another process has it")
 		}
-		return nil, core.Saved{}, fmt.Errorf("%s: %w", path, err)
+		return nil, node.Saved{}, fmt.Errorf("%s: %w", path, err)
 	}
 	s := &Store{db: db}
 	saved, err := s.read()
 	if err != nil {
 		_ = db.Close()
-		return nil, core.Saved{}, fmt.Errorf("%s: %w", path, err)
+		return nil, node.Saved{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return s, saved, nil
 }
 
 // Look reads the file of a directory that no process has, and changes nothing.
-func Look(dir string) (core.Saved, error) {
+func Look(dir string) (node.Saved, error) {
 	path := filepath.Join(dir, "holdings.db")
 	if _, err := os.Stat(path); err != nil {
-		return core.Saved{}, err
+		return node.Saved{}, err
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWithin, ReadOnly: true})
 	if err != nil {
 		if errors.Is(err, berrors.ErrTimeout) {
 			err = errors.New("a process has it: end that first")
 		}
-		return core.Saved{}, fmt.Errorf("%s: %w", path, err)
+		return node.Saved{}, fmt.Errorf("%s: %w", path, err)
 	}
 	defer func() { _ = db.Close() }()
-	out := core.Saved{}
+	out := node.Saved{}
 	err = db.View(func(tx *bbolt.Tx) (err error) {
 		for _, name := range [][]byte{meta, entries, slots, records} {
 			if tx.Bucket(name) == nil {
@@ -93,7 +93,7 @@
 	return out, err
 }
 
-func (s *Store) read() (out core.Saved, err error) {
+func (s *Store) read() (out node.Saved, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		for _, name := range [][]byte{meta, entries, slots, records} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -112,8 +112,8 @@
 }
 
 // load reads all, and holds each part against its checksum.
-func load(tx *bbolt.Tx) (out core.Saved, err error) {
-	out.Slots = map[int]core.Slot{}
+func load(tx *bbolt.Tx) (out node.Saved, err error) {
+	out.Slots = map[int]node.Slot{}
 	all := [4]*bbolt.Bucket{tx.Bucket(meta), tx.Bucket(entries), tx.Bucket(slots), tx.Bucket(records)}
 	m := all[0]
 	err = func() error {
@@ -121,7 +121,7 @@
 			return fmt.Errorf("its format is %d, written by a newer program; this one reads up to %d", f, Format)
 		}
 		out.Fleet = string(m.Get([]byte("fleet")))
-		out.Agree = agree.Saved{Hard: bytes.Clone(m.Get([]byte("hard"))), Snapshot: bytes.Clone(m.Get([]byte("snapshot")))}
+		out.Agree = consensus.Saved{Hard: bytes.Clone(m.Get([]byte("hard"))), Snapshot: bytes.Clone(m.Get([]byte("snapshot")))}
 		if err := all[1].ForEach(func(_, v []byte) error {
 			text, err := unseal(v)
 			out.Agree.Entries = append(out.Agree.Entries, bytes.Clone(text))
@@ -131,22 +131,22 @@
 		}
 		if err := all[2].ForEach(func(k, v []byte) error {
 			num := int(binary.BigEndian.Uint16(k))
-			if num >= views.Slots || len(v) != 16 {
+			if num >= shardmap.Slots || len(v) != 16 {
 				return fmt.Errorf("slot %d is none", num)
 			}
-			out.Slots[num] = core.Slot{Ballot: copies.Ballot{View: binary.BigEndian.Uint64(v), Life: binary.BigEndian.Uint64(v[8:])}}
+			out.Slots[num] = node.Slot{Ballot: replication.Ballot{View: binary.BigEndian.Uint64(v), Life: binary.BigEndian.Uint64(v[8:])}}
 			return nil
 		}); err != nil {
 			return err
 		}
 		return all[3].ForEach(func(k, v []byte) error {
 			text, err := unseal(v)
-			var r copies.Record
+			var r replication.Record
 			if err == nil {
 				err = cbor.Unmarshal(text, &r)
 			}
 			num := int(binary.BigEndian.Uint16(k))
-			if err == nil && (num >= views.Slots || r.Key != string(k[2:])) {
+			if err == nil && (num >= shardmap.Slots || r.Key != string(k[2:])) {
 				err = errors.New("it is another key's")
 			}
 			if err != nil {
@@ -163,7 +163,7 @@
 
 // Write puts what a Ready asks for on disk, all of it or nothing, and answers once it is there. After an error every later call
 // answers that error.
-func (s *Store) Write(r core.Ready) error {
+func (s *Store) Write(r node.Ready) error {
 	if s.err != nil {
 		return s.err
 	}
@@ -220,7 +220,7 @@
 	return s.err
 }
 
-func (s *Store) log(tx *bbolt.Tx, r core.Ready, put func(*bbolt.Bucket, []byte, []byte) error) error {
+func (s *Store) log(tx *bbolt.Tx, r node.Ready, put func(*bbolt.Bucket, []byte, []byte) error) error {
 	m, l := tx.Bucket(meta), tx.Bucket(entries)
 	key := func(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 	if r.Fleet != "" {
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -10,33 +10,33 @@
 
 	"go.etcd.io/bbolt"
 
-	"sabletally/internal/fleet/agree"
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/core"
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/node"
+	"sabletally/internal/fleet/replication"
 )
 
-func record(key string, version uint64) copies.Record {
-	return copies.Record{Key: key, Version: version, Value: []byte("v"), Op: fmt.Sprint("o", version), Past: []string{"p"}}
+func record(key string, version uint64) replication.Record {
+	return replication.Record{Key: key, Version: version, Value: []byte("v"), Op: fmt.Sprint("o", version), Past: []string{"p"}}
 }
 
 // TestWhatIsWrittenIsRead writes slots and the log over each other and opens the file anew after each.
 func TestWhatIsWrittenIsRead(t *testing.T) {
 	dir := t.TempDir()
-	b1, b2 := copies.Ballot{View: 1, Life: 1}, copies.Ballot{View: 2, Life: 7}
+	b1, b2 := replication.Ballot{View: 1, Life: 1}, replication.Ballot{View: 2, Life: 7}
 	for _, c := range []struct {
-		write core.Ready
-		want  core.Saved
+		write node.Ready
+		want  node.Saved
 	}{
-		{core.Ready{Fleet: "f", Agree: agree.Write{Hard: []byte("h"), Snapshot: []byte("s"), Upto: 1, Entries: [][]byte{{2}, {3}}, First: 2},
-			Slots: []copies.Write{{Slot: 3, Ballot: b1, Records: []copies.Record{record("a", 1), record("b", 1)}}, {Slot: 4, Ballot: b1}}},
-			core.Saved{Fleet: "f", Agree: agree.Saved{Hard: []byte("h"), Snapshot: []byte("s"), Entries: [][]byte{{2}, {3}}},
-				Slots: map[int]core.Slot{3: {Ballot: b1, Records: []copies.Record{record("a", 1), record("b", 1)}}, 4: {Ballot: b1}}}},
-		{core.Ready{Agree: agree.Write{Entries: [][]byte{{9}}, First: 3}, Slots: []copies.Write{{Slot: 3, Ballot: b2, Records: []copies.Record{record("a", 2)}}}},
-			core.Saved{Fleet: "f", Agree: agree.Saved{Hard: []byte("h"), Snapshot: []byte("s"), Entries: [][]byte{{2}, {9}}},
-				Slots: map[int]core.Slot{3: {Ballot: b2, Records: []copies.Record{record("a", 2), record("b", 1)}}, 4: {Ballot: b1}}}},
-		{core.Ready{Agree: agree.Write{Snapshot: []byte("t"), Upto: 3}, Slots: []copies.Write{{Slot: 3, Ballot: b2, Replace: true, Records: []copies.Record{record("c", 1)}}}},
-			core.Saved{Fleet: "f", Agree: agree.Saved{Hard: []byte("h"), Snapshot: []byte("t")},
-				Slots: map[int]core.Slot{3: {Ballot: b2, Records: []copies.Record{record("c", 1)}}, 4: {Ballot: b1}}}},
+		{node.Ready{Fleet: "f", Agree: consensus.Write{Hard: []byte("h"), Snapshot: []byte("s"), Upto: 1, Entries: [][]byte{{2}, {3}}, First: 2},
+			Slots: []replication.Write{{Slot: 3, Ballot: b1, Records: []replication.Record{record("a", 1), record("b", 1)}}, {Slot: 4, Ballot: b1}}},
+			node.Saved{Fleet: "f", Agree: consensus.Saved{Hard: []byte("h"), Snapshot: []byte("s"), Entries: [][]byte{{2}, {3}}},
+				Slots: map[int]node.Slot{3: {Ballot: b1, Records: []replication.Record{record("a", 1), record("b", 1)}}, 4: {Ballot: b1}}}},
+		{node.Ready{Agree: consensus.Write{Entries: [][]byte{{9}}, First: 3}, Slots: []replication.Write{{Slot: 3, Ballot: b2, Records: []replication.Record{record("a", 2)}}}},
+			node.Saved{Fleet: "f", Agree: consensus.Saved{Hard: []byte("h"), Snapshot: []byte("s"), Entries: [][]byte{{2}, {9}}},
+				Slots: map[int]node.Slot{3: {Ballot: b2, Records: []replication.Record{record("a", 2), record("b", 1)}}, 4: {Ballot: b1}}}},
+		{node.Ready{Agree: consensus.Write{Snapshot: []byte("t"), Upto: 3}, Slots: []replication.Write{{Slot: 3, Ballot: b2, Replace: true, Records: []replication.Record{record("c", 1)}}}},
+			node.Saved{Fleet: "f", Agree: consensus.Saved{Hard: []byte("h"), Snapshot: []byte("t")},
+				Slots: map[int]node.Slot{3: {Ballot: b2, Records: []replication.Record{record("c", 1)}}, 4: {Ballot: b1}}}},
 	} {
 		s, _, err := Open(dir)
 		if err != nil {
@@ -71,7 +71,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Write(core.Ready{Slots: []copies.Write{{Slot: 3, Records: []copies.Record{record("a", 1)}}}}); err != nil {
+		if err := s.Write(node.Ready{Slots: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.db.Update(spoil); err != nil {
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	_ = s.db.Close()
-	one := core.Ready{Slots: []copies.Write{{Slot: 3, Records: []copies.Record{record("a", 1)}}}}
+	one := node.Ready{Slots: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}
 	first := s.Write(one)
 	if first == nil || s.Write(one) != first {
 		t.Error(first)
--- a/internal/fleet/follow/conn.go
+++ b/internal/fleet/subscriber/conn.go
@@ -1,12 +1,12 @@
-package follow
+package subscriber
 
 import (
 	"bufio"
 	"net"
 	"time"
 
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/stream"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/framing"
 )
 
 const (
@@ -38,12 +38,12 @@
 	}
 	r := bufio.NewReaderSize(&noted{c: c, nc: nc, at: time.Now()}, 4<<10)
 	for {
-		body, err := stream.Read(r, feed.MostMessage)
+		body, err := framing.Read(r, changefeed.MostMessage)
 		if err != nil {
 			break
 		}
-		f.got.Add(int64(stream.Head + len(body)))
-		m, err := feed.Decode(body)
+		f.got.Add(int64(framing.Head + len(body)))
+		m, err := changefeed.Decode(body)
 		if err != nil || !f.heard(c, m) {
 			break
 		}
@@ -129,12 +129,12 @@
 	size := int64(0)
 	if !c.marked {
 		c.marked = true
-		out = append(out, []byte{stream.Mark})
+		out = append(out, []byte{framing.Mark})
 		size++
 	}
 	for _, body := range queue {
-		out = append(out, stream.Header(body), body)
-		size += int64(stream.Head + len(body))
+		out = append(out, framing.Header(body), body)
+		size += int64(framing.Head + len(body))
 	}
 	if _, err := out.WriteTo(c.c); err != nil {
 		return false
--- a/internal/fleet/follow/follow.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -1,10 +1,10 @@
-// Package follow is a balancer's side of the control tier: it runs a feed.Follower on sockets, and passes operations to the control
+// Package subscriber is a balancer's side of the control tier: it runs a feed.Follower on sockets, and passes operations to the control
 // processes that it follows. It owns the connections and what waits for an answer. It must never be waited for by the balancer's loop,
 // and never promise anything by itself.
 //
 // One of them costs a goroutine for each connection, which is in most cases two, and one while something is being written; thousands
 // fit in a process.
-package follow
+package subscriber
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 
 	"go.uber.org/zap"
 
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/stream"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/framing"
+	"sabletally/internal/fleet/replication"
 )
 
 const (
@@ -42,7 +42,7 @@
 
 	// Applied is told of each step of the state, in order, by one goroutine at a time: the items that changed or, where whole, all that
 	// there are. It must not wait. Nil: nobody is told.
-	Applied func(version uint64, items []feed.Item, whole bool)
+	Applied func(version uint64, items []changefeed.Item, whole bool)
 }
 
 // Status is what is known at one moment.
@@ -57,7 +57,7 @@
 	Relays      []string // that are followed
 	Sent, Got   int64    // bytes
 	Waiting     int      // operations and puts
-	Count       feed.FollowerCount
+	Count       changefeed.FollowerCount
 }
 
 // Follow is one follower.
@@ -65,13 +65,13 @@
 	opt Options
 
 	mu    sync.Mutex // all of this
-	core  *feed.Follower
+	core  *changefeed.Follower
 	conns map[string]*conn // by address; those that are dialed as well
 	asks  map[uint64]*ask
 	puts  map[string]*ask // by operation: those of asks that are puts
 	last  uint64          // ask's number
 	clock time.Duration   // the core was told
-	news  []feed.Applied
+	news  []changefeed.Applied
 	tells bool // somebody tells of news
 	over  bool
 	timer *time.Timer
@@ -92,8 +92,8 @@
 	now := opt.Now()
 	ctx, stop := context.WithCancel(context.Background())
 	f := &Follow{opt: opt, conns: map[string]*conn{}, asks: map[uint64]*ask{}, puts: map[string]*ask{}, ctx: ctx, stop: stop}
-	f.core = feed.NewFollower(feed.FollowerConfig{ID: opt.ID, Name: opt.Name, Life: opt.Life, Machine: opt.Machine, Zone: opt.Zone, Site: opt.Site,
-		Seeds: seeds, Lease: feed.Lease, Seed: opt.Seed}, now)
+	f.core = changefeed.NewFollower(changefeed.FollowerConfig{ID: opt.ID, Name: opt.Name, Life: opt.Life, Machine: opt.Machine, Zone: opt.Zone, Site: opt.Site,
+		Seeds: seeds, Lease: changefeed.Lease, Seed: opt.Seed}, now)
 	f.mu.Lock()
 	f.timer = time.AfterFunc(0, f.beat)
 	f.mu.Unlock()
@@ -182,7 +182,7 @@
 	}
 	for _, s := range r.Sends {
 		if c := f.conns[s.Addr]; c != nil {
-			c.put(feed.Encode(&s.Msg))
+			c.put(changefeed.Encode(&s.Msg))
 		}
 	}
 	for _, addr := range r.Hang {
@@ -227,25 +227,25 @@
 	f.tells = false
 }
 
-func (f *Follow) say(l feed.Line) {
+func (f *Follow) say(l changefeed.Line) {
 	fields := []zap.Field{zap.String("at", l.Addr), zap.Uint64("version", l.Version), zap.Duration("for", l.For), zap.String("is", l.Text)}
 	log := f.opt.Log
 	switch l.Kind {
-	case feed.Woke:
+	case changefeed.Woke:
 		log.Warn("fleet: this process was stopped", zap.Duration("for", l.For))
-	case feed.Follows:
+	case changefeed.Follows:
 		log.Info("fleet: follows", zap.String("at", l.Addr), zap.String("id", l.Peer))
-	case feed.Leaves:
+	case changefeed.Leaves:
 		log.Info("fleet: follows no more", zap.String("at", l.Addr), zap.String("is", l.Text))
-	case feed.Stands:
+	case changefeed.Stands:
 		log.Warn("fleet: not current", zap.Uint64("version", l.Version), zap.Duration("for", l.For))
-	case feed.Again:
+	case changefeed.Again:
 		log.Info("fleet: current", zap.Uint64("version", l.Version), zap.Duration("after", l.For))
-	case feed.Mismatch:
+	case changefeed.Mismatch:
 		log.Warn("fleet: state does not match: a snapshot is asked for", fields...)
-	case feed.Conflict:
+	case changefeed.Conflict:
 		log.Error("fleet: two histories: one version of the agreed state with other contents", fields...)
-	case feed.Stranger:
+	case changefeed.Stranger:
 		log.Warn("fleet: control process of another fleet", fields...)
 	default:
 		log.Warn("fleet: what a control process sends is refused", append(fields, zap.Stringer("said", l))...)
@@ -275,7 +275,7 @@
 		return false
 	}
 	f.tick(true)
-	c.put(stream.Encode(stream.Greeting{Fleet: f.opt.Fleet}))
+	c.put(framing.Encode(framing.Greeting{Fleet: f.opt.Fleet}))
 	f.core.Opened(c.addr)
 	f.carryOut()
 	f.resend()
@@ -301,7 +301,7 @@
 }
 
 // heard takes a message; it answers false where the connection has been given up.
-func (f *Follow) heard(c *conn, m feed.Msg) bool {
+func (f *Follow) heard(c *conn, m changefeed.Msg) bool {
 	var done func()
 	f.mu.Lock()
 	is := !f.over && f.conns[c.addr] == c
@@ -344,39 +344,39 @@
 	op         string
 	timer      *time.Timer
 	unanswered func()
-	answered   func(*feed.PutDone, copies.Result)
+	answered   func(*changefeed.PutDone, replication.Result)
 }
 
 // Ask has an operation done by the control processes. done is called once, from another goroutine, within the span or a little
 // later; it must not wait. Where no answer comes it is Unknown, or Refused if nobody was asked. An operation whose connection ends is
 // asked again over another, which is safe, as it is known by its ID.
-func (f *Follow) Ask(op copies.Op, within time.Duration, done func(copies.Result)) {
+func (f *Follow) Ask(op replication.Op, within time.Duration, done func(replication.Result)) {
 	a := &ask{op: op.ID}
 	a.unanswered = func() {
-		r := copies.Result{Op: op.ID, Outcome: copies.Unknown}
+		r := replication.Result{Op: op.ID, Outcome: replication.Unknown}
 		if !a.sent {
-			r.Outcome, r.Why = copies.Refused, copies.Busy
+			r.Outcome, r.Why = replication.Refused, replication.Busy
 		}
 		done(r)
 	}
-	a.answered = func(_ *feed.PutDone, r copies.Result) { done(r) }
-	f.ask(a, within, func(number uint64) feed.Msg {
-		return feed.Msg{Op: &feed.Opaque{Number: number, Body: stream.Encode(stream.Ask{Op: op, Within: within})}}
+	a.answered = func(_ *changefeed.PutDone, r replication.Result) { done(r) }
+	f.ask(a, within, func(number uint64) changefeed.Msg {
+		return changefeed.Msg{Op: &changefeed.Opaque{Number: number, Body: framing.Encode(framing.Ask{Op: op, Within: within})}}
 	})
 }
 
 // Put asks for a change of an operators' item. done is called as with Ask; Refused says why where it did not take hold, or is not
 // known to have. Asked again with the same operation it is answered with the same version.
-func (f *Follow) Put(p feed.Put, within time.Duration, done func(feed.PutDone)) {
+func (f *Follow) Put(p changefeed.Put, within time.Duration, done func(changefeed.PutDone)) {
 	a := &ask{op: p.Op}
 	a.unanswered = func() {
 		why := "no answer in time: it may have taken hold; ask again as the same operation"
 		if !a.sent {
 			why = "no control process is followed, or too many changes wait"
 		}
-		done(feed.PutDone{Op: p.Op, Refused: why})
+		done(changefeed.PutDone{Op: p.Op, Refused: why})
 	}
-	a.answered = func(d *feed.PutDone, _ copies.Result) { done(*d) }
+	a.answered = func(d *changefeed.PutDone, _ replication.Result) { done(*d) }
 	f.mu.Lock()
 	twice := f.puts[p.Op] != nil
 	if !twice {
@@ -384,13 +384,13 @@
 	}
 	f.mu.Unlock()
 	if twice {
-		done(feed.PutDone{Op: p.Op, Refused: "it is under way already"})
+		done(changefeed.PutDone{Op: p.Op, Refused: "it is under way already"})
 		return
 	}
-	f.ask(a, within, func(uint64) feed.Msg { return feed.Msg{Put: &p} })
+	f.ask(a, within, func(uint64) changefeed.Msg { return changefeed.Msg{Put: &p} })
 }
 
-func (f *Follow) ask(a *ask, within time.Duration, word func(uint64) feed.Msg) {
+func (f *Follow) ask(a *ask, within time.Duration, word func(uint64) changefeed.Msg) {
 	f.mu.Lock()
 	if f.over || len(f.asks) >= asksMost {
 		delete(f.puts, a.op)
@@ -401,7 +401,7 @@
 	f.last++
 	a.number = f.last
 	m := word(a.number)
-	a.text = feed.Encode(&m)
+	a.text = changefeed.Encode(&m)
 	f.asks[a.number] = a
 	a.timer = time.AfterFunc(within, func() {
 		f.mu.Lock()
@@ -457,10 +457,10 @@
 	}
 }
 
-func (f *Follow) result(o *feed.Opaque) func() {
+func (f *Follow) result(o *changefeed.Opaque) func() {
 	a := f.asks[o.Number]
-	var r copies.Result
-	if a == nil || f.puts[a.op] == a || stream.Decode(o.Body, &r) != nil || r.Op != a.op {
+	var r replication.Result
+	if a == nil || f.puts[a.op] == a || framing.Decode(o.Body, &r) != nil || r.Op != a.op {
 		return nil
 	}
 	f.forget(a)
@@ -468,11 +468,11 @@
 	return func() { a.answered(nil, r) }
 }
 
-func (f *Follow) putDone(d *feed.PutDone) func() {
+func (f *Follow) putDone(d *changefeed.PutDone) func() {
 	a := f.puts[d.Op]
 	if a == nil || !f.forget(a) {
 		return nil
 	}
 	a.timer.Stop()
-	return func() { a.answered(d, copies.Result{}) }
+	return func() { a.answered(d, replication.Result{}) }
 }
--- a/internal/fleet/words.go
+++ b/internal/fleet/words.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"sabletally/internal/fleet/copies"
+	"sabletally/internal/fleet/replication"
 )
 
 const (
@@ -54,14 +54,14 @@
 		if err != nil {
 			panic(err) // plain values
 		}
-		op := copies.Op{ID: rand.Text(), Key: key, If: version, Value: text, Born: w.At}
+		op := replication.Op{ID: rand.Text(), Key: key, If: version, Value: text, Born: w.At}
 		for range wordTries { // another word may come between
 			r := f.ask(op)
-			if r.Outcome == copies.Done {
+			if r.Outcome == replication.Done {
 				f.log.Info("fleet: word is held", zap.String("of", name), zap.Bool("out", w.Out), zap.Uint64("version", r.Record.Version))
 				return
 			}
-			if r.Outcome != copies.Conflict || f.overtaken(number) {
+			if r.Outcome != replication.Conflict || f.overtaken(number) {
 				break
 			}
 			if version = r.Record.Version; r.Record.Gone {
@@ -82,8 +82,8 @@
 		began := time.Now()
 		for range wordTries {
 			if h, _ := f.holding(); h != nil {
-				r := f.ask(copies.Op{ID: rand.Text(), Key: wordKey(name), Read: true})
-				if r.Outcome == copies.Conflict {
+				r := f.ask(replication.Op{ID: rand.Text(), Key: wordKey(name), Read: true})
+				if r.Outcome == replication.Conflict {
 					var w Word
 					if len(r.Record.Value) > 0 && !r.Record.Gone {
 						if err := json.Unmarshal(r.Record.Value, &w); err != nil {
@@ -105,15 +105,15 @@
 }
 
 // ask waits for one operation.
-func (f *Fleet) ask(op copies.Op) copies.Result {
+func (f *Fleet) ask(op replication.Op) replication.Result {
 	h, _ := f.holding()
-	out := make(chan copies.Result, 1)
-	h.Ask(op, wordTry, func(r copies.Result) { out <- r })
+	out := make(chan replication.Result, 1)
+	h.Ask(op, wordTry, func(r replication.Result) { out <- r })
 	select {
 	case r := <-out:
 		return r
 	case <-f.over:
-		return copies.Result{Outcome: copies.Unknown}
+		return replication.Result{Outcome: replication.Unknown}
 	}
 }
 
--- a/internal/blocks/blocks.go
+++ b/internal/hclconfig/hclconfig.go
@@ -1,6 +1,6 @@
-// Package blocks reads HCL files that people write: blocks, each figure with its unit and bounds, all faults at once by file,
+// Package hclconfig reads HCL files that people write: blocks, each figure with its unit and bounds, all faults at once by file,
 // line and column. It owns the form of messages. It must never know what a file is about, and never fill in what is wrong.
-package blocks
+package hclconfig
 
 import (
 	"cmp"
--- a/internal/upgrade/upgrade.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,7 +1,7 @@
-// Package upgrade owns the link between the two processes of an upgrade: a Unix socket in the directory that both have,
+// Package hotrestart owns the link between the two processes of an upgrade: a Unix socket in the directory that both have,
 // the messages on it and the descriptors that go with them. It must never decide what is passed on or when, and never
 // close a descriptor that the other process has not been sent.
-package upgrade
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -1,4 +1,4 @@
-package upgrade
+package hotrestart
 
 import (
 	"io"
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/checker/checker.go
@@ -1,6 +1,6 @@
-// Package judge owns the verdict on a run: the four rules and the losses, from the recorded events alone. It must
+// Package checker owns the verdict on a run: the four rules and the losses, from the recorded events alone. It must
 // never look at a balancer, its log or its counters, and never forgive what the rules do not.
-package judge
+package checker
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"sabletally/internal/lab/history"
 	"sabletally/internal/lab/model"
-	"sabletally/internal/lab/record"
 	"sabletally/policy"
 )
 
@@ -153,7 +153,7 @@
 }
 
 // Judge reads events in order of time, end being when the run was over.
-func Judge(r Rules, events []record.Event, lost int, end time.Duration) Verdict {
+func Judge(r Rules, events []history.Event, lost int, end time.Duration) Verdict {
 	j := &judge{r: r, circuits: map[uint64]*circuit{}, banned: map[pair]time.Duration{},
 		process: map[int32]*process{}, outages: map[int32][]span{}, down: map[int32]bool{}}
 	if lost > 0 {
@@ -184,38 +184,38 @@
 	return c
 }
 
-func (j *judge) take(e *record.Event) {
+func (j *judge) take(e *history.Event) {
 	switch e.What {
-	case record.Taken:
+	case history.Taken:
 		c := j.of(e.Circuit)
 		c.balancer, c.grade, c.takenAt, c.limit = e.Balancer, e.Grade, e.At, e.Len
 		c.killed = j.down[e.Balancer]
 		j.v.Circuits++
-	case record.Answered:
+	case history.Answered:
 		j.answered(e, j.of(e.Circuit))
-	case record.Left:
+	case history.Left:
 		c := j.of(e.Circuit)
 		c.left, c.leftAt = true, e.At
-	case record.Moved:
+	case history.Moved:
 		j.of(e.Circuit).moved = true
-	case record.Ended:
+	case history.Ended:
 		c := j.of(e.Circuit)
 		c.ended, c.endedAt = true, e.At
-	case record.Held:
+	case history.Held:
 		at := j.of(e.Circuit).at()
 		if e.Len > j.r.HeldMost+j.r.Slack && !(at != nil && j.out(at.server, e.At-e.Len, e.At)) {
 			j.broken(e.At, LineHeld, e.Circuit, fmt.Sprintf("for %v", e.Len))
 		}
-	case record.Sent:
+	case history.Sent:
 		j.sent(e, j.of(e.Circuit))
-	case record.Ran:
+	case history.Ran:
 		c := j.of(e.Circuit)
 		for n := range c.tries {
 			if t := &c.tries[n]; t.server == e.Server && !t.over {
 				t.ran, t.receipt = true, e.N
 			}
 		}
-	case record.Over:
+	case history.Over:
 		c := j.of(e.Circuit)
 		for n := range c.tries {
 			if t := &c.tries[n]; t.server == e.Server && !t.over {
@@ -223,31 +223,31 @@
 				break
 			}
 		}
-	case record.Told:
+	case history.Told:
 		p := pair{e.Balancer, e.Server}
 		if e.Text == "ready" {
 			delete(j.banned, p)
 		} else if _, already := j.banned[p]; !already {
 			j.banned[p] = e.At
 		}
-	case record.Started:
+	case history.Started:
 		if all := j.outages[e.Server]; len(all) > 0 && all[len(all)-1].to == forever {
 			all[len(all)-1].to = e.At
 		}
 		j.process[e.Server] = &process{at: e.At, fills: e.N, cold: e.Text == "cold"}
-	case record.Stopped:
+	case history.Stopped:
 		j.outages[e.Server] = append(j.outages[e.Server], span{e.At, forever})
-	case record.Fell:
+	case history.Fell:
 		j.outages[e.Server] = append(j.outages[e.Server], span{e.At, forever})
 		j.broken(e.At, ColdSpared, e.Circuit, fmt.Sprintf("server %d fell over", e.Server))
-	case record.Begun:
+	case history.Begun:
 		delete(j.down, e.Balancer)
 		for p := range j.banned { // its list is told anew
 			if p.balancer == e.Balancer {
 				delete(j.banned, p)
 			}
 		}
-	case record.Killed:
+	case history.Killed:
 		j.down[e.Balancer] = true
 		if e.Text == "planned" { // what it still holds is lost all the same
 			return
@@ -260,7 +260,7 @@
 	}
 }
 
-func (j *judge) answered(e *record.Event, c *circuit) {
+func (j *judge) answered(e *history.Event, c *circuit) {
 	j.v.Answers++
 	if c.answers++; c.answers > 1 {
 		j.broken(e.At, OneAnswer, e.Circuit, fmt.Sprintf("answer %d, %s", c.answers, e.Text))
@@ -274,7 +274,7 @@
 	}
 }
 
-func (j *judge) sent(e *record.Event, c *circuit) {
+func (j *judge) sent(e *history.Event, c *circuit) {
 	first := e.At - e.Len
 	if c.balancer < 0 {
 		j.broken(e.At, MadeUp, e.Circuit, "no client has asked for it")
@@ -302,7 +302,7 @@
 }
 
 // mayRepeat tells whether a circuit that a try may have run may be sent again now.
-func (j *judge) mayRepeat(c *circuit, t *try, e *record.Event) bool {
+func (j *judge) mayRepeat(c *circuit, t *try, e *history.Event) bool {
 	if int(c.grade) >= len(j.r.Grades) {
 		return true
 	}
--- a/internal/lab/field/field.go
+++ b/internal/lab/cluster/cluster.go
@@ -1,6 +1,6 @@
 // This file owns a run: stand-ins, the front, the timetable, and what is gathered at the end.
 
-package field
+package cluster
 
 import (
 	"context"
@@ -18,14 +18,14 @@
 	"syscall"
 	"time"
 
-	"sabletally/internal/lab/judge"
+	"sabletally/internal/lab/checker"
+	"sabletally/internal/lab/emulator"
+	"sabletally/internal/lab/faults"
+	"sabletally/internal/lab/history"
 	"sabletally/internal/lab/load"
 	"sabletally/internal/lab/model"
-	"sabletally/internal/lab/record"
 	"sabletally/internal/lab/report"
-	"sabletally/internal/lab/scene"
-	"sabletally/internal/lab/standin"
-	"sabletally/internal/lab/timetable"
+	"sabletally/internal/lab/topology"
 	"sabletally/policy"
 )
 
@@ -50,22 +50,22 @@
 
 // Field is one world on sockets while it runs.
 type Field struct {
-	World   scene.World
-	Servers []*standin.Server
+	World   topology.World
+	Servers []*emulator.Server
 	Procs   []*Process
 	Meter   *report.Meter
-	Clock   *standin.Clock
-	Log     *record.Log
-	agents  []*standin.Agent
-	list    *standin.List
-	links   []*standin.Link
-	store   *standin.Store
+	Clock   *emulator.Clock
+	Log     *history.Log
+	agents  []*emulator.Agent
+	list    *emulator.List
+	links   []*emulator.Link
+	store   *emulator.Store
 	rng     *rand.Rand
 	seed    uint64
 	dir     string
 	linked  bool
 	band    *Band // where the balancers are members of a fleet
-	places  []judge.Place
+	places  []checker.Place
 	closers []io.Closer
 
 	mu     sync.Mutex
@@ -77,26 +77,26 @@
 }
 
 // Start sets a world up and starts its balancers; Close ends all of it.
-func Start(w scene.World, arm Arm, seed uint64) (*Field, error) {
-	f := &Field{World: w, Clock: &standin.Clock{}, Log: record.New(eventMost), rng: rand.New(rand.NewPCG(seed, 0xf1e1d)), seed: seed,
-		in: make([]bool, w.Balancers), lives: make([]int, w.Balancers), store: standin.NewStore(w.Store),
+func Start(w topology.World, arm Arm, seed uint64) (*Field, error) {
+	f := &Field{World: w, Clock: &emulator.Clock{}, Log: history.New(eventMost), rng: rand.New(rand.NewPCG(seed, 0xf1e1d)), seed: seed,
+		in: make([]bool, w.Balancers), lives: make([]int, w.Balancers), store: emulator.NewStore(w.Store),
 		Meter: report.NewMeter(w.Load.Fill, w.Load.Length)}
-	f.list = standin.NewList(f.Clock, w.Notice, w.Silent, seed)
+	f.list = emulator.NewList(f.Clock, w.Notice, w.Silent, seed)
 	for _, fault := range w.Faults {
-		f.linked = f.linked || fault.Kind == timetable.LinkSlow || fault.Kind == timetable.LinkCut
+		f.linked = f.linked || fault.Kind == faults.LinkSlow || fault.Kind == faults.LinkCut
 	}
-	operated := slices.ContainsFunc(w.Faults, func(x timetable.Fault) bool {
-		return x.Kind == timetable.Upgrade || x.Kind == timetable.BalancerDrain
+	operated := slices.ContainsFunc(w.Faults, func(x faults.Fault) bool {
+		return x.Kind == faults.Upgrade || x.Kind == faults.BalancerDrain
 	})
 
-	dir, err := os.MkdirTemp("", "sablelab")
+	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
 		return nil, err
 	}
 	f.dir = dir
 	fail := func(err error) (*Field, error) { f.Close(); return nil, err }
 	for b := range w.Balancers {
-		a, err := standin.NewAgent(b, f.Clock, f.Log, number)
+		a, err := emulator.NewAgent(b, f.Clock, f.Log, number)
 		if err != nil {
 			return fail(err)
 		}
@@ -160,24 +160,24 @@
 }
 
 // server adds a server; first: before the run.
-func (f *Field) server(m scene.Machine, started time.Duration, first bool) error {
+func (f *Field) server(m topology.Machine, started time.Duration, first bool) error {
 	num := len(f.Servers)
-	s := standin.NewServer(num, uid(num), m.Kind, f.World.Warmup, f.World.GroupCost, f.World.Sheds, started, f.store, f.Clock, f.Log, f.seed)
+	s := emulator.NewServer(num, uid(num), m.Kind, f.World.Warmup, f.World.GroupCost, f.World.Sheds, started, f.store, f.Clock, f.Log, f.seed)
 	if err := s.Listen(); err != nil {
 		return err
 	}
 	f.Servers = append(f.Servers, s)
-	f.places = append(f.places, judge.Place{Zone: m.Zone, Cell: m.Cell})
+	f.places = append(f.places, checker.Place{Zone: m.Zone, Cell: m.Cell})
 	at := s.Addr()
 	if f.linked {
-		l, err := standin.NewLink(at)
+		l, err := emulator.NewLink(at)
 		if err != nil {
 			return err
 		}
 		f.links = append(f.links, l)
 		at = l.Addr()
 	}
-	e := standin.Entry{UID: uid(num), Endpoint: at, Zone: Zone(m.Zone), Machine: m.Kind.Name, Cell: m.Cell, State: standin.InService,
+	e := emulator.Entry{UID: uid(num), Endpoint: at, Zone: Zone(m.Zone), Machine: m.Kind.Name, Cell: m.Cell, State: emulator.InService,
 		Heft: float64(m.Kind.Cores)}
 	if first {
 		f.list.First(e)
@@ -194,7 +194,7 @@
 	f.lives[b]++
 	seed := f.seed<<16 | uint64(b)<<8 | uint64(f.lives[b])
 	f.mu.Unlock()
-	f.Log.Add(record.Event{At: f.Clock.Now(), What: record.Begun, Balancer: int32(b), Server: -1})
+	f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Begun, Balancer: int32(b), Server: -1})
 	p := f.proc(b)
 	if err := p.Write(Config(&f.World, b, p.Addr, f.agents[b].Addr(), seed*0x9e3779b97f4a7c15, json.RawMessage(f.agents[b].Known()))); err != nil {
 		return err
@@ -245,18 +245,18 @@
 }
 
 // Run plays the world to its end and answers figures, events and the judge's word. note is told of each step.
-func (f *Field) Run(ctx context.Context, note func(at time.Duration, text string)) (report.Run, []record.Event, judge.Verdict, error) {
+func (f *Field) Run(ctx context.Context, note func(at time.Duration, text string)) (report.Run, []history.Event, checker.Verdict, error) {
 	w := &f.World
-	steps, _, err := timetable.Expand(w.Faults, len(w.Machines), w.Balancers, f.seed)
+	steps, _, err := faults.Expand(w.Faults, len(w.Machines), w.Balancers, f.seed)
 	if err != nil {
-		return report.Run{}, nil, judge.Verdict{}, err
+		return report.Run{}, nil, checker.Verdict{}, err
 	}
 	people := load.Draw(w.Load, f.seed)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var all sync.WaitGroup
 	f.Clock.Begin()
-	crowd := &standin.Crowd{Clock: f.Clock, Log: f.Log, Meter: f.Meter, Door: f.Door, Grades: w.GradeNames, Limits: w.OuterLimits,
+	crowd := &emulator.Crowd{Clock: f.Clock, Log: f.Log, Meter: f.Meter, Door: f.Door, Grades: w.GradeNames, Limits: w.OuterLimits,
 		Each: w.MessageEach, Goal: w.MessageGoal, Return: w.Return, Seed: f.seed}
 	all.Add(3)
 	go func() { defer all.Done(); crowd.Run(ctx, people) }()
@@ -307,21 +307,21 @@
 		run.BalancerMB = max(run.BalancerMB, mb)
 		run.Balancers = append(run.Balancers, report.Used{Name: p.Name, CPU: used.Seconds(), MB: mb})
 	}
-	var events []record.Event
+	var events []history.Event
 	for _, e := range f.Log.Events() {
 		if e.At <= end { // what the end of the run itself does to the world is nobody's fault
 			events = append(events, e)
 			switch e.What {
-			case record.Sent:
+			case history.Sent:
 				run.Tries++
-			case record.Answered:
+			case history.Answered:
 				if e.Text == "busy" && e.At >= w.Load.Fill {
 					run.Nacks++
 				}
 			}
 		}
 	}
-	v := judge.Judge(w.Rules(slack, f.places), events, f.Log.Lost(), end)
+	v := checker.Judge(w.Rules(slack, f.places), events, f.Log.Lost(), end)
 	run.Judged(v)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -354,82 +354,82 @@
 }
 
 // step carries out one step of the timetable.
-func (f *Field) step(ctx context.Context, st timetable.Step, crowd *standin.Crowd, all *sync.WaitGroup) {
+func (f *Field) step(ctx context.Context, st faults.Step, crowd *emulator.Crowd, all *sync.WaitGroup) {
 	beside := func(do func()) {
 		all.Add(1)
 		go func() { defer all.Done(); do() }()
 	}
-	var s *standin.Server
+	var s *emulator.Server
 	if st.Who < len(f.Servers) {
 		s = f.Servers[st.Who]
-	} else if st.OnServer() && st.Act != timetable.Start {
+	} else if st.OnServer() && st.Act != faults.Start {
 		return // it has not started yet
 	}
 	name := uid(st.Who)
 	on := st.Figure > 0
 	switch st.Act {
-	case timetable.Start:
+	case faults.Start:
 		old := f.World.Machines[st.Of]
 		f.mu.Lock()
 		err := f.server(old, f.Clock.Now(), false)
 		f.mu.Unlock()
 		f.fail(err)
-	case timetable.BeginDrain:
-		f.list.State(ctx, name, standin.Terminating, 0, false)
+	case faults.BeginDrain:
+		f.list.State(ctx, name, emulator.Terminating, 0, false)
 		by := f.Clock.Now() + st.For
 		beside(func() { s.Drain(ctx, f.World.SendsAway, by) })
-	case timetable.Stop:
+	case faults.Stop:
 		s.Down("stop")
-		f.list.State(ctx, name, standin.Terminated, 0, false)
-	case timetable.Die:
+		f.list.State(ctx, name, emulator.Terminated, 0, false)
+	case faults.Die:
 		s.Down("crash")
-		f.list.State(ctx, name, standin.Terminated, 0, true)
-	case timetable.Revive:
+		f.list.State(ctx, name, emulator.Terminated, 0, true)
+	case faults.Revive:
 		f.fail(s.Revive())
-		f.list.State(ctx, name, standin.InService, time.Now().UnixMilli(), false)
-	case timetable.Silence:
-		s.Misbehave(func(w *standin.Ways) { w.Silent = true })
-	case timetable.Speak:
-		s.Misbehave(func(w *standin.Ways) { w.Silent = false })
-	case timetable.SetSlow:
+		f.list.State(ctx, name, emulator.InService, time.Now().UnixMilli(), false)
+	case faults.Silence:
+		s.Misbehave(func(w *emulator.Ways) { w.Silent = true })
+	case faults.Speak:
+		s.Misbehave(func(w *emulator.Ways) { w.Silent = false })
+	case faults.SetSlow:
 		s.Set(func(m *model.Server) { m.Slow = st.Figure })
-	case timetable.SetErrors:
+	case faults.SetErrors:
 		s.Set(func(m *model.Server) { m.ErrorRate = st.Figure })
-	case timetable.SetFull:
+	case faults.SetFull:
 		s.Set(func(m *model.Server) { m.Full = on })
-	case timetable.SetDrip:
-		s.Misbehave(func(w *standin.Ways) { w.Drip = on })
-	case timetable.SetTorn:
-		s.Misbehave(func(w *standin.Ways) { w.Torn = on })
-	case timetable.SetHalfOpen:
-		s.Misbehave(func(w *standin.Ways) { w.HalfOpen = on })
-	case timetable.SetLinkLate:
-		f.links[st.Who].Set(func(c *standin.Condition) { c.Late = st.For })
-	case timetable.SetLinkCut:
+	case faults.SetDrip:
+		s.Misbehave(func(w *emulator.Ways) { w.Drip = on })
+	case faults.SetTorn:
+		s.Misbehave(func(w *emulator.Ways) { w.Torn = on })
+	case faults.SetHalfOpen:
+		s.Misbehave(func(w *emulator.Ways) { w.HalfOpen = on })
+	case faults.SetLinkLate:
+		f.links[st.Who].Set(func(c *emulator.Condition) { c.Late = st.For })
+	case faults.SetLinkCut:
 		if on {
-			f.Log.Add(record.Event{At: f.Clock.Now(), What: record.Stopped, Server: int32(st.Who), Balancer: -1, Text: "link"})
+			f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Stopped, Server: int32(st.Who), Balancer: -1, Text: "link"})
 		}
-		f.links[st.Who].Set(func(c *standin.Condition) { c.CutOut = on })
+		f.links[st.Who].Set(func(c *emulator.Condition) { c.CutOut = on })
 		if !on {
 			f.links[st.Who].Reset() // what waited on it is stale by now
-			f.Log.Add(record.Event{At: f.Clock.Now(), What: record.Started, Server: int32(st.Who), Balancer: -1, Text: "warm"})
+			f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Started, Server: int32(st.Who), Balancer: -1, Text: "warm"})
 		}
-	case timetable.SetStore:
+	case faults.SetStore:
 		f.store.Slow(st.Figure)
-	case timetable.SetDiscovery:
-		f.list.Misbehave(map[bool]standin.Fault{true: standin.Sound, false: standin.Mute}[on])
-	case timetable.SetFaulty:
-		f.list.Misbehave(map[bool]standin.Fault{true: standin.Faulty, false: standin.Sound}[on])
-	case timetable.SetLate:
+	case faults.SetDiscovery:
+		f.list.Misbehave(map[bool]emulator.Fault{true: emulator.Sound, false: emulator.Mute}[on])
+	case faults.SetFaulty:
+		f.list.Misbehave(map[bool]emulator.Fault{true: emulator.Faulty, false: emulator.Sound}[on])
+	case faults.SetLate:
 		f.list.Late(st.For)
-	case timetable.Hide:
+	case faults.Hide:
 		f.list.Hide(ctx, name, true)
-	case timetable.Show:
+	case faults.Show:
 		f.list.Hide(ctx, name, false)
-	case timetable.DropClients:
+	case faults.DropClients:
 		crowd.Drop(st.Figure, st.For, f.rng)
-	case timetable.KillBalancer:
-		f.Log.Add(record.Event{At: f.Clock.Now(), What: record.Killed, Balancer: int32(st.Who), Server: -1, Text: "outright"})
+	case faults.KillBalancer:
+		f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Killed, Balancer: int32(st.Who), Server: -1, Text: "outright"})
 		f.proc(st.Who).Kill()
 		beside(func() {
 			select {
@@ -442,45 +442,45 @@
 			default:
 			}
 		})
-	case timetable.StartBalancer:
+	case faults.StartBalancer:
 		beside(func() { f.fail(f.begin(st.Who)) })
-	case timetable.LeaveBalancer:
+	case faults.LeaveBalancer:
 		beside(func() { f.leave(ctx, st.Who) })
-	case timetable.ReloadAll:
+	case faults.ReloadAll:
 		for b := range f.agents {
 			f.fail(f.agents[b].Replace())
 		}
 		f.reload(&f.World)
-	case timetable.SetTune:
+	case faults.SetTune:
 		w := f.World
 		if on {
 			w = retuned(w)
 		}
 		f.reload(&w)
-	case timetable.UpgradeBalancer:
+	case faults.UpgradeBalancer:
 		beside(func() { f.fail(f.upgrade(ctx, st.Who)) })
-	case timetable.DrainBalancer:
+	case faults.DrainBalancer:
 		beside(func() { f.fail(f.drain(ctx, st.Who, st.For)) })
-	case timetable.SetCrowd:
-		beside(func() { standin.Mob(ctx, st.Figure, st.For, f.Door, f.seed) })
-	case timetable.SetPieces:
+	case faults.SetCrowd:
+		beside(func() { emulator.Mob(ctx, st.Figure, st.For, f.Door, f.seed) })
+	case faults.SetPieces:
 		crowd.Pieces.Store(on)
-	case timetable.SetTies:
+	case faults.SetTies:
 		f.band.set(st.Band, st.Tie)
-	case timetable.StallBalancer:
+	case faults.StallBalancer:
 		beside(func() { f.stall(ctx, st.Who, st.For) })
-	case timetable.LoseBalancer:
-		f.Log.Add(record.Event{At: f.Clock.Now(), What: record.Killed, Balancer: int32(st.Who), Server: -1, Text: "outright"})
+	case faults.LoseBalancer:
+		f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Killed, Balancer: int32(st.Who), Server: -1, Text: "outright"})
 		f.fail(f.band.Lose(st.Who))
 		f.out(st.Who)
-	case timetable.SetBad:
+	case faults.SetBad:
 		if f.stopBd != nil {
 			f.stopBd()
 		}
 		var rude context.Context
 		rude, f.stopBd = context.WithCancel(ctx)
 		if on {
-			beside(func() { standin.RudeCrowd(rude, st.Figure, f.Door, f.Meter, f.seed) })
+			beside(func() { emulator.RudeCrowd(rude, st.Figure, f.Door, f.Meter, f.seed) })
 		}
 	}
 }
@@ -488,7 +488,7 @@
 // stall stops a balancer's process for a while. What it had taken is answered late, or by its client's leaving.
 func (f *Field) stall(ctx context.Context, b int, span time.Duration) {
 	p := f.proc(b)
-	f.Log.Add(record.Event{At: f.Clock.Now(), What: record.Killed, Balancer: int32(b), Server: -1, Text: "stalled"})
+	f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Killed, Balancer: int32(b), Server: -1, Text: "stalled"})
 	f.fail(p.Signal(syscall.SIGSTOP))
 	wait := func(d time.Duration) {
 		select {
@@ -500,14 +500,14 @@
 	f.out(b)
 	wait(span - deadSeen)
 	f.fail(p.Signal(syscall.SIGCONT))
-	f.Log.Add(record.Event{At: f.Clock.Now(), What: record.Begun, Balancer: int32(b), Server: -1})
+	f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Begun, Balancer: int32(b), Server: -1})
 	f.mu.Lock()
 	f.in[b] = true
 	f.mu.Unlock()
 }
 
 // reload has all balancers take a world's settings in.
-func (f *Field) reload(w *scene.World) {
+func (f *Field) reload(w *topology.World) {
 	for b := range f.agents {
 		p := f.proc(b)
 		f.fail(p.Write(Config(w, b, p.Addr, f.agents[b].Addr(), 1, json.RawMessage(f.agents[b].Known()))))
@@ -516,7 +516,7 @@
 }
 
 // retuned is a world whose settings have a grade more, in the first place, and half the tries.
-func retuned(w scene.World) scene.World {
+func retuned(w topology.World) topology.World {
 	w.Deployment.MostTries = max(1, w.Deployment.MostTries/2)
 	w.Deployment.Grades = append([]policy.Grade{{Effect: policy.Unrepeatable, SetupGoal: time.Second, Utility: 1}}, w.Deployment.Grades...)
 	w.GradeNames = append([]string{"retuned"}, w.GradeNames...)
@@ -630,7 +630,7 @@
 	if !wait(f.longest() + killAfter - comeOn) {
 		return
 	}
-	f.Log.Add(record.Event{At: f.Clock.Now(), What: record.Killed, Balancer: int32(b), Server: -1, Text: "planned"})
+	f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Killed, Balancer: int32(b), Server: -1, Text: "planned"})
 	p.Kill()
 	f.fail(f.begin(b))
 }
@@ -665,29 +665,29 @@
 	_ = os.RemoveAll(f.dir)
 }
 
-var acts = map[timetable.Act]string{
-	timetable.Start: "starts", timetable.BeginDrain: "drains", timetable.Stop: "stops", timetable.Die: "crashes", timetable.Revive: "is back, cold",
-	timetable.Silence: "vanishes", timetable.Speak: "speaks again", timetable.SetSlow: "slower, times", timetable.SetErrors: "fails, share",
-	timetable.SetFull: "full", timetable.SetDrip: "drips", timetable.SetTorn: "tears lines", timetable.SetHalfOpen: "half open",
-	timetable.SetStore: "the store is slower, times", timetable.SetDiscovery: "discovery in reach", timetable.SetLate: "the list comes later",
-	timetable.SetFaulty: "discovery answers with faults", timetable.Hide: "is missing from the list", timetable.Show: "is in the list again",
-	timetable.DropClients: "clients drop, share", timetable.KillBalancer: "is killed", timetable.StartBalancer: "starts again",
-	timetable.LeaveBalancer: "restarts as planned", timetable.ReloadAll: "all balancers reload", timetable.SetBad: "bad clients a second",
-	timetable.UpgradeBalancer: "gets a new process beside it", timetable.DrainBalancer: "is emptied", timetable.SetTune: "all balancers are retuned",
-	timetable.SetCrowd: "clients that never finish, a second", timetable.SetPieces: "clients write in pieces",
-	timetable.SetTies: "ways between members", timetable.StallBalancer: "is stopped", timetable.LoseBalancer: "is lost with its directory",
-	timetable.SetLinkLate: "its link is later", timetable.SetLinkCut: "its link is cut",
+var acts = map[faults.Act]string{
+	faults.Start: "starts", faults.BeginDrain: "drains", faults.Stop: "stops", faults.Die: "crashes", faults.Revive: "is back, cold",
+	faults.Silence: "vanishes", faults.Speak: "speaks again", faults.SetSlow: "slower, times", faults.SetErrors: "fails, share",
+	faults.SetFull: "full", faults.SetDrip: "drips", faults.SetTorn: "tears lines", faults.SetHalfOpen: "half open",
+	faults.SetStore: "the store is slower, times", faults.SetDiscovery: "discovery in reach", faults.SetLate: "the list comes later",
+	faults.SetFaulty: "discovery answers with faults", faults.Hide: "is missing from the list", faults.Show: "is in the list again",
+	faults.DropClients: "clients drop, share", faults.KillBalancer: "is killed", faults.StartBalancer: "starts again",
+	faults.LeaveBalancer: "restarts as planned", faults.ReloadAll: "all balancers reload", faults.SetBad: "bad clients a second",
+	faults.UpgradeBalancer: "gets a new process beside it", faults.DrainBalancer: "is emptied", faults.SetTune: "all balancers are retuned",
+	faults.SetCrowd: "clients that never finish, a second", faults.SetPieces: "clients write in pieces",
+	faults.SetTies: "ways between members", faults.StallBalancer: "is stopped", faults.LoseBalancer: "is lost with its directory",
+	faults.SetLinkLate: "its link is later", faults.SetLinkCut: "its link is cut",
 }
 
 // describe puts a step in words.
-func describe(st timetable.Step) string {
+func describe(st faults.Step) string {
 	text := acts[st.Act]
 	switch {
 	case st.OnServer():
 		text = uid(st.Who) + " " + text
-	case st.Act == timetable.SetTies:
+	case st.Act == faults.SetTies:
 		text = fmt.Sprintf("%s %b: %+v", text, st.Band, st.Tie)
-	case st.Act == timetable.StallBalancer || st.Act == timetable.LoseBalancer || st.Act == timetable.KillBalancer || st.Act == timetable.StartBalancer || st.Act == timetable.LeaveBalancer:
+	case st.Act == faults.StallBalancer || st.Act == faults.LoseBalancer || st.Act == faults.KillBalancer || st.Act == faults.StartBalancer || st.Act == faults.LeaveBalancer:
 		text = fmt.Sprintf("balancer n%d %s", st.Who, text)
 	}
 	if st.Figure != 0 {
--- a/internal/lab/field/band.go
+++ b/internal/lab/cluster/member_group.go
@@ -1,7 +1,7 @@
 // This file owns what balancers have that are members of a fleet: the ways between them, their files and directories, and
 // what is asked of them about each other.
 
-package field
+package cluster
 
 import (
 	"encoding/json"
@@ -14,8 +14,8 @@
 	"time"
 
 	"sabletally/internal/fleet"
-	"sabletally/internal/lab/standin"
-	"sabletally/internal/lab/timetable"
+	"sabletally/internal/lab/emulator"
+	"sabletally/internal/lab/faults"
 )
 
 const (
@@ -26,7 +26,7 @@
 
 // Band is the fleet of a world.
 type Band struct {
-	Ties *standin.Ties
+	Ties *emulator.Ties
 	dir  string
 	all  []*Process
 	More string // of each member's file, behind the block,
@@ -35,7 +35,7 @@
 
 // NewBand makes the ways between so many members, whose files and directories lie in dir.
 func NewBand(many int, dir string, seed uint64) (*Band, error) {
-	t, err := standin.NewTies(many, seed)
+	t, err := emulator.NewTies(many, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -87,11 +87,11 @@
 }
 
 // set has the ways between some members and the others be as a step says.
-func (b *Band) set(band uint64, as timetable.Tie) {
-	b.Ties.Set(func(from, to int, tie *standin.Tie) {
+func (b *Band) set(band uint64, as faults.Tie) {
+	b.Ties.Set(func(from, to int, tie *emulator.Tie) {
 		out, in := band>>from&1 == 1, band>>to&1 == 1
 		if out != in && (out && as.Out || in && as.In) {
-			*tie = standin.Tie{Cut: as.Cut, Loss: as.Loss, Late: as.Late, Mixed: as.Mixed}
+			*tie = emulator.Tie{Cut: as.Cut, Loss: as.Loss, Late: as.Late, Mixed: as.Mixed}
 		}
 	})
 }
@@ -99,7 +99,7 @@
 // meet waits until all members that run see each other, once nothing is between them any more: a fleet that stays apart
 // is a fault of the program's, whatever clients saw of it.
 func (f *Field) meet() error {
-	f.band.Ties.Set(func(_, _ int, tie *standin.Tie) { *tie = standin.Tie{} })
+	f.band.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
 	var run []int
 	for i, p := range f.Procs {
 		select {
--- a/internal/lab/field/proc.go
+++ b/internal/lab/cluster/proc.go
@@ -1,9 +1,9 @@
-// Package field owns worlds on sockets: it sets up the stand-ins, starts balancers as processes of their own, carries
+// Package cluster owns worlds on sockets: it sets up the stand-ins, starts balancers as processes of their own, carries
 // out the timetable, and gathers events and figures. It must never judge, and never steer a balancer but as an operator
 // can: by its configuration and by signals.
 //
 // This file owns the balancers' processes.
-package field
+package cluster
 
 import (
 	"bufio"
@@ -25,8 +25,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"sabletally/internal/lab/scene"
-	"sabletally/internal/lab/standin"
+	"sabletally/internal/lab/emulator"
+	"sabletally/internal/lab/topology"
 	"sabletally/policy"
 )
 
@@ -63,7 +63,7 @@
 // NewProcess makes a balancer of a command; its configuration lies in dir, its log goes to out as well if it is told.
 func NewProcess(name string, command, env []string, dir string, out io.Writer) (*Process, error) {
 	// An address that nobody else is given: a listener that is closed again before the process has it.
-	ln, err := net.Listen("tcp", standin.Loopback())
+	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 
 // Operate gives it an operators' address, for its next start.
 func (p *Process) Operate() error {
-	ln, err := net.Listen("tcp", standin.Loopback())
+	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 // Share has the platform hold its listening socket, which each of its processes inherits, and one directory for them all. It
 // takes an address anew: one that was just closed may still be open in a child of another test that is being started.
 func (p *Process) Share() error {
-	ln, err := net.Listen("tcp", standin.Loopback())
+	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
 		return err
 	}
@@ -359,7 +359,7 @@
 var scopeNames = map[policy.Scope]string{policy.ScopeAll: "all", policy.ScopeZone: "zone", policy.ScopeCell: "cell"}
 
 // Config writes the configuration of one balancer of a world, in the form that the program reads.
-func Config(w *scene.World, num int, listen, discovery string, seed uint64, known json.RawMessage) []byte {
+func Config(w *topology.World, num int, listen, discovery string, seed uint64, known json.RawMessage) []byte {
 	d := &w.Deployment
 	us := func(t time.Duration) int64 { return t.Microseconds() }
 	var grades []map[string]any
--- a/internal/lab/standin/client.go
+++ b/internal/lab/emulator/client.go
@@ -1,7 +1,7 @@
 // This file owns clients: each wants a connection for its time, comes again when it has none, and counts what it
 // got from when it wanted it. They never wait for each other.
 
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -18,10 +18,10 @@
 	"sync/atomic"
 	"time"
 
+	"sabletally/internal/lab/history"
 	"sabletally/internal/lab/load"
-	"sabletally/internal/lab/record"
 	"sabletally/internal/lab/report"
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 )
 
 const (
@@ -32,7 +32,7 @@
 // Crowd is all usual clients of a run.
 type Crowd struct {
 	Clock  *Clock
-	Log    *record.Log
+	Log    *history.Log
 	Meter  *report.Meter
 	Door   func(rng *rand.Rand) (balancer int, address string, ok bool) // the front
 	Grades []string
@@ -147,7 +147,7 @@
 	}
 	defer func() { _ = nc.Close() }()
 	id := c.ids.Add(1)
-	note := func(w record.What, more record.Event) {
+	note := func(w history.What, more history.Event) {
 		if more.At == 0 {
 			more.At = c.Clock.Now()
 		}
@@ -166,29 +166,29 @@
 	if _, err := nc.Write([]byte(text)); err != nil {
 		return load.Failed, 0, false // its last byte was not written: nothing was taken
 	}
-	note(record.Taken, record.Event{At: max(at, 1), Len: limit}) // from before the write: a server may be faster than this goroutine
+	note(history.Taken, history.Event{At: max(at, 1), Len: limit}) // from before the write: a server may be faster than this goroutine
 	_ = nc.SetReadDeadline(c.Clock.At(at + limit + lateAnswer))
 	r := bufio.NewReaderSize(nc, lineMost)
 	raw, err := r.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			note(record.Left, record.Event{})
+			note(history.Left, history.Event{})
 		} else {
-			note(record.Ended, record.Event{Text: "end"})
+			note(history.Ended, history.Event{Text: "end"})
 		}
 		return load.Failed, 0, false
 	}
-	ln := line.Decode(bytes.Clone(raw))
-	if ln.Kind != line.Up {
-		note(record.Answered, record.Event{Text: map[bool]string{true: "busy", false: "err"}[ln.Kind == line.Busy]})
+	ln := protocol.Decode(bytes.Clone(raw))
+	if ln.Kind != protocol.Up {
+		note(history.Answered, history.Event{Text: map[bool]string{true: "busy", false: "err"}[ln.Kind == protocol.Busy]})
 		p.rest(nc, r, note)
-		if ln.Kind == line.Busy {
+		if ln.Kind == protocol.Busy {
 			return load.Nacked, time.Duration(ln.Figure) * time.Millisecond, false
 		}
 		return load.Failed, 0, false
 	}
 	receipt, _ := strconv.ParseUint(strings.TrimSpace(string(bytes.TrimPrefix(ln.Raw, []byte("UP ")))), 16, 64)
-	note(record.Answered, record.Event{Text: "up", N: float64(receipt)})
+	note(history.Answered, history.Event{Text: "up", N: float64(receipt)})
 	now := c.Clock.Now()
 	c.Meter.Setup(now, now-since)
 	c.Meter.Open(1)
@@ -206,7 +206,7 @@
 }
 
 // rest reads on after a final answer that is no UP: a second answer would be one too many.
-func (p *person) rest(nc net.Conn, r *bufio.Reader, note func(record.What, record.Event)) {
+func (p *person) rest(nc net.Conn, r *bufio.Reader, note func(history.What, history.Event)) {
 	_ = nc.SetReadDeadline(time.Now().Add(afterEnd))
 	for {
 		raw, err := r.ReadSlice('\n')
@@ -214,7 +214,7 @@
 			return
 		}
 		if again, is := final(raw); is {
-			note(record.Answered, record.Event{Text: again})
+			note(history.Answered, history.Event{Text: again})
 		}
 	}
 }
@@ -233,7 +233,7 @@
 }
 
 // stay sends a line at each of its times, whether or not the last was answered, until the connection is over.
-func (p *person) stay(ctx context.Context, nc net.Conn, r *bufio.Reader, note func(record.What, record.Event)) (how load.How) {
+func (p *person) stay(ctx context.Context, nc net.Conn, r *bufio.Reader, note func(history.What, history.Event)) (how load.How) {
 	c := p.c
 	_ = nc.SetReadDeadline(time.Time{})
 	var mu sync.Mutex
@@ -250,7 +250,7 @@
 					text = "reset"
 				}
 				if !errors.Is(err, net.ErrClosed) {
-					note(record.Ended, record.Event{Text: text})
+					note(history.Ended, history.Event{Text: text})
 				}
 				ended <- how
 				return
@@ -259,7 +259,7 @@
 			case bytes.HasPrefix(raw, []byte("M ")):
 				due, sent := echo(raw)
 				if sent > 0 && now-sent > time.Second {
-					note(record.Held, record.Event{Len: now - sent})
+					note(history.Held, history.Event{Len: now - sent})
 				}
 				mu.Lock()
 				if waits[due] {
@@ -267,13 +267,13 @@
 					c.Meter.Message(due, now-due, c.Each, now-due <= c.Goal)
 				}
 				mu.Unlock()
-			case bytes.HasPrefix(raw, line.MoveLine):
+			case bytes.HasPrefix(raw, protocol.MoveLine):
 				how = load.Moved
 				c.Meter.Move(now)
-				note(record.Moved, record.Event{})
+				note(history.Moved, history.Event{})
 			default:
 				if again, is := final(raw); is {
-					note(record.Answered, record.Event{Text: again})
+					note(history.Answered, history.Event{Text: again})
 				}
 			}
 		}
@@ -294,7 +294,7 @@
 	defer until.Stop()
 	var dropped <-chan time.Time
 	leave := func(how load.How) load.How {
-		note(record.Left, record.Event{})
+		note(history.Left, history.Event{})
 		_ = nc.Close()
 		<-ended
 		return how
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -1,6 +1,6 @@
 // This file owns the list of servers and the agents that tell it: one agent for each balancer.
 
-package standin
+package emulator
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"sabletally/internal/lab/record"
+	"sabletally/internal/lab/history"
 )
 
 const (
@@ -57,7 +57,7 @@
 type Agent struct {
 	balancer int32
 	clock    *Clock
-	log      *record.Log
+	log      *history.Log
 	number   func(uid string) int
 
 	mu      sync.Mutex
@@ -75,7 +75,7 @@
 }
 
 // NewAgent makes an agent that listens; number tells a server's number by its name.
-func NewAgent(balancer int, clock *Clock, log *record.Log, number func(string) int) (*Agent, error) {
+func NewAgent(balancer int, clock *Clock, log *history.Log, number func(string) int) (*Agent, error) {
 	a := &Agent{balancer: int32(balancer), clock: clock, log: log, number: number, said: map[string]int{}, changed: make(chan struct{})}
 	return a, a.listen()
 }
@@ -154,7 +154,7 @@
 // say notes that the balancer has been told; mu is held.
 func (a *Agent) say(e Entry, rev int) {
 	a.said[e.UID] = rev
-	a.log.Add(record.Event{At: a.clock.Now(), What: record.Told, Balancer: a.balancer, Server: int32(a.number(e.UID)), Text: told[e.State]})
+	a.log.Add(history.Event{At: a.clock.Now(), What: history.Told, Balancer: a.balancer, Server: int32(a.number(e.UID)), Text: told[e.State]})
 }
 
 // Misbehave changes how it answers.
--- a/internal/lab/standin/fronts.go
+++ b/internal/lab/emulator/fronts.go
@@ -1,7 +1,7 @@
 // This file owns fronts: what stands before some members of a fleet so that the ways between two groups of members can be cut, while
 // everybody else, however many, goes through. It holds little for each connection; Ties know more faults, and members alone.
 
-package standin
+package emulator
 
 import (
 	"errors"
--- a/internal/lab/standin/fronts_test.go
+++ b/internal/lab/emulator/fronts_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bufio"
--- a/internal/lab/standin/link.go
+++ b/internal/lab/emulator/link.go
@@ -1,6 +1,6 @@
 // This file owns links: a relay between two parties whose way can be made long, narrow, stalled or cut.
 
-package standin
+package emulator
 
 import (
 	"fmt"
--- a/internal/lab/standin/rude.go
+++ b/internal/lab/emulator/misbehaving_clients.go
@@ -1,6 +1,6 @@
 // This file owns bad clients: what they send, and that each is owed an answer or a close in time.
 
-package standin
+package emulator
 
 import (
 	"bytes"
--- a/internal/lab/standin/ties.go
+++ b/internal/lab/emulator/network_links.go
@@ -1,6 +1,6 @@
 // This file owns ties: the ways between the members of a fleet, one for each ordered pair, for datagrams and connections alike.
 
-package standin
+package emulator
 
 import (
 	"errors"
--- a/internal/lab/standin/script.go
+++ b/internal/lab/emulator/script.go
@@ -1,6 +1,6 @@
 // This file owns scripted servers: they hand each connection on with its first line, for a test to answer.
 
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 )
 
 // Script is any number of servers whose connections one test answers.
@@ -73,8 +73,8 @@
 		case err != nil:
 			_ = c.Close()
 			return
-		case first == string(line.PingLine):
-			_, _ = c.Write(line.PongLine)
+		case first == string(protocol.PingLine):
+			_, _ = c.Write(protocol.PongLine)
 		default:
 			e.First = first
 			s.Sessions <- e
--- a/internal/lab/standin/server.go
+++ b/internal/lab/emulator/server.go
@@ -1,9 +1,9 @@
-// Package standin owns what stands in for the outside on loopback: servers of the text protocol over the model,
+// Package emulator owns what stands in for the outside on loopback: servers of the text protocol over the model,
 // discovery's agents, links with faults, clients, and bad clients. All that they see goes into the record. It must
 // never leave loopback, and never look into a balancer.
 //
 // This file owns servers.
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -20,9 +20,9 @@
 	"syscall"
 	"time"
 
+	"sabletally/internal/lab/history"
 	"sabletally/internal/lab/model"
-	"sabletally/internal/lab/record"
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 )
 
 // Clock counts from the start of a run; until Begin it stands at 0.
@@ -92,7 +92,7 @@
 
 const (
 	dripEach   = 20 * time.Millisecond
-	lineMost   = line.Longest
+	lineMost   = protocol.Longest
 	drainEach  = 250 * time.Millisecond
 	lineBuffer = 4096
 )
@@ -102,7 +102,7 @@
 	Num    int
 	UID    string
 	clock  *Clock
-	log    *record.Log
+	log    *history.Log
 	store  *Store
 	warmup model.Warmup
 	sheds  time.Duration
@@ -135,7 +135,7 @@
 
 // NewServer makes a server whose process started at a time of the run; Listen starts it.
 func NewServer(num int, uid string, kind model.Kind, warmup model.Warmup, groupCost float64, sheds, started time.Duration,
-	store *Store, clock *Clock, log *record.Log, seed uint64) *Server {
+	store *Store, clock *Clock, log *history.Log, seed uint64) *Server {
 	s := &Server{Num: num, UID: uid, clock: clock, log: log, store: store, warmup: warmup, sheds: sheds,
 		conns: map[*session]bool{}, rng: rand.New(rand.NewPCG(seed, uint64(num)))}
 	s.model = model.New(kind, warmup, started)
@@ -161,7 +161,7 @@
 	}
 	fills := s.model.Fills()
 	s.mu.Unlock()
-	s.log.Add(record.Event{At: s.clock.Now(), What: record.Started, Server: int32(s.Num), Balancer: -1, N: fills, Text: cold})
+	s.log.Add(history.Event{At: s.clock.Now(), What: history.Started, Server: int32(s.Num), Balancer: -1, N: fills, Text: cold})
 	go s.accept(ln)
 	return nil
 }
@@ -200,7 +200,7 @@
 	_ = c.Close()
 }
 
-func (e *session) note(w record.What, more record.Event) {
+func (e *session) note(w history.What, more history.Event) {
 	more.At, more.What, more.Circuit, more.Server, more.Balancer = e.s.clock.Now(), w, e.circuit, int32(e.s.Num), -1
 	e.s.log.Add(more)
 }
@@ -234,20 +234,20 @@
 			e.message(raw)
 			continue
 		}
-		switch ln := line.Decode(append([]byte(nil), raw...)); {
+		switch ln := protocol.Decode(append([]byte(nil), raw...)); {
 		case ln.Bad != nil:
 			e.write([]byte("SYNTAX\r\n"))
 			how = "server"
 			return
-		case ln.Kind == line.Ping:
-			e.write(line.PongLine)
-		case string(raw) == string(line.AskLoad):
+		case ln.Kind == protocol.Ping:
+			e.write(protocol.PongLine)
+		case string(raw) == string(protocol.AskLoad):
 			e.s.mu.Lock()
 			e.s.model.Advance(e.s.clock.Now())
 			asked, piled := e.s.model.Asked(e.s.clock.Now()), e.s.model.Piled().Seconds()
 			e.s.mu.Unlock()
 			e.write(fmt.Appendf(nil, "PONG x0=%.4f,x1=%.4f\r\n", asked, piled))
-		case ln.Kind == line.Open && !e.asked:
+		case ln.Kind == protocol.Open && !e.asked:
 			e.open(ln.Ask, first)
 		default:
 			e.write([]byte("SYNTAX\r\n"))
@@ -258,14 +258,14 @@
 }
 
 // open takes a first line.
-func (e *session) open(a *line.Ask, first time.Duration) {
+func (e *session) open(a *protocol.Ask, first time.Duration) {
 	s := e.s
 	now := s.clock.Now()
 	e.asked, e.circuit, e.load, e.group = true, a.ID, a.Hint, a.Group
 	if e.load == 0 {
 		e.load = 1
 	}
-	e.note(record.Sent, record.Event{Len: now - first, Text: strconv.FormatUint(a.Key, 16)})
+	e.note(history.Sent, history.Event{Len: now - first, Text: strconv.FormatUint(a.Key, 16)})
 	s.mu.Lock()
 	verdict, took := s.model.Ask(now, e.load, e.group, s.rng.Float64())
 	e.held = verdict == model.Up
@@ -275,12 +275,12 @@
 		s.fall(e.circuit)
 		return
 	case model.Busy:
-		e.note(record.Over, record.Event{Text: "refused"})
+		e.note(history.Over, history.Event{Text: "refused"})
 		e.settle()
 		e.write([]byte("BUSY\r\n"))
 		return
 	case model.Err:
-		e.note(record.Over, record.Event{Text: "failed"})
+		e.note(history.Over, history.Event{Text: "failed"})
 		e.settle()
 		e.write([]byte("ERR\r\n"))
 		return
@@ -298,12 +298,12 @@
 		e.up = sound
 		s.mu.Unlock()
 		if !sound {
-			e.note(record.Over, record.Event{Text: "failed"})
+			e.note(history.Over, history.Event{Text: "failed"})
 			e.settle()
 			e.write([]byte("ERR\r\n"))
 			return
 		}
-		e.note(record.Ran, record.Event{N: float64(e.circuit)})
+		e.note(history.Ran, history.Event{N: float64(e.circuit)})
 		e.write(fmt.Appendf(nil, "UP %x\r\nLOAD %.3f\r\n", e.circuit, e.load*1e6/float64(s.model.Kind.Fills)))
 	}
 	if took += wait; took < time.Millisecond/2 {
@@ -390,7 +390,7 @@
 	}
 	s.mu.Unlock()
 	if asked {
-		e.note(record.Over, record.Event{Text: how})
+		e.note(history.Over, history.Event{Text: how})
 	}
 	if abrupt {
 		reset(e.c)
@@ -417,7 +417,7 @@
 	if already {
 		return
 	}
-	s.log.Add(record.Event{At: s.clock.Now(), What: record.Fell, Server: int32(s.Num), Balancer: -1, Circuit: circuit})
+	s.log.Add(history.Event{At: s.clock.Now(), What: history.Fell, Server: int32(s.Num), Balancer: -1, Circuit: circuit})
 	s.halt()
 }
 
@@ -436,7 +436,7 @@
 
 // Down stops the server: it resets what it holds and refuses newcomers. Text says why, in the record.
 func (s *Server) Down(why string) {
-	s.log.Add(record.Event{At: s.clock.Now(), What: record.Stopped, Server: int32(s.Num), Balancer: -1, Text: why})
+	s.log.Add(history.Event{At: s.clock.Now(), What: history.Stopped, Server: int32(s.Num), Balancer: -1, Text: why})
 	s.halt()
 }
 
@@ -467,12 +467,12 @@
 	s.mu.Unlock()
 	switch {
 	case is.Silent && !was.Silent:
-		s.log.Add(record.Event{At: s.clock.Now(), What: record.Stopped, Server: int32(s.Num), Balancer: -1, Text: "vanish"})
+		s.log.Add(history.Event{At: s.clock.Now(), What: history.Stopped, Server: int32(s.Num), Balancer: -1, Text: "vanish"})
 	case was.Silent && !is.Silent: // a machine that is back has forgotten its connections
 		for _, e := range s.all() {
 			e.end("server", true)
 		}
-		s.log.Add(record.Event{At: s.clock.Now(), What: record.Started, Server: int32(s.Num), Balancer: -1, N: s.model.Fills(), Text: "warm"})
+		s.log.Add(history.Event{At: s.clock.Now(), What: history.Started, Server: int32(s.Num), Balancer: -1, N: s.model.Fills(), Text: "warm"})
 	case was.HalfOpen && !is.HalfOpen:
 		for _, e := range s.all() {
 			if !e.asked && !e.up {
@@ -494,7 +494,7 @@
 		}
 		rounds := max(1, int((by-s.clock.Now())/drainEach))
 		for _, e := range up[:(len(up)+rounds-1)/rounds] {
-			e.write(line.MoveLine)
+			e.write(protocol.MoveLine)
 			e.end("server", false)
 		}
 		select {
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/emulator/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -14,17 +14,17 @@
 	"time"
 
 	"sabletally/internal/discovery"
+	"sabletally/internal/lab/history"
 	"sabletally/internal/lab/model"
-	"sabletally/internal/lab/record"
 )
 
 const ms = time.Millisecond
 
 var kind = model.Kind{Name: "std", Cores: 2, Speed: 1, Fills: 30, Most: 3, Setup: ms, Message: ms}
 
-func server(t *testing.T, k model.Kind, started time.Duration) (*Server, *record.Log) {
+func server(t *testing.T, k model.Kind, started time.Duration) (*Server, *history.Log) {
 	t.Helper()
-	log, clock := record.New(1000), &Clock{}
+	log, clock := history.New(1000), &Clock{}
 	clock.Begin()
 	s := NewServer(4, "s-4", k, model.Warmup{From: 0.1, For: 20 * time.Second, Multiple: 1, Within: time.Second}, 0, 0, started,
 		NewStore(model.Store{}), clock, log, 1)
@@ -72,7 +72,7 @@
 }
 
 // wait waits for an event of a kind; events come from goroutines that are on their way.
-func wait(t *testing.T, log *record.Log, w record.What, text string) record.Event {
+func wait(t *testing.T, log *history.Log, w history.What, text string) history.Event {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(ms) {
 		for _, e := range log.Events() {
@@ -82,7 +82,7 @@
 		}
 	}
 	t.Fatalf("no event %v %q", w, text)
-	return record.Event{}
+	return history.Event{}
 }
 
 func TestAServerSpeaksTheProtocolAndRecordsIt(t *testing.T) {
@@ -100,11 +100,11 @@
 	dial(t, s.Addr(), "OPEN 2b 2 c=feed,d=900\r\n").want("UP 2b")
 	dial(t, s.Addr(), "OPEN 2c 2 c=feed,d=900\r\n").want("UP 2c")
 	dial(t, s.Addr(), "OPEN 2d 2 c=feed,d=900\r\n").want("BUSY\r\n") // it holds three
-	if e := wait(t, log, record.Over, "refused"); e.Circuit != 0x2d || e.Server != 4 {
+	if e := wait(t, log, history.Over, "refused"); e.Circuit != 0x2d || e.Server != 4 {
 		t.Fatal(e)
 	}
 	_ = c.Close()
-	if e := wait(t, log, record.Over, "peer"); e.Circuit != 0x2a {
+	if e := wait(t, log, history.Over, "peer"); e.Circuit != 0x2a {
 		t.Fatal(e)
 	}
 	if n := s.Held(); n != 2 {
@@ -122,7 +122,7 @@
 	if err := s.Revive(); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, log, record.Started, "cold")
+	wait(t, log, history.Started, "cold")
 	dial(t, s.Addr(), "OPEN 2f 2 c=feed,d=900\r\n").want("UP 2f")
 }
 
@@ -140,7 +140,7 @@
 	if text, err := c.r.ReadString('\n'); err == nil || !strings.HasPrefix("M 1 t=", text) && text != "" && !strings.HasPrefix(text, "M 1") {
 		t.Fatalf("%q, %v", text, err)
 	}
-	wait(t, log, record.Over, "server")
+	wait(t, log, history.Over, "server")
 	s.Misbehave(func(w *Ways) { *w = Ways{Drip: true} })
 	c = dial(t, s.Addr(), "PING\r\n")
 	began := time.Now()
@@ -183,7 +183,7 @@
 			t.Fatal("it bears everything")
 		}
 	}
-	wait(t, log, record.Fell, "")
+	wait(t, log, history.Fell, "")
 }
 
 func TestADrainingServerSendsItsClientsAway(t *testing.T) {
@@ -194,13 +194,13 @@
 	s.Drain(context.Background(), true, s.clock.Now()+300*ms)
 	c.want("MOVE\r\n")
 	c.ends(false)
-	wait(t, log, record.Over, "server")
+	wait(t, log, history.Over, "server")
 	dial(t, s.Addr(), "OPEN 2 2 c=feed,d=900\r\n").want("BUSY\r\n")
 }
 
 // TestTheAgentTellsAndNotes follows an agent with the balancer's own client of discovery.
 func TestTheAgentTellsAndNotes(t *testing.T) {
-	log, clock := record.New(1000), &Clock{}
+	log, clock := history.New(1000), &Clock{}
 	a, err := NewAgent(2, clock, log, func(string) int { return 9 })
 	if err != nil {
 		t.Fatal(err)
@@ -216,12 +216,12 @@
 	if l := <-lists; !l.Whole || len(l.Servers) != 1 || l.Servers[0].Heft != 2 {
 		t.Fatal(l)
 	}
-	wait(t, log, record.Told, "ready")
+	wait(t, log, history.Told, "ready")
 	list.State(ctx, "s-9", Terminating, 0, false)
 	if l := <-lists; l.Whole || len(l.Servers) != 1 {
 		t.Fatal(l)
 	}
-	if e := wait(t, log, record.Told, "draining"); e.Balancer != 2 || e.Server != 9 {
+	if e := wait(t, log, history.Told, "draining"); e.Balancer != 2 || e.Server != 9 {
 		t.Fatal(e)
 	}
 	a.Misbehave(Faulty)
@@ -238,7 +238,7 @@
 	}
 	a.Book(nil)
 	list.Hide(ctx, "s-9", true)
-	wait(t, log, record.Told, "gone")
+	wait(t, log, history.Told, "gone")
 	old := a.Addr()
 	if err := a.Replace(); err != nil || a.Addr() == old {
 		t.Fatal(err, old)
--- a/internal/lab/standin/desk.go
+++ b/internal/lab/emulator/watch_hub.go
@@ -1,7 +1,7 @@
 // This file owns the desk: what one service does for all balancers in turn, so many calls a second, behind agents or in
 // place of the network itself, which virtual time needs.
 
-package standin
+package emulator
 
 import (
 	"context"
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package plan owns experiment files: their form, their units and what is wrong with one, by file, line and column.
+// Package experiment owns experiment files: their form, their units and what is wrong with one, by file, line and column.
 // It must never run an experiment.
-package plan
+package experiment
 
 import (
 	"fmt"
@@ -13,12 +13,12 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"sabletally/internal/blocks"
+	"sabletally/internal/hclconfig"
 	"sabletally/internal/lab/baseline"
+	"sabletally/internal/lab/faults"
 	"sabletally/internal/lab/load"
 	"sabletally/internal/lab/model"
-	"sabletally/internal/lab/scene"
-	"sabletally/internal/lab/timetable"
+	"sabletally/internal/lab/topology"
 	"sabletally/policy"
 )
 
@@ -49,7 +49,7 @@
 	Binary string // a build of the balancer, on sockets; empty: the one beside the lab
 	Broken string // a fault of the lab's own balancer, on sockets
 	Env    []string
-	Limits scene.Limits // of its balancers; the world's where the arm tells none
+	Limits topology.Limits // of its balancers; the world's where the arm tells none
 }
 
 // Experiment is what a file says.
@@ -58,12 +58,12 @@
 	Title string
 	Mode  string
 	Seeds []uint64
-	World scene.World
+	World topology.World
 	Arms  []Arm
 }
 
 // reader gathers what is wrong with one file.
-type reader struct{ *blocks.Reader }
+type reader struct{ *hclconfig.Reader }
 
 // Load reads a file; the error is blocks.Faults where its content is wrong.
 func Load(path string) (*Experiment, error) {
@@ -76,12 +76,12 @@
 
 // Parse reads an experiment; path is its name in messages.
 func Parse(text []byte, path string) (*Experiment, error) {
-	r := reader{&blocks.Reader{}}
+	r := reader{&hclconfig.Reader{}}
 	body := r.File(text, path)
 	if body == nil {
 		return nil, r.Faults
 	}
-	top := r.Open("the file", body, blocks.Start(path), "", hcl.BlockHeaderSchema{Type: "experiment"}, hcl.BlockHeaderSchema{Type: "world"},
+	top := r.Open("the file", body, hclconfig.Start(path), "", hcl.BlockHeaderSchema{Type: "experiment"}, hcl.BlockHeaderSchema{Type: "world"},
 		hcl.BlockHeaderSchema{Type: "load"}, hcl.BlockHeaderSchema{Type: "fault", LabelNames: []string{"kind"}},
 		hcl.BlockHeaderSchema{Type: "arm", LabelNames: []string{"name"}})
 	x := &Experiment{Name: strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))}
@@ -175,7 +175,7 @@
 			r.At(in.DefRange, "world: a fleet has no meaning in virtual time")
 		}
 	}
-	w.Limits = r.limits(b, scene.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
+	w.Limits = r.limits(b, topology.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 	r.grades(x, b, limit, goal)
 	for _, in := range b.In["server"] {
 		u := r.Open("server", in.Body, in.DefRange, "count cores speed fills most setup message")
@@ -188,7 +188,7 @@
 			if i > x.bound(mostSocketServers, mostServers) {
 				break // one too many is said once, below
 			}
-			w.Machines = append(w.Machines, scene.Machine{Kind: k, Zone: i % w.Zones, Cell: i % w.Zones * cells / w.Zones})
+			w.Machines = append(w.Machines, topology.Machine{Kind: k, Zone: i % w.Zones, Cell: i % w.Zones * cells / w.Zones})
 		}
 	}
 	if most := x.bound(mostSocketServers, mostServers); len(w.Machines) == 0 || len(w.Machines) > most {
@@ -197,17 +197,17 @@
 }
 
 // limits reads a block of limits, where there is one; what it does not tell stays as it is.
-func (r reader) limits(b *blocks.Block, l scene.Limits) scene.Limits {
+func (r reader) limits(b *hclconfig.Block, l topology.Limits) topology.Limits {
 	in := b.Only("limits", false)
 	if in == nil {
 		return l
 	}
 	u := r.Open("limits", in.Body, in.DefRange, "cores memory_mb sockets")
-	return scene.Limits{Cores: u.Number("cores", l.Cores, 0.01, 64), MemoryMB: u.Whole("memory_mb", l.MemoryMB, 16, 1<<20),
+	return topology.Limits{Cores: u.Number("cores", l.Cores, 0.01, 64), MemoryMB: u.Whole("memory_mb", l.MemoryMB, 16, 1<<20),
 		Sockets: u.Whole("sockets", l.Sockets, 64, 1<<20)}
 }
 
-func (r reader) grades(x *Experiment, b *blocks.Block, limit, goal time.Duration) {
+func (r reader) grades(x *Experiment, b *hclconfig.Block, limit, goal time.Duration) {
 	const ms = time.Millisecond
 	w := &x.World
 	for _, in := range b.In["grade"] {
@@ -274,39 +274,39 @@
 }
 
 func (r reader) fault(x *Experiment, in *hcl.Block, length time.Duration) {
-	names := make([]string, 0, len(timetable.Kinds))
-	for k := range timetable.Kinds {
+	names := make([]string, 0, len(faults.Kinds))
+	for k := range faults.Kinds {
 		names = append(names, string(k))
 	}
 	slices.Sort(names)
-	kind := timetable.Kind(in.Labels[0])
-	wants, known := timetable.Kinds[kind]
+	kind := faults.Kind(in.Labels[0])
+	wants, known := faults.Kinds[kind]
 	if !known {
-		r.At(in.LabelRanges[0], "fault %q is none of %s%s", kind, strings.Join(names, ", "), blocks.Nearest(string(kind), names))
+		r.At(in.LabelRanges[0], "fault %q is none of %s%s", kind, strings.Join(names, ", "), hclconfig.Nearest(string(kind), names))
 		return
 	}
-	if x.Mode == Virtual && timetable.SocketsOnly(kind) {
+	if x.Mode == Virtual && faults.SocketsOnly(kind) {
 		r.At(in.LabelRanges[0], "fault %q has no meaning in virtual time", kind)
 	}
-	if timetable.BetweenMembers(kind) && x.World.Copies == 0 {
+	if faults.BetweenMembers(kind) && x.World.Copies == 0 {
 		r.At(in.LabelRanges[0], "fault %q wants a fleet: a block \"fleet\" in the world", kind)
 	}
 	b := r.Open(fmt.Sprintf("fault %q", kind), in.Body, in.DefRange, "at for part batch drain times rate late ways")
 	b.Must(append([]string{"at"}, wants...)...)
-	f := timetable.Fault{Kind: kind, At: b.Span("at", 0, 0, length), For: b.Span("for", 0, 0, longestRun), Part: b.Share("part", 0),
+	f := faults.Fault{Kind: kind, At: b.Span("at", 0, 0, length), For: b.Span("for", 0, 0, longestRun), Part: b.Share("part", 0),
 		Batch: b.Share("batch", 0.2), Drain: b.Span("drain", 4*time.Second, 0, time.Minute), Times: b.Number("times", 1, 1, 10000),
 		Rate: b.Number("rate", 0, 0, 10000), Late: b.Span("late", 0, 0, time.Minute),
 		Ways: b.Text("ways", "both", "both", "in", "out")}
-	if slices.Contains([]timetable.Kind{timetable.MembersLossy, timetable.MembersReorder}, kind) && f.Rate > 1 {
+	if slices.Contains([]faults.Kind{faults.MembersLossy, faults.MembersReorder}, kind) && f.Rate > 1 {
 		r.At(in.DefRange, "fault %q: rate is a share of what passes, 1 at most", kind)
 	}
-	if kind == timetable.Errors && f.Rate > 1 {
+	if kind == faults.Errors && f.Rate > 1 {
 		r.At(in.DefRange, "fault %q: rate is a share of the set-ups, 1 at most", kind)
 	}
 	x.World.Faults = append(x.World.Faults, f)
 }
 
-func (r reader) arms(x *Experiment, top *blocks.Block) {
+func (r reader) arms(x *Experiment, top *hclconfig.Block) {
 	for _, in := range top.In["arm"] {
 		b := r.Open("arm", in.Body, in.DefRange, "policy binary broken env", hcl.BlockHeaderSchema{Type: "limits"})
 		a := Arm{Name: in.Labels[0], Policy: b.Text("policy", "", baseline.Names...), Binary: b.Text("binary", ""), Broken: b.Text("broken", "", Breaks...)}
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -1,4 +1,4 @@
-package plan
+package experiment
 
 import (
 	"os"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/blocks"
+	"sabletally/internal/hclconfig"
 )
 
 const whole = `experiment {
@@ -28,7 +28,7 @@
 	if err != nil || len(files) < 11 {
 		t.Fatal(err, files)
 	}
-	for _, path := range append(files, "../../../cmd/sablelab/demo.hcl") {
+	for _, path := range append(files, "../../../cmd/testbed/demo.hcl") {
 		if _, err := Load(path); err != nil {
 			t.Error(err)
 		}
@@ -108,7 +108,7 @@
 	}
 	// All faults at once, in the order of the file.
 	_, err := Parse([]byte(strings.NewReplacer(`"10s"`, `10`, "count = 3", "count = 0", "rate = 5", "rate = -1").Replace(whole)), "f.hcl")
-	faults, is := err.(blocks.Faults)
+	faults, is := err.(hclconfig.Faults)
 	if !is || len(faults) < 4 || faults[0].Line != 3 || faults[len(faults)-1].Line < 9 {
 		t.Errorf("%v", err)
 	}
@@ -136,7 +136,7 @@
 	f.Add("experiment {}\nworld {}\nload {}")
 	f.Fuzz(func(t *testing.T, text string) {
 		x, err := Parse([]byte(text), "f.hcl")
-		if faults, is := err.(blocks.Faults); err == nil && x == nil || err != nil && (!is || len(faults) == 0 || faults[0].File != "f.hcl" || faults[0].Line == 0) {
+		if faults, is := err.(hclconfig.Faults); err == nil && x == nil || err != nil && (!is || len(faults) == 0 || faults[0].File != "f.hcl" || faults[0].Line == 0) {
 			t.Fatalf("%v", err)
 		}
 	})
--- a/internal/lab/timetable/timetable.go
+++ b/internal/lab/faults/faults.go
@@ -1,7 +1,7 @@
-// Package timetable owns the faults of a run: which there are, and the steps, each at its time and for one server
+// Package faults owns the faults of a run: which there are, and the steps, each at its time and for one server
 // or balancer, that a fault turns into by a seed. Both kinds of world carry out the same steps. It must never
 // carry one out.
-package timetable
+package faults
 
 import (
 	"cmp"
--- a/internal/lab/timetable/timetable_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -1,4 +1,4 @@
-package timetable
+package faults
 
 import (
 	"slices"
--- a/internal/lab/feedworld/judge.go
+++ b/internal/lab/feedsim/checker.go
@@ -1,11 +1,11 @@
-package feedworld
+package feedsim
 
 import (
 	"hash/fnv"
 	"sort"
 	"time"
 
-	"sabletally/internal/fleet/feed"
+	"sabletally/internal/fleet/changefeed"
 )
 
 // The judge's names for what is broken.
@@ -30,7 +30,7 @@
 func newRecord() record { return record{items: map[string]uint64{}} }
 
 // own is an item's hash that is not the feed's.
-func own(i feed.Item) uint64 {
+func own(i changefeed.Item) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(i.Key))
 	h.Write([]byte{0})
@@ -47,7 +47,7 @@
 }
 
 // applied judges one step of a follower.
-func (w *World) applied(f *follower, a feed.Applied) {
+func (w *World) applied(f *follower, a changefeed.Applied) {
 	t := &f.took
 	if a.Version <= t.version {
 		w.fail(WentBack, "follower %d from %d to %d", f.num, t.version, a.Version)
@@ -101,7 +101,7 @@
 		current = w.believes(f, now)
 	}
 	if current {
-		if v := w.versionAt(w.now - feed.Lease); v > st.Version() {
+		if v := w.versionAt(w.now - changefeed.Lease); v > st.Version() {
 			w.fail(FalselyNew, "follower %d at version %d, %d was agreed a lease ago", f.num, st.Version(), v)
 		}
 	}
--- a/internal/lab/feedworld/digest_test.go
+++ b/internal/lab/feedsim/digest_test.go
@@ -1,4 +1,4 @@
-package feedworld
+package feedsim
 
 import (
 	"fmt"
--- a/internal/lab/feedworld/play.go
+++ b/internal/lab/feedsim/play.go
@@ -1,4 +1,4 @@
-package feedworld
+package feedsim
 
 import (
 	"container/heap"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"sabletally/internal/fleet/feed"
+	"sabletally/internal/fleet/changefeed"
 )
 
 const (
@@ -43,7 +43,7 @@
 
 // ---- The log's stand-in: versions are agreed at one place while most voters can be reached from there.
 
-func (w *World) agree(items []feed.Item) {
+func (w *World) agree(items []changefeed.Item) {
 	c, err := w.truth.Next(items)
 	if err != nil {
 		w.fail(Broken, "the source refuses: %v", err)
@@ -94,16 +94,16 @@
 				return
 			}
 			w.putN++
-			key := fmt.Sprintf("%sk%d", feed.ConfigPrefix, w.rng.IntN(60))
-			item := feed.Item{Key: key, Value: fmt.Appendf(nil, "%d %0*d", w.putN, w.rng.IntN(200), 0)}
+			key := fmt.Sprintf("%sk%d", changefeed.ConfigPrefix, w.rng.IntN(60))
+			item := changefeed.Item{Key: key, Value: fmt.Appendf(nil, "%d %0*d", w.putN, w.rng.IntN(200), 0)}
 			if w.rng.IntN(10) == 0 {
-				item = feed.Item{Key: key, Gone: true}
+				item = changefeed.Item{Key: key, Gone: true}
 			}
-			items := []feed.Item{item}
+			items := []changefeed.Item{item}
 			if w.rng.IntN(50) == 0 { // a member is named anew
 				r := w.relays[w.rng.IntN(len(w.relays))]
-				v, _ := w.truth.State().Get(feed.MemberPrefix + r.addr)
-				items = append(items, feed.Item{Key: feed.MemberPrefix + r.addr, Value: v})
+				v, _ := w.truth.State().Get(changefeed.MemberPrefix + r.addr)
+				items = append(items, changefeed.Item{Key: changefeed.MemberPrefix + r.addr, Value: v})
 			}
 			w.agree(items)
 		})
@@ -125,7 +125,7 @@
 		}
 		changes, ok := w.truth.Since(version, digest)
 		newest := w.truth.Version()
-		var snap *feed.Snapshot
+		var snap *changefeed.Snapshot
 		if !ok {
 			snap = w.truth.Snapshot()
 		}
--- a/internal/lab/feedworld/world.go
+++ b/internal/lab/feedsim/world.go
@@ -1,8 +1,8 @@
-// Package feedworld plays a control tier and its followers in virtual time: the cores of internal/fleet/feed that ship, on
+// Package feedsim plays a control tier and its followers in virtual time: the cores of internal/fleet/changefeed that ship, on
 // connections in memory, with faults by seed. It owns what happens to them, the log's stand-in (versions that are agreed at one place
 // and learned by the relays late), and the record of what each follower took. It must never reach into a core: what it knows comes
 // out of a core as it would on sockets.
-package feedworld
+package feedsim
 
 import (
 	"container/heap"
@@ -13,8 +13,8 @@
 	"math/rand/v2"
 	"time"
 
-	"sabletally/internal/fleet/feed"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -68,7 +68,7 @@
 	calm      bool // no faults any more,
 	quiet     bool // and no changes
 
-	truth     *feed.Log
+	truth     *changefeed.Log
 	agreed    []agreed
 	model     map[string]uint64 // own hashes of what is agreed now
 	leader    int               // -1: nobody
@@ -83,7 +83,7 @@
 	Refused                               int // messages that a follower did not take
 
 	// What tests put in around a follower: what it is given in place of a message, and what it believes of itself.
-	given    func(f *follower, addr string, m feed.Msg) feed.Msg
+	given    func(f *follower, addr string, m changefeed.Msg) changefeed.Msg
 	believes func(f *follower, now time.Duration) bool
 
 	sum uint64
@@ -114,15 +114,15 @@
 type relay struct {
 	node
 	addr  string
-	log   *feed.Log
-	core  *feed.Relay
+	log   *changefeed.Log
+	core  *changefeed.Relay
 	conns map[uint64]*conn
 }
 
 type follower struct {
 	node
 	life  uint64
-	core  *feed.Follower
+	core  *changefeed.Follower
 	conns map[string]*conn
 	took  record
 }
@@ -134,8 +134,8 @@
 	r            *relay
 	fBorn, rBorn uint64
 	fOpen, rOpen bool
-	last         [2]time.Duration // when the newest message of each way arrives, 0: to the relay
-	wait         [2][]*feed.Msg   // held back by a cut; nil is the connection's end
+	last         [2]time.Duration     // when the newest message of each way arrives, 0: to the relay
+	wait         [2][]*changefeed.Msg // held back by a cut; nil is the connection's end
 	listed       bool
 }
 
@@ -167,17 +167,17 @@
 
 // New makes a world in which all begin.
 func New(p Plan) *World {
-	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xfeed3)), now: time.Hour, truth: feed.NewLog(feed.LogConfig{Most: 400, Bytes: 1 << 20}),
+	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xfeed3)), now: time.Hour, truth: changefeed.NewLog(changefeed.LogConfig{Most: 400, Bytes: 1 << 20}),
 		agreed: []agreed{{}}, cut: func(*node, *node) bool { return false }}
-	items := []feed.Item{{Key: feed.FleetKey, Value: fmt.Appendf(nil, "fleet%d", p.Seed)}}
+	items := []changefeed.Item{{Key: changefeed.FleetKey, Value: fmt.Appendf(nil, "fleet%d", p.Seed)}}
 	for i := range p.Relays {
 		r := &relay{node: w.node(i), addr: fmt.Sprintf("c%d", i)}
 		r.zone, r.region = i%p.Zones, i%p.Zones%p.Regions
-		text, err := json.Marshal(views.Member{ID: r.addr, Addr: r.addr, Machine: r.addr, Zone: fmt.Sprintf("z%d", r.zone), Site: fmt.Sprintf("s%d", r.region)})
+		text, err := json.Marshal(shardmap.Member{ID: r.addr, Addr: r.addr, Machine: r.addr, Zone: fmt.Sprintf("z%d", r.zone), Site: fmt.Sprintf("s%d", r.region)})
 		if err != nil {
 			panic(err) // plain values
 		}
-		items = append(items, feed.Item{Key: feed.MemberPrefix + r.addr, Value: text})
+		items = append(items, changefeed.Item{Key: changefeed.MemberPrefix + r.addr, Value: text})
 		w.relays = append(w.relays, r)
 	}
 	w.agree(items)
@@ -221,7 +221,7 @@
 
 func (w *World) startRelay(r *relay) {
 	old := r.log
-	r.log = feed.NewLog(feed.LogConfig{Most: 100, Bytes: 256 << 10})
+	r.log = changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 256 << 10})
 	if old != nil && w.rng.IntN(3) > 0 { // what was on its disk, but for the changes that led there
 		if err := r.log.Install(*old.Snapshot()); err != nil {
 			w.fail(Broken, "relay %d does not start: %v", r.num, err)
@@ -229,7 +229,7 @@
 	}
 	r.born++
 	r.up, r.dark, r.stopped, r.waiting, r.conns, r.bornAt, r.badAt = true, false, 0, nil, map[uint64]*conn{}, w.now, w.now
-	r.core = feed.NewRelay(feed.RelayConfig{ID: r.addr, Most: 4 * w.plan.Followers, Window: windowBytes, SnapshotBytes: snapPace, Seed: w.plan.Seed<<16 ^ uint64(r.num)<<8 ^ r.born},
+	r.core = changefeed.NewRelay(changefeed.RelayConfig{ID: r.addr, Most: 4 * w.plan.Followers, Window: windowBytes, SnapshotBytes: snapPace, Seed: w.plan.Seed<<16 ^ uint64(r.num)<<8 ^ r.born},
 		r.log, w.time(&r.node))
 }
 
@@ -242,7 +242,7 @@
 	}
 	f.up, f.dark, f.stopped, f.waiting, f.conns, f.bornAt, f.badAt = true, false, 0, nil, map[string]*conn{}, w.now, w.now
 	f.took = newRecord()
-	f.core = feed.NewFollower(feed.FollowerConfig{ID: fmt.Sprintf("b%d", f.num), Life: f.life, Zone: fmt.Sprintf("z%d", f.zone), Site: fmt.Sprintf("s%d", f.region),
+	f.core = changefeed.NewFollower(changefeed.FollowerConfig{ID: fmt.Sprintf("b%d", f.num), Life: f.life, Zone: fmt.Sprintf("z%d", f.zone), Site: fmt.Sprintf("s%d", f.region),
 		Seeds: seeds, Seed: w.plan.Seed<<20 ^ uint64(f.num)<<4 ^ f.born}, w.time(&f.node))
 }
 
@@ -399,7 +399,7 @@
 }
 
 // pass sends a message on a connection; nil is its end, which is not lost.
-func (w *World) pass(c *conn, way int, m *feed.Msg) {
+func (w *World) pass(c *conn, way int, m *changefeed.Msg) {
 	times := 1
 	if m != nil && w.loss > 0 {
 		switch roll := w.rng.Float64(); {
@@ -415,7 +415,7 @@
 	}
 }
 
-func (w *World) arrive(c *conn, way int, m *feed.Msg) {
+func (w *World) arrive(c *conn, way int, m *changefeed.Msg) {
 	from, to := &c.f.node, &c.r.node
 	if way == toFollower {
 		from, to = to, from
@@ -451,7 +451,7 @@
 	}
 }
 
-func (w *World) deliver(c *conn, way int, m *feed.Msg) {
+func (w *World) deliver(c *conn, way int, m *changefeed.Msg) {
 	w.note(c, way, m)
 	w.Messages++
 	if way == toRelay {
@@ -513,7 +513,7 @@
 // reset ends a connection at both ends, and what is under way on it.
 func (w *World) reset(c *conn) {
 	w.Resets++
-	c.wait = [2][]*feed.Msg{}
+	c.wait = [2][]*changefeed.Msg{}
 	f, r := c.f, c.r
 	if r.up && r.born == c.rBorn && c.rOpen {
 		w.run(&r.node, func() {
@@ -538,7 +538,7 @@
 }
 
 // note keeps a sum over all that arrived: the same seed gives the same one.
-func (w *World) note(c *conn, way int, m *feed.Msg) {
+func (w *World) note(c *conn, way int, m *changefeed.Msg) {
 	h := fnv.New64a()
 	var b [8]byte
 	for _, v := range []uint64{w.sum, uint64(w.now), c.num, uint64(way), kind(m)} {
@@ -548,7 +548,7 @@
 	w.sum = h.Sum64()
 }
 
-func kind(m *feed.Msg) uint64 {
+func kind(m *changefeed.Msg) uint64 {
 	switch {
 	case m == nil:
 		return 0
--- a/internal/lab/fleetworld/judge.go
+++ b/internal/lab/fleetsim/checker.go
@@ -1,4 +1,4 @@
-package fleetworld
+package fleetsim
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"sabletally/internal/fleet/copies"
+	"sabletally/internal/fleet/replication"
 )
 
 // The judge's names for what is broken.
@@ -37,18 +37,18 @@
 			return broken(NotRepaired, "slot %d has %d holders, view %d: %v, joining %v", num, len(v.Full), v.Num, v.Full, v.Joining)
 		}
 	}
-	final := map[string]copies.Record{}
+	final := map[string]replication.Record{}
 	for i := range w.plan.Keys {
 		key := fmt.Sprintf("k%d", i)
 		for try := 0; ; try++ {
 			w.opN++
-			op := copies.Op{ID: fmt.Sprintf("o%d", w.opN), Key: key, Read: true}
+			op := replication.Op{ID: fmt.Sprintf("o%d", w.opN), Key: key, Read: true}
 			w.ask(w.nodes[w.rng.IntN(len(w.nodes))], op)
 			a := w.byOp[op.ID]
 			for end := w.now + finalReadTry; !a.Answered && w.now < end; {
 				w.until(w.now + turnEach)
 			}
-			if a.Answered && a.Result.Outcome == copies.Conflict {
+			if a.Answered && a.Result.Outcome == replication.Conflict {
 				final[key] = a.Result.Record
 				break
 			}
@@ -64,7 +64,7 @@
 	wrote := map[string]string{}
 	for _, a := range w.Acts {
 		r := a.Result.Record
-		if a.Answered && a.Result.Outcome == copies.Done && r.Op == a.Op.ID {
+		if a.Answered && a.Result.Outcome == replication.Done && r.Op == a.Op.ID {
 			at := fmt.Sprintf("%s version %d", a.Op.Key, r.Version)
 			if o := wrote[at]; o != "" {
 				return broken(TwoOwners, "%s: %s and %s", at, o, a.Op.ID)
@@ -74,15 +74,15 @@
 				return broken(PromiseLost, "%s was promised to %s at %v, now there is version %d by %s", at, a.Op.ID, a.To, f.Version, f.Op)
 			}
 		}
-		if a.Answered && (a.Result.Outcome == copies.Refused || a.Op.Read && a.Result.Outcome != copies.Conflict) {
+		if a.Answered && (a.Result.Outcome == replication.Refused || a.Op.Read && a.Result.Outcome != replication.Conflict) {
 			continue // not done
 		}
 		if !a.Answered && a.Op.Read {
 			continue
 		}
 		o := porcupine.Operation{ClientId: 0, Input: a.Op, Output: a.Result, Call: int64(a.From), Return: int64(a.To)}
-		if !a.Answered || a.Result.Outcome == copies.Unknown { // it may be done at any time from then on, or never
-			o.Output, o.Return = copies.Result{Outcome: copies.Unknown}, math.MaxInt64
+		if !a.Answered || a.Result.Outcome == replication.Unknown { // it may be done at any time from then on, or never
+			o.Output, o.Return = replication.Result{Outcome: replication.Unknown}, math.MaxInt64
 		}
 		o.ClientId = len(byKey[a.Op.Key])
 		byKey[a.Op.Key] = append(byKey[a.Op.Key], o)
@@ -109,14 +109,14 @@
 var register = porcupine.Model{
 	Init: func() any { return held{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, op, r := state.(held), input.(copies.Op), output.(copies.Result)
+		s, op, r := state.(held), input.(replication.Op), output.(replication.Result)
 		next := held{s.version + 1, op.ID}
 		switch {
 		case op.Read:
 			return r.Record.Version == s.version && (s.version == 0 || r.Record.Op == s.op), s
-		case r.Outcome == copies.Done:
+		case r.Outcome == replication.Done:
 			return op.If == s.version && (r.Record.Op != op.ID || r.Record.Version == next.version), next
-		case r.Outcome == copies.Conflict:
+		case r.Outcome == replication.Conflict:
 			return op.If != s.version && r.Record.Version == s.version, s
 		case op.If == s.version: // unknown: done, or not; not at all is at the end of time
 			return true, next
--- a/internal/lab/fleetworld/digest_test.go
+++ b/internal/lab/fleetsim/digest_test.go
@@ -1,4 +1,4 @@
-package fleetworld
+package fleetsim
 
 import (
 	"fmt"
--- a/internal/lab/fleetworld/disk.go
+++ b/internal/lab/fleetsim/disk.go
@@ -1,12 +1,12 @@
-package fleetworld
+package fleetsim
 
 import (
 	"maps"
 	"slices"
 
-	"sabletally/internal/fleet/agree"
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/core"
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/node"
+	"sabletally/internal/fleet/replication"
 )
 
 // disk is a member's in memory: what was written stays until its machine is lost.
@@ -19,14 +19,14 @@
 }
 
 type part struct {
-	ballot  copies.Ballot
-	records map[string]copies.Record
+	ballot  replication.Ballot
+	records map[string]replication.Record
 }
 
 func newDisk() *disk { return &disk{entries: map[uint64][]byte{}, slots: map[int]*part{}} }
 
 // write takes all of a Ready.
-func (d *disk) write(r core.Ready) {
+func (d *disk) write(r node.Ready) {
 	if r.Fleet != "" {
 		d.fleet = r.Fleet
 	}
@@ -46,7 +46,7 @@
 	for _, w := range r.Slots {
 		s := d.slots[w.Slot]
 		if s == nil {
-			s = &part{records: map[string]copies.Record{}}
+			s = &part{records: map[string]replication.Record{}}
 			d.slots[w.Slot] = s
 		}
 		s.ballot = w.Ballot
@@ -62,13 +62,13 @@
 }
 
 // read is what a process finds at its start.
-func (d *disk) read() core.Saved {
-	out := core.Saved{Fleet: d.fleet, Agree: agree.Saved{Hard: d.hard, Snapshot: d.snap}, Slots: map[int]core.Slot{}}
+func (d *disk) read() node.Saved {
+	out := node.Saved{Fleet: d.fleet, Agree: consensus.Saved{Hard: d.hard, Snapshot: d.snap}, Slots: map[int]node.Slot{}}
 	for _, i := range slices.Sorted(maps.Keys(d.entries)) {
 		out.Agree.Entries = append(out.Agree.Entries, d.entries[i])
 	}
 	for num, s := range d.slots {
-		one := core.Slot{Ballot: s.ballot}
+		one := node.Slot{Ballot: s.ballot}
 		for _, k := range slices.Sorted(maps.Keys(s.records)) {
 			one.Records = append(one.Records, s.records[k])
 		}
--- a/internal/lab/fleetworld/play.go
+++ b/internal/lab/fleetsim/play.go
@@ -1,4 +1,4 @@
-package fleetworld
+package fleetsim
 
 import (
 	"container/heap"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"sabletally/internal/fleet/agree"
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -54,7 +54,7 @@
 	}
 	w.opN++
 	key := fmt.Sprintf("k%d", w.rng.IntN(w.plan.Keys))
-	op := copies.Op{ID: fmt.Sprintf("o%d", w.opN), Key: key, Value: fmt.Appendf(nil, "v%d", w.opN)}
+	op := replication.Op{ID: fmt.Sprintf("o%d", w.opN), Key: key, Value: fmt.Appendf(nil, "v%d", w.opN)}
 	switch w.rng.IntN(4) {
 	case 0:
 		op.Read, op.Value = true, nil
@@ -64,7 +64,7 @@
 	w.ask(n, op)
 }
 
-func (w *World) ask(n *node, op copies.Op) {
+func (w *World) ask(n *member, op replication.Op) {
 	a := &Act{Op: op, Client: n.num, From: w.now}
 	w.Acts = append(w.Acts, a)
 	w.byOp[op.ID] = a
@@ -81,7 +81,7 @@
 	return 0
 }
 
-func (w *World) answer(r copies.Result) {
+func (w *World) answer(r replication.Result) {
 	if a := w.byOp[r.Op]; a != nil && !a.Answered {
 		a.Answered, a.Result, a.To = true, r, w.now
 	}
@@ -154,7 +154,7 @@
 }
 
 // lose takes a machine with its disk; it comes back empty.
-func (w *World) lose(n *node) {
+func (w *World) lose(n *member) {
 	w.Lost++
 	n.up, n.gone = false, true
 	n.born++
@@ -167,7 +167,7 @@
 
 // stood tells whether the table says that a machine can be lost now, whatever else goes wrong: each slot has two further full
 // holders, and the log keeps most of its voters. Machines that are down keep their disks, and count.
-func (w *World) stood(n *node) bool {
+func (w *World) stood(n *member) bool {
 	newest, _ := w.newest()
 	if newest == nil {
 		return false
@@ -189,7 +189,7 @@
 		}
 		left := 0
 		for _, other := range w.nodes {
-			if other != n && !other.gone && slices.Contains(o.core.Voters(), agree.Number(other.id)) {
+			if other != n && !other.gone && slices.Contains(o.core.Voters(), consensus.Number(other.id)) {
 				left++
 			}
 		}
@@ -201,7 +201,7 @@
 }
 
 // newest is the newest state that any member has, and the voters as who leads knows them.
-func (w *World) newest() (st *views.State, voters []uint64) {
+func (w *World) newest() (st *shardmap.State, voters []uint64) {
 	for _, n := range w.nodes {
 		if n.core == nil || n.gone {
 			continue
@@ -217,8 +217,8 @@
 }
 
 // Counts are how operations ended; those that nobody answered count as unknown.
-func (w *World) Counts() map[copies.Outcome]int {
-	n := map[copies.Outcome]int{}
+func (w *World) Counts() map[replication.Outcome]int {
+	n := map[replication.Outcome]int{}
 	for _, a := range w.Acts {
 		n[a.Result.Outcome]++
 	}
--- a/internal/lab/fleetworld/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -1,7 +1,7 @@
-// Package fleetworld plays a fleet in virtual time: the cores that ship, on disks and ways in memory, with faults by seed. It owns
+// Package fleetsim plays a fleet in virtual time: the cores that ship, on disks and ways in memory, with faults by seed. It owns
 // what happens to them and the record of what was promised to whom. It must never reach into a core: what it knows comes out of
 // a core as it would on sockets, but for the disk, which it keeps for it.
-package fleetworld
+package fleetsim
 
 import (
 	"container/heap"
@@ -12,10 +12,10 @@
 	"slices"
 	"time"
 
-	"sabletally/internal/fleet/copies"
-	"sabletally/internal/fleet/core"
-	"sabletally/internal/fleet/steer"
-	"sabletally/internal/fleet/views"
+	"sabletally/internal/fleet/node"
+	"sabletally/internal/fleet/placement"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
 )
 
 const (
@@ -56,10 +56,10 @@
 
 // Act is one operation as its client saw it.
 type Act struct {
-	Op        copies.Op
+	Op        replication.Op
 	Client    int
 	From, To  time.Duration
-	Result    copies.Result
+	Result    replication.Result
 	Answered  bool
 	Withdrawn bool // the client's own process ended: nobody heard
 }
@@ -71,8 +71,8 @@
 	now   time.Duration
 	queue events
 	order int
-	nodes []*node
-	byID  map[string]*node
+	nodes []*member
+	byID  map[string]*member
 	ids   int
 	cut   func(from, to int) bool
 	loss  float64
@@ -87,18 +87,18 @@
 	Cuts  int
 	Views int // changes of what is agreed
 
-	Undecided int                   // keys whose order took too long to judge
-	wrote     map[[3]int]copies.Msg // of NotFenced: what was written last, by from, to and slot
+	Undecided int                        // keys whose order took too long to judge
+	wrote     map[[3]int]replication.Msg // of NotFenced: what was written last, by from, to and slot
 	sum       uint64
 	err       error
 }
 
-// node is one machine with one member at a time.
-type node struct {
+// member is one machine with one member at a time.
+type member struct {
 	num     int
 	id      string
 	life    uint64
-	core    *core.Core
+	core    *node.Core
 	disk    *disk
 	up      bool
 	stopped time.Duration // until then nothing of it runs
@@ -106,9 +106,9 @@
 	going   bool          // it said that it will go
 	gone    bool          // its disk, until it comes back as another
 	waiting []func()
-	self    views.Member
+	self    shardmap.Member
 	seen    []sight
-	looked  []steer.Seen // as of the newest look
+	looked  []placement.Seen // as of the newest look
 	looksAt time.Duration
 	born    uint64 // counts lives, so that what was meant for one finds no other
 }
@@ -143,10 +143,10 @@
 
 // New makes a world in which all members begin with empty disks.
 func New(p Plan) *World {
-	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*node{}, byOp: map[string]*Act{}, wrote: map[[3]int]copies.Msg{},
+	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, byOp: map[string]*Act{}, wrote: map[[3]int]replication.Msg{},
 		cut: func(int, int) bool { return false }}
 	for i := range p.Members {
-		n := &node{num: i, seen: make([]sight, p.Members)}
+		n := &member{num: i, seen: make([]sight, p.Members)}
 		w.nodes = append(w.nodes, n)
 		w.fresh(n)
 		w.start(n)
@@ -162,12 +162,12 @@
 	heap.Push(&w.queue, event{w.now + d, w.order, do})
 }
 
-func memberOf(n *node) views.Member {
-	return views.Member{ID: n.id, Addr: fmt.Sprintf("m%d", n.num), Machine: fmt.Sprintf("m%d", n.num), Zone: fmt.Sprintf("z%d", n.num%3), Site: "s"}
+func memberOf(n *member) shardmap.Member {
+	return shardmap.Member{ID: n.id, Addr: fmt.Sprintf("m%d", n.num), Machine: fmt.Sprintf("m%d", n.num), Zone: fmt.Sprintf("z%d", n.num%3), Site: "s"}
 }
 
 // fresh gives a machine an empty disk, and so another member.
-func (w *World) fresh(n *node) {
+func (w *World) fresh(n *member) {
 	w.ids++
 	delete(w.byID, n.id)
 	h := fnv.New64a()
@@ -178,14 +178,14 @@
 	n.disk, n.life, n.gone = newDisk(), 0, false
 }
 
-func (w *World) start(n *node) {
+func (w *World) start(n *member) {
 	n.life++
 	n.born++
 	repair := 8
 	if w.plan.Break == NoRepair {
 		repair = 0
 	}
-	c, err := core.New(core.Config{Self: n.self, Life: n.life, Found: fmt.Sprintf("f%d", w.ids), First: n.num == 0, Seeds: []string{"m0", "m1", "m2"}, Voters: 3,
+	c, err := node.New(node.Config{Self: n.self, Life: n.life, Found: fmt.Sprintf("f%d", w.ids), First: n.num == 0, Seeds: []string{"m0", "m1", "m2"}, Voters: 3,
 		Copies: w.plan.Copies, Evict: evict, Repair: repair, Seed: w.plan.Seed<<20 ^ uint64(n.num)<<10 ^ n.born, Keys: 1 << 20, Bytes: 1 << 30, Ops: 4096}, n.disk.read(), w.now)
 	if err != nil {
 		w.fail("%d does not start: %v", n.num, err)
@@ -204,7 +204,7 @@
 // ---- One member's turn.
 
 // run has a member do something now, or once it is no longer stopped; nothing where its process has ended meanwhile.
-func (w *World) run(n *node, born uint64, do func()) {
+func (w *World) run(n *member, born uint64, do func()) {
 	switch {
 	case !n.up || n.born != born:
 	case n.stopped > w.now:
@@ -215,7 +215,7 @@
 	}
 }
 
-func (w *World) turn(n *node) {
+func (w *World) turn(n *member) {
 	w.after(turnEach, func() { w.turn(n) })
 	if !n.up || n.stopped > w.now {
 		return
@@ -230,7 +230,7 @@
 }
 
 // ready does what a core has to be done. A process may end between any two of its steps.
-func (w *World) ready(n *node) {
+func (w *World) ready(n *member) {
 	born := n.born
 	r, err := n.core.Ready()
 	if err != nil {
@@ -249,7 +249,7 @@
 		for _, one := range r.Slots {
 			for _, rec := range one.Records {
 				if !one.Replace {
-					w.answer(copies.Result{Op: rec.Op, Outcome: copies.Done, Record: rec})
+					w.answer(replication.Result{Op: rec.Op, Outcome: replication.Done, Record: rec})
 				}
 			}
 		}
@@ -276,7 +276,7 @@
 	return !w.calm && w.now > 15*time.Second && w.rng.Float64() < w.plan.Faults/40000
 }
 
-func (w *World) kill(n *node) {
+func (w *World) kill(n *member) {
 	if n.up {
 		w.Kills++
 		n.up = false
@@ -291,7 +291,7 @@
 
 // ---- Ways.
 
-func (w *World) send(from *node, p core.Packet) {
+func (w *World) send(from *member, p node.Packet) {
 	to := w.byID[p.To]
 	if to == nil {
 		return
@@ -321,17 +321,17 @@
 }
 
 // unfenced has a holder tell an overtaken primary that it has what was written last.
-func (w *World) unfenced(from, to *node, msgs []copies.Msg) []copies.Msg {
+func (w *World) unfenced(from, to *member, msgs []replication.Msg) []replication.Msg {
 	msgs = slices.Clone(msgs)
 	for i, m := range msgs {
 		at := [3]int{from.num, to.num, m.Slot}
 		back := [3]int{to.num, from.num, m.Slot}
 		switch m.Kind {
-		case copies.MsgWrite:
+		case replication.MsgWrite:
 			w.wrote[at] = m
-		case copies.MsgStale:
+		case replication.MsgStale:
 			if last, is := w.wrote[back]; is {
-				msgs[i].Kind, msgs[i].Ballot, msgs[i].Seq = copies.MsgWritten, last.Ballot, last.Seq
+				msgs[i].Kind, msgs[i].Ballot, msgs[i].Seq = replication.MsgWritten, last.Ballot, last.Seq
 			}
 		}
 	}
@@ -339,7 +339,7 @@
 }
 
 // note keeps a sum over all that was said: the same seed gives the same one.
-func (w *World) note(from, to int, p core.Packet) {
+func (w *World) note(from, to int, p node.Packet) {
 	h := fnv.New64a()
 	var b [8]byte
 	for _, v := range []uint64{w.sum, uint64(w.now), uint64(from), uint64(to), uint64(len(p.Raft)), uint64(len(p.Copies))} {
@@ -357,12 +357,12 @@
 func (w *World) Sum() uint64 { return w.sum }
 
 // sight is how a member sees the others: late, and not by what it can't know.
-func (w *World) sight(n *node) []steer.Seen {
+func (w *World) sight(n *member) []placement.Seen {
 	if w.now < n.looksAt {
 		return n.looked
 	}
 	n.looksAt = w.now + lookEach
-	all := make([]steer.Seen, 0, len(w.nodes))
+	all := make([]placement.Seen, 0, len(w.nodes))
 	for _, o := range w.nodes {
 		if o == n {
 			continue
@@ -379,7 +379,7 @@
 			s.here, s.since = is, w.now
 		}
 		n.seen[o.num] = s
-		all = append(all, steer.Seen{Member: o.self, Here: s.here, Going: o.going, For: w.now - s.since, Speaks: core.Form})
+		all = append(all, placement.Seen{Member: o.self, Here: s.here, Going: o.going, For: w.now - s.since, Speaks: node.Form})
 	}
 	n.looked = all
 	return all
--- a/internal/lab/fleetworld/world_test.go
+++ b/internal/lab/fleetsim/world_test.go
@@ -1,4 +1,4 @@
-package fleetworld
+package fleetsim
 
 import (
 	"flag"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sabletally/internal/fleet/copies"
+	"sabletally/internal/fleet/replication"
 )
 
 var (
@@ -31,7 +31,7 @@
 			w.Undecided, w.plan.Keys)
 		if err != nil {
 			t.Error(err)
-		} else if all := len(w.Acts); n[copies.Done]+n[copies.Conflict] < all/3 {
+		} else if all := len(w.Acts); n[replication.Done]+n[replication.Conflict] < all/3 {
 			t.Errorf("seed %d: of %d only %v", seed, all, n)
 		}
 	}
--- a/internal/lab/record/record.go
+++ b/internal/lab/history/history.go
@@ -1,6 +1,6 @@
-// Package record owns what the lab saw: events with their time, in order, bounded. Stand-ins and hosts write
+// Package history owns what the lab saw: events with their time, in order, bounded. Stand-ins and hosts write
 // them, judge and reports read them. It must never judge, and never ask a balancer for its view.
-package record
+package history
 
 import (
 	"bufio"
--- a/internal/lab/count/count.go
+++ b/internal/lab/logstats/logstats.go
@@ -1,6 +1,6 @@
-// Package count adds up what the logs of many balancers tell: what one of them shows is chance, the fleet's sum is not.
+// Package logstats adds up what the logs of many balancers tell: what one of them shows is chance, the fleet's sum is not.
 // It owns the reading of debug logs and the tables made of them. It must never judge, and never needs a world that runs.
-package count
+package logstats
 
 import (
 	"bufio"
--- a/internal/lab/count/count_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -1,4 +1,4 @@
-package count
+package logstats
 
 import (
 	"fmt"
--- a/internal/lab/host/host.go
+++ b/internal/lab/reference/reference.go
@@ -1,6 +1,6 @@
-// Package host owns the lab's own balancer on sockets: any policy behind the same plain host, and hosts that are
+// Package reference owns the lab's own balancer on sockets: any policy behind the same plain host, and hosts that are
 // broken on purpose so that the judge can be seen to notice. It must never serve anybody but the lab.
-package host
+package reference
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"sabletally/internal/deployment"
 	"sabletally/internal/discovery"
 	"sabletally/internal/lab/baseline"
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 	"sabletally/policy"
 )
 
@@ -55,7 +55,7 @@
 // circuit is one client; its fields are guarded by the host's lock, the sockets by themselves.
 type circuit struct {
 	id     policy.CircuitID
-	ask    *line.Ask
+	ask    *protocol.Ask
 	client net.Conn
 	server net.Conn
 	at     policy.ServerID
@@ -138,9 +138,9 @@
 		case policy.Try:
 			h.try(c, d.Server, d.For)
 		case policy.Nack:
-			h.answer(c, line.Turned(d.For))
+			h.answer(c, protocol.Turned(d.For))
 		case policy.BreakOff:
-			h.answer(c, line.ErrLine)
+			h.answer(c, protocol.ErrLine)
 		case policy.Move:
 			if c.open {
 				h.move(c, policy.Cancelled)
@@ -178,7 +178,7 @@
 		lines = append(lines, policy.Listed{Server: id, Zone: zone, Cell: s.Cell, State: state, Heft: s.Heft, Started: started})
 	}
 	for _, s := range l.Servers {
-		id := policy.ServerID(line.Hash(s.UID))
+		id := policy.ServerID(protocol.Hash(s.UID))
 		named[id] = true
 		if s.Endpoint != "" {
 			h.address[id] = s.Endpoint
@@ -191,24 +191,24 @@
 
 // serve takes one client.
 func (h *Host) serve(client net.Conn) {
-	r := bufio.NewReaderSize(client, line.Longest)
+	r := bufio.NewReaderSize(client, protocol.Longest)
 	for {
 		raw, err := r.ReadSlice('\n')
 		if err != nil {
 			_ = client.Close()
 			return
 		}
-		ln := line.Decode(bytes.Clone(raw))
-		if ln.Bad == nil && ln.Kind == line.Ping {
-			_, _ = client.Write(line.PongLine)
+		ln := protocol.Decode(bytes.Clone(raw))
+		if ln.Bad == nil && ln.Kind == protocol.Ping {
+			_, _ = client.Write(protocol.PongLine)
 			continue
 		}
 		grade, known := 0, false
 		if ln.Ask != nil {
 			grade, known = h.dep.Grades[ln.Ask.Grade]
 		}
-		if ln.Bad != nil || ln.Kind != line.Open || !known || !ln.Ask.Limited {
-			_, _ = client.Write(line.BadLine)
+		if ln.Bad != nil || ln.Kind != protocol.Open || !known || !ln.Ask.Limited {
+			_, _ = client.Write(protocol.BadLine)
 			_ = client.Close()
 			return
 		}
@@ -271,7 +271,7 @@
 func (h *Host) answer(c *circuit, text []byte) {
 	h.forget(c)
 	if h.broken == AnswersTwice && c.id%someOf == 0 {
-		text = append(bytes.Clone(text), line.ErrLine...)
+		text = append(bytes.Clone(text), protocol.ErrLine...)
 	}
 	_, _ = c.client.Write(text)
 	finish(c.client)
@@ -299,7 +299,7 @@
 func (h *Host) move(c *circuit, how policy.Outcome) {
 	id, try := c.id, c.tries-1
 	h.forget(c)
-	_, _ = c.client.Write(line.MoveLine)
+	_, _ = c.client.Write(protocol.MoveLine)
 	finish(c.client)
 	c.dropServer()
 	h.d.TryEnded(id, try, true, how)
@@ -387,7 +387,7 @@
 
 // fromServer passes a server's lines on until it ends.
 func (h *Host) fromServer(c *circuit, turn int, nc net.Conn) {
-	r := bufio.NewReaderSize(nc, line.Longest)
+	r := bufio.NewReaderSize(nc, protocol.Longest)
 	for {
 		raw, err := r.ReadSlice('\n')
 		stop := false
@@ -396,7 +396,7 @@
 		open := c.open
 		if mine && err == nil && open {
 			c.heard, c.asked = time.Now(), time.Time{}
-			if bytes.HasPrefix(raw, line.MoveLine) || bytes.HasPrefix(raw, []byte("BYE")) {
+			if bytes.HasPrefix(raw, protocol.MoveLine) || bytes.HasPrefix(raw, []byte("BYE")) {
 				c.moved = true
 			}
 		}
@@ -423,7 +423,7 @@
 
 // verdict takes what a server says before a circuit stands, and the end of its connection; true: that was all.
 func (h *Host) verdict(c *circuit, raw []byte, err error) bool {
-	ln := line.Decode(raw)
+	ln := protocol.Decode(raw)
 	switch {
 	case err != nil && c.open:
 		id, try, how := c.id, c.tries-1, policy.Reset
@@ -436,7 +436,7 @@
 		h.d.TryEnded(id, try, true, how)
 	case err != nil:
 		h.tryEnded(c, policy.Reset)
-	case ln.Kind == line.Up:
+	case ln.Kind == protocol.Up:
 		c.turn++
 		c.out, c.open, c.heard = false, true, time.Now()
 		h.d.SetUp(c.id, c.tries-1, time.Since(c.called))
@@ -445,10 +445,10 @@
 		}
 		_, _ = c.client.Write(raw)
 		return false
-	case ln.Kind == line.Load:
+	case ln.Kind == protocol.Load:
 		h.d.LoadNoted(c.id, c.tries-1, ln.Figure)
 		return false
-	case ln.Kind == line.Busy:
+	case ln.Kind == protocol.Busy:
 		h.tryEnded(c, policy.TurnedAway)
 	default:
 		h.tryEnded(c, policy.Failed)
@@ -470,14 +470,14 @@
 		how, report := policy.ConnectFailed, policy.NoReport
 		if c, err := net.DialTimeout("tcp", address, max(h.dep.ConnectWithin, 50*time.Millisecond)); err == nil {
 			_ = c.SetDeadline(time.Now().Add(probeFor))
-			text := line.PingLine
+			text := protocol.PingLine
 			if h.dep.Policy.ReportsOnAsk {
-				text = line.AskLoad
+				text = protocol.AskLoad
 			}
 			_, _ = c.Write(text)
 			raw, err := bufio.NewReader(c).ReadBytes('\n')
 			_ = c.Close()
-			if ln := line.Decode(raw); err == nil && ln.Kind == line.Pong {
+			if ln := protocol.Decode(raw); err == nil && ln.Kind == protocol.Pong {
 				how = policy.Succeeded
 				if x, told := ln.Fields["x0"]; told {
 					report.Asked = x
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"sabletally/internal/lab/judge"
+	"sabletally/internal/lab/checker"
 )
 
 const (
@@ -60,7 +60,7 @@
 }
 
 // Judged takes the judge's word; the first few faults are kept.
-func (r *Run) Judged(v judge.Verdict) {
+func (r *Run) Judged(v checker.Verdict) {
 	r.Kept, r.Verdict = v.Kept(), v.String()
 	for _, b := range v.Broken[:min(len(v.Broken), brokenKept)] {
 		r.Broken = append(r.Broken, b.String())
--- a/internal/lab/virtual/digest_test.go
+++ b/internal/lab/simulation/digest_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"crypto/sha256"
@@ -8,8 +8,8 @@
 	"time"
 
 	"sabletally/internal/lab/baseline"
-	"sabletally/internal/lab/record"
-	"sabletally/internal/lab/timetable"
+	"sabletally/internal/lab/faults"
+	"sabletally/internal/lab/history"
 )
 
 // TestRunsMatchTheGoldenDigest holds seeded runs of every policy to the digests that testdata keeps: the same
@@ -23,13 +23,13 @@
 	for _, name := range baseline.Names {
 		for seed := uint64(1); seed <= 3; seed++ {
 			w := small(
-				timetable.Fault{Kind: timetable.Drain, At: 6 * time.Second, For: 3 * time.Second, Part: 0.2, Batch: 0.2},
-				timetable.Fault{Kind: timetable.Slow, At: 8 * time.Second, For: 5 * time.Second, Part: 0.3, Times: 6},
-				timetable.Fault{Kind: timetable.Crash, At: 10 * time.Second, For: 5 * time.Second, Part: 0.3},
-				timetable.Fault{Kind: timetable.BalancerRestart, At: 12 * time.Second, For: 3 * time.Second, Part: 1})
+				faults.Fault{Kind: faults.Drain, At: 6 * time.Second, For: 3 * time.Second, Part: 0.2, Batch: 0.2},
+				faults.Fault{Kind: faults.Slow, At: 8 * time.Second, For: 5 * time.Second, Part: 0.3, Times: 6},
+				faults.Fault{Kind: faults.Crash, At: 10 * time.Second, For: 5 * time.Second, Part: 0.3},
+				faults.Fault{Kind: faults.BalancerRestart, At: 12 * time.Second, For: 3 * time.Second, Part: 1})
 			_, events, _ := run(t, w, name, seed)
 			sum := sha256.New()
-			if err := record.Write(sum, events); err != nil {
+			if err := history.Write(sum, events); err != nil {
 				t.Fatal(err)
 			}
 			got += fmt.Sprintf("%s, seed %d: %d events, %x\n", name, seed, len(events), sum.Sum(nil)[:8])
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/simulation/simulation.go
@@ -1,7 +1,7 @@
-// Package virtual owns worlds in virtual time: hundreds to thousands of balancers of one policy, the model servers,
+// Package simulation owns worlds in virtual time: hundreds to thousands of balancers of one policy, the model servers,
 // clients and the list, in one goroutine, by a seed. The same seed gives the same events, byte for byte. It must
 // never use the wall clock, a goroutine or the order of a map.
-package virtual
+package simulation
 
 import (
 	"container/heap"
@@ -10,13 +10,13 @@
 	"time"
 
 	"sabletally/internal/lab/baseline"
-	"sabletally/internal/lab/judge"
+	"sabletally/internal/lab/checker"
+	"sabletally/internal/lab/faults"
+	"sabletally/internal/lab/history"
 	"sabletally/internal/lab/load"
 	"sabletally/internal/lab/model"
-	"sabletally/internal/lab/record"
 	"sabletally/internal/lab/report"
-	"sabletally/internal/lab/scene"
-	"sabletally/internal/lab/timetable"
+	"sabletally/internal/lab/topology"
 	"sabletally/policy"
 )
 
@@ -127,7 +127,7 @@
 }
 
 type world struct {
-	scene.World
+	topology.World
 	policy    string
 	now       time.Duration
 	queue     events
@@ -137,7 +137,7 @@
 	machines  []*machine
 	byID      map[policy.ServerID]int
 	people    []*person
-	log       *record.Log
+	log       *history.Log
 	ids       uint64
 	reach     bool          // of the list
 	late      time.Duration // by which it comes later
@@ -150,16 +150,16 @@
 }
 
 // Run runs a world to its end.
-func Run(w scene.World, name string, seed uint64) (report.Run, []record.Event, judge.Verdict, error) {
+func Run(w topology.World, name string, seed uint64) (report.Run, []history.Event, checker.Verdict, error) {
 	s := &world{World: w, policy: name, rng: rand.New(rand.NewPCG(seed, 0x3071d)), nodeSeeds: rand.New(rand.NewPCG(seed, 0x5eed)),
-		byID: map[policy.ServerID]int{}, log: record.New(evMost), reach: true, groupAt: map[uint64]map[int]int{}}
+		byID: map[policy.ServerID]int{}, log: history.New(evMost), reach: true, groupAt: map[uint64]map[int]int{}}
 	s.Deployment.Peers = w.Balancers
-	steps, _, err := timetable.Expand(w.Faults, len(w.Machines), w.Balancers, seed)
+	steps, _, err := faults.Expand(w.Faults, len(w.Machines), w.Balancers, seed)
 	if err != nil {
-		return report.Run{}, nil, judge.Verdict{}, err
+		return report.Run{}, nil, checker.Verdict{}, err
 	}
 	if _, err := baseline.New(name, &s.Deployment, 1); err != nil {
-		return report.Run{}, nil, judge.Verdict{}, err
+		return report.Run{}, nil, checker.Verdict{}, err
 	}
 	end := w.Load.Length
 	s.meter = report.NewMeter(w.Load.Fill, end)
@@ -201,11 +201,11 @@
 		run.GroupServers += len(at)
 	}
 	events := s.log.Events()
-	places := make([]judge.Place, len(s.machines))
+	places := make([]checker.Place, len(s.machines))
 	for i, m := range s.machines {
-		places[i] = judge.Place{Zone: m.zone, Cell: m.cell}
+		places[i] = checker.Place{Zone: m.zone, Cell: m.cell}
 	}
-	v := judge.Judge(w.Rules(slack, places), events, s.log.Lost(), end)
+	v := checker.Judge(w.Rules(slack, places), events, s.log.Lost(), end)
 	run.Judged(v)
 	return run, events, v, nil
 }
@@ -217,7 +217,7 @@
 
 func (s *world) after(d time.Duration, do func()) { s.at(s.now+d, do) }
 
-func (s *world) note(e record.Event) {
+func (s *world) note(e history.Event) {
 	e.At = s.now
 	s.log.Add(e)
 }
@@ -229,7 +229,7 @@
 // ---- Servers and the list.
 
 // machine adds a server whose process started at a time.
-func (s *world) machine(m scene.Machine, num int, started time.Duration) *machine {
+func (s *world) machine(m topology.Machine, num int, started time.Duration) *machine {
 	id := policy.ServerID(uint64(num+1) * 0x9e3779b97f4a7c15)
 	sv := &machine{Server: model.New(m.Kind, s.Warmup, started), num: num, id: id, zone: m.Zone, cell: m.Cell,
 		started: started, listed: true, heldBy: map[int32]int{}, noted: map[int32]bool{}}
@@ -245,7 +245,7 @@
 	if s.now-m.started < s.Warmup.For {
 		how = "cold"
 	}
-	s.note(record.Event{What: record.Started, Server: int32(m.num), Balancer: -1, N: m.Fills(), Text: how})
+	s.note(history.Event{What: history.Started, Server: int32(m.num), Balancer: -1, N: m.Fills(), Text: how})
 }
 
 // line is what the list says of a server, to a balancer.
@@ -271,7 +271,7 @@
 			n.list, n.known = append(n.list, policy.Listed{}), append(n.known, false)
 		}
 		n.list[i], n.known[i] = l, true
-		s.note(record.Event{What: record.Told, Balancer: n.num, Server: int32(i), Text: stateNames[l.State]})
+		s.note(history.Event{What: history.Told, Balancer: n.num, Server: int32(i), Text: stateNames[l.State]})
 	}
 	n.d.Clock(s.now - n.start)
 	n.d.ListArrived(lines, whole)
@@ -304,7 +304,7 @@
 func (s *world) cut(h *session, how policy.Outcome) {
 	c, m := h.c, h.m
 	s.drop(h)
-	s.note(record.Event{What: record.Over, Circuit: c.wire, Server: int32(m.num), Text: "server"})
+	s.note(history.Event{What: history.Over, Circuit: c.wire, Server: int32(m.num), Text: "server"})
 	s.after(s.way(c.n, m), func() { // behind an UP that is on its way
 		if c.held == h && c.n.alive && (c.stage == out || c.stage == open) {
 			s.tryEnded(c, how)
@@ -352,39 +352,39 @@
 }
 
 // step carries out one step of the timetable.
-func (s *world) step(st timetable.Step) {
+func (s *world) step(st faults.Step) {
 	var m *machine
 	if st.Who < len(s.machines) {
 		m = s.machines[st.Who]
-	} else if st.OnServer() && st.Act != timetable.Start {
+	} else if st.OnServer() && st.Act != faults.Start {
 		return // it has not started yet
 	}
 	switch st.Act {
-	case timetable.Start:
+	case faults.Start:
 		old := s.machines[st.Of]
-		s.changed(s.machine(scene.Machine{Kind: old.Kind, Zone: old.zone, Cell: old.cell}, len(s.machines), s.now), s.Notice)
-	case timetable.BeginDrain:
+		s.changed(s.machine(topology.Machine{Kind: old.Kind, Zone: old.zone, Cell: old.cell}, len(s.machines), s.now), s.Notice)
+	case faults.BeginDrain:
 		m.state, m.Draining = policy.Draining, true
 		s.changed(m, s.Notice)
 		if s.SendsAway {
 			s.sendAway(m, s.now+st.For)
 		}
-	case timetable.Stop:
+	case faults.Stop:
 		m.state, m.down = policy.Gone, true
-		s.note(record.Event{What: record.Stopped, Server: int32(m.num), Balancer: -1, Text: "stop"})
+		s.note(history.Event{What: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "stop"})
 		s.end(m)
 		s.changed(m, s.Notice)
-	case timetable.Die:
+	case faults.Die:
 		m.down = true
-		s.note(record.Event{What: record.Stopped, Server: int32(m.num), Balancer: -1, Text: "crash"})
+		s.note(history.Event{What: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "crash"})
 		s.end(m)
 		m.state = policy.Gone
 		s.changed(m, s.Silent)
-	case timetable.Revive:
+	case faults.Revive:
 		s.revive(m)
-	case timetable.Silence:
+	case faults.Silence:
 		m.silent = true
-		s.note(record.Event{What: record.Stopped, Server: int32(m.num), Balancer: -1, Text: "vanish"})
+		s.note(history.Event{What: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "vanish"})
 		for _, h := range m.conns {
 			c := h.c
 			turn := c.turn
@@ -396,19 +396,19 @@
 				})
 			}
 		}
-	case timetable.Speak:
+	case faults.Speak:
 		m.silent = false
-		s.note(record.Event{What: record.Started, Server: int32(m.num), Balancer: -1, N: m.Fills(), Text: "warm"})
-	case timetable.SetSlow:
+		s.note(history.Event{What: history.Started, Server: int32(m.num), Balancer: -1, N: m.Fills(), Text: "warm"})
+	case faults.SetSlow:
 		m.Advance(s.now)
 		m.Slow = st.Figure
-	case timetable.SetErrors:
+	case faults.SetErrors:
 		m.ErrorRate = st.Figure
-	case timetable.SetFull:
+	case faults.SetFull:
 		m.Full = st.Figure > 0
-	case timetable.SetStore:
+	case faults.SetStore:
 		s.Store.Slow = st.Figure
-	case timetable.SetDiscovery:
+	case faults.SetDiscovery:
 		if s.reach = st.Figure > 0; s.reach {
 			waits := s.waits
 			s.waits = nil
@@ -416,15 +416,15 @@
 				do()
 			}
 		}
-	case timetable.SetLate:
+	case faults.SetLate:
 		s.late = st.For
-	case timetable.Hide:
+	case faults.Hide:
 		m.listed = false
 		s.changed(m, s.Notice)
-	case timetable.Show:
+	case faults.Show:
 		m.listed = true
 		s.changed(m, s.Notice)
-	case timetable.DropClients:
+	case faults.DropClients:
 		for _, p := range s.people {
 			if p.conn != nil && p.conn.stage == open && s.rng.Float64() < st.Figure {
 				c := p.conn
@@ -436,11 +436,11 @@
 				})
 			}
 		}
-	case timetable.KillBalancer:
+	case faults.KillBalancer:
 		s.kill(s.nodes[st.Who], "outright")
-	case timetable.StartBalancer:
+	case faults.StartBalancer:
 		s.begin(st.Who)
-	case timetable.LeaveBalancer:
+	case faults.LeaveBalancer:
 		n := s.nodes[st.Who]
 		if !n.alive {
 			return
@@ -495,7 +495,7 @@
 	dep.Zone = n.zone
 	n.d, _ = baseline.New(s.policy, &dep, s.nodeSeeds.Uint64()) // its name was looked at before the run
 	s.nodes[num] = n
-	s.note(record.Event{What: record.Begun, Balancer: n.num, Server: -1})
+	s.note(history.Event{What: history.Begun, Balancer: n.num, Server: -1})
 	var lines []policy.Listed
 	for i, m := range s.machines {
 		l := s.line(m, n)
@@ -539,7 +539,7 @@
 		return
 	}
 	n.alive = false
-	s.note(record.Event{What: record.Killed, Balancer: n.num, Server: -1, Text: how})
+	s.note(history.Event{What: history.Killed, Balancer: n.num, Server: -1, Text: how})
 	ids := make([]policy.CircuitID, 0, len(n.conns))
 	for id := range n.conns {
 		ids = append(ids, id)
@@ -607,7 +607,7 @@
 		if c.p.conn != c {
 			return
 		}
-		s.note(record.Event{What: record.Answered, Circuit: c.wire, Balancer: c.n.num, Text: text})
+		s.note(history.Event{What: history.Answered, Circuit: c.wire, Balancer: c.n.num, Text: text})
 		s.again(c.p, how, advice)
 	})
 }
@@ -628,7 +628,7 @@
 	s.after(s.way(c.n, h.m), func() {
 		if h.slot >= 0 {
 			s.drop(h)
-			s.note(record.Event{What: record.Over, Circuit: c.wire, Server: int32(h.m.num), Text: "peer"})
+			s.note(history.Event{What: history.Over, Circuit: c.wire, Server: int32(h.m.num), Text: "peer"})
 		}
 	})
 }
@@ -641,8 +641,8 @@
 	s.free(c)
 	s.after(s.Client, func() {
 		if c.p.conn == c {
-			s.note(record.Event{What: record.Moved, Circuit: c.wire})
-			s.note(record.Event{What: record.Ended, Circuit: c.wire})
+			s.note(history.Event{What: history.Moved, Circuit: c.wire})
+			s.note(history.Event{What: history.Ended, Circuit: c.wire})
 			s.again(c.p, load.Moved, 0)
 		}
 	})
@@ -714,17 +714,17 @@
 	if m.silent { // it reads nothing
 		return
 	}
-	s.note(record.Event{What: record.Sent, Circuit: c.wire, Server: int32(m.num), Balancer: c.n.num, Grade: int16(c.p.Grade)})
+	s.note(history.Event{What: history.Sent, Circuit: c.wire, Server: int32(m.num), Balancer: c.n.num, Grade: int16(c.p.Grade)})
 	verdict, took := m.Ask(s.now, c.p.Load, c.p.Group, s.rng.Float64())
 	finish := func(text string, how policy.Outcome, d time.Duration) {
-		s.note(record.Event{What: record.Over, Circuit: c.wire, Server: int32(m.num), Text: text})
+		s.note(history.Event{What: history.Over, Circuit: c.wire, Server: int32(m.num), Text: text})
 		back(d, how)
 	}
 	switch verdict {
 	case model.Fallen:
 		if !m.down {
 			m.down = true
-			s.note(record.Event{What: record.Fell, Circuit: c.wire, Server: int32(m.num)})
+			s.note(history.Event{What: history.Fell, Circuit: c.wire, Server: int32(m.num)})
 			s.end(m)
 		}
 		finish("server", policy.Reset, 0)
@@ -758,7 +758,7 @@
 			finish("failed", policy.Failed, 0)
 			return
 		}
-		s.note(record.Event{What: record.Ran, Circuit: c.wire, Server: int32(m.num), N: receipt})
+		s.note(history.Event{What: history.Ran, Circuit: c.wire, Server: int32(m.num), N: receipt})
 		s.after(way, func() {
 			if c.turn == turn && c.n.alive && c.stage == out {
 				s.stands(c, receipt)
@@ -780,7 +780,7 @@
 		if c.p.conn != c {
 			return
 		}
-		s.note(record.Event{What: record.Answered, Circuit: c.wire, Balancer: n.num, Text: "up", N: receipt})
+		s.note(history.Event{What: history.Answered, Circuit: c.wire, Balancer: n.num, Text: "up", N: receipt})
 		s.meter.Setup(s.now, s.now-c.p.since)
 		c.p.failures = 0
 		if h := c.held; c.turn == turn && h != nil && h.slot >= 0 {
@@ -808,9 +808,9 @@
 				return
 			}
 			if sent {
-				s.note(record.Event{What: record.Moved, Circuit: c.wire})
+				s.note(history.Event{What: history.Moved, Circuit: c.wire})
 			}
-			s.note(record.Event{What: record.Ended, Circuit: c.wire})
+			s.note(history.Event{What: history.Ended, Circuit: c.wire})
 			if sent {
 				s.again(c.p, load.Moved, 0)
 			} else {
@@ -876,7 +876,7 @@
 	c := &conn{wire: s.ids, p: p, n: n}
 	p.conn = c
 	limit := s.OuterLimits[p.Grade]
-	s.note(record.Event{What: record.Taken, Circuit: c.wire, Balancer: n.num, Grade: int16(p.Grade), Len: limit})
+	s.note(history.Event{What: history.Taken, Circuit: c.wire, Balancer: n.num, Grade: int16(p.Grade), Len: limit})
 	s.after(limit, func() { // the client gives up by itself
 		if p.conn == c && c.stage < open {
 			s.leave(p)
@@ -903,7 +903,7 @@
 	if p.conn = nil; c == nil {
 		return
 	}
-	s.note(record.Event{What: record.Left, Circuit: c.wire})
+	s.note(history.Event{What: history.Left, Circuit: c.wire})
 	s.after(s.Client, func() {
 		n := c.n
 		if !n.alive || n.conns[c.id] != c {
@@ -929,7 +929,7 @@
 	c.turn++
 	s.after(s.Client, func() {
 		if c.p.conn == c {
-			s.note(record.Event{What: record.Ended, Circuit: c.wire})
+			s.note(history.Event{What: history.Ended, Circuit: c.wire})
 			s.again(c.p, how, 0)
 		}
 	})
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"bytes"
@@ -10,21 +10,21 @@
 	"pgregory.net/rapid"
 
 	"sabletally/internal/lab/baseline"
-	"sabletally/internal/lab/judge"
+	"sabletally/internal/lab/checker"
+	"sabletally/internal/lab/faults"
+	"sabletally/internal/lab/history"
 	"sabletally/internal/lab/load"
 	"sabletally/internal/lab/model"
-	"sabletally/internal/lab/record"
-	"sabletally/internal/lab/scene"
-	"sabletally/internal/lab/timetable"
+	"sabletally/internal/lab/topology"
 	"sabletally/policy"
 )
 
 const ms = time.Millisecond
 
 // small is a world of a few balancers with room to spare.
-func small(faults ...timetable.Fault) scene.World {
+func small(faults ...faults.Fault) topology.World {
 	kind := model.Kind{Name: "std", Cores: 2, Speed: 1, Fills: 30, Most: 200, Setup: 8 * ms, Message: 10 * ms}
-	w := scene.World{
+	w := topology.World{
 		Balancers: 3, Zones: 2,
 		Warmup: model.Warmup{From: 0.2, For: 15 * time.Second, Multiple: 3, Within: 1500 * ms},
 		Store:  model.Store{Rate: 200, Time: 5 * ms, Wait: time.Second},
@@ -42,7 +42,7 @@
 		Faults: faults,
 	}
 	for i := range 12 {
-		w.Machines = append(w.Machines, scene.Machine{Kind: kind, Zone: i % 2, Cell: i % 4})
+		w.Machines = append(w.Machines, topology.Machine{Kind: kind, Zone: i % 2, Cell: i % 4})
 	}
 	return w
 }
@@ -56,7 +56,7 @@
 	os.Exit(m.Run())
 }
 
-func run(t interface{ Fatal(...any) }, w scene.World, name string, seed uint64) (float64, []record.Event, judge.Verdict) {
+func run(t interface{ Fatal(...any) }, w topology.World, name string, seed uint64) (float64, []history.Event, checker.Verdict) {
 	r, events, v, err := Run(w, name, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -66,11 +66,11 @@
 
 func TestTheSameSeedGivesTheSameLog(t *testing.T) {
 	log := func(seed uint64) string {
-		w := small(timetable.Fault{Kind: timetable.Crash, At: 10 * time.Second, For: 5 * time.Second, Part: 0.3},
-			timetable.Fault{Kind: timetable.BalancerRestart, At: 12 * time.Second, For: 3 * time.Second, Part: 1})
+		w := small(faults.Fault{Kind: faults.Crash, At: 10 * time.Second, For: 5 * time.Second, Part: 0.3},
+			faults.Fault{Kind: faults.BalancerRestart, At: 12 * time.Second, For: 3 * time.Second, Part: 1})
 		_, events, _ := run(t, w, baseline.Ours, seed)
 		var out bytes.Buffer
-		_ = record.Write(&out, events)
+		_ = history.Write(&out, events)
 		return out.String()
 	}
 	first := log(7)
@@ -97,20 +97,20 @@
 // TestRandomTimetables holds our module to the rules under whatever the timetable brings, and the world to its own
 // books: what is asked for is answered, and nobody is served who does not want it.
 func TestRandomTimetables(t *testing.T) {
-	kinds := []timetable.Kind{timetable.Drain, timetable.Release, timetable.Crash, timetable.Vanish, timetable.Slow, timetable.Errors,
-		timetable.Full, timetable.StoreSlow, timetable.DiscoveryOut, timetable.DiscoveryLate, timetable.ListMisses,
-		timetable.Reconnect, timetable.BalancerCrash, timetable.BalancerRestart}
+	kinds := []faults.Kind{faults.Drain, faults.Release, faults.Crash, faults.Vanish, faults.Slow, faults.Errors,
+		faults.Full, faults.StoreSlow, faults.DiscoveryOut, faults.DiscoveryLate, faults.ListMisses,
+		faults.Reconnect, faults.BalancerCrash, faults.BalancerRestart}
 	rapid.Check(t, func(t *rapid.T) {
-		var faults []timetable.Fault
+		var drawn []faults.Fault
 		for range rapid.IntRange(1, 4).Draw(t, "faults") {
-			faults = append(faults, timetable.Fault{
+			drawn = append(drawn, faults.Fault{
 				Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), At: time.Duration(rapid.IntRange(1000, 20000).Draw(t, "at")) * ms,
 				For: time.Duration(rapid.IntRange(500, 10000).Draw(t, "for")) * ms, Part: rapid.Float64Range(0.05, 0.9).Draw(t, "part"),
 				Batch: 0.2, Times: rapid.Float64Range(2, 10).Draw(t, "times"), Rate: rapid.Float64Range(0.1, 1).Draw(t, "rate"),
 				Late: time.Duration(rapid.IntRange(500, 5000).Draw(t, "late")) * ms,
 			})
 		}
-		r, _, v, err := Run(small(faults...), baseline.Ours, rapid.Uint64().Draw(t, "seed"))
+		r, _, v, err := Run(small(drawn...), baseline.Ours, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/scene/scene.go
+++ b/internal/lab/topology/topology.go
@@ -1,14 +1,14 @@
-// Package scene owns the description of a world: servers, clients, the list, the rules and the faults, the same for
+// Package topology owns the description of a world: servers, clients, the list, the rules and the faults, the same for
 // sockets and for virtual time. It must never run one.
-package scene
+package topology
 
 import (
 	"time"
 
-	"sabletally/internal/lab/judge"
+	"sabletally/internal/lab/checker"
+	"sabletally/internal/lab/faults"
 	"sabletally/internal/lab/load"
 	"sabletally/internal/lab/model"
-	"sabletally/internal/lab/timetable"
 	"sabletally/policy"
 )
 
@@ -38,7 +38,7 @@
 	Notice, Silent      [2]time.Duration
 	Load                load.Plan
 	Return              load.Return
-	Faults              []timetable.Fault
+	Faults              []faults.Fault
 	Limits              Limits
 	Copies              int // of each record, where the balancers are members of a fleet; 0: they are not
 }
@@ -51,7 +51,7 @@
 }
 
 // Rules are what a run is judged by; slack is what the stand-ins may see late.
-func (w *World) Rules(slack time.Duration, places []judge.Place) judge.Rules {
-	return judge.Rules{DrainGrace: w.DrainGrace, Slack: slack, HeldMost: time.Second, EndWithin: time.Second,
+func (w *World) Rules(slack time.Duration, places []checker.Place) checker.Rules {
+	return checker.Rules{DrainGrace: w.DrainGrace, Slack: slack, HeldMost: time.Second, EndWithin: time.Second,
 		Warmup: w.Warmup, Grades: w.Deployment.Grades, Places: places}
 }
--- a/internal/peers/told.go
+++ b/internal/loadgossip/message.go
@@ -1,7 +1,7 @@
-// Package peers carries what balancers tell each other: its form in bytes, the same in the simulator and on sockets,
+// Package loadgossip carries what balancers tell each other: its form in bytes, the same in the simulator and on sockets,
 // and on sockets the datagrams. It must never act on what a message says, wait for one, or send one twice: messages
 // come late or never, and the module counts on none.
-package peers
+package loadgossip
 
 import (
 	"encoding/binary"
--- a/internal/peers/peers_test.go
+++ b/internal/loadgossip/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package loadgossip
 
 import (
 	"math"
--- a/internal/line/line.go
+++ b/internal/protocol/protocol.go
@@ -1,7 +1,7 @@
-// Package line reads and writes the users' protocol: lines of text, each ended by CRLF and at most 4 KiB long.
+// Package protocol reads and writes the users' protocol: lines of text, each ended by CRLF and at most 4 KiB long.
 // It owns the protocol's words. It turns bytes into a small typed value once and back into bytes once, and must
 // never touch a socket, a clock or a decision.
-package line
+package protocol
 
 import (
 	"bytes"
--- a/internal/line/line_test.go
+++ b/internal/protocol/protocol_test.go
@@ -1,4 +1,4 @@
-package line
+package protocol
 
 import (
 	"bytes"
