--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 )
 
 type state uint8
@@ -239,7 +239,7 @@
 		c.held = append(c.held, c.sh.buf[:n]...)
 		c.took = c.sh.of.now() - c.askedAt
 		raw := c.cutLine()
-		long := raw == nil && len(c.held) >= line.Longest
+		long := raw == nil && len(c.held) >= protocol.Longest
 		if raw == nil && !long {
 			c.want(unix.EPOLLIN, true)
 		}
@@ -329,7 +329,7 @@
 		c.fail(why)
 		return
 	}
-	if len(work)-end >= line.Longest {
+	if len(work)-end >= protocol.Longest {
 		c.fail(ErrTooLong)
 		return
 	}
@@ -348,9 +348,9 @@
 	case len(rest) > 0 && len(c.held) > 0:
 		c.held = append(c.held[:0], rest...)
 	case len(rest) > 0:
-		c.held = append(c.sh.buffer(&c.sh.small, line.Longest/4), rest...)
+		c.held = append(c.sh.buffer(&c.sh.small, protocol.Longest/4), rest...)
 	case c.held != nil:
-		c.sh.giveBack(&c.sh.small, c.held, 2*line.Longest)
+		c.sh.giveBack(&c.sh.small, c.held, 2*protocol.Longest)
 		c.held = nil
 	}
 }
@@ -387,7 +387,7 @@
 			now = int64(p.s.now())
 		}
 		lines++
-		if end >= line.Longest+1 {
+		if end >= protocol.Longest+1 {
 			return ErrTooLong
 		}
 		if c.mine == Client {
@@ -397,12 +397,12 @@
 			p.asked.CompareAndSwap(0, now)
 			continue
 		}
-		switch line.KindOf(one) {
-		case line.Load:
+		switch protocol.KindOf(one) {
+		case protocol.Load:
 			c.sh.load(Load{p, bytes.Clone(one)})
-		case line.Bye:
+		case protocol.Bye:
 			p.byed.Store(true)
-		case line.Move:
+		case protocol.Move:
 			p.moved.Store(true)
 		default:
 			if asked := p.asked.Swap(0); asked > 0 {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,7 +20,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"sabletally/internal/line"
+	"sabletally/internal/protocol"
 )
 
 const (
@@ -358,14 +358,14 @@
 	c.mine = Client
 	c.pair.Store(p)
 	if err := c.register(0); err != nil {
-		c.push(line.ErrLine)
+		c.push(protocol.ErrLine)
 		c.Close()
 		return nil, err
 	}
 	server.mu.Lock()
 	if server.closed {
 		server.mu.Unlock()
-		c.push(line.ErrLine)
+		c.push(protocol.ErrLine)
 		c.Close()
 		return nil, net.ErrClosed
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simprotocol/simprotocol.go
@@ -1,7 +1,7 @@
-// Package simwire speaks the simulator's wire: binary frames of records on standard input and output. It
+// Package simprotocol speaks the simulator's wire: binary frames of records on standard input and output. It
 // hosts many balancers, turns what it reads straight into calls on them and writes their decisions straight
 // back.
-package simwire
+package simprotocol
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"time"
 
 	"sabletally/internal/deployment"
-	"sabletally/internal/peers"
+	"sabletally/internal/loadgossip"
 	"sabletally/policy"
 )
 
@@ -244,7 +244,7 @@
 		if err != nil {
 			return err
 		}
-		if t, err := peers.Decode(text); err == nil { // another's fault is no reason to end
+		if t, err := loadgossip.Decode(text); err == nil { // another's fault is no reason to end
 			b.PeerTold(int(le.Uint32(rec[5:])), t)
 		}
 	case evFired:
@@ -410,7 +410,7 @@
 		case policy.Probe:
 			putServer(h.put(acAskLoad, in.number, 0)[5:], d.Server)
 		case policy.Tell:
-			for _, text := range peers.Encode(d.Told) {
+			for _, text := range loadgossip.Encode(d.Told) {
 				rec := h.put(acSignal, in.number, 0)
 				le.PutUint16(rec[5:], everyPeer)
 				le.PutUint32(rec[7:], uint32(len(h.tail)))
--- a/internal/simwire/simwire_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simprotocol
 
 import (
 	"bufio"
