--- /dev/null
+++ b/internal/fleet/idempotency/golden_test.go
@@ -0,0 +1,74 @@
+package idempotency
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"sabletally/internal/fleet/replication"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// TestRecordFormat holds the bytes of each state of a record, and the operations that ask for them, against those of an earlier program.
+func TestRecordFormat(t *testing.T) {
+	var out strings.Builder
+	note := func(name string, op replication.Op) {
+		fmt.Fprintf(&out, "%s: %s %s %d %s %d %v\n", name, op.ID, op.Key, op.If, op.Value, op.Born, op.Read)
+	}
+	c := New(0xabc, "owner", 1700000000)
+	note("begin", c.Begin("10.0.0.1:80"))
+	note("withdraw unknown", c.Withdraw())
+	c = New(0xabc, "owner", 1700000000)
+	note("begin", c.Begin("10.0.0.1:80"))
+	if v, _ := c.Ended(replication.Result{Outcome: replication.Done, Record: replication.Record{Version: 4}}); v != Go {
+		t.Fatal(v)
+	}
+	note("tell", c.Tell([]byte("UP <1>")))
+	note("withdraw", c.Withdraw())
+	c = New(0xabc, "second", 1700000000)
+	c.Begin("10.0.0.2:80")
+	other, _ := json.Marshal(Intent{State: meant, Owner: "owner", Server: "10.0.0.1:80"})
+	_, op := c.Ended(replication.Result{Outcome: replication.Conflict, Record: replication.Record{Version: 5, Value: other}})
+	note("take over", op)
+
+	values := []Intent{
+		{State: meant, Owner: "o", Server: "s"},
+		{State: answered, Owner: "o", Answer: []byte("UP")},
+		{State: broken, Owner: "o"},
+		{State: never, Owner: "o"},
+	}
+	var texts []string
+	for _, v := range values {
+		encoded, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		texts = append(texts, string(encoded))
+		fmt.Fprintf(&out, "%s\n", encoded)
+	}
+	path := filepath.Join("testdata", "records.golden")
+	if *update {
+		if err := os.WriteFile(path, []byte(out.String()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if out.String() != string(want) {
+		t.Errorf("got\n%swant\n%s", out.String(), want)
+	}
+	for i, v := range values {
+		var got Intent
+		if err := json.Unmarshal([]byte(texts[i]), &got); err != nil || !reflect.DeepEqual(got, v) {
+			t.Errorf("%+v, %v; want %+v", got, err, v)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/shardmap/golden_test.go
@@ -0,0 +1,128 @@
+package shardmap
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+func goldenEntries() []Entry {
+	return []Entry{
+		{Found: "fleet-1"},
+		{Epoch: 0, Members: []Member{{ID: "b", Addr: "10.0.0.2:7001", Machine: "m2", Zone: "z2", Site: "s1"}, {ID: "a", Addr: "10.0.0.1:7001", Machine: "m1", Zone: "z1", Site: "s1"}}},
+		{Epoch: 1, Members: []Member{{ID: "a", Addr: "10.0.0.1:7001", Machine: "m1", Zone: "z1", Site: "s1"}, {ID: "c", Addr: "10.0.0.3:7001", Machine: "m3", Zone: "z3", Site: "s2"}}},
+		{Slots: []Slot{{Slot: 7, Full: []string{"a", "b"}}, {Slot: 255, Full: []string{"a"}, Joining: []string{"c"}}}},
+		{Slots: []Slot{{Slot: 7, Of: 1, Full: []string{"c"}, Anew: true}, {Slot: 255, Of: 1, Full: []string{"a", "c"}}, {Slot: 255, Of: 1, Full: []string{"a"}}}},
+		{Put: []Put{{Key: "config/a", Value: []byte("one"), Op: "op1"}, {Key: "config/b", Value: []byte("two"), Op: "op2", Only: true}, {Key: "config/c", Value: []byte("three"), Op: "op3"}}},
+		{Put: []Put{{Key: "config/b", Gone: true, Op: "op4", Only: true, If: 6}, {Key: "config/a", Op: "op5", Only: true, If: 1}, {Key: "config/d", Gone: true, Op: "op6"}}},
+		{Put: []Put{{Key: "word/a", Value: []byte("x"), Op: "op7"}, {Key: "config/a", Value: []byte("one"), Op: "op1"}}},
+	}
+}
+
+// golden compares a text with a file of testdata.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+// TestLogFormat holds the bytes of entries, of what each did, of the state's snapshot and of its values by key against those of an
+// earlier program, and decodes them again.
+func TestLogFormat(t *testing.T) {
+	st := New()
+	var log, applied, values bytes.Buffer
+	for _, e := range goldenEntries() {
+		log.Write(e.Encode())
+		log.WriteByte('\n')
+		a := st.Apply(e)
+		fmt.Fprintf(&applied, "%v %v %q %s\n", a.Slots, a.Epoch, a.Keys, text(a.Puts))
+	}
+	for _, key := range st.Keys() {
+		value, is := st.Value(key)
+		fmt.Fprintf(&values, "%s %v %s\n", key, is, value)
+	}
+	golden(t, "entries.golden", log.Bytes())
+	golden(t, "applied.golden", applied.Bytes())
+	golden(t, "snapshot.golden", st.Snapshot())
+	golden(t, "values.golden", values.Bytes())
+
+	file, err := os.ReadFile(filepath.Join("testdata", "entries.golden"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSuffix(string(file), "\n"), "\n")
+	for i, want := range goldenEntries() {
+		if got, err := Decode([]byte(lines[i])); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("entry %d: %+v, %v; want %+v", i, got, err, want)
+		}
+	}
+	if file, err = os.ReadFile(filepath.Join("testdata", "snapshot.golden")); err != nil {
+		t.Fatal(err)
+	}
+	if got, err := Restore(file); err != nil || !reflect.DeepEqual(got, st) {
+		t.Errorf("restored %+v, %v; want %+v", got, err, st)
+	}
+}
+
+// TestPlacementDigest holds the shards of keys and the ranking of members against those of an earlier program: another hash moves
+// every record.
+func TestPlacementDigest(t *testing.T) {
+	var out bytes.Buffer
+	for i := range 20 {
+		key := fmt.Sprint("word/", i)
+		fmt.Fprintf(&out, "%s %d\n", key, SlotOf(key))
+	}
+	var members []Member
+	for i := range 12 {
+		members = append(members, Member{ID: fmt.Sprint("member", i), Machine: fmt.Sprint("m", i%9), Zone: fmt.Sprint("z", i%4), Site: fmt.Sprint("s", i%2)})
+	}
+	for num := range Slots {
+		fmt.Fprintf(&out, "%d %v\n", num, Pick(num, members, 3))
+	}
+	golden(t, "placement.golden", out.Bytes())
+}
+
+// TestRefusals holds the texts by which a put is refused: operators read them.
+func TestRefusals(t *testing.T) {
+	long := strings.Repeat("x", 1000)
+	var out bytes.Buffer
+	for _, p := range []Put{
+		{Key: "word/a", Op: "o"}, {Key: "config/", Op: "o"}, {Key: "config/" + long, Op: "o"}, {Key: "config/a b", Op: "o"},
+		{Key: "config/a", Op: ""}, {Key: "config/a", Op: long}, {Key: "config/a", Op: "o", Gone: true, Value: []byte("v")},
+		{Key: "config/a", Op: "o", Value: make([]byte, 256<<10+1)}, {Key: "config/a", Op: "o"},
+	} {
+		fmt.Fprintf(&out, "%q\n", p.Wrong())
+	}
+	st := New()
+	put := func(p Put) {
+		encoded, err := json.Marshal(st.Apply(Entry{Put: []Put{p}}).Puts)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "%s\n", encoded)
+	}
+	put(Put{Key: "config/a", Op: "o"})
+	st.Apply(Entry{Found: "f"})
+	put(Put{Key: "config/a", Op: "o", Only: true, If: 7})
+	put(Put{Key: "config/a", Op: "o", Gone: true})
+	golden(t, "refusals.golden", out.Bytes())
+}
--- /dev/null
+++ b/internal/fleet/store/golden_test.go
@@ -0,0 +1,154 @@
+package store
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"go.etcd.io/bbolt"
+
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/node"
+	"sabletally/internal/fleet/replication"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+const goldenFile = "holdings.db.golden"
+
+// goldenWrites are calls that fill all buckets, with log entries that are overwritten and records that are replaced and dropped.
+func goldenWrites() []node.Ready {
+	full := replication.Record{Key: "word/a", Version: 1 << 40, Value: []byte("value"), Op: "op3", Born: 1700000000, Gone: true, Past: []string{"op2", "op1"}}
+	return []node.Ready{
+		{Fleet: "fleet-1", Agree: consensus.Write{Hard: []byte("hard 1"), Snapshot: []byte("snapshot"), Upto: 2, Entries: [][]byte{[]byte("three"), []byte("four"), []byte("five")}, First: 3},
+			Slots: []replication.Write{
+				{Slot: 3, Ballot: replication.Ballot{View: 1, Life: 1}, Records: []replication.Record{full, record("b", 1)}},
+				{Slot: 255, Ballot: replication.Ballot{View: 2, Life: 1 << 63}, Records: []replication.Record{record("c", 1)}},
+				{Slot: 9, Ballot: replication.Ballot{View: 4, Life: 5}},
+			}},
+		{Agree: consensus.Write{Hard: []byte("hard 2"), Entries: [][]byte{[]byte("five again"), []byte("six")}, First: 5},
+			Slots: []replication.Write{
+				{Slot: 3, Ballot: replication.Ballot{View: 2, Life: 7}, Records: []replication.Record{{Key: "b"}, record("d", 2)}},
+				{Slot: 255, Ballot: replication.Ballot{View: 3, Life: 9}, Replace: true, Records: []replication.Record{record("e", 4)}},
+			}},
+		{Agree: consensus.Write{Snapshot: []byte("snapshot 2"), Upto: 3}},
+	}
+}
+
+// goldenSaved is what is read after goldenWrites.
+func goldenSaved() node.Saved {
+	full := goldenWrites()[0].Slots[0].Records[0]
+	return node.Saved{
+		Fleet: "fleet-1",
+		Agree: consensus.Saved{Hard: []byte("hard 2"), Snapshot: []byte("snapshot 2"), Entries: [][]byte{[]byte("four"), []byte("five again"), []byte("six")}},
+		Slots: map[int]node.Slot{
+			3:   {Ballot: replication.Ballot{View: 2, Life: 7}, Records: []replication.Record{record("d", 2), full}},
+			9:   {Ballot: replication.Ballot{View: 4, Life: 5}},
+			255: {Ballot: replication.Ballot{View: 3, Life: 9}, Records: []replication.Record{record("e", 4)}},
+		},
+	}
+}
+
+// dump is all keys and values of a file, bucket by bucket.
+func dump(t *testing.T, path string) string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = db.Close() }()
+	var out strings.Builder
+	if err := db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				_, err := fmt.Fprintf(&out, "%s %x %x\n", name, k, v)
+				return err
+			})
+		})
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return out.String()
+}
+
+// writeGolden makes a file by goldenWrites, and answers its path.
+func writeGolden(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	s, _, err := Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, w := range goldenWrites() {
+		if err := s.Write(w); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return filepath.Join(dir, "holdings.db")
+}
+
+// TestFileFormat reads a file that an earlier program wrote, and compares each bucket's bytes with those of a file written now.
+func TestFileFormat(t *testing.T) {
+	written := writeGolden(t)
+	kept := filepath.Join("testdata", goldenFile)
+	text := filepath.Join("testdata", "buckets.golden")
+	if *update {
+		file, err := os.ReadFile(written)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(kept, file, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(text, []byte(dump(t, written)), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	file, err := os.ReadFile(kept)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	copied := filepath.Join(dir, "holdings.db")
+	if err := os.WriteFile(copied, file, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, bucket := range []string{"log ", "meta ", "records ", "slots "} {
+		if !strings.Contains("\n"+string(want), "\n"+bucket) {
+			t.Errorf("nothing in bucket %q", bucket)
+		}
+	}
+	if got := dump(t, written); got != string(want) {
+		t.Errorf("written now:\n%swant:\n%s", got, want)
+	}
+	if got := dump(t, copied); got != string(want) {
+		t.Errorf("the earlier file:\n%swant:\n%s", got, want)
+	}
+	if saved, err := Look(dir); err != nil || !reflect.DeepEqual(saved, goldenSaved()) {
+		t.Errorf("looked: %+v, %v; want %+v", saved, err, goldenSaved())
+	}
+	s, saved, err := Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(saved, goldenSaved()) {
+		t.Errorf("opened: %+v; want %+v", saved, goldenSaved())
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if got := dump(t, copied); got != string(want) {
+		t.Errorf("opened and closed:\n%swant:\n%s", got, want)
+	}
+}
