--- a/cmd/testbed/balancer.go
+++ b/cmd/testbed/balancer.go
@@ -20,7 +20,7 @@
 	Broken string `help:"How it is broken."`
 }
 
-func (c *balancerCmd) Run(l *lab) error {
+func (c *balancerCmd) Run(*lab) error {
 	s, err := deployment.ReadStation(os.Getenv, nil)
 	if err != nil {
 		return err
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -29,7 +29,7 @@
 	}
 	binary := l.beside("sabletally")
 	if _, err := os.Stat(binary); err != nil {
-		return fmt.Errorf("%s is missing; build both with: go build -o bin/ ./cmd/...", binary)
+		return fmt.Errorf("%s is missing, both programs are built by: go build -o bin/ ./cmd/... (%w)", binary, err)
 	}
 	fmt.Printf("A world of %d stand-in servers, %d balancers (%s) and about %.0f clients, for %v.\n",
 		len(x.World.Machines), x.World.Balancers, filepath.Base(binary), float64(x.World.Load.Standing)+x.World.Load.Rate*(x.World.Load.Length-x.World.Load.Fill).Seconds(), x.World.Load.Length)
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -226,8 +227,9 @@
 	var all hclconfig.Faults
 	for _, path := range c.Files {
 		x, err := experiment.Load(path)
-		if f, is := err.(hclconfig.Faults); is {
-			all = append(all, f...)
+		var faults hclconfig.Faults
+		if errors.As(err, &faults) {
+			all = append(all, faults...)
 			continue
 		}
 		if err != nil {
--- a/cmd/testbed/scale_world.go
+++ b/cmd/testbed/scale_world.go
@@ -130,7 +130,7 @@
   zone      = %q
   site      = %q
 }
-`, scaleFleet, listen[i], c.Addr, strings.Join(seeds, ", "), filepath.Join(dir, name), min(3, len(all)), p.Voters, min(mostFollowers, p.Options.Balancers+p.Options.Balancers/4+16),
+`, scaleFleet, listen[i], c.Addr, strings.Join(seeds, ", "), filepath.Join(dir, name), min(3, len(all)), p.Voters, min(mostFollowers, p.Balancers+p.Balancers/4+16),
 			"m-"+name, zoneName(c.place), regionName(c.place))
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return all, fronts, err
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	arms := []*throughputArm{{throughput: throughput{Arm: "direct"}, target: bench.NewTarget(addrs...)}}
 	binaries := c.Binary
 	if len(binaries) == 0 {
@@ -150,7 +150,7 @@
 		return err
 	}
 	a.process.CPUs = a.Cores
-	if err := a.process.Write(cluster.Config(&w, 0, a.process.Addr, agent.Addr(), 7, json.RawMessage(agent.Known()))); err != nil {
+	if err := a.process.Write(cluster.Config(&w, 0, a.process.Addr, agent.Addr(), 7, agent.Known())); err != nil {
 		return err
 	}
 	a.target = bench.NewTarget(a.process.Addr)
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -30,6 +30,7 @@
 // Rule names what was broken.
 type Rule string
 
+// The rules, and the losses that are no broken rule.
 const (
 	OneAnswer   Rule = "1 one final answer"
 	NoTwice     Rule = "2 no effect twice"
@@ -203,7 +204,7 @@
 		c.ended, c.endedAt = true, e.At
 	case history.Held:
 		at := j.of(e.Circuit).at()
-		if e.Len > j.r.HeldMost+j.r.Slack && !(at != nil && j.out(at.server, e.At-e.Len, e.At)) {
+		if e.Len > j.r.HeldMost+j.r.Slack && (at == nil || !j.out(at.server, e.At-e.Len, e.At)) {
 			j.broken(e.At, LineHeld, e.Circuit, fmt.Sprintf("for %v", e.Len))
 		}
 	case history.Sent:
@@ -283,7 +284,7 @@
 		j.broken(e.At, DrainsKept, e.Circuit, fmt.Sprintf("server %d, %v after it was told", e.Server, first-at))
 	}
 	for n := range c.tries {
-		if t := &c.tries[n]; !(t.over && t.how == "refused" && !t.ran) && !j.mayRepeat(c, t, e) {
+		if t := &c.tries[n]; (!t.over || t.how != "refused" || t.ran) && !j.mayRepeat(c, t, e) {
 			j.broken(e.At, NoTwice, e.Circuit, fmt.Sprintf("server %d may have run it, server %d gets it again", t.server, e.Server))
 		}
 	}
@@ -339,7 +340,7 @@
 	if c.balancer < 0 || c.killed {
 		return
 	}
-	if c.answers == 0 && end > c.takenAt+c.limit+j.r.Slack && !(c.left && c.leftAt <= c.takenAt+c.limit) {
+	if c.answers == 0 && end > c.takenAt+c.limit+j.r.Slack && (!c.left || c.leftAt > c.takenAt+c.limit) {
 		j.broken(c.takenAt+c.limit, OneAnswer, id, "no answer before its outer limit")
 	}
 	at := c.at()
@@ -351,7 +352,7 @@
 		return
 	}
 	switch byServer := at.over && at.how == "server"; {
-	case c.ended && !c.moved && !c.left && !(byServer && at.overAt <= c.endedAt+j.r.Slack):
+	case c.ended && !c.moved && !c.left && (!byServer || at.overAt > c.endedAt+j.r.Slack):
 		if !j.out(at.server, c.endedAt-j.r.EndWithin, c.endedAt) {
 			j.broken(c.endedAt, CutOff, id, fmt.Sprintf("server %d still answered", at.server))
 		}
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -196,7 +196,7 @@
 	f.mu.Unlock()
 	f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Begun, Balancer: int32(b), Server: -1})
 	p := f.proc(b)
-	if err := p.Write(Config(&f.World, b, p.Addr, f.agents[b].Addr(), seed*0x9e3779b97f4a7c15, json.RawMessage(f.agents[b].Known()))); err != nil {
+	if err := p.Write(Config(&f.World, b, p.Addr, f.agents[b].Addr(), seed*0x9e3779b97f4a7c15, f.agents[b].Known())); err != nil {
 		return err
 	}
 	p.env = append(p.env[:len(p.env):len(p.env)], "EDGE_DISCOVERY="+f.agents[b].Addr())
@@ -510,7 +510,7 @@
 func (f *Field) reload(w *topology.World) {
 	for b := range f.agents {
 		p := f.proc(b)
-		f.fail(p.Write(Config(w, b, p.Addr, f.agents[b].Addr(), 1, json.RawMessage(f.agents[b].Known()))))
+		f.fail(p.Write(Config(w, b, p.Addr, f.agents[b].Addr(), 1, f.agents[b].Known())))
 		f.fail(p.Signal(syscall.SIGHUP))
 	}
 }
@@ -587,7 +587,7 @@
 		return nil
 	}
 	if _, text, err := p.Call(http.MethodGet, "/control/ready"); err != nil || !strings.Contains(text, " 0 circuits open") {
-		return fmt.Errorf("balancer %s after %v: %s, %v", p.Name, emptyIn, text, err)
+		return fmt.Errorf("balancer %s after %v: %s, %w", p.Name, emptyIn, text, err)
 	}
 	wait(span - emptyIn)
 	if err := call("/control/in-service"); err != nil {
--- a/internal/lab/cluster/proc.go
+++ b/internal/lab/cluster/proc.go
@@ -241,7 +241,7 @@
 	if err := unix.SchedSetaffinity(0, &some); err != nil {
 		return err
 	}
-	defer unix.SchedSetaffinity(0, &was)
+	defer func() { _ = unix.SchedSetaffinity(0, &was) }()
 	return cmd.Start()
 }
 
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -48,9 +48,12 @@
 type Fault uint8
 
 const (
-	Sound  Fault = iota
-	Mute         // out of reach: connections are taken and nothing is said
-	Faulty       // half-written and odd answers by turns
+	// Sound is an agent that answers as it should.
+	Sound Fault = iota
+	// Mute is an agent out of reach: it accepts connections and writes nothing.
+	Mute
+	// Faulty is an agent that writes incomplete and malformed answers by turns.
+	Faulty
 )
 
 // Agent is what a balancer asks for the list.
@@ -89,7 +92,7 @@
 	a.mu.Lock()
 	a.ln, a.srv = ln, srv
 	a.mu.Unlock()
-	go srv.Serve(ln)
+	go func() { _ = srv.Serve(ln) }() // until the agent is closed
 	return nil
 }
 
--- a/internal/lab/emulator/link.go
+++ b/internal/lab/emulator/link.go
@@ -186,7 +186,7 @@
 		time.Sleep(time.Until(c.due))
 		for {
 			cond, changed, closed := l.now()
-			if closed || !cond.Stall && !(in && cond.CutIn) && !(!in && cond.CutOut) {
+			if closed || !cond.Stall && (!in || !cond.CutIn) && (in || !cond.CutOut) {
 				if cond.Rate > 0 {
 					time.Sleep(time.Duration(float64(len(c.text)) / cond.Rate * float64(time.Second)))
 				}
--- a/internal/lab/emulator/misbehaving_clients.go
+++ b/internal/lab/emulator/misbehaving_clients.go
@@ -59,7 +59,7 @@
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(rudeWithin))
 	if text := k.Send(rng); len(text) > 0 {
-		go c.Write(text)
+		go func() { _, _ = c.Write(text) }()
 	}
 	if k.Name == "half" {
 		_ = c.(*net.TCPConn).CloseWrite()
--- a/internal/lab/emulator/network_links.go
+++ b/internal/lab/emulator/network_links.go
@@ -112,8 +112,10 @@
 	_ = f.udp.Close()
 }
 
-// Listen is where a member listens, Reached where the others reach it.
-func (t *Ties) Listen(member int) netip.AddrPort  { return t.real[member] }
+// Listen is the address that a member listens on.
+func (t *Ties) Listen(member int) netip.AddrPort { return t.real[member] }
+
+// Reached is the address that the other members reach a member by.
 func (t *Ties) Reached(member int) netip.AddrPort { return t.fronts[member].addr }
 
 // Set changes every tie as it is told.
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -67,7 +68,7 @@
 		{`length = "10s"`, `length = "10"`, `f.hcl:3:12: length: "10" is no time; wants one such as "250ms"`},
 		{`length = "10s"`, `length = "0s"`, "f.hcl:3:12: length: 0s lies outside 1s to 1h0m0s"},
 		{`length = "10s"`, ``, `f.hcl:1:1: experiment wants "length"`},
-		{`length = "10s"`, `lenght = "10s"`, `f.hcl:3:3: Unsupported argument: An argument named "lenght" is not expected here. Did you mean "length"?`},
+		{`length = "10s"`, `lenght = "10s"`, `f.hcl:3:3: Unsupported argument: An argument named "lenght" is not expected here. Did you mean "length"?`}, //nolint:misspell // the misspelling is the case
 		{`"sockets"`, `"socket"`, `f.hcl:2:12: mode: "socket" is none of sockets, virtual; did you mean "sockets"?`},
 		{`count = 3`, `count = 3.5`, "f.hcl:6:26: count: 3.5 is no whole number"},
 		{`count = 3`, `count = 0`, "f.hcl:6:26: count: 0 lies outside 1 to 200"},
@@ -108,8 +109,8 @@
 	}
 	// All faults at once, in the order of the file.
 	_, err := Parse([]byte(strings.NewReplacer(`"10s"`, `10`, "count = 3", "count = 0", "rate = 5", "rate = -1").Replace(whole)), "f.hcl")
-	faults, is := err.(hclconfig.Faults)
-	if !is || len(faults) < 4 || faults[0].Line != 3 || faults[len(faults)-1].Line < 9 {
+	var faults hclconfig.Faults
+	if !errors.As(err, &faults) || len(faults) < 4 || faults[0].Line != 3 || faults[len(faults)-1].Line < 9 {
 		t.Errorf("%v", err)
 	}
 	if _, err := Parse([]byte("experiment {\n  mode = 5\n}\n"), "f.hcl"); err == nil || !strings.Contains(err.Error(), "f.hcl:2:10: mode: wants a text") ||
@@ -136,7 +137,9 @@
 	f.Add("experiment {}\nworld {}\nload {}")
 	f.Fuzz(func(t *testing.T, text string) {
 		x, err := Parse([]byte(text), "f.hcl")
-		if faults, is := err.(hclconfig.Faults); err == nil && x == nil || err != nil && (!is || len(faults) == 0 || faults[0].File != "f.hcl" || faults[0].Line == 0) {
+		var faults hclconfig.Faults
+		is := errors.As(err, &faults)
+		if err == nil && x == nil || err != nil && (!is || len(faults) == 0 || faults[0].File != "f.hcl" || faults[0].Line == 0) {
 			t.Fatalf("%v", err)
 		}
 	})
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -15,6 +15,7 @@
 // Kind names a fault as experiment files do.
 type Kind string
 
+// The kinds of fault. Capitalized words in the comments are fields of Fault.
 const (
 	Drain           Kind = "drain"            // Part of the servers drain, and stop after Drain
 	Release         Kind = "release"          // Part is replaced within For, Batch at a time; successors start cold
@@ -44,7 +45,7 @@
 	LinkSlow        Kind = "link-slow"        // the way to Part of the servers takes Late longer; sockets only
 	LinkCut         Kind = "link-cut"         // it carries nothing back from them for For; sockets only
 
-	// Between the members of a fleet; sockets only.
+	// MembersLossy and those below it act between the members of a fleet; sockets only.
 	MembersLossy   Kind = "members-lossy"   // the ways between Part of the members and all others lose Rate of what passes for For
 	MembersSlow    Kind = "members-slow"    // they take Late longer for For; Ways "out": only what Part says, as replies that are slow
 	MembersCut     Kind = "members-cut"     // Part is cut off from the rest for For; Ways "in" or "out": in that way alone
@@ -92,6 +93,7 @@
 // Act is what one step does.
 type Act uint8
 
+// The steps. Figure and For in the comments are fields of Step.
 const (
 	Start      Act = iota // server Who starts cold; in place of machine Of
 	BeginDrain            // the list says that it drains, and it sends its clients away; For: until it stops
--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -32,6 +32,7 @@
 // Break is a fault of the cores' own, put in to see that it is found.
 type Break string
 
+// The faults that a history can put in.
 const (
 	Sound      Break = ""
 	TooSoon    Break = "acknowledged-before-copied" // results are told before any copy is made
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -15,6 +15,7 @@
 // What says what kind of event it is.
 type What uint8
 
+// The kinds of event, with the fields of Event that each fills.
 const (
 	Taken    What = iota // a client's OPEN is written to an accepted connection; Len: its outer limit
 	Answered             // a client has read a final answer; Text: up, busy, err; N: the receipt of an up
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -13,6 +13,7 @@
 // Shape is how arrivals follow each other.
 type Shape string
 
+// The shapes of arrivals.
 const (
 	Poisson  Shape = "poisson"
 	Constant Shape = "constant"
@@ -96,6 +97,7 @@
 // How a client's connection or question ended.
 type How uint8
 
+// The ends of a client's connection or question.
 const (
 	Nacked  How = iota
 	Failed      // any other answer, or none in time
--- a/internal/lab/memnet/memnet.go
+++ b/internal/lab/memnet/memnet.go
@@ -238,7 +238,7 @@
 		end := s.end
 		s.mu.Unlock()
 		if end.IsZero() {
-			_ = s.Conn.Close()
+			_ = s.Close()
 		}
 		time.Sleep(time.Until(end))
 		return 0, os.ErrDeadlineExceeded
@@ -247,9 +247,11 @@
 	return s.Conn.Write(b)
 }
 
-// PacketCh and StreamCh are where what comes is taken from.
+// PacketCh delivers the datagrams that arrive at the member.
 func (p *Port) PacketCh() <-chan *memberlist.Packet { return p.packets }
-func (p *Port) StreamCh() <-chan net.Conn           { return p.streams }
+
+// StreamCh delivers the streams that other members open to this one.
+func (p *Port) StreamCh() <-chan net.Conn { return p.streams }
 
 // Shutdown takes the member off the network.
 func (p *Port) Shutdown() error {
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -53,6 +53,7 @@
 // Verdict is what a server says to a first line.
 type Verdict uint8
 
+// The answers to a first line.
 const (
 	Up Verdict = iota
 	Busy
--- a/internal/lab/reference/reference.go
+++ b/internal/lab/reference/reference.go
@@ -382,11 +382,11 @@
 		}
 		return
 	}
-	h.fromServer(c, turn, nc)
+	h.fromServer(c, nc)
 }
 
 // fromServer passes a server's lines on until it ends.
-func (h *Host) fromServer(c *circuit, turn int, nc net.Conn) {
+func (h *Host) fromServer(c *circuit, nc net.Conn) {
 	r := bufio.NewReaderSize(nc, protocol.Longest)
 	for {
 		raw, err := r.ReadSlice('\n')
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -116,11 +116,17 @@
 	}
 }
 
-// Nack, Move, Try, Probe and Bad count one of each; Open changes how many stand.
+// Nack counts a rejected session.
 func (m *Meter) Nack(now time.Duration) { m.count(now, &m.run.Nacks, &m.now.Nacks) }
+
+// Move counts a session that was moved.
 func (m *Meter) Move(now time.Duration) { m.count(now, &m.run.Moves, &m.now.Moves) }
-func (m *Meter) Try()                   { m.count(m.from, &m.run.Tries, nil) }
-func (m *Meter) Probe()                 { m.count(m.from, &m.run.Probes, nil) }
+
+// Try counts an attempt to set up a session.
+func (m *Meter) Try() { m.count(m.from, &m.run.Tries, nil) }
+
+// Probe counts a health check.
+func (m *Meter) Probe() { m.count(m.from, &m.run.Probes, nil) }
 
 // Bad counts a bad client, and whether it was left without answer or close.
 func (m *Meter) Bad(unanswered bool) {
--- a/internal/lab/scale/ledger.go
+++ b/internal/lab/scale/ledger.go
@@ -207,7 +207,7 @@
 
 // waited is the longest that a balancer was reachable at a stretch without a change that should have been put, and whether it was so at
 // all. Changes come by version; next goes on from one to the next.
-func (s *seen) waited(c booked, next []int, end time.Duration) (most time.Duration, any bool) {
+func (s *seen) waited(c booked, next []int, end time.Duration) (most time.Duration, reachable bool) {
 	for i := range s.lives {
 		v := &s.lives[i]
 		down := v.down
@@ -227,10 +227,10 @@
 				until, had = v.marks[next[i]].at, true
 			}
 		}
-		most, any = max(most, until-from), true
+		most, reachable = max(most, until-from), true
 		if had {
 			break // later lives get it with all that there was
 		}
 	}
-	return most, any
+	return most, reachable
 }
--- a/internal/lab/scale/verdict.go
+++ b/internal/lab/scale/verdict.go
@@ -197,19 +197,19 @@
 
 // Needed reckons what a plan takes, with so many processes of balancers.
 func (p *Plan) Needed(hosts [][]int) Needs {
-	n := Needs{Changes: len(p.Changes), Processes: 1 + len(hosts) + p.Options.Control}
-	n.MemoryMB = 50 + float64(p.Options.Control)*controlMB + controlPerBalancerMB*2*float64(p.Options.Balancers) +
-		float64(len(hosts))*hostMB + hostPerBalancerMB*float64(p.Options.Balancers) +
-		markBytes*float64(len(p.Changes))*float64(p.Options.Balancers)/1e6
+	n := Needs{Changes: len(p.Changes), Processes: 1 + len(hosts) + p.Control}
+	n.MemoryMB = 50 + float64(p.Control)*controlMB + controlPerBalancerMB*2*float64(p.Balancers) +
+		float64(len(hosts))*hostMB + hostPerBalancerMB*float64(p.Balancers) +
+		markBytes*float64(len(p.Changes))*float64(p.Balancers)/1e6
 	for _, h := range hosts {
 		n.Files = max(n.Files, ownFiles+4*len(h)) // two connections, and two on their way
 	}
 	// All balancers may stand at one control process while the others are lost, each once, and some come again.
-	n.Files = max(n.Files, ownFiles+p.Options.Balancers+p.Options.Balancers/4)
+	n.Files = max(n.Files, ownFiles+p.Balancers+p.Balancers/4)
 	if p.Faults == FaultsRegion { // both connections of a balancer may go through one process of fronts, which has two ends of each
-		n.Files = max(n.Files, ownFiles+4*p.Options.Balancers)
+		n.Files = max(n.Files, ownFiles+4*p.Balancers)
 		n.Processes += p.Regions
-		n.MemoryMB += float64(p.Regions)*frontMB + frontPerBalancerMB*float64(p.Options.Balancers)
+		n.MemoryMB += float64(p.Regions)*frontMB + frontPerBalancerMB*float64(p.Balancers)
 	}
 	return n
 }
