--- /dev/null
+++ b/internal/fleet/changefeed/golden_test.go
@@ -0,0 +1,149 @@
+package changefeed
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+)
+
+var updateGolden = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
+
+// compareGolden fails unless the lines are those of a golden file.
+func compareGolden(t *testing.T, name string, lines []string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	got := strings.Join(lines, "\n") + "\n"
+	if *updateGolden {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs:\n got %s\nwant %s", path, got, want)
+	}
+}
+
+// readGoldenMessages reads a golden file of lines "name hex".
+func readGoldenMessages(t *testing.T, name string) map[string][]byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	encoded := map[string][]byte{}
+	lines := bufio.NewScanner(bytes.NewReader(text))
+	for lines.Scan() {
+		kind, digits, _ := strings.Cut(lines.Text(), " ")
+		body, err := hex.DecodeString(digits)
+		if err != nil {
+			t.Fatalf("%s: %v", kind, err)
+		}
+		encoded[kind] = body
+	}
+	return encoded
+}
+
+type goldenMessage struct {
+	name string
+	msg  Msg
+}
+
+// goldenMessages has one message of each kind, with every field set.
+func goldenMessages() []goldenMessage {
+	items := []Item{{Key: "config/a", Value: []byte("one")}, {Key: "member/b", Gone: true}}
+	return []goldenMessage{
+		{"hello", Msg{Hello: &Hello{Fleet: "f", Form: 1, ID: "id", Name: "name", Life: 5, Machine: "m", Zone: "z", Site: "s", Version: 9, Digest: 10, Park: true}}},
+		{"change", Msg{Change: &Change{Version: 1, Before: 2, After: 3, Items: items}}},
+		{"snapshot", Msg{Snapshot: &Snapshot{Fleet: "f", Version: 2, Digest: 3, Items: items}}},
+		{"renew", Msg{Renew: &Renew{Number: 1, Heard: 2, Version: 3, Digest: 4}}},
+		{"renewed", Msg{Renewed: &Renewed{Number: 1, Version: 2, Digest: 3, Sent: 4, Age: 5 * time.Millisecond, Known: true, Parked: true}}},
+		{"ack", Msg{Ack: &Ack{Version: 1, Digest: 2}}},
+		{"want", Msg{Want: &Want{Version: 1, Digest: 2, Whole: true, Heard: 4}}},
+		{"elsewhere", Msg{Elsewhere: &Elsewhere{Wait: time.Second, Why: "why"}}},
+		{"bye", Msg{Bye: &Bye{}}},
+		{"op", Msg{Op: &Opaque{Number: 1, Body: []byte("body")}}},
+		{"result", Msg{Result: &Opaque{Number: 1, Body: []byte("body")}}},
+		{"put", Msg{Put: &Put{Op: "op", Key: "k", Value: []byte("v"), Gone: true, If: 5, Any: true}}},
+		{"put-done", Msg{PutDone: &PutDone{Op: "op", Version: 2, Refused: "why"}}},
+	}
+}
+
+// TestGoldenMessages holds the bytes of each kind of message.
+func TestGoldenMessages(t *testing.T) {
+	messages := goldenMessages()
+	if kinds := reflect.TypeFor[Msg]().NumField(); len(messages) != kinds {
+		t.Fatalf("%d messages for %d kinds", len(messages), kinds)
+	}
+	var lines []string
+	for _, m := range messages {
+		lines = append(lines, m.name+" "+hex.EncodeToString(Encode(&m.msg)))
+	}
+	compareGolden(t, "messages.golden", lines)
+
+	encoded := readGoldenMessages(t, "messages.golden")
+	for _, m := range messages {
+		decoded, err := Decode(encoded[m.name])
+		if err != nil {
+			t.Errorf("%s: %v", m.name, err)
+			continue
+		}
+		if !reflect.DeepEqual(decoded, m.msg) {
+			t.Errorf("%s is decoded as %+v", m.name, decoded)
+		}
+		if again := Encode(&decoded); !bytes.Equal(again, encoded[m.name]) {
+			t.Errorf("%s is encoded again as %x", m.name, again)
+		}
+	}
+}
+
+// TestGoldenDigests holds the digests that members compare, and the hash by which followers rank relays.
+func TestGoldenDigests(t *testing.T) {
+	var lines []string
+	log := NewLog(LogConfig{Most: 100, Bytes: 1 << 20})
+	steps := [][]Item{
+		{{Key: FleetKey, Value: []byte("fleet-1")}},
+		{{Key: MemberPrefix + "a", Value: []byte(`{"ID":"a"}`)}, {Key: ConfigPrefix + "x", Value: []byte("1")}},
+		{{Key: ConfigPrefix + "x", Value: []byte("2")}},
+		{{Key: MemberPrefix + "a", Gone: true}},
+		{},
+	}
+	for _, items := range steps {
+		change, err := log.Next(items)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, fmt.Sprintf("change %d %016x %016x %d", change.Version, change.Before, change.After, change.Size()))
+	}
+	snapshot := log.Snapshot()
+	lines = append(lines, fmt.Sprintf("snapshot %d %016x %d", snapshot.Version, snapshot.Digest, snapshot.Size()))
+	again := NewSnapshot(snapshot.Fleet, 77, snapshot.Items)
+	lines = append(lines, fmt.Sprintf("new-snapshot %d %016x", again.Version, again.Digest))
+	for _, relay := range []string{"", "a", "10.0.0.1:7000"} {
+		lines = append(lines, fmt.Sprintf("score %q %016x", relay, score("follower", relay)))
+	}
+	compareGolden(t, "digests.golden", lines)
+}
+
+// TestGoldenConstants holds strings and numbers that are part of what other processes see.
+func TestGoldenConstants(t *testing.T) {
+	var texts []string
+	for _, err := range []error{ErrOrder, ErrDigest, ErrConflict, ErrFull, ErrItem, ErrFleet, ErrMessage, errLeaves} {
+		texts = append(texts, err.Error()) // a relay sends them as the reason of an Elsewhere
+	}
+	compareGolden(t, "constants.golden", append(texts, FleetKey, MemberPrefix, ConfigPrefix, fmt.Sprint(Form), fmt.Sprint(MostMessage)))
+}
--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,102 @@
+package fleet
+
+import (
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"sabletally/internal/fleet/config"
+)
+
+var updateGolden = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
+
+// fill sets every field of a value to something else than its zero value, each to another one.
+func fill(t *testing.T, v reflect.Value, next *int) {
+	t.Helper()
+	*next++
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.String:
+		v.SetString(string(rune('a'+*next%26)) + string(rune('a'+*next/26)))
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(*next))
+	case reflect.Uint64:
+		v.SetUint(uint64(*next))
+	case reflect.Float64:
+		v.SetFloat(float64(*next) + 0.5)
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(t, v.Elem(), next)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		fill(t, v.Index(0), next)
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fill(t, key, next)
+		fill(t, value, next)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(t, v.Field(i), next)
+		}
+	default:
+		t.Fatalf("no value for a %v", v.Type())
+	}
+}
+
+// holdGolden compares the JSON of a value with a golden file, and that it is decoded and encoded again to the same bytes.
+func holdGolden(t *testing.T, name string, value any) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	got, err := json.MarshalIndent(value, "", "\t")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *updateGolden {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(got) != string(want) {
+		t.Fatalf("%s differs:\n got %s\nwant %s", path, got, want)
+	}
+	decoded := reflect.New(reflect.TypeOf(value))
+	if err := json.Unmarshal(want, decoded.Interface()); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.MarshalIndent(decoded.Interface(), "", "\t")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(again) != string(want) {
+		t.Errorf("%s is encoded again as %s", path, again)
+	}
+}
+
+// TestGoldenReport holds the report that operators read, with every field set.
+func TestGoldenReport(t *testing.T) {
+	var report Report
+	next := 0
+	fill(t, reflect.ValueOf(&report).Elem(), &next)
+	holdGolden(t, "report.golden.json", report)
+}
+
+// TestGoldenRecords holds what is stored for balancers: the keys and the values.
+func TestGoldenRecords(t *testing.T) {
+	holdGolden(t, "word.golden.json", Word{Out: true, At: 1700000000, By: "id-1"})
+	holdGolden(t, "list.golden.json", List{Rev: 7, At: 1700000000, Known: json.RawMessage(`{"servers":["a","b"]}`)})
+	f := &Fleet{file: &config.File{Site: "site-1"}}
+	holdGolden(t, "keys.golden.json", []string{wordKey("b-1"), f.listKey()})
+}
