--- a/internal/lab/scale/verdict.go
+++ b/internal/lab/scale/verdict.go
@@ -197,8 +197,8 @@
 
 // Needed reckons what a plan takes, with so many processes of balancers.
 func (p *Plan) Needed(hosts [][]int) Needs {
-	n := Needs{Changes: len(p.Changes), Processes: 1 + len(hosts) + p.Control}
-	n.MemoryMB = 50 + float64(p.Control)*controlMB + controlPerBalancerMB*2*float64(p.Balancers) +
+	n := Needs{Changes: len(p.Changes), Processes: 1 + len(hosts) + p.Options.Control}
+	n.MemoryMB = 50 + float64(p.Options.Control)*controlMB + controlPerBalancerMB*2*float64(p.Balancers) +
 		float64(len(hosts))*hostMB + hostPerBalancerMB*float64(p.Balancers) +
 		markBytes*float64(len(p.Changes))*float64(p.Balancers)/1e6
 	for _, h := range hosts {
