--- /dev/null
+++ b/internal/fleet/datadir/golden_test.go
@@ -0,0 +1,41 @@
+package datadir
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// TestIdentityFileIsUnchanged reads the golden file of a directory, encodes it to the same bytes, and counts a start on a copy of it.
+func TestIdentityFileIsUnchanged(t *testing.T) {
+	want := Card{Format: 1, Fleet: "istanbul", Machine: "m1", Member: "0123456789abcdef0123456789abcdef", Life: 7}
+	text, err := os.ReadFile(filepath.Join("testdata", "member"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := decode(text)
+	if err != nil || got != want {
+		t.Fatalf("%v: %+v", err, got)
+	}
+	again, err := encode(got)
+	if err != nil || string(again) != string(text) {
+		t.Errorf("%v: encoded to\n%s, and the file has\n%s", err, again, text)
+	}
+
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "member"), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	open, err := Open(dir, "istanbul", "m1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer open.Close()
+	want.Life++
+	if open.Card != want || open.Fresh {
+		t.Errorf("opened as %+v", open.Card)
+	}
+	if looked, err := Look(dir); err != nil || looked != want {
+		t.Errorf("%v: on disk %+v", err, looked)
+	}
+}
--- /dev/null
+++ b/internal/fleet/membership/golden_test.go
@@ -0,0 +1,87 @@
+package membership
+
+import (
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"net/netip"
+	"os"
+	"testing"
+	"time"
+)
+
+// TestDecisionsMatchTheGoldenDigest plays events drawn under a fixed seed to a table and holds its actions and standings to the digests that testdata keeps.
+func TestDecisionsMatchTheGoldenDigest(t *testing.T) {
+	got := ""
+	for seed := uint64(1); seed <= 4; seed++ {
+		digest, actions := seededDecisions(seed)
+		got += fmt.Sprintf("seed %d: %016x, %d actions\n", seed, digest, actions)
+	}
+	golden, err := os.ReadFile("testdata/digest.golden")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(golden) {
+		t.Errorf("got\n%swant\n%s", got, golden)
+	}
+}
+
+// seededDecisions plays 6,000 heartbeats with random events among twelve members, some of which share an address or a machine.
+func seededDecisions(seed uint64) (digest uint64, actions int) {
+	const members, heartbeats = 12, 6000
+	rng := rand.New(rand.NewPCG(seed, 99))
+	sum := fnv.New64a()
+	member := func(i int) Member {
+		return Member{ID: fmt.Sprintf("%032x", i+1), Name: fmt.Sprintf("b%02d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i % 9)}), 7001),
+			Machine: fmt.Sprintf("m%d", i/2), Zone: "z", Site: "s", Life: 1 + uint64(rng.IntN(3)), Leaving: rng.IntN(8) == 0, Speaks: 2, Oldest: 1}
+	}
+	self := member(0)
+	var seeds []netip.AddrPort
+	for i := range 4 {
+		seeds = append(seeds, member(i).Addr)
+	}
+	now := time.Duration(0)
+	table := New(Config{Self: self, Seeds: seeds, Copies: 3, Forget: 3 * time.Minute, Most: 8, Seed: seed}, now)
+	for range heartbeats {
+		now += Beat
+		if rng.IntN(400) == 0 {
+			now += StallFrom + time.Duration(rng.IntN(5000))*time.Millisecond
+		}
+		other := member(1 + rng.IntN(members-1))
+		switch rng.IntN(40) {
+		case 0, 1, 2, 3:
+			table.Seen(other)
+		case 4, 5:
+			table.Lost(other.ID)
+		case 6:
+			fmt.Fprintln(sum, table.Left(other.ID, other.Life))
+		case 7:
+			table.Clash(other.Addr)
+		}
+		table.Clock(now)
+		for {
+			action, more := table.Next()
+			if !more {
+				break
+			}
+			actions++
+			line := action.Line
+			fmt.Fprintln(sum, now, uint8(action.Do), action.Addr, action.ID, uint8(line.Kind), line.Member, line.Came, uint8(line.Standing), line.For, line.Here, line.Of)
+			switch action.Do {
+			case Call:
+				table.Called(action.Addr, rng.IntN(3) == 0)
+			case Ask:
+				table.Answered(action.ID, rng.IntN(3) > 0)
+			case Look:
+				table.Found(action.Addr, rng.IntN(30) == 0)
+			}
+		}
+		fmt.Fprintln(sum, uint8(table.Standing(now)), table.Refused, table.Stalls)
+		if rng.IntN(50) == 0 {
+			for _, known := range table.All() {
+				fmt.Fprintln(sum, known.Member, uint8(known.State), known.Since, known.Came, known.By)
+			}
+		}
+	}
+	return sum.Sum64(), actions
+}
--- /dev/null
+++ b/internal/fleet/nodeserver/golden_dir_test.go
@@ -0,0 +1,116 @@
+package nodeserver
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"sabletally/internal/fleet/datadir"
+	"sabletally/internal/fleet/node"
+	"sabletally/internal/fleet/replication"
+	"sabletally/internal/fleet/shardmap"
+	"sabletally/internal/fleet/store"
+)
+
+const goldenMember = "0123456789abcdef0123456789abcdef"
+
+const goldenState = "version 8, digest 6b8f0b15caebb508"
+
+// goldenNode is the configuration of the member that the golden directory belongs to, a fleet of one.
+func goldenNode(life uint64) node.Config {
+	const addr = "10.0.0.1:7001"
+	return node.Config{Self: shardmap.Member{ID: goldenMember, Addr: addr, Machine: "m1", Zone: "a", Site: "s"}, Life: life, Found: "fleet-id", First: true,
+		Seeds: []string{addr}, Voters: 1, Copies: 1, Evict: 10 * time.Second, Repair: 8, Seed: 7, Keys: 100, Bytes: 1 << 20, Ops: 10}
+}
+
+// driveNode advances a node in steps, with all that it asks for written to the store, until something is so.
+func driveNode(t *testing.T, c *node.Core, s *store.Store, now *time.Duration, done func(node.Ready) bool) {
+	t.Helper()
+	for end := *now + time.Minute; *now < end; {
+		*now += beat
+		c.Clock(*now, nil)
+		c.Wall(1700000000)
+		r, err := c.Ready()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := s.Write(r); err != nil {
+			t.Fatal(err)
+		}
+		if done(r) {
+			return
+		}
+	}
+	t.Fatal("nothing came within a minute")
+}
+
+// operate has one operation done.
+func operate(t *testing.T, c *node.Core, s *store.Store, now *time.Duration, op replication.Op) (result replication.Result) {
+	t.Helper()
+	c.Ask(op, 10*time.Second)
+	driveNode(t, c, s, now, func(r node.Ready) bool {
+		for _, one := range r.Results {
+			if one.Op == op.ID {
+				result = one
+				return true
+			}
+		}
+		return false
+	})
+	return result
+}
+
+// TestDataDirectoryOfAnEarlierBuildIsRead opens a copy of a whole directory that an earlier build wrote: its identity, its log and its records are as they were, and
+// the member goes on with them.
+func TestDataDirectoryOfAnEarlierBuildIsRead(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "datadir"))); err != nil {
+		t.Fatal(err)
+	}
+	identity, err := datadir.Look(dir)
+	if err != nil || identity != (datadir.Card{Format: 1, Fleet: "istanbul", Machine: "m1", Member: goldenMember, Life: 3}) {
+		t.Fatalf("%v: %+v", err, identity)
+	}
+	if _, err := store.Look(dir); err != nil {
+		t.Fatal(err)
+	}
+	s, saved, err := store.Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = s.Close() }()
+	records := 0
+	for _, one := range saved.Slots {
+		records += len(one.Records)
+	}
+	if saved.Fleet != "fleet-id" || len(saved.Slots) != shardmap.Slots || records != 6 || len(saved.Agree.Hard) == 0 || len(saved.Agree.Snapshot) == 0 ||
+		len(saved.Agree.Entries) != 8 {
+		t.Errorf("fleet %q, %d slots, %d records, %d entries", saved.Fleet, len(saved.Slots), records, len(saved.Agree.Entries))
+	}
+	now := time.Hour
+	c, err := node.New(goldenNode(identity.Life+1), saved, now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	driveNode(t, c, s, &now, func(node.Ready) bool { return c.Leads() && c.Feed().Version() >= 8 })
+	if got := fmt.Sprintf("version %d, digest %016x", c.Feed().Version(), c.Feed().Digest()); got != goldenState {
+		t.Errorf("the state has %s, not %s", got, goldenState)
+	}
+	for i := range 2 {
+		if v, is := c.Feed().Get(fmt.Sprintf("config/%d", i)); !is || string(v) != fmt.Sprintf("value %d", i) {
+			t.Errorf("config/%d is %q", i, v)
+		}
+	}
+	for i := range 5 {
+		key := fmt.Sprintf("key/%d", i)
+		got := operate(t, c, s, &now, replication.Op{ID: "read " + key, Key: key, Read: true})
+		if got.Outcome != replication.Conflict || got.Record.Version != uint64(1+i%2) || string(got.Record.Value) != fmt.Sprintf("%s at %d", key, got.Record.Version) {
+			t.Errorf("%s: %+v", key, got)
+		}
+	}
+	if got := operate(t, c, s, &now, replication.Op{ID: "next", Key: "key/0", If: 1, Value: []byte("new")}); got.Outcome != replication.Done || got.Record.Version != 2 {
+		t.Errorf("a write that follows: %+v", got)
+	}
+}
