--- a/internal/fleet/replication/words.go
+++ b/internal/fleet/replication/words.go
@@ -2,25 +2,25 @@
 
 // Record is one thing that is held.
 type Record struct {
-	Key     string
-	Version uint64 // of the key: 1 is its first; 0 is none
-	Value   []byte
-	Op      string   // the operation that wrote it: whoever asks twice for the same one is told yes twice
-	Born    int64    // Unix seconds by the clock of who asked; says when it may be dropped, orders nothing
-	Gone    bool     // the key is void: it was dropped
-	Past    []string // the operations that wrote it before, the newest first, a few
+	Key     string   `cbor:"Key"`
+	Version uint64   `cbor:"Version"` // of the key: 1 is its first; 0 is none
+	Value   []byte   `cbor:"Value"`
+	Op      string   `cbor:"Op"`   // the operation that wrote it: whoever asks twice for the same one is told yes twice
+	Born    int64    `cbor:"Born"` // Unix seconds by the clock of who asked; says when it may be dropped, orders nothing
+	Gone    bool     `cbor:"Gone"` // the key is void: it was dropped
+	Past    []string `cbor:"Past"` // the operations that wrote it before, the newest first, a few
 }
 
 // Op is what is asked for: that a key has a value, if its version is the one that is told.
 type Op struct {
-	ID    string // of this operation, never of another one
-	Key   string
-	If    uint64 // the version that has to be in force; 0: the key must not be there
-	Value []byte
-	Born  int64
-	Drop  bool // the key is to go
-	Here  bool // only if this member is the primary; else it is refused at once
-	Read  bool // nothing is to change: the answer is Conflict with what is there
+	ID    string `cbor:"ID"` // of this operation, never of another one
+	Key   string `cbor:"Key"`
+	If    uint64 `cbor:"If"` // the version that has to be in force; 0: the key must not be there
+	Value []byte `cbor:"Value"`
+	Born  int64  `cbor:"Born"`
+	Drop  bool   `cbor:"Drop"` // the key is to go
+	Here  bool   `cbor:"Here"` // only if this member is the primary; else it is refused at once
+	Read  bool   `cbor:"Read"` // nothing is to change: the answer is Conflict with what is there
 }
 
 // Outcome of an operation.
@@ -54,10 +54,10 @@
 
 // Result is how an operation ended.
 type Result struct {
-	Op      string
-	Outcome Outcome
-	Why     Why
-	Record  Record // what is in force, with Done and Conflict
+	Op      string  `cbor:"Op"`
+	Outcome Outcome `cbor:"Outcome"`
+	Why     Why     `cbor:"Why"`
+	Record  Record  `cbor:"Record"` // what is in force, with Done and Conflict
 }
 
 // MsgKind is what a message is.
@@ -78,35 +78,39 @@
 
 // Ballot orders whoever takes itself for a slot's primary: by view, then by the primary's life, as one that was restarted
 // has forgotten what was on its way.
-type Ballot struct{ View, Life uint64 }
+type Ballot struct {
+	View uint64 `cbor:"View"`
+	Life uint64 `cbor:"Life"`
+}
 
 // Less tells whether another ballot is newer.
 func (b Ballot) Less(o Ballot) bool { return b.View < o.View || b.View == o.View && b.Life < o.Life }
 
 // Msg is one message between members.
 type Msg struct {
-	Kind     MsgKind
-	From, To string
-	Life     uint64 // of the sender's process
-	For      uint64 // the life that it is meant for, where it is for one alone
-	Slot     int
-	Ballot   Ballot
-	Seq      uint64
-	Digest   uint64
-	Records  []Record
-	Op       Op
-	Result   Result
-	Full     []string // with MsgAdopt, as its view has it
-	Joining  []string
+	Kind    MsgKind  `cbor:"Kind"`
+	From    string   `cbor:"From"`
+	To      string   `cbor:"To"`
+	Life    uint64   `cbor:"Life"` // of the sender's process
+	For     uint64   `cbor:"For"`  // the life that it is meant for, where it is for one alone
+	Slot    int      `cbor:"Slot"`
+	Ballot  Ballot   `cbor:"Ballot"`
+	Seq     uint64   `cbor:"Seq"`
+	Digest  uint64   `cbor:"Digest"`
+	Records []Record `cbor:"Records"`
+	Op      Op       `cbor:"Op"`
+	Result  Result   `cbor:"Result"`
+	Full    []string `cbor:"Full"` // with MsgAdopt, as its view has it
+	Joining []string `cbor:"Joining"`
 }
 
 // Complaint is what a holder asks of whoever steers the views.
 type Complaint struct {
-	Slot   int
-	View   uint64
-	From   string
-	About  string // it does not answer
-	Caught bool   // or, of one that is joining: it has caught up
+	Slot   int    `cbor:"Slot"`
+	View   uint64 `cbor:"View"`
+	From   string `cbor:"From"`
+	About  string `cbor:"About"`  // it does not answer
+	Caught bool   `cbor:"Caught"` // or, of one that is joining: it has caught up
 }
 
 // Write is what has to be on disk before the messages of the same Ready go out.
