--- /dev/null
+++ b/cmd/sabletally/golden_test.go
@@ -0,0 +1,41 @@
+package main
+
+import (
+	"fmt"
+	"net/netip"
+	"testing"
+
+	"sabletally/internal/deployment"
+)
+
+// TestTheConfigurationFileKeepsItsKeys reads a file with every key set, as earlier releases take it.
+func TestTheConfigurationFileKeepsItsKeys(t *testing.T) {
+	env := func(name string) string {
+		return map[string]string{"EDGE_CONFIG": "testdata/config.json"}[name]
+	}
+	s, err := deployment.ReadStation(env, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		key       string
+		got, want any
+	}{
+		{"name", s.Name, "n7"},
+		{"listen", s.Listen, "127.0.0.1:14001"},
+		{"discovery", s.Discovery, "127.0.0.1:14002"},
+		{"mgmt", s.Mgmt, "127.0.0.1:14003"},
+		{"seed", s.Seed, uint64(0xabc)},
+		{"limits.cores", s.Cores, 2.5},
+		{"limits.memory_mb", s.MemoryMB, 96},
+		{"limits.sockets", s.Sockets, 777},
+		{"known", fmt.Sprint(s.Known.Whole, s.Known.Rev, len(s.Known.Servers), s.Known.Servers[0].UID, s.Known.Servers[0].Endpoint), "true 5 1s-9127.0.0.1:14009"},
+		{"peers.listen", s.Peers.Listen, netip.MustParseAddrPort("127.0.0.1:14004")},
+		{"peers.others", fmt.Sprint(s.Peers.Others), "[127.0.0.1:14005 127.0.0.1:14006]"},
+		{"what only a start takes in", s.Fixed, "n7127.0.0.1:14001127.0.0.1:14003{2.5 96 777}abc"},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: %v, not %v", c.key, c.got, c.want)
+		}
+	}
+}
