--- a/cmd/sabletally/commands.go
+++ b/cmd/sabletally/commands.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	saved, err := store.Look(c.Dir)
+	saved, err := store.Inspect(c.Dir)
 	if err != nil {
 		return err
 	}
--- a/cmd/sabletally/control.go
+++ b/cmd/sabletally/control.go
@@ -30,7 +30,7 @@
 	handWithin  = 5 * time.Second // a control process that ends has others take over what it holds
 	itemWithin  = 4 * time.Second // a change of an item is answered; an operators' call ends after five
 	controlMost = 64              // operators' connections
-	itemPath    = "/control/" + shardmap.Config
+	itemPath    = "/control/" + shardmap.ItemPrefix
 	versionHead = "Sabletally-Version"
 )
 
@@ -95,7 +95,7 @@
 		_, _ = io.WriteString(w, "yes\n")
 	})
 	mux.HandleFunc("GET "+itemPath+"{name...}", func(w http.ResponseWriter, r *http.Request) {
-		value, version, is := member.Get(shardmap.Config + r.PathValue("name"))
+		value, version, is := member.Get(shardmap.ItemPrefix + r.PathValue("name"))
 		w.Header().Set(versionHead, strconv.FormatUint(version, 10))
 		if !is {
 			http.Error(w, "there is no such item", http.StatusNotFound)
@@ -110,10 +110,10 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		done := make(chan shardmap.Done, 1)
-		member.Put(p, itemWithin, func(d shardmap.Done) { done <- d })
-		if d := <-done; d.Refused != "" {
-			http.Error(w, d.Refused, http.StatusConflict)
+		done := make(chan shardmap.PutResult, 1)
+		member.Put(p, itemWithin, func(d shardmap.PutResult) { done <- d })
+		if d := <-done; d.Rejection != "" {
+			http.Error(w, d.Rejection, http.StatusConflict)
 		} else {
 			_, _ = fmt.Fprintf(w, "%d\n", d.Version)
 		}
@@ -125,18 +125,18 @@
 
 // asked reads a change: the body is the value, ?op= names the operation, ?if= the version of the key that has to be in force.
 func asked(w http.ResponseWriter, r *http.Request) (p shardmap.Put, err error) {
-	p = shardmap.Put{Key: shardmap.Config + r.PathValue("name"), Gone: r.Method == http.MethodDelete, Op: r.URL.Query().Get("op")}
-	if p.Op == "" {
-		p.Op = rand.Text()
+	p = shardmap.Put{Key: shardmap.ItemPrefix + r.PathValue("name"), Delete: r.Method == http.MethodDelete, OperationID: r.URL.Query().Get("op")}
+	if p.OperationID == "" {
+		p.OperationID = rand.Text()
 	}
 	if only := r.URL.Query().Get("if"); only != "" {
-		p.Only = true
-		if p.If, err = strconv.ParseUint(only, 10, 64); err != nil {
+		p.Conditional = true
+		if p.ExpectedVersion, err = strconv.ParseUint(only, 10, 64); err != nil {
 			return p, fmt.Errorf("if: %q is no version", only)
 		}
 	}
-	if !p.Gone {
-		if p.Value, err = io.ReadAll(http.MaxBytesReader(w, r.Body, shardmap.MostValue)); err != nil {
+	if !p.Delete {
+		if p.Value, err = io.ReadAll(http.MaxBytesReader(w, r.Body, shardmap.MaxValueBytes)); err != nil {
 			return p, fmt.Errorf("the value: %w", err)
 		}
 	}
@@ -186,8 +186,8 @@
 
 // item makes a call about an item and prints what is answered.
 func item(address, method, key string, q url.Values, body []byte) error {
-	if !strings.HasPrefix(key, shardmap.Config) {
-		return fmt.Errorf("key %q is none of operators': it begins with %q", key, shardmap.Config)
+	if !strings.HasPrefix(key, shardmap.ItemPrefix) {
+		return fmt.Errorf("key %q is none of operators': it begins with %q", key, shardmap.ItemPrefix)
 	}
 	u := url.URL{Scheme: "http", Host: address, Path: "/control/" + key, RawQuery: q.Encode()}
 	req, err := http.NewRequest(method, u.String(), bytes.NewReader(body))
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -88,8 +88,8 @@
 	if l.circuits[cir.id] != cir {
 		return
 	}
-	switch v.Verdict {
-	case idempotency.Go:
+	switch v.Decision {
+	case idempotency.Proceed:
 		if cir.turn != turn || !cir.out {
 			return
 		}
@@ -98,11 +98,11 @@
 			h.write = nil
 			do()
 		}
-	case idempotency.Same:
+	case idempotency.Replay:
 		l.Same.Add(1)
 		l.log.Info("fleet: answered before", zap.Stringer("circuit", cir), zap.ByteString("answer", v.Answer))
 		l.conclude(cir, v.Answer)
-	case idempotency.Broken:
+	case idempotency.Abandoned:
 		l.log.Info("fleet: broken off, as another owner may have run it", zap.Stringer("circuit", cir))
 		l.giveUp(cir, protocol.ErrLine)
 	default:
@@ -150,13 +150,13 @@
 	}
 	h.tells = false
 	switch {
-	case v.Verdict == idempotency.Broken || v.Verdict == idempotency.Same && string(v.Answer) != string(ln.Raw):
+	case v.Decision == idempotency.Abandoned || v.Decision == idempotency.Replay && string(v.Answer) != string(ln.Raw):
 		l.log.Info("fleet: broken off by another owner before its answer was held", zap.Stringer("circuit", cir))
 		l.giveUp(cir, protocol.ErrLine)
 	case h.gone: // it ran, and stands no more
 		l.conclude(cir, ln.Raw)
 	default:
-		if v.Verdict == idempotency.CantSay {
+		if v.Decision == idempotency.Unavailable {
 			l.NotHeld.Add(1)
 			l.log.Warn("fleet: an answer is told that is not held", zap.Stringer("circuit", cir))
 		}
--- a/internal/balancer/planned_end_test.go
+++ b/internal/balancer/planned_end_test.go
@@ -394,7 +394,7 @@
 				t.Fatal("it does not wait")
 			}
 			y.leave()
-			y.l.promised(cir, cir.turn, fleet.Verdict{Verdict: idempotency.Go, Until: boottime.Now() + time.Hour})
+			y.l.promised(cir, cir.turn, fleet.Verdict{Decision: idempotency.Proceed, Until: boottime.Now() + time.Hour})
 			y.nothing(1, 0)
 		}},
 		{"to go back to its server", func(t *testing.T, how string) {
--- a/internal/fleet/consensus/bench_test.go
+++ b/internal/fleet/consensus/bench_test.go
@@ -68,7 +68,7 @@
 		v.pass()
 	}
 	for _, n := range v.all {
-		if len(n.Voters()) != many || n.State().Fleet != "f" {
+		if len(n.Voters()) != many || n.State().FleetID != "f" {
 			b.Fatalf("%d of %d vote", len(n.Voters()), many)
 		}
 	}
@@ -153,8 +153,8 @@
 			v.msgs, v.bytes, v.written = 0, 0, 0
 			done := metered(b)
 			for i := range b.N {
-				num := i % shardmap.Slots
-				v.propose(shardmap.Entry{Slots: []shardmap.Slot{{Slot: num, Of: v.leader().State().Views[num].Num, Full: full}}})
+				num := i % shardmap.ShardCount
+				v.propose(shardmap.Entry{ShardChanges: []shardmap.ShardChange{{Shard: num, BaseNumber: v.leader().State().Configurations[num].Number, InSync: full}}})
 			}
 			done()
 			v.count(b)
@@ -171,11 +171,11 @@
 			for i := range n {
 				all = append(all, member(i))
 			}
-			v.propose(shardmap.Entry{Epoch: v.leader().State().Epoch, Members: all})
+			v.propose(shardmap.Entry{BaseEpoch: v.leader().State().Epoch, Members: all})
 			v.msgs, v.bytes, v.written = 0, 0, 0
 			done := metered(b)
 			for range b.N {
-				v.propose(shardmap.Entry{Epoch: v.leader().State().Epoch, Members: all})
+				v.propose(shardmap.Entry{BaseEpoch: v.leader().State().Epoch, Members: all})
 			}
 			done()
 			v.count(b)
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -53,7 +53,7 @@
 	Msgs    []Msg
 	Whole   *changefeed.Snapshot // the state was replaced by this; nil where it was not
 	Changes []Change             // of the state, in order, after that
-	Puts    []shardmap.Done      // how operators' puts ended, of entries that came to be agreed
+	Puts    []shardmap.PutResult // how operators' puts ended, of entries that came to be agreed
 }
 
 // Change is what one entry did to the state.
@@ -84,7 +84,7 @@
 	write        Write
 	changes      []Change
 	whole        *changefeed.Snapshot
-	puts         []shardmap.Done
+	puts         []shardmap.PutResult
 	voted        bool // who votes has changed: a snapshot has to say so, or who begins to vote can't be sent one
 
 	confirm time.Duration // the next question
@@ -165,7 +165,7 @@
 // Found begins the log with this member as its only voter, and the fleet under an ID. It may be called before anything else was.
 func (n *Node) Found(fleet string) error {
 	state := shardmap.New()
-	state.Fleet, state.Version = fleet, 1
+	state.FleetID, state.Version = fleet, 1
 	one := uint64(1)
 	snap := &pb.Snapshot{Data: state.Snapshot(), Metadata: &pb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &pb.ConfState{Voters: []uint64{n.id}}}}
 	if err := n.store.ApplySnapshot(snap); err != nil {
@@ -399,14 +399,14 @@
 		if len(e.GetData()) == 0 {
 			return nil // a leader's first
 		}
-		entry, err := shardmap.Decode(e.GetData())
+		entry, err := shardmap.DecodeEntry(e.GetData())
 		if err != nil {
 			return fmt.Errorf("agree: entry %d: %w", e.GetIndex(), err)
 		}
 		did := n.state.Apply(entry)
-		n.puts = append(n.puts, did.Puts...)
-		if len(did.Keys) > 0 {
-			n.changes = append(n.changes, Change{n.state.Version, Items(n.state, did.Keys)})
+		n.puts = append(n.puts, did.PutResults...)
+		if len(did.ChangedKeys) > 0 {
+			n.changes = append(n.changes, Change{n.state.Version, Items(n.state, did.ChangedKeys)})
 		}
 	}
 	return nil
@@ -424,7 +424,7 @@
 
 // Whole is all of a state, as a map.
 func Whole(st *shardmap.State) *changefeed.Snapshot {
-	return changefeed.NewSnapshot(st.Fleet, st.Version, Items(st, st.Keys()))
+	return changefeed.NewSnapshot(st.FleetID, st.Version, Items(st, st.Keys()))
 }
 
 func (n *Node) restore(snap *pb.Snapshot) error {
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -178,7 +178,7 @@
 	}
 	keep()
 	for i := range 3 {
-		if err := n.Propose(shardmap.Entry{Put: []shardmap.Put{{Key: fmt.Sprint("config/", i), Op: fmt.Sprint(i)}}}); err != nil {
+		if err := n.Propose(shardmap.Entry{Puts: []shardmap.Put{{Key: fmt.Sprint("config/", i), OperationID: fmt.Sprint(i)}}}); err != nil {
 			t.Fatal(err)
 		}
 		keep()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -132,7 +132,7 @@
 	}
 	h, err := nodeserver.Open(nodeserver.Options{Core: node.Config{Self: nodeserver.Member(self), Life: s.Life, Found: rand.Text(), First: f.file.Seeds[0] == f.file.Advertise, Seeds: seeds,
 		Voters: f.file.Voters, Copies: f.file.Copies, Evict: f.file.Repair, Repair: repairing, Seed: f.seed ^ s.Life<<32, Keys: f.file.Records,
-		Bytes: f.file.Bytes, Ops: opsMost, Keeps: []replication.Keep{{Prefix: idempotency.Prefix, For: idempotency.Keep}}}, Fleet: f.file.Fleet, Dir: f.file.Data, Wire: w, Touch: t, Now: boottime.Now, Log: f.log, Feed: told})
+		Bytes: f.file.Bytes, Ops: opsMost, Keeps: []replication.RetentionRule{{Prefix: idempotency.KeyPrefix, TTL: idempotency.RecordTTL}}}, Fleet: f.file.Fleet, Dir: f.file.Data, Wire: w, Touch: t, Now: boottime.Now, Log: f.log, Feed: told})
 	if err != nil {
 		t.Close()
 		s.Close()
@@ -181,7 +181,7 @@
 
 // asker is where records are held: here among others, or at the control processes.
 type asker interface {
-	Ask(op replication.Op, within time.Duration, done func(replication.Result))
+	Ask(op replication.Operation, within time.Duration, done func(replication.Result))
 }
 
 // holding is where records are held, and this process's ID; nil while another process of an upgrade has the directory.
@@ -199,12 +199,12 @@
 
 // Put has an operators' item changed, at a control process. done is called once, from another goroutine, within the span or a little
 // later; Refused says why it was not done, or is not known to be.
-func (f *Fleet) Put(p shardmap.Put, within time.Duration, done func(shardmap.Done)) {
+func (f *Fleet) Put(p shardmap.Put, within time.Duration, done func(shardmap.PutResult)) {
 	f.mu.Lock()
 	h := f.held
 	f.mu.Unlock()
 	if h == nil {
-		done(shardmap.Done{Op: p.Op, Refused: "this process is no member of the fleet"})
+		done(shardmap.PutResult{OperationID: p.OperationID, Rejection: "this process is no member of the fleet"})
 		return
 	}
 	h.Put(p, within, done)
--- a/internal/fleet/framing/framing.go
+++ b/internal/fleet/framing/framing.go
@@ -68,8 +68,8 @@
 
 // Ask is an operation on what is held, as a follower has it asked.
 type Ask struct {
-	Op     replication.Op `cbor:"1,keyasint"`
-	Within time.Duration  `cbor:"2,keyasint"`
+	Op     replication.Operation `cbor:"1,keyasint"`
+	Within time.Duration         `cbor:"2,keyasint"`
 }
 
 // Encode words a Greeting, an Ask or a copies.Result.
--- a/internal/fleet/framing/golden_test.go
+++ b/internal/fleet/framing/golden_test.go
@@ -18,14 +18,14 @@
 
 // TestGoldenFrames holds the bytes of each kind of body, with its header.
 func TestGoldenFrames(t *testing.T) {
-	record := replication.Record{Key: "k", Version: 2, Value: []byte("v"), Op: "o", Born: 3, Gone: true, Past: []string{"p"}}
+	record := replication.Record{Key: "k", Version: 2, Value: []byte("v"), OperationID: "o", CreatedAt: 3, Deleted: true, PastOperationIDs: []string{"p"}}
 	frames := []struct {
 		name  string
 		value any
 	}{
 		{"greeting", Greeting{Fleet: "lab"}},
-		{"ask", Ask{Op: replication.Op{ID: "id", Key: "k", If: 3, Value: []byte("v"), Born: 4, Drop: true, Here: true, Read: true}, Within: 5 * time.Second}},
-		{"result", replication.Result{Op: "op", Outcome: replication.Conflict, Why: replication.Busy, Record: record}},
+		{"ask", Ask{Op: replication.Operation{ID: "id", Key: "k", ExpectedVersion: 3, Value: []byte("v"), CreatedAt: 4, Delete: true, LocalOnly: true, ReadOnly: true}, Within: 5 * time.Second}},
+		{"result", replication.Result{OperationID: "op", Outcome: replication.OutcomeConflict, Reason: replication.ReasonBusy, Record: record}},
 	}
 	path := filepath.Join("testdata", "frames.golden")
 	var lines []string
--- a/internal/fleet/held.go
+++ b/internal/fleet/held.go
@@ -25,7 +25,7 @@
 // What they call back comes from another goroutine, once, within the span or a little later, and must not wait.
 type Held struct {
 	of     *Fleet
-	intent *idempotency.Circuit
+	intent *idempotency.Claim
 }
 
 // Hold begins for a circuit's id.
@@ -36,7 +36,7 @@
 // Verdict of a question: with Go the first byte may go out until Until, by the clock of package boottime; with Same Answer
 // is the word.
 type Verdict struct {
-	idempotency.Verdict
+	idempotency.Decision
 	Answer []byte
 	Until  time.Duration
 }
@@ -49,32 +49,32 @@
 
 // Tell has the final answer held.
 func (h *Held) Tell(answer []byte, within time.Duration, done func(Verdict)) {
-	h.ask(h.intent.Tell(answer), within, done)
+	h.ask(h.intent.RecordAnswer(answer), within, done)
 }
 
 // Withdraw says that it never ran, if it may have been held. It is the last call, and nobody waits for it.
 func (h *Held) Withdraw() {
-	if h.intent.Left() {
+	if h.intent.NeedsWithdrawal() {
 		h.ask(h.intent.Withdraw(), wordTry, func(Verdict) {})
 	}
 }
 
-func (h *Held) ask(op replication.Op, within time.Duration, done func(Verdict)) {
+func (h *Held) ask(op replication.Operation, within time.Duration, done func(Verdict)) {
 	hold, _ := h.of.holding()
 	if hold == nil {
-		done(Verdict{Verdict: idempotency.CantSay})
+		done(Verdict{Decision: idempotency.Unavailable})
 		return
 	}
 	h.step(hold, op, time.Now().Add(within), done)
 }
 
-func (h *Held) step(hold asker, op replication.Op, end time.Time, done func(Verdict)) {
+func (h *Held) step(hold asker, op replication.Operation, end time.Time, done func(Verdict)) {
 	hold.Ask(op, time.Until(end), func(r replication.Result) {
-		v, next := h.intent.Ended(r)
+		v, next := h.intent.HandleResult(r)
 		if v == idempotency.Wait {
 			h.step(hold, next, end, done)
 			return
 		}
-		done(Verdict{Verdict: v, Answer: h.intent.Answer})
+		done(Verdict{Decision: v, Answer: h.intent.Answer})
 	})
 }
--- a/internal/fleet/idempotency/golden_test.go
+++ b/internal/fleet/idempotency/golden_test.go
@@ -18,27 +18,27 @@
 // TestRecordFormat holds the bytes of each state of a record, and the operations that ask for them, against those of an earlier program.
 func TestRecordFormat(t *testing.T) {
 	var out strings.Builder
-	note := func(name string, op replication.Op) {
-		fmt.Fprintf(&out, "%s: %s %s %d %s %d %v\n", name, op.ID, op.Key, op.If, op.Value, op.Born, op.Read)
+	note := func(name string, op replication.Operation) {
+		fmt.Fprintf(&out, "%s: %s %s %d %s %d %v\n", name, op.ID, op.Key, op.ExpectedVersion, op.Value, op.CreatedAt, op.ReadOnly)
 	}
 	c := New(0xabc, "owner", 1700000000)
 	note("begin", c.Begin("10.0.0.1:80"))
 	note("withdraw unknown", c.Withdraw())
 	c = New(0xabc, "owner", 1700000000)
 	note("begin", c.Begin("10.0.0.1:80"))
-	if v, _ := c.Ended(replication.Result{Outcome: replication.Done, Record: replication.Record{Version: 4}}); v != Go {
+	if v, _ := c.HandleResult(replication.Result{Outcome: replication.OutcomeCommitted, Record: replication.Record{Version: 4}}); v != Proceed {
 		t.Fatal(v)
 	}
-	note("tell", c.Tell([]byte("UP <1>")))
+	note("tell", c.RecordAnswer([]byte("UP <1>")))
 	note("withdraw", c.Withdraw())
 	c = New(0xabc, "second", 1700000000)
 	c.Begin("10.0.0.2:80")
-	other, _ := json.Marshal(Intent{State: meant, Owner: "owner", Server: "10.0.0.1:80"})
-	_, op := c.Ended(replication.Result{Outcome: replication.Conflict, Record: replication.Record{Version: 5, Value: other}})
+	other, _ := json.Marshal(Record{State: meant, Owner: "owner", Endpoint: "10.0.0.1:80"})
+	_, op := c.HandleResult(replication.Result{Outcome: replication.OutcomeConflict, Record: replication.Record{Version: 5, Value: other}})
 	note("take over", op)
 
-	values := []Intent{
-		{State: meant, Owner: "o", Server: "s"},
+	values := []Record{
+		{State: meant, Owner: "o", Endpoint: "s"},
 		{State: answered, Owner: "o", Answer: []byte("UP")},
 		{State: broken, Owner: "o"},
 		{State: never, Owner: "o"},
@@ -66,7 +66,7 @@
 		t.Errorf("got\n%swant\n%s", out.String(), want)
 	}
 	for i, v := range values {
-		var got Intent
+		var got Record
 		if err := json.Unmarshal([]byte(texts[i]), &got); err != nil || !reflect.DeepEqual(got, v) {
 			t.Errorf("%+v, %v; want %+v", got, err, v)
 		}
--- a/internal/fleet/idempotency/idempotency.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -14,14 +14,14 @@
 
 const (
 	stepsMost = 6                // operations for one question: each that conflicts tells what is there by now
-	Keep      = 10 * time.Minute // how long one is held from its first promise on
+	RecordTTL = 10 * time.Minute // how long one is held from its first promise on
 )
 
 // Key is where the intent of a circuit's id lies.
 func Key(id uint64) string { return fmt.Sprintf("intent/%016x", id) }
 
-// Prefix is what all keys of intents begin with.
-const Prefix = "intent/"
+// KeyPrefix is what all keys of intents begin with.
+const KeyPrefix = "intent/"
 
 // state of an intent.
 type state string
@@ -33,38 +33,38 @@
 	never    state = "never"    // it never ran: whoever asks next may
 )
 
-// Intent is a record's value.
-type Intent struct {
-	State  state  `json:"state"`
-	Owner  string `json:"owner"`            // of a circuit, never of another one
-	Server string `json:"server,omitempty"` // of the newest try
-	Answer []byte `json:"answer,omitempty"`
+// Record is a record's value.
+type Record struct {
+	State    state  `json:"state"`
+	Owner    string `json:"owner"`            // of a circuit, never of another one
+	Endpoint string `json:"server,omitempty"` // of the newest try
+	Answer   []byte `json:"answer,omitempty"`
 }
 
-// Verdict on a question.
-type Verdict uint8
+// Decision on a question.
+type Decision uint8
 
 const (
-	Wait     Verdict = iota // for an operation's end
-	Go                      // the owner may write
-	Same                    // it was answered: Answer is the word
-	Broken                  // it is broken off
-	CantSay                 // no promise in time: it never ran here
-	Promised                // the answer is held
+	Wait        Decision = iota // for an operation's end
+	Proceed                     // the owner may write
+	Replay                      // it was answered: Answer is the word
+	Abandoned                   // it is broken off
+	Unavailable                 // no promise in time: it never ran here
+	Recorded                    // the answer is held
 )
 
-// Circuit is one circuit's intent, from its first try to its answer.
-type Circuit struct {
-	Key     string
-	Owner   string
-	Born    int64
-	version uint64 // of this owner's newest write
-	mine    bool
-	over    bool // another's word holds
-	goal    goal
-	next    Intent
-	steps   int
-	ops     int
+// Claim is one circuit's intent, from its first try to its answer.
+type Claim struct {
+	Key       string
+	Owner     string
+	CreatedAt int64
+	version   uint64 // of this owner's newest write
+	mine      bool
+	over      bool // another's word holds
+	goal      goal
+	next      Record
+	steps     int
+	ops       int
 
 	Answer []byte // with Same
 }
@@ -79,95 +79,95 @@
 )
 
 // New is a circuit for which nothing was asked yet.
-func New(id uint64, owner string, born int64) *Circuit {
-	return &Circuit{Key: Key(id), Owner: owner, Born: born}
+func New(id uint64, owner string, born int64) *Claim {
+	return &Claim{Key: Key(id), Owner: owner, CreatedAt: born}
 }
 
-// Left tells whether an intent of this owner's may be held that nobody will act on: one that is, or one of which it was not heard
+// NeedsWithdrawal tells whether an intent of this owner's may be held that nobody will act on: one that is, or one of which it was not heard
 // whether it is.
-func (c *Circuit) Left() bool { return c.ops > 0 && !c.over }
+func (c *Claim) NeedsWithdrawal() bool { return c.ops > 0 && !c.over }
 
 // Begin asks for the right to write to a server: the first operation of it.
-func (c *Circuit) Begin(server string) replication.Op {
+func (c *Claim) Begin(server string) replication.Operation {
 	c.goal, c.steps = begin, 0
-	c.next = Intent{State: meant, Owner: c.Owner, Server: server}
+	c.next = Record{State: meant, Owner: c.Owner, Endpoint: server}
 	return c.op(c.version)
 }
 
-// Tell has the final answer held.
-func (c *Circuit) Tell(answer []byte) replication.Op {
+// RecordAnswer has the final answer held.
+func (c *Claim) RecordAnswer(answer []byte) replication.Operation {
 	c.goal, c.steps = tell, 0
-	c.next = Intent{State: answered, Owner: c.Owner, Answer: answer}
+	c.next = Record{State: answered, Owner: c.Owner, Answer: answer}
 	return c.op(c.version)
 }
 
 // Withdraw says of an intent that is left that it never ran: the last thing that is asked for a circuit, and nobody waits for it.
 // Without it whoever asks again would be told that it may have run.
-func (c *Circuit) Withdraw() replication.Op {
+func (c *Claim) Withdraw() replication.Operation {
 	c.goal, c.steps = undo, 0
-	c.next = Intent{State: never, Owner: c.Owner}
+	c.next = Record{State: never, Owner: c.Owner}
 	if c.mine {
 		return c.op(c.version)
 	}
 	c.ops++ // not known whether it is there: look first
-	return replication.Op{ID: fmt.Sprintf("%s.%d", c.Owner, c.ops), Key: c.Key, Read: true}
+	return replication.Operation{ID: fmt.Sprintf("%s.%d", c.Owner, c.ops), Key: c.Key, ReadOnly: true}
 }
 
-func (c *Circuit) op(version uint64) replication.Op {
+func (c *Claim) op(version uint64) replication.Operation {
 	text, err := json.Marshal(c.next)
 	if err != nil {
 		panic(err) // plain values
 	}
 	c.ops++
-	return replication.Op{ID: fmt.Sprintf("%s.%d", c.Owner, c.ops), Key: c.Key, If: version, Value: text, Born: c.Born}
+	return replication.Operation{ID: fmt.Sprintf("%s.%d", c.Owner, c.ops), Key: c.Key, ExpectedVersion: version, Value: text, CreatedAt: c.CreatedAt}
 }
 
-// Ended takes an operation's end: a verdict, or Wait and the next operation.
-func (c *Circuit) Ended(r replication.Result) (Verdict, replication.Op) {
+// HandleResult takes an operation's end: a verdict, or Wait and the next operation.
+func (c *Claim) HandleResult(r replication.Result) (Decision, replication.Operation) {
 	switch r.Outcome {
-	case replication.Done:
+	case replication.OutcomeCommitted:
 		switch c.goal {
 		case takeOver:
 			c.over = true
-			return Broken, replication.Op{}
+			return Abandoned, replication.Operation{}
 		case undo:
-			return CantSay, replication.Op{}
+			return Unavailable, replication.Operation{}
 		}
 		c.version, c.mine = r.Record.Version, true
 		if c.goal == tell {
-			return Promised, replication.Op{}
+			return Recorded, replication.Operation{}
 		}
-		return Go, replication.Op{}
-	case replication.Conflict:
+		return Proceed, replication.Operation{}
+	case replication.OutcomeConflict:
 	default:
-		return CantSay, replication.Op{}
+		return Unavailable, replication.Operation{}
 	}
 	c.steps++
-	var there Intent
-	if r.Record.Gone || r.Record.Version == 0 { // it was held for its time and dropped
+	var there Record
+	if r.Record.Deleted || r.Record.Version == 0 { // it was held for its time and dropped
 		if c.mine || c.steps > stepsMost {
-			return CantSay, replication.Op{}
+			return Unavailable, replication.Operation{}
 		}
 		return Wait, c.op(0)
 	}
 	if err := json.Unmarshal(r.Record.Value, &there); err != nil || c.steps > stepsMost {
-		return CantSay, replication.Op{}
+		return Unavailable, replication.Operation{}
 	}
 	switch {
 	case c.goal == undo && there.Owner == c.Owner && there.State == meant:
 		return Wait, c.op(r.Record.Version)
 	case c.goal == undo:
-		return CantSay, replication.Op{}
+		return Unavailable, replication.Operation{}
 	case there.State == answered:
 		c.Answer, c.over = there.Answer, true
-		return Same, replication.Op{}
+		return Replay, replication.Operation{}
 	case there.State == broken, c.mine: // another one has taken over what this owner had
 		c.over = true
-		return Broken, replication.Op{}
+		return Abandoned, replication.Operation{}
 	case there.State == never:
 		return Wait, c.op(r.Record.Version)
 	}
 	c.goal = takeOver
-	c.next = Intent{State: broken, Owner: c.Owner}
+	c.next = Record{State: broken, Owner: c.Owner}
 	return Wait, c.op(r.Record.Version)
 }
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -49,36 +49,36 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.list.out = false
-		if r.Outcome == replication.Done || r.Outcome == replication.Conflict { // written by another before: over it the next time
+		if r.Outcome == replication.OutcomeCommitted || r.Outcome == replication.OutcomeConflict { // written by another before: over it the next time
 			f.list.version = r.Record.Version
 		}
-		if r.Outcome == replication.Done {
+		if r.Outcome == replication.OutcomeCommitted {
 			f.list.rev = rev
 		}
 	})
 }
 
 // listOp is the write that is due, and where it is asked for: nil where none is.
-func (f *Fleet) listOp(rev uint64, known []byte) (*nodeserver.Hold, replication.Op) {
+func (f *Fleet) listOp(rev uint64, known []byte) (*nodeserver.Hold, replication.Operation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.held
 	if h == nil || len(known) > listMost {
-		return nil, replication.Op{}
+		return nil, replication.Operation{}
 	}
 	l := &f.list
 	l.newest = List{Rev: rev, At: time.Now().Unix(), Known: known}
 	since := time.Since(l.written)
 	if l.out || since < listEach || since < listAgain && rev == l.rev {
-		return nil, replication.Op{}
+		return nil, replication.Operation{}
 	}
 	text, err := json.Marshal(l.newest)
 	if err != nil {
 		f.log.Error("fleet: a list that can't be written", zap.Error(err))
-		return nil, replication.Op{}
+		return nil, replication.Operation{}
 	}
 	l.out, l.written = true, time.Now()
-	return h, replication.Op{ID: rand.Text(), Key: f.listKey(), If: l.version, Value: text, Here: true}
+	return h, replication.Operation{ID: rand.Text(), Key: f.listKey(), ExpectedVersion: l.version, Value: text, LocalOnly: true}
 }
 
 // RecallList asks for the list that is held and hands it on with its age, once, if there is one; it goes on asking while
@@ -89,8 +89,8 @@
 		defer f.all.Done()
 		for !stop() {
 			if h, _ := f.holding(); h != nil {
-				r := f.ask(replication.Op{ID: rand.Text(), Key: f.listKey(), Read: true})
-				if r.Outcome == replication.Conflict {
+				r := f.ask(replication.Operation{ID: rand.Text(), Key: f.listKey(), ReadOnly: true})
+				if r.Outcome == replication.OutcomeConflict {
 					var l List
 					if r.Record.Version == 0 {
 						f.log.Info("fleet: no list is held")
--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -45,15 +45,15 @@
 }
 
 // follower is a member that has been told of a fleet of n, with a view of each slot; it neither votes nor holds anything.
-func follower(b *testing.B, n int) (*Core, []placement.Seen) {
+func follower(b *testing.B, n int) (*Core, []placement.MemberStatus) {
 	all := listed(n)
 	c, err := New(Config{Self: all[0], Life: 1, Voters: 5, Copies: 3, Evict: 10 * time.Second, Repair: 4, Seed: 7, Keys: 1000, Bytes: 1 << 20, Ops: 100}, Saved{}, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
-	told := Told{Fleet: "f", Version: 2, Epoch: 1, Members: all, Slots: map[int]shardmap.View{}, Leader: all[1].ID, Addr: all[1].Addr}
-	for num := range shardmap.Slots {
-		told.Slots[num] = shardmap.View{Num: 1, Full: shardmap.Pick(num, all[1:], 3)}
+	told := Told{Fleet: "f", Version: 2, Epoch: 1, Members: all, Slots: map[int]shardmap.Configuration{}, Leader: all[1].ID, Addr: all[1].Addr}
+	for num := range shardmap.ShardCount {
+		told.Slots[num] = shardmap.Configuration{Number: 1, InSync: shardmap.PickReplicas(num, all[1:], 3)}
 	}
 	if err := c.Step(Packet{From: all[1].ID, To: all[0].ID, Fleet: "f", Told: &told}); err != nil {
 		b.Fatal(err)
@@ -61,9 +61,9 @@
 	if len(c.State().Members) != n {
 		b.Fatal("the list was not taken over")
 	}
-	var seen []placement.Seen
+	var seen []placement.MemberStatus
 	for _, m := range all[1:] {
-		seen = append(seen, placement.Seen{Member: m, Here: true, For: time.Hour})
+		seen = append(seen, placement.MemberStatus{Member: m, Alive: true, StateAge: time.Hour})
 	}
 	return c, seen
 }
--- a/internal/fleet/node/changes.go
+++ b/internal/fleet/node/changes.go
@@ -154,16 +154,16 @@
 
 // take has what is known be what items say. Views are never taken back to an older one.
 func (c *Core) take(items []changefeed.Item, version uint64) {
-	epoch, fleet, members := c.known.Epoch, c.known.Fleet, c.known.Members
+	epoch, fleet, members := c.known.Epoch, c.known.FleetID, c.known.Members
 	next := *c.known
-	next.Views = slices.Clone(c.known.Views)
+	next.Configurations = slices.Clone(c.known.Configurations)
 	var changed []int
 	for _, one := range items {
-		num, is := shardmap.SlotKey(one.Key)
+		num, is := shardmap.ShardFromKey(one.Key)
 		if is {
 			changed = append(changed, num)
 		}
-		if err := next.Take(one.Key, one.Value, one.Gone); err != nil {
+		if err := next.SetValue(one.Key, one.Value, one.Gone); err != nil {
 			c.odd("an item that can't be read", version, err)
 		}
 	}
@@ -173,16 +173,16 @@
 			return !is
 		})
 	}
-	c.known.Fleet, c.known.Epoch, c.known.Members, c.known.Version = next.Fleet, next.Epoch, next.Members, version
+	c.known.FleetID, c.known.Epoch, c.known.Members, c.known.Version = next.FleetID, next.Epoch, next.Members, version
 	if !slices.Equal(members, next.Members) || epoch != next.Epoch {
 		c.members = version
 	}
 	for _, num := range changed {
-		if v := next.Views[num]; v.Num > c.known.Views[num].Num {
+		if v := next.Configurations[num]; v.Number > c.known.Configurations[num].Number {
 			c.view(num, v, version)
 		}
 	}
-	c.wrote(epoch != c.known.Epoch || fleet != c.known.Fleet)
+	c.wrote(epoch != c.known.Epoch || fleet != c.known.FleetID)
 }
 
 // conflict tells once that there are two histories: of one version, with other contents.
@@ -230,14 +230,14 @@
 // same operation meanwhile it is the same one.
 func (c *Core) Put(p shardmap.Put, within time.Duration) {
 	if why := p.Wrong(); why != "" {
-		c.out.Puts = append(c.out.Puts, shardmap.Done{Op: p.Op, Refused: why})
+		c.out.Puts = append(c.out.Puts, shardmap.PutResult{OperationID: p.OperationID, Rejection: why})
 		return
 	}
 	if len(c.puts) >= putsMost {
-		c.out.Puts = append(c.out.Puts, shardmap.Done{Op: p.Op, Refused: "busy: too many changes wait"})
+		c.out.Puts = append(c.out.Puts, shardmap.PutResult{OperationID: p.OperationID, Rejection: "busy: too many changes wait"})
 		return
 	}
-	c.puts[p.Op] = &put{put: p, until: c.now + within, next: c.now}
+	c.puts[p.OperationID] = &put{put: p, until: c.now + within, next: c.now}
 	c.push()
 }
 
@@ -246,7 +246,7 @@
 	for _, op := range slices.Sorted(maps.Keys(c.puts)) {
 		p := c.puts[op]
 		if c.now >= p.until {
-			c.done(shardmap.Done{Op: op, Refused: unanswered})
+			c.done(shardmap.PutResult{OperationID: op, Rejection: unanswered})
 			continue
 		}
 		if c.now < p.next {
@@ -267,12 +267,12 @@
 	if !c.log.Leads() {
 		return // whoever asks hears soon who does
 	}
-	refuse := func(why string) { c.answer(from, shardmap.Done{Op: p.Op, Refused: why}) }
-	if d, is := c.log.State().Done(p.Op); is {
+	refuse := func(why string) { c.answer(from, shardmap.PutResult{OperationID: p.OperationID, Rejection: why}) }
+	if d, is := c.log.State().PutResult(p.OperationID); is {
 		c.answer(from, d)
 		return
 	}
-	one := c.propose[p.Op]
+	one := c.propose[p.OperationID]
 	if one == nil {
 		if why := c.older(); why != "" {
 			refuse(why)
@@ -287,12 +287,12 @@
 			return
 		}
 		one = &propose{put: p, froms: map[string]bool{}}
-		c.propose[p.Op] = one
+		c.propose[p.OperationID] = one
 	}
 	one.froms[from] = true
 	if c.now >= one.next { // lost where the library has no room: then at the next time that it is asked for
 		one.next = c.now + time.Second
-		_ = c.log.Propose(shardmap.Entry{Put: []shardmap.Put{one.put}})
+		_ = c.log.Propose(shardmap.Entry{Puts: []shardmap.Put{one.put}})
 	}
 }
 
@@ -304,9 +304,9 @@
 	}
 	speaks := map[string]int{c.cfg.Self.ID: Form}
 	for _, m := range c.seen {
-		speaks[m.ID] = m.Speaks
+		speaks[m.ID] = m.Form
 	}
-	used := len(st.Ops) > 0 // all did once: one that is not seen any more is away
+	used := len(st.RecentPuts) > 0 // all did once: one that is not seen any more is away
 	for _, m := range st.Members {
 		if form, seen := speaks[m.ID]; form < Form && (seen || !used) {
 			return fmt.Sprintf("member %s at %s is of an older program, or was not heard: replace it first", m.ID, m.Addr)
@@ -316,18 +316,18 @@
 }
 
 // ended takes what the log says of a put.
-func (c *Core) ended(d shardmap.Done) {
-	one := c.propose[d.Op]
+func (c *Core) ended(d shardmap.PutResult) {
+	one := c.propose[d.OperationID]
 	if one == nil {
 		return
 	}
-	delete(c.propose, d.Op)
+	delete(c.propose, d.OperationID)
 	for _, from := range slices.Sorted(maps.Keys(one.froms)) {
 		c.answer(from, d)
 	}
 }
 
-func (c *Core) answer(to string, d shardmap.Done) {
+func (c *Core) answer(to string, d shardmap.PutResult) {
 	if to == c.cfg.Self.ID {
 		c.done(d)
 	} else {
@@ -336,9 +336,9 @@
 }
 
 // done ends a put that was asked for here.
-func (c *Core) done(d shardmap.Done) {
-	if c.puts[d.Op] != nil {
-		delete(c.puts, d.Op)
+func (c *Core) done(d shardmap.PutResult) {
+	if c.puts[d.OperationID] != nil {
+		delete(c.puts, d.OperationID)
 		c.out.Puts = append(c.out.Puts, d)
 	}
 }
--- a/internal/fleet/node/golden_test.go
+++ b/internal/fleet/node/golden_test.go
@@ -38,7 +38,7 @@
 	}
 	w.until("there are three voters", 30*time.Second, func() bool { return len(w.voters()) == 3 && w.same() })
 	for i := range w.cores {
-		w.put(i, shardmap.Put{Key: fmt.Sprintf("config/%d", i), Value: []byte{byte(i)}, Op: fmt.Sprintf("op-%d", i)})
+		w.put(i, shardmap.Put{Key: fmt.Sprintf("config/%d", i), Value: []byte{byte(i)}, OperationID: fmt.Sprintf("op-%d", i)})
 	}
 	leader := w.leader()
 	w.cut = func(from, to int) bool { return from == leader || to == leader }
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -42,7 +42,7 @@
 	Keys   int // records that are held here at most,
 	Bytes  int // and their bytes
 	Ops    int // operations that wait
-	Keeps  []replication.Keep
+	Keeps  []replication.RetentionRule
 }
 
 // Saved is what is on disk.
@@ -64,12 +64,12 @@
 	Addr      string
 	Fleet     string
 	Raft      []byte
-	Copies    []replication.Msg
-	Complaint *replication.Complaint
+	Copies    []replication.Message
+	Complaint *replication.ReplicaReport
 	Poll      *Poll
 	Told      *Told
-	Put       *shardmap.Put  // to the log's leader
-	Done      *shardmap.Done // back
+	Put       *shardmap.Put       // to the log's leader
+	Done      *shardmap.PutResult // back
 }
 
 // Form is the form of words from which on members tell each other changes of the agreed state, and may agree on operators' items. An
@@ -92,7 +92,7 @@
 	Version uint64
 	Epoch   uint64
 	Members []shardmap.Member // nothing where they have not changed
-	Slots   map[int]shardmap.View
+	Slots   map[int]shardmap.Configuration
 	Leader  string // who leads the log, as far as is known
 	Addr    string // of who answers
 
@@ -112,7 +112,7 @@
 	Slots   []replication.Write
 	Packets []Packet
 	Results []replication.Result
-	Puts    []shardmap.Done // how puts ended that were asked for here
+	Puts    []shardmap.PutResult // how puts ended that were asked for here
 	Lines   []Line
 
 	Installed *changefeed.Snapshot // the agreed state was replaced by this; before Changes
@@ -135,7 +135,7 @@
 	rng   *rand.Rand
 	log   *consensus.Node
 	held  *replication.Node
-	steer *placement.Steerer
+	steer *placement.Planner
 	term  uint64 // of the leadership that steer belongs to
 
 	feed    *changefeed.Log // the newest that is known, from the log or from others, as a map, and its newest changes
@@ -144,7 +144,7 @@
 	members uint64          // and of the list of members
 	leader  string
 
-	seen  []placement.Seen
+	seen  []placement.MemberStatus
 	poll  time.Duration
 	found time.Duration
 	vote  time.Duration
@@ -173,12 +173,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0xc02e)), log: log, known: shardmap.New(), changed: make([]uint64, shardmap.Slots),
+	c := &Core{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0xc02e)), log: log, known: shardmap.New(), changed: make([]uint64, shardmap.ShardCount),
 		fresh: map[string]time.Duration{}, poll: now, found: now, vote: now, said: saved.Fleet, feed: changefeed.NewLog(changefeed.LogConfig{Most: changesMost, Bytes: changesBytes}),
 		polls: polls{}, puts: map[string]*put{}, propose: map[string]*propose{}}
-	c.known.Fleet = saved.Fleet
-	c.held = replication.New(replication.Config{ID: cfg.Self.ID, Life: cfg.Life, Least: min(2, cfg.Copies), MostKeys: cfg.Keys, MostBytes: cfg.Bytes,
-		MostOps: cfg.Ops, Keeps: cfg.Keeps}, now)
+	c.known.FleetID = saved.Fleet
+	c.held = replication.New(replication.Config{ID: cfg.Self.ID, Incarnation: cfg.Life, MinReplicas: min(2, cfg.Copies), MaxKeys: cfg.Keys, MaxBytes: cfg.Bytes,
+		MaxPendingOperations: cfg.Ops, Retention: cfg.Keeps}, now)
 	for _, num := range sortedSlots(saved.Slots) {
 		c.held.Load(num, saved.Slots[num].Ballot, saved.Slots[num].Records)
 	}
@@ -207,10 +207,10 @@
 // ---- What comes in.
 
 // Clock tells of the time, and how the other members are seen now.
-func (c *Core) Clock(now time.Duration, seen []placement.Seen) {
+func (c *Core) Clock(now time.Duration, seen []placement.MemberStatus) {
 	c.now, c.seen = now, seen
 	c.log.Clock(now)
-	c.held.Clock(now)
+	c.held.Tick(now)
 	c.begin()
 	c.lead()
 	c.push()
@@ -233,18 +233,18 @@
 func (c *Core) Leave() { c.leaves = true }
 
 // Wall tells of the time of day, by which records age.
-func (c *Core) Wall(unix int64) { c.held.Wall(unix) }
+func (c *Core) Wall(unix int64) { c.held.SetWallClock(unix) }
 
 // Ask has an operation done within a span; its result comes with a Ready.
-func (c *Core) Ask(op replication.Op, within time.Duration) { c.held.Ask(op, within) }
+func (c *Core) Ask(op replication.Operation, within time.Duration) { c.held.Submit(op, within) }
 
 // Broken tells that the disk can't be written: this member promises nothing any more, neither in the copies nor in the log.
-func (c *Core) Broken() { c.held.Broken() }
+func (c *Core) Broken() { c.held.MarkDiskFailed() }
 
 // Step takes a packet. One of another fleet's is an error, and so is one that can't be read.
 func (c *Core) Step(p Packet) error {
-	if p.Fleet != "" && c.known.Fleet != "" && p.Fleet != c.known.Fleet {
-		return fmt.Errorf("a word of fleet %s; this one is %s", p.Fleet, c.known.Fleet)
+	if p.Fleet != "" && c.known.FleetID != "" && p.Fleet != c.known.FleetID {
+		return fmt.Errorf("a word of fleet %s; this one is %s", p.Fleet, c.known.FleetID)
 	}
 	if p.To != "" && p.To != c.cfg.Self.ID {
 		return fmt.Errorf("a word for member %s", p.To)
@@ -253,8 +253,8 @@
 	case p.Raft != nil:
 		return c.log.Step(p.Raft)
 	case p.Complaint != nil:
-		if c.steer != nil && c.log.Leads() && p.Complaint.Slot >= 0 && p.Complaint.Slot < shardmap.Slots {
-			c.steer.Complain(c.now, c.log.State(), *p.Complaint)
+		if c.steer != nil && c.log.Leads() && p.Complaint.Shard >= 0 && p.Complaint.Shard < shardmap.ShardCount {
+			c.steer.Report(c.now, c.log.State(), *p.Complaint)
 		}
 	case p.Poll != nil:
 		c.tell(p)
@@ -278,7 +278,7 @@
 func (c *Core) ask() {
 	var ids []string
 	for _, m := range c.seen {
-		if m.Here && m.ID != c.cfg.Self.ID {
+		if m.Alive && m.ID != c.cfg.Self.ID {
 			ids = append(ids, m.ID)
 		}
 	}
@@ -308,7 +308,7 @@
 
 // tell answers a poll.
 func (c *Core) tell(p Packet) {
-	t := &Told{Fleet: c.known.Fleet, Since: p.Poll.Version, Version: c.known.Version, Epoch: c.known.Epoch, Leader: c.leader, Addr: c.cfg.Self.Addr,
+	t := &Told{Fleet: c.known.FleetID, Since: p.Poll.Version, Version: c.known.Version, Epoch: c.known.Epoch, Leader: c.leader, Addr: c.cfg.Self.Addr,
 		Form: Form, Number: p.Poll.Number, Digest: c.feed.Digest()}
 	if asOf, known := c.AsOf(); known {
 		t.Known, t.Age = true, c.now-asOf
@@ -316,11 +316,11 @@
 	since := p.Poll.Version
 	if p.Poll.Form >= Form {
 		c.since(p.Poll, t)
-	} else if t.Slots = map[int]shardmap.View{}; since < c.known.Version {
+	} else if t.Slots = map[int]shardmap.Configuration{}; since < c.known.Version {
 		if c.members > since {
 			t.Members = c.known.Members
 		}
-		for num, v := range c.known.Views {
+		for num, v := range c.known.Configurations {
 			if c.changed[num] > since {
 				t.Slots[num] = v
 			}
@@ -350,11 +350,11 @@
 	}
 	// An answer to a process before this one, which knew more, leaves out what this one lacks. So does one of an older program that came
 	// back to a fleet that has operators' items already.
-	if t.Version <= c.known.Version || t.Since > c.known.Version || len(c.feed.State().All(shardmap.Config)) > 0 {
+	if t.Version <= c.known.Version || t.Since > c.known.Version || len(c.feed.State().All(shardmap.ItemPrefix)) > 0 {
 		return
 	}
-	if c.known.Fleet == "" {
-		c.known.Fleet = t.Fleet
+	if c.known.FleetID == "" {
+		c.known.FleetID = t.Fleet
 	}
 	epoch := t.Epoch > c.known.Epoch
 	if epoch && len(t.Members) > 0 {
@@ -362,7 +362,7 @@
 	}
 	c.known.Version = t.Version
 	for _, num := range sortedViews(t.Slots) {
-		if v := t.Slots[num]; num >= 0 && num < shardmap.Slots && v.Num > c.known.Views[num].Num {
+		if v := t.Slots[num]; num >= 0 && num < shardmap.ShardCount && v.Number > c.known.Configurations[num].Number {
 			c.view(num, v, t.Version)
 		}
 	}
@@ -370,7 +370,7 @@
 	c.wrote(epoch)
 }
 
-func sortedViews(m map[int]shardmap.View) []int {
+func sortedViews(m map[int]shardmap.Configuration) []int {
 	all := make([]int, 0, len(m))
 	for n := range m {
 		all = append(all, n)
@@ -379,16 +379,16 @@
 	return all
 }
 
-func (c *Core) view(num int, v shardmap.View, version uint64) {
-	c.known.Views[num], c.changed[num] = v, version
-	c.held.View(num, v)
+func (c *Core) view(num int, v shardmap.Configuration, version uint64) {
+	c.known.Configurations[num], c.changed[num] = v, version
+	c.held.SetConfiguration(num, v)
 }
 
 // wrote notes the fleet's ID for the disk, and tells of an epoch.
 func (c *Core) wrote(epoch bool) {
-	if c.known.Fleet != c.said {
-		c.said = c.known.Fleet
-		c.out.Fleet = c.known.Fleet
+	if c.known.FleetID != c.said {
+		c.said = c.known.FleetID
+		c.out.Fleet = c.known.FleetID
 	}
 	if epoch {
 		c.out.Lines = append(c.out.Lines, Line{What: "epoch", Epoch: c.known.Epoch, Text: fmt.Sprintf("%d members", len(c.known.Members))})
@@ -400,7 +400,7 @@
 // begin founds a fleet: at the first seed alone, and only when every seed is there and knows of none. Guards against a second
 // fleet beside the first, whose members' records nobody would find: a first seed that lost its disk finds the others here.
 func (c *Core) begin() {
-	if !c.cfg.First || c.known.Fleet != "" || c.now < c.found {
+	if !c.cfg.First || c.known.FleetID != "" || c.now < c.found {
 		return
 	}
 	c.found = c.now + foundEach
@@ -414,7 +414,7 @@
 			all = false
 		}
 		for _, m := range c.seen {
-			if m.Here && m.Addr == addr {
+			if m.Alive && m.Addr == addr {
 				c.send(Packet{To: m.ID, Poll: &Poll{}})
 			}
 		}
@@ -439,19 +439,19 @@
 	c.leader = c.cfg.Self.ID
 	if c.steer == nil || c.term != c.log.Term() {
 		c.term = c.log.Term()
-		c.steer = placement.New(placement.Config{Copies: c.cfg.Copies, Least: min(2, c.cfg.Copies), Evict: c.cfg.Evict, Joining: c.cfg.Repair}, c.now)
+		c.steer = placement.New(placement.Config{ReplicationFactor: c.cfg.Copies, MinReplicas: min(2, c.cfg.Copies), EvictAfter: c.cfg.Evict, MaxJoiningShards: c.cfg.Repair}, c.now)
 	}
 	if c.leaves && c.now >= c.vote {
 		c.vote = c.now + voteEach
 		for _, m := range c.seen {
-			if id := consensus.Number(m.ID); m.Here && !m.Going && slices.Contains(c.log.Voters(), id) {
+			if id := consensus.Number(m.ID); m.Alive && !m.Draining && slices.Contains(c.log.Voters(), id) {
 				c.log.Hand(id)
 				break
 			}
 		}
 	}
-	seen := append(slices.Clone(c.seen), placement.Seen{Member: c.cfg.Self, Here: true, Going: c.leaves, For: time.Hour})
-	if e, is := c.steer.Decide(c.now, c.log.State(), seen, len(c.log.Voters()) >= c.cfg.Voters); is {
+	seen := append(slices.Clone(c.seen), placement.MemberStatus{Member: c.cfg.Self, Alive: true, Draining: c.leaves, StateAge: time.Hour})
+	if e, is := c.steer.Propose(c.now, c.log.State(), seen, len(c.log.Voters()) >= c.cfg.Voters); is {
 		_ = c.log.Propose(e)
 	}
 	if c.now >= c.vote {
@@ -463,7 +463,7 @@
 // ---- What goes out.
 
 func (c *Core) send(p Packet) {
-	p.From, p.Fleet = c.cfg.Self.ID, c.known.Fleet
+	p.From, p.Fleet = c.cfg.Self.ID, c.known.FleetID
 	c.out.Packets = append(c.out.Packets, p)
 }
 
@@ -485,7 +485,7 @@
 	held := c.held.Ready()
 	c.out.Slots, c.out.Results = held.Writes, held.Results
 	byTo := map[string]int{}
-	for _, m := range held.Msgs {
+	for _, m := range held.Messages {
 		i, is := byTo[m.To]
 		if !is {
 			i = len(c.out.Packets)
@@ -494,9 +494,9 @@
 		}
 		c.out.Packets[i].Copies = append(c.out.Packets[i].Copies, m)
 	}
-	for _, one := range held.Complaints {
+	for _, one := range held.Reports {
 		if c.log.Leads() && c.steer != nil {
-			c.steer.Complain(c.now, c.log.State(), one)
+			c.steer.Report(c.now, c.log.State(), one)
 		} else if c.leader != "" && c.leader != c.cfg.Self.ID {
 			c.send(Packet{To: c.leader, Complaint: &one})
 		}
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -33,7 +33,7 @@
 	cut   func(from, to int) bool
 	form  map[int]int // that one speaks, where it is not this program's
 	way   []carried
-	puts  map[string]shardmap.Done // how puts ended
+	puts  map[string]shardmap.PutResult // how puts ended
 	lines []string
 	each  func() // after each step
 }
@@ -48,7 +48,7 @@
 // newWorld makes members at sites, in the order told; each is on a machine of its own, and in a zone of its own unless the site
 // is told with one, as in "a/1".
 func newWorld(t *testing.T, voters int, sites ...string) *world {
-	w := &world{t: t, down: map[int]bool{}, since: map[int]time.Duration{}, form: map[int]int{}, puts: map[string]shardmap.Done{},
+	w := &world{t: t, down: map[int]bool{}, since: map[int]time.Duration{}, form: map[int]int{}, puts: map[string]shardmap.PutResult{},
 		cut: func(int, int) bool { return false }, each: func() {}}
 	for _, s := range sites {
 		w.join(voters, s)
@@ -88,13 +88,13 @@
 			if w.down[i] {
 				continue
 			}
-			var seen []placement.Seen
+			var seen []placement.MemberStatus
 			for j := range w.cores {
 				if form, is := w.form[j]; j != i {
 					if !is {
 						form = Form
 					}
-					seen = append(seen, placement.Seen{Member: w.cfgs[j].Self, Here: !w.down[j], For: w.now - w.since[j], Speaks: form})
+					seen = append(seen, placement.MemberStatus{Member: w.cfgs[j].Self, Alive: !w.down[j], StateAge: w.now - w.since[j], Form: form})
 				}
 			}
 			c.Clock(w.now, seen)
@@ -114,7 +114,7 @@
 				w.way = append(w.way, carried{i, to, p})
 			}
 			for _, d := range r.Puts {
-				w.puts[d.Op] = d
+				w.puts[d.OperationID] = d
 			}
 			for _, l := range r.Lines {
 				if l.Bad {
@@ -183,12 +183,12 @@
 	return true
 }
 
-func (w *world) put(i int, p shardmap.Put) shardmap.Done {
+func (w *world) put(i int, p shardmap.Put) shardmap.PutResult {
 	w.t.Helper()
-	delete(w.puts, p.Op)
+	delete(w.puts, p.OperationID)
 	w.cores[i].Put(p, 5*time.Second)
-	w.until("the put "+p.Op+" is answered", 6*time.Second, func() bool { _, is := w.puts[p.Op]; return is })
-	return w.puts[p.Op]
+	w.until("the put "+p.OperationID+" is answered", 6*time.Second, func() bool { _, is := w.puts[p.OperationID]; return is })
+	return w.puts[p.OperationID]
 }
 
 // TestVotersSpread has five voters among nine members of three sites, whose numbers run site by site. Guards against a majority that
@@ -344,9 +344,9 @@
 	w.until("all know the same", 5*time.Second, w.same)
 	for i := range w.cores {
 		was := w.cores[i].Feed().Version()
-		p := shardmap.Put{Key: fmt.Sprintf("config/%d", i), Value: []byte{byte(i)}, Op: fmt.Sprintf("op-%d", i)}
+		p := shardmap.Put{Key: fmt.Sprintf("config/%d", i), Value: []byte{byte(i)}, OperationID: fmt.Sprintf("op-%d", i)}
 		d := w.put(i, p)
-		if d.Refused != "" || d.Version != was+1 {
+		if d.Rejection != "" || d.Version != was+1 {
 			t.Fatalf("put by %d on version %d: %+v", i, was, d)
 		}
 		if again := w.put((i+1)%5, p); again != d {
@@ -362,20 +362,20 @@
 		put  shardmap.Put
 		want string
 	}{
-		{shardmap.Put{Key: "member/x", Op: "a"}, "none of operators'"},
+		{shardmap.Put{Key: "member/x", OperationID: "a"}, "none of operators'"},
 		{shardmap.Put{Key: "config/x"}, "an operation's name"},
-		{shardmap.Put{Key: "config/x", Op: "b", Value: make([]byte, shardmap.MostValue+1)}, "262144 are the most"},
-		{shardmap.Put{Key: "config/0", Op: "c", Only: true}, "is in force, not 0"},
-		{shardmap.Put{Key: "config/none", Op: "d", Gone: true}, "there is no config/none"},
+		{shardmap.Put{Key: "config/x", OperationID: "b", Value: make([]byte, shardmap.MaxValueBytes+1)}, "262144 are the most"},
+		{shardmap.Put{Key: "config/0", OperationID: "c", Conditional: true}, "is in force, not 0"},
+		{shardmap.Put{Key: "config/none", OperationID: "d", Delete: true}, "there is no config/none"},
 	} {
-		if d := w.put(2, c.put); !strings.Contains(d.Refused, c.want) || d.Version != 0 {
+		if d := w.put(2, c.put); !strings.Contains(d.Rejection, c.want) || d.Version != 0 {
 			t.Errorf("%+v: wanted %q", d, c.want)
 		}
 	}
 	if now := w.cores[0].Feed().Version(); now != was {
 		t.Errorf("what was refused made version %d of %d", now, was)
 	}
-	if d := w.put(3, shardmap.Put{Key: "config/0", Gone: true, Op: "gone"}); d.Version != was+1 {
+	if d := w.put(3, shardmap.Put{Key: "config/0", Delete: true, OperationID: "gone"}); d.Version != was+1 {
 		t.Errorf("%+v", d)
 	}
 	late := w.join(3, "a") // it has it by a snapshot
@@ -400,12 +400,12 @@
 	w.until("all are members", 30*time.Second, func() bool {
 		return len(w.voters()) == 3 && len(w.cores[0].State().Members) == 4 && w.same()
 	})
-	if d := w.put(1, shardmap.Put{Key: "config/a", Op: "a"}); !strings.Contains(d.Refused, id(3)) {
+	if d := w.put(1, shardmap.Put{Key: "config/a", OperationID: "a"}); !strings.Contains(d.Rejection, id(3)) {
 		t.Errorf("%+v", d)
 	}
 	w.turn(3, true)
 	w.until("it is no member any more", 30*time.Second, func() bool { return len(w.cores[0].State().Members) == 3 })
-	if d := w.put(1, shardmap.Put{Key: "config/a", Op: "b"}); d.Version == 0 {
+	if d := w.put(1, shardmap.Put{Key: "config/a", OperationID: "b"}); d.Version == 0 {
 		t.Errorf("%+v", d)
 	}
 
--- a/internal/fleet/node/voters.go
+++ b/internal/fleet/node/voters.go
@@ -35,7 +35,7 @@
 // voters has members on further machines begin to vote: as many as are lacking, all at once, or one in place of one that is no
 // member any more, or of one at a site that has most of them. Two voters are never made: both would be needed then, and the second
 // one may be gone already, unnoticed.
-func (c *Core) voters(seen []placement.Seen) {
+func (c *Core) voters(seen []placement.MemberStatus) {
 	st, voters := c.log.State(), c.log.Voters()
 	member := map[uint64]shardmap.Member{}
 	for _, m := range st.Members {
@@ -61,7 +61,7 @@
 	}
 	var sound []shardmap.Member
 	for _, m := range seen {
-		if id := consensus.Number(m.ID); m.Here && !m.Going && m.For >= soundFor && member[id].ID == m.ID && !slices.Contains(voters, id) &&
+		if id := consensus.Number(m.ID); m.Alive && !m.Draining && m.StateAge >= soundFor && member[id].ID == m.ID && !slices.Contains(voters, id) &&
 			(least == nil || least(m.Member)) {
 			sound = append(sound, m.Member)
 		}
@@ -83,14 +83,14 @@
 // crowded picks a voter of a site that has most of them, and tells who may take its place: one of a site that has fewer then than
 // the crowded one had. 0 where none is to go: also while a voter is away or a majority has not answered since the last
 // change, as that one is not needed to go on.
-func (c *Core) crowded(seen []placement.Seen, voters []uint64, member map[uint64]shardmap.Member, at spread) (uint64, func(shardmap.Member) bool) {
+func (c *Core) crowded(seen []placement.MemberStatus, voters []uint64, member map[uint64]shardmap.Member, at spread) (uint64, func(shardmap.Member) bool) {
 	asOf, known := c.log.AsOf()
 	if !known || c.now-asOf > settledFor || asOf <= c.moved {
 		return 0, nil
 	}
 	here := map[uint64]bool{}
 	for _, m := range seen {
-		here[consensus.Number(m.ID)] = m.Here && !m.Going
+		here[consensus.Number(m.ID)] = m.Alive && !m.Draining
 	}
 	self := consensus.Number(c.cfg.Self.ID)
 	var last shardmap.Member
--- a/internal/fleet/nodeserver/bench_test.go
+++ b/internal/fleet/nodeserver/bench_test.go
@@ -58,9 +58,9 @@
 			h := &Hold{core: c}
 			done := metered(b)
 			for range b.N {
-				var at []placement.Seen
+				var at []placement.MemberStatus
 				for _, k := range known[1:] {
-					at = append(at, placement.Seen{Member: Member(k.Member), Here: true, For: time.Hour})
+					at = append(at, placement.MemberStatus{Member: Member(k.Member), Alive: true, StateAge: time.Hour})
 				}
 				h.out(node.Ready{}, at)
 			}
--- a/internal/fleet/nodeserver/golden_dir_test.go
+++ b/internal/fleet/nodeserver/golden_dir_test.go
@@ -47,12 +47,12 @@
 }
 
 // operate has one operation done.
-func operate(t *testing.T, c *node.Core, s *store.Store, now *time.Duration, op replication.Op) (result replication.Result) {
+func operate(t *testing.T, c *node.Core, s *store.Store, now *time.Duration, op replication.Operation) (result replication.Result) {
 	t.Helper()
 	c.Ask(op, 10*time.Second)
 	driveNode(t, c, s, now, func(r node.Ready) bool {
 		for _, one := range r.Results {
-			if one.Op == op.ID {
+			if one.OperationID == op.ID {
 				result = one
 				return true
 			}
@@ -73,7 +73,7 @@
 	if err != nil || identity != (datadir.Card{Format: 1, Fleet: "istanbul", Machine: "m1", Member: goldenMember, Life: 3}) {
 		t.Fatalf("%v: %+v", err, identity)
 	}
-	if _, err := store.Look(dir); err != nil {
+	if _, err := store.Inspect(dir); err != nil {
 		t.Fatal(err)
 	}
 	s, saved, err := store.Open(dir)
@@ -85,7 +85,7 @@
 	for _, one := range saved.Slots {
 		records += len(one.Records)
 	}
-	if saved.Fleet != "fleet-id" || len(saved.Slots) != shardmap.Slots || records != 6 || len(saved.Agree.Hard) == 0 || len(saved.Agree.Snapshot) == 0 ||
+	if saved.Fleet != "fleet-id" || len(saved.Slots) != shardmap.ShardCount || records != 6 || len(saved.Agree.Hard) == 0 || len(saved.Agree.Snapshot) == 0 ||
 		len(saved.Agree.Entries) != 8 {
 		t.Errorf("fleet %q, %d slots, %d records, %d entries", saved.Fleet, len(saved.Slots), records, len(saved.Agree.Entries))
 	}
@@ -105,12 +105,12 @@
 	}
 	for i := range 5 {
 		key := fmt.Sprintf("key/%d", i)
-		got := operate(t, c, s, &now, replication.Op{ID: "read " + key, Key: key, Read: true})
-		if got.Outcome != replication.Conflict || got.Record.Version != uint64(1+i%2) || string(got.Record.Value) != fmt.Sprintf("%s at %d", key, got.Record.Version) {
+		got := operate(t, c, s, &now, replication.Operation{ID: "read " + key, Key: key, ReadOnly: true})
+		if got.Outcome != replication.OutcomeConflict || got.Record.Version != uint64(1+i%2) || string(got.Record.Value) != fmt.Sprintf("%s at %d", key, got.Record.Version) {
 			t.Errorf("%s: %+v", key, got)
 		}
 	}
-	if got := operate(t, c, s, &now, replication.Op{ID: "next", Key: "key/0", If: 1, Value: []byte("new")}); got.Outcome != replication.Done || got.Record.Version != 2 {
+	if got := operate(t, c, s, &now, replication.Operation{ID: "next", Key: "key/0", ExpectedVersion: 1, Value: []byte("new")}); got.Outcome != replication.OutcomeCommitted || got.Record.Version != 2 {
 		t.Errorf("a write that follows: %+v", got)
 	}
 }
--- a/internal/fleet/nodeserver/golden_test.go
+++ b/internal/fleet/nodeserver/golden_test.go
@@ -15,7 +15,7 @@
 )
 
 // goldenRecord has every field set.
-var goldenRecord = replication.Record{Key: "k", Version: 3, Value: []byte("v"), Op: "op", Born: 1700000000, Gone: true, Past: []string{"p", "q"}}
+var goldenRecord = replication.Record{Key: "k", Version: 3, Value: []byte("v"), OperationID: "op", CreatedAt: 1700000000, Deleted: true, PastOperationIDs: []string{"p", "q"}}
 
 // goldenPackets are one packet of each kind, with every field set.
 func goldenPackets() map[string]node.Packet {
@@ -27,21 +27,21 @@
 	change := &changefeed.Change{Version: 9, Before: 8, After: 77, Items: []changefeed.Item{{Key: "config/a", Value: []byte("a")}, {Key: "config/b", Gone: true}}}
 	snapshot := changefeed.NewSnapshot("f", 9, []changefeed.Item{{Key: "epoch", Value: []byte("9")}, {Key: "fleet", Value: []byte("f")}})
 	members := []shardmap.Member{{ID: "m", Addr: "10.0.0.2:7001", Machine: "machine", Zone: "zone", Site: "site"}}
-	view := shardmap.View{Num: 5, Full: []string{"a", "b"}, Joining: []string{"c"}, Lost: 2}
-	message := replication.Msg{Kind: replication.MsgWrite, From: "from", To: "to", Life: 1, For: 2, Slot: 3, Ballot: replication.Ballot{View: 4, Life: 5}, Seq: 6,
+	view := shardmap.Configuration{Number: 5, InSync: []string{"a", "b"}, Joining: []string{"c"}, DataLosses: 2}
+	message := replication.Message{Kind: replication.MessageWrite, From: "from", To: "to", Incarnation: 1, TargetIncarnation: 2, Shard: 3, Ballot: replication.Ballot{Configuration: 4, Incarnation: 5}, Sequence: 6,
 		Digest: 7, Records: []replication.Record{goldenRecord},
-		Op:     replication.Op{ID: "op", Key: "k", If: 2, Value: []byte("v"), Born: 1700000000, Drop: true, Here: true, Read: true},
-		Result: replication.Result{Op: "op", Outcome: replication.Conflict, Why: replication.Busy, Record: goldenRecord},
-		Full:   []string{"a"}, Joining: []string{"c"}}
+		Operation: replication.Operation{ID: "op", Key: "k", ExpectedVersion: 2, Value: []byte("v"), CreatedAt: 1700000000, Delete: true, LocalOnly: true, ReadOnly: true},
+		Result:    replication.Result{OperationID: "op", Outcome: replication.OutcomeConflict, Reason: replication.ReasonBusy, Record: goldenRecord},
+		InSync:    []string{"a"}, Joining: []string{"c"}}
 	return map[string]node.Packet{
 		"raft":   packet(func(p *node.Packet) { p.Raft = []byte{1, 2, 3} }),
-		"copies": packet(func(p *node.Packet) { p.Copies = []replication.Msg{message} }),
+		"copies": packet(func(p *node.Packet) { p.Copies = []replication.Message{message} }),
 		"complaint": packet(func(p *node.Packet) {
-			p.Complaint = &replication.Complaint{Slot: 3, View: 4, From: "a", About: "b", Caught: true}
+			p.Complaint = &replication.ReplicaReport{Shard: 3, Configuration: 4, From: "a", Subject: "b", CaughtUp: true}
 		}),
 		"poll": packet(func(p *node.Packet) { p.Poll = &node.Poll{Version: 1, Digest: 2, Form: 3, Number: 4} }),
 		"told-form1": packet(func(p *node.Packet) {
-			p.Told = &node.Told{Fleet: "f", Since: 1, Version: 2, Epoch: 3, Members: members, Slots: map[int]shardmap.View{4: view}, Leader: "l", Addr: "10.0.0.2:7001"}
+			p.Told = &node.Told{Fleet: "f", Since: 1, Version: 2, Epoch: 3, Members: members, Slots: map[int]shardmap.Configuration{4: view}, Leader: "l", Addr: "10.0.0.2:7001"}
 		}),
 		"told-changes": packet(func(p *node.Packet) {
 			p.Told = &node.Told{Fleet: "f", Since: 1, Version: 9, Leader: "l", Addr: "10.0.0.2:7001", Form: 2, Number: 5, Digest: 6, Known: true, Age: time.Second,
@@ -52,9 +52,9 @@
 				Snapshot: snapshot}
 		}),
 		"put": packet(func(p *node.Packet) {
-			p.Put = &shardmap.Put{Key: "config/a", Value: []byte("a"), Gone: true, Op: "op", Only: true, If: 7}
+			p.Put = &shardmap.Put{Key: "config/a", Value: []byte("a"), Delete: true, OperationID: "op", Conditional: true, ExpectedVersion: 7}
 		}),
-		"done": packet(func(p *node.Packet) { p.Done = &shardmap.Done{Op: "op", Version: 8, Refused: "why"} }),
+		"done": packet(func(p *node.Packet) { p.Done = &shardmap.PutResult{OperationID: "op", Version: 8, Rejection: "why"} }),
 	}
 }
 
--- a/internal/fleet/nodeserver/nodeserver.go
+++ b/internal/fleet/nodeserver/nodeserver.go
@@ -93,8 +93,8 @@
 	all     sync.WaitGroup
 	once    sync.Once
 
-	waiting map[string]func(replication.Result) // the core's goroutine's
-	putting map[string][]func(shardmap.Done)    // as well
+	waiting map[string]func(replication.Result)   // the core's goroutine's
+	putting map[string][]func(shardmap.PutResult) // as well
 	broken  error
 	untold  bool // the feed lacks changes
 	status  atomic.Pointer[Status]
@@ -103,7 +103,7 @@
 }
 
 type ask struct {
-	op     replication.Op
+	op     replication.Operation
 	within time.Duration
 	done   func(replication.Result)
 }
@@ -111,7 +111,7 @@
 type putAsk struct {
 	put    shardmap.Put
 	within time.Duration
-	done   func(shardmap.Done)
+	done   func(shardmap.PutResult)
 }
 
 // Open reads the disk and begins.
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	h := &Hold{opt: opt, core: c, store: s, wake: make(chan struct{}, 1), done: make(chan struct{}), waiting: map[string]func(replication.Result){},
-		putting: map[string][]func(shardmap.Done){}}
+		putting: map[string][]func(shardmap.PutResult){}}
 	h.links = &links{fleet: opt.Fleet, self: opt.Core.Self.ID, wire: opt.Wire, heard: h.heard, to: map[string]*link{}}
 	h.publish()
 	h.all.Add(1)
@@ -138,7 +138,7 @@
 
 // Ask has an operation done, here or wherever its slot's primary is. done is called once, from another goroutine, within the span
 // or a little later; it must not wait.
-func (h *Hold) Ask(op replication.Op, within time.Duration, done func(replication.Result)) {
+func (h *Hold) Ask(op replication.Operation, within time.Duration, done func(replication.Result)) {
 	h.mu.Lock()
 	over := h.over || len(h.asks) >= inboxMost
 	if !over {
@@ -146,7 +146,7 @@
 	}
 	h.mu.Unlock()
 	if over {
-		done(replication.Result{Op: op.ID, Outcome: replication.Refused, Why: replication.Busy})
+		done(replication.Result{OperationID: op.ID, Outcome: replication.OutcomeRejected, Reason: replication.ReasonBusy})
 		return
 	}
 	h.poke()
@@ -154,7 +154,7 @@
 
 // Put has an operators' item changed, wherever the log's leader is. done is called as with Ask; Refused says why where it was not
 // done, or is not known to be. Asked again with the same operation it is answered with the same version.
-func (h *Hold) Put(p shardmap.Put, within time.Duration, done func(shardmap.Done)) {
+func (h *Hold) Put(p shardmap.Put, within time.Duration, done func(shardmap.PutResult)) {
 	h.mu.Lock()
 	over := h.over || len(h.puts) >= inboxMost
 	if !over {
@@ -162,7 +162,7 @@
 	}
 	h.mu.Unlock()
 	if over {
-		done(shardmap.Done{Op: p.Op, Refused: "busy: too many wait, or this process ends"})
+		done(shardmap.PutResult{OperationID: p.OperationID, Rejection: "busy: too many wait, or this process ends"})
 		return
 	}
 	h.poke()
@@ -231,18 +231,18 @@
 	h.asks, h.puts = nil, nil
 	h.mu.Unlock()
 	for _, p := range puts {
-		p.done(shardmap.Done{Op: p.put.Op, Refused: "this process ends"})
+		p.done(shardmap.PutResult{OperationID: p.put.OperationID, Rejection: "this process ends"})
 	}
 	for op, all := range h.putting {
 		for _, done := range all {
-			done(shardmap.Done{Op: op, Refused: "this process ends: it is not known whether it took hold"})
+			done(shardmap.PutResult{OperationID: op, Rejection: "this process ends: it is not known whether it took hold"})
 		}
 	}
 	for _, a := range asks {
-		a.done(replication.Result{Op: a.op.ID, Outcome: replication.Refused, Why: replication.Busy})
+		a.done(replication.Result{OperationID: a.op.ID, Outcome: replication.OutcomeRejected, Reason: replication.ReasonBusy})
 	}
 	for id, done := range h.waiting {
-		done(replication.Result{Op: id, Outcome: replication.Unknown})
+		done(replication.Result{OperationID: id, Outcome: replication.OutcomeUnknown})
 	}
 }
 
@@ -269,7 +269,7 @@
 		h.core.Ask(a.op, a.within)
 	}
 	for _, p := range puts {
-		h.putting[p.put.Op] = append(h.putting[p.put.Op], p.done)
+		h.putting[p.put.OperationID] = append(h.putting[p.put.OperationID], p.done)
 		h.core.Put(p.put, p.within)
 	}
 	r, err := h.core.Ready()
@@ -287,10 +287,10 @@
 	if h.broken != nil { // what it leans on is not on disk: nothing goes out
 		r.Packets = nil
 		for i := range r.Results {
-			r.Results[i] = replication.Result{Op: r.Results[i].Op, Outcome: replication.Unknown, Why: replication.Disk}
+			r.Results[i] = replication.Result{OperationID: r.Results[i].OperationID, Outcome: replication.OutcomeUnknown, Reason: replication.ReasonDiskFailed}
 		}
 		for i := range r.Puts {
-			r.Puts[i] = shardmap.Done{Op: r.Puts[i].Op, Refused: "this member's disk has failed: it is not known whether it took hold"}
+			r.Puts[i] = shardmap.PutResult{OperationID: r.Puts[i].OperationID, Rejection: "this member's disk has failed: it is not known whether it took hold"}
 		}
 	}
 	h.out(r, at)
@@ -311,7 +311,7 @@
 	}
 }
 
-func (h *Hold) out(r node.Ready, at []placement.Seen) {
+func (h *Hold) out(r node.Ready, at []placement.MemberStatus) {
 	for _, l := range r.Lines {
 		if l.Bad {
 			h.opt.Log.Error("fleet: "+l.What, zap.Uint64("version", l.Version), zap.String("is", l.Text))
@@ -320,8 +320,8 @@
 		}
 	}
 	for _, d := range r.Puts {
-		all := h.putting[d.Op]
-		delete(h.putting, d.Op)
+		all := h.putting[d.OperationID]
+		delete(h.putting, d.OperationID)
 		for _, done := range all {
 			done(d)
 		}
@@ -339,10 +339,10 @@
 		}
 	}
 	for _, one := range r.Results {
-		if done := h.waiting[one.Op]; done != nil {
-			delete(h.waiting, one.Op)
-			if one.Outcome == replication.Refused || one.Outcome == replication.Unknown {
-				h.opt.Log.Warn("fleet: not promised", zap.String("op", one.Op), zap.Stringer("outcome", one.Outcome), zap.Stringer("why", one.Why))
+		if done := h.waiting[one.OperationID]; done != nil {
+			delete(h.waiting, one.OperationID)
+			if one.Outcome == replication.OutcomeRejected || one.Outcome == replication.OutcomeUnknown {
+				h.opt.Log.Warn("fleet: not promised", zap.String("op", one.OperationID), zap.Stringer("outcome", one.Outcome), zap.Stringer("why", one.Reason))
 			}
 			done(one)
 		}
@@ -350,13 +350,13 @@
 }
 
 // seen is how the other members are seen.
-func (h *Hold) seen() []placement.Seen {
+func (h *Hold) seen() []placement.MemberStatus {
 	s := h.opt.Touch.Status()
 	now := h.opt.Now()
-	var all []placement.Seen
+	var all []placement.MemberStatus
 	for _, k := range s.Others {
-		all = append(all, placement.Seen{Member: Member(k.Member), Left: k.State == membership.Left, Going: k.Leaving, For: now - k.Since,
-			Here: k.State == membership.Here, Speaks: k.Speaks})
+		all = append(all, placement.MemberStatus{Member: Member(k.Member), Left: k.State == membership.Left, Draining: k.Leaving, StateAge: now - k.Since,
+			Alive: k.State == membership.Here, Form: k.Speaks})
 	}
 	return all
 }
@@ -368,9 +368,9 @@
 
 func (h *Hold) publish() {
 	st := h.core.State()
-	s := Status{Fleet: st.Fleet, Epoch: st.Epoch, Members: len(st.Members), Leads: h.core.Leads(), Voters: len(h.core.Voters()),
+	s := Status{Fleet: st.FleetID, Epoch: st.Epoch, Members: len(st.Members), Leads: h.core.Leads(), Voters: len(h.core.Voters()),
 		Slots: map[int]int{}, Refusals: map[string]int{}, File: h.store.Size(), Sent: h.links.sent.Load(), Got: h.links.got.Load(),
-		Dropped: h.links.dropped.Load() + h.dropped.Load(), Odd: h.links.odd.Load(), Writes: h.store.Writes,
+		Dropped: h.links.dropped.Load() + h.dropped.Load(), Odd: h.links.odd.Load(), Writes: h.store.WriteCount,
 		Version: h.core.Feed().Version(), Digest: h.core.Feed().Digest(), Changes: h.core.Changes()}
 	s.AsOf, s.Known = h.core.AsOf()
 	for _, id := range h.core.Voters() {
@@ -380,18 +380,18 @@
 			}
 		}
 	}
-	s.Keys, s.Bytes = h.core.Held().Held()
-	for _, v := range st.Views {
-		s.Slots[len(v.Full)]++
-		for _, id := range v.Full {
+	s.Keys, s.Bytes = h.core.Held().Usage()
+	for _, v := range st.Configurations {
+		s.Slots[len(v.InSync)]++
+		for _, id := range v.InSync {
 			if id == h.opt.Core.Self.ID {
 				s.Mine++
 			}
 		}
 	}
-	for w, n := range h.core.Held().Refusals {
+	for w, n := range h.core.Held().Rejections {
 		if n > 0 {
-			s.Refusals[replication.Why(w).String()] = n
+			s.Refusals[replication.RejectReason(w).String()] = n
 		}
 	}
 	if h.broken != nil {
--- a/internal/fleet/placement/bench_test.go
+++ b/internal/fleet/placement/bench_test.go
@@ -34,25 +34,25 @@
 var scales = []int{17, 100, 300, 1000, 2300, 4600}
 
 // calm is a fleet of n in which all are here, with the views that its list asks for.
-func calm(n int) (*shardmap.State, []Seen) {
+func calm(n int) (*shardmap.State, []MemberStatus) {
 	var all []shardmap.Member
-	var seen []Seen
+	var seen []MemberStatus
 	for i := range n {
 		m := shardmap.Member{ID: fmt.Sprintf("%032x", i+1), Addr: fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
 			Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3)}
 		all = append(all, m)
-		seen = append(seen, Seen{Member: m, Here: true, For: time.Hour})
+		seen = append(seen, MemberStatus{Member: m, Alive: true, StateAge: time.Hour})
 	}
 	st := shardmap.New()
-	st.Apply(shardmap.Entry{Found: "f", Members: all})
-	for num := range shardmap.Slots {
-		st.Apply(shardmap.Entry{Slots: []shardmap.Slot{{Slot: num, Full: shardmap.Pick(num, st.Members, 3)}}})
+	st.Apply(shardmap.Entry{BootstrapID: "f", Members: all})
+	for num := range shardmap.ShardCount {
+		st.Apply(shardmap.Entry{ShardChanges: []shardmap.ShardChange{{Shard: num, InSync: shardmap.PickReplicas(num, st.Members, 3)}}})
 	}
 	return st, seen
 }
 
-func steerer() *Steerer {
-	return New(Config{Copies: 3, Least: 2, Evict: 10 * time.Second, Joining: 4}, 0)
+func steerer() *Planner {
+	return New(Config{ReplicationFactor: 3, MinReplicas: 2, EvictAfter: 10 * time.Second, MaxJoiningShards: 4}, 0)
 }
 
 // BenchmarkDecide is what the log's leader does ten times a second while nothing changes.
@@ -62,11 +62,11 @@
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			t := steerer()
 			now := time.Duration(0)
-			t.Decide(now, st, seen, true) // the epoch's ranking, which is kept
+			t.Propose(now, st, seen, true) // the epoch's ranking, which is kept
 			done := metered(b)
 			for range b.N {
 				now += each
-				if _, is := t.Decide(now, st, seen, true); is {
+				if _, is := t.Propose(now, st, seen, true); is {
 					b.Fatal("a change where nothing has")
 				}
 			}
@@ -87,7 +87,7 @@
 			for range b.N {
 				now += each
 				st.Epoch++
-				t.Decide(now, st, seen, true)
+				t.Propose(now, st, seen, true)
 			}
 			done()
 		})
--- a/internal/fleet/placement/digest_test.go
+++ b/internal/fleet/placement/digest_test.go
@@ -22,35 +22,35 @@
 	rng := rand.New(rand.NewPCG(seed, 2))
 	h := sha256.New()
 	st := shardmap.New()
-	st.Apply(shardmap.Entry{Found: "f"})
-	var seen []Seen
+	st.Apply(shardmap.Entry{BootstrapID: "f"})
+	var seen []MemberStatus
 	for i := range 9 {
 		m := shardmap.Member{ID: fmt.Sprint("m", i), Addr: fmt.Sprint(i), Machine: fmt.Sprint("h", i), Zone: fmt.Sprint("z", i%4), Site: fmt.Sprint("s", i%2)}
-		seen = append(seen, Seen{Member: m, Here: true})
+		seen = append(seen, MemberStatus{Member: m, Alive: true})
 	}
 	now := time.Duration(0)
-	steer := New(Config{Copies: 3, Least: 2, Evict: 5 * time.Second, Joining: 4}, now)
+	steer := New(Config{ReplicationFactor: 3, MinReplicas: 2, EvictAfter: 5 * time.Second, MaxJoiningShards: 4}, now)
 	for range 1500 {
 		now += time.Duration(rng.IntN(120)) * time.Millisecond
 		for i := range seen {
-			seen[i].For += 60 * time.Millisecond
+			seen[i].StateAge += 60 * time.Millisecond
 			if rng.IntN(400) == 0 {
-				seen[i].Here, seen[i].For = !seen[i].Here, 0
-				seen[i].Going = seen[i].Here && rng.IntN(3) == 0
-				seen[i].Left = !seen[i].Here && rng.IntN(3) == 0
+				seen[i].Alive, seen[i].StateAge = !seen[i].Alive, 0
+				seen[i].Draining = seen[i].Alive && rng.IntN(3) == 0
+				seen[i].Left = !seen[i].Alive && rng.IntN(3) == 0
 			}
 		}
-		num := rng.IntN(shardmap.Slots)
-		v := st.Views[num]
-		if ids := append(v.Full, v.Joining...); len(ids) > 1 && rng.IntN(2) == 0 {
-			steer.Complain(now, st, replication.Complaint{Slot: num, View: v.Num - uint64(rng.IntN(20)/19), From: ids[rng.IntN(len(ids))], About: ids[rng.IntN(len(ids))]})
+		num := rng.IntN(shardmap.ShardCount)
+		v := st.Configurations[num]
+		if ids := append(v.InSync, v.Joining...); len(ids) > 1 && rng.IntN(2) == 0 {
+			steer.Report(now, st, replication.ReplicaReport{Shard: num, Configuration: v.Number - uint64(rng.IntN(20)/19), From: ids[rng.IntN(len(ids))], Subject: ids[rng.IntN(len(ids))]})
 		}
-		for n, v := range st.Views {
+		for n, v := range st.Configurations {
 			if len(v.Joining) > 0 && rng.IntN(10) == 0 {
-				steer.Complain(now, st, replication.Complaint{Slot: n, View: v.Num, From: v.Full[0], About: v.Joining[0], Caught: true})
+				steer.Report(now, st, replication.ReplicaReport{Shard: n, Configuration: v.Number, From: v.InSync[0], Subject: v.Joining[0], CaughtUp: true})
 			}
 		}
-		e, is := steer.Decide(now, st, seen, now > time.Second)
+		e, is := steer.Propose(now, st, seen, now > time.Second)
 		fmt.Fprintf(h, "%d %v %s\n", now, is, e.Encode())
 		if is {
 			proposals++
@@ -59,7 +59,7 @@
 			}
 		}
 		if rng.IntN(500) == 0 {
-			steer = New(Config{Copies: 3, Least: 2, Evict: 5 * time.Second, Joining: 4}, now)
+			steer = New(Config{ReplicationFactor: 3, MinReplicas: 2, EvictAfter: 5 * time.Second, MaxJoiningShards: 4}, now)
 		}
 	}
 	return fmt.Sprintf("%x", h.Sum(nil)), proposals
--- a/internal/fleet/publisher/publisher.go
+++ b/internal/fleet/publisher/publisher.go
@@ -39,8 +39,8 @@
 
 // Holder is where operations and puts are asked.
 type Holder interface {
-	Ask(op replication.Op, within time.Duration, done func(replication.Result))
-	Put(p shardmap.Put, within time.Duration, done func(shardmap.Done))
+	Ask(op replication.Operation, within time.Duration, done func(replication.Result))
+	Put(p shardmap.Put, within time.Duration, done func(shardmap.PutResult))
 }
 
 // Wire is where followers' streams come from.
@@ -372,7 +372,7 @@
 
 // ask has a follower's operation done where this member's are. One that is asked for again while it is under way is answered to who
 // asked last.
-func (p *Publisher) ask(c *conn, number uint64, op replication.Op, within time.Duration) {
+func (p *Publisher) ask(c *conn, number uint64, op replication.Operation, within time.Duration) {
 	p.mu.Lock()
 	_, again := p.ops[op.ID]
 	full := !again && (c.ops.Load() >= opsEach || len(p.ops) >= opsAll)
@@ -388,7 +388,7 @@
 	switch {
 	case full:
 		p.busy.Add(1)
-		c.result(number, replication.Result{Op: op.ID, Outcome: replication.Refused, Why: replication.Busy})
+		c.result(number, replication.Result{OperationID: op.ID, Outcome: replication.OutcomeRejected, Reason: replication.ReasonBusy})
 	case !again:
 		p.hold.Ask(op, within, func(r replication.Result) {
 			p.mu.Lock()
@@ -403,17 +403,17 @@
 
 // change passes a put on to the log's leader.
 func (p *Publisher) change(c *conn, m *changefeed.Put) {
-	answer := func(d shardmap.Done) {
-		c.say(&changefeed.Msg{PutDone: &changefeed.PutDone{Op: d.Op, Version: d.Version, Refused: d.Refused}})
+	answer := func(d shardmap.PutResult) {
+		c.say(&changefeed.Msg{PutDone: &changefeed.PutDone{Op: d.OperationID, Version: d.Version, Refused: d.Rejection}})
 	}
 	p.asks.Add(1)
 	if c.ops.Add(1) > opsEach {
 		c.ops.Add(-1)
 		p.busy.Add(1)
-		answer(shardmap.Done{Op: m.Op, Refused: "busy: too many changes of this follower wait"})
+		answer(shardmap.PutResult{OperationID: m.Op, Rejection: "busy: too many changes of this follower wait"})
 		return
 	}
-	p.hold.Put(shardmap.Put{Key: m.Key, Value: m.Value, Gone: m.Gone, Op: m.Op, Only: !m.Any, If: m.If}, putWithin, func(d shardmap.Done) {
+	p.hold.Put(shardmap.Put{Key: m.Key, Value: m.Value, Delete: m.Gone, OperationID: m.Op, Conditional: !m.Any, ExpectedVersion: m.If}, putWithin, func(d shardmap.PutResult) {
 		c.ops.Add(-1)
 		answer(d)
 	})
--- a/internal/fleet/publisher/publisher_test.go
+++ b/internal/fleet/publisher/publisher_test.go
@@ -33,14 +33,14 @@
 	last atomic.Uint64
 }
 
-func (h *holder) Ask(op replication.Op, _ time.Duration, done func(replication.Result)) {
+func (h *holder) Ask(op replication.Operation, _ time.Duration, done func(replication.Result)) {
 	h.do(op.ID, func() {
-		done(replication.Result{Op: op.ID, Outcome: replication.Done, Record: replication.Record{Key: op.Key, Version: 7}})
+		done(replication.Result{OperationID: op.ID, Outcome: replication.OutcomeCommitted, Record: replication.Record{Key: op.Key, Version: 7}})
 	})
 }
 
-func (h *holder) Put(p shardmap.Put, _ time.Duration, done func(shardmap.Done)) {
-	h.do(p.Op, func() { done(shardmap.Done{Op: p.Op, Version: h.last.Add(1)}) })
+func (h *holder) Put(p shardmap.Put, _ time.Duration, done func(shardmap.PutResult)) {
+	h.do(p.OperationID, func() { done(shardmap.PutResult{OperationID: p.OperationID, Version: h.last.Add(1)}) })
 }
 
 func (h *holder) do(op string, answer func()) {
@@ -268,11 +268,11 @@
 	until(t, "both follow two", every([]*follower{f, other}, func(s subscriber.Status) bool { return len(s.Relays) == 2 }))
 	ask := func(f *follower, id string, within time.Duration) <-chan replication.Result {
 		out := make(chan replication.Result, 2)
-		f.Ask(replication.Op{ID: id, Key: id}, within, func(r replication.Result) { out <- r })
+		f.Ask(replication.Operation{ID: id, Key: id}, within, func(r replication.Result) { out <- r })
 		return out
 	}
 	for i, f := range []*follower{f, other} {
-		if got := <-ask(f, fmt.Sprint("a", i), bound); got.Outcome != replication.Done || got.Op != fmt.Sprint("a", i) || got.Record.Version != 7 {
+		if got := <-ask(f, fmt.Sprint("a", i), bound); got.Outcome != replication.OutcomeCommitted || got.OperationID != fmt.Sprint("a", i) || got.Record.Version != 7 {
 			t.Errorf("%+v", got)
 		}
 	}
@@ -286,7 +286,7 @@
 	for i := range most + 1 {
 		out = append(out, ask(f, fmt.Sprint("b", i), bound))
 	}
-	if got := <-out[most]; got.Outcome != replication.Refused || got.Why != replication.Busy {
+	if got := <-out[most]; got.Outcome != replication.OutcomeRejected || got.Reason != replication.ReasonBusy {
 		t.Errorf("one too many: %+v", got)
 	}
 	asked := 0 // which of the two
@@ -294,7 +294,7 @@
 		asked = 1
 	}
 	until(t, "all are under way", func() bool { return r.holders[asked].count() == most })
-	if got := <-ask(other, "c", 50*time.Millisecond); got.Outcome != replication.Unknown {
+	if got := <-ask(other, "c", 50*time.Millisecond); got.Outcome != replication.OutcomeUnknown {
 		t.Errorf("no answer in time: %+v", got)
 	}
 	r.holders[1-asked].mu.Lock()
@@ -304,7 +304,7 @@
 	for i, o := range out[:most] {
 		select {
 		case got := <-o:
-			if got.Outcome != replication.Done || got.Op != fmt.Sprint("b", i) {
+			if got.Outcome != replication.OutcomeCommitted || got.OperationID != fmt.Sprint("b", i) {
 				t.Fatalf("asked again elsewhere: %+v", got)
 			}
 		case <-time.After(bound):
@@ -318,7 +318,7 @@
 	}
 	r.end(1 - asked)
 	until(t, "nobody is left", func() bool { return len(f.Status().Relays) == 0 })
-	if got := <-ask(f, "d", 50*time.Millisecond); got.Outcome != replication.Refused || got.Why != replication.Busy {
+	if got := <-ask(f, "d", 50*time.Millisecond); got.Outcome != replication.OutcomeRejected || got.Reason != replication.ReasonBusy {
 		t.Errorf("nobody was asked: %+v", got)
 	}
 }
--- a/internal/fleet/publisher/trim.go
+++ b/internal/fleet/publisher/trim.go
@@ -19,7 +19,7 @@
 
 func kept(items []changefeed.Item) []changefeed.Item {
 	return slices.DeleteFunc(slices.Clone(items), func(i changefeed.Item) bool {
-		_, is := shardmap.SlotKey(i.Key)
+		_, is := shardmap.ShardFromKey(i.Key)
 		return is
 	})
 }
--- a/internal/fleet/replication/bench_test.go
+++ b/internal/fleet/replication/bench_test.go
@@ -50,17 +50,17 @@
 	for i := range many {
 		id := fmt.Sprintf("%032x", i+1)
 		h.ids = append(h.ids, id)
-		h.nodes[id] = New(Config{ID: id, Life: 1, Least: least, MostKeys: keys, MostBytes: 1 << 30, MostOps: 1000,
-			Keeps: []Keep{{"old/", 10 * time.Minute}}}, 0)
+		h.nodes[id] = New(Config{ID: id, Incarnation: 1, MinReplicas: least, MaxKeys: keys, MaxBytes: 1 << 30, MaxPendingOperations: 1000,
+			Retention: []RetentionRule{{"old/", 10 * time.Minute}}}, 0)
 	}
 	return h
 }
 
 // view tells all of a view of every slot.
-func (h *holders) view(v shardmap.View) {
+func (h *holders) view(v shardmap.Configuration) {
 	for _, id := range h.ids {
-		for num := range shardmap.Slots {
-			h.nodes[id].View(num, v)
+		for num := range shardmap.ShardCount {
+			h.nodes[id].SetConfiguration(num, v)
 		}
 	}
 	h.settle()
@@ -71,7 +71,7 @@
 		again = false
 		for _, id := range h.ids {
 			r := h.nodes[id].Ready()
-			for _, m := range r.Msgs {
+			for _, m := range r.Messages {
 				if h.count {
 					text, _ := cbor.Marshal(m)
 					h.msgs, h.bytes = h.msgs+1, h.bytes+len(text)
@@ -80,7 +80,7 @@
 				again = true
 			}
 			for _, one := range r.Results {
-				if one.Outcome == Done {
+				if one.Outcome == OutcomeCommitted {
 					h.done++
 				}
 			}
@@ -91,13 +91,13 @@
 // fill writes so many records of 256 bytes; key is the n-th one's.
 func (h *holders) fill(b *testing.B, records int, key func(n int) string) {
 	for n := range records {
-		h.nodes[h.ids[0]].Ask(Op{ID: fmt.Sprint("o", n), Key: key(n), Value: make([]byte, 256)}, time.Second)
+		h.nodes[h.ids[0]].Submit(Operation{ID: fmt.Sprint("o", n), Key: key(n), Value: make([]byte, 256)}, time.Second)
 		if n%256 == 255 {
 			h.settle()
 		}
 	}
 	h.settle()
-	if keys, _ := h.nodes[h.ids[len(h.ids)-1]].Held(); keys != records {
+	if keys, _ := h.nodes[h.ids[len(h.ids)-1]].Usage(); keys != records {
 		b.Fatalf("%d of %d records are held", keys, records)
 	}
 	h.done = 0
@@ -114,23 +114,23 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			h.view(shardmap.View{Num: 1, Full: h.ids[:size[0]]})
+			h.view(shardmap.Configuration{Number: 1, InSync: h.ids[:size[0]]})
 			asks := h.ids[len(h.ids)-1]
 			for n := range size[1] {
-				h.nodes[h.ids[0]].Ask(Op{ID: fmt.Sprint("o", n), Key: anywhere(n), Value: make([]byte, 256)}, time.Second)
+				h.nodes[h.ids[0]].Submit(Operation{ID: fmt.Sprint("o", n), Key: anywhere(n), Value: make([]byte, 256)}, time.Second)
 				if n%256 == 255 {
 					h.settle()
 				}
 			}
 			h.settle()
-			if keys, _ := h.nodes[h.ids[0]].Held(); keys != size[1] {
+			if keys, _ := h.nodes[h.ids[0]].Usage(); keys != size[1] {
 				b.Fatalf("%d of %d records are held", keys, size[1])
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			write := func(i int) {
 				key := anywhere(i % size[1])
-				h.nodes[asks].Ask(Op{ID: fmt.Sprint("w", i), Key: key, If: h.nodes[h.ids[0]].Record(key).Version, Value: make([]byte, 256)}, time.Second)
+				h.nodes[asks].Submit(Operation{ID: fmt.Sprint("w", i), Key: key, ExpectedVersion: h.nodes[h.ids[0]].Record(key).Version, Value: make([]byte, 256)}, time.Second)
 				h.settle()
 			}
 			h.done, h.count = 0, true
@@ -161,15 +161,15 @@
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			var keys []string
 			for n := 0; len(keys) < records; n++ {
-				if key := anywhere(n); shardmap.SlotOf(key) == num {
+				if key := anywhere(n); shardmap.ShardOf(key) == num {
 					keys = append(keys, key)
 				}
 			}
 			h := hold(3, 2, 100000)
 			full := h.ids[:2]
-			h.view(shardmap.View{Num: 1, Full: full})
+			h.view(shardmap.Configuration{Number: 1, InSync: full})
 			for n, key := range keys {
-				h.nodes[h.ids[0]].Ask(Op{ID: fmt.Sprint("o", n), Key: key, Value: make([]byte, 256)}, time.Second)
+				h.nodes[h.ids[0]].Submit(Operation{ID: fmt.Sprint("o", n), Key: key, Value: make([]byte, 256)}, time.Second)
 				if n%64 == 63 {
 					h.settle()
 				}
@@ -178,17 +178,17 @@
 			joins := h.nodes[h.ids[2]]
 			repair := func(view uint64) {
 				for _, id := range h.ids {
-					h.nodes[id].View(num, shardmap.View{Num: view, Full: full, Joining: h.ids[2:]})
+					h.nodes[id].SetConfiguration(num, shardmap.Configuration{Number: view, InSync: full, Joining: h.ids[2:]})
 				}
 				h.settle()
-				if got, _ := joins.Held(); got != records {
+				if got, _ := joins.Usage(); got != records {
 					b.Fatalf("%d of %d records were copied", got, records)
 				}
 				for _, id := range h.ids { // and it leaves again
-					h.nodes[id].View(num, shardmap.View{Num: view + 1, Full: full})
+					h.nodes[id].SetConfiguration(num, shardmap.Configuration{Number: view + 1, InSync: full})
 				}
 				h.settle()
-				if got, _ := joins.Held(); got != 0 {
+				if got, _ := joins.Usage(); got != 0 {
 					b.Fatalf("%d records were kept", got)
 				}
 			}
@@ -211,7 +211,7 @@
 	for _, records := range []int{0, 1000, 10000, 50000} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			h := hold(3, 2, 100000)
-			h.view(shardmap.View{Num: 1, Full: slices.Clone(h.ids)})
+			h.view(shardmap.Configuration{Number: 1, InSync: slices.Clone(h.ids)})
 			h.fill(b, records, func(n int) string { return fmt.Sprintf("old/%016x", n) })
 			n := h.nodes[h.ids[0]]
 			now := time.Duration(0)
@@ -219,13 +219,13 @@
 			for range b.N {
 				for range 20 {
 					now += 50 * time.Millisecond
-					n.Clock(now)
-					n.Wall(1)
+					n.Tick(now)
+					n.SetWallClock(1)
 					h.settle()
 				}
 			}
 			per := done()
-			if keys, _ := n.Held(); keys != records {
+			if keys, _ := n.Usage(); keys != records {
 				b.Fatalf("%d of %d records are left", keys, records)
 			}
 			b.ReportMetric(per/1e9*100, "%core")
--- a/internal/fleet/replication/digest_test.go
+++ b/internal/fleet/replication/digest_test.go
@@ -29,8 +29,8 @@
 	nodes   map[string]*Node
 	lives   map[string]uint64
 	disks   map[string]map[int]*digestDisk
-	views   []shardmap.View
-	wire    []Msg
+	views   []shardmap.Configuration
+	wire    []Message
 	opCount int
 	counts  map[string]int
 }
@@ -43,7 +43,7 @@
 
 func newDigestRun(t *testing.T, seed uint64) *digestRun {
 	r := &digestRun{t: t, rng: rand.New(rand.NewPCG(seed, 1)), hash: sha256.New(), nodes: map[string]*Node{}, lives: map[string]uint64{},
-		disks: map[string]map[int]*digestDisk{}, views: make([]shardmap.View, shardmap.Slots), counts: map[string]int{}}
+		disks: map[string]map[int]*digestDisk{}, views: make([]shardmap.Configuration, shardmap.ShardCount), counts: map[string]int{}}
 	for i := range 5 {
 		id := string(rune('a' + i))
 		r.ids = append(r.ids, id)
@@ -56,8 +56,8 @@
 // start makes a node of what is on its disk, in a new life.
 func (r *digestRun) start(id string) {
 	r.lives[id]++
-	n := New(Config{ID: id, Life: r.lives[id], Least: 2, MostKeys: 60, MostBytes: 1 << 14, MostOps: 8,
-		Keeps: []Keep{{Prefix: "old/", For: 2 * time.Second}}}, r.now)
+	n := New(Config{ID: id, Incarnation: r.lives[id], MinReplicas: 2, MaxKeys: 60, MaxBytes: 1 << 14, MaxPendingOperations: 8,
+		Retention: []RetentionRule{{Prefix: "old/", TTL: 2 * time.Second}}}, r.now)
 	nums := make([]int, 0, len(r.disks[id]))
 	for num := range r.disks[id] {
 		nums = append(nums, num)
@@ -74,8 +74,8 @@
 	}
 	r.nodes[id] = n
 	for num, v := range r.views {
-		if v.Num > 0 {
-			n.View(num, v)
+		if v.Number > 0 {
+			n.SetConfiguration(num, v)
 		}
 	}
 }
@@ -94,10 +94,10 @@
 	for _, id := range r.ids {
 		ready := r.nodes[id].Ready()
 		for _, w := range ready.Writes {
-			r.note("write", id, w.Slot, w.Ballot, w.Replace, w.Records)
+			r.note("write", id, w.Shard, w.Ballot, w.ReplaceAll, w.Records)
 			r.write(id, w)
 		}
-		for _, m := range ready.Msgs {
+		for _, m := range ready.Messages {
 			r.note("message", m)
 			r.note(fmt.Sprint("message ", m.Kind))
 			switch r.rng.IntN(20) {
@@ -110,11 +110,11 @@
 		}
 		for _, one := range ready.Results {
 			r.note("result", id, one)
-			r.note("result " + one.Outcome.String() + " " + one.Why.String())
+			r.note("result " + one.Outcome.String() + " " + one.Reason.String())
 		}
-		for _, c := range ready.Complaints {
+		for _, c := range ready.Reports {
 			r.note("complaint", c)
-			if c.Caught {
+			if c.CaughtUp {
 				r.note("caught up")
 			}
 		}
@@ -122,10 +122,10 @@
 }
 
 func (r *digestRun) write(id string, w Write) {
-	disk := r.disks[id][w.Slot]
-	if disk == nil || w.Replace {
+	disk := r.disks[id][w.Shard]
+	if disk == nil || w.ReplaceAll {
 		disk = &digestDisk{records: map[string]Record{}}
-		r.disks[id][w.Slot] = disk
+		r.disks[id][w.Shard] = disk
 	}
 	disk.ballot = w.Ballot
 	for _, rec := range w.Records {
@@ -157,27 +157,27 @@
 // reconfigure gives one of a few slots another view, of which some nodes hear only later.
 func (r *digestRun) reconfigure(num int) {
 	old := r.views[num]
-	v := shardmap.View{Num: old.Num + 1}
+	v := shardmap.Configuration{Number: old.Number + 1}
 	order := r.rng.Perm(len(r.ids))
-	if old.Num > 0 {
-		v.Full = append(v.Full, old.Full[r.rng.IntN(len(old.Full))])
+	if old.Number > 0 {
+		v.InSync = append(v.InSync, old.InSync[r.rng.IntN(len(old.InSync))])
 	}
 	size := 1 + r.rng.IntN(3)
 	for _, i := range order {
-		if id := r.ids[i]; !slices.Contains(v.Full, id) {
-			if old.Num > 0 && !slices.Contains(old.Full, id) {
+		if id := r.ids[i]; !slices.Contains(v.InSync, id) {
+			if old.Number > 0 && !slices.Contains(old.InSync, id) {
 				if len(v.Joining) == 0 && r.rng.IntN(2) == 0 {
 					v.Joining = append(v.Joining, id)
 				}
-			} else if len(v.Full) < size {
-				v.Full = append(v.Full, id)
+			} else if len(v.InSync) < size {
+				v.InSync = append(v.InSync, id)
 			}
 		}
 	}
 	r.views[num] = v
 	for _, id := range r.ids {
 		if r.rng.IntN(8) > 0 {
-			r.nodes[id].View(num, v)
+			r.nodes[id].SetConfiguration(num, v)
 		}
 	}
 	r.drain()
@@ -187,23 +187,23 @@
 	key := keys[r.rng.IntN(len(keys))]
 	id := r.ids[r.rng.IntN(len(r.ids))]
 	r.opCount++
-	op := Op{ID: fmt.Sprint("o", r.opCount), Key: key, Value: []byte(fmt.Sprint("v", r.opCount)), Born: int64(r.now / time.Second)}
+	op := Operation{ID: fmt.Sprint("o", r.opCount), Key: key, Value: []byte(fmt.Sprint("v", r.opCount)), CreatedAt: int64(r.now / time.Second)}
 	switch r.rng.IntN(8) {
 	case 0:
-		op.Read = true
+		op.ReadOnly = true
 	case 1:
-		op.Drop = true
-		op.If = r.nodes[id].Record(key).Version
+		op.Delete = true
+		op.ExpectedVersion = r.nodes[id].Record(key).Version
 	case 2:
-		op.Here = true
+		op.LocalOnly = true
 	case 3:
-		op.If = uint64(r.rng.IntN(4))
+		op.ExpectedVersion = uint64(r.rng.IntN(4))
 	case 4:
-		op.If = 0
+		op.ExpectedVersion = 0
 	default:
-		op.If = r.nodes[id].Record(key).Version
+		op.ExpectedVersion = r.nodes[id].Record(key).Version
 	}
-	r.nodes[id].Ask(op, time.Duration(200+r.rng.IntN(1500))*time.Millisecond)
+	r.nodes[id].Submit(op, time.Duration(200+r.rng.IntN(1500))*time.Millisecond)
 	r.drain()
 }
 
@@ -218,7 +218,7 @@
 	case n == 3:
 		num := nums[r.rng.IntN(len(nums))]
 		for _, id := range r.ids {
-			r.nodes[id].View(num, r.views[num])
+			r.nodes[id].SetConfiguration(num, r.views[num])
 		}
 		r.drain()
 	case n < 60:
@@ -226,8 +226,8 @@
 	case n < 110:
 		r.now += time.Duration(r.rng.IntN(60)) * time.Millisecond
 		for _, id := range r.ids {
-			r.nodes[id].Clock(r.now)
-			r.nodes[id].Wall(int64(r.now / time.Second))
+			r.nodes[id].Tick(r.now)
+			r.nodes[id].SetWallClock(int64(r.now / time.Second))
 		}
 		r.drain()
 	default:
@@ -246,14 +246,14 @@
 			for i := range 5 {
 				key := fmt.Sprint(prefix, i)
 				keys = append(keys, key)
-				nums = append(nums, shardmap.SlotOf(key))
+				nums = append(nums, shardmap.ShardOf(key))
 			}
 		}
 		for i := range 300 { // keys that make a node full
 			keys = append(keys, fmt.Sprint(keys[0][:1], i))
 		}
 		for _, key := range keys[10:] {
-			nums = append(nums, shardmap.SlotOf(key))
+			nums = append(nums, shardmap.ShardOf(key))
 		}
 		slices.Sort(nums)
 		nums = slices.Compact(nums)
@@ -264,7 +264,7 @@
 		hot := nums
 		for range 4 {
 			for _, key := range keys[:10] {
-				hot = append(hot, shardmap.SlotOf(key))
+				hot = append(hot, shardmap.ShardOf(key))
 			}
 		}
 		for range 4000 {
--- a/internal/fleet/replication/golden_test.go
+++ b/internal/fleet/replication/golden_test.go
@@ -22,45 +22,45 @@
 		names = append(names, name)
 		values = append(values, v)
 	}
-	rec := Record{Key: "word/a", Version: 3, Value: []byte("value"), Op: "op3", Born: 1700000000, Gone: true, Past: []string{"op2", "op1"}}
-	bare := Record{Key: "word/b", Version: 1, Op: "op9"}
-	ballot := Ballot{View: 7, Life: 1 << 63}
-	base := func(kind MsgKind) Msg {
-		return Msg{Kind: kind, From: "a", To: "b", Life: 5, Slot: 200, Ballot: ballot, Seq: 12, Digest: 0xfedcba9876543210}
+	rec := Record{Key: "word/a", Version: 3, Value: []byte("value"), OperationID: "op3", CreatedAt: 1700000000, Deleted: true, PastOperationIDs: []string{"op2", "op1"}}
+	bare := Record{Key: "word/b", Version: 1, OperationID: "op9"}
+	ballot := Ballot{Configuration: 7, Incarnation: 1 << 63}
+	base := func(kind MessageKind) Message {
+		return Message{Kind: kind, From: "a", To: "b", Incarnation: 5, Shard: 200, Ballot: ballot, Sequence: 12, Digest: 0xfedcba9876543210}
 	}
-	op := base(MsgOp)
-	op.Op = Op{ID: "op4", Key: "word/a", If: 3, Value: []byte("next"), Born: 1700000001, Drop: true, Here: true, Read: true}
+	op := base(MessageOperation)
+	op.Operation = Operation{ID: "op4", Key: "word/a", ExpectedVersion: 3, Value: []byte("next"), CreatedAt: 1700000001, Delete: true, LocalOnly: true, ReadOnly: true}
 	add("operation", op)
-	for o := Unknown; o <= Refused; o++ {
-		m := base(MsgResult)
-		m.Result = Result{Op: "op4", Outcome: o, Record: rec}
+	for o := OutcomeUnknown; o <= OutcomeRejected; o++ {
+		m := base(MessageResult)
+		m.Result = Result{OperationID: "op4", Outcome: o, Record: rec}
 		add("result "+o.String(), m)
 	}
-	for w := Nothing; w <= Disk; w++ {
-		m := base(MsgResult)
-		m.Result = Result{Op: "op4", Outcome: Refused, Why: w}
+	for w := ReasonNone; w <= ReasonDiskFailed; w++ {
+		m := base(MessageResult)
+		m.Result = Result{OperationID: "op4", Outcome: OutcomeRejected, Reason: w}
 		add(fmt.Sprintf("result refused %d", w), m)
 	}
-	write := base(MsgWrite)
+	write := base(MessageWrite)
 	write.Records = []Record{rec}
 	add("write", write)
-	add("written", base(MsgWritten))
-	adopt := base(MsgAdopt)
-	adopt.Full, adopt.Joining = []string{"a", "b"}, []string{"c"}
+	add("written", base(MessageWriteAck))
+	adopt := base(MessageBallot)
+	adopt.InSync, adopt.Joining = []string{"a", "b"}, []string{"c"}
 	add("adopt", adopt)
-	add("want", base(MsgWant))
-	install := base(MsgInstall)
-	install.For, install.Records = 9, []Record{rec, bare}
+	add("want", base(MessageSnapshotRequest))
+	install := base(MessageSnapshot)
+	install.TargetIncarnation, install.Records = 9, []Record{rec, bare}
 	add("install", install)
-	add("adopted", base(MsgAdopted))
-	add("stale", base(MsgStale))
-	add("heartbeat", Msg{Kind: MsgBeat, From: "a", To: "b", Life: 5})
+	add("adopted", base(MessageBallotAck))
+	add("stale", base(MessageStaleBallot))
+	add("heartbeat", Message{Kind: MessageHeartbeat, From: "a", To: "b", Incarnation: 5})
 	add("record", rec)
 	add("bare record", bare)
-	add("bare operation", Op{ID: "op5", Key: "k"})
-	add("bare result", Result{Op: "op5"})
-	add("complaint", Complaint{Slot: 3, View: 9, From: "a", About: "b"})
-	add("complaint caught up", Complaint{Slot: 3, View: 9, From: "a", About: "b", Caught: true})
+	add("bare operation", Operation{ID: "op5", Key: "k"})
+	add("bare result", Result{OperationID: "op5"})
+	add("complaint", ReplicaReport{Shard: 3, Configuration: 9, From: "a", Subject: "b"})
+	add("complaint caught up", ReplicaReport{Shard: 3, Configuration: 9, From: "a", Subject: "b", CaughtUp: true})
 	return names, values
 }
 
@@ -114,7 +114,7 @@
 // TestReasonNames holds the names that operators read in reports.
 func TestReasonNames(t *testing.T) {
 	for w, want := range []string{"", "not the primary", "too few holders", "full", "busy", "settling", "disk"} {
-		if got := Why(w).String(); got != want {
+		if got := RejectReason(w).String(); got != want {
 			t.Errorf("reason %d is %q, want %q", w, got, want)
 		}
 	}
--- a/internal/fleet/replication/replication.go
+++ b/internal/fleet/replication/replication.go
@@ -30,19 +30,19 @@
 
 // Config is what a node begins with.
 type Config struct {
-	ID        string
-	Life      uint64
-	Least     int // holders that a write needs, this one among them; a write goes to all there are
-	MostKeys  int // records held here
-	MostBytes int // of keys and values together
-	MostOps   int // operations that wait here
-	Keeps     []Keep
+	ID                   string
+	Incarnation          uint64
+	MinReplicas          int // holders that a write needs, this one among them; a write goes to all there are
+	MaxKeys              int // records held here
+	MaxBytes             int // of keys and values together
+	MaxPendingOperations int // operations that wait here
+	Retention            []RetentionRule
 }
 
-// Keep is how long records whose keys begin in one way are held from the time on that they were born; others are held for good.
-type Keep struct {
+// RetentionRule is how long records whose keys begin in one way are held from the time on that they were born; others are held for good.
+type RetentionRule struct {
 	Prefix string
-	For    time.Duration
+	TTL    time.Duration
 }
 
 // Node is one member's part in the copies. It is one goroutine's.
@@ -61,7 +61,7 @@
 	bad   bool // the disk fails
 	out   Ready
 
-	Refusals [Disk + 1]int
+	Rejections [ReasonDiskFailed + 1]int
 }
 
 // slot is one slot as this member knows it.
@@ -108,20 +108,20 @@
 	seq    uint64
 	digest uint64 // of the slot, with it
 	record Record // nothing where none is written
-	op     Op
+	op     Operation
 	from   string
 	result Result // once all holders have it
 	drops  bool   // record is to be no more, and nobody asked
 }
 
 type queued struct {
-	op   Op
+	op   Operation
 	from string
 }
 
 // pending is an operation that was asked for here.
 type pending struct {
-	op    Op
+	op    Operation
 	until time.Duration
 	next  time.Duration // it is sent again then
 	to    string
@@ -131,7 +131,7 @@
 
 // New makes a node that holds nothing.
 func New(cfg Config, now time.Duration) *Node {
-	n := &Node{cfg: cfg, now: now, slots: make([]slot, shardmap.Slots), ops: map[string]*pending{}, heard: map[string]time.Duration{}, beat: now}
+	n := &Node{cfg: cfg, now: now, slots: make([]slot, shardmap.ShardCount), ops: map[string]*pending{}, heard: map[string]time.Duration{}, beat: now}
 	for i := range n.slots {
 		n.slots[i].records = map[string]Record{}
 	}
@@ -149,8 +149,8 @@
 
 // ---- What comes in.
 
-// Clock tells of the time.
-func (n *Node) Clock(now time.Duration) {
+// Tick tells of the time.
+func (n *Node) Tick(now time.Duration) {
 	n.now = now
 	for _, id := range slices.Clone(n.order) {
 		p := n.ops[id]
@@ -158,7 +158,7 @@
 			continue
 		}
 		if now >= p.until {
-			n.finish(Result{Op: id, Outcome: map[bool]Outcome{true: Unknown, false: Refused}[p.sent], Why: Settling})
+			n.finish(Result{OperationID: id, Outcome: map[bool]Outcome{true: OutcomeUnknown, false: OutcomeRejected}[p.sent], Reason: ReasonReconfiguring})
 		} else if now >= p.next {
 			n.ask(p)
 		}
@@ -172,15 +172,15 @@
 	}
 }
 
-// Wall tells of the time of day, in Unix seconds, by which records age. It orders nothing: a clock that is off has them held
+// SetWallClock tells of the time of day, in Unix seconds, by which records age. It orders nothing: a clock that is off has them held
 // shorter or longer.
-func (n *Node) Wall(now int64) {
+func (n *Node) SetWallClock(now int64) {
 	if n.wall = now; n.now-n.aged < expireEach {
 		return
 	}
 	n.aged = n.now
 	for num := range n.slots {
-		if s := &n.slots[num]; s.leads && len(s.records) > 0 && s.active() && len(s.full) >= n.cfg.Least {
+		if s := &n.slots[num]; s.leads && len(s.records) > 0 && s.active() && len(s.full) >= n.cfg.MinReplicas {
 			n.expire(num, s)
 		}
 	}
@@ -190,8 +190,8 @@
 func (n *Node) expire(num int, s *slot) {
 	var old []string
 	for key, r := range s.records {
-		for _, k := range n.cfg.Keeps {
-			if strings.HasPrefix(key, k.Prefix) && n.wall-r.Born > int64(k.For/time.Second) {
+		for _, k := range n.cfg.Retention {
+			if strings.HasPrefix(key, k.Prefix) && n.wall-r.CreatedAt > int64(k.TTL/time.Second) {
 				old = append(old, key)
 			}
 		}
@@ -207,33 +207,33 @@
 	}
 }
 
-// View tells of a slot's newest view. Older ones than the one that is known change nothing.
-func (n *Node) View(num int, v shardmap.View) {
+// SetConfiguration tells of a slot's newest view. Older ones than the one that is known change nothing.
+func (n *Node) SetConfiguration(num int, v shardmap.Configuration) {
 	s := &n.slots[num]
-	if v.Num < s.ballot.View || v.Num == s.ballot.View && s.full != nil {
+	if v.Number < s.ballot.Configuration || v.Number == s.ballot.Configuration && s.full != nil {
 		return
 	}
 	if v.Primary() == n.cfg.ID {
 		n.lead(num, v)
 		return
 	}
-	if v.Num > s.ballot.View { // its primary says which life it is
-		n.follow(num, Ballot{View: v.Num}, v.Full, v.Joining)
+	if v.Number > s.ballot.Configuration { // its primary says which life it is
+		n.follow(num, Ballot{Configuration: v.Number}, v.InSync, v.Joining)
 	} else {
-		s.full, s.joining, s.since = v.Full, v.Joining, n.now
+		s.full, s.joining, s.since = v.InSync, v.Joining, n.now
 	}
-	if slices.Contains(v.Full, n.cfg.ID) || slices.Contains(v.Joining, n.cfg.ID) {
+	if slices.Contains(v.InSync, n.cfg.ID) || slices.Contains(v.Joining, n.cfg.ID) {
 		n.write(num, s, nil, false)
 	} else {
 		n.drop(num)
 	}
 }
 
-// Ask has an operation done within a span, here or wherever its slot's primary is. Its result comes with a Ready.
-func (n *Node) Ask(op Op, within time.Duration) {
-	if len(n.ops) >= n.cfg.MostOps {
-		n.out.Results = append(n.out.Results, Result{Op: op.ID, Outcome: Refused, Why: Busy})
-		n.Refusals[Busy]++
+// Submit has an operation done within a span, here or wherever its slot's primary is. Its result comes with a Ready.
+func (n *Node) Submit(op Operation, within time.Duration) {
+	if len(n.ops) >= n.cfg.MaxPendingOperations {
+		n.out.Results = append(n.out.Results, Result{OperationID: op.ID, Outcome: OutcomeRejected, Reason: ReasonBusy})
+		n.Rejections[ReasonBusy]++
 		return
 	}
 	p := &pending{op: op, until: n.now + within}
@@ -243,39 +243,39 @@
 }
 
 // Step takes a message. What makes no sense here is passed over: a member may be wrong about who holds what, and late.
-func (n *Node) Step(m Msg) {
-	if m.To != n.cfg.ID || m.Slot < 0 || m.Slot >= len(n.slots) || n.bad {
+func (n *Node) Step(m Message) {
+	if m.To != n.cfg.ID || m.Shard < 0 || m.Shard >= len(n.slots) || n.bad {
 		return
 	}
 	n.heard[m.From] = n.now
-	s := &n.slots[m.Slot]
+	s := &n.slots[m.Shard]
 	switch m.Kind {
-	case MsgOp:
-		n.serve(m.Slot, m.Op, m.From)
-	case MsgResult:
+	case MessageOperation:
+		n.serve(m.Shard, m.Operation, m.From)
+	case MessageResult:
 		n.answered(m)
-	case MsgAdopt, MsgInstall, MsgWrite:
-		n.told(m.Slot, s, m)
-	case MsgWritten, MsgAdopted, MsgWant:
+	case MessageBallot, MessageSnapshot, MessageWrite:
+		n.told(m.Shard, s, m)
+	case MessageWriteAck, MessageBallotAck, MessageSnapshotRequest:
 		if s.leads && m.Ballot == s.ballot {
-			n.heardOf(m.Slot, s, m)
+			n.heardOf(m.Shard, s, m)
 		}
-	case MsgStale: // somebody else leads, or this one does in a later life: the views will say
+	case MessageStaleBallot: // somebody else leads, or this one does in a later life: the views will say
 		if s.leads && s.ballot.Less(m.Ballot) {
 			s.resign()
 		}
 	}
 }
 
-// Broken tells that the disk can't be written: nothing is promised or acknowledged any more.
-func (n *Node) Broken() { n.bad = true }
+// MarkDiskFailed tells that the disk can't be written: nothing is promised or acknowledged any more.
+func (n *Node) MarkDiskFailed() { n.bad = true }
 
 // Ready hands out what is to be done, once.
 func (n *Node) Ready() Ready {
 	r := n.out
 	n.out = Ready{}
 	if n.bad {
-		r.Writes, r.Msgs, r.Complaints = nil, nil, nil
+		r.Writes, r.Messages, r.Reports = nil, nil, nil
 	}
 	return r
 }
@@ -284,11 +284,11 @@
 
 // ask sends an operation to whoever leads its slot.
 func (n *Node) ask(p *pending) {
-	num := shardmap.SlotOf(p.op.Key)
+	num := shardmap.ShardOf(p.op.Key)
 	s := &n.slots[num]
 	p.next = n.now + askAgain
-	if p.op.Here && !s.leads {
-		n.finish(Result{Op: p.op.ID, Outcome: Refused, Why: NotPrimary})
+	if p.op.LocalOnly && !s.leads {
+		n.finish(Result{OperationID: p.op.ID, Outcome: OutcomeRejected, Reason: ReasonNotPrimary})
 		return
 	}
 	if len(s.full) == 0 {
@@ -302,37 +302,39 @@
 	p.sent = true
 	p.tries++
 	p.next = n.now + resendEach
-	n.send(Msg{Kind: MsgOp, To: p.to, Slot: num, Op: p.op})
+	n.send(Message{Kind: MessageOperation, To: p.to, Shard: num, Operation: p.op})
 }
 
 // answered takes a result from a primary. Only who was asked last may refuse: an older one's refusal says nothing of what the
 // newer one has done.
-func (n *Node) answered(m Msg) {
-	p := n.ops[m.Result.Op]
+func (n *Node) answered(m Message) {
+	p := n.ops[m.Result.OperationID]
 	if p == nil {
 		return
 	}
-	if m.Result.Outcome == Refused && passes(m.Result.Why) {
+	if m.Result.Outcome == OutcomeRejected && passes(m.Result.Reason) {
 		return // asked again when it is time
 	}
 	// Done by an earlier try, and written over so often since that the record does not tell any more.
-	if m.Result.Outcome == Conflict && !p.op.Read && p.tries > 1 && len(m.Result.Record.Past) >= pastMost {
-		m.Result.Outcome = Unknown
+	if m.Result.Outcome == OutcomeConflict && !p.op.ReadOnly && p.tries > 1 && len(m.Result.Record.PastOperationIDs) >= pastMost {
+		m.Result.Outcome = OutcomeUnknown
 	}
 	n.finish(m.Result)
 }
 
 // passes tells whether a refusal may be over in a moment.
-func passes(w Why) bool { return w == NotPrimary || w == Settling || w == Short }
+func passes(w RejectReason) bool {
+	return w == ReasonNotPrimary || w == ReasonReconfiguring || w == ReasonTooFewReplicas
+}
 
 func (n *Node) finish(r Result) {
-	if n.ops[r.Op] == nil {
+	if n.ops[r.OperationID] == nil {
 		return
 	}
-	delete(n.ops, r.Op)
-	n.order = slices.DeleteFunc(n.order, func(id string) bool { return id == r.Op })
-	if r.Outcome == Refused {
-		n.Refusals[r.Why]++
+	delete(n.ops, r.OperationID)
+	n.order = slices.DeleteFunc(n.order, func(id string) bool { return id == r.OperationID })
+	if r.Outcome == OutcomeRejected {
+		n.Rejections[r.Reason]++
 	}
 	n.out.Results = append(n.out.Results, r)
 }
@@ -340,10 +342,10 @@
 // reply answers whoever asked.
 func (n *Node) reply(num int, from string, r Result) {
 	if from != n.cfg.ID {
-		n.send(Msg{Kind: MsgResult, To: from, Slot: num, Result: r})
+		n.send(Message{Kind: MessageResult, To: from, Shard: num, Result: r})
 		return
 	}
-	if p := n.ops[r.Op]; p != nil && !(r.Outcome == Refused && passes(r.Why)) {
+	if p := n.ops[r.OperationID]; p != nil && !(r.Outcome == OutcomeRejected && passes(r.Reason)) {
 		n.finish(r)
 	}
 }
@@ -352,11 +354,11 @@
 
 // lead begins a view as its primary: what this member has is what there is, as all that was promised is on each of the
 // old view's holders. It serves once all holders have taken the same over.
-func (n *Node) lead(num int, v shardmap.View) {
+func (n *Node) lead(num int, v shardmap.Configuration) {
 	s := &n.slots[num]
 	s.resign()
-	s.ballot = Ballot{View: v.Num, Life: n.cfg.Life}
-	s.full, s.joining = v.Full, v.Joining
+	s.ballot = Ballot{Configuration: v.Number, Incarnation: n.cfg.Incarnation}
+	s.full, s.joining = v.InSync, v.Joining
 	s.leads, s.taken, s.seq, s.since = true, true, 0, n.now
 	s.peers, s.queue, s.recent = map[string]*peer{}, map[string][]queued{}, []*flight{{digest: s.digest}}
 	n.write(num, s, nil, false)
@@ -385,7 +387,7 @@
 
 func (n *Node) adopt(num int, s *slot, id string) {
 	s.peers[id].sent = n.now
-	n.send(Msg{Kind: MsgAdopt, To: id, Slot: num, Ballot: s.ballot, Seq: s.seq, Digest: s.digest, Full: s.full, Joining: s.joining})
+	n.send(Message{Kind: MessageBallot, To: id, Shard: num, Ballot: s.ballot, Sequence: s.seq, Digest: s.digest, InSync: s.full, Joining: s.joining})
 }
 
 // active tells whether all holders have taken the ballot over.
@@ -399,26 +401,28 @@
 }
 
 // serve has an operation done, or says why not.
-func (n *Node) serve(num int, op Op, from string) {
+func (n *Node) serve(num int, op Operation, from string) {
 	s := &n.slots[num]
-	refuse := func(w Why) { n.reply(num, from, Result{Op: op.ID, Outcome: Refused, Why: w}) }
+	refuse := func(w RejectReason) {
+		n.reply(num, from, Result{OperationID: op.ID, Outcome: OutcomeRejected, Reason: w})
+	}
 	switch {
 	case n.bad:
-		refuse(Disk)
+		refuse(ReasonDiskFailed)
 	case !s.leads:
-		refuse(NotPrimary)
+		refuse(ReasonNotPrimary)
 	case !s.active():
-		refuse(Settling)
-	case len(s.full) < n.cfg.Least:
-		refuse(Short)
+		refuse(ReasonReconfiguring)
+	case len(s.full) < n.cfg.MinReplicas:
+		refuse(ReasonTooFewReplicas)
 	default:
 		if slices.ContainsFunc(s.flight, func(f *flight) bool { return f.op.ID == op.ID }) ||
 			slices.ContainsFunc(s.queue[op.Key], func(q queued) bool { return q.op.ID == op.ID }) {
 			return // asked again while it is on its way
 		}
 		if slices.ContainsFunc(s.flight, func(f *flight) bool { return f.record.Key == op.Key }) {
-			if s.waiting >= n.cfg.MostOps {
-				refuse(Busy)
+			if s.waiting >= n.cfg.MaxPendingOperations {
+				refuse(ReasonBusy)
 				return
 			}
 			n.mayBeDone(op.ID, from)
@@ -438,22 +442,22 @@
 }
 
 // do decides on one operation; nothing on its key is on its way.
-func (n *Node) do(num int, s *slot, op Op, from string) {
+func (n *Node) do(num int, s *slot, op Operation, from string) {
 	r := s.records[op.Key]
-	there := r.Version > 0 && !r.Gone
-	f := &flight{op: op, from: from, result: Result{Op: op.ID, Outcome: Done, Record: r}}
+	there := r.Version > 0 && !r.Deleted
+	f := &flight{op: op, from: from, result: Result{OperationID: op.ID, Outcome: OutcomeCommitted, Record: r}}
 	switch {
-	case !op.Read && (r.Op == op.ID || slices.Contains(r.Past, op.ID)):
-	case op.Read, there && op.If != r.Version, !there && op.If != 0:
-		f.result.Outcome = Conflict
-	case !op.Drop && !there && (n.keys >= n.cfg.MostKeys || n.bytes+len(op.Key)+len(op.Value) > n.cfg.MostBytes):
-		n.reply(num, from, Result{Op: op.ID, Outcome: Refused, Why: Full})
+	case !op.ReadOnly && (r.OperationID == op.ID || slices.Contains(r.PastOperationIDs, op.ID)):
+	case op.ReadOnly, there && op.ExpectedVersion != r.Version, !there && op.ExpectedVersion != 0:
+		f.result.Outcome = OutcomeConflict
+	case !op.Delete && !there && (n.keys >= n.cfg.MaxKeys || n.bytes+len(op.Key)+len(op.Value) > n.cfg.MaxBytes):
+		n.reply(num, from, Result{OperationID: op.ID, Outcome: OutcomeRejected, Reason: ReasonFull})
 		return
 	default:
-		next := Record{Key: op.Key, Version: r.Version + 1, Value: op.Value, Op: op.ID, Born: op.Born, Gone: op.Drop}
-		if r.Op != "" {
-			next.Past = append(next.Past, r.Op)
-			next.Past = append(next.Past, r.Past[:min(len(r.Past), pastMost-1)]...)
+		next := Record{Key: op.Key, Version: r.Version + 1, Value: op.Value, OperationID: op.ID, CreatedAt: op.CreatedAt, Deleted: op.Delete}
+		if r.OperationID != "" {
+			next.PastOperationIDs = append(next.PastOperationIDs, r.OperationID)
+			next.PastOperationIDs = append(next.PastOperationIDs, r.PastOperationIDs[:min(len(r.PastOperationIDs), pastMost-1)]...)
 		}
 		n.mayBeDone(op.ID, from)
 		n.set(s, next)
@@ -484,7 +488,7 @@
 	if p := s.peers[id]; p.owes < 0 {
 		p.owes = n.now
 	}
-	m := Msg{Kind: MsgWrite, To: id, Slot: num, Ballot: s.ballot, Seq: f.seq}
+	m := Message{Kind: MessageWrite, To: id, Shard: num, Ballot: s.ballot, Sequence: f.seq}
 	if f.record.Version > 0 || f.drops {
 		m.Records = []Record{f.record}
 	}
@@ -492,32 +496,32 @@
 }
 
 // heardOf is what a holder says to its primary.
-func (n *Node) heardOf(num int, s *slot, m Msg) {
+func (n *Node) heardOf(num int, s *slot, m Message) {
 	p := s.peers[m.From]
 	if p == nil {
 		return
 	}
-	p.life = m.Life
+	p.life = m.Incarnation
 	switch m.Kind {
-	case MsgWant:
+	case MessageSnapshotRequest:
 		all := make([]Record, 0, len(s.records))
 		for _, r := range s.records {
 			all = append(all, r)
 		}
 		slices.SortFunc(all, func(a, b Record) int { return cmp.Compare(a.Key, b.Key) })
 		p.adopted, p.sent = false, n.now
-		n.send(Msg{Kind: MsgInstall, To: m.From, For: p.life, Slot: num, Ballot: s.ballot, Seq: s.seq, Digest: s.digest, Records: all})
-	case MsgAdopted, MsgWritten:
-		if m.Kind == MsgAdopted && !p.adopted {
-			if at := s.at(m.Seq); at == nil || at.digest != m.Digest { // what it has is none of what this ballot had
+		n.send(Message{Kind: MessageSnapshot, To: m.From, TargetIncarnation: p.life, Shard: num, Ballot: s.ballot, Sequence: s.seq, Digest: s.digest, Records: all})
+	case MessageBallotAck, MessageWriteAck:
+		if m.Kind == MessageBallotAck && !p.adopted {
+			if at := s.at(m.Sequence); at == nil || at.digest != m.Digest { // what it has is none of what this ballot had
 				n.adopt(num, s, m.From)
 				return
 			}
 			p.adopted = true
-			p.acked = max(p.acked, m.Seq)
+			p.acked = max(p.acked, m.Sequence)
 			n.push(num, s, m.From)
 		}
-		p.acked = max(p.acked, m.Seq)
+		p.acked = max(p.acked, m.Sequence)
 		if p.owes = -1; p.acked < s.seq {
 			p.owes = n.now
 		}
@@ -587,53 +591,53 @@
 }
 
 // told is what a primary says. Whoever was overtaken is refused, here at the place where its write would take hold.
-func (n *Node) told(num int, s *slot, m Msg) {
-	answer := func(kind MsgKind) {
-		n.send(Msg{Kind: kind, To: m.From, Slot: num, Ballot: s.ballot, Seq: s.got, Digest: s.digest})
+func (n *Node) told(num int, s *slot, m Message) {
+	answer := func(kind MessageKind) {
+		n.send(Message{Kind: kind, To: m.From, Shard: num, Ballot: s.ballot, Sequence: s.got, Digest: s.digest})
 	}
 	if m.Ballot.Less(s.ballot) {
-		answer(MsgStale)
+		answer(MessageStaleBallot)
 		return
 	}
 	switch m.Kind {
-	case MsgAdopt:
-		if len(m.Full) == 0 || m.Full[0] != m.From {
+	case MessageBallot:
+		if len(m.InSync) == 0 || m.InSync[0] != m.From {
 			return
 		}
 		if s.ballot.Less(m.Ballot) || s.full == nil {
-			n.follow(num, m.Ballot, m.Full, m.Joining)
+			n.follow(num, m.Ballot, m.InSync, m.Joining)
 			n.write(num, s, nil, false)
 		}
 		switch {
 		case s.taken: // it came twice: what this one has may be ahead of it by now
-			answer(MsgAdopted)
+			answer(MessageBallotAck)
 		case m.Digest == s.digest:
-			s.taken, s.got = true, m.Seq
-			answer(MsgAdopted)
+			s.taken, s.got = true, m.Sequence
+			answer(MessageBallotAck)
 		default:
-			answer(MsgWant)
+			answer(MessageSnapshotRequest)
 		}
-	case MsgInstall:
+	case MessageSnapshot:
 		switch {
-		case m.Ballot != s.ballot || m.For != n.cfg.Life: // one of another life says nothing of what was written since
-		case s.taken && m.Seq <= s.got: // it came late: what was acknowledged since would be lost with it
-			answer(MsgAdopted)
+		case m.Ballot != s.ballot || m.TargetIncarnation != n.cfg.Incarnation: // one of another life says nothing of what was written since
+		case s.taken && m.Sequence <= s.got: // it came late: what was acknowledged since would be lost with it
+			answer(MessageBallotAck)
 		default:
 			n.clear(s)
 			for _, r := range m.Records {
 				n.set(s, r)
 			}
 			n.write(num, s, m.Records, true)
-			s.taken, s.got = true, m.Seq
-			answer(MsgAdopted)
+			s.taken, s.got = true, m.Sequence
+			answer(MessageBallotAck)
 		}
-	case MsgWrite:
+	case MessageWrite:
 		switch {
 		case m.Ballot != s.ballot: // an Adopt is on its way, or is sent again
 		case !s.taken:
-			answer(MsgWant)
+			answer(MessageSnapshotRequest)
 		default:
-			if m.Seq == s.got+1 {
+			if m.Sequence == s.got+1 {
 				s.got++
 				for _, r := range m.Records {
 					n.set(s, r)
@@ -642,7 +646,7 @@
 					n.write(num, s, m.Records, false)
 				}
 			}
-			answer(MsgWritten) // of what it has, also where one before was lost
+			answer(MessageWriteAck) // of what it has, also where one before was lost
 		}
 	}
 }
@@ -693,11 +697,11 @@
 // caught says that one that joins has all there is; again and again, as the word may be lost, or whoever steers be another.
 func (n *Node) caught(num int, s *slot, id string) {
 	s.peers[id].said = n.now
-	n.out.Complaints = append(n.out.Complaints, Complaint{Slot: num, View: s.ballot.View, From: n.cfg.ID, About: id, Caught: true})
+	n.out.Reports = append(n.out.Reports, ReplicaReport{Shard: num, Configuration: s.ballot.Configuration, From: n.cfg.ID, Subject: id, CaughtUp: true})
 }
 
 func (n *Node) complain(num int, s *slot, about string) {
-	n.out.Complaints = append(n.out.Complaints, Complaint{Slot: num, View: s.ballot.View, From: n.cfg.ID, About: about})
+	n.out.Reports = append(n.out.Reports, ReplicaReport{Shard: num, Configuration: s.ballot.Configuration, From: n.cfg.ID, Subject: about})
 }
 
 // beats tells the others of the slots that this member leads that it lives, and forgets who has long said nothing.
@@ -721,19 +725,19 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		n.send(Msg{Kind: MsgBeat, To: id})
+		n.send(Message{Kind: MessageHeartbeat, To: id})
 	}
 }
 
 // ---- What is held here.
 
-func (n *Node) send(m Msg) {
-	m.From, m.Life = n.cfg.ID, n.cfg.Life
-	n.out.Msgs = append(n.out.Msgs, m)
+func (n *Node) send(m Message) {
+	m.From, m.Incarnation = n.cfg.ID, n.cfg.Incarnation
+	n.out.Messages = append(n.out.Messages, m)
 }
 
 func (n *Node) write(num int, s *slot, records []Record, replace bool) {
-	n.out.Writes = append(n.out.Writes, Write{Slot: num, Ballot: s.ballot, Replace: replace, Records: records})
+	n.out.Writes = append(n.out.Writes, Write{Shard: num, Ballot: s.ballot, ReplaceAll: replace, Records: records})
 }
 
 func (n *Node) set(s *slot, r Record) {
@@ -765,26 +769,26 @@
 func sum(r Record) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(r.Key)
-	_, _ = d.Write([]byte{0, byte(r.Version), byte(r.Version >> 8), byte(r.Version >> 16), byte(r.Version >> 24), map[bool]byte{true: 1}[r.Gone]})
+	_, _ = d.Write([]byte{0, byte(r.Version), byte(r.Version >> 8), byte(r.Version >> 16), byte(r.Version >> 24), map[bool]byte{true: 1}[r.Deleted]})
 	_, _ = d.Write(r.Value)
-	_, _ = d.WriteString(r.Op)
-	for _, op := range r.Past {
+	_, _ = d.WriteString(r.OperationID)
+	for _, op := range r.PastOperationIDs {
 		_, _ = d.WriteString(op)
 	}
 	return d.Sum64()
 }
 
 // Record is what this member has of a key: what it was told last, promised or not.
-func (n *Node) Record(key string) Record { return n.slots[shardmap.SlotOf(key)].records[key] }
+func (n *Node) Record(key string) Record { return n.slots[shardmap.ShardOf(key)].records[key] }
 
-// Held is how many records and bytes lie here.
-func (n *Node) Held() (keys, bytes int) { return n.keys, n.bytes }
+// Usage is how many records and bytes lie here.
+func (n *Node) Usage() (keys, bytes int) { return n.keys, n.bytes }
 
 // Keys are all keys of one prefix that lie here, sorted.
 func (n *Node) Keys(prefix string) (all []string) {
 	for i := range n.slots {
 		for k, r := range n.slots[i].records {
-			if !r.Gone && len(k) >= len(prefix) && k[:len(prefix)] == prefix {
+			if !r.Deleted && len(k) >= len(prefix) && k[:len(prefix)] == prefix {
 				all = append(all, k)
 			}
 		}
--- a/internal/fleet/shardmap/bench_test.go
+++ b/internal/fleet/shardmap/bench_test.go
@@ -43,9 +43,9 @@
 // populated is a state with n members and a view of each slot.
 func populated(b *testing.B, n int) *State {
 	st := New()
-	st.Apply(Entry{Found: "f", Members: listed(n)})
-	for num := range Slots {
-		if got := st.Apply(Entry{Slots: []Slot{{Slot: num, Full: Pick(num, st.Members, 3)}}}); len(got.Slots) != 1 {
+	st.Apply(Entry{BootstrapID: "f", Members: listed(n)})
+	for num := range ShardCount {
+		if got := st.Apply(Entry{ShardChanges: []ShardChange{{Shard: num, InSync: PickReplicas(num, st.Members, 3)}}}); len(got.Shards) != 1 {
 			b.Fatalf("slot %d has no view", num)
 		}
 	}
@@ -59,7 +59,7 @@
 			all := listed(n)
 			done := metered(b)
 			for i := range b.N {
-				if len(Pick(i%Slots, all, 3)) != 3 {
+				if len(PickReplicas(i%ShardCount, all, 3)) != 3 {
 					b.Fatal("too few are picked")
 				}
 			}
@@ -76,12 +76,12 @@
 			size := 0
 			done := metered(b)
 			for range b.N {
-				text := Entry{Epoch: st.Epoch, Members: st.Members}.Encode()
-				e, err := Decode(text)
+				text := Entry{BaseEpoch: st.Epoch, Members: st.Members}.Encode()
+				e, err := DecodeEntry(text)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if !st.Apply(e).Epoch {
+				if !st.Apply(e).EpochChanged {
 					b.Fatal("refused")
 				}
 				size = len(text)
--- a/internal/fleet/shardmap/golden_test.go
+++ b/internal/fleet/shardmap/golden_test.go
@@ -16,14 +16,14 @@
 
 func goldenEntries() []Entry {
 	return []Entry{
-		{Found: "fleet-1"},
-		{Epoch: 0, Members: []Member{{ID: "b", Addr: "10.0.0.2:7001", Machine: "m2", Zone: "z2", Site: "s1"}, {ID: "a", Addr: "10.0.0.1:7001", Machine: "m1", Zone: "z1", Site: "s1"}}},
-		{Epoch: 1, Members: []Member{{ID: "a", Addr: "10.0.0.1:7001", Machine: "m1", Zone: "z1", Site: "s1"}, {ID: "c", Addr: "10.0.0.3:7001", Machine: "m3", Zone: "z3", Site: "s2"}}},
-		{Slots: []Slot{{Slot: 7, Full: []string{"a", "b"}}, {Slot: 255, Full: []string{"a"}, Joining: []string{"c"}}}},
-		{Slots: []Slot{{Slot: 7, Of: 1, Full: []string{"c"}, Anew: true}, {Slot: 255, Of: 1, Full: []string{"a", "c"}}, {Slot: 255, Of: 1, Full: []string{"a"}}}},
-		{Put: []Put{{Key: "config/a", Value: []byte("one"), Op: "op1"}, {Key: "config/b", Value: []byte("two"), Op: "op2", Only: true}, {Key: "config/c", Value: []byte("three"), Op: "op3"}}},
-		{Put: []Put{{Key: "config/b", Gone: true, Op: "op4", Only: true, If: 6}, {Key: "config/a", Op: "op5", Only: true, If: 1}, {Key: "config/d", Gone: true, Op: "op6"}}},
-		{Put: []Put{{Key: "word/a", Value: []byte("x"), Op: "op7"}, {Key: "config/a", Value: []byte("one"), Op: "op1"}}},
+		{BootstrapID: "fleet-1"},
+		{BaseEpoch: 0, Members: []Member{{ID: "b", Addr: "10.0.0.2:7001", Machine: "m2", Zone: "z2", Site: "s1"}, {ID: "a", Addr: "10.0.0.1:7001", Machine: "m1", Zone: "z1", Site: "s1"}}},
+		{BaseEpoch: 1, Members: []Member{{ID: "a", Addr: "10.0.0.1:7001", Machine: "m1", Zone: "z1", Site: "s1"}, {ID: "c", Addr: "10.0.0.3:7001", Machine: "m3", Zone: "z3", Site: "s2"}}},
+		{ShardChanges: []ShardChange{{Shard: 7, InSync: []string{"a", "b"}}, {Shard: 255, InSync: []string{"a"}, Joining: []string{"c"}}}},
+		{ShardChanges: []ShardChange{{Shard: 7, BaseNumber: 1, InSync: []string{"c"}, Reset: true}, {Shard: 255, BaseNumber: 1, InSync: []string{"a", "c"}}, {Shard: 255, BaseNumber: 1, InSync: []string{"a"}}}},
+		{Puts: []Put{{Key: "config/a", Value: []byte("one"), OperationID: "op1"}, {Key: "config/b", Value: []byte("two"), OperationID: "op2", Conditional: true}, {Key: "config/c", Value: []byte("three"), OperationID: "op3"}}},
+		{Puts: []Put{{Key: "config/b", Delete: true, OperationID: "op4", Conditional: true, ExpectedVersion: 6}, {Key: "config/a", OperationID: "op5", Conditional: true, ExpectedVersion: 1}, {Key: "config/d", Delete: true, OperationID: "op6"}}},
+		{Puts: []Put{{Key: "word/a", Value: []byte("x"), OperationID: "op7"}, {Key: "config/a", Value: []byte("one"), OperationID: "op1"}}},
 	}
 }
 
@@ -54,7 +54,7 @@
 		log.Write(e.Encode())
 		log.WriteByte('\n')
 		a := st.Apply(e)
-		fmt.Fprintf(&applied, "%v %v %q %s\n", a.Slots, a.Epoch, a.Keys, text(a.Puts))
+		fmt.Fprintf(&applied, "%v %v %q %s\n", a.Shards, a.EpochChanged, a.ChangedKeys, text(a.PutResults))
 	}
 	for _, key := range st.Keys() {
 		value, is := st.Value(key)
@@ -71,7 +71,7 @@
 	}
 	lines := strings.Split(strings.TrimSuffix(string(file), "\n"), "\n")
 	for i, want := range goldenEntries() {
-		if got, err := Decode([]byte(lines[i])); err != nil || !reflect.DeepEqual(got, want) {
+		if got, err := DecodeEntry([]byte(lines[i])); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("entry %d: %+v, %v; want %+v", i, got, err, want)
 		}
 	}
@@ -89,14 +89,14 @@
 	var out bytes.Buffer
 	for i := range 20 {
 		key := fmt.Sprint("word/", i)
-		fmt.Fprintf(&out, "%s %d\n", key, SlotOf(key))
+		fmt.Fprintf(&out, "%s %d\n", key, ShardOf(key))
 	}
 	var members []Member
 	for i := range 12 {
 		members = append(members, Member{ID: fmt.Sprint("member", i), Machine: fmt.Sprint("m", i%9), Zone: fmt.Sprint("z", i%4), Site: fmt.Sprint("s", i%2)})
 	}
-	for num := range Slots {
-		fmt.Fprintf(&out, "%d %v\n", num, Pick(num, members, 3))
+	for num := range ShardCount {
+		fmt.Fprintf(&out, "%d %v\n", num, PickReplicas(num, members, 3))
 	}
 	golden(t, "placement.golden", out.Bytes())
 }
@@ -106,23 +106,23 @@
 	long := strings.Repeat("x", 1000)
 	var out bytes.Buffer
 	for _, p := range []Put{
-		{Key: "word/a", Op: "o"}, {Key: "config/", Op: "o"}, {Key: "config/" + long, Op: "o"}, {Key: "config/a b", Op: "o"},
-		{Key: "config/a", Op: ""}, {Key: "config/a", Op: long}, {Key: "config/a", Op: "o", Gone: true, Value: []byte("v")},
-		{Key: "config/a", Op: "o", Value: make([]byte, 256<<10+1)}, {Key: "config/a", Op: "o"},
+		{Key: "word/a", OperationID: "o"}, {Key: "config/", OperationID: "o"}, {Key: "config/" + long, OperationID: "o"}, {Key: "config/a b", OperationID: "o"},
+		{Key: "config/a", OperationID: ""}, {Key: "config/a", OperationID: long}, {Key: "config/a", OperationID: "o", Delete: true, Value: []byte("v")},
+		{Key: "config/a", OperationID: "o", Value: make([]byte, 256<<10+1)}, {Key: "config/a", OperationID: "o"},
 	} {
 		fmt.Fprintf(&out, "%q\n", p.Wrong())
 	}
 	st := New()
 	put := func(p Put) {
-		encoded, err := json.Marshal(st.Apply(Entry{Put: []Put{p}}).Puts)
+		encoded, err := json.Marshal(st.Apply(Entry{Puts: []Put{p}}).PutResults)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&out, "%s\n", encoded)
 	}
-	put(Put{Key: "config/a", Op: "o"})
-	st.Apply(Entry{Found: "f"})
-	put(Put{Key: "config/a", Op: "o", Only: true, If: 7})
-	put(Put{Key: "config/a", Op: "o", Gone: true})
+	put(Put{Key: "config/a", OperationID: "o"})
+	st.Apply(Entry{BootstrapID: "f"})
+	put(Put{Key: "config/a", OperationID: "o", Conditional: true, ExpectedVersion: 7})
+	put(Put{Key: "config/a", OperationID: "o", Delete: true})
 	golden(t, "refusals.golden", out.Bytes())
 }
--- a/internal/fleet/shardmap/items_test.go
+++ b/internal/fleet/shardmap/items_test.go
@@ -9,7 +9,7 @@
 
 func founded() *State {
 	s := New()
-	s.Apply(Entry{Found: "f"})
+	s.Apply(Entry{BootstrapID: "f"})
 	return s
 }
 
@@ -25,8 +25,8 @@
 	if err != nil || read.Version != 2 || len(read.Items) != 0 {
 		t.Fatalf("%+v, %v", read, err)
 	}
-	d := read.Apply(Entry{Put: []Put{{Key: "config/a", Value: []byte("1"), Op: "o"}}})
-	if again, err := Restore(read.Snapshot()); err != nil || again.Version != 3 || string(again.Items["config/a"].Value) != "1" || len(again.Ops) != 1 {
+	d := read.Apply(Entry{Puts: []Put{{Key: "config/a", Value: []byte("1"), OperationID: "o"}}})
+	if again, err := Restore(read.Snapshot()); err != nil || again.Version != 3 || string(again.Items["config/a"].Value) != "1" || len(again.RecentPuts) != 1 {
 		t.Errorf("%+v, %v", d, err)
 	}
 }
@@ -35,8 +35,8 @@
 // asked for again over a newer one.
 func TestAPutIsDoneOnce(t *testing.T) {
 	s := founded()
-	put := func(p Put) Done { return s.Apply(Entry{Put: []Put{p}}).Puts[0] }
-	one, two := Put{Key: "config/a", Value: []byte("1"), Op: "one"}, Put{Key: "config/a", Value: []byte("2"), Op: "two"}
+	put := func(p Put) PutResult { return s.Apply(Entry{Puts: []Put{p}}).PutResults[0] }
+	one, two := Put{Key: "config/a", Value: []byte("1"), OperationID: "one"}, Put{Key: "config/a", Value: []byte("2"), OperationID: "two"}
 	first, second := put(one), put(two)
 	if first.Version != 2 || second.Version != 3 {
 		t.Fatal(first, second)
@@ -44,26 +44,26 @@
 	if again := put(one); again != first || string(s.Items["config/a"].Value) != "2" || s.Version != 3 {
 		t.Errorf("asked again: %+v, %+v", again, s.Items)
 	}
-	if d := put(Put{Key: "config/a", Value: []byte("3"), Op: "three", Only: true, If: 2}); d.Refused == "" || s.Version != 3 {
+	if d := put(Put{Key: "config/a", Value: []byte("3"), OperationID: "three", Conditional: true, ExpectedVersion: 2}); d.Rejection == "" || s.Version != 3 {
 		t.Errorf("over another version: %+v", d)
 	}
-	if d := put(Put{Key: "config/a", Value: []byte("3"), Op: "three", Only: true, If: 3}); d.Version != 4 {
+	if d := put(Put{Key: "config/a", Value: []byte("3"), OperationID: "three", Conditional: true, ExpectedVersion: 3}); d.Version != 4 {
 		t.Errorf("over the version in force: %+v", d)
 	}
-	a := s.Apply(Entry{Put: []Put{{Key: "config/b", Value: []byte("1"), Op: "four"}, {Key: "config/", Op: "five"}, {Key: "config/a", Gone: true, Op: "six"}}})
-	if s.Version != 5 || a.Puts[0].Version != 5 || a.Puts[1].Refused == "" || a.Puts[2].Version != 5 || len(a.Keys) != 2 {
+	a := s.Apply(Entry{Puts: []Put{{Key: "config/b", Value: []byte("1"), OperationID: "four"}, {Key: "config/", OperationID: "five"}, {Key: "config/a", Delete: true, OperationID: "six"}}})
+	if s.Version != 5 || a.PutResults[0].Version != 5 || a.PutResults[1].Rejection == "" || a.PutResults[2].Version != 5 || len(a.ChangedKeys) != 2 {
 		t.Errorf("three in one entry: %+v at %d", a, s.Version)
 	}
 	if _, is := s.Items["config/a"]; is || len(s.Items) != 1 {
 		t.Errorf("%+v", s.Items)
 	}
 	for i := range mostOps + 1 {
-		put(Put{Key: "config/c", Op: fmt.Sprint("n", i)})
+		put(Put{Key: "config/c", OperationID: fmt.Sprint("n", i)})
 	}
-	if len(s.Ops) != mostOps {
-		t.Errorf("%d operations are kept", len(s.Ops))
+	if len(s.RecentPuts) != mostOps {
+		t.Errorf("%d operations are kept", len(s.RecentPuts))
 	}
-	if d := put(Put{Key: "config/b", Value: []byte("1"), Op: "four"}); d.Version != 5 { // its key was not put since
+	if d := put(Put{Key: "config/b", Value: []byte("1"), OperationID: "four"}); d.Version != 5 { // its key was not put since
 		t.Errorf("%+v", d)
 	}
 }
@@ -71,33 +71,33 @@
 // TestItemsAreBounded fills the state by number and by bytes. Guards against a state that grows until members can't send it.
 func TestItemsAreBounded(t *testing.T) {
 	s := founded()
-	big := make([]byte, MostValue)
+	big := make([]byte, MaxValueBytes)
 	n := 0
 	for ; ; n++ {
-		d := s.Apply(Entry{Put: []Put{{Key: fmt.Sprint("config/", n), Value: big, Op: fmt.Sprint(n)}}}).Puts[0]
-		if d.Refused != "" {
-			if !strings.Contains(d.Refused, "full") {
+		d := s.Apply(Entry{Puts: []Put{{Key: fmt.Sprint("config/", n), Value: big, OperationID: fmt.Sprint(n)}}}).PutResults[0]
+		if d.Rejection != "" {
+			if !strings.Contains(d.Rejection, "full") {
 				t.Error(d)
 			}
 			break
 		}
 	}
-	if size := n * (MostValue + len("config/00")); n == 0 || size > MostBytes {
-		t.Errorf("%d items of %d bytes are taken", n, MostValue)
+	if size := n * (MaxValueBytes + len("config/00")); n == 0 || size > MaxItemsBytes {
+		t.Errorf("%d items of %d bytes are taken", n, MaxValueBytes)
 	}
 	was := s.Version
-	if d := s.Apply(Entry{Put: []Put{{Key: "config/0", Value: []byte("small"), Op: "smaller"}}}).Puts[0]; d.Version != was+1 {
+	if d := s.Apply(Entry{Puts: []Put{{Key: "config/0", Value: []byte("small"), OperationID: "smaller"}}}).PutResults[0]; d.Version != was+1 {
 		t.Errorf("a full state takes no smaller value: %+v", d)
 	}
 	s = founded()
-	s.Items = map[string]Held{}
-	for i := range MostItems {
-		s.Items[fmt.Sprint("config/", i)] = Held{}
+	s.Items = map[string]Item{}
+	for i := range MaxItems {
+		s.Items[fmt.Sprint("config/", i)] = Item{}
 	}
-	if d := s.Apply(Entry{Put: []Put{{Key: "config/more", Op: "more"}}}).Puts[0]; !strings.Contains(d.Refused, "full") {
+	if d := s.Apply(Entry{Puts: []Put{{Key: "config/more", OperationID: "more"}}}).PutResults[0]; !strings.Contains(d.Rejection, "full") {
 		t.Error(d)
 	}
-	if d := s.Apply(Entry{Put: []Put{{Key: "config/7", Value: []byte("x"), Op: "same"}}}).Puts[0]; d.Version == 0 {
+	if d := s.Apply(Entry{Puts: []Put{{Key: "config/7", Value: []byte("x"), OperationID: "same"}}}).PutResults[0]; d.Version == 0 {
 		t.Error(d)
 	}
 }
@@ -106,15 +106,15 @@
 func TestTheStateAsAMap(t *testing.T) {
 	s, by := New(), New()
 	for _, e := range []Entry{
-		{Found: "f"},
+		{BootstrapID: "f"},
 		{Members: []Member{{ID: "b", Addr: "1"}, {ID: "a", Addr: "2", Site: "s"}}},
-		{Slots: []Slot{{Slot: 7, Full: []string{"a", "b"}}, {Slot: 9, Full: []string{"a"}, Joining: []string{"b"}}}},
-		{Epoch: 1, Members: []Member{{ID: "c", Addr: "3"}, {ID: "a", Addr: "4", Site: "s"}}, Put: []Put{{Key: "config/x", Value: []byte("1"), Op: "o"}}},
+		{ShardChanges: []ShardChange{{Shard: 7, InSync: []string{"a", "b"}}, {Shard: 9, InSync: []string{"a"}, Joining: []string{"b"}}}},
+		{BaseEpoch: 1, Members: []Member{{ID: "c", Addr: "3"}, {ID: "a", Addr: "4", Site: "s"}}, Puts: []Put{{Key: "config/x", Value: []byte("1"), OperationID: "o"}}},
 	} {
 		did := s.Apply(e)
-		for _, k := range did.Keys {
+		for _, k := range did.ChangedKeys {
 			v, is := s.Value(k)
-			if err := by.Take(k, v, !is); err != nil {
+			if err := by.SetValue(k, v, !is); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -123,7 +123,7 @@
 		t.Errorf("%q", s.Keys())
 	}
 	for _, k := range s.Keys() {
-		if strings.HasPrefix(k, Config) {
+		if strings.HasPrefix(k, ItemPrefix) {
 			continue
 		}
 		want, _ := s.Value(k)
@@ -135,7 +135,7 @@
 		t.Errorf("%+v", by.Members)
 	}
 	for _, k := range []string{"view/256", "view/x", "epoch", "member/z"} {
-		if err := by.Take(k, []byte("x"), false); err == nil {
+		if err := by.SetValue(k, []byte("x"), false); err == nil {
 			t.Errorf("%s is taken", k)
 		}
 	}
--- a/internal/fleet/shardmap/shardmap.go
+++ b/internal/fleet/shardmap/shardmap.go
@@ -13,11 +13,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Slots is how many parts the key space has. A slot moves as a whole.
-const Slots = 256
+// ShardCount is how many parts the key space has. A slot moves as a whole.
+const ShardCount = 256
 
-// SlotOf is the slot of a key.
-func SlotOf(key string) int { return int(xxhash.Sum64String(key) % Slots) }
+// ShardOf is the slot of a key.
+func ShardOf(key string) int { return int(xxhash.Sum64String(key) % ShardCount) }
 
 // Member is one of an epoch's list.
 type Member struct {
@@ -28,97 +28,97 @@
 	Site    string `json:"s"`
 }
 
-// View is who holds a slot. Each change has the next number, and each number exists once.
-type View struct {
-	Num     uint64   `json:"n"`
-	Full    []string `json:"f"` // each has all that was promised; the first one is the primary
-	Joining []string `json:"j,omitempty"`
-	Lost    int      `json:"l,omitempty"` // times that it began anew, as all who had its records were lost
+// Configuration is who holds a slot. Each change has the next number, and each number exists once.
+type Configuration struct {
+	Number     uint64   `json:"n"`
+	InSync     []string `json:"f"` // each has all that was promised; the first one is the primary
+	Joining    []string `json:"j,omitempty"`
+	DataLosses int      `json:"l,omitempty"` // times that it began anew, as all who had its records were lost
 }
 
 // Primary is who orders a slot's writes; empty before the first view.
-func (v View) Primary() string {
-	if len(v.Full) == 0 {
+func (v Configuration) Primary() string {
+	if len(v.InSync) == 0 {
 		return ""
 	}
-	return v.Full[0]
+	return v.InSync[0]
 }
 
 // State is what is agreed.
 type State struct {
-	Fleet   string   `json:"fleet"`
-	Epoch   uint64   `json:"epoch"`
-	Members []Member `json:"members"` // by ID
-	Views   []View   `json:"views"`   // by slot
-	Version uint64   `json:"version"` // one more with each entry that took hold
+	FleetID        string          `json:"fleet"`
+	Epoch          uint64          `json:"epoch"`
+	Members        []Member        `json:"members"` // by ID
+	Configurations []Configuration `json:"views"`   // by slot
+	Version        uint64          `json:"version"` // one more with each entry that took hold
 
-	Items map[string]Held `json:"items,omitempty"` // what operators put, by key
-	Ops   []Done          `json:"ops,omitempty"`   // the newest puts, the newest last
+	Items      map[string]Item `json:"items,omitempty"` // what operators put, by key
+	RecentPuts []PutResult     `json:"ops,omitempty"`   // the newest puts, the newest last
 }
 
 // Entry is one change. Its parts hold or not each by itself.
 type Entry struct {
-	Found   string   `json:"found,omitempty"` // the fleet begins, under this ID
-	Epoch   uint64   `json:"epoch,omitempty"` // the number that Members is made of: the one in force, or it is refused
-	Members []Member `json:"members,omitempty"`
-	Slots   []Slot   `json:"slots,omitempty"`
-	Put     []Put    `json:"put,omitempty"`
+	BootstrapID  string        `json:"found,omitempty"` // the fleet begins, under this ID
+	BaseEpoch    uint64        `json:"epoch,omitempty"` // the number that Members is made of: the one in force, or it is refused
+	Members      []Member      `json:"members,omitempty"`
+	ShardChanges []ShardChange `json:"slots,omitempty"`
+	Puts         []Put         `json:"put,omitempty"`
 }
 
-// Slot is a change of one slot's view; Of is the number that it is made of.
-type Slot struct {
-	Slot    int      `json:"s"`
-	Of      uint64   `json:"o"`
-	Full    []string `json:"f"`
-	Joining []string `json:"j,omitempty"`
-	Anew    bool     `json:"a,omitempty"` // none of the old view's has to be among the new one's: what they held is lost
+// ShardChange is a change of one slot's view; Of is the number that it is made of.
+type ShardChange struct {
+	Shard      int      `json:"s"`
+	BaseNumber uint64   `json:"o"`
+	InSync     []string `json:"f"`
+	Joining    []string `json:"j,omitempty"`
+	Reset      bool     `json:"a,omitempty"` // none of the old view's has to be among the new one's: what they held is lost
 }
 
 // New is the state before anything is agreed.
-func New() *State { return &State{Views: make([]View, Slots)} }
+func New() *State { return &State{Configurations: make([]Configuration, ShardCount)} }
 
 // Applied is what an entry did.
 type Applied struct {
-	Slots []int    // that have another view
-	Epoch bool     // the epoch, or the fleet's ID, is another
-	Keys  []string // of the state as a map, whose values are others or gone: nothing where the entry did not take hold
-	Puts  []Done   // how each put ended, in their order
+	Shards       []int       // that have another view
+	EpochChanged bool        // the epoch, or the fleet's ID, is another
+	ChangedKeys  []string    // of the state as a map, whose values are others or gone: nothing where the entry did not take hold
+	PutResults   []PutResult // how each put ended, in their order
 }
 
 // Apply takes an entry. One, or a part of one, that was made of another state leaves that part as it was.
 func (s *State) Apply(e Entry) (a Applied) {
 	version := s.Version + 1
-	if e.Found != "" && s.Fleet == "" {
-		s.Fleet, a.Epoch = e.Found, true
-		a.Keys = append(a.Keys, KeyFleet)
+	if e.BootstrapID != "" && s.FleetID == "" {
+		s.FleetID, a.EpochChanged = e.BootstrapID, true
+		a.ChangedKeys = append(a.ChangedKeys, FleetKey)
 	}
-	if len(e.Members) > 0 && e.Epoch == s.Epoch && s.Fleet != "" {
+	if len(e.Members) > 0 && e.BaseEpoch == s.Epoch && s.FleetID != "" {
 		was := s.Members
 		s.Epoch++
-		s.Members, a.Epoch = slices.Clone(e.Members), true
+		s.Members, a.EpochChanged = slices.Clone(e.Members), true
 		slices.SortFunc(s.Members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
-		a.Keys = append(append(a.Keys, KeyEpoch), differ(was, s.Members)...)
+		a.ChangedKeys = append(append(a.ChangedKeys, EpochKey), differ(was, s.Members)...)
 	}
-	for _, c := range e.Slots {
-		if c.Slot < 0 || c.Slot >= len(s.Views) || s.Views[c.Slot].Num != c.Of || !s.may(c) {
+	for _, c := range e.ShardChanges {
+		if c.Shard < 0 || c.Shard >= len(s.Configurations) || s.Configurations[c.Shard].Number != c.BaseNumber || !s.may(c) {
 			continue
 		}
-		v := View{Num: c.Of + 1, Full: slices.Clone(c.Full), Joining: slices.Clone(c.Joining), Lost: s.Views[c.Slot].Lost}
-		if c.Anew {
-			v.Lost++
+		v := Configuration{Number: c.BaseNumber + 1, InSync: slices.Clone(c.InSync), Joining: slices.Clone(c.Joining), DataLosses: s.Configurations[c.Shard].DataLosses}
+		if c.Reset {
+			v.DataLosses++
 		}
-		s.Views[c.Slot] = v
-		a.Slots = append(a.Slots, c.Slot)
-		a.Keys = append(a.Keys, keyView(c.Slot))
+		s.Configurations[c.Shard] = v
+		a.Shards = append(a.Shards, c.Shard)
+		a.ChangedKeys = append(a.ChangedKeys, keyView(c.Shard))
 	}
-	for _, p := range e.Put {
+	for _, p := range e.Puts {
 		done, changed := s.put(p, version)
-		a.Puts = append(a.Puts, done)
-		if changed && !slices.Contains(a.Keys, p.Key) {
-			a.Keys = append(a.Keys, p.Key)
+		a.PutResults = append(a.PutResults, done)
+		if changed && !slices.Contains(a.ChangedKeys, p.Key) {
+			a.ChangedKeys = append(a.ChangedKeys, p.Key)
 		}
 	}
-	if len(a.Keys) > 0 {
+	if len(a.ChangedKeys) > 0 {
 		s.Version = version
 	}
 	return a
@@ -146,19 +146,19 @@
 
 // may tells whether a view can follow the one in force. What was promised is with each of the old one's, so the new one begins with
 // one of them, and whoever was not among them was joining, and was said by the primary to have caught up.
-func (s *State) may(c Slot) bool {
-	if len(c.Full) == 0 || twice(slices.Concat(c.Full, c.Joining)) {
+func (s *State) may(c ShardChange) bool {
+	if len(c.InSync) == 0 || twice(slices.Concat(c.InSync, c.Joining)) {
 		return false
 	}
-	old := s.Views[c.Slot]
-	if old.Num == 0 || c.Anew {
+	old := s.Configurations[c.Shard]
+	if old.Number == 0 || c.Reset {
 		return true
 	}
-	if !slices.Contains(old.Full, c.Full[0]) {
+	if !slices.Contains(old.InSync, c.InSync[0]) {
 		return false
 	}
-	for _, id := range c.Full {
-		if !slices.Contains(old.Full, id) && !slices.Contains(old.Joining, id) {
+	for _, id := range c.InSync {
+		if !slices.Contains(old.InSync, id) && !slices.Contains(old.Joining, id) {
 			return false
 		}
 	}
@@ -183,8 +183,8 @@
 	return text
 }
 
-// Decode reads an entry.
-func Decode(text []byte) (e Entry, err error) {
+// DecodeEntry reads an entry.
+func DecodeEntry(text []byte) (e Entry, err error) {
 	err = json.Unmarshal(text, &e)
 	return e, err
 }
@@ -204,15 +204,15 @@
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, err
 	}
-	if len(s.Views) != Slots {
-		return nil, fmt.Errorf("a state of %d slots, this program has %d", len(s.Views), Slots)
+	if len(s.Configurations) != ShardCount {
+		return nil, fmt.Errorf("a state of %d slots, this program has %d", len(s.Configurations), ShardCount)
 	}
 	return s, nil
 }
 
-// Pick ranks who should hold a slot: rendezvous hashing among the members, never two on one machine, and of those that are left
+// PickReplicas ranks who should hold a slot: rendezvous hashing among the members, never two on one machine, and of those that are left
 // one of a further zone before one of a further site before any. It is the same for each who has the same list.
-func Pick(slot int, members []Member, copies int) []string {
+func PickReplicas(slot int, members []Member, copies int) []string {
 	type scored struct {
 		Member
 		score uint64
--- a/internal/fleet/store/golden_test.go
+++ b/internal/fleet/store/golden_test.go
@@ -22,18 +22,18 @@
 
 // goldenWrites are calls that fill all buckets, with log entries that are overwritten and records that are replaced and dropped.
 func goldenWrites() []node.Ready {
-	full := replication.Record{Key: "word/a", Version: 1 << 40, Value: []byte("value"), Op: "op3", Born: 1700000000, Gone: true, Past: []string{"op2", "op1"}}
+	full := replication.Record{Key: "word/a", Version: 1 << 40, Value: []byte("value"), OperationID: "op3", CreatedAt: 1700000000, Deleted: true, PastOperationIDs: []string{"op2", "op1"}}
 	return []node.Ready{
 		{Fleet: "fleet-1", Agree: consensus.Write{Hard: []byte("hard 1"), Snapshot: []byte("snapshot"), Upto: 2, Entries: [][]byte{[]byte("three"), []byte("four"), []byte("five")}, First: 3},
 			Slots: []replication.Write{
-				{Slot: 3, Ballot: replication.Ballot{View: 1, Life: 1}, Records: []replication.Record{full, record("b", 1)}},
-				{Slot: 255, Ballot: replication.Ballot{View: 2, Life: 1 << 63}, Records: []replication.Record{record("c", 1)}},
-				{Slot: 9, Ballot: replication.Ballot{View: 4, Life: 5}},
+				{Shard: 3, Ballot: replication.Ballot{Configuration: 1, Incarnation: 1}, Records: []replication.Record{full, record("b", 1)}},
+				{Shard: 255, Ballot: replication.Ballot{Configuration: 2, Incarnation: 1 << 63}, Records: []replication.Record{record("c", 1)}},
+				{Shard: 9, Ballot: replication.Ballot{Configuration: 4, Incarnation: 5}},
 			}},
 		{Agree: consensus.Write{Hard: []byte("hard 2"), Entries: [][]byte{[]byte("five again"), []byte("six")}, First: 5},
 			Slots: []replication.Write{
-				{Slot: 3, Ballot: replication.Ballot{View: 2, Life: 7}, Records: []replication.Record{{Key: "b"}, record("d", 2)}},
-				{Slot: 255, Ballot: replication.Ballot{View: 3, Life: 9}, Replace: true, Records: []replication.Record{record("e", 4)}},
+				{Shard: 3, Ballot: replication.Ballot{Configuration: 2, Incarnation: 7}, Records: []replication.Record{{Key: "b"}, record("d", 2)}},
+				{Shard: 255, Ballot: replication.Ballot{Configuration: 3, Incarnation: 9}, ReplaceAll: true, Records: []replication.Record{record("e", 4)}},
 			}},
 		{Agree: consensus.Write{Snapshot: []byte("snapshot 2"), Upto: 3}},
 	}
@@ -46,9 +46,9 @@
 		Fleet: "fleet-1",
 		Agree: consensus.Saved{Hard: []byte("hard 2"), Snapshot: []byte("snapshot 2"), Entries: [][]byte{[]byte("four"), []byte("five again"), []byte("six")}},
 		Slots: map[int]node.Slot{
-			3:   {Ballot: replication.Ballot{View: 2, Life: 7}, Records: []replication.Record{record("d", 2), full}},
-			9:   {Ballot: replication.Ballot{View: 4, Life: 5}},
-			255: {Ballot: replication.Ballot{View: 3, Life: 9}, Records: []replication.Record{record("e", 4)}},
+			3:   {Ballot: replication.Ballot{Configuration: 2, Incarnation: 7}, Records: []replication.Record{record("d", 2), full}},
+			9:   {Ballot: replication.Ballot{Configuration: 4, Incarnation: 5}},
+			255: {Ballot: replication.Ballot{Configuration: 3, Incarnation: 9}, Records: []replication.Record{record("e", 4)}},
 		},
 	}
 }
@@ -135,7 +135,7 @@
 	if got := dump(t, copied); got != string(want) {
 		t.Errorf("the earlier file:\n%swant:\n%s", got, want)
 	}
-	if saved, err := Look(dir); err != nil || !reflect.DeepEqual(saved, goldenSaved()) {
+	if saved, err := Inspect(dir); err != nil || !reflect.DeepEqual(saved, goldenSaved()) {
 		t.Errorf("looked: %+v, %v; want %+v", saved, err, goldenSaved())
 	}
 	s, saved, err := Open(dir)
--- a/internal/fleet/store/look_test.go
+++ b/internal/fleet/store/look_test.go
@@ -13,22 +13,22 @@
 // TestALookChangesNothing reads a directory that a process has, and one that nobody has.
 func TestALookChangesNothing(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := Look(dir); err == nil {
+	if _, err := Inspect(dir); err == nil {
 		t.Error("a directory without a file")
 	}
 	s, _, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Write(node.Ready{Fleet: "f", Slots: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}); err != nil {
+	if err := s.Write(node.Ready{Fleet: "f", Slots: []replication.Write{{Shard: 3, Records: []replication.Record{record("a", 1)}}}}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Look(dir); err == nil {
+	if _, err := Inspect(dir); err == nil {
 		t.Error("read while a process has it")
 	}
 	_ = s.Close()
 	before, _ := os.ReadFile(filepath.Join(dir, "holdings.db"))
-	got, err := Look(dir)
+	got, err := Inspect(dir)
 	if err != nil || got.Fleet != "f" || !reflect.DeepEqual(got.Slots[3].Records, []replication.Record{record("a", 1)}) {
 		t.Error(got, err)
 	}
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -23,8 +23,8 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// Format is the newest form of the file that this program writes and reads; older ones are read.
-const Format = 1
+// FormatVersion is the newest form of the file that this program writes and reads; older ones are read.
+const FormatVersion = 1
 
 const openWithin = time.Second // the directory is this process's; nobody else should have the file
 
@@ -40,7 +40,7 @@
 	db  *bbolt.DB
 	err error // the first that failed
 
-	Writes, Bytes int64 // transactions, and bytes handed to them
+	WriteCount, WrittenBytes int64 // transactions, and bytes handed to them
 }
 
 // Open opens the file in a directory, which has to be this process's, and reads all of it. A file of a newer format, or one whose
@@ -63,8 +63,8 @@
 	return s, saved, nil
 }
 
-// Look reads the file of a directory that no process has, and changes nothing.
-func Look(dir string) (node.Saved, error) {
+// Inspect reads the file of a directory that no process has, and changes nothing.
+func Inspect(dir string) (node.Saved, error) {
 	path := filepath.Join(dir, "holdings.db")
 	if _, err := os.Stat(path); err != nil {
 		return node.Saved{}, err
@@ -101,7 +101,7 @@
 			}
 		}
 		if m := tx.Bucket(meta); m.Get([]byte("format")) == nil {
-			if err := m.Put([]byte("format"), []byte{Format}); err != nil {
+			if err := m.Put([]byte("format"), []byte{FormatVersion}); err != nil {
 				return err
 			}
 		}
@@ -117,8 +117,8 @@
 	all := [4]*bbolt.Bucket{tx.Bucket(meta), tx.Bucket(entries), tx.Bucket(slots), tx.Bucket(records)}
 	m := all[0]
 	err = func() error {
-		if f := m.Get([]byte("format")); len(f) != 1 || f[0] < 1 || f[0] > Format {
-			return fmt.Errorf("its format is %d, written by a newer program; this one reads up to %d", f, Format)
+		if f := m.Get([]byte("format")); len(f) != 1 || f[0] < 1 || f[0] > FormatVersion {
+			return fmt.Errorf("its format is %d, written by a newer program; this one reads up to %d", f, FormatVersion)
 		}
 		out.Fleet = string(m.Get([]byte("fleet")))
 		out.Agree = consensus.Saved{Hard: bytes.Clone(m.Get([]byte("hard"))), Snapshot: bytes.Clone(m.Get([]byte("snapshot")))}
@@ -131,10 +131,10 @@
 		}
 		if err := all[2].ForEach(func(k, v []byte) error {
 			num := int(binary.BigEndian.Uint16(k))
-			if num >= shardmap.Slots || len(v) != 16 {
+			if num >= shardmap.ShardCount || len(v) != 16 {
 				return fmt.Errorf("slot %d is none", num)
 			}
-			out.Slots[num] = node.Slot{Ballot: replication.Ballot{View: binary.BigEndian.Uint64(v), Life: binary.BigEndian.Uint64(v[8:])}}
+			out.Slots[num] = node.Slot{Ballot: replication.Ballot{Configuration: binary.BigEndian.Uint64(v), Incarnation: binary.BigEndian.Uint64(v[8:])}}
 			return nil
 		}); err != nil {
 			return err
@@ -146,7 +146,7 @@
 				err = cbor.Unmarshal(text, &r)
 			}
 			num := int(binary.BigEndian.Uint16(k))
-			if err == nil && (num >= shardmap.Slots || r.Key != string(k[2:])) {
+			if err == nil && (num >= shardmap.ShardCount || r.Key != string(k[2:])) {
 				err = errors.New("it is another key's")
 			}
 			if err != nil {
@@ -170,10 +170,10 @@
 	if r.Fleet == "" && len(r.Slots) == 0 && len(r.Agree.Hard)+len(r.Agree.Snapshot)+len(r.Agree.Entries) == 0 {
 		return nil
 	}
-	s.Writes++
+	s.WriteCount++
 	s.err = s.db.Update(func(tx *bbolt.Tx) error {
 		put := func(b *bbolt.Bucket, k, v []byte) error {
-			s.Bytes += int64(len(k) + len(v))
+			s.WrittenBytes += int64(len(k) + len(v))
 			return b.Put(k, v)
 		}
 		if err := s.log(tx, r, put); err != nil {
@@ -181,14 +181,14 @@
 		}
 		ballots, held := tx.Bucket(slots), tx.Bucket(records)
 		for _, w := range r.Slots {
-			num := binary.BigEndian.AppendUint16(nil, uint16(w.Slot))
-			ballot := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, w.Ballot.View), w.Ballot.Life)
+			num := binary.BigEndian.AppendUint16(nil, uint16(w.Shard))
+			ballot := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, w.Ballot.Configuration), w.Ballot.Incarnation)
 			if !bytes.Equal(ballots.Get(num), ballot) {
 				if err := put(ballots, num, ballot); err != nil {
 					return err
 				}
 			}
-			if w.Replace {
+			if w.ReplaceAll {
 				c := held.Cursor()
 				for k, _ := c.Seek(num); k != nil && bytes.HasPrefix(k, num); k, _ = c.Seek(num) {
 					if err := c.Delete(); err != nil {
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -16,25 +16,25 @@
 )
 
 func record(key string, version uint64) replication.Record {
-	return replication.Record{Key: key, Version: version, Value: []byte("v"), Op: fmt.Sprint("o", version), Past: []string{"p"}}
+	return replication.Record{Key: key, Version: version, Value: []byte("v"), OperationID: fmt.Sprint("o", version), PastOperationIDs: []string{"p"}}
 }
 
 // TestWhatIsWrittenIsRead writes slots and the log over each other and opens the file anew after each.
 func TestWhatIsWrittenIsRead(t *testing.T) {
 	dir := t.TempDir()
-	b1, b2 := replication.Ballot{View: 1, Life: 1}, replication.Ballot{View: 2, Life: 7}
+	b1, b2 := replication.Ballot{Configuration: 1, Incarnation: 1}, replication.Ballot{Configuration: 2, Incarnation: 7}
 	for _, c := range []struct {
 		write node.Ready
 		want  node.Saved
 	}{
 		{node.Ready{Fleet: "f", Agree: consensus.Write{Hard: []byte("h"), Snapshot: []byte("s"), Upto: 1, Entries: [][]byte{{2}, {3}}, First: 2},
-			Slots: []replication.Write{{Slot: 3, Ballot: b1, Records: []replication.Record{record("a", 1), record("b", 1)}}, {Slot: 4, Ballot: b1}}},
+			Slots: []replication.Write{{Shard: 3, Ballot: b1, Records: []replication.Record{record("a", 1), record("b", 1)}}, {Shard: 4, Ballot: b1}}},
 			node.Saved{Fleet: "f", Agree: consensus.Saved{Hard: []byte("h"), Snapshot: []byte("s"), Entries: [][]byte{{2}, {3}}},
 				Slots: map[int]node.Slot{3: {Ballot: b1, Records: []replication.Record{record("a", 1), record("b", 1)}}, 4: {Ballot: b1}}}},
-		{node.Ready{Agree: consensus.Write{Entries: [][]byte{{9}}, First: 3}, Slots: []replication.Write{{Slot: 3, Ballot: b2, Records: []replication.Record{record("a", 2)}}}},
+		{node.Ready{Agree: consensus.Write{Entries: [][]byte{{9}}, First: 3}, Slots: []replication.Write{{Shard: 3, Ballot: b2, Records: []replication.Record{record("a", 2)}}}},
 			node.Saved{Fleet: "f", Agree: consensus.Saved{Hard: []byte("h"), Snapshot: []byte("s"), Entries: [][]byte{{2}, {9}}},
 				Slots: map[int]node.Slot{3: {Ballot: b2, Records: []replication.Record{record("a", 2), record("b", 1)}}, 4: {Ballot: b1}}}},
-		{node.Ready{Agree: consensus.Write{Snapshot: []byte("t"), Upto: 3}, Slots: []replication.Write{{Slot: 3, Ballot: b2, Replace: true, Records: []replication.Record{record("c", 1)}}}},
+		{node.Ready{Agree: consensus.Write{Snapshot: []byte("t"), Upto: 3}, Slots: []replication.Write{{Shard: 3, Ballot: b2, ReplaceAll: true, Records: []replication.Record{record("c", 1)}}}},
 			node.Saved{Fleet: "f", Agree: consensus.Saved{Hard: []byte("h"), Snapshot: []byte("t")},
 				Slots: map[int]node.Slot{3: {Ballot: b2, Records: []replication.Record{record("c", 1)}}, 4: {Ballot: b1}}}},
 	} {
@@ -57,7 +57,7 @@
 // TestFilesThatAreRefused spoils one record, and the format.
 func TestFilesThatAreRefused(t *testing.T) {
 	for want, spoil := range map[string]func(tx *bbolt.Tx) error{
-		"newer program": func(tx *bbolt.Tx) error { return tx.Bucket(meta).Put([]byte("format"), []byte{Format + 1}) },
+		"newer program": func(tx *bbolt.Tx) error { return tx.Bucket(meta).Put([]byte("format"), []byte{FormatVersion + 1}) },
 		`record "a" of slot 3: its checksum is wrong`: func(tx *bbolt.Tx) error {
 			v := tx.Bucket(records).Get([]byte("\x00\x03a"))
 			return tx.Bucket(records).Put([]byte("\x00\x03a"), append([]byte{v[0] + 1}, v[1:]...))
@@ -71,7 +71,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Write(node.Ready{Slots: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}); err != nil {
+		if err := s.Write(node.Ready{Slots: []replication.Write{{Shard: 3, Records: []replication.Record{record("a", 1)}}}}); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.db.Update(spoil); err != nil {
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	_ = s.db.Close()
-	one := node.Ready{Slots: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}
+	one := node.Ready{Slots: []replication.Write{{Shard: 3, Records: []replication.Record{record("a", 1)}}}}
 	first := s.Write(one)
 	if first == nil || s.Write(one) != first {
 		t.Error(first)
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/subscriber.go
@@ -350,12 +350,12 @@
 // Ask has an operation done by the control processes. done is called once, from another goroutine, within the span or a little
 // later; it must not wait. Where no answer comes it is Unknown, or Refused if nobody was asked. An operation whose connection ends is
 // asked again over another, which is safe, as it is known by its ID.
-func (f *Follow) Ask(op replication.Op, within time.Duration, done func(replication.Result)) {
+func (f *Follow) Ask(op replication.Operation, within time.Duration, done func(replication.Result)) {
 	a := &ask{op: op.ID}
 	a.unanswered = func() {
-		r := replication.Result{Op: op.ID, Outcome: replication.Unknown}
+		r := replication.Result{OperationID: op.ID, Outcome: replication.OutcomeUnknown}
 		if !a.sent {
-			r.Outcome, r.Why = replication.Refused, replication.Busy
+			r.Outcome, r.Reason = replication.OutcomeRejected, replication.ReasonBusy
 		}
 		done(r)
 	}
@@ -460,7 +460,7 @@
 func (f *Follow) result(o *changefeed.Opaque) func() {
 	a := f.asks[o.Number]
 	var r replication.Result
-	if a == nil || f.puts[a.op] == a || framing.Decode(o.Body, &r) != nil || r.Op != a.op {
+	if a == nil || f.puts[a.op] == a || framing.Decode(o.Body, &r) != nil || r.OperationID != a.op {
 		return nil
 	}
 	f.forget(a)
--- a/internal/fleet/words.go
+++ b/internal/fleet/words.go
@@ -54,20 +54,20 @@
 		if err != nil {
 			panic(err) // plain values
 		}
-		op := replication.Op{ID: rand.Text(), Key: key, If: version, Value: text, Born: w.At}
+		op := replication.Operation{ID: rand.Text(), Key: key, ExpectedVersion: version, Value: text, CreatedAt: w.At}
 		for range wordTries { // another word may come between
 			r := f.ask(op)
-			if r.Outcome == replication.Done {
+			if r.Outcome == replication.OutcomeCommitted {
 				f.log.Info("fleet: word is held", zap.String("of", name), zap.Bool("out", w.Out), zap.Uint64("version", r.Record.Version))
 				return
 			}
-			if r.Outcome != replication.Conflict || f.overtaken(number) {
+			if r.Outcome != replication.OutcomeConflict || f.overtaken(number) {
 				break
 			}
-			if version = r.Record.Version; r.Record.Gone {
+			if version = r.Record.Version; r.Record.Deleted {
 				version = 0
 			}
-			op.ID, op.If = rand.Text(), version
+			op.ID, op.ExpectedVersion = rand.Text(), version
 		}
 	}
 	f.log.Error("fleet: word is not held: it dies with this process", zap.String("of", name), zap.Bool("out", w.Out))
@@ -82,10 +82,10 @@
 		began := time.Now()
 		for range wordTries {
 			if h, _ := f.holding(); h != nil {
-				r := f.ask(replication.Op{ID: rand.Text(), Key: wordKey(name), Read: true})
-				if r.Outcome == replication.Conflict {
+				r := f.ask(replication.Operation{ID: rand.Text(), Key: wordKey(name), ReadOnly: true})
+				if r.Outcome == replication.OutcomeConflict {
 					var w Word
-					if len(r.Record.Value) > 0 && !r.Record.Gone {
+					if len(r.Record.Value) > 0 && !r.Record.Deleted {
 						if err := json.Unmarshal(r.Record.Value, &w); err != nil {
 							f.log.Error("fleet: a word that can't be read", zap.String("of", name), zap.Error(err))
 						}
@@ -105,7 +105,7 @@
 }
 
 // ask waits for one operation.
-func (f *Fleet) ask(op replication.Op) replication.Result {
+func (f *Fleet) ask(op replication.Operation) replication.Result {
 	h, _ := f.holding()
 	out := make(chan replication.Result, 1)
 	h.Ask(op, wordTry, func(r replication.Result) { out <- r })
@@ -113,7 +113,7 @@
 	case r := <-out:
 		return r
 	case <-f.over:
-		return replication.Result{Outcome: replication.Unknown}
+		return replication.Result{Outcome: replication.OutcomeUnknown}
 	}
 }
 
--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -28,13 +28,13 @@
 		return fmt.Errorf("seed %d: %s: %s", w.plan.Seed, name, fmt.Sprintf(format, args...))
 	}
 	newest, _ := w.newest()
-	if newest == nil || newest.Fleet == "" {
+	if newest == nil || newest.FleetID == "" {
 		return broken(Unsettled, "it was never founded")
 	}
 	w.Views = int(newest.Version)
-	for num, v := range newest.Views {
-		if len(v.Full) < min(w.plan.Copies, len(w.nodes)) {
-			return broken(NotRepaired, "slot %d has %d holders, view %d: %v, joining %v", num, len(v.Full), v.Num, v.Full, v.Joining)
+	for num, v := range newest.Configurations {
+		if len(v.InSync) < min(w.plan.Copies, len(w.nodes)) {
+			return broken(NotRepaired, "slot %d has %d holders, view %d: %v, joining %v", num, len(v.InSync), v.Number, v.InSync, v.Joining)
 		}
 	}
 	final := map[string]replication.Record{}
@@ -42,18 +42,18 @@
 		key := fmt.Sprintf("k%d", i)
 		for try := 0; ; try++ {
 			w.opN++
-			op := replication.Op{ID: fmt.Sprintf("o%d", w.opN), Key: key, Read: true}
+			op := replication.Operation{ID: fmt.Sprintf("o%d", w.opN), Key: key, ReadOnly: true}
 			w.ask(w.nodes[w.rng.IntN(len(w.nodes))], op)
 			a := w.byOp[op.ID]
 			for end := w.now + finalReadTry; !a.Answered && w.now < end; {
 				w.until(w.now + turnEach)
 			}
-			if a.Answered && a.Result.Outcome == replication.Conflict {
+			if a.Answered && a.Result.Outcome == replication.OutcomeConflict {
 				final[key] = a.Result.Record
 				break
 			}
 			if time.Duration(try)*finalReadTry > finalReads {
-				return broken(Unsettled, "key %s can't be read: %v %v", key, a.Result.Outcome, a.Result.Why)
+				return broken(Unsettled, "key %s can't be read: %v %v", key, a.Result.Outcome, a.Result.Reason)
 			}
 		}
 	}
@@ -64,25 +64,25 @@
 	wrote := map[string]string{}
 	for _, a := range w.Acts {
 		r := a.Result.Record
-		if a.Answered && a.Result.Outcome == replication.Done && r.Op == a.Op.ID {
+		if a.Answered && a.Result.Outcome == replication.OutcomeCommitted && r.OperationID == a.Op.ID {
 			at := fmt.Sprintf("%s version %d", a.Op.Key, r.Version)
 			if o := wrote[at]; o != "" {
 				return broken(TwoOwners, "%s: %s and %s", at, o, a.Op.ID)
 			}
 			wrote[at] = a.Op.ID
-			if f := final[a.Op.Key]; f.Version < r.Version || f.Version == r.Version && f.Op != a.Op.ID {
-				return broken(PromiseLost, "%s was promised to %s at %v, now there is version %d by %s", at, a.Op.ID, a.To, f.Version, f.Op)
+			if f := final[a.Op.Key]; f.Version < r.Version || f.Version == r.Version && f.OperationID != a.Op.ID {
+				return broken(PromiseLost, "%s was promised to %s at %v, now there is version %d by %s", at, a.Op.ID, a.To, f.Version, f.OperationID)
 			}
 		}
-		if a.Answered && (a.Result.Outcome == replication.Refused || a.Op.Read && a.Result.Outcome != replication.Conflict) {
+		if a.Answered && (a.Result.Outcome == replication.OutcomeRejected || a.Op.ReadOnly && a.Result.Outcome != replication.OutcomeConflict) {
 			continue // not done
 		}
-		if !a.Answered && a.Op.Read {
+		if !a.Answered && a.Op.ReadOnly {
 			continue
 		}
 		o := porcupine.Operation{ClientId: 0, Input: a.Op, Output: a.Result, Call: int64(a.From), Return: int64(a.To)}
-		if !a.Answered || a.Result.Outcome == replication.Unknown { // it may be done at any time from then on, or never
-			o.Output, o.Return = replication.Result{Outcome: replication.Unknown}, math.MaxInt64
+		if !a.Answered || a.Result.Outcome == replication.OutcomeUnknown { // it may be done at any time from then on, or never
+			o.Output, o.Return = replication.Result{Outcome: replication.OutcomeUnknown}, math.MaxInt64
 		}
 		o.ClientId = len(byKey[a.Op.Key])
 		byKey[a.Op.Key] = append(byKey[a.Op.Key], o)
@@ -109,16 +109,16 @@
 var register = porcupine.Model{
 	Init: func() any { return held{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, op, r := state.(held), input.(replication.Op), output.(replication.Result)
+		s, op, r := state.(held), input.(replication.Operation), output.(replication.Result)
 		next := held{s.version + 1, op.ID}
 		switch {
-		case op.Read:
-			return r.Record.Version == s.version && (s.version == 0 || r.Record.Op == s.op), s
-		case r.Outcome == replication.Done:
-			return op.If == s.version && (r.Record.Op != op.ID || r.Record.Version == next.version), next
-		case r.Outcome == replication.Conflict:
-			return op.If != s.version && r.Record.Version == s.version, s
-		case op.If == s.version: // unknown: done, or not; not at all is at the end of time
+		case op.ReadOnly:
+			return r.Record.Version == s.version && (s.version == 0 || r.Record.OperationID == s.op), s
+		case r.Outcome == replication.OutcomeCommitted:
+			return op.ExpectedVersion == s.version && (r.Record.OperationID != op.ID || r.Record.Version == next.version), next
+		case r.Outcome == replication.OutcomeConflict:
+			return op.ExpectedVersion != s.version && r.Record.Version == s.version, s
+		case op.ExpectedVersion == s.version: // unknown: done, or not; not at all is at the end of time
 			return true, next
 		}
 		return true, s
--- a/internal/lab/fleetsim/disk.go
+++ b/internal/lab/fleetsim/disk.go
@@ -44,13 +44,13 @@
 		maps.DeleteFunc(d.entries, func(i uint64, _ []byte) bool { return i <= d.upto })
 	}
 	for _, w := range r.Slots {
-		s := d.slots[w.Slot]
+		s := d.slots[w.Shard]
 		if s == nil {
 			s = &part{records: map[string]replication.Record{}}
-			d.slots[w.Slot] = s
+			d.slots[w.Shard] = s
 		}
 		s.ballot = w.Ballot
-		if w.Replace {
+		if w.ReplaceAll {
 			clear(s.records)
 		}
 		for _, one := range w.Records {
--- a/internal/lab/fleetsim/play.go
+++ b/internal/lab/fleetsim/play.go
@@ -54,17 +54,17 @@
 	}
 	w.opN++
 	key := fmt.Sprintf("k%d", w.rng.IntN(w.plan.Keys))
-	op := replication.Op{ID: fmt.Sprintf("o%d", w.opN), Key: key, Value: fmt.Appendf(nil, "v%d", w.opN)}
+	op := replication.Operation{ID: fmt.Sprintf("o%d", w.opN), Key: key, Value: fmt.Appendf(nil, "v%d", w.opN)}
 	switch w.rng.IntN(4) {
 	case 0:
-		op.Read, op.Value = true, nil
+		op.ReadOnly, op.Value = true, nil
 	case 1:
-		op.If = w.last(key) // the version that was heard of last
+		op.ExpectedVersion = w.last(key) // the version that was heard of last
 	}
 	w.ask(n, op)
 }
 
-func (w *World) ask(n *member, op replication.Op) {
+func (w *World) ask(n *member, op replication.Operation) {
 	a := &Act{Op: op, Client: n.num, From: w.now}
 	w.Acts = append(w.Acts, a)
 	w.byOp[op.ID] = a
@@ -74,7 +74,7 @@
 // last is the version of a key that any client heard of last.
 func (w *World) last(key string) uint64 {
 	for _, a := range slices.Backward(w.Acts) {
-		if a.Answered && a.Op.Key == key && a.Result.Record.Version > 0 && !a.Result.Record.Gone {
+		if a.Answered && a.Op.Key == key && a.Result.Record.Version > 0 && !a.Result.Record.Deleted {
 			return a.Result.Record.Version
 		}
 	}
@@ -82,7 +82,7 @@
 }
 
 func (w *World) answer(r replication.Result) {
-	if a := w.byOp[r.Op]; a != nil && !a.Answered {
+	if a := w.byOp[r.OperationID]; a != nil && !a.Answered {
 		a.Answered, a.Result, a.To = true, r, w.now
 	}
 }
@@ -172,9 +172,9 @@
 	if newest == nil {
 		return false
 	}
-	for _, v := range newest.Views {
+	for _, v := range newest.Configurations {
 		left := 0
-		for _, id := range v.Full {
+		for _, id := range v.InSync {
 			if id != n.id && w.byID[id] != nil {
 				left++
 			}
--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -57,7 +57,7 @@
 
 // Act is one operation as its client saw it.
 type Act struct {
-	Op        replication.Op
+	Op        replication.Operation
 	Client    int
 	From, To  time.Duration
 	Result    replication.Result
@@ -88,8 +88,8 @@
 	Cuts  int
 	Views int // changes of what is agreed
 
-	Undecided int                        // keys whose order took too long to judge
-	wrote     map[[3]int]replication.Msg // of NotFenced: what was written last, by from, to and slot
+	Undecided int                            // keys whose order took too long to judge
+	wrote     map[[3]int]replication.Message // of NotFenced: what was written last, by from, to and slot
 	sum       uint64
 	err       error
 }
@@ -109,7 +109,7 @@
 	waiting []func()
 	self    shardmap.Member
 	seen    []sight
-	looked  []placement.Seen // as of the newest look
+	looked  []placement.MemberStatus // as of the newest look
 	looksAt time.Duration
 	born    uint64 // counts lives, so that what was meant for one finds no other
 }
@@ -144,7 +144,7 @@
 
 // New makes a world in which all members begin with empty disks.
 func New(p Plan) *World {
-	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, byOp: map[string]*Act{}, wrote: map[[3]int]replication.Msg{},
+	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, byOp: map[string]*Act{}, wrote: map[[3]int]replication.Message{},
 		cut: func(int, int) bool { return false }}
 	for i := range p.Members {
 		n := &member{num: i, seen: make([]sight, p.Members)}
@@ -249,8 +249,8 @@
 	if w.plan.Break == TooSoon {
 		for _, one := range r.Slots {
 			for _, rec := range one.Records {
-				if !one.Replace {
-					w.answer(replication.Result{Op: rec.Op, Outcome: replication.Done, Record: rec})
+				if !one.ReplaceAll {
+					w.answer(replication.Result{OperationID: rec.OperationID, Outcome: replication.OutcomeCommitted, Record: rec})
 				}
 			}
 		}
@@ -322,17 +322,17 @@
 }
 
 // unfenced has a holder tell an overtaken primary that it has what was written last.
-func (w *World) unfenced(from, to *member, msgs []replication.Msg) []replication.Msg {
+func (w *World) unfenced(from, to *member, msgs []replication.Message) []replication.Message {
 	msgs = slices.Clone(msgs)
 	for i, m := range msgs {
-		at := [3]int{from.num, to.num, m.Slot}
-		back := [3]int{to.num, from.num, m.Slot}
+		at := [3]int{from.num, to.num, m.Shard}
+		back := [3]int{to.num, from.num, m.Shard}
 		switch m.Kind {
-		case replication.MsgWrite:
+		case replication.MessageWrite:
 			w.wrote[at] = m
-		case replication.MsgStale:
+		case replication.MessageStaleBallot:
 			if last, is := w.wrote[back]; is {
-				msgs[i].Kind, msgs[i].Ballot, msgs[i].Seq = replication.MsgWritten, last.Ballot, last.Seq
+				msgs[i].Kind, msgs[i].Ballot, msgs[i].Sequence = replication.MessageWriteAck, last.Ballot, last.Sequence
 			}
 		}
 	}
@@ -349,7 +349,7 @@
 	}
 	h.Write(p.Raft)
 	for _, m := range p.Copies {
-		_, _ = fmt.Fprint(h, m.Kind, m.Slot, m.Ballot, m.Seq)
+		_, _ = fmt.Fprint(h, m.Kind, m.Shard, m.Ballot, m.Sequence)
 	}
 	w.sum = h.Sum64()
 }
@@ -358,12 +358,12 @@
 func (w *World) Sum() uint64 { return w.sum }
 
 // sight is how a member sees the others: late, and not by what it can't know.
-func (w *World) sight(n *member) []placement.Seen {
+func (w *World) sight(n *member) []placement.MemberStatus {
 	if w.now < n.looksAt {
 		return n.looked
 	}
 	n.looksAt = w.now + lookEach
-	all := make([]placement.Seen, 0, len(w.nodes))
+	all := make([]placement.MemberStatus, 0, len(w.nodes))
 	for _, o := range w.nodes {
 		if o == n {
 			continue
@@ -380,7 +380,7 @@
 			s.here, s.since = is, w.now
 		}
 		n.seen[o.num] = s
-		all = append(all, placement.Seen{Member: o.self, Here: s.here, Going: o.going, For: w.now - s.since, Speaks: node.Form})
+		all = append(all, placement.MemberStatus{Member: o.self, Alive: s.here, Draining: o.going, StateAge: w.now - s.since, Form: node.Form})
 	}
 	n.looked = all
 	return all
--- a/internal/lab/fleetsim/world_test.go
+++ b/internal/lab/fleetsim/world_test.go
@@ -31,7 +31,7 @@
 			w.Undecided, w.plan.Keys)
 		if err != nil {
 			t.Error(err)
-		} else if all := len(w.Acts); n[replication.Done]+n[replication.Conflict] < all/3 {
+		} else if all := len(w.Acts); n[replication.OutcomeCommitted]+n[replication.OutcomeConflict] < all/3 {
 			t.Errorf("seed %d: of %d only %v", seed, all, n)
 		}
 	}
