--- a/cmd/sabletally/commands.go
+++ b/cmd/sabletally/commands.go
@@ -166,46 +166,46 @@
 // show puts a report in a table.
 func show(out io.Writer, s fleet.Report) {
 	if !s.Member {
-		_, _ = fmt.Fprintf(out, "fleet %s: this process is no member: %s\n", s.Fleet, s.Why)
+		_, _ = fmt.Fprintf(out, "fleet %s: this process is no member: %s\n", s.Fleet, s.Reason)
 		return
 	}
-	if f := s.Following; f != nil {
+	if f := s.Subscriber; f != nil {
 		_, _ = fmt.Fprintf(out, "fleet %s: follows %s; version %d, %s, %.1f s old; %d keys of %d bytes, %d changes, %d snapshots, %d times not current, %d conflicts\n",
-			s.Fleet, cmp.Or(strings.Join(f.Relays, ", "), "nobody"), f.Version, s.Standing, f.Age, f.Keys, f.Bytes, f.Changes, f.Snapshots, f.Lapses, f.Conflicts)
+			s.Fleet, cmp.Or(strings.Join(f.Publishers, ", "), "nobody"), f.Version, s.Standing, f.Age, f.Keys, f.Bytes, f.Changes, f.Snapshots, f.LeaseExpiries, f.Conflicts)
 		return
 	}
-	if p := s.Publishing; p != nil {
+	if p := s.Publisher; p != nil {
 		_, _ = fmt.Fprintf(out, "publishes version %d, %.1f s old; %d of %d followers, %d have it, lowest %d, %d wait for a snapshot, %d take nothing; %d snapshots, %d lapsed, %d full\n",
-			p.Version, p.Age, p.Followers, p.Most, p.Current, p.Lowest, p.Waiting, p.Blocked, p.Snapshots, p.Lapsed, p.Full)
+			p.Version, p.Age, p.Subscribers, p.MaxSubscribers, p.Current, p.LowestVersion, p.AwaitingSnapshot, p.Blocked, p.Snapshots, p.LeaseExpiries, p.RejectedFull)
 	}
-	if h := s.Held; h != nil {
+	if h := s.Store; h != nil {
 		defer func() {
-			_, _ = fmt.Fprintf(out, "epoch %d of %d members, %d records here (%d bytes, file %d), slots by holders: %v", h.Epoch, h.Members, h.Records, h.Bytes, h.File, h.Slots)
+			_, _ = fmt.Fprintf(out, "epoch %d of %d members, %d records here (%d bytes, file %d), slots by holders: %v", h.Epoch, h.Members, h.Records, h.Bytes, h.FileBytes, h.ShardsByReplicas)
 			if h.Voters > 0 {
 				_, _ = fmt.Fprintf(out, "; one of %d voters", h.Voters)
 			}
-			if h.Leads {
+			if h.IsLeader {
 				_, _ = fmt.Fprint(out, ", leads the log")
 			}
-			if h.Disk != "" {
-				_, _ = fmt.Fprintf(out, "; promises nothing: %s", h.Disk)
+			if h.DiskError != "" {
+				_, _ = fmt.Fprintf(out, "; promises nothing: %s", h.DiskError)
 			}
 			_, _ = fmt.Fprintln(out)
 		}()
 	}
-	_, _ = fmt.Fprintf(out, "fleet %s: %s, %d of %d members here, on %d machines for %d copies; health %d, stopped %d times\n", s.Fleet, s.Standing, s.Here,
-		len(s.Others)+1, s.Machines, s.Copies, s.Health, s.Stalls)
+	_, _ = fmt.Fprintf(out, "fleet %s: %s, %d of %d members here, on %d machines for %d copies; health %d, stopped %d times\n", s.Fleet, s.Standing, s.Alive,
+		len(s.Others)+1, s.Machines, s.Replicas, s.Health, s.Pauses)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "member\tmachine\tzone\tsite\taddress\tlife\tstate\tsince\tid")
-	for _, m := range append([]fleet.One{*s.Self}, s.Others...) {
+	for _, m := range append([]fleet.MemberReport{*s.Self}, s.Others...) {
 		state, since := m.State, time.Duration(m.Seconds*float64(time.Second)).Round(time.Second).String()
 		if m.ID == s.Self.ID {
 			state, since = "this one", "-"
 		}
-		if m.By != "" {
+		if m.ReportedBy != "" {
 			state += ", replaced"
 		}
-		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%.8s\n", m.Name, m.Machine, m.Zone, m.Site, m.Addr, m.Life, state, since, m.ID)
+		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%.8s\n", m.Name, m.Machine, m.Zone, m.Site, m.Addr, m.Incarnation, state, since, m.ID)
 	}
 	_ = t.Flush()
 }
--- a/cmd/sabletally/control.go
+++ b/cmd/sabletally/control.go
@@ -88,7 +88,7 @@
 		_ = json.NewEncoder(w).Encode(member.Report())
 	})
 	mux.HandleFunc("GET /control/ready", func(w http.ResponseWriter, _ *http.Request) {
-		if !member.Current() {
+		if !member.IsCurrent() {
 			http.Error(w, "not current: no majority of the voters is heard through", http.StatusServiceUnavailable)
 			return
 		}
--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -50,7 +50,7 @@
 
 // hollow is a balancer's follower without a balancer.
 type hollow struct {
-	*subscriber.Follow
+	*subscriber.Client
 	at int // its place among the ways
 
 	mu   sync.Mutex
@@ -94,12 +94,12 @@
 		}
 	})
 	m.want("the control processes are together and publish", m.all, func(r fleet.Report) bool {
-		return cluster.Together(control)(r) && repaired(r) && r.Publishing.Age >= 0 && r.Publishing.Age < changefeed.Lease.Seconds()
+		return cluster.Together(control)(r) && repaired(r) && r.Publisher.Age >= 0 && r.Publisher.Age < changefeed.DefaultLease.Seconds()
 	})
 	for i := range followers {
 		f := &hollow{at: control + i}
-		f.Follow = subscriber.Open(subscriber.Options{Fleet: "lab", Name: fmt.Sprint("f", i), ID: fmt.Sprint("follower-", i), Life: 1, Zone: cluster.Zone(i % zones),
-			Site: "s", Seeds: m.seeds(), Seed: uint64(i), From: b.Ties.Listen(f.at).Addr(), Now: boottime.Now, Log: zap.NewNop(), Applied: f.applied})
+		f.Client = subscriber.Open(subscriber.Options{Fleet: "lab", Name: fmt.Sprint("f", i), ID: fmt.Sprint("follower-", i), Incarnation: 1, Zone: cluster.Zone(i % zones),
+			Site: "s", Seeds: m.seeds(), Seed: uint64(i), LocalAddr: b.Ties.Listen(f.at).Addr(), Now: boottime.Now, Log: zap.NewNop(), OnUpdate: f.applied})
 		t.Cleanup(f.Close)
 		m.followers = append(m.followers, f)
 	}
@@ -172,22 +172,22 @@
 }
 
 // following asks all balancers.
-func (m *tier) following(is func(*fleet.Following) bool) func() error {
+func (m *tier) following(is func(*fleet.SubscriberReport) bool) func() error {
 	return func() error {
 		for _, p := range m.balancers {
 			r, err := p.Fleet()
 			if err != nil {
 				return err
 			}
-			if r.Following == nil || !is(r.Following) {
-				return fmt.Errorf("%s: %+v", p.Name, r.Following)
+			if r.Subscriber == nil || !is(r.Subscriber) {
+				return fmt.Errorf("%s: %+v", p.Name, r.Subscriber)
 			}
 		}
 		return nil
 	}
 }
 
-func current(s subscriber.Status) bool { return s.Current && len(s.Relays) == 2 }
+func current(s subscriber.Status) bool { return s.Current && len(s.Publishers) == 2 }
 
 // put changes an item by a control process, and answers the version that has it.
 func (m *tier) put(i int, key, value string) uint64 {
@@ -227,7 +227,7 @@
 		if err := m.each(func(s subscriber.Status) bool { return s.Version >= v }, but...)(); err != nil {
 			return err
 		}
-		return m.following(func(f *fleet.Following) bool { return f.Version >= v && f.Current })()
+		return m.following(func(f *fleet.SubscriberReport) bool { return f.Version >= v && f.Current })()
 	})
 	for _, f := range m.followers {
 		if got, _ := f.Get(key); !slices.Contains(but, f) && string(got) != value {
@@ -287,7 +287,7 @@
 	m.balancer("b0", "b0", false)
 	m.balancer("b1", "b1", false)
 	all := m.each(current)
-	fit := func(f *fleet.Following) bool { return f.Current && len(f.Relays) == 2 }
+	fit := func(f *fleet.SubscriberReport) bool { return f.Current && len(f.Publishers) == 2 }
 	m.soon("all follow two", bound, all)
 	m.soon("the balancers as well", bound, m.following(fit))
 	m.everywhere(3, "config/limits", "one")
@@ -295,21 +295,21 @@
 	// One is killed: whoever followed it is elsewhere within the lease, and was current all the while.
 	lost, most := 0, 0
 	for i := range m.control {
-		if r, err := m.control[i].Fleet(); err == nil && r.Publishing.Followers > most {
-			lost, most = i, r.Publishing.Followers
+		if r, err := m.control[i].Fleet(); err == nil && r.Publisher.Subscribers > most {
+			lost, most = i, r.Publisher.Subscribers
 		}
 	}
 	lapses := func() (n uint64) {
 		for _, f := range m.followers {
-			n += f.Status().Count.Lapses
+			n += f.Status().Stats.LeaseExpiries
 		}
 		return n
 	}
 	was := lapses()
 	m.control[lost].Kill()
 	away := m.Ties.Reached(lost).String()
-	m.soon(fmt.Sprintf("c%d is lost, which %d follow: they are elsewhere", lost, most), changefeed.Lease, m.each(func(s subscriber.Status) bool {
-		return current(s) && !slices.Contains(s.Relays, away)
+	m.soon(fmt.Sprintf("c%d is lost, which %d follow: they are elsewhere", lost, most), changefeed.DefaultLease, m.each(func(s subscriber.Status) bool {
+		return current(s) && !slices.Contains(s.Publishers, away)
 	}))
 	if now := lapses(); now != was {
 		t.Errorf("%d followers were not current meanwhile", now-was)
@@ -324,18 +324,18 @@
 	stopped := (lost + 2) % 5
 	_ = m.control[stopped].Signal(syscall.SIGSTOP)
 	asleep := m.Ties.Reached(stopped).String()
-	m.soon("its followers are elsewhere", changefeed.Lease, m.each(func(s subscriber.Status) bool { return current(s) && !slices.Contains(s.Relays, asleep) }))
+	m.soon("its followers are elsewhere", changefeed.DefaultLease, m.each(func(s subscriber.Status) bool { return current(s) && !slices.Contains(s.Publishers, asleep) }))
 	m.everywhere((stopped+1)%5, "config/limits", "three")
 	_ = m.control[stopped].Signal(syscall.SIGCONT)
 	m.want("it has what it missed", m.all, func(r fleet.Report) bool {
-		return cluster.Together(5)(r) && r.Publishing.Age >= 0 && r.Publishing.Age < changefeed.Lease.Seconds()
+		return cluster.Together(5)(r) && r.Publisher.Age >= 0 && r.Publisher.Age < changefeed.DefaultLease.Seconds()
 	})
 	m.everywhere(stopped, "config/limits", "four")
 
 	// A follower is cut off, and knows that by itself.
 	alone := m.followers[4]
 	m.Ties.Set(func(from, to int, tie *emulator.Tie) { tie.Cut = from == alone.at || to == alone.at })
-	m.soon("one that is cut off says so", changefeed.Lease, func() error {
+	m.soon("one that is cut off says so", changefeed.DefaultLease, func() error {
 		if s := alone.Status(); s.Current {
 			return fmt.Errorf("%+v", s)
 		}
@@ -345,17 +345,17 @@
 	if v, _ := alone.Get("config/limits"); string(v) != "four" {
 		t.Errorf("cut off it has %q", v)
 	}
-	before := alone.Status().Count.Snapshots
+	before := alone.Status().Stats.Snapshots
 	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
 	m.soon("it is current again", bound, all)
-	if s := alone.Status(); s.Count.Snapshots != before {
-		t.Errorf("it was sent %d snapshots for a change that was kept", s.Count.Snapshots-before)
+	if s := alone.Status(); s.Stats.Snapshots != before {
+		t.Errorf("it was sent %d snapshots for a change that was kept", s.Stats.Snapshots-before)
 	}
 
 	// All are killed at once and started again. Who has the version is sent no snapshot.
 	snapshots := func() (n uint64) {
 		for _, f := range m.followers {
-			n += f.Status().Count.Snapshots
+			n += f.Status().Stats.Snapshots
 		}
 		return n
 	}
@@ -364,7 +364,7 @@
 		if err != nil {
 			return err
 		}
-		return m.each(func(s subscriber.Status) bool { return s.Version == r.Held.Version })()
+		return m.each(func(s subscriber.Status) bool { return s.Version == r.Store.Version })()
 	})
 	had := snapshots()
 	for _, p := range m.control {
@@ -373,8 +373,8 @@
 	for _, p := range m.control {
 		p.Kill()
 	}
-	m.soon("without any nobody is current", changefeed.Lease, m.each(func(s subscriber.Status) bool { return !s.Current }))
-	m.soon("nor is a balancer", changefeed.Lease, m.following(func(f *fleet.Following) bool { return !f.Current }))
+	m.soon("without any nobody is current", changefeed.DefaultLease, m.each(func(s subscriber.Status) bool { return !s.Current }))
+	m.soon("nor is a balancer", changefeed.DefaultLease, m.following(func(f *fleet.SubscriberReport) bool { return !f.Current }))
 	for _, p := range m.control {
 		if err := p.Launch(); err != nil {
 			t.Fatal(err)
@@ -387,15 +387,15 @@
 	m.everywhere(1, "config/limits", "six")
 
 	// Most voters are lost: nobody can tell any more whether there is something newer.
-	m.want("five vote", m.all, func(r fleet.Report) bool { return r.Held.Voters == 5 })
+	m.want("five vote", m.all, func(r fleet.Report) bool { return r.Store.Voters == 5 })
 	for _, p := range m.control[:3] {
 		_ = p.Signal(syscall.SIGKILL)
 	}
 	for _, p := range m.control[:3] {
 		p.Kill()
 	}
-	m.soon("with most voters lost nobody is current", changefeed.Lease, m.each(func(s subscriber.Status) bool { return !s.Current }))
-	m.soon("nor is a balancer", changefeed.Lease, m.following(func(f *fleet.Following) bool { return !f.Current }))
+	m.soon("with most voters lost nobody is current", changefeed.DefaultLease, m.each(func(s subscriber.Status) bool { return !s.Current }))
+	m.soon("nor is a balancer", changefeed.DefaultLease, m.following(func(f *fleet.SubscriberReport) bool { return !f.Current }))
 	if code, text, err := m.control[4].Call(http.MethodGet, "/control/ready"); err != nil || code != http.StatusServiceUnavailable {
 		t.Errorf("c4 is ready with two of five voters: %d %s %v", code, text, err)
 	}
@@ -467,7 +467,7 @@
 	m.balancers = nil
 	p = m.balancer("u", "u", true)
 	says(p, "yes")
-	m.soon("one that is to be upgraded follows", bound, m.following(func(f *fleet.Following) bool { return f.Current }))
+	m.soon("one that is to be upgraded follows", bound, m.following(func(f *fleet.SubscriberReport) bool { return f.Current }))
 	was, err := p.Fleet()
 	if err != nil {
 		t.Fatal(err)
@@ -483,14 +483,14 @@
 	if err := young.Yes(); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := young.Fleet(); err != nil || r.Member || r.Why == "" {
+	if r, err := young.Fleet(); err != nil || r.Member || r.Reason == "" {
 		t.Fatalf("two processes are the follower: %+v, %v", r, err)
 	}
 	_ = p.Signal(syscall.SIGTERM)
 	<-p.Exited()
 	m.balancers = []*cluster.Process{young}
-	m.soon("the new process follows", bound, m.following(func(f *fleet.Following) bool { return f.Current }))
-	if r, err := young.Fleet(); err != nil || r.Self.ID != was.Self.ID || r.Self.Life != was.Self.Life+1 {
+	m.soon("the new process follows", bound, m.following(func(f *fleet.SubscriberReport) bool { return f.Current }))
+	if r, err := young.Fleet(); err != nil || r.Self.ID != was.Self.ID || r.Self.Incarnation != was.Self.Incarnation+1 {
 		t.Errorf("%+v after %+v, %v", r.Self, was.Self, err)
 	}
 
@@ -499,14 +499,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := slices.IndexFunc(m.seeds(), func(a netip.AddrPort) bool { return a.String() == r.Following.Relays[0] })
+	at := slices.IndexFunc(m.seeds(), func(a netip.AddrPort) bool { return a.String() == r.Subscriber.Publishers[0] })
 	_ = m.control[at].Signal(syscall.SIGTERM)
 	<-m.control[at].Exited()
 	if err := m.control[at].Err(); err != nil {
 		t.Errorf("c%d ended with %v", at, err)
 	}
-	m.soon("its follower is elsewhere", changefeed.Lease, m.following(func(f *fleet.Following) bool {
-		return f.Current && len(f.Relays) > 0 && !slices.Contains(f.Relays, r.Following.Relays[0])
+	m.soon("its follower is elsewhere", changefeed.DefaultLease, m.following(func(f *fleet.SubscriberReport) bool {
+		return f.Current && len(f.Publishers) > 0 && !slices.Contains(f.Publishers, r.Subscriber.Publishers[0])
 	}))
 }
 
@@ -524,7 +524,7 @@
 			t.Fatal(err)
 		}
 	}
-	m.soon("both follow", bound, m.following(func(f *fleet.Following) bool { return f.Current }))
+	m.soon("both follow", bound, m.following(func(f *fleet.SubscriberReport) bool { return f.Current }))
 	asks := func(p *cluster.Process, grade string, id int) *ask {
 		t.Helper()
 		c, err := net.Dial("tcp", p.Addr)
--- a/cmd/sabletally/fleet_cost_test.go
+++ b/cmd/sabletally/fleet_cost_test.go
@@ -78,6 +78,6 @@
 		all.Wait()
 		t.Logf("%s: p50 %.2f ms, p99 %.2f ms, %d failed", grade, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, failed)
 	}
-	r := m.report(0).Held
-	t.Logf("n0: %d records, %d bytes, file %d, %d writes, sent %d", r.Records, r.Bytes, r.File, r.Writes, r.Sent)
+	r := m.report(0).Store
+	t.Logf("n0: %d records, %d bytes, file %d, %d writes, sent %d", r.Records, r.Bytes, r.FileBytes, r.Writes, r.Sent)
 }
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -131,7 +131,7 @@
 	for end := time.Now().Add(bound); !strings.Contains(m.procs[i].Tail(), word); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			for j := range m.procs {
-				m.t.Logf("n%d: %+v", j, m.report(j).Held)
+				m.t.Logf("n%d: %+v", j, m.report(j).Store)
 			}
 			m.t.Fatalf("n%d does not log %s", i, word)
 		}
@@ -223,7 +223,7 @@
 	_ = m.procs[4].Signal(syscall.SIGCONT)
 	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
 	m.together()
-	if r := m.report(4); r.Stalls == 0 || r.Self.Life != 1 {
+	if r := m.report(4); r.Pauses == 0 || r.Self.Incarnation != 1 {
 		t.Errorf("the one that was stopped knows of no stall: %+v", r)
 	}
 
@@ -236,15 +236,15 @@
 		t.Fatal(err)
 	}
 	m.together()
-	if is := m.report(3).Self; is.ID == was || is.Life != 1 {
+	if is := m.report(3).Self; is.ID == was || is.Incarnation != 1 {
 		t.Errorf("a member that lost its disk came back as itself: %+v", is)
 	}
 	m.want("the old one is known for lost for good", m.without(3), func(r fleet.Report) bool {
-		return slices.ContainsFunc(r.Others, func(o fleet.One) bool { return o.ID == was && o.State == "gone" && o.By != "" })
+		return slices.ContainsFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was && o.State == "gone" && o.ReportedBy != "" })
 	})
 
 	m.Ties.Set(func(from, to int, tie *emulator.Tie) { tie.Cut = from < 2 != (to < 2) })
-	m.want("two stand apart", []int{0, 1}, func(r fleet.Report) bool { return r.Standing == "apart" && r.Here == 2 })
+	m.want("two stand apart", []int{0, 1}, func(r fleet.Report) bool { return r.Standing == "apart" && r.Alive == 2 })
 	m.want("three go on", []int{2, 3, 4}, cluster.Together(3))
 	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
 	m.together()
@@ -257,7 +257,7 @@
 
 	m.anew()
 	m.together()
-	if is := m.report(0).Self; is.Life != 2 {
+	if is := m.report(0).Self; is.Incarnation != 2 {
 		t.Errorf("%+v", is)
 	}
 	_ = m.procs[2].Signal(syscall.SIGTERM)
@@ -266,7 +266,7 @@
 }
 
 // repaired is that every slot has three holders, as this member knows.
-func repaired(r fleet.Report) bool { return r.Held != nil && r.Held.Slots[3] == 256 }
+func repaired(r fleet.Report) bool { return r.Store != nil && r.Store.ShardsByReplicas[3] == 256 }
 
 // TestAWordOutlivesMachines has an operator take a balancer out of service, then loses machine after machine with its disk, that of
 // the balancer first, and kills the whole fleet at once. Guards against a balancer that starts and takes clients although it
@@ -307,8 +307,8 @@
 		}
 		starts(lost, map[bool]string{true: "out of service", false: "yes"}[lost == 3])
 		m.want(fmt.Sprintf("what n%d held is copied anew", lost), m.all, func(r fleet.Report) bool {
-			old := slices.IndexFunc(r.Others, func(o fleet.One) bool { return o.ID == was.Self.ID && o.State == "here" })
-			return cluster.Together(5)(r) && repaired(r) && r.Held.Epoch > was.Held.Epoch && r.Held.Members == 5 && old < 0
+			old := slices.IndexFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was.Self.ID && o.State == "here" })
+			return cluster.Together(5)(r) && repaired(r) && r.Store.Epoch > was.Store.Epoch && r.Store.Members == 5 && old < 0
 		})
 	}
 	// One that leaves as planned hands over before it ends.
@@ -320,15 +320,15 @@
 	// A slot has four for as long as one that has joined is a holder and the one that leaves is not yet none; and a member hears of
 	// what is agreed a moment after the one that has left did. None may see one of fewer than three, or see four for good.
 	m.want("after one has left", m.without(2), func(r fleet.Report) bool {
-		if r.Held == nil {
+		if r.Store == nil {
 			return false
 		}
-		for holders, slots := range r.Held.Slots {
+		for holders, slots := range r.Store.ShardsByReplicas {
 			if holders < 3 {
 				t.Errorf("%d slots have %d holders after one has left as planned", slots, holders)
 			}
 		}
-		return repaired(r) && r.Held.Members == 4
+		return repaired(r) && r.Store.Members == 4
 	})
 	m.anew()
 	starts(3, "out of service")
@@ -509,7 +509,7 @@
 				}
 			}
 			m := enlistAll(t, 3, false, c.less, "", a)
-			m.want("the list is held", m.all, func(r fleet.Report) bool { return repaired(r) && r.Held.Records > 0 })
+			m.want("the list is held", m.all, func(r fleet.Report) bool { return repaired(r) && r.Store.Records > 0 })
 			a.Misbehave(emulator.Mute)
 			p := m.procs[2]
 			if c.name == "no fleet" {
@@ -582,7 +582,7 @@
 	if err := young.Yes(); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := young.Fleet(); err != nil || r.Member || r.Why == "" {
+	if r, err := young.Fleet(); err != nil || r.Member || r.Reason == "" {
 		t.Fatalf("two processes are the member: %+v, %v", r, err)
 	}
 	_ = m.procs[1].Signal(syscall.SIGTERM)
@@ -590,7 +590,7 @@
 	m.procs[1] = young
 	for end := time.Now().Add(bound); ; time.Sleep(10 * time.Millisecond) {
 		if r, err := young.Fleet(); err == nil && cluster.Together(3)(r) {
-			if r.Self.ID != was.ID || r.Self.Life != was.Life+1 {
+			if r.Self.ID != was.ID || r.Self.Incarnation != was.Incarnation+1 {
 				t.Fatalf("%+v after %+v", r.Self, was)
 			}
 			break
@@ -600,7 +600,7 @@
 		}
 	}
 	m.want("the others know the new process", []int{0, 2}, func(r fleet.Report) bool {
-		return slices.ContainsFunc(r.Others, func(o fleet.One) bool { return o.ID == was.ID && o.Life == was.Life+1 })
+		return slices.ContainsFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was.ID && o.Incarnation == was.Incarnation+1 })
 	})
 	for _, i := range []int{0, 2} {
 		if tail := m.procs[i].Tail(); strings.Contains(tail, "fleet: member is gone") || strings.Contains(tail, "fleet: member has left") {
--- a/cmd/sabletally/main.go
+++ b/cmd/sabletally/main.go
@@ -101,7 +101,7 @@
 		l.HoldFor(member)
 		if !gate.Shared() { // else the old process of an upgrade tells the new one
 			l.AwaitWord(wordWithin)
-			member.Recall(s.Name, wordWithin, l.Recalled)
+			member.LoadAdminState(s.Name, wordWithin, l.Recalled)
 		}
 		pages["/control/fleet"] = func() any { return member.Report() }
 	}
@@ -210,7 +210,7 @@
 
 func (o operated) say(out bool, err error) error {
 	if err == nil && o.member != nil {
-		o.member.Say(o.name, out)
+		o.member.SetAdminState(o.name, out)
 	}
 	return err
 }
--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -239,11 +239,11 @@
 }
 
 func (l *hollowLook) sum(s *followerStatus) {
-	l.Sent, l.Got = l.Sent+s.Sent, l.Got+s.Got
-	c := &s.Count
-	l.Snapshots, l.Lapses, l.Refused = l.Snapshots+c.Snapshots, l.Lapses+c.Lapses, l.Refused+c.Refused+c.Mismatches
+	l.Sent, l.Got = l.Sent+s.Sent, l.Got+s.Received
+	c := &s.Stats
+	l.Snapshots, l.Lapses, l.Refused = l.Snapshots+c.Snapshots, l.Lapses+c.LeaseExpiries, l.Refused+c.InvalidMessages+c.DigestMismatches
 	l.Conflicts, l.Changes = l.Conflicts+c.Conflicts, l.Changes+c.Changes
-	l.Had, l.Gaps, l.Wants = l.Had+c.Had, l.Gaps+c.Gaps, l.Wants+c.Wants
+	l.Had, l.Gaps, l.Wants = l.Had+c.Duplicates, l.Gaps+c.Gaps, l.Wants+c.SyncRequests
 }
 
 func (h *hollows) look(number int, final bool) *hollowLook {
@@ -260,7 +260,7 @@
 			look.Current++
 		}
 		look.States[hollowState{s.Version, s.Digest}]++
-		for _, r := range s.Relays {
+		for _, r := range s.Publishers {
 			look.Relays[r]++
 		}
 		look.sum(&s)
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -51,7 +51,7 @@
 	opened := make(chan *toldFollower, 10)
 	h := &hollows{out: gob.NewEncoder(toldOut), open: func(_ *hollowBegin, one hollowOne, applied func(uint64)) client {
 		f := &toldFollower{one: one, applied: applied}
-		f.is.Current, f.is.Relays, f.is.Sent, f.is.Count.Snapshots = true, []string{"a", "b"}, 10, 1
+		f.is.Current, f.is.Publishers, f.is.Sent, f.is.Stats.Snapshots = true, []string{"a", "b"}, 10, 1
 		opened <- f
 		return f
 	}}
--- a/cmd/testbed/scale_world.go
+++ b/cmd/testbed/scale_world.go
@@ -191,7 +191,7 @@
 	}
 	var datagrams int64
 	if r, err := c.Fleet(); err == nil {
-		datagrams = r.Sent + r.Heard
+		datagrams = r.Sent + r.Received
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -241,8 +241,8 @@
 			switch r, err := c.Fleet(); {
 			case err != nil:
 				last = err
-			case r.Here != len(all) || r.Held == nil || r.Held.ID == "" || r.Held.Members != len(all):
-				last = fmt.Errorf("control process %s: %s, %d of %d here, %+v", c.Name, r.Standing, r.Here, len(all), r.Held)
+			case r.Alive != len(all) || r.Store == nil || r.Store.ID == "" || r.Store.Members != len(all):
+				last = fmt.Errorf("control process %s: %s, %d of %d here, %+v", c.Name, r.Standing, r.Alive, len(all), r.Store)
 			}
 			if last != nil {
 				break
@@ -734,9 +734,9 @@
 				not[i] = c.Name + " does not run"
 			case err != nil:
 				not[i] = err.Error()
-			case r.Here != len(w.control) || r.Held == nil || r.Held.Members != len(w.control):
-				not[i] = fmt.Sprintf("%s sees %d control processes here", c.Name, r.Here)
-			case r.Publishing == nil || r.Publishing.Version < version || r.Publishing.Age < 0 || r.Publishing.Age > changefeed.Lease.Seconds():
+			case r.Alive != len(w.control) || r.Store == nil || r.Store.Members != len(w.control):
+				not[i] = fmt.Sprintf("%s sees %d control processes here", c.Name, r.Alive)
+			case r.Publisher == nil || r.Publisher.Version < version || r.Publisher.Age < 0 || r.Publisher.Age > changefeed.DefaultLease.Seconds():
 				not[i] = c.Name + " is not current"
 			}
 		})
--- a/internal/balancer/endpoint_recovery.go
+++ b/internal/balancer/endpoint_recovery.go
@@ -36,7 +36,7 @@
 			all.Servers = append(all.Servers, sv.listedAs)
 		}
 	}
-	l.fleet.KeepList(rev, discovery.Encode(all))
+	l.fleet.SaveEndpointList(rev, discovery.Encode(all))
 }
 
 // recall asks the fleet for its list if discovery has not answered by then.
@@ -48,24 +48,24 @@
 		if l.listed {
 			return
 		}
-		l.fleet.RecallList(func() bool { return l.Lists.Load() > 0 }, func(held fleet.List, age time.Duration) {
+		l.fleet.LoadEndpointList(func() bool { return l.Lists.Load() > 0 }, func(held fleet.EndpointList, age time.Duration) {
 			l.post(event{do: func() { l.recalled(held, age) }})
 		})
 	})
 }
 
 // recalled takes it, by its age.
-func (l *Loop) recalled(held fleet.List, age time.Duration) {
-	young, old := l.fleet.ListAges()
-	list, err := discovery.Decode(json.RawMessage(held.Known))
+func (l *Loop) recalled(held fleet.EndpointList, age time.Duration) {
+	young, old := l.fleet.EndpointListAges()
+	list, err := discovery.Decode(json.RawMessage(held.Endpoints))
 	say := func(what string) {
-		l.log.Warn("fleet: list of before, as discovery is silent", zap.String("is", what), zap.Duration("age", age), zap.Uint64("rev", held.Rev),
+		l.log.Warn("fleet: list of before, as discovery is silent", zap.String("is", what), zap.Duration("age", age), zap.Uint64("rev", held.Revision),
 			zap.Int("servers", len(list.Servers)), zap.Error(err))
 	}
 	switch {
 	case err != nil:
 		say("unreadable")
-	case l.listed || l.known.Whole && l.known.Rev >= held.Rev && len(l.known.Servers) > 0:
+	case l.listed || l.known.Whole && l.known.Rev >= held.Revision && len(l.known.Servers) > 0:
 		say("not needed")
 	case age <= young:
 		say("used")
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -21,7 +21,7 @@
 
 // held is what the loop knows of a circuit that is held.
 type held struct {
-	*fleet.Held
+	*fleet.IdempotentSession
 	asks  bool          // a promise is out
 	may   bool          // the newest try may write
 	until time.Duration // by the clock that goes on while the process is stopped
@@ -40,9 +40,9 @@
 
 // hold begins for a circuit whose grade is held.
 func (l *Loop) hold(cir *circuit) {
-	if l.fleet != nil && l.fleet.Holds(cir.ask.Grade) {
+	if l.fleet != nil && l.fleet.IsIdempotentClass(cir.ask.Grade) {
 		l.Held.Add(1)
-		cir.held = &held{Held: l.fleet.Hold(cir.ask.ID)}
+		cir.held = &held{IdempotentSession: l.fleet.NewIdempotentSession(cir.ask.ID)}
 	}
 }
 
@@ -136,7 +136,7 @@
 	h.tells = true
 	h.when(func() {
 		h.asks = true
-		h.Tell(ln.Raw, max(0, min(tellMost, (cir.until-l.now)/2)), func(v fleet.Verdict) {
+		h.Complete(ln.Raw, max(0, min(tellMost, (cir.until-l.now)/2)), func(v fleet.Verdict) {
 			l.post(event{of: cir, do: func() { l.confirmed(cir, ln, v) }})
 		})
 	})
--- a/internal/fleet/words.go
+++ b/internal/fleet/admin_state.go
@@ -19,27 +19,30 @@
 	wordTries = 30
 )
 
-// Word is what operators said.
-type Word struct {
-	Out bool   `json:"out"` // of service
-	At  int64  `json:"at"`  // Unix seconds, by the clock of the balancer that was told
-	By  string `json:"by"`  // the member that was told
+// AdminState is what operators said.
+type AdminState struct {
+	OutOfService bool   `json:"out"` // of service
+	SetAt        int64  `json:"at"`  // Unix seconds, by the clock of the balancer that was told
+	SetBy        string `json:"by"`  // the member that was told
 }
 
 func wordKey(name string) string { return "word/" + name }
 
-// Say has the fleet hold a word about a balancer, beside the caller. It goes on trying until holders have it or a later word
+// SetAdminState has the fleet hold a word about a balancer, beside the caller. It goes on trying until holders have it or a later word
 // is said; what came of it is logged.
-func (f *Fleet) Say(name string, out bool) {
+func (f *Fleet) SetAdminState(name string, out bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.said++
 	number := f.said
 	f.all.Add(1)
-	go func() { defer f.all.Done(); f.say(name, number, Word{Out: out, At: time.Now().Unix()}) }()
+	go func() {
+		defer f.all.Done()
+		f.say(name, number, AdminState{OutOfService: out, SetAt: time.Now().Unix()})
+	}()
 }
 
-func (f *Fleet) say(name string, number int, w Word) {
+func (f *Fleet) say(name string, number int, w AdminState) {
 	key, version := wordKey(name), uint64(0)
 	for try := range wordTries {
 		if try > 0 && !f.rest(wordAgain) || f.overtaken(number) {
@@ -49,16 +52,16 @@
 		if h == nil {
 			continue
 		}
-		w.By = self
+		w.SetBy = self
 		text, err := json.Marshal(w)
 		if err != nil {
 			panic(err) // plain values
 		}
-		op := replication.Op{ID: rand.Text(), Key: key, If: version, Value: text, Born: w.At}
+		op := replication.Op{ID: rand.Text(), Key: key, If: version, Value: text, Born: w.SetAt}
 		for range wordTries { // another word may come between
 			r := f.ask(op)
 			if r.Outcome == replication.Done {
-				f.log.Info("fleet: word is held", zap.String("of", name), zap.Bool("out", w.Out), zap.Uint64("version", r.Record.Version))
+				f.log.Info("fleet: word is held", zap.String("of", name), zap.Bool("out", w.OutOfService), zap.Uint64("version", r.Record.Version))
 				return
 			}
 			if r.Outcome != replication.Conflict || f.overtaken(number) {
@@ -70,12 +73,12 @@
 			op.ID, op.If = rand.Text(), version
 		}
 	}
-	f.log.Error("fleet: word is not held: it dies with this process", zap.String("of", name), zap.Bool("out", w.Out))
+	f.log.Error("fleet: word is not held: it dies with this process", zap.String("of", name), zap.Bool("out", w.OutOfService))
 }
 
-// Recall asks for the last word about a balancer and hands it on, once: as soon as it is heard, and false where none was said.
+// LoadAdminState asks for the last word about a balancer and hands it on, once: as soon as it is heard, and false where none was said.
 // Where nobody answers it goes on asking, and a word that is heard late is handed on late.
-func (f *Fleet) Recall(name string, within time.Duration, heard func(out bool)) {
+func (f *Fleet) LoadAdminState(name string, within time.Duration, heard func(out bool)) {
 	f.all.Add(1)
 	go func() {
 		defer f.all.Done()
@@ -84,15 +87,15 @@
 			if h, _ := f.holding(); h != nil {
 				r := f.ask(replication.Op{ID: rand.Text(), Key: wordKey(name), Read: true})
 				if r.Outcome == replication.Conflict {
-					var w Word
+					var w AdminState
 					if len(r.Record.Value) > 0 && !r.Record.Gone {
 						if err := json.Unmarshal(r.Record.Value, &w); err != nil {
 							f.log.Error("fleet: a word that can't be read", zap.String("of", name), zap.Error(err))
 						}
 					}
-					f.log.Info("fleet: word is heard", zap.String("of", name), zap.Bool("out", w.Out), zap.Uint64("version", r.Record.Version),
+					f.log.Info("fleet: word is heard", zap.String("of", name), zap.Bool("out", w.OutOfService), zap.Uint64("version", r.Record.Version),
 						zap.Duration("after", time.Since(began)), zap.Bool("late", time.Since(began) > within))
-					heard(w.Out)
+					heard(w.OutOfService)
 					return
 				}
 			}
--- a/internal/fleet/changefeed/bench_test.go
+++ b/internal/fleet/changefeed/bench_test.go
@@ -11,7 +11,7 @@
 
 // full is a log with a state of the size that is wanted: 17 members, 256 views, and 500 KB of configuration.
 func full(b testing.TB) *Log {
-	l := NewLog(LogConfig{Most: 1024, Bytes: 1 << 20})
+	l := NewLog(LogConfig{MaxChanges: 1024, MaxBytes: 1 << 20})
 	items := []Item{{Key: FleetKey, Value: []byte("0123456789abcdef")}, {Key: "epoch", Value: []byte("1")}}
 	for i := range 17 {
 		items = append(items, memberItem(b, shardmap.Member{ID: fmt.Sprintf("%016x", i), Addr: fmt.Sprintf("10.0.0.%d:7400", i), Machine: fmt.Sprintf("machine%d", i),
@@ -23,7 +23,7 @@
 	for i := range 100 {
 		items = append(items, Item{Key: fmt.Sprintf("%sname%d", ConfigPrefix, i), Value: make([]byte, 5000)})
 	}
-	if _, err := l.Next(items); err != nil {
+	if _, err := l.Append(items); err != nil {
 		b.Fatal(err)
 	}
 	return l
@@ -35,9 +35,9 @@
 	for _, n := range []int{270, 541, 1840} {
 		b.Run(fmt.Sprintf("followers=%d", n), func(b *testing.B) {
 			log := full(b)
-			relay := NewRelay(RelayConfig{Most: 2 * n, Window: 64 << 10, SnapshotBytes: 32 << 20}, log, 0)
+			relay := NewPublisher(PublisherConfig{MaxSubscribers: 2 * n, WindowBytes: 64 << 10, SnapshotBytesPerSecond: 32 << 20}, log, 0)
 			for i := range n {
-				if err := relay.Opened(0, uint64(i+1), Hello{Form: Form, ID: fmt.Sprintf("b%d", i), Version: log.Version(), Digest: log.Digest()}); err != nil {
+				if err := relay.Connected(0, uint64(i+1), Hello{ProtocolVersion: ProtocolVersion, ID: fmt.Sprintf("b%d", i), Version: log.Version(), Digest: log.Digest()}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -46,18 +46,18 @@
 			b.ReportAllocs()
 			sent, at := 0, uint64(0)
 			for b.Loop() {
-				if _, err := log.Next([]Item{{Key: ConfigPrefix + "name1", Value: value}}); err != nil {
+				if _, err := log.Append([]Item{{Key: ConfigPrefix + "name1", Value: value}}); err != nil {
 					b.Fatal(err)
 				}
-				relay.Published()
+				relay.LogChanged()
 				out := relay.Ready()
 				for _, s := range out.Sends {
-					sent += len(s.Out.Text())
+					sent += len(s.Message.Encoded())
 				}
 				b.StopTimer() // acknowledged, so that no window fills
 				at++
 				for i := range n {
-					_ = relay.Step(time.Duration(at)*time.Millisecond, uint64(i+1), Msg{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}})
+					_ = relay.Step(time.Duration(at)*time.Millisecond, uint64(i+1), Message{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}})
 				}
 				relay.Ready()
 				b.StartTimer()
@@ -73,9 +73,9 @@
 	for _, n := range []int{270, 541, 1840} {
 		b.Run(fmt.Sprintf("followers=%d", n), func(b *testing.B) {
 			log := full(b)
-			relay := NewRelay(RelayConfig{Most: 2 * n, Window: 64 << 10, SnapshotBytes: 32 << 20}, log, 0)
+			relay := NewPublisher(PublisherConfig{MaxSubscribers: 2 * n, WindowBytes: 64 << 10, SnapshotBytesPerSecond: 32 << 20}, log, 0)
 			for i := range n {
-				if err := relay.Opened(0, uint64(i+1), Hello{Form: Form, ID: fmt.Sprintf("b%d", i), Version: log.Version(), Digest: log.Digest()}); err != nil {
+				if err := relay.Connected(0, uint64(i+1), Hello{ProtocolVersion: ProtocolVersion, ID: fmt.Sprintf("b%d", i), Version: log.Version(), Digest: log.Digest()}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -86,13 +86,13 @@
 				number++
 				for beat := range 10 {
 					now += 100 * time.Millisecond
-					relay.Clock(now)
-					relay.Fresh(now, log.Version())
+					relay.Tick(now)
+					relay.ConfirmVersion(now, log.Version())
 					for i := beat; i < n; i += 10 {
-						_ = relay.Step(now, uint64(i+1), Msg{Renew: &Renew{Number: number, Heard: number - 1, Version: log.Version(), Digest: log.Digest()}})
+						_ = relay.Step(now, uint64(i+1), Message{RenewRequest: &RenewRequest{Sequence: number, LastResponse: number - 1, Version: log.Version(), Digest: log.Digest()}})
 					}
 					for _, s := range relay.Ready().Sends {
-						sent += len(s.Out.Text())
+						sent += len(s.Message.Encoded())
 					}
 				}
 			}
@@ -109,17 +109,17 @@
 func BenchmarkFollowerSecond(b *testing.B) {
 	for _, relays := range []int{3, 17, 100} {
 		b.Run(fmt.Sprintf("relays=%d", relays), func(b *testing.B) {
-			log := NewLog(LogConfig{Most: 1024, Bytes: 1 << 20})
+			log := NewLog(LogConfig{MaxChanges: 1024, MaxBytes: 1 << 20})
 			items := []Item{{Key: FleetKey, Value: []byte("f")}}
 			var addrs []string
 			for i := range relays {
 				addrs = append(addrs, fmt.Sprintf("r%d", i))
 				items = append(items, memberItem(b, shardmap.Member{ID: addrs[i], Addr: addrs[i], Zone: fmt.Sprintf("z%d", i%11), Site: fmt.Sprintf("s%d", i%11%3)}))
 			}
-			_, _ = log.Next(items)
-			f := NewFollower(FollowerConfig{ID: "b0", Site: "s0", Seeds: addrs}, 0)
+			_, _ = log.Append(items)
+			f := NewSubscriber(SubscriberConfig{ID: "b0", Site: "s0", Seeds: addrs}, 0)
 			now, bytes, n := time.Duration(0), 0, 0
-			hear := func(addr string, m *Msg) {
+			hear := func(addr string, m *Message) {
 				text := Encode(m)
 				bytes += len(text)
 				got, err := Decode(text)
@@ -135,14 +135,14 @@
 					out := f.Ready()
 					again = len(out.Dial)+len(out.Sends) > 0
 					for _, a := range out.Dial {
-						f.Opened(a)
-						hear(a, &Msg{Snapshot: log.Snapshot()})
+						f.Connected(a)
+						hear(a, &Message{Snapshot: log.Snapshot()})
 					}
 					for _, s := range out.Sends {
-						text := Encode(&s.Msg)
+						text := Encode(&s.Message)
 						bytes += len(text)
-						if r := s.Msg.Renew; r != nil {
-							hear(s.Addr, &Msg{Renewed: &Renewed{Number: r.Number, Version: log.Version(), Digest: log.Digest(), Sent: log.Version(), Age: 50 * time.Millisecond, Known: true}})
+						if r := s.Message.RenewRequest; r != nil {
+							hear(s.Addr, &Message{RenewResponse: &RenewResponse{Sequence: r.Sequence, Version: log.Version(), Digest: log.Digest(), SentVersion: log.Version(), Age: 50 * time.Millisecond, AgeKnown: true}})
 						}
 					}
 				}
@@ -150,24 +150,24 @@
 			second := func() {
 				for range 10 {
 					now += 100 * time.Millisecond
-					f.Clock(now)
+					f.Tick(now)
 					do()
 				}
 				if n++; n%4 == 0 {
-					c, err := log.Next([]Item{{Key: ConfigPrefix + "name", Value: fmt.Appendf(nil, "%0100d", n)}})
+					c, err := log.Append([]Item{{Key: ConfigPrefix + "name", Value: fmt.Appendf(nil, "%0100d", n)}})
 					if err != nil {
 						b.Fatal(err)
 					}
-					for _, a := range f.Relays() {
-						hear(a, &Msg{Change: &c})
+					for _, a := range f.Publishers() {
+						hear(a, &Message{Change: &c})
 					}
 				}
 			}
 			for range 10 {
 				second()
 			}
-			if len(f.Relays()) != 2 || !f.Current(now) {
-				b.Fatalf("it follows %v", f.Relays())
+			if len(f.Publishers()) != 2 || !f.IsCurrent(now) {
+				b.Fatalf("it follows %v", f.Publishers())
 			}
 			bytes = 0
 			b.ReportAllocs()
@@ -186,10 +186,10 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			log.snap = nil
-			b.SetBytes(int64(len(log.snapshot().Text())))
+			b.SetBytes(int64(len(log.snapshot().Encoded())))
 		}
 	})
-	text := log.snapshot().Text()
+	text := log.snapshot().Encoded()
 	b.Run("take", func(b *testing.B) {
 		b.ReportAllocs()
 		b.SetBytes(int64(len(text)))
@@ -218,7 +218,7 @@
 		}
 	})
 	b.Run("whole", func(b *testing.B) {
-		items := log.state.All("")
+		items := log.state.Items("")
 		b.SetBytes(int64(log.state.Bytes()))
 		for b.Loop() {
 			if _, _, err := NewState().weigh(items); err != nil {
@@ -237,16 +237,16 @@
 		return float64(m.HeapAlloc)
 	}
 	log := full(b)
-	text := log.snapshot().Text()
+	text := log.snapshot().Encoded()
 	for _, n := range []int{270, 541, 1840} {
 		b.Run(fmt.Sprintf("relay/followers=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				before := heap()
-				relay := NewRelay(RelayConfig{Most: 2 * n, Window: 64 << 10, SnapshotBytes: 32 << 20}, log, 0)
+				relay := NewPublisher(PublisherConfig{MaxSubscribers: 2 * n, WindowBytes: 64 << 10, SnapshotBytesPerSecond: 32 << 20}, log, 0)
 				for i := range n {
-					h := Hello{Form: Form, ID: fmt.Sprintf("%032d", i), Name: fmt.Sprintf("balancer%d", i), Machine: fmt.Sprintf("machine%d", i), Zone: "zone", Site: "region",
+					h := Hello{ProtocolVersion: ProtocolVersion, ID: fmt.Sprintf("%032d", i), Name: fmt.Sprintf("balancer%d", i), Machine: fmt.Sprintf("machine%d", i), Zone: "zone", Site: "region",
 						Version: log.Version(), Digest: log.Digest()}
-					if err := relay.Opened(0, uint64(i+1), h); err != nil {
+					if err := relay.Connected(0, uint64(i+1), h); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -259,9 +259,9 @@
 	b.Run("follower", func(b *testing.B) {
 		for b.Loop() {
 			before := heap()
-			f := NewFollower(FollowerConfig{ID: "b0", Site: "region0", Seeds: []string{"r0"}}, 0)
-			f.Clock(0)
-			f.Opened("r0")
+			f := NewSubscriber(SubscriberConfig{ID: "b0", Site: "region0", Seeds: []string{"r0"}}, 0)
+			f.Tick(0)
+			f.Connected("r0")
 			m, err := Decode(text)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/fleet/changefeed/feed_test.go
+++ b/internal/fleet/changefeed/feed_test.go
@@ -17,7 +17,7 @@
 	c := r.follower("b0", "s")
 	r.run(3 * time.Second)
 	r.newest(c)
-	if got := c.f.Relays(); len(got) != 2 {
+	if got := c.f.Publishers(); len(got) != 2 {
 		t.Fatalf("it follows %v", got)
 	}
 	return r, c
@@ -33,11 +33,11 @@
 	}
 	r.run(time.Second)
 	r.newest(c)
-	if c.f.Count.Snapshots != 1 || c.f.Count.Changes != 50 || c.f.Count.Wants > 1 {
-		t.Errorf("%+v", c.f.Count)
+	if c.f.Stats.Snapshots != 1 || c.f.Stats.Changes != 50 || c.f.Stats.SyncRequests > 1 {
+		t.Errorf("%+v", c.f.Stats)
 	}
 	for i, a := range c.applied[len(c.applied)-50:] {
-		if a.Version != from+uint64(i)+1 || a.Whole {
+		if a.Version != from+uint64(i)+1 || a.Complete {
 			t.Fatalf("step %d is version %d", i, a.Version)
 		}
 	}
@@ -49,11 +49,11 @@
 	if r.sent["snapshot"] != 1 {
 		t.Errorf("%d snapshots", r.sent["snapshot"])
 	}
-	before := c.f.Count.Had
+	before := c.f.Stats.Duplicates
 	r.put(config(1))
 	r.run(time.Second)
-	if c.f.Count.Had != before+1 {
-		t.Errorf("the second relay sends nothing: %+v", c.f.Count)
+	if c.f.Stats.Duplicates != before+1 {
+		t.Errorf("the second relay sends nothing: %+v", c.f.Stats)
 	}
 }
 
@@ -76,18 +76,18 @@
 		if age, _ := c.f.Age(r.now); r.now-age > truth {
 			t.Fatalf("at %v it takes its knowledge for that of %v, the relay's is of %v", r.now, r.now-age, truth)
 		}
-		if c.f.Current(r.now) && r.now-truth > Lease {
+		if c.f.IsCurrent(r.now) && r.now-truth > DefaultLease {
 			t.Fatalf("current at %v by knowledge of %v", r.now, truth)
 		}
 	}
-	if c.f.Count.Lapses != 1 || r.said(Stands) != 1 {
-		t.Errorf("%d lapses, told %d times", c.f.Count.Lapses, r.said(Stands))
+	if c.f.Stats.LeaseExpiries != 1 || r.said(EventStale) != 1 {
+		t.Errorf("%d lapses, told %d times", c.f.Stats.LeaseExpiries, r.said(EventStale))
 	}
 	s.stale = false
 	r.run(2 * time.Second)
 	r.newest(c)
-	if r.said(Again) != 2 { // the first one at the start
-		t.Errorf("told %d times that it is current", r.said(Again))
+	if r.said(EventCurrent) != 2 { // the first one at the start
+		t.Errorf("told %d times that it is current", r.said(EventCurrent))
 	}
 }
 
@@ -101,20 +101,20 @@
 	c.waiting, late = nil, c.waiting
 	r.run(8 * time.Second)
 	r.now += 100 * time.Millisecond
-	if c.f.Current(r.now) {
+	if c.f.IsCurrent(r.now) {
 		t.Fatal("current by the clock as it is, with no beat yet")
 	}
 	c.stopped = false
 	for _, what := range late {
 		what()
 	}
-	c.f.Clock(r.now)
-	if age, _ := c.f.Age(r.now); c.f.Current(r.now) || r.now-age > at+500*time.Millisecond {
+	c.f.Tick(r.now)
+	if age, _ := c.f.Age(r.now); c.f.IsCurrent(r.now) || r.now-age > at+500*time.Millisecond {
 		t.Errorf("its knowledge is %v old after %v", age, r.now-at)
 	}
 	// Its lapse was counted, and it is current once it is answered anew.
-	if c.f.Count.Lapses != 1 {
-		t.Errorf("%d lapses", c.f.Count.Lapses)
+	if c.f.Stats.LeaseExpiries != 1 {
+		t.Errorf("%d lapses", c.f.Stats.LeaseExpiries)
 	}
 	c.waiting = nil
 	r.run(4 * time.Second)
@@ -134,11 +134,11 @@
 	version := c.f.State().Version()
 	r.kill("r0")
 	r.run(2 * time.Second) // r1 alone, behind
-	if c.f.State().Version() != version || len(c.f.Relays()) != 1 {
-		t.Fatalf("version %d, relays %v", c.f.State().Version(), c.f.Relays())
+	if c.f.State().Version() != version || len(c.f.Publishers()) != 1 {
+		t.Fatalf("version %d, relays %v", c.f.State().Version(), c.f.Publishers())
 	}
 	r.run(6 * time.Second)
-	if c.f.Current(r.now) {
+	if c.f.IsCurrent(r.now) {
 		t.Error("current by a relay that knows nothing of its age")
 	}
 	r.relays["r1"].stale = false
@@ -166,7 +166,7 @@
 				r.put(Item{Key: fmt.Sprintf("%sk%d", ConfigPrefix, i), Value: make([]byte, 4<<10)})
 				r.run(100 * time.Millisecond)
 				p := s.relay.byID["slow"]
-				if p.bytes > s.relay.cfg.Window {
+				if p.bytes > s.relay.cfg.WindowBytes {
 					t.Fatalf("%d bytes are out", p.bytes)
 				}
 				if !s.relay.room(p, 4<<10) {
@@ -178,7 +178,7 @@
 			}
 			r.newest(quick)
 			if cut {
-				s.log.cfg.Most = 3
+				s.log.cfg.MaxChanges = 3
 				r.put(config(0))
 				r.run(100 * time.Millisecond)
 			}
@@ -190,8 +190,8 @@
 			if got := r.sent["snapshot"] - snapshots; got != map[bool]int{false: 0, true: 1}[cut] {
 				t.Errorf("%d snapshots", got)
 			}
-			if slow.f.Count.Mismatches+slow.f.Count.Conflicts > 0 {
-				t.Errorf("%+v", slow.f.Count)
+			if slow.f.Stats.DigestMismatches+slow.f.Stats.Conflicts > 0 {
+				t.Errorf("%+v", slow.f.Stats)
 			}
 		})
 	}
@@ -212,13 +212,13 @@
 			r.put(config(1 + 7))
 			r.run(3 * time.Second)
 			r.newest(c)
-			for _, i := range r.source.State().All("") {
+			for _, i := range r.source.State().Items("") {
 				if v, _ := c.f.State().Get(i.Key); string(v) != string(i.Value) {
 					t.Errorf("%s is %q", i.Key, v)
 				}
 			}
-			if c.f.Count.Mismatches == 0 || r.said(Mismatch) != 1 || r.said(Conflict) != 0 {
-				t.Errorf("%d mismatches, told %d times, %d conflicts", c.f.Count.Mismatches, r.said(Mismatch), r.said(Conflict))
+			if c.f.Stats.DigestMismatches == 0 || r.said(EventDigestMismatch) != 1 || r.said(EventHistoryConflict) != 0 {
+				t.Errorf("%d mismatches, told %d times, %d conflicts", c.f.Stats.DigestMismatches, r.said(EventDigestMismatch), r.said(EventHistoryConflict))
 			}
 			if n := r.sent["snapshot"] - snapshots; n < 1 || n > 2 {
 				t.Errorf("%d snapshots", n)
@@ -227,8 +227,8 @@
 			r.put(config(1 + 14))
 			r.run(3 * time.Second)
 			r.newest(c)
-			if r.said(Mismatch) != 2 {
-				t.Errorf("told %d times", r.said(Mismatch))
+			if r.said(EventDigestMismatch) != 2 {
+				t.Errorf("told %d times", r.said(EventDigestMismatch))
 			}
 		})
 	}
@@ -239,35 +239,35 @@
 	r, c := two(t)
 	s := r.relays["r1"]
 	s.stale = true
-	if _, err := s.log.Next([]Item{config(100)}); err != nil {
+	if _, err := s.log.Append([]Item{config(100)}); err != nil {
 		t.Fatal(err)
 	}
 	r.put(config(1))
-	s.relay.Published()
-	s.relay.Fresh(r.now, s.log.Version())
+	s.relay.LogChanged()
+	s.relay.ConfirmVersion(r.now, s.log.Version())
 	r.station(s)
 	r.run(3 * time.Second)
-	if r.said(Conflict) == 0 || c.f.Count.Conflicts == 0 {
+	if r.said(EventHistoryConflict) == 0 || c.f.Stats.Conflicts == 0 {
 		t.Fatal("it is not told")
 	}
-	if got := c.f.Relays(); !slices.Equal(got, []string{"r0"}) && !slices.Equal(got, []string{"r1"}) {
+	if got := c.f.Publishers(); !slices.Equal(got, []string{"r0"}) && !slices.Equal(got, []string{"r1"}) {
 		t.Errorf("it still follows %v", got)
 	}
 	for _, l := range r.lines {
-		if l.Kind == Conflict && (!l.Error() || l.Addr == "" || l.Version == 0) {
+		if l.Kind == EventHistoryConflict && (!l.IsAlert() || l.Addr == "" || l.Version == 0) {
 			t.Errorf("%+v", l)
 		}
 	}
-	conflicts := c.f.Count.Conflicts
+	conflicts := c.f.Stats.Conflicts
 	r.run(10 * time.Second)
-	if c.f.Count.Conflicts > conflicts+1 {
-		t.Errorf("it went back to it %d times within 10 s", c.f.Count.Conflicts-conflicts)
+	if c.f.Stats.Conflicts > conflicts+1 {
+		t.Errorf("it went back to it %d times within 10 s", c.f.Stats.Conflicts-conflicts)
 	}
 	// Which of the two it took first, it keeps to: never a mixture.
 	if d := c.f.State().Digest(); d != r.source.Digest() && d != s.log.Digest() {
 		t.Error("it has a state of neither")
 	}
-	if err := NewState().Install(Snapshot{Fleet: c.f.State().Fleet(), Version: c.f.State().Version(), Digest: c.f.State().Digest(), Items: c.f.State().All("")}); err != nil {
+	if err := NewState().Install(Snapshot{Fleet: c.f.State().Fleet(), Version: c.f.State().Version(), Digest: c.f.State().Digest(), Items: c.f.State().Items("")}); err != nil {
 		t.Errorf("its state is not whole: %v", err)
 	}
 }
@@ -288,21 +288,21 @@
 		r.kill(a)
 	}
 	for _, a := range r.addrs {
-		r.start(a, RelayConfig{})
+		r.start(a, PublisherConfig{})
 	}
 	clear(r.sent)
 	began := r.now
 	for r.run(100 * time.Millisecond); ; r.run(100 * time.Millisecond) {
 		n := 0
 		for _, c := range r.all {
-			if len(c.f.Relays()) > 0 && c.f.Current(r.now) {
+			if len(c.f.Publishers()) > 0 && c.f.IsCurrent(r.now) {
 				n++
 			}
 		}
 		if n == followers {
 			break
 		}
-		if r.now-began > Lease {
+		if r.now-began > DefaultLease {
 			t.Fatalf("%d of %d within the lease", n, followers)
 		}
 	}
@@ -352,20 +352,20 @@
 						r.kill(a)
 					}
 				}
-				r.run(Lease)
+				r.run(DefaultLease)
 				load, lapses := map[string]int{}, uint64(0)
 				for _, c := range r.all {
 					here := 0
-					for _, a := range c.f.Relays() {
+					for _, a := range c.f.Publishers() {
 						load[a]++
 						if !lost[a] {
 							here++
 						}
 					}
 					if here == 0 {
-						t.Fatalf("%s follows %v", c.id, c.f.Relays())
+						t.Fatalf("%s follows %v", c.id, c.f.Publishers())
 					}
-					lapses += c.f.Count.Lapses
+					lapses += c.f.Stats.LeaseExpiries
 				}
 				if !silent && lapses > 0 {
 					t.Errorf("%d lapses", lapses)
@@ -373,10 +373,10 @@
 				r.run(5 * time.Second)
 				clear(load)
 				for _, c := range r.all {
-					if got := c.f.Relays(); len(got) < 2 {
+					if got := c.f.Publishers(); len(got) < 2 {
 						t.Errorf("%s follows %v", c.id, got)
 					}
-					for _, a := range c.f.Relays() {
+					for _, a := range c.f.Publishers() {
 						load[a]++
 					}
 					r.newest(c)
@@ -404,7 +404,7 @@
 			r := newRig(t, "s", "s", "s")
 			c := r.follower("b0", "s")
 			r.run(90 * time.Second)
-			had := c.f.Relays()
+			had := c.f.Publishers()
 			if !slices.Contains(had, "r1") {
 				c.id = "b0"
 				cut2 := cut
@@ -421,22 +421,22 @@
 			} else {
 				had = []string{"r1"}
 			}
-			r.hold = func(from, to string, _ *Msg) bool { return cut(from, to) }
+			r.hold = func(from, to string, _ *Message) bool { return cut(from, to) }
 			for i := range 60 {
 				r.put(config(i))
 				r.run(100 * time.Millisecond)
-				if !c.f.Current(r.now) {
+				if !c.f.IsCurrent(r.now) {
 					t.Fatalf("not current after %v", time.Duration(i)*100*time.Millisecond)
 				}
 			}
 			r.newest(c)
-			if got := c.f.Relays(); slices.Contains(got, had[0]) || len(got) != 2 {
+			if got := c.f.Publishers(); slices.Contains(got, had[0]) || len(got) != 2 {
 				t.Errorf("it follows %v, %s is cut off", got, had[0])
 			}
 			if n := len(r.relays[had[0]].relay.peers); n != 0 {
 				t.Errorf("the relay still counts %d", n)
 			}
-			r.hold = func(string, string, *Msg) bool { return false }
+			r.hold = func(string, string, *Message) bool { return false }
 			r.run(3 * time.Minute)
 			r.newest(c)
 		})
@@ -450,33 +450,33 @@
 	r.run(4 * time.Second)
 	r.put(config(1))
 	c.stopped = false
-	fails := c.f.Count.Fails
-	if r.now += 3 * time.Second; c.f.Current(r.now) {
+	fails := c.f.Stats.DialFailures
+	if r.now += 3 * time.Second; c.f.IsCurrent(r.now) {
 		t.Error("current after 7 s without a word")
 	}
 	r.run(time.Second)
 	r.newest(c)
-	if len(c.f.Relays()) != 2 || c.f.Count.Fails != fails || r.said(Leaves) != 0 || r.said(Woke) == 0 {
-		t.Errorf("it follows %v: %v", c.f.Relays(), r.lines)
+	if len(c.f.Publishers()) != 2 || c.f.Stats.DialFailures != fails || r.said(EventUnsubscribed) != 0 || r.said(EventResumed) == 0 {
+		t.Errorf("it follows %v: %v", c.f.Publishers(), r.lines)
 	}
 }
 
 // TestARelayWhoseClockStood gives a relay no beat: it lets nobody go for what they said while it was stopped.
 func TestARelayWhoseClockStood(t *testing.T) {
-	log := NewLog(LogConfig{Most: 10, Bytes: 1000})
-	relay := NewRelay(RelayConfig{Most: 10, Window: 1000, SnapshotBytes: 1000}, log, 0)
-	if err := relay.Opened(0, 1, Hello{Form: Form, ID: "b0"}); err != nil {
+	log := NewLog(LogConfig{MaxChanges: 10, MaxBytes: 1000})
+	relay := NewPublisher(PublisherConfig{MaxSubscribers: 10, WindowBytes: 1000, SnapshotBytesPerSecond: 1000}, log, 0)
+	if err := relay.Connected(0, 1, Hello{ProtocolVersion: ProtocolVersion, ID: "b0"}); err != nil {
 		t.Fatal(err)
 	}
-	relay.Clock(100 * time.Millisecond)
-	relay.Clock(20 * time.Second)
+	relay.Tick(100 * time.Millisecond)
+	relay.Tick(20 * time.Second)
 	if len(relay.peers) != 1 {
 		t.Fatal("let go by its own stop")
 	}
-	for at := 20 * time.Second; at < 20*time.Second+Lease+time.Second; at += 100 * time.Millisecond {
-		relay.Clock(at)
+	for at := 20 * time.Second; at < 20*time.Second+DefaultLease+time.Second; at += 100 * time.Millisecond {
+		relay.Tick(at)
 	}
-	if len(relay.peers) != 0 || relay.Count.Lapsed != 1 {
+	if len(relay.peers) != 0 || relay.Stats.LeaseExpiries != 1 {
 		t.Error("kept after a lease of silence")
 	}
 }
@@ -488,36 +488,36 @@
 		err       error
 		elsewhere bool
 	}{
-		"another fleet": {Hello{Form: Form, ID: "x", Fleet: "g"}, ErrFleet, true},
-		"a newer form":  {Hello{Form: Form + 1, ID: "x"}, ErrMessage, true},
-		"no form":       {Hello{ID: "x"}, ErrMessage, false},
-		"no ID":         {Hello{Form: Form}, ErrMessage, false},
-		"a long name":   {Hello{Form: Form, ID: "x", Name: string(make([]byte, nameMost+1))}, ErrMessage, false},
-		"an older life": {Hello{Form: Form, ID: "b0", Life: 1}, ErrMessage, false},
+		"another fleet": {Hello{ProtocolVersion: ProtocolVersion, ID: "x", Fleet: "g"}, ErrForeignFleet, true},
+		"a newer form":  {Hello{ProtocolVersion: ProtocolVersion + 1, ID: "x"}, ErrMalformedMessage, true},
+		"no form":       {Hello{ID: "x"}, ErrMalformedMessage, false},
+		"no ID":         {Hello{ProtocolVersion: ProtocolVersion}, ErrMalformedMessage, false},
+		"a long name":   {Hello{ProtocolVersion: ProtocolVersion, ID: "x", Name: string(make([]byte, nameMost+1))}, ErrMalformedMessage, false},
+		"an older life": {Hello{ProtocolVersion: ProtocolVersion, ID: "b0", Incarnation: 1}, ErrMalformedMessage, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			log := NewLog(LogConfig{Most: 10, Bytes: 1000})
-			if _, err := log.Next([]Item{{Key: FleetKey, Value: []byte("f")}}); err != nil {
+			log := NewLog(LogConfig{MaxChanges: 10, MaxBytes: 1000})
+			if _, err := log.Append([]Item{{Key: FleetKey, Value: []byte("f")}}); err != nil {
 				t.Fatal(err)
 			}
-			relay := NewRelay(RelayConfig{Most: 10, Window: 1000, SnapshotBytes: 1000}, log, 0)
-			if err := relay.Opened(0, 1, Hello{Form: Form, ID: "b0", Life: 2}); err != nil {
+			relay := NewPublisher(PublisherConfig{MaxSubscribers: 10, WindowBytes: 1000, SnapshotBytesPerSecond: 1000}, log, 0)
+			if err := relay.Connected(0, 1, Hello{ProtocolVersion: ProtocolVersion, ID: "b0", Incarnation: 2}); err != nil {
 				t.Fatal(err)
 			}
 			relay.Ready()
-			err := relay.Opened(0, 2, one.hello)
+			err := relay.Connected(0, 2, one.hello)
 			if !errors.Is(err, one.err) {
 				t.Fatalf("%v", err)
 			}
 			out := relay.Ready()
-			if !slices.Equal(out.Close, []uint64{2}) || len(out.Lines) != 1 || len(relay.peers) != 1 || relay.peers[1] == nil {
+			if !slices.Equal(out.Close, []uint64{2}) || len(out.Events) != 1 || len(relay.peers) != 1 || relay.peers[1] == nil {
 				t.Errorf("%+v, %d followers", out, len(relay.peers))
 			}
-			told := len(out.Sends) == 1 && out.Sends[0].Out.Msg.Elsewhere != nil && out.Sends[0].Out.Msg.Elsewhere.Wait > 0
+			told := len(out.Sends) == 1 && out.Sends[0].Message.Content.Reject != nil && out.Sends[0].Message.Content.Reject.RetryAfter > 0
 			if told != one.elsewhere {
 				t.Errorf("sent %+v", out.Sends)
 			}
-			if err := relay.Step(0, 2, Msg{Renew: &Renew{Number: 1}}); err != nil || len(relay.Ready().Sends) != 0 {
+			if err := relay.Step(0, 2, Message{RenewRequest: &RenewRequest{Sequence: 1}}); err != nil || len(relay.Ready().Sends) != 0 {
 				t.Error("it is answered all the same")
 			}
 		})
@@ -527,27 +527,27 @@
 // TestAFollowerTakesNothingOfAnotherFleet has a relay of another fleet at an address of its own.
 func TestAFollowerTakesNothingOfAnotherFleet(t *testing.T) {
 	for _, knows := range []bool{false, true} {
-		other := NewLog(LogConfig{Most: 10, Bytes: 1000})
+		other := NewLog(LogConfig{MaxChanges: 10, MaxBytes: 1000})
 		for range 3 {
-			_, _ = other.Next([]Item{{Key: FleetKey, Value: []byte("g")}})
+			_, _ = other.Append([]Item{{Key: FleetKey, Value: []byte("g")}})
 		}
-		f := NewFollower(FollowerConfig{ID: "b0", Fleet: "f", Seeds: []string{"r0", "r1"}}, 0)
-		f.Clock(0)
-		f.Opened("r0")
+		f := NewSubscriber(SubscriberConfig{ID: "b0", Fleet: "f", Seeds: []string{"r0", "r1"}}, 0)
+		f.Tick(0)
+		f.Connected("r0")
 		if knows {
-			mine := NewLog(LogConfig{Most: 10, Bytes: 1000})
-			_, _ = mine.Next([]Item{{Key: FleetKey, Value: []byte("f")}})
-			if err := f.Step("r0", Msg{Snapshot: mine.Snapshot()}); err != nil {
+			mine := NewLog(LogConfig{MaxChanges: 10, MaxBytes: 1000})
+			_, _ = mine.Append([]Item{{Key: FleetKey, Value: []byte("f")}})
+			if err := f.Step("r0", Message{Snapshot: mine.Snapshot()}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		version := f.State().Version()
 		f.Ready()
-		if err := f.Step("r0", Msg{Snapshot: other.Snapshot()}); !errors.Is(err, ErrFleet) {
+		if err := f.Step("r0", Message{Snapshot: other.Snapshot()}); !errors.Is(err, ErrForeignFleet) {
 			t.Errorf("%v", err)
 		}
 		out := f.Ready()
-		if f.State().Version() != version || !slices.Contains(out.Hang, "r0") || len(out.Applied) > 0 || f.Count.Refused != 1 {
+		if f.State().Version() != version || !slices.Contains(out.Close, "r0") || len(out.Updates) > 0 || f.Stats.InvalidMessages != 1 {
 			t.Errorf("%+v", out)
 		}
 	}
@@ -557,7 +557,7 @@
 func TestMessagesThatAreDoubledCutOrUnknown(t *testing.T) {
 	r, c := two(t)
 	// Doubled: each message to the follower comes twice.
-	r.hold = func(from, to string, m *Msg) bool {
+	r.hold = func(from, to string, m *Message) bool {
 		if to == c.id {
 			_ = c.f.Step(from, *m)
 		}
@@ -568,46 +568,48 @@
 		r.run(200 * time.Millisecond)
 	}
 	r.newest(c)
-	if c.f.Count.Conflicts+c.f.Count.Mismatches+c.f.Count.Refused > 0 || c.f.Count.Snapshots != 1 {
-		t.Errorf("%+v", c.f.Count)
+	if c.f.Stats.Conflicts+c.f.Stats.DigestMismatches+c.f.Stats.InvalidMessages > 0 || c.f.Stats.Snapshots != 1 {
+		t.Errorf("%+v", c.f.Stats)
 	}
 	// Lost in the middle: what comes after a gap is asked for again.
 	rng := rand.New(rand.NewPCG(3, 4))
-	r.hold = func(from, to string, m *Msg) bool { return rng.IntN(2) == 0 && m.Renewed == nil && m.Renew == nil }
+	r.hold = func(from, to string, m *Message) bool {
+		return rng.IntN(2) == 0 && m.RenewResponse == nil && m.RenewRequest == nil
+	}
 	for i := range 20 {
 		r.put(config(100 + i))
 		r.run(200 * time.Millisecond)
 	}
-	r.hold = func(string, string, *Msg) bool { return false }
+	r.hold = func(string, string, *Message) bool { return false }
 	r.run(4 * time.Second)
 	r.newest(c)
-	if c.f.Count.Gaps == 0 {
+	if c.f.Stats.Gaps == 0 {
 		t.Error("nothing was lost")
 	}
 	// Of nothing that is known.
-	if err := c.f.Step("r0", Msg{}); !errors.Is(err, ErrMessage) {
+	if err := c.f.Step("r0", Message{}); !errors.Is(err, ErrMalformedMessage) {
 		t.Errorf("%v", err)
 	}
-	if err := c.f.Step("nobody", Msg{}); err != nil {
+	if err := c.f.Step("nobody", Message{}); err != nil {
 		t.Errorf("a message from a connection that is gone: %v", err)
 	}
 	r.client(c)
 	r.run(2 * time.Minute)
 	r.newest(c)
-	if len(c.f.Relays()) != 2 {
-		t.Errorf("it follows %v", c.f.Relays())
+	if len(c.f.Publishers()) != 2 {
+		t.Errorf("it follows %v", c.f.Publishers())
 	}
 	relay := r.relays["r0"].relay
-	if err := relay.Opened(r.now, 99, Hello{Form: Form, ID: "x"}); err != nil {
+	if err := relay.Connected(r.now, 99, Hello{ProtocolVersion: ProtocolVersion, ID: "x"}); err != nil {
 		t.Fatal(err)
 	}
-	if err := relay.Opened(r.now, 99, Hello{Form: Form, ID: "x"}); !errors.Is(err, ErrMessage) {
+	if err := relay.Connected(r.now, 99, Hello{ProtocolVersion: ProtocolVersion, ID: "x"}); !errors.Is(err, ErrMalformedMessage) {
 		t.Errorf("two hellos: %v", err)
 	}
-	if err := relay.Opened(r.now, 98, Hello{Form: Form, ID: "y"}); err != nil {
+	if err := relay.Connected(r.now, 98, Hello{ProtocolVersion: ProtocolVersion, ID: "y"}); err != nil {
 		t.Fatal(err)
 	}
-	if err := relay.Step(r.now, 98, Msg{}); !errors.Is(err, ErrMessage) || relay.byID["x"] != nil || relay.byID["y"] != nil {
+	if err := relay.Step(r.now, 98, Message{}); !errors.Is(err, ErrMalformedMessage) || relay.byID["x"] != nil || relay.byID["y"] != nil {
 		t.Errorf("a message of nothing: %v", err)
 	}
 }
@@ -616,7 +618,7 @@
 // its own place.
 func TestARelayThatIsFull(t *testing.T) {
 	r := newRig(t, "s", "s", "s")
-	r.start("r0", RelayConfig{Most: 5})
+	r.start("r0", PublisherConfig{MaxSubscribers: 5})
 	for i := range 20 {
 		r.follower(fmt.Sprintf("b%d", i), "s")
 	}
@@ -626,14 +628,14 @@
 			t.Fatalf("%d followers", n)
 		}
 	}
-	full := r.relays["r0"].relay.Count.Full
+	full := r.relays["r0"].relay.Stats.RejectedFull
 	elsewhere := uint64(0)
 	for _, c := range r.all {
 		r.newest(c)
-		if len(c.f.Relays()) != 2 {
-			t.Errorf("%s follows %v", c.id, c.f.Relays())
+		if len(c.f.Publishers()) != 2 {
+			t.Errorf("%s follows %v", c.id, c.f.Publishers())
 		}
-		elsewhere += c.f.Count.Elsewhere
+		elsewhere += c.f.Stats.Rejections
 	}
 	if full == 0 || elsewhere != full {
 		t.Errorf("%d found no room, %d were sent elsewhere", full, elsewhere)
@@ -643,7 +645,7 @@
 	}
 	relay := r.relays["r0"].relay
 	first := relay.order.Front().Value.(*peer)
-	if err := relay.Opened(r.now, 999, Hello{Form: Form, ID: first.hello.ID, Life: 2, Fleet: "f"}); err != nil || relay.byID[first.hello.ID].conn != 999 || len(relay.peers) != 5 {
+	if err := relay.Connected(r.now, 999, Hello{ProtocolVersion: ProtocolVersion, ID: first.hello.ID, Incarnation: 2, Fleet: "f"}); err != nil || relay.byID[first.hello.ID].conn != 999 || len(relay.peers) != 5 {
 		t.Errorf("who came anew: %v", err)
 	}
 }
@@ -657,7 +659,7 @@
 	r.run(90 * time.Second)
 	s := r.relays["r2"]
 	had := len(s.relay.peers)
-	s.relay.Leave()
+	s.relay.Drain()
 	r.station(s)
 	r.run(2 * time.Second)
 	if len(s.relay.peers) != 0 || had == 0 {
@@ -665,8 +667,8 @@
 	}
 	for _, c := range r.all {
 		r.newest(c)
-		if len(c.f.Relays()) != 2 || c.f.Count.Lapses > 0 {
-			t.Errorf("%s follows %v, %d lapses", c.id, c.f.Relays(), c.f.Count.Lapses)
+		if len(c.f.Publishers()) != 2 || c.f.Stats.LeaseExpiries > 0 {
+			t.Errorf("%s follows %v, %d lapses", c.id, c.f.Publishers(), c.f.Stats.LeaseExpiries)
 		}
 	}
 }
@@ -678,7 +680,7 @@
 		r.put(Item{Key: fmt.Sprintf("%sk%d", ConfigPrefix, i), Value: make([]byte, 10<<10)})
 	}
 	size := r.source.Snapshot().Size()
-	r.start("r0", RelayConfig{SnapshotBytes: 4 * size})
+	r.start("r0", PublisherConfig{SnapshotBytesPerSecond: 4 * size})
 	for i := range 40 {
 		r.follower(fmt.Sprintf("b%d", i), "s")
 	}
@@ -696,8 +698,8 @@
 	r.run(10 * time.Second)
 	for _, c := range r.all {
 		r.newest(c)
-		if c.f.Count.Snapshots != 1 {
-			t.Errorf("%s took %d snapshots", c.id, c.f.Count.Snapshots)
+		if c.f.Stats.Snapshots != 1 {
+			t.Errorf("%s took %d snapshots", c.id, c.f.Stats.Snapshots)
 		}
 	}
 }
@@ -717,9 +719,9 @@
 	load := map[string]int{}
 	moved := 0
 	for i := range followers {
-		f := NewFollower(FollowerConfig{ID: fmt.Sprintf("b%d", i), Zone: "z0", Site: fmt.Sprintf("s%d", i%3)}, 0)
+		f := NewSubscriber(SubscriberConfig{ID: fmt.Sprintf("b%d", i), Zone: "z0", Site: fmt.Sprintf("s%d", i%3)}, 0)
 		pick := func(without int) (all []string) {
-			f.relist(Applied{Whole: true, Items: list(without)})
+			f.relist(Update{Complete: true, Items: list(without)})
 			got := f.choose(false)
 			if len(got) != 2 || got[0].zone == got[1].zone || got[0].site != f.cfg.Site || got[1].site != f.cfg.Site {
 				t.Fatalf("%s of %s: %+v", f.cfg.ID, f.cfg.Site, got)
@@ -763,8 +765,8 @@
 		name := fmt.Sprintf("r%d", i)
 		all = append(all, memberItem(t, shardmap.Member{ID: name, Addr: name, Zone: fmt.Sprintf("z%d", i%11), Site: "s"}))
 	}
-	f := NewFollower(FollowerConfig{ID: "b", Zone: "z0", Site: "s"}, 0)
-	f.relist(Applied{Whole: true, Items: all})
+	f := NewSubscriber(SubscriberConfig{ID: "b", Zone: "z0", Site: "s"}, 0)
+	f.relist(Update{Complete: true, Items: all})
 	if len(f.ranked) != relays {
 		t.Errorf("%d of %d are ranked", len(f.ranked), relays)
 	}
@@ -780,15 +782,15 @@
 	had := len(r.relays["r3"].relay.peers)
 	r.kill("r3")
 	r.run(10 * time.Second)
-	r.start("r3", RelayConfig{})
+	r.start("r3", PublisherConfig{})
 	most := 0
 	for second := range 150 {
-		before := r.relays["r3"].relay.Count.Came
+		before := r.relays["r3"].relay.Stats.Accepted
 		r.run(time.Second)
-		most = max(most, int(r.relays["r3"].relay.Count.Came-before))
+		most = max(most, int(r.relays["r3"].relay.Stats.Accepted-before))
 		for _, c := range r.all {
-			if c.f.Count.Lapses > 0 || len(c.f.Relays()) == 0 {
-				t.Fatalf("%s after %d s: %v, %d lapses", c.id, second, c.f.Relays(), c.f.Count.Lapses)
+			if c.f.Stats.LeaseExpiries > 0 || len(c.f.Publishers()) == 0 {
+				t.Fatalf("%s after %d s: %v, %d lapses", c.id, second, c.f.Publishers(), c.f.Stats.LeaseExpiries)
 			}
 		}
 	}
@@ -813,13 +815,13 @@
 	}
 	dials := uint64(0)
 	for _, c := range r.all {
-		dials -= c.f.Count.Dials
+		dials -= c.f.Stats.Dials
 	}
 	r.run(2 * time.Minute)
 	for _, c := range r.all {
-		dials += c.f.Count.Dials
-		if c.f.Current(r.now) || c.f.Count.Lapses != 1 || len(c.f.Relays()) < 2 {
-			t.Errorf("%s: %v, %d lapses", c.id, c.f.Relays(), c.f.Count.Lapses)
+		dials += c.f.Stats.Dials
+		if c.f.IsCurrent(r.now) || c.f.Stats.LeaseExpiries != 1 || len(c.f.Publishers()) < 2 {
+			t.Errorf("%s: %v, %d lapses", c.id, c.f.Publishers(), c.f.Stats.LeaseExpiries)
 		}
 	}
 	if dials > 100*15 {
@@ -854,7 +856,7 @@
 	for _, c := range r.all { // and its followers cannot reach the others
 		c := c
 		hold := r.hold
-		r.hold = func(from, to string, m *Msg) bool {
+		r.hold = func(from, to string, m *Message) bool {
 			if from == c.id && c.f.cfg.Site == "s0" && r.relays[to] != nil && !r.relays[to].stale {
 				return true
 			}
@@ -865,7 +867,7 @@
 		r.put(config(i))
 		r.run(100 * time.Millisecond)
 	}
-	r.hold = func(string, string, *Msg) bool { return false }
+	r.hold = func(string, string, *Message) bool { return false }
 	clear(r.sent)
 	log := r.relays["r0"]
 	if err := log.log.Install(*r.source.Snapshot()); err != nil { // too far behind for the others' ring
@@ -886,23 +888,23 @@
 
 // TestAFollowerThatTakesNothing acknowledges nothing but stays alive: after a while it is let go.
 func TestAFollowerThatTakesNothing(t *testing.T) {
-	log := NewLog(LogConfig{Most: 100, Bytes: 1 << 20})
-	relay := NewRelay(RelayConfig{Most: 10, Window: 200, SnapshotBytes: 1 << 20}, log, 0)
-	if err := relay.Opened(0, 1, Hello{Form: Form, ID: "b0"}); err != nil {
+	log := NewLog(LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
+	relay := NewPublisher(PublisherConfig{MaxSubscribers: 10, WindowBytes: 200, SnapshotBytesPerSecond: 1 << 20}, log, 0)
+	if err := relay.Connected(0, 1, Hello{ProtocolVersion: ProtocolVersion, ID: "b0"}); err != nil {
 		t.Fatal(err)
 	}
 	sends, at := 0, time.Duration(0)
 	for n := uint64(1); n < 500 && len(relay.peers) > 0; n++ {
 		at += 100 * time.Millisecond
-		_, _ = log.Next([]Item{config(int(n))})
-		relay.Published()
-		_ = relay.Step(at, 1, Msg{Renew: &Renew{Number: n}})
-		_ = relay.Step(at, 1, Msg{Want: &Want{}})
-		relay.Clock(at)
+		_, _ = log.Append([]Item{config(int(n))})
+		relay.LogChanged()
+		_ = relay.Step(at, 1, Message{RenewRequest: &RenewRequest{Sequence: n}})
+		_ = relay.Step(at, 1, Message{SyncRequest: &SyncRequest{}})
+		relay.Tick(at)
 		sends += len(relay.Ready().Sends)
 	}
-	if len(relay.peers) != 0 || relay.Count.Slow != 1 || at > takeWithin+2*Lease {
-		t.Errorf("after %v: %d followers, %+v", at, len(relay.peers), relay.Count)
+	if len(relay.peers) != 0 || relay.Stats.SlowSubscribers != 1 || at > takeWithin+2*DefaultLease {
+		t.Errorf("after %v: %d followers, %+v", at, len(relay.peers), relay.Stats)
 	}
 	if sends > unheardMost+20 {
 		t.Errorf("%d messages to somebody who reads none", sends)
@@ -914,7 +916,7 @@
 	r, c := two(t)
 	s := r.relays["r1"]
 	s.stale = true
-	if _, err := s.log.Next([]Item{config(100)}); err != nil {
+	if _, err := s.log.Append([]Item{config(100)}); err != nil {
 		t.Fatal(err)
 	}
 	r.kill("r1")
@@ -923,14 +925,14 @@
 	}
 	r.run(time.Second)
 	s.down = false
-	s.relay = NewRelay(RelayConfig{Most: 10, Window: 1000, SnapshotBytes: 1000}, s.log, r.now)
+	s.relay = NewPublisher(PublisherConfig{MaxSubscribers: 10, WindowBytes: 1000, SnapshotBytesPerSecond: 1000}, s.log, r.now)
 	for range 100 {
-		s.relay.Fresh(r.now, s.log.Version())
+		s.relay.ConfirmVersion(r.now, s.log.Version())
 		r.run(100 * time.Millisecond)
 	}
 	r.newest(c)
-	if c.f.Count.Conflicts == 0 || r.said(Conflict) == 0 || slices.Contains(c.f.Relays(), "r1") {
-		t.Errorf("%d conflicts, it follows %v", c.f.Count.Conflicts, c.f.Relays())
+	if c.f.Stats.Conflicts == 0 || r.said(EventHistoryConflict) == 0 || slices.Contains(c.f.Publishers(), "r1") {
+		t.Errorf("%d conflicts, it follows %v", c.f.Stats.Conflicts, c.f.Publishers())
 	}
 }
 
@@ -942,13 +944,13 @@
 	}
 	r.run(30 * time.Second)
 	for _, a := range r.addrs {
-		r.relays[a].relay.Leave()
+		r.relays[a].relay.Drain()
 		r.station(r.relays[a])
 		r.kill(a)
 	}
 	r.run(time.Second)
 	for _, a := range r.addrs {
-		r.start(a, RelayConfig{})
+		r.start(a, PublisherConfig{})
 	}
 	clear(r.sent)
 	began := r.now
@@ -956,11 +958,11 @@
 		r.run(100 * time.Millisecond)
 		n = 0
 		for _, c := range r.all {
-			if len(c.f.Relays()) > 0 && c.f.Current(r.now) {
+			if len(c.f.Publishers()) > 0 && c.f.IsCurrent(r.now) {
 				n++
 			}
 		}
-		if r.now-began > Lease {
+		if r.now-began > DefaultLease {
 			t.Fatalf("%d of %d within the lease", n, len(r.all))
 		}
 	}
@@ -968,8 +970,8 @@
 	r.run(10 * time.Second)
 	for _, c := range r.all {
 		r.newest(c)
-		if len(c.f.Relays()) != 2 {
-			t.Errorf("%s follows %v", c.id, c.f.Relays())
+		if len(c.f.Publishers()) != 2 {
+			t.Errorf("%s follows %v", c.id, c.f.Publishers())
 		}
 	}
 	if r.sent["snapshot"] > 0 {
@@ -980,7 +982,7 @@
 // TestOneHarmedChangeIsNoMatterForLong has one change come harmed: the other relay's is taken, and no snapshot is needed for good.
 func TestOneHarmedChangeIsNoMatterForLong(t *testing.T) {
 	r, c := two(t)
-	if err := c.f.Step(c.f.Relays()[0], Msg{Change: &Change{Version: r.source.Version() + 1, Before: r.source.Digest(), After: 1, Items: []Item{config(3)}}}); !errors.Is(err, ErrDigest) {
+	if err := c.f.Step(c.f.Publishers()[0], Message{Change: &Change{Version: r.source.Version() + 1, DigestBefore: r.source.Digest(), DigestAfter: 1, Items: []Item{config(3)}}}); !errors.Is(err, ErrDigestMismatch) {
 		t.Fatal(err)
 	}
 	for i := range 5 {
@@ -988,49 +990,49 @@
 		r.run(2 * time.Second)
 	}
 	r.newest(c)
-	if c.f.Count.Mismatches != 1 || r.said(Mismatch) != 1 || c.f.mismatch {
-		t.Errorf("%+v, told %d times", c.f.Count, r.said(Mismatch))
+	if c.f.Stats.DigestMismatches != 1 || r.said(EventDigestMismatch) != 1 || c.f.mismatch {
+		t.Errorf("%+v, told %d times", c.f.Stats, r.said(EventDigestMismatch))
 	}
 }
 
 // TestABlockedFollowerIsCounted has followers that acknowledge nothing. Guards against a full window that operators see as none: a follower
 // whose window has room for nothing but an empty message takes nothing either.
 func TestABlockedFollowerIsCounted(t *testing.T) {
-	log := NewLog(LogConfig{Most: 100, Bytes: 1 << 20})
-	if _, err := log.Next([]Item{{Key: FleetKey, Value: []byte("f")}}); err != nil {
+	log := NewLog(LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
+	if _, err := log.Append([]Item{{Key: FleetKey, Value: []byte("f")}}); err != nil {
 		t.Fatal(err)
 	}
-	relay := NewRelay(RelayConfig{Most: 10, Window: 200, SnapshotBytes: 1 << 20}, log, 0)
-	hello := Hello{Fleet: "f", Form: Form, Version: log.Version(), Digest: log.Digest()}
+	relay := NewPublisher(PublisherConfig{MaxSubscribers: 10, WindowBytes: 200, SnapshotBytesPerSecond: 1 << 20}, log, 0)
+	hello := Hello{Fleet: "f", ProtocolVersion: ProtocolVersion, Version: log.Version(), Digest: log.Digest()}
 	for i, id := range []string{"slow", "swift"} {
 		hello.ID = id
-		if err := relay.Opened(0, uint64(i), hello); err != nil {
+		if err := relay.Connected(0, uint64(i), hello); err != nil {
 			t.Fatal(err)
 		}
 	}
 	next := func() {
-		if _, err := log.Next([]Item{config(1)}); err != nil {
+		if _, err := log.Append([]Item{config(1)}); err != nil {
 			t.Fatal(err)
 		}
-		relay.Published()
-		if err := relay.Step(0, 1, Msg{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}}); err != nil {
+		relay.LogChanged()
+		if err := relay.Step(0, 1, Message{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	next()
-	if f := relay.Followers(); f.Blocked != 0 || f.Current != 1 || f.Lowest != 1 {
+	if f := relay.SubscriberCounts(); f.Blocked != 0 || f.Current != 1 || f.LowestVersion != 1 {
 		t.Errorf("one message is out: %+v", f)
 	}
 	for range 10 {
 		next()
 	}
-	if f := relay.Followers(); f.Blocked != 1 || f.Current != 1 || f.Lowest != 1 {
+	if f := relay.SubscriberCounts(); f.Blocked != 1 || f.Current != 1 || f.LowestVersion != 1 {
 		t.Errorf("the window is full: %+v", f)
 	}
-	if err := relay.Step(0, 0, Msg{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}}); err != nil {
+	if err := relay.Step(0, 0, Message{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}}); err != nil {
 		t.Fatal(err)
 	}
-	if f := relay.Followers(); f.Blocked != 0 || f.Current != 2 {
+	if f := relay.SubscriberCounts(); f.Blocked != 0 || f.Current != 2 {
 		t.Errorf("it has acknowledged all: %+v", f)
 	}
 }
--- a/internal/fleet/changefeed/golden_test.go
+++ b/internal/fleet/changefeed/golden_test.go
@@ -60,33 +60,33 @@
 
 type goldenMessage struct {
 	name string
-	msg  Msg
+	msg  Message
 }
 
 // goldenMessages has one message of each kind, with every field set.
 func goldenMessages() []goldenMessage {
-	items := []Item{{Key: "config/a", Value: []byte("one")}, {Key: "member/b", Gone: true}}
+	items := []Item{{Key: "config/a", Value: []byte("one")}, {Key: "member/b", Deleted: true}}
 	return []goldenMessage{
-		{"hello", Msg{Hello: &Hello{Fleet: "f", Form: 1, ID: "id", Name: "name", Life: 5, Machine: "m", Zone: "z", Site: "s", Version: 9, Digest: 10, Park: true}}},
-		{"change", Msg{Change: &Change{Version: 1, Before: 2, After: 3, Items: items}}},
-		{"snapshot", Msg{Snapshot: &Snapshot{Fleet: "f", Version: 2, Digest: 3, Items: items}}},
-		{"renew", Msg{Renew: &Renew{Number: 1, Heard: 2, Version: 3, Digest: 4}}},
-		{"renewed", Msg{Renewed: &Renewed{Number: 1, Version: 2, Digest: 3, Sent: 4, Age: 5 * time.Millisecond, Known: true, Parked: true}}},
-		{"ack", Msg{Ack: &Ack{Version: 1, Digest: 2}}},
-		{"want", Msg{Want: &Want{Version: 1, Digest: 2, Whole: true, Heard: 4}}},
-		{"elsewhere", Msg{Elsewhere: &Elsewhere{Wait: time.Second, Why: "why"}}},
-		{"bye", Msg{Bye: &Bye{}}},
-		{"op", Msg{Op: &Opaque{Number: 1, Body: []byte("body")}}},
-		{"result", Msg{Result: &Opaque{Number: 1, Body: []byte("body")}}},
-		{"put", Msg{Put: &Put{Op: "op", Key: "k", Value: []byte("v"), Gone: true, If: 5, Any: true}}},
-		{"put-done", Msg{PutDone: &PutDone{Op: "op", Version: 2, Refused: "why"}}},
+		{"hello", Message{Hello: &Hello{Fleet: "f", ProtocolVersion: 1, ID: "id", Name: "name", Incarnation: 5, Machine: "m", Zone: "z", Site: "s", Version: 9, Digest: 10, Standby: true}}},
+		{"change", Message{Change: &Change{Version: 1, DigestBefore: 2, DigestAfter: 3, Items: items}}},
+		{"snapshot", Message{Snapshot: &Snapshot{Fleet: "f", Version: 2, Digest: 3, Items: items}}},
+		{"renew", Message{RenewRequest: &RenewRequest{Sequence: 1, LastResponse: 2, Version: 3, Digest: 4}}},
+		{"renewed", Message{RenewResponse: &RenewResponse{Sequence: 1, Version: 2, Digest: 3, SentVersion: 4, Age: 5 * time.Millisecond, AgeKnown: true, Standby: true}}},
+		{"ack", Message{Ack: &Ack{Version: 1, Digest: 2}}},
+		{"want", Message{SyncRequest: &SyncRequest{Version: 1, Digest: 2, ForceSnapshot: true, LastResponse: 4}}},
+		{"elsewhere", Message{Reject: &Reject{RetryAfter: time.Second, Reason: "why"}}},
+		{"bye", Message{Disconnect: &Disconnect{}}},
+		{"op", Message{Operation: &Payload{RequestID: 1, Body: []byte("body")}}},
+		{"result", Message{OperationResult: &Payload{RequestID: 1, Body: []byte("body")}}},
+		{"put", Message{PutRequest: &PutRequest{OperationID: "op", Key: "k", Value: []byte("v"), Delete: true, IfVersion: 5, Unconditional: true}}},
+		{"put-done", Message{PutResponse: &PutResponse{OperationID: "op", Version: 2, RejectReason: "why"}}},
 	}
 }
 
 // TestGoldenMessages holds the bytes of each kind of message.
 func TestGoldenMessages(t *testing.T) {
 	messages := goldenMessages()
-	if kinds := reflect.TypeFor[Msg]().NumField(); len(messages) != kinds {
+	if kinds := reflect.TypeFor[Message]().NumField(); len(messages) != kinds {
 		t.Fatalf("%d messages for %d kinds", len(messages), kinds)
 	}
 	var lines []string
@@ -114,20 +114,20 @@
 // TestGoldenDigests holds the digests that members compare, and the hash by which followers rank relays.
 func TestGoldenDigests(t *testing.T) {
 	var lines []string
-	log := NewLog(LogConfig{Most: 100, Bytes: 1 << 20})
+	log := NewLog(LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
 	steps := [][]Item{
 		{{Key: FleetKey, Value: []byte("fleet-1")}},
 		{{Key: MemberPrefix + "a", Value: []byte(`{"ID":"a"}`)}, {Key: ConfigPrefix + "x", Value: []byte("1")}},
 		{{Key: ConfigPrefix + "x", Value: []byte("2")}},
-		{{Key: MemberPrefix + "a", Gone: true}},
+		{{Key: MemberPrefix + "a", Deleted: true}},
 		{},
 	}
 	for _, items := range steps {
-		change, err := log.Next(items)
+		change, err := log.Append(items)
 		if err != nil {
 			t.Fatal(err)
 		}
-		lines = append(lines, fmt.Sprintf("change %d %016x %016x %d", change.Version, change.Before, change.After, change.Size()))
+		lines = append(lines, fmt.Sprintf("change %d %016x %016x %d", change.Version, change.DigestBefore, change.DigestAfter, change.Size()))
 	}
 	snapshot := log.Snapshot()
 	lines = append(lines, fmt.Sprintf("snapshot %d %016x %d", snapshot.Version, snapshot.Digest, snapshot.Size()))
@@ -142,8 +142,8 @@
 // TestGoldenConstants holds strings and numbers that are part of what other processes see.
 func TestGoldenConstants(t *testing.T) {
 	var texts []string
-	for _, err := range []error{ErrOrder, ErrDigest, ErrConflict, ErrFull, ErrItem, ErrFleet, ErrMessage, errLeaves} {
+	for _, err := range []error{ErrOutOfOrder, ErrDigestMismatch, ErrConflict, ErrFull, ErrInvalidItem, ErrForeignFleet, ErrMalformedMessage, errLeaves} {
 		texts = append(texts, err.Error()) // a relay sends them as the reason of an Elsewhere
 	}
-	compareGolden(t, "constants.golden", append(texts, FleetKey, MemberPrefix, ConfigPrefix, fmt.Sprint(Form), fmt.Sprint(MostMessage)))
+	compareGolden(t, "constants.golden", append(texts, FleetKey, MemberPrefix, ConfigPrefix, fmt.Sprint(ProtocolVersion), fmt.Sprint(MaxMessageBytes)))
 }
--- a/internal/fleet/changefeed/rig_test.go
+++ b/internal/fleet/changefeed/harness_test.go
@@ -19,15 +19,15 @@
 	addrs  []string            // in order
 	all    []*client
 	conns  uint64
-	hold   func(from, to string, m *Msg) bool // true: the message is lost
-	lines  []Line
+	hold   func(from, to string, m *Message) bool // true: the message is lost
+	lines  []Event
 	sent   map[string]int // messages, by kind
 }
 
 type station struct {
 	addr    string
 	log     *Log
-	relay   *Relay
+	relay   *Publisher
 	conns   map[uint64]*client
 	down    bool // dials fail, connections are gone
 	mute    bool // dials and messages to it are swallowed
@@ -37,18 +37,18 @@
 }
 
 type client struct {
-	f       *Follower
+	f       *Subscriber
 	id      string
 	conns   map[string]uint64
 	stopped bool
 	waiting []func()
-	applied []Applied
+	applied []Update
 }
 
 // newRig makes relays r0, r1, .. in zones z0, z1, .. of the sites named; the source knows them as members.
 func newRig(t testing.TB, sites ...string) *rig {
-	r := &rig{t: t, source: NewLog(LogConfig{Most: 1000, Bytes: 1 << 20}), relays: map[string]*station{}, sent: map[string]int{}}
-	r.hold = func(string, string, *Msg) bool { return false }
+	r := &rig{t: t, source: NewLog(LogConfig{MaxChanges: 1000, MaxBytes: 1 << 20}), relays: map[string]*station{}, sent: map[string]int{}}
+	r.hold = func(string, string, *Message) bool { return false }
 	items := []Item{{Key: FleetKey, Value: []byte("f")}}
 	for i, site := range sites {
 		id := fmt.Sprintf("r%d", i)
@@ -58,7 +58,7 @@
 	r.put(items...)
 	for _, a := range r.addrs {
 		r.relays[a] = &station{addr: a}
-		r.start(a, RelayConfig{})
+		r.start(a, PublisherConfig{})
 	}
 	return r
 }
@@ -72,23 +72,23 @@
 }
 
 // start makes a relay's process anew, with what the source has.
-func (r *rig) start(addr string, cfg RelayConfig) {
+func (r *rig) start(addr string, cfg PublisherConfig) {
 	s := r.relays[addr]
 	cfg.ID = addr
-	if cfg.Most == 0 {
-		cfg.Most = 10000
+	if cfg.MaxSubscribers == 0 {
+		cfg.MaxSubscribers = 10000
 	}
-	if cfg.Window == 0 {
-		cfg.Window = 64 << 10
+	if cfg.WindowBytes == 0 {
+		cfg.WindowBytes = 64 << 10
 	}
-	if cfg.SnapshotBytes == 0 {
-		cfg.SnapshotBytes = 100 << 20
+	if cfg.SnapshotBytesPerSecond == 0 {
+		cfg.SnapshotBytesPerSecond = 100 << 20
 	}
-	s.log = NewLog(LogConfig{Most: 1000, Bytes: 1 << 20})
+	s.log = NewLog(LogConfig{MaxChanges: 1000, MaxBytes: 1 << 20})
 	if err := s.log.Install(*r.source.Snapshot()); err != nil {
 		r.t.Fatal(err)
 	}
-	s.relay, s.conns, s.down = NewRelay(cfg, s.log, r.now), map[uint64]*client{}, false
+	s.relay, s.conns, s.down = NewPublisher(cfg, s.log, r.now), map[uint64]*client{}, false
 }
 
 // kill ends a relay's process.
@@ -101,7 +101,7 @@
 		c := gone[num]
 		if c.conns[addr] == num {
 			delete(c.conns, addr)
-			c.do(func() { c.f.Closed(addr) })
+			c.do(func() { c.f.ConnectionClosed(addr) })
 			r.client(c)
 		}
 	}
@@ -117,13 +117,13 @@
 }
 
 func (r *rig) follower(id, site string) *client {
-	c := &client{id: id, conns: map[string]uint64{}, f: NewFollower(FollowerConfig{ID: id, Life: 1, Site: site, Zone: "own", Seeds: r.addrs, Seed: score(id, "")}, r.now)}
+	c := &client{id: id, conns: map[string]uint64{}, f: NewSubscriber(SubscriberConfig{ID: id, Incarnation: 1, Site: site, Zone: "own", Seeds: r.addrs, Seed: score(id, "")}, r.now)}
 	r.all = append(r.all, c)
 	return c
 }
 
 func (r *rig) put(items ...Item) Change {
-	c, err := r.source.Next(items)
+	c, err := r.source.Append(items)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 
 // tell brings the source's changes to a relay, as the control tier does.
 func (r *rig) tell(s *station) {
-	cs, ok := r.source.Since(s.log.Version(), s.log.Digest())
+	cs, ok := r.source.ChangesSince(s.log.Version(), s.log.Digest())
 	if !ok {
 		if err := s.log.Install(*r.source.Snapshot()); err != nil {
 			r.t.Fatal(err)
@@ -143,7 +143,7 @@
 			r.t.Fatal(err)
 		}
 	}
-	s.relay.Published()
+	s.relay.LogChanged()
 }
 
 func (c *client) do(what func()) {
@@ -171,14 +171,14 @@
 			if s.down || s.stopped {
 				continue
 			}
-			s.relay.Clock(r.now)
+			s.relay.Tick(r.now)
 			for _, what := range s.waiting {
 				what()
 			}
 			s.waiting = nil
 			if !s.stale {
 				r.tell(s)
-				s.relay.Fresh(r.now, r.source.Version())
+				s.relay.ConfirmVersion(r.now, r.source.Version())
 			}
 			r.station(s)
 		}
@@ -186,7 +186,7 @@
 			if c.stopped {
 				continue
 			}
-			c.f.Clock(r.now)
+			c.f.Tick(r.now)
 			for _, what := range c.waiting {
 				what()
 			}
@@ -199,13 +199,13 @@
 // station does what a relay hands out.
 func (r *rig) station(s *station) {
 	out := s.relay.Ready()
-	r.lines = append(r.lines, out.Lines...)
+	r.lines = append(r.lines, out.Events...)
 	for _, one := range out.Sends {
 		c := s.conns[one.Conn]
 		if c == nil {
 			continue
 		}
-		m := one.Out.Msg
+		m := one.Message.Content
 		r.note(&m)
 		if c.conns[s.addr] != one.Conn || r.hold(s.addr, c.id, &m) {
 			continue
@@ -224,7 +224,7 @@
 		delete(s.conns, num)
 		if c != nil && c.conns[s.addr] == num {
 			delete(c.conns, s.addr)
-			c.do(func() { c.f.Closed(s.addr) })
+			c.do(func() { c.f.ConnectionClosed(s.addr) })
 			if !c.stopped {
 				r.client(c)
 			}
@@ -235,15 +235,15 @@
 // client does what a follower hands out.
 func (r *rig) client(c *client) {
 	out := c.f.Ready()
-	r.lines = append(r.lines, out.Lines...)
-	for _, a := range out.Applied {
+	r.lines = append(r.lines, out.Events...)
+	for _, a := range out.Updates {
 		if n := len(c.applied); n > 0 && a.Version <= c.applied[n-1].Version {
 			r.t.Fatalf("%s went back from %d to %d", c.id, c.applied[n-1].Version, a.Version)
 		}
 		c.applied = append(c.applied, a)
 	}
 	for _, one := range out.Sends {
-		m := one.Msg
+		m := one.Message
 		s, num := r.relays[one.Addr], c.conns[one.Addr]
 		r.note(&m)
 		if num == 0 || s.mute || r.hold(c.id, one.Addr, &m) {
@@ -251,7 +251,7 @@
 		}
 		s.do(func() {
 			if m.Hello != nil {
-				_ = s.relay.Opened(r.now, num, *m.Hello)
+				_ = s.relay.Connected(r.now, num, *m.Hello)
 			} else {
 				_ = s.relay.Step(r.now, num, m)
 			}
@@ -260,45 +260,45 @@
 			r.station(s)
 		}
 	}
-	for _, a := range out.Hang {
+	for _, a := range out.Close {
 		s, num := r.relays[a], c.conns[a]
 		delete(c.conns, a)
 		if num != 0 && !s.mute {
 			delete(s.conns, num)
-			s.do(func() { s.relay.Closed(num) })
+			s.do(func() { s.relay.ConnectionClosed(num) })
 		}
 	}
 	for _, a := range out.Dial {
 		s := r.relays[a]
 		switch {
 		case s == nil || s.down:
-			c.f.Failed(a)
+			c.f.DialFailed(a)
 		case s.mute:
 			continue
 		default:
 			r.conns++
 			num := r.conns
 			c.conns[a], s.conns[num] = num, c
-			c.f.Opened(a)
+			c.f.Connected(a)
 		}
 		r.client(c)
 	}
 }
 
-func (r *rig) note(m *Msg) {
+func (r *rig) note(m *Message) {
 	switch {
 	case m.Snapshot != nil:
 		r.sent["snapshot"]++
 	case m.Change != nil:
 		r.sent["change"]++
-	case m.Want != nil:
+	case m.SyncRequest != nil:
 		r.sent["want"]++
-	case m.Renewed != nil:
+	case m.RenewResponse != nil:
 		r.sent["renewed"]++
 	}
 }
 
-func (r *rig) said(kind Kind) (n int) {
+func (r *rig) said(kind EventKind) (n int) {
 	for _, l := range r.lines {
 		if l.Kind == kind {
 			n++
@@ -313,7 +313,7 @@
 	if c.f.State().Version() != r.source.Version() || c.f.State().Digest() != r.source.Digest() {
 		r.t.Fatalf("%s is at %d (%016x), the source at %d (%016x)", c.id, c.f.State().Version(), c.f.State().Digest(), r.source.Version(), r.source.Digest())
 	}
-	if age, known := c.f.Age(r.now); !c.f.Current(r.now) {
+	if age, known := c.f.Age(r.now); !c.f.IsCurrent(r.now) {
 		r.t.Fatalf("%s is not current: %v, %v", c.id, age, known)
 	}
 }
--- a/internal/fleet/changefeed/log.go
+++ b/internal/fleet/changefeed/log.go
@@ -4,8 +4,8 @@
 
 // LogConfig bounds the ring of newest changes; what is cut from it is no longer told by changes, but by a snapshot.
 type LogConfig struct {
-	Most  int // changes
-	Bytes int // of them, as Change.Size counts; the newest one is kept whatever its size
+	MaxChanges int // changes
+	MaxBytes   int // of them, as Change.Size counts; the newest one is kept whatever its size
 }
 
 // Log is a state with the newest of the changes that led to it.
@@ -14,18 +14,18 @@
 	state *State
 	ring  []entry // the newest changes in order, without a gap, up to the state's version
 	bytes int
-	snap  *Out // the newest that was built, nil where there is none
+	snap  *SharedMessage // the newest that was built, nil where there is none
 }
 
 type entry struct {
 	change *Change
-	out    *Out
+	out    *SharedMessage
 	size   int
 }
 
 // NewLog begins empty.
 func NewLog(cfg LogConfig) *Log {
-	return &Log{cfg: LogConfig{Most: max(1, cfg.Most), Bytes: max(1, cfg.Bytes)}, state: NewState()}
+	return &Log{cfg: LogConfig{MaxChanges: max(1, cfg.MaxChanges), MaxBytes: max(1, cfg.MaxBytes)}, state: NewState()}
 }
 
 // State is what the log has come to, not to be changed but through the log.
@@ -40,9 +40,9 @@
 func (l *Log) Changes() int { return len(l.ring) }
 func (l *Log) Bytes() int   { return l.bytes }
 
-// Next makes the next version at the source: the change is applied, kept, and handed out for the others. The items are kept as
+// Append makes the next version at the source: the change is applied, kept, and handed out for the others. The items are kept as
 // they are. ErrItem, ErrFull and ErrFleet leave all as it was.
-func (l *Log) Next(items []Item) (Change, error) {
+func (l *Log) Append(items []Item) (Change, error) {
 	c, err := l.state.next(items)
 	if err != nil {
 		return Change{}, err
@@ -53,19 +53,19 @@
 // Apply takes the next change. An old one whose content the ring knows to be another is ErrConflict.
 func (l *Log) Apply(c Change) error {
 	if c.Version < l.Version() {
-		if d, is := l.digestAt(c.Version); is && d != c.After {
-			return fmt.Errorf("%w: version %d with digest %016x, here %016x", ErrConflict, c.Version, c.After, d)
+		if d, is := l.digestAt(c.Version); is && d != c.DigestAfter {
+			return fmt.Errorf("%w: version %d with digest %016x, here %016x", ErrConflict, c.Version, c.DigestAfter, d)
 		}
 	}
 	if err := l.state.Apply(c); err != nil {
 		return err
 	}
 	e := entry{change: &c, size: c.Size()}
-	e.out = &Out{Msg: Msg{Change: e.change}}
+	e.out = &SharedMessage{Content: Message{Change: e.change}}
 	l.ring = append(l.ring, e)
 	l.bytes += e.size
 	cut := 0
-	for len(l.ring)-cut > 1 && (len(l.ring)-cut > l.cfg.Most || l.bytes > l.cfg.Bytes) {
+	for len(l.ring)-cut > 1 && (len(l.ring)-cut > l.cfg.MaxChanges || l.bytes > l.cfg.MaxBytes) {
 		l.bytes -= l.ring[cut].size
 		l.ring[cut] = entry{}
 		cut++
@@ -98,9 +98,9 @@
 	case version < first || version > l.Version():
 		return 0, false
 	case version == first:
-		return l.ring[0].change.Before, true
+		return l.ring[0].change.DigestBefore, true
 	}
-	return l.ring[version-first-1].change.After, true
+	return l.ring[version-first-1].change.DigestAfter, true
 }
 
 // reaches tells whether who has this version with this digest can be led on by changes alone. One that is ahead can: it lacks
@@ -113,9 +113,9 @@
 	return is && d == digest
 }
 
-// Since are the changes after a version, in order, for who has that version with that digest; none for who is ahead. False where
+// ChangesSince are the changes after a version, in order, for who has that version with that digest; none for who is ahead. False where
 // only a snapshot helps.
-func (l *Log) Since(version, digest uint64) ([]*Change, bool) {
+func (l *Log) ChangesSince(version, digest uint64) ([]*Change, bool) {
 	if !l.reaches(version, digest) {
 		return nil, false
 	}
@@ -133,20 +133,20 @@
 func (l *Log) after(version uint64) entry { return l.ring[version-l.first()] }
 
 // Snapshot is the state as one message, built at most once for each version.
-func (l *Log) Snapshot() *Snapshot { return l.snapshot().Msg.Snapshot }
+func (l *Log) Snapshot() *Snapshot { return l.snapshot().Content.Snapshot }
 
-func (l *Log) snapshot() *Out {
-	if l.snap == nil || l.snap.Msg.Snapshot.Version != l.Version() {
-		l.snap = &Out{Msg: Msg{Snapshot: &Snapshot{Fleet: l.Fleet(), Version: l.Version(), Digest: l.Digest(), Items: l.state.All("")}}}
+func (l *Log) snapshot() *SharedMessage {
+	if l.snap == nil || l.snap.Content.Snapshot.Version != l.Version() {
+		l.snap = &SharedMessage{Content: Message{Snapshot: &Snapshot{Fleet: l.Fleet(), Version: l.Version(), Digest: l.Digest(), Items: l.state.Items("")}}}
 	}
 	return l.snap
 }
 
 // snapshotOver is a snapshot that is newer than a version. The one built last is sent again, with the changes after it to follow,
 // while these are few beside it: a relay whose followers all begin anew words the state once, not at each change.
-func (l *Log) snapshotOver(version uint64) *Out {
+func (l *Log) snapshotOver(version uint64) *SharedMessage {
 	if l.snap != nil {
-		if s := l.snap.Msg.Snapshot; s.Version > version && l.reaches(s.Version, s.Digest) {
+		if s := l.snap.Content.Snapshot; s.Version > version && l.reaches(s.Version, s.Digest) {
 			behind := 0
 			for _, e := range l.ring[s.Version-l.first():] {
 				behind += e.size
--- a/internal/fleet/changefeed/relay.go
+++ b/internal/fleet/changefeed/publisher.go
@@ -12,8 +12,8 @@
 
 // Spans and bounds that relays and followers share.
 const (
-	Lease     = 5 * time.Second // the usual one: a follower that is not heard for so long is gone, knowledge that old is not current
-	RenewEach = time.Second     // a follower's renewals at each relay, by chance a quarter more or less
+	DefaultLease  = 5 * time.Second // the usual one: a follower that is not heard for so long is gone, knowledge that old is not current
+	RenewInterval = time.Second     // a follower's renewals at each relay, by chance a quarter more or less
 
 	stallFrom     = time.Second      // a beat that comes so late tells that this process was stopped
 	unheardMost   = 16               // answers to one follower that it has not said to have read; more are not given
@@ -27,35 +27,35 @@
 	nameMost      = 256              // bytes of each name in a Hello
 )
 
-// RelayConfig is what a relay begins with.
-type RelayConfig struct {
-	ID            string // its own, in lines
-	Fleet         string // empty: as the log has it
-	Most          int    // followers at once; one more is sent elsewhere. This, and Window, bound the relay's memory
-	Window        int    // bytes that are out unacknowledged to one follower; a message that is larger goes out alone
-	SnapshotBytes int    // a second, of snapshots to all followers together
-	Lease         time.Duration
-	Seed          uint64
+// PublisherConfig is what a relay begins with.
+type PublisherConfig struct {
+	ID                     string // its own, in lines
+	Fleet                  string // empty: as the log has it
+	MaxSubscribers         int    // followers at once; one more is sent elsewhere. This, and Window, bound the relay's memory
+	WindowBytes            int    // bytes that are out unacknowledged to one follower; a message that is larger goes out alone
+	SnapshotBytesPerSecond int    // a second, of snapshots to all followers together
+	Lease                  time.Duration
+	Seed                   uint64
 }
 
-// Send is one message to one connection. Those to one connection go out in the order in which they are handed out.
-type Send struct {
-	Conn uint64
-	Out  *Out
+// PublisherSend is one message to one connection. Those to one connection go out in the order in which they are handed out.
+type PublisherSend struct {
+	Conn    uint64
+	Message *SharedMessage
 }
 
-// RelayReady is what is to be done, in this order: the sends, then the ends of connections, after what was sent to them.
-type RelayReady struct {
-	Sends []Send
-	Close []uint64
-	Lines []Line
+// PublisherReady is what is to be done, in this order: the sends, then the ends of connections, after what was sent to them.
+type PublisherReady struct {
+	Sends  []PublisherSend
+	Close  []uint64
+	Events []Event
 }
 
-// Relay is one control process's side of the feed. It is one goroutine's, which also owns the log.
+// Publisher is one control process's side of the feed. It is one goroutine's, which also owns the log.
 //
 // A beat costs what is due in it; a change costs each of the relay's own followers once.
-type Relay struct {
-	cfg    RelayConfig
+type Publisher struct {
+	cfg    PublisherConfig
 	log    *Log
 	rng    *rand.Rand
 	now    time.Duration
@@ -73,8 +73,8 @@
 	out    map[uint64]*inflightSnapshot
 	leaves bool
 
-	ready RelayReady
-	Count RelayCount
+	ready PublisherReady
+	Stats PublisherStats
 }
 
 // asOf is a time at which nothing newer than a version was agreed.
@@ -87,13 +87,13 @@
 // inflightSnapshot is a snapshot that is out, and to how many.
 type inflightSnapshot struct{ by int }
 
-// RelayCount counts what a relay did.
-type RelayCount struct {
-	Changes, Snapshots   uint64 // sent
-	Bytes                uint64 // of them, as Size counts
-	Came, Lapsed, Slow   uint64
-	Full, Strange, Newer uint64 // sent elsewhere, or away
-	Bad                  uint64 // messages
+// PublisherStats counts what a relay did.
+type PublisherStats struct {
+	Changes, Snapshots                           uint64 // sent
+	Bytes                                        uint64 // of them, as Size counts
+	Accepted, LeaseExpiries, SlowSubscribers     uint64
+	RejectedFull, RejectedForeign, RejectedNewer uint64 // sent elsewhere, or away
+	MalformedMessages                            uint64 // messages
 }
 
 // peer is one follower's connection.
@@ -150,31 +150,31 @@
 	return last
 }
 
-// NewRelay begins without followers, and knows of no freshness.
-func NewRelay(cfg RelayConfig, log *Log, now time.Duration) *Relay {
+// NewPublisher begins without followers, and knows of no freshness.
+func NewPublisher(cfg PublisherConfig, log *Log, now time.Duration) *Publisher {
 	if cfg.Lease <= 0 {
-		cfg.Lease = Lease
+		cfg.Lease = DefaultLease
 	}
-	return &Relay{cfg: cfg, log: log, rng: rand.New(rand.NewPCG(cfg.Seed, 0xfeed)), now: now, awake: now, peers: map[uint64]*peer{},
-		byID: map[string]*peer{}, order: list.New(), budget: float64(cfg.SnapshotBytes), out: map[uint64]*inflightSnapshot{}}
+	return &Publisher{cfg: cfg, log: log, rng: rand.New(rand.NewPCG(cfg.Seed, 0xfeed)), now: now, awake: now, peers: map[uint64]*peer{},
+		byID: map[string]*peer{}, order: list.New(), budget: float64(cfg.SnapshotBytesPerSecond), out: map[uint64]*inflightSnapshot{}}
 }
 
 // Ready hands out what is to be done, once.
-func (r *Relay) Ready() RelayReady {
+func (r *Publisher) Ready() PublisherReady {
 	out := r.ready
-	r.ready = RelayReady{}
+	r.ready = PublisherReady{}
 	return out
 }
 
-func (r *Relay) fleet() string { return cmp.Or(r.cfg.Fleet, r.log.Fleet()) }
+func (r *Publisher) fleet() string { return cmp.Or(r.cfg.Fleet, r.log.Fleet()) }
 
 // ---- What comes in. Each time is read after what it comes with: an answer that is older than it says would make old knowledge young.
 
-// Clock is a beat, some ten of them a second.
-func (r *Relay) Clock(now time.Duration) {
+// Tick is a beat, some ten of them a second.
+func (r *Publisher) Tick(now time.Duration) {
 	if now-r.now > stallFrom {
 		r.awake = now
-		r.line(Line{Kind: Woke, For: now - r.now})
+		r.line(Event{Kind: EventResumed, Duration: now - r.now})
 	}
 	r.tick(now)
 	for len(r.leases) > 0 && r.leases[0].due <= now {
@@ -183,12 +183,12 @@
 		slow := max(p.taken, r.awake) + takeWithin
 		switch {
 		case end <= now:
-			r.Count.Lapsed++
-			r.line(Line{Kind: Lapsed, Peer: p.hello.ID, For: now - p.heard})
+			r.Stats.LeaseExpiries++
+			r.line(Event{Kind: EventLeaseExpired, PeerID: p.hello.ID, Duration: now - p.heard})
 			r.end(p)
 		case len(p.out) > 0 && slow <= now:
-			r.Count.Slow++
-			r.line(Line{Kind: TooSlow, Peer: p.hello.ID, For: now - p.taken})
+			r.Stats.SlowSubscribers++
+			r.line(Event{Kind: EventSlowSubscriber, PeerID: p.hello.ID, Duration: now - p.taken})
 			r.end(p)
 		default:
 			p.due = end
@@ -199,16 +199,16 @@
 }
 
 // tick takes the time, and gives snapshots what may go out since.
-func (r *Relay) tick(now time.Duration) {
+func (r *Publisher) tick(now time.Duration) {
 	if now > r.now {
-		pace := float64(r.cfg.SnapshotBytes)
+		pace := float64(r.cfg.SnapshotBytesPerSecond)
 		r.budget = min(r.budget+pace*(now-r.now).Seconds(), pace)
 		r.now = now
 	}
 }
 
-// Published tells that the log has changed.
-func (r *Relay) Published() {
+// LogChanged tells that the log has changed.
+func (r *Publisher) LogChanged() {
 	r.claim()
 	for e := r.order.Front(); e != nil; e = e.Next() {
 		r.pump(e.Value.(*peer))
@@ -216,16 +216,16 @@
 	r.serve()
 }
 
-// Fresh tells that at a time of this clock, read before the question to the log's leader went out, nothing newer than a version was
+// ConfirmVersion tells that at a time of this clock, read before the question to the log's leader went out, nothing newer than a version was
 // agreed (read index). It counts from when the log here has that version.
-func (r *Relay) Fresh(at time.Duration, version uint64) {
+func (r *Publisher) ConfirmVersion(at time.Duration, version uint64) {
 	if len(r.claims) < claimsMost { // a log that lags so far has no use for more than the first of them
 		r.claims = append(r.claims, asOf{at: at, version: version})
 	}
 	r.claim()
 }
 
-func (r *Relay) claim() {
+func (r *Publisher) claim() {
 	r.claims = slices.DeleteFunc(r.claims, func(c asOf) bool {
 		if c.version > r.log.Version() {
 			return r.now-c.at > r.cfg.Lease // of no use any more
@@ -237,28 +237,28 @@
 	})
 }
 
-// Opened is a follower's first message on a connection. An error has been answered, and ends the connection.
-func (r *Relay) Opened(now time.Duration, conn uint64, h Hello) error {
+// Connected is a follower's first message on a connection. An error has been answered, and ends the connection.
+func (r *Publisher) Connected(now time.Duration, conn uint64, h Hello) error {
 	r.tick(now)
 	if r.peers[conn] != nil {
-		return r.bad(conn, fmt.Errorf("%w: a second hello", ErrMessage))
+		return r.bad(conn, fmt.Errorf("%w: a second hello", ErrMalformedMessage))
 	}
-	if h.ID == "" || h.Form < 1 || len(h.ID) > nameMost || len(h.Name) > nameMost || len(h.Machine) > nameMost || len(h.Zone) > nameMost || len(h.Site) > nameMost {
-		return r.bad(conn, fmt.Errorf("%w: a hello without an ID or form, or with a name over %d bytes", ErrMessage, nameMost))
+	if h.ID == "" || h.ProtocolVersion < 1 || len(h.ID) > nameMost || len(h.Name) > nameMost || len(h.Machine) > nameMost || len(h.Zone) > nameMost || len(h.Site) > nameMost {
+		return r.bad(conn, fmt.Errorf("%w: a hello without an ID or form, or with a name over %d bytes", ErrMalformedMessage, nameMost))
 	}
 	if fleet := r.fleet(); h.Fleet != "" && fleet != "" && h.Fleet != fleet {
-		r.Count.Strange++
-		r.line(Line{Kind: Stranger, Peer: h.ID, Text: h.Fleet})
-		return r.turnAway(conn, formWait, fmt.Errorf("%w: %q, this one is %q", ErrFleet, h.Fleet, fleet))
+		r.Stats.RejectedForeign++
+		r.line(Event{Kind: EventForeignFleet, PeerID: h.ID, Detail: h.Fleet})
+		return r.turnAway(conn, formWait, fmt.Errorf("%w: %q, this one is %q", ErrForeignFleet, h.Fleet, fleet))
 	}
-	if h.Form > Form {
-		r.Count.Newer++
-		r.line(Line{Kind: NewerForm, Peer: h.ID, Text: fmt.Sprint(h.Form)})
-		return r.turnAway(conn, formWait, fmt.Errorf("%w: form %d, this process speaks %d", ErrMessage, h.Form, Form))
+	if h.ProtocolVersion > ProtocolVersion {
+		r.Stats.RejectedNewer++
+		r.line(Event{Kind: EventNewerProtocol, PeerID: h.ID, Detail: fmt.Sprint(h.ProtocolVersion)})
+		return r.turnAway(conn, formWait, fmt.Errorf("%w: form %d, this process speaks %d", ErrMalformedMessage, h.ProtocolVersion, ProtocolVersion))
 	}
 	old := r.byID[h.ID]
-	if old != nil && h.Life < old.hello.Life {
-		return r.bad(conn, fmt.Errorf("%w: a hello of life %d, %d has begun", ErrMessage, h.Life, old.hello.Life))
+	if old != nil && h.Incarnation < old.hello.Incarnation {
+		return r.bad(conn, fmt.Errorf("%w: a hello of life %d, %d has begun", ErrMalformedMessage, h.Incarnation, old.hello.Incarnation))
 	}
 	if r.leaves {
 		return r.turnAway(conn, leaveWait, errLeaves)
@@ -266,12 +266,12 @@
 	if old != nil {
 		r.end(old)
 	}
-	if len(r.peers) >= r.cfg.Most {
-		r.Count.Full++
+	if len(r.peers) >= r.cfg.MaxSubscribers {
+		r.Stats.RejectedFull++
 		return r.turnAway(conn, fullWait, fmt.Errorf("%w: %d followers", ErrFull, len(r.peers)))
 	}
-	r.Count.Came++
-	p := &peer{conn: conn, hello: h, heard: now, version: h.Version, digest: h.Digest, sent: h.Version, sentSum: h.Digest, parked: h.Park, taken: now, due: now + r.cfg.Lease}
+	r.Stats.Accepted++
+	p := &peer{conn: conn, hello: h, heard: now, version: h.Version, digest: h.Digest, sent: h.Version, sentSum: h.Digest, parked: h.Standby, taken: now, due: now + r.cfg.Lease}
 	p.at = r.order.PushBack(p)
 	r.peers[conn], r.byID[h.ID] = p, p
 	heap.Push(&r.leases, p)
@@ -284,15 +284,15 @@
 var errLeaves = fmt.Errorf("%w: this process ends", ErrFull)
 
 // turnAway sends who has just come elsewhere.
-func (r *Relay) turnAway(conn uint64, wait time.Duration, why error) error {
-	r.send(conn, Msg{Elsewhere: &Elsewhere{Wait: wait + r.chance(wait), Why: why.Error()}})
+func (r *Publisher) turnAway(conn uint64, wait time.Duration, why error) error {
+	r.send(conn, Message{Reject: &Reject{RetryAfter: wait + r.chance(wait), Reason: why.Error()}})
 	r.ready.Close = append(r.ready.Close, conn)
 	return why
 }
 
-func (r *Relay) bad(conn uint64, why error) error {
-	r.Count.Bad++
-	r.line(Line{Kind: BadMessage, Text: why.Error()})
+func (r *Publisher) bad(conn uint64, why error) error {
+	r.Stats.MalformedMessages++
+	r.line(Event{Kind: EventMalformedMessage, Detail: why.Error()})
 	if p := r.peers[conn]; p != nil {
 		r.end(p)
 	} else {
@@ -302,7 +302,7 @@
 }
 
 // Step takes a message from a connection that is open. An error ends the connection.
-func (r *Relay) Step(now time.Duration, conn uint64, m Msg) error {
+func (r *Publisher) Step(now time.Duration, conn uint64, m Message) error {
 	r.tick(now)
 	p := r.peers[conn]
 	if p == nil {
@@ -310,81 +310,81 @@
 	}
 	p.heard = now
 	switch {
-	case m.Renew != nil:
-		r.acked(p, m.Renew.Version, m.Renew.Digest)
-		p.heardOf(m.Renew.Heard)
-		if n := m.Renew.Number; n > p.answers && n-p.read <= unheardMost {
+	case m.RenewRequest != nil:
+		r.acked(p, m.RenewRequest.Version, m.RenewRequest.Digest)
+		p.heardOf(m.RenewRequest.LastResponse)
+		if n := m.RenewRequest.Sequence; n > p.answers && n-p.read <= unheardMost {
 			p.answers = n
-			a := Renewed{Number: n, Version: r.log.Version(), Digest: r.log.Digest(), Sent: p.sent, Known: r.known, Parked: p.parked}
+			a := RenewResponse{Sequence: n, Version: r.log.Version(), Digest: r.log.Digest(), SentVersion: p.sent, AgeKnown: r.known, Standby: p.parked}
 			if r.known {
 				a.Age = max(0, now-r.fresh.at)
 			}
-			r.send(conn, Msg{Renewed: &a})
+			r.send(conn, Message{RenewResponse: &a})
 		}
 	case m.Ack != nil:
 		r.acked(p, m.Ack.Version, m.Ack.Digest)
-	case m.Want != nil:
-		p.heardOf(m.Want.Heard)
+	case m.SyncRequest != nil:
+		p.heardOf(m.SyncRequest.LastResponse)
 		if p.asked && !p.parked {
 			return nil // it has not read yet what came of the one before: its next renewal tells whether it still wants it
 		}
-		p.asked, p.parked, p.whole = true, false, m.Want.Whole
+		p.asked, p.parked, p.whole = true, false, m.SyncRequest.ForceSnapshot
 		r.clear(p)
-		p.version, p.digest, p.sent, p.sentSum = m.Want.Version, m.Want.Digest, m.Want.Version, m.Want.Digest
+		p.version, p.digest, p.sent, p.sentSum = m.SyncRequest.Version, m.SyncRequest.Digest, m.SyncRequest.Version, m.SyncRequest.Digest
 		p.behind = true
 		r.asks(p)
-	case m.Bye != nil:
+	case m.Disconnect != nil:
 		r.end(p)
-	case m.Op != nil, m.Put != nil, m.Result != nil, m.PutDone != nil:
+	case m.Operation != nil, m.PutRequest != nil, m.OperationResult != nil, m.PutResponse != nil:
 	default:
-		return r.bad(conn, fmt.Errorf("%w: nothing in it that this process knows", ErrMessage))
+		return r.bad(conn, fmt.Errorf("%w: nothing in it that this process knows", ErrMalformedMessage))
 	}
 	r.serve()
 	return nil
 }
 
-// Closed tells that a connection is gone. One that this relay ended itself need not be told.
-func (r *Relay) Closed(conn uint64) {
+// ConnectionClosed tells that a connection is gone. One that this relay ended itself need not be told.
+func (r *Publisher) ConnectionClosed(conn uint64) {
 	if p := r.peers[conn]; p != nil {
 		r.drop(p)
 	}
 	r.serve()
 }
 
-// Leave tells that this process will end: all followers go elsewhere, each by its own ranking, and nobody is taken any more.
-func (r *Relay) Leave() {
+// Drain tells that this process will end: all followers go elsewhere, each by its own ranking, and nobody is taken any more.
+func (r *Publisher) Drain() {
 	r.leaves = true
 	for e := r.order.Front(); e != nil; {
 		p := e.Value.(*peer)
 		e = e.Next()
-		r.send(p.conn, Msg{Elsewhere: &Elsewhere{Wait: leaveWait + r.chance(leaveWait), Why: errLeaves.Error()}})
+		r.send(p.conn, Message{Reject: &Reject{RetryAfter: leaveWait + r.chance(leaveWait), Reason: errLeaves.Error()}})
 		r.end(p)
 	}
 }
 
 // ---- What goes out.
 
-func (r *Relay) send(conn uint64, m Msg) {
-	r.ready.Sends = append(r.ready.Sends, Send{Conn: conn, Out: &Out{Msg: m}})
+func (r *Publisher) send(conn uint64, m Message) {
+	r.ready.Sends = append(r.ready.Sends, PublisherSend{Conn: conn, Message: &SharedMessage{Content: m}})
 }
 
-func (r *Relay) line(l Line) {
-	if len(r.ready.Lines) < linesMost {
-		r.ready.Lines = append(r.ready.Lines, l)
+func (r *Publisher) line(l Event) {
+	if len(r.ready.Events) < linesMost {
+		r.ready.Events = append(r.ready.Events, l)
 	}
 }
 
-func (r *Relay) chance(d time.Duration) time.Duration {
+func (r *Publisher) chance(d time.Duration) time.Duration {
 	return time.Duration(r.rng.Float64() * float64(d))
 }
 
 // end lets a follower go, its connection with it.
-func (r *Relay) end(p *peer) {
+func (r *Publisher) end(p *peer) {
 	r.ready.Close = append(r.ready.Close, p.conn)
 	r.drop(p)
 }
 
-func (r *Relay) drop(p *peer) {
+func (r *Publisher) drop(p *peer) {
 	r.clear(p)
 	if p.queued {
 		r.queue = slices.DeleteFunc(r.queue, func(q *peer) bool { return q == p })
@@ -404,7 +404,7 @@
 }
 
 // acked takes an acknowledgement.
-func (r *Relay) acked(p *peer, version, digest uint64) {
+func (r *Publisher) acked(p *peer, version, digest uint64) {
 	if version < p.version {
 		return // late
 	}
@@ -423,7 +423,7 @@
 	r.asks(p)
 }
 
-func (r *Relay) took(p *peer, o inflight) {
+func (r *Publisher) took(p *peer, o inflight) {
 	p.bytes -= o.size
 	if o.snap {
 		if h := r.out[o.version]; h != nil {
@@ -434,7 +434,7 @@
 	}
 }
 
-func (r *Relay) clear(p *peer) {
+func (r *Publisher) clear(p *peer) {
 	for _, o := range p.out {
 		r.took(p, o)
 	}
@@ -443,7 +443,7 @@
 
 // asks goes on with a follower that has just said what it has: where the ring no longer reaches it, that was no matter of
 // moments, and it waits for a snapshot.
-func (r *Relay) asks(p *peer) {
+func (r *Publisher) asks(p *peer) {
 	if !p.behind {
 		r.pump(p)
 		return
@@ -466,7 +466,7 @@
 }
 
 // pump sends a follower the changes that it lacks, as many as its window takes.
-func (r *Relay) pump(p *peer) {
+func (r *Publisher) pump(p *peer) {
 	if p.parked || p.queued || p.behind {
 		return
 	}
@@ -479,28 +479,28 @@
 		if !r.room(p, e.size) {
 			return
 		}
-		r.hand(p, e.out, e.size, e.change.Version, e.change.After, false)
-		r.Count.Changes++
+		r.hand(p, e.out, e.size, e.change.Version, e.change.DigestAfter, false)
+		r.Stats.Changes++
 	}
 }
 
-func (r *Relay) room(p *peer, size int) bool {
-	return len(p.out) == 0 || p.bytes+size <= r.cfg.Window && len(p.out) < unackedMost
+func (r *Publisher) room(p *peer, size int) bool {
+	return len(p.out) == 0 || p.bytes+size <= r.cfg.WindowBytes && len(p.out) < unackedMost
 }
 
-func (r *Relay) hand(p *peer, out *Out, size int, version, digest uint64, snap bool) {
+func (r *Publisher) hand(p *peer, out *SharedMessage, size int, version, digest uint64, snap bool) {
 	if len(p.out) == 0 {
 		p.taken = r.now
 	}
 	p.out = append(p.out, inflight{version, size, snap})
 	p.bytes += size
 	p.sent, p.sentSum = version, digest
-	r.Count.Bytes += uint64(size)
-	r.ready.Sends = append(r.ready.Sends, Send{Conn: p.conn, Out: out})
+	r.Stats.Bytes += uint64(size)
+	r.ready.Sends = append(r.ready.Sends, PublisherSend{Conn: p.conn, Message: out})
 }
 
 // serve sends snapshots to those that wait for one, in the order in which they came, as many as the pace allows.
-func (r *Relay) serve() {
+func (r *Publisher) serve() {
 	n := 0
 	for ; n < len(r.queue) && r.budget > 0; n++ {
 		p := r.queue[n]
@@ -514,7 +514,7 @@
 			continue
 		}
 		out := r.log.snapshotOver(p.sent)
-		s := out.Msg.Snapshot
+		s := out.Content.Snapshot
 		if r.out[s.Version] == nil && len(r.out) >= snapshotsMost {
 			p.queued = true
 			break
@@ -528,7 +528,7 @@
 		p.whole = false
 		r.clear(p)
 		r.hand(p, out, size, s.Version, s.Digest, true)
-		r.Count.Snapshots++
+		r.Stats.Snapshots++
 		r.pump(p)
 	}
 	r.queue = slices.Delete(r.queue, 0, n)
@@ -536,29 +536,29 @@
 
 // ---- What it looks like.
 
-// RelayFollowers is a relay's followers by state.
-type RelayFollowers struct {
-	Here    int
-	Current int    // that have acknowledged the newest version
-	Waiting int    // for a snapshot
-	Parked  int    // that another relay brings up to date
-	Blocked int    // whose window is full
-	Lowest  uint64 // version that is acknowledged; the log's own where nobody is here
+// SubscriberCounts is a relay's followers by state.
+type SubscriberCounts struct {
+	Connected        int
+	Current          int    // that have acknowledged the newest version
+	AwaitingSnapshot int    // for a snapshot
+	Standby          int    // that another relay brings up to date
+	Blocked          int    // whose window is full
+	LowestVersion    uint64 // version that is acknowledged; the log's own where nobody is here
 }
 
-// Followers goes through all of them: for operators, not for each beat.
-func (r *Relay) Followers() RelayFollowers {
-	f := RelayFollowers{Here: len(r.peers), Lowest: r.log.Version()}
+// SubscriberCounts goes through all of them: for operators, not for each beat.
+func (r *Publisher) SubscriberCounts() SubscriberCounts {
+	f := SubscriberCounts{Connected: len(r.peers), LowestVersion: r.log.Version()}
 	for e := r.order.Front(); e != nil; e = e.Next() {
 		p := e.Value.(*peer)
-		f.Lowest = min(f.Lowest, p.version)
+		f.LowestVersion = min(f.LowestVersion, p.version)
 		switch {
 		case p.version >= r.log.Version():
 			f.Current++
 		case p.queued:
-			f.Waiting++
+			f.AwaitingSnapshot++
 		case p.parked:
-			f.Parked++
+			f.Standby++
 		case p.sent < r.log.Version(): // what comes next has no room in its window, or is behind what is out
 			f.Blocked++
 		}
@@ -567,4 +567,4 @@
 }
 
 // Age is how long ago the log here is known to have missed nothing; false where that is not known.
-func (r *Relay) Age(now time.Duration) (time.Duration, bool) { return now - r.fresh.at, r.known }
+func (r *Publisher) Age(now time.Duration) (time.Duration, bool) { return now - r.fresh.at, r.known }
--- a/internal/fleet/changefeed/state.go
+++ b/internal/fleet/changefeed/state.go
@@ -25,10 +25,10 @@
 
 // Bounds of a state. What would go beyond is refused whole, with ErrFull, at whoever would make it.
 const (
-	MostKey   = 256       // bytes of a key, at least one
-	MostValue = 256 << 10 // bytes of a value
-	MostBytes = 8 << 20   // of all keys and values together
-	MostKeys  = 16384
+	MaxKeyBytes   = 256       // bytes of a key, at least one
+	MaxValueBytes = 256 << 10 // bytes of a value
+	MaxStateBytes = 8 << 20   // of all keys and values together
+	MaxKeys       = 16384
 )
 
 // Keys that feed itself reads. Operators' keys begin with ConfigPrefix.
@@ -40,27 +40,27 @@
 
 // Why a change or a snapshot is refused. Whatever is refused leaves the state as it was.
 var (
-	ErrOrder    = errors.New("not the next version")               // old, or with a gap before it
-	ErrDigest   = errors.New("digests differ")                     // the digest before is not the state's, or the one after is not what came out
-	ErrConflict = errors.New("the same version, of other content") // two histories exist
-	ErrFull     = errors.New("the state is full")
-	ErrItem     = errors.New("not an item")
-	ErrFleet    = errors.New("of another fleet")
+	ErrOutOfOrder     = errors.New("not the next version")               // old, or with a gap before it
+	ErrDigestMismatch = errors.New("digests differ")                     // the digest before is not the state's, or the one after is not what came out
+	ErrConflict       = errors.New("the same version, of other content") // two histories exist
+	ErrFull           = errors.New("the state is full")
+	ErrInvalidItem    = errors.New("not an item")
+	ErrForeignFleet   = errors.New("of another fleet")
 )
 
 // Item is one key's value. Values are shared between all who hold them, and never changed.
 type Item struct {
-	Key   string `cbor:"1,keyasint"`
-	Value []byte `cbor:"2,keyasint,omitempty"`
-	Gone  bool   `cbor:"3,keyasint,omitempty"` // in a change: the key is no more
+	Key     string `cbor:"1,keyasint"`
+	Value   []byte `cbor:"2,keyasint,omitempty"`
+	Deleted bool   `cbor:"3,keyasint,omitempty"` // in a change: the key is no more
 }
 
 // Change leads from the version before it to its own.
 type Change struct {
-	Version uint64 `cbor:"1,keyasint"`
-	Before  uint64 `cbor:"2,keyasint"` // digests of the whole state
-	After   uint64 `cbor:"3,keyasint"`
-	Items   []Item `cbor:"4,keyasint,omitempty"` // each key once
+	Version      uint64 `cbor:"1,keyasint"`
+	DigestBefore uint64 `cbor:"2,keyasint"` // digests of the whole state
+	DigestAfter  uint64 `cbor:"3,keyasint"`
+	Items        []Item `cbor:"4,keyasint,omitempty"` // each key once
 }
 
 // Snapshot is a whole state, its items by key.
@@ -86,14 +86,14 @@
 // CheckItem tells what is wrong with an item: an error that is ErrItem or ErrFull, and names the key.
 func CheckItem(i Item) error {
 	switch {
-	case i.Key == "" || len(i.Key) > MostKey:
-		return fmt.Errorf("%w: a key of %d bytes, 1 to %d are allowed", ErrItem, len(i.Key), MostKey)
+	case i.Key == "" || len(i.Key) > MaxKeyBytes:
+		return fmt.Errorf("%w: a key of %d bytes, 1 to %d are allowed", ErrInvalidItem, len(i.Key), MaxKeyBytes)
 	case !utf8.ValidString(i.Key) || strings.ContainsFunc(i.Key, unicode.IsControl):
-		return fmt.Errorf("%w: key %q is not plain text", ErrItem, i.Key)
-	case i.Gone && len(i.Value) > 0:
-		return fmt.Errorf("%w: key %q is gone and has a value", ErrItem, i.Key)
-	case len(i.Value) > MostValue:
-		return fmt.Errorf("%w: key %q has %d bytes, at most %d are allowed", ErrFull, i.Key, len(i.Value), MostValue)
+		return fmt.Errorf("%w: key %q is not plain text", ErrInvalidItem, i.Key)
+	case i.Deleted && len(i.Value) > 0:
+		return fmt.Errorf("%w: key %q is gone and has a value", ErrInvalidItem, i.Key)
+	case len(i.Value) > MaxValueBytes:
+		return fmt.Errorf("%w: key %q has %d bytes, at most %d are allowed", ErrFull, i.Key, len(i.Value), MaxValueBytes)
 	}
 	return nil
 }
@@ -126,8 +126,8 @@
 	return v, is
 }
 
-// All are the items whose keys begin with a prefix, by key. It goes through all keys.
-func (s *State) All(prefix string) []Item {
+// Items are the items whose keys begin with a prefix, by key. It goes through all keys.
+func (s *State) Items(prefix string) []Item {
 	var all []Item
 	for k, v := range s.items {
 		if strings.HasPrefix(k, prefix) {
@@ -162,26 +162,26 @@
 			return 0, 0, err
 		}
 		if seen[i.Key] {
-			return 0, 0, fmt.Errorf("%w: key %q is there twice", ErrItem, i.Key)
+			return 0, 0, fmt.Errorf("%w: key %q is there twice", ErrInvalidItem, i.Key)
 		}
 		seen[i.Key] = true
 		old, is := s.items[i.Key]
-		if i.Key == FleetKey && is && (i.Gone || string(old) != string(i.Value)) {
-			return 0, 0, fmt.Errorf("%w: %q, this one is %q", ErrFleet, i.Value, old)
+		if i.Key == FleetKey && is && (i.Deleted || string(old) != string(i.Value)) {
+			return 0, 0, fmt.Errorf("%w: %q, this one is %q", ErrForeignFleet, i.Value, old)
 		}
 		if is {
 			sum -= hashItem(i.Key, old)
 			bytes -= len(i.Key) + len(old)
 			keys--
 		}
-		if !i.Gone {
+		if !i.Deleted {
 			sum += hashItem(i.Key, i.Value)
 			bytes += len(i.Key) + len(i.Value)
 			keys++
 		}
 	}
-	if bytes > MostBytes || keys > MostKeys {
-		return 0, 0, fmt.Errorf("%w: %d bytes in %d keys, at most %d in %d are allowed", ErrFull, bytes, keys, MostBytes, MostKeys)
+	if bytes > MaxStateBytes || keys > MaxKeys {
+		return 0, 0, fmt.Errorf("%w: %d bytes in %d keys, at most %d in %d are allowed", ErrFull, bytes, keys, MaxStateBytes, MaxKeys)
 	}
 	return sum, bytes, nil
 }
@@ -192,28 +192,28 @@
 	if err != nil {
 		return Change{}, err
 	}
-	return Change{Version: s.version + 1, Before: s.Digest(), After: sum + mix(s.version+1), Items: items}, nil
+	return Change{Version: s.version + 1, DigestBefore: s.Digest(), DigestAfter: sum + mix(s.version+1), Items: items}, nil
 }
 
 // Apply takes the next change, whole or not at all.
 func (s *State) Apply(c Change) error {
 	switch {
-	case c.Version == s.version && c.After != s.Digest():
-		return fmt.Errorf("%w: version %d with digest %016x, here %016x", ErrConflict, c.Version, c.After, s.Digest())
+	case c.Version == s.version && c.DigestAfter != s.Digest():
+		return fmt.Errorf("%w: version %d with digest %016x, here %016x", ErrConflict, c.Version, c.DigestAfter, s.Digest())
 	case c.Version != s.version+1:
-		return fmt.Errorf("%w: version %d after %d", ErrOrder, c.Version, s.version)
-	case c.Before != s.Digest():
-		return fmt.Errorf("%w: version %d is of %016x, here is %016x", ErrDigest, c.Version, c.Before, s.Digest())
+		return fmt.Errorf("%w: version %d after %d", ErrOutOfOrder, c.Version, s.version)
+	case c.DigestBefore != s.Digest():
+		return fmt.Errorf("%w: version %d is of %016x, here is %016x", ErrDigestMismatch, c.Version, c.DigestBefore, s.Digest())
 	}
 	sum, bytes, err := s.weigh(c.Items)
 	if err != nil {
 		return err
 	}
-	if got := sum + mix(c.Version); got != c.After {
-		return fmt.Errorf("%w: version %d comes out as %016x, not as %016x", ErrDigest, c.Version, got, c.After)
+	if got := sum + mix(c.Version); got != c.DigestAfter {
+		return fmt.Errorf("%w: version %d comes out as %016x, not as %016x", ErrDigestMismatch, c.Version, got, c.DigestAfter)
 	}
 	for _, i := range c.Items {
-		if i.Gone {
+		if i.Deleted {
 			delete(s.items, i.Key)
 		} else {
 			s.items[i.Key] = i.Value
@@ -227,9 +227,9 @@
 func (s *State) Install(n Snapshot) error {
 	switch {
 	case s.Fleet() != "" && n.Fleet != s.Fleet():
-		return fmt.Errorf("%w: %q, this one is %q", ErrFleet, n.Fleet, s.Fleet())
+		return fmt.Errorf("%w: %q, this one is %q", ErrForeignFleet, n.Fleet, s.Fleet())
 	case n.Version < s.version:
-		return fmt.Errorf("%w: a snapshot of %d over %d", ErrOrder, n.Version, s.version)
+		return fmt.Errorf("%w: a snapshot of %d over %d", ErrOutOfOrder, n.Version, s.version)
 	case n.Version == s.version && n.Digest != s.Digest():
 		return fmt.Errorf("%w: a snapshot of version %d with digest %016x, here %016x", ErrConflict, n.Version, n.Digest, s.Digest())
 	case n.Version == s.version:
@@ -241,16 +241,16 @@
 		return err
 	}
 	for _, i := range n.Items {
-		if i.Gone {
-			return fmt.Errorf("%w: key %q is gone in a snapshot", ErrItem, i.Key)
+		if i.Deleted {
+			return fmt.Errorf("%w: key %q is gone in a snapshot", ErrInvalidItem, i.Key)
 		}
 		next.items[i.Key] = i.Value
 	}
 	if next.Digest() != n.Digest {
-		return fmt.Errorf("%w: a snapshot of version %d comes out as %016x, not as %016x", ErrDigest, n.Version, next.Digest(), n.Digest)
+		return fmt.Errorf("%w: a snapshot of version %d comes out as %016x, not as %016x", ErrDigestMismatch, n.Version, next.Digest(), n.Digest)
 	}
 	if next.Fleet() != n.Fleet {
-		return fmt.Errorf("%w: a snapshot of %q says that it is of %q", ErrFleet, next.Fleet(), n.Fleet)
+		return fmt.Errorf("%w: a snapshot of %q says that it is of %q", ErrForeignFleet, next.Fleet(), n.Fleet)
 	}
 	*s = *next
 	return nil
--- a/internal/fleet/changefeed/follower.go
+++ b/internal/fleet/changefeed/subscriber.go
@@ -37,10 +37,10 @@
 	snapshotIn   = time.Minute // one message may take so long while bytes of it come
 )
 
-// FollowerConfig is what a follower begins with.
-type FollowerConfig struct {
+// SubscriberConfig is what a follower begins with.
+type SubscriberConfig struct {
 	ID, Name            string
-	Life                uint64 // grows with each start
+	Incarnation         uint64 // grows with each start
 	Machine, Zone, Site string
 	Fleet               string   // empty where it is not known yet
 	Seeds               []string // addresses of relays, used while none is known, and after those that are
@@ -48,47 +48,47 @@
 	Seed                uint64
 }
 
-// FollowerSend is one message to one relay.
-type FollowerSend struct {
-	Addr string
-	Msg  Msg
+// SubscriberSend is one message to one relay.
+type SubscriberSend struct {
+	Addr    string
+	Message Message
 }
 
-// Applied is one step of the state: the items that changed, or, Whole, all that there are.
-type Applied struct {
-	Version uint64
-	Items   []Item
-	Whole   bool
+// Update is one step of the state: the items that changed, or, Whole, all that there are.
+type Update struct {
+	Version  uint64
+	Items    []Item
+	Complete bool
 }
 
-// FollowerReady is what is to be done, in this order.
-type FollowerReady struct {
-	Applied []Applied
-	Sends   []FollowerSend
-	Hang    []string // these connections, or dials, end after what was sent; nothing more is told of them
+// SubscriberReady is what is to be done, in this order.
+type SubscriberReady struct {
+	Updates []Update
+	Sends   []SubscriberSend
+	Close   []string // these connections, or dials, end after what was sent; nothing more is told of them
 	Dial    []string // each ends in Opened, Failed or, by this side, Hang
-	Lines   []Line
+	Events  []Event
 }
 
-// FollowerCount counts what a follower did.
-type FollowerCount struct {
-	Changes, Snapshots uint64 // taken
-	Had                uint64 // that were known already, from the other relay or older
-	Gaps               uint64
-	Mismatches         uint64
-	Conflicts          uint64
-	Refused            uint64
-	Lapses             uint64 // times that knowledge was no longer current
-	Wants              uint64
-	Dials, Fails       uint64
-	Elsewhere          uint64
+// SubscriberStats counts what a follower did.
+type SubscriberStats struct {
+	Changes, Snapshots  uint64 // taken
+	Duplicates          uint64 // that were known already, from the other relay or older
+	Gaps                uint64
+	DigestMismatches    uint64
+	Conflicts           uint64
+	InvalidMessages     uint64
+	LeaseExpiries       uint64 // times that knowledge was no longer current
+	SyncRequests        uint64
+	Dials, DialFailures uint64
+	Rejections          uint64
 }
 
-// Follower is one balancer's side of the feed. It is one goroutine's.
+// Subscriber is one balancer's side of the feed. It is one goroutine's.
 //
 // A beat and a message cost the same whatever the size of the fleet, but for the relays' list, which is gone through.
-type Follower struct {
-	cfg   FollowerConfig
+type Subscriber struct {
+	cfg   SubscriberConfig
 	rng   *rand.Rand
 	now   time.Duration
 	state *State
@@ -109,8 +109,8 @@
 	seeks     int           // times in a row that another one was looked for, as one in use does badly
 	stoodAt   time.Duration
 
-	ready FollowerReady
-	Count FollowerCount
+	ready SubscriberReady
+	Stats SubscriberStats
 }
 
 type upstreamState uint8
@@ -161,30 +161,30 @@
 	at     time.Duration
 }
 
-// NewFollower begins knowing nothing, with its seeds.
-func NewFollower(cfg FollowerConfig, now time.Duration) *Follower {
+// NewSubscriber begins knowing nothing, with its seeds.
+func NewSubscriber(cfg SubscriberConfig, now time.Duration) *Subscriber {
 	if cfg.Lease <= 0 {
-		cfg.Lease = Lease
+		cfg.Lease = DefaultLease
 	}
-	f := &Follower{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0xf0110)), now: now, state: NewState(), upstreams: map[string]*upstream{},
+	f := &Subscriber{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0xf0110)), now: now, state: NewState(), upstreams: map[string]*upstream{},
 		listed: map[string]shardmap.Member{}, stands: true, stoodAt: now, dialAt: now}
 	f.rank()
 	return f
 }
 
 // State is the newest that is known, not to be changed.
-func (f *Follower) State() *State { return f.state }
+func (f *Subscriber) State() *State { return f.state }
 
 // Age is how long ago nothing newer was agreed than what is here, for as much as is known; false where nothing was ever heard.
-func (f *Follower) Age(now time.Duration) (time.Duration, bool) { return now - f.asOf, f.known }
+func (f *Subscriber) Age(now time.Duration) (time.Duration, bool) { return now - f.asOf, f.known }
 
-// Current tells whether what is here may be taken for all there is, by the clock as it is now: it is read anew for each use.
-func (f *Follower) Current(now time.Duration) bool {
+// IsCurrent tells whether what is here may be taken for all there is, by the clock as it is now: it is read anew for each use.
+func (f *Subscriber) IsCurrent(now time.Duration) bool {
 	return f.known && now-f.asOf <= f.cfg.Lease
 }
 
-// Relays are the addresses of those that are followed, in the order in which they were opened.
-func (f *Follower) Relays() []string {
+// Publishers are the addresses of those that are followed, in the order in which they were opened.
+func (f *Subscriber) Publishers() []string {
 	var all []string
 	for _, w := range f.use {
 		if w.state == open {
@@ -195,22 +195,22 @@
 }
 
 // Ready hands out what is to be done, once.
-func (f *Follower) Ready() FollowerReady {
+func (f *Subscriber) Ready() SubscriberReady {
 	out := f.ready
-	f.ready = FollowerReady{}
+	f.ready = SubscriberReady{}
 	return out
 }
 
 // ---- What comes in.
 
-// Clock is a beat, some ten of them a second. A time that is taken for the one of a question must not be later than when it goes
+// Tick is a beat, some ten of them a second. A time that is taken for the one of a question must not be later than when it goes
 // out: the time of the newest Clock is.
-func (f *Follower) Clock(now time.Duration) {
+func (f *Subscriber) Tick(now time.Duration) {
 	gap := now - f.now
 	f.now = max(f.now, now)
 	use := slices.Clone(f.use)
 	if gap > stallFrom { // what the relays said meanwhile lies in buffers: their silence is this process's own
-		f.line(Line{Kind: Woke, For: gap})
+		f.line(Event{Kind: EventResumed, Duration: gap})
 		for _, w := range use {
 			w.heard, w.answered, w.renewAt = f.now, f.now, f.now
 			if w.state == dialing {
@@ -235,7 +235,7 @@
 }
 
 // dead tells why a relay is to be left, empty where it is not.
-func (f *Follower) dead(w *upstream) string {
+func (f *Subscriber) dead(w *upstream) string {
 	half := f.cfg.Lease / 2
 	switch {
 	case w.state == dialing && f.now-w.began >= f.cfg.Lease/5:
@@ -251,11 +251,11 @@
 	return ""
 }
 
-// Opened tells that a dial has come through.
-func (f *Follower) Opened(addr string) {
+// Connected tells that a dial has come through.
+func (f *Subscriber) Connected(addr string) {
 	w := f.upstreams[addr]
 	if w == nil || w.state != dialing {
-		f.ready.Hang = append(f.ready.Hang, addr)
+		f.ready.Close = append(f.ready.Close, addr)
 		return
 	}
 	w.state, w.began, w.heard, w.answered = open, f.now, f.now, f.now
@@ -265,48 +265,48 @@
 			w.parked = true
 		}
 	}
-	f.send(w, Msg{Hello: &Hello{Fleet: cmp.Or(f.state.Fleet(), f.cfg.Fleet), Form: Form, ID: f.cfg.ID, Name: f.cfg.Name, Life: f.cfg.Life, Machine: f.cfg.Machine,
-		Zone: f.cfg.Zone, Site: f.cfg.Site, Version: f.state.Version(), Digest: f.state.Digest(), Park: w.parked}})
-	f.line(Line{Kind: Follows, Peer: w.id, Addr: addr})
+	f.send(w, Message{Hello: &Hello{Fleet: cmp.Or(f.state.Fleet(), f.cfg.Fleet), ProtocolVersion: ProtocolVersion, ID: f.cfg.ID, Name: f.cfg.Name, Incarnation: f.cfg.Incarnation, Machine: f.cfg.Machine,
+		Zone: f.cfg.Zone, Site: f.cfg.Site, Version: f.state.Version(), Digest: f.state.Digest(), Standby: w.parked}})
+	f.line(Event{Kind: EventSubscribed, PeerID: w.id, Addr: addr})
 	f.renew(w)
 }
 
-// Failed tells that a dial has not come through.
-func (f *Follower) Failed(addr string) {
+// DialFailed tells that a dial has not come through.
+func (f *Subscriber) DialFailed(addr string) {
 	if w := f.upstreams[addr]; w != nil && w.state == dialing {
-		f.Count.Fails++
+		f.Stats.DialFailures++
 		f.over(w)
 		f.decide()
 	}
 }
 
-// Closed tells that a connection has ended, not by this side.
-func (f *Follower) Closed(addr string) {
+// ConnectionClosed tells that a connection has ended, not by this side.
+func (f *Subscriber) ConnectionClosed(addr string) {
 	if w := f.upstreams[addr]; w != nil && w.state == open {
-		f.line(Line{Kind: Leaves, Addr: addr, Text: "its connection has ended"})
+		f.line(Event{Kind: EventUnsubscribed, Addr: addr, Detail: "its connection has ended"})
 		f.over(w)
 		f.decide()
 	}
 }
 
 // Progress tells that bytes of a message have come that is not whole yet: a relay is not silent that sends a large one slowly.
-func (f *Follower) Progress(addr string) {
+func (f *Subscriber) Progress(addr string) {
 	if w := f.upstreams[addr]; w != nil && w.state == open {
 		w.heard, w.midway = f.now, true
 	}
 }
 
-// Leave says goodbye to all relays: this process ends.
-func (f *Follower) Leave() {
+// Disconnect says goodbye to all relays: this process ends.
+func (f *Subscriber) Disconnect() {
 	for _, w := range f.use {
 		if w.state == open {
-			f.send(w, Msg{Bye: &Bye{}})
+			f.send(w, Message{Disconnect: &Disconnect{}})
 		}
 	}
 }
 
 // Step takes a message. An error tells what was wrong with it; what follows from it is done already.
-func (f *Follower) Step(addr string, m Msg) error {
+func (f *Subscriber) Step(addr string, m Message) error {
 	w := f.upstreams[addr]
 	if w == nil || w.state != open {
 		return nil // hung up meanwhile
@@ -317,18 +317,18 @@
 		return f.change(w, m.Change)
 	case m.Snapshot != nil:
 		return f.snapshot(w, m.Snapshot)
-	case m.Renewed != nil:
-		return f.renewed(w, m.Renewed)
-	case m.Elsewhere != nil:
-		f.Count.Elsewhere++
-		f.leave(w, "sent elsewhere: "+m.Elsewhere.Why)
+	case m.RenewResponse != nil:
+		return f.renewed(w, m.RenewResponse)
+	case m.Reject != nil:
+		f.Stats.Rejections++
+		f.leave(w, "sent elsewhere: "+m.Reject.Reason)
 		w.fails, w.failed, w.told = 0, false, true
-		w.pass = f.now + min(max(m.Elsewhere.Wait, elsewhereMin), elsewhereMax)
+		w.pass = f.now + min(max(m.Reject.RetryAfter, elsewhereMin), elsewhereMax)
 		f.decide()
-	case m.Op != nil, m.Result != nil, m.Put != nil, m.PutDone != nil:
+	case m.Operation != nil, m.OperationResult != nil, m.PutRequest != nil, m.PutResponse != nil:
 	default:
-		f.Count.Refused++
-		err := fmt.Errorf("%w: nothing in it that this process knows", ErrMessage)
+		f.Stats.InvalidMessages++
+		err := fmt.Errorf("%w: nothing in it that this process knows", ErrMalformedMessage)
 		f.refuse(w, err)
 		return err
 	}
@@ -337,13 +337,13 @@
 
 // ---- The feed.
 
-func (f *Follower) change(w *upstream, c *Change) error {
+func (f *Subscriber) change(w *upstream, c *Change) error {
 	err := f.state.Apply(*c)
 	if err == nil {
-		f.Count.Changes++
+		f.Stats.Changes++
 		f.mismatch = false
 		w.unacked += c.Size()
-		f.took(Applied{Version: c.Version, Items: c.Items})
+		f.took(Update{Version: c.Version, Items: c.Items})
 		if w.unacked >= ackEach {
 			f.ack(w)
 		}
@@ -352,77 +352,77 @@
 	return f.refused(w, c.Version, err)
 }
 
-func (f *Follower) snapshot(w *upstream, s *Snapshot) error {
+func (f *Subscriber) snapshot(w *upstream, s *Snapshot) error {
 	was := f.state.Version()
 	if f.cfg.Fleet != "" && s.Fleet != "" && s.Fleet != f.cfg.Fleet {
-		return f.refused(w, s.Version, fmt.Errorf("%w: %q, this one is %q", ErrFleet, s.Fleet, f.cfg.Fleet))
+		return f.refused(w, s.Version, fmt.Errorf("%w: %q, this one is %q", ErrForeignFleet, s.Fleet, f.cfg.Fleet))
 	}
 	if err := f.state.Install(*s); err != nil {
 		return f.refused(w, s.Version, err)
 	}
 	if f.state.Version() == was {
-		f.Count.Had++
+		f.Stats.Duplicates++
 		return nil
 	}
-	f.Count.Snapshots++
+	f.Stats.Snapshots++
 	f.mismatch = false
-	f.took(Applied{Version: s.Version, Items: s.Items, Whole: true})
+	f.took(Update{Version: s.Version, Items: s.Items, Complete: true})
 	f.ack(w)
 	return nil
 }
 
 // refused does what follows from a change or snapshot that is not taken.
-func (f *Follower) refused(w *upstream, version uint64, err error) error {
+func (f *Subscriber) refused(w *upstream, version uint64, err error) error {
 	switch {
-	case errors.Is(err, ErrOrder) && version <= f.state.Version():
-		f.Count.Had++
+	case errors.Is(err, ErrOutOfOrder) && version <= f.state.Version():
+		f.Stats.Duplicates++
 		return nil
-	case errors.Is(err, ErrOrder):
-		f.Count.Gaps++
+	case errors.Is(err, ErrOutOfOrder):
+		f.Stats.Gaps++
 		f.want(w, false)
-	case errors.Is(err, ErrDigest):
-		f.Count.Mismatches++
+	case errors.Is(err, ErrDigestMismatch):
+		f.Stats.DigestMismatches++
 		if !f.mismatch {
 			f.mismatch = true
-			f.line(Line{Kind: Mismatch, Addr: w.addr, Version: f.state.Version(), Text: err.Error()})
+			f.line(Event{Kind: EventDigestMismatch, Addr: w.addr, Version: f.state.Version(), Detail: err.Error()})
 		}
 		f.want(w, true)
 	case errors.Is(err, ErrConflict):
 		f.conflict(w, err)
 	default:
-		f.Count.Refused++
+		f.Stats.InvalidMessages++
 		f.refuse(w, err)
 	}
 	return err
 }
 
 // conflict leaves a relay that has another history.
-func (f *Follower) conflict(w *upstream, err error) {
-	f.Count.Conflicts++
-	f.line(Line{Kind: Conflict, Peer: w.id, Addr: w.addr, Version: f.state.Version(), Text: err.Error()})
+func (f *Subscriber) conflict(w *upstream, err error) {
+	f.Stats.Conflicts++
+	f.line(Event{Kind: EventHistoryConflict, PeerID: w.id, Addr: w.addr, Version: f.state.Version(), Detail: err.Error()})
 	f.leave(w, "it has another history")
 	w.pass = f.now + f.about(oddFor)
 	f.decide()
 }
 
 // refuse leaves a relay that sends what can't be taken.
-func (f *Follower) refuse(w *upstream, err error) {
-	kind := Refused
-	if errors.Is(err, ErrFleet) {
-		kind = Stranger
+func (f *Subscriber) refuse(w *upstream, err error) {
+	kind := EventMessageRejected
+	if errors.Is(err, ErrForeignFleet) {
+		kind = EventForeignFleet
 	}
-	f.line(Line{Kind: kind, Peer: w.id, Addr: w.addr, Text: err.Error()})
+	f.line(Event{Kind: kind, PeerID: w.id, Addr: w.addr, Detail: err.Error()})
 	f.leave(w, "what it sends can't be taken")
 	w.pass = f.now + f.about(oddFor)
 	f.decide()
 }
 
 // took notes what was applied, and what is known by it.
-func (f *Follower) took(a Applied) {
-	f.ready.Applied = append(f.ready.Applied, a)
+func (f *Subscriber) took(a Update) {
+	f.ready.Updates = append(f.ready.Updates, a)
 	p := &f.past[a.Version%pastKept]
 	p.version, p.digest = a.Version, f.state.Digest()
-	ranks := a.Whole
+	ranks := a.Complete
 	for _, i := range a.Items {
 		ranks = ranks || strings.HasPrefix(i.Key, MemberPrefix)
 	}
@@ -437,21 +437,21 @@
 
 // renewed takes a relay's answer: what it knew as of the time of the question, less the age that it says, is true for this
 // follower once it has that version.
-func (f *Follower) renewed(w *upstream, r *Renewed) error {
-	i := slices.IndexFunc(w.asks, func(a ask) bool { return a.number == r.Number })
+func (f *Subscriber) renewed(w *upstream, r *RenewResponse) error {
+	i := slices.IndexFunc(w.asks, func(a ask) bool { return a.number == r.Sequence })
 	if i < 0 {
 		return nil // never asked, answered before, or given up
 	}
 	at := w.asks[i].at
 	w.asks = slices.Delete(w.asks, 0, i+1)
-	w.answered, w.read = f.now, max(w.read, r.Number)
+	w.answered, w.read = f.now, max(w.read, r.Sequence)
 	v := f.state.Version()
 	if p := f.past[r.Version%pastKept]; p.version == r.Version && p.digest != r.Digest {
 		err := fmt.Errorf("%w: version %d with digest %016x, here %016x", ErrConflict, r.Version, r.Digest, p.digest)
 		f.conflict(w, err)
 		return err
 	}
-	if !r.Known || r.Age > f.cfg.Lease || r.Age < 0 {
+	if !r.AgeKnown || r.Age > f.cfg.Lease || r.Age < 0 {
 		if w.pass <= f.now { // it stays until another one does better
 			f.fail(w)
 		}
@@ -468,9 +468,9 @@
 	if r.Version <= v {
 		f.sync(w)
 	}
-	w.wants = w.wants && r.Number <= w.wanted
-	if (r.Sent > v || r.Parked) && !w.wants && !w.parked { // what was sent, or the last Want, has not come through
-		f.Count.Gaps++
+	w.wants = w.wants && r.Sequence <= w.wanted
+	if (r.SentVersion > v || r.Standby) && !w.wants && !w.parked { // what was sent, or the last Want, has not come through
+		f.Stats.Gaps++
 		f.want(w, f.mismatch)
 	}
 	f.settle()
@@ -479,7 +479,7 @@
 }
 
 // claim takes over what a relay has said, as far as its version has come.
-func (f *Follower) claim(w *upstream) {
+func (f *Subscriber) claim(w *upstream) {
 	w.claims = slices.DeleteFunc(w.claims, func(c asOf) bool {
 		if c.version > f.state.Version() {
 			return f.now-c.at > f.cfg.Lease
@@ -492,7 +492,7 @@
 }
 
 // sync notes that a relay has nothing newer; those that were told to wait for that go on from here.
-func (f *Follower) sync(w *upstream) {
+func (f *Subscriber) sync(w *upstream) {
 	if w.synced {
 		return
 	}
@@ -504,41 +504,41 @@
 	}
 }
 
-func (f *Follower) want(w *upstream, whole bool) {
+func (f *Subscriber) want(w *upstream, whole bool) {
 	if w.wants && w.wantedAt == f.state.Version() && (w.whole || !whole) {
 		return
 	}
-	f.Count.Wants++
+	f.Stats.SyncRequests++
 	w.wants, w.parked, w.wanted, w.wantedAt, w.whole, w.unacked = true, false, w.number, f.state.Version(), whole, 0
-	f.send(w, Msg{Want: &Want{Heard: w.read, Version: f.state.Version(), Digest: f.state.Digest(), Whole: whole}})
+	f.send(w, Message{SyncRequest: &SyncRequest{LastResponse: w.read, Version: f.state.Version(), Digest: f.state.Digest(), ForceSnapshot: whole}})
 }
 
-func (f *Follower) ack(w *upstream) {
+func (f *Subscriber) ack(w *upstream) {
 	w.unacked = 0
-	f.send(w, Msg{Ack: &Ack{Version: f.state.Version(), Digest: f.state.Digest()}})
+	f.send(w, Message{Ack: &Ack{Version: f.state.Version(), Digest: f.state.Digest()}})
 }
 
-func (f *Follower) renew(w *upstream) {
+func (f *Subscriber) renew(w *upstream) {
 	w.number++
-	w.renewAt = f.now + RenewEach*3/4 + time.Duration(f.rng.Float64()*float64(RenewEach)/2)
+	w.renewAt = f.now + RenewInterval*3/4 + time.Duration(f.rng.Float64()*float64(RenewInterval)/2)
 	if len(w.asks) >= asksMost {
 		w.asks = slices.Delete(w.asks, 0, 1)
 	}
 	w.asks = append(w.asks, ask{w.number, f.now})
 	w.unacked = 0
-	f.send(w, Msg{Renew: &Renew{Number: w.number, Heard: w.read, Version: f.state.Version(), Digest: f.state.Digest()}})
+	f.send(w, Message{RenewRequest: &RenewRequest{Sequence: w.number, LastResponse: w.read, Version: f.state.Version(), Digest: f.state.Digest()}})
 }
 
 // settle tells once when knowledge is no longer current, and when it is again.
-func (f *Follower) settle() {
-	if current := f.Current(f.now); current == f.stands {
+func (f *Subscriber) settle() {
+	if current := f.IsCurrent(f.now); current == f.stands {
 		f.stands = !current
 		if current {
-			f.line(Line{Kind: Again, Version: f.state.Version(), For: f.now - f.stoodAt})
+			f.line(Event{Kind: EventCurrent, Version: f.state.Version(), Duration: f.now - f.stoodAt})
 		} else {
 			f.stoodAt = f.now
-			f.Count.Lapses++
-			f.line(Line{Kind: Stands, Version: f.state.Version(), For: f.now - f.asOf})
+			f.Stats.LeaseExpiries++
+			f.line(Event{Kind: EventStale, Version: f.state.Version(), Duration: f.now - f.asOf})
 		}
 	}
 }
@@ -546,8 +546,8 @@
 // ---- Whom to follow.
 
 // relist takes the relays from the items that name them.
-func (f *Follower) relist(a Applied) {
-	if a.Whole {
+func (f *Subscriber) relist(a Update) {
+	if a.Complete {
 		clear(f.listed)
 	}
 	for _, i := range a.Items {
@@ -557,11 +557,11 @@
 		}
 		delete(f.listed, id)
 		var m shardmap.Member
-		if i.Gone {
+		if i.Deleted {
 			continue
 		}
 		if err := json.Unmarshal(i.Value, &m); err != nil || m.ID != id || m.Addr == "" {
-			f.line(Line{Kind: Refused, Addr: i.Key, Text: "it names no relay"})
+			f.line(Event{Kind: EventMessageRejected, Addr: i.Key, Detail: "it names no relay"})
 			continue
 		}
 		f.listed[id] = m
@@ -570,7 +570,7 @@
 }
 
 // rank sorts the relays for this follower: those of its own site first, then by hash; seeds that are none of those last.
-func (f *Follower) rank() {
+func (f *Subscriber) rank() {
 	for _, w := range f.upstreams {
 		w.listed = false
 	}
@@ -610,7 +610,7 @@
 	}
 }
 
-func (f *Follower) tier(w *upstream) int {
+func (f *Subscriber) tier(w *upstream) int {
 	switch {
 	case w.id == "":
 		return 2
@@ -628,7 +628,7 @@
 
 // choose is whom to follow now: the best ranked that is not passed over, and the next of another zone; where there is no other
 // zone, the next.
-func (f *Follower) choose(alone bool) []*upstream {
+func (f *Subscriber) choose(alone bool) []*upstream {
 	var sites []failedSite
 	for _, w := range f.ranked {
 		if !w.failed || f.now-w.failedAt > suspectFor || w.id == "" {
@@ -665,7 +665,7 @@
 }
 
 // may tells whether a relay is not passed over.
-func (f *Follower) may(w *upstream, alone bool) bool {
+func (f *Subscriber) may(w *upstream, alone bool) bool {
 	if !alone || !w.told && !w.failed {
 		return f.now >= w.pass
 	}
@@ -677,7 +677,7 @@
 }
 
 // decide dials and hangs up as it follows from whom to follow.
-func (f *Follower) decide() {
+func (f *Subscriber) decide() {
 	opened, bad, pending := 0, false, false
 	for _, w := range f.use {
 		if w.state == open {
@@ -722,7 +722,7 @@
 
 // instead has a better one take another's place, after a pause by chance, one at a time: soon where one in use does badly, but
 // not sooner each time when none is found that does better.
-func (f *Follower) instead(w *upstream, bad, pending, seeded bool) {
+func (f *Subscriber) instead(w *upstream, bad, pending, seeded bool) {
 	switch {
 	case pending:
 	case f.returnAt != 0 && f.now >= f.returnAt:
@@ -745,7 +745,7 @@
 }
 
 // spare hangs up the one too many.
-func (f *Follower) spare(wanted []*upstream) {
+func (f *Subscriber) spare(wanted []*upstream) {
 	worth := func(w *upstream) int {
 		n := 0
 		if w.proved && w.pass <= f.now {
@@ -765,39 +765,39 @@
 			worst = w
 		}
 	}
-	f.line(Line{Kind: Leaves, Addr: worst.addr, Text: "a better ranked one is there"})
+	f.line(Event{Kind: EventUnsubscribed, Addr: worst.addr, Detail: "a better ranked one is there"})
 	if worst.state == open {
-		f.send(worst, Msg{Bye: &Bye{}})
+		f.send(worst, Message{Disconnect: &Disconnect{}})
 	}
 	f.hang(worst)
 }
 
-func (f *Follower) dial(w *upstream) {
-	f.Count.Dials++
+func (f *Subscriber) dial(w *upstream) {
+	f.Stats.Dials++
 	w.state, w.began, w.told, w.seed, w.proved, w.pass = dialing, f.now, false, w.id == "", false, 0
 	f.use = append(f.use, w)
 	f.ready.Dial = append(f.ready.Dial, w.addr)
 }
 
 // leave hangs up on a relay and passes it over.
-func (f *Follower) leave(w *upstream, why string) {
-	f.line(Line{Kind: Leaves, Addr: w.addr, Text: why})
+func (f *Subscriber) leave(w *upstream, why string) {
+	f.line(Event{Kind: EventUnsubscribed, Addr: w.addr, Detail: why})
 	f.fail(w)
 	f.hang(w)
 }
 
 // over is the end of a connection that others ended.
-func (f *Follower) over(w *upstream) {
+func (f *Subscriber) over(w *upstream) {
 	f.fail(w)
 	f.closed(w)
 }
 
-func (f *Follower) hang(w *upstream) {
-	f.ready.Hang = append(f.ready.Hang, w.addr)
+func (f *Subscriber) hang(w *upstream) {
+	f.ready.Close = append(f.ready.Close, w.addr)
 	f.closed(w)
 }
 
-func (f *Follower) closed(w *upstream) {
+func (f *Subscriber) closed(w *upstream) {
 	feeding := w.state == open && !w.parked && !w.synced
 	w.state, w.asks, w.claims, w.proved = idle, nil, nil, false
 	f.use = slices.DeleteFunc(f.use, func(o *upstream) bool { return o == w })
@@ -816,23 +816,23 @@
 }
 
 // fail passes a relay over for a while that doubles.
-func (f *Follower) fail(w *upstream) {
+func (f *Subscriber) fail(w *upstream) {
 	w.failed, w.failedAt = true, f.now
 	w.pass = max(w.pass, f.now+f.about(min(backFirst<<min(w.fails, 10), backMost)))
 	w.fails++
 }
 
 // about draws a span near one, so that those that began together do not go on together.
-func (f *Follower) about(d time.Duration) time.Duration {
+func (f *Subscriber) about(d time.Duration) time.Duration {
 	return d/2 + time.Duration(f.rng.Float64()*float64(d))
 }
 
-func (f *Follower) send(w *upstream, m Msg) {
-	f.ready.Sends = append(f.ready.Sends, FollowerSend{w.addr, m})
+func (f *Subscriber) send(w *upstream, m Message) {
+	f.ready.Sends = append(f.ready.Sends, SubscriberSend{w.addr, m})
 }
 
-func (f *Follower) line(l Line) {
-	if len(f.ready.Lines) < linesMost {
-		f.ready.Lines = append(f.ready.Lines, l)
+func (f *Subscriber) line(l Event) {
+	if len(f.ready.Events) < linesMost {
+		f.ready.Events = append(f.ready.Events, l)
 	}
 }
--- a/internal/fleet/changefeed/walk_test.go
+++ b/internal/fleet/changefeed/walk_test.go
@@ -58,14 +58,14 @@
 type smallRelay struct {
 	addr    string
 	log     *Log
-	core    *Relay
+	core    *Publisher
 	stopped bool
 	life    int
 }
 
 type smallFollower struct {
 	id      string
-	core    *Follower
+	core    *Subscriber
 	stopped bool
 	life    uint64
 	taken   uint64
@@ -75,12 +75,12 @@
 type smallConn struct {
 	num  uint64
 	r    int
-	ways [2][]*Msg // to the relay, to the follower; nil is the connection's end
-	open bool      // at the relay
+	ways [2][]*Message // to the relay, to the follower; nil is the connection's end
+	open bool          // at the relay
 }
 
 func newSmall(t testing.TB, followers int, left budget, broken walkBreak) *small {
-	w := &small{source: NewLog(LogConfig{Most: 100, Bytes: 1 << 20}), left: left, broken: broken, truth: []time.Duration{0}, digests: []uint64{0}}
+	w := &small{source: NewLog(LogConfig{MaxChanges: 100, MaxBytes: 1 << 20}), left: left, broken: broken, truth: []time.Duration{0}, digests: []uint64{0}}
 	w.agree(Item{Key: FleetKey, Value: []byte("f")},
 		memberItem(t, shardmap.Member{ID: "r0", Addr: "r0", Zone: "z0", Site: "s"}), memberItem(t, shardmap.Member{ID: "r1", Addr: "r1", Zone: "z1", Site: "s"}))
 	for i := range w.relays {
@@ -103,16 +103,16 @@
 }
 
 func (w *small) agree(items ...Item) {
-	c, err := w.source.Next(items)
+	c, err := w.source.Append(items)
 	if err != nil {
 		panic(err)
 	}
-	w.truth, w.digests = append(w.truth, w.now), append(w.digests, c.After)
+	w.truth, w.digests = append(w.truth, w.now), append(w.digests, c.DigestAfter)
 }
 
 func (w *small) startRelay(i int) {
 	r := w.relays[i]
-	log := NewLog(LogConfig{Most: 2, Bytes: 1 << 20}) // so short that three versions cut it
+	log := NewLog(LogConfig{MaxChanges: 2, MaxBytes: 1 << 20}) // so short that three versions cut it
 	from := w.source
 	if r.log != nil {
 		from = r.log
@@ -122,14 +122,14 @@
 	}
 	r.life++
 	r.log, r.stopped = log, false
-	r.core = NewRelay(RelayConfig{ID: r.addr, Most: 10, Window: 1 << 10, SnapshotBytes: 1 << 20, Seed: uint64(r.life)}, log, w.now)
+	r.core = NewPublisher(PublisherConfig{ID: r.addr, MaxSubscribers: 10, WindowBytes: 1 << 10, SnapshotBytesPerSecond: 1 << 20, Seed: uint64(r.life)}, log, w.now)
 }
 
 func (w *small) startFollower(i int) {
 	f := w.follow[i]
 	f.life++
 	f.taken, f.stopped, f.conns = 0, false, map[string]*smallConn{}
-	f.core = NewFollower(FollowerConfig{ID: f.id, Life: f.life, Site: "s", Seeds: []string{"r0", "r1"}, Seed: f.life}, w.now)
+	f.core = NewSubscriber(SubscriberConfig{ID: f.id, Incarnation: f.life, Site: "s", Seeds: []string{"r0", "r1"}, Seed: f.life}, w.now)
 }
 
 func (w *small) fail(name, format string, args ...any) {
@@ -143,14 +143,14 @@
 	w.now += time.Second
 	for i, r := range w.relays {
 		if !r.stopped {
-			r.core.Clock(w.now)
+			r.core.Tick(w.now)
 			w.relay(i)
 		}
 	}
 	for _, f := range w.follow {
 		w.check(f)
 		if !f.stopped {
-			f.core.Clock(w.now)
+			f.core.Tick(w.now)
 			w.follower(f)
 			w.check(f)
 		}
@@ -160,7 +160,7 @@
 // learn has a relay hear of all that is agreed.
 func (w *small) learn(i int) {
 	r := w.relays[i]
-	cs, ok := w.source.Since(r.log.Version(), r.log.Digest())
+	cs, ok := w.source.ChangesSince(r.log.Version(), r.log.Digest())
 	if !ok {
 		panic("the source has a short ring")
 	}
@@ -169,8 +169,8 @@
 			w.fail(mixed, "relay %d: %v", i, err)
 		}
 	}
-	r.core.Published()
-	r.core.Fresh(w.now, w.source.Version())
+	r.core.LogChanged()
+	r.core.ConfirmVersion(w.now, w.source.Version())
 	w.relay(i)
 }
 
@@ -189,7 +189,7 @@
 	out := w.relays[i].core.Ready()
 	for _, s := range out.Sends {
 		if _, c := w.conn(s.Conn); c != nil {
-			c.ways[1] = append(c.ways[1], &s.Out.Msg)
+			c.ways[1] = append(c.ways[1], &s.Message.Content)
 		}
 	}
 	for _, num := range out.Close {
@@ -202,20 +202,20 @@
 
 func (w *small) follower(f *smallFollower) {
 	out := f.core.Ready()
-	for _, a := range out.Applied {
+	for _, a := range out.Updates {
 		w.applied(f, a)
 	}
-	for _, l := range out.Lines {
-		if l.Error() {
+	for _, l := range out.Events {
+		if l.IsAlert() {
 			w.fail(mixed, "%v", l)
 		}
 	}
 	for _, s := range out.Sends {
 		if c := f.conns[s.Addr]; c != nil {
-			c.ways[0] = append(c.ways[0], &s.Msg)
+			c.ways[0] = append(c.ways[0], &s.Message)
 		}
 	}
-	for _, a := range out.Hang {
+	for _, a := range out.Close {
 		if c := f.conns[a]; c != nil {
 			w.hung(f, c)
 		}
@@ -223,7 +223,7 @@
 	for _, a := range out.Dial {
 		w.conns++
 		f.conns[a] = &smallConn{num: w.conns, r: int(a[1] - '0'), open: true}
-		f.core.Opened(a)
+		f.core.Connected(a)
 		w.follower(f)
 	}
 }
@@ -236,16 +236,16 @@
 		for _, m := range c.ways[0] {
 			w.arrive(c, m)
 		}
-		r.core.Closed(c.num)
+		r.core.ConnectionClosed(c.num)
 		w.relay(c.r)
 	}
 }
 
-func (w *small) applied(f *smallFollower, a Applied) {
+func (w *small) applied(f *smallFollower, a Update) {
 	switch {
 	case a.Version <= f.taken:
 		w.fail(wentBack, "%s from %d to %d", f.id, f.taken, a.Version)
-	case !a.Whole && a.Version != f.taken+1:
+	case !a.Complete && a.Version != f.taken+1:
 		w.fail(mixed, "%s from %d to %d by a change", f.id, f.taken, a.Version)
 	}
 	f.taken = a.Version
@@ -255,20 +255,20 @@
 func (w *small) check(f *smallFollower) {
 	st := f.core.State()
 	fresh := NewState() // by what is there, not by the digest that was carried forward
-	if _, _, err := fresh.weigh(st.All("")); err != nil {
+	if _, _, err := fresh.weigh(st.Items("")); err != nil {
 		w.fail(mixed, "%s: %v", f.id, err)
 	}
-	sum, _, _ := fresh.weigh(st.All(""))
+	sum, _, _ := fresh.weigh(st.Items(""))
 	if got := sum + mix(st.Version()); st.Version() >= uint64(len(w.digests)) || got != w.digests[st.Version()] {
 		w.fail(mixed, "%s at version %d", f.id, st.Version())
 		return
 	}
-	current := f.core.Current(w.now)
+	current := f.core.IsCurrent(w.now)
 	if w.broken == leaseNotLookedAt {
 		current = f.core.known
 	}
-	if current && w.versionAt(w.now-Lease) > st.Version() {
-		w.fail(falselyNew, "%s at version %d, %d was agreed a lease ago", f.id, st.Version(), w.versionAt(w.now-Lease))
+	if current && w.versionAt(w.now-DefaultLease) > st.Version() {
+		w.fail(falselyNew, "%s at version %d, %d was agreed a lease ago", f.id, st.Version(), w.versionAt(w.now-DefaultLease))
 	}
 	if age, known := f.core.Age(w.now); known && w.versionAt(w.now-age) > st.Version() {
 		w.fail(falselyNew, "%s at version %d as of %v ago, %d was agreed then", f.id, st.Version(), age, w.versionAt(w.now-age))
@@ -286,12 +286,12 @@
 }
 
 // arrive has a relay take a message.
-func (w *small) arrive(c *smallConn, m *Msg) {
+func (w *small) arrive(c *smallConn, m *Message) {
 	r := w.relays[c.r]
 	switch {
 	case !c.open:
 	case m.Hello != nil:
-		_ = r.core.Opened(w.now, c.num, *m.Hello)
+		_ = r.core.Connected(w.now, c.num, *m.Hello)
 	default:
 		_ = r.core.Step(w.now, c.num, *m)
 	}
@@ -299,13 +299,13 @@
 }
 
 // step has a follower take a message, through the break that is put in.
-func (w *small) step(f *smallFollower, addr string, m Msg) {
+func (w *small) step(f *smallFollower, addr string, m Message) {
 	st := f.core.state
 	switch {
 	case w.broken == digestUnchecked && m.Change != nil && m.Change.Version == st.Version()+1:
 		c := *m.Change
 		if next, err := st.next(c.Items); err == nil {
-			c.Before, c.After = next.Before, next.After
+			c.DigestBefore, c.DigestAfter = next.DigestBefore, next.DigestAfter
 		}
 		m.Change = &c
 	case w.broken == snapshotOver && m.Snapshot != nil && m.Snapshot.Version < st.Version():
@@ -323,14 +323,14 @@
 		h := *m.Change
 		h.Items = slices.Clone(h.Items)
 		h.Items[0].Value = []byte("harmed")
-		m = &Msg{Change: &h}
+		m = &Message{Change: &h}
 	}
 	switch {
 	case way == 0:
 		w.arrive(c, m)
 	case m == nil:
 		delete(f.conns, addr)
-		f.core.Closed(addr)
+		f.core.ConnectionClosed(addr)
 	default:
 		w.step(f, addr, *m)
 	}
@@ -436,7 +436,7 @@
 			for _, f := range w.follow {
 				if c := f.conns[w.relays[i].addr]; c != nil {
 					c.open = false
-					c.ways = [2][]*Msg{nil, {nil}}
+					c.ways = [2][]*Message{nil, {nil}}
 				}
 			}
 			return
@@ -484,8 +484,8 @@
 		w.calm()
 	}
 	for _, f := range w.follow {
-		if f.core.State().Version() != w.source.Version() || !f.core.Current(w.now) || len(f.core.Relays()) != 2 {
-			w.fail(forgotten, "%s is at version %d of %d and follows %v", f.id, f.core.State().Version(), w.source.Version(), f.core.Relays())
+		if f.core.State().Version() != w.source.Version() || !f.core.IsCurrent(w.now) || len(f.core.Publishers()) != 2 {
+			w.fail(forgotten, "%s is at version %d of %d and follows %v", f.id, f.core.State().Version(), w.source.Version(), f.core.Publishers())
 		}
 	}
 }
@@ -505,7 +505,7 @@
 		_, _ = fmt.Fprint(&h, "|", r.log.Version(), r.log.Changes(), r.stopped, r.core.known, ago(r.core.fresh.at), ago(r.core.now), len(r.core.claims), len(r.core.queue))
 		for e := r.core.order.Front(); e != nil; e = e.Next() {
 			p := e.Value.(*peer)
-			_, _ = fmt.Fprint(&h, ";", p.hello.ID, p.hello.Life, ago(p.heard), p.version, p.sent, p.parked, p.behind, p.whole, p.queued, len(p.out), p.bytes, p.answers, p.read, p.asked)
+			_, _ = fmt.Fprint(&h, ";", p.hello.ID, p.hello.Incarnation, ago(p.heard), p.version, p.sent, p.parked, p.behind, p.whole, p.queued, len(p.out), p.bytes, p.answers, p.read, p.asked)
 		}
 	}
 	for _, f := range w.follow {
@@ -522,16 +522,16 @@
 					for _, m := range s.ways[way] {
 						if m != nil {
 							switch {
-							case m.Renew != nil:
-								_, _ = fmt.Fprint(&h, *m.Renew)
-							case m.Renewed != nil:
-								_, _ = fmt.Fprint(&h, *m.Renewed)
+							case m.RenewRequest != nil:
+								_, _ = fmt.Fprint(&h, *m.RenewRequest)
+							case m.RenewResponse != nil:
+								_, _ = fmt.Fprint(&h, *m.RenewResponse)
 							case m.Change != nil:
 								_, _ = fmt.Fprint(&h, "c", m.Change.Version)
 							case m.Snapshot != nil:
 								_, _ = fmt.Fprint(&h, "s", m.Snapshot.Version)
-							case m.Want != nil:
-								_, _ = fmt.Fprint(&h, *m.Want)
+							case m.SyncRequest != nil:
+								_, _ = fmt.Fprint(&h, *m.SyncRequest)
 							case m.Ack != nil:
 								_, _ = fmt.Fprint(&h, *m.Ack)
 							case m.Hello != nil:
@@ -566,7 +566,7 @@
 		c.conns = map[string]*smallConn{}
 		for a, one := range f.conns {
 			o := *one
-			o.ways = [2][]*Msg{slices.Clone(one.ways[0]), slices.Clone(one.ways[1])}
+			o.ways = [2][]*Message{slices.Clone(one.ways[0]), slices.Clone(one.ways[1])}
 			c.conns[a] = &o
 		}
 		n.follow = append(n.follow, &c)
@@ -586,7 +586,7 @@
 	return &n
 }
 
-func (r *Relay) clone(log *Log) *Relay {
+func (r *Publisher) clone(log *Log) *Publisher {
 	n := *r
 	n.log, n.rng = log, rand.New(rand.NewPCG(1, 1))
 	n.claims = slices.Clone(r.claims)
@@ -612,7 +612,7 @@
 	return &n
 }
 
-func (f *Follower) clone() *Follower {
+func (f *Subscriber) clone() *Subscriber {
 	n := *f
 	n.state, n.rng, n.upstreams, n.listed, n.use, n.ranked = f.state.clone(), rand.New(rand.NewPCG(1, 1)), map[string]*upstream{}, maps.Clone(f.listed), nil, nil
 	for a, w := range f.upstreams {
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -417,7 +417,7 @@
 	items := make([]changefeed.Item, 0, len(keys))
 	for _, k := range keys {
 		v, is := st.Value(k)
-		items = append(items, changefeed.Item{Key: k, Value: v, Gone: !is})
+		items = append(items, changefeed.Item{Key: k, Value: v, Deleted: !is})
 	}
 	return items
 }
--- a/internal/fleet/list.go
+++ b/internal/fleet/endpoint_list.go
@@ -19,16 +19,16 @@
 	listMost  = 1 << 20          // bytes; a longer list is not held
 )
 
-// List is a list as it is held.
-type List struct {
-	Rev   uint64          `json:"rev"`
-	At    int64           `json:"at"` // Unix seconds at which discovery said last that it holds
-	Known json.RawMessage `json:"known"`
+// EndpointList is a list as it is held.
+type EndpointList struct {
+	Revision    uint64          `json:"rev"`
+	ConfirmedAt int64           `json:"at"` // Unix seconds at which discovery said last that it holds
+	Endpoints   json.RawMessage `json:"known"`
 }
 
 // list is what this member knows of it, under the fleet's lock.
 type list struct {
-	newest  List
+	newest  EndpointList
 	written time.Time
 	rev     uint64 // as it was written
 	version uint64 // of the record
@@ -37,10 +37,10 @@
 
 func (f *Fleet) listKey() string { return "list/" + f.file.Site }
 
-// KeepList has the newest list held, beside the caller: discovery has just said that it holds. Of all members that hear it the one
+// SaveEndpointList has the newest list held, beside the caller: discovery has just said that it holds. Of all members that hear it the one
 // writes that orders the record's writes, so that a fleet of hundreds writes it once. A balancer that follows control processes
 // orders none, and keeps none.
-func (f *Fleet) KeepList(rev uint64, known []byte) {
+func (f *Fleet) SaveEndpointList(rev uint64, known []byte) {
 	h, op := f.listOp(rev, known)
 	if h == nil {
 		return
@@ -67,7 +67,7 @@
 		return nil, replication.Op{}
 	}
 	l := &f.list
-	l.newest = List{Rev: rev, At: time.Now().Unix(), Known: known}
+	l.newest = EndpointList{Revision: rev, ConfirmedAt: time.Now().Unix(), Endpoints: known}
 	since := time.Since(l.written)
 	if l.out || since < listEach || since < listAgain && rev == l.rev {
 		return nil, replication.Op{}
@@ -81,9 +81,9 @@
 	return h, replication.Op{ID: rand.Text(), Key: f.listKey(), If: l.version, Value: text, Here: true}
 }
 
-// RecallList asks for the list that is held and hands it on with its age, once, if there is one; it goes on asking while
+// LoadEndpointList asks for the list that is held and hands it on with its age, once, if there is one; it goes on asking while
 // nobody answers, until stop says so.
-func (f *Fleet) RecallList(stop func() bool, heard func(l List, age time.Duration)) {
+func (f *Fleet) LoadEndpointList(stop func() bool, heard func(l EndpointList, age time.Duration)) {
 	f.all.Add(1)
 	go func() {
 		defer f.all.Done()
@@ -91,13 +91,13 @@
 			if h, _ := f.holding(); h != nil {
 				r := f.ask(replication.Op{ID: rand.Text(), Key: f.listKey(), Read: true})
 				if r.Outcome == replication.Conflict {
-					var l List
+					var l EndpointList
 					if r.Record.Version == 0 {
 						f.log.Info("fleet: no list is held")
 					} else if err := json.Unmarshal(r.Record.Value, &l); err != nil {
 						f.log.Error("fleet: a list that can't be read", zap.Error(err))
 					} else {
-						heard(l, max(0, time.Since(time.Unix(l.At, 0))))
+						heard(l, max(0, time.Since(time.Unix(l.ConfirmedAt, 0))))
 					}
 					return
 				}
@@ -109,5 +109,5 @@
 	}()
 }
 
-// ListAges are up to which age a list is used, and up to which its servers are candidates.
-func (f *Fleet) ListAges() (young, old time.Duration) { return f.file.Young, f.file.Old }
+// EndpointListAges are up to which age a list is used, and up to which its servers are candidates.
+func (f *Fleet) EndpointListAges() (young, old time.Duration) { return f.file.Young, f.file.Old }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -47,8 +47,8 @@
 	wire  *gossip.Wire
 	touch *gossip.Contact
 	held  *nodeserver.Hold
-	feed  *publisher.Publisher // of a control process
-	tier  *subscriber.Follow   // in role "balancer" all that there is beside the seat
+	feed  *publisher.Server  // of a control process
+	tier  *subscriber.Client // in role "balancer" all that there is beside the seat
 	list  list
 	said  int // words of operators'
 	over  chan struct{}
@@ -104,7 +104,7 @@
 	}
 	streams := 0
 	if f.file.Role == config.Control {
-		streams = f.file.Followers + publisher.More
+		streams = f.file.Followers + publisher.ExtraStreams
 	}
 	w, err := gossip.Listen(f.file.Listen, f.file.Advertise, streams)
 	if err != nil {
@@ -125,9 +125,9 @@
 		seeds = append(seeds, a.String())
 	}
 	var told nodeserver.Feed
-	var p *publisher.Publisher
+	var p *publisher.Server
 	if f.file.Role == config.Control {
-		p = publisher.New(publisher.Options{ID: s.Member, Fleet: f.file.Fleet, Most: f.file.Followers, Seed: f.seed ^ s.Life<<16, Wire: w, Now: boottime.Now, Log: f.log})
+		p = publisher.New(publisher.Options{ID: s.Member, Fleet: f.file.Fleet, MaxSubscribers: f.file.Followers, Seed: f.seed ^ s.Life<<16, Streams: w, Now: boottime.Now, Log: f.log})
 		told = p
 	}
 	h, err := nodeserver.Open(nodeserver.Options{Core: node.Config{Self: nodeserver.Member(self), Life: s.Life, Found: rand.Text(), First: f.file.Seeds[0] == f.file.Advertise, Seeds: seeds,
@@ -139,7 +139,7 @@
 		return fmt.Errorf("data: %w", err)
 	}
 	if p != nil {
-		p.Serve(h)
+		p.Start(h)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,7 +172,7 @@
 	default:
 	}
 	f.seat = s
-	f.tier = subscriber.Open(subscriber.Options{Fleet: f.file.Fleet, Name: f.name, ID: s.Member, Life: s.Life, Machine: f.file.Machine, Zone: f.file.Zone,
+	f.tier = subscriber.Open(subscriber.Options{Fleet: f.file.Fleet, Name: f.name, ID: s.Member, Incarnation: s.Life, Machine: f.file.Machine, Zone: f.file.Zone,
 		Site: f.file.Site, Seeds: f.file.Seeds, Seed: f.seed ^ s.Life<<32, Now: boottime.Now, Log: f.log})
 	f.log.Info("fleet: follower", zap.String("fleet", f.file.Fleet), zap.String("id", s.Member), zap.Uint64("life", s.Life), zap.Bool("fresh", s.Fresh),
 		zap.String("machine", f.file.Machine), zap.String("zone", f.file.Zone), zap.String("site", f.file.Site))
@@ -221,17 +221,17 @@
 	return p.Get(key)
 }
 
-// Current tells whether what is known here may be taken for all that is agreed, as of this moment.
-func (f *Fleet) Current() bool {
+// IsCurrent tells whether what is known here may be taken for all that is agreed, as of this moment.
+func (f *Fleet) IsCurrent() bool {
 	f.mu.Lock()
 	p, t := f.feed, f.tier
 	f.mu.Unlock()
 	switch {
 	case t != nil:
-		return t.Current()
+		return t.IsCurrent()
 	case p != nil:
 		s := p.Status()
-		return s.Known && s.Age <= changefeed.Lease
+		return s.AgeKnown && s.Age <= changefeed.DefaultLease
 	}
 	return false
 }
@@ -243,7 +243,7 @@
 	t, h, p := f.touch, f.held, f.feed
 	f.mu.Unlock()
 	if p != nil {
-		p.Leave()
+		p.Drain()
 	}
 	if t == nil || !slices.ContainsFunc(t.Status().Others, func(k membership.Known) bool { return k.State == membership.Here && !k.Leaving }) {
 		return // there is nobody to hand over to
--- a/internal/fleet/framing/framing.go
+++ b/internal/fleet/framing/framing.go
@@ -15,29 +15,29 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// Mark is the first byte of such a stream; others on the same address begin with another one.
-const Mark = 'f'
+// StreamMark is the first byte of such a stream; others on the same address begin with another one.
+const StreamMark = 'f'
 
-// Head is how many bytes stand before each word.
-const Head = 8
+// HeaderSize is how many bytes stand before each word.
+const HeaderSize = 8
 
 // chunk is how much room is made for a word before so much of it has come: a length alone takes no memory.
 const chunk = 64 << 10
 
-// ErrSum is a word that did not come as it was sent.
-var ErrSum = errors.New("its checksum is wrong")
+// ErrChecksum is a word that did not come as it was sent.
+var ErrChecksum = errors.New("its checksum is wrong")
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // Header is what stands before a body.
 func Header(body []byte) []byte {
-	head := binary.BigEndian.AppendUint32(make([]byte, 0, Head), uint32(len(body)))
+	head := binary.BigEndian.AppendUint32(make([]byte, 0, HeaderSize), uint32(len(body)))
 	return binary.BigEndian.AppendUint32(head, crc32.Checksum(body, table))
 }
 
 // Read reads one body of so many bytes at most.
 func Read(r io.Reader, most int) ([]byte, error) {
-	var head [Head]byte
+	var head [HeaderSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 		}
 	}
 	if crc32.Checksum(body, table) != binary.BigEndian.Uint32(head[4:]) {
-		return nil, ErrSum
+		return nil, ErrChecksum
 	}
 	return body, nil
 }
@@ -66,10 +66,10 @@
 	Fleet string `cbor:"1,keyasint"`
 }
 
-// Ask is an operation on what is held, as a follower has it asked.
-type Ask struct {
-	Op     replication.Op `cbor:"1,keyasint"`
-	Within time.Duration  `cbor:"2,keyasint"`
+// OperationRequest is an operation on what is held, as a follower has it asked.
+type OperationRequest struct {
+	Operation replication.Op `cbor:"1,keyasint"`
+	Timeout   time.Duration  `cbor:"2,keyasint"`
 }
 
 // Encode words a Greeting, an Ask or a copies.Result.
--- a/internal/fleet/framing/golden_test.go
+++ b/internal/fleet/framing/golden_test.go
@@ -24,7 +24,7 @@
 		value any
 	}{
 		{"greeting", Greeting{Fleet: "lab"}},
-		{"ask", Ask{Op: replication.Op{ID: "id", Key: "k", If: 3, Value: []byte("v"), Born: 4, Drop: true, Here: true, Read: true}, Within: 5 * time.Second}},
+		{"ask", OperationRequest{Operation: replication.Op{ID: "id", Key: "k", If: 3, Value: []byte("v"), Born: 4, Drop: true, Here: true, Read: true}, Timeout: 5 * time.Second}},
 		{"result", replication.Result{Op: "op", Outcome: replication.Conflict, Why: replication.Busy, Record: record}},
 	}
 	path := filepath.Join("testdata", "frames.golden")
@@ -33,7 +33,7 @@
 		body := Encode(f.value)
 		lines = append(lines, f.name+" "+hex.EncodeToString(append(Header(body), body...)))
 	}
-	got := string(Mark) + "\n" + strings.Join(lines, "\n") + "\n"
+	got := string(StreamMark) + "\n" + strings.Join(lines, "\n") + "\n"
 	if *updateGolden {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -95,8 +95,8 @@
 
 // TestGoldenRecords holds what is stored for balancers: the keys and the values.
 func TestGoldenRecords(t *testing.T) {
-	holdGolden(t, "word.golden.json", Word{Out: true, At: 1700000000, By: "id-1"})
-	holdGolden(t, "list.golden.json", List{Rev: 7, At: 1700000000, Known: json.RawMessage(`{"servers":["a","b"]}`)})
+	holdGolden(t, "word.golden.json", AdminState{OutOfService: true, SetAt: 1700000000, SetBy: "id-1"})
+	holdGolden(t, "list.golden.json", EndpointList{Revision: 7, ConfirmedAt: 1700000000, Endpoints: json.RawMessage(`{"servers":["a","b"]}`)})
 	f := &Fleet{file: &config.File{Site: "site-1"}}
 	holdGolden(t, "keys.golden.json", []string{wordKey("b-1"), f.listKey()})
 }
--- a/internal/fleet/gossip/wire.go
+++ b/internal/fleet/gossip/wire.go
@@ -131,7 +131,7 @@
 		case LinkMark:
 			err = w.move(s, &w.linked, linksMost)
 			to = w.links
-		case framing.Mark:
+		case framing.StreamMark:
 			err = w.move(s, &w.followed, w.followers)
 			to = w.follows
 		}
--- a/internal/fleet/gossip/wire_test.go
+++ b/internal/fleet/gossip/wire_test.go
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		if _, err := c.Write([]byte{LinkMark - 1}); err != nil || LinkMark-1 == framing.Mark {
+		if _, err := c.Write([]byte{LinkMark - 1}); err != nil || LinkMark-1 == framing.StreamMark {
 			t.Fatal(err)
 		}
 		return c
--- a/internal/fleet/node/changes.go
+++ b/internal/fleet/node/changes.go
@@ -64,7 +64,7 @@
 	if p.Version == c.feed.Version() && p.Digest == c.feed.Digest() || c.feed.Version() == 0 || p.Version > c.feed.Version() {
 		return
 	}
-	changes, is := c.feed.Since(p.Version, p.Digest)
+	changes, is := c.feed.ChangesSince(p.Version, p.Digest)
 	if !is {
 		t.Snapshot = c.feed.Snapshot()
 		return
@@ -93,7 +93,7 @@
 			continue
 		}
 		if err := c.feed.Apply(*one); err != nil { // the next answer mends it, by a snapshot where the digest is another
-			if !errors.Is(err, changefeed.ErrOrder) {
+			if !errors.Is(err, changefeed.ErrOutOfOrder) {
 				c.odd("a change that does not fit", one.Version, err)
 			}
 			break
@@ -123,7 +123,7 @@
 			c.replace(consensus.Whole(c.log.State()))
 			break
 		}
-		change, err := c.feed.Next(one.Items)
+		change, err := c.feed.Append(one.Items)
 		if err != nil {
 			c.odd("an agreed change that can't be taken", one.Version, err)
 			break
@@ -163,7 +163,7 @@
 		if is {
 			changed = append(changed, num)
 		}
-		if err := next.Take(one.Key, one.Value, one.Gone); err != nil {
+		if err := next.Take(one.Key, one.Value, one.Deleted); err != nil {
 			c.odd("an item that can't be read", version, err)
 		}
 	}
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -174,7 +174,7 @@
 		return nil, err
 	}
 	c := &Core{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0xc02e)), log: log, known: shardmap.New(), changed: make([]uint64, shardmap.Slots),
-		fresh: map[string]time.Duration{}, poll: now, found: now, vote: now, said: saved.Fleet, feed: changefeed.NewLog(changefeed.LogConfig{Most: changesMost, Bytes: changesBytes}),
+		fresh: map[string]time.Duration{}, poll: now, found: now, vote: now, said: saved.Fleet, feed: changefeed.NewLog(changefeed.LogConfig{MaxChanges: changesMost, MaxBytes: changesBytes}),
 		polls: polls{}, puts: map[string]*put{}, propose: map[string]*propose{}}
 	c.known.Fleet = saved.Fleet
 	c.held = replication.New(replication.Config{ID: cfg.Self.ID, Life: cfg.Life, Least: min(2, cfg.Copies), MostKeys: cfg.Keys, MostBytes: cfg.Bytes,
@@ -350,7 +350,7 @@
 	}
 	// An answer to a process before this one, which knew more, leaves out what this one lacks. So does one of an older program that came
 	// back to a fleet that has operators' items already.
-	if t.Version <= c.known.Version || t.Since > c.known.Version || len(c.feed.State().All(shardmap.Config)) > 0 {
+	if t.Version <= c.known.Version || t.Since > c.known.Version || len(c.feed.State().Items(shardmap.Config)) > 0 {
 		return
 	}
 	if c.known.Fleet == "" {
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -329,7 +329,7 @@
 		}
 		w.run(15 * time.Second)
 		t.Logf("the oldest was %v", oldest)
-		if oldest > changefeed.Lease-changefeed.RenewEach*5/4 {
+		if oldest > changefeed.DefaultLease-changefeed.RenewInterval*5/4 {
 			t.Errorf("what somebody knew was %v old", oldest)
 		}
 	}
--- a/internal/fleet/nodeserver/golden_test.go
+++ b/internal/fleet/nodeserver/golden_test.go
@@ -24,7 +24,7 @@
 		set(&p)
 		return p
 	}
-	change := &changefeed.Change{Version: 9, Before: 8, After: 77, Items: []changefeed.Item{{Key: "config/a", Value: []byte("a")}, {Key: "config/b", Gone: true}}}
+	change := &changefeed.Change{Version: 9, DigestBefore: 8, DigestAfter: 77, Items: []changefeed.Item{{Key: "config/a", Value: []byte("a")}, {Key: "config/b", Deleted: true}}}
 	snapshot := changefeed.NewSnapshot("f", 9, []changefeed.Item{{Key: "epoch", Value: []byte("9")}, {Key: "fleet", Value: []byte("f")}})
 	members := []shardmap.Member{{ID: "m", Addr: "10.0.0.2:7001", Machine: "machine", Zone: "zone", Site: "site"}}
 	view := shardmap.View{Num: 5, Full: []string{"a", "b"}, Joining: []string{"c"}, Lost: 2}
--- a/internal/fleet/publisher/conn.go
+++ b/internal/fleet/publisher/conn.go
@@ -15,11 +15,11 @@
 
 const (
 	helloIn    = 3 * time.Second
-	quietMost  = 2 * changefeed.Lease // the relay ends who says nothing for a lease; this ends what the relay does not know
-	writeIn    = 30 * time.Second     // of what is written at once; the relay ends who takes nothing for so long
-	endIn      = 2 * time.Second      // for the last words
-	readMost   = 1 << 20              // bytes of one word of a follower's
-	queueMost  = 2 * 4096             // heads and bodies of words that wait for one, and their bytes beside the largest word that there is
+	quietMost  = 2 * changefeed.DefaultLease // the relay ends who says nothing for a lease; this ends what the relay does not know
+	writeIn    = 30 * time.Second            // of what is written at once; the relay ends who takes nothing for so long
+	endIn      = 2 * time.Second             // for the last words
+	readMost   = 1 << 20                     // bytes of one word of a follower's
+	queueMost  = 2 * 4096                    // heads and bodies of words that wait for one, and their bytes beside the largest word that there is
 	queueBytes = 8 << 20
 	withinMost = 10 * time.Second // of an operation
 	putWithin  = 5 * time.Second
@@ -27,7 +27,7 @@
 
 // conn is one follower's connection: one goroutine reads, one writes.
 type conn struct {
-	of  *Publisher
+	of  *Server
 	id  uint64
 	c   net.Conn
 	ops atomic.Int64
@@ -62,7 +62,7 @@
 }
 
 // say has one message written to this follower alone.
-func (c *conn) say(m *changefeed.Msg) {
+func (c *conn) say(m *changefeed.Message) {
 	body := changefeed.Encode(m)
 	c.put(framing.Header(body), body)
 }
@@ -83,7 +83,7 @@
 }
 
 func (c *conn) result(number uint64, r replication.Result) {
-	c.say(&changefeed.Msg{Result: &changefeed.Opaque{Number: number, Body: framing.Encode(r)}})
+	c.say(&changefeed.Message{OperationResult: &changefeed.Payload{RequestID: number, Body: framing.Encode(r)}})
 }
 
 // write is the writing goroutine; over is closed when the reading one ends.
@@ -126,7 +126,7 @@
 }
 
 // serve is the reading goroutine.
-func (p *Publisher) serve(nc net.Conn) error {
+func (p *Server) serve(nc net.Conn) error {
 	defer func() { _ = nc.Close() }()
 	r := bufio.NewReaderSize(nc, 4<<10)
 	_ = nc.SetReadDeadline(time.Now().Add(helloIn))
@@ -135,7 +135,7 @@
 	}
 	read := func(most int) ([]byte, error) {
 		body, err := framing.Read(r, most)
-		p.got.Add(int64(framing.Head + len(body)))
+		p.got.Add(int64(framing.HeaderSize + len(body)))
 		return body, err
 	}
 	body, err := read(4 << 10)
@@ -157,7 +157,7 @@
 		return err
 	}
 	if m.Hello == nil {
-		return fmt.Errorf("%w: no hello", changefeed.ErrMessage)
+		return fmt.Errorf("%w: no hello", changefeed.ErrMalformedMessage)
 	}
 	c, over := &conn{of: p, c: nc, wake: make(chan struct{}, 1), written: make(chan struct{})}, make(chan struct{})
 	defer close(over)
@@ -182,20 +182,20 @@
 			return err
 		}
 		switch {
-		case m.Op != nil:
-			var a framing.Ask
-			if err := framing.Decode(m.Op.Body, &a); err != nil {
+		case m.Operation != nil:
+			var a framing.OperationRequest
+			if err := framing.Decode(m.Operation.Body, &a); err != nil {
 				return err
 			}
-			p.ask(c, m.Op.Number, a.Op, min(a.Within, withinMost))
-		case m.Put != nil:
-			p.change(c, m.Put)
+			p.ask(c, m.Operation.RequestID, a.Operation, min(a.Timeout, withinMost))
+		case m.PutRequest != nil:
+			p.change(c, m.PutRequest)
 		}
 	}
 }
 
 // open tells the relay of a follower. What the relay says to one that it does not take is written before the connection ends.
-func (p *Publisher) open(c *conn, h changefeed.Hello, over <-chan struct{}) error {
+func (p *Server) open(c *conn, h changefeed.Hello, over <-chan struct{}) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -208,7 +208,7 @@
 	p.conns[c.id] = c
 	p.all.Add(1)
 	go c.write(over)
-	err := p.relay.Opened(p.opt.Now(), c.id, h)
+	err := p.relay.Connected(p.opt.Now(), c.id, h)
 	p.carryOut()
 	if err != nil {
 		c.end()
@@ -217,10 +217,10 @@
 	return err
 }
 
-func (p *Publisher) close(c *conn) {
+func (p *Server) close(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c.id)
-	p.relay.Closed(c.id)
+	p.relay.ConnectionClosed(c.id)
 	p.carryOut()
 }
--- a/internal/fleet/publisher/publisher.go
+++ b/internal/fleet/publisher/server.go
@@ -34,50 +34,50 @@
 	leaveIn = 500 * time.Millisecond
 )
 
-// More is how many streams there may be beyond the followers that are taken: those are told when to come again.
-const More = 64
+// ExtraStreams is how many streams there may be beyond the followers that are taken: those are told when to come again.
+const ExtraStreams = 64
 
-// Holder is where operations and puts are asked.
-type Holder interface {
+// Backend is where operations and puts are asked.
+type Backend interface {
 	Ask(op replication.Op, within time.Duration, done func(replication.Result))
 	Put(p shardmap.Put, within time.Duration, done func(shardmap.Done))
 }
 
-// Wire is where followers' streams come from.
-type Wire interface {
+// StreamSource is where followers' streams come from.
+type StreamSource interface {
 	Follows() <-chan net.Conn
 	Done() <-chan struct{}
 }
 
 // Options is what it begins with.
 type Options struct {
-	ID    string // this member's
-	Fleet string // its name in the files
-	Most  int    // followers
-	Seed  uint64
-	Wire  Wire
-	Now   func() time.Duration // a clock that goes on while the process is stopped
-	Log   *zap.Logger
+	ID             string // this member's
+	Fleet          string // its name in the files
+	MaxSubscribers int    // followers
+	Seed           uint64
+	Streams        StreamSource
+	Now            func() time.Duration // a clock that goes on while the process is stopped
+	Log            *zap.Logger
 }
 
 // Status is what was known at the newest turn.
 type Status struct {
-	Followers  changefeed.RelayFollowers
-	Count      changefeed.RelayCount
-	Version    uint64
-	Digest     uint64
-	Age        time.Duration // of what is published, at the moment of the call
-	Known      bool          // whether it is known
-	Sent, Got  int64         // bytes
-	Writes     int64         // to followers, each of all that waited for one
-	Ops, Busy  int64         // operations and puts that were asked, and that found no room
-	Overflowed int64         // connections whose queue was full
+	Subscribers                    changefeed.SubscriberCounts
+	Stats                          changefeed.PublisherStats
+	Version                        uint64
+	Digest                         uint64
+	Age                            time.Duration // of what is published, at the moment of the call
+	AgeKnown                       bool          // whether it is known
+	Sent, Received                 int64         // bytes
+	Writes                         int64         // to followers, each of all that waited for one
+	Operations, RejectedOperations int64         // operations and puts that were asked, and that found no room
+	Overflowed                     int64         // connections whose queue was full
 }
 
-// Publisher is one control process's.
-type Publisher struct {
+// Server is one control process's.
+type Server struct {
 	opt  Options
-	hold Holder
+	hold Backend
 
 	news        sync.Mutex // what the member's core has told
 	whole       *changefeed.Snapshot
@@ -92,7 +92,7 @@
 	mu    sync.Mutex // the relay and what belongs to it
 	log   *changefeed.Log
 	state trimmed // of log
-	relay *changefeed.Relay
+	relay *changefeed.Publisher
 	conns map[uint64]*conn
 	last  uint64 // connection's number
 	ops   map[string]asked
@@ -118,18 +118,18 @@
 }
 
 // New makes one. It takes what the member's core tells from the first moment on, and followers from Serve on.
-func New(opt Options) *Publisher {
-	p := &Publisher{opt: opt, wake: make(chan struct{}, 1), conns: map[uint64]*conn{}, ops: map[string]asked{}, done: make(chan struct{})}
-	p.log = changefeed.NewLog(changefeed.LogConfig{Most: changesMost, Bytes: changesBytes})
+func New(opt Options) *Server {
+	p := &Server{opt: opt, wake: make(chan struct{}, 1), conns: map[uint64]*conn{}, ops: map[string]asked{}, done: make(chan struct{})}
+	p.log = changefeed.NewLog(changefeed.LogConfig{MaxChanges: changesMost, MaxBytes: changesBytes})
 	p.state.log = p.log
-	p.relay = changefeed.NewRelay(changefeed.RelayConfig{ID: opt.ID, Most: opt.Most, Window: window, SnapshotBytes: snapshotBytes, Lease: changefeed.Lease, Seed: opt.Seed},
+	p.relay = changefeed.NewPublisher(changefeed.PublisherConfig{ID: opt.ID, MaxSubscribers: opt.MaxSubscribers, WindowBytes: window, SnapshotBytesPerSecond: snapshotBytes, Lease: changefeed.DefaultLease, Seed: opt.Seed},
 		p.log, opt.Now())
 	p.status.Store(&published{})
 	return p
 }
 
-// Serve takes followers, beside the caller, until the wire ends or Close.
-func (p *Publisher) Serve(h Holder) {
+// Start takes followers, beside the caller, until the wire ends or Close.
+func (p *Server) Start(h Backend) {
 	p.hold = h
 	p.all.Add(2)
 	go p.run()
@@ -138,7 +138,7 @@
 
 // Changed takes what the member's core tells of the agreed state; it never waits. False where too much of it waits: it has to be told of
 // the whole then.
-func (p *Publisher) Changed(whole *changefeed.Snapshot, changes []*changefeed.Change) bool {
+func (p *Server) Changed(whole *changefeed.Snapshot, changes []*changefeed.Change) bool {
 	p.news.Lock()
 	if whole != nil {
 		p.whole, p.fresh = whole, nil
@@ -154,7 +154,7 @@
 
 // Fresh takes the time up to which nothing newer than a version was agreed; it never waits. It counts from when that version is
 // published.
-func (p *Publisher) Fresh(asOf time.Duration, version uint64) {
+func (p *Server) Fresh(asOf time.Duration, version uint64) {
 	p.news.Lock()
 	news := !p.known || asOf > p.asOf
 	p.asOf, p.asOfVersion, p.known = asOf, version, true
@@ -164,7 +164,7 @@
 	}
 }
 
-func (p *Publisher) poke() {
+func (p *Server) poke() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -172,26 +172,26 @@
 }
 
 // Status is what was known at the newest turn; the age is of this moment.
-func (p *Publisher) Status() Status {
+func (p *Server) Status() Status {
 	s := p.status.Load()
 	out := s.Status
 	out.Age = p.opt.Now() - s.asOf
-	out.Sent, out.Got, out.Writes, out.Ops, out.Busy, out.Overflowed = p.sent.Load(), p.got.Load(), p.writes.Load(), p.asks.Load(), p.busy.Load(), p.overflow.Load()
+	out.Sent, out.Received, out.Writes, out.Operations, out.RejectedOperations, out.Overflowed = p.sent.Load(), p.got.Load(), p.writes.Load(), p.asks.Load(), p.busy.Load(), p.overflow.Load()
 	return out
 }
 
 // Get is a key's value in what is published, not to be changed, and that state's version.
-func (p *Publisher) Get(key string) ([]byte, uint64, bool) {
+func (p *Server) Get(key string) ([]byte, uint64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v, is := p.log.State().Get(key)
 	return v, p.log.Version(), is
 }
 
-// Leave sends all followers elsewhere and takes no more; it waits until they are told, leaveIn at most.
-func (p *Publisher) Leave() {
+// Drain sends all followers elsewhere and takes no more; it waits until they are told, leaveIn at most.
+func (p *Server) Drain() {
 	p.mu.Lock()
-	p.relay.Leave()
+	p.relay.Drain()
 	p.carryOut()
 	p.mu.Unlock()
 	for end := time.Now().Add(leaveIn); time.Now().Before(end); time.Sleep(beat / 10) {
@@ -205,7 +205,7 @@
 }
 
 // Close ends it; the wire has to be closed before.
-func (p *Publisher) Close() {
+func (p *Server) Close() {
 	p.once.Do(func() {
 		close(p.done)
 		p.mu.Lock()
@@ -219,7 +219,7 @@
 
 // ---- The relay.
 
-func (p *Publisher) run() {
+func (p *Server) run() {
 	defer p.all.Done()
 	tick := time.NewTicker(beat)
 	defer tick.Stop()
@@ -244,7 +244,7 @@
 }
 
 // turn answers how long what is new still has to wait, 0 where nothing does.
-func (p *Publisher) turn(ticks bool) (wait time.Duration) {
+func (p *Server) turn(ticks bool) (wait time.Duration) {
 	now := p.opt.Now()
 	p.news.Lock()
 	asOf, version, known := p.asOf, p.asOfVersion, p.known && p.asOf != p.claimed
@@ -262,21 +262,21 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now = p.opt.Now(); ticks { // read after the lock was waited for
-		p.relay.Clock(now)
+		p.relay.Tick(now)
 	}
 	if whole != nil || len(changes) > 0 {
 		p.take(whole, changes)
-		p.relay.Published()
+		p.relay.LogChanged()
 	}
 	if known {
-		p.relay.Fresh(asOf, version)
+		p.relay.ConfirmVersion(asOf, version)
 	}
 	p.carryOut()
 	if now-p.told >= tellEach || p.told == 0 {
 		p.told = now
-		s := &published{Status: Status{Followers: p.relay.Followers(), Count: p.relay.Count, Version: p.log.Version(), Digest: p.log.Digest()}}
+		s := &published{Status: Status{Subscribers: p.relay.SubscriberCounts(), Stats: p.relay.Stats, Version: p.log.Version(), Digest: p.log.Digest()}}
 		var age time.Duration
-		age, s.Known = p.relay.Age(now)
+		age, s.AgeKnown = p.relay.Age(now)
 		s.asOf = now - age
 		p.status.Store(s)
 	}
@@ -284,7 +284,7 @@
 }
 
 // take follows the core's state. What does not fit is told, and leaves the state as it was: nothing is published then but what was.
-func (p *Publisher) take(whole *changefeed.Snapshot, changes []*changefeed.Change) {
+func (p *Server) take(whole *changefeed.Snapshot, changes []*changefeed.Change) {
 	if whole != nil {
 		if err := p.state.install(whole); err != nil {
 			p.opt.Log.Error("fleet: the agreed state is not published", zap.Uint64("version", whole.Version), zap.Error(err))
@@ -298,17 +298,17 @@
 }
 
 // carryOut does what the relay asks for. mu is held.
-func (p *Publisher) carryOut() {
+func (p *Server) carryOut() {
 	r := p.relay.Ready()
-	heads := map[*changefeed.Out][]byte{} // each made once for all who are sent it
+	heads := map[*changefeed.SharedMessage][]byte{} // each made once for all who are sent it
 	var words [][]byte
 	for i, s := range r.Sends {
-		head, is := heads[s.Out]
+		head, is := heads[s.Message]
 		if !is {
-			head = framing.Header(s.Out.Text())
-			heads[s.Out] = head
+			head = framing.Header(s.Message.Encoded())
+			heads[s.Message] = head
 		}
-		words = append(words, head, s.Out.Text())
+		words = append(words, head, s.Message.Encoded())
 		if i+1 < len(r.Sends) && r.Sends[i+1].Conn == s.Conn {
 			continue // what follows on the same connection goes out in the same write
 		}
@@ -322,23 +322,23 @@
 			c.end()
 		}
 	}
-	for _, l := range r.Lines {
+	for _, l := range r.Events {
 		say(p.opt.Log, l)
 	}
 }
 
-func say(log *zap.Logger, l changefeed.Line) {
-	fields := []zap.Field{zap.String("follower", l.Peer), zap.Duration("for", l.For), zap.String("is", l.Text)}
+func say(log *zap.Logger, l changefeed.Event) {
+	fields := []zap.Field{zap.String("follower", l.PeerID), zap.Duration("for", l.Duration), zap.String("is", l.Detail)}
 	switch l.Kind {
-	case changefeed.Woke:
+	case changefeed.EventResumed:
 		log.Warn("fleet: this process was stopped: followers are given time anew", fields...)
-	case changefeed.Lapsed:
+	case changefeed.EventLeaseExpired:
 		log.Warn("fleet: follower is not heard any more", fields...)
-	case changefeed.TooSlow:
+	case changefeed.EventSlowSubscriber:
 		log.Warn("fleet: follower takes nothing", fields...)
-	case changefeed.Stranger:
+	case changefeed.EventForeignFleet:
 		log.Warn("fleet: follower of another fleet", fields...)
-	case changefeed.NewerForm:
+	case changefeed.EventNewerProtocol:
 		log.Warn("fleet: follower of a newer program", fields...)
 	default:
 		log.Warn("fleet: follower's words can't be read", append(fields, zap.Stringer("said", l))...)
@@ -347,15 +347,15 @@
 
 // ---- Connections.
 
-func (p *Publisher) accept() {
+func (p *Server) accept() {
 	defer p.all.Done()
 	for {
 		select {
-		case <-p.opt.Wire.Done():
+		case <-p.opt.Streams.Done():
 			return
 		case <-p.done:
 			return
-		case nc := <-p.opt.Wire.Follows():
+		case nc := <-p.opt.Streams.Follows():
 			p.all.Add(1)
 			go func() {
 				defer p.all.Done()
@@ -372,7 +372,7 @@
 
 // ask has a follower's operation done where this member's are. One that is asked for again while it is under way is answered to who
 // asked last.
-func (p *Publisher) ask(c *conn, number uint64, op replication.Op, within time.Duration) {
+func (p *Server) ask(c *conn, number uint64, op replication.Op, within time.Duration) {
 	p.mu.Lock()
 	_, again := p.ops[op.ID]
 	full := !again && (c.ops.Load() >= opsEach || len(p.ops) >= opsAll)
@@ -402,18 +402,18 @@
 }
 
 // change passes a put on to the log's leader.
-func (p *Publisher) change(c *conn, m *changefeed.Put) {
+func (p *Server) change(c *conn, m *changefeed.PutRequest) {
 	answer := func(d shardmap.Done) {
-		c.say(&changefeed.Msg{PutDone: &changefeed.PutDone{Op: d.Op, Version: d.Version, Refused: d.Refused}})
+		c.say(&changefeed.Message{PutResponse: &changefeed.PutResponse{OperationID: d.Op, Version: d.Version, RejectReason: d.Refused}})
 	}
 	p.asks.Add(1)
 	if c.ops.Add(1) > opsEach {
 		c.ops.Add(-1)
 		p.busy.Add(1)
-		answer(shardmap.Done{Op: m.Op, Refused: "busy: too many changes of this follower wait"})
+		answer(shardmap.Done{Op: m.OperationID, Refused: "busy: too many changes of this follower wait"})
 		return
 	}
-	p.hold.Put(shardmap.Put{Key: m.Key, Value: m.Value, Gone: m.Gone, Op: m.Op, Only: !m.Any, If: m.If}, putWithin, func(d shardmap.Done) {
+	p.hold.Put(shardmap.Put{Key: m.Key, Value: m.Value, Gone: m.Delete, Op: m.OperationID, Only: !m.Unconditional, If: m.IfVersion}, putWithin, func(d shardmap.Done) {
 		c.ops.Add(-1)
 		answer(d)
 	})
