--- a/internal/fleet/publisher/publisher_test.go
+++ b/internal/fleet/publisher/server_test.go
@@ -67,7 +67,7 @@
 type tier struct {
 	t       *testing.T
 	log     *changefeed.Log
-	all     []*publisher.Publisher
+	all     []*publisher.Server
 	holders []*holder
 	wires   []*gossip.Wire
 	addrs   []netip.AddrPort
@@ -78,7 +78,7 @@
 }
 
 func newTier(t *testing.T, many, most int) *tier {
-	r := &tier{t: t, log: changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 1 << 20}), stop: make(chan struct{})}
+	r := &tier{t: t, log: changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20}), stop: make(chan struct{})}
 	for i := range many {
 		var w *gossip.Wire
 		var addr netip.AddrPort
@@ -89,15 +89,15 @@
 			}
 			addr = ln.Addr().(*net.TCPAddr).AddrPort()
 			_ = ln.Close()
-			if w, err = gossip.Listen(addr, addr, most+publisher.More); err == nil {
+			if w, err = gossip.Listen(addr, addr, most+publisher.ExtraStreams); err == nil {
 				break
 			} else if try == 19 {
 				t.Fatal(err)
 			}
 		}
-		p := publisher.New(publisher.Options{ID: fmt.Sprint("c", i), Fleet: "lab", Most: most, Seed: uint64(i), Wire: w, Now: boottime.Now, Log: zap.NewNop()})
+		p := publisher.New(publisher.Options{ID: fmt.Sprint("c", i), Fleet: "lab", MaxSubscribers: most, Seed: uint64(i), Streams: w, Now: boottime.Now, Log: zap.NewNop()})
 		h := &holder{}
-		p.Serve(h)
+		p.Start(h)
 		r.all, r.holders, r.wires, r.addrs = append(r.all, p), append(r.holders, h), append(r.wires, w), append(r.addrs, addr)
 	}
 	r.change(changefeed.Item{Key: changefeed.FleetKey, Value: []byte("f")})
@@ -140,7 +140,7 @@
 	r.t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c, err := r.log.Next(items)
+	c, err := r.log.Append(items)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 
 // follower notes what it is told, and what it must not be.
 type follower struct {
-	*subscriber.Follow
+	*subscriber.Client
 	mu   sync.Mutex
 	last uint64
 	bad  string
@@ -170,8 +170,8 @@
 		}
 		f.last = version
 	}
-	f.Follow = subscriber.Open(subscriber.Options{Fleet: "lab", Name: fmt.Sprint("b", i), ID: fmt.Sprint("id", i), Life: 1, Zone: "z", Site: "s", Seeds: r.addrs,
-		Seed: uint64(i), Now: boottime.Now, Log: zap.NewNop(), Applied: applied})
+	f.Client = subscriber.Open(subscriber.Options{Fleet: "lab", Name: fmt.Sprint("b", i), ID: fmt.Sprint("id", i), Incarnation: 1, Zone: "z", Site: "s", Seeds: r.addrs,
+		Seed: uint64(i), Now: boottime.Now, Log: zap.NewNop(), OnUpdate: applied})
 	r.t.Cleanup(f.Close)
 	return f
 }
@@ -214,7 +214,7 @@
 		all = append(all, r.follower(i))
 	}
 	until(t, "all are current, by two", every(all, func(s subscriber.Status) bool {
-		return s.Current && len(s.Relays) == 2 && s.Version == 1 && s.Fleet == "f"
+		return s.Current && len(s.Publishers) == 2 && s.Version == 1 && s.Fleet == "f"
 	}))
 
 	slow, err := net.Dial("tcp", r.addrs[0].String())
@@ -223,12 +223,12 @@
 	}
 	defer func() { _ = slow.Close() }()
 	_ = slow.(*net.TCPConn).SetReadBuffer(4096)
-	words := []byte{framing.Mark}
-	for _, body := range [][]byte{framing.Encode(framing.Greeting{Fleet: "lab"}), changefeed.Encode(&changefeed.Msg{Hello: &changefeed.Hello{Form: changefeed.Form, ID: "slow", Life: 1}})} {
+	words := []byte{framing.StreamMark}
+	for _, body := range [][]byte{framing.Encode(framing.Greeting{Fleet: "lab"}), changefeed.Encode(&changefeed.Message{Hello: &changefeed.Hello{ProtocolVersion: changefeed.ProtocolVersion, ID: "slow", Incarnation: 1}})} {
 		words = append(append(words, framing.Header(body)...), body...)
 	}
 	_, _ = slow.Write(words)
-	until(t, "the slow one is there", func() bool { return r.all[0].Status().Followers.Here == 21 })
+	until(t, "the slow one is there", func() bool { return r.all[0].Status().Subscribers.Connected == 21 })
 
 	value := make([]byte, 8<<10)
 	for i := range 200 { // 1.6 MB: more than the window, and than the ring of the source
@@ -238,19 +238,19 @@
 	until(t, "all have the newest", every(all, func(s subscriber.Status) bool { return s.Version == 201 && s.Current }))
 	until(t, "all but the slow one have it there, which is let go", func() bool {
 		s := r.all[0].Status()
-		if s.Followers.Here == 21 && s.Followers.Lowest > 100 {
-			t.Fatalf("the slow one has acknowledged %d", s.Followers.Lowest)
+		if s.Subscribers.Connected == 21 && s.Subscribers.LowestVersion > 100 {
+			t.Fatalf("the slow one has acknowledged %d", s.Subscribers.LowestVersion)
 		}
-		return s.Followers.Here == 20 && s.Followers.Current == 20 && s.Count.Lapsed == 1
+		return s.Subscribers.Connected == 20 && s.Subscribers.Current == 20 && s.Stats.LeaseExpiries == 1
 	})
 	r.end(0)
-	until(t, "all have left it", every(all, func(s subscriber.Status) bool { return len(s.Relays) == 1 && s.Current }))
+	until(t, "all have left it", every(all, func(s subscriber.Status) bool { return len(s.Publishers) == 1 && s.Current }))
 	r.change(changefeed.Item{Key: "config/last", Value: []byte("x")})
 	until(t, "all have the last", every(all, func(s subscriber.Status) bool { return s.Version == 202 && s.Digest == r.log.Digest() }))
 	for _, f := range all {
 		f.check(t)
-		if s := f.Status(); s.Count.Snapshots > 1 || s.Count.Mismatches+s.Count.Conflicts+s.Count.Refused > 0 {
-			t.Errorf("%+v", s.Count)
+		if s := f.Status(); s.Stats.Snapshots > 1 || s.Stats.DigestMismatches+s.Stats.Conflicts+s.Stats.InvalidMessages > 0 {
+			t.Errorf("%+v", s.Stats)
 		}
 		if v, _ := f.Get("config/last"); string(v) != "x" {
 			t.Errorf("config/last is %q", v)
@@ -265,7 +265,7 @@
 func TestAFollowersOperations(t *testing.T) {
 	r := newTier(t, 2, 100)
 	f, other := r.follower(1), r.follower(2)
-	until(t, "both follow two", every([]*follower{f, other}, func(s subscriber.Status) bool { return len(s.Relays) == 2 }))
+	until(t, "both follow two", every([]*follower{f, other}, func(s subscriber.Status) bool { return len(s.Publishers) == 2 }))
 	ask := func(f *follower, id string, within time.Duration) <-chan replication.Result {
 		out := make(chan replication.Result, 2)
 		f.Ask(replication.Op{ID: id, Key: id}, within, func(r replication.Result) { out <- r })
@@ -311,13 +311,13 @@
 			t.Fatalf("b%d was not asked again", i)
 		}
 	}
-	done := make(chan changefeed.PutDone, 1)
-	f.Put(changefeed.Put{Op: "p", Key: "config/a", Any: true}, bound, func(d changefeed.PutDone) { done <- d })
-	if d := <-done; d.Version == 0 || d.Refused != "" {
+	done := make(chan changefeed.PutResponse, 1)
+	f.Put(changefeed.PutRequest{OperationID: "p", Key: "config/a", Unconditional: true}, bound, func(d changefeed.PutResponse) { done <- d })
+	if d := <-done; d.Version == 0 || d.RejectReason != "" {
 		t.Errorf("%+v", d)
 	}
 	r.end(1 - asked)
-	until(t, "nobody is left", func() bool { return len(f.Status().Relays) == 0 })
+	until(t, "nobody is left", func() bool { return len(f.Status().Publishers) == 0 })
 	if got := <-ask(f, "d", 50*time.Millisecond); got.Outcome != replication.Refused || got.Why != replication.Busy {
 		t.Errorf("nobody was asked: %+v", got)
 	}
@@ -333,13 +333,13 @@
 	}
 	until(t, "three follow", every(all, func(s subscriber.Status) bool { return s.Current }))
 	hello := func(id string) []byte {
-		return changefeed.Encode(&changefeed.Msg{Hello: &changefeed.Hello{Form: changefeed.Form, ID: id, Life: 1}})
+		return changefeed.Encode(&changefeed.Message{Hello: &changefeed.Hello{ProtocolVersion: changefeed.ProtocolVersion, ID: id, Incarnation: 1}})
 	}
 	lab := framing.Encode(framing.Greeting{Fleet: "lab"})
 	for name, bodies := range map[string][][]byte{
 		"one too many":     {lab, hello("x")},
 		"of another fleet": {framing.Encode(framing.Greeting{Fleet: "other"}), hello("id0")},
-		"no hello":         {lab, changefeed.Encode(&changefeed.Msg{Renew: &changefeed.Renew{Number: 1}})},
+		"no hello":         {lab, changefeed.Encode(&changefeed.Message{RenewRequest: &changefeed.RenewRequest{Sequence: 1}})},
 		"no greeting":      {[]byte("?")},
 	} {
 		c, err := net.Dial("tcp", r.addrs[0].String())
@@ -347,7 +347,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		words := []byte{framing.Mark}
+		words := []byte{framing.StreamMark}
 		for _, body := range bodies {
 			words = append(append(words, framing.Header(body)...), body...)
 		}
@@ -357,16 +357,16 @@
 		if ne, is := err.(net.Error); is && ne.Timeout() {
 			t.Errorf("%s: it is held", name)
 		}
-		var told changefeed.Msg
-		if len(text) > framing.Head {
-			told, _ = changefeed.Decode(text[framing.Head:])
+		var told changefeed.Message
+		if len(text) > framing.HeaderSize {
+			told, _ = changefeed.Decode(text[framing.HeaderSize:])
 		}
-		if e := told.Elsewhere; (e != nil) != (name == "one too many") || e != nil && e.Wait <= 0 {
+		if e := told.Reject; (e != nil) != (name == "one too many") || e != nil && e.RetryAfter <= 0 {
 			t.Errorf("%s: it is told %q", name, text)
 		}
 	}
-	if s := r.all[0].Status(); s.Followers.Here != 3 {
-		t.Errorf("%+v", s.Followers)
+	if s := r.all[0].Status(); s.Subscribers.Connected != 3 {
+		t.Errorf("%+v", s.Subscribers)
 	}
 	for _, f := range all {
 		f.check(t)
@@ -378,17 +378,17 @@
 func TestViewsAreNoMatterOfFollowers(t *testing.T) {
 	r := newTier(t, 2, 10)
 	f := r.follower(0)
-	until(t, "it follows two", func() bool { s := f.Status(); return s.Current && len(s.Relays) == 2 && s.Version == 1 })
+	until(t, "it follows two", func() bool { s := f.Status(); return s.Current && len(s.Publishers) == 2 && s.Version == 1 })
 	value := make([]byte, 600)
-	before := f.Status().Got
+	before := f.Status().Received
 	for i := range 240 {
 		r.change(changefeed.Item{Key: fmt.Sprint("view/", i), Value: value})
 	}
 	last := r.change(changefeed.Item{Key: "config/last", Value: []byte("x")})
 	until(t, "it has the newest by both", func() bool {
-		return f.Status().Version == last && r.all[0].Status().Followers.Lowest == last && r.all[1].Status().Followers.Lowest == last
+		return f.Status().Version == last && r.all[0].Status().Subscribers.LowestVersion == last && r.all[1].Status().Subscribers.LowestVersion == last
 	})
-	if got := f.Status().Got - before; got > 240*2*60 {
+	if got := f.Status().Received - before; got > 240*2*60 {
 		t.Errorf("%d bytes for 240 changes of views, over two relays", got)
 	}
 	if _, is := f.Get("view/7"); is {
@@ -405,8 +405,8 @@
 		p.Changed(whole, nil)
 	}
 	late := r.follower(1)
-	until(t, "both are current", every([]*follower{f, late}, func(s subscriber.Status) bool { return s.Current && s.Version == last && len(s.Relays) == 2 }))
-	if a, b := f.Status(), late.Status(); a.Digest != b.Digest || a.Count.Conflicts+b.Count.Conflicts+a.Count.Mismatches+b.Count.Mismatches > 0 {
+	until(t, "both are current", every([]*follower{f, late}, func(s subscriber.Status) bool { return s.Current && s.Version == last && len(s.Publishers) == 2 }))
+	if a, b := f.Status(), late.Status(); a.Digest != b.Digest || a.Stats.Conflicts+b.Stats.Conflicts+a.Stats.DigestMismatches+b.Stats.DigestMismatches > 0 {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 	f.check(t)
--- a/internal/fleet/publisher/trim.go
+++ b/internal/fleet/publisher/trim.go
@@ -39,16 +39,16 @@
 // apply takes the next change of the agreed state; an error leaves all as it was.
 func (t *trimmed) apply(c *changefeed.Change) error {
 	switch {
-	case c.Version == t.log.Version() && c.After != t.digest:
-		return fmt.Errorf("%w: version %d with digest %016x, here %016x", changefeed.ErrConflict, c.Version, c.After, t.digest)
+	case c.Version == t.log.Version() && c.DigestAfter != t.digest:
+		return fmt.Errorf("%w: version %d with digest %016x, here %016x", changefeed.ErrConflict, c.Version, c.DigestAfter, t.digest)
 	case c.Version != t.log.Version()+1:
-		return fmt.Errorf("%w: version %d after %d", changefeed.ErrOrder, c.Version, t.log.Version())
-	case c.Before != t.digest:
-		return fmt.Errorf("%w: version %d is of %016x, here is %016x", changefeed.ErrDigest, c.Version, c.Before, t.digest)
+		return fmt.Errorf("%w: version %d after %d", changefeed.ErrOutOfOrder, c.Version, t.log.Version())
+	case c.DigestBefore != t.digest:
+		return fmt.Errorf("%w: version %d is of %016x, here is %016x", changefeed.ErrDigestMismatch, c.Version, c.DigestBefore, t.digest)
 	}
-	if _, err := t.log.Next(kept(c.Items)); err != nil {
+	if _, err := t.log.Append(kept(c.Items)); err != nil {
 		return err
 	}
-	t.digest = c.After
+	t.digest = c.DigestAfter
 	return nil
 }
--- a/internal/fleet/publisher/trim_test.go
+++ b/internal/fleet/publisher/trim_test.go
@@ -16,9 +16,9 @@
 func TestTheSameHoweverItIsComeBy(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		core := changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 1 << 20})
+		core := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
 		fresh := func() *trimmed {
-			return &trimmed{log: changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 1 << 20})}
+			return &trimmed{log: changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})}
 		}
 		byChanges, bySnapshots, mixed := fresh(), fresh(), fresh()
 		follower := changefeed.NewState()
@@ -30,12 +30,12 @@
 					i := changefeed.Item{Key: fmt.Sprintf("%s%d", []string{"view/", "view/", "view/", shardmap.Config, changefeed.MemberPrefix}[rng.IntN(5)], len(items)*50+rng.IntN(50)),
 						Value: fmt.Appendf(nil, "%d", rng.IntN(5))}
 					if rng.IntN(4) == 0 {
-						i.Value, i.Gone = nil, true
+						i.Value, i.Deleted = nil, true
 					}
 					items = append(items, i)
 				}
 			}
-			c, err := core.Next(items)
+			c, err := core.Append(items)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,14 +61,14 @@
 				if one.log.Version() != core.Version() || one.log.Digest() != byChanges.log.Digest() || one.digest != core.Digest() {
 					t.Fatalf("seed %d, by %s: version %d with %016x, agreed %d, by changes %016x", seed, name, one.log.Version(), one.log.Digest(), core.Version(), byChanges.log.Digest())
 				}
-				if got, want := one.log.State().All(""), kept(core.State().All("")); fmt.Sprint(got) != fmt.Sprint(want) {
+				if got, want := one.log.State().Items(""), kept(core.State().Items("")); fmt.Sprint(got) != fmt.Sprint(want) {
 					t.Fatalf("seed %d, by %s: %v, agreed %v", seed, name, got, want)
 				}
 			}
-			if n := len(byChanges.log.State().All("view/")); n > 0 {
+			if n := len(byChanges.log.State().Items("view/")); n > 0 {
 				t.Fatalf("%d views are sent", n)
 			}
-			sent, is := byChanges.log.Since(follower.Version(), follower.Digest())
+			sent, is := byChanges.log.ChangesSince(follower.Version(), follower.Digest())
 			if !is || len(sent) != 1 {
 				t.Fatalf("%d changes after version %d", len(sent), follower.Version())
 			}
@@ -77,9 +77,9 @@
 			}
 		}
 
-		other := changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 1 << 20}) // another history, which differs in a view alone
+		other := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20}) // another history, which differs in a view alone
 		snap := core.Snapshot()
-		next, err := core.Next([]changefeed.Item{{Key: "view/7", Value: []byte("a")}})
+		next, err := core.Append([]changefeed.Item{{Key: "view/7", Value: []byte("a")}})
 		if err == nil {
 			err = byChanges.apply(&next)
 		}
@@ -88,10 +88,10 @@
 		}
 		var odd, after changefeed.Change
 		if err == nil {
-			odd, err = other.Next([]changefeed.Item{{Key: "view/7", Value: []byte("b")}})
+			odd, err = other.Append([]changefeed.Item{{Key: "view/7", Value: []byte("b")}})
 		}
 		if err == nil {
-			after, err = other.Next([]changefeed.Item{{Key: shardmap.Config + "x", Value: []byte("b")}})
+			after, err = other.Append([]changefeed.Item{{Key: shardmap.Config + "x", Value: []byte("b")}})
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -100,13 +100,13 @@
 		if err := byChanges.apply(&odd); !errors.Is(err, changefeed.ErrConflict) {
 			t.Errorf("a change of another history: %v", err)
 		}
-		if err := byChanges.apply(&after); !errors.Is(err, changefeed.ErrDigest) {
+		if err := byChanges.apply(&after); !errors.Is(err, changefeed.ErrDigestMismatch) {
 			t.Errorf("a change that is of another history: %v", err)
 		}
 		if err := bySnapshots.install(snap); err != nil {
 			t.Errorf("what is there already: %v", err)
 		}
-		if err := byChanges.install(snap); !errors.Is(err, changefeed.ErrOrder) {
+		if err := byChanges.install(snap); !errors.Is(err, changefeed.ErrOutOfOrder) {
 			t.Errorf("an older snapshot: %v", err)
 		}
 		unlike := *snap
@@ -114,7 +114,7 @@
 		if err := bySnapshots.install(&unlike); !errors.Is(err, changefeed.ErrConflict) {
 			t.Errorf("a snapshot of another history: %v", err)
 		}
-		if byChanges.log.Digest() != before || byChanges.digest != next.After {
+		if byChanges.log.Digest() != before || byChanges.digest != next.DigestAfter {
 			t.Error("what was refused has changed something")
 		}
 	}
--- a/internal/fleet/subscriber/subscriber.go
+++ b/internal/fleet/subscriber/client.go
@@ -32,46 +32,46 @@
 type Options struct {
 	Fleet               string // its name in the files
 	Name, ID            string
-	Life                uint64 // grows with each start under an ID
+	Incarnation         uint64 // grows with each start under an ID
 	Machine, Zone, Site string
 	Seeds               []netip.AddrPort // control processes
 	Seed                uint64
-	From                netip.Addr           // connections are made from there; none: from anywhere
+	LocalAddr           netip.Addr           // connections are made from there; none: from anywhere
 	Now                 func() time.Duration // a clock that goes on while the process is stopped
 	Log                 *zap.Logger
 
-	// Applied is told of each step of the state, in order, by one goroutine at a time: the items that changed or, where whole, all that
+	// OnUpdate is told of each step of the state, in order, by one goroutine at a time: the items that changed or, where whole, all that
 	// there are. It must not wait. Nil: nobody is told.
-	Applied func(version uint64, items []changefeed.Item, whole bool)
+	OnUpdate func(version uint64, items []changefeed.Item, whole bool)
 }
 
 // Status is what is known at one moment.
 type Status struct {
-	Fleet       string // its ID
-	Version     uint64
-	Digest      uint64
-	Keys, Bytes int
-	Current     bool          // what is known may be taken for all there is
-	Age         time.Duration // so long ago it was; only where Known
-	Known       bool
-	Relays      []string // that are followed
-	Sent, Got   int64    // bytes
-	Waiting     int      // operations and puts
-	Count       changefeed.FollowerCount
+	Fleet          string // its ID
+	Version        uint64
+	Digest         uint64
+	Keys, Bytes    int
+	Current        bool          // what is known may be taken for all there is
+	Age            time.Duration // so long ago it was; only where Known
+	AgeKnown       bool
+	Publishers     []string // that are followed
+	Sent, Received int64    // bytes
+	Waiting        int      // operations and puts
+	Stats          changefeed.SubscriberStats
 }
 
-// Follow is one follower.
-type Follow struct {
+// Client is one follower.
+type Client struct {
 	opt Options
 
 	mu    sync.Mutex // all of this
-	core  *changefeed.Follower
+	core  *changefeed.Subscriber
 	conns map[string]*conn // by address; those that are dialed as well
 	asks  map[uint64]*ask
 	puts  map[string]*ask // by operation: those of asks that are puts
 	last  uint64          // ask's number
 	clock time.Duration   // the core was told
-	news  []changefeed.Applied
+	news  []changefeed.Update
 	tells bool // somebody tells of news
 	over  bool
 	timer *time.Timer
@@ -84,16 +84,16 @@
 }
 
 // Open begins, beside the caller.
-func Open(opt Options) *Follow {
+func Open(opt Options) *Client {
 	seeds := make([]string, 0, len(opt.Seeds))
 	for _, a := range opt.Seeds {
 		seeds = append(seeds, a.String())
 	}
 	now := opt.Now()
 	ctx, stop := context.WithCancel(context.Background())
-	f := &Follow{opt: opt, conns: map[string]*conn{}, asks: map[uint64]*ask{}, puts: map[string]*ask{}, ctx: ctx, stop: stop}
-	f.core = changefeed.NewFollower(changefeed.FollowerConfig{ID: opt.ID, Name: opt.Name, Life: opt.Life, Machine: opt.Machine, Zone: opt.Zone, Site: opt.Site,
-		Seeds: seeds, Lease: changefeed.Lease, Seed: opt.Seed}, now)
+	f := &Client{opt: opt, conns: map[string]*conn{}, asks: map[uint64]*ask{}, puts: map[string]*ask{}, ctx: ctx, stop: stop}
+	f.core = changefeed.NewSubscriber(changefeed.SubscriberConfig{ID: opt.ID, Name: opt.Name, Incarnation: opt.Incarnation, Machine: opt.Machine, Zone: opt.Zone, Site: opt.Site,
+		Seeds: seeds, Lease: changefeed.DefaultLease, Seed: opt.Seed}, now)
 	f.mu.Lock()
 	f.timer = time.AfterFunc(0, f.beat)
 	f.mu.Unlock()
@@ -101,32 +101,32 @@
 }
 
 // Status answers at once.
-func (f *Follow) Status() Status {
+func (f *Client) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, st := f.opt.Now(), f.core.State()
-	s := Status{Fleet: st.Fleet(), Version: st.Version(), Digest: st.Digest(), Keys: st.Len(), Bytes: st.Bytes(), Current: f.core.Current(now),
-		Relays: f.core.Relays(), Sent: f.sent.Load(), Got: f.got.Load(), Waiting: len(f.asks), Count: f.core.Count}
-	s.Age, s.Known = f.core.Age(now)
+	s := Status{Fleet: st.Fleet(), Version: st.Version(), Digest: st.Digest(), Keys: st.Len(), Bytes: st.Bytes(), Current: f.core.IsCurrent(now),
+		Publishers: f.core.Publishers(), Sent: f.sent.Load(), Received: f.got.Load(), Waiting: len(f.asks), Stats: f.core.Stats}
+	s.Age, s.AgeKnown = f.core.Age(now)
 	return s
 }
 
-// Current tells whether what is known may be taken for all there is, as of this moment.
-func (f *Follow) Current() bool {
+// IsCurrent tells whether what is known may be taken for all there is, as of this moment.
+func (f *Client) IsCurrent() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.core.Current(f.opt.Now())
+	return f.core.IsCurrent(f.opt.Now())
 }
 
 // Get is a key's value, not to be changed.
-func (f *Follow) Get(key string) ([]byte, bool) {
+func (f *Client) Get(key string) ([]byte, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.core.State().Get(key)
 }
 
 // Close says goodbye and ends it. Who still waits is told that it is not known.
-func (f *Follow) Close() {
+func (f *Client) Close() {
 	f.mu.Lock()
 	if f.over {
 		f.mu.Unlock()
@@ -135,7 +135,7 @@
 	f.over = true
 	f.timer.Stop()
 	f.stop()
-	f.core.Leave()
+	f.core.Disconnect()
 	f.carryOut()
 	for _, c := range f.conns {
 		c.end()
@@ -156,7 +156,7 @@
 
 // ---- The core, under the lock.
 
-func (f *Follow) beat() {
+func (f *Client) beat() {
 	f.mu.Lock()
 	if !f.over {
 		f.tick(true)
@@ -168,24 +168,24 @@
 }
 
 // tick tells the core of the time, so that a question is never taken for a later one than it is.
-func (f *Follow) tick(must bool) {
+func (f *Client) tick(must bool) {
 	if now := f.opt.Now(); must || now-f.clock >= beatMin {
 		f.clock = now
-		f.core.Clock(now)
+		f.core.Tick(now)
 	}
 }
 
-func (f *Follow) carryOut() {
+func (f *Client) carryOut() {
 	r := f.core.Ready()
-	if f.opt.Applied != nil {
-		f.news = append(f.news, r.Applied...)
+	if f.opt.OnUpdate != nil {
+		f.news = append(f.news, r.Updates...)
 	}
 	for _, s := range r.Sends {
 		if c := f.conns[s.Addr]; c != nil {
-			c.put(changefeed.Encode(&s.Msg))
+			c.put(changefeed.Encode(&s.Message))
 		}
 	}
-	for _, addr := range r.Hang {
+	for _, addr := range r.Close {
 		if c := f.conns[addr]; c != nil {
 			delete(f.conns, addr)
 			c.end()
@@ -200,14 +200,14 @@
 			go c.run()
 		}
 	}
-	for _, l := range r.Lines {
+	for _, l := range r.Events {
 		f.say(l)
 	}
 }
 
 // tell hands out news, without the lock.
-func (f *Follow) tell() {
-	if f.opt.Applied == nil {
+func (f *Client) tell() {
+	if f.opt.OnUpdate == nil {
 		return
 	}
 	f.mu.Lock()
@@ -220,32 +220,32 @@
 		f.news = nil
 		f.mu.Unlock()
 		for _, a := range news {
-			f.opt.Applied(a.Version, a.Items, a.Whole)
+			f.opt.OnUpdate(a.Version, a.Items, a.Complete)
 		}
 		f.mu.Lock()
 	}
 	f.tells = false
 }
 
-func (f *Follow) say(l changefeed.Line) {
-	fields := []zap.Field{zap.String("at", l.Addr), zap.Uint64("version", l.Version), zap.Duration("for", l.For), zap.String("is", l.Text)}
+func (f *Client) say(l changefeed.Event) {
+	fields := []zap.Field{zap.String("at", l.Addr), zap.Uint64("version", l.Version), zap.Duration("for", l.Duration), zap.String("is", l.Detail)}
 	log := f.opt.Log
 	switch l.Kind {
-	case changefeed.Woke:
-		log.Warn("fleet: this process was stopped", zap.Duration("for", l.For))
-	case changefeed.Follows:
-		log.Info("fleet: follows", zap.String("at", l.Addr), zap.String("id", l.Peer))
-	case changefeed.Leaves:
-		log.Info("fleet: follows no more", zap.String("at", l.Addr), zap.String("is", l.Text))
-	case changefeed.Stands:
-		log.Warn("fleet: not current", zap.Uint64("version", l.Version), zap.Duration("for", l.For))
-	case changefeed.Again:
-		log.Info("fleet: current", zap.Uint64("version", l.Version), zap.Duration("after", l.For))
-	case changefeed.Mismatch:
+	case changefeed.EventResumed:
+		log.Warn("fleet: this process was stopped", zap.Duration("for", l.Duration))
+	case changefeed.EventSubscribed:
+		log.Info("fleet: follows", zap.String("at", l.Addr), zap.String("id", l.PeerID))
+	case changefeed.EventUnsubscribed:
+		log.Info("fleet: follows no more", zap.String("at", l.Addr), zap.String("is", l.Detail))
+	case changefeed.EventStale:
+		log.Warn("fleet: not current", zap.Uint64("version", l.Version), zap.Duration("for", l.Duration))
+	case changefeed.EventCurrent:
+		log.Info("fleet: current", zap.Uint64("version", l.Version), zap.Duration("after", l.Duration))
+	case changefeed.EventDigestMismatch:
 		log.Warn("fleet: state does not match: a snapshot is asked for", fields...)
-	case changefeed.Conflict:
+	case changefeed.EventHistoryConflict:
 		log.Error("fleet: two histories: one version of the agreed state with other contents", fields...)
-	case changefeed.Stranger:
+	case changefeed.EventForeignFleet:
 		log.Warn("fleet: control process of another fleet", fields...)
 	default:
 		log.Warn("fleet: what a control process sends is refused", append(fields, zap.Stringer("said", l))...)
@@ -256,7 +256,7 @@
 
 // conn is the way to one control process: dialed, or open.
 type conn struct {
-	of   *Follow
+	of   *Client
 	addr string
 
 	mu      sync.Mutex
@@ -268,7 +268,7 @@
 }
 
 // opened has a connection that came through be told to the core, unless it was given up meanwhile.
-func (f *Follow) opened(c *conn) bool {
+func (f *Client) opened(c *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.over || f.conns[c.addr] != c {
@@ -276,22 +276,22 @@
 	}
 	f.tick(true)
 	c.put(framing.Encode(framing.Greeting{Fleet: f.opt.Fleet}))
-	f.core.Opened(c.addr)
+	f.core.Connected(c.addr)
 	f.carryOut()
 	f.resend()
 	return true
 }
 
 // closed tells the core of a dial that failed, or of a connection's end.
-func (f *Follow) closed(c *conn, dialed bool) {
+func (f *Client) closed(c *conn, dialed bool) {
 	f.mu.Lock()
 	if f.conns[c.addr] == c {
 		delete(f.conns, c.addr)
 		f.tick(false)
 		if dialed {
-			f.core.Closed(c.addr)
+			f.core.ConnectionClosed(c.addr)
 		} else {
-			f.core.Failed(c.addr)
+			f.core.DialFailed(c.addr)
 		}
 		f.carryOut()
 		f.moved(c)
@@ -301,7 +301,7 @@
 }
 
 // heard takes a message; it answers false where the connection has been given up.
-func (f *Follow) heard(c *conn, m changefeed.Msg) bool {
+func (f *Client) heard(c *conn, m changefeed.Message) bool {
 	var done func()
 	f.mu.Lock()
 	is := !f.over && f.conns[c.addr] == c
@@ -309,10 +309,10 @@
 		f.tick(false)
 		_ = f.core.Step(c.addr, m) // what follows from an error is done by the core, and told
 		switch {
-		case m.Result != nil:
-			done = f.result(m.Result)
-		case m.PutDone != nil:
-			done = f.putDone(m.PutDone)
+		case m.OperationResult != nil:
+			done = f.result(m.OperationResult)
+		case m.PutResponse != nil:
+			done = f.putDone(m.PutResponse)
 		}
 		f.carryOut()
 	}
@@ -324,7 +324,7 @@
 	return is
 }
 
-func (f *Follow) progress(c *conn) {
+func (f *Client) progress(c *conn) {
 	f.mu.Lock()
 	if f.conns[c.addr] == c {
 		f.tick(false)
@@ -344,13 +344,13 @@
 	op         string
 	timer      *time.Timer
 	unanswered func()
-	answered   func(*changefeed.PutDone, replication.Result)
+	answered   func(*changefeed.PutResponse, replication.Result)
 }
 
 // Ask has an operation done by the control processes. done is called once, from another goroutine, within the span or a little
 // later; it must not wait. Where no answer comes it is Unknown, or Refused if nobody was asked. An operation whose connection ends is
 // asked again over another, which is safe, as it is known by its ID.
-func (f *Follow) Ask(op replication.Op, within time.Duration, done func(replication.Result)) {
+func (f *Client) Ask(op replication.Op, within time.Duration, done func(replication.Result)) {
 	a := &ask{op: op.ID}
 	a.unanswered = func() {
 		r := replication.Result{Op: op.ID, Outcome: replication.Unknown}
@@ -359,38 +359,38 @@
 		}
 		done(r)
 	}
-	a.answered = func(_ *changefeed.PutDone, r replication.Result) { done(r) }
-	f.ask(a, within, func(number uint64) changefeed.Msg {
-		return changefeed.Msg{Op: &changefeed.Opaque{Number: number, Body: framing.Encode(framing.Ask{Op: op, Within: within})}}
+	a.answered = func(_ *changefeed.PutResponse, r replication.Result) { done(r) }
+	f.ask(a, within, func(number uint64) changefeed.Message {
+		return changefeed.Message{Operation: &changefeed.Payload{RequestID: number, Body: framing.Encode(framing.OperationRequest{Operation: op, Timeout: within})}}
 	})
 }
 
 // Put asks for a change of an operators' item. done is called as with Ask; Refused says why where it did not take hold, or is not
 // known to have. Asked again with the same operation it is answered with the same version.
-func (f *Follow) Put(p changefeed.Put, within time.Duration, done func(changefeed.PutDone)) {
-	a := &ask{op: p.Op}
+func (f *Client) Put(p changefeed.PutRequest, within time.Duration, done func(changefeed.PutResponse)) {
+	a := &ask{op: p.OperationID}
 	a.unanswered = func() {
 		why := "no answer in time: it may have taken hold; ask again as the same operation"
 		if !a.sent {
 			why = "no control process is followed, or too many changes wait"
 		}
-		done(changefeed.PutDone{Op: p.Op, Refused: why})
+		done(changefeed.PutResponse{OperationID: p.OperationID, RejectReason: why})
 	}
-	a.answered = func(d *changefeed.PutDone, _ replication.Result) { done(*d) }
+	a.answered = func(d *changefeed.PutResponse, _ replication.Result) { done(*d) }
 	f.mu.Lock()
-	twice := f.puts[p.Op] != nil
+	twice := f.puts[p.OperationID] != nil
 	if !twice {
-		f.puts[p.Op] = a
+		f.puts[p.OperationID] = a
 	}
 	f.mu.Unlock()
 	if twice {
-		done(changefeed.PutDone{Op: p.Op, Refused: "it is under way already"})
+		done(changefeed.PutResponse{OperationID: p.OperationID, RejectReason: "it is under way already"})
 		return
 	}
-	f.ask(a, within, func(uint64) changefeed.Msg { return changefeed.Msg{Put: &p} })
+	f.ask(a, within, func(uint64) changefeed.Message { return changefeed.Message{PutRequest: &p} })
 }
 
-func (f *Follow) ask(a *ask, within time.Duration, word func(uint64) changefeed.Msg) {
+func (f *Client) ask(a *ask, within time.Duration, word func(uint64) changefeed.Message) {
 	f.mu.Lock()
 	if f.over || len(f.asks) >= asksMost {
 		delete(f.puts, a.op)
@@ -416,7 +416,7 @@
 }
 
 // forget ends one; false where it has ended.
-func (f *Follow) forget(a *ask) bool {
+func (f *Client) forget(a *ask) bool {
 	if f.asks[a.number] != a {
 		return false
 	}
@@ -428,8 +428,8 @@
 }
 
 // send asks the first that is followed.
-func (f *Follow) send(a *ask) {
-	for _, addr := range f.core.Relays() {
+func (f *Client) send(a *ask) {
+	for _, addr := range f.core.Publishers() {
 		if c := f.conns[addr]; c != nil {
 			a.on, a.sent = c, true
 			c.put(a.text)
@@ -439,7 +439,7 @@
 }
 
 // resend asks for what was asked nowhere yet.
-func (f *Follow) resend() {
+func (f *Client) resend() {
 	for _, a := range f.asks {
 		if a.on == nil {
 			f.send(a)
@@ -448,7 +448,7 @@
 }
 
 // moved asks elsewhere for what was asked on a connection that is no more.
-func (f *Follow) moved(c *conn) {
+func (f *Client) moved(c *conn) {
 	for _, a := range f.asks {
 		if a.on == c {
 			a.on = nil
@@ -457,8 +457,8 @@
 	}
 }
 
-func (f *Follow) result(o *changefeed.Opaque) func() {
-	a := f.asks[o.Number]
+func (f *Client) result(o *changefeed.Payload) func() {
+	a := f.asks[o.RequestID]
 	var r replication.Result
 	if a == nil || f.puts[a.op] == a || framing.Decode(o.Body, &r) != nil || r.Op != a.op {
 		return nil
@@ -468,8 +468,8 @@
 	return func() { a.answered(nil, r) }
 }
 
-func (f *Follow) putDone(d *changefeed.PutDone) func() {
-	a := f.puts[d.Op]
+func (f *Client) putDone(d *changefeed.PutResponse) func() {
+	a := f.puts[d.OperationID]
 	if a == nil || !f.forget(a) {
 		return nil
 	}
--- a/internal/fleet/subscriber/conn.go
+++ b/internal/fleet/subscriber/conn.go
@@ -21,8 +21,8 @@
 	f := c.of
 	defer f.all.Done()
 	d := net.Dialer{Timeout: dialIn}
-	if f.opt.From.IsValid() {
-		d.LocalAddr = &net.TCPAddr{IP: f.opt.From.AsSlice()}
+	if f.opt.LocalAddr.IsValid() {
+		d.LocalAddr = &net.TCPAddr{IP: f.opt.LocalAddr.AsSlice()}
 	}
 	nc, err := d.DialContext(f.ctx, "tcp", c.addr)
 	if err != nil {
@@ -38,11 +38,11 @@
 	}
 	r := bufio.NewReaderSize(&noted{c: c, nc: nc, at: time.Now()}, 4<<10)
 	for {
-		body, err := framing.Read(r, changefeed.MostMessage)
+		body, err := framing.Read(r, changefeed.MaxMessageBytes)
 		if err != nil {
 			break
 		}
-		f.got.Add(int64(framing.Head + len(body)))
+		f.got.Add(int64(framing.HeaderSize + len(body)))
 		m, err := changefeed.Decode(body)
 		if err != nil || !f.heard(c, m) {
 			break
@@ -129,12 +129,12 @@
 	size := int64(0)
 	if !c.marked {
 		c.marked = true
-		out = append(out, []byte{framing.Mark})
+		out = append(out, []byte{framing.StreamMark})
 		size++
 	}
 	for _, body := range queue {
 		out = append(out, framing.Header(body), body)
-		size += int64(framing.Head + len(body))
+		size += int64(framing.HeaderSize + len(body))
 	}
 	if _, err := out.WriteTo(c.c); err != nil {
 		return false
--- a/internal/fleet/subscriber/golden_test.go
+++ b/internal/fleet/subscriber/golden_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }() // nothing is left to fail
-	f := Open(Options{Fleet: "lab", Name: "b-1", ID: "id-1", Life: 3, Machine: "m", Zone: "z", Site: "s",
+	f := Open(Options{Fleet: "lab", Name: "b-1", ID: "id-1", Incarnation: 3, Machine: "m", Zone: "z", Site: "s",
 		Seeds: []netip.AddrPort{listener.Addr().(*net.TCPAddr).AddrPort()}, Seed: 1, Now: boottime.Now, Log: zap.NewNop()})
 	defer f.Close()
 	conn, err := listener.Accept()
@@ -44,7 +44,7 @@
 	}
 	got := string(mark) + "\n"
 	for range 3 {
-		body, err := framing.Read(conn, changefeed.MostMessage)
+		body, err := framing.Read(conn, changefeed.MaxMessageBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/cluster/member_group.go
+++ b/internal/lab/cluster/member_group.go
@@ -133,7 +133,7 @@
 			if r, err := b.all[i].Fleet(); err != nil {
 				last += fmt.Sprintf("\n%d: %v", i, err)
 			} else if !is(r) {
-				last += fmt.Sprintf("\n%d: %s, %d here:", i, r.Standing, r.Here)
+				last += fmt.Sprintf("\n%d: %s, %d here:", i, r.Standing, r.Alive)
 				for _, o := range r.Others {
 					last += fmt.Sprintf(" %s %s", o.Name, o.State)
 				}
@@ -150,13 +150,13 @@
 
 // Together is that a member sees so many here, itself among them, and takes what it knows for true.
 func Together(many int) func(fleet.Report) bool {
-	return func(r fleet.Report) bool { return r.Standing == "together" && r.Here == many }
+	return func(r fleet.Report) bool { return r.Standing == "together" && r.Alive == many }
 }
 
 // Sees is how a member sees another, by its name; empty where it knows none of that name.
 func Sees(r fleet.Report, name string) (state string) {
 	for _, o := range r.Others {
-		if o.Name == name && o.By == "" {
+		if o.Name == name && o.ReportedBy == "" {
 			state = o.State
 		}
 	}
--- a/internal/lab/feedsim/checker.go
+++ b/internal/lab/feedsim/checker.go
@@ -47,13 +47,13 @@
 }
 
 // applied judges one step of a follower.
-func (w *World) applied(f *follower, a changefeed.Applied) {
+func (w *World) applied(f *follower, a changefeed.Update) {
 	t := &f.took
 	if a.Version <= t.version {
 		w.fail(WentBack, "follower %d from %d to %d", f.num, t.version, a.Version)
 		return
 	}
-	if !a.Whole && a.Version != t.version+1 {
+	if !a.Complete && a.Version != t.version+1 {
 		w.fail(Skipped, "follower %d from %d to %d by a change", f.num, t.version, a.Version)
 		return
 	}
@@ -61,14 +61,14 @@
 		w.fail(Mixed, "follower %d has version %d, %d are agreed", f.num, a.Version, len(w.agreed)-1)
 		return
 	}
-	if a.Whole {
+	if a.Complete {
 		clear(t.items)
 		t.sum = 0
 	}
 	for _, i := range a.Items {
 		t.sum -= t.items[i.Key]
 		delete(t.items, i.Key)
-		if !i.Gone {
+		if !i.Deleted {
 			t.items[i.Key] = own(i)
 			t.sum += own(i)
 		}
@@ -96,12 +96,12 @@
 		w.fail(Mixed, "follower %d at version %d has another digest", f.num, st.Version())
 		return
 	}
-	current := f.core.Current(now)
+	current := f.core.IsCurrent(now)
 	if w.believes != nil {
 		current = w.believes(f, now)
 	}
 	if current {
-		if v := w.versionAt(w.now - changefeed.Lease); v > st.Version() {
+		if v := w.versionAt(w.now - changefeed.DefaultLease); v > st.Version() {
 			w.fail(FalselyNew, "follower %d at version %d, %d was agreed a lease ago", f.num, st.Version(), v)
 		}
 	}
@@ -130,7 +130,7 @@
 			}
 			w.Due++
 			if f.core.State().Version() < t.seen {
-				w.fail(NotInForce, "version %d of %v at follower %d, which has %d and follows %v", t.seen, a.at-time.Hour, f.num, f.core.State().Version(), f.core.Relays())
+				w.fail(NotInForce, "version %d of %v at follower %d, which has %d and follows %v", t.seen, a.at-time.Hour, f.num, f.core.State().Version(), f.core.Publishers())
 				return
 			}
 			if late := w.now - a.at; late > w.Late && dueBy(a) >= w.now {
@@ -141,10 +141,10 @@
 }
 
 func (w *World) harvest(f *follower) {
-	c := f.core.Count
-	w.Lapses += c.Lapses
-	w.Wants += c.Wants
-	w.Mismatches += c.Mismatches
+	c := f.core.Stats
+	w.Lapses += c.LeaseExpiries
+	w.Wants += c.SyncRequests
+	w.Mismatches += c.DigestMismatches
 }
 
 // judge reads all once everything has settled.
@@ -156,12 +156,12 @@
 			w.fail(Broken, "follower %d was not started again", f.num)
 			continue
 		}
-		if st := f.core.State(); st.Version() != newest || st.Digest() != w.truth.Digest() || !f.core.Current(w.time(&f.node)) || len(f.core.Relays()) < 2 {
+		if st := f.core.State(); st.Version() != newest || st.Digest() != w.truth.Digest() || !f.core.IsCurrent(w.time(&f.node)) || len(f.core.Publishers()) < 2 {
 			age, _ := f.core.Age(w.time(&f.node))
-			w.fail(Forgotten, "follower %d has version %d of %d, as of %v ago, and follows %v", f.num, st.Version(), newest, age, f.core.Relays())
+			w.fail(Forgotten, "follower %d has version %d of %d, as of %v ago, and follows %v", f.num, st.Version(), newest, age, f.core.Publishers())
 			continue
 		}
-		for _, i := range f.core.State().All("") {
+		for _, i := range f.core.State().Items("") {
 			if w.model[i.Key] != own(i) {
 				w.fail(Mixed, "follower %d has another value of %s", f.num, i.Key)
 			}
--- a/internal/lab/feedsim/play.go
+++ b/internal/lab/feedsim/play.go
@@ -44,19 +44,19 @@
 // ---- The log's stand-in: versions are agreed at one place while most voters can be reached from there.
 
 func (w *World) agree(items []changefeed.Item) {
-	c, err := w.truth.Next(items)
+	c, err := w.truth.Append(items)
 	if err != nil {
 		w.fail(Broken, "the source refuses: %v", err)
 		return
 	}
 	last := w.agreed[len(w.agreed)-1]
-	a := agreed{at: w.now, digest: c.After, sum: last.sum}
+	a := agreed{at: w.now, digest: c.DigestAfter, sum: last.sum}
 	for _, i := range items {
 		if old, is := w.values()[i.Key]; is {
 			a.sum -= old
 			delete(w.values(), i.Key)
 		}
-		if !i.Gone {
+		if !i.Deleted {
 			w.values()[i.Key] = own(i)
 			a.sum += own(i)
 		}
@@ -97,7 +97,7 @@
 			key := fmt.Sprintf("%sk%d", changefeed.ConfigPrefix, w.rng.IntN(60))
 			item := changefeed.Item{Key: key, Value: fmt.Appendf(nil, "%d %0*d", w.putN, w.rng.IntN(200), 0)}
 			if w.rng.IntN(10) == 0 {
-				item = changefeed.Item{Key: key, Gone: true}
+				item = changefeed.Item{Key: key, Deleted: true}
 			}
 			items := []changefeed.Item{item}
 			if w.rng.IntN(50) == 0 { // a member is named anew
@@ -123,7 +123,7 @@
 		if w.cut(&r.node, &lead.node) || w.leader != lead.num || !w.leads(lead) {
 			return
 		}
-		changes, ok := w.truth.Since(version, digest)
+		changes, ok := w.truth.ChangesSince(version, digest)
 		newest := w.truth.Version()
 		var snap *changefeed.Snapshot
 		if !ok {
@@ -143,8 +143,8 @@
 				for _, c := range changes {
 					_ = r.log.Apply(*c)
 				}
-				r.core.Published()
-				r.core.Fresh(asked, newest)
+				r.core.LogChanged()
+				r.core.ConfirmVersion(asked, newest)
 				w.readyRelay(r)
 			})
 		})
@@ -248,7 +248,7 @@
 	}
 	w.Kills++
 	if w.rng.IntN(2) == 0 && w.running(&f.node) { // a restart as planned
-		f.core.Leave()
+		f.core.Disconnect()
 		w.readyFollower(f)
 	}
 	f.up, f.dark = false, w.rng.IntN(3) == 0
@@ -355,7 +355,7 @@
 			planned := w.rng.IntN(2) == 0
 			for _, r := range w.relays {
 				if planned && w.running(&r.node) {
-					r.core.Leave()
+					r.core.Drain()
 					w.readyRelay(r)
 				}
 				w.killRelay(r, w.chance(3*time.Second))
@@ -363,7 +363,7 @@
 		}
 	case 11: // a relay ends as planned
 		if w.running(&r.node) {
-			r.core.Leave()
+			r.core.Drain()
 			w.readyRelay(r)
 			w.killRelay(r, span)
 		}
--- a/internal/lab/feedsim/world.go
+++ b/internal/lab/feedsim/world.go
@@ -83,7 +83,7 @@
 	Refused                               int // messages that a follower did not take
 
 	// What tests put in around a follower: what it is given in place of a message, and what it believes of itself.
-	given    func(f *follower, addr string, m changefeed.Msg) changefeed.Msg
+	given    func(f *follower, addr string, m changefeed.Message) changefeed.Message
 	believes func(f *follower, now time.Duration) bool
 
 	sum uint64
@@ -115,14 +115,14 @@
 	node
 	addr  string
 	log   *changefeed.Log
-	core  *changefeed.Relay
+	core  *changefeed.Publisher
 	conns map[uint64]*conn
 }
 
 type follower struct {
 	node
 	life  uint64
-	core  *changefeed.Follower
+	core  *changefeed.Subscriber
 	conns map[string]*conn
 	took  record
 }
@@ -134,8 +134,8 @@
 	r            *relay
 	fBorn, rBorn uint64
 	fOpen, rOpen bool
-	last         [2]time.Duration     // when the newest message of each way arrives, 0: to the relay
-	wait         [2][]*changefeed.Msg // held back by a cut; nil is the connection's end
+	last         [2]time.Duration         // when the newest message of each way arrives, 0: to the relay
+	wait         [2][]*changefeed.Message // held back by a cut; nil is the connection's end
 	listed       bool
 }
 
@@ -167,7 +167,7 @@
 
 // New makes a world in which all begin.
 func New(p Plan) *World {
-	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xfeed3)), now: time.Hour, truth: changefeed.NewLog(changefeed.LogConfig{Most: 400, Bytes: 1 << 20}),
+	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xfeed3)), now: time.Hour, truth: changefeed.NewLog(changefeed.LogConfig{MaxChanges: 400, MaxBytes: 1 << 20}),
 		agreed: []agreed{{}}, cut: func(*node, *node) bool { return false }}
 	items := []changefeed.Item{{Key: changefeed.FleetKey, Value: fmt.Appendf(nil, "fleet%d", p.Seed)}}
 	for i := range p.Relays {
@@ -221,7 +221,7 @@
 
 func (w *World) startRelay(r *relay) {
 	old := r.log
-	r.log = changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 256 << 10})
+	r.log = changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 256 << 10})
 	if old != nil && w.rng.IntN(3) > 0 { // what was on its disk, but for the changes that led there
 		if err := r.log.Install(*old.Snapshot()); err != nil {
 			w.fail(Broken, "relay %d does not start: %v", r.num, err)
@@ -229,7 +229,7 @@
 	}
 	r.born++
 	r.up, r.dark, r.stopped, r.waiting, r.conns, r.bornAt, r.badAt = true, false, 0, nil, map[uint64]*conn{}, w.now, w.now
-	r.core = changefeed.NewRelay(changefeed.RelayConfig{ID: r.addr, Most: 4 * w.plan.Followers, Window: windowBytes, SnapshotBytes: snapPace, Seed: w.plan.Seed<<16 ^ uint64(r.num)<<8 ^ r.born},
+	r.core = changefeed.NewPublisher(changefeed.PublisherConfig{ID: r.addr, MaxSubscribers: 4 * w.plan.Followers, WindowBytes: windowBytes, SnapshotBytesPerSecond: snapPace, Seed: w.plan.Seed<<16 ^ uint64(r.num)<<8 ^ r.born},
 		r.log, w.time(&r.node))
 }
 
@@ -242,7 +242,7 @@
 	}
 	f.up, f.dark, f.stopped, f.waiting, f.conns, f.bornAt, f.badAt = true, false, 0, nil, map[string]*conn{}, w.now, w.now
 	f.took = newRecord()
-	f.core = changefeed.NewFollower(changefeed.FollowerConfig{ID: fmt.Sprintf("b%d", f.num), Life: f.life, Zone: fmt.Sprintf("z%d", f.zone), Site: fmt.Sprintf("s%d", f.region),
+	f.core = changefeed.NewSubscriber(changefeed.SubscriberConfig{ID: fmt.Sprintf("b%d", f.num), Incarnation: f.life, Zone: fmt.Sprintf("z%d", f.zone), Site: fmt.Sprintf("s%d", f.region),
 		Seeds: seeds, Seed: w.plan.Seed<<20 ^ uint64(f.num)<<4 ^ f.born}, w.time(&f.node))
 }
 
@@ -280,7 +280,7 @@
 		return
 	}
 	w.wakes(&r.node, func() {
-		r.core.Clock(w.time(&r.node))
+		r.core.Tick(w.time(&r.node))
 		w.readyRelay(r)
 	})
 }
@@ -292,7 +292,7 @@
 	}
 	w.current(f) // before its beat: it may have been stopped until now
 	w.wakes(&f.node, func() {
-		f.core.Clock(w.time(&f.node))
+		f.core.Tick(w.time(&f.node))
 		w.readyFollower(f)
 	})
 	w.current(f)
@@ -303,12 +303,12 @@
 	for _, s := range out.Sends {
 		if c := r.conns[s.Conn]; c != nil {
 			switch {
-			case s.Out.Msg.Snapshot != nil:
+			case s.Message.Content.Snapshot != nil:
 				w.Snapshots++
-			case s.Out.Msg.Change != nil:
+			case s.Message.Content.Change != nil:
 				w.Changes++
 			}
-			w.pass(c, toFollower, &s.Out.Msg)
+			w.pass(c, toFollower, &s.Message.Content)
 		}
 	}
 	for _, num := range out.Close {
@@ -322,20 +322,20 @@
 
 func (w *World) readyFollower(f *follower) {
 	out := f.core.Ready()
-	for _, a := range out.Applied {
+	for _, a := range out.Updates {
 		w.applied(f, a)
 	}
-	for _, l := range out.Lines {
-		if l.Error() {
+	for _, l := range out.Events {
+		if l.IsAlert() {
 			w.fail(Broken, "follower %d: %v", f.num, l)
 		}
 	}
 	for _, s := range out.Sends {
 		if c := f.conns[s.Addr]; c != nil {
-			w.pass(c, toRelay, &s.Msg)
+			w.pass(c, toRelay, &s.Message)
 		}
 	}
-	for _, addr := range out.Hang {
+	for _, addr := range out.Close {
 		if c := f.conns[addr]; c != nil {
 			delete(f.conns, addr)
 			c.fOpen = false
@@ -387,10 +387,10 @@
 					return
 				}
 				if took {
-					f.core.Opened(addr)
+					f.core.Connected(addr)
 				} else {
 					delete(f.conns, addr)
-					f.core.Failed(addr)
+					f.core.DialFailed(addr)
 				}
 				w.readyFollower(f)
 			})
@@ -399,7 +399,7 @@
 }
 
 // pass sends a message on a connection; nil is its end, which is not lost.
-func (w *World) pass(c *conn, way int, m *changefeed.Msg) {
+func (w *World) pass(c *conn, way int, m *changefeed.Message) {
 	times := 1
 	if m != nil && w.loss > 0 {
 		switch roll := w.rng.Float64(); {
@@ -415,7 +415,7 @@
 	}
 }
 
-func (w *World) arrive(c *conn, way int, m *changefeed.Msg) {
+func (w *World) arrive(c *conn, way int, m *changefeed.Message) {
 	from, to := &c.f.node, &c.r.node
 	if way == toFollower {
 		from, to = to, from
@@ -451,7 +451,7 @@
 	}
 }
 
-func (w *World) deliver(c *conn, way int, m *changefeed.Msg) {
+func (w *World) deliver(c *conn, way int, m *changefeed.Message) {
 	w.note(c, way, m)
 	w.Messages++
 	if way == toRelay {
@@ -470,9 +470,9 @@
 			case m == nil:
 				c.rOpen = false
 				delete(r.conns, c.num)
-				r.core.Closed(c.num)
+				r.core.ConnectionClosed(c.num)
 			case m.Hello != nil:
-				_ = r.core.Opened(w.time(&r.node), c.num, *m.Hello)
+				_ = r.core.Connected(w.time(&r.node), c.num, *m.Hello)
 			default:
 				_ = r.core.Step(w.time(&r.node), c.num, *m)
 			}
@@ -495,7 +495,7 @@
 		if m == nil {
 			c.fOpen = false
 			delete(f.conns, addr)
-			f.core.Closed(addr)
+			f.core.ConnectionClosed(addr)
 		} else {
 			one := *m
 			if w.given != nil {
@@ -513,14 +513,14 @@
 // reset ends a connection at both ends, and what is under way on it.
 func (w *World) reset(c *conn) {
 	w.Resets++
-	c.wait = [2][]*changefeed.Msg{}
+	c.wait = [2][]*changefeed.Message{}
 	f, r := c.f, c.r
 	if r.up && r.born == c.rBorn && c.rOpen {
 		w.run(&r.node, func() {
 			if c.rOpen && r.born == c.rBorn {
 				c.rOpen = false
 				delete(r.conns, c.num)
-				r.core.Closed(c.num)
+				r.core.ConnectionClosed(c.num)
 				w.readyRelay(r)
 			}
 		})
@@ -530,7 +530,7 @@
 			if c.fOpen && f.born == c.fBorn && f.conns[r.addr] == c {
 				c.fOpen = false
 				delete(f.conns, r.addr)
-				f.core.Closed(r.addr)
+				f.core.ConnectionClosed(r.addr)
 				w.readyFollower(f)
 			}
 		})
@@ -538,7 +538,7 @@
 }
 
 // note keeps a sum over all that arrived: the same seed gives the same one.
-func (w *World) note(c *conn, way int, m *changefeed.Msg) {
+func (w *World) note(c *conn, way int, m *changefeed.Message) {
 	h := fnv.New64a()
 	var b [8]byte
 	for _, v := range []uint64{w.sum, uint64(w.now), c.num, uint64(way), kind(m)} {
@@ -548,7 +548,7 @@
 	w.sum = h.Sum64()
 }
 
-func kind(m *changefeed.Msg) uint64 {
+func kind(m *changefeed.Message) uint64 {
 	switch {
 	case m == nil:
 		return 0
@@ -556,12 +556,12 @@
 		return 1 + m.Change.Version<<4
 	case m.Snapshot != nil:
 		return 2 + m.Snapshot.Version<<4
-	case m.Renew != nil:
-		return 3 + m.Renew.Version<<4
-	case m.Renewed != nil:
-		return 4 + m.Renewed.Version<<4 + uint64(m.Renewed.Age)<<32
-	case m.Want != nil:
-		return 5 + m.Want.Version<<4
+	case m.RenewRequest != nil:
+		return 3 + m.RenewRequest.Version<<4
+	case m.RenewResponse != nil:
+		return 4 + m.RenewResponse.Version<<4 + uint64(m.RenewResponse.Age)<<32
+	case m.SyncRequest != nil:
+		return 5 + m.SyncRequest.Version<<4
 	}
 	return 6
 }
--- a/internal/lab/feedsim/world_test.go
+++ b/internal/lab/feedsim/world_test.go
@@ -51,10 +51,10 @@
 }
 
 // harm has one change of so many come with another value than was agreed.
-func harm(w *World, each int) func(*follower, string, changefeed.Msg) changefeed.Msg {
+func harm(w *World, each int) func(*follower, string, changefeed.Message) changefeed.Message {
 	n := 0
-	return func(_ *follower, _ string, m changefeed.Msg) changefeed.Msg {
-		if m.Change == nil || m.Change.Items[0].Gone || w.calm {
+	return func(_ *follower, _ string, m changefeed.Message) changefeed.Message {
+		if m.Change == nil || m.Change.Items[0].Deleted || w.calm {
 			return m
 		}
 		if n++; n%each != 0 {
@@ -63,7 +63,7 @@
 		c := *m.Change
 		c.Items = slices.Clone(c.Items)
 		c.Items[0].Value = append([]byte("harmed "), c.Items[0].Value...)
-		return changefeed.Msg{Change: &c}
+		return changefeed.Message{Change: &c}
 	}
 }
 
@@ -90,27 +90,27 @@
 	}{
 		"digest not checked": {Mixed, func(w *World) {
 			harmed := harm(w, 20)
-			w.given = func(f *follower, addr string, m changefeed.Msg) changefeed.Msg {
+			w.given = func(f *follower, addr string, m changefeed.Message) changefeed.Message {
 				m = harmed(f, addr, m)
 				st := f.core.State()
 				if m.Change == nil || m.Change.Version != st.Version()+1 || st.Version() == 0 {
 					return m
 				}
-				l := changefeed.NewLog(changefeed.LogConfig{Most: 1, Bytes: 1}) // what the change comes to there, whatever it says
-				if err := l.Install(changefeed.Snapshot{Fleet: st.Fleet(), Version: st.Version(), Digest: st.Digest(), Items: st.All("")}); err != nil {
+				l := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 1, MaxBytes: 1}) // what the change comes to there, whatever it says
+				if err := l.Install(changefeed.Snapshot{Fleet: st.Fleet(), Version: st.Version(), Digest: st.Digest(), Items: st.Items("")}); err != nil {
 					t.Fatal(err)
 				}
-				c, err := l.Next(m.Change.Items)
+				c, err := l.Append(m.Change.Items)
 				if err != nil {
 					return m
 				}
-				return changefeed.Msg{Change: &c}
+				return changefeed.Message{Change: &c}
 			}
 		}},
 		"snapshot over a newer state": {WentBack, func(w *World) {
-			w.given = func(f *follower, _ string, m changefeed.Msg) changefeed.Msg {
+			w.given = func(f *follower, _ string, m changefeed.Message) changefeed.Message {
 				if s := m.Snapshot; s != nil && s.Version < f.core.State().Version() {
-					w.applied(f, changefeed.Applied{Version: s.Version, Items: s.Items, Whole: true}) // as if it were taken
+					w.applied(f, changefeed.Update{Version: s.Version, Items: s.Items, Complete: true}) // as if it were taken
 				}
 				return m
 			}
