--- /dev/null
+++ b/internal/deployment/golden_test.go
@@ -0,0 +1,175 @@
+package deployment
+
+import (
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+)
+
+var updateGolden = flag.Bool("update", false, "write testdata/*.golden from the present build")
+
+// compareGolden compares a text with a file in testdata that an earlier build wrote.
+func compareGolden(t *testing.T, file, text string) {
+	t.Helper()
+	if *updateGolden {
+		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text != string(want) {
+		t.Errorf("%s: is\n%swas\n%s", file, text, want)
+	}
+}
+
+// describe writes every field of a Deployment by names of its own.
+func describe(d *Deployment) string {
+	var text strings.Builder
+	line := func(name string, value any) { fmt.Fprintf(&text, "%s: %v\n", name, value) }
+	p := d.Policy
+	line("balancers", p.Peers)
+	line("index", p.Index)
+	line("zone", p.Zone)
+	line("excess weight", p.ExcessUtility)
+	line("may probe", p.MayProbe)
+	line("may gossip", p.MayTell)
+	line("exact weights", p.HeftExact)
+	line("may send Retry-After", p.MayAdvise)
+	line("longest Retry-After", p.LongestAdvice)
+	line("attempts", p.MostTries)
+	line("overload multiple", p.FallMultiple)
+	line("overload window", p.FallFor)
+	line("slow-start floor", p.ColdFrom)
+	line("slow-start window", p.ColdFor)
+	line("cross-zone price", p.CrossingPrice)
+	line("nines", p.Nines)
+	line("wanted nines", p.NinesWanted)
+	line("load reports when polled", p.ReportsOnAsk)
+	line("load reports of the servers", p.ServersTell)
+	for n, g := range p.Grades {
+		line(fmt.Sprintf("class %d", n), fmt.Sprint(uint8(g.Effect), uint8(g.Scope), g.Window, g.SetupGoal, g.MessageGoal, g.Utility))
+	}
+	for n, tenant := range p.Tenants {
+		line(fmt.Sprintf("tenant %d", n), tenant.Connections)
+	}
+	line("report fields", d.ReportFields)
+	for _, names := range []map[string]int{d.Grades, d.Tenants, d.Zones} {
+		for _, name := range slices.Sorted(maps.Keys(names)) {
+			line("name "+name, names[name])
+		}
+	}
+	line("deadlines", d.OuterLimits)
+	line("list on request", d.AskForList)
+	line("connect timeout", d.ConnectWithin)
+	return text.String()
+}
+
+// TestSettingsAreReadAsBefore reads settings with every key.
+func TestSettingsAreReadAsBefore(t *testing.T) {
+	text, err := os.ReadFile("testdata/settings.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	d, err := Read(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "testdata/settings.golden", describe(d))
+}
+
+// TestStationFilesAreReadAsBefore reads a whole file, alone, under variables that win over it, and in the place of another.
+func TestStationFilesAreReadAsBefore(t *testing.T) {
+	var text strings.Builder
+	var first *Station
+	for _, c := range []struct {
+		name string
+		env  map[string]string
+		was  bool
+	}{
+		{"alone", nil, false},
+		{"under variables", map[string]string{"EDGE_NAME": "other", "EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2", "EDGE_MGMT": "127.0.0.1:3"}, false},
+		{"in the place of another", map[string]string{"EDGE_DISCOVERY": "127.0.0.1:2"}, true},
+	} {
+		was := first
+		if !c.was {
+			was = nil
+		}
+		s, err := ReadStation(func(key string) string {
+			if key == "EDGE_CONFIG" {
+				return "testdata/station.json"
+			}
+			return c.env[key]
+		}, was)
+		if err != nil {
+			t.Fatal(err)
+		}
+		first = s
+		fmt.Fprintf(&text, "%s: name %s, listen %s, discovery %s, mgmt %s, seed %d, cores %v, memory %d, sockets %d, gossip at %v to %v, fixed %q, "+
+			"revision %d, whole %v\n", c.name, s.Name, s.Listen, s.Discovery, s.Mgmt, s.Seed, s.Cores, s.MemoryMB, s.Sockets, s.Peers.Listen, s.Peers.Others,
+			s.Fixed, s.Known.Rev, s.Known.Whole)
+		for _, server := range s.Known.Servers {
+			fmt.Fprintln(&text, server.UID, server.Endpoint, server.Zone, server.Cell, server.Model, uint8(server.State), server.Heft, server.Boot.UnixMilli())
+		}
+		text.WriteString(describe(s.Deployment))
+	}
+	compareGolden(t, "testdata/station.golden", text.String())
+}
+
+// TestBadSettingsAreNamedAsBefore holds the errors that operators read.
+func TestBadSettingsAreNamedAsBefore(t *testing.T) {
+	settings, err := os.ReadFile("testdata/settings.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	station, err := os.ReadFile("testdata/station.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text strings.Builder
+	for _, change := range [][2]string{
+		{`"PeersTotal"`, `"x"`}, {`"Zone": 1`, `"x": 1`}, {`"RegistryMode"`, `"x"`}, {`"on_request"`, `"x"`}, {`"ServiceGrades"`, `"x"`},
+		{`"Guarantees"`, `"x"`}, {`"Limits"`, `"x"`}, {`"MostSetupTries"`, `"x"`}, {`"ColdFrom"`, `"x"`}, {`"ColdUs"`, `"x"`},
+		{`"FallMultiple"`, `"x"`}, {`"FallUs"`, `"x"`}, {`"Mode": "proxy"`, `"Mode": "x"`}, {`"NinesWanted": 4.5`, `"NinesWanted": -1`},
+		{`"nominal"`, `"x"`}, {`"How": "probe"`, `"How": "x"`}, {`"Effect": "read_like"`, `"x": 1`}, {`"read_like"`, `"x"`},
+		{`"Group": "zone"`, `"Group": "x"`},
+	} {
+		_, err := Read([]byte(strings.Replace(string(settings), change[0], change[1], 1)))
+		fmt.Fprintf(&text, "%s for %s: %v\n", change[1], change[0], err)
+	}
+	file := t.TempDir() + "/station.json"
+	for _, change := range [][2]string{
+		{`"listen": "127.0.0.1:7000"`, `"listen": "x"`}, {`"discovery": "127.0.0.1:7001"`, `"discovery": "x"`},
+		{`"discovery": "127.0.0.1:7001"`, `"discovery": ":7"`}, {`"mgmt": "127.0.0.1:7002"`, `"mgmt": "x"`}, {`"seed": "1f"`, `"seed": "x"`},
+		{`"cores"`, `"x"`}, {`"memory_mb"`, `"x"`}, {`"sockets"`, `"x"`}, {`"rev"`, `"x"`}, {`"PeersTotal"`, `"x"`}, {`"peers": {`, `"x": {`},
+		{`"listen": "127.0.0.1:7003"`, `"listen": "x"`}, {`"127.0.0.1:7005"`, `"x"`}, {`"127.0.0.1:7005"`, `"127.0.0.1:7004"`},
+		{`, "127.0.0.1:7005"`, ``}, {`"OuterLimitUs": 2000000`, `"x": 1`}, {`"LatencyGoalUs": 300000`, `"x": 1`}, {`"MaxRetryAfterUs"`, `"x"`},
+		{`"Utility": 4.0`, `"x": 1`}, {`{`, `[`},
+	} {
+		if err := os.WriteFile(file, []byte(strings.Replace(string(station), change[0], change[1], 1)), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		env := func(path string) func(string) string {
+			return func(key string) string {
+				if key == "EDGE_CONFIG" {
+					return path
+				}
+				return ""
+			}
+		}
+		was, err := ReadStation(env("testdata/station.json"), nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, atStart := ReadStation(env(file), nil)
+		_, later := ReadStation(env(file), was)
+		fmt.Fprintf(&text, "%s for %s: at the start: %v; later: %v\n", change[1], change[0], atStart, later)
+	}
+	compareGolden(t, "testdata/errors.golden", text.String())
+}
--- /dev/null
+++ b/internal/loadgossip/golden_test.go
@@ -0,0 +1,53 @@
+package loadgossip
+
+import (
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"sabletally/policy"
+)
+
+var updateGolden = flag.Bool("update", false, "write testdata/datagrams.golden from the present build")
+
+const goldenFile = "testdata/datagrams.golden"
+
+// TestDatagramsAreAsBefore compares the bytes of messages, and what is read of them, with those of the build that wrote testdata.
+func TestDatagramsAreAsBefore(t *testing.T) {
+	long := policy.Told{Mark: 0xcafe0123, First: 5}
+	for n := range 500 {
+		long.Loads = append(long.Loads, float64(n*n%977)*13.5)
+		long.Jammed = append(long.Jammed, n%7 == 3)
+	}
+	var got []string
+	for _, message := range []policy.Told{
+		{},
+		{Mark: 1, Loads: []float64{0, 0}, Jammed: []bool{false, true}},
+		{Mark: 0xdeadbeef, First: 240, Loads: []float64{18410.5, 92000, 1}, Jammed: []bool{true, false, false}},
+		long,
+	} {
+		for _, datagram := range Encode(message) {
+			read, err := Decode(datagram)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got = append(got, fmt.Sprintf("%s %d %d %v %v", hex.EncodeToString(datagram), read.Mark, read.First, read.Loads, read.Jammed))
+		}
+	}
+	text := strings.Join(got, "\n") + "\n"
+	if *updateGolden {
+		if err := os.WriteFile(goldenFile, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text != string(want) {
+		t.Errorf("is\n%swas\n%s", text, want)
+	}
+}
