--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -38,7 +38,7 @@
 
 // tier is a fleet with control processes.
 type tier struct {
-	*cluster.Band
+	*cluster.MemberGroup
 	t         *testing.T
 	dir       string
 	control   []*cluster.Process
@@ -62,20 +62,20 @@
 func newTier(t *testing.T, control, zones, followers int) *tier {
 	t.Parallel()
 	dir := t.TempDir()
-	b, err := cluster.NewBand(control+followers, dir, 12)
+	b, err := cluster.NewMemberGroup(control+followers, dir, 12)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	b.Ties.Admit()
-	b.Less = fmt.Sprintf("role = \"control\"\n  voters = %d", control)
-	m := &tier{Band: b, t: t, dir: dir}
+	b.Links.Admit()
+	b.ExtraSettings = fmt.Sprintf("role = \"control\"\n  voters = %d", control)
+	m := &tier{MemberGroup: b, t: t, dir: dir}
 	for i := range control {
 		name := fmt.Sprintf("c%d", i)
 		p, err := cluster.NewProcess(name, []string{os.Args[0], "fleet", "control", filepath.Join(dir, fmt.Sprintf("fleet-%d.hcl", i)), "--name", name},
 			[]string{"SABLETALLY_CHILD=1"}, dir, nil)
 		if err == nil {
-			err = b.Enlist(i, min(3, control), zones, p)
+			err = b.Add(i, min(3, control), zones, p)
 		}
 		if err == nil {
 			err = p.Launch()
@@ -89,17 +89,17 @@
 	t.Cleanup(func() {
 		for _, p := range append(slices.Clone(m.control), m.balancers...) {
 			if t.Failed() {
-				t.Logf("%s: %s", p.Name, p.Tail())
+				t.Logf("%s: %s", p.Name, p.LogTail())
 			}
 		}
 	})
 	m.want("the control processes are together and publish", m.all, func(r fleet.Report) bool {
-		return cluster.Together(control)(r) && repaired(r) && r.Publishing.Age >= 0 && r.Publishing.Age < changefeed.Lease.Seconds()
+		return cluster.SeesQuorumOf(control)(r) && repaired(r) && r.Publishing.Age >= 0 && r.Publishing.Age < changefeed.Lease.Seconds()
 	})
 	for i := range followers {
 		f := &hollow{at: control + i}
-		f.Follow = subscriber.Open(subscriber.Options{Fleet: "lab", Name: fmt.Sprint("f", i), ID: fmt.Sprint("follower-", i), Life: 1, Zone: cluster.Zone(i % zones),
-			Site: "s", Seeds: m.seeds(), Seed: uint64(i), From: b.Ties.Listen(f.at).Addr(), Now: boottime.Now, Log: zap.NewNop(), Applied: f.applied})
+		f.Follow = subscriber.Open(subscriber.Options{Fleet: "lab", Name: fmt.Sprint("f", i), ID: fmt.Sprint("follower-", i), Life: 1, Zone: cluster.ZoneName(i % zones),
+			Site: "s", Seeds: m.seeds(), Seed: uint64(i), From: b.Links.Listen(f.at).Addr(), Now: boottime.Now, Log: zap.NewNop(), Applied: f.applied})
 		t.Cleanup(f.Close)
 		m.followers = append(m.followers, f)
 	}
@@ -117,7 +117,7 @@
 
 func (m *tier) seeds() (all []netip.AddrPort) {
 	for i := range m.control {
-		all = append(all, m.Ties.Reached(i))
+		all = append(all, m.Links.Advertised(i))
 	}
 	return all
 }
@@ -136,7 +136,7 @@
 func (m *tier) want(what string, who []int, is func(fleet.Report) bool) {
 	m.t.Helper()
 	began := time.Now()
-	if err := m.Until(what, 2*bound, who, is); err != nil {
+	if err := m.WaitUntil(what, 2*bound, who, is); err != nil {
 		m.t.Fatal(err)
 	}
 	m.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
@@ -193,7 +193,7 @@
 func (m *tier) put(i int, key, value string) uint64 {
 	m.t.Helper()
 	m.puts++
-	req, err := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/control/%s?op=op-%d", m.control[i].Mgmt, key, m.puts), strings.NewReader(value))
+	req, err := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/control/%s?op=op-%d", m.control[i].AdminAddr, key, m.puts), strings.NewReader(value))
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -252,21 +252,21 @@
 	}
 	file := filepath.Join(dir, "fleet.hcl")
 	text := fmt.Sprintf("fleet \"lab\" {\n  role = \"balancer\"\n  seeds = [%s]\n  data = %q\n  machine = %q\n  zone = %q\n  site = \"s\"\n}\n%s",
-		strings.Join(seeds, ", "), filepath.Join(dir, "data-"+machine), machine, cluster.Zone(0), extra)
+		strings.Join(seeds, ", "), filepath.Join(dir, "data-"+machine), machine, cluster.ZoneName(0), extra)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		m.t.Fatal(err)
 	}
 	p, err := cluster.NewProcess(name, []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr(), "SABLETALLY_FLEET=" + file}, dir, nil)
 	if err == nil && shared {
-		if err = p.Share(); err == nil {
-			m.t.Cleanup(p.Unshare)
+		if err = p.ShareListener(); err == nil {
+			m.t.Cleanup(p.UnshareListener)
 		}
 	}
 	if err == nil {
-		err = p.Operate()
+		err = p.EnableAdmin()
 	}
 	if err == nil {
-		err = p.Write(station(name, p, a, 7))
+		err = p.WriteConfig(station(name, p, a, 7))
 	}
 	if err == nil {
 		err = p.Launch()
@@ -307,7 +307,7 @@
 	}
 	was := lapses()
 	m.control[lost].Kill()
-	away := m.Ties.Reached(lost).String()
+	away := m.Links.Advertised(lost).String()
 	m.soon(fmt.Sprintf("c%d is lost, which %d follow: they are elsewhere", lost, most), changefeed.Lease, m.each(func(s subscriber.Status) bool {
 		return current(s) && !slices.Contains(s.Relays, away)
 	}))
@@ -318,23 +318,23 @@
 	if err := m.control[lost].Launch(); err != nil {
 		t.Fatal(err)
 	}
-	m.want("it is back", m.all, cluster.Together(5))
+	m.want("it is back", m.all, cluster.SeesQuorumOf(5))
 
 	// One is stopped, sleeps over changes and its followers' leases, and wakes on old state.
 	stopped := (lost + 2) % 5
 	_ = m.control[stopped].Signal(syscall.SIGSTOP)
-	asleep := m.Ties.Reached(stopped).String()
+	asleep := m.Links.Advertised(stopped).String()
 	m.soon("its followers are elsewhere", changefeed.Lease, m.each(func(s subscriber.Status) bool { return current(s) && !slices.Contains(s.Relays, asleep) }))
 	m.everywhere((stopped+1)%5, "config/limits", "three")
 	_ = m.control[stopped].Signal(syscall.SIGCONT)
 	m.want("it has what it missed", m.all, func(r fleet.Report) bool {
-		return cluster.Together(5)(r) && r.Publishing.Age >= 0 && r.Publishing.Age < changefeed.Lease.Seconds()
+		return cluster.SeesQuorumOf(5)(r) && r.Publishing.Age >= 0 && r.Publishing.Age < changefeed.Lease.Seconds()
 	})
 	m.everywhere(stopped, "config/limits", "four")
 
 	// A follower is cut off, and knows that by itself.
 	alone := m.followers[4]
-	m.Ties.Set(func(from, to int, tie *emulator.Tie) { tie.Cut = from == alone.at || to == alone.at })
+	m.Links.Set(func(from, to int, tie *emulator.MemberLink) { tie.Cut = from == alone.at || to == alone.at })
 	m.soon("one that is cut off says so", changefeed.Lease, func() error {
 		if s := alone.Status(); s.Current {
 			return fmt.Errorf("%+v", s)
@@ -346,7 +346,7 @@
 		t.Errorf("cut off it has %q", v)
 	}
 	before := alone.Status().Count.Snapshots
-	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
+	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
 	m.soon("it is current again", bound, all)
 	if s := alone.Status(); s.Count.Snapshots != before {
 		t.Errorf("it was sent %d snapshots for a change that was kept", s.Count.Snapshots-before)
@@ -406,7 +406,7 @@
 	}
 	m.soon("all are current again", 2*bound, all)
 	m.everywhere(2, "config/limits", "seven")
-	for _, address := range []string{m.balancers[0].Mgmt, m.control[1].Mgmt} {
+	for _, address := range []string{m.balancers[0].AdminAddr, m.control[1].AdminAddr} {
 		if code := command([]string{"fleet", "status", address}); code != 0 {
 			t.Errorf("status of %s: exit %d", address, code)
 		}
@@ -415,12 +415,12 @@
 		args []string
 		code int
 	}{
-		{[]string{"put", m.control[3].Mgmt, "config/by hand", "x"}, 1},
-		{[]string{"put", m.control[3].Mgmt, "config/by-hand", "x", "--op", "once"}, 0},
-		{[]string{"put", m.control[0].Mgmt, "config/by-hand", "x", "--op", "once"}, 0},
-		{[]string{"put", m.control[0].Mgmt, "config/by-hand", "y", "--if", "0"}, 1},
-		{[]string{"get", m.control[3].Mgmt, "config/none"}, 1},
-		{[]string{"put", m.control[0].Mgmt, "config/by-hand", "--gone"}, 0},
+		{[]string{"put", m.control[3].AdminAddr, "config/by hand", "x"}, 1},
+		{[]string{"put", m.control[3].AdminAddr, "config/by-hand", "x", "--op", "once"}, 0},
+		{[]string{"put", m.control[0].AdminAddr, "config/by-hand", "x", "--op", "once"}, 0},
+		{[]string{"put", m.control[0].AdminAddr, "config/by-hand", "y", "--if", "0"}, 1},
+		{[]string{"get", m.control[3].AdminAddr, "config/none"}, 1},
+		{[]string{"put", m.control[0].AdminAddr, "config/by-hand", "--gone"}, 0},
 	} {
 		if code := command(append([]string{"fleet"}, c.args...)); code != c.code {
 			t.Errorf("%q: exit %d, wanted %d", c.args, code, c.code)
@@ -448,8 +448,8 @@
 			t.Fatal(code, text, err)
 		}
 		m.soon(p.Name+" logs "+want, bound, func() error {
-			if !strings.Contains(p.Tail(), want) {
-				return fmt.Errorf("%s", p.Tail())
+			if !strings.Contains(p.LogTail(), want) {
+				return fmt.Errorf("%s", p.LogTail())
 			}
 			return nil
 		})
@@ -472,7 +472,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	young, err := p.Beside()
+	young, err := p.Successor()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -480,7 +480,7 @@
 	if err := young.Launch(); err != nil {
 		t.Fatal(err)
 	}
-	if err := young.Yes(); err != nil {
+	if err := young.WaitReady(); err != nil {
 		t.Fatal(err)
 	}
 	if r, err := young.Fleet(); err != nil || r.Member || r.Why == "" {
@@ -520,7 +520,7 @@
 	held := "hold \"intents\" { grades = [\"pay\"] }\n"
 	first, second := m.balancerWith("b0", "b0", held, false, a), m.balancerWith("b1", "b1", held, false, a)
 	for _, p := range m.balancers {
-		if err := p.Yes(); err != nil {
+		if err := p.WaitReady(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -588,7 +588,7 @@
 		if err := first.Launch(); err != nil {
 			t.Fatal(err)
 		}
-		if err := first.Yes(); err != nil {
+		if err := first.WaitReady(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -610,7 +610,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Write(station("n", p, a, 7)); err != nil {
+	if err := p.WriteConfig(station("n", p, a, 7)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
--- a/cmd/sabletally/descriptors_test.go
+++ b/cmd/sabletally/descriptors_test.go
@@ -122,7 +122,7 @@
 		}
 	} else {
 		s.agent.Misbehave(emulator.Mute)
-		s.back = func() { s.agent.Misbehave(emulator.Sound) }
+		s.back = func() { s.agent.Misbehave(emulator.Healthy) }
 	}
 	if err := s.child.Start(); err != nil {
 		t.Fatal(err)
@@ -194,7 +194,7 @@
 	old := s.beside()
 	s.waitLog("beside an old process")
 	linked := time.Since(began)
-	if err := s.child.Yes(); err != nil {
+	if err := s.child.WaitReady(); err != nil {
 		s.t.Error(err)
 	}
 	s.works()
--- a/cmd/sabletally/fleet_cost_test.go
+++ b/cmd/sabletally/fleet_cost_test.go
@@ -42,8 +42,8 @@
 	}()
 	m := enlistNow(t, many, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
 	m.want("every slot has its holders", m.all, repaired)
-	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { tie.Late = late })
-	if err := m.procs[0].Yes(); err != nil {
+	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Late = late })
+	if err := m.procs[0].WaitReady(); err != nil {
 		t.Fatal(err)
 	}
 	for n, grade := range []string{"order", "pay", "order", "pay"} {
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -25,7 +25,7 @@
 
 // members is a fleet of the program.
 type members struct {
-	*cluster.Band
+	*cluster.MemberGroup
 	t     *testing.T
 	procs []*cluster.Process
 	all   []int
@@ -46,28 +46,28 @@
 
 func enlistAll(t *testing.T, many int, shared bool, less, more string, a *emulator.Agent) *members {
 	dir := t.TempDir()
-	b, err := cluster.NewBand(many, dir, 11)
+	b, err := cluster.NewMemberGroup(many, dir, 11)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	b.Less, b.More = less, more
-	m := &members{Band: b, t: t}
+	b.ExtraSettings, b.ExtraBlocks = less, more
+	m := &members{MemberGroup: b, t: t}
 	for i := range many {
 		p, err := cluster.NewProcess(fmt.Sprintf("n%d", i), []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if shared {
-			if err := p.Share(); err != nil {
+			if err := p.ShareListener(); err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(p.Unshare)
+			t.Cleanup(p.UnshareListener)
 		}
-		if err := b.Enlist(i, 3, 2, p); err != nil {
+		if err := b.Add(i, 3, 2, p); err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Write(station(p.Name, p, a, 77+i)); err != nil {
+		if err := p.WriteConfig(station(p.Name, p, a, 77+i)); err != nil {
 			t.Fatal(err)
 		}
 		if err := p.Launch(); err != nil {
@@ -79,7 +79,7 @@
 	t.Cleanup(func() {
 		for i := range m.procs {
 			if t.Failed() {
-				t.Logf("n%d: %s", i, m.procs[i].Tail())
+				t.Logf("n%d: %s", i, m.procs[i].LogTail())
 			}
 		}
 	})
@@ -118,9 +118,9 @@
 // logsOf waits until a process's log has a word.
 func (m *members) logsOf(p *cluster.Process, word string) {
 	m.t.Helper()
-	for end := time.Now().Add(bound); !strings.Contains(p.Tail(), word); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(bound); !strings.Contains(p.LogTail(), word); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			m.t.Fatalf("%s does not log %s: %s", p.Name, word, p.Tail())
+			m.t.Fatalf("%s does not log %s: %s", p.Name, word, p.LogTail())
 		}
 	}
 }
@@ -128,7 +128,7 @@
 // logs waits until a member's log has a word.
 func (m *members) logs(i int, word string) {
 	m.t.Helper()
-	for end := time.Now().Add(bound); !strings.Contains(m.procs[i].Tail(), word); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(bound); !strings.Contains(m.procs[i].LogTail(), word); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			for j := range m.procs {
 				m.t.Logf("n%d: %+v", j, m.report(j).Held)
@@ -154,10 +154,10 @@
 	dir := m.t.TempDir()
 	p, err := cluster.NewProcess("single", []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
 	if err == nil {
-		err = p.Operate()
+		err = p.EnableAdmin()
 	}
 	if err == nil {
-		err = p.Write(station("single", p, a, 7))
+		err = p.WriteConfig(station("single", p, a, 7))
 	}
 	if err != nil {
 		m.t.Fatal(err)
@@ -180,7 +180,7 @@
 func (m *members) want(what string, who []int, is func(fleet.Report) bool) {
 	m.t.Helper()
 	began := time.Now()
-	if err := m.Until(what, 2*bound, who, is); err != nil {
+	if err := m.WaitUntil(what, 2*bound, who, is); err != nil {
 		m.t.Fatal(err)
 	}
 	m.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
@@ -188,7 +188,7 @@
 
 func (m *members) together() {
 	m.t.Helper()
-	m.want("all see all", m.all, cluster.Together(len(m.all)))
+	m.want("all see all", m.all, cluster.SeesQuorumOf(len(m.all)))
 }
 
 func (m *members) without(i int) []int {
@@ -211,24 +211,24 @@
 	m := enlist(t, 5, false)
 	gone := func(i int) func(fleet.Report) bool {
 		return func(r fleet.Report) bool {
-			return cluster.Sees(r, fmt.Sprintf("n%d", i)) == "gone" && r.Standing == "together"
+			return cluster.MemberState(r, fmt.Sprintf("n%d", i)) == "gone" && r.Standing == "together"
 		}
 	}
 
-	m.Ties.Set(func(_, _ int, tie *emulator.Tie) {
-		*tie = emulator.Tie{Loss: 0.3, Mixed: 0.3, Late: 20 * time.Millisecond}
+	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) {
+		*tie = emulator.MemberLink{Loss: 0.3, Mixed: 0.3, Late: 20 * time.Millisecond}
 	})
 	_ = m.procs[4].Signal(syscall.SIGSTOP)
 	m.want("the stopped one is missed, over bad ways", m.without(4), gone(4))
 	_ = m.procs[4].Signal(syscall.SIGCONT)
-	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
+	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
 	m.together()
 	if r := m.report(4); r.Stalls == 0 || r.Self.Life != 1 {
 		t.Errorf("the one that was stopped knows of no stall: %+v", r)
 	}
 
 	was := m.report(3).Self.ID
-	if err := m.Lose(3); err != nil {
+	if err := m.LoseMachine(3); err != nil {
 		t.Fatal(err)
 	}
 	m.want("the lost one is missed", m.without(3), gone(3))
@@ -243,16 +243,16 @@
 		return slices.ContainsFunc(r.Others, func(o fleet.One) bool { return o.ID == was && o.State == "gone" && o.By != "" })
 	})
 
-	m.Ties.Set(func(from, to int, tie *emulator.Tie) { tie.Cut = from < 2 != (to < 2) })
+	m.Links.Set(func(from, to int, tie *emulator.MemberLink) { tie.Cut = from < 2 != (to < 2) })
 	m.want("two stand apart", []int{0, 1}, func(r fleet.Report) bool { return r.Standing == "apart" && r.Here == 2 })
-	m.want("three go on", []int{2, 3, 4}, cluster.Together(3))
-	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
+	m.want("three go on", []int{2, 3, 4}, cluster.SeesQuorumOf(3))
+	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
 	m.together()
 
-	m.Ties.Set(func(from, to int, tie *emulator.Tie) { tie.Cut = from == 1 }) // what it says is lost, what it is told is not
+	m.Links.Set(func(from, to int, tie *emulator.MemberLink) { tie.Cut = from == 1 }) // what it says is lost, what it is told is not
 	m.want("one that nobody hears is missed", m.without(1), gone(1))
 	m.want("and knows that it is apart", []int{1}, func(r fleet.Report) bool { return r.Standing == "apart" })
-	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
+	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
 	m.together()
 
 	m.anew()
@@ -261,7 +261,7 @@
 		t.Errorf("%+v", is)
 	}
 	_ = m.procs[2].Signal(syscall.SIGTERM)
-	m.want("one that leaves says so", m.without(2), func(r fleet.Report) bool { return cluster.Sees(r, "n2") == "left" && r.Standing == "together" })
+	m.want("one that leaves says so", m.without(2), func(r fleet.Report) bool { return cluster.MemberState(r, "n2") == "left" && r.Standing == "together" })
 	<-m.procs[2].Exited()
 }
 
@@ -287,19 +287,19 @@
 			code, text, err := m.procs[i].Call("GET", "/control/ready")
 			if err == nil && !strings.Contains(text, "starting") {
 				if !strings.Contains(text, want) {
-					t.Fatalf("n%d starts with %d %s, wanted %q: %s", i, code, text, want, m.procs[i].Tail())
+					t.Fatalf("n%d starts with %d %s, wanted %q: %s", i, code, text, want, m.procs[i].LogTail())
 				}
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatal(m.procs[i].Tail())
+				t.Fatal(m.procs[i].LogTail())
 			}
 		}
 	}
 	say(3, "/control/out-of-service", `"fleet: word is held"`)
 	for _, lost := range []int{3, 0, 4, 1} {
 		was := m.report(lost)
-		if err := m.Lose(lost); err != nil {
+		if err := m.LoseMachine(lost); err != nil {
 			t.Fatal(err)
 		}
 		if err := m.procs[lost].Launch(); err != nil {
@@ -308,13 +308,13 @@
 		starts(lost, map[bool]string{true: "out of service", false: "yes"}[lost == 3])
 		m.want(fmt.Sprintf("what n%d held is copied anew", lost), m.all, func(r fleet.Report) bool {
 			old := slices.IndexFunc(r.Others, func(o fleet.One) bool { return o.ID == was.Self.ID && o.State == "here" })
-			return cluster.Together(5)(r) && repaired(r) && r.Held.Epoch > was.Held.Epoch && r.Held.Members == 5 && old < 0
+			return cluster.SeesQuorumOf(5)(r) && repaired(r) && r.Held.Epoch > was.Held.Epoch && r.Held.Members == 5 && old < 0
 		})
 	}
 	// One that leaves as planned hands over before it ends.
 	_ = m.procs[2].Signal(syscall.SIGTERM)
 	<-m.procs[2].Exited()
-	if tail := m.procs[2].Tail(); !strings.Contains(tail, `"fleet: handed over","name":"n2","all":true`) {
+	if tail := m.procs[2].LogTail(); !strings.Contains(tail, `"fleet: handed over","name":"n2","all":true`) {
 		t.Errorf("it left with what it held: %s", tail)
 	}
 	// A slot has four for as long as one that has joined is a holder and the one that leaves is not yet none; and a member hears of
@@ -339,14 +339,14 @@
 	}
 	starts(3, "yes")
 	starts(4, "yes") // it was started anew too, and nobody has asked it yet
-	if code := command([]string{"fleet", "status", m.procs[4].Mgmt}); code != 0 {
+	if code := command([]string{"fleet", "status", m.procs[4].AdminAddr}); code != 0 {
 		t.Errorf("status: exit %d", code)
 	}
-	if code := command([]string{"fleet", "verify", m.Data(4)}); code != 1 {
+	if code := command([]string{"fleet", "verify", m.DataDir(4)}); code != 1 {
 		t.Errorf("verify of a directory that a process has: exit %d", code)
 	}
 	m.procs[4].Kill()
-	if code := command([]string{"fleet", "verify", m.Data(4)}); code != 0 {
+	if code := command([]string{"fleet", "verify", m.DataDir(4)}); code != 0 {
 		t.Errorf("verify: exit %d", code)
 	}
 }
@@ -360,7 +360,7 @@
 	m := enlistWith(t, 5, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
 	m.want("every slot has its holders", m.all, repaired)
 	for _, p := range m.procs {
-		if err := p.Yes(); err != nil {
+		if err := p.WaitReady(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -400,7 +400,7 @@
 		for range many {
 			session()
 		}
-		if err := m.Lose(lost); err != nil {
+		if err := m.LoseMachine(lost); err != nil {
 			t.Fatal(err)
 		}
 		began, slowest := time.Now(), time.Duration(0)
@@ -519,14 +519,14 @@
 			text := station(p.Name, p, a, 5)
 			from := strings.Index(string(text), `"known":`)
 			to := strings.Index(string(text), `,"settings"`)
-			if err := p.Write([]byte(string(text[:from]) + `"known":{"rev":0,"all":false,"targets":[]}` + string(text[to:]))); err != nil {
+			if err := p.WriteConfig([]byte(string(text[:from]) + `"known":{"rev":0,"all":false,"targets":[]}` + string(text[to:]))); err != nil {
 				t.Fatal(err)
 			}
 			began := time.Now()
 			if err := p.Launch(); err != nil {
 				t.Fatal(err)
 			}
-			if err := p.Yes(); err != nil {
+			if err := p.WaitReady(); err != nil {
 				t.Fatal(err)
 			}
 			ready := time.Since(began)
@@ -557,7 +557,7 @@
 			t.Logf("ready after %v, served after %v", ready, time.Since(began))
 			_ = p.Signal(syscall.SIGUSR1)
 			m.logsOf(p, `"why":"asked"`)
-			tail := p.Tail()
+			tail := p.LogTail()
 			tail = tail[strings.LastIndex(tail, `"why":"asked"`):]
 			if none := strings.Contains(tail, `"candidates":0`); none == c.candidates || !strings.Contains(tail, `"ended-connect-failed":0`) {
 				t.Errorf("candidates asked %v, wanted %v, and no try at an absent server: %s", !none, c.candidates, tail)
@@ -571,7 +571,7 @@
 func TestAnUpgradeIsOneMember(t *testing.T) {
 	m := enlist(t, 3, true)
 	was := m.report(1).Self
-	young, err := m.procs[1].Beside()
+	young, err := m.procs[1].Successor()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -579,7 +579,7 @@
 	if err := young.Launch(); err != nil {
 		t.Fatal(err)
 	}
-	if err := young.Yes(); err != nil {
+	if err := young.WaitReady(); err != nil {
 		t.Fatal(err)
 	}
 	if r, err := young.Fleet(); err != nil || r.Member || r.Why == "" {
@@ -589,21 +589,21 @@
 	<-m.procs[1].Exited()
 	m.procs[1] = young
 	for end := time.Now().Add(bound); ; time.Sleep(10 * time.Millisecond) {
-		if r, err := young.Fleet(); err == nil && cluster.Together(3)(r) {
+		if r, err := young.Fleet(); err == nil && cluster.SeesQuorumOf(3)(r) {
 			if r.Self.ID != was.ID || r.Self.Life != was.Life+1 {
 				t.Fatalf("%+v after %+v", r.Self, was)
 			}
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal(young.Tail())
+			t.Fatal(young.LogTail())
 		}
 	}
 	m.want("the others know the new process", []int{0, 2}, func(r fleet.Report) bool {
 		return slices.ContainsFunc(r.Others, func(o fleet.One) bool { return o.ID == was.ID && o.Life == was.Life+1 })
 	})
 	for _, i := range []int{0, 2} {
-		if tail := m.procs[i].Tail(); strings.Contains(tail, "fleet: member is gone") || strings.Contains(tail, "fleet: member has left") {
+		if tail := m.procs[i].LogTail(); strings.Contains(tail, "fleet: member is gone") || strings.Contains(tail, "fleet: member has left") {
 			t.Errorf("it was missed meanwhile: %s", tail)
 		}
 	}
@@ -637,7 +637,7 @@
 	}{{m.procs[0], true}, {off, false}} {
 		_ = c.p.Signal(syscall.SIGQUIT) // which writes where each goroutine is, and ends it
 		<-c.p.Exited()
-		text := c.p.Tail()
+		text := c.p.LogTail()
 		if !strings.Contains(text, "internal/balancer.(*Loop).Run") {
 			t.Fatalf("no goroutines are told: %s", text)
 		}
@@ -651,7 +651,7 @@
 func TestABadFleetFileNamesItsPlace(t *testing.T) {
 	m := enlist(t, 2, false)
 	dir := t.TempDir()
-	text, err := os.ReadFile(filepath.Join(filepath.Dir(m.Data(0)), "fleet-0.hcl"))
+	text, err := os.ReadFile(filepath.Join(filepath.Dir(m.DataDir(0)), "fleet-0.hcl"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -670,7 +670,7 @@
 			t.Fatal(err)
 		}
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), "SABLETALLY_CHILD=1", "SABLETALLY_FLEET="+file, "EDGE_CONFIG="+filepath.Join(filepath.Dir(m.Data(0)), "n0.json"),
+		cmd.Env = append(os.Environ(), "SABLETALLY_CHILD=1", "SABLETALLY_FLEET="+file, "EDGE_CONFIG="+filepath.Join(filepath.Dir(m.DataDir(0)), "n0.json"),
 			"EDGE_LISTEN=127.0.0.1:0")
 		out, _ := cmd.CombinedOutput()
 		if code := cmd.ProcessState.ExitCode(); code != 2 || !strings.Contains(string(out), c.want) {
--- a/cmd/sabletally/main_test.go
+++ b/cmd/sabletally/main_test.go
@@ -114,10 +114,10 @@
 		t.Fatal(err)
 	}
 	if slices.Contains(env, "SHARED") {
-		if err := child.Share(); err != nil {
+		if err := child.ShareListener(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(child.Unshare)
+		t.Cleanup(child.UnshareListener)
 	}
 	s.child, s.config = child, filepath.Join(dir, "n0.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
@@ -137,12 +137,12 @@
 		text = strings.Replace(text, `"sockets":64`, `"sockets":512`, 1)
 	}
 	if slices.Contains(env, "MGMT") {
-		if err := child.Operate(); err != nil {
+		if err := child.EnableAdmin(); err != nil {
 			t.Fatal(err)
 		}
-		text = strings.Replace(text, `"listen"`, fmt.Sprintf(`"mgmt":%q,"listen"`, child.Mgmt), 1)
+		text = strings.Replace(text, `"listen"`, fmt.Sprintf(`"mgmt":%q,"listen"`, child.AdminAddr), 1)
 	}
-	if err := child.Write([]byte(text)); err != nil {
+	if err := child.WriteConfig([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
 	if err := child.Start(); err != nil {
@@ -151,7 +151,7 @@
 	t.Cleanup(func() {
 		child.Kill()
 		if t.Failed() {
-			t.Log(child.Tail())
+			t.Log(child.LogTail())
 		}
 	})
 	return s
@@ -200,8 +200,8 @@
 	s.agent.Set(entry(uid, addr, state))
 }
 
-func entry(uid, addr, state string) emulator.Entry {
-	return emulator.Entry{UID: uid, Endpoint: addr, Zone: "a", Machine: "m", Cell: 1, State: state, Heft: 1}
+func entry(uid, addr, state string) emulator.Endpoint {
+	return emulator.Endpoint{UID: uid, Address: addr, Zone: "a", MachineType: "m", FailureDomain: 1, State: state, Weight: 1}
 }
 
 func (s *site) session() *emulator.Session {
@@ -885,13 +885,13 @@
 		s.mu.Lock()
 		s.log.Reset()
 		s.mu.Unlock()
-		s.agent.Say(text)
+		s.agent.ServeText(text)
 		s.waitLog("no list")
 		if _, e := s.up(); e.UID != "s-1" {
 			t.Fatal(e.UID)
 		}
 	}
-	s.agent.Say("")
+	s.agent.ServeText("")
 	s.serve("s-2")
 	s.list("s-1", "", "terminated")
 	s.waitLog("s-2")
--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -198,7 +198,7 @@
 func (s *site) next() *cluster.Process {
 	s.t.Helper()
 	old := s.beside()
-	if err := s.child.Yes(); err != nil {
+	if err := s.child.WaitReady(); err != nil {
 		s.t.Fatal(err)
 	}
 	return old
@@ -207,7 +207,7 @@
 func (s *site) beside() *cluster.Process {
 	s.t.Helper()
 	old := s.child
-	child, err := old.Beside()
+	child, err := old.Successor()
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -389,7 +389,7 @@
 			break
 		}
 		if n > 1 || time.Now().After(end) {
-			t.Fatalf("%d inherited; the old process: %s; the new one: %s", n, old.Tail(), s.child.Tail())
+			t.Fatalf("%d inherited; the old process: %s; the new one: %s", n, old.LogTail(), s.child.LogTail())
 		}
 	}
 }
@@ -438,7 +438,7 @@
 	s.allUp()
 	for n := range 1500 {
 		if n%10 == 0 {
-			c, err := net.Dial("tcp", s.child.Mgmt)
+			c, err := net.Dial("tcp", s.child.AdminAddr)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/sabletally/ready_test.go
+++ b/cmd/sabletally/ready_test.go
@@ -97,7 +97,7 @@
 	for end := time.Now().Add(readyAll); time.Now().Before(end); time.Sleep(askEach) {
 		select {
 		case <-p.Exited():
-			return fmt.Errorf("%s ended at its start: %s", p.Name, p.Tail())
+			return fmt.Errorf("%s ended at its start: %s", p.Name, p.LogTail())
 		default:
 		}
 		c, err := net.Dial("tcp", p.Addr)
@@ -112,7 +112,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s is not ready within %v: %s", p.Name, readyAll, p.Tail())
+	return fmt.Errorf("%s is not ready within %v: %s", p.Name, readyAll, p.LogTail())
 }
 
 // TestManyRestartedAtOnceAreReady kills and restarts processes together for each way in which discovery can be slow, failing or away:
@@ -149,25 +149,25 @@
 		name      string
 		discovery string
 		fault     emulator.Fault
-		desk      *emulator.Desk
+		desk      *emulator.WatchHub
 	}{
-		{"sound", a.Addr(), emulator.Sound, nil},
-		{"slow", a.Addr(), emulator.Sound, emulator.NewDesk(200*time.Millisecond, 2*time.Second)},
-		{"no time", a.Addr(), emulator.Sound, emulator.NewDesk(time.Hour, 0)},
+		{"sound", a.Addr(), emulator.Healthy, nil},
+		{"slow", a.Addr(), emulator.Healthy, emulator.NewWatchHub(200*time.Millisecond, 2*time.Second)},
+		{"no time", a.Addr(), emulator.Healthy, emulator.NewWatchHub(time.Hour, 0)},
 		{"silent", a.Addr(), emulator.Mute, nil},
 		{"faulty", a.Addr(), emulator.Faulty, nil},
-		{"refused", refused(t), emulator.Sound, nil},
+		{"refused", refused(t), emulator.Healthy, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a.Misbehave(c.fault)
-			a.Book(c.desk)
+			a.UseHub(c.desk)
 			for _, p := range procs {
 				_ = p.Signal(syscall.SIGKILL)
 			}
 			for i, p := range procs {
 				p.Kill()
 				mode, list := []string{"pushed", "on_request"}[i%2], []string{known, none}[i/2%2]
-				if err := p.Write(fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":1024},
+				if err := p.WriteConfig(fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 					"known":%s,"settings":%s}`, p.Name, p.Addr, c.discovery, 1+i, list, strings.Replace(settings, "pushed", mode, 1))); err != nil {
 					t.Fatal(err)
 				}
@@ -189,7 +189,7 @@
 		name  string
 		fault emulator.Fault
 		cut   bool
-	}{{"discovery sound", emulator.Sound, false}, {"discovery silent", emulator.Mute, false}, {"cut off", emulator.Mute, true}} {
+	}{{"discovery sound", emulator.Healthy, false}, {"discovery silent", emulator.Mute, false}, {"cut off", emulator.Mute, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			a.Misbehave(c.fault)
 			for _, p := range m.procs {
@@ -198,7 +198,7 @@
 			for _, p := range m.procs {
 				p.Kill()
 			}
-			m.Ties.Set(func(_, _ int, tie *emulator.Tie) { tie.Cut = c.cut })
+			m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Cut = c.cut })
 			startAll(t, m.procs, func(int) string { return "members" })
 			if alone := "ready without its operators' word"; c.cut {
 				for _, p := range m.procs {
@@ -219,7 +219,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Write(fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"7","limits":{"cores":1,"memory_mb":192,"sockets":64},
+	if err := p.WriteConfig(fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"7","limits":{"cores":1,"memory_mb":192,"sockets":64},
 		"known":{"rev":0,"all":true,"targets":[]},"settings":%s}`, p.Addr, a.Addr(), settings)); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sabletally/world_test.go
+++ b/cmd/sabletally/world_test.go
@@ -137,8 +137,8 @@
 func TestAWorldOfFaultsKeepsTheRules(t *testing.T) {
 	t.Parallel()
 	v, run := judged(t, faults)
-	if v.Circuits < 200 || run.Setups < 150 || run.BadClients < 50 || run.BadUnanswered > 0 {
-		t.Errorf("%d circuits, %d set-ups, %d bad clients, %d of them unanswered", v.Circuits, run.Setups, run.BadClients, run.BadUnanswered)
+	if v.Sessions < 200 || run.Setups < 150 || run.BadClients < 50 || run.BadUnanswered > 0 {
+		t.Errorf("%d circuits, %d set-ups, %d bad clients, %d of them unanswered", v.Sessions, run.Setups, run.BadClients, run.BadUnanswered)
 	}
 }
 
@@ -146,8 +146,8 @@
 func TestOperatorsWorkKeepsTheRules(t *testing.T) {
 	t.Parallel()
 	v, run := judged(t, operators)
-	if v.Circuits < 200 || run.Setups < 150 {
-		t.Errorf("%d circuits, %d set-ups", v.Circuits, run.Setups)
+	if v.Sessions < 200 || run.Setups < 150 {
+		t.Errorf("%d circuits, %d set-ups", v.Sessions, run.Setups)
 	}
 }
 
@@ -166,7 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !v.Kept() {
+	if !v.Passed() {
 		t.Errorf("%v\n%v", v, run.Broken)
 	}
 	return v, run
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	w := &x.World
-	_, _ = config.Write(cluster.Config(w, 0, f.Procs[0].Addr, f.Agent(0), 1, f.Known(0)))
+	_, _ = config.Write(cluster.BalancerConfig(w, 0, f.Procs[0].Addr, f.DiscoveryAddr(0), 1, f.KnownEndpoints(0)))
 	_ = config.Close()
 	fmt.Printf("The first balancer's configuration, written out: %s\n\n", config.Name())
 	run, _, v, err := f.Run(l.ctx, func(at time.Duration, text string) { fmt.Printf("%6.2fs  %s\n", at.Seconds(), text) })
@@ -56,7 +56,7 @@
 		fmt.Println("  ", b)
 	}
 	fmt.Println("verdict:", v)
-	if !v.Kept() {
+	if !v.Passed() {
 		return errBroken
 	}
 	if c.Keep {
--- a/cmd/testbed/fleet_test.go
+++ b/cmd/testbed/fleet_test.go
@@ -19,7 +19,7 @@
 				t.Fatal(err)
 			}
 			r, _, v, err := simulation.Run(x.World, "ours", 1)
-			if err != nil || len(v.Broken) > 0 || r.Served < least {
+			if err != nil || len(v.Violations) > 0 || r.Served < least {
 				t.Fatalf("%.3f of %.3f served, %v, %v", r.Served, least, v, err)
 			}
 		})
--- a/cmd/testbed/fronts.go
+++ b/cmd/testbed/fronts.go
@@ -37,14 +37,14 @@
 	if err := orders.Decode(&first); err != nil {
 		return fmt.Errorf("fronts were told nothing: %w", err)
 	}
-	f, err := emulator.NewFronts(first.Members, first.Before)
+	f, err := emulator.NewForwarders(first.Members, first.Before)
 	if err != nil {
 		return errors.Join(err, out.Encode(frontTold{Error: err.Error()}))
 	}
 	defer f.Close()
 	told := frontTold{Reached: map[int]netip.AddrPort{}}
 	for _, m := range first.Before {
-		told.Reached[m] = f.Reached(m)
+		told.Reached[m] = f.Advertised(m)
 	}
 	for {
 		if err := out.Encode(told); err != nil {
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -39,23 +39,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v.Circuits < 50 {
-		t.Fatalf("%d circuits", v.Circuits)
+	if v.Sessions < 50 {
+		t.Fatalf("%d circuits", v.Sessions)
 	}
 	return v
 }
 
 // TestBrokenBalancersAreCaught wants each found out by the right rule, and by no other.
 func TestBrokenBalancersAreCaught(t *testing.T) {
-	for broken, rule := range map[string]checker.Rule{"answers-twice": checker.OneAnswer, "never-answers": checker.OneAnswer,
-		"two-tries": checker.NoTwice, "sends-to-drained": checker.DrainsKept} {
+	for broken, rule := range map[string]checker.Rule{"answers-twice": checker.OneFinalAnswer, "never-answers": checker.OneFinalAnswer,
+		"two-tries": checker.NoDuplicateEffect, "sends-to-drained": checker.DrainRespected} {
 		t.Run(broken, func(t *testing.T) {
 			t.Parallel()
 			v := play(t, "--broken", broken)
-			if len(v.Broken) < 5 {
+			if len(v.Violations) < 5 {
 				t.Fatal(v)
 			}
-			for _, b := range v.Broken {
+			for _, b := range v.Violations {
 				if b.Rule != rule {
 					t.Fatal(b)
 				}
@@ -69,8 +69,8 @@
 	for _, name := range baseline.Names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if v := play(t, "--policy", name); !v.Kept() {
-				t.Fatal(v, v.Broken[0])
+			if v := play(t, "--policy", name); !v.Passed() {
+				t.Fatal(v, v.Violations[0])
 			}
 		})
 	}
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	r.Sum()
+	r.Summarize()
 	fmt.Print(r.Text())
 	for _, run := range r.Runs {
 		fmt.Printf("verdict %s seed %d: %s\n", run.Arm, run.Seed, run.Verdict)
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -65,7 +65,7 @@
 }
 
 func (c *scaleCmd) Run(l *lab) error {
-	plan, err := scale.Make(scale.Options{Balancers: c.Balancers, Control: c.Control, Zones: c.Zones, Regions: c.Regions, PerDay: c.ChangesPerDay,
+	plan, err := scale.NewPlan(scale.Options{Balancers: c.Balancers, Control: c.Control, Zones: c.Zones, Regions: c.Regions, PerDay: c.ChangesPerDay,
 		Burst: c.Burst, For: c.For, Seed: c.Seed, Faults: c.Faults})
 	if err != nil {
 		return err
@@ -101,14 +101,14 @@
 	case err != nil:
 		r.f.Partial = err.Error()
 	}
-	targets := &scale.Size
+	targets := &scale.DefaultTargets
 	if c.Judge == "counts" {
 		targets = nil
 	}
 	not := r.f.Judge(targets)
 	r.f.Verdict = scale.Verdict(not)
 	if r.f.Partial == "" { // a table of what wasn't measured would read as if nothing was missed
-		if err := r.f.Print(os.Stdout, &scale.Size); err != nil {
+		if err := r.f.Print(os.Stdout, &scale.DefaultTargets); err != nil {
 			return err
 		}
 	}
@@ -417,7 +417,7 @@
 	for b, f := range last.Finals {
 		r.ledger.End(b, f)
 	}
-	r.f.Take(r.ledger.Close(boottime.Now(), final))
+	r.f.AddAccount(r.ledger.Close(boottime.Now(), final))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.f.LateMs = float64(r.late.Microseconds()) / 1000
--- a/cmd/testbed/scale_world.go
+++ b/cmd/testbed/scale_world.go
@@ -142,7 +142,7 @@
 		if c.Process, err = cluster.NewProcess(name, []string{binary, "fleet", "control", file, "--mgmt", mgmt.String()}, nil, dir, log(name)); err != nil {
 			return all, fronts, err
 		}
-		c.Mgmt = mgmt.String()
+		c.AdminAddr = mgmt.String()
 	}
 	return all, fronts, nil
 }
@@ -163,7 +163,7 @@
 
 // used is the processor time of all lives.
 func (c *control) used() time.Duration {
-	before, _ := c.Used()
+	before, _ := c.TotalUsage()
 	if c.runs() {
 		before += c.CPU()
 	}
@@ -236,7 +236,7 @@
 		var last error
 		for _, c := range all {
 			if !c.runs() {
-				return fmt.Errorf("control process %s ended at its start: %s", c.Name, c.Tail())
+				return fmt.Errorf("control process %s ended at its start: %s", c.Name, c.LogTail())
 			}
 			switch r, err := c.Fleet(); {
 			case err != nil:
@@ -585,7 +585,7 @@
 		}
 		all.Wait()
 	}
-	switch s.Do {
+	switch s.Action {
 	case scale.Kill:
 		each(func(c *control) error { c.kill(); return nil })
 	case scale.End:
@@ -601,7 +601,7 @@
 		})
 	case scale.Cut, scale.Heal:
 		var off []int
-		if s.Do == scale.Cut {
+		if s.Action == scale.Cut {
 			off = s.Who
 		}
 		errs = make([]error, len(w.fronts))
@@ -625,7 +625,7 @@
 				continue
 			}
 			o := hollowOrder{Down: mine}
-			if s.Do == scale.Up {
+			if s.Action == scale.Up {
 				o = hollowOrder{Up: mine}
 			}
 			if err := h.order(o); err != nil {
@@ -639,7 +639,7 @@
 				continue
 			}
 			all.Go(func() {
-				if s.Do == scale.ZoneOn {
+				if s.Action == scale.ZoneOn {
 					if errs[i] = h.start(); errs[i] == nil {
 						errs[i] = h.order(hollowOrder{Up: w.of[i]})
 					}
@@ -661,7 +661,7 @@
 		}
 		all.Wait()
 	default:
-		return fmt.Errorf("%q is no step", s.Do)
+		return fmt.Errorf("%q is no step", s.Action)
 	}
 	return errors.Join(errs...)
 }
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -119,7 +119,7 @@
 			return err
 		}
 		before := a.process.RSS()
-		s, err := bench.Stand(a.target, c.Idle)
+		s, err := bench.OpenConnections(a.target, c.Idle)
 		if err != nil {
 			return fmt.Errorf("%s, %d cores: %w", a.Arm, a.Cores, err)
 		}
@@ -143,14 +143,14 @@
 		return err
 	}
 	for i, s := range servers {
-		agent.Set(emulator.Entry{UID: fmt.Sprintf("s-%d", i), Endpoint: s, Zone: cluster.Zone(0), State: emulator.InService, Heft: 1})
+		agent.Set(emulator.Endpoint{UID: fmt.Sprintf("s-%d", i), Address: s, Zone: cluster.ZoneName(0), State: emulator.InService, Weight: 1})
 	}
 	a.agent = agent
 	if a.process, err = cluster.NewProcess(fmt.Sprintf("%s-%d", a.Arm, a.Cores), a.command, nil, dir, nil); err != nil {
 		return err
 	}
 	a.process.CPUs = a.Cores
-	if err := a.process.Write(cluster.Config(&w, 0, a.process.Addr, agent.Addr(), 7, agent.Known())); err != nil {
+	if err := a.process.WriteConfig(cluster.BalancerConfig(&w, 0, a.process.Addr, agent.Addr(), 7, agent.Known())); err != nil {
 		return err
 	}
 	a.target = bench.NewTarget(a.process.Addr)
@@ -161,7 +161,7 @@
 func (c *throughputCmd) measure(l *lab, a *throughputArm) error {
 	s := bench.Setups(a.target, 64, c.Span)
 	paced := bench.PacedSetups(a.target, c.Setups, c.Span)
-	standing, err := bench.Stand(a.target, c.Lines)
+	standing, err := bench.OpenConnections(a.target, c.Lines)
 	if err != nil {
 		return err
 	}
--- a/internal/balancer/race_test.go
+++ b/internal/balancer/race_test.go
@@ -292,7 +292,7 @@
 			if silent {
 				agent.Misbehave(emulator.Mute)
 			}
-			agent.Set(emulator.Entry{UID: "s-1", Endpoint: x.cir.at.address, State: emulator.Terminating, Heft: 1})
+			agent.Set(emulator.Endpoint{UID: "s-1", Address: x.cir.at.address, State: emulator.Terminating, Weight: 1})
 			ctx, stop := context.WithCancel(context.Background())
 			t.Cleanup(stop)
 			heard := x.l.Lists.Load()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -219,7 +219,7 @@
 	heard := func(shared bool) int64 {
 		var count atomic.Int64
 		synctest.Test(t, func(t *testing.T) {
-			desk := emulator.NewDesk(125*time.Millisecond, 2*time.Second)
+			desk := emulator.NewWatchHub(125*time.Millisecond, 2*time.Second)
 			start := func(ctx context.Context, n int) {
 				for range n {
 					w := New("desk", 80, shared, func(l List) {
@@ -239,7 +239,7 @@
 			kill()
 			start(t.Context(), 56)
 			time.Sleep(30 * time.Second)
-			desk.Change(42, `{"rev":42,"all":false,"targets":[]}`)
+			desk.Publish(42, `{"rev":42,"all":false,"targets":[]}`)
 			time.Sleep(time.Second)
 		})
 		return count.Load()
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -114,7 +114,7 @@
 		w := fleet(t, 7)
 		defer w.close()
 		w.until("all see all", 30*time.Second, w.together(7))
-		w.net.Set(func(from, to int) memnet.Way { return memnet.Way{Cut: from < 3 != (to < 3)} })
+		w.net.Set(func(from, to int) memnet.Link { return memnet.Link{Cut: from < 3 != (to < 3)} })
 		w.until("the three stand apart and the four together", time.Minute, func() bool {
 			for i, c := range w.all {
 				want, many := membership.Together, 4
@@ -128,7 +128,7 @@
 			return true
 		})
 		time.Sleep(10 * time.Minute)
-		w.net.Set(func(int, int) memnet.Way { return memnet.Way{} })
+		w.net.Set(func(int, int) memnet.Link { return memnet.Link{} })
 		t.Log("together after", w.until("all see all again", 2*time.Minute, w.together(7)))
 	})
 }
@@ -144,12 +144,12 @@
 		}
 		w.all = w.all[3:]
 		w.until("five are left", 30*time.Second, w.together(5))
-		w.net.Set(func(from, to int) memnet.Way { return memnet.Way{Cut: from < 5 != (to < 5)} })
+		w.net.Set(func(from, to int) memnet.Link { return memnet.Link{Cut: from < 5 != (to < 5)} })
 		time.Sleep(10 * time.Minute)
 		if n := sees(w.all[0]); n != 2 {
 			t.Fatal(n)
 		}
-		w.net.Set(func(int, int) memnet.Way { return memnet.Way{} })
+		w.net.Set(func(int, int) memnet.Link { return memnet.Link{} })
 		t.Log("together after", w.until("all see all again", 3*time.Minute, w.together(5)))
 	})
 }
--- a/internal/fleet/gossip/weigh_test.go
+++ b/internal/fleet/gossip/weigh_test.go
@@ -75,7 +75,7 @@
 func library(t *testing.T, many int, loss float64, tune func(*memberlist.Config)) (f found) {
 	w := fleetOf(t, many, tune)
 	defer w.close()
-	usual := func(int, int) memnet.Way { return memnet.Way{Loss: loss} }
+	usual := func(int, int) memnet.Link { return memnet.Link{Loss: loss} }
 	w.until("all see all", 5*time.Minute, w.together(many))
 	w.net.Set(usual)
 	time.Sleep(10 * time.Second)
@@ -122,11 +122,11 @@
 		}
 		return time.Since(began)
 	}
-	w.ports[many-1].Stop()
+	w.ports[many-1].Pause()
 	f.stall = half(many - 1)
-	w.ports[many-1].Go()
+	w.ports[many-1].Resume()
 	time.Sleep(time.Minute)
-	w.net.Set(func(from, to int) memnet.Way { return memnet.Way{Loss: loss, Cut: from == many-2} })
+	w.net.Set(func(from, to int) memnet.Link { return memnet.Link{Loss: loss, Cut: from == many-2} })
 	f.cut = half(many - 2)
 	began := time.Now()
 	for w.all[many-2].Status().Standing != membership.Apart && time.Since(began) < 5*time.Minute {
--- a/internal/lab/bench/bench.go
+++ b/internal/lab/bench/bench.go
@@ -137,26 +137,26 @@
 	_ = c.Close()
 }
 
-// Spell is what one measurement found. Latencies are microseconds, from when a thing was due.
-type Spell struct {
+// Result is what one measurement found. Latencies are microseconds, from when a thing was due.
+type Result struct {
 	PerSecond float64
 	P50, P99  float64
 	Failed    int
 }
 
 // Setups has so many workers set up and drop circuits as fast as they can for a time.
-func Setups(t *Target, workers int, span time.Duration) Spell {
+func Setups(t *Target, workers int, span time.Duration) Result {
 	end := time.Now().Add(span)
 	return setups(t, workers, func() bool { return time.Now().Before(end) })
 }
 
 // SetupsOf has them set up so many circuits.
-func SetupsOf(t *Target, workers, many int) Spell {
+func SetupsOf(t *Target, workers, many int) Result {
 	var next atomic.Int64
 	return setups(t, workers, func() bool { return next.Add(1) <= int64(many) })
 }
 
-func setups(t *Target, workers int, more func() bool) Spell {
+func setups(t *Target, workers int, more func() bool) Result {
 	var n, failed atomic.Int64
 	start := time.Now()
 	var all sync.WaitGroup
@@ -176,11 +176,11 @@
 		}()
 	}
 	all.Wait()
-	return Spell{PerSecond: float64(n.Load()) / time.Since(start).Seconds(), Failed: int(failed.Load())}
+	return Result{PerSecond: float64(n.Load()) / time.Since(start).Seconds(), Failed: int(failed.Load())}
 }
 
 // paced runs do at a rate for a time, in an open loop, and gathers what each took from when it was due.
-func paced(rate float64, span time.Duration, do func(due time.Time, took func(time.Duration)) error) Spell {
+func paced(rate float64, span time.Duration, do func(due time.Time, took func(time.Duration)) error) Result {
 	h := hdrhistogram.New(1, longest, 3)
 	var mu sync.Mutex
 	var failed, n atomic.Int64
@@ -210,12 +210,12 @@
 		}()
 	}
 	all.Wait()
-	return Spell{PerSecond: float64(n.Load()) / time.Since(start).Seconds(), P50: float64(h.ValueAtQuantile(50)),
+	return Result{PerSecond: float64(n.Load()) / time.Since(start).Seconds(), P50: float64(h.ValueAtQuantile(50)),
 		P99: float64(h.ValueAtQuantile(99)), Failed: int(failed.Load())}
 }
 
 // PacedSetups sets up circuits at a rate, whether or not earlier ones are done.
-func PacedSetups(t *Target, rate float64, span time.Duration) Spell {
+func PacedSetups(t *Target, rate float64, span time.Duration) Result {
 	return paced(rate, span, func(due time.Time, took func(time.Duration)) error {
 		c, _, err := t.open(time.Minute)
 		if err != nil {
@@ -227,15 +227,15 @@
 	})
 }
 
-// Standing is a set of circuits that stand.
-type Standing struct {
+// Connections is a set of circuits that stand.
+type Connections struct {
 	conns   []net.Conn
 	readers []*bufio.Reader
 }
 
-// Stand sets up so many circuits, a few at a time.
-func Stand(t *Target, many int) (*Standing, error) {
-	s := &Standing{conns: make([]net.Conn, many), readers: make([]*bufio.Reader, many)}
+// OpenConnections sets up so many circuits, a few at a time.
+func OpenConnections(t *Target, many int) (*Connections, error) {
+	s := &Connections{conns: make([]net.Conn, many), readers: make([]*bufio.Reader, many)}
 	errs := make([]error, many)
 	room := make(chan struct{}, 32)
 	var all sync.WaitGroup
@@ -268,7 +268,7 @@
 }
 
 // Close drops them.
-func (s *Standing) Close() {
+func (s *Connections) Close() {
 	for _, c := range s.conns {
 		if c != nil {
 			drop(c)
@@ -277,7 +277,7 @@
 }
 
 // Lines sends lines on all circuits, a window of them out on each, as fast as they come back.
-func (s *Standing) Lines(ctx context.Context, window int, span time.Duration) Spell {
+func (s *Connections) Lines(ctx context.Context, window int, span time.Duration) Result {
 	var n atomic.Int64
 	end := time.Now().Add(span)
 	var all sync.WaitGroup
@@ -302,11 +302,11 @@
 		}()
 	}
 	all.Wait()
-	return Spell{PerSecond: float64(n.Load()) / span.Seconds()}
+	return Result{PerSecond: float64(n.Load()) / span.Seconds()}
 }
 
 // PacedLines sends lines at a rate over all circuits in turn; each circuit answers one before its next.
-func (s *Standing) PacedLines(rate float64, span time.Duration) Spell {
+func (s *Connections) PacedLines(rate float64, span time.Duration) Result {
 	var next atomic.Int64
 	locks := make([]sync.Mutex, len(s.conns))
 	return paced(rate, span, func(due time.Time, took func(time.Duration)) error {
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -15,13 +15,13 @@
 
 // Rules are the figures that a run is held to.
 type Rules struct {
-	DrainGrace time.Duration
-	Slack      time.Duration // more, for what the stand-ins see late; 50 ms on sockets, none in virtual time
-	HeldMost   time.Duration // a line is held so long at most
-	EndWithin  time.Duration // an end is passed on by then
-	Warmup     model.Warmup
-	Grades     []policy.Grade
-	Places     []Place // of the servers, by their index
+	DrainGrace   time.Duration
+	Slack        time.Duration // more, for what the stand-ins see late; 50 ms on sockets, none in virtual time
+	MaxLineDelay time.Duration // a line is held so long at most
+	EndWithin    time.Duration // an end is passed on by then
+	Warmup       model.Warmup
+	Grades       []policy.Grade
+	Places       []Place // of the servers, by their index
 }
 
 // Place is where a server stands, for grades whose repeats only its zone or cell drops.
@@ -32,46 +32,46 @@
 
 // The rules, and the losses that are no broken rule.
 const (
-	OneAnswer   Rule = "1 one final answer"
-	NoTwice     Rule = "2 no effect twice"
-	DrainsKept  Rule = "3 drains are kept"
-	ColdSpared  Rule = "4 cold servers are spared"
-	CutOff      Rule = "loss: cut without MOVE"
-	LineHeld    Rule = "loss: line held"
-	EndLate     Rule = "loss: end passed on late"
-	MadeUp      Rule = "loss: served with what no server made"
-	Unjudgeable Rule = "the log lost events"
+	OneFinalAnswer     Rule = "1 one final answer"
+	NoDuplicateEffect  Rule = "2 no effect twice"
+	DrainRespected     Rule = "3 drains are kept"
+	SlowStartRespected Rule = "4 cold servers are spared"
+	CutWithoutMove     Rule = "loss: cut without MOVE"
+	LineDelayed        Rule = "loss: line held"
+	CloseDelayed       Rule = "loss: end passed on late"
+	FabricatedAnswer   Rule = "loss: served with what no server made"
+	EventsLost         Rule = "the log lost events"
 )
 
-// Broken is one thing that went wrong.
-type Broken struct {
+// Violation is one thing that went wrong.
+type Violation struct {
 	At      time.Duration
 	Rule    Rule
-	Circuit uint64
-	What    string
+	Session uint64
+	Detail  string
 }
 
-func (b Broken) String() string {
-	return fmt.Sprintf("%.3fs circuit %x: %s: %s", b.At.Seconds(), b.Circuit, b.Rule, b.What)
+func (b Violation) String() string {
+	return fmt.Sprintf("%.3fs circuit %x: %s: %s", b.At.Seconds(), b.Session, b.Rule, b.Detail)
 }
 
 // Verdict is the judge's word on a run.
 type Verdict struct {
-	Broken   []Broken
-	Circuits int // taken
-	Answers  int // final answers
+	Violations []Violation
+	Sessions   int // taken
+	Answers    int // final answers
 }
 
-// Kept tells whether nothing was broken.
-func (v Verdict) Kept() bool { return len(v.Broken) == 0 }
+// Passed tells whether nothing was broken.
+func (v Verdict) Passed() bool { return len(v.Violations) == 0 }
 
 // String is the verdict in one line.
 func (v Verdict) String() string {
-	if v.Kept() {
-		return fmt.Sprintf("kept: %d circuits, %d final answers, no rule broken", v.Circuits, v.Answers)
+	if v.Passed() {
+		return fmt.Sprintf("kept: %d circuits, %d final answers, no rule broken", v.Sessions, v.Answers)
 	}
 	count := map[Rule]int{}
-	for _, b := range v.Broken {
+	for _, b := range v.Violations {
 		count[b.Rule]++
 	}
 	var rules []Rule
@@ -79,7 +79,7 @@
 		rules = append(rules, r)
 	}
 	slices.Sort(rules)
-	text := fmt.Sprintf("BROKEN: %d circuits, %d final answers", v.Circuits, v.Answers)
+	text := fmt.Sprintf("BROKEN: %d circuits, %d final answers", v.Sessions, v.Answers)
 	for _, r := range rules {
 		text += fmt.Sprintf("; %s: %d", r, count[r])
 	}
@@ -153,12 +153,12 @@
 	down     map[int32]bool // balancers that were killed
 }
 
-// Judge reads events in order of time, end being when the run was over.
-func Judge(r Rules, events []history.Event, lost int, end time.Duration) Verdict {
+// Check reads events in order of time, end being when the run was over.
+func Check(r Rules, events []history.Event, lost int, end time.Duration) Verdict {
 	j := &judge{r: r, circuits: map[uint64]*circuit{}, banned: map[pair]time.Duration{},
 		process: map[int32]*process{}, outages: map[int32][]span{}, down: map[int32]bool{}}
 	if lost > 0 {
-		j.broken(end, Unjudgeable, 0, fmt.Sprintf("%d events found no room", lost))
+		j.broken(end, EventsLost, 0, fmt.Sprintf("%d events found no room", lost))
 	}
 	for i := range events {
 		j.take(&events[i])
@@ -166,12 +166,12 @@
 	for _, id := range j.order {
 		j.close(id, j.circuits[id], end)
 	}
-	slices.SortStableFunc(j.v.Broken, func(a, b Broken) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(j.v.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return j.v
 }
 
 func (j *judge) broken(at time.Duration, r Rule, id uint64, what string) {
-	j.v.Broken = append(j.v.Broken, Broken{at, r, id, what})
+	j.v.Violations = append(j.v.Violations, Violation{at, r, id, what})
 }
 
 // of finds a circuit; one that no client has is the judge's business too: a server may be sent what nobody asked for.
@@ -186,45 +186,45 @@
 }
 
 func (j *judge) take(e *history.Event) {
-	switch e.What {
+	switch e.Kind {
 	case history.Taken:
-		c := j.of(e.Circuit)
+		c := j.of(e.Session)
 		c.balancer, c.grade, c.takenAt, c.limit = e.Balancer, e.Grade, e.At, e.Len
 		c.killed = j.down[e.Balancer]
-		j.v.Circuits++
+		j.v.Sessions++
 	case history.Answered:
-		j.answered(e, j.of(e.Circuit))
+		j.answered(e, j.of(e.Session))
 	case history.Left:
-		c := j.of(e.Circuit)
+		c := j.of(e.Session)
 		c.left, c.leftAt = true, e.At
 	case history.Moved:
-		j.of(e.Circuit).moved = true
+		j.of(e.Session).moved = true
 	case history.Ended:
-		c := j.of(e.Circuit)
+		c := j.of(e.Session)
 		c.ended, c.endedAt = true, e.At
-	case history.Held:
-		at := j.of(e.Circuit).at()
-		if e.Len > j.r.HeldMost+j.r.Slack && (at == nil || !j.out(at.server, e.At-e.Len, e.At)) {
-			j.broken(e.At, LineHeld, e.Circuit, fmt.Sprintf("for %v", e.Len))
+	case history.LineDelayed:
+		at := j.of(e.Session).at()
+		if e.Len > j.r.MaxLineDelay+j.r.Slack && (at == nil || !j.out(at.server, e.At-e.Len, e.At)) {
+			j.broken(e.At, LineDelayed, e.Session, fmt.Sprintf("for %v", e.Len))
 		}
-	case history.Sent:
-		j.sent(e, j.of(e.Circuit))
+	case history.AttemptReceived:
+		j.sent(e, j.of(e.Session))
 	case history.Ran:
-		c := j.of(e.Circuit)
+		c := j.of(e.Session)
 		for n := range c.tries {
 			if t := &c.tries[n]; t.server == e.Server && !t.over {
 				t.ran, t.receipt = true, e.N
 			}
 		}
-	case history.Over:
-		c := j.of(e.Circuit)
+	case history.AttemptEnded:
+		c := j.of(e.Session)
 		for n := range c.tries {
 			if t := &c.tries[n]; t.server == e.Server && !t.over {
 				t.over, t.overAt, t.how = true, e.At, e.Text
 				break
 			}
 		}
-	case history.Told:
+	case history.Notified:
 		p := pair{e.Balancer, e.Server}
 		if e.Text == "ready" {
 			delete(j.banned, p)
@@ -238,17 +238,17 @@
 		j.process[e.Server] = &process{at: e.At, fills: e.N, cold: e.Text == "cold"}
 	case history.Stopped:
 		j.outages[e.Server] = append(j.outages[e.Server], span{e.At, forever})
-	case history.Fell:
+	case history.Overloaded:
 		j.outages[e.Server] = append(j.outages[e.Server], span{e.At, forever})
-		j.broken(e.At, ColdSpared, e.Circuit, fmt.Sprintf("server %d fell over", e.Server))
-	case history.Begun:
+		j.broken(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d fell over", e.Server))
+	case history.BalancerStarted:
 		delete(j.down, e.Balancer)
 		for p := range j.banned { // its list is told anew
 			if p.balancer == e.Balancer {
 				delete(j.banned, p)
 			}
 		}
-	case history.Killed:
+	case history.BalancerKilled:
 		j.down[e.Balancer] = true
 		if e.Text == "planned" { // what it still holds is lost all the same
 			return
@@ -264,11 +264,11 @@
 func (j *judge) answered(e *history.Event, c *circuit) {
 	j.v.Answers++
 	if c.answers++; c.answers > 1 {
-		j.broken(e.At, OneAnswer, e.Circuit, fmt.Sprintf("answer %d, %s", c.answers, e.Text))
+		j.broken(e.At, OneFinalAnswer, e.Session, fmt.Sprintf("answer %d, %s", c.answers, e.Text))
 		return
 	}
 	if late := e.At - c.takenAt - c.limit; late > j.r.Slack && !c.killed {
-		j.broken(e.At, OneAnswer, e.Circuit, fmt.Sprintf("%v after its outer limit", late))
+		j.broken(e.At, OneFinalAnswer, e.Session, fmt.Sprintf("%v after its outer limit", late))
 	}
 	if e.Text == "up" {
 		c.up, c.receipt = true, e.N
@@ -278,14 +278,14 @@
 func (j *judge) sent(e *history.Event, c *circuit) {
 	first := e.At - e.Len
 	if c.balancer < 0 {
-		j.broken(e.At, MadeUp, e.Circuit, "no client has asked for it")
+		j.broken(e.At, FabricatedAnswer, e.Session, "no client has asked for it")
 	}
 	if at, told := j.banned[pair{c.balancer, e.Server}]; told && first > at+j.r.DrainGrace+j.r.Slack {
-		j.broken(e.At, DrainsKept, e.Circuit, fmt.Sprintf("server %d, %v after it was told", e.Server, first-at))
+		j.broken(e.At, DrainRespected, e.Session, fmt.Sprintf("server %d, %v after it was told", e.Server, first-at))
 	}
 	for n := range c.tries {
 		if t := &c.tries[n]; (!t.over || t.how != "refused" || t.ran) && !j.mayRepeat(c, t, e) {
-			j.broken(e.At, NoTwice, e.Circuit, fmt.Sprintf("server %d may have run it, server %d gets it again", t.server, e.Server))
+			j.broken(e.At, NoDuplicateEffect, e.Session, fmt.Sprintf("server %d may have run it, server %d gets it again", t.server, e.Server))
 		}
 	}
 	if p := j.process[e.Server]; p != nil && p.cold && e.At-p.at < j.r.Warmup.For {
@@ -295,7 +295,7 @@
 		p.sends = append(p.sends, e.At)
 		bears := j.r.Warmup.Budget(p.fills, j.r.Warmup.Warmth(e.At-p.at))
 		if float64(len(p.sends)) > bears+1 { // the model falls at the budget; its clock may differ by a hair
-			j.broken(e.At, ColdSpared, e.Circuit, fmt.Sprintf("server %d was sent %d within %v, bears %.1f",
+			j.broken(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d was sent %d within %v, bears %.1f",
 				e.Server, len(p.sends), j.r.Warmup.Within, bears))
 		}
 	}
@@ -332,7 +332,7 @@
 		for m := range n {
 			// Guards against taking a server's late look at an end for a second copy: the slack.
 			if a, b := c.tries[m], c.tries[n]; !a.over || a.overAt > b.sentAt+j.r.Slack {
-				j.broken(b.sentAt, NoTwice, id, fmt.Sprintf("out at server %d while at server %d", b.server, a.server))
+				j.broken(b.sentAt, NoDuplicateEffect, id, fmt.Sprintf("out at server %d while at server %d", b.server, a.server))
 				twice = true
 			}
 		}
@@ -341,27 +341,27 @@
 		return
 	}
 	if c.answers == 0 && end > c.takenAt+c.limit+j.r.Slack && (!c.left || c.leftAt > c.takenAt+c.limit) {
-		j.broken(c.takenAt+c.limit, OneAnswer, id, "no answer before its outer limit")
+		j.broken(c.takenAt+c.limit, OneFinalAnswer, id, "no answer before its outer limit")
 	}
 	at := c.at()
 	if !c.up || twice { // where one stands that was out twice can't be told
 		return
 	}
 	if at == nil || !at.ran || at.receipt != c.receipt {
-		j.broken(c.takenAt, MadeUp, id, "no server made its receipt")
+		j.broken(c.takenAt, FabricatedAnswer, id, "no server made its receipt")
 		return
 	}
 	switch byServer := at.over && at.how == "server"; {
 	case c.ended && !c.moved && !c.left && (!byServer || at.overAt > c.endedAt+j.r.Slack):
 		if !j.out(at.server, c.endedAt-j.r.EndWithin, c.endedAt) {
-			j.broken(c.endedAt, CutOff, id, fmt.Sprintf("server %d still answered", at.server))
+			j.broken(c.endedAt, CutWithoutMove, id, fmt.Sprintf("server %d still answered", at.server))
 		}
 	case byServer && !c.left && end > at.overAt+j.r.EndWithin+j.r.Slack &&
 		(!c.ended || c.endedAt > at.overAt+j.r.EndWithin+j.r.Slack) && !c.moved:
-		j.broken(at.overAt, EndLate, id, fmt.Sprintf("server %d had ended it", at.server))
+		j.broken(at.overAt, CloseDelayed, id, fmt.Sprintf("server %d had ended it", at.server))
 	case c.left && end > c.leftAt+j.r.EndWithin+j.r.Slack && (!at.over || at.overAt > c.leftAt+j.r.EndWithin+j.r.Slack):
 		if !j.out(at.server, c.leftAt, end) {
-			j.broken(c.leftAt, EndLate, id, fmt.Sprintf("server %d still held it", at.server))
+			j.broken(c.leftAt, CloseDelayed, id, fmt.Sprintf("server %d still held it", at.server))
 		}
 	}
 }
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -48,42 +48,42 @@
 	Logs    string // a folder; empty: nowhere
 }
 
-// Field is one world on sockets while it runs.
-type Field struct {
-	World   topology.World
-	Servers []*emulator.Server
-	Procs   []*Process
-	Meter   *report.Meter
-	Clock   *emulator.Clock
-	Log     *history.Log
-	agents  []*emulator.Agent
-	list    *emulator.List
-	links   []*emulator.Link
-	store   *emulator.Store
-	rng     *rand.Rand
-	seed    uint64
-	dir     string
-	linked  bool
-	band    *Band // where the balancers are members of a fleet
-	places  []checker.Place
-	closers []io.Closer
-
-	mu     sync.Mutex
-	in     []bool // the front deals to it
-	lives  []int
-	stopBd context.CancelFunc // ends the bad clients
-	olds   []*Process         // that were replaced by one beside them
-	errs   []error
+// Cluster is one world on sockets while it runs.
+type Cluster struct {
+	World    topology.World
+	Servers  []*emulator.Server
+	Procs    []*Process
+	Meter    *report.Meter
+	Clock    *emulator.Clock
+	Log      *history.Log
+	agents   []*emulator.Agent
+	list     *emulator.EndpointList
+	links    []*emulator.Link
+	store    *emulator.Store
+	rng      *rand.Rand
+	seed     uint64
+	dir      string
+	hasLinks bool
+	members  *MemberGroup // where the balancers are members of a fleet
+	places   []checker.Place
+	closers  []io.Closer
+
+	mu              sync.Mutex
+	receiving       []bool // the front deals to it
+	incarnations    []int
+	stopMisbehaving context.CancelFunc // ends the bad clients
+	replaced        []*Process         // that were replaced by one beside them
+	errs            []error
 }
 
 // Start sets a world up and starts its balancers; Close ends all of it.
-func Start(w topology.World, arm Arm, seed uint64) (*Field, error) {
-	f := &Field{World: w, Clock: &emulator.Clock{}, Log: history.New(eventMost), rng: rand.New(rand.NewPCG(seed, 0xf1e1d)), seed: seed,
-		in: make([]bool, w.Balancers), lives: make([]int, w.Balancers), store: emulator.NewStore(w.Store),
+func Start(w topology.World, arm Arm, seed uint64) (*Cluster, error) {
+	f := &Cluster{World: w, Clock: &emulator.Clock{}, Log: history.New(eventMost), rng: rand.New(rand.NewPCG(seed, 0xf1e1d)), seed: seed,
+		receiving: make([]bool, w.Balancers), incarnations: make([]int, w.Balancers), store: emulator.NewStore(w.Store),
 		Meter: report.NewMeter(w.Load.Fill, w.Load.Length)}
-	f.list = emulator.NewList(f.Clock, w.Notice, w.Silent, seed)
+	f.list = emulator.NewEndpointList(f.Clock, w.Notice, w.Silent, seed)
 	for _, fault := range w.Faults {
-		f.linked = f.linked || fault.Kind == faults.LinkSlow || fault.Kind == faults.LinkCut
+		f.hasLinks = f.hasLinks || fault.Kind == faults.LinkSlow || fault.Kind == faults.LinkCut
 	}
 	operated := slices.ContainsFunc(w.Faults, func(x faults.Fault) bool {
 		return x.Kind == faults.Upgrade || x.Kind == faults.BalancerDrain
@@ -94,14 +94,14 @@
 		return nil, err
 	}
 	f.dir = dir
-	fail := func(err error) (*Field, error) { f.Close(); return nil, err }
+	fail := func(err error) (*Cluster, error) { f.Close(); return nil, err }
 	for b := range w.Balancers {
 		a, err := emulator.NewAgent(b, f.Clock, f.Log, number)
 		if err != nil {
 			return fail(err)
 		}
 		f.agents = append(f.agents, a)
-		f.list.Join(a)
+		f.list.AddAgent(a)
 	}
 	for _, m := range w.Machines {
 		if err := f.server(m, fromStart, true); err != nil {
@@ -109,7 +109,7 @@
 		}
 	}
 	if w.Copies > 0 {
-		if f.band, err = NewBand(w.Balancers, dir, seed); err != nil {
+		if f.members, err = NewMemberGroup(w.Balancers, dir, seed); err != nil {
 			return fail(err)
 		}
 	}
@@ -129,15 +129,15 @@
 		}
 		f.Procs = append(f.Procs, p)
 		if operated {
-			if err := p.Operate(); err != nil {
+			if err := p.EnableAdmin(); err != nil {
 				return fail(err)
 			}
-			if err := p.Share(); err != nil {
+			if err := p.ShareListener(); err != nil {
 				return fail(err)
 			}
 		}
-		if f.band != nil {
-			if err := f.band.Enlist(b, w.Copies, w.Zones, p); err != nil {
+		if f.members != nil {
+			if err := f.members.Add(b, w.Copies, w.Zones, p); err != nil {
 				return fail(err)
 			}
 		}
@@ -160,16 +160,16 @@
 }
 
 // server adds a server; first: before the run.
-func (f *Field) server(m topology.Machine, started time.Duration, first bool) error {
+func (f *Cluster) server(m topology.Machine, started time.Duration, first bool) error {
 	num := len(f.Servers)
-	s := emulator.NewServer(num, uid(num), m.Kind, f.World.Warmup, f.World.GroupCost, f.World.Sheds, started, f.store, f.Clock, f.Log, f.seed)
+	s := emulator.NewServer(num, uid(num), m.Type, f.World.Warmup, f.World.GroupCost, f.World.Sheds, started, f.store, f.Clock, f.Log, f.seed)
 	if err := s.Listen(); err != nil {
 		return err
 	}
 	f.Servers = append(f.Servers, s)
-	f.places = append(f.places, checker.Place{Zone: m.Zone, Cell: m.Cell})
+	f.places = append(f.places, checker.Place{Zone: m.Zone, Cell: m.FailureDomain})
 	at := s.Addr()
-	if f.linked {
+	if f.hasLinks {
 		l, err := emulator.NewLink(at)
 		if err != nil {
 			return err
@@ -177,10 +177,10 @@
 		f.links = append(f.links, l)
 		at = l.Addr()
 	}
-	e := emulator.Entry{UID: uid(num), Endpoint: at, Zone: Zone(m.Zone), Machine: m.Kind.Name, Cell: m.Cell, State: emulator.InService,
-		Heft: float64(m.Kind.Cores)}
+	e := emulator.Endpoint{UID: uid(num), Address: at, Zone: ZoneName(m.Zone), MachineType: m.Type.Name, FailureDomain: m.FailureDomain, State: emulator.InService,
+		Weight: float64(m.Type.Cores)}
 	if first {
-		f.list.First(e)
+		f.list.SetInitial(e)
 	} else {
 		e.BootMs = time.Now().UnixMilli()
 		f.list.Set(context.Background(), e, false)
@@ -189,14 +189,14 @@
 }
 
 // begin starts a balancer's next life.
-func (f *Field) begin(b int) error {
+func (f *Cluster) begin(b int) error {
 	f.mu.Lock()
-	f.lives[b]++
-	seed := f.seed<<16 | uint64(b)<<8 | uint64(f.lives[b])
+	f.incarnations[b]++
+	seed := f.seed<<16 | uint64(b)<<8 | uint64(f.incarnations[b])
 	f.mu.Unlock()
-	f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Begun, Balancer: int32(b), Server: -1})
+	f.Log.Add(history.Event{At: f.Clock.Now(), Kind: history.BalancerStarted, Balancer: int32(b), Server: -1})
 	p := f.proc(b)
-	if err := p.Write(Config(&f.World, b, p.Addr, f.agents[b].Addr(), seed*0x9e3779b97f4a7c15, f.agents[b].Known())); err != nil {
+	if err := p.WriteConfig(BalancerConfig(&f.World, b, p.Addr, f.agents[b].Addr(), seed*0x9e3779b97f4a7c15, f.agents[b].Known())); err != nil {
 		return err
 	}
 	p.env = append(p.env[:len(p.env):len(p.env)], "EDGE_DISCOVERY="+f.agents[b].Addr())
@@ -204,18 +204,18 @@
 		return err
 	}
 	f.mu.Lock()
-	f.in[b] = true
+	f.receiving[b] = true
 	f.mu.Unlock()
 	return nil
 }
 
-// Door is the front: it deals out clients among the balancers that it takes for alive.
-func (f *Field) Door(rng *rand.Rand) (int, string, bool) {
+// PickBalancer is the front: it deals out clients among the balancers that it takes for alive.
+func (f *Cluster) PickBalancer(rng *rand.Rand) (int, string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	from := rng.IntN(len(f.in))
-	for i := range f.in {
-		if b := (from + i) % len(f.in); f.in[b] {
+	from := rng.IntN(len(f.receiving))
+	for i := range f.receiving {
+		if b := (from + i) % len(f.receiving); f.receiving[b] {
 			return b, f.Procs[b].Addr, true
 		}
 	}
@@ -223,20 +223,20 @@
 }
 
 // proc is a balancer's newest process.
-func (f *Field) proc(b int) *Process {
+func (f *Cluster) proc(b int) *Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Procs[b]
 }
 
-func (f *Field) out(b int) {
+func (f *Cluster) out(b int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.in[b] = false
+	f.receiving[b] = false
 }
 
 // fail notes that the lab itself could not do something.
-func (f *Field) fail(err error) {
+func (f *Cluster) fail(err error) {
 	if err != nil {
 		f.mu.Lock()
 		f.errs = append(f.errs, err)
@@ -245,19 +245,19 @@
 }
 
 // Run plays the world to its end and answers figures, events and the judge's word. note is told of each step.
-func (f *Field) Run(ctx context.Context, note func(at time.Duration, text string)) (report.Run, []history.Event, checker.Verdict, error) {
+func (f *Cluster) Run(ctx context.Context, note func(at time.Duration, text string)) (report.Run, []history.Event, checker.Verdict, error) {
 	w := &f.World
 	steps, _, err := faults.Expand(w.Faults, len(w.Machines), w.Balancers, f.seed)
 	if err != nil {
 		return report.Run{}, nil, checker.Verdict{}, err
 	}
-	people := load.Draw(w.Load, f.seed)
+	people := load.Generate(w.Load, f.seed)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var all sync.WaitGroup
 	f.Clock.Begin()
-	crowd := &emulator.Crowd{Clock: f.Clock, Log: f.Log, Meter: f.Meter, Door: f.Door, Grades: w.GradeNames, Limits: w.OuterLimits,
-		Each: w.MessageEach, Goal: w.MessageGoal, Return: w.Return, Seed: f.seed}
+	crowd := &emulator.Clients{Clock: f.Clock, Log: f.Log, Meter: f.Meter, Door: f.PickBalancer, Grades: w.GradeNames, Limits: w.OuterLimits,
+		Each: w.MessageEach, Goal: w.MessageGoal, Return: w.Retry, Seed: f.seed}
 	all.Add(3)
 	go func() { defer all.Done(); crowd.Run(ctx, people) }()
 	go func() { defer all.Done(); f.ticks(ctx) }()
@@ -280,7 +280,7 @@
 	case <-time.After(time.Until(f.Clock.At(w.Load.Length))):
 	}
 	end := f.Clock.Now()
-	if f.band != nil {
+	if f.members != nil {
 		f.fail(f.meet())
 	}
 	groups := map[uint64]int{}
@@ -300,19 +300,19 @@
 		run.GroupServers += n
 	}
 	run.Late = float64(crowd.Late().Milliseconds())
-	for _, p := range append(f.olds, f.Procs...) {
+	for _, p := range append(f.replaced, f.Procs...) {
 		p.Kill()
-		used, mb := p.Used()
+		used, mb := p.TotalUsage()
 		run.BalancerCPU += used.Seconds()
 		run.BalancerMB = max(run.BalancerMB, mb)
-		run.Balancers = append(run.Balancers, report.Used{Name: p.Name, CPU: used.Seconds(), MB: mb})
+		run.Balancers = append(run.Balancers, report.Usage{Name: p.Name, CPU: used.Seconds(), MB: mb})
 	}
 	var events []history.Event
 	for _, e := range f.Log.Events() {
 		if e.At <= end { // what the end of the run itself does to the world is nobody's fault
 			events = append(events, e)
-			switch e.What {
-			case history.Sent:
+			switch e.Kind {
+			case history.AttemptReceived:
 				run.Tries++
 			case history.Answered:
 				if e.Text == "busy" && e.At >= w.Load.Fill {
@@ -321,8 +321,8 @@
 			}
 		}
 	}
-	v := checker.Judge(w.Rules(slack, f.places), events, f.Log.Lost(), end)
-	run.Judged(v)
+	v := checker.Check(w.Rules(slack, f.places), events, f.Log.Lost(), end)
+	run.SetVerdict(v)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.errs) > 0 {
@@ -332,7 +332,7 @@
 }
 
 // ticks has the models account for time, and takes the figures.
-func (f *Field) ticks(ctx context.Context) {
+func (f *Cluster) ticks(ctx context.Context) {
 	for at := tick; ; at += tick {
 		select {
 		case <-ctx.Done():
@@ -354,20 +354,20 @@
 }
 
 // step carries out one step of the timetable.
-func (f *Field) step(ctx context.Context, st faults.Step, crowd *emulator.Crowd, all *sync.WaitGroup) {
+func (f *Cluster) step(ctx context.Context, st faults.Step, crowd *emulator.Clients, all *sync.WaitGroup) {
 	beside := func(do func()) {
 		all.Add(1)
 		go func() { defer all.Done(); do() }()
 	}
 	var s *emulator.Server
-	if st.Who < len(f.Servers) {
-		s = f.Servers[st.Who]
-	} else if st.OnServer() && st.Act != faults.Start {
+	if st.Target < len(f.Servers) {
+		s = f.Servers[st.Target]
+	} else if st.OnServer() && st.Action != faults.Start {
 		return // it has not started yet
 	}
-	name := uid(st.Who)
+	name := uid(st.Target)
 	on := st.Figure > 0
-	switch st.Act {
+	switch st.Action {
 	case faults.Start:
 		old := f.World.Machines[st.Of]
 		f.mu.Lock()
@@ -375,22 +375,22 @@
 		f.mu.Unlock()
 		f.fail(err)
 	case faults.BeginDrain:
-		f.list.State(ctx, name, emulator.Terminating, 0, false)
+		f.list.SetState(ctx, name, emulator.Terminating, 0, false)
 		by := f.Clock.Now() + st.For
 		beside(func() { s.Drain(ctx, f.World.SendsAway, by) })
 	case faults.Stop:
-		s.Down("stop")
-		f.list.State(ctx, name, emulator.Terminated, 0, false)
+		s.Fail("stop")
+		f.list.SetState(ctx, name, emulator.Terminated, 0, false)
 	case faults.Die:
-		s.Down("crash")
-		f.list.State(ctx, name, emulator.Terminated, 0, true)
+		s.Fail("crash")
+		f.list.SetState(ctx, name, emulator.Terminated, 0, true)
 	case faults.Revive:
 		f.fail(s.Revive())
-		f.list.State(ctx, name, emulator.InService, time.Now().UnixMilli(), false)
+		f.list.SetState(ctx, name, emulator.InService, time.Now().UnixMilli(), false)
 	case faults.Silence:
-		s.Misbehave(func(w *emulator.Ways) { w.Silent = true })
+		s.Misbehave(func(w *emulator.WireFaults) { w.Silent = true })
 	case faults.Speak:
-		s.Misbehave(func(w *emulator.Ways) { w.Silent = false })
+		s.Misbehave(func(w *emulator.WireFaults) { w.Silent = false })
 	case faults.SetSlow:
 		s.Set(func(m *model.Server) { m.Slow = st.Figure })
 	case faults.SetErrors:
@@ -398,30 +398,30 @@
 	case faults.SetFull:
 		s.Set(func(m *model.Server) { m.Full = on })
 	case faults.SetDrip:
-		s.Misbehave(func(w *emulator.Ways) { w.Drip = on })
+		s.Misbehave(func(w *emulator.WireFaults) { w.Drip = on })
 	case faults.SetTorn:
-		s.Misbehave(func(w *emulator.Ways) { w.Torn = on })
+		s.Misbehave(func(w *emulator.WireFaults) { w.Torn = on })
 	case faults.SetHalfOpen:
-		s.Misbehave(func(w *emulator.Ways) { w.HalfOpen = on })
+		s.Misbehave(func(w *emulator.WireFaults) { w.HalfOpen = on })
 	case faults.SetLinkLate:
-		f.links[st.Who].Set(func(c *emulator.Condition) { c.Late = st.For })
+		f.links[st.Target].Set(func(c *emulator.Condition) { c.Late = st.For })
 	case faults.SetLinkCut:
 		if on {
-			f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Stopped, Server: int32(st.Who), Balancer: -1, Text: "link"})
+			f.Log.Add(history.Event{At: f.Clock.Now(), Kind: history.Stopped, Server: int32(st.Target), Balancer: -1, Text: "link"})
 		}
-		f.links[st.Who].Set(func(c *emulator.Condition) { c.CutOut = on })
+		f.links[st.Target].Set(func(c *emulator.Condition) { c.CutOut = on })
 		if !on {
-			f.links[st.Who].Reset() // what waited on it is stale by now
-			f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Started, Server: int32(st.Who), Balancer: -1, Text: "warm"})
+			f.links[st.Target].Reset() // what waited on it is stale by now
+			f.Log.Add(history.Event{At: f.Clock.Now(), Kind: history.Started, Server: int32(st.Target), Balancer: -1, Text: "warm"})
 		}
 	case faults.SetStore:
 		f.store.Slow(st.Figure)
 	case faults.SetDiscovery:
-		f.list.Misbehave(map[bool]emulator.Fault{true: emulator.Sound, false: emulator.Mute}[on])
+		f.list.Misbehave(map[bool]emulator.Fault{true: emulator.Healthy, false: emulator.Mute}[on])
 	case faults.SetFaulty:
-		f.list.Misbehave(map[bool]emulator.Fault{true: emulator.Faulty, false: emulator.Sound}[on])
+		f.list.Misbehave(map[bool]emulator.Fault{true: emulator.Faulty, false: emulator.Healthy}[on])
 	case faults.SetLate:
-		f.list.Late(st.For)
+		f.list.SetDelay(st.For)
 	case faults.Hide:
 		f.list.Hide(ctx, name, true)
 	case faults.Show:
@@ -429,23 +429,23 @@
 	case faults.DropClients:
 		crowd.Drop(st.Figure, st.For, f.rng)
 	case faults.KillBalancer:
-		f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Killed, Balancer: int32(st.Who), Server: -1, Text: "outright"})
-		f.proc(st.Who).Kill()
+		f.Log.Add(history.Event{At: f.Clock.Now(), Kind: history.BalancerKilled, Balancer: int32(st.Target), Server: -1, Text: "outright"})
+		f.proc(st.Target).Kill()
 		beside(func() {
 			select {
 			case <-ctx.Done():
 			case <-time.After(deadSeen):
 			}
 			select {
-			case <-f.proc(st.Who).Exited(): // not started again meanwhile
-				f.out(st.Who)
+			case <-f.proc(st.Target).Exited(): // not started again meanwhile
+				f.out(st.Target)
 			default:
 			}
 		})
 	case faults.StartBalancer:
-		beside(func() { f.fail(f.begin(st.Who)) })
+		beside(func() { f.fail(f.begin(st.Target)) })
 	case faults.LeaveBalancer:
-		beside(func() { f.leave(ctx, st.Who) })
+		beside(func() { f.leave(ctx, st.Target) })
 	case faults.ReloadAll:
 		for b := range f.agents {
 			f.fail(f.agents[b].Replace())
@@ -458,37 +458,37 @@
 		}
 		f.reload(&w)
 	case faults.UpgradeBalancer:
-		beside(func() { f.fail(f.upgrade(ctx, st.Who)) })
+		beside(func() { f.fail(f.upgrade(ctx, st.Target)) })
 	case faults.DrainBalancer:
-		beside(func() { f.fail(f.drain(ctx, st.Who, st.For)) })
+		beside(func() { f.fail(f.drain(ctx, st.Target, st.For)) })
 	case faults.SetCrowd:
-		beside(func() { emulator.Mob(ctx, st.Figure, st.For, f.Door, f.seed) })
+		beside(func() { emulator.RunSilentClients(ctx, st.Figure, st.For, f.PickBalancer, f.seed) })
 	case faults.SetPieces:
 		crowd.Pieces.Store(on)
 	case faults.SetTies:
-		f.band.set(st.Band, st.Tie)
+		f.members.set(st.Band, st.Tie)
 	case faults.StallBalancer:
-		beside(func() { f.stall(ctx, st.Who, st.For) })
+		beside(func() { f.stall(ctx, st.Target, st.For) })
 	case faults.LoseBalancer:
-		f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Killed, Balancer: int32(st.Who), Server: -1, Text: "outright"})
-		f.fail(f.band.Lose(st.Who))
-		f.out(st.Who)
+		f.Log.Add(history.Event{At: f.Clock.Now(), Kind: history.BalancerKilled, Balancer: int32(st.Target), Server: -1, Text: "outright"})
+		f.fail(f.members.LoseMachine(st.Target))
+		f.out(st.Target)
 	case faults.SetBad:
-		if f.stopBd != nil {
-			f.stopBd()
+		if f.stopMisbehaving != nil {
+			f.stopMisbehaving()
 		}
 		var rude context.Context
-		rude, f.stopBd = context.WithCancel(ctx)
+		rude, f.stopMisbehaving = context.WithCancel(ctx)
 		if on {
-			beside(func() { emulator.RudeCrowd(rude, st.Figure, f.Door, f.Meter, f.seed) })
+			beside(func() { emulator.RunMisbehavingClients(rude, st.Figure, f.PickBalancer, f.Meter, f.seed) })
 		}
 	}
 }
 
 // stall stops a balancer's process for a while. What it had taken is answered late, or by its client's leaving.
-func (f *Field) stall(ctx context.Context, b int, span time.Duration) {
+func (f *Cluster) stall(ctx context.Context, b int, span time.Duration) {
 	p := f.proc(b)
-	f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Killed, Balancer: int32(b), Server: -1, Text: "stalled"})
+	f.Log.Add(history.Event{At: f.Clock.Now(), Kind: history.BalancerKilled, Balancer: int32(b), Server: -1, Text: "stalled"})
 	f.fail(p.Signal(syscall.SIGSTOP))
 	wait := func(d time.Duration) {
 		select {
@@ -500,17 +500,17 @@
 	f.out(b)
 	wait(span - deadSeen)
 	f.fail(p.Signal(syscall.SIGCONT))
-	f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Begun, Balancer: int32(b), Server: -1})
+	f.Log.Add(history.Event{At: f.Clock.Now(), Kind: history.BalancerStarted, Balancer: int32(b), Server: -1})
 	f.mu.Lock()
-	f.in[b] = true
+	f.receiving[b] = true
 	f.mu.Unlock()
 }
 
 // reload has all balancers take a world's settings in.
-func (f *Field) reload(w *topology.World) {
+func (f *Cluster) reload(w *topology.World) {
 	for b := range f.agents {
 		p := f.proc(b)
-		f.fail(p.Write(Config(w, b, p.Addr, f.agents[b].Addr(), 1, f.agents[b].Known())))
+		f.fail(p.WriteConfig(BalancerConfig(w, b, p.Addr, f.agents[b].Addr(), 1, f.agents[b].Known())))
 		f.fail(p.Signal(syscall.SIGHUP))
 	}
 }
@@ -525,9 +525,9 @@
 }
 
 // upgrade starts a new process of a balancer beside the old one, which ends once the new one says yes.
-func (f *Field) upgrade(ctx context.Context, b int) error {
+func (f *Cluster) upgrade(ctx context.Context, b int) error {
 	old := f.proc(b)
-	young, err := old.Beside()
+	young, err := old.Successor()
 	if err != nil {
 		return err
 	}
@@ -535,12 +535,12 @@
 		return err
 	}
 	f.mu.Lock()
-	if f.band != nil {
-		f.band.all[b] = young
+	if f.members != nil {
+		f.members.processes[b] = young
 	}
-	f.Procs[b], f.olds = young, append(f.olds, old)
+	f.Procs[b], f.replaced = young, append(f.replaced, old)
 	f.mu.Unlock()
-	if err := young.Yes(); err != nil {
+	if err := young.WaitReady(); err != nil {
 		return err
 	}
 	f.fail(old.Signal(syscall.SIGTERM))
@@ -550,13 +550,13 @@
 	case <-ctx.Done():
 	case <-time.After(f.longest() + killAfter):
 		old.Kill()
-		return fmt.Errorf("balancer %s: the old process does not end: %s", old.Name, old.Tail())
+		return fmt.Errorf("balancer %s: the old process does not end: %s", old.Name, old.LogTail())
 	}
 	return nil
 }
 
 // drain empties a balancer, looks that it says no meanwhile and holds nothing after 4 s, and takes it back.
-func (f *Field) drain(ctx context.Context, b int, span time.Duration) error {
+func (f *Cluster) drain(ctx context.Context, b int, span time.Duration) error {
 	p := f.proc(b)
 	call := func(path string) error {
 		code, text, err := p.Call(http.MethodPut, path)
@@ -597,12 +597,12 @@
 		return fmt.Errorf("balancer %s says no once it is back", p.Name)
 	}
 	f.mu.Lock()
-	f.in[b] = true
+	f.receiving[b] = true
 	f.mu.Unlock()
 	return nil
 }
 
-func (f *Field) longest() (most time.Duration) {
+func (f *Cluster) longest() (most time.Duration) {
 	for _, l := range f.World.OuterLimits {
 		most = max(most, l)
 	}
@@ -610,7 +610,7 @@
 }
 
 // leave restarts a balancer as planned.
-func (f *Field) leave(ctx context.Context, b int) {
+func (f *Cluster) leave(ctx context.Context, b int) {
 	p := f.proc(b)
 	f.fail(p.Signal(syscall.SIGTERM))
 	wait := func(d time.Duration) bool {
@@ -630,22 +630,22 @@
 	if !wait(f.longest() + killAfter - comeOn) {
 		return
 	}
-	f.Log.Add(history.Event{At: f.Clock.Now(), What: history.Killed, Balancer: int32(b), Server: -1, Text: "planned"})
+	f.Log.Add(history.Event{At: f.Clock.Now(), Kind: history.BalancerKilled, Balancer: int32(b), Server: -1, Text: "planned"})
 	p.Kill()
 	f.fail(f.begin(b))
 }
 
-// Agent is where a balancer finds discovery; Known is the list as it counts as told to it.
-func (f *Field) Agent(b int) string { return f.agents[b].Addr() }
+// DiscoveryAddr is where a balancer finds discovery; Known is the list as it counts as told to it.
+func (f *Cluster) DiscoveryAddr(b int) string { return f.agents[b].Addr() }
 
-// Known is the list in the form that a balancer is told at its start.
-func (f *Field) Known(b int) json.RawMessage { return f.agents[b].Known() }
+// KnownEndpoints is the list in the form that a balancer is told at its start.
+func (f *Cluster) KnownEndpoints(b int) json.RawMessage { return f.agents[b].Known() }
 
 // Close ends all that is left.
-func (f *Field) Close() {
-	for _, p := range append(f.olds, f.Procs...) {
+func (f *Cluster) Close() {
+	for _, p := range append(f.replaced, f.Procs...) {
 		p.Kill()
-		p.Unshare()
+		p.UnshareListener()
 	}
 	for _, s := range f.Servers {
 		s.Close()
@@ -653,8 +653,8 @@
 	for _, l := range f.links {
 		l.Close()
 	}
-	if f.band != nil {
-		f.band.Close()
+	if f.members != nil {
+		f.members.Close()
 	}
 	for _, a := range f.agents {
 		a.Close()
@@ -665,7 +665,7 @@
 	_ = os.RemoveAll(f.dir)
 }
 
-var acts = map[faults.Act]string{
+var acts = map[faults.Action]string{
 	faults.Start: "starts", faults.BeginDrain: "drains", faults.Stop: "stops", faults.Die: "crashes", faults.Revive: "is back, cold",
 	faults.Silence: "vanishes", faults.Speak: "speaks again", faults.SetSlow: "slower, times", faults.SetErrors: "fails, share",
 	faults.SetFull: "full", faults.SetDrip: "drips", faults.SetTorn: "tears lines", faults.SetHalfOpen: "half open",
@@ -681,14 +681,14 @@
 
 // describe puts a step in words.
 func describe(st faults.Step) string {
-	text := acts[st.Act]
+	text := acts[st.Action]
 	switch {
 	case st.OnServer():
-		text = uid(st.Who) + " " + text
-	case st.Act == faults.SetTies:
+		text = uid(st.Target) + " " + text
+	case st.Action == faults.SetTies:
 		text = fmt.Sprintf("%s %b: %+v", text, st.Band, st.Tie)
-	case st.Act == faults.StallBalancer || st.Act == faults.LoseBalancer || st.Act == faults.KillBalancer || st.Act == faults.StartBalancer || st.Act == faults.LeaveBalancer:
-		text = fmt.Sprintf("balancer n%d %s", st.Who, text)
+	case st.Action == faults.StallBalancer || st.Action == faults.LoseBalancer || st.Action == faults.KillBalancer || st.Action == faults.StartBalancer || st.Action == faults.LeaveBalancer:
+		text = fmt.Sprintf("balancer n%d %s", st.Target, text)
 	}
 	if st.Figure != 0 {
 		text += fmt.Sprintf(" %g", st.Figure)
--- a/internal/lab/cluster/member_group.go
+++ b/internal/lab/cluster/member_group.go
@@ -24,36 +24,36 @@
 	seedsOf  = 3 // members that are everybody's seeds
 )
 
-// Band is the fleet of a world.
-type Band struct {
-	Ties *emulator.Ties
-	dir  string
-	all  []*Process
-	More string // of each member's file, behind the block,
-	Less string // and within it
+// MemberGroup is the fleet of a world.
+type MemberGroup struct {
+	Links         *emulator.MemberLinks
+	dir           string
+	processes     []*Process
+	ExtraBlocks   string // of each member's file, behind the block,
+	ExtraSettings string // and within it
 }
 
-// NewBand makes the ways between so many members, whose files and directories lie in dir.
-func NewBand(many int, dir string, seed uint64) (*Band, error) {
-	t, err := emulator.NewTies(many, seed)
+// NewMemberGroup makes the ways between so many members, whose files and directories lie in dir.
+func NewMemberGroup(many int, dir string, seed uint64) (*MemberGroup, error) {
+	t, err := emulator.NewMemberLinks(many, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Band{Ties: t, dir: dir, all: make([]*Process, many)}, nil
+	return &MemberGroup{Links: t, dir: dir, processes: make([]*Process, many)}, nil
 }
 
-// Enlist makes a process a member from its next start on; it needs an operators' address. Each is on a machine of its own, and the
+// Add makes a process a member from its next start on; it needs an operators' address. Each is on a machine of its own, and the
 // machines are dealt out to zones in turn.
-func (b *Band) Enlist(i, copies, zones int, p *Process) error {
-	if p.Mgmt == "" {
-		if err := p.Operate(); err != nil {
+func (b *MemberGroup) Add(i, copies, zones int, p *Process) error {
+	if p.AdminAddr == "" {
+		if err := p.EnableAdmin(); err != nil {
 			return err
 		}
 	}
-	b.all[i] = p
+	b.processes[i] = p
 	seeds := make([]string, 0, seedsOf)
-	for s := range min(seedsOf, len(b.all)) {
-		seeds = append(seeds, fmt.Sprintf("%q", b.Ties.Reached(s)))
+	for s := range min(seedsOf, len(b.processes)) {
+		seeds = append(seeds, fmt.Sprintf("%q", b.Links.Advertised(s)))
 	}
 	text := fmt.Sprintf(`fleet "lab" {
   listen    = %q
@@ -68,7 +68,7 @@
   repair_after = "2s"
   %s
 }
-%s`, b.Ties.Listen(i), b.Ties.Reached(i), strings.Join(seeds, ", "), b.Data(i), copies, i, Zone(i%max(zones, 1)), b.Less, b.More)
+%s`, b.Links.Listen(i), b.Links.Advertised(i), strings.Join(seeds, ", "), b.DataDir(i), copies, i, ZoneName(i%max(zones, 1)), b.ExtraSettings, b.ExtraBlocks)
 	file := filepath.Join(b.dir, fmt.Sprintf("fleet-%d.hcl", i))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
@@ -77,29 +77,29 @@
 	return nil
 }
 
-// Data is a member's directory.
-func (b *Band) Data(i int) string { return filepath.Join(b.dir, fmt.Sprintf("data-%d", i)) }
+// DataDir is a member's directory.
+func (b *MemberGroup) DataDir(i int) string { return filepath.Join(b.dir, fmt.Sprintf("data-%d", i)) }
 
-// Lose ends a member outright and deletes its directory: the machine is lost with its disk.
-func (b *Band) Lose(i int) error {
-	b.all[i].Kill()
-	return os.RemoveAll(b.Data(i))
+// LoseMachine ends a member outright and deletes its directory: the machine is lost with its disk.
+func (b *MemberGroup) LoseMachine(i int) error {
+	b.processes[i].Kill()
+	return os.RemoveAll(b.DataDir(i))
 }
 
 // set has the ways between some members and the others be as a step says.
-func (b *Band) set(band uint64, as faults.Tie) {
-	b.Ties.Set(func(from, to int, tie *emulator.Tie) {
+func (b *MemberGroup) set(band uint64, as faults.MemberLink) {
+	b.Links.Set(func(from, to int, tie *emulator.MemberLink) {
 		out, in := band>>from&1 == 1, band>>to&1 == 1
 		if out != in && (out && as.Out || in && as.In) {
-			*tie = emulator.Tie{Cut: as.Cut, Loss: as.Loss, Late: as.Late, Mixed: as.Mixed}
+			*tie = emulator.MemberLink{Cut: as.Cut, Loss: as.Loss, Late: as.Late, Mixed: as.Mixed}
 		}
 	})
 }
 
 // meet waits until all members that run see each other, once nothing is between them any more: a fleet that stays apart
 // is a fault of the program's, whatever clients saw of it.
-func (f *Field) meet() error {
-	f.band.Ties.Set(func(_, _ int, tie *emulator.Tie) { *tie = emulator.Tie{} })
+func (f *Cluster) meet() error {
+	f.members.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
 	var run []int
 	for i, p := range f.Procs {
 		select {
@@ -109,7 +109,7 @@
 			run = append(run, i)
 		}
 	}
-	return f.band.Until("all members that run see each other", meetIn, run, Together(len(run)))
+	return f.members.WaitUntil("all members that run see each other", meetIn, run, SeesQuorumOf(len(run)))
 }
 
 // Fleet asks a member how it sees the others.
@@ -125,12 +125,12 @@
 	return r, err
 }
 
-// Until waits until every member told says of itself what is wanted, within a bound.
-func (b *Band) Until(what string, within time.Duration, members []int, is func(fleet.Report) bool) error {
+// WaitUntil waits until every member told says of itself what is wanted, within a bound.
+func (b *MemberGroup) WaitUntil(what string, within time.Duration, members []int, is func(fleet.Report) bool) error {
 	for end := time.Now().Add(within); ; time.Sleep(lookEach) {
 		var last string
 		for _, i := range members {
-			if r, err := b.all[i].Fleet(); err != nil {
+			if r, err := b.processes[i].Fleet(); err != nil {
 				last += fmt.Sprintf("\n%d: %v", i, err)
 			} else if !is(r) {
 				last += fmt.Sprintf("\n%d: %s, %d here:", i, r.Standing, r.Here)
@@ -148,13 +148,13 @@
 	}
 }
 
-// Together is that a member sees so many here, itself among them, and takes what it knows for true.
-func Together(many int) func(fleet.Report) bool {
+// SeesQuorumOf is that a member sees so many here, itself among them, and takes what it knows for true.
+func SeesQuorumOf(many int) func(fleet.Report) bool {
 	return func(r fleet.Report) bool { return r.Standing == "together" && r.Here == many }
 }
 
-// Sees is how a member sees another, by its name; empty where it knows none of that name.
-func Sees(r fleet.Report, name string) (state string) {
+// MemberState is how a member sees another, by its name; empty where it knows none of that name.
+func MemberState(r fleet.Report, name string) (state string) {
 	for _, o := range r.Others {
 		if o.Name == name && o.By == "" {
 			state = o.State
@@ -164,4 +164,4 @@
 }
 
 // Close ends the ways.
-func (b *Band) Close() { b.Ties.Close() }
+func (b *MemberGroup) Close() { b.Links.Close() }
--- a/internal/lab/cluster/proc.go
+++ b/internal/lab/cluster/proc.go
@@ -45,9 +45,9 @@
 	config  string
 	log     io.Writer
 
-	Mgmt   string   // its operators' address, empty where it has none
-	shared *os.File // its listening socket, where the platform holds it
-	tmp    string   // and the directory that all its processes have then
+	AdminAddr string   // its operators' address, empty where it has none
+	shared    *os.File // its listening socket, where the platform holds it
+	tmp       string   // and the directory that all its processes have then
 
 	CPUs int // it is bound to so many of this machine's; 0: to none
 
@@ -74,20 +74,20 @@
 	return &Process{Name: name, Addr: ln.Addr().String(), command: command, env: env, config: filepath.Join(dir, name+".json"), log: out}, nil
 }
 
-// Operate gives it an operators' address, for its next start.
-func (p *Process) Operate() error {
+// EnableAdmin gives it an operators' address, for its next start.
+func (p *Process) EnableAdmin() error {
 	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
 		return err
 	}
-	p.Mgmt = ln.Addr().String()
-	p.env = append(p.env[:len(p.env):len(p.env)], "EDGE_MGMT="+p.Mgmt)
+	p.AdminAddr = ln.Addr().String()
+	p.env = append(p.env[:len(p.env):len(p.env)], "EDGE_MGMT="+p.AdminAddr)
 	return ln.Close()
 }
 
 // Call makes a call at its operators' address and answers its code and what it says.
 func (p *Process) Call(method, path string) (int, string, error) {
-	req, err := http.NewRequest(method, "http://"+p.Mgmt+path, nil)
+	req, err := http.NewRequest(method, "http://"+p.AdminAddr+path, nil)
 	if err != nil {
 		return 0, "", err
 	}
@@ -101,21 +101,21 @@
 	return r.StatusCode, string(text), err
 }
 
-// Yes waits until it says that it is ready.
-func (p *Process) Yes() error {
+// WaitReady waits until it says that it is ready.
+func (p *Process) WaitReady() error {
 	for end := time.Now().Add(readyIn); ; time.Sleep(pingEach) {
 		if code, _, err := p.Call(http.MethodGet, "/control/ready"); err == nil && code == http.StatusOK {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("balancer %s says no yes within %v: %s", p.Name, readyIn, p.Tail())
+			return fmt.Errorf("balancer %s says no yes within %v: %s", p.Name, readyIn, p.LogTail())
 		}
 	}
 }
 
-// Share has the platform hold its listening socket, which each of its processes inherits, and one directory for them all. It
+// ShareListener has the platform hold its listening socket, which each of its processes inherits, and one directory for them all. It
 // takes an address anew: one that was just closed may still be open in a child of another test that is being started.
-func (p *Process) Share() error {
+func (p *Process) ShareListener() error {
 	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
 		return err
@@ -132,24 +132,24 @@
 	return nil
 }
 
-// Unshare lets go of both.
-func (p *Process) Unshare() {
+// UnshareListener lets go of both.
+func (p *Process) UnshareListener() {
 	if p.shared != nil {
 		_ = p.shared.Close()
 		_ = os.RemoveAll(p.tmp)
 	}
 }
 
-// Beside is another process of the same balancer, under the same name, address and configuration but with an operators'
+// Successor is another process of the same balancer, under the same name, address and configuration but with an operators'
 // address of its own.
-func (p *Process) Beside() (*Process, error) {
+func (p *Process) Successor() (*Process, error) {
 	q := &Process{Name: p.Name, Addr: p.Addr, command: p.command, env: slices.Clone(p.env), config: p.config,
 		log: p.log, CPUs: p.CPUs, shared: p.shared, tmp: p.tmp}
-	return q, q.Operate()
+	return q, q.EnableAdmin()
 }
 
-// Write replaces its configuration whole.
-func (p *Process) Write(config []byte) error {
+// WriteConfig replaces its configuration whole.
+func (p *Process) WriteConfig(config []byte) error {
 	if err := os.WriteFile(p.config+".new", config, 0o600); err != nil {
 		return err
 	}
@@ -164,14 +164,14 @@
 	for end := time.Now().Add(readyIn); ; {
 		select {
 		case <-p.Exited():
-			return fmt.Errorf("balancer %s ended at its start: %s", p.Name, p.Tail())
+			return fmt.Errorf("balancer %s ended at its start: %s", p.Name, p.LogTail())
 		default:
 		}
 		if pong(p.Addr) {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("balancer %s is not ready within %v: %s", p.Name, readyIn, p.Tail())
+			return fmt.Errorf("balancer %s is not ready within %v: %s", p.Name, readyIn, p.LogTail())
 		}
 		time.Sleep(pingEach)
 	}
@@ -258,8 +258,8 @@
 	return err == nil && text == "PONG\r\n"
 }
 
-// Tail is the end of its log.
-func (p *Process) Tail() string {
+// LogTail is the end of its log.
+func (p *Process) LogTail() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.TrimSpace(string(p.tail))
@@ -307,8 +307,8 @@
 	}
 }
 
-// Used answers the CPU time of all lives that are over, and the most memory of one, in MiB.
-func (p *Process) Used() (cpu time.Duration, mb float64) {
+// TotalUsage answers the CPU time of all lives that are over, and the most memory of one, in MiB.
+func (p *Process) TotalUsage() (cpu time.Duration, mb float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cpu, float64(p.rss) / 1024
@@ -358,8 +358,8 @@
 var effectNames = map[policy.Effect]string{policy.Idempotent: "read_like", policy.Deduplicated: "idempotency_key", policy.Unrepeatable: "non_idempotent"}
 var scopeNames = map[policy.Scope]string{policy.ScopeAll: "all", policy.ScopeZone: "zone", policy.ScopeCell: "cell"}
 
-// Config writes the configuration of one balancer of a world, in the form that the program reads.
-func Config(w *topology.World, num int, listen, discovery string, seed uint64, known json.RawMessage) []byte {
+// BalancerConfig writes the configuration of one balancer of a world, in the form that the program reads.
+func BalancerConfig(w *topology.World, num int, listen, discovery string, seed uint64, known json.RawMessage) []byte {
 	d := &w.Deployment
 	us := func(t time.Duration) int64 { return t.Microseconds() }
 	var grades []map[string]any
@@ -371,7 +371,7 @@
 	}
 	var zones []string
 	for z := range w.Zones {
-		zones = append(zones, Zone(z))
+		zones = append(zones, ZoneName(z))
 	}
 	report := map[string]any{"How": "none", "Fields": []string{}}
 	if d.ReportsOnAsk {
@@ -397,5 +397,5 @@
 	return text
 }
 
-// Zone names a zone.
-func Zone(z int) string { return fmt.Sprintf("zone-%c", 'a'+z%26) }
+// ZoneName names a zone.
+func ZoneName(z int) string { return fmt.Sprintf("zone-%c", 'a'+z%26) }
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -29,8 +29,8 @@
 	afterEnd   = 300 * time.Millisecond // and so long after a final answer for the end, or for a second answer
 )
 
-// Crowd is all usual clients of a run.
-type Crowd struct {
+// Clients is all usual clients of a run.
+type Clients struct {
 	Clock  *Clock
 	Log    *history.Log
 	Meter  *report.Meter
@@ -39,7 +39,7 @@
 	Limits []time.Duration // outer limits by grade
 	Each   time.Duration   // a line is sent so often
 	Goal   time.Duration   // and wants its answer within
-	Return load.Return
+	Return load.RetryPolicy
 	Seed   uint64
 
 	Pieces atomic.Bool // they write their first lines in pieces
@@ -53,15 +53,15 @@
 
 // person is one client while it wants its connection.
 type person struct {
-	load.Person
-	c    *Crowd
+	load.Client
+	c    *Clients
 	rng  *rand.Rand
 	due  time.Duration // the next line's time; it stands for the stretch before it
 	drop chan time.Duration
 }
 
 // Run has all come at their times; it answers when the last has left or the context is done.
-func (c *Crowd) Run(ctx context.Context, people []load.Person) {
+func (c *Clients) Run(ctx context.Context, people []load.Client) {
 	c.mu.Lock()
 	c.up = map[*person]bool{}
 	c.mu.Unlock()
@@ -77,7 +77,7 @@
 		if late := int64(c.Clock.Now() - p.At); late > c.late.Load() {
 			c.late.Store(late)
 		}
-		one := &person{Person: p, c: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), due: p.At + c.Each, drop: make(chan time.Duration, 1)}
+		one := &person{Client: p, c: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), due: p.At + c.Each, drop: make(chan time.Duration, 1)}
 		c.all.Add(1)
 		go func() {
 			defer c.all.Done()
@@ -88,10 +88,10 @@
 }
 
 // Late is how late a client came at worst: how much of the load the lab itself did not bring in time.
-func (c *Crowd) Late() time.Duration { return time.Duration(c.late.Load()) }
+func (c *Clients) Late() time.Duration { return time.Duration(c.late.Load()) }
 
 // Drop has a share of the clients that stand drop their connections, each within a time, and come straight back.
-func (c *Crowd) Drop(share float64, within time.Duration, rng *rand.Rand) {
+func (c *Clients) Drop(share float64, within time.Duration, rng *rand.Rand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for p := range c.up {
@@ -113,10 +113,10 @@
 		if stood {
 			since, failures = c.Clock.Now(), 0
 		}
-		if how == load.Nacked || how == load.Failed {
+		if how == load.Rejected || how == load.Failed {
 			failures++
 		}
-		wait := time.NewTimer(min(c.Return.After(how, failures, advice, p.rng.Float64()), p.Until-c.Clock.Now()))
+		wait := time.NewTimer(min(c.Return.Delay(how, failures, advice, p.rng.Float64()), p.Until-c.Clock.Now()))
 		select {
 		case <-ctx.Done():
 		case <-wait.C:
@@ -134,7 +134,7 @@
 }
 
 // connect asks once, and stays as long as it stands.
-func (p *person) connect(ctx context.Context, since time.Duration) (how load.How, advice time.Duration, stood bool) {
+func (p *person) connect(ctx context.Context, since time.Duration) (how load.Ending, advice time.Duration, stood bool) {
 	c := p.c
 	balancer, address, ok := c.Door(p.rng)
 	if !ok {
@@ -147,11 +147,11 @@
 	}
 	defer func() { _ = nc.Close() }()
 	id := c.ids.Add(1)
-	note := func(w history.What, more history.Event) {
+	note := func(w history.Kind, more history.Event) {
 		if more.At == 0 {
 			more.At = c.Clock.Now()
 		}
-		more.What, more.Circuit, more.Balancer, more.Grade, more.Server = w, id, int32(balancer), int16(p.Grade), -1
+		more.Kind, more.Session, more.Balancer, more.Grade, more.Server = w, id, int32(balancer), int16(p.Grade), -1
 		c.Log.Add(more)
 	}
 	group := ""
@@ -183,7 +183,7 @@
 		note(history.Answered, history.Event{Text: map[bool]string{true: "busy", false: "err"}[ln.Kind == protocol.Busy]})
 		p.rest(nc, r, note)
 		if ln.Kind == protocol.Busy {
-			return load.Nacked, time.Duration(ln.Figure) * time.Millisecond, false
+			return load.Rejected, time.Duration(ln.Figure) * time.Millisecond, false
 		}
 		return load.Failed, 0, false
 	}
@@ -206,7 +206,7 @@
 }
 
 // rest reads on after a final answer that is no UP: a second answer would be one too many.
-func (p *person) rest(nc net.Conn, r *bufio.Reader, note func(history.What, history.Event)) {
+func (p *person) rest(nc net.Conn, r *bufio.Reader, note func(history.Kind, history.Event)) {
 	_ = nc.SetReadDeadline(time.Now().Add(afterEnd))
 	for {
 		raw, err := r.ReadSlice('\n')
@@ -233,12 +233,12 @@
 }
 
 // stay sends a line at each of its times, whether or not the last was answered, until the connection is over.
-func (p *person) stay(ctx context.Context, nc net.Conn, r *bufio.Reader, note func(history.What, history.Event)) (how load.How) {
+func (p *person) stay(ctx context.Context, nc net.Conn, r *bufio.Reader, note func(history.Kind, history.Event)) (how load.Ending) {
 	c := p.c
 	_ = nc.SetReadDeadline(time.Time{})
 	var mu sync.Mutex
 	waits := map[time.Duration]bool{} // due times of lines without an answer
-	ended := make(chan load.How, 1)
+	ended := make(chan load.Ending, 1)
 	go func() {
 		how := load.Broken
 		for {
@@ -246,7 +246,7 @@
 			now := c.Clock.Now()
 			if err != nil {
 				text := "end"
-				if Abrupt(err) {
+				if IsAbruptClose(err) {
 					text = "reset"
 				}
 				if !errors.Is(err, net.ErrClosed) {
@@ -259,7 +259,7 @@
 			case bytes.HasPrefix(raw, []byte("M ")):
 				due, sent := echo(raw)
 				if sent > 0 && now-sent > time.Second {
-					note(history.Held, history.Event{Len: now - sent})
+					note(history.LineDelayed, history.Event{Len: now - sent})
 				}
 				mu.Lock()
 				if waits[due] {
@@ -293,7 +293,7 @@
 	until := time.NewTimer(time.Until(c.Clock.At(p.Until)))
 	defer until.Stop()
 	var dropped <-chan time.Time
-	leave := func(how load.How) load.How {
+	leave := func(how load.Ending) load.Ending {
 		note(history.Left, history.Event{})
 		_ = nc.Close()
 		<-ended
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -23,16 +23,16 @@
 	holdMost    = time.Minute
 )
 
-// Entry is one line of the list, in the wire's form.
-type Entry struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Machine  string  `json:"model"`
-	Cell     int     `json:"pod_group"`
-	State    string  `json:"state"`
-	Heft     float64 `json:"capacity_hint"`
-	BootMs   int64   `json:"boot_ms"`
+// Endpoint is one line of the list, in the wire's form.
+type Endpoint struct {
+	UID           string  `json:"uid"`
+	Address       string  `json:"endpoint"`
+	Zone          string  `json:"az"`
+	MachineType   string  `json:"model"`
+	FailureDomain int     `json:"pod_group"`
+	State         string  `json:"state"`
+	Weight        float64 `json:"capacity_hint"`
+	BootMs        int64   `json:"boot_ms"`
 }
 
 // States on the wire.
@@ -48,8 +48,8 @@
 type Fault uint8
 
 const (
-	// Sound is an agent that answers as it should.
-	Sound Fault = iota
+	// Healthy is an agent that answers as it should.
+	Healthy Fault = iota
 	// Mute is an agent out of reach: it accepts connections and writes nothing.
 	Mute
 	// Faulty is an agent that writes incomplete and malformed answers by turns.
@@ -64,15 +64,15 @@
 	number   func(uid string) int
 
 	mu      sync.Mutex
-	entries []Entry // in the order they came
-	revs    []int   // the revision at which each changed
+	entries []Endpoint // in the order they came
+	revs    []int      // the revision at which each changed
 	rev     int
 	said    map[string]int // revision of a server's state that was written
 	changed chan struct{}
 	fault   Fault
 	turns   int
-	text    string // answered in place of all else, if it is not empty
-	desk    *Desk  // where calls wait for their turn, nil where they need not
+	text    string    // answered in place of all else, if it is not empty
+	desk    *WatchHub // where calls wait for their turn, nil where they need not
 	ln      net.Listener
 	srv     *http.Server
 }
@@ -124,7 +124,7 @@
 }
 
 // Set takes a line of the list; what it replaces is told no more.
-func (a *Agent) Set(e Entry) {
+func (a *Agent) Set(e Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rev++
@@ -146,18 +146,18 @@
 }
 
 // counts notes what the balancer should have fetched by now.
-func (a *Agent) counts(e Entry, rev int) {
+func (a *Agent) counts(e Endpoint, rev int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.fault == Sound && a.said[e.UID] < rev {
+	if a.fault == Healthy && a.said[e.UID] < rev {
 		a.say(e, rev)
 	}
 }
 
 // say notes that the balancer has been told; mu is held.
-func (a *Agent) say(e Entry, rev int) {
+func (a *Agent) say(e Endpoint, rev int) {
 	a.said[e.UID] = rev
-	a.log.Add(history.Event{At: a.clock.Now(), What: history.Told, Balancer: a.balancer, Server: int32(a.number(e.UID)), Text: told[e.State]})
+	a.log.Add(history.Event{At: a.clock.Now(), Kind: history.Notified, Balancer: a.balancer, Server: int32(a.number(e.UID)), Text: told[e.State]})
 }
 
 // Misbehave changes how it answers.
@@ -169,16 +169,16 @@
 	a.changed = make(chan struct{})
 }
 
-// Say has it answer with a text, whatever is asked, until the text is empty again.
-func (a *Agent) Say(text string) {
+// ServeText has it answer with a text, whatever is asked, until the text is empty again.
+func (a *Agent) ServeText(text string) {
 	a.mu.Lock()
 	a.text = text
 	a.mu.Unlock()
-	a.Misbehave(Sound) // wakes who waits
+	a.Misbehave(Healthy) // wakes who waits
 }
 
-// Book has calls wait at a desk that agents share; one that it turns away is answered 503.
-func (a *Agent) Book(d *Desk) {
+// UseHub has calls wait at a desk that agents share; one that it turns away is answered 503.
+func (a *Agent) UseHub(d *WatchHub) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.desk = d
@@ -194,10 +194,10 @@
 // answer writes the whole list or what changed since a revision, and notes it as told; mu is held.
 func (a *Agent) answer(whole bool, from int) []byte {
 	out := struct {
-		Rev     int     `json:"rev"`
-		All     bool    `json:"all"`
-		Targets []Entry `json:"targets"`
-	}{a.rev, whole, []Entry{}}
+		Rev     int        `json:"rev"`
+		All     bool       `json:"all"`
+		Targets []Endpoint `json:"targets"`
+	}{a.rev, whole, []Endpoint{}}
 	for i, e := range a.entries {
 		if !whole && a.revs[i] <= from || whole && e.State == Terminated {
 			continue
@@ -224,7 +224,7 @@
 	a.mu.Lock()
 	desk := a.desk
 	a.mu.Unlock()
-	if desk != nil && !desk.Take(r.Context()) {
+	if desk != nil && !desk.WaitForWatch(r.Context()) {
 		http.Error(w, "no time", http.StatusServiceUnavailable)
 		return
 	}
@@ -239,7 +239,7 @@
 			_, _ = io.WriteString(w, text)
 			return
 		}
-		if fault == Sound && (!watch || a.rev > from) {
+		if fault == Healthy && (!watch || a.rev > from) {
 			text := a.answer(!watch || from == 0, from)
 			a.mu.Unlock()
 			_, _ = w.Write(text)
@@ -285,8 +285,8 @@
 	}
 }
 
-// List tells all agents of the servers, each in its time.
-type List struct {
+// EndpointList tells all agents of the servers, each in its time.
+type EndpointList struct {
 	clock  *Clock
 	notice [2]time.Duration
 	silent [2]time.Duration
@@ -294,26 +294,26 @@
 	mu      sync.Mutex
 	rng     *rand.Rand
 	agents  []*Agent
-	entries map[string]Entry
+	entries map[string]Endpoint
 	hidden  map[string]bool
 	late    time.Duration
 }
 
-// NewList makes a list; its words take as long as the ranges say, where a process dies unannounced the second.
-func NewList(clock *Clock, notice, silent [2]time.Duration, seed uint64) *List {
-	return &List{clock: clock, notice: notice, silent: silent, rng: rand.New(rand.NewPCG(seed, 0x1157)),
-		entries: map[string]Entry{}, hidden: map[string]bool{}}
+// NewEndpointList makes a list; its words take as long as the ranges say, where a process dies unannounced the second.
+func NewEndpointList(clock *Clock, notice, silent [2]time.Duration, seed uint64) *EndpointList {
+	return &EndpointList{clock: clock, notice: notice, silent: silent, rng: rand.New(rand.NewPCG(seed, 0x1157)),
+		entries: map[string]Endpoint{}, hidden: map[string]bool{}}
 }
 
-// Join adds an agent.
-func (l *List) Join(a *Agent) {
+// AddAgent adds an agent.
+func (l *EndpointList) AddAgent(a *Agent) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.agents = append(l.agents, a)
 }
 
-// First tells a server at once, before the run.
-func (l *List) First(e Entry) {
+// SetInitial tells a server at once, before the run.
+func (l *EndpointList) SetInitial(e Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entries[e.UID] = e
@@ -323,15 +323,15 @@
 }
 
 // Set changes a server's line; unannounced: the list finds out by itself.
-func (l *List) Set(ctx context.Context, e Entry, unannounced bool) {
+func (l *EndpointList) Set(ctx context.Context, e Endpoint, unannounced bool) {
 	l.mu.Lock()
 	l.entries[e.UID] = e
 	l.mu.Unlock()
 	l.spread(ctx, e, unannounced)
 }
 
-// State changes only the state, and the boot time where it is not 0.
-func (l *List) State(ctx context.Context, uid, state string, bootMs int64, unannounced bool) {
+// SetState changes only the state, and the boot time where it is not 0.
+func (l *EndpointList) SetState(ctx context.Context, uid, state string, bootMs int64, unannounced bool) {
 	l.mu.Lock()
 	e := l.entries[uid]
 	e.State = state
@@ -342,7 +342,7 @@
 	l.Set(ctx, e, unannounced)
 }
 
-func (l *List) spread(ctx context.Context, e Entry, unannounced bool) {
+func (l *EndpointList) spread(ctx context.Context, e Endpoint, unannounced bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.hidden[e.UID] {
@@ -371,7 +371,7 @@
 }
 
 // Hide has the list lack a server; Hide(false) shows it again.
-func (l *List) Hide(ctx context.Context, uid string, hide bool) {
+func (l *EndpointList) Hide(ctx context.Context, uid string, hide bool) {
 	l.mu.Lock()
 	l.hidden[uid] = hide
 	e := l.entries[uid]
@@ -379,15 +379,15 @@
 	l.spread(ctx, e, false)
 }
 
-// Late has all words come later.
-func (l *List) Late(d time.Duration) {
+// SetDelay has all words come later.
+func (l *EndpointList) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.late = d
 }
 
 // Misbehave changes how all agents answer.
-func (l *List) Misbehave(f Fault) {
+func (l *EndpointList) Misbehave(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.agents {
--- a/internal/lab/emulator/fronts.go
+++ b/internal/lab/emulator/fronts.go
@@ -17,9 +17,9 @@
 	unanswered  = 10 * time.Second // who dials over a way that stays cut is reset after that, if it has not given up
 )
 
-// Fronts stand before the members whose index they were told. Who sends is told by its IP address; what is no member's is a stranger's,
+// Forwarders stand before the members whose index they were told. Who sends is told by its IP address; what is no member's is a stranger's,
 // and its way is never cut. It reads the other members' addresses alone.
-type Fronts struct {
+type Forwarders struct {
 	members []netip.AddrPort
 	own     map[int]*front
 
@@ -30,9 +30,9 @@
 	closed  bool
 }
 
-// NewFronts stands before some of the members. Close ends all.
-func NewFronts(members []netip.AddrPort, before []int) (*Fronts, error) {
-	f := &Fronts{members: members, own: map[int]*front{}, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+// NewForwarders stands before some of the members. Close ends all.
+func NewForwarders(members []netip.AddrPort, before []int) (*Forwarders, error) {
+	f := &Forwarders{members: members, own: map[int]*front{}, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	for _, m := range before {
 		own, err := listenBoth()
 		if err != nil {
@@ -48,12 +48,12 @@
 	return f, nil
 }
 
-// Reached is where a member is reached through its front.
-func (f *Fronts) Reached(member int) netip.AddrPort { return f.own[member].addr }
+// Advertised is where a member is reached through its front.
+func (f *Forwarders) Advertised(member int) netip.AddrPort { return f.own[member].addr }
 
 // Cut cuts the ways between the members told and all others, both ways; nil heals all. Datagrams are lost, what is in a connection is
 // held back until it is healed.
-func (f *Fronts) Cut(off []int) {
+func (f *Forwarders) Cut(off []int) {
 	cut := make([]bool, len(f.members))
 	for _, m := range off {
 		cut[m] = true
@@ -66,7 +66,7 @@
 }
 
 // Close ends all.
-func (f *Fronts) Close() {
+func (f *Forwarders) Close() {
 	for _, own := range f.own {
 		own.close()
 	}
@@ -82,17 +82,17 @@
 }
 
 // between tells whether the way between two members is cut, and a channel that is closed once that may have changed. A stranger is -1.
-func (f *Fronts) between(a, b int) (bool, <-chan struct{}) {
+func (f *Forwarders) between(a, b int) (bool, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return a >= 0 && b >= 0 && f.cut != nil && f.cut[a] != f.cut[b] && !f.closed, f.changed
 }
 
-func (f *Fronts) sender(ip netip.Addr) int {
+func (f *Forwarders) sender(ip netip.Addr) int {
 	return slices.IndexFunc(f.members, func(m netip.AddrPort) bool { return m.Addr() == ip.Unmap() })
 }
 
-func (f *Fronts) keep(c net.Conn) bool {
+func (f *Forwarders) keep(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -102,14 +102,14 @@
 	return true
 }
 
-func (f *Fronts) end(c net.Conn) {
+func (f *Forwarders) end(c net.Conn) {
 	_ = c.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.conns, c)
 }
 
-func (f *Fronts) accept(to int, own *front) {
+func (f *Forwarders) accept(to int, own *front) {
 	for {
 		c, err := own.tcp.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
@@ -123,7 +123,7 @@
 	}
 }
 
-func (f *Fronts) carry(to int, near *net.TCPConn) {
+func (f *Forwarders) carry(to int, near *net.TCPConn) {
 	defer f.end(near)
 	if !f.keep(near) {
 		return
@@ -157,7 +157,7 @@
 }
 
 // pass passes one direction on until it ends. An end or a failure of the one side is the other's.
-func (f *Fronts) pass(from, to int, in, out net.Conn) {
+func (f *Forwarders) pass(from, to int, in, out net.Conn) {
 	buffer := make([]byte, frontBuffer)
 	for {
 		n, err := in.Read(buffer)
@@ -181,7 +181,7 @@
 	}
 }
 
-func (f *Fronts) read(to int, own *front) {
+func (f *Forwarders) read(to int, own *front) {
 	buffer := make([]byte, 65536)
 	for {
 		n, sent, err := own.udp.ReadFromUDPAddrPort(buffer)
--- a/internal/lab/emulator/fronts_test.go
+++ b/internal/lab/emulator/fronts_test.go
@@ -62,14 +62,14 @@
 		s, addr := speaker(t)
 		all, members = append(all, s), append(members, addr)
 	}
-	f, err := NewFronts(members, []int{0, 1})
+	f, err := NewForwarders(members, []int{0, 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	stranger := dialFrom(t, netip.Addr{}, f.Reached(0))
-	friend := dialFrom(t, members[1].Addr(), f.Reached(0))
-	other := dialFrom(t, members[2].Addr(), f.Reached(0))
+	stranger := dialFrom(t, netip.Addr{}, f.Advertised(0))
+	friend := dialFrom(t, members[1].Addr(), f.Advertised(0))
+	other := dialFrom(t, members[2].Addr(), f.Advertised(0))
 	for name, c := range map[string]net.Conn{"stranger": stranger, "friend": friend, "other": other} {
 		_, _ = io.WriteString(c, "one\n")
 		if text, err := answered(c, 5*time.Second); err != nil || text != "one\n" {
@@ -89,14 +89,14 @@
 	}
 	// Datagrams to member 0: the other's is lost, the friend's and a stranger's come.
 	_ = all[0].udp.SetReadDeadline(time.Now().Add(5 * time.Second))
-	say := func(from *net.UDPConn, text string) { _, _ = from.WriteToUDPAddrPort([]byte(text), f.Reached(0)) }
+	say := func(from *net.UDPConn, text string) { _, _ = from.WriteToUDPAddrPort([]byte(text), f.Advertised(0)) }
 	say(all[2].udp, "other")
 	say(all[1].udp, "friend")
 	buffer := make([]byte, 100)
 	if n, _, err := all[0].udp.ReadFromUDPAddrPort(buffer); err != nil || string(buffer[:n]) != "friend" {
 		t.Errorf("%q, %v", buffer[:n], err)
 	}
-	late := dialFrom(t, members[2].Addr(), f.Reached(1)) // taken by the front, and not answered
+	late := dialFrom(t, members[2].Addr(), f.Advertised(1)) // taken by the front, and not answered
 	_, _ = io.WriteString(late, "late\n")
 	if text, err := answered(late, 200*time.Millisecond); err == nil {
 		t.Errorf("over a cut way came %q", text)
@@ -114,7 +114,7 @@
 		t.Errorf("%q, %v", buffer[:n], err)
 	}
 	all[0].close()
-	gone, err := net.Dial("tcp", f.Reached(0).String())
+	gone, err := net.Dial("tcp", f.Advertised(0).String())
 	if err == nil {
 		_, err = answered(gone, 5*time.Second)
 		_ = gone.Close()
--- a/internal/lab/emulator/link.go
+++ b/internal/lab/emulator/link.go
@@ -201,7 +201,7 @@
 		}
 		switch {
 		case c.err == nil:
-		case Abrupt(c.err):
+		case IsAbruptClose(c.err):
 			reset(to)
 		default:
 			if t, ok := to.(*net.TCPConn); ok {
--- a/internal/lab/emulator/misbehaving_clients.go
+++ b/internal/lab/emulator/misbehaving_clients.go
@@ -22,14 +22,14 @@
 	longSize   = 8 << 20 // bytes of the longest line
 )
 
-// Rude is one kind of bad client.
-type Rude struct {
+// MisbehavingClient is one kind of bad client.
+type MisbehavingClient struct {
 	Name string
 	Send func(rng *rand.Rand) []byte
 }
 
 // Rudes are all kinds.
-var Rudes = []Rude{
+var Rudes = []MisbehavingClient{
 	{"silent", func(*rand.Rand) []byte { return nil }},
 	{"noise", func(rng *rand.Rand) []byte {
 		b := make([]byte, 200)
@@ -50,8 +50,8 @@
 	{"pings", func(*rand.Rand) []byte { return bytes.Repeat([]byte("PING\r\n"), 300) }},
 }
 
-// Be plays one bad client and tells whether it was left with neither an answer nor a close in time.
-func (k Rude) Be(address string, rng *rand.Rand) bool {
+// Run plays one bad client and tells whether it was left with neither an answer nor a close in time.
+func (k MisbehavingClient) Run(address string, rng *rand.Rand) bool {
 	c, err := net.DialTimeout("tcp", address, rudeWithin)
 	if err != nil {
 		return false
@@ -90,8 +90,8 @@
 	return text
 }
 
-// Mob has so many clients a second connect and never finish a line, for a while. Each stays until it is closed.
-func Mob(ctx context.Context, rate float64, span time.Duration, door func(*rand.Rand) (int, string, bool), seed uint64) {
+// RunSilentClients has so many clients a second connect and never finish a line, for a while. Each stays until it is closed.
+func RunSilentClients(ctx context.Context, rate float64, span time.Duration, door func(*rand.Rand) (int, string, bool), seed uint64) {
 	ctx, stop := context.WithTimeout(ctx, span)
 	defer stop()
 	var all sync.WaitGroup
@@ -129,10 +129,10 @@
 	}
 }
 
-// RudeCrowd sends so many bad clients a second, kind after kind, until the context is done.
-func RudeCrowd(ctx context.Context, rate float64, door func(*rand.Rand) (int, string, bool), meter *report.Meter, seed uint64) {
+// RunMisbehavingClients sends so many bad clients a second, kind after kind, until the context is done.
+func RunMisbehavingClients(ctx context.Context, rate float64, door func(*rand.Rand) (int, string, bool), meter *report.Meter, seed uint64) {
 	come(ctx, rate, door, rand.New(rand.NewPCG(seed, 0xbad)), func(n int, address string) {
 		kind, own := Rudes[n%len(Rudes)], rand.New(rand.NewPCG(seed, uint64(n)))
-		go func() { meter.Bad(kind.Be(address, own)) }()
+		go func() { meter.Bad(kind.Run(address, own)) }()
 	})
 }
--- a/internal/lab/emulator/network_links.go
+++ b/internal/lab/emulator/network_links.go
@@ -17,23 +17,23 @@
 	mostResent = 0.9                   // a connection over a way that loses all would hang for ever
 )
 
-// Tie is how the way from one member to another is.
-type Tie struct {
+// MemberLink is how the way from one member to another is.
+type MemberLink struct {
 	Cut   bool          // nothing passes
 	Loss  float64       // share of datagrams that are lost; what is lost of a connection is sent again
 	Late  time.Duration // everything takes so much longer
 	Mixed float64       // share of datagrams that come twice, each at any moment of a short time
 }
 
-// Ties are the ways between so many members. Each member listens at one address and is reached at another, where its front
+// MemberLinks are the ways between so many members. Each member listens at one address and is reached at another, where its front
 // stands; who sends is told by the address that it sends from, which is its own.
-type Ties struct {
+type MemberLinks struct {
 	fronts []*front
 	real   []netip.AddrPort
 	guests []*Link // by member: for connections of strangers, where they are let in
 
 	mu    sync.Mutex
-	ties  [][]Tie // from, to
+	ties  [][]MemberLink // from, to
 	links [][]*Link
 	rng   *rand.Rand
 }
@@ -45,9 +45,9 @@
 	addr netip.AddrPort
 }
 
-// NewTies picks addresses for so many members and stands before them. Close ends all.
-func NewTies(many int, seed uint64) (*Ties, error) {
-	t := &Ties{rng: rand.New(rand.NewPCG(seed, 0x7135))}
+// NewMemberLinks picks addresses for so many members and stands before them. Close ends all.
+func NewMemberLinks(many int, seed uint64) (*MemberLinks, error) {
+	t := &MemberLinks{rng: rand.New(rand.NewPCG(seed, 0x7135))}
 	for range many {
 		// An address for both kinds that nobody else is given: listeners that are closed again before the member has it.
 		own, err := listenBoth()
@@ -68,7 +68,7 @@
 		t.real, t.fronts = append(t.real, own.addr), append(t.fronts, f)
 	}
 	for from := range many {
-		t.ties = append(t.ties, make([]Tie, many))
+		t.ties = append(t.ties, make([]MemberLink, many))
 		t.links = append(t.links, nil)
 		for to := range many {
 			t.links[from] = append(t.links[from], newWay(t.real[to].String()))
@@ -82,7 +82,7 @@
 }
 
 // Admit lets in strangers' connections, which nothing is between. It is called before any is made.
-func (t *Ties) Admit() {
+func (t *MemberLinks) Admit() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, addr := range t.real {
@@ -113,13 +113,13 @@
 }
 
 // Listen is the address that a member listens on.
-func (t *Ties) Listen(member int) netip.AddrPort { return t.real[member] }
+func (t *MemberLinks) Listen(member int) netip.AddrPort { return t.real[member] }
 
-// Reached is the address that the other members reach a member by.
-func (t *Ties) Reached(member int) netip.AddrPort { return t.fronts[member].addr }
+// Advertised is the address that the other members reach a member by.
+func (t *MemberLinks) Advertised(member int) netip.AddrPort { return t.fronts[member].addr }
 
 // Set changes every tie as it is told.
-func (t *Ties) Set(change func(from, to int, tie *Tie)) {
+func (t *MemberLinks) Set(change func(from, to int, tie *MemberLink)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for from := range t.ties {
@@ -139,7 +139,7 @@
 }
 
 // Close ends all.
-func (t *Ties) Close() {
+func (t *MemberLinks) Close() {
 	for _, f := range t.fronts {
 		f.close()
 	}
@@ -151,7 +151,7 @@
 }
 
 // sender is the member that sends from an address, -1 for a stranger.
-func (t *Ties) sender(ip netip.Addr) int {
+func (t *MemberLinks) sender(ip netip.Addr) int {
 	for i, a := range t.real {
 		if a.Addr() == ip.Unmap() {
 			return i
@@ -160,7 +160,7 @@
 	return -1
 }
 
-func (t *Ties) accept(to int, f *front) {
+func (t *MemberLinks) accept(to int, f *front) {
 	for {
 		c, err := f.tcp.AcceptTCP()
 		if err != nil {
@@ -189,7 +189,7 @@
 	}
 }
 
-func (t *Ties) read(to int, f *front) {
+func (t *MemberLinks) read(to int, f *front) {
 	buffer := make([]byte, 65536)
 	for {
 		n, sent, err := f.udp.ReadFromUDPAddrPort(buffer)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -82,8 +82,8 @@
 	s.model.Slow = times
 }
 
-// Ways in which a server misbehaves on the wire.
-type Ways struct {
+// WireFaults in which a server misbehaves on the wire.
+type WireFaults struct {
 	Silent   bool // says nothing any more, whatever comes
 	HalfOpen bool // takes connections and reads nothing
 	Drip     bool // answers a byte at a time
@@ -110,7 +110,7 @@
 
 	mu    sync.Mutex
 	model *model.Server
-	ways  Ways
+	ways  WireFaults
 	ln    net.Listener
 	conns map[*session]bool
 	rng   *rand.Rand
@@ -134,7 +134,7 @@
 }
 
 // NewServer makes a server whose process started at a time of the run; Listen starts it.
-func NewServer(num int, uid string, kind model.Kind, warmup model.Warmup, groupCost float64, sheds, started time.Duration,
+func NewServer(num int, uid string, kind model.MachineType, warmup model.Warmup, groupCost float64, sheds, started time.Duration,
 	store *Store, clock *Clock, log *history.Log, seed uint64) *Server {
 	s := &Server{Num: num, UID: uid, clock: clock, log: log, store: store, warmup: warmup, sheds: sheds,
 		conns: map[*session]bool{}, rng: rand.New(rand.NewPCG(seed, uint64(num)))}
@@ -159,9 +159,9 @@
 	if s.model.Warmth(s.clock.Now()) < 1 {
 		cold = "cold"
 	}
-	fills := s.model.Fills()
+	fills := s.model.Capacity()
 	s.mu.Unlock()
-	s.log.Add(history.Event{At: s.clock.Now(), What: history.Started, Server: int32(s.Num), Balancer: -1, N: fills, Text: cold})
+	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Num), Balancer: -1, N: fills, Text: cold})
 	go s.accept(ln)
 	return nil
 }
@@ -200,8 +200,8 @@
 	_ = c.Close()
 }
 
-func (e *session) note(w history.What, more history.Event) {
-	more.At, more.What, more.Circuit, more.Server, more.Balancer = e.s.clock.Now(), w, e.circuit, int32(e.s.Num), -1
+func (e *session) note(w history.Kind, more history.Event) {
+	more.At, more.Kind, more.Session, more.Server, more.Balancer = e.s.clock.Now(), w, e.circuit, int32(e.s.Num), -1
 	e.s.log.Add(more)
 }
 
@@ -244,7 +244,7 @@
 		case string(raw) == string(protocol.AskLoad):
 			e.s.mu.Lock()
 			e.s.model.Advance(e.s.clock.Now())
-			asked, piled := e.s.model.Asked(e.s.clock.Now()), e.s.model.Piled().Seconds()
+			asked, piled := e.s.model.Utilization(e.s.clock.Now()), e.s.model.Backlog().Seconds()
 			e.s.mu.Unlock()
 			e.write(fmt.Appendf(nil, "PONG x0=%.4f,x1=%.4f\r\n", asked, piled))
 		case ln.Kind == protocol.Open && !e.asked:
@@ -265,22 +265,22 @@
 	if e.load == 0 {
 		e.load = 1
 	}
-	e.note(history.Sent, history.Event{Len: now - first, Text: strconv.FormatUint(a.Key, 16)})
+	e.note(history.AttemptReceived, history.Event{Len: now - first, Text: strconv.FormatUint(a.Key, 16)})
 	s.mu.Lock()
 	verdict, took := s.model.Ask(now, e.load, e.group, s.rng.Float64())
 	e.held = verdict == model.Up
 	s.mu.Unlock()
 	switch verdict {
-	case model.Fallen:
+	case model.Overloaded:
 		s.fall(e.circuit)
 		return
 	case model.Busy:
-		e.note(history.Over, history.Event{Text: "refused"})
+		e.note(history.AttemptEnded, history.Event{Text: "refused"})
 		e.settle()
 		e.write([]byte("BUSY\r\n"))
 		return
 	case model.Err:
-		e.note(history.Over, history.Event{Text: "failed"})
+		e.note(history.AttemptEnded, history.Event{Text: "failed"})
 		e.settle()
 		e.write([]byte("ERR\r\n"))
 		return
@@ -298,13 +298,13 @@
 		e.up = sound
 		s.mu.Unlock()
 		if !sound {
-			e.note(history.Over, history.Event{Text: "failed"})
+			e.note(history.AttemptEnded, history.Event{Text: "failed"})
 			e.settle()
 			e.write([]byte("ERR\r\n"))
 			return
 		}
 		e.note(history.Ran, history.Event{N: float64(e.circuit)})
-		e.write(fmt.Appendf(nil, "UP %x\r\nLOAD %.3f\r\n", e.circuit, e.load*1e6/float64(s.model.Kind.Fills)))
+		e.write(fmt.Appendf(nil, "UP %x\r\nLOAD %.3f\r\n", e.circuit, e.load*1e6/float64(s.model.Type.Fills)))
 	}
 	if took += wait; took < time.Millisecond/2 {
 		answer()
@@ -390,7 +390,7 @@
 	}
 	s.mu.Unlock()
 	if asked {
-		e.note(history.Over, history.Event{Text: how})
+		e.note(history.AttemptEnded, history.Event{Text: how})
 	}
 	if abrupt {
 		reset(e.c)
@@ -417,7 +417,7 @@
 	if already {
 		return
 	}
-	s.log.Add(history.Event{At: s.clock.Now(), What: history.Fell, Server: int32(s.Num), Balancer: -1, Circuit: circuit})
+	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Overloaded, Server: int32(s.Num), Balancer: -1, Session: circuit})
 	s.halt()
 }
 
@@ -434,9 +434,9 @@
 	}
 }
 
-// Down stops the server: it resets what it holds and refuses newcomers. Text says why, in the record.
-func (s *Server) Down(why string) {
-	s.log.Add(history.Event{At: s.clock.Now(), What: history.Stopped, Server: int32(s.Num), Balancer: -1, Text: why})
+// Fail stops the server: it resets what it holds and refuses newcomers. Text says why, in the record.
+func (s *Server) Fail(why string) {
+	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Stopped, Server: int32(s.Num), Balancer: -1, Text: why})
 	s.halt()
 }
 
@@ -444,8 +444,8 @@
 func (s *Server) Revive() error {
 	s.mu.Lock()
 	old := s.model
-	s.model = model.New(old.Kind, s.warmup, s.clock.Now())
-	s.model.GroupCost, s.ways = old.GroupCost, Ways{}
+	s.model = model.New(old.Type, s.warmup, s.clock.Now())
+	s.model.GroupCost, s.ways = old.GroupCost, WireFaults{}
 	s.mu.Unlock()
 	return s.Listen()
 }
@@ -459,7 +459,7 @@
 }
 
 // Misbehave changes what it does on the wire.
-func (s *Server) Misbehave(change func(*Ways)) {
+func (s *Server) Misbehave(change func(*WireFaults)) {
 	s.mu.Lock()
 	was := s.ways
 	change(&s.ways)
@@ -467,12 +467,12 @@
 	s.mu.Unlock()
 	switch {
 	case is.Silent && !was.Silent:
-		s.log.Add(history.Event{At: s.clock.Now(), What: history.Stopped, Server: int32(s.Num), Balancer: -1, Text: "vanish"})
+		s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Stopped, Server: int32(s.Num), Balancer: -1, Text: "vanish"})
 	case was.Silent && !is.Silent: // a machine that is back has forgotten its connections
 		for _, e := range s.all() {
 			e.end("server", true)
 		}
-		s.log.Add(history.Event{At: s.clock.Now(), What: history.Started, Server: int32(s.Num), Balancer: -1, N: s.model.Fills(), Text: "warm"})
+		s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Num), Balancer: -1, N: s.model.Capacity(), Text: "warm"})
 	case was.HalfOpen && !is.HalfOpen:
 		for _, e := range s.all() {
 			if !e.asked && !e.up {
@@ -510,9 +510,9 @@
 	s.mu.Lock()
 	now := s.clock.Now()
 	s.model.Advance(now)
-	asked, ready := s.model.Asked(now), !s.down && !s.model.Draining
+	asked, ready := s.model.Utilization(now), !s.down && !s.model.Draining
 	var shed []*session
-	if s.sheds > 0 && s.model.Piled() > s.sheds {
+	if s.sheds > 0 && s.model.Backlog() > s.sheds {
 		for e := range s.conns {
 			if e.up && len(shed) <= len(s.conns)/20 {
 				shed = append(shed, e)
@@ -526,11 +526,11 @@
 	return asked, ready
 }
 
-// Held is how many connections it holds.
-func (s *Server) Held() int {
+// OpenSessions is how many connections it holds.
+func (s *Server) OpenSessions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.model.Held()
+	return s.model.Sessions()
 }
 
 // Groups counts the groups it holds any of.
@@ -547,7 +547,7 @@
 // Close ends all.
 func (s *Server) Close() { s.halt() }
 
-// Abrupt tells whether a read ended by a reset.
-func Abrupt(err error) bool {
+// IsAbruptClose tells whether a read ended by a reset.
+func IsAbruptClose(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || err != nil && !errors.Is(err, io.EOF)
 }
--- a/internal/lab/emulator/standin_test.go
+++ b/internal/lab/emulator/standin_test.go
@@ -20,9 +20,9 @@
 
 const ms = time.Millisecond
 
-var kind = model.Kind{Name: "std", Cores: 2, Speed: 1, Fills: 30, Most: 3, Setup: ms, Message: ms}
+var kind = model.MachineType{Name: "std", Cores: 2, Speed: 1, Fills: 30, Most: 3, Setup: ms, Message: ms}
 
-func server(t *testing.T, k model.Kind, started time.Duration) (*Server, *history.Log) {
+func server(t *testing.T, k model.MachineType, started time.Duration) (*Server, *history.Log) {
 	t.Helper()
 	log, clock := history.New(1000), &Clock{}
 	clock.Begin()
@@ -72,11 +72,11 @@
 }
 
 // wait waits for an event of a kind; events come from goroutines that are on their way.
-func wait(t *testing.T, log *history.Log, w history.What, text string) history.Event {
+func wait(t *testing.T, log *history.Log, w history.Kind, text string) history.Event {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(ms) {
 		for _, e := range log.Events() {
-			if e.What == w && e.Text == text {
+			if e.Kind == w && e.Text == text {
 				return e
 			}
 		}
@@ -100,22 +100,22 @@
 	dial(t, s.Addr(), "OPEN 2b 2 c=feed,d=900\r\n").want("UP 2b")
 	dial(t, s.Addr(), "OPEN 2c 2 c=feed,d=900\r\n").want("UP 2c")
 	dial(t, s.Addr(), "OPEN 2d 2 c=feed,d=900\r\n").want("BUSY\r\n") // it holds three
-	if e := wait(t, log, history.Over, "refused"); e.Circuit != 0x2d || e.Server != 4 {
+	if e := wait(t, log, history.AttemptEnded, "refused"); e.Session != 0x2d || e.Server != 4 {
 		t.Fatal(e)
 	}
 	_ = c.Close()
-	if e := wait(t, log, history.Over, "peer"); e.Circuit != 0x2a {
+	if e := wait(t, log, history.AttemptEnded, "peer"); e.Session != 0x2a {
 		t.Fatal(e)
 	}
-	if n := s.Held(); n != 2 {
+	if n := s.OpenSessions(); n != 2 {
 		t.Fatalf("%d held", n)
 	}
 	bad := dial(t, s.Addr(), "HELLO\r\n")
 	bad.want("SYNTAX\r\n")
 	bad.ends(false)
-	s.Set(func(m *model.Server) { m.ErrorRate = 1; m.Kind.Most = 10 })
+	s.Set(func(m *model.Server) { m.ErrorRate = 1; m.Type.Most = 10 })
 	dial(t, s.Addr(), "OPEN 2e 2 c=feed,d=900\r\n").want("ERR\r\n")
-	s.Down("crash")
+	s.Fail("crash")
 	if _, err := net.Dial("tcp", s.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Fatal(err)
 	}
@@ -135,40 +135,40 @@
 		return c
 	}
 	c := up("1")
-	s.Misbehave(func(w *Ways) { w.Torn = true })
+	s.Misbehave(func(w *WireFaults) { w.Torn = true })
 	_, _ = io.WriteString(c, "M 1\r\n")
 	if text, err := c.r.ReadString('\n'); err == nil || !strings.HasPrefix("M 1 t=", text) && text != "" && !strings.HasPrefix(text, "M 1") {
 		t.Fatalf("%q, %v", text, err)
 	}
-	wait(t, log, history.Over, "server")
-	s.Misbehave(func(w *Ways) { *w = Ways{Drip: true} })
+	wait(t, log, history.AttemptEnded, "server")
+	s.Misbehave(func(w *WireFaults) { *w = WireFaults{Drip: true} })
 	c = dial(t, s.Addr(), "PING\r\n")
 	began := time.Now()
 	if c.want("PONG\r\n"); time.Since(began) < 5*dripEach {
 		t.Fatal("it did not drip")
 	}
-	s.Misbehave(func(w *Ways) { *w = Ways{} })
+	s.Misbehave(func(w *WireFaults) { *w = WireFaults{} })
 	c = up("2")
-	s.Misbehave(func(w *Ways) { w.Silent = true })
+	s.Misbehave(func(w *WireFaults) { w.Silent = true })
 	_, _ = io.WriteString(c, "M 1\r\n")
 	_ = c.SetReadDeadline(time.Now().Add(100 * ms))
 	if b, err := c.r.ReadByte(); err == nil {
 		t.Fatalf("a silent server said %q", b)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	s.Misbehave(func(w *Ways) { w.Silent = false })
+	s.Misbehave(func(w *WireFaults) { w.Silent = false })
 	c.ends(true)
-	s.Misbehave(func(w *Ways) { w.HalfOpen = true })
+	s.Misbehave(func(w *WireFaults) { w.HalfOpen = true })
 	c = dial(t, s.Addr(), "PING\r\n")
 	for end := time.Now().Add(20 * time.Second); len(s.all()) == 0 && time.Now().Before(end); {
 		time.Sleep(ms) // until it has taken the connection
 	}
-	s.Misbehave(func(w *Ways) { w.HalfOpen = false })
+	s.Misbehave(func(w *WireFaults) { w.HalfOpen = false })
 	c.ends(true)
 }
 
 func TestAColdServerFallsOver(t *testing.T) {
-	s, log := server(t, model.Kind{Cores: 1, Speed: 1, Fills: 2, Most: 100, Message: ms}, 0)
+	s, log := server(t, model.MachineType{Cores: 1, Speed: 1, Fills: 2, Most: 100, Message: ms}, 0)
 	for id := 1; ; id++ {
 		c, err := net.Dial("tcp", s.Addr())
 		if err != nil {
@@ -183,7 +183,7 @@
 			t.Fatal("it bears everything")
 		}
 	}
-	wait(t, log, history.Fell, "")
+	wait(t, log, history.Overloaded, "")
 }
 
 func TestADrainingServerSendsItsClientsAway(t *testing.T) {
@@ -194,7 +194,7 @@
 	s.Drain(context.Background(), true, s.clock.Now()+300*ms)
 	c.want("MOVE\r\n")
 	c.ends(false)
-	wait(t, log, history.Over, "server")
+	wait(t, log, history.AttemptEnded, "server")
 	dial(t, s.Addr(), "OPEN 2 2 c=feed,d=900\r\n").want("BUSY\r\n")
 }
 
@@ -206,9 +206,9 @@
 		t.Fatal(err)
 	}
 	defer a.Close()
-	list := NewList(clock, [2]time.Duration{}, [2]time.Duration{}, 1)
-	list.Join(a)
-	list.First(Entry{UID: "s-9", Endpoint: "127.0.0.1:1", State: InService, Heft: 2})
+	list := NewEndpointList(clock, [2]time.Duration{}, [2]time.Duration{}, 1)
+	list.AddAgent(a)
+	list.SetInitial(Endpoint{UID: "s-9", Address: "127.0.0.1:1", State: InService, Weight: 2})
 	lists, errs := make(chan discovery.List, 100), make(chan error, 100)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -216,29 +216,29 @@
 	if l := <-lists; !l.Whole || len(l.Servers) != 1 || l.Servers[0].Heft != 2 {
 		t.Fatal(l)
 	}
-	wait(t, log, history.Told, "ready")
-	list.State(ctx, "s-9", Terminating, 0, false)
+	wait(t, log, history.Notified, "ready")
+	list.SetState(ctx, "s-9", Terminating, 0, false)
 	if l := <-lists; l.Whole || len(l.Servers) != 1 {
 		t.Fatal(l)
 	}
-	if e := wait(t, log, history.Told, "draining"); e.Balancer != 2 || e.Server != 9 {
+	if e := wait(t, log, history.Notified, "draining"); e.Balancer != 2 || e.Server != 9 {
 		t.Fatal(e)
 	}
 	a.Misbehave(Faulty)
 	for range 3 {
 		<-errs
 	}
-	a.Misbehave(Sound)
+	a.Misbehave(Healthy)
 	if l := <-lists; !l.Whole {
 		t.Fatal(l)
 	}
-	a.Book(NewDesk(time.Hour, time.Millisecond))
+	a.UseHub(NewWatchHub(time.Hour, time.Millisecond))
 	if res, err := http.Get("http://" + a.Addr() + "/v1/endpoints"); err != nil || res.StatusCode != http.StatusServiceUnavailable {
 		t.Fatal(res, err)
 	}
-	a.Book(nil)
+	a.UseHub(nil)
 	list.Hide(ctx, "s-9", true)
-	wait(t, log, history.Told, "gone")
+	wait(t, log, history.Notified, "gone")
 	old := a.Addr()
 	if err := a.Replace(); err != nil || a.Addr() == old {
 		t.Fatal(err, old)
--- a/internal/lab/emulator/watch_hub.go
+++ b/internal/lab/emulator/watch_hub.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// Desk serves calls one after the other. One that has waited for too long is turned away, but its turn comes all the
+// WatchHub serves calls one after the other. One that has waited for too long is turned away, but its turn comes all the
 // same: what nobody waits for any more takes the time of those who do.
-type Desk struct {
+type WatchHub struct {
 	each, patience time.Duration
 
 	mu      sync.Mutex
@@ -25,13 +25,13 @@
 	changed chan struct{}
 }
 
-// NewDesk makes one that takes so long for each call, and turns calls away after so long a wait.
-func NewDesk(each, patience time.Duration) *Desk {
-	return &Desk{each: each, patience: patience, changed: make(chan struct{})}
+// NewWatchHub makes one that takes so long for each call, and turns calls away after so long a wait.
+func NewWatchHub(each, patience time.Duration) *WatchHub {
+	return &WatchHub{each: each, patience: patience, changed: make(chan struct{})}
 }
 
-// Change has the list change, once: watches from an older revision are answered with the text.
-func (d *Desk) Change(rev int, text string) {
+// Publish has the list change, once: watches from an older revision are answered with the text.
+func (d *WatchHub) Publish(rev int, text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rev, d.text = rev, text
@@ -40,9 +40,9 @@
 
 // RoundTrip answers a watch as discovery would: 503 where it has waited too long for its turn, else once there is news, or
 // with none once it has waited for as long as it may.
-func (d *Desk) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d *WatchHub) RoundTrip(r *http.Request) (*http.Response, error) {
 	status, text := http.StatusServiceUnavailable, ""
-	if d.Take(r.Context()) {
+	if d.WaitForWatch(r.Context()) {
 		status = http.StatusOK
 		q := r.URL.Query()
 		from, _ := strconv.Atoi(q.Get("from"))
@@ -75,7 +75,7 @@
 }
 
 // has is what has changed since a revision.
-func (d *Desk) has(from int) string {
+func (d *WatchHub) has(from int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if from >= d.rev {
@@ -84,8 +84,8 @@
 	return d.text
 }
 
-// Take waits for the call's turn; false: it has waited too long, or its caller left.
-func (d *Desk) Take(ctx context.Context) bool {
+// WaitForWatch waits for the call's turn; false: it has waited too long, or its caller left.
+func (d *WatchHub) WaitForWatch(ctx context.Context) bool {
 	now := time.Now()
 	d.mu.Lock()
 	if d.free.Before(now) {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -180,7 +180,7 @@
 	for _, in := range b.In["server"] {
 		u := r.Open("server", in.Body, in.DefRange, "count cores speed fills most setup message")
 		u.Must("count")
-		k := model.Kind{Name: in.Labels[0], Cores: u.Whole("cores", 2, 1, 1024), Speed: u.Number("speed", 1, 0.01, 100),
+		k := model.MachineType{Name: in.Labels[0], Cores: u.Whole("cores", 2, 1, 1024), Speed: u.Number("speed", 1, 0.01, 100),
 			Fills: u.Whole("fills", 30, 1, 1000000), Setup: u.Span("setup", 8*ms, 0, s), Message: u.Span("message", 10*ms, 0, s)}
 		k.Most = u.Whole("most", 4*k.Cores*k.Fills, 1, 100000000)
 		for range u.Whole("count", 1, 1, x.bound(mostSocketServers, mostServers)) {
@@ -188,7 +188,7 @@
 			if i > x.bound(mostSocketServers, mostServers) {
 				break // one too many is said once, below
 			}
-			w.Machines = append(w.Machines, topology.Machine{Kind: k, Zone: i % w.Zones, Cell: i % w.Zones * cells / w.Zones})
+			w.Machines = append(w.Machines, topology.Machine{Type: k, Zone: i % w.Zones, FailureDomain: i % w.Zones * cells / w.Zones})
 		}
 	}
 	if most := x.bound(mostSocketServers, mostServers); len(w.Machines) == 0 || len(w.Machines) > most {
@@ -269,7 +269,7 @@
 	if all := p.Rate * (length - p.Fill).Seconds(); all > float64(most) {
 		r.At(in.DefRange, "load: %.0f clients are more than the %d that can be run", all, most)
 	}
-	x.World.Return = load.Return{Wait: b.Span("wait", 100*ms, 0, time.Minute), Most: b.Span("wait_most", 2*s, 0, time.Hour),
+	x.World.Retry = load.RetryPolicy{Wait: b.Span("wait", 100*ms, 0, time.Minute), Most: b.Span("wait_most", 2*s, 0, time.Hour),
 		Move: b.Span("move", 100*ms, 0, time.Minute), Break: b.Span("break", 300*ms, 0, time.Minute)}
 }
 
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -90,17 +90,17 @@
 	Ways    string // of faults between members: "both", "in" or "out", as those of Part see it
 }
 
-// Act is what one step does.
-type Act uint8
+// Action is what one step does.
+type Action uint8
 
 // The steps. Figure and For in the comments are fields of Step.
 const (
-	Start      Act = iota // server Who starts cold; in place of machine Of
-	BeginDrain            // the list says that it drains, and it sends its clients away; For: until it stops
-	Stop                  // it ends what it holds and is gone
-	Die                   // its process dies; the list notices late
-	Revive                // and starts again, cold
-	Silence               // its machine says nothing any more
+	Start      Action = iota // server Who starts cold; in place of machine Of
+	BeginDrain               // the list says that it drains, and it sends its clients away; For: until it stops
+	Stop                     // it ends what it holds and is gone
+	Die                      // its process dies; the list notices late
+	Revive                   // and starts again, cold
+	Silence                  // its machine says nothing any more
 	Speak
 	SetSlow // Figure: times slower
 	SetErrors
@@ -132,8 +132,8 @@
 	LoseBalancer  // killed, and its directory deleted
 )
 
-// Tie is how ways between members are.
-type Tie struct {
+// MemberLink is how ways between members are.
+type MemberLink struct {
 	In, Out     bool // which ways: towards those of the band, from them
 	Loss, Mixed float64
 	Late        time.Duration
@@ -143,16 +143,16 @@
 // Step is one act. Who is a server, or a balancer for the acts on balancers.
 type Step struct {
 	At     time.Duration
-	Act    Act
-	Who    int
+	Action Action
+	Target int
 	Of     int // the machine whose place a started one takes
 	Figure float64
 	For    time.Duration
 	Band   uint64 // the members that SetTies is about, a bit each; on sockets there are few
-	Tie    Tie
+	Tie    MemberLink
 }
 
-func onServer(a Act) bool {
+func onServer(a Action) bool {
 	switch a {
 	case SetStore, SetDiscovery, SetLate, SetFaulty, DropClients, KillBalancer, StartBalancer, LeaveBalancer, ReloadAll, SetBad,
 		UpgradeBalancer, DrainBalancer, SetTune, SetCrowd, SetPieces, SetTies, StallBalancer, LoseBalancer:
@@ -162,7 +162,7 @@
 }
 
 // OnServer tells whether a step is about server Who.
-func (s Step) OnServer() bool { return onServer(s.Act) }
+func (s Step) OnServer() bool { return onServer(s.Action) }
 
 // Expand turns faults into steps for so many servers and balancers, in order of time. It also answers how many
 // servers there are in all, successors included.
@@ -180,14 +180,14 @@
 		if _, known := Kinds[f.Kind]; !known {
 			return nil, 0, fmt.Errorf("fault %d: kind %q is not known", n+1, f.Kind)
 		}
-		step := func(at time.Duration, act Act, who int, figure float64, span time.Duration) {
-			all = append(all, Step{At: at, Act: act, Who: who, Figure: figure, For: span})
+		step := func(at time.Duration, act Action, who int, figure float64, span time.Duration) {
+			all = append(all, Step{At: at, Action: act, Target: who, Figure: figure, For: span})
 		}
 		// some picks Part of so many, one at least.
 		some := func(of int) []int {
 			return rng.Perm(of)[:min(of, max(1, int(math.Round(f.Part*float64(of)))))]
 		}
-		spell := func(act Act, on, off float64, span time.Duration) {
+		spell := func(act Action, on, off float64, span time.Duration) {
 			for _, i := range some(servers) {
 				step(f.At, act, standing[i], on, span)
 				step(f.At+f.For, act, standing[i], off, 0)
@@ -210,7 +210,7 @@
 			for b := 0; b < batches; b++ {
 				at := f.At + time.Duration(float64(f.For)*float64(b)/float64(batches))
 				for _, i := range which[b*batch : min(len(which), (b+1)*batch)] {
-					all = append(all, Step{At: at, Act: Start, Who: total, Of: i})
+					all = append(all, Step{At: at, Action: Start, Target: total, Of: i})
 					step(at, BeginDrain, standing[i], 0, drain)
 					step(at+drain, Stop, standing[i], 0, 0)
 					standing[i] = total
@@ -290,7 +290,7 @@
 			step(f.At, SetPieces, 0, 1, 0)
 			step(f.At+f.For, SetPieces, 0, 0, 0)
 		case MembersLossy, MembersSlow, MembersCut, MembersReorder:
-			tie := Tie{In: f.Ways != "out", Out: f.Ways != "in"}
+			tie := MemberLink{In: f.Ways != "out", Out: f.Ways != "in"}
 			switch f.Kind {
 			case MembersLossy:
 				tie.Loss = f.Rate
@@ -305,8 +305,8 @@
 			for _, b := range some(min(balancers, 64)) {
 				band |= 1 << b
 			}
-			all = append(all, Step{At: f.At, Act: SetTies, Band: band, Tie: tie},
-				Step{At: f.At + f.For, Act: SetTies, Band: band, Tie: Tie{In: tie.In, Out: tie.Out}})
+			all = append(all, Step{At: f.At, Action: SetTies, Band: band, Tie: tie},
+				Step{At: f.At + f.For, Action: SetTies, Band: band, Tie: MemberLink{In: tie.In, Out: tie.Out}})
 		case Stall:
 			for _, b := range some(balancers) {
 				step(f.At, StallBalancer, b, 0, f.For)
@@ -330,13 +330,13 @@
 	// fault falls into a release: there is nothing to do then.
 	number := map[int]int{}
 	for _, s := range all {
-		if s.Act == Start {
-			number[s.Who] = servers + len(number)
+		if s.Action == Start {
+			number[s.Target] = servers + len(number)
 		}
 	}
 	for i, s := range all {
-		if as, is := number[s.Who]; is && onServer(s.Act) {
-			all[i].Who = as
+		if as, is := number[s.Target]; is && onServer(s.Action) {
+			all[i].Target = as
 		}
 	}
 	return all, total, nil
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -21,34 +21,34 @@
 		on, drained := map[[2]int]int{}, map[int]bool{}
 		started := 0
 		for _, s := range steps {
-			switch s.Act {
+			switch s.Action {
 			case Start:
-				if s.Who != 10+started {
-					t.Errorf("%s: successor %d in place of %d", kind, s.Who, 10+started)
+				if s.Target != 10+started {
+					t.Errorf("%s: successor %d in place of %d", kind, s.Target, 10+started)
 				}
 				started++
 			case BeginDrain:
-				drained[s.Who] = true
+				drained[s.Target] = true
 			case Stop:
-				if !drained[s.Who] {
-					t.Errorf("%s: server %d stops undrained", kind, s.Who)
+				if !drained[s.Target] {
+					t.Errorf("%s: server %d stops undrained", kind, s.Target)
 				}
 			case Die, Silence, Hide, KillBalancer:
-				on[[2]int{int(s.Act), s.Who}]++
+				on[[2]int{int(s.Action), s.Target}]++
 			case LoseBalancer:
-				on[[2]int{int(KillBalancer), s.Who}]++
+				on[[2]int{int(KillBalancer), s.Target}]++
 			case SetTies:
-				on[[2]int{int(s.Act), int(s.Band)}] += map[bool]int{true: -1, false: 1}[s.Tie == Tie{In: s.Tie.In, Out: s.Tie.Out}]
+				on[[2]int{int(s.Action), int(s.Band)}] += map[bool]int{true: -1, false: 1}[s.Tie == MemberLink{In: s.Tie.In, Out: s.Tie.Out}]
 			case Revive, Speak, Show, StartBalancer:
-				on[[2]int{int(s.Act) - 1, s.Who}]--
+				on[[2]int{int(s.Action) - 1, s.Target}]--
 			case SetSlow, SetStore:
-				on[[2]int{int(s.Act), s.Who}] += map[bool]int{true: 1, false: -1}[s.Figure > 1]
+				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Figure > 1]
 			case SetDiscovery:
-				on[[2]int{int(s.Act), s.Who}] += map[bool]int{true: 1, false: -1}[s.Figure == 0]
+				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Figure == 0]
 			case SetErrors, SetFull, SetDrip, SetTorn, SetHalfOpen, SetFaulty, SetBad, SetLinkCut:
-				on[[2]int{int(s.Act), s.Who}] += map[bool]int{true: 1, false: -1}[s.Figure > 0]
+				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Figure > 0]
 			case SetLate, SetLinkLate:
-				on[[2]int{int(s.Act), s.Who}] += map[bool]int{true: 1, false: -1}[s.For > 0]
+				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.For > 0]
 			}
 		}
 		for what, n := range on {
--- a/internal/lab/feedsim/digest_test.go
+++ b/internal/lab/feedsim/digest_test.go
@@ -15,11 +15,11 @@
 	}
 	var got string
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := New(Usual(seed, 30))
+		w := New(DefaultPlan(seed, 30))
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
 		}
-		got += fmt.Sprintf("seed %d: %016x, %d messages, %d changes, %d snapshots\n", seed, w.Sum(), w.Messages, w.Changes, w.Snapshots)
+		got += fmt.Sprintf("seed %d: %016x, %d messages, %d changes, %d snapshots\n", seed, w.Digest(), w.Messages, w.Changes, w.Snapshots)
 	}
 	if got != string(golden) {
 		t.Errorf("got\n%swant\n%s", got, golden)
--- a/internal/lab/feedsim/world.go
+++ b/internal/lab/feedsim/world.go
@@ -46,8 +46,8 @@
 	Loss      float64       // of messages, and as many doubled, while that fault is on
 }
 
-// Usual is a history of the size that is wanted: 17 relays in 3 regions and 11 zones.
-func Usual(seed uint64, followers int) Plan {
+// DefaultPlan is a history of the size that is wanted: 17 relays in 3 regions and 11 zones.
+func DefaultPlan(seed uint64, followers int) Plan {
 	return Plan{Seed: seed, Relays: 17, Zones: 11, Regions: 3, Followers: followers, Length: 45 * time.Second, Rate: 1, Faults: 0.5, Loss: 0.2}
 }
 
@@ -566,5 +566,5 @@
 	return 6
 }
 
-// Sum tells two histories apart.
-func (w *World) Sum() uint64 { return w.sum }
+// Digest tells two histories apart.
+func (w *World) Digest() uint64 { return w.sum }
--- a/internal/lab/feedsim/world_test.go
+++ b/internal/lab/feedsim/world_test.go
@@ -22,7 +22,7 @@
 	versions, due, restarts := 0, 0, 0
 	for seed := *from; seed < *from+uint64(*seeds); seed++ {
 		began := time.Now()
-		w := New(Usual(seed, *many))
+		w := New(DefaultPlan(seed, *many))
 		err := w.Play()
 		t.Logf("seed %d: %d versions, %d killed, %d stalls, %d cuts, %d resets, %d times all relays, %d messages, %d changes, %d snapshots, %d wants, %d mismatches, %d lapses, "+
 			"in force %v at the latest of %d, in %v", seed, len(w.agreed)-1, w.Kills, w.Stalls, w.Cuts, w.Resets, w.Restarts, w.Messages, w.Changes, w.Snapshots, w.Wants, w.Mismatches,
@@ -40,12 +40,12 @@
 
 // TestTheSameSeedIsTheSameHistory plays one twice.
 func TestTheSameSeedIsTheSameHistory(t *testing.T) {
-	a, b := New(Usual(9, 30)), New(Usual(9, 30))
+	a, b := New(DefaultPlan(9, 30)), New(DefaultPlan(9, 30))
 	errA, errB := a.Play(), b.Play()
-	if a.Sum() != b.Sum() || a.Messages != b.Messages || a.Lapses != b.Lapses || errA != nil || errB != nil {
-		t.Errorf("%x and %x, %d and %d messages, %v, %v", a.Sum(), b.Sum(), a.Messages, b.Messages, errA, errB)
+	if a.Digest() != b.Digest() || a.Messages != b.Messages || a.Lapses != b.Lapses || errA != nil || errB != nil {
+		t.Errorf("%x and %x, %d and %d messages, %v, %v", a.Digest(), b.Digest(), a.Messages, b.Messages, errA, errB)
 	}
-	if c := New(Usual(10, 30)); c.Play() != nil || c.Sum() == a.Sum() {
+	if c := New(DefaultPlan(10, 30)); c.Play() != nil || c.Digest() == a.Digest() {
 		t.Error("another seed is the same history")
 	}
 }
@@ -70,7 +70,7 @@
 // TestWhatIsHarmedOnTheWayIsRefused plays histories in which changes come with other values: none is taken, and all go on.
 func TestWhatIsHarmedOnTheWayIsRefused(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := New(Usual(seed, 30))
+		w := New(DefaultPlan(seed, 30))
 		w.given = harm(w, 20)
 		if err := w.Play(); err != nil {
 			t.Error(err)
@@ -125,7 +125,7 @@
 		t.Run(broken, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 60; seed++ {
-				w := New(Usual(seed, 30))
+				w := New(DefaultPlan(seed, 30))
 				one.in(w)
 				err := w.Play()
 				if err == nil {
--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -62,7 +62,7 @@
 	}
 	byKey := map[string][]porcupine.Operation{}
 	wrote := map[string]string{}
-	for _, a := range w.Acts {
+	for _, a := range w.Operations {
 		r := a.Result.Record
 		if a.Answered && a.Result.Outcome == replication.Done && r.Op == a.Op.ID {
 			at := fmt.Sprintf("%s version %d", a.Op.Key, r.Version)
--- a/internal/lab/fleetsim/digest_test.go
+++ b/internal/lab/fleetsim/digest_test.go
@@ -19,7 +19,7 @@
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
 		}
-		got += fmt.Sprintf("seed %d: %016x, %d operations\n", seed, w.Sum(), len(w.Acts))
+		got += fmt.Sprintf("seed %d: %016x, %d operations\n", seed, w.Digest(), len(w.Operations))
 	}
 	if got != string(golden) {
 		t.Errorf("got\n%swant\n%s", got, golden)
--- a/internal/lab/fleetsim/play.go
+++ b/internal/lab/fleetsim/play.go
@@ -65,15 +65,15 @@
 }
 
 func (w *World) ask(n *member, op replication.Op) {
-	a := &Act{Op: op, Client: n.num, From: w.now}
-	w.Acts = append(w.Acts, a)
+	a := &Operation{Op: op, Client: n.num, From: w.now}
+	w.Operations = append(w.Operations, a)
 	w.byOp[op.ID] = a
 	w.run(n, n.born, func() { n.core.Ask(op, askWithin) })
 }
 
 // last is the version of a key that any client heard of last.
 func (w *World) last(key string) uint64 {
-	for _, a := range slices.Backward(w.Acts) {
+	for _, a := range slices.Backward(w.Operations) {
 		if a.Answered && a.Op.Key == key && a.Result.Record.Version > 0 && !a.Result.Record.Gone {
 			return a.Result.Record.Version
 		}
@@ -219,7 +219,7 @@
 // Counts are how operations ended; those that nobody answered count as unknown.
 func (w *World) Counts() map[replication.Outcome]int {
 	n := map[replication.Outcome]int{}
-	for _, a := range w.Acts {
+	for _, a := range w.Operations {
 		n[a.Result.Outcome]++
 	}
 	return n
--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -29,16 +29,16 @@
 	askWithin = 1500 * time.Millisecond
 )
 
-// Break is a fault of the cores' own, put in to see that it is found.
-type Break string
+// Defect is a fault of the cores' own, put in to see that it is found.
+type Defect string
 
 // The faults that a history can put in.
 const (
-	Sound      Break = ""
-	TooSoon    Break = "acknowledged-before-copied" // results are told before any copy is made
-	NotFenced  Break = "old-owner-not-fenced"       // a holder tells an overtaken primary that it has its write
-	NoRepair   Break = "repair-left-out"            // nobody begins to be a holder
-	NotWritten Break = "records-not-written"        // what goes out does not wait for the disk, and records never come there
+	NoDefect   Defect = ""
+	TooSoon    Defect = "acknowledged-before-copied" // results are told before any copy is made
+	NotFenced  Defect = "old-owner-not-fenced"       // a holder tells an overtaken primary that it has its write
+	NoRepair   Defect = "repair-left-out"            // nobody begins to be a holder
+	NotWritten Defect = "records-not-written"        // what goes out does not wait for the disk, and records never come there
 )
 
 // Plan is one history.
@@ -52,11 +52,11 @@
 	Faults   float64 // a second
 	Machines bool    // machines are lost with their disks, as far as the table says that this is stood
 	Loss     float64 // of packets, doubled as often
-	Break    Break
+	Defect   Defect
 }
 
-// Act is one operation as its client saw it.
-type Act struct {
+// Operation is one operation as its client saw it.
+type Operation struct {
 	Op        replication.Op
 	Client    int
 	From, To  time.Duration
@@ -80,13 +80,13 @@
 	calm  bool
 	opN   int
 
-	Acts  []*Act
-	byOp  map[string]*Act
-	Lost  int // machines
-	Kills int
-	Waits int // stalls
-	Cuts  int
-	Views int // changes of what is agreed
+	Operations []*Operation
+	byOp       map[string]*Operation
+	Lost       int // machines
+	Kills      int
+	Waits      int // stalls
+	Cuts       int
+	Views      int // changes of what is agreed
 
 	Undecided int                        // keys whose order took too long to judge
 	wrote     map[[3]int]replication.Msg // of NotFenced: what was written last, by from, to and slot
@@ -144,7 +144,7 @@
 
 // New makes a world in which all members begin with empty disks.
 func New(p Plan) *World {
-	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, byOp: map[string]*Act{}, wrote: map[[3]int]replication.Msg{},
+	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, byOp: map[string]*Operation{}, wrote: map[[3]int]replication.Msg{},
 		cut: func(int, int) bool { return false }}
 	for i := range p.Members {
 		n := &member{num: i, seen: make([]sight, p.Members)}
@@ -183,7 +183,7 @@
 	n.life++
 	n.born++
 	repair := 8
-	if w.plan.Break == NoRepair {
+	if w.plan.Defect == NoRepair {
 		repair = 0
 	}
 	c, err := node.New(node.Config{Self: n.self, Life: n.life, Found: fmt.Sprintf("f%d", w.ids), First: n.num == 0, Seeds: []string{"m0", "m1", "m2"}, Voters: 3,
@@ -246,7 +246,7 @@
 			w.answer(one)
 		}
 	}
-	if w.plan.Break == TooSoon {
+	if w.plan.Defect == TooSoon {
 		for _, one := range r.Slots {
 			for _, rec := range one.Records {
 				if !one.Replace {
@@ -259,7 +259,7 @@
 		w.kill(n)
 		return
 	}
-	if w.plan.Break == NotWritten {
+	if w.plan.Defect == NotWritten {
 		r.Slots = nil
 	}
 	n.disk.write(r)
@@ -297,7 +297,7 @@
 	if to == nil {
 		return
 	}
-	if w.plan.Break == NotFenced {
+	if w.plan.Defect == NotFenced {
 		p.Copies = w.unfenced(from, to, p.Copies)
 	}
 	w.note(from.num, to.num, p)
@@ -354,8 +354,8 @@
 	w.sum = h.Sum64()
 }
 
-// Sum tells two histories apart.
-func (w *World) Sum() uint64 { return w.sum }
+// Digest tells two histories apart.
+func (w *World) Digest() uint64 { return w.sum }
 
 // sight is how a member sees the others: late, and not by what it can't know.
 func (w *World) sight(n *member) []placement.Seen {
--- a/internal/lab/fleetsim/world_test.go
+++ b/internal/lab/fleetsim/world_test.go
@@ -31,7 +31,7 @@
 			w.Undecided, w.plan.Keys)
 		if err != nil {
 			t.Error(err)
-		} else if all := len(w.Acts); n[replication.Done]+n[replication.Conflict] < all/3 {
+		} else if all := len(w.Operations); n[replication.Done]+n[replication.Conflict] < all/3 {
 			t.Errorf("seed %d: of %d only %v", seed, all, n)
 		}
 	}
@@ -42,14 +42,14 @@
 	a, b := New(usual(9)), New(usual(9))
 	_ = a.Play()
 	_ = b.Play()
-	if a.Sum() != b.Sum() || len(a.Acts) != len(b.Acts) {
-		t.Errorf("%x and %x", a.Sum(), b.Sum())
+	if a.Digest() != b.Digest() || len(a.Operations) != len(b.Operations) {
+		t.Errorf("%x and %x", a.Digest(), b.Digest())
 	}
 }
 
 // TestWhatIsBrokenOnPurposeIsNamed plays each break until it shows: a judge that finds nothing proves nothing.
 func TestWhatIsBrokenOnPurposeIsNamed(t *testing.T) {
-	for broken, names := range map[Break][]string{
+	for broken, names := range map[Defect][]string{
 		TooSoon: {PromiseLost, TwoOwners, NotInOrder}, NotFenced: {PromiseLost, TwoOwners, NotInOrder}, NoRepair: {NotRepaired},
 		NotWritten: {PromiseLost, TwoOwners, NotInOrder},
 	} {
@@ -57,7 +57,7 @@
 			t.Parallel()
 			for seed := uint64(1); seed <= 40; seed++ {
 				p := usual(seed)
-				p.Break, p.Faults, p.Rate = broken, 1, 100
+				p.Defect, p.Faults, p.Rate = broken, 1, 100
 				err := New(p).Play()
 				if err == nil {
 					continue
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -12,45 +12,45 @@
 	"time"
 )
 
-// What says what kind of event it is.
-type What uint8
+// Kind says what kind of event it is.
+type Kind uint8
 
 // The kinds of event, with the fields of Event that each fills.
 const (
-	Taken    What = iota // a client's OPEN is written to an accepted connection; Len: its outer limit
-	Answered             // a client has read a final answer; Text: up, busy, err; N: the receipt of an up
-	Left                 // a client has ended its connection by itself
-	Ended                // a client has seen the end of its connection; Text: end or reset
-	Moved                // a client has read MOVE
-	Sent                 // a server has read a first line to its end; Len: since its first byte; Text: the key, on sockets
-	Ran                  // the effect of a circuit at its server; N: the receipt
-	Over                 // a try or open circuit is over at its server; Text: refused, server (ended there) or peer
-	Told                 // the list with a server's state was written to a balancer; Text: ready, draining or gone
-	Started              // a server's process; N: connections that fill it; Text: cold or warm
-	Stopped              // it, or the way to it, answers nothing more; Text: crash, vanish, stop, link
-	Fell                 // it was pushed over
-	Begun                // a balancer's process
-	Killed               // it was killed outright
-	Held                 // a line came late to its client; Len: how long it was on its way
-	Noted                // anything for the reader of the log; Text
+	Taken           Kind = iota // a client's OPEN is written to an accepted connection; Len: its outer limit
+	Answered                    // a client has read a final answer; Text: up, busy, err; N: the receipt of an up
+	Left                        // a client has ended its connection by itself
+	Ended                       // a client has seen the end of its connection; Text: end or reset
+	Moved                       // a client has read MOVE
+	AttemptReceived             // a server has read a first line to its end; Len: since its first byte; Text: the key, on sockets
+	Ran                         // the effect of a circuit at its server; N: the receipt
+	AttemptEnded                // a try or open circuit is over at its server; Text: refused, server (ended there) or peer
+	Notified                    // the list with a server's state was written to a balancer; Text: ready, draining or gone
+	Started                     // a server's process; N: connections that fill it; Text: cold or warm
+	Stopped                     // it, or the way to it, answers nothing more; Text: crash, vanish, stop, link
+	Overloaded                  // it was pushed over
+	BalancerStarted             // a balancer's process
+	BalancerKilled              // it was killed outright
+	LineDelayed                 // a line came late to its client; Len: how long it was on its way
+	Noted                       // anything for the reader of the log; Text
 )
 
-var names = [...]string{"taken", "answered", "left", "ended", "moved", "sent", "ran", "over", "told", "started", "stopped",
+var kindNames = [...]string{"taken", "answered", "left", "ended", "moved", "sent", "ran", "over", "told", "started", "stopped",
 	"fell", "begun", "killed", "held", "noted"}
 
-func (w What) String() string { return names[w] }
+func (w Kind) String() string { return kindNames[w] }
 
 // Event is one of them. Balancer and Server are indices, -1 where none is meant; times count from the run's start.
 type Event struct {
 	At       time.Duration
 	Len      time.Duration
-	Circuit  uint64
+	Session  uint64
 	N        float64
 	Text     string
 	Balancer int32
 	Server   int32
 	Grade    int16
-	What     What
+	Kind     Kind
 }
 
 // Log gathers events of many writers. Most bounds it: beyond it events are dropped, and Lost tells how many.
@@ -96,7 +96,7 @@
 	out := bufio.NewWriter(w)
 	for _, e := range events {
 		_, _ = fmt.Fprintf(out, "%d %s b%d s%d c%x g%d %d %g %s\n",
-			e.At.Nanoseconds(), e.What, e.Balancer, e.Server, e.Circuit, e.Grade, e.Len.Nanoseconds(), e.N, e.Text)
+			e.At.Nanoseconds(), e.Kind, e.Balancer, e.Server, e.Session, e.Grade, e.Len.Nanoseconds(), e.N, e.Text)
 	}
 	return out.Flush()
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -40,8 +40,8 @@
 	Bursts   []Burst
 }
 
-// Person is one client: what it wants from when on.
-type Person struct {
+// Client is one client: what it wants from when on.
+type Client struct {
 	At, Until time.Duration
 	Load      float64
 	Key       uint64
@@ -50,12 +50,12 @@
 	Tenant    int
 }
 
-// Draw draws all clients of a run, in order of their coming.
-func Draw(p Plan, seed uint64) []Person {
+// Generate draws all clients of a run, in order of their coming.
+func Generate(p Plan, seed uint64) []Client {
 	rng := rand.New(rand.NewPCG(seed, 0x10ad))
-	var all []Person
+	var all []Client
 	come := func(at time.Duration) {
-		c := Person{At: at, Load: 1, Key: rng.Uint64() | 1, Until: at + time.Duration(rng.ExpFloat64()*float64(p.Life))}
+		c := Client{At: at, Load: 1, Key: rng.Uint64() | 1, Until: at + time.Duration(rng.ExpFloat64()*float64(p.Life))}
 		if p.Groups > 0 {
 			// A few large groups, many small ones.
 			c.Group = 1 + uint64(float64(p.Groups)*math.Pow(rng.Float64(), 1.5))
@@ -90,39 +90,39 @@
 		}
 		come(at)
 	}
-	slices.SortStableFunc(all, func(a, b Person) int { return int(a.At - b.At) })
+	slices.SortStableFunc(all, func(a, b Client) int { return int(a.At - b.At) })
 	return all
 }
 
-// How a client's connection or question ended.
-type How uint8
+// Ending a client's connection or question ended.
+type Ending uint8
 
 // The ends of a client's connection or question.
 const (
-	Nacked  How = iota
-	Failed      // any other answer, or none in time
-	Broken      // it stood and broke
-	Moved       // it stood and was moved
-	Dropped     // the client dropped it and comes straight back
+	Rejected Ending = iota
+	Failed          // any other answer, or none in time
+	Broken          // it stood and broke
+	Moved           // it stood and was moved
+	Dropped         // the client dropped it and comes straight back
 )
 
-// Return says how clients come again; they do so until what they want is over.
-type Return struct {
+// RetryPolicy says how clients come again; they do so until what they want is over.
+type RetryPolicy struct {
 	Wait  time.Duration // after a nack without advice, and after a failure; doubles with each in a row
 	Most  time.Duration // the longest wait
 	Move  time.Duration // after a move
 	Break time.Duration // after a break
 }
 
-// After is how long a client waits before it comes again, after so many failures in a row, with a draw from [0, 1).
-func (r Return) After(how How, failures int, advice time.Duration, draw float64) time.Duration {
+// Delay is how long a client waits before it comes again, after so many failures in a row, with a draw from [0, 1).
+func (r RetryPolicy) Delay(how Ending, failures int, advice time.Duration, draw float64) time.Duration {
 	spread := func(d time.Duration) time.Duration { return time.Duration((0.5 + draw) * float64(d)) }
 	switch {
 	case how == Moved || how == Dropped:
 		return spread(r.Move)
 	case how == Broken && failures == 0:
 		return spread(r.Break)
-	case how == Nacked && advice > 0:
+	case how == Rejected && advice > 0:
 		return advice
 	}
 	return spread(min(r.Most, r.Wait<<min(max(failures-1, 0), 16)))
--- a/internal/lab/memnet/memnet.go
+++ b/internal/lab/memnet/memnet.go
@@ -20,8 +20,8 @@
 	resendMost  = 8
 )
 
-// Way is how one ordered pair is: what goes from the one to the other.
-type Way struct {
+// Link is how one ordered pair is: what goes from the one to the other.
+type Link struct {
 	Loss  float64 // share of datagrams that are lost; a stream's are sent again, which takes time
 	Late  time.Duration
 	Twice float64 // share of datagrams that come twice, the second one late by up to Late and 50 ms
@@ -33,7 +33,7 @@
 	mu    sync.Mutex
 	rng   *rand.Rand
 	at    map[netip.AddrPort]*Port
-	way   func(from, to int) Way
+	way   func(from, to int) Link
 	usual time.Duration
 
 	Bytes, Packets int64 // sent, datagrams alone
@@ -42,11 +42,11 @@
 // New makes a network in which everything takes so long and nothing is lost.
 func New(seed uint64, usual time.Duration) *Net {
 	return &Net{rng: rand.New(rand.NewPCG(seed, 0x6e37)), at: map[netip.AddrPort]*Port{}, usual: usual,
-		way: func(int, int) Way { return Way{} }}
+		way: func(int, int) Link { return Link{} }}
 }
 
 // Set says from now on how each ordered pair is.
-func (n *Net) Set(way func(from, to int) Way) {
+func (n *Net) Set(way func(from, to int) Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.way = way
@@ -85,16 +85,16 @@
 	return p
 }
 
-// Stop holds all that comes to a member, as at a process that is stopped, and loses what it sends; Go hands over what a
+// Pause holds all that comes to a member, as at a process that is stopped, and loses what it sends; Go hands over what a
 // kernel's buffers would have held.
-func (p *Port) Stop() {
+func (p *Port) Pause() {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	p.stopped = true
 }
 
-// Go ends a Stop.
-func (p *Port) Go() {
+// Resume ends a Stop.
+func (p *Port) Resume() {
 	p.net.mu.Lock()
 	held := p.held
 	p.stopped, p.held = false, nil
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Kind is one kind of machine.
-type Kind struct {
+// MachineType is one kind of machine.
+type MachineType struct {
 	Name    string
 	Cores   int
 	Speed   float64       // of a core; 1 is the yardstick
@@ -50,20 +50,20 @@
 	return w.From + (1-w.From)*max(0, float64(age)/float64(w.For))
 }
 
-// Verdict is what a server says to a first line.
-type Verdict uint8
+// Answer is what a server says to a first line.
+type Answer uint8
 
 // The answers to a first line.
 const (
-	Up Verdict = iota
+	Up Answer = iota
 	Busy
 	Err
-	Fallen // it was pushed over by this one, and stays down
+	Overloaded // it was pushed over by this one, and stays down
 )
 
 // Server is one server's state. What is exported is set by the timetable of faults.
 type Server struct {
-	Kind      Kind
+	Type      MachineType
 	Slow      float64 // times slower than its machine; 1 is sound
 	ErrorRate float64 // share of set-ups that fail
 	Full      bool    // turns all newcomers away
@@ -82,64 +82,64 @@
 }
 
 // New makes a server whose process started at a time; long before the run for one that is warm.
-func New(k Kind, w Warmup, started time.Duration) *Server {
-	return &Server{Kind: k, Slow: 1, warm: w, started: started, groups: map[uint64]int{}}
+func New(k MachineType, w Warmup, started time.Duration) *Server {
+	return &Server{Type: k, Slow: 1, warm: w, started: started, groups: map[uint64]int{}}
 }
 
-// Fills is how many usual connections fill it once it is warm and sound.
-func (s *Server) Fills() float64 { return float64(s.Kind.Cores*s.Kind.Fills) * s.Kind.Speed }
+// Capacity is how many usual connections fill it once it is warm and sound.
+func (s *Server) Capacity() float64 { return float64(s.Type.Cores*s.Type.Fills) * s.Type.Speed }
 
 // Warmth at a time.
 func (s *Server) Warmth(now time.Duration) float64 { return s.warm.Warmth(now - s.started) }
 
-// Held is how many connections it holds.
-func (s *Server) Held() int { return s.held }
+// Sessions is how many connections it holds.
+func (s *Server) Sessions() int { return s.held }
 
-// Asked is the load asked of it over what it can do now.
-func (s *Server) Asked(now time.Duration) float64 {
-	return s.load / (s.Fills() * s.Warmth(now) / s.Slow)
+// Utilization is the load asked of it over what it can do now.
+func (s *Server) Utilization(now time.Duration) float64 {
+	return s.load / (s.Capacity() * s.Warmth(now) / s.Slow)
 }
 
-// Piled is how much work waits, in time, as of the newest account.
-func (s *Server) Piled() time.Duration { return s.piled }
+// Backlog is how much work waits, in time, as of the newest account.
+func (s *Server) Backlog() time.Duration { return s.piled }
 
 // Advance accounts for the time up to now: work piles up over capacity and is worked off under it.
 func (s *Server) Advance(now time.Duration) {
 	if dt := now - s.at; dt > 0 {
-		s.piled = max(0, s.piled+time.Duration((s.Asked(now)-1)*float64(dt)))
+		s.piled = max(0, s.piled+time.Duration((s.Utilization(now)-1)*float64(dt)))
 		s.at = now
 	}
 }
 
 // pace is how much longer work takes now than on an idle server of speed 1.
 func (s *Server) pace(now time.Duration) float64 {
-	return s.Slow / s.Kind.Speed / (1 - min(s.Asked(now), busiest))
+	return s.Slow / s.Type.Speed / (1 - min(s.Utilization(now), busiest))
 }
 
 // Ask hands it a first line of a connection of a load and group, with a draw from [0, 1). It answers the verdict
 // and how long until it says so, the store not counted. An Up counts as held from now on.
-func (s *Server) Ask(now time.Duration, load float64, group uint64, draw float64) (Verdict, time.Duration) {
+func (s *Server) Ask(now time.Duration, load float64, group uint64, draw float64) (Answer, time.Duration) {
 	s.Advance(now)
 	if s.fallen {
-		return Fallen, 0
+		return Overloaded, 0
 	}
 	if now-s.started < s.warm.For && !s.Draining {
 		for len(s.joins) > 0 && s.joins[0] <= now-s.warm.Within {
 			s.joins = s.joins[1:]
 		}
-		if s.joins = append(s.joins, now); float64(len(s.joins)) > s.warm.Budget(s.Fills(), s.Warmth(now)) {
+		if s.joins = append(s.joins, now); float64(len(s.joins)) > s.warm.Budget(s.Capacity(), s.Warmth(now)) {
 			s.fallen = true
-			return Fallen, 0
+			return Overloaded, 0
 		}
 	}
 	switch {
-	case s.Draining || s.Full || s.held >= s.Kind.Most:
+	case s.Draining || s.Full || s.held >= s.Type.Most:
 		return Busy, 0
 	case draw < s.ErrorRate:
 		return Err, 0
 	}
-	took := time.Duration(float64(s.Kind.Setup)*s.pace(now)) + s.piled
-	s.piled += time.Duration(float64(s.Kind.Setup) * s.Slow / s.Kind.Speed / float64(s.Kind.Cores) / s.Warmth(now))
+	took := time.Duration(float64(s.Type.Setup)*s.pace(now)) + s.piled
+	s.piled += time.Duration(float64(s.Type.Setup) * s.Slow / s.Type.Speed / float64(s.Type.Cores) / s.Warmth(now))
 	s.Join(load, group)
 	return Up, took
 }
@@ -167,7 +167,7 @@
 // Message is how long a message takes now.
 func (s *Server) Message(now time.Duration) time.Duration {
 	s.Advance(now)
-	return time.Duration(float64(s.Kind.Message)*s.pace(now)) + s.piled
+	return time.Duration(float64(s.Type.Message)*s.pace(now)) + s.piled
 }
 
 // Served is the share of messages answered within a goal now.
@@ -176,7 +176,7 @@
 	if s.fallen || s.piled >= goal {
 		return 0
 	}
-	return 1 - math.Exp(-float64(goal-s.piled)/(float64(s.Kind.Message)*s.pace(now)))
+	return 1 - math.Exp(-float64(goal-s.piled)/(float64(s.Type.Message)*s.pace(now)))
 }
 
 // Store is the one store that each set-up calls.
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -43,7 +43,7 @@
 	MessageP50, MessageP99                  float64 `json:",omitempty"` // sockets only
 	BalancerCPU                             float64 `json:",omitempty"` // seconds, all balancers together
 	BalancerMB                              float64 `json:",omitempty"` // the largest balancer, at its largest
-	Balancers                               []Used  `json:",omitempty"`
+	Balancers                               []Usage `json:",omitempty"`
 	BadClients, BadUnanswered               int     `json:",omitempty"`
 	Late                                    float64 `json:",omitempty"` // how late the load itself ran at worst
 	Kept                                    bool
@@ -52,17 +52,17 @@
 	Series                                  []Point
 }
 
-// Used is what one balancer used, over all its lives.
-type Used struct {
+// Usage is what one balancer used, over all its lives.
+type Usage struct {
 	Name string
 	CPU  float64 // seconds
 	MB   float64 // at its largest
 }
 
-// Judged takes the judge's word; the first few faults are kept.
-func (r *Run) Judged(v checker.Verdict) {
-	r.Kept, r.Verdict = v.Kept(), v.String()
-	for _, b := range v.Broken[:min(len(v.Broken), brokenKept)] {
+// SetVerdict takes the judge's word; the first few faults are kept.
+func (r *Run) SetVerdict(v checker.Verdict) {
+	r.Kept, r.Verdict = v.Passed(), v.String()
+	for _, b := range v.Violations[:min(len(v.Violations), brokenKept)] {
 		r.Broken = append(r.Broken, b.String())
 	}
 }
@@ -116,14 +116,14 @@
 	}
 }
 
-// Nack counts a rejected session.
-func (m *Meter) Nack(now time.Duration) { m.count(now, &m.run.Nacks, &m.now.Nacks) }
+// Reject counts a rejected session.
+func (m *Meter) Reject(now time.Duration) { m.count(now, &m.run.Nacks, &m.now.Nacks) }
 
 // Move counts a session that was moved.
 func (m *Meter) Move(now time.Duration) { m.count(now, &m.run.Moves, &m.now.Moves) }
 
-// Try counts an attempt to set up a session.
-func (m *Meter) Try() { m.count(m.from, &m.run.Tries, nil) }
+// Attempt counts an attempt to set up a session.
+func (m *Meter) Attempt() { m.count(m.from, &m.run.Tries, nil) }
 
 // Probe counts a health check.
 func (m *Meter) Probe() { m.count(m.from, &m.run.Probes, nil) }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -59,8 +59,8 @@
 	{"balancer MB", func(r *Run) float64 { return r.BalancerMB }},
 }
 
-// Sum fills in the arms from the runs.
-func (r *Report) Sum() {
+// Summarize fills in the arms from the runs.
+func (r *Report) Summarize() {
 	r.Arms, r.Kept = nil, true
 	var order []string
 	by := map[string][]*Run{}
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -110,27 +110,27 @@
 	Bytes int           // of its value
 }
 
-// Do is what a step does.
-type Do string
+// Action is what a step does.
+type Action string
 
 // What steps do.
 const (
-	Kill    Do = "kill"    // control processes, outright
-	End     Do = "end"     // control processes, as planned
-	Start   Do = "start"   // the same ones again, with their directories
-	Cut     Do = "cut"     // the ways between those control processes and all others; balancers reach both
-	Heal    Do = "heal"    // these
-	Down    Do = "down"    // balancers
-	Up      Do = "up"      // balancers, with nothing of what they knew
-	ZoneOff Do = "zone"    // all processes of balancers of one zone, outright
-	ZoneOn  Do = "zone-on" // anew
+	Kill    Action = "kill"    // control processes, outright
+	End     Action = "end"     // control processes, as planned
+	Start   Action = "start"   // the same ones again, with their directories
+	Cut     Action = "cut"     // the ways between those control processes and all others; balancers reach both
+	Heal    Action = "heal"    // these
+	Down    Action = "down"    // balancers
+	Up      Action = "up"      // balancers, with nothing of what they knew
+	ZoneOff Action = "zone"    // all processes of balancers of one zone, outright
+	ZoneOn  Action = "zone-on" // anew
 )
 
 // Step is one thing of a fault.
 type Step struct {
-	At  time.Duration
-	Do  Do
-	Who []int // control processes or balancers; for a zone its number
+	At     time.Duration
+	Action Action
+	Who    []int // control processes or balancers; for a zone its number
 }
 
 // Plan is all that a run will do.
@@ -147,8 +147,8 @@
 // Voters is how many of so many control processes vote.
 func Voters(control int) int { return min(5, control-(control+1)%2) }
 
-// Make draws a plan.
-func Make(o Options) (*Plan, error) {
+// NewPlan draws a plan.
+func NewPlan(o Options) (*Plan, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
@@ -201,7 +201,7 @@
 		}
 		return who
 	}
-	pair := func(off, on Do, from, for_ time.Duration, who []int) {
+	pair := func(off, on Action, from, for_ time.Duration, who []int) {
 		if len(who) > 0 {
 			p.Steps = append(p.Steps, Step{from, off, who}, Step{from + for_, on, who})
 		}
@@ -226,7 +226,7 @@
 			pair(Down, Up, p.For/10+time.Duration(rng.Float64()*span), long, []int{b})
 		}
 		for i, c := range rng.Perm(p.Options.Control)[:min(dayControl, p.Options.Control-1)] {
-			pair([]Do{Kill, End}[i%2], Start, at+time.Duration(i)*p.For/4, controlFor, []int{c})
+			pair([]Action{Kill, End}[i%2], Start, at+time.Duration(i)*p.For/4, controlFor, []int{c})
 		}
 		p.Says = fmt.Sprintf("day: %d balancers restart (away %v), %d are lost (away %v), one control process is killed and one ended as planned (away %v each); "+
 			"a day's 1,700 and 30 of 4,600 scaled to %v, but %d and %d at least", restarts, restartFor, losses, lostFor, controlFor, p.For,
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -15,7 +15,7 @@
 
 func made(t *testing.T, o Options) *Plan {
 	t.Helper()
-	p, err := Make(o)
+	p, err := NewPlan(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 	} {
 		o := options()
 		c.change(&o)
-		_, err := Make(o)
+		_, err := NewPlan(o)
 		var bad BadArgument
 		if !errors.As(err, &bad) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("got %v, wanted %q", err, c.want)
@@ -97,7 +97,7 @@
 
 // TestEachFaultEndsWithinTheRun wants whatever goes to come back, at the earliest after it went, before the run ends.
 func TestEachFaultEndsWithinTheRun(t *testing.T) {
-	off := map[Do]Do{Kill: Start, End: Start, Cut: Heal, Down: Up, ZoneOff: ZoneOn}
+	off := map[Action]Action{Kill: Start, End: Start, Cut: Heal, Down: Up, ZoneOff: ZoneOn}
 	for _, kind := range Faults[1:] {
 		for _, long := range []time.Duration{leastFor, time.Minute, time.Hour} {
 			o := options()
@@ -110,12 +110,12 @@
 					t.Errorf("%s, %v: %+v", kind, long, s)
 				}
 				for _, who := range s.Who {
-					of := string(s.Do) // what brings it back
-					if back, is := off[s.Do]; is {
+					of := string(s.Action) // what brings it back
+					if back, is := off[s.Action]; is {
 						of = string(back)
 					}
 					name := of + string(rune(who))
-					if _, is := off[s.Do]; is == gone[name] {
+					if _, is := off[s.Action]; is == gone[name] {
 						t.Fatalf("%s, %v: %+v", kind, long, s)
 					}
 					gone[name] = !gone[name]
@@ -151,7 +151,7 @@
 func TestADayIsScaled(t *testing.T) {
 	count := func(o Options) (n int) {
 		for _, s := range made(t, o).Steps {
-			if s.Do == Down {
+			if s.Action == Down {
 				n += len(s.Who)
 			}
 		}
@@ -342,7 +342,7 @@
 // TestEachTargetIsJudged breaks one at a time; a run judged by counts alone knows no times.
 func TestEachTargetIsJudged(t *testing.T) {
 	kept := Figures{Samples: 1, Steady: true, InForceWorst: 7000, BalancerCore: 1.6, BalancerMB: 128, BalancerBytes: 3000, ControlCore: 100, ControlMB: 4096}
-	if not := kept.Judge(&Size); len(not) != 0 || Verdict(not) != "verdict: kept" {
+	if not := kept.Judge(&DefaultTargets); len(not) != 0 || Verdict(not) != "verdict: kept" {
 		t.Error(not)
 	}
 	for want, c := range map[string]struct {
@@ -368,7 +368,7 @@
 	} {
 		f := kept
 		c.change(&f)
-		if v := Verdict(f.Judge(&Size)); !strings.HasPrefix(v, "verdict: not kept: "+want) {
+		if v := Verdict(f.Judge(&DefaultTargets)); !strings.HasPrefix(v, "verdict: not kept: "+want) {
 			t.Errorf("%s, wanted %q", v, want)
 		}
 		if not := f.Judge(nil); (len(not) > 0) != c.counts {
--- a/internal/lab/scale/verdict.go
+++ b/internal/lab/scale/verdict.go
@@ -70,11 +70,11 @@
 	ControlMB     float64
 }
 
-// Size is what the size of two years allows.
-var Size = Targets{InForce: 7 * time.Second, BalancerCore: 1.6, BalancerMB: 128, BalancerBytes: 3000, ControlCore: 100, ControlMB: 4096}
+// DefaultTargets is what the size of two years allows.
+var DefaultTargets = Targets{InForce: 7 * time.Second, BalancerCore: 1.6, BalancerMB: 128, BalancerBytes: 3000, ControlCore: 100, ControlMB: 4096}
 
-// Take has the figures of an account.
-func (f *Figures) Take(a Account) {
+// AddAccount has the figures of an account.
+func (f *Figures) AddAccount(a Account) {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	f.Samples = a.InForce.TotalCount()
 	f.InForceP50, f.InForceP99, f.InForceWorst = ms(a.InForce.ValueAtQuantile(50)), ms(a.InForce.ValueAtQuantile(99)), ms(a.InForce.Max())
