--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -120,7 +120,7 @@
 
 // person is one client.
 type person struct {
-	load.Person
+	load.Client
 	conn     *conn
 	failures int
 	since    time.Duration
@@ -170,8 +170,8 @@
 		s.nodes = append(s.nodes, nil)
 		s.begin(n)
 	}
-	for _, p := range load.Draw(w.Load, seed) {
-		p := &person{Person: p, since: p.At}
+	for _, p := range load.Generate(w.Load, seed) {
+		p := &person{Client: p, since: p.At}
 		s.people = append(s.people, p)
 		s.at(p.At, func() {
 			s.wanting++
@@ -205,8 +205,8 @@
 	for i, m := range s.machines {
 		places[i] = checker.Place{Zone: m.zone, Cell: m.cell}
 	}
-	v := checker.Judge(w.Rules(slack, places), events, s.log.Lost(), end)
-	run.Judged(v)
+	v := checker.Check(w.Rules(slack, places), events, s.log.Lost(), end)
+	run.SetVerdict(v)
 	return run, events, v, nil
 }
 
@@ -231,7 +231,7 @@
 // machine adds a server whose process started at a time.
 func (s *world) machine(m topology.Machine, num int, started time.Duration) *machine {
 	id := policy.ServerID(uint64(num+1) * 0x9e3779b97f4a7c15)
-	sv := &machine{Server: model.New(m.Kind, s.Warmup, started), num: num, id: id, zone: m.Zone, cell: m.Cell,
+	sv := &machine{Server: model.New(m.Type, s.Warmup, started), num: num, id: id, zone: m.Zone, cell: m.FailureDomain,
 		started: started, listed: true, heldBy: map[int32]int{}, noted: map[int32]bool{}}
 	sv.GroupCost = s.GroupCost
 	s.byID[id] = num
@@ -245,12 +245,12 @@
 	if s.now-m.started < s.Warmup.For {
 		how = "cold"
 	}
-	s.note(history.Event{What: history.Started, Server: int32(m.num), Balancer: -1, N: m.Fills(), Text: how})
+	s.note(history.Event{Kind: history.Started, Server: int32(m.num), Balancer: -1, N: m.Capacity(), Text: how})
 }
 
 // line is what the list says of a server, to a balancer.
 func (s *world) line(m *machine, n *node) policy.Listed {
-	l := policy.Listed{Server: m.id, Zone: m.zone, Cell: m.cell, State: m.state, Heft: float64(m.Kind.Cores) * m.Kind.Speed,
+	l := policy.Listed{Server: m.id, Zone: m.zone, Cell: m.cell, State: m.state, Heft: float64(m.Type.Cores) * m.Type.Speed,
 		Started: m.started - n.start}
 	if m.started < 0 {
 		l.Started = policy.LongAgo
@@ -271,7 +271,7 @@
 			n.list, n.known = append(n.list, policy.Listed{}), append(n.known, false)
 		}
 		n.list[i], n.known[i] = l, true
-		s.note(history.Event{What: history.Told, Balancer: n.num, Server: int32(i), Text: stateNames[l.State]})
+		s.note(history.Event{Kind: history.Notified, Balancer: n.num, Server: int32(i), Text: stateNames[l.State]})
 	}
 	n.d.Clock(s.now - n.start)
 	n.d.ListArrived(lines, whole)
@@ -304,7 +304,7 @@
 func (s *world) cut(h *session, how policy.Outcome) {
 	c, m := h.c, h.m
 	s.drop(h)
-	s.note(history.Event{What: history.Over, Circuit: c.wire, Server: int32(m.num), Text: "server"})
+	s.note(history.Event{Kind: history.AttemptEnded, Session: c.wire, Server: int32(m.num), Text: "server"})
 	s.after(s.way(c.n, m), func() { // behind an UP that is on its way
 		if c.held == h && c.n.alive && (c.stage == out || c.stage == open) {
 			s.tryEnded(c, how)
@@ -354,15 +354,15 @@
 // step carries out one step of the timetable.
 func (s *world) step(st faults.Step) {
 	var m *machine
-	if st.Who < len(s.machines) {
-		m = s.machines[st.Who]
-	} else if st.OnServer() && st.Act != faults.Start {
+	if st.Target < len(s.machines) {
+		m = s.machines[st.Target]
+	} else if st.OnServer() && st.Action != faults.Start {
 		return // it has not started yet
 	}
-	switch st.Act {
+	switch st.Action {
 	case faults.Start:
 		old := s.machines[st.Of]
-		s.changed(s.machine(topology.Machine{Kind: old.Kind, Zone: old.zone, Cell: old.cell}, len(s.machines), s.now), s.Notice)
+		s.changed(s.machine(topology.Machine{Type: old.Type, Zone: old.zone, FailureDomain: old.cell}, len(s.machines), s.now), s.Notice)
 	case faults.BeginDrain:
 		m.state, m.Draining = policy.Draining, true
 		s.changed(m, s.Notice)
@@ -371,12 +371,12 @@
 		}
 	case faults.Stop:
 		m.state, m.down = policy.Gone, true
-		s.note(history.Event{What: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "stop"})
+		s.note(history.Event{Kind: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "stop"})
 		s.end(m)
 		s.changed(m, s.Notice)
 	case faults.Die:
 		m.down = true
-		s.note(history.Event{What: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "crash"})
+		s.note(history.Event{Kind: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "crash"})
 		s.end(m)
 		m.state = policy.Gone
 		s.changed(m, s.Silent)
@@ -384,7 +384,7 @@
 		s.revive(m)
 	case faults.Silence:
 		m.silent = true
-		s.note(history.Event{What: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "vanish"})
+		s.note(history.Event{Kind: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "vanish"})
 		for _, h := range m.conns {
 			c := h.c
 			turn := c.turn
@@ -398,7 +398,7 @@
 		}
 	case faults.Speak:
 		m.silent = false
-		s.note(history.Event{What: history.Started, Server: int32(m.num), Balancer: -1, N: m.Fills(), Text: "warm"})
+		s.note(history.Event{Kind: history.Started, Server: int32(m.num), Balancer: -1, N: m.Capacity(), Text: "warm"})
 	case faults.SetSlow:
 		m.Advance(s.now)
 		m.Slow = st.Figure
@@ -437,11 +437,11 @@
 			}
 		}
 	case faults.KillBalancer:
-		s.kill(s.nodes[st.Who], "outright")
+		s.kill(s.nodes[st.Target], "outright")
 	case faults.StartBalancer:
-		s.begin(st.Who)
+		s.begin(st.Target)
 	case faults.LeaveBalancer:
-		n := s.nodes[st.Who]
+		n := s.nodes[st.Target]
 		if !n.alive {
 			return
 		}
@@ -450,9 +450,9 @@
 		n.d.Leave(s.now-n.start+leaveFrom, s.now-n.start+leaveBy)
 		s.pump(n)
 		s.after(leaveBy+700*time.Millisecond, func() {
-			if s.nodes[st.Who] == n {
+			if s.nodes[st.Target] == n {
 				s.kill(n, "planned")
-				s.begin(st.Who)
+				s.begin(st.Target)
 			}
 		})
 	}
@@ -461,7 +461,7 @@
 // revive starts a server's process anew.
 func (s *world) revive(m *machine) {
 	old := m.Server
-	m.Server = model.New(old.Kind, s.Warmup, s.now)
+	m.Server = model.New(old.Type, s.Warmup, s.now)
 	m.GroupCost, m.started, m.down, m.state = s.GroupCost, s.now, false, policy.Ready
 	s.startedNote(m)
 	s.changed(m, s.Notice)
@@ -495,7 +495,7 @@
 	dep.Zone = n.zone
 	n.d, _ = baseline.New(s.policy, &dep, s.nodeSeeds.Uint64()) // its name was looked at before the run
 	s.nodes[num] = n
-	s.note(history.Event{What: history.Begun, Balancer: n.num, Server: -1})
+	s.note(history.Event{Kind: history.BalancerStarted, Balancer: n.num, Server: -1})
 	var lines []policy.Listed
 	for i, m := range s.machines {
 		l := s.line(m, n)
@@ -539,7 +539,7 @@
 		return
 	}
 	n.alive = false
-	s.note(history.Event{What: history.Killed, Balancer: n.num, Server: -1, Text: how})
+	s.note(history.Event{Kind: history.BalancerKilled, Balancer: n.num, Server: -1, Text: how})
 	ids := make([]policy.CircuitID, 0, len(n.conns))
 	for id := range n.conns {
 		ids = append(ids, id)
@@ -589,8 +589,8 @@
 	case policy.Try:
 		s.try(c, s.machines[s.byID[d.Server]], d.For)
 	case policy.Nack:
-		s.meter.Nack(s.now)
-		s.refuse(c, "busy", load.Nacked, d.For)
+		s.meter.Reject(s.now)
+		s.refuse(c, "busy", load.Rejected, d.For)
 	case policy.BreakOff:
 		s.refuse(c, "err", load.Failed, 0)
 	case policy.Move:
@@ -601,13 +601,13 @@
 }
 
 // refuse gives a circuit a final answer that is no UP.
-func (s *world) refuse(c *conn, text string, how load.How, advice time.Duration) {
+func (s *world) refuse(c *conn, text string, how load.Ending, advice time.Duration) {
 	s.forget(c)
 	s.after(s.Client, func() {
 		if c.p.conn != c {
 			return
 		}
-		s.note(history.Event{What: history.Answered, Circuit: c.wire, Balancer: c.n.num, Text: text})
+		s.note(history.Event{Kind: history.Answered, Session: c.wire, Balancer: c.n.num, Text: text})
 		s.again(c.p, how, advice)
 	})
 }
@@ -628,7 +628,7 @@
 	s.after(s.way(c.n, h.m), func() {
 		if h.slot >= 0 {
 			s.drop(h)
-			s.note(history.Event{What: history.Over, Circuit: c.wire, Server: int32(h.m.num), Text: "peer"})
+			s.note(history.Event{Kind: history.AttemptEnded, Session: c.wire, Server: int32(h.m.num), Text: "peer"})
 		}
 	})
 }
@@ -641,8 +641,8 @@
 	s.free(c)
 	s.after(s.Client, func() {
 		if c.p.conn == c {
-			s.note(history.Event{What: history.Moved, Circuit: c.wire})
-			s.note(history.Event{What: history.Ended, Circuit: c.wire})
+			s.note(history.Event{Kind: history.Moved, Session: c.wire})
+			s.note(history.Event{Kind: history.Ended, Session: c.wire})
 			s.again(c.p, load.Moved, 0)
 		}
 	})
@@ -653,7 +653,7 @@
 
 // try starts a setup try; on its way it is nowhere until its line is at the server.
 func (s *world) try(c *conn, m *machine, within time.Duration) {
-	s.meter.Try()
+	s.meter.Attempt()
 	c.try++
 	c.turn++
 	c.stage, c.calls, c.m, c.held = out, s.now, m, nil
@@ -714,17 +714,17 @@
 	if m.silent { // it reads nothing
 		return
 	}
-	s.note(history.Event{What: history.Sent, Circuit: c.wire, Server: int32(m.num), Balancer: c.n.num, Grade: int16(c.p.Grade)})
+	s.note(history.Event{Kind: history.AttemptReceived, Session: c.wire, Server: int32(m.num), Balancer: c.n.num, Grade: int16(c.p.Grade)})
 	verdict, took := m.Ask(s.now, c.p.Load, c.p.Group, s.rng.Float64())
 	finish := func(text string, how policy.Outcome, d time.Duration) {
-		s.note(history.Event{What: history.Over, Circuit: c.wire, Server: int32(m.num), Text: text})
+		s.note(history.Event{Kind: history.AttemptEnded, Session: c.wire, Server: int32(m.num), Text: text})
 		back(d, how)
 	}
 	switch verdict {
-	case model.Fallen:
+	case model.Overloaded:
 		if !m.down {
 			m.down = true
-			s.note(history.Event{What: history.Fell, Circuit: c.wire, Server: int32(m.num)})
+			s.note(history.Event{Kind: history.Overloaded, Session: c.wire, Server: int32(m.num)})
 			s.end(m)
 		}
 		finish("server", policy.Reset, 0)
@@ -733,7 +733,7 @@
 		finish("refused", policy.TurnedAway, 0)
 		return
 	case model.Err:
-		finish("failed", policy.Failed, m.Kind.Setup)
+		finish("failed", policy.Failed, m.Type.Setup)
 		return
 	}
 	// It is held from here on, until somebody ends it.
@@ -758,7 +758,7 @@
 			finish("failed", policy.Failed, 0)
 			return
 		}
-		s.note(history.Event{What: history.Ran, Circuit: c.wire, Server: int32(m.num), N: receipt})
+		s.note(history.Event{Kind: history.Ran, Session: c.wire, Server: int32(m.num), N: receipt})
 		s.after(way, func() {
 			if c.turn == turn && c.n.alive && c.stage == out {
 				s.stands(c, receipt)
@@ -780,7 +780,7 @@
 		if c.p.conn != c {
 			return
 		}
-		s.note(history.Event{What: history.Answered, Circuit: c.wire, Balancer: n.num, Text: "up", N: receipt})
+		s.note(history.Event{Kind: history.Answered, Session: c.wire, Balancer: n.num, Text: "up", N: receipt})
 		s.meter.Setup(s.now, s.now-c.p.since)
 		c.p.failures = 0
 		if h := c.held; c.turn == turn && h != nil && h.slot >= 0 {
@@ -793,7 +793,7 @@
 }
 
 // usual is a connection's load as servers tell it: microseconds of work a second.
-func (s *world) usual(c *conn) float64 { return c.p.Load * 1e6 / float64(c.m.Kind.Fills) }
+func (s *world) usual(c *conn) float64 { return c.p.Load * 1e6 / float64(c.m.Type.Fills) }
 
 // tryEnded ends a setup try, or the circuit that it set up.
 func (s *world) tryEnded(c *conn, how policy.Outcome) {
@@ -808,9 +808,9 @@
 				return
 			}
 			if sent {
-				s.note(history.Event{What: history.Moved, Circuit: c.wire})
+				s.note(history.Event{Kind: history.Moved, Session: c.wire})
 			}
-			s.note(history.Event{What: history.Ended, Circuit: c.wire})
+			s.note(history.Event{Kind: history.Ended, Session: c.wire})
 			if sent {
 				s.again(c.p, load.Moved, 0)
 			} else {
@@ -847,7 +847,7 @@
 			m.Advance(s.now)
 			r := policy.NoReport
 			if s.Deployment.ReportsOnAsk {
-				r.Asked, r.Piled = m.Asked(s.now)*(0.95+0.1*s.rng.Float64()), m.Piled().Seconds()
+				r.Asked, r.Piled = m.Utilization(s.now)*(0.95+0.1*s.rng.Float64()), m.Backlog().Seconds()
 			}
 			s.after(way, func() { tell(policy.Succeeded, r) })
 		})
@@ -876,7 +876,7 @@
 	c := &conn{wire: s.ids, p: p, n: n}
 	p.conn = c
 	limit := s.OuterLimits[p.Grade]
-	s.note(history.Event{What: history.Taken, Circuit: c.wire, Balancer: n.num, Grade: int16(p.Grade), Len: limit})
+	s.note(history.Event{Kind: history.Taken, Session: c.wire, Balancer: n.num, Grade: int16(p.Grade), Len: limit})
 	s.after(limit, func() { // the client gives up by itself
 		if p.conn == c && c.stage < open {
 			s.leave(p)
@@ -903,7 +903,7 @@
 	if p.conn = nil; c == nil {
 		return
 	}
-	s.note(history.Event{What: history.Left, Circuit: c.wire})
+	s.note(history.Event{Kind: history.Left, Session: c.wire})
 	s.after(s.Client, func() {
 		n := c.n
 		if !n.alive || n.conns[c.id] != c {
@@ -924,27 +924,27 @@
 }
 
 // gone tells a client that its balancer is.
-func (s *world) gone(c *conn, how load.How) {
+func (s *world) gone(c *conn, how load.Ending) {
 	c.stage = over
 	c.turn++
 	s.after(s.Client, func() {
 		if c.p.conn == c {
-			s.note(history.Event{What: history.Ended, Circuit: c.wire})
+			s.note(history.Event{Kind: history.Ended, Session: c.wire})
 			s.again(c.p, how, 0)
 		}
 	})
 }
 
 // again has a client come once more, after its wait.
-func (s *world) again(p *person, how load.How, advice time.Duration) {
+func (s *world) again(p *person, how load.Ending, advice time.Duration) {
 	if p.conn != nil {
 		p.since = s.now
 	}
 	p.conn = nil
-	if how == load.Nacked || how == load.Failed {
+	if how == load.Rejected || how == load.Failed {
 		p.failures++
 	}
-	s.after(s.Return.After(how, p.failures, advice, s.rng.Float64()), func() {
+	s.after(s.Retry.Delay(how, p.failures, advice, s.rng.Float64()), func() {
 		if p.conn == nil {
 			s.come(p)
 		}
@@ -972,9 +972,9 @@
 			served += float64(m.open) * m.Served(s.now, s.MessageGoal)
 		}
 		if m.state == policy.Ready {
-			s.loads = append(s.loads, m.Asked(s.now))
+			s.loads = append(s.loads, m.Utilization(s.now))
 		}
-		if s.Sheds > 0 && m.Piled() > s.Sheds {
+		if s.Sheds > 0 && m.Backlog() > s.Sheds {
 			for range max(1, len(m.conns)/shedPart) {
 				if len(m.conns) > 0 && m.conns[len(m.conns)-1].served {
 					s.cut(m.conns[len(m.conns)-1], policy.Reset)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -23,7 +23,7 @@
 
 // small is a world of a few balancers with room to spare.
 func small(faults ...faults.Fault) topology.World {
-	kind := model.Kind{Name: "std", Cores: 2, Speed: 1, Fills: 30, Most: 200, Setup: 8 * ms, Message: 10 * ms}
+	kind := model.MachineType{Name: "std", Cores: 2, Speed: 1, Fills: 30, Most: 200, Setup: 8 * ms, Message: 10 * ms}
 	w := topology.World{
 		Balancers: 3, Zones: 2,
 		Warmup: model.Warmup{From: 0.2, For: 15 * time.Second, Multiple: 3, Within: 1500 * ms},
@@ -38,11 +38,11 @@
 		Client: ms, Near: ms / 2, Cross: 2 * ms, Notice: [2]time.Duration{200 * ms, time.Second}, Silent: [2]time.Duration{time.Second, 3 * time.Second},
 		Load: load.Plan{Shape: load.Poisson, Rate: 10, Standing: 200, Fill: 5 * time.Second, Length: 25 * time.Second, Life: 20 * time.Second,
 			Groups: 30, Loads: 0.5, Grades: 2},
-		Return: load.Return{Wait: 100 * ms, Most: 2 * time.Second, Move: 100 * ms, Break: 300 * ms},
+		Retry:  load.RetryPolicy{Wait: 100 * ms, Most: 2 * time.Second, Move: 100 * ms, Break: 300 * ms},
 		Faults: faults,
 	}
 	for i := range 12 {
-		w.Machines = append(w.Machines, topology.Machine{Kind: kind, Zone: i % 2, Cell: i % 4})
+		w.Machines = append(w.Machines, topology.Machine{Type: kind, Zone: i % 2, FailureDomain: i % 4})
 	}
 	return w
 }
@@ -85,7 +85,7 @@
 func TestACalmWorldIsServed(t *testing.T) {
 	for _, name := range baseline.Names {
 		served, _, v := run(t, small(), name, 3)
-		if !v.Kept() || served < 0.9 {
+		if !v.Passed() || served < 0.9 {
 			t.Errorf("%s: %.3f served, %v", name, served, v)
 		}
 	}
@@ -114,8 +114,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !v.Kept() {
-			t.Fatalf("%v\n%v", v, v.Broken[:min(5, len(v.Broken))])
+		if !v.Passed() {
+			t.Fatalf("%v\n%v", v, v.Violations[:min(5, len(v.Violations))])
 		}
 		for _, p := range r.Series {
 			if p.Served > 1.01*p.Asked+1 || p.Open < 0 {
--- a/internal/lab/topology/topology.go
+++ b/internal/lab/topology/topology.go
@@ -14,8 +14,8 @@
 
 // Machine is one server at the start of a run.
 type Machine struct {
-	Kind       model.Kind
-	Zone, Cell int
+	Type                model.MachineType
+	Zone, FailureDomain int
 }
 
 // World is all that a run is made of, but for its seed and the policy or program under test.
@@ -37,7 +37,7 @@
 	Client, Near, Cross time.Duration // ways, one way; virtual time only
 	Notice, Silent      [2]time.Duration
 	Load                load.Plan
-	Return              load.Return
+	Retry               load.RetryPolicy
 	Faults              []faults.Fault
 	Limits              Limits
 	Copies              int // of each record, where the balancers are members of a fleet; 0: they are not
@@ -52,6 +52,6 @@
 
 // Rules are what a run is judged by; slack is what the stand-ins may see late.
 func (w *World) Rules(slack time.Duration, places []checker.Place) checker.Rules {
-	return checker.Rules{DrainGrace: w.DrainGrace, Slack: slack, HeldMost: time.Second, EndWithin: time.Second,
+	return checker.Rules{DrainGrace: w.DrainGrace, Slack: slack, MaxLineDelay: time.Second, EndWithin: time.Second,
 		Warmup: w.Warmup, Grades: w.Deployment.Grades, Places: places}
 }
