--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -29,7 +29,7 @@
 	}
 	binary := l.beside("sabletally")
 	if _, err := os.Stat(binary); err != nil {
-		return fmt.Errorf("%s is missing; build both with: go build -o bin/ ./cmd/...", binary)
+		return fmt.Errorf("%s is missing, both programs are built by: go build -o bin/ ./cmd/... (%w)", binary, err)
 	}
 	fmt.Printf("A world of %d stand-in servers, %d balancers (%s) and about %.0f clients, for %v.\n",
 		len(x.World.Machines), x.World.Balancers, filepath.Base(binary), float64(x.World.Load.Standing)+x.World.Load.Rate*(x.World.Load.Length-x.World.Load.Fill).Seconds(), x.World.Load.Length)
@@ -43,7 +43,7 @@
 		return err
 	}
 	w := &x.World
-	_, _ = config.Write(cluster.Config(w, 0, f.Procs[0].Addr, f.Agent(0), 1, f.Known(0)))
+	_, _ = config.Write(cluster.BalancerConfig(w, 0, f.Procs[0].Addr, f.DiscoveryAddr(0), 1, f.KnownEndpoints(0)))
 	_ = config.Close()
 	fmt.Printf("The first balancer's configuration, written out: %s\n\n", config.Name())
 	run, _, v, err := f.Run(l.ctx, func(at time.Duration, text string) { fmt.Printf("%6.2fs  %s\n", at.Seconds(), text) })
@@ -56,7 +56,7 @@
 		fmt.Println("  ", b)
 	}
 	fmt.Println("verdict:", v)
-	if !v.Kept() {
+	if !v.Passed() {
 		return errBroken
 	}
 	if c.Keep {
--- a/internal/lab/scale/verdict.go
+++ b/internal/lab/scale/verdict.go
@@ -70,11 +70,11 @@
 	ControlMB     float64
 }
 
-// Size is what the size of two years allows.
-var Size = Targets{InForce: 7 * time.Second, BalancerCore: 1.6, BalancerMB: 128, BalancerBytes: 3000, ControlCore: 100, ControlMB: 4096}
+// DefaultTargets is what the size of two years allows.
+var DefaultTargets = Targets{InForce: 7 * time.Second, BalancerCore: 1.6, BalancerMB: 128, BalancerBytes: 3000, ControlCore: 100, ControlMB: 4096}
 
-// Take has the figures of an account.
-func (f *Figures) Take(a Account) {
+// AddAccount has the figures of an account.
+func (f *Figures) AddAccount(a Account) {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	f.Samples = a.InForce.TotalCount()
 	f.InForceP50, f.InForceP99, f.InForceWorst = ms(a.InForce.ValueAtQuantile(50)), ms(a.InForce.ValueAtQuantile(99)), ms(a.InForce.Max())
@@ -198,18 +198,18 @@
 // Needed reckons what a plan takes, with so many processes of balancers.
 func (p *Plan) Needed(hosts [][]int) Needs {
 	n := Needs{Changes: len(p.Changes), Processes: 1 + len(hosts) + p.Options.Control}
-	n.MemoryMB = 50 + float64(p.Options.Control)*controlMB + controlPerBalancerMB*2*float64(p.Options.Balancers) +
-		float64(len(hosts))*hostMB + hostPerBalancerMB*float64(p.Options.Balancers) +
-		markBytes*float64(len(p.Changes))*float64(p.Options.Balancers)/1e6
+	n.MemoryMB = 50 + float64(p.Options.Control)*controlMB + controlPerBalancerMB*2*float64(p.Balancers) +
+		float64(len(hosts))*hostMB + hostPerBalancerMB*float64(p.Balancers) +
+		markBytes*float64(len(p.Changes))*float64(p.Balancers)/1e6
 	for _, h := range hosts {
 		n.Files = max(n.Files, ownFiles+4*len(h)) // two connections, and two on their way
 	}
 	// All balancers may stand at one control process while the others are lost, each once, and some come again.
-	n.Files = max(n.Files, ownFiles+p.Options.Balancers+p.Options.Balancers/4)
+	n.Files = max(n.Files, ownFiles+p.Balancers+p.Balancers/4)
 	if p.Faults == FaultsRegion { // both connections of a balancer may go through one process of fronts, which has two ends of each
-		n.Files = max(n.Files, ownFiles+4*p.Options.Balancers)
+		n.Files = max(n.Files, ownFiles+4*p.Balancers)
 		n.Processes += p.Regions
-		n.MemoryMB += float64(p.Regions)*frontMB + frontPerBalancerMB*float64(p.Options.Balancers)
+		n.MemoryMB += float64(p.Regions)*frontMB + frontPerBalancerMB*float64(p.Balancers)
 	}
 	return n
 }
