--- a/cmd/sabletally/fleet_cost_test.go
+++ b/cmd/sabletally/fleet_cost_test.go
@@ -42,8 +42,8 @@
 	}()
 	m := enlistNow(t, many, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
 	m.want("every slot has its holders", m.all, repaired)
-	m.Ties.Set(func(_, _ int, tie *emulator.Tie) { tie.Late = late })
-	if err := m.procs[0].Yes(); err != nil {
+	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Late = late })
+	if err := m.procs[0].WaitReady(); err != nil {
 		t.Fatal(err)
 	}
 	for n, grade := range []string{"order", "pay", "order", "pay"} {
@@ -78,6 +78,6 @@
 		all.Wait()
 		t.Logf("%s: p50 %.2f ms, p99 %.2f ms, %d failed", grade, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, failed)
 	}
-	r := m.report(0).Held
-	t.Logf("n0: %d records, %d bytes, file %d, %d writes, sent %d", r.Records, r.Bytes, r.File, r.Writes, r.Sent)
+	r := m.report(0).Store
+	t.Logf("n0: %d records, %d bytes, file %d, %d writes, sent %d", r.Records, r.Bytes, r.FileBytes, r.Writes, r.Sent)
 }
--- a/internal/fleet/framing/golden_test.go
+++ b/internal/fleet/framing/golden_test.go
@@ -24,7 +24,7 @@
 		value any
 	}{
 		{"greeting", Greeting{Fleet: "lab"}},
-		{"ask", Ask{Op: replication.Operation{ID: "id", Key: "k", ExpectedVersion: 3, Value: []byte("v"), CreatedAt: 4, Delete: true, LocalOnly: true, ReadOnly: true}, Within: 5 * time.Second}},
+		{"ask", OperationRequest{Operation: replication.Operation{ID: "id", Key: "k", ExpectedVersion: 3, Value: []byte("v"), CreatedAt: 4, Delete: true, LocalOnly: true, ReadOnly: true}, Timeout: 5 * time.Second}},
 		{"result", replication.Result{OperationID: "op", Outcome: replication.OutcomeConflict, Reason: replication.ReasonBusy, Record: record}},
 	}
 	path := filepath.Join("testdata", "frames.golden")
@@ -33,7 +33,7 @@
 		body := Encode(f.value)
 		lines = append(lines, f.name+" "+hex.EncodeToString(append(Header(body), body...)))
 	}
-	got := string(Mark) + "\n" + strings.Join(lines, "\n") + "\n"
+	got := string(StreamMark) + "\n" + strings.Join(lines, "\n") + "\n"
 	if *updateGolden {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
