--- a/internal/lab/feedsim/play.go
+++ b/internal/lab/feedsim/play.go
@@ -1,7 +1,6 @@
 package feedsim
 
 import (
-	"container/heap"
 	"fmt"
 	"math"
 	"slices"
@@ -28,10 +27,10 @@
 		w.healed()
 	})
 	w.after(end+settles-rests-w.now, func() { w.quiet = true })
-	for w.err == nil && len(w.queue) > 0 && w.queue[0].at <= end+settles {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.do()
+	for at, ok := w.queue.NextAt(); w.err == nil && ok && at <= end+settles; at, ok = w.queue.NextAt() {
+		var action func()
+		w.now, action = w.queue.Next()
+		action()
 	}
 	if w.err != nil {
 		return w.err
--- a/internal/lab/feedsim/world.go
+++ b/internal/lab/feedsim/world.go
@@ -5,7 +5,6 @@
 package feedsim
 
 import (
-	"container/heap"
 	"encoding/binary"
 	"encoding/json"
 	"fmt"
@@ -15,6 +14,7 @@
 
 	"sabletally/internal/fleet/changefeed"
 	"sabletally/internal/fleet/shardmap"
+	"sabletally/internal/lab/eventqueue"
 )
 
 const (
@@ -56,8 +56,7 @@
 	plan      Plan
 	rng       *rand.Rand
 	now       time.Duration
-	queue     events
-	order     int
+	queue     eventqueue.Queue
 	relays    []*relay
 	followers []*follower
 	conns     uint64
@@ -144,27 +143,6 @@
 	toFollower = 1
 )
 
-type event struct {
-	at    time.Duration
-	order int
-	do    func()
-}
-
-type events []event
-
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
-}
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() any {
-	last := (*q)[len(*q)-1]
-	(*q)[len(*q)-1] = event{}
-	*q = (*q)[:len(*q)-1]
-	return last
-}
-
 // New makes a world in which all begin.
 func New(p Plan) *World {
 	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xfeed3)), now: time.Hour, truth: changefeed.NewLog(changefeed.LogConfig{Most: 400, Bytes: 1 << 20}),
@@ -202,8 +180,7 @@
 }
 
 func (w *World) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{w.now + d, w.order, do})
+	w.queue.Schedule(w.now+d, do)
 }
 
 func (w *World) chance(d time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(d))) }
--- a/internal/lab/fleetsim/play.go
+++ b/internal/lab/fleetsim/play.go
@@ -1,7 +1,6 @@
 package fleetsim
 
 import (
-	"container/heap"
 	"fmt"
 	"slices"
 	"time"
@@ -33,10 +32,10 @@
 }
 
 func (w *World) until(end time.Duration) {
-	for w.err == nil && len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.do()
+	for at, ok := w.queue.NextAt(); w.err == nil && ok && at <= end; at, ok = w.queue.NextAt() {
+		var action func()
+		w.now, action = w.queue.Next()
+		action()
 	}
 	w.now = end
 }
--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -4,7 +4,6 @@
 package fleetsim
 
 import (
-	"container/heap"
 	"encoding/binary"
 	"fmt"
 	"hash/fnv"
@@ -16,6 +15,7 @@
 	"sabletally/internal/fleet/placement"
 	"sabletally/internal/fleet/replication"
 	"sabletally/internal/fleet/shardmap"
+	"sabletally/internal/lab/eventqueue"
 )
 
 const (
@@ -70,8 +70,7 @@
 	plan  Plan
 	rng   *rand.Rand
 	now   time.Duration
-	queue events
-	order int
+	queue eventqueue.Queue
 	nodes []*member
 	byID  map[string]*member
 	ids   int
@@ -122,26 +121,6 @@
 	id    string
 }
 
-type event struct {
-	at    time.Duration
-	order int
-	do    func()
-}
-
-type events []event
-
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
-}
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() any {
-	last := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return last
-}
-
 // New makes a world in which all members begin with empty disks.
 func New(p Plan) *World {
 	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, byOp: map[string]*Operation{}, wrote: map[[3]int]replication.Msg{},
@@ -159,8 +138,7 @@
 }
 
 func (w *World) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{w.now + d, w.order, do})
+	w.queue.Schedule(w.now+d, do)
 }
 
 func memberOf(n *member) shardmap.Member {
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -4,13 +4,13 @@
 package simulation
 
 import (
-	"container/heap"
 	"math/rand/v2"
 	"slices"
 	"time"
 
 	"sabletally/internal/lab/baseline"
 	"sabletally/internal/lab/checker"
+	"sabletally/internal/lab/eventqueue"
 	"sabletally/internal/lab/faults"
 	"sabletally/internal/lab/history"
 	"sabletally/internal/lab/load"
@@ -32,28 +32,6 @@
 	evMost    = 40 << 20             // events of a run
 )
 
-// event is a thing to do at a time; order settles ties.
-type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
-}
-
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
-}
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	last := (*e)[len(*e)-1]
-	(*e)[len(*e)-1].do = nil
-	*e = (*e)[:len(*e)-1]
-	return last
-}
-
 // machine is a server in the run.
 type machine struct {
 	*model.Server
@@ -130,8 +108,7 @@
 	topology.World
 	policy    string
 	now       time.Duration
-	queue     events
-	order     uint64
+	queue     eventqueue.Queue
 	rng       *rand.Rand
 	nodes     []*node
 	machines  []*machine
@@ -188,10 +165,10 @@
 	for at := noteEach; at <= end; at += noteEach {
 		s.at(at, s.notes)
 	}
-	for len(s.queue) > 0 && s.queue[0].at <= end {
-		e := heap.Pop(&s.queue).(event)
-		s.now = e.at
-		e.do()
+	for at, ok := s.queue.NextAt(); ok && at <= end; at, ok = s.queue.NextAt() {
+		var action func()
+		s.now, action = s.queue.Next()
+		action()
 	}
 	s.now = end
 	run := s.meter.Run()
@@ -211,8 +188,7 @@
 }
 
 func (s *world) at(at time.Duration, do func()) {
-	s.order++
-	heap.Push(&s.queue, event{max(at, s.now), s.order, do})
+	s.queue.Schedule(max(at, s.now), do)
 }
 
 func (s *world) after(d time.Duration, do func()) { s.at(s.now+d, do) }
