--- a/internal/fleet/placement/digest_test.go
+++ b/internal/fleet/placement/digest_test.go
@@ -51,7 +51,7 @@
 			}
 		}
 		e, is := steer.Propose(now, st, seen, now > time.Second)
-		fmt.Fprintf(h, "%d %v %s\n", now, is, e.Encode())
+		_, _ = fmt.Fprintf(h, "%d %v %s\n", now, is, e.Encode())
 		if is {
 			proposals++
 			if rng.IntN(10) > 0 {
--- a/internal/fleet/replication/digest_test.go
+++ b/internal/fleet/replication/digest_test.go
@@ -18,45 +18,45 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// digestRun is a seeded run of several nodes with delayed, lost and repeated messages, restarts, new views and records that age.
-// All that the nodes hand out is hashed.
+// digestRun is a seeded run of several nodes with delayed, lost and repeated messages, restarts, new configurations and records that expire.
+// All that the nodes' Ready returns is hashed.
 type digestRun struct {
-	t       *testing.T
-	rng     *rand.Rand
-	hash    hash.Hash
-	now     time.Duration
-	ids     []string
-	nodes   map[string]*Node
-	lives   map[string]uint64
-	disks   map[string]map[int]*digestDisk
-	views   []shardmap.Configuration
-	wire    []Message
-	opCount int
-	counts  map[string]int
+	t              *testing.T
+	rng            *rand.Rand
+	hash           hash.Hash
+	now            time.Duration
+	ids            []string
+	nodes          map[string]*Node
+	incarnations   map[string]uint64
+	disks          map[string]map[int]*digestDisk
+	configurations []shardmap.Configuration
+	inTransit      []Message
+	opCount        int
+	counts         map[string]int
 }
 
-// digestDisk is what one node has on disk of one slot.
+// digestDisk is what one node has on disk of one shard.
 type digestDisk struct {
 	ballot  Ballot
 	records map[string]Record
 }
 
 func newDigestRun(t *testing.T, seed uint64) *digestRun {
-	r := &digestRun{t: t, rng: rand.New(rand.NewPCG(seed, 1)), hash: sha256.New(), nodes: map[string]*Node{}, lives: map[string]uint64{},
-		disks: map[string]map[int]*digestDisk{}, views: make([]shardmap.Configuration, shardmap.ShardCount), counts: map[string]int{}}
+	r := &digestRun{t: t, rng: rand.New(rand.NewPCG(seed, 1)), hash: sha256.New(), nodes: map[string]*Node{}, incarnations: map[string]uint64{},
+		disks: map[string]map[int]*digestDisk{}, configurations: make([]shardmap.Configuration, shardmap.ShardCount), counts: map[string]int{}}
 	for i := range 5 {
 		id := string(rune('a' + i))
 		r.ids = append(r.ids, id)
 		r.disks[id] = map[int]*digestDisk{}
-		r.start(id)
+		r.startNode(id)
 	}
 	return r
 }
 
-// start makes a node of what is on its disk, in a new life.
-func (r *digestRun) start(id string) {
-	r.lives[id]++
-	n := New(Config{ID: id, Incarnation: r.lives[id], MinReplicas: 2, MaxKeys: 60, MaxBytes: 1 << 14, MaxPendingOperations: 8,
+// startNode makes a node of what is on its disk, with a new incarnation.
+func (r *digestRun) startNode(id string) {
+	r.incarnations[id]++
+	n := New(Config{ID: id, Incarnation: r.incarnations[id], MinReplicas: 2, MaxKeys: 60, MaxBytes: 1 << 14, MaxPendingOperations: 8,
 		Retention: []RetentionRule{{Prefix: "old/", TTL: 2 * time.Second}}}, r.now)
 	nums := make([]int, 0, len(r.disks[id]))
 	for num := range r.disks[id] {
@@ -73,7 +73,7 @@
 		n.Load(num, disk.ballot, records)
 	}
 	r.nodes[id] = n
-	for num, v := range r.views {
+	for num, v := range r.configurations {
 		if v.Number > 0 {
 			n.SetConfiguration(num, v)
 		}
@@ -86,11 +86,11 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	fmt.Fprintf(r.hash, "%s %x\n", kind, encoded)
+	_, _ = fmt.Fprintf(r.hash, "%s %x\n", kind, encoded)
 }
 
-// drain carries out what the nodes want done; disks are written before messages go out.
-func (r *digestRun) drain() {
+// handleReady carries out what the nodes ask for: disks are written before messages are sent.
+func (r *digestRun) handleReady() {
 	for _, id := range r.ids {
 		ready := r.nodes[id].Ready()
 		for _, w := range ready.Writes {
@@ -103,9 +103,9 @@
 			switch r.rng.IntN(20) {
 			case 0: // lost
 			case 1: // sent twice
-				r.wire = append(r.wire, m, m)
+				r.inTransit = append(r.inTransit, m, m)
 			default:
-				r.wire = append(r.wire, m)
+				r.inTransit = append(r.inTransit, m)
 			}
 		}
 		for _, one := range ready.Results {
@@ -139,24 +139,24 @@
 
 // deliver hands over some of the messages that are on their way, in any order.
 func (r *digestRun) deliver() {
-	for range r.rng.IntN(2 + 2*len(r.wire)) {
-		if len(r.wire) == 0 {
+	for range r.rng.IntN(2 + 2*len(r.inTransit)) {
+		if len(r.inTransit) == 0 {
 			return
 		}
 		i := 0
 		if r.rng.IntN(4) == 0 {
-			i = r.rng.IntN(len(r.wire))
+			i = r.rng.IntN(len(r.inTransit))
 		}
-		m := r.wire[i]
-		r.wire = slices.Delete(r.wire, i, i+1)
+		m := r.inTransit[i]
+		r.inTransit = slices.Delete(r.inTransit, i, i+1)
 		r.nodes[m.To].Step(m)
-		r.drain()
+		r.handleReady()
 	}
 }
 
-// reconfigure gives one of a few slots another view, of which some nodes hear only later.
+// reconfigure gives a shard a new configuration, which some nodes do not learn.
 func (r *digestRun) reconfigure(num int) {
-	old := r.views[num]
+	old := r.configurations[num]
 	v := shardmap.Configuration{Number: old.Number + 1}
 	order := r.rng.Perm(len(r.ids))
 	if old.Number > 0 {
@@ -174,13 +174,13 @@
 			}
 		}
 	}
-	r.views[num] = v
+	r.configurations[num] = v
 	for _, id := range r.ids {
 		if r.rng.IntN(8) > 0 {
 			r.nodes[id].SetConfiguration(num, v)
 		}
 	}
-	r.drain()
+	r.handleReady()
 }
 
 func (r *digestRun) operation(keys []string) {
@@ -204,7 +204,7 @@
 		op.ExpectedVersion = r.nodes[id].Record(key).Version
 	}
 	r.nodes[id].Submit(op, time.Duration(200+r.rng.IntN(1500))*time.Millisecond)
-	r.drain()
+	r.handleReady()
 }
 
 func (r *digestRun) step(keys []string, nums []int) {
@@ -213,14 +213,14 @@
 		r.reconfigure(nums[r.rng.IntN(len(nums))])
 	case n == 2:
 		id := r.ids[r.rng.IntN(len(r.ids))]
-		r.start(id)
-		r.drain()
+		r.startNode(id)
+		r.handleReady()
 	case n == 3:
 		num := nums[r.rng.IntN(len(nums))]
 		for _, id := range r.ids {
-			r.nodes[id].SetConfiguration(num, r.views[num])
+			r.nodes[id].SetConfiguration(num, r.configurations[num])
 		}
-		r.drain()
+		r.handleReady()
 	case n < 60:
 		r.operation(keys)
 	case n < 110:
@@ -229,7 +229,7 @@
 			r.nodes[id].Tick(r.now)
 			r.nodes[id].SetWallClock(int64(r.now / time.Second))
 		}
-		r.drain()
+		r.handleReady()
 	default:
 		r.deliver()
 	}
--- /dev/null
+++ b/internal/fleet/replication/timeouts.go
@@ -0,0 +1,89 @@
+package replication
+
+import "slices"
+
+// checkTimeouts resends what was not answered, and reports members that are silent for too long.
+func (n *Node) checkTimeouts(s *shard) {
+	if !s.isPrimary() {
+		n.checkPrimary(s)
+		return
+	}
+	for _, id := range s.followers() {
+		n.checkReplica(s, id)
+	}
+}
+
+// checkPrimary reports a primary that is silent for too long.
+func (n *Node) checkPrimary(s *shard) {
+	if !slices.Contains(s.inSync, n.cfg.ID) {
+		return
+	}
+	primary := s.inSync[0]
+	lastHeard := max(s.ballotSince, n.lastHeard[primary])
+	if n.now-lastHeard > primaryTimeout {
+		s.ballotSince = n.now
+		n.reportSuspicion(s, primary)
+	}
+}
+
+// checkReplica resends to a replica, and reports it where it has caught up or owes an answer for too long.
+func (n *Node) checkReplica(s *shard, id string) {
+	replica := s.primary.replicas[id]
+	if n.now-replica.lastSent >= resendInterval {
+		if !replica.adopted {
+			n.announceBallot(s, id)
+		} else if replica.acknowledged < s.primary.sequence {
+			n.sendMissingWrites(s, id)
+		}
+	}
+	if replica.joining && replica.caughtUp && n.now-replica.caughtUpReportedAt > replicaTimeout {
+		n.reportCaughtUp(s, id)
+	}
+	if replica.waitingSince >= 0 && n.now-replica.waitingSince > replicaTimeout && replica.isRequired() {
+		replica.waitingSince = n.now
+		n.reportSuspicion(s, id)
+	}
+}
+
+// reportCaughtUp reports that a joining replica has all writes. It is repeated, as a report may be lost.
+func (n *Node) reportCaughtUp(s *shard, id string) {
+	s.primary.replicas[id].caughtUpReportedAt = n.now
+	n.report(ReplicaReport{Shard: s.number, Configuration: s.ballot.Configuration, From: n.cfg.ID, Subject: id, CaughtUp: true})
+}
+
+func (n *Node) reportSuspicion(s *shard, id string) {
+	n.report(ReplicaReport{Shard: s.number, Configuration: s.ballot.Configuration, From: n.cfg.ID, Subject: id})
+}
+
+func (n *Node) report(r ReplicaReport) { n.ready.Reports = append(n.ready.Reports, r) }
+
+// forgetSilentMembers bounds lastHeard.
+func (n *Node) forgetSilentMembers() {
+	for id, at := range n.lastHeard {
+		if n.now-at > memberTTL {
+			delete(n.lastHeard, id)
+		}
+	}
+}
+
+// sendHeartbeats sends one to each other replica of the shards that this member leads.
+func (n *Node) sendHeartbeats() {
+	followers := map[string]bool{}
+	for i := range n.shards {
+		s := &n.shards[i]
+		if !s.isPrimary() {
+			continue
+		}
+		for _, id := range s.followers() {
+			followers[id] = true
+		}
+	}
+	ids := make([]string, 0, len(followers))
+	for id := range followers {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		n.send(Message{Kind: MessageHeartbeat, To: id})
+	}
+}
