--- /dev/null
+++ b/internal/lab/simulation/fault_steps.go
@@ -0,0 +1,188 @@
+package simulation
+
+import (
+	"time"
+
+	"sabletally/internal/lab/faults"
+	"sabletally/internal/lab/history"
+	"sabletally/internal/lab/load"
+	"sabletally/internal/lab/model"
+	"sabletally/internal/lab/topology"
+	"sabletally/policy"
+)
+
+// silenceTimeout is when the balancer on sockets moves sessions away from a silent server.
+const silenceTimeout = 5 * time.Second
+
+// applyStep carries out one step of the fault schedule.
+func (w *world) applyStep(step faults.Step) {
+	switch step.Action {
+	case faults.Start:
+		w.startReplacement(step.Of)
+	case faults.SetStore:
+		w.Store.Slow = step.Figure
+	case faults.SetDiscovery:
+		w.setDiscovery(step.Figure > 0)
+	case faults.SetLate:
+		w.discoveryDelay = step.For
+	case faults.DropClients:
+		w.dropClients(step.Figure, step.For)
+	case faults.KillBalancer:
+		w.killBalancer(w.balancers[step.Target], "outright")
+	case faults.StartBalancer:
+		w.startBalancer(step.Target)
+	case faults.LeaveBalancer:
+		w.restartAsPlanned(step.Target)
+	default:
+		if step.Target < len(w.servers) { // else it has not started yet
+			w.applyServerStep(w.servers[step.Target], step)
+		}
+	}
+}
+
+// applyServerStep carries out a step on a server that has started.
+func (w *world) applyServerStep(srv *server, step faults.Step) {
+	switch step.Action {
+	case faults.BeginDrain:
+		srv.state, srv.Draining = policy.Draining, true
+		w.announce(srv, w.Notice)
+		if w.SendsAway {
+			w.moveClientsAway(srv, w.now+step.For)
+		}
+	case faults.Stop:
+		srv.state, srv.down = policy.Gone, true
+		w.recordStop(srv, "stop")
+		w.endSessions(srv)
+		w.announce(srv, w.Notice)
+	case faults.Die:
+		srv.down = true
+		w.recordStop(srv, "crash")
+		w.endSessions(srv)
+		srv.state = policy.Gone
+		w.announce(srv, w.Silent)
+	case faults.Revive:
+		w.revive(srv)
+	case faults.Silence:
+		w.silence(srv)
+	case faults.Speak:
+		srv.silent = false
+		w.record(history.Event{Kind: history.Started, Server: int32(srv.index), Balancer: -1, N: srv.Capacity(), Text: "warm"})
+	case faults.SetSlow:
+		srv.Advance(w.now)
+		srv.Slow = step.Figure
+	case faults.SetErrors:
+		srv.ErrorRate = step.Figure
+	case faults.SetFull:
+		srv.Full = step.Figure > 0
+	case faults.Hide:
+		srv.listed = false
+		w.announce(srv, w.Notice)
+	case faults.Show:
+		srv.listed = true
+		w.announce(srv, w.Notice)
+	}
+}
+
+// startReplacement starts a server like an earlier one.
+func (w *world) startReplacement(index int) {
+	old := w.servers[index]
+	machine := topology.Machine{Type: old.Type, Zone: old.zone, FailureDomain: old.cell}
+	w.announce(w.addServer(machine, len(w.servers), w.now), w.Notice)
+}
+
+func (w *world) recordStop(srv *server, reason string) {
+	w.record(history.Event{Kind: history.Stopped, Server: int32(srv.index), Balancer: -1, Text: reason})
+}
+
+// silence has a server's machine answer nothing any more.
+func (w *world) silence(srv *server) {
+	srv.silent = true
+	w.recordStop(srv, "vanish")
+	for _, up := range srv.sessions {
+		s := up.session
+		generation := s.generation
+		if s.upstream != up || s.state != established {
+			continue
+		}
+		w.after(silenceTimeout+time.Duration(w.rng.Float64()*2)*time.Second, func() {
+			if s.generation == generation && s.state == established && srv.silent {
+				w.moveSession(s, policy.Reset)
+			}
+		})
+	}
+}
+
+// setDiscovery puts discovery out of reach, or back: then what waited is delivered.
+func (w *world) setDiscovery(up bool) {
+	w.discoveryUp = up
+	if !up {
+		return
+	}
+	updates := w.pendingUpdates
+	w.pendingUpdates = nil
+	for _, deliver := range updates {
+		deliver()
+	}
+}
+
+// dropClients has a share of the connected clients disconnect and come back, spread over a time.
+func (w *world) dropClients(share float64, within time.Duration) {
+	for _, c := range w.clients {
+		if c.session == nil || c.session.state != established || w.rng.Float64() >= share {
+			continue
+		}
+		s := c.session
+		w.after(time.Duration(w.rng.Float64()*float64(within)), func() {
+			if c.session == s && s.state == established {
+				w.disconnect(c)
+				w.retryLater(c, load.Dropped, 0)
+			}
+		})
+	}
+}
+
+// restartAsPlanned drains a balancer, ends it and starts it again.
+func (w *world) restartAsPlanned(index int) {
+	b := w.balancers[index]
+	if !b.alive {
+		return
+	}
+	b.draining = true
+	b.decider.Clock(w.now - b.start)
+	b.decider.Leave(w.now-b.start+drainStart, w.now-b.start+drainEnd)
+	w.runDecisions(b)
+	w.after(drainEnd+exitDelay, func() {
+		if w.balancers[index] == b {
+			w.killBalancer(b, "planned")
+			w.startBalancer(index)
+		}
+	})
+}
+
+// revive starts a server's process anew.
+func (w *world) revive(srv *server) {
+	old := srv.Server
+	srv.Server = model.New(old.Type, w.Warmup, w.now)
+	srv.GroupCost, srv.started, srv.down, srv.state = w.GroupCost, w.now, false, policy.Ready
+	w.recordStart(srv)
+	w.announce(srv, w.Notice)
+}
+
+// moveClientsAway has a draining server move an even part of its clients away at a time until the drain ends.
+func (w *world) moveClientsAway(srv *server, by time.Duration) {
+	if srv.down || srv.silent {
+		return
+	}
+	rounds := max(1, int((by-w.now)/figureInterval))
+	for range (len(srv.sessions) + rounds - 1) / rounds {
+		for _, up := range srv.sessions {
+			if up.served {
+				w.endFromServer(up, policy.Cancelled)
+				break
+			}
+		}
+	}
+	if w.now+figureInterval < by {
+		w.after(figureInterval, func() { w.moveClientsAway(srv, by) })
+	}
+}
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -48,12 +48,12 @@
 }
 
 // TestMain fixes the seed of the random runs: the same verdict each time. -rapid.seed draws others.
-func TestMain(m *testing.M) {
+func TestMain(srv *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = f.Value.Set("14")
 	}
-	os.Exit(m.Run())
+	os.Exit(srv.Run())
 }
 
 func run(t interface{ Fatal(...any) }, w topology.World, name string, seed uint64) (float64, []history.Event, checker.Verdict) {
@@ -117,9 +117,9 @@
 		if !v.Passed() {
 			t.Fatalf("%v\n%v", v, v.Violations[:min(5, len(v.Violations))])
 		}
-		for _, p := range r.Series {
-			if p.Served > 1.01*p.Asked+1 || p.Open < 0 {
-				t.Fatalf("%v open, %v served of %v asked for at %v s", p.Open, p.Served, p.Asked, p.At)
+		for _, c := range r.Series {
+			if c.Served > 1.01*c.Asked+1 || c.Open < 0 {
+				t.Fatalf("%v open, %v served of %v asked for at %v s", c.Open, c.Served, c.Asked, c.At)
 			}
 		}
 	})
