--- a/cmd/sabletally/commands.go
+++ b/cmd/sabletally/commands.go
@@ -87,13 +87,13 @@
 		return err
 	}
 	switch f.Role {
-	case config.Balancer:
-		fmt.Printf("%s: fleet %q, a balancer that follows control processes; machine %s, zone %s, site %s\n", c.File, f.Fleet, f.Machine, f.Zone, f.Site)
-	case config.Control:
-		fmt.Printf("%s: fleet %q, a control process for %d followers, %d voters, %d copies; machine %s, zone %s, site %s, reached at %v\n", c.File, f.Fleet,
-			f.Followers, f.Voters, f.Copies, f.Machine, f.Zone, f.Site, f.Advertise)
+	case config.RoleBalancer:
+		fmt.Printf("%s: fleet %q, a balancer that follows control processes; machine %s, zone %s, site %s\n", c.File, f.FleetName, f.Machine, f.Zone, f.Site)
+	case config.RoleControl:
+		fmt.Printf("%s: fleet %q, a control process for %d followers, %d voters, %d copies; machine %s, zone %s, site %s, reached at %v\n", c.File, f.FleetName,
+			f.MaxFollowers, f.Voters, f.Replicas, f.Machine, f.Zone, f.Site, f.Advertise)
 	default:
-		fmt.Printf("%s: fleet %q, %d copies; this member: machine %s, zone %s, site %s, reached at %v\n", c.File, f.Fleet, f.Copies, f.Machine, f.Zone,
+		fmt.Printf("%s: fleet %q, %d copies; this member: machine %s, zone %s, site %s, reached at %v\n", c.File, f.FleetName, f.Replicas, f.Machine, f.Zone,
 			f.Site, f.Advertise)
 	}
 	return nil
@@ -105,7 +105,7 @@
 
 // Run reads a directory.
 func (c verifyCmd) Run() error {
-	card, err := datadir.Look(c.Dir)
+	card, err := datadir.ReadIdentity(c.Dir)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 		return err
 	}
 	kinds, all, size := map[string]int{}, 0, 0
-	for _, s := range saved.Slots {
+	for _, s := range saved.Shards {
 		for _, r := range s.Records {
 			kind, _, _ := strings.Cut(r.Key, "/")
 			kinds[kind]++
@@ -122,9 +122,9 @@
 			size += len(r.Key) + len(r.Value)
 		}
 	}
-	fmt.Printf("%s: member %s of fleet %q (%s), machine %s, life %d\n", c.Dir, card.Member, card.Fleet, saved.Fleet, card.Machine, card.Life)
-	fmt.Printf("%d records of %d bytes in %d slots, %d entries of the log behind a snapshot of %d bytes: all checksums hold\n", all, size, len(saved.Slots),
-		len(saved.Agree.Entries), len(saved.Agree.Snapshot))
+	fmt.Printf("%s: member %s of fleet %q (%s), machine %s, life %d\n", c.Dir, card.MemberID, card.Fleet, saved.FleetID, card.Machine, card.Incarnation)
+	fmt.Printf("%d records of %d bytes in %d slots, %d entries of the log behind a snapshot of %d bytes: all checksums hold\n", all, size, len(saved.Shards),
+		len(saved.Log.Entries), len(saved.Log.Snapshot))
 	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
 		fmt.Printf("  %s: %d\n", kind, kinds[kind])
 	}
--- a/cmd/sabletally/control.go
+++ b/cmd/sabletally/control.go
@@ -49,8 +49,8 @@
 	if err != nil {
 		return err
 	}
-	if file.Role != config.Control {
-		return wrongFile{fmt.Errorf("%s: role %q is no control process's: wants role = %q", c.File, file.Role, config.Control)}
+	if file.Role != config.RoleControl {
+		return wrongFile{fmt.Errorf("%s: role %q is no control process's: wants role = %q", c.File, file.Role, config.RoleControl)}
 	}
 	name := c.Name
 	if name == "" {
--- a/cmd/sabletally/main.go
+++ b/cmd/sabletally/main.go
@@ -58,7 +58,7 @@
 			eachFault(err, func(err error) { log.Error("can't start", zap.NamedError("fleet", err)) })
 			return 2
 		}
-		if file.Role == config.Control {
+		if file.Role == config.RoleControl {
 			log.Error("can't start", zap.NamedError("fleet", fmt.Errorf("%s: role %q is no balancer's: start it by sabletally fleet control %s", path, file.Role, path)))
 			return 2
 		}
@@ -89,7 +89,7 @@
 	pages := admin.Pages{}
 	var member *fleet.Fleet
 	if file != nil {
-		err := file.Known(s.Deployment.Grades)
+		err := file.CheckClasses(s.Deployment.Grades)
 		if err == nil {
 			member, err = fleet.Open(file, s.Name, s.Seed, gate.Shared(), log)
 		}
--- a/internal/fleet/config/config.go
+++ b/internal/fleet/config/config.go
@@ -17,8 +17,8 @@
 
 // Bounds of what a file may tell.
 const (
-	MostMembers = 1024 // of one fleet
-	mostSeeds   = MostMembers
+	MaxMembers  = 1024 // of one fleet
+	mostSeeds   = MaxMembers
 	mostGrades  = 64
 	mostCopies  = 7
 	longestName = 64 // bytes; names go with every word about a member
@@ -27,44 +27,44 @@
 
 // Roles.
 const (
-	Member   = ""         // a balancer that is a full member: a file without a role
-	Control  = "control"  // a process set aside, which balancers follow
-	Balancer = "balancer" // a balancer that follows control processes, and is no member
+	RoleMember   = ""         // a balancer that is a full member: a file without a role
+	RoleControl  = "control"  // a process set aside, which balancers follow
+	RoleBalancer = "balancer" // a balancer that follows control processes, and is no member
 )
 
 // File is what one member is told.
 type File struct {
-	Role      string
-	Fleet     string         // whose words are heard; those of any other fleet are a stranger's
-	Listen    netip.AddrPort // TCP and UDP, members only
-	Advertise netip.AddrPort // where the others reach it; Listen where the file tells none
-	Seeds     []netip.AddrPort
-	Data      string        // a directory of this member's own, absolute
-	Copies    int           // holders of each record
-	Machine   string        // what is lost together with this process,
-	Zone      string        // then what is lost together with the machine,
-	Site      string        // and with the zone
-	Gone      time.Duration // a member that is gone for longer is shown no more
-	Young     time.Duration // a held list of servers is used up to this age,
-	Old       time.Duration // and its servers are asked one by one up to this
-	Repair    time.Duration // what one held that is gone for so long is copied anew
-	Voters    int           // members that agree on who holds what
-	Records   int           // held here at most,
-	Bytes     int           // and of keys and values together
-	Followers int           // that a control process takes at most
-	Intents   []Grade       // grades whose circuits are held for others before they go to a server
+	Role              string
+	FleetName         string         // whose words are heard; those of any other fleet are a stranger's
+	Listen            netip.AddrPort // TCP and UDP, members only
+	Advertise         netip.AddrPort // where the others reach it; Listen where the file tells none
+	Seeds             []netip.AddrPort
+	DataDir           string        // a directory of this member's own, absolute
+	Replicas          int           // holders of each record
+	Machine           string        // what is lost together with this process,
+	Zone              string        // then what is lost together with the machine,
+	Site              string        // and with the zone
+	ForgetAfter       time.Duration // a member that is gone for longer is shown no more
+	ListFreshTTL      time.Duration // a held list of servers is used up to this age,
+	ListStaleTTL      time.Duration // and its servers are asked one by one up to this
+	RepairAfter       time.Duration // what one held that is gone for so long is copied anew
+	Voters            int           // members that agree on who holds what
+	MaxRecords        int           // held here at most,
+	MaxBytes          int           // and of keys and values together
+	MaxFollowers      int           // that a control process takes at most
+	IdempotentClasses []Class       // grades whose circuits are held for others before they go to a server
 }
 
-// Grade is a service grade's name, and where it stands.
-type Grade struct {
+// Class is a service grade's name, and where it stands.
+type Class struct {
 	Name string
 	at   hcl.Range
 }
 
-// Known tells which grades that the file names are none of a deployment's: nil if all are.
-func (f *File) Known(grades map[string]int) error {
+// CheckClasses tells which grades that the file names are none of a deployment's: nil if all are.
+func (f *File) CheckClasses(grades map[string]int) error {
 	r := &hclconfig.Reader{}
-	for _, g := range f.Intents {
+	for _, g := range f.IdempotentClasses {
 		if _, is := grades[g.Name]; !is {
 			r.At(g.at, "grades: %q is no grade of the settings", g.Name)
 		}
@@ -95,21 +95,21 @@
 		f.read(r, in)
 	}
 	for _, in := range top.In["hold"] {
-		if f.Role == Control {
-			r.At(in.DefRange, "hold: role %q runs no circuits", Control)
+		if f.Role == RoleControl {
+			r.At(in.DefRange, "hold: role %q runs no circuits", RoleControl)
 		}
 		if in.Labels[0] != "intents" {
 			r.At(in.LabelRanges[0], "hold %q is none; there is \"intents\"", in.Labels[0])
 			continue
 		}
-		if len(f.Intents) > 0 {
+		if len(f.IdempotentClasses) > 0 {
 			r.At(in.DefRange, "a second hold \"intents\"")
 		}
 		b := r.Open("hold", in.Body, in.DefRange, "grades")
 		b.Must("grades")
 		grades, places := b.Texts("grades", mostGrades)
 		for i, g := range grades {
-			f.Intents = append(f.Intents, Grade{g, places[i]})
+			f.IdempotentClasses = append(f.IdempotentClasses, Class{g, places[i]})
 		}
 	}
 	if err := r.Err(); err != nil {
@@ -120,12 +120,12 @@
 
 func (f *File) read(r *hclconfig.Reader, in *hcl.Block) {
 	b := r.Open("fleet", in.Body, in.DefRange, "role listen advertise seeds data copies machine zone site gone_after repair_after voters records megabytes list_young list_old followers")
-	f.Role = b.Text("role", Member, Control, Balancer)
+	f.Role = b.Text("role", RoleMember, RoleControl, RoleBalancer)
 	b.Must("seeds", "data", "machine", "zone", "site")
 	for _, what := range notIn[f.Role] {
 		if b.Has(what) {
-			r.At(b.At(what), "%s: %s", what, map[string]string{Member: `only role "control" has it`, Control: `role "control" has no list of servers`,
-				Balancer: `role "balancer" has none: the control processes' files say it`}[f.Role])
+			r.At(b.At(what), "%s: %s", what, map[string]string{RoleMember: `only role "control" has it`, RoleControl: `role "control" has no list of servers`,
+				RoleBalancer: `role "balancer" has none: the control processes' files say it`}[f.Role])
 		}
 	}
 	name := func(what, text string, at hcl.Range) string {
@@ -143,9 +143,9 @@
 		}
 		return name(what, b.Text(what, "-"), b.At(what))
 	}
-	f.Fleet = name("fleet", in.Labels[0], in.LabelRanges[0])
+	f.FleetName = name("fleet", in.Labels[0], in.LabelRanges[0])
 	f.Machine, f.Zone, f.Site = told("machine"), told("zone"), told("site")
-	if f.Role != Balancer {
+	if f.Role != RoleBalancer {
 		b.Must("listen")
 	}
 	f.Listen = address(r, "listen", b.Text("listen", ""), b.At("listen"), b.Has("listen"))
@@ -160,34 +160,34 @@
 	for i, text := range seeds {
 		f.Seeds = append(f.Seeds, address(r, "seeds", text, places[i], true))
 	}
-	f.Data = b.Text("data", "")
-	if b.Has("data") && !filepath.IsAbs(f.Data) {
-		r.At(b.At("data"), "data: %q is no absolute path; a relative one is another directory wherever the program is started", f.Data)
+	f.DataDir = b.Text("data", "")
+	if b.Has("data") && !filepath.IsAbs(f.DataDir) {
+		r.At(b.At("data"), "data: %q is no absolute path; a relative one is another directory wherever the program is started", f.DataDir)
 	}
-	f.Copies = b.Whole("copies", 3, 1, mostCopies)
-	f.Gone = b.Span("gone_after", 24*time.Hour, time.Minute, 30*24*time.Hour)
-	f.Young = b.Span("list_young", 30*time.Second, 0, 24*time.Hour)
-	if f.Old = b.Span("list_old", 24*time.Hour, 0, 30*24*time.Hour); f.Old < f.Young {
-		r.At(b.At("list_old"), "list_old: %v is less than list_young, %v", f.Old, f.Young)
+	f.Replicas = b.Whole("copies", 3, 1, mostCopies)
+	f.ForgetAfter = b.Span("gone_after", 24*time.Hour, time.Minute, 30*24*time.Hour)
+	f.ListFreshTTL = b.Span("list_young", 30*time.Second, 0, 24*time.Hour)
+	if f.ListStaleTTL = b.Span("list_old", 24*time.Hour, 0, 30*24*time.Hour); f.ListStaleTTL < f.ListFreshTTL {
+		r.At(b.At("list_old"), "list_old: %v is less than list_young, %v", f.ListStaleTTL, f.ListFreshTTL)
 	}
-	f.Repair = b.Span("repair_after", 10*time.Second, time.Second, time.Hour)
+	f.RepairAfter = b.Span("repair_after", 10*time.Second, time.Second, time.Hour)
 	voters := 3
-	if f.Role == Control {
+	if f.Role == RoleControl {
 		voters = 5
-		f.Followers = b.Whole("followers", 1000, 1, mostFollows)
+		f.MaxFollowers = b.Whole("followers", 1000, 1, mostFollows)
 	}
 	if f.Voters = b.Whole("voters", voters, 1, 7); f.Voters%2 == 0 {
 		r.At(b.At("voters"), "voters: %d is even: it stands no more losses than %d", f.Voters, f.Voters-1)
 	}
-	f.Records = b.Whole("records", 50000, 1, 1000000)
-	f.Bytes = b.Whole("megabytes", 64, 1, 4096) << 20
+	f.MaxRecords = b.Whole("records", 50000, 1, 1000000)
+	f.MaxBytes = b.Whole("megabytes", 64, 1, 4096) << 20
 }
 
 // notIn are what a role has none of.
 var notIn = map[string][]string{
-	Member:   {"followers"},
-	Control:  {"list_young", "list_old"},
-	Balancer: {"listen", "advertise", "copies", "gone_after", "repair_after", "voters", "records", "megabytes", "followers"},
+	RoleMember:   {"followers"},
+	RoleControl:  {"list_young", "list_old"},
+	RoleBalancer: {"listen", "advertise", "copies", "gone_after", "repair_after", "voters", "records", "megabytes", "followers"},
 }
 
 // address reads an IP address with a port. Names are refused: a look-up that hangs would hang the start with it.
--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Fleet != "istanbul" || f.Advertise != f.Listen || len(f.Seeds) != 2 || f.Copies != 3 || f.Machine != "m1" || f.Gone != 24*time.Hour {
+	if f.FleetName != "istanbul" || f.Advertise != f.Listen || len(f.Seeds) != 2 || f.Replicas != 3 || f.Machine != "m1" || f.ForgetAfter != 24*time.Hour {
 		t.Errorf("%+v", f)
 	}
 }
@@ -54,20 +54,20 @@
 		old, new, role    string
 		voters, followers int
 	}{
-		{"", "", Member, 3, 0},
-		{`copies  = 3`, `role = "control"`, Control, 5, 1000},
-		{`copies  = 3`, "role = \"control\"\n voters = 3\n followers = 300", Control, 3, 300},
-		{"  listen  = \"127.0.0.1:7001\"\n", "", Balancer, 3, 0},
+		{"", "", RoleMember, 3, 0},
+		{`copies  = 3`, `role = "control"`, RoleControl, 5, 1000},
+		{`copies  = 3`, "role = \"control\"\n voters = 3\n followers = 300", RoleControl, 3, 300},
+		{"  listen  = \"127.0.0.1:7001\"\n", "", RoleBalancer, 3, 0},
 	} {
 		text := strings.Replace(whole, c.old, c.new, 1)
-		if c.role == Balancer {
+		if c.role == RoleBalancer {
 			text = strings.Replace(text, `copies  = 3`, `role = "balancer"`, 1)
 		}
 		f, err := Parse([]byte(text), "f.hcl")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Role != c.role || f.Voters != c.voters || f.Followers != c.followers {
+		if f.Role != c.role || f.Voters != c.voters || f.MaxFollowers != c.followers {
 			t.Errorf("%q: %+v", c.new, f)
 		}
 	}
@@ -114,10 +114,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Known(map[string]int{"pay": 0, "buy": 1}); err != nil {
+	if err := f.CheckClasses(map[string]int{"pay": 0, "buy": 1}); err != nil {
 		t.Error(err)
 	}
-	if err := f.Known(map[string]int{"pay": 0}); err == nil || !strings.Contains(err.Error(), `f.hcl:10:35: grades: "buy" is no grade`) {
+	if err := f.CheckClasses(map[string]int{"pay": 0}); err == nil || !strings.Contains(err.Error(), `f.hcl:10:35: grades: "buy" is no grade`) {
 		t.Error(err)
 	}
 }
--- a/internal/fleet/config/golden_test.go
+++ b/internal/fleet/config/golden_test.go
@@ -12,28 +12,28 @@
 func TestEveryKeyIsUnchanged(t *testing.T) {
 	address := netip.MustParseAddrPort
 	for name, want := range map[string]File{
-		"member.hcl": {Role: "", Fleet: "istanbul", Listen: address("0.0.0.0:7001"), Advertise: address("10.0.0.1:7001"),
-			Seeds: []netip.AddrPort{address("10.0.0.1:7001"), address("[fd00::2]:7002")}, Data: "/var/lib/sabletally", Copies: 4, Machine: "m1", Zone: "a",
-			Site: "site-1", Gone: 2 * time.Hour, Young: 45 * time.Second, Old: 3 * time.Hour, Repair: 15 * time.Second, Voters: 5, Records: 1234,
-			Bytes: 7 << 20, Intents: []Grade{{Name: "pay"}, {Name: "buy"}}},
-		"control.hcl": {Role: "control", Fleet: "istanbul", Listen: address("10.0.0.1:7001"), Advertise: address("10.0.0.9:7009"),
-			Seeds: []netip.AddrPort{address("10.0.0.1:7001")}, Data: "/var/lib/control", Copies: 2, Machine: "m2", Zone: "b", Site: "site-2",
-			Gone: 90 * time.Minute, Young: 30 * time.Second, Old: 24 * time.Hour, Repair: 20 * time.Second, Voters: 7, Records: 4321, Bytes: 9 << 20,
-			Followers: 321},
-		"balancer.hcl": {Role: "balancer", Fleet: "istanbul", Seeds: []netip.AddrPort{address("10.0.0.1:7001"), address("10.0.0.2:7001")},
-			Data: "/var/lib/balancer", Copies: 3, Machine: "m3", Zone: "c", Site: "site-3", Gone: 24 * time.Hour, Young: 5 * time.Second, Old: 6 * time.Minute,
-			Repair: 10 * time.Second, Voters: 3, Records: 50000, Bytes: 64 << 20, Intents: []Grade{{Name: "pay"}}},
+		"member.hcl": {Role: "", FleetName: "istanbul", Listen: address("0.0.0.0:7001"), Advertise: address("10.0.0.1:7001"),
+			Seeds: []netip.AddrPort{address("10.0.0.1:7001"), address("[fd00::2]:7002")}, DataDir: "/var/lib/sabletally", Replicas: 4, Machine: "m1", Zone: "a",
+			Site: "site-1", ForgetAfter: 2 * time.Hour, ListFreshTTL: 45 * time.Second, ListStaleTTL: 3 * time.Hour, RepairAfter: 15 * time.Second, Voters: 5, MaxRecords: 1234,
+			MaxBytes: 7 << 20, IdempotentClasses: []Class{{Name: "pay"}, {Name: "buy"}}},
+		"control.hcl": {Role: "control", FleetName: "istanbul", Listen: address("10.0.0.1:7001"), Advertise: address("10.0.0.9:7009"),
+			Seeds: []netip.AddrPort{address("10.0.0.1:7001")}, DataDir: "/var/lib/control", Replicas: 2, Machine: "m2", Zone: "b", Site: "site-2",
+			ForgetAfter: 90 * time.Minute, ListFreshTTL: 30 * time.Second, ListStaleTTL: 24 * time.Hour, RepairAfter: 20 * time.Second, Voters: 7, MaxRecords: 4321, MaxBytes: 9 << 20,
+			MaxFollowers: 321},
+		"balancer.hcl": {Role: "balancer", FleetName: "istanbul", Seeds: []netip.AddrPort{address("10.0.0.1:7001"), address("10.0.0.2:7001")},
+			DataDir: "/var/lib/balancer", Replicas: 3, Machine: "m3", Zone: "c", Site: "site-3", ForgetAfter: 24 * time.Hour, ListFreshTTL: 5 * time.Second, ListStaleTTL: 6 * time.Minute,
+			RepairAfter: 10 * time.Second, Voters: 3, MaxRecords: 50000, MaxBytes: 64 << 20, IdempotentClasses: []Class{{Name: "pay"}}},
 	} {
 		got, err := Read(filepath.Join("testdata", name))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		for i := range got.Intents {
-			if got.Intents[i].at.Empty() {
-				t.Errorf("%s: no place of %q is known", name, got.Intents[i].Name)
+		for i := range got.IdempotentClasses {
+			if got.IdempotentClasses[i].at.Empty() {
+				t.Errorf("%s: no place of %q is known", name, got.IdempotentClasses[i].Name)
 			}
-			got.Intents[i] = Grade{Name: got.Intents[i].Name}
+			got.IdempotentClasses[i] = Class{Name: got.IdempotentClasses[i].Name}
 		}
 		if !reflect.DeepEqual(*got, want) {
 			t.Errorf("%s: got\n%+v, want\n%+v", name, *got, want)
--- a/internal/fleet/consensus/bench_test.go
+++ b/internal/fleet/consensus/bench_test.go
@@ -48,19 +48,19 @@
 func voting(b testing.TB, many int) *voters {
 	v := &voters{b: b, all: map[uint64]*Node{}}
 	for i := range many {
-		n, err := New(member(i).ID, Saved{}, uint64(i), 0)
+		n, err := New(member(i).ID, PersistentState{}, uint64(i), 0)
 		if err != nil {
 			b.Fatal(err)
 		}
-		v.all[Number(member(i).ID)] = n
-		v.order = append(v.order, Number(member(i).ID))
+		v.all[NodeID(member(i).ID)] = n
+		v.order = append(v.order, NodeID(member(i).ID))
 	}
-	if err := v.leader().Found("f"); err != nil {
+	if err := v.leader().Bootstrap("f"); err != nil {
 		b.Fatal(err)
 	}
 	v.settle()
 	if many > 1 {
-		if err := v.leader().Vote(v.order[1:], 0); err != nil {
+		if err := v.leader().ChangeVoters(v.order[1:], 0); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -89,12 +89,12 @@
 			for _, e := range r.Write.Entries {
 				v.written += len(e)
 			}
-			v.written += len(r.Write.Hard) + len(r.Write.Snapshot)
-			for _, m := range r.Msgs {
+			v.written += len(r.Write.HardState) + len(r.Write.Snapshot)
+			for _, m := range r.Messages {
 				v.msgs++
-				v.bytes += len(m.Text)
+				v.bytes += len(m.Data)
 				again = true
-				if err := v.all[m.To].Step(m.Text); err != nil {
+				if err := v.all[m.To].Step(m.Data); err != nil {
 					v.b.Fatal(err)
 				}
 			}
@@ -106,7 +106,7 @@
 func (v *voters) pass() {
 	v.now += tickEach
 	for _, id := range v.order {
-		v.all[id].Clock(v.now)
+		v.all[id].Tick(v.now)
 	}
 	v.settle()
 }
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -31,29 +31,29 @@
 	confirmMost = 4 // questions to a majority that are out: the library keeps each until it is answered
 )
 
-// Saved is what is on disk; empty at a member that has never been a voter.
-type Saved struct {
-	Hard     []byte
-	Snapshot []byte
-	Entries  [][]byte // those behind the snapshot, in order
+// PersistentState is what is on disk; empty at a member that has never been a voter.
+type PersistentState struct {
+	HardState []byte
+	Snapshot  []byte
+	Entries   [][]byte // those behind the snapshot, in order
 }
 
 // Write is what has to be on disk before the messages that come with it go out.
 type Write struct {
-	Hard     []byte   // empty: unchanged
-	Snapshot []byte   // empty: unchanged. Entries up to its index may go then
-	Upto     uint64   // that index
-	Entries  [][]byte // from the index First on; what lay there or behind it is void
-	First    uint64
+	HardState     []byte   // empty: unchanged
+	Snapshot      []byte   // empty: unchanged. Entries up to its index may go then
+	SnapshotIndex uint64   // that index
+	Entries       [][]byte // from the index First on; what lay there or behind it is void
+	FirstIndex    uint64
 }
 
 // Ready is what is to be done: Write first.
 type Ready struct {
-	Write   Write
-	Msgs    []Msg
-	Whole   *changefeed.Snapshot // the state was replaced by this; nil where it was not
-	Changes []Change             // of the state, in order, after that
-	Puts    []shardmap.Done      // how operators' puts ended, of entries that came to be agreed
+	Write      Write
+	Messages   []Message
+	Snapshot   *changefeed.Snapshot // the state was replaced by this; nil where it was not
+	Changes    []Change             // of the state, in order, after that
+	PutResults []shardmap.Done      // how operators' puts ended, of entries that came to be agreed
 }
 
 // Change is what one entry did to the state.
@@ -62,10 +62,10 @@
 	Items   []changefeed.Item
 }
 
-// Msg is a message to a voter, by its number.
-type Msg struct {
+// Message is a message to a voter, by its number.
+type Message struct {
 	To   uint64
-	Text []byte
+	Data []byte
 }
 
 // Node is one member's. It is one goroutine's.
@@ -104,8 +104,8 @@
 	answered bool
 }
 
-// Number is a member's in the log: the first half of its ID.
-func Number(member string) uint64 {
+// NodeID is a member's in the log: the first half of its ID.
+func NodeID(member string) uint64 {
 	b, err := hex.DecodeString(member)
 	if err != nil || len(b) < 8 {
 		return 0
@@ -118,8 +118,8 @@
 }
 
 // New makes a member's part of what is on disk.
-func New(member string, saved Saved, seed uint64, now time.Duration) (*Node, error) {
-	n := &Node{id: Number(member), store: raft.NewMemoryStorage(), rng: rand.New(rand.NewPCG(seed, 0xa92e)), conf: &pb.ConfState{},
+func New(member string, saved PersistentState, seed uint64, now time.Duration) (*Node, error) {
+	n := &Node{id: NodeID(member), store: raft.NewMemoryStorage(), rng: rand.New(rand.NewPCG(seed, 0xa92e)), conf: &pb.ConfState{},
 		now: now, tick: now, state: shardmap.New()}
 	if n.id == 0 {
 		return nil, fmt.Errorf("agree: %q is no member's ID", member)
@@ -136,9 +136,9 @@
 			return nil, fmt.Errorf("agree: the snapshot: %w", err)
 		}
 	}
-	if len(saved.Hard) > 0 {
+	if len(saved.HardState) > 0 {
 		hard := &pb.HardState{}
-		if err := proto.Unmarshal(saved.Hard, hard); err != nil {
+		if err := proto.Unmarshal(saved.HardState, hard); err != nil {
 			return nil, fmt.Errorf("agree: the vote: %w", err)
 		}
 		_ = n.store.SetHardState(hard)
@@ -162,8 +162,8 @@
 	return err
 }
 
-// Found begins the log with this member as its only voter, and the fleet under an ID. It may be called before anything else was.
-func (n *Node) Found(fleet string) error {
+// Bootstrap begins the log with this member as its only voter, and the fleet under an ID. It may be called before anything else was.
+func (n *Node) Bootstrap(fleet string) error {
 	state := shardmap.New()
 	state.Fleet, state.Version = fleet, 1
 	one := uint64(1)
@@ -175,8 +175,8 @@
 	if err := n.restore(snap); err != nil {
 		return err
 	}
-	n.write.Hard, _ = proto.Marshal(&pb.HardState{Term: &one, Commit: &one})
-	n.write.Snapshot, n.write.Upto = marshal(snap), 1
+	n.write.HardState, _ = proto.Marshal(&pb.HardState{Term: &one, Commit: &one})
+	n.write.Snapshot, n.write.SnapshotIndex = marshal(snap), 1
 	if err := n.start(); err != nil {
 		return err
 	}
@@ -186,8 +186,8 @@
 // State is what is agreed, as far as this member has heard. It is not to be changed.
 func (n *Node) State() *shardmap.State { return n.state }
 
-// Leads tells whether this member leads the log; whatever it decides is agreed only once it is in the state.
-func (n *Node) Leads() bool { return n.rn.BasicStatus().RaftState == raft.StateLeader }
+// IsLeader tells whether this member leads the log; whatever it decides is agreed only once it is in the state.
+func (n *Node) IsLeader() bool { return n.rn.BasicStatus().RaftState == raft.StateLeader }
 
 // Leader is who leads as far as is known, 0 for nobody.
 func (n *Node) Leader() uint64 { return n.rn.BasicStatus().Lead }
@@ -202,19 +202,19 @@
 // False where it never did.
 func (n *Node) AsOf() (time.Duration, bool) { return n.asOf, n.known }
 
-// Clock tells of the time. The library's own clock runs at leaders alone, as the chance within it can't be handed in.
-func (n *Node) Clock(now time.Duration) {
+// Tick tells of the time. The library's own clock runs at leaders alone, as the chance within it can't be handed in.
+func (n *Node) Tick(now time.Duration) {
 	n.now = now
 	if now-n.tick >= tickEach {
 		n.tick = now
-		if n.Leads() {
+		if n.IsLeader() {
 			n.rn.Tick()
 		}
 	}
 	n.ask()
 	if now >= n.elect {
 		n.later()
-		if !n.Leads() && slices.Contains(n.Voters(), n.id) {
+		if !n.IsLeader() && slices.Contains(n.Voters(), n.id) {
 			_ = n.rn.Campaign()
 		}
 	}
@@ -222,10 +222,10 @@
 
 // ask begins a question to a majority: raft's read index, which is safe without leaning on anybody's clock.
 func (n *Node) ask() {
-	if term := n.Term(); term != n.term || !n.Leads() { // the library forgets them with a leadership
+	if term := n.Term(); term != n.term || !n.IsLeader() { // the library forgets them with a leadership
 		n.asked, n.term = nil, term
 	}
-	if !n.Leads() || n.now < n.confirm || len(n.asked) >= confirmMost {
+	if !n.IsLeader() || n.now < n.confirm || len(n.asked) >= confirmMost {
 		return
 	}
 	n.confirm = n.now + confirmEach
@@ -288,9 +288,9 @@
 // Propose has the leader put an entry before the others; lost if this member leads no more.
 func (n *Node) Propose(e shardmap.Entry) error { return n.rn.Propose(e.Encode()) }
 
-// Vote has members begin to vote and one stop, by number and 0 for none, all in one step: in no state between are there fewer that
+// ChangeVoters has members begin to vote and one stop, by number and 0 for none, all in one step: in no state between are there fewer that
 // may be lost. One such change is under way at a time; another is refused.
-func (n *Node) Vote(begin []uint64, stops uint64) error {
+func (n *Node) ChangeVoters(begin []uint64, stops uint64) error {
 	cc := &pb.ConfChangeV2{}
 	change := func(kind pb.ConfChangeType, id uint64) {
 		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: &kind, NodeId: &id})
@@ -304,11 +304,11 @@
 	return n.rn.ProposeConfChange(cc)
 }
 
-// Hand has another voter lead, if it has all that this one has.
-func (n *Node) Hand(to uint64) { n.rn.TransferLeader(to) }
+// TransferLeadership has another voter lead, if it has all that this one has.
+func (n *Node) TransferLeadership(to uint64) { n.rn.TransferLeader(to) }
 
-// Unreachable tells that a message to a voter may not have come.
-func (n *Node) Unreachable(id uint64) { n.rn.ReportUnreachable(id) }
+// ReportUnreachable tells that a message to a voter may not have come.
+func (n *Node) ReportUnreachable(id uint64) { n.rn.ReportUnreachable(id) }
 
 // Ready hands out what is to be done, once.
 func (n *Node) Ready() (r Ready, err error) {
@@ -322,8 +322,8 @@
 			if err := n.restore(rd.Snapshot); err != nil {
 				return r, err
 			}
-			n.write.Snapshot, n.write.Upto = marshal(rd.Snapshot), rd.Snapshot.GetMetadata().GetIndex()
-			n.write.Entries, n.write.First = nil, 0
+			n.write.Snapshot, n.write.SnapshotIndex = marshal(rd.Snapshot), rd.Snapshot.GetMetadata().GetIndex()
+			n.write.Entries, n.write.FirstIndex = nil, 0
 		}
 		if len(rd.Entries) > 0 {
 			if err := n.store.Append(rd.Entries); err != nil {
@@ -333,7 +333,7 @@
 		}
 		if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
 			_ = n.store.SetHardState(rd.HardState)
-			n.write.Hard = marshal(rd.HardState)
+			n.write.HardState = marshal(rd.HardState)
 		}
 		msgs = append(msgs, rd.Messages...)
 		for _, e := range rd.CommittedEntries {
@@ -351,12 +351,12 @@
 		return r, err
 	}
 	for _, m := range msgs {
-		r.Msgs = append(r.Msgs, Msg{To: m.GetTo(), Text: marshal(m)})
+		r.Messages = append(r.Messages, Message{To: m.GetTo(), Data: marshal(m)})
 		if m.GetType() == pb.MsgSnap { // how it went shows by what the voter answers next
 			n.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
-	r.Write, r.Changes, r.Whole, r.Puts = n.write, n.changes, n.whole, n.puts
+	r.Write, r.Changes, r.Snapshot, r.PutResults = n.write, n.changes, n.whole, n.puts
 	n.write, n.changes, n.whole, n.puts = Write{}, nil, nil, nil
 	return r, nil
 }
@@ -365,11 +365,11 @@
 func (n *Node) append(entries []*pb.Entry) {
 	first := entries[0].GetIndex()
 	if len(n.write.Entries) == 0 {
-		n.write.First = first
-	} else if keep := int(first) - int(n.write.First); keep >= 0 && keep < len(n.write.Entries) {
+		n.write.FirstIndex = first
+	} else if keep := int(first) - int(n.write.FirstIndex); keep >= 0 && keep < len(n.write.Entries) {
 		n.write.Entries = n.write.Entries[:keep]
 	} else if keep < 0 {
-		n.write.Entries, n.write.First = nil, first
+		n.write.Entries, n.write.FirstIndex = nil, first
 	}
 	for _, e := range entries {
 		n.write.Entries = append(n.write.Entries, marshal(e))
@@ -406,14 +406,14 @@
 		did := n.state.Apply(entry)
 		n.puts = append(n.puts, did.Puts...)
 		if len(did.Keys) > 0 {
-			n.changes = append(n.changes, Change{n.state.Version, Items(n.state, did.Keys)})
+			n.changes = append(n.changes, Change{n.state.Version, ItemsOf(n.state, did.Keys)})
 		}
 	}
 	return nil
 }
 
-// Items are the values of a state under keys; a key that has none is gone.
-func Items(st *shardmap.State, keys []string) []changefeed.Item {
+// ItemsOf are the values of a state under keys; a key that has none is gone.
+func ItemsOf(st *shardmap.State, keys []string) []changefeed.Item {
 	items := make([]changefeed.Item, 0, len(keys))
 	for _, k := range keys {
 		v, is := st.Value(k)
@@ -422,9 +422,9 @@
 	return items
 }
 
-// Whole is all of a state, as a map.
-func Whole(st *shardmap.State) *changefeed.Snapshot {
-	return changefeed.NewSnapshot(st.Fleet, st.Version, Items(st, st.Keys()))
+// SnapshotOf is all of a state, as a map.
+func SnapshotOf(st *shardmap.State) *changefeed.Snapshot {
+	return changefeed.NewSnapshot(st.Fleet, st.Version, ItemsOf(st, st.Keys()))
 }
 
 func (n *Node) restore(snap *pb.Snapshot) error {
@@ -433,7 +433,7 @@
 		return fmt.Errorf("agree: the snapshot: %w", err)
 	}
 	n.state, n.conf = state, snap.GetMetadata().GetConfState()
-	n.changes, n.whole = nil, Whole(state)
+	n.changes, n.whole = nil, SnapshotOf(state)
 	n.applied = snap.GetMetadata().GetIndex()
 	n.cut = n.applied
 	return nil
@@ -453,7 +453,7 @@
 		return fmt.Errorf("agree: %w", err)
 	}
 	n.cut = n.applied
-	n.write.Snapshot, n.write.Upto = marshal(snap), n.applied
+	n.write.Snapshot, n.write.SnapshotIndex = marshal(snap), n.applied
 	return nil
 }
 
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -14,7 +14,7 @@
 	now   time.Duration
 	nodes map[uint64]*Node
 	first *Node
-	way   []Msg
+	way   []Message
 }
 
 func three(t *testing.T) *log {
@@ -22,27 +22,27 @@
 	var others []uint64
 	for i := range 3 {
 		id := fmt.Sprintf("%016x%016x", i+1, i+1)
-		n, err := New(id, Saved{}, uint64(i), 0)
+		n, err := New(id, PersistentState{}, uint64(i), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.nodes[Number(id)] = n
+		l.nodes[NodeID(id)] = n
 		if i == 0 {
 			l.first = n
 		} else {
-			others = append(others, Number(id))
+			others = append(others, NodeID(id))
 		}
 	}
-	if err := l.first.Found("f"); err != nil {
+	if err := l.first.Bootstrap("f"); err != nil {
 		t.Fatal(err)
 	}
 	l.pass(time.Second)
-	if err := l.first.Vote(others, 0); err != nil {
+	if err := l.first.ChangeVoters(others, 0); err != nil {
 		t.Fatal(err)
 	}
 	l.pass(time.Second)
-	if n := len(l.first.Voters()); n != 3 || !l.first.Leads() {
-		t.Fatalf("%d voters, leads %v", n, l.first.Leads())
+	if n := len(l.first.Voters()); n != 3 || !l.first.IsLeader() {
+		t.Fatalf("%d voters, leads %v", n, l.first.IsLeader())
 	}
 	return l
 }
@@ -55,7 +55,7 @@
 		if err != nil {
 			l.t.Fatal(err)
 		}
-		l.way = append(l.way, r.Msgs...)
+		l.way = append(l.way, r.Messages...)
 	}
 }
 
@@ -66,7 +66,7 @@
 	for _, m := range way {
 		if !to(m.To) {
 			l.way = append(l.way, m)
-		} else if err := l.nodes[m.To].Step(m.Text); err != nil {
+		} else if err := l.nodes[m.To].Step(m.Data); err != nil {
 			l.t.Fatal(err)
 		}
 	}
@@ -80,7 +80,7 @@
 	for end := l.now + span; l.now < end; {
 		l.now += 50 * time.Millisecond
 		for id := uint64(1); id <= 3; id++ {
-			l.nodes[id].Clock(l.now)
+			l.nodes[id].Tick(l.now)
 		}
 		l.gather()
 		l.carry(all)
@@ -98,13 +98,13 @@
 		t.Fatalf("it knows up to %v at %v, %v", at, l.now, known)
 	}
 	asks := l.now + confirmEach
-	l.first.Clock(asks) // the question goes out
+	l.first.Tick(asks) // the question goes out
 	l.gather()
 	l.carry(func(to uint64) bool { return to != 1 })
 	l.gather() // and the answers lie there
 	wakes := asks + 5*time.Second
 	l.carry(all)
-	l.first.Clock(wakes)
+	l.first.Tick(wakes)
 	l.gather()
 	at, _ := l.first.AsOf()
 	if at > asks {
@@ -128,7 +128,7 @@
 	last := l.now
 	for range 200 {
 		l.now += 50 * time.Millisecond
-		l.first.Clock(l.now)
+		l.first.Tick(l.now)
 		if _, err := l.first.Ready(); err != nil {
 			t.Fatal(err)
 		}
@@ -141,7 +141,7 @@
 	}
 	l.pass(3 * time.Second)
 	for _, n := range l.nodes {
-		if n.Leads() {
+		if n.IsLeader() {
 			if at, known := n.AsOf(); !known || l.now-at > time.Second {
 				t.Errorf("with all back the leader knows up to %v at %v", at, l.now)
 			}
@@ -154,22 +154,22 @@
 // TestARestoredStateComesBeforeItsChanges starts a node on a disk with a snapshot and entries behind it. Guards against changes that are
 // skipped, so that each follower had to be sent all.
 func TestARestoredStateComesBeforeItsChanges(t *testing.T) {
-	n, err := New(fmt.Sprintf("%016x%016x", 1, 1), Saved{}, 1, 0)
+	n, err := New(fmt.Sprintf("%016x%016x", 1, 1), PersistentState{}, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.Found("f"); err != nil {
+	if err := n.Bootstrap("f"); err != nil {
 		t.Fatal(err)
 	}
-	saved := Saved{}
+	saved := PersistentState{}
 	keep := func() {
 		t.Helper()
 		r, err := n.Ready()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(r.Write.Hard) > 0 {
-			saved.Hard = r.Write.Hard
+		if len(r.Write.HardState) > 0 {
+			saved.HardState = r.Write.HardState
 		}
 		if len(r.Write.Snapshot) > 0 {
 			saved.Snapshot = r.Write.Snapshot
@@ -191,7 +191,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Whole == nil || r.Whole.Version != 1 || len(r.Changes) != 3 || r.Changes[0].Version != 2 {
-		t.Errorf("%+v, then %+v", r.Whole, r.Changes)
+	if r.Snapshot == nil || r.Snapshot.Version != 1 || len(r.Changes) != 3 || r.Changes[0].Version != 2 {
+		t.Errorf("%+v, then %+v", r.Snapshot, r.Changes)
 	}
 }
--- a/internal/fleet/datadir/datadir.go
+++ b/internal/fleet/datadir/datadir.go
@@ -17,32 +17,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// Format is the newest form of the directory that this program writes and reads; older ones are read.
-const Format = 1
-
-// ErrTaken is that another process has the directory.
-var ErrTaken = errors.New("another process has it")
-
-// Card is what the directory says of the member.
-type Card struct {
-	Format  int    `json:"format"`
-	Fleet   string `json:"fleet"`
-	Machine string `json:"machine"`
-	Member  string `json:"member"` // 32 hexadecimal digits, drawn once
-	Life    uint64 `json:"life"`   // how often it has been started
+// FormatVersion is the newest form of the directory that this program writes and reads; older ones are read.
+const FormatVersion = 1
+
+// ErrLocked is that another process has the directory.
+var ErrLocked = errors.New("another process has it")
+
+// Identity is what the directory says of the member.
+type Identity struct {
+	Format      int    `json:"format"`
+	Fleet       string `json:"fleet"`
+	Machine     string `json:"machine"`
+	MemberID    string `json:"member"` // 32 hexadecimal digits, drawn once
+	Incarnation uint64 `json:"life"`   // how often it has been started
 }
 
-// Seat is a directory that this process has.
-type Seat struct {
-	Card
-	Fresh bool // the directory was empty
+// Directory is a directory that this process has.
+type Directory struct {
+	Identity
+	IsNew bool // the directory was empty
 	dir   string
 	lock  *os.File
 }
 
 // Open takes a directory for this process, which it makes if it is not there. Errors name the directory; errors.Is tells
 // ErrTaken. A directory that was another fleet's or another machine's is refused: it was copied, and its member may still run.
-func Open(dir, fleet, machine string) (*Seat, error) {
+func Open(dir, fleet, machine string) (*Directory, error) {
 	s, err := open(dir, fleet, machine)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, err)
@@ -50,7 +50,7 @@
 	return s, nil
 }
 
-func open(dir, fleet, machine string) (*Seat, error) {
+func open(dir, fleet, machine string) (*Directory, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -58,11 +58,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Seat{dir: dir, lock: lock}
+	s := &Directory{dir: dir, lock: lock}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			err = ErrTaken
+			err = ErrLocked
 		}
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 }
 
 // sit reads the card, or writes the first one, and counts this life.
-func (s *Seat) sit(fleet, machine string) error {
+func (s *Directory) sit(fleet, machine string) error {
 	text, err := os.ReadFile(s.path())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -83,12 +83,12 @@
 		}
 		var id [16]byte
 		rand.Read(id[:]) // never fails
-		s.Fresh = true
-		s.Card = Card{Format: Format, Fleet: fleet, Machine: machine, Member: hex.EncodeToString(id[:])}
+		s.IsNew = true
+		s.Identity = Identity{Format: FormatVersion, Fleet: fleet, Machine: machine, MemberID: hex.EncodeToString(id[:])}
 	case err != nil:
 		return err
 	default:
-		if s.Card, err = decode(text); err != nil {
+		if s.Identity, err = decode(text); err != nil {
 			return fmt.Errorf("member: %w", err)
 		}
 	}
@@ -99,16 +99,16 @@
 		return fmt.Errorf("it is machine %q's directory, and this is %q: a member with a copy of it may still run; give this one an empty directory",
 			s.Machine, machine)
 	}
-	s.Life++
-	s.Format = Format
+	s.Incarnation++
+	s.Format = FormatVersion
 	return s.write()
 }
 
-// Look reads the card of a directory and changes nothing.
-func Look(dir string) (Card, error) {
+// ReadIdentity reads the card of a directory and changes nothing.
+func ReadIdentity(dir string) (Identity, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "member"))
 	if err != nil {
-		return Card{}, err
+		return Identity{}, err
 	}
 	c, err := decode(text)
 	if err != nil {
@@ -119,7 +119,7 @@
 
 // empty tells whether nothing but the lock lies there. Guards against a directory whose card alone was lost: its member
 // would come back as another one in the middle of its own records.
-func (s *Seat) empty() error {
+func (s *Directory) empty() error {
 	all, err := os.ReadDir(s.dir)
 	if err != nil {
 		return err
@@ -132,11 +132,11 @@
 	return nil
 }
 
-func (s *Seat) path() string { return filepath.Join(s.dir, "member") }
+func (s *Directory) path() string { return filepath.Join(s.dir, "member") }
 
 // write replaces the card whole: a process that ends at any point leaves the old one or the new one.
-func (s *Seat) write() error {
-	text, err := encode(s.Card)
+func (s *Directory) write() error {
+	text, err := encode(s.Identity)
 	if err != nil {
 		return err
 	}
@@ -166,13 +166,13 @@
 }
 
 // Close lets go of the directory.
-func (s *Seat) Close() { _ = s.lock.Close() }
+func (s *Directory) Close() { _ = s.lock.Close() }
 
 // ---- The card's form: a line of JSON, then a line with its checksum.
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
-func encode(c Card) ([]byte, error) {
+func encode(c Identity) ([]byte, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return nil, err
@@ -182,8 +182,8 @@
 
 func sum(body string) string { return fmt.Sprintf("\n%08x\n", crc32.Checksum([]byte(body), table)) }
 
-func decode(text []byte) (Card, error) {
-	var c Card
+func decode(text []byte) (Identity, error) {
+	var c Identity
 	const tail = 1 + 8 + 1
 	if len(text) < tail {
 		return c, errors.New("it is cut short")
@@ -195,11 +195,11 @@
 	if err := json.Unmarshal(body, &c); err != nil {
 		return c, err
 	}
-	if c.Format > Format {
-		return c, fmt.Errorf("its format is %d, written by a newer program; this one reads up to %d", c.Format, Format)
+	if c.Format > FormatVersion {
+		return c, fmt.Errorf("its format is %d, written by a newer program; this one reads up to %d", c.Format, FormatVersion)
 	}
-	if id, err := hex.DecodeString(c.Member); err != nil || len(id) != 16 || c.Format < 1 {
-		return c, fmt.Errorf("member %q or format %d is none", c.Member, c.Format)
+	if id, err := hex.DecodeString(c.MemberID); err != nil || len(id) != 16 || c.Format < 1 {
+		return c, fmt.Errorf("member %q or format %d is none", c.MemberID, c.Format)
 	}
 	return c, nil
 }
--- a/internal/fleet/datadir/datadir_test.go
+++ b/internal/fleet/datadir/datadir_test.go
@@ -11,15 +11,15 @@
 func TestADirectoryKeepsItsMember(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new", "data")
 	a, err := Open(dir, "f", "m1")
-	if err != nil || !a.Fresh || a.Life != 1 {
+	if err != nil || !a.IsNew || a.Incarnation != 1 {
 		t.Fatal(a, err)
 	}
-	if _, err := Open(dir, "f", "m1"); !errors.Is(err, ErrTaken) {
+	if _, err := Open(dir, "f", "m1"); !errors.Is(err, ErrLocked) {
 		t.Fatal(err)
 	}
 	a.Close()
 	b, err := Open(dir, "f", "m1")
-	if err != nil || b.Fresh || b.Member != a.Member || b.Life != 2 {
+	if err != nil || b.IsNew || b.MemberID != a.MemberID || b.Incarnation != 2 {
 		t.Fatal(b, err)
 	}
 	b.Close()
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	c, err := Open(dir, "f", "m1")
-	if err != nil || c.Member == a.Member {
+	if err != nil || c.MemberID == a.MemberID {
 		t.Fatal("a member that lost its disk came back as itself", err)
 	}
 	c.Close()
--- a/internal/fleet/datadir/golden_test.go
+++ b/internal/fleet/datadir/golden_test.go
@@ -8,7 +8,7 @@
 
 // TestIdentityFileIsUnchanged reads the golden file of a directory, encodes it to the same bytes, and counts a start on a copy of it.
 func TestIdentityFileIsUnchanged(t *testing.T) {
-	want := Card{Format: 1, Fleet: "istanbul", Machine: "m1", Member: "0123456789abcdef0123456789abcdef", Life: 7}
+	want := Identity{Format: 1, Fleet: "istanbul", Machine: "m1", MemberID: "0123456789abcdef0123456789abcdef", Incarnation: 7}
 	text, err := os.ReadFile(filepath.Join("testdata", "member"))
 	if err != nil {
 		t.Fatal(err)
@@ -31,11 +31,11 @@
 		t.Fatal(err)
 	}
 	defer open.Close()
-	want.Life++
-	if open.Card != want || open.Fresh {
-		t.Errorf("opened as %+v", open.Card)
+	want.Incarnation++
+	if open.Identity != want || open.IsNew {
+		t.Errorf("opened as %+v", open.Identity)
 	}
-	if looked, err := Look(dir); err != nil || looked != want {
+	if looked, err := ReadIdentity(dir); err != nil || looked != want {
 		t.Errorf("%v: on disk %+v", err, looked)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -43,10 +43,10 @@
 	seed uint64
 
 	mu    sync.Mutex
-	seat  *datadir.Seat // nil until this process has the directory
-	wire  *gossip.Wire
-	touch *gossip.Contact
-	held  *nodeserver.Hold
+	seat  *datadir.Directory // nil until this process has the directory
+	wire  *gossip.Transport
+	touch *gossip.Agent
+	held  *nodeserver.Server
 	feed  *publisher.Publisher // of a control process
 	tier  *subscriber.Follow   // in role "balancer" all that there is beside the seat
 	list  list
@@ -64,7 +64,7 @@
 	if err == nil {
 		return f, nil
 	}
-	if !wait || !errors.Is(err, datadir.ErrTaken) {
+	if !wait || !errors.Is(err, datadir.ErrLocked) {
 		return nil, err
 	}
 	log.Info("fleet: the old process is the member yet")
@@ -81,7 +81,7 @@
 			if err == nil {
 				return
 			}
-			if !errors.Is(err, datadir.ErrTaken) {
+			if !errors.Is(err, datadir.ErrLocked) {
 				f.mu.Lock()
 				f.err = err
 				f.mu.Unlock()
@@ -95,26 +95,26 @@
 
 // take takes directory and address, both or none.
 func (f *Fleet) take() error {
-	s, err := datadir.Open(f.file.Data, f.file.Fleet, f.file.Machine)
+	s, err := datadir.Open(f.file.DataDir, f.file.FleetName, f.file.Machine)
 	if err != nil {
 		return fmt.Errorf("data: %w", err)
 	}
-	if f.file.Role == config.Balancer {
+	if f.file.Role == config.RoleBalancer {
 		return f.follow(s)
 	}
 	streams := 0
-	if f.file.Role == config.Control {
-		streams = f.file.Followers + publisher.More
+	if f.file.Role == config.RoleControl {
+		streams = f.file.MaxFollowers + publisher.More
 	}
 	w, err := gossip.Listen(f.file.Listen, f.file.Advertise, streams)
 	if err != nil {
 		s.Close()
 		return fmt.Errorf("listen: %w", err)
 	}
-	self := membership.Member{ID: s.Member, Name: f.name, Addr: f.file.Advertise, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site,
-		Life: s.Life, Speaks: gossip.Form, Oldest: gossip.Oldest}
-	t, err := gossip.Open(gossip.Options{Fleet: f.file.Fleet, Self: self, Seeds: f.file.Seeds, Copies: f.file.Copies, Forget: f.file.Gone,
-		Most: config.MostMembers - 1, Seed: f.seed ^ s.Life, Wire: w, Log: f.log, Now: boottime.Now})
+	self := membership.Member{ID: s.MemberID, Name: f.name, Addr: f.file.Advertise, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site,
+		Incarnation: s.Incarnation, ProtocolVersion: gossip.ProtocolVersion, MinProtocolVersion: gossip.MinProtocolVersion}
+	t, err := gossip.Open(gossip.Options{FleetName: f.file.FleetName, Self: self, Seeds: f.file.Seeds, Replicas: f.file.Replicas, ForgetAfter: f.file.ForgetAfter,
+		MaxPeers: config.MaxMembers - 1, Seed: f.seed ^ s.Incarnation, Transport: w, Log: f.log, Now: boottime.Now})
 	if err != nil {
 		_ = w.Shutdown()
 		s.Close()
@@ -124,15 +124,15 @@
 	for _, a := range f.file.Seeds {
 		seeds = append(seeds, a.String())
 	}
-	var told nodeserver.Feed
+	var told nodeserver.Observer
 	var p *publisher.Publisher
-	if f.file.Role == config.Control {
-		p = publisher.New(publisher.Options{ID: s.Member, Fleet: f.file.Fleet, Most: f.file.Followers, Seed: f.seed ^ s.Life<<16, Wire: w, Now: boottime.Now, Log: f.log})
+	if f.file.Role == config.RoleControl {
+		p = publisher.New(publisher.Options{ID: s.MemberID, Fleet: f.file.FleetName, Most: f.file.MaxFollowers, Seed: f.seed ^ s.Incarnation<<16, Wire: w, Now: boottime.Now, Log: f.log})
 		told = p
 	}
-	h, err := nodeserver.Open(nodeserver.Options{Core: node.Config{Self: nodeserver.Member(self), Life: s.Life, Found: rand.Text(), First: f.file.Seeds[0] == f.file.Advertise, Seeds: seeds,
-		Voters: f.file.Voters, Copies: f.file.Copies, Evict: f.file.Repair, Repair: repairing, Seed: f.seed ^ s.Life<<32, Keys: f.file.Records,
-		Bytes: f.file.Bytes, Ops: opsMost, Keeps: []replication.Keep{{Prefix: idempotency.Prefix, For: idempotency.Keep}}}, Fleet: f.file.Fleet, Dir: f.file.Data, Wire: w, Touch: t, Now: boottime.Now, Log: f.log, Feed: told})
+	h, err := nodeserver.Open(nodeserver.Options{Node: node.Config{Self: nodeserver.ShardMember(self), Incarnation: s.Incarnation, BootstrapID: rand.Text(), CanBootstrap: f.file.Seeds[0] == f.file.Advertise, Seeds: seeds,
+		VoterCount: f.file.Voters, Replicas: f.file.Replicas, EvictAfter: f.file.RepairAfter, MaxRepairs: repairing, Seed: f.seed ^ s.Incarnation<<32, MaxKeys: f.file.MaxRecords,
+		MaxBytes: f.file.MaxBytes, MaxOperations: opsMost, Retention: []replication.Keep{{Prefix: idempotency.Prefix, For: idempotency.Keep}}}, FleetName: f.file.FleetName, Dir: f.file.DataDir, Transport: w, Gossip: t, Now: boottime.Now, Log: f.log, Observer: told})
 	if err != nil {
 		t.Close()
 		s.Close()
@@ -155,14 +155,14 @@
 	default:
 	}
 	f.seat, f.wire, f.touch, f.held, f.feed = s, w, t, h, p
-	f.log.Info("fleet: member", zap.String("role", f.file.Role), zap.String("fleet", f.file.Fleet), zap.String("id", s.Member), zap.Uint64("life", s.Life),
-		zap.Bool("fresh", s.Fresh), zap.Stringer("listen", f.file.Listen), zap.Stringer("advertise", f.file.Advertise),
+	f.log.Info("fleet: member", zap.String("role", f.file.Role), zap.String("fleet", f.file.FleetName), zap.String("id", s.MemberID), zap.Uint64("life", s.Incarnation),
+		zap.Bool("fresh", s.IsNew), zap.Stringer("listen", f.file.Listen), zap.Stringer("advertise", f.file.Advertise),
 		zap.String("machine", f.file.Machine), zap.String("zone", f.file.Zone), zap.String("site", f.file.Site))
 	return nil
 }
 
 // follow has this process follow the control processes: it is no member, and nothing of one is opened.
-func (f *Fleet) follow(s *datadir.Seat) error {
+func (f *Fleet) follow(s *datadir.Directory) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	select {
@@ -172,9 +172,9 @@
 	default:
 	}
 	f.seat = s
-	f.tier = subscriber.Open(subscriber.Options{Fleet: f.file.Fleet, Name: f.name, ID: s.Member, Life: s.Life, Machine: f.file.Machine, Zone: f.file.Zone,
-		Site: f.file.Site, Seeds: f.file.Seeds, Seed: f.seed ^ s.Life<<32, Now: boottime.Now, Log: f.log})
-	f.log.Info("fleet: follower", zap.String("fleet", f.file.Fleet), zap.String("id", s.Member), zap.Uint64("life", s.Life), zap.Bool("fresh", s.Fresh),
+	f.tier = subscriber.Open(subscriber.Options{Fleet: f.file.FleetName, Name: f.name, ID: s.MemberID, Life: s.Incarnation, Machine: f.file.Machine, Zone: f.file.Zone,
+		Site: f.file.Site, Seeds: f.file.Seeds, Seed: f.seed ^ s.Incarnation<<32, Now: boottime.Now, Log: f.log})
+	f.log.Info("fleet: follower", zap.String("fleet", f.file.FleetName), zap.String("id", s.MemberID), zap.Uint64("life", s.Incarnation), zap.Bool("fresh", s.IsNew),
 		zap.String("machine", f.file.Machine), zap.String("zone", f.file.Zone), zap.String("site", f.file.Site))
 	return nil
 }
@@ -190,9 +190,9 @@
 	defer f.mu.Unlock()
 	switch {
 	case f.tier != nil:
-		return f.tier, f.seat.Member
+		return f.tier, f.seat.MemberID
 	case f.held != nil:
-		return f.held, f.seat.Member
+		return f.held, f.seat.MemberID
 	}
 	return nil, ""
 }
@@ -245,16 +245,16 @@
 	if p != nil {
 		p.Leave()
 	}
-	if t == nil || !slices.ContainsFunc(t.Status().Others, func(k membership.Known) bool { return k.State == membership.Here && !k.Leaving }) {
+	if t == nil || !slices.ContainsFunc(t.Status().Peers, func(k membership.Peer) bool { return k.State == membership.Alive && !k.Leaving }) {
 		return // there is nobody to hand over to
 	}
 	began := time.Now()
 	h.Leave()
-	t.Leaving()
+	t.AnnounceLeaving()
 	for {
 		s := h.Status()
-		if done := s.Mine == 0 && !s.Leads; done || time.Since(began) > within {
-			f.log.Info("fleet: handed over", zap.Bool("all", done), zap.Int("slots-left", s.Mine), zap.Duration("after", time.Since(began)))
+		if done := s.LocalShards == 0 && !s.IsLeader; done || time.Since(began) > within {
+			f.log.Info("fleet: handed over", zap.Bool("all", done), zap.Int("slots-left", s.LocalShards), zap.Duration("after", time.Since(began)))
 			return
 		}
 		if !f.rest(handEach) {
@@ -264,12 +264,12 @@
 }
 
 // Leave says goodbye to the others and ends this part; it takes a second at most.
-func (f *Fleet) Leave() { f.end((*gossip.Contact).Leave) }
+func (f *Fleet) Leave() { f.end((*gossip.Agent).Leave) }
 
 // Close ends it without a goodbye, as another process goes on as this member.
-func (f *Fleet) Close() { f.end((*gossip.Contact).Close) }
+func (f *Fleet) Close() { f.end((*gossip.Agent).Close) }
 
-func (f *Fleet) end(how func(*gossip.Contact)) {
+func (f *Fleet) end(how func(*gossip.Agent)) {
 	f.mu.Lock()
 	select {
 	case <-f.over:
--- a/internal/fleet/gossip/bench_test.go
+++ b/internal/fleet/gossip/bench_test.go
@@ -101,7 +101,7 @@
 func memberAt(i int) membership.Member {
 	rng := rand.New(rand.NewPCG(uint64(i), 0x51))
 	return membership.Member{ID: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()), Name: fmt.Sprintf("b%04d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7001),
-		Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3), Life: 1, Speaks: Form, Oldest: Oldest}
+		Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3), Incarnation: 1, ProtocolVersion: ProtocolVersion, MinProtocolVersion: MinProtocolVersion}
 }
 
 // BenchmarkExchange is the library's full exchange between two members that both know all of n, the processor's time of both
@@ -112,7 +112,7 @@
 			network := memnet.New(7, 0)
 			open := func(num int) (*memberlist.Memberlist, *counted) {
 				cfg := memberlist.DefaultLANConfig()
-				Tuned(cfg)
+				Tune(cfg)
 				cfg.ProbeInterval, cfg.GossipInterval, cfg.PushPullInterval = 0, 0, 0 // nothing but what is measured
 				cfg.TCPTimeout = time.Minute
 				self := memberAt(num)
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -28,7 +28,7 @@
 // TestMetaIsUnchanged encodes what goes with a member's address to the bytes of the golden files, and decodes these to the same member.
 func TestMetaIsUnchanged(t *testing.T) {
 	m := membership.Member{ID: "0123456789abcdef0123456789abcdef", Name: "b1", Addr: netip.MustParseAddrPort("10.0.0.1:7001"), Machine: "machine", Zone: "zone",
-		Site: "site", Life: 7, Speaks: 2, Oldest: 1}
+		Site: "site", Incarnation: 7, ProtocolVersion: 2, MinProtocolVersion: 1}
 	for name, leaving := range map[string]bool{"meta.json": false, "meta-leaving.json": true} {
 		m.Leaving = leaving
 		text := describe(m)
@@ -52,7 +52,7 @@
 
 // TestConstantsOnTheWireAreUnchanged has the first byte of a stream between members, and the numbers of the forms.
 func TestConstantsOnTheWireAreUnchanged(t *testing.T) {
-	if LinkMark != 's' || Form != 2 || Oldest != 1 {
-		t.Errorf("%q, forms %d to %d", LinkMark, Oldest, Form)
+	if PeerStreamMark != 's' || ProtocolVersion != 2 || MinProtocolVersion != 1 {
+		t.Errorf("%q, forms %d to %d", PeerStreamMark, MinProtocolVersion, ProtocolVersion)
 	}
 }
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -27,32 +27,32 @@
 
 // Options is what a contact begins with.
 type Options struct {
-	Fleet  string
-	Self   membership.Member
-	Seeds  []netip.AddrPort
-	Copies int
-	Forget time.Duration
-	Most   int // other members
-	Seed   uint64
-	Wire   memberlist.Transport
-	Log    *zap.Logger
-	Now    func() time.Duration // a clock that goes on while the process is stopped
-	Tune   func(*memberlist.Config)
+	FleetName   string
+	Self        membership.Member
+	Seeds       []netip.AddrPort
+	Replicas    int
+	ForgetAfter time.Duration
+	MaxPeers    int // other members
+	Seed        uint64
+	Transport   memberlist.Transport
+	Log         *zap.Logger
+	Now         func() time.Duration // a clock that goes on while the process is stopped
+	Tune        func(*memberlist.Config)
 }
 
 // Status is what is known at one moment.
 type Status struct {
-	Self     membership.Member
-	Standing membership.Standing
-	Others   []membership.Known
-	Health   int // 0 where this member keeps up; each point widens its own time-outs by one more
-	Stalls   int
-	Refused  int // newcomers for whom there was no room
-	Odd      int64
+	Self        membership.Member
+	Standing    membership.Standing
+	Peers       []membership.Peer
+	HealthScore int // 0 where this member keeps up; each point widens its own time-outs by one more
+	Stalls      int
+	Rejected    int // newcomers for whom there was no room
+	Malformed   int64
 }
 
-// Contact is one member's.
-type Contact struct {
+// Agent is one member's.
+type Agent struct {
 	opt  Options
 	ml   *memberlist.Memberlist
 	list *membership.Table
@@ -72,9 +72,9 @@
 	once sync.Once
 }
 
-// Tuned is how the library is run. Suspicion is its own for a local network; probes come twice as often, since a member
+// Tune is how the library is run. Suspicion is its own for a local network; probes come twice as often, since a member
 // that others hold records at has to be missed before they are asked for.
-func Tuned(c *memberlist.Config) {
+func Tune(c *memberlist.Config) {
 	c.ProbeInterval, c.ProbeTimeout = 500*time.Millisecond, 250*time.Millisecond
 	c.GossipToTheDeadTime = 30 * time.Second
 	c.PushPullInterval = 15 * time.Second
@@ -83,23 +83,23 @@
 }
 
 // Open joins nobody yet: the table says whom to call.
-func Open(opt Options) (*Contact, error) {
-	c := &Contact{opt: opt, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	c.list = membership.New(membership.Config{Self: opt.Self, Seeds: opt.Seeds, Copies: opt.Copies, Forget: opt.Forget, Most: opt.Most, Seed: opt.Seed},
+func Open(opt Options) (*Agent, error) {
+	c := &Agent{opt: opt, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	c.list = membership.New(membership.Config{Self: opt.Self, Seeds: opt.Seeds, Replicas: opt.Replicas, ForgetAfter: opt.ForgetAfter, MaxMembers: opt.MaxPeers, Seed: opt.Seed},
 		opt.Now())
 	c.beat.Store(int64(opt.Now()))
 	cfg := memberlist.DefaultLANConfig()
-	Tuned(cfg)
+	Tune(cfg)
 	if opt.Tune != nil {
 		opt.Tune(cfg)
 	}
-	cfg.Name, cfg.Label, cfg.Transport = opt.Self.ID, opt.Fleet, opt.Wire
+	cfg.Name, cfg.Label, cfg.Transport = opt.Self.ID, opt.FleetName, opt.Transport
 	cfg.BindAddr, cfg.BindPort = opt.Self.Addr.Addr().String(), int(opt.Self.Addr.Port())
 	cfg.AdvertiseAddr, cfg.AdvertisePort = cfg.BindAddr, cfg.BindPort
 	cfg.DNSConfigPath = "" // addresses are told, never looked up
 	cfg.Logger = log.New(c, "", 0)
 	d := &delegate{c: c}
-	c.words = &memberlist.TransmitLimitedQueue{RetransmitMult: cfg.RetransmitMult, NumNodes: func() int { return len(c.status.Load().Others) + 1 }}
+	c.words = &memberlist.TransmitLimitedQueue{RetransmitMult: cfg.RetransmitMult, NumNodes: func() int { return len(c.status.Load().Peers) + 1 }}
 	cfg.Delegate, cfg.Events, cfg.Alive, cfg.Conflict = d, d, d, d
 	c.publish()
 	ml, err := memberlist.Create(cfg)
@@ -113,38 +113,38 @@
 }
 
 // Status is what was known at the newest turn; the standing is of this moment.
-func (c *Contact) Status() Status {
+func (c *Agent) Status() Status {
 	s := *c.status.Load()
-	if s.Standing != membership.Doubled && c.opt.Now()-time.Duration(c.beat.Load()) > membership.StallFrom {
-		s.Standing = membership.Waking
+	if s.Standing != membership.Duplicate && c.opt.Now()-time.Duration(c.beat.Load()) > membership.StallThreshold {
+		s.Standing = membership.Resuming
 	}
-	s.Odd = c.odd.Load()
+	s.Malformed = c.odd.Load()
 	return s
 }
 
-// Leaving has the others know that this member will go; it is still here for all it holds. It waits leaveIn at most.
-func (c *Contact) Leaving() {
+// AnnounceLeaving has the others know that this member will go; it is still here for all it holds. It waits leaveIn at most.
+func (c *Agent) AnnounceLeaving() {
 	c.leaving.Store(true)
 	_ = c.ml.UpdateNode(leaveIn)
 }
 
 // Leave says goodbye, for leaveIn at most, and closes; Close does without the goodbye, where another process goes on as
 // this member.
-func (c *Contact) Leave() {
+func (c *Agent) Leave() {
 	select {
 	case <-c.done:
 		return
 	default:
 	}
 	if c.ml.NumMembers() > 1 {
-		c.words.QueueBroadcast(bye{ID: c.opt.Self.ID, Life: c.opt.Self.Life})
+		c.words.QueueBroadcast(bye{ID: c.opt.Self.ID, Life: c.opt.Self.Incarnation})
 		_ = c.ml.Leave(leaveIn)
 	}
 	c.Close()
 }
 
 // Close ends it at once.
-func (c *Contact) Close() {
+func (c *Agent) Close() {
 	c.once.Do(func() {
 		close(c.done)
 		_ = c.ml.Shutdown()
@@ -154,9 +154,9 @@
 
 // ---- The table's goroutine.
 
-func (c *Contact) run() {
+func (c *Agent) run() {
 	defer c.all.Done()
-	beat := time.NewTicker(membership.Beat)
+	beat := time.NewTicker(membership.HeartbeatInterval)
 	defer beat.Stop()
 	for {
 		select {
@@ -170,7 +170,7 @@
 }
 
 // post hands an event to the table; it never waits, as the library calls with its locks held.
-func (c *Contact) post(do func()) {
+func (c *Agent) post(do func()) {
 	c.mu.Lock()
 	if len(c.inbox) < eventsMost {
 		c.inbox = append(c.inbox, do)
@@ -184,9 +184,9 @@
 	}
 }
 
-func (c *Contact) turn() {
+func (c *Agent) turn() {
 	now := c.opt.Now()
-	c.list.Clock(now)
+	c.list.Tick(now)
 	c.beat.Store(int64(now))
 	c.mu.Lock()
 	batch, missed := c.inbox, c.missed
@@ -199,7 +199,7 @@
 		c.anew()
 	}
 	for {
-		a, more := c.list.Next()
+		a, more := c.list.NextAction()
 		if !more {
 			break
 		}
@@ -209,31 +209,31 @@
 }
 
 // anew tells the table of all who are alive, and that the rest is lost.
-func (c *Contact) anew() {
+func (c *Agent) anew() {
 	alive := map[string]bool{}
 	for _, n := range c.ml.Members() {
 		if m, err := read(n); err == nil {
 			alive[m.ID] = true
-			c.list.Seen(m)
+			c.list.HandleAlive(m)
 		}
 	}
-	for _, k := range c.list.All() {
+	for _, k := range c.list.Peers() {
 		if !alive[k.ID] {
-			c.list.Lost(k.ID)
+			c.list.HandleFailure(k.ID)
 		}
 	}
 }
 
-func (c *Contact) publish() {
-	s := Status{Self: c.opt.Self, Standing: c.list.Standing(time.Duration(c.beat.Load())), Others: c.list.All(), Stalls: c.list.Stalls, Refused: c.list.Refused}
+func (c *Agent) publish() {
+	s := Status{Self: c.opt.Self, Standing: c.list.Standing(time.Duration(c.beat.Load())), Peers: c.list.Peers(), Stalls: c.list.Stalls, Rejected: c.list.Rejected}
 	if c.ml != nil {
-		s.Health = c.ml.GetHealthScore()
+		s.HealthScore = c.ml.GetHealthScore()
 	}
 	c.status.Store(&s)
 }
 
 // carryOut does one thing; what takes time runs beside and posts how it ended.
-func (c *Contact) carryOut(a membership.Action) {
+func (c *Agent) carryOut(a membership.Action) {
 	beside := func(do func() func()) {
 		c.all.Add(1)
 		go func() {
@@ -241,30 +241,30 @@
 			c.post(do())
 		}()
 	}
-	switch a.Do {
-	case membership.Tell:
-		c.say(a.Line)
-	case membership.Call:
+	switch a.Kind {
+	case membership.Report:
+		c.say(a.Event)
+	case membership.Join:
 		beside(func() func() {
 			_, err := c.ml.Join([]string{a.Addr.String()})
-			return func() { c.list.Called(a.Addr, err == nil) }
+			return func() { c.list.HandleJoinResult(a.Addr, err == nil) }
 		})
-	case membership.Ask:
+	case membership.Ping:
 		at := c.at(a.ID)
 		beside(func() func() {
 			_, err := c.ml.Ping(a.ID, net.UDPAddrFromAddrPort(at))
-			return func() { c.list.Answered(a.ID, err == nil) }
+			return func() { c.list.HandlePingResult(a.ID, err == nil) }
 		})
-	case membership.Look:
+	case membership.ProbeDuplicate:
 		beside(func() func() {
 			_, err := c.ml.Ping(c.opt.Self.ID, net.UDPAddrFromAddrPort(a.Addr))
-			return func() { c.list.Found(a.Addr, err == nil) }
+			return func() { c.list.HandleProbeResult(a.Addr, err == nil) }
 		})
 	}
 }
 
-func (c *Contact) at(id string) netip.AddrPort {
-	for _, k := range c.list.All() {
+func (c *Agent) at(id string) netip.AddrPort {
+	for _, k := range c.list.Peers() {
 		if k.ID == id {
 			return k.Addr
 		}
@@ -274,20 +274,20 @@
 
 // ---- What the library tells and asks. It holds its locks meanwhile.
 
-type delegate struct{ c *Contact }
+type delegate struct{ c *Agent }
 
 func (d *delegate) NotifyJoin(n *memberlist.Node)   { d.seen(n) }
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.seen(n) }
 
 func (d *delegate) seen(n *memberlist.Node) {
 	if m, err := read(n); err == nil { // others were refused by NotifyAlive
-		d.c.post(func() { d.c.list.Seen(m) })
+		d.c.post(func() { d.c.list.HandleAlive(m) })
 	}
 }
 
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
 	id := n.Name
-	d.c.post(func() { d.c.list.Lost(id) })
+	d.c.post(func() { d.c.list.HandleFailure(id) })
 }
 
 // NotifyAlive refuses members that no words can be exchanged with.
@@ -306,7 +306,7 @@
 	for _, n := range []*memberlist.Node{known, other} {
 		if addr, is := netip.AddrFromSlice(n.Addr); is {
 			at := netip.AddrPortFrom(addr.Unmap(), n.Port)
-			d.c.post(func() { d.c.list.Clash(at) })
+			d.c.post(func() { d.c.list.HandleConflict(at) })
 		}
 	}
 }
@@ -330,7 +330,7 @@
 		return
 	}
 	d.c.post(func() {
-		if d.c.list.Left(w.ID, w.Life) {
+		if d.c.list.HandleLeave(w.ID, w.Life) {
 			d.c.words.QueueBroadcast(w)
 		}
 	})
@@ -344,7 +344,7 @@
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
 // Write takes the library's own log: what it finds wrong is counted, and told where all is told.
-func (c *Contact) Write(text []byte) (int, error) {
+func (c *Agent) Write(text []byte) (int, error) {
 	if bytes.Contains(text, []byte("[ERR]")) || bytes.Contains(text, []byte("[WARN]")) {
 		c.odd.Add(1)
 		c.opt.Log.Debug("fleet: odd", zap.ByteString("said", bytes.TrimSpace(text)))
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -20,7 +20,7 @@
 	t     *testing.T
 	net   *memnet.Net
 	ports []*memnet.Port
-	all   []*Contact
+	all   []*Agent
 	began time.Time
 	lives map[string]uint64
 	tune  func(*memberlist.Config)
@@ -47,8 +47,8 @@
 	w.ports[i] = w.net.Port(i)
 	w.lives[id]++
 	self := membership.Member{ID: id, Name: fmt.Sprintf("n%d", i), Addr: memnet.Addr(i), Machine: fmt.Sprintf("m%d", i), Zone: "a", Site: "s",
-		Life: w.lives[id], Speaks: Form, Oldest: Oldest}
-	opt := Options{Fleet: "f", Self: self, Copies: 3, Forget: 24 * time.Hour, Most: 1024, Seed: uint64(i), Wire: w.ports[i], Log: zap.NewNop(), Now: w.now, Tune: w.tune}
+		Incarnation: w.lives[id], ProtocolVersion: ProtocolVersion, MinProtocolVersion: MinProtocolVersion}
+	opt := Options{FleetName: "f", Self: self, Replicas: 3, ForgetAfter: 24 * time.Hour, MaxPeers: 1024, Seed: uint64(i), Transport: w.ports[i], Log: zap.NewNop(), Now: w.now, Tune: w.tune}
 	for s := range min(3, len(w.all)) {
 		opt.Seeds = append(opt.Seeds, memnet.Addr(s))
 	}
@@ -67,10 +67,10 @@
 }
 
 // sees is how many members of the fleet a member sees here, itself among them.
-func sees(c *Contact) int {
+func sees(c *Agent) int {
 	n := 1
-	for _, k := range c.Status().Others {
-		if k.State == membership.Here {
+	for _, k := range c.Status().Peers {
+		if k.State == membership.Alive {
 			n++
 		}
 	}
@@ -85,7 +85,7 @@
 		if time.Since(began) > bound {
 			for _, c := range w.all {
 				w.t.Logf("%s: %v, sees %d", c.opt.Self.Name, c.Status().Standing, sees(c))
-				for _, k := range c.Status().Others {
+				for _, k := range c.Status().Peers {
 					w.t.Logf("    %s %s at %v: %v since %v", k.ID[28:], k.Name, k.Addr, k.State, k.Since)
 				}
 			}
@@ -99,7 +99,7 @@
 func (w *world) together(many int) func() bool {
 	return func() bool {
 		for _, c := range w.all {
-			if s := c.Status(); sees(c) != many || s.Standing != membership.Together {
+			if s := c.Status(); sees(c) != many || s.Standing != membership.Quorum {
 				return false
 			}
 		}
@@ -117,9 +117,9 @@
 		w.net.Set(func(from, to int) memnet.Way { return memnet.Way{Cut: from < 3 != (to < 3)} })
 		w.until("the three stand apart and the four together", time.Minute, func() bool {
 			for i, c := range w.all {
-				want, many := membership.Together, 4
+				want, many := membership.Quorum, 4
 				if i < 3 {
-					want, many = membership.Apart, 3
+					want, many = membership.NoQuorum, 3
 				}
 				if c.Status().Standing != want || sees(c) != many {
 					return false
@@ -165,8 +165,8 @@
 		w.start(4, id(99))
 		w.until("the new one is here, the old one gone for good", 30*time.Second, func() bool {
 			for _, c := range w.all[:4] {
-				for _, k := range c.Status().Others {
-					if k.ID == id(4) && (k.State != membership.Gone || k.By != id(99)) {
+				for _, k := range c.Status().Peers {
+					if k.ID == id(4) && (k.State != membership.Failed || k.ReplacedBy != id(99)) {
 						return false
 					}
 				}
@@ -178,7 +178,7 @@
 		})
 		w.all[3].Leave()
 		w.until("it has left", 10*time.Second, func() bool {
-			for _, k := range w.all[0].Status().Others {
+			for _, k := range w.all[0].Status().Peers {
 				if k.ID == id(3) {
 					return k.State == membership.Left
 				}
@@ -199,10 +199,10 @@
 		w.ports, w.all = append(w.ports, nil), append(w.all, nil)
 		w.start(5, id(2))
 		w.until("both know", 30*time.Second, func() bool {
-			return w.all[2].Status().Standing == membership.Doubled && w.all[5].Status().Standing == membership.Doubled
+			return w.all[2].Status().Standing == membership.Duplicate && w.all[5].Status().Standing == membership.Duplicate
 		})
 		for _, i := range []int{0, 1, 3, 4} {
-			if s := w.all[i].Status().Standing; s != membership.Together {
+			if s := w.all[i].Status().Standing; s != membership.Quorum {
 				t.Errorf("member %d is %v", i, s)
 			}
 		}
@@ -215,12 +215,14 @@
 		w := fleet(t, 3)
 		defer w.close()
 		for i, change := range []func(*Options){
-			func(o *Options) { o.Fleet = "g" },
-			func(o *Options) { o.Self.Speaks, o.Self.Oldest = Form+2, Form+1 },
+			func(o *Options) { o.FleetName = "g" },
+			func(o *Options) {
+				o.Self.ProtocolVersion, o.Self.MinProtocolVersion = ProtocolVersion+2, ProtocolVersion+1
+			},
 		} {
 			num := 3 + i
 			opt := w.all[0].opt
-			opt.Self.ID, opt.Self.Name, opt.Self.Addr, opt.Wire = id(num), "stranger", memnet.Addr(num), w.net.Port(num)
+			opt.Self.ID, opt.Self.Name, opt.Self.Addr, opt.Transport = id(num), "stranger", memnet.Addr(num), w.net.Port(num)
 			change(&opt)
 			c, err := Open(opt)
 			if err != nil {
@@ -231,11 +233,11 @@
 		w.until("all see all", 30*time.Second, w.together(3))
 		time.Sleep(20 * time.Second)
 		for _, c := range w.all {
-			if n := len(c.Status().Others); n != 2 {
+			if n := len(c.Status().Peers); n != 2 {
 				t.Errorf("%s knows %d others", c.opt.Self.Name, n)
 			}
 		}
-		if w.all[0].Status().Odd == 0 {
+		if w.all[0].Status().Malformed == 0 {
 			t.Error("nobody counted the strangers")
 		}
 	})
@@ -253,8 +255,8 @@
 		w.start(5, id(4))
 		w.all = append(w.all[:4], w.all[5])
 		w.until("it is here at its new address", time.Minute, func() bool {
-			for _, k := range w.all[0].Status().Others {
-				if k.ID == id(4) && k.Addr == memnet.Addr(5) && k.State == membership.Here {
+			for _, k := range w.all[0].Status().Peers {
+				if k.ID == id(4) && k.Addr == memnet.Addr(5) && k.State == membership.Alive {
 					return w.together(5)()
 				}
 			}
--- a/internal/fleet/gossip/say.go
+++ b/internal/fleet/gossip/log.go
@@ -7,40 +7,40 @@
 )
 
 // say writes one line of the table's for the person with the pager: what was decided, and by which figures.
-func (c *Contact) say(l membership.Line) {
+func (c *Agent) say(l membership.Event) {
 	who := []zap.Field{zap.String("member", l.Member.Name), zap.String("id", l.Member.ID), zap.Stringer("addr", l.Member.Addr),
 		zap.String("machine", l.Member.Machine), zap.String("zone", l.Member.Zone), zap.String("site", l.Member.Site),
-		zap.Int("here", l.Here), zap.Int("of", l.Of)}
+		zap.Int("here", l.Alive), zap.Int("of", l.Total)}
 	log := c.opt.Log
 	switch l.Kind {
-	case membership.Came:
+	case membership.MemberJoined:
 		log.Info("fleet: member is here", who...)
-	case membership.Restarted:
+	case membership.MemberRestarted:
 		log.Info("fleet: member was restarted", who...)
-	case membership.Died:
+	case membership.MemberFailed:
 		log.Warn("fleet: member is gone", who...)
-	case membership.Went:
+	case membership.MemberLeft:
 		log.Info("fleet: member has left", who...)
-	case membership.Flaps:
-		log.Warn("fleet: member comes and goes", append(who, zap.Int("times", l.Came))...)
-	case membership.Replaced:
+	case membership.MemberFlapping:
+		log.Warn("fleet: member comes and goes", append(who, zap.Int("times", l.Returns))...)
+	case membership.MemberReplaced:
 		log.Warn("fleet: member's directory is lost: another one is at its address", who...)
-	case membership.Forgotten:
+	case membership.MemberForgotten:
 		log.Warn("fleet: member is no part of the fleet any more", who...)
-	case membership.Woke:
-		log.Warn("fleet: this process was stopped: nothing that was known holds until most have answered", zap.Duration("for", l.For),
-			zap.Int("here", l.Here))
-	case membership.Stands:
+	case membership.ProcessResumed:
+		log.Warn("fleet: this process was stopped: nothing that was known holds until most have answered", zap.Duration("for", l.Duration),
+			zap.Int("here", l.Alive))
+	case membership.StandingChanged:
 		told := log.Info
-		if l.Standing != membership.Together {
+		if l.Standing != membership.Quorum {
 			told = log.Warn
 		}
-		told("fleet: standing", zap.Stringer("standing", l.Standing), zap.Int("here", l.Here), zap.Int("of", l.Of))
-	case membership.TooFew:
-		log.Warn("fleet: too few machines are here for all copies", zap.Int("machines", l.Here), zap.Int("copies", l.Of))
-	case membership.Enough:
-		log.Info("fleet: machines enough for all copies", zap.Int("machines", l.Here), zap.Int("copies", l.Of))
-	case membership.IsDoubled:
+		told("fleet: standing", zap.Stringer("standing", l.Standing), zap.Int("here", l.Alive), zap.Int("of", l.Total))
+	case membership.TooFewMachines:
+		log.Warn("fleet: too few machines are here for all copies", zap.Int("machines", l.Alive), zap.Int("copies", l.Total))
+	case membership.EnoughMachines:
+		log.Info("fleet: machines enough for all copies", zap.Int("machines", l.Alive), zap.Int("copies", l.Total))
+	case membership.DuplicateDetected:
 		log.Error("fleet: another process has a copy of this member's directory: end one and give it an empty directory",
 			zap.String("id", l.Member.ID), zap.Stringer("addr", l.Member.Addr))
 	}
--- a/internal/fleet/gossip/meta.go
+++ b/internal/fleet/gossip/meta.go
@@ -11,9 +11,9 @@
 	"sabletally/internal/fleet/node"
 )
 
-// Form is the newest form of words between members, and Oldest the oldest that is understood.
+// ProtocolVersion is the newest form of words between members, and Oldest the oldest that is understood.
 // From 2 on members tell each other changes of the agreed state (core.Form).
-const Form, Oldest = node.Form, 1
+const ProtocolVersion, MinProtocolVersion = node.ProtocolVersion, 1
 
 // meta is what goes with a member's address through the fleet: 512 bytes at most, which names of 64 keep to.
 type meta struct {
@@ -28,7 +28,7 @@
 }
 
 func describe(m membership.Member) []byte {
-	text, err := json.Marshal(meta{m.Name, m.Machine, m.Zone, m.Site, m.Life, m.Speaks, m.Oldest, m.Leaving})
+	text, err := json.Marshal(meta{m.Name, m.Machine, m.Zone, m.Site, m.Incarnation, m.ProtocolVersion, m.MinProtocolVersion, m.Leaving})
 	if err != nil {
 		panic(err) // plain values
 	}
@@ -45,11 +45,11 @@
 	if !is || len(n.Name) != 32 || in.Name == "" {
 		return m, fmt.Errorf("member %q at %v tells no name or address", n.Name, n.Addr)
 	}
-	if in.Oldest > Form || in.Speaks < Oldest {
-		return m, fmt.Errorf("member %s (%s) speaks forms %d to %d, this one %d to %d", n.Name, in.Name, in.Oldest, in.Speaks, Oldest, Form)
+	if in.Oldest > ProtocolVersion || in.Speaks < MinProtocolVersion {
+		return m, fmt.Errorf("member %s (%s) speaks forms %d to %d, this one %d to %d", n.Name, in.Name, in.Oldest, in.Speaks, MinProtocolVersion, ProtocolVersion)
 	}
 	return membership.Member{ID: n.Name, Name: in.Name, Addr: netip.AddrPortFrom(addr.Unmap(), n.Port), Machine: in.Machine, Zone: in.Zone,
-		Site: in.Site, Life: in.Life, Speaks: in.Speaks, Oldest: in.Oldest, Leaving: in.Leaving}, nil
+		Site: in.Site, Incarnation: in.Life, ProtocolVersion: in.Speaks, MinProtocolVersion: in.Oldest, Leaving: in.Leaving}, nil
 }
 
 // bye is a member's word that it leaves as planned, with the life that it is the end of. The library's own word for it does not
--- a/internal/fleet/gossip/wire.go
+++ b/internal/fleet/gossip/transport.go
@@ -25,9 +25,9 @@
 	bufferKiB   = 256 // of the kernel, for datagrams: a member that was stopped finds so much of what came meanwhile
 )
 
-// Wire carries the library's datagrams and streams, over one address for both. It sends from that address's IP, so that who
+// Transport carries the library's datagrams and streams, over one address for both. It sends from that address's IP, so that who
 // it is sent from tells who sends.
-type Wire struct {
+type Transport struct {
 	listen, advertise netip.AddrPort
 	udp               *net.UDPConn
 	tcp               *net.TCPListener
@@ -41,13 +41,13 @@
 	done              context.Context
 	end               context.CancelFunc
 
-	Sent, Heard       atomic.Int64 // bytes of datagrams
-	Dropped, Unopened atomic.Int64 // datagrams, and streams, that found no room
+	BytesSent, BytesReceived          atomic.Int64 // bytes of datagrams
+	DatagramsDropped, StreamsRejected atomic.Int64 // datagrams, and streams, that found no room
 }
 
 // Listen opens an address for both; followers is how many streams of those are taken, 0 for none.
-func Listen(listen, advertise netip.AddrPort, followers int) (*Wire, error) {
-	w := &Wire{listen: listen, advertise: advertise, packets: make(chan *memberlist.Packet, packetsMost), streams: make(chan net.Conn),
+func Listen(listen, advertise netip.AddrPort, followers int) (*Transport, error) {
+	w := &Transport{listen: listen, advertise: advertise, packets: make(chan *memberlist.Packet, packetsMost), streams: make(chan net.Conn),
 		links: make(chan net.Conn), follows: make(chan net.Conn), followers: int64(followers)}
 	w.done, w.end = context.WithCancel(context.Background())
 	var err error
@@ -65,7 +65,7 @@
 	return w, nil
 }
 
-func (w *Wire) read() {
+func (w *Transport) read() {
 	defer w.all.Done()
 	buffer := make([]byte, longest)
 	for {
@@ -76,17 +76,17 @@
 			}
 			continue // nobody listened at an address that was sent to
 		}
-		w.Heard.Add(int64(n))
+		w.BytesReceived.Add(int64(n))
 		p := &memberlist.Packet{Buf: append([]byte(nil), buffer[:n]...), From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}
 		select {
 		case w.packets <- p:
 		default:
-			w.Dropped.Add(1)
+			w.DatagramsDropped.Add(1)
 		}
 	}
 }
 
-func (w *Wire) accept() {
+func (w *Transport) accept() {
 	defer w.all.Done()
 	for {
 		c, err := w.tcp.Accept()
@@ -107,7 +107,7 @@
 		}
 		if w.held.Add(1) > most {
 			w.held.Add(-1)
-			w.Unopened.Add(1)
+			w.StreamsRejected.Add(1)
 			_ = c.Close()
 			continue
 		}
@@ -117,18 +117,18 @@
 	}
 }
 
-// LinkMark is the first byte of a stream that is a link between members; followers' begin with stream.Mark, the library's with others.
-const LinkMark = 's'
+// PeerStreamMark is the first byte of a stream that is a link between members; followers' begin with stream.Mark, the library's with others.
+const PeerStreamMark = 's'
 
 // sort hands a stream to whom it is for, by its first byte.
-func (w *Wire) sort(s *taken) {
+func (w *Transport) sort(s *taken) {
 	_ = s.SetReadDeadline(time.Now().Add(firstIn))
 	n, err := io.ReadFull(s.Conn, s.first[:])
 	_ = s.SetReadDeadline(time.Time{})
 	to := w.streams
 	if err == nil {
 		switch s.first[0] {
-		case LinkMark:
+		case PeerStreamMark:
 			err = w.move(s, &w.linked, linksMost)
 			to = w.links
 		case framing.Mark:
@@ -149,10 +149,10 @@
 }
 
 // move counts a stream among others of its kind, of which there may be so many.
-func (w *Wire) move(s *taken, to *atomic.Int64, most int64) error {
+func (w *Transport) move(s *taken, to *atomic.Int64, most int64) error {
 	if to.Add(1) > most {
 		to.Add(-1)
-		w.Unopened.Add(1)
+		w.StreamsRejected.Add(1)
 		return net.ErrClosed
 	}
 	w.held.Add(-1)
@@ -170,7 +170,7 @@
 	unread int
 }
 
-func (w *Wire) hold(c net.Conn, counts *atomic.Int64) *taken {
+func (w *Transport) hold(c net.Conn, counts *atomic.Int64) *taken {
 	return &taken{Conn: c, counts: counts, stop: context.AfterFunc(w.done, func() { _ = c.Close() })}
 }
 
@@ -197,23 +197,23 @@
 }
 
 // FinalAdvertiseAddr is where the others reach this member.
-func (w *Wire) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+func (w *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return w.advertise.Addr().AsSlice(), int(w.advertise.Port()), nil
 }
 
 // WriteTo sends a datagram.
-func (w *Wire) WriteTo(b []byte, addr string) (time.Time, error) {
+func (w *Transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return time.Time{}, err
 	}
-	w.Sent.Add(int64(len(b)))
+	w.BytesSent.Add(int64(len(b)))
 	_, err = w.udp.WriteToUDPAddrPort(b, to)
 	return time.Now(), err
 }
 
 // DialTimeout opens a stream.
-func (w *Wire) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+func (w *Transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
 	if ip := w.listen.Addr(); !ip.IsUnspecified() {
 		d.LocalAddr = &net.TCPAddr{IP: ip.AsSlice()}
@@ -226,20 +226,20 @@
 }
 
 // PacketCh and StreamCh are where what comes in is taken from.
-func (w *Wire) PacketCh() <-chan *memberlist.Packet { return w.packets }
-func (w *Wire) StreamCh() <-chan net.Conn           { return w.streams }
+func (w *Transport) PacketCh() <-chan *memberlist.Packet { return w.packets }
+func (w *Transport) StreamCh() <-chan net.Conn           { return w.streams }
 
-// Links is where links that other members opened are taken from, their first byte still to be read.
-func (w *Wire) Links() <-chan net.Conn { return w.links }
+// PeerStreams is where links that other members opened are taken from, their first byte still to be read.
+func (w *Transport) PeerStreams() <-chan net.Conn { return w.links }
 
 // Follows is the same for followers' streams.
-func (w *Wire) Follows() <-chan net.Conn { return w.follows }
+func (w *Transport) Follows() <-chan net.Conn { return w.follows }
 
 // Done is closed with the wire.
-func (w *Wire) Done() <-chan struct{} { return w.done.Done() }
+func (w *Transport) Done() <-chan struct{} { return w.done.Done() }
 
 // Shutdown closes the address and waits until nothing is read any more.
-func (w *Wire) Shutdown() error {
+func (w *Transport) Shutdown() error {
 	w.end()
 	_ = w.tcp.Close()
 	_ = w.udp.Close()
--- a/internal/fleet/gossip/wire_test.go
+++ b/internal/fleet/gossip/transport_test.go
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		if _, err := c.Write([]byte{LinkMark - 1}); err != nil || LinkMark-1 == framing.Mark {
+		if _, err := c.Write([]byte{PeerStreamMark - 1}); err != nil || PeerStreamMark-1 == framing.Mark {
 			t.Fatal(err)
 		}
 		return c
@@ -41,7 +41,7 @@
 			t.Fatalf("%d of %d streams were taken within %v", n, members, within)
 		}
 	}
-	if n := w.Unopened.Load(); n != 0 {
+	if n := w.StreamsRejected.Load(); n != 0 {
 		t.Errorf("%d found no room", n)
 	}
 	c := open()
@@ -49,7 +49,7 @@
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Error("one more was not closed")
 	}
-	if n := w.Unopened.Load(); n != 1 {
+	if n := w.StreamsRejected.Load(); n != 1 {
 		t.Errorf("%d are counted as without room, not 1", n)
 	}
 }
--- a/internal/fleet/gossip/weigh_test.go
+++ b/internal/fleet/gossip/weigh_test.go
@@ -15,7 +15,7 @@
 	"sabletally/internal/lab/memnet"
 )
 
-// The figures of docs/design/fleet.md, in virtual time: go test ./internal/fleet/contact -run TestWeigh -weigh -v
+// The figures of docs/design/fleet.md, in virtual time: go test ./internal/fleet/gossip -run TestWeigh -weigh -v
 var (
 	weigh = flag.Bool("weigh", false, "weigh failure detectors against each other; takes many minutes")
 	least = flag.Int("weigh-from", 0, "with so many members or more")
@@ -83,9 +83,9 @@
 	falsely := func() (n int) {
 		for i, c := range w.all {
 			now := map[string]membership.State{}
-			for _, k := range c.Status().Others {
+			for _, k := range c.Status().Peers {
 				now[k.ID] = k.State
-				if k.State == membership.Gone && gone[i][k.ID] != membership.Gone {
+				if k.State == membership.Failed && gone[i][k.ID] != membership.Failed {
 					n++
 				}
 			}
@@ -109,8 +109,8 @@
 				if i == num {
 					continue
 				}
-				for _, k := range c.Status().Others {
-					if k.ID == id(num) && k.State == membership.Gone {
+				for _, k := range c.Status().Peers {
+					if k.ID == id(num) && k.State == membership.Failed {
 						n++
 					}
 				}
@@ -129,7 +129,7 @@
 	w.net.Set(func(from, to int) memnet.Way { return memnet.Way{Loss: loss, Cut: from == many-2} })
 	f.cut = half(many - 2)
 	began := time.Now()
-	for w.all[many-2].Status().Standing != membership.Apart && time.Since(began) < 5*time.Minute {
+	for w.all[many-2].Status().Standing != membership.NoQuorum && time.Since(began) < 5*time.Minute {
 		time.Sleep(100 * time.Millisecond)
 	}
 	f.knows = f.cut + time.Since(began)
--- a/internal/fleet/held.go
+++ b/internal/fleet/held.go
@@ -18,7 +18,7 @@
 
 // Holds tells whether circuits of a grade are held for others.
 func (f *Fleet) Holds(grade string) bool {
-	return slices.ContainsFunc(f.file.Intents, func(g config.Grade) bool { return g.Name == grade })
+	return slices.ContainsFunc(f.file.IdempotentClasses, func(g config.Class) bool { return g.Name == grade })
 }
 
 // Held is one circuit's. Its methods are called by one goroutine, one at a time: none before the one before has called back.
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -59,7 +59,7 @@
 }
 
 // listOp is the write that is due, and where it is asked for: nil where none is.
-func (f *Fleet) listOp(rev uint64, known []byte) (*nodeserver.Hold, replication.Op) {
+func (f *Fleet) listOp(rev uint64, known []byte) (*nodeserver.Server, replication.Op) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.held
@@ -110,4 +110,6 @@
 }
 
 // ListAges are up to which age a list is used, and up to which its servers are candidates.
-func (f *Fleet) ListAges() (young, old time.Duration) { return f.file.Young, f.file.Old }
+func (f *Fleet) ListAges() (young, old time.Duration) {
+	return f.file.ListFreshTTL, f.file.ListStaleTTL
+}
--- a/internal/fleet/membership/bench_test.go
+++ b/internal/fleet/membership/bench_test.go
@@ -39,7 +39,7 @@
 	runtime.ReadMemStats(&before)
 	l := table(n)
 	for i := 1; i < n; i++ {
-		l.Seen(member(i))
+		l.HandleAlive(member(i))
 		l.drain()
 	}
 	l.run(2 * s)
@@ -55,14 +55,14 @@
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			done := metered(b)
 			for range b.N {
-				l.Clock(l.now + Beat)
+				l.Tick(l.now + HeartbeatInterval)
 				l.drain()
-				if len(l.All()) != n-1 {
+				if len(l.Peers()) != n-1 {
 					b.Fatal("members are missing")
 				}
 			}
 			per := done()
-			b.ReportMetric(per/float64(Beat)*100, "%core")
+			b.ReportMetric(per/float64(HeartbeatInterval)*100, "%core")
 			b.ReportMetric(float64(held), "held-B")
 		})
 	}
@@ -76,9 +76,9 @@
 			done := metered(b)
 			for i := range b.N {
 				m := member(1 + i%(n-1))
-				m.Life = l.known[m.ID].Life + 1
-				l.Lost(m.ID)
-				l.Seen(m)
+				m.Incarnation = l.known[m.ID].Incarnation + 1
+				l.HandleFailure(m.ID)
+				l.HandleAlive(m)
 				l.drain()
 			}
 			done()
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -33,7 +33,7 @@
 	sum := fnv.New64a()
 	member := func(i int) Member {
 		return Member{ID: fmt.Sprintf("%032x", i+1), Name: fmt.Sprintf("b%02d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i % 9)}), 7001),
-			Machine: fmt.Sprintf("m%d", i/2), Zone: "z", Site: "s", Life: 1 + uint64(rng.IntN(3)), Leaving: rng.IntN(8) == 0, Speaks: 2, Oldest: 1}
+			Machine: fmt.Sprintf("m%d", i/2), Zone: "z", Site: "s", Incarnation: 1 + uint64(rng.IntN(3)), Leaving: rng.IntN(8) == 0, ProtocolVersion: 2, MinProtocolVersion: 1}
 	}
 	self := member(0)
 	var seeds []netip.AddrPort
@@ -41,45 +41,45 @@
 		seeds = append(seeds, member(i).Addr)
 	}
 	now := time.Duration(0)
-	table := New(Config{Self: self, Seeds: seeds, Copies: 3, Forget: 3 * time.Minute, Most: 8, Seed: seed}, now)
+	table := New(Config{Self: self, Seeds: seeds, Replicas: 3, ForgetAfter: 3 * time.Minute, MaxMembers: 8, Seed: seed}, now)
 	for range heartbeats {
-		now += Beat
+		now += HeartbeatInterval
 		if rng.IntN(400) == 0 {
-			now += StallFrom + time.Duration(rng.IntN(5000))*time.Millisecond
+			now += StallThreshold + time.Duration(rng.IntN(5000))*time.Millisecond
 		}
 		other := member(1 + rng.IntN(members-1))
 		switch rng.IntN(40) {
 		case 0, 1, 2, 3:
-			table.Seen(other)
+			table.HandleAlive(other)
 		case 4, 5:
-			table.Lost(other.ID)
+			table.HandleFailure(other.ID)
 		case 6:
-			fmt.Fprintln(sum, table.Left(other.ID, other.Life))
+			fmt.Fprintln(sum, table.HandleLeave(other.ID, other.Incarnation))
 		case 7:
-			table.Clash(other.Addr)
+			table.HandleConflict(other.Addr)
 		}
-		table.Clock(now)
+		table.Tick(now)
 		for {
-			action, more := table.Next()
+			action, more := table.NextAction()
 			if !more {
 				break
 			}
 			actions++
-			line := action.Line
-			fmt.Fprintln(sum, now, uint8(action.Do), action.Addr, action.ID, uint8(line.Kind), line.Member, line.Came, uint8(line.Standing), line.For, line.Here, line.Of)
-			switch action.Do {
-			case Call:
-				table.Called(action.Addr, rng.IntN(3) == 0)
-			case Ask:
-				table.Answered(action.ID, rng.IntN(3) > 0)
-			case Look:
-				table.Found(action.Addr, rng.IntN(30) == 0)
+			line := action.Event
+			fmt.Fprintln(sum, now, uint8(action.Kind), action.Addr, action.ID, uint8(line.Kind), line.Member, line.Returns, uint8(line.Standing), line.Duration, line.Alive, line.Total)
+			switch action.Kind {
+			case Join:
+				table.HandleJoinResult(action.Addr, rng.IntN(3) == 0)
+			case Ping:
+				table.HandlePingResult(action.ID, rng.IntN(3) > 0)
+			case ProbeDuplicate:
+				table.HandleProbeResult(action.Addr, rng.IntN(30) == 0)
 			}
 		}
-		fmt.Fprintln(sum, uint8(table.Standing(now)), table.Refused, table.Stalls)
+		fmt.Fprintln(sum, uint8(table.Standing(now)), table.Rejected, table.Stalls)
 		if rng.IntN(50) == 0 {
-			for _, known := range table.All() {
-				fmt.Fprintln(sum, known.Member, uint8(known.State), known.Since, known.Came, known.By)
+			for _, known := range table.Peers() {
+				fmt.Fprintln(sum, known.Member, uint8(known.State), known.Since, known.Returns, known.ReplacedBy)
 			}
 		}
 	}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -16,8 +16,8 @@
 
 // How it goes on. None depends on the fleet's size.
 const (
-	Beat                  = 100 * time.Millisecond // how often Clock is called
-	StallFrom             = time.Second            // a beat later than this: the process was stopped, and others may have given it up
+	HeartbeatInterval     = 100 * time.Millisecond // how often Clock is called
+	StallThreshold        = time.Second            // a beat later than this: the process was stopped, and others may have given it up
 	askMost               = 31                     // members asked after a stall; most of those asked have to answer
 	askEach               = time.Second            // a round of questions, then the next one
 	callAlone             = time.Second            // calls while nobody is here,
@@ -29,36 +29,36 @@
 
 // Member is what a member tells of itself.
 type Member struct {
-	ID      string // drawn with its directory
-	Name    string // of the balancer
-	Addr    netip.AddrPort
-	Machine string
-	Zone    string
-	Site    string
-	Life    uint64 // how often it was started
-	Leaving bool   // it will go, and is still here: others are to take over from it
-	Speaks  int    // the newest form of words between members that it knows,
-	Oldest  int    // and the oldest
+	ID                 string // drawn with its directory
+	Name               string // of the balancer
+	Addr               netip.AddrPort
+	Machine            string
+	Zone               string
+	Site               string
+	Incarnation        uint64 // how often it was started
+	Leaving            bool   // it will go, and is still here: others are to take over from it
+	ProtocolVersion    int    // the newest form of words between members that it knows,
+	MinProtocolVersion int    // and the oldest
 }
 
 // State of another member.
 type State uint8
 
 const (
-	Here State = iota
-	Gone       // found dead or out of reach
-	Left       // it said so
+	Alive  State = iota
+	Failed       // found dead or out of reach
+	Left         // it said so
 )
 
 func (s State) String() string { return [...]string{"here", "gone", "left"}[s] }
 
-// Known is another member as it is known.
-type Known struct {
+// Peer is another member as it is known.
+type Peer struct {
 	Member
-	State State
-	Since time.Duration // of this state
-	Came  int           // times that it came back within flapWithin
-	By    string        // the member that took its address with a directory of its own, if one did: its disk is lost
+	State      State
+	Since      time.Duration // of this state
+	Returns    int           // times that it came back within flapWithin
+	ReplacedBy string        // the member that took its address with a directory of its own, if one did: its disk is lost
 
 	first time.Duration // of the times that Came counts
 }
@@ -67,43 +67,43 @@
 type Standing uint8
 
 const (
-	Joining  Standing = iota // nobody has been met yet
-	Together                 // more than half of all that are known are here, this member among them
-	Apart                    // they are not: the others may have gone on without it
-	Waking                   // it was stopped, and too few have answered since
-	Doubled                  // another process has the same directory, by a copy
+	Joining   Standing = iota // nobody has been met yet
+	Quorum                    // more than half of all that are known are here, this member among them
+	NoQuorum                  // they are not: the others may have gone on without it
+	Resuming                  // it was stopped, and too few have answered since
+	Duplicate                 // another process has the same directory, by a copy
 )
 
 func (s Standing) String() string {
 	return [...]string{"joining", "together", "apart", "waking", "doubled"}[s]
 }
 
-// What an action is.
-type What uint8
+// ActionKind an action is.
+type ActionKind uint8
 
 const (
-	Call What = iota // Addr, to join there; owes Called
-	Ask              // whether ID answers; owes Answered
-	Look             // whether a process with this member's own ID answers at Addr; owes Found
-	Tell             // a line for the log
+	Join           ActionKind = iota // Addr, to join there; owes Called
+	Ping                             // whether ID answers; owes Answered
+	ProbeDuplicate                   // whether a process with this member's own ID answers at Addr; owes Found
+	Report                           // a line for the log
 )
 
 // Action is one thing to do.
 type Action struct {
-	Do   What
-	Addr netip.AddrPort
-	ID   string
-	Line Line
+	Kind  ActionKind
+	Addr  netip.AddrPort
+	ID    string
+	Event Event
 }
 
 // Config is what a table begins with.
 type Config struct {
-	Self   Member
-	Seeds  []netip.AddrPort
-	Copies int           // holders that each record is to have, on machines of their own
-	Forget time.Duration // a member that is gone longer is no part of the fleet any more
-	Most   int           // other members that are known at once
-	Seed   uint64
+	Self        Member
+	Seeds       []netip.AddrPort
+	Replicas    int           // holders that each record is to have, on machines of their own
+	ForgetAfter time.Duration // a member that is gone longer is no part of the fleet any more
+	MaxMembers  int           // other members that are known at once
+	Seed        uint64
 }
 
 // Table is what one member knows. It is one goroutine's.
@@ -111,7 +111,7 @@
 	cfg   Config
 	rng   *rand.Rand
 	now   time.Duration // of the newest beat
-	known map[string]*Known
+	known map[string]*Peer
 	met   bool
 
 	calls   map[netip.AddrPort]*target
@@ -125,11 +125,11 @@
 	doubled bool
 	looking bool
 
-	was     Standing
-	short   bool // too few machines for the copies
-	Refused int  // newcomers for whom there was no room
-	Stalls  int
-	do      []Action
+	was      Standing
+	short    bool // too few machines for the copies
+	Rejected int  // newcomers for whom there was no room
+	Stalls   int
+	do       []Action
 }
 
 // target is an address that is called until somebody is there.
@@ -140,7 +140,7 @@
 
 // New begins with nobody known.
 func New(cfg Config, now time.Duration) *Table {
-	t := &Table{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x3e3b)), now: now, known: map[string]*Known{},
+	t := &Table{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x3e3b)), now: now, known: map[string]*Peer{},
 		calls: map[netip.AddrPort]*target{}, asked: map[string]bool{}, callAt: now}
 	for _, s := range cfg.Seeds {
 		if s != cfg.Self.Addr {
@@ -152,8 +152,8 @@
 	return t
 }
 
-// Next hands out what is to be done, in the order in which it was decided.
-func (t *Table) Next() (Action, bool) {
+// NextAction hands out what is to be done, in the order in which it was decided.
+func (t *Table) NextAction() (Action, bool) {
 	if len(t.do) == 0 {
 		return Action{}, false
 	}
@@ -166,15 +166,15 @@
 
 // ---- What comes in.
 
-// Clock is a beat. One that comes late tells of a stall, after which nothing that was known is taken for true until most
+// Tick is a beat. One that comes late tells of a stall, after which nothing that was known is taken for true until most
 // of those asked have answered anew.
-func (t *Table) Clock(now time.Duration) {
+func (t *Table) Tick(now time.Duration) {
 	gap := now - t.now
 	t.now = now
-	if gap > StallFrom {
+	if gap > StallThreshold {
 		t.Stalls++
 		t.waking = true
-		t.act(Action{Do: Tell, Line: Line{Kind: Woke, For: gap, Here: t.here(), Of: len(t.known)}})
+		t.act(Action{Kind: Report, Event: Event{Kind: ProcessResumed, Duration: gap, Alive: t.here(), Total: len(t.known)}})
 		t.ask()
 	}
 	if t.waking && now-t.askedAt >= askEach {
@@ -185,37 +185,37 @@
 	t.settle()
 }
 
-// Seen is that a member is alive, or has changed what it tells.
-func (t *Table) Seen(m Member) {
+// HandleAlive is that a member is alive, or has changed what it tells.
+func (t *Table) HandleAlive(m Member) {
 	if m.ID == t.cfg.Self.ID {
 		return
 	}
 	k, old := t.known[m.ID]
 	if !old {
-		if len(t.known) >= t.cfg.Most && !t.makeRoom() {
-			t.Refused++
+		if len(t.known) >= t.cfg.MaxMembers && !t.makeRoom() {
+			t.Rejected++
 			return
 		}
-		k = &Known{State: Left, first: t.now}
+		k = &Peer{State: Left, first: t.now}
 		t.known[m.ID] = k
 	}
 	was := k.Member
 	k.Member = m
 	delete(t.calls, m.Addr)
-	if k.State == Here {
-		if m.Life != was.Life {
-			t.tell(Restarted, k)
+	if k.State == Alive {
+		if m.Incarnation != was.Incarnation {
+			t.tell(MemberRestarted, k)
 		}
 		return
 	}
-	k.State, k.Since, k.By, t.met = Here, t.now, "", true
-	kind := Came
+	k.State, k.Since, k.ReplacedBy, t.met = Alive, t.now, "", true
+	kind := MemberJoined
 	if old {
 		if t.now-k.first > flapWithin {
-			k.first, k.Came = t.now, 0
+			k.first, k.Returns = t.now, 0
 		}
-		if k.Came++; k.Came > flapsMany {
-			kind = Flaps
+		if k.Returns++; k.Returns > flapsMany {
+			kind = MemberFlapping
 		}
 	}
 	t.tell(kind, k)
@@ -227,46 +227,46 @@
 // come back. Of two that seem to be at one address none is doubted before it is found dead: words about the old one go on for a
 // while, and come to a member that has just begun together with those about the new one.
 func (t *Table) replaced(addr netip.AddrPort) {
-	var by *Known
+	var by *Peer
 	all := t.sorted()
 	for _, k := range all {
-		if k.Addr == addr && k.State == Here {
+		if k.Addr == addr && k.State == Alive {
 			by = k
 		}
 	}
 	for _, k := range all {
-		if by != nil && k.Addr == addr && k.State == Gone && k.By == "" {
-			k.By = by.ID
-			t.tell(Replaced, k)
+		if by != nil && k.Addr == addr && k.State == Failed && k.ReplacedBy == "" {
+			k.ReplacedBy = by.ID
+			t.tell(MemberReplaced, k)
 		}
 	}
 }
 
-// Lost is that a member was found dead or out of reach.
-func (t *Table) Lost(id string) {
-	if k := t.known[id]; k != nil && k.State == Here {
-		k.State, k.Since = Gone, t.now
-		t.tell(Died, k)
+// HandleFailure is that a member was found dead or out of reach.
+func (t *Table) HandleFailure(id string) {
+	if k := t.known[id]; k != nil && k.State == Alive {
+		k.State, k.Since = Failed, t.now
+		t.tell(MemberFailed, k)
 		t.replaced(k.Addr)
 		t.settle()
 	}
 }
 
-// Left is that a member said that it goes at the end of a life, true where that is news: what is heard late says nothing of
+// HandleLeave is that a member said that it goes at the end of a life, true where that is news: what is heard late says nothing of
 // the life that came after. It may be found dead before its word is heard.
-func (t *Table) Left(id string, life uint64) bool {
+func (t *Table) HandleLeave(id string, life uint64) bool {
 	k := t.known[id]
-	if k == nil || k.State == Left || life < k.Life {
+	if k == nil || k.State == Left || life < k.Incarnation {
 		return false
 	}
-	k.State, k.Since, k.By = Left, t.now, ""
-	t.tell(Went, k)
+	k.State, k.Since, k.ReplacedBy = Left, t.now, ""
+	t.tell(MemberLeft, k)
 	t.settle()
 	return true
 }
 
-// Called is how a call ended: whether somebody was there.
-func (t *Table) Called(addr netip.AddrPort, well bool) {
+// HandleJoinResult is how a call ended: whether somebody was there.
+func (t *Table) HandleJoinResult(addr netip.AddrPort, well bool) {
 	if addr == t.calling {
 		t.calling = netip.AddrPort{}
 	}
@@ -282,8 +282,8 @@
 	c.at = t.now + t.about(c.wait)
 }
 
-// Answered is how a question ended.
-func (t *Table) Answered(id string, well bool) {
+// HandlePingResult is how a question ended.
+func (t *Table) HandlePingResult(id string, well bool) {
 	if _, is := t.asked[id]; !is || !well {
 		return
 	}
@@ -300,23 +300,23 @@
 	}
 }
 
-// Clash is that somebody goes by this member's own ID at another address: its own one of before, or a process with a
+// HandleConflict is that somebody goes by this member's own ID at another address: its own one of before, or a process with a
 // copy of its directory.
-func (t *Table) Clash(addr netip.AddrPort) {
+func (t *Table) HandleConflict(addr netip.AddrPort) {
 	if t.looking || t.doubled || addr == t.cfg.Self.Addr {
 		return
 	}
 	t.looking = true
-	t.act(Action{Do: Look, Addr: addr})
+	t.act(Action{Kind: ProbeDuplicate, Addr: addr})
 }
 
-// Found is whether a process with this member's ID was there. Where it was, this one promises nothing any more for as long as
+// HandleProbeResult is whether a process with this member's ID was there. Where it was, this one promises nothing any more for as long as
 // it runs, and so does that one, which is told the same: neither can know which of them the records belong to.
-func (t *Table) Found(addr netip.AddrPort, there bool) {
+func (t *Table) HandleProbeResult(addr netip.AddrPort, there bool) {
 	t.looking = false
 	if there && !t.doubled {
 		t.doubled = true
-		t.act(Action{Do: Tell, Line: Line{Kind: IsDoubled, Member: Member{ID: t.cfg.Self.ID, Addr: addr}}})
+		t.act(Action{Kind: Report, Event: Event{Kind: DuplicateDetected, Member: Member{ID: t.cfg.Self.ID, Addr: addr}}})
 		t.settle()
 	}
 }
@@ -328,24 +328,24 @@
 func (t *Table) Standing(now time.Duration) Standing {
 	switch {
 	case t.doubled:
-		return Doubled
-	case t.waking || now-t.now > StallFrom:
-		return Waking
+		return Duplicate
+	case t.waking || now-t.now > StallThreshold:
+		return Resuming
 	case !t.met:
 		return Joining
 	case 2*(t.here()+1) <= t.fleet()+1:
-		return Apart
+		return NoQuorum
 	}
-	return Together
+	return Quorum
 }
 
 // here is how many others are; fleet how many others there are in all, those out of reach included.
-func (t *Table) here() int { return t.count(func(k *Known) bool { return k.State == Here }) }
+func (t *Table) here() int { return t.count(func(k *Peer) bool { return k.State == Alive }) }
 func (t *Table) fleet() int {
-	return t.count(func(k *Known) bool { return k.State == Here || k.State == Gone && k.By == "" })
+	return t.count(func(k *Peer) bool { return k.State == Alive || k.State == Failed && k.ReplacedBy == "" })
 }
 
-func (t *Table) count(is func(*Known) bool) (n int) {
+func (t *Table) count(is func(*Peer) bool) (n int) {
 	for _, k := range t.known {
 		if is(k) {
 			n++
@@ -358,16 +358,16 @@
 func (t *Table) settle() {
 	if s := t.Standing(t.now); s != t.was {
 		t.was = s
-		t.act(Action{Do: Tell, Line: Line{Kind: Stands, Standing: s, Here: t.here() + 1, Of: t.fleet() + 1}})
+		t.act(Action{Kind: Report, Event: Event{Kind: StandingChanged, Standing: s, Alive: t.here() + 1, Total: t.fleet() + 1}})
 	}
 	machines := t.machines()
-	if short := t.met && machines < t.cfg.Copies; short != t.short {
+	if short := t.met && machines < t.cfg.Replicas; short != t.short {
 		t.short = short
-		kind := Enough
+		kind := EnoughMachines
 		if short {
-			kind = TooFew
+			kind = TooFewMachines
 		}
-		t.act(Action{Do: Tell, Line: Line{Kind: kind, Here: machines, Of: t.cfg.Copies}})
+		t.act(Action{Kind: Report, Event: Event{Kind: kind, Alive: machines, Total: t.cfg.Replicas}})
 	}
 }
 
@@ -375,7 +375,7 @@
 func (t *Table) machines() int {
 	all := map[string]bool{t.cfg.Self.Machine: true}
 	for _, k := range t.known {
-		if k.State == Here {
+		if k.State == Alive {
 			all[k.Machine] = true
 		}
 	}
@@ -388,7 +388,7 @@
 	clear(t.asked)
 	var ids []string
 	for _, k := range t.sorted() {
-		if k.State == Here {
+		if k.State == Alive {
 			ids = append(ids, k.ID)
 		}
 	}
@@ -399,7 +399,7 @@
 	t.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	for _, id := range ids[:min(len(ids), askMost)] {
 		t.asked[id] = false
-		t.act(Action{Do: Ask, ID: id})
+		t.act(Action{Kind: Ping, ID: id})
 	}
 }
 
@@ -411,7 +411,7 @@
 	}
 	at := map[netip.AddrPort]bool{t.cfg.Self.Addr: true}
 	for _, k := range t.known {
-		if k.State == Here {
+		if k.State == Alive {
 			at[k.Addr] = true
 		}
 	}
@@ -430,7 +430,7 @@
 		}
 	}
 	for _, k := range t.known {
-		if k.State == Gone && k.By == "" {
+		if k.State == Failed && k.ReplacedBy == "" {
 			want(k.Addr)
 		}
 	}
@@ -451,7 +451,7 @@
 		each = callAlone / time.Duration(len(all))
 	}
 	t.callAt = t.now + t.about(each)
-	t.act(Action{Do: Call, Addr: t.calling})
+	t.act(Action{Kind: Join, Addr: t.calling})
 }
 
 // about draws a time near one, so that members that began together do not call together.
@@ -462,16 +462,16 @@
 // forget drops members that were gone or have left for long, and addresses that nobody is looked for at any more.
 func (t *Table) forget() {
 	for _, k := range t.sorted() {
-		if old := t.now - k.Since; k.State == Left && old > keepLeft || k.State == Gone && old > t.cfg.Forget {
-			if k.State == Gone {
-				t.tell(Forgotten, k)
+		if old := t.now - k.Since; k.State == Left && old > keepLeft || k.State == Failed && old > t.cfg.ForgetAfter {
+			if k.State == Failed {
+				t.tell(MemberForgotten, k)
 			}
 			t.drop(k)
 		}
 	}
 }
 
-func (t *Table) drop(k *Known) {
+func (t *Table) drop(k *Peer) {
 	delete(t.known, k.ID)
 	if !slices.Contains(t.cfg.Seeds, k.Addr) {
 		delete(t.calls, k.Addr)
@@ -480,9 +480,9 @@
 
 // makeRoom drops the member that was away for the longest, one that left before one that is gone; false where all are here.
 func (t *Table) makeRoom() bool {
-	var worst *Known
+	var worst *Peer
 	for _, k := range t.sorted() {
-		if k.State != Here && (worst == nil || cmp.Or(-cmp.Compare(k.State, worst.State), cmp.Compare(k.Since, worst.Since)) < 0) {
+		if k.State != Alive && (worst == nil || cmp.Or(-cmp.Compare(k.State, worst.State), cmp.Compare(k.Since, worst.Since)) < 0) {
 			worst = k
 		}
 	}
@@ -494,21 +494,21 @@
 }
 
 // sorted are all others by ID, so that no order of a map decides.
-func (t *Table) sorted() []*Known {
-	all := make([]*Known, 0, len(t.known))
+func (t *Table) sorted() []*Peer {
+	all := make([]*Peer, 0, len(t.known))
 	for _, k := range t.known {
 		all = append(all, k)
 	}
-	slices.SortFunc(all, func(a, b *Known) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b *Peer) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// All are all others by name.
-func (t *Table) All() []Known {
-	var all []Known
+// Peers are all others by name.
+func (t *Table) Peers() []Peer {
+	var all []Peer
 	for _, k := range t.sorted() {
 		all = append(all, *k)
 	}
-	slices.SortStableFunc(all, func(a, b Known) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortStableFunc(all, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -13,7 +13,7 @@
 const s = time.Second
 
 func member(i int) Member {
-	return Member{ID: fmt.Sprintf("%032d", i), Name: fmt.Sprintf("n%d", i), Addr: at(i), Machine: fmt.Sprintf("m%d", i), Life: 1}
+	return Member{ID: fmt.Sprintf("%032d", i), Name: fmt.Sprintf("n%d", i), Addr: at(i), Machine: fmt.Sprintf("m%d", i), Incarnation: 1}
 }
 
 func at(i int) netip.AddrPort {
@@ -22,29 +22,29 @@
 
 // table is member 0's, with seeds 0 to 2.
 func table(most int) *Table {
-	return New(Config{Self: member(0), Seeds: []netip.AddrPort{at(0), at(1), at(2)}, Copies: 3, Forget: time.Hour, Most: most, Seed: 5}, 0)
+	return New(Config{Self: member(0), Seeds: []netip.AddrPort{at(0), at(1), at(2)}, Replicas: 3, ForgetAfter: time.Hour, MaxMembers: most, Seed: 5}, 0)
 }
 
 // run beats until a time and answers what was to be done, every 100 ms.
 func (t *Table) run(until time.Duration) (all []Action) {
 	for t.now < until {
-		t.Clock(t.now + Beat)
+		t.Tick(t.now + HeartbeatInterval)
 		all = append(all, t.drain()...)
 	}
 	return all
 }
 
 func (t *Table) drain() (all []Action) {
-	for a, more := t.Next(); more; a, more = t.Next() {
+	for a, more := t.NextAction(); more; a, more = t.NextAction() {
 		all = append(all, a)
 	}
 	return all
 }
 
-func lines(all []Action) (kinds []Kind) {
+func lines(all []Action) (kinds []EventKind) {
 	for _, a := range all {
-		if a.Do == Tell {
-			kinds = append(kinds, a.Line.Kind)
+		if a.Kind == Report {
+			kinds = append(kinds, a.Event.Kind)
 		}
 	}
 	return kinds
@@ -55,63 +55,63 @@
 func TestAStalledProcessTakesNothingForGranted(t *testing.T) {
 	l := table(100)
 	for i := 1; i < 5; i++ {
-		l.Seen(member(i))
+		l.HandleAlive(member(i))
 	}
 	l.run(2 * s)
-	if got := l.Standing(2 * s); got != Together {
+	if got := l.Standing(2 * s); got != Quorum {
 		t.Fatal(got)
 	}
-	if got := l.Standing(2*s + StallFrom + 1); got != Waking { // no beat has come yet: whoever uses it first has to know
+	if got := l.Standing(2*s + StallThreshold + 1); got != Resuming { // no beat has come yet: whoever uses it first has to know
 		t.Fatal(got)
 	}
-	l.Clock(7 * s)
+	l.Tick(7 * s)
 	asked := map[string]bool{}
 	for _, a := range l.drain() {
-		if a.Do == Ask {
+		if a.Kind == Ping {
 			asked[a.ID] = true
 		}
 	}
-	if len(asked) != 4 || l.Standing(7*s) != Waking {
+	if len(asked) != 4 || l.Standing(7*s) != Resuming {
 		t.Fatal(asked, l.Standing(7*s))
 	}
-	l.Answered(member(1).ID, true)
-	l.Answered(member(1).ID, true) // the same one twice is one
-	l.Answered(member(2).ID, false)
-	if got := l.Standing(7 * s); got != Waking {
+	l.HandlePingResult(member(1).ID, true)
+	l.HandlePingResult(member(1).ID, true) // the same one twice is one
+	l.HandlePingResult(member(2).ID, false)
+	if got := l.Standing(7 * s); got != Resuming {
 		t.Fatal(got)
 	}
-	l.Answered(member(3).ID, true)
-	if got := l.Standing(7 * s); got != Together {
+	l.HandlePingResult(member(3).ID, true)
+	if got := l.Standing(7 * s); got != Quorum {
 		t.Fatal(got)
 	}
-	l.Clock(20 * s)
+	l.Tick(20 * s)
 	l.drain()
 	again := 0
 	for _, a := range l.run(23 * s) { // nobody answers: it asks again, and stays as it is
-		if a.Do == Ask {
+		if a.Kind == Ping {
 			again++
 		}
 	}
-	if again != 4*3 || l.Standing(l.now) != Waking || l.Stalls != 2 {
+	if again != 4*3 || l.Standing(l.now) != Resuming || l.Stalls != 2 {
 		t.Fatal(again, l.Standing(l.now), l.Stalls)
 	}
 	for i := 1; i < 5; i++ {
-		l.Lost(member(i).ID)
+		l.HandleFailure(member(i).ID)
 	}
-	if l.run(25 * s); l.Standing(l.now) != Apart {
+	if l.run(25 * s); l.Standing(l.now) != NoQuorum {
 		t.Fatal(l.Standing(l.now))
 	}
 }
 
 // TestMostHaveToBeHere loses members one by one of five; one that left as planned counts no more.
 func TestMostHaveToBeHere(t *testing.T) {
-	for left, want := range map[bool][]Standing{false: {Together, Together, Apart, Apart}, true: {Together, Together, Together, Together}} {
+	for left, want := range map[bool][]Standing{false: {Quorum, Quorum, NoQuorum, NoQuorum}, true: {Quorum, Quorum, Quorum, Quorum}} {
 		l := table(100)
 		for i := 1; i < 5; i++ {
-			l.Seen(member(i))
+			l.HandleAlive(member(i))
 		}
 		for i := 1; i < 5; i++ {
-			if l.Lost(member(i).ID); left && !l.Left(member(i).ID, 1) {
+			if l.HandleFailure(member(i).ID); left && !l.HandleLeave(member(i).ID, 1) {
 				t.Error("that a member has left is no news")
 			}
 			if got := l.Standing(0); got != want[i-1] {
@@ -120,12 +120,12 @@
 		}
 	}
 	l := table(100)
-	l.Seen(member(1))
-	l.Lost(member(1).ID)
+	l.HandleAlive(member(1))
+	l.HandleFailure(member(1).ID)
 	again := member(1)
-	again.Life = 2
-	l.Seen(again)
-	if l.Left(member(1).ID, 1) || l.All()[0].State != Here {
+	again.Incarnation = 2
+	l.HandleAlive(again)
+	if l.HandleLeave(member(1).ID, 1) || l.Peers()[0].State != Alive {
 		t.Error("an old goodbye ended a new life")
 	}
 }
@@ -137,7 +137,7 @@
 	calls := func(all []Action) map[netip.AddrPort]int {
 		n := map[netip.AddrPort]int{}
 		for _, a := range all {
-			if a.Do == Call {
+			if a.Kind == Join {
 				n[a.Addr]++
 			}
 		}
@@ -146,9 +146,9 @@
 	play := func(until time.Duration) map[netip.AddrPort]int {
 		n := map[netip.AddrPort]int{}
 		for l.now < until {
-			for a, k := range calls(l.run(l.now + Beat)) {
+			for a, k := range calls(l.run(l.now + HeartbeatInterval)) {
 				n[a] += k
-				l.Called(a, false)
+				l.HandleJoinResult(a, false)
 			}
 		}
 		return n
@@ -156,13 +156,13 @@
 	if n := play(10 * s); n[at(0)] != 0 || n[at(1)] < 2 || n[at(2)] < 2 {
 		t.Errorf("alone: %v", n)
 	}
-	l.Seen(member(1))
-	l.Seen(member(2))
-	l.Seen(member(7))
+	l.HandleAlive(member(1))
+	l.HandleAlive(member(2))
+	l.HandleAlive(member(7))
 	if n := play(60 * s); len(n) != 0 {
 		t.Errorf("all are here: %v", n)
 	}
-	l.Lost(member(7).ID)
+	l.HandleFailure(member(7).ID)
 	first, late := play(120*s), play(30*time.Minute)
 	if first[at(7)] < 4 || first[at(7)] > 12 || late[at(7)] < 20 || late[at(7)] > 60 {
 		t.Errorf("%v, then %v", first, late)
@@ -176,36 +176,36 @@
 func TestWhoIsTold(t *testing.T) {
 	l := table(100)
 	a, b := member(1), member(2)
-	l.Seen(a)
-	l.Seen(b)
+	l.HandleAlive(a)
+	l.HandleAlive(b)
 	l.drain()
-	a.Life = 2
-	l.Seen(a)
-	if got := lines(l.drain()); !slices.Equal(got, []Kind{Restarted}) {
+	a.Incarnation = 2
+	l.HandleAlive(a)
+	if got := lines(l.drain()); !slices.Equal(got, []EventKind{MemberRestarted}) {
 		t.Error(got)
 	}
 	for range flapsMany + 1 {
-		l.Lost(a.ID)
-		l.Seen(a)
+		l.HandleFailure(a.ID)
+		l.HandleAlive(a)
 	}
-	if got := lines(l.drain()); got[len(got)-2] != Flaps || slices.Index(got, Flaps) != len(got)-2 {
+	if got := lines(l.drain()); got[len(got)-2] != MemberFlapping || slices.Index(got, MemberFlapping) != len(got)-2 {
 		t.Error(got)
 	}
 	b2 := member(9)
 	b2.Addr, b2.Machine = b.Addr, b.Machine
-	l.Seen(b2)
-	if got := lines(l.drain()); !slices.Equal(got, []Kind{Came}) { // not yet known which of the two is there
+	l.HandleAlive(b2)
+	if got := lines(l.drain()); !slices.Equal(got, []EventKind{MemberJoined}) { // not yet known which of the two is there
 		t.Error(got)
 	}
-	l.Lost(b.ID)
-	if got := lines(l.drain()); !slices.Equal(got, []Kind{Died, Replaced}) {
+	l.HandleFailure(b.ID)
+	if got := lines(l.drain()); !slices.Equal(got, []EventKind{MemberFailed, MemberReplaced}) {
 		t.Error(got)
 	}
-	l.Lost(b2.ID)
-	if got := l.Standing(0); got != Together { // two of three: the replaced one is none of them
+	l.HandleFailure(b2.ID)
+	if got := l.Standing(0); got != Quorum { // two of three: the replaced one is none of them
 		t.Error(got)
 	}
-	if got := lines(l.drain()); !slices.Contains(got, TooFew) {
+	if got := lines(l.drain()); !slices.Contains(got, TooFewMachines) {
 		t.Error(got)
 	}
 }
@@ -221,7 +221,7 @@
 			i := rapid.IntRange(0, 9).Draw(t, "member")
 			well := rapid.Bool().Draw(t, "well")
 			kind := rapid.IntRange(0, 7).Draw(t, "kind")
-			gap := time.Duration(rapid.IntRange(1, 40).Draw(t, "gap")) * Beat
+			gap := time.Duration(rapid.IntRange(1, 40).Draw(t, "gap")) * HeartbeatInterval
 			for _, l := range []*Table{one, two} {
 				switch kind {
 				case 0, 1:
@@ -229,17 +229,17 @@
 					if well {
 						m.Addr = at(i % 3)
 					}
-					l.Seen(m)
+					l.HandleAlive(m)
 				case 2:
-					l.Lost(member(i).ID)
+					l.HandleFailure(member(i).ID)
 				case 3:
-					l.Left(member(i).ID, 1)
+					l.HandleLeave(member(i).ID, 1)
 				case 4:
-					l.Answered(member(i).ID, well)
+					l.HandlePingResult(member(i).ID, well)
 				case 5:
-					l.Called(at(i), well)
+					l.HandleJoinResult(at(i), well)
 				default:
-					l.Clock(l.now + gap)
+					l.Tick(l.now + gap)
 				}
 			}
 			if kind == 5 {
@@ -250,7 +250,7 @@
 				t.Fatalf("event %d: %v and %v", n, did, got)
 			}
 			for _, a := range did {
-				if a.Do == Call {
+				if a.Kind == Join {
 					if calling[a.Addr] || a.Addr == at(0) {
 						t.Fatalf("event %d: a second call to %v", n, a.Addr)
 					}
@@ -258,15 +258,15 @@
 				}
 			}
 			here, gone := 0, 0
-			for _, k := range one.All() {
+			for _, k := range one.Peers() {
 				switch {
-				case k.State == Here:
+				case k.State == Alive:
 					here++
-				case k.State == Gone && k.By == "":
+				case k.State == Failed && k.ReplacedBy == "":
 					gone++
 				}
 			}
-			if len(one.known) > most || one.Standing(one.now) == Together && here+1 <= gone {
+			if len(one.known) > most || one.Standing(one.now) == Quorum && here+1 <= gone {
 				t.Fatalf("event %d: %d known, %d here, %d gone, %v", n, len(one.known), here, gone, one.Standing(one.now))
 			}
 		}
--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -45,17 +45,17 @@
 }
 
 // follower is a member that has been told of a fleet of n, with a view of each slot; it neither votes nor holds anything.
-func follower(b *testing.B, n int) (*Core, []placement.Seen) {
+func follower(b *testing.B, n int) (*Node, []placement.Seen) {
 	all := listed(n)
-	c, err := New(Config{Self: all[0], Life: 1, Voters: 5, Copies: 3, Evict: 10 * time.Second, Repair: 4, Seed: 7, Keys: 1000, Bytes: 1 << 20, Ops: 100}, Saved{}, 0)
+	c, err := New(Config{Self: all[0], Incarnation: 1, VoterCount: 5, Replicas: 3, EvictAfter: 10 * time.Second, MaxRepairs: 4, Seed: 7, MaxKeys: 1000, MaxBytes: 1 << 20, MaxOperations: 100}, PersistentState{}, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
-	told := Told{Fleet: "f", Version: 2, Epoch: 1, Members: all, Slots: map[int]shardmap.View{}, Leader: all[1].ID, Addr: all[1].Addr}
+	told := PollResponse{FleetID: "f", Version: 2, Epoch: 1, Members: all, Shards: map[int]shardmap.View{}, LeaderID: all[1].ID, Addr: all[1].Addr}
 	for num := range shardmap.Slots {
-		told.Slots[num] = shardmap.View{Num: 1, Full: shardmap.Pick(num, all[1:], 3)}
+		told.Shards[num] = shardmap.View{Num: 1, Full: shardmap.Pick(num, all[1:], 3)}
 	}
-	if err := c.Step(Packet{From: all[1].ID, To: all[0].ID, Fleet: "f", Told: &told}); err != nil {
+	if err := c.Step(Packet{From: all[1].ID, To: all[0].ID, FleetID: "f", PollResponse: &told}); err != nil {
 		b.Fatal(err)
 	}
 	if len(c.State().Members) != n {
@@ -90,7 +90,7 @@
 				size := 0
 				done := metered(b)
 				for range b.N {
-					_ = c.Step(Packet{From: from, To: c.cfg.Self.ID, Fleet: "f", Poll: &Poll{Version: since}})
+					_ = c.Step(Packet{From: from, To: c.cfg.Self.ID, FleetID: "f", PollRequest: &PollRequest{Version: since}})
 					text, err := cbor.Marshal(c.out.Packets[0])
 					if err != nil {
 						b.Fatal(err)
@@ -119,7 +119,7 @@
 			done := metered(b)
 			for range b.N {
 				now += 50 * time.Millisecond
-				c.Clock(now, seen)
+				c.Tick(now, seen)
 				r, err := c.Ready()
 				if err != nil {
 					b.Fatal(err)
--- a/internal/fleet/node/changes.go
+++ b/internal/fleet/node/changes.go
@@ -41,17 +41,17 @@
 	return number
 }
 
-// Feed is the newest that is agreed, as far as is known here, as a map. It is not to be changed.
-func (c *Core) Feed() *changefeed.State { return c.feed.State() }
+// FeedState is the newest that is agreed, as far as is known here, as a map. It is not to be changed.
+func (c *Node) FeedState() *changefeed.State { return c.feed.State() }
 
-// Snapshot is the same as one message.
-func (c *Core) Snapshot() *changefeed.Snapshot { return c.feed.Snapshot() }
+// FeedSnapshot is the same as one message.
+func (c *Node) FeedSnapshot() *changefeed.Snapshot { return c.feed.Snapshot() }
 
-// Changes is how many of the newest changes are kept here.
-func (c *Core) Changes() int { return c.feed.Changes() }
+// ChangeCount is how many of the newest changes are kept here.
+func (c *Node) ChangeCount() int { return c.feed.Changes() }
 
 // AsOf is the time up to which this member knows that nothing was agreed but what it knows; false where it has not heard yet.
-func (c *Core) AsOf() (time.Duration, bool) {
+func (c *Node) AsOf() (time.Duration, bool) {
 	at, known := c.log.AsOf()
 	if c.asKnow {
 		at, known = max(at, c.asOf), true
@@ -60,7 +60,7 @@
 }
 
 // since answers a poll of the newer form.
-func (c *Core) since(p *Poll, t *Told) {
+func (c *Node) since(p *PollRequest, t *PollResponse) {
 	if p.Version == c.feed.Version() && p.Digest == c.feed.Digest() || c.feed.Version() == 0 || p.Version > c.feed.Version() {
 		return
 	}
@@ -82,9 +82,9 @@
 }
 
 // toldChanges takes an answer of the newer form.
-func (c *Core) toldChanges(t *Told) {
-	at, asked := c.polls[t.Number]
-	delete(c.polls, t.Number)
+func (c *Node) toldChanges(t *PollResponse) {
+	at, asked := c.polls[t.RequestNumber]
+	delete(c.polls, t.RequestNumber)
 	if t.Snapshot != nil {
 		c.replace(t.Snapshot)
 	}
@@ -105,22 +105,22 @@
 		c.conflict(t.Version)
 		return
 	}
-	if asked && t.Known && t.Version <= c.feed.Version() && (!c.asKnow || at-t.Age > c.asOf) {
+	if asked && t.HasAge && t.Version <= c.feed.Version() && (!c.asKnow || at-t.Age > c.asOf) {
 		c.asOf, c.asKnow = at-t.Age, true
 	}
 }
 
 // heard takes over what the log has come to.
-func (c *Core) heard(r consensus.Ready) {
-	if r.Whole != nil {
-		c.replace(r.Whole)
+func (c *Node) heard(r consensus.Ready) {
+	if r.Snapshot != nil {
+		c.replace(r.Snapshot)
 	}
 	for _, one := range r.Changes {
 		if one.Version <= c.feed.Version() {
 			continue // it was told of before
 		}
 		if one.Version != c.feed.Version()+1 {
-			c.replace(consensus.Whole(c.log.State()))
+			c.replace(consensus.SnapshotOf(c.log.State()))
 			break
 		}
 		change, err := c.feed.Next(one.Items)
@@ -131,13 +131,13 @@
 		c.out.Changes = append(c.out.Changes, &change)
 		c.take(one.Items, one.Version)
 	}
-	for _, d := range r.Puts {
+	for _, d := range r.PutResults {
 		c.ended(d)
 	}
 }
 
 // replace takes a whole state, if it is newer.
-func (c *Core) replace(s *changefeed.Snapshot) {
+func (c *Node) replace(s *changefeed.Snapshot) {
 	if s.Version < max(1, c.feed.Version()) || s.Version == c.feed.Version() && s.Digest == c.feed.Digest() {
 		return
 	}
@@ -153,7 +153,7 @@
 }
 
 // take has what is known be what items say. Views are never taken back to an older one.
-func (c *Core) take(items []changefeed.Item, version uint64) {
+func (c *Node) take(items []changefeed.Item, version uint64) {
 	epoch, fleet, members := c.known.Epoch, c.known.Fleet, c.known.Members
 	next := *c.known
 	next.Views = slices.Clone(c.known.Views)
@@ -186,21 +186,21 @@
 }
 
 // conflict tells once that there are two histories: of one version, with other contents.
-func (c *Core) conflict(version uint64) {
+func (c *Node) conflict(version uint64) {
 	if !c.split {
 		c.split = true
-		c.out.Lines = append(c.out.Lines, Line{What: "two histories: one version of the agreed state with other contents", Bad: true, Version: version})
+		c.out.Events = append(c.out.Events, Event{Message: "two histories: one version of the agreed state with other contents", IsAlert: true, Version: version})
 	}
 }
 
 // odd tells once of a kind of fault.
-func (c *Core) odd(what string, version uint64, err error) {
+func (c *Node) odd(what string, version uint64, err error) {
 	if c.oddly == nil {
 		c.oddly = map[string]bool{}
 	}
 	if !c.oddly[what] {
 		c.oddly[what] = true
-		c.out.Lines = append(c.out.Lines, Line{What: what, Bad: true, Version: version, Text: err.Error()})
+		c.out.Events = append(c.out.Events, Event{Message: what, IsAlert: true, Version: version, Detail: err.Error()})
 	}
 }
 
@@ -228,13 +228,13 @@
 
 // Put has an operators' item changed within a span; how it ended comes with a Ready, under its operation. Asked for again with the
 // same operation meanwhile it is the same one.
-func (c *Core) Put(p shardmap.Put, within time.Duration) {
+func (c *Node) Put(p shardmap.Put, within time.Duration) {
 	if why := p.Wrong(); why != "" {
-		c.out.Puts = append(c.out.Puts, shardmap.Done{Op: p.Op, Refused: why})
+		c.out.PutResults = append(c.out.PutResults, shardmap.Done{Op: p.Op, Refused: why})
 		return
 	}
 	if len(c.puts) >= putsMost {
-		c.out.Puts = append(c.out.Puts, shardmap.Done{Op: p.Op, Refused: "busy: too many changes wait"})
+		c.out.PutResults = append(c.out.PutResults, shardmap.Done{Op: p.Op, Refused: "busy: too many changes wait"})
 		return
 	}
 	c.puts[p.Op] = &put{put: p, until: c.now + within, next: c.now}
@@ -242,7 +242,7 @@
 }
 
 // push asks the leader for what was asked for here, again and again.
-func (c *Core) push() {
+func (c *Node) push() {
 	for _, op := range slices.Sorted(maps.Keys(c.puts)) {
 		p := c.puts[op]
 		if c.now >= p.until {
@@ -254,17 +254,17 @@
 		}
 		p.next = c.now + pushEach
 		switch {
-		case c.log.Leads():
+		case c.log.IsLeader():
 			c.asked(c.cfg.Self.ID, p.put)
 		case c.leader != "" && c.leader != c.cfg.Self.ID:
-			c.send(Packet{To: c.leader, Put: &p.put})
+			c.send(Packet{To: c.leader, PutRequest: &p.put})
 		}
 	}
 }
 
 // asked takes a put at the leader.
-func (c *Core) asked(from string, p shardmap.Put) {
-	if !c.log.Leads() {
+func (c *Node) asked(from string, p shardmap.Put) {
+	if !c.log.IsLeader() {
 		return // whoever asks hears soon who does
 	}
 	refuse := func(why string) { c.answer(from, shardmap.Done{Op: p.Op, Refused: why}) }
@@ -297,18 +297,18 @@
 }
 
 // older says which member of the epoch does not speak of operators' items yet; empty where all do.
-func (c *Core) older() string {
+func (c *Node) older() string {
 	st := c.log.State()
 	if st.Epoch == 0 {
 		return "the fleet has no members yet"
 	}
-	speaks := map[string]int{c.cfg.Self.ID: Form}
+	speaks := map[string]int{c.cfg.Self.ID: ProtocolVersion}
 	for _, m := range c.seen {
 		speaks[m.ID] = m.Speaks
 	}
 	used := len(st.Ops) > 0 // all did once: one that is not seen any more is away
 	for _, m := range st.Members {
-		if form, seen := speaks[m.ID]; form < Form && (seen || !used) {
+		if form, seen := speaks[m.ID]; form < ProtocolVersion && (seen || !used) {
 			return fmt.Sprintf("member %s at %s is of an older program, or was not heard: replace it first", m.ID, m.Addr)
 		}
 	}
@@ -316,7 +316,7 @@
 }
 
 // ended takes what the log says of a put.
-func (c *Core) ended(d shardmap.Done) {
+func (c *Node) ended(d shardmap.Done) {
 	one := c.propose[d.Op]
 	if one == nil {
 		return
@@ -327,18 +327,18 @@
 	}
 }
 
-func (c *Core) answer(to string, d shardmap.Done) {
+func (c *Node) answer(to string, d shardmap.Done) {
 	if to == c.cfg.Self.ID {
 		c.done(d)
 	} else {
-		c.send(Packet{To: to, Done: &d})
+		c.send(Packet{To: to, PutResult: &d})
 	}
 }
 
 // done ends a put that was asked for here.
-func (c *Core) done(d shardmap.Done) {
+func (c *Node) done(d shardmap.Done) {
 	if c.puts[d.Op] != nil {
 		delete(c.puts, d.Op)
-		c.out.Puts = append(c.out.Puts, d)
+		c.out.PutResults = append(c.out.PutResults, d)
 	}
 }
--- a/internal/fleet/node/golden_test.go
+++ b/internal/fleet/node/golden_test.go
@@ -47,7 +47,7 @@
 	w.run(5 * time.Second)
 	w.turn(slices.Max(w.voters()), true)
 	w.run(2 * evict)
-	got := fmt.Sprintf("%016x, %d packets, version %d\n", sum.Sum64(), packets, w.cores[0].Feed().Version())
+	got := fmt.Sprintf("%016x, %d packets, version %d\n", sum.Sum64(), packets, w.cores[0].FeedState().Version())
 	golden, err := os.ReadFile("testdata/digest.golden")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -29,107 +29,110 @@
 
 // Config is what a member begins with.
 type Config struct {
-	Self   shardmap.Member
-	Life   uint64
-	Found  string   // the ID of a fleet that this member may found, drawn for it
-	First  bool     // this member is at the first of the seeds' addresses: it is who founds a fleet
-	Seeds  []string // addresses
-	Voters int      // that the log has, once there are so many machines
-	Copies int
-	Evict  time.Duration // a member that is gone for so long is none of the next epoch
-	Repair int           // slots that may be copied to somebody at once
-	Seed   uint64
-	Keys   int // records that are held here at most,
-	Bytes  int // and their bytes
-	Ops    int // operations that wait
-	Keeps  []replication.Keep
+	Self          shardmap.Member
+	Incarnation   uint64
+	BootstrapID   string   // the ID of a fleet that this member may found, drawn for it
+	CanBootstrap  bool     // this member is at the first of the seeds' addresses: it is who founds a fleet
+	Seeds         []string // addresses
+	VoterCount    int      // that the log has, once there are so many machines
+	Replicas      int
+	EvictAfter    time.Duration // a member that is gone for so long is none of the next epoch
+	MaxRepairs    int           // slots that may be copied to somebody at once
+	Seed          uint64
+	MaxKeys       int // records that are held here at most,
+	MaxBytes      int // and their bytes
+	MaxOperations int // operations that wait
+	Retention     []replication.Keep
 }
 
-// Saved is what is on disk.
-type Saved struct {
-	Fleet string
-	Agree consensus.Saved
-	Slots map[int]Slot
+// PersistentState is what is on disk.
+type PersistentState struct {
+	FleetID string
+	Log     consensus.PersistentState
+	Shards  map[int]ShardState
 }
 
-// Slot is a slot's part of it.
-type Slot struct {
+// ShardState is a slot's part of it.
+type ShardState struct {
 	Ballot  replication.Ballot
 	Records []replication.Record
 }
 
-// Packet is what goes from one member to another.
+// Packet is a message from one member to another. At most one of Raft, Copies, Complaint, Poll, Told, Put and Done is set. The CBOR names
+// are the wire form.
 type Packet struct {
-	From, To  string // IDs; To may be empty where only an address is known
-	Addr      string
-	Fleet     string
-	Raft      []byte
-	Copies    []replication.Msg
-	Complaint *replication.Complaint
-	Poll      *Poll
-	Told      *Told
-	Put       *shardmap.Put  // to the log's leader
-	Done      *shardmap.Done // back
+	From string `cbor:"From"` // member ID
+	To   string `cbor:"To"`   // member ID
+	Addr string `cbor:"Addr"` // unused; part of the wire form
+
+	FleetID      string                 `cbor:"Fleet"` // empty while the sender knows of no fleet
+	Raft         []byte                 `cbor:"Raft"`
+	Replication  []replication.Msg      `cbor:"Copies"`
+	Complaint    *replication.Complaint `cbor:"Complaint"`
+	PollRequest  *PollRequest           `cbor:"Poll"`
+	PollResponse *PollResponse          `cbor:"Told"`
+	PutRequest   *shardmap.Put          `cbor:"Put"`  // request to the log's leader
+	PutResult    *shardmap.Done         `cbor:"Done"` // response to Put
 }
 
-// Form is the form of words from which on members tell each other changes of the agreed state, and may agree on operators' items. An
-// older one would count versions otherwise.
-const Form = 2
+// ProtocolVersion is the version of the protocol between members from which on they exchange the agreed state as changes and agree on operators'
+// items. An older program would count versions differently.
+const ProtocolVersion = 2
 
-// Poll asks what is agreed since a version.
-type Poll struct {
-	Version uint64
-	Digest  uint64
-	Form    int    // 0: of a member that knows only the older form
-	Number  uint64 // comes back with the answer
+// PollRequest asks for what was agreed after a version.
+type PollRequest struct {
+	Version         uint64 `cbor:"Version"`
+	Digest          uint64 `cbor:"Digest"`
+	ProtocolVersion int    `cbor:"Form"`   // 0 from a program of the first protocol version
+	RequestNumber   uint64 `cbor:"Number"` // returned in the response
 }
 
-// Told answers a poll: all that has changed since. One of the newer form is answered with Changes or, where those can't be had,
-// with Snapshot; an older one with Epoch, Members and Slots.
-type Told struct {
-	Fleet   string
-	Since   uint64 // the version that was asked from; what changed before it is not told
-	Version uint64
-	Epoch   uint64
-	Members []shardmap.Member // nothing where they have not changed
-	Slots   map[int]shardmap.View
-	Leader  string // who leads the log, as far as is known
-	Addr    string // of who answers
-
-	Form     int
-	Number   uint64
-	Digest   uint64
-	Known    bool          // Age is known
-	Age      time.Duration // so long ago nothing newer than Version was agreed, at the moment of the answer
-	Changes  []*changefeed.Change
-	Snapshot *changefeed.Snapshot
+// PollResponse answers a Poll with all that was agreed since. A requester of the present protocol version gets Changes or, where these are no
+// longer kept, Snapshot; an older one gets Epoch, Members and Slots.
+type PollResponse struct {
+	FleetID  string                `cbor:"Fleet"`
+	Since    uint64                `cbor:"Since"` // the requester's version
+	Version  uint64                `cbor:"Version"`
+	Epoch    uint64                `cbor:"Epoch"`
+	Members  []shardmap.Member     `cbor:"Members"` // empty where they have not changed
+	Shards   map[int]shardmap.View `cbor:"Slots"`
+	LeaderID string                `cbor:"Leader"` // ID of the log's leader, as far as is known
+	Addr     string                `cbor:"Addr"`   // of the responder
+
+	ProtocolVersion int                  `cbor:"Form"`
+	RequestNumber   uint64               `cbor:"Number"`
+	Digest          uint64               `cbor:"Digest"`
+	HasAge          bool                 `cbor:"Known"` // Age is valid
+	Age             time.Duration        `cbor:"Age"`   // time since nothing newer than Version was agreed, when the response was made
+	Changes         []*changefeed.Change `cbor:"Changes"`
+	Snapshot        *changefeed.Snapshot `cbor:"Snapshot"`
 }
 
 // Ready is what is to be done: Fleet, Agree and Slots are to be on disk before the packets go out and the results are told.
 type Ready struct {
-	Fleet   string // to be written once it is known
-	Agree   consensus.Write
-	Slots   []replication.Write
-	Packets []Packet
-	Results []replication.Result
-	Puts    []shardmap.Done // how puts ended that were asked for here
-	Lines   []Line
+	FleetID     string // to be written once it is known
+	Log         consensus.Write
+	ShardWrites []replication.Write
+	Packets     []Packet
+	Results     []replication.Result
+	PutResults  []shardmap.Done // how puts ended that were asked for here
+	Events      []Event
 
 	Installed *changefeed.Snapshot // the agreed state was replaced by this; before Changes
 	Changes   []*changefeed.Change
 }
 
-// Line is one thing for operators.
-type Line struct {
-	What    string
+// Event is one thing for operators.
+type Event struct {
+	Message string
 	Epoch   uint64
 	Version uint64
-	Text    string
-	Bad     bool // it is for the pager
+	Detail  string
+	IsAlert bool // it is for the pager
 }
 
-// Core is one member's. It is one goroutine's.
-type Core struct {
+// Node is one member's. It is one goroutine's.
+type Node struct {
 	cfg   Config
 	now   time.Duration
 	rng   *rand.Rand
@@ -168,24 +171,24 @@
 }
 
 // New makes a member of what is on disk.
-func New(cfg Config, saved Saved, now time.Duration) (*Core, error) {
-	log, err := consensus.New(cfg.Self.ID, saved.Agree, cfg.Seed, now)
+func New(cfg Config, saved PersistentState, now time.Duration) (*Node, error) {
+	log, err := consensus.New(cfg.Self.ID, saved.Log, cfg.Seed, now)
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0xc02e)), log: log, known: shardmap.New(), changed: make([]uint64, shardmap.Slots),
-		fresh: map[string]time.Duration{}, poll: now, found: now, vote: now, said: saved.Fleet, feed: changefeed.NewLog(changefeed.LogConfig{Most: changesMost, Bytes: changesBytes}),
+	c := &Node{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0xc02e)), log: log, known: shardmap.New(), changed: make([]uint64, shardmap.Slots),
+		fresh: map[string]time.Duration{}, poll: now, found: now, vote: now, said: saved.FleetID, feed: changefeed.NewLog(changefeed.LogConfig{Most: changesMost, Bytes: changesBytes}),
 		polls: polls{}, puts: map[string]*put{}, propose: map[string]*propose{}}
-	c.known.Fleet = saved.Fleet
-	c.held = replication.New(replication.Config{ID: cfg.Self.ID, Life: cfg.Life, Least: min(2, cfg.Copies), MostKeys: cfg.Keys, MostBytes: cfg.Bytes,
-		MostOps: cfg.Ops, Keeps: cfg.Keeps}, now)
-	for _, num := range sortedSlots(saved.Slots) {
-		c.held.Load(num, saved.Slots[num].Ballot, saved.Slots[num].Records)
+	c.known.Fleet = saved.FleetID
+	c.held = replication.New(replication.Config{ID: cfg.Self.ID, Life: cfg.Incarnation, Least: min(2, cfg.Replicas), MostKeys: cfg.MaxKeys, MostBytes: cfg.MaxBytes,
+		MostOps: cfg.MaxOperations, Keeps: cfg.Retention}, now)
+	for _, num := range sortedSlots(saved.Shards) {
+		c.held.Load(num, saved.Shards[num].Ballot, saved.Shards[num].Records)
 	}
 	return c, nil
 }
 
-func sortedSlots(m map[int]Slot) []int {
+func sortedSlots(m map[int]ShardState) []int {
 	all := make([]int, 0, len(m))
 	for n := range m {
 		all = append(all, n)
@@ -195,26 +198,26 @@
 }
 
 // State is the newest that is agreed, as far as is known here. It is not to be changed.
-func (c *Core) State() *shardmap.State { return c.known }
+func (c *Node) State() *shardmap.State { return c.known }
 
-// Held are the copies that lie here.
-func (c *Core) Held() *replication.Node { return c.held }
+// Replicas are the copies that lie here.
+func (c *Node) Replicas() *replication.Node { return c.held }
 
-// Leads tells whether this member leads the log; Voters are the numbers of those that vote.
-func (c *Core) Leads() bool      { return c.log.Leads() }
-func (c *Core) Voters() []uint64 { return c.log.Voters() }
+// IsLeader tells whether this member leads the log; Voters are the numbers of those that vote.
+func (c *Node) IsLeader() bool   { return c.log.IsLeader() }
+func (c *Node) Voters() []uint64 { return c.log.Voters() }
 
 // ---- What comes in.
 
-// Clock tells of the time, and how the other members are seen now.
-func (c *Core) Clock(now time.Duration, seen []placement.Seen) {
+// Tick tells of the time, and how the other members are seen now.
+func (c *Node) Tick(now time.Duration, seen []placement.Seen) {
 	c.now, c.seen = now, seen
-	c.log.Clock(now)
+	c.log.Tick(now)
 	c.held.Clock(now)
 	c.begin()
 	c.lead()
 	c.push()
-	if n := c.log.Leader(); n != 0 && slices.Contains(c.log.Voters(), consensus.Number(c.cfg.Self.ID)) {
+	if n := c.log.Leader(); n != 0 && slices.Contains(c.log.Voters(), consensus.NodeID(c.cfg.Self.ID)) {
 		if id := c.numbered(n); id != "" {
 			c.leads(id)
 		}
@@ -230,21 +233,21 @@
 }
 
 // Leave tells that this member will go: others are to hold what it holds, and to lead.
-func (c *Core) Leave() { c.leaves = true }
+func (c *Node) Leave() { c.leaves = true }
 
-// Wall tells of the time of day, by which records age.
-func (c *Core) Wall(unix int64) { c.held.Wall(unix) }
+// SetWallClock tells of the time of day, by which records age.
+func (c *Node) SetWallClock(unix int64) { c.held.Wall(unix) }
 
-// Ask has an operation done within a span; its result comes with a Ready.
-func (c *Core) Ask(op replication.Op, within time.Duration) { c.held.Ask(op, within) }
+// Submit has an operation done within a span; its result comes with a Ready.
+func (c *Node) Submit(op replication.Op, within time.Duration) { c.held.Ask(op, within) }
 
-// Broken tells that the disk can't be written: this member promises nothing any more, neither in the copies nor in the log.
-func (c *Core) Broken() { c.held.Broken() }
+// DiskFailed tells that the disk can't be written: this member promises nothing any more, neither in the copies nor in the log.
+func (c *Node) DiskFailed() { c.held.Broken() }
 
 // Step takes a packet. One of another fleet's is an error, and so is one that can't be read.
-func (c *Core) Step(p Packet) error {
-	if p.Fleet != "" && c.known.Fleet != "" && p.Fleet != c.known.Fleet {
-		return fmt.Errorf("a word of fleet %s; this one is %s", p.Fleet, c.known.Fleet)
+func (c *Node) Step(p Packet) error {
+	if p.FleetID != "" && c.known.Fleet != "" && p.FleetID != c.known.Fleet {
+		return fmt.Errorf("a word of fleet %s; this one is %s", p.FleetID, c.known.Fleet)
 	}
 	if p.To != "" && p.To != c.cfg.Self.ID {
 		return fmt.Errorf("a word for member %s", p.To)
@@ -253,19 +256,19 @@
 	case p.Raft != nil:
 		return c.log.Step(p.Raft)
 	case p.Complaint != nil:
-		if c.steer != nil && c.log.Leads() && p.Complaint.Slot >= 0 && p.Complaint.Slot < shardmap.Slots {
+		if c.steer != nil && c.log.IsLeader() && p.Complaint.Slot >= 0 && p.Complaint.Slot < shardmap.Slots {
 			c.steer.Complain(c.now, c.log.State(), *p.Complaint)
 		}
-	case p.Poll != nil:
+	case p.PollRequest != nil:
 		c.tell(p)
-	case p.Told != nil:
+	case p.PollResponse != nil:
 		c.told(p)
-	case p.Put != nil:
-		c.asked(p.From, *p.Put)
-	case p.Done != nil:
-		c.done(*p.Done)
+	case p.PutRequest != nil:
+		c.asked(p.From, *p.PutRequest)
+	case p.PutResult != nil:
+		c.done(*p.PutResult)
 	default:
-		for _, m := range p.Copies {
+		for _, m := range p.Replication {
 			c.held.Step(m)
 		}
 	}
@@ -275,7 +278,7 @@
 // ---- What is agreed goes round.
 
 // ask polls one member: the log's leader, or by chance one that is here, or a seed while nobody is known.
-func (c *Core) ask() {
+func (c *Node) ask() {
 	var ids []string
 	for _, m := range c.seen {
 		if m.Here && m.ID != c.cfg.Self.ID {
@@ -296,43 +299,43 @@
 	if mute && c.now-c.mute > 4*pollMute {
 		c.mute = 0
 	}
-	c.send(Packet{To: to, Poll: &Poll{Version: c.known.Version, Digest: c.feed.Digest(), Form: Form, Number: c.polls.sent(c.now)}})
+	c.send(Packet{To: to, PollRequest: &PollRequest{Version: c.known.Version, Digest: c.feed.Digest(), ProtocolVersion: ProtocolVersion, RequestNumber: c.polls.sent(c.now)}})
 }
 
 // leads notes who leads the log.
-func (c *Core) leads(id string) {
+func (c *Node) leads(id string) {
 	if id != c.leader {
 		c.leader, c.mute = id, 0
 	}
 }
 
 // tell answers a poll.
-func (c *Core) tell(p Packet) {
-	t := &Told{Fleet: c.known.Fleet, Since: p.Poll.Version, Version: c.known.Version, Epoch: c.known.Epoch, Leader: c.leader, Addr: c.cfg.Self.Addr,
-		Form: Form, Number: p.Poll.Number, Digest: c.feed.Digest()}
+func (c *Node) tell(p Packet) {
+	t := &PollResponse{FleetID: c.known.Fleet, Since: p.PollRequest.Version, Version: c.known.Version, Epoch: c.known.Epoch, LeaderID: c.leader, Addr: c.cfg.Self.Addr,
+		ProtocolVersion: ProtocolVersion, RequestNumber: p.PollRequest.RequestNumber, Digest: c.feed.Digest()}
 	if asOf, known := c.AsOf(); known {
-		t.Known, t.Age = true, c.now-asOf
+		t.HasAge, t.Age = true, c.now-asOf
 	}
-	since := p.Poll.Version
-	if p.Poll.Form >= Form {
-		c.since(p.Poll, t)
-	} else if t.Slots = map[int]shardmap.View{}; since < c.known.Version {
+	since := p.PollRequest.Version
+	if p.PollRequest.ProtocolVersion >= ProtocolVersion {
+		c.since(p.PollRequest, t)
+	} else if t.Shards = map[int]shardmap.View{}; since < c.known.Version {
 		if c.members > since {
 			t.Members = c.known.Members
 		}
 		for num, v := range c.known.Views {
 			if c.changed[num] > since {
-				t.Slots[num] = v
+				t.Shards[num] = v
 			}
 		}
 	}
-	c.send(Packet{To: p.From, Told: t})
+	c.send(Packet{To: p.From, PollResponse: t})
 }
 
 // told takes an answer. What is agreed is the same wherever it is heard; only what is newer counts.
-func (c *Core) told(p Packet) {
-	t := p.Told
-	if t.Fleet == "" {
+func (c *Node) told(p Packet) {
+	t := p.PollResponse
+	if t.FleetID == "" {
 		if slices.Contains(c.cfg.Seeds, t.Addr) {
 			c.fresh[t.Addr] = c.now
 		}
@@ -341,10 +344,10 @@
 	if p.From == c.leader {
 		c.mute = 0
 	}
-	if t.Leader != "" && (p.From == t.Leader || p.From == c.leader || c.mute != 0 || c.leader == "") { // a leader that answers is not given up for hearsay
-		c.leads(t.Leader)
+	if t.LeaderID != "" && (p.From == t.LeaderID || p.From == c.leader || c.mute != 0 || c.leader == "") { // a leader that answers is not given up for hearsay
+		c.leads(t.LeaderID)
 	}
-	if t.Form >= Form {
+	if t.ProtocolVersion >= ProtocolVersion {
 		c.toldChanges(t)
 		return
 	}
@@ -354,19 +357,19 @@
 		return
 	}
 	if c.known.Fleet == "" {
-		c.known.Fleet = t.Fleet
+		c.known.Fleet = t.FleetID
 	}
 	epoch := t.Epoch > c.known.Epoch
 	if epoch && len(t.Members) > 0 {
 		c.known.Epoch, c.known.Members, c.members = t.Epoch, t.Members, t.Version
 	}
 	c.known.Version = t.Version
-	for _, num := range sortedViews(t.Slots) {
-		if v := t.Slots[num]; num >= 0 && num < shardmap.Slots && v.Num > c.known.Views[num].Num {
+	for _, num := range sortedViews(t.Shards) {
+		if v := t.Shards[num]; num >= 0 && num < shardmap.Slots && v.Num > c.known.Views[num].Num {
 			c.view(num, v, t.Version)
 		}
 	}
-	c.replace(consensus.Whole(c.known))
+	c.replace(consensus.SnapshotOf(c.known))
 	c.wrote(epoch)
 }
 
@@ -379,19 +382,19 @@
 	return all
 }
 
-func (c *Core) view(num int, v shardmap.View, version uint64) {
+func (c *Node) view(num int, v shardmap.View, version uint64) {
 	c.known.Views[num], c.changed[num] = v, version
 	c.held.View(num, v)
 }
 
 // wrote notes the fleet's ID for the disk, and tells of an epoch.
-func (c *Core) wrote(epoch bool) {
+func (c *Node) wrote(epoch bool) {
 	if c.known.Fleet != c.said {
 		c.said = c.known.Fleet
-		c.out.Fleet = c.known.Fleet
+		c.out.FleetID = c.known.Fleet
 	}
 	if epoch {
-		c.out.Lines = append(c.out.Lines, Line{What: "epoch", Epoch: c.known.Epoch, Text: fmt.Sprintf("%d members", len(c.known.Members))})
+		c.out.Events = append(c.out.Events, Event{Message: "epoch", Epoch: c.known.Epoch, Detail: fmt.Sprintf("%d members", len(c.known.Members))})
 	}
 }
 
@@ -399,8 +402,8 @@
 
 // begin founds a fleet: at the first seed alone, and only when every seed is there and knows of none. Guards against a second
 // fleet beside the first, whose members' records nobody would find: a first seed that lost its disk finds the others here.
-func (c *Core) begin() {
-	if !c.cfg.First || c.known.Fleet != "" || c.now < c.found {
+func (c *Node) begin() {
+	if !c.cfg.CanBootstrap || c.known.Fleet != "" || c.now < c.found {
 		return
 	}
 	c.found = c.now + foundEach
@@ -415,23 +418,23 @@
 		}
 		for _, m := range c.seen {
 			if m.Here && m.Addr == addr {
-				c.send(Packet{To: m.ID, Poll: &Poll{}})
+				c.send(Packet{To: m.ID, PollRequest: &PollRequest{}})
 			}
 		}
 	}
 	if !all {
 		return
 	}
-	if err := c.log.Found(c.cfg.Found); err != nil {
-		c.out.Lines = append(c.out.Lines, Line{What: "not founded", Text: err.Error()})
+	if err := c.log.Bootstrap(c.cfg.BootstrapID); err != nil {
+		c.out.Events = append(c.out.Events, Event{Message: "not founded", Detail: err.Error()})
 		return
 	}
-	c.out.Lines = append(c.out.Lines, Line{What: "founded", Text: c.cfg.Found})
+	c.out.Events = append(c.out.Events, Event{Message: "founded", Detail: c.cfg.BootstrapID})
 }
 
 // lead does what the log's leader does: views, and who votes.
-func (c *Core) lead() {
-	if !c.log.Leads() {
+func (c *Node) lead() {
+	if !c.log.IsLeader() {
 		c.steer = nil
 		clear(c.propose)
 		return
@@ -439,19 +442,19 @@
 	c.leader = c.cfg.Self.ID
 	if c.steer == nil || c.term != c.log.Term() {
 		c.term = c.log.Term()
-		c.steer = placement.New(placement.Config{Copies: c.cfg.Copies, Least: min(2, c.cfg.Copies), Evict: c.cfg.Evict, Joining: c.cfg.Repair}, c.now)
+		c.steer = placement.New(placement.Config{Copies: c.cfg.Replicas, Least: min(2, c.cfg.Replicas), Evict: c.cfg.EvictAfter, Joining: c.cfg.MaxRepairs}, c.now)
 	}
 	if c.leaves && c.now >= c.vote {
 		c.vote = c.now + voteEach
 		for _, m := range c.seen {
-			if id := consensus.Number(m.ID); m.Here && !m.Going && slices.Contains(c.log.Voters(), id) {
-				c.log.Hand(id)
+			if id := consensus.NodeID(m.ID); m.Here && !m.Going && slices.Contains(c.log.Voters(), id) {
+				c.log.TransferLeadership(id)
 				break
 			}
 		}
 	}
 	seen := append(slices.Clone(c.seen), placement.Seen{Member: c.cfg.Self, Here: true, Going: c.leaves, For: time.Hour})
-	if e, is := c.steer.Decide(c.now, c.log.State(), seen, len(c.log.Voters()) >= c.cfg.Voters); is {
+	if e, is := c.steer.Decide(c.now, c.log.State(), seen, len(c.log.Voters()) >= c.cfg.VoterCount); is {
 		_ = c.log.Propose(e)
 	}
 	if c.now >= c.vote {
@@ -462,28 +465,28 @@
 
 // ---- What goes out.
 
-func (c *Core) send(p Packet) {
-	p.From, p.Fleet = c.cfg.Self.ID, c.known.Fleet
+func (c *Node) send(p Packet) {
+	p.From, p.FleetID = c.cfg.Self.ID, c.known.Fleet
 	c.out.Packets = append(c.out.Packets, p)
 }
 
 // Ready hands out what is to be done, once. An error is one of the log's: this member can't go on.
-func (c *Core) Ready() (Ready, error) {
+func (c *Node) Ready() (Ready, error) {
 	log, err := c.log.Ready()
 	if err != nil {
 		return Ready{}, err
 	}
 	c.heard(log)
-	c.out.Agree = log.Write
-	for _, m := range log.Msgs {
+	c.out.Log = log.Write
+	for _, m := range log.Messages {
 		if to := c.numbered(m.To); to != "" {
-			c.send(Packet{To: to, Raft: m.Text})
+			c.send(Packet{To: to, Raft: m.Data})
 		} else {
-			c.log.Unreachable(m.To)
+			c.log.ReportUnreachable(m.To)
 		}
 	}
 	held := c.held.Ready()
-	c.out.Slots, c.out.Results = held.Writes, held.Results
+	c.out.ShardWrites, c.out.Results = held.Writes, held.Results
 	byTo := map[string]int{}
 	for _, m := range held.Msgs {
 		i, is := byTo[m.To]
@@ -492,10 +495,10 @@
 			byTo[m.To] = i
 			c.send(Packet{To: m.To})
 		}
-		c.out.Packets[i].Copies = append(c.out.Packets[i].Copies, m)
+		c.out.Packets[i].Replication = append(c.out.Packets[i].Replication, m)
 	}
 	for _, one := range held.Complaints {
-		if c.log.Leads() && c.steer != nil {
+		if c.log.IsLeader() && c.steer != nil {
 			c.steer.Complain(c.now, c.log.State(), one)
 		} else if c.leader != "" && c.leader != c.cfg.Self.ID {
 			c.send(Packet{To: c.leader, Complaint: &one})
@@ -507,14 +510,14 @@
 }
 
 // numbered is the member with a number, empty where it is not known.
-func (c *Core) numbered(id uint64) string {
+func (c *Node) numbered(id uint64) string {
 	for _, m := range c.seen {
-		if consensus.Number(m.ID) == id {
+		if consensus.NodeID(m.ID) == id {
 			return m.ID
 		}
 	}
 	for _, m := range c.known.Members {
-		if consensus.Number(m.ID) == id {
+		if consensus.NodeID(m.ID) == id {
 			return m.ID
 		}
 	}
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -27,7 +27,7 @@
 	t     *testing.T
 	now   time.Duration
 	cfgs  []Config
-	cores []*Core
+	cores []*Node
 	down  map[int]bool
 	since map[int]time.Duration // as it is
 	cut   func(from, to int) bool
@@ -63,9 +63,9 @@
 	if !told {
 		zone = fmt.Sprint("of ", i)
 	}
-	cfg := Config{Self: shardmap.Member{ID: id(i), Addr: fmt.Sprintf("m%d", i), Machine: fmt.Sprintf("m%d", i), Zone: zone, Site: site}, Life: 1,
-		Found: "f", First: i == 0, Seeds: []string{"m0"}, Voters: voters, Copies: 1, Evict: evict, Repair: 8, Seed: uint64(i), Keys: 10, Bytes: 1 << 20, Ops: 10}
-	c, err := New(cfg, Saved{}, w.now)
+	cfg := Config{Self: shardmap.Member{ID: id(i), Addr: fmt.Sprintf("m%d", i), Machine: fmt.Sprintf("m%d", i), Zone: zone, Site: site}, Incarnation: 1,
+		BootstrapID: "f", CanBootstrap: i == 0, Seeds: []string{"m0"}, VoterCount: voters, Replicas: 1, EvictAfter: evict, MaxRepairs: 8, Seed: uint64(i), MaxKeys: 10, MaxBytes: 1 << 20, MaxOperations: 10}
+	c, err := New(cfg, PersistentState{}, w.now)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -92,12 +92,12 @@
 			for j := range w.cores {
 				if form, is := w.form[j]; j != i {
 					if !is {
-						form = Form
+						form = ProtocolVersion
 					}
 					seen = append(seen, placement.Seen{Member: w.cfgs[j].Self, Here: !w.down[j], For: w.now - w.since[j], Speaks: form})
 				}
 			}
-			c.Clock(w.now, seen)
+			c.Tick(w.now, seen)
 			for _, one := range way {
 				if one.to == i && !w.cut(one.from, i) {
 					if err := c.Step(one.p); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) { // an answer of one that votes no more
@@ -113,12 +113,12 @@
 				to := slices.IndexFunc(w.cfgs, func(c Config) bool { return c.Self.ID == p.To })
 				w.way = append(w.way, carried{i, to, p})
 			}
-			for _, d := range r.Puts {
+			for _, d := range r.PutResults {
 				w.puts[d.Op] = d
 			}
-			for _, l := range r.Lines {
-				if l.Bad {
-					w.lines = append(w.lines, fmt.Sprintf("%d: %s: %s", i, l.What, l.Text))
+			for _, l := range r.Events {
+				if l.IsAlert {
+					w.lines = append(w.lines, fmt.Sprintf("%d: %s: %s", i, l.Message, l.Detail))
 				}
 			}
 		}
@@ -138,7 +138,7 @@
 
 func (w *world) leader() int {
 	for i, c := range w.cores {
-		if c.Leads() && !w.down[i] {
+		if c.IsLeader() && !w.down[i] {
 			return i
 		}
 	}
@@ -149,7 +149,7 @@
 func (w *world) voters() (all []int) {
 	if at := w.leader(); at >= 0 {
 		for _, n := range w.cores[at].Voters() {
-			all = append(all, slices.IndexFunc(w.cfgs, func(c Config) bool { return consensus.Number(c.Self.ID) == n }))
+			all = append(all, slices.IndexFunc(w.cfgs, func(c Config) bool { return consensus.NodeID(c.Self.ID) == n }))
 		}
 	}
 	slices.Sort(all)
@@ -174,9 +174,9 @@
 			continue
 		}
 		if first == nil {
-			first = c.Feed()
+			first = c.FeedState()
 		}
-		if c.Feed().Version() != first.Version() || c.Feed().Digest() != first.Digest() {
+		if c.FeedState().Version() != first.Version() || c.FeedState().Digest() != first.Digest() {
 			return false
 		}
 	}
@@ -343,7 +343,7 @@
 	w.run(5 * time.Second) // views settle
 	w.until("all know the same", 5*time.Second, w.same)
 	for i := range w.cores {
-		was := w.cores[i].Feed().Version()
+		was := w.cores[i].FeedState().Version()
 		p := shardmap.Put{Key: fmt.Sprintf("config/%d", i), Value: []byte{byte(i)}, Op: fmt.Sprintf("op-%d", i)}
 		d := w.put(i, p)
 		if d.Refused != "" || d.Version != was+1 {
@@ -353,11 +353,11 @@
 			t.Errorf("asked again: %+v, before %+v", again, d)
 		}
 		w.until("all know the same", 5*time.Second, w.same)
-		if v, _ := w.cores[0].Feed().Get(p.Key); string(v) != string(p.Value) || w.cores[0].Feed().Version() != d.Version {
-			t.Errorf("%s is %q at version %d", p.Key, v, w.cores[0].Feed().Version())
+		if v, _ := w.cores[0].FeedState().Get(p.Key); string(v) != string(p.Value) || w.cores[0].FeedState().Version() != d.Version {
+			t.Errorf("%s is %q at version %d", p.Key, v, w.cores[0].FeedState().Version())
 		}
 	}
-	was := w.cores[0].Feed().Version()
+	was := w.cores[0].FeedState().Version()
 	for _, c := range []struct {
 		put  shardmap.Put
 		want string
@@ -372,7 +372,7 @@
 			t.Errorf("%+v: wanted %q", d, c.want)
 		}
 	}
-	if now := w.cores[0].Feed().Version(); now != was {
+	if now := w.cores[0].FeedState().Version(); now != was {
 		t.Errorf("what was refused made version %d of %d", now, was)
 	}
 	if d := w.put(3, shardmap.Put{Key: "config/0", Gone: true, Op: "gone"}); d.Version != was+1 {
@@ -382,9 +382,9 @@
 	w.until("one that came later knows the same", 20*time.Second, func() bool { return w.same() && len(w.cores[late].State().Members) == 6 })
 	w.until("and the same by the log, built anew", time.Second, func() bool {
 		st := w.cores[w.leader()].log.State()
-		return consensus.Whole(st).Digest == w.cores[late].Feed().Digest()
+		return consensus.SnapshotOf(st).Digest == w.cores[late].FeedState().Digest()
 	})
-	if v, is := w.cores[late].Feed().Get("config/4"); !is || v[0] != 4 {
+	if v, is := w.cores[late].FeedState().Get("config/4"); !is || v[0] != 4 {
 		t.Errorf("config/4 there: %v %v", v, is)
 	}
 	if len(w.lines) > 0 {
@@ -410,30 +410,30 @@
 	}
 
 	c := w.cores[0]
-	_ = c.Step(Packet{From: id(3), Poll: &Poll{}})
+	_ = c.Step(Packet{From: id(3), PollRequest: &PollRequest{}})
 	r, err := c.Ready()
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := r.Packets[len(r.Packets)-1].Told
-	if len(told.Members) != 3 || len(told.Slots) == 0 || told.Changes != nil || told.Snapshot != nil || told.Version != c.State().Version {
+	told := r.Packets[len(r.Packets)-1].PollResponse
+	if len(told.Members) != 3 || len(told.Shards) == 0 || told.Changes != nil || told.Snapshot != nil || told.Version != c.State().Version {
 		t.Errorf("an older one is told %+v", told)
 	}
 	// One that knows nothing of items takes that answer; one that has them does not, as it would lose them.
 	old := *told
-	old.Form, old.Digest, old.Known = 0, 0, false
-	young, err := New(w.cfgs[3], Saved{}, w.now)
+	old.ProtocolVersion, old.Digest, old.HasAge = 0, 0, false
+	young, err := New(w.cfgs[3], PersistentState{}, w.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = young.Step(Packet{From: id(0), Told: &old})
-	if young.Feed().Version() != old.Version || len(young.State().Members) != 3 || young.Feed().Len() == 0 {
-		t.Errorf("it has version %d, %d keys", young.Feed().Version(), young.Feed().Len())
+	_ = young.Step(Packet{From: id(0), PollResponse: &old})
+	if young.FeedState().Version() != old.Version || len(young.State().Members) != 3 || young.FeedState().Len() == 0 {
+		t.Errorf("it has version %d, %d keys", young.FeedState().Version(), young.FeedState().Len())
 	}
 	old.Version += 7
-	was := c.Feed().Version()
-	_ = c.Step(Packet{From: id(3), Told: &old})
-	if c.Feed().Version() != was {
+	was := c.FeedState().Version()
+	_ = c.Step(Packet{From: id(3), PollResponse: &old})
+	if c.FeedState().Version() != was {
 		t.Error("an older member's answer took the place of a state with items")
 	}
 }
@@ -441,18 +441,18 @@
 // TestTwoHistoriesAreTold hands a member a state of its own version with other contents. Guards against one that mixes them.
 func TestTwoHistoriesAreTold(t *testing.T) {
 	w := newWorld(t, 1, "a", "a")
-	w.until("all know the same", 20*time.Second, func() bool { return w.cores[1].Feed().Version() > 1 && w.same() })
+	w.until("all know the same", 20*time.Second, func() bool { return w.cores[1].FeedState().Version() > 1 && w.same() })
 	c := w.cores[1]
-	was := c.Feed().Digest()
-	other := changefeed.NewSnapshot("f", c.Feed().Version(), []changefeed.Item{{Key: "epoch", Value: []byte("9")}, {Key: "fleet", Value: []byte("f")}})
+	was := c.FeedState().Digest()
+	other := changefeed.NewSnapshot("f", c.FeedState().Version(), []changefeed.Item{{Key: "epoch", Value: []byte("9")}, {Key: "fleet", Value: []byte("f")}})
 	for range 2 {
-		_ = c.Step(Packet{From: id(0), Told: &Told{Fleet: "f", Form: Form, Version: other.Version, Digest: other.Digest, Snapshot: other}})
+		_ = c.Step(Packet{From: id(0), PollResponse: &PollResponse{FleetID: "f", ProtocolVersion: ProtocolVersion, Version: other.Version, Digest: other.Digest, Snapshot: other}})
 	}
 	r, _ := c.Ready()
-	if c.Feed().Digest() != was || r.Installed != nil {
+	if c.FeedState().Digest() != was || r.Installed != nil {
 		t.Error("it was taken")
 	}
-	if n := len(slices.DeleteFunc(r.Lines, func(l Line) bool { return !l.Bad })); n != 1 {
+	if n := len(slices.DeleteFunc(r.Events, func(l Event) bool { return !l.IsAlert })); n != 1 {
 		t.Errorf("told %d times", n)
 	}
 }
--- a/internal/fleet/node/voters.go
+++ b/internal/fleet/node/voters.go
@@ -35,25 +35,25 @@
 // voters has members on further machines begin to vote: as many as are lacking, all at once, or one in place of one that is no
 // member any more, or of one at a site that has most of them. Two voters are never made: both would be needed then, and the second
 // one may be gone already, unnoticed.
-func (c *Core) voters(seen []placement.Seen) {
+func (c *Node) voters(seen []placement.Seen) {
 	st, voters := c.log.State(), c.log.Voters()
 	member := map[uint64]shardmap.Member{}
 	for _, m := range st.Members {
-		member[consensus.Number(m.ID)] = m
+		member[consensus.NodeID(m.ID)] = m
 	}
 	at := spread{map[string]int{}, map[string]int{}, map[string]int{}}
 	stops := uint64(0)
 	for _, id := range voters {
 		if m, is := member[id]; is {
 			at.add(m, 1)
-		} else if stops == 0 && id != consensus.Number(c.cfg.Self.ID) {
+		} else if stops == 0 && id != consensus.NodeID(c.cfg.Self.ID) {
 			stops = id
 		}
 	}
 	lacking := 1
 	var least func(shardmap.Member) bool // whom the new one may be
-	if len(voters) < c.cfg.Voters {
-		lacking, stops = c.cfg.Voters-len(voters), 0
+	if len(voters) < c.cfg.VoterCount {
+		lacking, stops = c.cfg.VoterCount-len(voters), 0
 	} else if stops == 0 {
 		if stops, least = c.crowded(seen, voters, member, at); stops == 0 {
 			return
@@ -61,7 +61,7 @@
 	}
 	var sound []shardmap.Member
 	for _, m := range seen {
-		if id := consensus.Number(m.ID); m.Here && !m.Going && m.For >= soundFor && member[id].ID == m.ID && !slices.Contains(voters, id) &&
+		if id := consensus.NodeID(m.ID); m.Here && !m.Going && m.For >= soundFor && member[id].ID == m.ID && !slices.Contains(voters, id) &&
 			(least == nil || least(m.Member)) {
 			sound = append(sound, m.Member)
 		}
@@ -74,25 +74,25 @@
 		}
 		best := slices.MinFunc(sound, at.better)
 		at.add(best, 1)
-		begin = append(begin, consensus.Number(best.ID))
+		begin = append(begin, consensus.NodeID(best.ID))
 	}
 	c.moved = c.now
-	_ = c.log.Vote(begin, stops)
+	_ = c.log.ChangeVoters(begin, stops)
 }
 
 // crowded picks a voter of a site that has most of them, and tells who may take its place: one of a site that has fewer then than
 // the crowded one had. 0 where none is to go: also while a voter is away or a majority has not answered since the last
 // change, as that one is not needed to go on.
-func (c *Core) crowded(seen []placement.Seen, voters []uint64, member map[uint64]shardmap.Member, at spread) (uint64, func(shardmap.Member) bool) {
+func (c *Node) crowded(seen []placement.Seen, voters []uint64, member map[uint64]shardmap.Member, at spread) (uint64, func(shardmap.Member) bool) {
 	asOf, known := c.log.AsOf()
 	if !known || c.now-asOf > settledFor || asOf <= c.moved {
 		return 0, nil
 	}
 	here := map[uint64]bool{}
 	for _, m := range seen {
-		here[consensus.Number(m.ID)] = m.Here && !m.Going
+		here[consensus.NodeID(m.ID)] = m.Here && !m.Going
 	}
-	self := consensus.Number(c.cfg.Self.ID)
+	self := consensus.NodeID(c.cfg.Self.ID)
 	var last shardmap.Member
 	for _, id := range voters {
 		m := member[id]
@@ -108,5 +108,5 @@
 	}
 	most := at.sites[last.Site]
 	at.add(last, -1)
-	return consensus.Number(last.ID), func(m shardmap.Member) bool { return m.Site != last.Site && at.sites[m.Site]+1 < most }
+	return consensus.NodeID(last.ID), func(m shardmap.Member) bool { return m.Site != last.Site && at.sites[m.Site]+1 < most }
 }
--- a/internal/fleet/nodeserver/bench_test.go
+++ b/internal/fleet/nodeserver/bench_test.go
@@ -39,28 +39,28 @@
 func BenchmarkOut(b *testing.B) {
 	for _, n := range []int{17, 100, 300, 1000, 2300, 4600} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			var known []membership.Known
+			var known []membership.Peer
 			var all []shardmap.Member
 			for i := range n {
 				m := membership.Member{ID: fmt.Sprintf("%032x", i+1), Name: fmt.Sprintf("b%04d", i), Machine: fmt.Sprintf("m%04d", i),
 					Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7001), Zone: fmt.Sprintf("zone-%02d", i%11),
 					Site: fmt.Sprintf("region-%d", i%11%3)}
-				known = append(known, membership.Known{Member: m})
-				all = append(all, Member(m))
+				known = append(known, membership.Peer{Member: m})
+				all = append(all, ShardMember(m))
 			}
-			c, err := node.New(node.Config{Self: all[0], Life: 1, Copies: 3}, node.Saved{}, 0)
+			c, err := node.New(node.Config{Self: all[0], Incarnation: 1, Replicas: 3}, node.PersistentState{}, 0)
 			if err != nil {
 				b.Fatal(err)
 			}
-			if err := c.Step(node.Packet{Fleet: "f", Told: &node.Told{Fleet: "f", Version: 2, Epoch: 1, Members: all}}); err != nil {
+			if err := c.Step(node.Packet{FleetID: "f", PollResponse: &node.PollResponse{FleetID: "f", Version: 2, Epoch: 1, Members: all}}); err != nil {
 				b.Fatal(err)
 			}
-			h := &Hold{core: c}
+			h := &Server{core: c}
 			done := metered(b)
 			for range b.N {
 				var at []placement.Seen
 				for _, k := range known[1:] {
-					at = append(at, placement.Seen{Member: Member(k.Member), Here: true, For: time.Hour})
+					at = append(at, placement.Seen{Member: ShardMember(k.Member), Here: true, For: time.Hour})
 				}
 				h.out(node.Ready{}, at)
 			}
--- a/internal/fleet/nodeserver/golden_dir_test.go
+++ b/internal/fleet/nodeserver/golden_dir_test.go
@@ -21,17 +21,17 @@
 // goldenNode is the configuration of the member that the golden directory belongs to, a fleet of one.
 func goldenNode(life uint64) node.Config {
 	const addr = "10.0.0.1:7001"
-	return node.Config{Self: shardmap.Member{ID: goldenMember, Addr: addr, Machine: "m1", Zone: "a", Site: "s"}, Life: life, Found: "fleet-id", First: true,
-		Seeds: []string{addr}, Voters: 1, Copies: 1, Evict: 10 * time.Second, Repair: 8, Seed: 7, Keys: 100, Bytes: 1 << 20, Ops: 10}
+	return node.Config{Self: shardmap.Member{ID: goldenMember, Addr: addr, Machine: "m1", Zone: "a", Site: "s"}, Incarnation: life, BootstrapID: "fleet-id", CanBootstrap: true,
+		Seeds: []string{addr}, VoterCount: 1, Replicas: 1, EvictAfter: 10 * time.Second, MaxRepairs: 8, Seed: 7, MaxKeys: 100, MaxBytes: 1 << 20, MaxOperations: 10}
 }
 
 // driveNode advances a node in steps, with all that it asks for written to the store, until something is so.
-func driveNode(t *testing.T, c *node.Core, s *store.Store, now *time.Duration, done func(node.Ready) bool) {
+func driveNode(t *testing.T, c *node.Node, s *store.Store, now *time.Duration, done func(node.Ready) bool) {
 	t.Helper()
 	for end := *now + time.Minute; *now < end; {
 		*now += beat
-		c.Clock(*now, nil)
-		c.Wall(1700000000)
+		c.Tick(*now, nil)
+		c.SetWallClock(1700000000)
 		r, err := c.Ready()
 		if err != nil {
 			t.Fatal(err)
@@ -47,9 +47,9 @@
 }
 
 // operate has one operation done.
-func operate(t *testing.T, c *node.Core, s *store.Store, now *time.Duration, op replication.Op) (result replication.Result) {
+func operate(t *testing.T, c *node.Node, s *store.Store, now *time.Duration, op replication.Op) (result replication.Result) {
 	t.Helper()
-	c.Ask(op, 10*time.Second)
+	c.Submit(op, 10*time.Second)
 	driveNode(t, c, s, now, func(r node.Ready) bool {
 		for _, one := range r.Results {
 			if one.Op == op.ID {
@@ -69,8 +69,8 @@
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "datadir"))); err != nil {
 		t.Fatal(err)
 	}
-	identity, err := datadir.Look(dir)
-	if err != nil || identity != (datadir.Card{Format: 1, Fleet: "istanbul", Machine: "m1", Member: goldenMember, Life: 3}) {
+	identity, err := datadir.ReadIdentity(dir)
+	if err != nil || identity != (datadir.Identity{Format: 1, Fleet: "istanbul", Machine: "m1", MemberID: goldenMember, Incarnation: 3}) {
 		t.Fatalf("%v: %+v", err, identity)
 	}
 	if _, err := store.Look(dir); err != nil {
@@ -82,24 +82,24 @@
 	}
 	defer func() { _ = s.Close() }()
 	records := 0
-	for _, one := range saved.Slots {
+	for _, one := range saved.Shards {
 		records += len(one.Records)
 	}
-	if saved.Fleet != "fleet-id" || len(saved.Slots) != shardmap.Slots || records != 6 || len(saved.Agree.Hard) == 0 || len(saved.Agree.Snapshot) == 0 ||
-		len(saved.Agree.Entries) != 8 {
-		t.Errorf("fleet %q, %d slots, %d records, %d entries", saved.Fleet, len(saved.Slots), records, len(saved.Agree.Entries))
+	if saved.FleetID != "fleet-id" || len(saved.Shards) != shardmap.Slots || records != 6 || len(saved.Log.HardState) == 0 || len(saved.Log.Snapshot) == 0 ||
+		len(saved.Log.Entries) != 8 {
+		t.Errorf("fleet %q, %d slots, %d records, %d entries", saved.FleetID, len(saved.Shards), records, len(saved.Log.Entries))
 	}
 	now := time.Hour
-	c, err := node.New(goldenNode(identity.Life+1), saved, now)
+	c, err := node.New(goldenNode(identity.Incarnation+1), saved, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	driveNode(t, c, s, &now, func(node.Ready) bool { return c.Leads() && c.Feed().Version() >= 8 })
-	if got := fmt.Sprintf("version %d, digest %016x", c.Feed().Version(), c.Feed().Digest()); got != goldenState {
+	driveNode(t, c, s, &now, func(node.Ready) bool { return c.IsLeader() && c.FeedState().Version() >= 8 })
+	if got := fmt.Sprintf("version %d, digest %016x", c.FeedState().Version(), c.FeedState().Digest()); got != goldenState {
 		t.Errorf("the state has %s, not %s", got, goldenState)
 	}
 	for i := range 2 {
-		if v, is := c.Feed().Get(fmt.Sprintf("config/%d", i)); !is || string(v) != fmt.Sprintf("value %d", i) {
+		if v, is := c.FeedState().Get(fmt.Sprintf("config/%d", i)); !is || string(v) != fmt.Sprintf("value %d", i) {
 			t.Errorf("config/%d is %q", i, v)
 		}
 	}
--- a/internal/fleet/nodeserver/golden_test.go
+++ b/internal/fleet/nodeserver/golden_test.go
@@ -20,7 +20,7 @@
 // goldenPackets are one packet of each kind, with every field set.
 func goldenPackets() map[string]node.Packet {
 	packet := func(set func(*node.Packet)) node.Packet {
-		p := node.Packet{From: "from", To: "to", Addr: "10.0.0.1:7001", Fleet: "f"}
+		p := node.Packet{From: "from", To: "to", Addr: "10.0.0.1:7001", FleetID: "f"}
 		set(&p)
 		return p
 	}
@@ -35,26 +35,28 @@
 		Full:   []string{"a"}, Joining: []string{"c"}}
 	return map[string]node.Packet{
 		"raft":   packet(func(p *node.Packet) { p.Raft = []byte{1, 2, 3} }),
-		"copies": packet(func(p *node.Packet) { p.Copies = []replication.Msg{message} }),
+		"copies": packet(func(p *node.Packet) { p.Replication = []replication.Msg{message} }),
 		"complaint": packet(func(p *node.Packet) {
 			p.Complaint = &replication.Complaint{Slot: 3, View: 4, From: "a", About: "b", Caught: true}
 		}),
-		"poll": packet(func(p *node.Packet) { p.Poll = &node.Poll{Version: 1, Digest: 2, Form: 3, Number: 4} }),
+		"poll": packet(func(p *node.Packet) {
+			p.PollRequest = &node.PollRequest{Version: 1, Digest: 2, ProtocolVersion: 3, RequestNumber: 4}
+		}),
 		"told-form1": packet(func(p *node.Packet) {
-			p.Told = &node.Told{Fleet: "f", Since: 1, Version: 2, Epoch: 3, Members: members, Slots: map[int]shardmap.View{4: view}, Leader: "l", Addr: "10.0.0.2:7001"}
+			p.PollResponse = &node.PollResponse{FleetID: "f", Since: 1, Version: 2, Epoch: 3, Members: members, Shards: map[int]shardmap.View{4: view}, LeaderID: "l", Addr: "10.0.0.2:7001"}
 		}),
 		"told-changes": packet(func(p *node.Packet) {
-			p.Told = &node.Told{Fleet: "f", Since: 1, Version: 9, Leader: "l", Addr: "10.0.0.2:7001", Form: 2, Number: 5, Digest: 6, Known: true, Age: time.Second,
+			p.PollResponse = &node.PollResponse{FleetID: "f", Since: 1, Version: 9, LeaderID: "l", Addr: "10.0.0.2:7001", ProtocolVersion: 2, RequestNumber: 5, Digest: 6, HasAge: true, Age: time.Second,
 				Changes: []*changefeed.Change{change}}
 		}),
 		"told-snapshot": packet(func(p *node.Packet) {
-			p.Told = &node.Told{Fleet: "f", Since: 1, Version: 9, Leader: "l", Addr: "10.0.0.2:7001", Form: 2, Number: 5, Digest: 6, Known: true, Age: time.Second,
+			p.PollResponse = &node.PollResponse{FleetID: "f", Since: 1, Version: 9, LeaderID: "l", Addr: "10.0.0.2:7001", ProtocolVersion: 2, RequestNumber: 5, Digest: 6, HasAge: true, Age: time.Second,
 				Snapshot: snapshot}
 		}),
 		"put": packet(func(p *node.Packet) {
-			p.Put = &shardmap.Put{Key: "config/a", Value: []byte("a"), Gone: true, Op: "op", Only: true, If: 7}
+			p.PutRequest = &shardmap.Put{Key: "config/a", Value: []byte("a"), Gone: true, Op: "op", Only: true, If: 7}
 		}),
-		"done": packet(func(p *node.Packet) { p.Done = &shardmap.Done{Op: "op", Version: 8, Refused: "why"} }),
+		"done": packet(func(p *node.Packet) { p.PutResult = &shardmap.Done{Op: "op", Version: 8, Refused: "why"} }),
 	}
 }
 
--- a/internal/fleet/nodeserver/link.go
+++ b/internal/fleet/nodeserver/link.go
@@ -32,11 +32,13 @@
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
-// hello is the first frame of a link: who speaks to whom, in which form. Guards against an address that is another member's now.
+// hello is the first frame of a stream: who speaks to whom. The receiver refuses one that was meant for a member that had its address
+// before. The CBOR names are the wire form.
 type hello struct {
-	Fleet    string // the name in the files
-	Form     int
-	From, To string
+	Fleet string `cbor:"Fleet"` // name in the fleet file
+	Form  int    `cbor:"Form"`
+	From  string `cbor:"From"` // member ID
+	To    string `cbor:"To"`   // member ID
 }
 
 // frame words one packet: its length, its checksum, and itself.
@@ -74,7 +76,7 @@
 // links are the ways to all other members, each opened when something is to be sent.
 type links struct {
 	fleet, self string
-	wire        *gossip.Wire
+	wire        *gossip.Transport
 	heard       func(node.Packet)
 
 	mu  sync.Mutex
@@ -194,10 +196,10 @@
 			}
 		}
 	}
-	text, err := frame(hello{Fleet: k.of.fleet, Form: gossip.Form, From: k.of.self, To: k.id})
+	text, err := frame(hello{Fleet: k.of.fleet, Form: gossip.ProtocolVersion, From: k.of.self, To: k.id})
 	if err == nil {
 		_ = c.SetWriteDeadline(time.Now().Add(writeIn))
-		_, err = c.Write(append([]byte{gossip.LinkMark}, text...))
+		_, err = c.Write(append([]byte{gossip.PeerStreamMark}, text...))
 	}
 	if err != nil {
 		_ = c.Close()
@@ -213,7 +215,7 @@
 		select {
 		case <-l.wire.Done():
 			return
-		case c := <-l.wire.Links():
+		case c := <-l.wire.PeerStreams():
 			l.all.Add(1)
 			go func() {
 				defer l.all.Done()
@@ -237,7 +239,7 @@
 	if _, err := unframe(r, &h); err != nil {
 		return err
 	}
-	if h.Fleet != l.fleet || h.To != l.self || h.Form < gossip.Oldest {
+	if h.Fleet != l.fleet || h.To != l.self || h.Form < gossip.MinProtocolVersion {
 		return fmt.Errorf("a link of fleet %q, form %d, for member %s", h.Fleet, h.Form, h.To)
 	}
 	for {
--- a/internal/fleet/nodeserver/link_test.go
+++ b/internal/fleet/nodeserver/link_test.go
@@ -13,12 +13,12 @@
 // TestAPacketIsReadAsItWasWritten words one with every part, and spoils its bytes. Guards against a decoder that has the views of
 // one packet share their lists, which gave every member views of its own.
 func TestAPacketIsReadAsItWasWritten(t *testing.T) {
-	p := node.Packet{From: "a", To: "b", Fleet: "f", Raft: []byte{1}, Complaint: &replication.Complaint{Slot: 3, About: "c"}, Poll: &node.Poll{Version: 7},
-		Copies: []replication.Msg{{Kind: replication.MsgWrite, Ballot: replication.Ballot{View: 1 << 63, Life: 2}, Records: []replication.Record{{Key: "k", Value: []byte("v")}}},
+	p := node.Packet{From: "a", To: "b", FleetID: "f", Raft: []byte{1}, Complaint: &replication.Complaint{Slot: 3, About: "c"}, PollRequest: &node.PollRequest{Version: 7},
+		Replication: []replication.Msg{{Kind: replication.MsgWrite, Ballot: replication.Ballot{View: 1 << 63, Life: 2}, Records: []replication.Record{{Key: "k", Value: []byte("v")}}},
 			{Kind: replication.MsgResult, Result: replication.Result{Outcome: replication.Conflict, Record: replication.Record{Past: []string{"p"}}}}},
-		Told: &node.Told{Fleet: "f", Slots: map[int]shardmap.View{}}}
+		PollResponse: &node.PollResponse{FleetID: "f", Shards: map[int]shardmap.View{}}}
 	for n := range shardmap.Slots {
-		p.Told.Slots[n] = shardmap.View{Num: uint64(n), Full: []string{string(rune('a' + n%5)), string(rune('f' + n%3)), "z"}[:1+n%3]}
+		p.PollResponse.Shards[n] = shardmap.View{Num: uint64(n), Full: []string{string(rune('a' + n%5)), string(rune('f' + n%3)), "z"}[:1+n%3]}
 	}
 	text, err := frame(p)
 	if err != nil {
--- a/internal/fleet/nodeserver/nodeserver.go
+++ b/internal/fleet/nodeserver/nodeserver.go
@@ -31,18 +31,18 @@
 
 // Options is what it begins with.
 type Options struct {
-	Core  node.Config
-	Fleet string // its name in the files
-	Dir   string
-	Wire  *gossip.Wire
-	Touch *gossip.Contact
-	Now   func() time.Duration
-	Log   *zap.Logger
-	Feed  Feed // nil where nobody follows this member
+	Node      node.Config
+	FleetName string // its name in the files
+	Dir       string
+	Transport *gossip.Transport
+	Gossip    *gossip.Agent
+	Now       func() time.Duration
+	Log       *zap.Logger
+	Observer  Observer // nil where nobody follows this member
 }
 
-// Feed is told of the agreed state, by one goroutine. Its methods must not wait.
-type Feed interface {
+// Observer is told of the agreed state, by one goroutine. Its methods must not wait.
+type Observer interface {
 	// Changed tells that the state was replaced, if whole is not nil, and of the changes after that. False where there was no room: it is
 	// told of the whole state then.
 	Changed(whole *changefeed.Snapshot, changes []*changefeed.Change) bool
@@ -52,33 +52,33 @@
 
 // Status is what is known at one moment.
 type Status struct {
-	Fleet       string
-	Epoch       uint64
-	Members     int
-	Leads       bool
-	Voters      int
-	Keys, Bytes int
-	Slots       map[int]int // by number of full holders
-	Mine        int         // slots that this member holds
-	Disk        string      // what is wrong with it
-	File        int64       // its bytes
-	Refusals    map[string]int
-	Sent, Got   int64
-	Dropped     int64
-	Odd         int64
-	Writes      int64
-	Version     uint64 // of what is agreed,
-	Digest      uint64
-	Changes     int           // of it that are kept,
-	Known       bool          // and whether it is known
-	AsOf        time.Duration // that nothing newer was agreed up to then
-	VotersAt    []string      // sites of the voters
+	FleetID                  string
+	Epoch                    uint64
+	Members                  int
+	IsLeader                 bool
+	Voters                   int
+	Keys, Bytes              int
+	ReplicaCounts            map[int]int // by number of full holders
+	LocalShards              int         // slots that this member holds
+	DiskError                string      // what is wrong with it
+	FileBytes                int64       // its bytes
+	Rejections               map[string]int
+	BytesSent, BytesReceived int64
+	PacketsDropped           int64
+	Malformed                int64
+	Writes                   int64
+	Version                  uint64 // of what is agreed,
+	Digest                   uint64
+	Changes                  int           // of it that are kept,
+	HasAsOf                  bool          // and whether it is known
+	AsOf                     time.Duration // that nothing newer was agreed up to then
+	VoterSites               []string      // sites of the voters
 }
 
-// Hold is one member's.
-type Hold struct {
+// Server is one member's.
+type Server struct {
 	opt   Options
-	core  *node.Core
+	core  *node.Node
 	store *store.Store
 	links *links
 
@@ -115,19 +115,19 @@
 }
 
 // Open reads the disk and begins.
-func Open(opt Options) (*Hold, error) {
+func Open(opt Options) (*Server, error) {
 	s, saved, err := store.Open(opt.Dir)
 	if err != nil {
 		return nil, err
 	}
-	c, err := node.New(opt.Core, saved, opt.Now())
+	c, err := node.New(opt.Node, saved, opt.Now())
 	if err != nil {
 		_ = s.Close()
 		return nil, err
 	}
-	h := &Hold{opt: opt, core: c, store: s, wake: make(chan struct{}, 1), done: make(chan struct{}), waiting: map[string]func(replication.Result){},
+	h := &Server{opt: opt, core: c, store: s, wake: make(chan struct{}, 1), done: make(chan struct{}), waiting: map[string]func(replication.Result){},
 		putting: map[string][]func(shardmap.Done){}}
-	h.links = &links{fleet: opt.Fleet, self: opt.Core.Self.ID, wire: opt.Wire, heard: h.heard, to: map[string]*link{}}
+	h.links = &links{fleet: opt.FleetName, self: opt.Node.Self.ID, wire: opt.Transport, heard: h.heard, to: map[string]*link{}}
 	h.publish()
 	h.all.Add(1)
 	go h.run()
@@ -138,7 +138,7 @@
 
 // Ask has an operation done, here or wherever its slot's primary is. done is called once, from another goroutine, within the span
 // or a little later; it must not wait.
-func (h *Hold) Ask(op replication.Op, within time.Duration, done func(replication.Result)) {
+func (h *Server) Ask(op replication.Op, within time.Duration, done func(replication.Result)) {
 	h.mu.Lock()
 	over := h.over || len(h.asks) >= inboxMost
 	if !over {
@@ -154,7 +154,7 @@
 
 // Put has an operators' item changed, wherever the log's leader is. done is called as with Ask; Refused says why where it was not
 // done, or is not known to be. Asked again with the same operation it is answered with the same version.
-func (h *Hold) Put(p shardmap.Put, within time.Duration, done func(shardmap.Done)) {
+func (h *Server) Put(p shardmap.Put, within time.Duration, done func(shardmap.Done)) {
 	h.mu.Lock()
 	over := h.over || len(h.puts) >= inboxMost
 	if !over {
@@ -169,7 +169,7 @@
 }
 
 // Leave has what lies here be copied to others, as this member will go.
-func (h *Hold) Leave() {
+func (h *Server) Leave() {
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
@@ -177,10 +177,10 @@
 }
 
 // Status is what was known at the newest turn.
-func (h *Hold) Status() Status { return *h.status.Load() }
+func (h *Server) Status() Status { return *h.status.Load() }
 
 // Close ends it; the wire has to be closed before. Who still waits is told that it is not known.
-func (h *Hold) Close() {
+func (h *Server) Close() {
 	h.once.Do(func() {
 		close(h.done)
 		h.all.Wait()
@@ -189,14 +189,14 @@
 	})
 }
 
-func (h *Hold) poke() {
+func (h *Server) poke() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (h *Hold) heard(p node.Packet) {
+func (h *Server) heard(p node.Packet) {
 	h.mu.Lock()
 	if len(h.packets) >= inboxMost {
 		h.dropped.Add(1)
@@ -207,7 +207,7 @@
 	h.poke()
 }
 
-func (h *Hold) run() {
+func (h *Server) run() {
 	defer h.all.Done()
 	tick := time.NewTicker(beat)
 	defer tick.Stop()
@@ -224,7 +224,7 @@
 }
 
 // end tells who still waits, and those that come too late.
-func (h *Hold) end() {
+func (h *Server) end() {
 	h.mu.Lock()
 	h.over = true
 	asks, puts := h.asks, h.puts
@@ -247,7 +247,7 @@
 }
 
 // turn takes in all that is there, and carries out what follows: first to disk, all of it together, then out.
-func (h *Hold) turn() {
+func (h *Server) turn() {
 	h.mu.Lock()
 	packets, asks, puts, leaving := h.packets, h.asks, h.puts, h.leaving
 	h.packets, h.asks, h.puts = nil, nil, nil
@@ -256,8 +256,8 @@
 		h.core.Leave()
 	}
 	at := h.seen()
-	h.core.Clock(h.opt.Now(), at)
-	h.core.Wall(time.Now().Unix())
+	h.core.Tick(h.opt.Now(), at)
+	h.core.SetWallClock(time.Now().Unix())
 	for _, p := range packets {
 		if err := h.core.Step(p); err != nil {
 			h.links.odd.Add(1)
@@ -266,14 +266,14 @@
 	}
 	for _, a := range asks {
 		h.waiting[a.op.ID] = a.done
-		h.core.Ask(a.op, a.within)
+		h.core.Submit(a.op, a.within)
 	}
 	for _, p := range puts {
 		h.putting[p.put.Op] = append(h.putting[p.put.Op], p.done)
 		h.core.Put(p.put, p.within)
 	}
 	r, err := h.core.Ready()
-	if err == nil && h.opt.Touch.Status().Standing == membership.Doubled {
+	if err == nil && h.opt.Gossip.Status().Standing == membership.Duplicate {
 		err = errors.New("another process has a copy of the directory")
 	}
 	if err == nil && h.broken == nil {
@@ -281,7 +281,7 @@
 	}
 	if err != nil && h.broken == nil {
 		h.broken = err
-		h.core.Broken()
+		h.core.DiskFailed()
 		h.opt.Log.Error("fleet: this member promises nothing any more", zap.Error(err))
 	}
 	if h.broken != nil { // what it leans on is not on disk: nothing goes out
@@ -289,20 +289,20 @@
 		for i := range r.Results {
 			r.Results[i] = replication.Result{Op: r.Results[i].Op, Outcome: replication.Unknown, Why: replication.Disk}
 		}
-		for i := range r.Puts {
-			r.Puts[i] = shardmap.Done{Op: r.Puts[i].Op, Refused: "this member's disk has failed: it is not known whether it took hold"}
+		for i := range r.PutResults {
+			r.PutResults[i] = shardmap.Done{Op: r.PutResults[i].Op, Refused: "this member's disk has failed: it is not known whether it took hold"}
 		}
 	}
 	h.out(r, at)
-	if h.opt.Feed != nil && h.broken == nil {
+	if h.opt.Observer != nil && h.broken == nil {
 		if h.untold {
-			r.Installed, r.Changes = h.core.Snapshot(), nil
+			r.Installed, r.Changes = h.core.FeedSnapshot(), nil
 		}
 		if r.Installed != nil || len(r.Changes) > 0 {
-			h.untold = !h.opt.Feed.Changed(r.Installed, r.Changes)
+			h.untold = !h.opt.Observer.Changed(r.Installed, r.Changes)
 		}
 		if asOf, known := h.core.AsOf(); known {
-			h.opt.Feed.Fresh(asOf, h.core.Feed().Version())
+			h.opt.Observer.Fresh(asOf, h.core.FeedState().Version())
 		}
 	}
 	if now := h.opt.Now(); now-h.told >= tellEach {
@@ -311,15 +311,15 @@
 	}
 }
 
-func (h *Hold) out(r node.Ready, at []placement.Seen) {
-	for _, l := range r.Lines {
-		if l.Bad {
-			h.opt.Log.Error("fleet: "+l.What, zap.Uint64("version", l.Version), zap.String("is", l.Text))
+func (h *Server) out(r node.Ready, at []placement.Seen) {
+	for _, l := range r.Events {
+		if l.IsAlert {
+			h.opt.Log.Error("fleet: "+l.Message, zap.Uint64("version", l.Version), zap.String("is", l.Detail))
 		} else {
-			h.opt.Log.Info("fleet: "+l.What, zap.Uint64("epoch", l.Epoch), zap.String("is", l.Text))
+			h.opt.Log.Info("fleet: "+l.Message, zap.Uint64("epoch", l.Epoch), zap.String("is", l.Detail))
 		}
 	}
-	for _, d := range r.Puts {
+	for _, d := range r.PutResults {
 		all := h.putting[d.Op]
 		delete(h.putting, d.Op)
 		for _, done := range all {
@@ -350,52 +350,52 @@
 }
 
 // seen is how the other members are seen.
-func (h *Hold) seen() []placement.Seen {
-	s := h.opt.Touch.Status()
+func (h *Server) seen() []placement.Seen {
+	s := h.opt.Gossip.Status()
 	now := h.opt.Now()
 	var all []placement.Seen
-	for _, k := range s.Others {
-		all = append(all, placement.Seen{Member: Member(k.Member), Left: k.State == membership.Left, Going: k.Leaving, For: now - k.Since,
-			Here: k.State == membership.Here, Speaks: k.Speaks})
+	for _, k := range s.Peers {
+		all = append(all, placement.Seen{Member: ShardMember(k.Member), Left: k.State == membership.Left, Going: k.Leaving, For: now - k.Since,
+			Here: k.State == membership.Alive, Speaks: k.ProtocolVersion})
 	}
 	return all
 }
 
-// Member is what is agreed of a member.
-func Member(m membership.Member) shardmap.Member {
+// ShardMember is what is agreed of a member.
+func ShardMember(m membership.Member) shardmap.Member {
 	return shardmap.Member{ID: m.ID, Addr: m.Addr.String(), Machine: m.Machine, Zone: m.Zone, Site: m.Site}
 }
 
-func (h *Hold) publish() {
+func (h *Server) publish() {
 	st := h.core.State()
-	s := Status{Fleet: st.Fleet, Epoch: st.Epoch, Members: len(st.Members), Leads: h.core.Leads(), Voters: len(h.core.Voters()),
-		Slots: map[int]int{}, Refusals: map[string]int{}, File: h.store.Size(), Sent: h.links.sent.Load(), Got: h.links.got.Load(),
-		Dropped: h.links.dropped.Load() + h.dropped.Load(), Odd: h.links.odd.Load(), Writes: h.store.Writes,
-		Version: h.core.Feed().Version(), Digest: h.core.Feed().Digest(), Changes: h.core.Changes()}
-	s.AsOf, s.Known = h.core.AsOf()
+	s := Status{FleetID: st.Fleet, Epoch: st.Epoch, Members: len(st.Members), IsLeader: h.core.IsLeader(), Voters: len(h.core.Voters()),
+		ReplicaCounts: map[int]int{}, Rejections: map[string]int{}, FileBytes: h.store.Size(), BytesSent: h.links.sent.Load(), BytesReceived: h.links.got.Load(),
+		PacketsDropped: h.links.dropped.Load() + h.dropped.Load(), Malformed: h.links.odd.Load(), Writes: h.store.Writes,
+		Version: h.core.FeedState().Version(), Digest: h.core.FeedState().Digest(), Changes: h.core.ChangeCount()}
+	s.AsOf, s.HasAsOf = h.core.AsOf()
 	for _, id := range h.core.Voters() {
 		for _, m := range st.Members {
-			if consensus.Number(m.ID) == id {
-				s.VotersAt = append(s.VotersAt, m.Site)
+			if consensus.NodeID(m.ID) == id {
+				s.VoterSites = append(s.VoterSites, m.Site)
 			}
 		}
 	}
-	s.Keys, s.Bytes = h.core.Held().Held()
+	s.Keys, s.Bytes = h.core.Replicas().Held()
 	for _, v := range st.Views {
-		s.Slots[len(v.Full)]++
+		s.ReplicaCounts[len(v.Full)]++
 		for _, id := range v.Full {
-			if id == h.opt.Core.Self.ID {
-				s.Mine++
+			if id == h.opt.Node.Self.ID {
+				s.LocalShards++
 			}
 		}
 	}
-	for w, n := range h.core.Held().Refusals {
+	for w, n := range h.core.Replicas().Refusals {
 		if n > 0 {
-			s.Refusals[replication.Why(w).String()] = n
+			s.Rejections[replication.Why(w).String()] = n
 		}
 	}
 	if h.broken != nil {
-		s.Disk = fmt.Sprint(h.broken)
+		s.DiskError = fmt.Sprint(h.broken)
 	}
 	h.status.Store(&s)
 }
--- a/internal/fleet/publisher/publisher_test.go
+++ b/internal/fleet/publisher/publisher_test.go
@@ -69,7 +69,7 @@
 	log     *changefeed.Log
 	all     []*publisher.Publisher
 	holders []*holder
-	wires   []*gossip.Wire
+	wires   []*gossip.Transport
 	addrs   []netip.AddrPort
 	stop    chan struct{}
 	ends    sync.WaitGroup
@@ -80,7 +80,7 @@
 func newTier(t *testing.T, many, most int) *tier {
 	r := &tier{t: t, log: changefeed.NewLog(changefeed.LogConfig{Most: 100, Bytes: 1 << 20}), stop: make(chan struct{})}
 	for i := range many {
-		var w *gossip.Wire
+		var w *gossip.Transport
 		var addr netip.AddrPort
 		for try := range 20 { // a port that is free for the one kind may be taken for the other
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -123,8 +123,8 @@
 }
 
 func one(m membership.Member) One {
-	return One{Name: m.Name, ID: m.ID, Addr: m.Addr.String(), Machine: m.Machine, Zone: m.Zone, Site: m.Site, Life: m.Life,
-		State: membership.Here.String()}
+	return One{Name: m.Name, ID: m.ID, Addr: m.Addr.String(), Machine: m.Machine, Zone: m.Zone, Site: m.Site, Life: m.Incarnation,
+		State: membership.Alive.String()}
 }
 
 // Report answers at once, from what is published.
@@ -132,7 +132,7 @@
 	f.mu.Lock()
 	t, w, h, err := f.touch, f.wire, f.held, f.err
 	f.mu.Unlock()
-	r := Report{Fleet: f.file.Fleet, Role: f.file.Role, Copies: f.file.Copies}
+	r := Report{Fleet: f.file.FleetName, Role: f.file.Role, Copies: f.file.Replicas}
 	f.mu.Lock()
 	tier, p, place := f.tier, f.feed, f.seat
 	f.mu.Unlock()
@@ -152,21 +152,21 @@
 	s, now := t.Status(), boottime.Now()
 	self := one(s.Self)
 	r.Member, r.Self, r.Standing, r.Here = true, &self, s.Standing.String(), 1
-	r.Health, r.Stalls, r.Refused, r.Odd = s.Health, s.Stalls, s.Refused, s.Odd
-	r.Dropped, r.Unopened, r.Sent, r.Heard = w.Dropped.Load(), w.Unopened.Load(), w.Sent.Load(), w.Heard.Load()
+	r.Health, r.Stalls, r.Refused, r.Odd = s.HealthScore, s.Stalls, s.Rejected, s.Malformed
+	r.Dropped, r.Unopened, r.Sent, r.Heard = w.DatagramsDropped.Load(), w.StreamsRejected.Load(), w.BytesSent.Load(), w.BytesReceived.Load()
 	a := h.Status()
-	r.Held = &Holdings{ID: a.Fleet, Epoch: a.Epoch, Members: a.Members, Voters: a.Voters, Leads: a.Leads, Slots: a.Slots, Mine: a.Mine, Records: a.Keys,
-		Bytes: a.Bytes, File: a.File, Disk: a.Disk, Refusals: a.Refusals, Sent: a.Sent, Got: a.Got, Dropped: a.Dropped, Odd: a.Odd, Writes: a.Writes,
-		VotersAt: a.VotersAt, Version: a.Version}
+	r.Held = &Holdings{ID: a.FleetID, Epoch: a.Epoch, Members: a.Members, Voters: a.Voters, Leads: a.IsLeader, Slots: a.ReplicaCounts, Mine: a.LocalShards, Records: a.Keys,
+		Bytes: a.Bytes, File: a.FileBytes, Disk: a.DiskError, Refusals: a.Rejections, Sent: a.BytesSent, Got: a.BytesReceived, Dropped: a.PacketsDropped, Odd: a.Malformed, Writes: a.Writes,
+		VotersAt: a.VoterSites, Version: a.Version}
 	if p != nil {
-		r.Publishing = publishing(p.Status(), f.file.Followers)
+		r.Publishing = publishing(p.Status(), f.file.MaxFollowers)
 	}
 	machines := map[string]bool{s.Self.Machine: true}
-	for _, k := range s.Others {
+	for _, k := range s.Peers {
 		o := one(k.Member)
-		o.State, o.Seconds, o.By = k.State.String(), (now - k.Since).Seconds(), k.By
+		o.State, o.Seconds, o.By = k.State.String(), (now - k.Since).Seconds(), k.ReplacedBy
 		r.Others = append(r.Others, o)
-		if k.State == membership.Here {
+		if k.State == membership.Alive {
 			r.Here++
 			machines[k.Machine] = true
 		}
@@ -176,13 +176,13 @@
 }
 
 // following fills in what a balancer shows that follows control processes.
-func (r *Report) following(f *Fleet, t *subscriber.Follow, place *datadir.Seat) {
+func (r *Report) following(f *Fleet, t *subscriber.Follow, place *datadir.Directory) {
 	s := t.Status()
 	r.Member, r.Copies, r.Here, r.Standing = true, 0, 1, "current"
 	if !s.Current {
 		r.Standing = "not current"
 	}
-	r.Self = &One{Name: f.name, ID: place.Member, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site, Life: place.Life, State: membership.Here.String()}
+	r.Self = &One{Name: f.name, ID: place.MemberID, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site, Life: place.Incarnation, State: membership.Alive.String()}
 	c := s.Count
 	r.Following = &Following{ID: s.Fleet, Version: s.Version, Digest: s.Digest, Keys: s.Keys, Bytes: s.Bytes, Current: s.Current, Age: seconds(s.Age, s.Known),
 		Relays: s.Relays, Changes: c.Changes, Snapshots: c.Snapshots, Gaps: c.Gaps, Mismatches: c.Mismatches, Conflicts: c.Conflicts, Refused: c.Refused,
--- a/internal/fleet/store/golden_test.go
+++ b/internal/fleet/store/golden_test.go
@@ -24,28 +24,28 @@
 func goldenWrites() []node.Ready {
 	full := replication.Record{Key: "word/a", Version: 1 << 40, Value: []byte("value"), Op: "op3", Born: 1700000000, Gone: true, Past: []string{"op2", "op1"}}
 	return []node.Ready{
-		{Fleet: "fleet-1", Agree: consensus.Write{Hard: []byte("hard 1"), Snapshot: []byte("snapshot"), Upto: 2, Entries: [][]byte{[]byte("three"), []byte("four"), []byte("five")}, First: 3},
-			Slots: []replication.Write{
+		{FleetID: "fleet-1", Log: consensus.Write{HardState: []byte("hard 1"), Snapshot: []byte("snapshot"), SnapshotIndex: 2, Entries: [][]byte{[]byte("three"), []byte("four"), []byte("five")}, FirstIndex: 3},
+			ShardWrites: []replication.Write{
 				{Slot: 3, Ballot: replication.Ballot{View: 1, Life: 1}, Records: []replication.Record{full, record("b", 1)}},
 				{Slot: 255, Ballot: replication.Ballot{View: 2, Life: 1 << 63}, Records: []replication.Record{record("c", 1)}},
 				{Slot: 9, Ballot: replication.Ballot{View: 4, Life: 5}},
 			}},
-		{Agree: consensus.Write{Hard: []byte("hard 2"), Entries: [][]byte{[]byte("five again"), []byte("six")}, First: 5},
-			Slots: []replication.Write{
+		{Log: consensus.Write{HardState: []byte("hard 2"), Entries: [][]byte{[]byte("five again"), []byte("six")}, FirstIndex: 5},
+			ShardWrites: []replication.Write{
 				{Slot: 3, Ballot: replication.Ballot{View: 2, Life: 7}, Records: []replication.Record{{Key: "b"}, record("d", 2)}},
 				{Slot: 255, Ballot: replication.Ballot{View: 3, Life: 9}, Replace: true, Records: []replication.Record{record("e", 4)}},
 			}},
-		{Agree: consensus.Write{Snapshot: []byte("snapshot 2"), Upto: 3}},
+		{Log: consensus.Write{Snapshot: []byte("snapshot 2"), SnapshotIndex: 3}},
 	}
 }
 
 // goldenSaved is what is read after goldenWrites.
-func goldenSaved() node.Saved {
-	full := goldenWrites()[0].Slots[0].Records[0]
-	return node.Saved{
-		Fleet: "fleet-1",
-		Agree: consensus.Saved{Hard: []byte("hard 2"), Snapshot: []byte("snapshot 2"), Entries: [][]byte{[]byte("four"), []byte("five again"), []byte("six")}},
-		Slots: map[int]node.Slot{
+func goldenSaved() node.PersistentState {
+	full := goldenWrites()[0].ShardWrites[0].Records[0]
+	return node.PersistentState{
+		FleetID: "fleet-1",
+		Log:     consensus.PersistentState{HardState: []byte("hard 2"), Snapshot: []byte("snapshot 2"), Entries: [][]byte{[]byte("four"), []byte("five again"), []byte("six")}},
+		Shards: map[int]node.ShardState{
 			3:   {Ballot: replication.Ballot{View: 2, Life: 7}, Records: []replication.Record{record("d", 2), full}},
 			9:   {Ballot: replication.Ballot{View: 4, Life: 5}},
 			255: {Ballot: replication.Ballot{View: 3, Life: 9}, Records: []replication.Record{record("e", 4)}},
--- a/internal/fleet/store/look_test.go
+++ b/internal/fleet/store/look_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Write(node.Ready{Fleet: "f", Slots: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}); err != nil {
+	if err := s.Write(node.Ready{FleetID: "f", ShardWrites: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Look(dir); err == nil {
@@ -29,7 +29,7 @@
 	_ = s.Close()
 	before, _ := os.ReadFile(filepath.Join(dir, "holdings.db"))
 	got, err := Look(dir)
-	if err != nil || got.Fleet != "f" || !reflect.DeepEqual(got.Slots[3].Records, []replication.Record{record("a", 1)}) {
+	if err != nil || got.FleetID != "f" || !reflect.DeepEqual(got.Shards[3].Records, []replication.Record{record("a", 1)}) {
 		t.Error(got, err)
 	}
 	if after, _ := os.ReadFile(filepath.Join(dir, "holdings.db")); string(after) != string(before) {
