--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -45,39 +45,39 @@
 
 // Open opens the file in a directory, which has to be this process's, and reads all of it. A file of a newer format, or one whose
 // records do not match their checksums, is an error that names it.
-func Open(dir string) (*Store, node.Saved, error) {
+func Open(dir string) (*Store, node.PersistentState, error) {
 	path := filepath.Join(dir, "holdings.db")
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWithin, FreelistType: bbolt.FreelistMapType})
 	if err != nil {
 		if errors.Is(err, berrors.ErrTimeout) {
 			err = errors.New("another process has it")
 		}
-		return nil, node.Saved{}, fmt.Errorf("%s: %w", path, err)
+		return nil, node.PersistentState{}, fmt.Errorf("%s: %w", path, err)
 	}
 	s := &Store{db: db}
 	saved, err := s.read()
 	if err != nil {
 		_ = db.Close()
-		return nil, node.Saved{}, fmt.Errorf("%s: %w", path, err)
+		return nil, node.PersistentState{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return s, saved, nil
 }
 
 // Look reads the file of a directory that no process has, and changes nothing.
-func Look(dir string) (node.Saved, error) {
+func Look(dir string) (node.PersistentState, error) {
 	path := filepath.Join(dir, "holdings.db")
 	if _, err := os.Stat(path); err != nil {
-		return node.Saved{}, err
+		return node.PersistentState{}, err
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWithin, ReadOnly: true})
 	if err != nil {
 		if errors.Is(err, berrors.ErrTimeout) {
 			err = errors.New("a process has it: end that first")
 		}
-		return node.Saved{}, fmt.Errorf("%s: %w", path, err)
+		return node.PersistentState{}, fmt.Errorf("%s: %w", path, err)
 	}
 	defer func() { _ = db.Close() }()
-	out := node.Saved{}
+	out := node.PersistentState{}
 	err = db.View(func(tx *bbolt.Tx) (err error) {
 		for _, name := range [][]byte{meta, entries, slots, records} {
 			if tx.Bucket(name) == nil {
@@ -93,7 +93,7 @@
 	return out, err
 }
 
-func (s *Store) read() (out node.Saved, err error) {
+func (s *Store) read() (out node.PersistentState, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		for _, name := range [][]byte{meta, entries, slots, records} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -112,19 +112,19 @@
 }
 
 // load reads all, and holds each part against its checksum.
-func load(tx *bbolt.Tx) (out node.Saved, err error) {
-	out.Slots = map[int]node.Slot{}
+func load(tx *bbolt.Tx) (out node.PersistentState, err error) {
+	out.Shards = map[int]node.ShardState{}
 	all := [4]*bbolt.Bucket{tx.Bucket(meta), tx.Bucket(entries), tx.Bucket(slots), tx.Bucket(records)}
 	m := all[0]
 	err = func() error {
 		if f := m.Get([]byte("format")); len(f) != 1 || f[0] < 1 || f[0] > Format {
 			return fmt.Errorf("its format is %d, written by a newer program; this one reads up to %d", f, Format)
 		}
-		out.Fleet = string(m.Get([]byte("fleet")))
-		out.Agree = consensus.Saved{Hard: bytes.Clone(m.Get([]byte("hard"))), Snapshot: bytes.Clone(m.Get([]byte("snapshot")))}
+		out.FleetID = string(m.Get([]byte("fleet")))
+		out.Log = consensus.PersistentState{HardState: bytes.Clone(m.Get([]byte("hard"))), Snapshot: bytes.Clone(m.Get([]byte("snapshot")))}
 		if err := all[1].ForEach(func(_, v []byte) error {
 			text, err := unseal(v)
-			out.Agree.Entries = append(out.Agree.Entries, bytes.Clone(text))
+			out.Log.Entries = append(out.Log.Entries, bytes.Clone(text))
 			return err
 		}); err != nil {
 			return fmt.Errorf("the log: %w", err)
@@ -134,7 +134,7 @@
 			if num >= shardmap.Slots || len(v) != 16 {
 				return fmt.Errorf("slot %d is none", num)
 			}
-			out.Slots[num] = node.Slot{Ballot: replication.Ballot{View: binary.BigEndian.Uint64(v), Life: binary.BigEndian.Uint64(v[8:])}}
+			out.Shards[num] = node.ShardState{Ballot: replication.Ballot{View: binary.BigEndian.Uint64(v), Life: binary.BigEndian.Uint64(v[8:])}}
 			return nil
 		}); err != nil {
 			return err
@@ -152,9 +152,9 @@
 			if err != nil {
 				return fmt.Errorf("record %q of slot %d: %w", k[2:], num, err)
 			}
-			one := out.Slots[num]
+			one := out.Shards[num]
 			one.Records = append(one.Records, r)
-			out.Slots[num] = one
+			out.Shards[num] = one
 			return nil
 		})
 	}()
@@ -167,7 +167,7 @@
 	if s.err != nil {
 		return s.err
 	}
-	if r.Fleet == "" && len(r.Slots) == 0 && len(r.Agree.Hard)+len(r.Agree.Snapshot)+len(r.Agree.Entries) == 0 {
+	if r.FleetID == "" && len(r.ShardWrites) == 0 && len(r.Log.HardState)+len(r.Log.Snapshot)+len(r.Log.Entries) == 0 {
 		return nil
 	}
 	s.Writes++
@@ -180,7 +180,7 @@
 			return err
 		}
 		ballots, held := tx.Bucket(slots), tx.Bucket(records)
-		for _, w := range r.Slots {
+		for _, w := range r.ShardWrites {
 			num := binary.BigEndian.AppendUint16(nil, uint16(w.Slot))
 			ballot := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, w.Ballot.View), w.Ballot.Life)
 			if !bytes.Equal(ballots.Get(num), ballot) {
@@ -223,37 +223,37 @@
 func (s *Store) log(tx *bbolt.Tx, r node.Ready, put func(*bbolt.Bucket, []byte, []byte) error) error {
 	m, l := tx.Bucket(meta), tx.Bucket(entries)
 	key := func(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
-	if r.Fleet != "" {
-		if err := put(m, []byte("fleet"), []byte(r.Fleet)); err != nil {
+	if r.FleetID != "" {
+		if err := put(m, []byte("fleet"), []byte(r.FleetID)); err != nil {
 			return err
 		}
 	}
-	if len(r.Agree.Hard) > 0 {
-		if err := put(m, []byte("hard"), r.Agree.Hard); err != nil {
+	if len(r.Log.HardState) > 0 {
+		if err := put(m, []byte("hard"), r.Log.HardState); err != nil {
 			return err
 		}
 	}
-	if len(r.Agree.Entries) > 0 {
+	if len(r.Log.Entries) > 0 {
 		c := l.Cursor()
-		for k, _ := c.Seek(key(r.Agree.First)); k != nil; k, _ = c.Seek(key(r.Agree.First)) {
+		for k, _ := c.Seek(key(r.Log.FirstIndex)); k != nil; k, _ = c.Seek(key(r.Log.FirstIndex)) {
 			if err := c.Delete(); err != nil {
 				return err
 			}
 		}
-		for i, e := range r.Agree.Entries {
-			if err := put(l, key(r.Agree.First+uint64(i)), seal(e)); err != nil {
+		for i, e := range r.Log.Entries {
+			if err := put(l, key(r.Log.FirstIndex+uint64(i)), seal(e)); err != nil {
 				return err
 			}
 		}
 	}
-	if len(r.Agree.Snapshot) == 0 {
+	if len(r.Log.Snapshot) == 0 {
 		return nil
 	}
-	if err := put(m, []byte("snapshot"), r.Agree.Snapshot); err != nil {
+	if err := put(m, []byte("snapshot"), r.Log.Snapshot); err != nil {
 		return err
 	}
 	c := l.Cursor()
-	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= r.Agree.Upto; k, _ = c.First() {
+	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= r.Log.SnapshotIndex; k, _ = c.First() {
 		if err := c.Delete(); err != nil {
 			return err
 		}
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -25,18 +25,18 @@
 	b1, b2 := replication.Ballot{View: 1, Life: 1}, replication.Ballot{View: 2, Life: 7}
 	for _, c := range []struct {
 		write node.Ready
-		want  node.Saved
+		want  node.PersistentState
 	}{
-		{node.Ready{Fleet: "f", Agree: consensus.Write{Hard: []byte("h"), Snapshot: []byte("s"), Upto: 1, Entries: [][]byte{{2}, {3}}, First: 2},
-			Slots: []replication.Write{{Slot: 3, Ballot: b1, Records: []replication.Record{record("a", 1), record("b", 1)}}, {Slot: 4, Ballot: b1}}},
-			node.Saved{Fleet: "f", Agree: consensus.Saved{Hard: []byte("h"), Snapshot: []byte("s"), Entries: [][]byte{{2}, {3}}},
-				Slots: map[int]node.Slot{3: {Ballot: b1, Records: []replication.Record{record("a", 1), record("b", 1)}}, 4: {Ballot: b1}}}},
-		{node.Ready{Agree: consensus.Write{Entries: [][]byte{{9}}, First: 3}, Slots: []replication.Write{{Slot: 3, Ballot: b2, Records: []replication.Record{record("a", 2)}}}},
-			node.Saved{Fleet: "f", Agree: consensus.Saved{Hard: []byte("h"), Snapshot: []byte("s"), Entries: [][]byte{{2}, {9}}},
-				Slots: map[int]node.Slot{3: {Ballot: b2, Records: []replication.Record{record("a", 2), record("b", 1)}}, 4: {Ballot: b1}}}},
-		{node.Ready{Agree: consensus.Write{Snapshot: []byte("t"), Upto: 3}, Slots: []replication.Write{{Slot: 3, Ballot: b2, Replace: true, Records: []replication.Record{record("c", 1)}}}},
-			node.Saved{Fleet: "f", Agree: consensus.Saved{Hard: []byte("h"), Snapshot: []byte("t")},
-				Slots: map[int]node.Slot{3: {Ballot: b2, Records: []replication.Record{record("c", 1)}}, 4: {Ballot: b1}}}},
+		{node.Ready{FleetID: "f", Log: consensus.Write{HardState: []byte("h"), Snapshot: []byte("s"), SnapshotIndex: 1, Entries: [][]byte{{2}, {3}}, FirstIndex: 2},
+			ShardWrites: []replication.Write{{Slot: 3, Ballot: b1, Records: []replication.Record{record("a", 1), record("b", 1)}}, {Slot: 4, Ballot: b1}}},
+			node.PersistentState{FleetID: "f", Log: consensus.PersistentState{HardState: []byte("h"), Snapshot: []byte("s"), Entries: [][]byte{{2}, {3}}},
+				Shards: map[int]node.ShardState{3: {Ballot: b1, Records: []replication.Record{record("a", 1), record("b", 1)}}, 4: {Ballot: b1}}}},
+		{node.Ready{Log: consensus.Write{Entries: [][]byte{{9}}, FirstIndex: 3}, ShardWrites: []replication.Write{{Slot: 3, Ballot: b2, Records: []replication.Record{record("a", 2)}}}},
+			node.PersistentState{FleetID: "f", Log: consensus.PersistentState{HardState: []byte("h"), Snapshot: []byte("s"), Entries: [][]byte{{2}, {9}}},
+				Shards: map[int]node.ShardState{3: {Ballot: b2, Records: []replication.Record{record("a", 2), record("b", 1)}}, 4: {Ballot: b1}}}},
+		{node.Ready{Log: consensus.Write{Snapshot: []byte("t"), SnapshotIndex: 3}, ShardWrites: []replication.Write{{Slot: 3, Ballot: b2, Replace: true, Records: []replication.Record{record("c", 1)}}}},
+			node.PersistentState{FleetID: "f", Log: consensus.PersistentState{HardState: []byte("h"), Snapshot: []byte("t")},
+				Shards: map[int]node.ShardState{3: {Ballot: b2, Records: []replication.Record{record("c", 1)}}, 4: {Ballot: b1}}}},
 	} {
 		s, _, err := Open(dir)
 		if err != nil {
@@ -71,7 +71,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Write(node.Ready{Slots: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}); err != nil {
+		if err := s.Write(node.Ready{ShardWrites: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.db.Update(spoil); err != nil {
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	_ = s.db.Close()
-	one := node.Ready{Slots: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}
+	one := node.Ready{ShardWrites: []replication.Write{{Slot: 3, Records: []replication.Record{record("a", 1)}}}}
 	first := s.Write(one)
 	if first == nil || s.Write(one) != first {
 		t.Error(first)
--- a/internal/lab/fleetsim/disk.go
+++ b/internal/lab/fleetsim/disk.go
@@ -27,23 +27,23 @@
 
 // write takes all of a Ready.
 func (d *disk) write(r node.Ready) {
-	if r.Fleet != "" {
-		d.fleet = r.Fleet
+	if r.FleetID != "" {
+		d.fleet = r.FleetID
 	}
-	if len(r.Agree.Hard) > 0 {
-		d.hard = r.Agree.Hard
+	if len(r.Log.HardState) > 0 {
+		d.hard = r.Log.HardState
 	}
-	if len(r.Agree.Entries) > 0 {
-		maps.DeleteFunc(d.entries, func(i uint64, _ []byte) bool { return i >= r.Agree.First })
-		for i, e := range r.Agree.Entries {
-			d.entries[r.Agree.First+uint64(i)] = e
+	if len(r.Log.Entries) > 0 {
+		maps.DeleteFunc(d.entries, func(i uint64, _ []byte) bool { return i >= r.Log.FirstIndex })
+		for i, e := range r.Log.Entries {
+			d.entries[r.Log.FirstIndex+uint64(i)] = e
 		}
 	}
-	if len(r.Agree.Snapshot) > 0 {
-		d.snap, d.upto = r.Agree.Snapshot, r.Agree.Upto
+	if len(r.Log.Snapshot) > 0 {
+		d.snap, d.upto = r.Log.Snapshot, r.Log.SnapshotIndex
 		maps.DeleteFunc(d.entries, func(i uint64, _ []byte) bool { return i <= d.upto })
 	}
-	for _, w := range r.Slots {
+	for _, w := range r.ShardWrites {
 		s := d.slots[w.Slot]
 		if s == nil {
 			s = &part{records: map[string]replication.Record{}}
@@ -62,17 +62,17 @@
 }
 
 // read is what a process finds at its start.
-func (d *disk) read() node.Saved {
-	out := node.Saved{Fleet: d.fleet, Agree: consensus.Saved{Hard: d.hard, Snapshot: d.snap}, Slots: map[int]node.Slot{}}
+func (d *disk) read() node.PersistentState {
+	out := node.PersistentState{FleetID: d.fleet, Log: consensus.PersistentState{HardState: d.hard, Snapshot: d.snap}, Shards: map[int]node.ShardState{}}
 	for _, i := range slices.Sorted(maps.Keys(d.entries)) {
-		out.Agree.Entries = append(out.Agree.Entries, d.entries[i])
+		out.Log.Entries = append(out.Log.Entries, d.entries[i])
 	}
 	for num, s := range d.slots {
-		one := node.Slot{Ballot: s.ballot}
+		one := node.ShardState{Ballot: s.ballot}
 		for _, k := range slices.Sorted(maps.Keys(s.records)) {
 			one.Records = append(one.Records, s.records[k])
 		}
-		out.Slots[num] = one
+		out.Shards[num] = one
 	}
 	return out
 }
--- a/internal/lab/fleetsim/play.go
+++ b/internal/lab/fleetsim/play.go
@@ -68,7 +68,7 @@
 	a := &Act{Op: op, Client: n.num, From: w.now}
 	w.Acts = append(w.Acts, a)
 	w.byOp[op.ID] = a
-	w.run(n, n.born, func() { n.core.Ask(op, askWithin) })
+	w.run(n, n.born, func() { n.core.Submit(op, askWithin) })
 }
 
 // last is the version of a key that any client heard of last.
@@ -189,7 +189,7 @@
 		}
 		left := 0
 		for _, other := range w.nodes {
-			if other != n && !other.gone && slices.Contains(o.core.Voters(), consensus.Number(other.id)) {
+			if other != n && !other.gone && slices.Contains(o.core.Voters(), consensus.NodeID(other.id)) {
 				left++
 			}
 		}
@@ -209,7 +209,7 @@
 		if s := n.core.State(); st == nil || s.Version > st.Version {
 			st = s
 		}
-		if n.up && n.core.Leads() {
+		if n.up && n.core.IsLeader() {
 			voters = n.core.Voters()
 		}
 	}
--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -99,7 +99,7 @@
 	num     int
 	id      string
 	life    uint64
-	core    *node.Core
+	core    *node.Node
 	disk    *disk
 	up      bool
 	stopped time.Duration // until then nothing of it runs
@@ -186,8 +186,8 @@
 	if w.plan.Break == NoRepair {
 		repair = 0
 	}
-	c, err := node.New(node.Config{Self: n.self, Life: n.life, Found: fmt.Sprintf("f%d", w.ids), First: n.num == 0, Seeds: []string{"m0", "m1", "m2"}, Voters: 3,
-		Copies: w.plan.Copies, Evict: evict, Repair: repair, Seed: w.plan.Seed<<20 ^ uint64(n.num)<<10 ^ n.born, Keys: 1 << 20, Bytes: 1 << 30, Ops: 4096}, n.disk.read(), w.now)
+	c, err := node.New(node.Config{Self: n.self, Incarnation: n.life, BootstrapID: fmt.Sprintf("f%d", w.ids), CanBootstrap: n.num == 0, Seeds: []string{"m0", "m1", "m2"}, VoterCount: 3,
+		Replicas: w.plan.Copies, EvictAfter: evict, MaxRepairs: repair, Seed: w.plan.Seed<<20 ^ uint64(n.num)<<10 ^ n.born, MaxKeys: 1 << 20, MaxBytes: 1 << 30, MaxOperations: 4096}, n.disk.read(), w.now)
 	if err != nil {
 		w.fail("%d does not start: %v", n.num, err)
 		return
@@ -225,8 +225,8 @@
 		do()
 	}
 	n.waiting = nil
-	n.core.Clock(w.now, w.sight(n))
-	n.core.Wall(int64(w.now / time.Second))
+	n.core.Tick(w.now, w.sight(n))
+	n.core.SetWallClock(int64(w.now / time.Second))
 	w.ready(n)
 }
 
@@ -247,7 +247,7 @@
 		}
 	}
 	if w.plan.Break == TooSoon {
-		for _, one := range r.Slots {
+		for _, one := range r.ShardWrites {
 			for _, rec := range one.Records {
 				if !one.Replace {
 					w.answer(replication.Result{Op: rec.Op, Outcome: replication.Done, Record: rec})
@@ -260,7 +260,7 @@
 		return
 	}
 	if w.plan.Break == NotWritten {
-		r.Slots = nil
+		r.ShardWrites = nil
 	}
 	n.disk.write(r)
 	if w.crashes() {
@@ -298,10 +298,10 @@
 		return
 	}
 	if w.plan.Break == NotFenced {
-		p.Copies = w.unfenced(from, to, p.Copies)
+		p.Replication = w.unfenced(from, to, p.Replication)
 	}
 	w.note(from.num, to.num, p)
-	if w.cut(from.num, to.num) || to.deaf > w.now && len(p.Copies) == 0 || w.rng.Float64() < w.loss {
+	if w.cut(from.num, to.num) || to.deaf > w.now && len(p.Replication) == 0 || w.rng.Float64() < w.loss {
 		return
 	}
 	times := 1
@@ -343,12 +343,12 @@
 func (w *World) note(from, to int, p node.Packet) {
 	h := fnv.New64a()
 	var b [8]byte
-	for _, v := range []uint64{w.sum, uint64(w.now), uint64(from), uint64(to), uint64(len(p.Raft)), uint64(len(p.Copies))} {
+	for _, v := range []uint64{w.sum, uint64(w.now), uint64(from), uint64(to), uint64(len(p.Raft)), uint64(len(p.Replication))} {
 		binary.LittleEndian.PutUint64(b[:], v)
 		h.Write(b[:])
 	}
 	h.Write(p.Raft)
-	for _, m := range p.Copies {
+	for _, m := range p.Replication {
 		_, _ = fmt.Fprint(h, m.Kind, m.Slot, m.Ballot, m.Seq)
 	}
 	w.sum = h.Sum64()
@@ -380,7 +380,7 @@
 			s.here, s.since = is, w.now
 		}
 		n.seen[o.num] = s
-		all = append(all, placement.Seen{Member: o.self, Here: s.here, Going: o.going, For: w.now - s.since, Speaks: node.Form})
+		all = append(all, placement.Seen{Member: o.self, Here: s.here, Going: o.going, For: w.now - s.since, Speaks: node.ProtocolVersion})
 	}
 	n.looked = all
 	return all
