--- a/cmd/sabletally/golden_test.go
+++ b/cmd/sabletally/golden_test.go
@@ -13,7 +13,7 @@
 	env := func(name string) string {
 		return map[string]string{"EDGE_CONFIG": "testdata/config.json"}[name]
 	}
-	s, err := deployment.ReadStation(env, nil)
+	s, err := deployment.ReadNodeConfig(env, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,15 +24,15 @@
 		{"name", s.Name, "n7"},
 		{"listen", s.Listen, "127.0.0.1:14001"},
 		{"discovery", s.Discovery, "127.0.0.1:14002"},
-		{"mgmt", s.Mgmt, "127.0.0.1:14003"},
+		{"mgmt", s.Admin, "127.0.0.1:14003"},
 		{"seed", s.Seed, uint64(0xabc)},
 		{"limits.cores", s.Cores, 2.5},
 		{"limits.memory_mb", s.MemoryMB, 96},
-		{"limits.sockets", s.Sockets, 777},
-		{"known", fmt.Sprint(s.Known.Whole, s.Known.Rev, len(s.Known.Servers), s.Known.Servers[0].UID, s.Known.Servers[0].Endpoint), "true 5 1s-9127.0.0.1:14009"},
-		{"peers.listen", s.Peers.Listen, netip.MustParseAddrPort("127.0.0.1:14004")},
-		{"peers.others", fmt.Sprint(s.Peers.Others), "[127.0.0.1:14005 127.0.0.1:14006]"},
-		{"what only a start takes in", s.Fixed, "n7127.0.0.1:14001127.0.0.1:14003{2.5 96 777}abc"},
+		{"limits.sockets", s.MaxSockets, 777},
+		{"known", fmt.Sprint(s.InitialEndpoints.Whole, s.InitialEndpoints.Rev, len(s.InitialEndpoints.Servers), s.InitialEndpoints.Servers[0].UID, s.InitialEndpoints.Servers[0].Endpoint), "true 5 1s-9127.0.0.1:14009"},
+		{"peers.listen", s.Gossip.Listen, netip.MustParseAddrPort("127.0.0.1:14004")},
+		{"peers.others", fmt.Sprint(s.Gossip.Peers), "[127.0.0.1:14005 127.0.0.1:14006]"},
+		{"what only a start takes in", s.StartupOnly, "n7127.0.0.1:14001127.0.0.1:14003{2.5 96 777}abc"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %v, not %v", c.key, c.got, c.want)
--- a/cmd/sabletally/main.go
+++ b/cmd/sabletally/main.go
@@ -46,7 +46,7 @@
 	log := logger(os.Getenv("SABLETALLY_LOG"))
 	defer log.Sync()
 	ends, reloads, asks := on(syscall.SIGTERM, syscall.SIGINT), on(syscall.SIGHUP), on(syscall.SIGUSR1)
-	s, err := deployment.ReadStation(os.Getenv, nil)
+	s, err := deployment.ReadNodeConfig(os.Getenv, nil)
 	if err != nil {
 		log.Error("can't start", zap.Error(err))
 		return 2
@@ -77,11 +77,11 @@
 		log.Error("can't start", zap.Error(err))
 		return 2
 	}
-	sockets := s.Sockets
-	if s.Mgmt != "" {
-		sockets -= admin.Conns(s.Sockets)
+	sockets := s.MaxSockets
+	if s.Admin != "" {
+		sockets -= admin.Conns(s.MaxSockets)
 	}
-	l, err := balancer.New(log, s.Deployment, s.Seed, s.Known, sockets)
+	l, err := balancer.New(log, s.Settings, s.Seed, s.InitialEndpoints, sockets)
 	if err != nil {
 		log.Error("can't start", zap.Error(err))
 		return 2
@@ -89,7 +89,7 @@
 	pages := admin.Pages{}
 	var member *fleet.Fleet
 	if file != nil {
-		err := file.Known(s.Deployment.Grades)
+		err := file.Known(s.Settings.Classes)
 		if err == nil {
 			member, err = fleet.Open(file, s.Name, s.Seed, gate.Shared(), log)
 		}
@@ -110,16 +110,16 @@
 	l.Follow(ctx, s.Discovery)
 	go l.Run(ctx.Done())
 	if gate.Shared() {
-		if err := l.Succeed(gate, os.Getenv("TMPDIR"), s.Name, int64(s.MemoryMB)<<20, s.Sockets-sockets+balancer.KeptFds(cores)); err != nil {
+		if err := l.Succeed(gate, os.Getenv("TMPDIR"), s.Name, int64(s.MemoryMB)<<20, s.MaxSockets-sockets+balancer.KeptFds(cores)); err != nil {
 			log.Warn("alone: an upgrade will have clients moved", zap.Error(err))
 		}
 	}
-	if err := l.Reconfigure(s.Deployment, s.Peers); err != nil {
+	if err := l.Reconfigure(s.Settings, s.Gossip); err != nil {
 		log.Error("can't start", zap.Error(err))
 		return 2
 	}
-	if s.Mgmt != "" { // last: who is answered there finds a loop that runs
-		m, err := admin.Open(s.Mgmt, admin.Conns(s.Sockets), operated{l, member, s.Name}, pages, aside{log, "mgmt"})
+	if s.Admin != "" { // last: who is answered there finds a loop that runs
+		m, err := admin.Open(s.Admin, admin.Conns(s.MaxSockets), operated{l, member, s.Name}, pages, aside{log, "mgmt"})
 		if err != nil {
 			log.Error("can't start", zap.NamedError("mgmt", err))
 			return 2
@@ -144,8 +144,8 @@
 		case <-reading:
 			// Read beside this loop: guards against a file that hangs while the end is asked for.
 			reading = nil
-			go func(was *deployment.Station) {
-				now, err := deployment.ReadStation(os.Getenv, was)
+			go func(was *deployment.NodeConfig) {
+				now, err := deployment.ReadNodeConfig(os.Getenv, was)
 				read <- reread{now, err}
 			}(s)
 		case r := <-read:
@@ -156,7 +156,7 @@
 				continue
 			}
 			longest := time.Duration(0)
-			for _, limit := range s.Deployment.OuterLimits {
+			for _, limit := range s.Settings.Deadlines {
 				longest = max(longest, limit)
 			}
 			within := min(longest, leaveMost) + leaveExtra
@@ -234,17 +234,17 @@
 
 // reread is the configuration read again, or why it can't be.
 type reread struct {
-	station *deployment.Station
+	station *deployment.NodeConfig
 	err     error
 }
 
 // reload takes the configuration that was read again: has its settings and peers hold and follows the discovery that it names;
 // the rest takes a restart. It answers what holds now. Guards against a file that is bad or half written: what was told
 // before then holds whole.
-func reload(ctx context.Context, log *zap.Logger, l *balancer.Loop, was *deployment.Station, r reread) *deployment.Station {
+func reload(ctx context.Context, log *zap.Logger, l *balancer.Loop, was *deployment.NodeConfig, r reread) *deployment.NodeConfig {
 	s, err := r.station, r.err
 	if err == nil {
-		err = l.Reconfigure(s.Deployment, s.Peers)
+		err = l.Reconfigure(s.Settings, s.Gossip)
 	}
 	if err != nil {
 		l.ReloadErrors.Add(1)
@@ -252,9 +252,9 @@
 		return was
 	}
 	l.Reloads.Add(1)
-	log.Info("reloaded", zap.String("discovery", s.Discovery), zap.Bool("restart-for-the-rest", s.Fixed != was.Fixed))
+	log.Info("reloaded", zap.String("discovery", s.Discovery), zap.Bool("restart-for-the-rest", s.StartupOnly != was.StartupOnly))
 	l.Follow(ctx, s.Discovery)
-	s.Fixed = was.Fixed
+	s.StartupOnly = was.StartupOnly
 	return s
 }
 
--- a/cmd/sabletally/switch_test.go
+++ b/cmd/sabletally/switch_test.go
@@ -73,7 +73,7 @@
 		_, _ = io.WriteString(out, "UP 5\r\n")
 		waits.want("UP 5\r\n")
 		_ = peer.SetReadDeadline(time.Now().Add(bound))
-		text, held := make([]byte, loadgossip.Most), 0.0
+		text, held := make([]byte, loadgossip.MaxDatagramSize), 0.0
 		for held == 0 { // until what stands is told of
 			n, _, err := peer.ReadFromUDPAddrPort(text)
 			if err != nil {
--- a/cmd/testbed/balancer.go
+++ b/cmd/testbed/balancer.go
@@ -21,7 +21,7 @@
 }
 
 func (c *balancerCmd) Run(*lab) error {
-	s, err := deployment.ReadStation(os.Getenv, nil)
+	s, err := deployment.ReadNodeConfig(os.Getenv, nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -135,8 +135,8 @@
 func (a *throughputArm) start(num int, dir string, servers []string, idle int) error {
 	w := topology.World{Balancers: 1, Zones: 1, GradeNames: []string{"feed"}, OuterLimits: []time.Duration{time.Minute},
 		MessageGoal: 10 * time.Second, DrainGrace: time.Second, ConnectWithin: 10 * time.Second,
-		Deployment: policy.Deployment{Grades: []policy.Grade{{SetupGoal: 10 * time.Second, MessageGoal: 10 * time.Second, Utility: 1}},
-			MostTries: 3, FallMultiple: 3, FallFor: time.Second, ColdFrom: 1, ColdFor: time.Second},
+		Deployment: policy.Config{Classes: []policy.Class{{SetupObjective: 10 * time.Second, MessageObjective: 10 * time.Second, PriorityWeight: 1}},
+			MaxAttempts: 3, OverloadMultiple: 3, OverloadWindow: time.Second, SlowStartFloor: 1, SlowStartWindow: time.Second},
 		Limits: topology.Limits{Cores: float64(a.Cores), MemoryMB: 4096, Sockets: 2*idle + 8192}}
 	agent, err := emulator.NewAgent(num, &emulator.Clock{}, history.New(1000), func(string) int { return 0 })
 	if err != nil {
--- a/internal/balancer/cost_test.go
+++ b/internal/balancer/cost_test.go
@@ -26,10 +26,10 @@
 		known.Servers = append(known.Servers, discovery.Server{UID: string(rune('a' + i)), Endpoint: s.Addr(), Heft: 1})
 	}
 	known.Whole = true
-	dep := &deployment.Deployment{
-		Policy: &policy.Deployment{Peers: 1, MostTries: 4, FallMultiple: 3, FallFor: time.Second, ColdFrom: 1, ColdFor: time.Second,
-			Grades: []policy.Grade{{SetupGoal: 10 * time.Second, Utility: 1}}},
-		Grades: map[string]int{"feed": 0}, OuterLimits: []time.Duration{time.Minute},
+	dep := &deployment.Settings{
+		Policy: &policy.Config{Balancers: 1, MaxAttempts: 4, OverloadMultiple: 3, OverloadWindow: time.Second, SlowStartFloor: 1, SlowStartWindow: time.Second,
+			Classes: []policy.Class{{SetupObjective: 10 * time.Second, PriorityWeight: 1}}},
+		Classes: map[string]int{"feed": 0}, Deadlines: []time.Duration{time.Minute},
 	}
 	l, err := New(zap.NewNop(), dep, 7, known, 8192)
 	if err != nil {
--- a/internal/balancer/counters.go
+++ b/internal/balancer/counters.go
@@ -30,7 +30,7 @@
 }
 
 var outcomes = [policy.NeverSent + 1]string{
-	policy.Succeeded: "succeeded", policy.Failed: "failed", policy.TurnedAway: "turned-away", policy.TimedOut: "timed-out",
+	policy.Succeeded: "succeeded", policy.Failed: "failed", policy.Rejected: "turned-away", policy.TimedOut: "timed-out",
 	policy.ConnectFailed: "connect-failed", policy.Reset: "reset", policy.Cancelled: "cancelled",
 	policy.NeverSent: "never-sent",
 }
--- a/internal/balancer/descriptors_test.go
+++ b/internal/balancer/descriptors_test.go
@@ -18,10 +18,10 @@
 func full(t *testing.T) (*leaver, *Loop) {
 	t.Helper()
 	s := count(t, "")
-	dep := &deployment.Deployment{
-		Policy: &policy.Deployment{Peers: 1, MostTries: 4, FallMultiple: 3, FallFor: time.Second, ColdFrom: 1, ColdFor: time.Second, MayProbe: true,
-			Grades: []policy.Grade{{SetupGoal: time.Second, Utility: 1, Effect: policy.Idempotent}}},
-		Grades: map[string]int{"feed": 0}, OuterLimits: []time.Duration{20 * time.Second},
+	dep := &deployment.Settings{
+		Policy: &policy.Config{Balancers: 1, MaxAttempts: 4, OverloadMultiple: 3, OverloadWindow: time.Second, SlowStartFloor: 1, SlowStartWindow: time.Second, CanHealthCheck: true,
+			Classes: []policy.Class{{SetupObjective: time.Second, PriorityWeight: 1, Idempotency: policy.Idempotent}}},
+		Classes: map[string]int{"feed": 0}, Deadlines: []time.Duration{20 * time.Second},
 	}
 	known := discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: s.ln.Addr().String(), Heft: 1}}}
 	l, err := New(zap.NewNop(), dep, 7, known, 64)
@@ -46,7 +46,7 @@
 	ln := protocol.Decode(fmt.Appendf(nil, asks, id))
 	y.c.phase.Store(waiting)
 	y.l.now = time.Since(y.l.start)
-	y.l.bal.Clock(y.l.now)
+	y.l.bal.AdvanceClock(y.l.now)
 	y.l.happened(event{conn: y.c, lines: []protocol.Line{ln}})
 }
 
@@ -54,7 +54,7 @@
 // dial holds none of the descriptors that the program keeps, and none of them hangs.
 func TestCircuitsTakenAtOnceLeaveWhatIsKept(t *testing.T) {
 	y, l := full(t)
-	l.dep.Policy.MayProbe = false
+	l.dep.Policy.CanHealthCheck = false
 	l.bal.Reconfigure(onSockets(l.dep), []int{0}, nil)
 	many := int(l.most-l.most/spareFds) - 1
 	for i := range many {
@@ -101,7 +101,7 @@
 	y, l := full(t)
 	l.fds.Store(l.most)
 	for range probeFds + 3 {
-		l.ask(policy.ServerID(protocol.Hash("s-1")))
+		l.ask(policy.EndpointID(protocol.Hash("s-1")))
 	}
 	y.turns("the probes within the share are there, and the others are over", func() bool { return y.s.told() == probeFds && l.NoRoom.Load() == 3 })
 	if n := y.s.attempts(); n != probeFds {
--- a/internal/balancer/dial.go
+++ b/internal/balancer/dial.go
@@ -44,7 +44,7 @@
 // dial starts a connection to a server beside the loop, for the connect time limit or a try's time at most. None is begun once it
 // is cancelled or its circuit's client has gone.
 func (l *Loop) dial(address string, within time.Duration, cir *circuit, up func(*relay.Conn, error)) *called {
-	if limit := l.dep.ConnectWithin; limit > 0 {
+	if limit := l.dep.ConnectTimeout; limit > 0 {
 		within = min(within, limit)
 	} else {
 		within = min(within, connectMost)
@@ -142,7 +142,7 @@
 			cir := one.Pair.Data.(*circuit)
 			if ln := protocol.Decode(one.Raw); ln.Bad == nil && r.l.circuits[cir.id] == cir {
 				cir.arrival.Load = ln.Figure
-				r.l.bal.LoadNoted(cir.id, max(cir.tries-1, 0), ln.Figure)
+				r.l.bal.RecordLoad(cir.id, max(cir.tries-1, 0), ln.Figure)
 			}
 		}
 	}})
--- a/internal/balancer/endpoint_recovery.go
+++ b/internal/balancer/endpoint_recovery.go
@@ -32,7 +32,7 @@
 	var all discovery.List
 	all.Rev, all.Whole = rev, true
 	for _, sv := range l.servers {
-		if sv.state != policy.Gone {
+		if sv.state != policy.Removed {
 			all.Servers = append(all.Servers, sv.listedAs)
 		}
 	}
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -139,7 +139,7 @@
 	l.share(true)
 	known := &hotrestart.Known{Out: l.isOut()}
 	for _, sv := range l.servers {
-		if t := &sv.timed; len(t.low) > 0 && sv.state != policy.Gone {
+		if t := &sv.timed; len(t.low) > 0 && sv.state != policy.Removed {
 			known.Servers = append(known.Servers, hotrestart.Probed{UID: sv.listedAs.UID, Boot: boot(sv), Last: t.last, Before: t.before,
 				Low: t.low, Pace: sv.pace})
 		}
@@ -318,7 +318,7 @@
 
 // learn takes what would be slow to learn anew.
 func (l *Loop) learn(k *hotrestart.Known) {
-	l.bal.Spent() // what the old process has let to cold servers of late counts
+	l.bal.PauseSlowStart() // what the old process has let to cold servers of late counts
 	for _, p := range k.Servers {
 		sv := l.byUID[p.UID]
 		if sv == nil || boot(sv) != p.Boot || len(p.Low) == 0 || len(sv.timed.low) > 0 {
@@ -326,7 +326,7 @@
 		}
 		sv.timed = timed{last: p.Last, before: p.Before, low: slices.Sorted(slices.Values(p.Low[:min(len(p.Low), 3)]))}
 		sv.pace = max(-paceFar, min(p.Pace, paceFar))
-		l.bal.Weighed(sv.id, sv.heft())
+		l.bal.SetWeight(sv.id, sv.heft())
 	}
 	if k.Out {
 		l.inheritOut()
@@ -345,7 +345,7 @@
 	}
 	sv := l.byUID[m.At]
 	if sv == nil { // a list that is older or newer: it stands where it stands
-		sv = &server{id: policy.ServerID(protocol.Hash(m.At)), state: policy.Gone, listedAs: discovery.Server{UID: m.At}}
+		sv = &server{id: policy.EndpointID(protocol.Hash(m.At)), state: policy.Removed, listedAs: discovery.Server{UID: m.At}}
 		l.servers[sv.id], l.byUID[m.At] = sv, sv
 	}
 	l.last++
@@ -362,7 +362,7 @@
 	l.circuits[cir.id], l.byAsk[ln.Ask.ID] = cir, cir
 	l.open++
 	l.Open.Store(int64(l.open))
-	l.bal.HandedOver(cir.arrival, sv.id)
+	l.bal.AdoptSession(cir.arrival, sv.id)
 	if l.passesOn() {
 		l.pass(cir)
 	}
@@ -392,7 +392,7 @@
 	l.succession.old = nil
 	l.beside.Store(0)
 	l.share(false)
-	l.bal.Spent()
+	l.bal.PauseSlowStart()
 	if !l.isLeaving() {
 		l.await()
 	}
--- a/internal/balancer/lifecycle.go
+++ b/internal/balancer/lifecycle.go
@@ -90,7 +90,7 @@
 			return
 		}
 		l.log.Info("in service", zap.Int("open", l.open))
-		l.bal.Stay()
+		l.bal.StopDraining()
 	}})
 	return nil
 }
@@ -198,7 +198,7 @@
 
 // empty has all that is held go.
 func (l *Loop) empty(from, within time.Duration) {
-	l.bal.Leave(l.now+from, l.now+within)
+	l.bal.StartDraining(l.now+from, l.now+within)
 	for _, cir := range l.circuits {
 		if cir.standing { // waits for its server for longer than there is time
 			l.giveUp(cir, protocol.ErrLine)
--- a/internal/balancer/listener.go
+++ b/internal/balancer/listener.go
@@ -288,8 +288,8 @@
 
 // comeAgain is the advice of a nack for want of room.
 func (l *Loop) comeAgain() time.Duration {
-	if !l.dep.Policy.MayAdvise {
+	if !l.dep.Policy.CanSendRetryAfter {
 		return 0
 	}
-	return l.dep.Policy.LongestAdvice / 2
+	return l.dep.Policy.MaxRetryAfter / 2
 }
--- a/internal/balancer/load_estimator.go
+++ b/internal/balancer/load_estimator.go
@@ -76,7 +76,7 @@
 	if math.Abs(at-float64(sv.pace)) > 0.75 {
 		sv.pace = int(math.Round(at))
 		l.log.Debug("pace", zap.String("server", sv.listedAs.UID), zap.Int("steps", sv.pace))
-		l.bal.Weighed(sv.id, sv.heft())
+		l.bal.SetWeight(sv.id, sv.heft())
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	load := l.figure(t, idle)
 	if load < doubtAt && l.told(t.last, l.alone(t, idle)) >= doubtAt {
-		l.bal.Doubted(sv.id) // guards against a queue that is seen only by the second long probe, seconds later
+		l.bal.RequestHealthCheck(sv.id) // guards against a queue that is seen only by the second long probe, seconds later
 	}
 	return load, true
 }
@@ -117,7 +117,7 @@
 // figure is the load over capacity that the newest probes tell of, against the idle times of all, sorted.
 func (l *Loop) figure(t *timed, idle []time.Duration) float64 {
 	alone := l.alone(t, idle)
-	return l.told(t.took(l.dep.Policy.Peers, alone), alone)
+	return l.told(t.took(l.dep.Policy.Balancers, alone), alone)
 }
 
 func (l *Loop) alone(t *timed, idle []time.Duration) time.Duration {
@@ -141,12 +141,12 @@
 	if t := &sv.timed; sv != but && len(t.low) > 0 && l.now-t.at < anewIn && sv.state == policy.Ready && !l.cold(sv) {
 		load := l.figure(t, idle)
 		l.log.Debug("guess", zap.String("server", sv.listedAs.UID), zap.Float64("load", load), zap.Duration("took", t.last))
-		l.bal.Reported(sv.id, policy.Report{Asked: load, Piled: -1, Util: -1})
+		l.bal.RecordLoadReport(sv.id, policy.LoadReport{Demand: load, Backlog: -1, Utilization: -1})
 	}
 }
 
 // cold tells whether a server still warms up.
 func (l *Loop) cold(sv *server) bool {
 	boot := sv.listedAs.Boot
-	return !boot.IsZero() && l.now-boot.Sub(l.start) < l.dep.Policy.ColdFor
+	return !boot.IsZero() && l.now-boot.Sub(l.start) < l.dep.Policy.SlowStartWindow
 }
--- a/internal/balancer/loop.go
+++ b/internal/balancer/loop.go
@@ -36,7 +36,7 @@
 // Loop is one running balancer.
 type Loop struct {
 	log    *zap.Logger
-	dep    *deployment.Deployment
+	dep    *deployment.Settings
 	bal    *policy.Balancer
 	start  time.Time
 	now    time.Duration
@@ -51,21 +51,21 @@
 	most   int64        // of those at most, less
 	beside atomic.Int64 // what the other process of an upgrade holds
 
-	link     *loadgossip.Link // to the other balancers, nil where they are not told
-	linked   *loadgossip.Link // the newest one that was opened, and whether another process of this balancer may run
-	shared   bool             // beside it, which only Reconfigure looks at
-	fleet    *fleet.Fleet     // holds circuits of some grades for others; nil where there is none
+	link     *loadgossip.Transport // to the other balancers, nil where they are not told
+	linked   *loadgossip.Transport // the newest one that was opened, and whether another process of this balancer may run
+	shared   bool                  // beside it, which only Reconfigure looks at
+	fleet    *fleet.Fleet          // holds circuits of some grades for others; nil where there is none
 	relays   *relay.Shards
 	watch    *discovery.Watch
 	unwatch  context.CancelFunc // ends it
 	known    discovery.List     // the list from before the start, until it is followed
-	servers  map[policy.ServerID]*server
+	servers  map[policy.EndpointID]*server
 	byUID    map[string]*server
-	circuits map[policy.CircuitID]*circuit
+	circuits map[policy.SessionID]*circuit
 	byAsk    map[uint64]*circuit // by the id that the client gave it
 	door     *door
 	open     int
-	last     policy.CircuitID
+	last     policy.SessionID
 	timers   timers
 	order    int
 	listed   bool          // discovery has answered since the start
@@ -88,9 +88,9 @@
 
 // server is what the sockets need to know of one server.
 type server struct {
-	id       policy.ServerID
+	id       policy.EndpointID
 	address  string
-	state    policy.State
+	state    policy.EndpointState
 	timed    timed // what probes took
 	pace     int   // how fast its machine is by them, in steps over the middle one
 	noted    bool  // the newest note was one of slow messages
@@ -119,13 +119,13 @@
 }
 
 // New makes a balancer from what it was told at its start; sockets is the most descriptors it may hold.
-func New(log *zap.Logger, dep *deployment.Deployment, seed uint64, known discovery.List, sockets int) (*Loop, error) {
+func New(log *zap.Logger, dep *deployment.Settings, seed uint64, known discovery.List, sockets int) (*Loop, error) {
 	shards := (runtime.GOMAXPROCS(0) - 1) / 2
 	l := &Loop{
 		log: log, bal: policy.New(onSockets(dep), seed), start: time.Now(),
 		wake: make(chan struct{}, 1), most: int64(max(sockets-KeptFds(shards), 2)),
-		servers: map[policy.ServerID]*server{}, byUID: map[string]*server{},
-		circuits: map[policy.CircuitID]*circuit{}, byAsk: map[uint64]*circuit{}, door: newDoor(),
+		servers: map[policy.EndpointID]*server{}, byUID: map[string]*server{},
+		circuits: map[policy.SessionID]*circuit{}, byAsk: map[uint64]*circuit{}, door: newDoor(),
 		known: known, welcomed: make(chan struct{}),
 	}
 	l.settings(dep)
@@ -159,7 +159,7 @@
 				}
 			}})
 		}
-		w = discovery.New(address, l.dep.Policy.Peers, l.dep.AskForList,
+		w = discovery.New(address, l.dep.Policy.Balancers, l.dep.PollEndpointList,
 			func(list discovery.List) { of(func() { l.list(list, false) }) },
 			func(err error) { of(func() { l.unlisted(err) }) })
 		if l.unwatch == nil { // another discovery counts its lists by itself
@@ -221,7 +221,7 @@
 	l.mu.Unlock()
 	due := l.next()
 	l.now = time.Since(l.start)
-	l.bal.Clock(l.now)
+	l.bal.AdvanceClock(l.now)
 	if l.now-due > stalledFor {
 		l.Stalls.Add(1)
 		l.log.Warn("stopped, or starved", zap.Duration("for", l.now-due))
@@ -244,7 +244,7 @@
 			return
 		}
 		var c *conn
-		if cir := l.circuits[d.Circuit]; cir != nil {
+		if cir := l.circuits[d.Session]; cir != nil {
 			c = cir.client
 		}
 		l.guard(c, func() { l.carryOut(d) })
@@ -254,7 +254,7 @@
 // next is when the loop has something to do if nothing comes in.
 func (l *Loop) next() time.Duration {
 	at := l.now + time.Second
-	if w, ok := l.bal.Wake(); ok {
+	if w, ok := l.bal.NextWakeup(); ok {
 		at = min(at, w)
 	}
 	if len(l.timers) > 0 {
@@ -316,31 +316,31 @@
 }
 
 func (l *Loop) carryOut(d policy.Decision) {
-	switch d.Do {
-	case policy.Probe:
-		l.ask(d.Server)
+	switch d.Action {
+	case policy.HealthCheck:
+		l.ask(d.Endpoint)
 		return
-	case policy.Tell:
+	case policy.SendGossip:
 		if l.link != nil {
-			l.link.Tell(d.Told)
+			l.link.Broadcast(d.Gossip)
 		}
 		return
 	}
-	c := l.circuits[d.Circuit]
+	c := l.circuits[d.Session]
 	if c == nil {
 		return
 	}
-	switch d.Do {
-	case policy.Try:
-		l.try(c, d.Server, d.For)
-	case policy.Nack:
+	switch d.Action {
+	case policy.StartAttempt:
+		l.try(c, d.Endpoint, d.Duration)
+	case policy.Reject:
 		l.Nacked.Add(1)
 		l.withdraw(c)
-		l.answer(c, protocol.Turned(d.For))
-	case policy.BreakOff:
+		l.answer(c, protocol.Turned(d.Duration))
+	case policy.Fail:
 		l.BrokenOff.Add(1)
 		l.answer(c, protocol.ErrLine)
-	case policy.Move:
+	case policy.Migrate:
 		l.move(c, policy.Cancelled)
 	}
 }
@@ -349,10 +349,10 @@
 
 // list takes a list of servers; known: from before the start.
 func (l *Loop) list(list discovery.List, known bool) {
-	named := map[policy.ServerID]bool{}
-	lines := make([]policy.Listed, 0, len(list.Servers))
+	named := map[policy.EndpointID]bool{}
+	lines := make([]policy.Endpoint, 0, len(list.Servers))
 	for _, s := range list.Servers {
-		id := policy.ServerID(protocol.Hash(s.UID))
+		id := policy.EndpointID(protocol.Hash(s.UID))
 		named[id] = true
 		sv := l.servers[id]
 		if sv == nil {
@@ -374,22 +374,22 @@
 		if !told {
 			zone = len(l.dep.Zones)
 		}
-		started := policy.LongAgo
+		started := policy.StartedLongAgo
 		if !s.Boot.IsZero() {
 			started = s.Boot.Sub(l.start)
 		}
-		lines = append(lines, policy.Listed{
-			Server: id, Zone: zone, Cell: s.Cell, Kind: protocol.Hash(s.Model), State: s.State, Heft: sv.heft(), Started: started,
+		lines = append(lines, policy.Endpoint{
+			ID: id, Zone: zone, FailureDomain: s.Cell, MachineType: protocol.Hash(s.Model), State: s.State, Weight: sv.heft(), StartedAt: started,
 		})
 	}
 	if list.Whole {
 		for id, sv := range l.servers {
 			if !named[id] {
-				sv.state, sv.listedAs = policy.Gone, discovery.Server{}
+				sv.state, sv.listedAs = policy.Removed, discovery.Server{}
 			}
 		}
 	}
-	l.bal.ListArrived(lines, list.Whole || known)
+	l.bal.UpdateEndpoints(lines, list.Whole || known)
 	if !known {
 		l.log.Debug("list", zap.Uint64("rev", list.Rev), zap.Bool("whole", list.Whole), zap.Int("entries", len(list.Servers)))
 		l.Lists.Add(1)
@@ -407,7 +407,7 @@
 // while the process was stopped. Where it is silent that is not waited for. Guards against a first line to a server that
 // drains since, by a word that nobody here has read yet.
 func (l *Loop) hear() {
-	if l.watch == nil || l.dep.AskForList {
+	if l.watch == nil || l.dep.PollEndpointList {
 		return
 	}
 	l.watch.Again()
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -21,12 +21,12 @@
 )
 
 // alone is a loop with one server in its list and one grade, of an effect, that nobody runs yet.
-func alone(t *testing.T, server string, effect policy.Effect) *Loop {
+func alone(t *testing.T, server string, effect policy.Idempotency) *Loop {
 	t.Helper()
-	dep := &deployment.Deployment{
-		Policy: &policy.Deployment{Peers: 1, MostTries: 4, FallMultiple: 3, FallFor: time.Second, ColdFrom: 1, ColdFor: time.Second,
-			Grades: []policy.Grade{{SetupGoal: 5 * time.Second, Utility: 1, Effect: effect}}},
-		Grades: map[string]int{"feed": 0}, OuterLimits: []time.Duration{20 * time.Second},
+	dep := &deployment.Settings{
+		Policy: &policy.Config{Balancers: 1, MaxAttempts: 4, OverloadMultiple: 3, OverloadWindow: time.Second, SlowStartFloor: 1, SlowStartWindow: time.Second,
+			Classes: []policy.Class{{SetupObjective: 5 * time.Second, PriorityWeight: 1, Idempotency: effect}}},
+		Classes: map[string]int{"feed": 0}, Deadlines: []time.Duration{20 * time.Second},
 	}
 	known := discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: server, Heft: 1}}}
 	l, err := New(zap.NewNop(), dep, 7, known, 1024)
@@ -81,7 +81,7 @@
 		l.post(event{do: func() { defer close(done); do() }})
 		<-done
 	}
-	fail := func(id policy.CircuitID) {
+	fail := func(id policy.SessionID) {
 		in(func() { l.guard(l.circuits[id].client, func() { panic("for the test") }) })
 	}
 	_, waits, _ := client()
@@ -130,7 +130,7 @@
 		_ = c.Close()
 		told <- string(got)
 	}()
-	dep := &deployment.Deployment{Policy: &policy.Deployment{Peers: 1, Grades: []policy.Grade{{}}}}
+	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 1, Classes: []policy.Class{{}}}}
 	l, err := New(zap.NewNop(), dep, 7, discovery.List{Whole: true}, 1024)
 	if err != nil {
 		t.Fatal(err)
@@ -165,20 +165,20 @@
 }
 
 func TestProbesTellOfLoad(t *testing.T) {
-	dep := &deployment.Deployment{Policy: &policy.Deployment{Peers: 2, ColdFor: 20 * time.Second}}
+	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 2, SlowStartWindow: 20 * time.Second}}
 	l := &Loop{log: zap.NewNop(), dep: dep, bal: policy.New(dep.Policy, 7), start: time.Now(),
-		now: 30 * time.Second, goal: 200 * time.Millisecond, servers: map[policy.ServerID]*server{}}
-	for id := range policy.ServerID(5) {
+		now: 30 * time.Second, goal: 200 * time.Millisecond, servers: map[policy.EndpointID]*server{}}
+	for id := range policy.EndpointID(5) {
 		l.servers[id] = &server{id: id}
 	}
 	ms := time.Millisecond
-	tell := func(id policy.ServerID, each ...time.Duration) (load float64, told bool) {
+	tell := func(id policy.EndpointID, each ...time.Duration) (load float64, told bool) {
 		for _, took := range each {
 			load, told = l.guess(l.servers[id], took)
 		}
 		return load, told
 	}
-	for id := range policy.ServerID(3) {
+	for id := range policy.EndpointID(3) {
 		if load, told := tell(id, 7*ms, 8*ms, 7*ms, 1*ms, 7*ms, 8*ms); !told || load > 0.4 {
 			t.Errorf("an idle server: %v, %v", load, told)
 		}
@@ -205,7 +205,7 @@
 	if load, _ := tell(4, 30*ms, 31*ms, 32*ms); load < 0.85 {
 		t.Errorf("a server that was full from the start: %v", load)
 	}
-	for id, want := range map[policy.ServerID]float64{0: 1, 2: 2.5, 3: 0.7} { // of machines of 8, 3 and 12 ms
+	for id, want := range map[policy.EndpointID]float64{0: 1, 2: 2.5, 3: 0.7} { // of machines of 8, 3 and 12 ms
 		sv := l.servers[id]
 		sv.listedAs.Heft = 1
 		if got := sv.heft(); got < want/1.5 || got > want*1.5 {
@@ -223,39 +223,39 @@
 // short ones is asked again at the next round. Guards against seconds in which clients stay on, and come to, a jammed server.
 func TestTheFirstProbeOfAJammedServerIsJudgedAnew(t *testing.T) {
 	ms := time.Millisecond
-	dep := &deployment.Deployment{Policy: &policy.Deployment{Peers: 2, MayProbe: true, ReportsOnAsk: true, MostTries: 3,
-		Grades: []policy.Grade{{SetupGoal: 300 * ms, MessageGoal: 250 * ms}}}}
-	l := &Loop{log: zap.NewNop(), bal: policy.New(dep.Policy, 7), start: time.Now(), servers: map[policy.ServerID]*server{}}
+	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 2, CanHealthCheck: true, HasLoadReports: true, MaxAttempts: 3,
+		Classes: []policy.Class{{SetupObjective: 300 * ms, MessageObjective: 250 * ms}}}}
+	l := &Loop{log: zap.NewNop(), bal: policy.New(dep.Policy, 7), start: time.Now(), servers: map[policy.EndpointID]*server{}}
 	l.settings(dep)
-	var list []policy.Listed
-	for id := range policy.ServerID(4) {
+	var list []policy.Endpoint
+	for id := range policy.EndpointID(4) {
 		l.servers[id] = &server{id: id, listedAs: discovery.Server{UID: fmt.Sprint(id), Heft: 1}}
-		list = append(list, policy.Listed{Server: id, Heft: 1, Started: policy.LongAgo})
+		list = append(list, policy.Endpoint{ID: id, Weight: 1, StartedAt: policy.StartedLongAgo})
 	}
-	l.bal.ListArrived(list, true)
-	tell := func(id policy.ServerID, took time.Duration) {
+	l.bal.UpdateEndpoints(list, true)
+	tell := func(id policy.EndpointID, took time.Duration) {
 		load, _ := l.guess(l.servers[id], took)
-		l.bal.Reported(id, policy.Report{Asked: load, Piled: -1, Util: -1})
+		l.bal.RecordLoadReport(id, policy.LoadReport{Demand: load, Backlog: -1, Utilization: -1})
 	}
 	for id, took := range []time.Duration{47, 7, 8, 7} {
-		tell(policy.ServerID(id), took*ms)
+		tell(policy.EndpointID(id), took*ms)
 	}
-	next := func() (tries map[policy.ServerID]int, probed map[policy.ServerID]bool) {
-		tries, probed = map[policy.ServerID]int{}, map[policy.ServerID]bool{}
+	next := func() (tries map[policy.EndpointID]int, probed map[policy.EndpointID]bool) {
+		tries, probed = map[policy.EndpointID]int{}, map[policy.EndpointID]bool{}
 		for d, ok := l.bal.Next(); ok; d, ok = l.bal.Next() {
-			switch d.Do {
-			case policy.Try:
-				tries[d.Server]++
-				l.bal.SetUp(d.Circuit, 0, ms)
-			case policy.Probe:
-				probed[d.Server] = true
-				l.bal.ProbeAnswered(d.Server, policy.Succeeded)
+			switch d.Action {
+			case policy.StartAttempt:
+				tries[d.Endpoint]++
+				l.bal.AttemptEstablished(d.Session, 0, ms)
+			case policy.HealthCheck:
+				probed[d.Endpoint] = true
+				l.bal.HealthCheckEnded(d.Endpoint, policy.Succeeded)
 			}
 		}
 		return tries, probed
 	}
-	for id := range policy.CircuitID(40) {
-		l.bal.CircuitArrived(policy.Arrival{ID: id + 1, Key: uint64(id + 1), Left: time.Second})
+	for id := range policy.SessionID(40) {
+		l.bal.AddSession(policy.SessionRequest{ID: id + 1, Key: uint64(id + 1), Timeout: time.Second})
 	}
 	if tries, _ := next(); tries[0] > 0 || tries[1] == 0 || tries[2] == 0 || tries[3] == 0 {
 		t.Fatalf("%v", tries)
@@ -265,13 +265,13 @@
 		took time.Duration
 		want bool
 	}{{7, false}, {8, false}, {28, true}} {
-		for probed := map[policy.ServerID]bool{}; !probed[1]; at += 10 * ms { // its own turn comes
-			l.bal.Clock(at)
+		for probed := map[policy.EndpointID]bool{}; !probed[1]; at += 10 * ms { // its own turn comes
+			l.bal.AdvanceClock(at)
 			l.now = at
 			_, probed = next()
 		}
 		tell(1, x.took*ms)
-		l.bal.Clock(at + 260*ms) // the next round: no turn of its own comes before 700 ms
+		l.bal.AdvanceClock(at + 260*ms) // the next round: no turn of its own comes before 700 ms
 		if _, probed := next(); probed[1] != x.want {
 			t.Fatalf("asked again after %d ms: %t", x.took, probed[1])
 		}
@@ -281,21 +281,21 @@
 // The first probes of a fresh balancer meet its own start and are all slow; one probe of each server later they tell how
 // fast each machine is. With the middle kept as it first stood, all were taken for four times as fast as the middle.
 func TestAFewProbesTellTheMachinesPace(t *testing.T) {
-	dep := &deployment.Deployment{Policy: &policy.Deployment{Peers: 80, Grades: []policy.Grade{{MessageGoal: time.Second}}}}
-	l := &Loop{log: zap.NewNop(), bal: policy.New(dep.Policy, 7), start: time.Now(), servers: map[policy.ServerID]*server{}}
+	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 80, Classes: []policy.Class{{MessageObjective: time.Second}}}}
+	l := &Loop{log: zap.NewNop(), bal: policy.New(dep.Policy, 7), start: time.Now(), servers: map[policy.EndpointID]*server{}}
 	l.settings(dep)
 	took, want := []time.Duration{4, 4, 10, 10, 10, 10, 20}, []int{3, 3, 0, 0, 0, 0, -1} // none is under a quarter of the fastest
 	for i := range took {
-		l.servers[policy.ServerID(i)] = &server{id: policy.ServerID(i), listedAs: discovery.Server{UID: fmt.Sprint(i), Heft: 1}}
+		l.servers[policy.EndpointID(i)] = &server{id: policy.EndpointID(i), listedAs: discovery.Server{UID: fmt.Sprint(i), Heft: 1}}
 	}
-	for id := range policy.ServerID(5) {
+	for id := range policy.EndpointID(5) {
 		l.guess(l.servers[id], 200*time.Millisecond)
 	}
 	for n := range 3 * len(took) {
-		l.guess(l.servers[policy.ServerID(n/3)], took[n/3]*time.Millisecond)
+		l.guess(l.servers[policy.EndpointID(n/3)], took[n/3]*time.Millisecond)
 	}
 	for i := range want {
-		if got := l.servers[policy.ServerID(i)].pace; got != want[i] {
+		if got := l.servers[policy.EndpointID(i)].pace; got != want[i] {
 			t.Errorf("server %d, whose probes take %d ms, has pace %d, not %d", i, took[i], got, want[i])
 		}
 	}
--- a/internal/balancer/planned_end_test.go
+++ b/internal/balancer/planned_end_test.go
@@ -175,7 +175,7 @@
 }
 
 // list has so many servers at the one address, in a state.
-func (y *leaver) list(many int, state policy.State) {
+func (y *leaver) list(many int, state policy.EndpointState) {
 	var all []discovery.Server
 	for i := range many {
 		all = append(all, discovery.Server{UID: fmt.Sprint("s-", i+1), Endpoint: y.s.ln.Addr().String(), Heft: 1, State: state})
@@ -317,7 +317,7 @@
 		}},
 		{"for its turn, until its server has told its load", func(t *testing.T, how string) {
 			y := leaving(t, how, "")
-			y.l.dep.Policy.MayProbe = true
+			y.l.dep.Policy.CanHealthCheck = true
 			y.l.bal.Reconfigure(onSockets(y.l.dep), []int{0}, nil)
 			y.list(1, policy.Ready)
 			cir := y.taken()
--- a/internal/balancer/probe.go
+++ b/internal/balancer/probe.go
@@ -25,21 +25,21 @@
 // probeWithin is how long a probe may take once its connection stands: as long as a set-up should.
 func (l *Loop) probeWithin() time.Duration {
 	goal := time.Duration(0)
-	for _, g := range l.dep.Policy.Grades {
-		goal = max(goal, g.SetupGoal)
+	for _, g := range l.dep.Policy.Classes {
+		goal = max(goal, g.SetupObjective)
 	}
 	return goal
 }
 
 // ask starts a probe.
-func (l *Loop) ask(id policy.ServerID) {
+func (l *Loop) ask(id policy.EndpointID) {
 	l.Probes.Add(1)
 	p := &probe{at: l.servers[id]}
 	within := l.probeWithin()
 	p.called = l.dial(p.at.address, connectMost, nil, func(c *relay.Conn, err error) { l.probeDialed(p, c, err) })
 	p.called.said = func(_ *relay.Conn, ln protocol.Line) { l.probeLine(p, ln) }
 	p.called.gone = func(*relay.Conn, error) { l.probed(p, policy.Reset, nil) }
-	if limit := l.dep.ConnectWithin; limit > 0 {
+	if limit := l.dep.ConnectTimeout; limit > 0 {
 		within += limit
 	} else {
 		within += connectMost
@@ -64,7 +64,7 @@
 		return
 	}
 	text := protocol.PingLine
-	if l.dep.Policy.ReportsOnAsk {
+	if l.dep.Policy.HasLoadReports {
 		text = protocol.AskLoad
 	}
 	if c.Early() != nil || c.Ask(text) != nil {
@@ -82,7 +82,7 @@
 		l.probed(p, policy.Succeeded, ln.Report())
 	case ln.Kind != protocol.Pong || ln.Bad != nil:
 		l.probed(p, policy.Failed, nil)
-	case l.dep.Policy.ReportsOnAsk && len(ln.Fields) == 0:
+	case l.dep.Policy.HasLoadReports && len(ln.Fields) == 0:
 		p.ponged = true
 		p.conn.Listen()
 	default:
@@ -100,27 +100,27 @@
 	if p.ponged {
 		how = policy.Succeeded
 	}
-	l.bal.ProbeAnswered(p.at.id, how)
-	report := policy.NoReport
+	l.bal.HealthCheckEnded(p.at.id, how)
+	report := policy.NoLoadReport
 	for _, name := range l.dep.ReportFields {
 		v, told := fields[name]
 		switch {
 		case !told:
 		case name == "x0":
-			report.Asked = v
+			report.Demand = v
 		case name == "x1":
-			report.Piled = v
+			report.Backlog = v
 		case name == "cpu":
-			report.Util = v
+			report.Utilization = v
 		}
 	}
-	if !l.dep.Policy.ReportsOnAsk && how == policy.Succeeded {
+	if !l.dep.Policy.HasLoadReports && how == policy.Succeeded {
 		took := p.conn.Took()
 		if load, told := l.guess(p.at, took); told {
-			report.Asked = load
+			report.Demand = load
 			l.log.Debug("guess", zap.String("server", p.at.listedAs.UID), zap.Float64("load", load),
 				zap.Duration("took", took))
 		}
 	}
-	l.bal.Reported(p.at.id, report)
+	l.bal.RecordLoadReport(p.at.id, report)
 }
--- a/internal/balancer/race_test.go
+++ b/internal/balancer/race_test.go
@@ -76,7 +76,7 @@
 	return fd
 }
 
-func cross(t *testing.T, effect policy.Effect) *crossing {
+func cross(t *testing.T, effect policy.Idempotency) *crossing {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -246,7 +246,7 @@
 
 // TestATryWhoseTimeIsUpIsNotSent has the process stopped while a connection comes up, past the try's time: it is seen first.
 func TestATryWhoseTimeIsUpIsNotSent(t *testing.T) {
-	x := cross(t, policy.Unrepeatable)
+	x := cross(t, policy.NonIdempotent)
 	x.cir.giveUp = time.Since(x.l.start)
 	x.see()
 	if got := x.settled(); got != "" {
@@ -327,7 +327,7 @@
 // TestACircuitThatCantBeMadeAPairIsAnswered has no descriptor left for the hand-over of a circuit that is up: its client is told
 // in time, and the loop does not try for ever.
 func TestACircuitThatCantBeMadeAPairIsAnswered(t *testing.T) {
-	x := cross(t, policy.Unrepeatable)
+	x := cross(t, policy.NonIdempotent)
 	c := x.cir.client
 	c.mu.Lock()
 	c.writing = true // a writer that hangs looks the same: the hand-over has to wait
@@ -421,7 +421,7 @@
 // TestATryThatNeverWentOutHasNotRun has a try's time run out while its line waits to be written: one that must not run twice is
 // nacked, as trying again is harmless.
 func TestATryThatNeverWentOutHasNotRun(t *testing.T) {
-	x := cross(t, policy.Unrepeatable)
+	x := cross(t, policy.NonIdempotent)
 	x.l.hearBy = time.Hour // discovery is waited for
 	x.see()
 	x.l.start = x.l.start.Add(-x.cir.giveUp)
@@ -439,7 +439,7 @@
 // TestAClientForWhomThereIsNoRoomReadsSo has a client's line lie here before it is accepted, and no descriptor be left that could be
 // shed: it reads its nack and a plain end.
 func TestAClientForWhomThereIsNoRoomReadsSo(t *testing.T) {
-	dep := &deployment.Deployment{Policy: &policy.Deployment{Peers: 1, Grades: []policy.Grade{{}}}}
+	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 1, Classes: []policy.Class{{}}}}
 	l, err := New(zap.NewNop(), dep, 7, discovery.List{Whole: true}, 1024)
 	if err != nil {
 		t.Fatal(err)
@@ -496,7 +496,7 @@
 		}},
 		{"the process is told to end", false, func(x *crossing, _ *net.TCPConn) { x.l.Leave(0, 20*time.Millisecond, func() {}) }},
 	}
-	for _, effect := range []policy.Effect{policy.Idempotent, policy.Unrepeatable} {
+	for _, effect := range []policy.Idempotency{policy.Idempotent, policy.NonIdempotent} {
 		for _, first := range acts {
 			for _, second := range acts {
 				t.Run(first.name+", "+second.name, func(t *testing.T) {
@@ -526,7 +526,7 @@
 						}
 					}()
 					x.turns("no circuit is left, and its client has an end", func() bool { return over.Load() && len(x.l.circuits) == 0 })
-					if n := len(x.asked) - asked; n > 0 && effect == policy.Unrepeatable && first.name != "turned away" && second.name != "turned away" {
+					if n := len(x.asked) - asked; n > 0 && effect == policy.NonIdempotent && first.name != "turned away" && second.name != "turned away" {
 						t.Errorf("asked %d times more, and it may have run", n)
 					}
 					if n := x.l.Panics.Load(); n != 0 || x.l.open != 0 || len(x.l.byAsk) != 0 {
--- a/internal/balancer/session.go
+++ b/internal/balancer/session.go
@@ -35,26 +35,26 @@
 
 // circuit is one circuit, from its first line to its end.
 type circuit struct {
-	id       policy.CircuitID
+	id       policy.SessionID
 	ask      *protocol.Ask
 	client   *conn
-	called   *called        // the newest try's dial
-	server   *relay.Conn    // its connection, once that stands
-	pair     *relay.Pair    // both connections, once the circuit stands
-	at       *server        // of the newest try
-	arrival  policy.Arrival // its load by the newest note
-	until    time.Duration  // the client's outer limit, by the loop's clock
-	tries    int            // made; the newest has this number less one
-	turn     int            // counts tries and their ends, so that what comes late is known as such
-	out      bool           // a try is out,
-	sent     bool           // and its line may have gone to the server
-	open     bool           // it stands
-	away     bool           // it is to be moved as soon as its connections are a pair
-	standing bool           // it was open before the run and goes to its server without the module
-	calledAt time.Duration  // when the newest try was decided,
-	stoodAt  time.Duration  // and when it came to stand
-	giveUp   time.Duration  // when it is given up
-	held     *held          // where the fleet holds it for others
+	called   *called               // the newest try's dial
+	server   *relay.Conn           // its connection, once that stands
+	pair     *relay.Pair           // both connections, once the circuit stands
+	at       *server               // of the newest try
+	arrival  policy.SessionRequest // its load by the newest note
+	until    time.Duration         // the client's outer limit, by the loop's clock
+	tries    int                   // made; the newest has this number less one
+	turn     int                   // counts tries and their ends, so that what comes late is known as such
+	out      bool                  // a try is out,
+	sent     bool                  // and its line may have gone to the server
+	open     bool                  // it stands
+	away     bool                  // it is to be moved as soon as its connections are a pair
+	standing bool                  // it was open before the run and goes to its server without the module
+	calledAt time.Duration         // when the newest try was decided,
+	stoodAt  time.Duration         // and when it came to stand
+	giveUp   time.Duration         // when it is given up
+	held     *held                 // where the fleet holds it for others
 }
 
 // firstLine takes a client's first line.
@@ -88,7 +88,7 @@
 		return
 	}
 	l.Taken.Add(1)
-	_, known := l.dep.Grades[a.Grade]
+	_, known := l.dep.Classes[a.Grade]
 	// Guards against judging servers by what they turn away with reason: clients that tell neither grade nor limit
 	// had them set aside.
 	if !known || !a.Limited {
@@ -119,20 +119,20 @@
 		return
 	}
 	l.hold(cir)
-	l.bal.CircuitArrived(cir.arrival)
+	l.bal.AddSession(cir.arrival)
 }
 
 // arrival is a circuit for the module, by the settings that hold.
-func (l *Loop) arrival(id policy.CircuitID, a *protocol.Ask, left time.Duration) policy.Arrival {
-	grade, known := l.dep.Grades[a.Grade]
+func (l *Loop) arrival(id policy.SessionID, a *protocol.Ask, left time.Duration) policy.SessionRequest {
+	grade, known := l.dep.Classes[a.Grade]
 	if !known {
-		grade = len(l.dep.Grades)
+		grade = len(l.dep.Classes)
 	}
 	tenant, known := l.dep.Tenants[a.Tenant]
 	if !known {
 		tenant = len(l.dep.Tenants)
 	}
-	return policy.Arrival{ID: id, Key: a.Key, Group: a.Group, Tenant: tenant, Grade: grade, Left: left, Load: a.Hint}
+	return policy.SessionRequest{ID: id, Key: a.Key, Group: a.Group, Tenant: tenant, Class: grade, Timeout: left, Load: a.Hint}
 }
 
 // end gives a client that has no circuit its last line.
@@ -194,7 +194,7 @@
 // ---- Setup tries.
 
 // try starts a setup try.
-func (l *Loop) try(cir *circuit, id policy.ServerID, wait time.Duration) {
+func (l *Loop) try(cir *circuit, id policy.EndpointID, wait time.Duration) {
 	l.Tries.Add(1)
 	cir.tries++
 	cir.out, cir.calledAt, cir.giveUp = true, l.now, l.now+wait
@@ -324,7 +324,7 @@
 		l.standAgain(cir)
 		return
 	}
-	l.bal.TryEnded(cir.id, cir.tries-1, false, how)
+	l.bal.AttemptEnded(cir.id, cir.tries-1, false, how)
 }
 
 // ---- Circuits that were open before the run.
@@ -364,10 +364,10 @@
 	case ln.Kind == protocol.Up:
 		l.stands(cir, ln)
 	case ln.Kind == protocol.Busy:
-		l.tryEnded(cir, policy.TurnedAway, nil)
+		l.tryEnded(cir, policy.Rejected, nil)
 	case ln.Kind == protocol.Load:
 		cir.arrival.Load = ln.Figure
-		l.bal.LoadNoted(cir.id, max(cir.tries-1, 0), ln.Figure)
+		l.bal.RecordLoad(cir.id, max(cir.tries-1, 0), ln.Figure)
 		cir.server.Listen()
 	case ln.Kind == protocol.Move:
 		l.tryEnded(cir, policy.Cancelled, nil)
@@ -378,7 +378,7 @@
 		l.forget(cir)
 		cir.dropServer(false)
 		if !cir.standing {
-			l.bal.TryEnded(id, try, true, policy.Succeeded)
+			l.bal.AttemptEnded(id, try, true, policy.Succeeded)
 		}
 		l.end(client, ln.Raw)
 	default:
@@ -397,9 +397,9 @@
 	l.Served.Add(1)
 	if cir.standing {
 		cir.standing, cir.tries = false, 1
-		l.bal.HandedOver(cir.arrival, cir.at.id)
+		l.bal.AdoptSession(cir.arrival, cir.at.id)
 	} else {
-		l.bal.SetUp(cir.id, cir.tries-1, l.now-cir.calledAt)
+		l.bal.AttemptEstablished(cir.id, cir.tries-1, l.now-cir.calledAt)
 	}
 	l.pair(cir, ln.Raw)
 }
@@ -490,7 +490,7 @@
 	l.Ended[how].Add(1)
 	id, try := cir.id, cir.tries-1
 	l.forget(cir)
-	l.bal.TryEnded(id, try, true, how)
+	l.bal.AttemptEnded(id, try, true, how)
 }
 
 // pairEnded takes the end of a circuit that stood; the relay has ended the other side in the same way.
@@ -555,7 +555,7 @@
 func (l *Loop) clientGone(cir *circuit, b *Broken) {
 	id, try, held := cir.id, cir.tries-1, cir.out || cir.open
 	if !cir.open {
-		l.bal.ClientLeft(id)
+		l.bal.ClientDisconnected(id)
 	}
 	told := !cir.standing
 	if h := cir.held; h != nil && !h.wrote {
@@ -565,7 +565,7 @@
 	cir.dropServer(b.Abrupt)
 	if held && told {
 		l.Ended[policy.Cancelled].Add(1)
-		l.bal.TryEnded(id, try, true, policy.Cancelled)
+		l.bal.AttemptEnded(id, try, true, policy.Cancelled)
 	}
 }
 
@@ -601,14 +601,14 @@
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(took)) {
-		sv, took := l.servers[policy.ServerID(id)], took[id]
+		sv, took := l.servers[policy.EndpointID(id)], took[id]
 		if sv == nil || len(took) == 0 {
 			continue
 		}
 		slices.Sort(took)
 		middle := took[len(took)/2]
 		if slow := middle > edge; slow || sv.noted {
-			l.bal.DelayNoted(sv.id, middle)
+			l.bal.RecordLatency(sv.id, middle)
 			l.log.Debug("slow messages", zap.String("server", sv.listedAs.UID), zap.Duration("take", middle),
 				zap.Int("of", len(took)))
 			sv.noted = slow
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -19,18 +19,18 @@
 
 // onSockets is what the module goes by here: where servers report no load a probe's time tells of it, which is a
 // report all the same.
-func onSockets(dep *deployment.Deployment) *policy.Deployment {
+func onSockets(dep *deployment.Settings) *policy.Config {
 	p := *dep.Policy
-	p.ReportsOnAsk = p.MayProbe
+	p.HasLoadReports = p.CanHealthCheck
 	return &p
 }
 
 // settings has a deployment hold for the loop itself.
-func (l *Loop) settings(dep *deployment.Deployment) {
+func (l *Loop) settings(dep *deployment.Settings) {
 	l.dep, l.goal = dep, 0
-	for _, g := range dep.Policy.Grades {
-		if g.MessageGoal > 0 && (l.goal == 0 || g.MessageGoal < l.goal) {
-			l.goal = g.MessageGoal
+	for _, g := range dep.Policy.Classes {
+		if g.MessageObjective > 0 && (l.goal == 0 || g.MessageObjective < l.goal) {
+			l.goal = g.MessageObjective
 		}
 	}
 }
@@ -39,10 +39,10 @@
 // wait, tries that are out and what stands go on under the rules that they were taken by, also where their grade is gone;
 // a first line that the loop has not read yet is taken by the new ones. It waits for that turn, so the loop must run. An
 // error means that all is as before.
-func (l *Loop) Reconfigure(dep *deployment.Deployment, at deployment.Peers) error {
+func (l *Loop) Reconfigure(dep *deployment.Settings, at deployment.GossipAddresses) error {
 	was, known := l.linked, []netip.AddrPort(nil)
 	if was != nil {
-		known = was.Known()
+		known = was.Peers()
 	}
 	link, err := l.connect(dep, at)
 	if err != nil {
@@ -56,10 +56,10 @@
 			return
 		}
 		err = errPanic
-		grades, tenants := rows(l.dep.Grades, dep.Grades), rows(l.dep.Tenants, dep.Tenants)
+		grades, tenants := rows(l.dep.Classes, dep.Classes), rows(l.dep.Tenants, dep.Tenants)
 		for _, cir := range l.circuits {
-			cir.arrival.Grade = policy.Moved(grades, cir.arrival.Grade, len(dep.Grades))
-			cir.arrival.Tenant = policy.Moved(tenants, cir.arrival.Tenant, len(dep.Tenants))
+			cir.arrival.Class = policy.RemapIndex(grades, cir.arrival.Class, len(dep.Classes))
+			cir.arrival.Tenant = policy.RemapIndex(tenants, cir.arrival.Tenant, len(dep.Tenants))
 		}
 		l.settings(dep)
 		l.bal.Reconfigure(onSockets(dep), grades, tenants)
@@ -70,7 +70,7 @@
 		// The list again: its zones have other numbers now.
 		again := discovery.List{Whole: true}
 		for _, sv := range l.servers {
-			if sv.state != policy.Gone {
+			if sv.state != policy.Removed {
 				again.Servers = append(again.Servers, sv.listedAs)
 			}
 		}
@@ -83,18 +83,18 @@
 		if l.linked = was; link != was && link != nil {
 			link.Close()
 		} else if link != nil {
-			link.Know(known)
+			link.SetPeers(known)
 		}
 	}
 	return err
 }
 
 // refuses tells why new settings can't hold while what there is stands: nil where they can.
-func (l *Loop) refuses(dep *deployment.Deployment) error {
+func (l *Loop) refuses(dep *deployment.Settings) error {
 	for _, sv := range l.servers {
 		zone := sv.listedAs.Zone
 		_, was := l.dep.Zones[zone]
-		if _, stays := dep.Zones[zone]; sv.state != policy.Gone && was && !stays {
+		if _, stays := dep.Zones[zone]; sv.state != policy.Removed && was && !stays {
 			return fmt.Errorf("settings.Areas: %q is gone, and servers stand there", zone)
 		}
 	}
@@ -103,23 +103,23 @@
 
 // connect opens the link to the other balancers, or takes the one that there is where it listens at the same address.
 // It is called by one goroutine, which is not the loop's.
-func (l *Loop) connect(dep *deployment.Deployment, at deployment.Peers) (*loadgossip.Link, error) {
-	if !dep.Policy.MayTell {
+func (l *Loop) connect(dep *deployment.Settings, at deployment.GossipAddresses) (*loadgossip.Transport, error) {
+	if !dep.Policy.CanGossip {
 		l.linked = nil
 		return nil, nil
 	}
-	if l.linked != nil && l.linked.At() == at.Listen {
-		l.linked.Know(at.Others)
+	if l.linked != nil && l.linked.Addr() == at.Listen {
+		l.linked.SetPeers(at.Peers)
 		return l.linked, nil
 	}
-	var link *loadgossip.Link
+	var link *loadgossip.Transport
 	ready := make(chan struct{})
-	counts := &loadgossip.Counts{Sent: &l.Sent, Heard: &l.Heard, Dropped: &l.Dropped}
-	link, err := loadgossip.Open(at.Listen, l.shared, at.Others, counts, func(from int, t policy.Told, done func()) {
+	counts := &loadgossip.Counters{Sent: &l.Sent, Received: &l.Heard, Dropped: &l.Dropped}
+	link, err := loadgossip.Listen(at.Listen, l.shared, at.Peers, counts, func(from int, t policy.GossipMessage, done func()) {
 		<-ready
 		l.post(event{do: func() {
 			if done(); l.link == link {
-				l.bal.PeerTold(from, t)
+				l.bal.ReceiveGossip(from, t)
 			}
 		}})
 	})
--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -30,44 +30,44 @@
 }
 
 // describe writes every field of a Deployment by names of its own.
-func describe(d *Deployment) string {
+func describe(d *Settings) string {
 	var text strings.Builder
 	line := func(name string, value any) { fmt.Fprintf(&text, "%s: %v\n", name, value) }
 	p := d.Policy
-	line("balancers", p.Peers)
+	line("balancers", p.Balancers)
 	line("index", p.Index)
 	line("zone", p.Zone)
-	line("excess weight", p.ExcessUtility)
-	line("may probe", p.MayProbe)
-	line("may gossip", p.MayTell)
-	line("exact weights", p.HeftExact)
-	line("may send Retry-After", p.MayAdvise)
-	line("longest Retry-After", p.LongestAdvice)
-	line("attempts", p.MostTries)
-	line("overload multiple", p.FallMultiple)
-	line("overload window", p.FallFor)
-	line("slow-start floor", p.ColdFrom)
-	line("slow-start window", p.ColdFor)
-	line("cross-zone price", p.CrossingPrice)
-	line("nines", p.Nines)
-	line("wanted nines", p.NinesWanted)
-	line("load reports when polled", p.ReportsOnAsk)
-	line("load reports of the servers", p.ServersTell)
-	for n, g := range p.Grades {
-		line(fmt.Sprintf("class %d", n), fmt.Sprint(uint8(g.Effect), uint8(g.Scope), g.Window, g.SetupGoal, g.MessageGoal, g.Utility))
+	line("excess weight", p.OverQuotaFactor)
+	line("may probe", p.CanHealthCheck)
+	line("may gossip", p.CanGossip)
+	line("exact weights", p.HasExactWeights)
+	line("may send Retry-After", p.CanSendRetryAfter)
+	line("longest Retry-After", p.MaxRetryAfter)
+	line("attempts", p.MaxAttempts)
+	line("overload multiple", p.OverloadMultiple)
+	line("overload window", p.OverloadWindow)
+	line("slow-start floor", p.SlowStartFloor)
+	line("slow-start window", p.SlowStartWindow)
+	line("cross-zone price", p.CrossZoneCost)
+	line("nines", p.NinesWeight)
+	line("wanted nines", p.TargetNines)
+	line("load reports when polled", p.HasLoadReports)
+	line("load reports of the servers", p.HasEndpointReports)
+	for n, g := range p.Classes {
+		line(fmt.Sprintf("class %d", n), fmt.Sprint(uint8(g.Idempotency), uint8(g.KeyScope), g.KeyTTL, g.SetupObjective, g.MessageObjective, g.PriorityWeight))
 	}
 	for n, tenant := range p.Tenants {
-		line(fmt.Sprintf("tenant %d", n), tenant.Connections)
+		line(fmt.Sprintf("tenant %d", n), tenant.ConnectionQuota)
 	}
 	line("report fields", d.ReportFields)
-	for _, names := range []map[string]int{d.Grades, d.Tenants, d.Zones} {
+	for _, names := range []map[string]int{d.Classes, d.Tenants, d.Zones} {
 		for _, name := range slices.Sorted(maps.Keys(names)) {
 			line("name "+name, names[name])
 		}
 	}
-	line("deadlines", d.OuterLimits)
-	line("list on request", d.AskForList)
-	line("connect timeout", d.ConnectWithin)
+	line("deadlines", d.Deadlines)
+	line("list on request", d.PollEndpointList)
+	line("connect timeout", d.ConnectTimeout)
 	return text.String()
 }
 
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := Read(text)
+	d, err := ParseSettings(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 // TestStationFilesAreReadAsBefore reads a whole file, alone, under variables that win over it, and in the place of another.
 func TestStationFilesAreReadAsBefore(t *testing.T) {
 	var text strings.Builder
-	var first *Station
+	var first *NodeConfig
 	for _, c := range []struct {
 		name string
 		env  map[string]string
@@ -101,7 +101,7 @@
 		if !c.was {
 			was = nil
 		}
-		s, err := ReadStation(func(key string) string {
+		s, err := ReadNodeConfig(func(key string) string {
 			if key == "EDGE_CONFIG" {
 				return "testdata/station.json"
 			}
@@ -112,12 +112,12 @@
 		}
 		first = s
 		fmt.Fprintf(&text, "%s: name %s, listen %s, discovery %s, mgmt %s, seed %d, cores %v, memory %d, sockets %d, gossip at %v to %v, fixed %q, "+
-			"revision %d, whole %v\n", c.name, s.Name, s.Listen, s.Discovery, s.Mgmt, s.Seed, s.Cores, s.MemoryMB, s.Sockets, s.Peers.Listen, s.Peers.Others,
-			s.Fixed, s.Known.Rev, s.Known.Whole)
-		for _, server := range s.Known.Servers {
+			"revision %d, whole %v\n", c.name, s.Name, s.Listen, s.Discovery, s.Admin, s.Seed, s.Cores, s.MemoryMB, s.MaxSockets, s.Gossip.Listen, s.Gossip.Peers,
+			s.StartupOnly, s.InitialEndpoints.Rev, s.InitialEndpoints.Whole)
+		for _, server := range s.InitialEndpoints.Servers {
 			fmt.Fprintln(&text, server.UID, server.Endpoint, server.Zone, server.Cell, server.Model, uint8(server.State), server.Heft, server.Boot.UnixMilli())
 		}
-		text.WriteString(describe(s.Deployment))
+		text.WriteString(describe(s.Settings))
 	}
 	compareGolden(t, "testdata/station.golden", text.String())
 }
@@ -140,7 +140,7 @@
 		{`"nominal"`, `"x"`}, {`"How": "probe"`, `"How": "x"`}, {`"Effect": "read_like"`, `"x": 1`}, {`"read_like"`, `"x"`},
 		{`"Group": "zone"`, `"Group": "x"`},
 	} {
-		_, err := Read([]byte(strings.Replace(string(settings), change[0], change[1], 1)))
+		_, err := ParseSettings([]byte(strings.Replace(string(settings), change[0], change[1], 1)))
 		fmt.Fprintf(&text, "%s for %s: %v\n", change[1], change[0], err)
 	}
 	file := t.TempDir() + "/station.json"
@@ -163,12 +163,12 @@
 				return ""
 			}
 		}
-		was, err := ReadStation(env("testdata/station.json"), nil)
+		was, err := ReadNodeConfig(env("testdata/station.json"), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, atStart := ReadStation(env(file), nil)
-		_, later := ReadStation(env(file), was)
+		_, atStart := ReadNodeConfig(env(file), nil)
+		_, later := ReadNodeConfig(env(file), was)
 		fmt.Fprintf(&text, "%s for %s: at the start: %v; later: %v\n", change[1], change[0], atStart, later)
 	}
 	compareGolden(t, "testdata/errors.golden", text.String())
--- a/internal/deployment/station.go
+++ b/internal/deployment/node_config.go
@@ -14,33 +14,33 @@
 	"sabletally/internal/discovery"
 )
 
-// Station is what one balancer on sockets is told at its start.
-type Station struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	Mgmt       string // the operators' address, empty where there is none
-	Seed       uint64
-	Cores      float64
-	MemoryMB   int
-	Sockets    int
-	Known      discovery.List
-	Deployment *Deployment
-	Peers      Peers
-	Fixed      string // what only a start takes in, as text
-	shape      map[string]any
+// NodeConfig is what one balancer on sockets is told at its start.
+type NodeConfig struct {
+	Name             string
+	Listen           string
+	Discovery        string
+	Admin            string // the operators' address, empty where there is none
+	Seed             uint64
+	Cores            float64
+	MemoryMB         int
+	MaxSockets       int
+	InitialEndpoints discovery.List
+	Settings         *Settings
+	Gossip           GossipAddresses
+	StartupOnly      string // what only a start takes in, as text
+	shape            map[string]any
 }
 
-// Peers is where a balancer hears of the others and where it tells them; nothing where none are told.
-type Peers struct {
+// GossipAddresses is where a balancer hears of the others and where it tells them; nothing where none are told.
+type GossipAddresses struct {
 	Listen netip.AddrPort
-	Others []netip.AddrPort
+	Peers  []netip.AddrPort
 }
 
-// ReadStation reads the file that EDGE_CONFIG names; the other variables win over it. was is what holds where the file
+// ReadNodeConfig reads the file that EDGE_CONFIG names; the other variables win over it. was is what holds where the file
 // is read again, nil at the start: it has been replaced since the variables were set, so its discovery then wins, and it
 // must have what the one before had. Errors name the key.
-func ReadStation(env func(string) string, was *Station) (*Station, error) {
+func ReadNodeConfig(env func(string) string, was *NodeConfig) (*NodeConfig, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("EDGE_CONFIG is missing")
@@ -66,11 +66,11 @@
 	if err := json.Unmarshal(text, &in); err != nil {
 		return nil, fmt.Errorf("EDGE_CONFIG: %v", err)
 	}
-	s := &Station{
+	s := &NodeConfig{
 		Name: or(env("EDGE_NAME"), in.Name), Listen: or(env("EDGE_LISTEN"), in.Listen),
 		Discovery: or(env("EDGE_DISCOVERY"), in.Discovery),
-		Mgmt:      or(env("EDGE_MGMT"), in.Mgmt),
-		Cores:     in.Limits.Cores, MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets,
+		Admin:     or(env("EDGE_MGMT"), in.Mgmt),
+		Cores:     in.Limits.Cores, MemoryMB: in.Limits.MemoryMB, MaxSockets: in.Limits.Sockets,
 	}
 	if was != nil {
 		s.Discovery = or(in.Discovery, s.Discovery)
@@ -82,7 +82,7 @@
 	if _, _, err := net.SplitHostPort(s.Discovery); err != nil {
 		return nil, fmt.Errorf("discovery: %v", err)
 	}
-	if _, _, err := net.SplitHostPort(s.Mgmt); s.Mgmt != "" && err != nil {
+	if _, _, err := net.SplitHostPort(s.Admin); s.Admin != "" && err != nil {
 		return nil, fmt.Errorf("mgmt: %v", err)
 	}
 	if u, err := url.Parse("http://" + s.Discovery); err != nil || u.Host != s.Discovery || u.Hostname() == "" {
@@ -96,14 +96,14 @@
 		return nil, fmt.Errorf("limits.cores is missing or not above 0")
 	case s.MemoryMB < 16:
 		return nil, fmt.Errorf("limits.memory_mb is missing or below 16")
-	case s.Sockets < 64:
+	case s.MaxSockets < 64:
 		return nil, fmt.Errorf("limits.sockets is missing or below 64")
 	}
-	s.Fixed = fmt.Sprint(s.Name, s.Listen, s.Mgmt, in.Limits, in.Seed)
-	if s.Known, err = discovery.Decode(in.Known); err != nil {
+	s.StartupOnly = fmt.Sprint(s.Name, s.Listen, s.Admin, in.Limits, in.Seed)
+	if s.InitialEndpoints, err = discovery.Decode(in.Known); err != nil {
 		return nil, fmt.Errorf("known: %v", err)
 	}
-	if s.Deployment, err = Read(in.Settings); err != nil {
+	if s.Settings, err = ParseSettings(in.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %v", err)
 	}
 	if was != nil {
@@ -111,14 +111,14 @@
 			return nil, err
 		}
 	}
-	if !s.Deployment.Policy.MayTell {
+	if !s.Settings.Policy.CanGossip {
 		return s, nil
 	}
 	// Guards against balancers that take themselves for told of what the others hold, and are not.
 	if in.Peers == nil {
 		return nil, fmt.Errorf("peers is missing while settings.Limits.Peers is true")
 	}
-	if s.Peers.Listen, err = netip.ParseAddrPort(in.Peers.Listen); err != nil {
+	if s.Gossip.Listen, err = netip.ParseAddrPort(in.Peers.Listen); err != nil {
 		return nil, fmt.Errorf("peers.listen: %v", err)
 	}
 	for i, other := range in.Peers.Others {
@@ -126,13 +126,13 @@
 		if err != nil {
 			return nil, fmt.Errorf("peers.others[%d]: %v", i, err)
 		}
-		if a == s.Peers.Listen || slices.Contains(s.Peers.Others, a) {
+		if a == s.Gossip.Listen || slices.Contains(s.Gossip.Peers, a) {
 			return nil, fmt.Errorf("peers.others[%d]: %v stands there twice or is this balancer's own", i, a)
 		}
-		s.Peers.Others = append(s.Peers.Others, a)
+		s.Gossip.Peers = append(s.Gossip.Peers, a)
 	}
-	if n := s.Deployment.Policy.Peers - 1; len(s.Peers.Others) != n {
-		return nil, fmt.Errorf("peers.others: %d addresses, settings.PeersTotal asks for %d", len(s.Peers.Others), n)
+	if n := s.Settings.Policy.Balancers - 1; len(s.Gossip.Peers) != n {
+		return nil, fmt.Errorf("peers.others: %d addresses, settings.PeersTotal asks for %d", len(s.Gossip.Peers), n)
 	}
 	return s, nil
 }
@@ -140,18 +140,18 @@
 // mayReplace tells why a file can't take the place of the one before: nil where it can. At the start a file may leave out
 // what can be done without; one that replaces another has lost what it lacks. Guards against a file that is written by a
 // program that failed half way, and taken in it would void what clients were promised.
-func mayReplace(was, s *Station) error {
-	for i, limit := range s.Deployment.OuterLimits {
+func mayReplace(was, s *NodeConfig) error {
+	for i, limit := range s.Settings.Deadlines {
 		if limit <= 0 {
 			return fmt.Errorf("settings: ServiceGrades[%d].OuterLimitUs is missing or below 1", i)
 		}
-		if s.Deployment.Policy.Grades[i].SetupGoal <= 0 {
+		if s.Settings.Policy.Classes[i].SetupObjective <= 0 {
 			return fmt.Errorf("settings: ServiceGrades[%d].LatencyGoalUs is missing or below 1", i)
 		}
 	}
 	had := maps.Clone(was.shape)
 	delete(had, "known") // judged by its own reader
-	if !s.Deployment.Policy.MayTell {
+	if !s.Settings.Policy.CanGossip {
 		delete(had, "peers") // nobody reads it
 	}
 	if key := missing(had, s.shape, ""); key != "" {
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/settings.go
@@ -12,19 +12,19 @@
 	"sabletally/policy"
 )
 
-// Deployment is what the settings say: what the decisions go by, and the names and limits of the sockets.
-type Deployment struct {
-	Policy        *policy.Deployment
-	ReportFields  []string        // what a load report holds, in order
-	Grades        map[string]int  // service grades by name
-	Tenants       map[string]int  // by name
-	Zones         map[string]int  // by name
-	OuterLimits   []time.Duration // by grade, 0 where none is told
-	AskForList    bool            // the list of servers comes only when asked for
-	ConnectWithin time.Duration   // a connection that is not up by then has failed; 0 where none is told
+// Settings is what the settings say: what the decisions go by, and the names and limits of the sockets.
+type Settings struct {
+	Policy           *policy.Config
+	ReportFields     []string        // what a load report holds, in order
+	Classes          map[string]int  // service grades by name
+	Tenants          map[string]int  // by name
+	Zones            map[string]int  // by name
+	Deadlines        []time.Duration // by grade, 0 where none is told
+	PollEndpointList bool            // the list of servers comes only when asked for
+	ConnectTimeout   time.Duration   // a connection that is not up by then has failed; 0 where none is told
 }
 
-type settings struct {
+type settingsDocument struct {
 	PeersTotal    *int
 	Me            int
 	Zone          *int
@@ -78,9 +78,9 @@
 	return time.Duration(min(n, int64(longest/time.Microsecond))) * time.Microsecond
 }
 
-// Read turns the settings into a Deployment; errors name the key at fault.
-func Read(text []byte) (*Deployment, error) {
-	var s settings
+// ParseSettings turns the settings into a Deployment; errors name the key at fault.
+func ParseSettings(text []byte) (*Settings, error) {
+	var s settingsDocument
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, err
 	}
@@ -109,23 +109,23 @@
 	case g.FallUs == nil || *g.FallUs < 1:
 		return nil, fmt.Errorf("Guarantees.FallUs is missing or below 1")
 	}
-	p := &policy.Deployment{
-		Peers: min(*s.PeersTotal, 1<<20), Index: s.Me, Zone: *s.Zone, ExcessUtility: s.ExcessUtility,
-		MayProbe: l.Probes, MayTell: l.Peers, HeftExact: s.Weights == "nominal", MayAdvise: l.RetryAfter, LongestAdvice: us(l.MaxRetryAfterUs),
-		MostTries: *l.MostSetupTries, FallMultiple: *g.FallMultiple, ColdFrom: *g.ColdFrom, ColdFor: us(*g.ColdUs),
-		FallFor:       us(*g.FallUs),
-		CrossingPrice: s.Prices.CrossZone,
-		ServersTell:   s.Report.How == "probe" || s.Report.How == "answers",
+	p := &policy.Config{
+		Balancers: min(*s.PeersTotal, 1<<20), Index: s.Me, Zone: *s.Zone, OverQuotaFactor: s.ExcessUtility,
+		CanHealthCheck: l.Probes, CanGossip: l.Peers, HasExactWeights: s.Weights == "nominal", CanSendRetryAfter: l.RetryAfter, MaxRetryAfter: us(l.MaxRetryAfterUs),
+		MaxAttempts: *l.MostSetupTries, OverloadMultiple: *g.FallMultiple, SlowStartFloor: *g.ColdFrom, SlowStartWindow: us(*g.ColdUs),
+		OverloadWindow:     us(*g.FallUs),
+		CrossZoneCost:      s.Prices.CrossZone,
+		HasEndpointReports: s.Report.How == "probe" || s.Report.How == "answers",
 	}
-	p.ReportsOnAsk = p.ServersTell // which the program widens to its own guesses
-	d := &Deployment{
-		Policy: p, ReportFields: s.Report.Fields, ConnectWithin: us(l.ConnectTimeoutUs),
-		Grades: map[string]int{}, Tenants: map[string]int{}, Zones: map[string]int{},
+	p.HasLoadReports = p.HasEndpointReports // which the program widens to its own guesses
+	d := &Settings{
+		Policy: p, ReportFields: s.Report.Fields, ConnectTimeout: us(l.ConnectTimeoutUs),
+		Classes: map[string]int{}, Tenants: map[string]int{}, Zones: map[string]int{},
 	}
 	switch *s.RegistryMode {
 	case "pushed":
 	case "on_request":
-		d.AskForList = true
+		d.PollEndpointList = true
 	default:
 		return nil, fmt.Errorf("RegistryMode %q is not known", *s.RegistryMode)
 	}
@@ -134,7 +134,7 @@
 	default:
 		return nil, fmt.Errorf("Specifics.Mode %q is not known", s.Specifics.Mode)
 	}
-	if p.Nines, p.NinesWanted = s.Goal.Nines, s.Goal.NinesWanted; p.Nines < 0 || p.NinesWanted < 0 {
+	if p.NinesWeight, p.TargetNines = s.Goal.Nines, s.Goal.NinesWanted; p.NinesWeight < 0 || p.TargetNines < 0 {
 		return nil, fmt.Errorf("Goal.Nines or Goal.NinesWanted is below 0")
 	}
 	switch s.Weights {
@@ -148,39 +148,39 @@
 		return nil, fmt.Errorf("Report.How %q is not known", s.Report.How)
 	}
 	for i, sg := range s.ServiceGrades {
-		row := policy.Grade{Window: us(sg.WindowUs), SetupGoal: us(sg.LatencyGoalUs), Utility: sg.Utility}
+		row := policy.Class{KeyTTL: us(sg.WindowUs), SetupObjective: us(sg.LatencyGoalUs), PriorityWeight: sg.Utility}
 		if sg.Effect == nil {
 			return nil, fmt.Errorf("ServiceGrades[%d].Effect is missing", i)
 		}
 		switch *sg.Effect {
 		case "read_like":
 		case "idempotency_key":
-			row.Effect = policy.Deduplicated
+			row.Idempotency = policy.IdempotentWithKey
 			switch sg.Group {
 			case "all":
 			case "zone":
-				row.Scope = policy.ScopeZone
+				row.KeyScope = policy.KeyScopeZone
 			case "cell":
-				row.Scope = policy.ScopeCell
+				row.KeyScope = policy.KeyScopeFailureDomain
 			default:
 				return nil, fmt.Errorf("ServiceGrades[%d].Group %q is not known", i, sg.Group)
 			}
 		case "non_idempotent":
-			row.Effect = policy.Unrepeatable
+			row.Idempotency = policy.NonIdempotent
 		default:
 			return nil, fmt.Errorf("ServiceGrades[%d].Effect %q is not known", i, *sg.Effect)
 		}
 		if i < len(s.Specifics.MessageAimUs) {
-			row.MessageGoal = us(int64(min(s.Specifics.MessageAimUs[i], float64(longest/time.Microsecond))))
+			row.MessageObjective = us(int64(min(s.Specifics.MessageAimUs[i], float64(longest/time.Microsecond))))
 		}
-		p.Grades = append(p.Grades, row)
-		d.OuterLimits = append(d.OuterLimits, us(sg.OuterLimitUs))
-		d.Grades[sg.Name] = i
+		p.Classes = append(p.Classes, row)
+		d.Deadlines = append(d.Deadlines, us(sg.OuterLimitUs))
+		d.Classes[sg.Name] = i
 	}
 	for i, a := range s.Accounts {
 		var t policy.Tenant
 		if i < len(s.Specifics.TenantQuotaConnections) {
-			t.Connections = s.Specifics.TenantQuotaConnections[i]
+			t.ConnectionQuota = s.Specifics.TenantQuotaConnections[i]
 		}
 		p.Tenants = append(p.Tenants, t)
 		d.Tenants[a.Name] = i
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -58,7 +58,7 @@
 	Zone     string
 	Cell     int
 	Model    string // of the machine
-	State    policy.State
+	State    policy.EndpointState
 	Heft     float64
 	Boot     time.Time // zero for long ago
 }
@@ -70,8 +70,8 @@
 	Servers []Server
 }
 
-var states = map[string]policy.State{
-	"in_service": policy.Ready, "terminating": policy.Draining, "terminated": policy.Gone,
+var states = map[string]policy.EndpointState{
+	"in_service": policy.Ready, "terminating": policy.Draining, "terminated": policy.Removed,
 }
 
 // form is an answer as discovery writes it.
@@ -133,7 +133,7 @@
 			return List{}, fmt.Errorf("targets[%d].uid is missing", i)
 		case !known:
 			return List{}, fmt.Errorf("targets[%d].state %q is not known", i, t.State)
-		case t.Endpoint == "" && state != policy.Gone:
+		case t.Endpoint == "" && state != policy.Removed:
 			return List{}, fmt.Errorf("targets[%d].endpoint is missing", i)
 		}
 		s.State = state
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,7 +17,7 @@
 	}
 	want := Server{UID: "s-5be2a07c", Endpoint: "10.1.0.18:8080", Zone: "a", Cell: 3, Model: "m2", State: policy.Draining, Heft: 1.5,
 		Boot: time.UnixMilli(1500)}
-	if l.Servers[0] != want || l.Servers[1].State != policy.Gone || l.Servers[1].Heft != 1 {
+	if l.Servers[0] != want || l.Servers[1].State != policy.Removed || l.Servers[1].Heft != 1 {
 		t.Fatalf("%+v", l.Servers)
 	}
 }
@@ -36,7 +36,7 @@
 			t.Fatalf("%+v beside %v", l, err)
 		}
 		for _, s := range l.Servers {
-			if s.UID == "" || s.Endpoint == "" && s.State != policy.Gone || !(s.Heft > 0) {
+			if s.UID == "" || s.Endpoint == "" && s.State != policy.Removed || !(s.Heft > 0) {
 				t.Fatalf("%+v", s)
 			}
 		}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -15,19 +15,19 @@
 
 // Decider is what a host needs of a policy; *policy.Balancer is one.
 type Decider interface {
-	Clock(now time.Duration)
-	ListArrived(lines []policy.Listed, whole bool)
-	CircuitArrived(a policy.Arrival)
-	SetUp(id policy.CircuitID, try int, took time.Duration)
-	TryEnded(id policy.CircuitID, try int, finished bool, how policy.Outcome)
-	ClientLeft(id policy.CircuitID)
-	LoadNoted(id policy.CircuitID, try int, load float64)
-	DelayNoted(server policy.ServerID, delay time.Duration)
-	ProbeAnswered(server policy.ServerID, how policy.Outcome)
-	Reported(server policy.ServerID, r policy.Report)
-	Leave(from, by time.Duration)
+	AdvanceClock(now time.Duration)
+	UpdateEndpoints(lines []policy.Endpoint, whole bool)
+	AddSession(a policy.SessionRequest)
+	AttemptEstablished(id policy.SessionID, try int, took time.Duration)
+	AttemptEnded(id policy.SessionID, try int, finished bool, how policy.Outcome)
+	ClientDisconnected(id policy.SessionID)
+	RecordLoad(id policy.SessionID, try int, load float64)
+	RecordLatency(server policy.EndpointID, delay time.Duration)
+	HealthCheckEnded(server policy.EndpointID, how policy.Outcome)
+	RecordLoadReport(server policy.EndpointID, r policy.LoadReport)
+	StartDraining(from, by time.Duration)
 	Next() (policy.Decision, bool)
-	Wake() (time.Duration, bool)
+	NextWakeup() (time.Duration, bool)
 }
 
 // Names are the policies that New knows; Ours is the module that ships.
@@ -42,12 +42,12 @@
 var Names = []string{Ours, Random, Least, Hash}
 
 // New makes a policy by its name.
-func New(name string, dep *policy.Deployment, seed uint64) (Decider, error) {
+func New(name string, dep *policy.Config, seed uint64) (Decider, error) {
 	if name == Ours {
 		return policy.New(dep, seed), nil
 	}
-	p := &plain{dep: dep, rng: rand.New(rand.NewPCG(seed, 0xba5e)), circuits: map[policy.CircuitID]*circuit{},
-		index: map[policy.ServerID]int{}}
+	p := &plain{dep: dep, rng: rand.New(rand.NewPCG(seed, 0xba5e)), circuits: map[policy.SessionID]*circuit{},
+		index: map[policy.EndpointID]int{}}
 	switch name {
 	case Random:
 		p.prefer = func(*circuit, int) float64 { return p.rng.Float64() }
@@ -70,7 +70,7 @@
 
 // circuit is one that waits, is out or stands.
 type circuit struct {
-	id      policy.CircuitID
+	id      policy.SessionID
 	place   uint64
 	until   time.Duration
 	goal    time.Duration
@@ -84,14 +84,14 @@
 
 // plain is any of the baselines: a preference over the ready servers that were not tried yet.
 type plain struct {
-	dep       *policy.Deployment
+	dep       *policy.Config
 	rng       *rand.Rand
 	now       time.Duration
 	prefer    func(c *circuit, server int) float64
-	circuits  map[policy.CircuitID]*circuit
+	circuits  map[policy.SessionID]*circuit
 	queue     []*circuit
-	id        []policy.ServerID
-	index     map[policy.ServerID]int
+	id        []policy.EndpointID
+	index     map[policy.EndpointID]int
 	ready     []bool
 	held      []int
 	leaveFrom time.Duration
@@ -100,26 +100,26 @@
 	due       []policy.Decision
 }
 
-func (p *plain) Clock(now time.Duration) { p.now = now }
+func (p *plain) AdvanceClock(now time.Duration) { p.now = now }
 
-func (p *plain) ListArrived(lines []policy.Listed, whole bool) {
+func (p *plain) UpdateEndpoints(lines []policy.Endpoint, whole bool) {
 	if whole {
 		clear(p.ready)
 	}
 	for _, l := range lines {
-		i, known := p.index[l.Server]
+		i, known := p.index[l.ID]
 		if !known {
 			i = len(p.id)
-			p.index[l.Server] = i
-			p.id, p.ready, p.held = append(p.id, l.Server), append(p.ready, false), append(p.held, 0)
+			p.index[l.ID] = i
+			p.id, p.ready, p.held = append(p.id, l.ID), append(p.ready, false), append(p.held, 0)
 		}
 		p.ready[i] = l.State == policy.Ready
 	}
 }
 
-func (p *plain) CircuitArrived(a policy.Arrival) {
-	g := p.dep.Grades[a.Grade]
-	c := &circuit{id: a.ID, place: a.Group, until: p.now + a.Left, goal: g.SetupGoal, repeat: g.Effect == policy.Idempotent,
+func (p *plain) AddSession(a policy.SessionRequest) {
+	g := p.dep.Classes[a.Class]
+	c := &circuit{id: a.ID, place: a.Group, until: p.now + a.Timeout, goal: g.SetupObjective, repeat: g.Idempotency == policy.Idempotent,
 		server: -1, nothing: true}
 	if c.place == 0 {
 		c.place = a.Key
@@ -128,20 +128,20 @@
 	p.queue = append(p.queue, c)
 }
 
-func (p *plain) SetUp(id policy.CircuitID, _ int, _ time.Duration) {
+func (p *plain) AttemptEstablished(id policy.SessionID, _ int, _ time.Duration) {
 	if c := p.circuits[id]; c != nil {
 		c.out = false
 	}
 }
 
-func (p *plain) TryEnded(id policy.CircuitID, _ int, finished bool, how policy.Outcome) {
+func (p *plain) AttemptEnded(id policy.SessionID, _ int, finished bool, how policy.Outcome) {
 	c := p.circuits[id]
 	if c == nil || c.server < 0 {
 		return
 	}
 	p.held[c.server]--
 	c.server = -1
-	if how != policy.TurnedAway && how != policy.ConnectFailed && how != policy.NeverSent {
+	if how != policy.Rejected && how != policy.ConnectFailed && how != policy.NeverSent {
 		c.nothing = false
 	}
 	if finished || !c.out {
@@ -152,30 +152,30 @@
 	p.queue = append(p.queue, c)
 }
 
-func (p *plain) ClientLeft(id policy.CircuitID) {
+func (p *plain) ClientDisconnected(id policy.SessionID) {
 	if c := p.circuits[id]; c != nil && c.server < 0 {
 		delete(p.circuits, id)
 		p.queue = slices.DeleteFunc(p.queue, func(o *circuit) bool { return o == c })
 	}
 }
 
-func (p *plain) LoadNoted(policy.CircuitID, int, float64)      {}
-func (p *plain) DelayNoted(policy.ServerID, time.Duration)     {}
-func (p *plain) ProbeAnswered(policy.ServerID, policy.Outcome) {}
-func (p *plain) Reported(policy.ServerID, policy.Report)       {}
-func (p *plain) Leave(from, _ time.Duration)                   { p.leaving, p.leaveFrom = true, from }
+func (p *plain) RecordLoad(policy.SessionID, int, float64)             {}
+func (p *plain) RecordLatency(policy.EndpointID, time.Duration)        {}
+func (p *plain) HealthCheckEnded(policy.EndpointID, policy.Outcome)    {}
+func (p *plain) RecordLoadReport(policy.EndpointID, policy.LoadReport) {}
+func (p *plain) StartDraining(from, _ time.Duration)                   { p.leaving, p.leaveFrom = true, from }
 
 // answer gives a circuit its final answer.
-func (p *plain) answer(c *circuit, do policy.Verb) policy.Decision {
+func (p *plain) answer(c *circuit, do policy.Action) policy.Decision {
 	delete(p.circuits, c.id)
-	return policy.Decision{Do: do, Circuit: c.id, For: p.advice(do)}
+	return policy.Decision{Action: do, Session: c.id, Duration: p.advice(do)}
 }
 
-func (p *plain) advice(do policy.Verb) time.Duration {
-	if do != policy.Nack || !p.dep.MayAdvise {
+func (p *plain) advice(do policy.Action) time.Duration {
+	if do != policy.Reject || !p.dep.CanSendRetryAfter {
 		return 0
 	}
-	return time.Duration((0.5 + p.rng.Float64()/2) * float64(p.dep.LongestAdvice))
+	return time.Duration((0.5 + p.rng.Float64()/2) * float64(p.dep.MaxRetryAfter))
 }
 
 func (p *plain) Next() (policy.Decision, bool) {
@@ -189,7 +189,7 @@
 	}
 	if p.leaving && !p.moved && p.now >= p.leaveFrom {
 		p.moved = true
-		var ids []policy.CircuitID
+		var ids []policy.SessionID
 		for id, c := range p.circuits {
 			if !c.out && c.server >= 0 {
 				ids = append(ids, id)
@@ -197,7 +197,7 @@
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			p.due = append(p.due, policy.Decision{Do: policy.Move, Circuit: id})
+			p.due = append(p.due, policy.Decision{Action: policy.Migrate, Session: id})
 		}
 	}
 	if len(p.due) == 0 {
@@ -211,7 +211,7 @@
 // settle decides on a circuit.
 func (p *plain) settle(c *circuit) policy.Decision {
 	best, score := -1, 0.0
-	if !p.leaving && c.tries < p.dep.MostTries && (c.nothing || c.repeat) && p.now < c.until {
+	if !p.leaving && c.tries < p.dep.MaxAttempts && (c.nothing || c.repeat) && p.now < c.until {
 		for i, ready := range p.ready {
 			if !ready || slices.Contains(c.tried, i) {
 				continue
@@ -224,18 +224,18 @@
 	switch {
 	case best >= 0:
 	case c.nothing || c.repeat:
-		return p.answer(c, policy.Nack)
+		return p.answer(c, policy.Reject)
 	default:
-		return p.answer(c, policy.BreakOff)
+		return p.answer(c, policy.Fail)
 	}
 	left := c.until - p.now
 	c.tries++
 	c.server, c.out, c.tried = best, true, append(c.tried, best)
 	p.held[best]++
-	return policy.Decision{Do: policy.Try, Circuit: c.id, Server: p.id[best], For: max(left/2, min(left, c.goal))}
+	return policy.Decision{Action: policy.StartAttempt, Session: c.id, Endpoint: p.id[best], Duration: max(left/2, min(left, c.goal))}
 }
 
-func (p *plain) Wake() (time.Duration, bool) {
+func (p *plain) NextWakeup() (time.Duration, bool) {
 	if p.leaving && !p.moved {
 		return p.leaveFrom, true
 	}
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -20,7 +20,7 @@
 	MaxLineDelay time.Duration // a line is held so long at most
 	EndWithin    time.Duration // an end is passed on by then
 	Warmup       model.Warmup
-	Grades       []policy.Grade
+	Grades       []policy.Class
 	Places       []Place // of the servers, by their index
 }
 
@@ -315,14 +315,14 @@
 		return Place{}
 	}
 	was, is := place(t.server), place(e.Server)
-	switch g.Effect {
+	switch g.Idempotency {
 	case policy.Idempotent:
 		return true
-	case policy.Unrepeatable:
+	case policy.NonIdempotent:
 		return false
 	}
-	return e.At <= t.sentAt+g.Window+j.r.Slack && (g.Scope == policy.ScopeAll || was.Zone == is.Zone &&
-		(g.Scope == policy.ScopeZone || was.Cell == is.Cell))
+	return e.At <= t.sentAt+g.KeyTTL+j.r.Slack && (g.KeyScope == policy.KeyScopeAll || was.Zone == is.Zone &&
+		(g.KeyScope == policy.KeyScopeZone || was.Cell == is.Cell))
 }
 
 // close judges what can be told of a circuit only once all is known.
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -14,7 +14,7 @@
 var rules = Rules{
 	DrainGrace: 750 * ms, Slack: 50 * ms, MaxLineDelay: time.Second, EndWithin: time.Second,
 	Warmup: model.Warmup{From: 0.2, For: 20 * time.Second, Multiple: 3, Within: 1500 * ms},
-	Grades: []policy.Grade{{}, {Effect: policy.Unrepeatable}, {Effect: policy.Deduplicated, Scope: policy.ScopeCell, Window: 2 * time.Second}},
+	Grades: []policy.Class{{}, {Idempotency: policy.NonIdempotent}, {Idempotency: policy.IdempotentWithKey, KeyScope: policy.KeyScopeFailureDomain, KeyTTL: 2 * time.Second}},
 	Places: []Place{{0, 1}, {0, 1}, {0, 2}},
 }
 
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -517,8 +517,8 @@
 
 // retuned is a world whose settings have a grade more, in the first place, and half the tries.
 func retuned(w topology.World) topology.World {
-	w.Deployment.MostTries = max(1, w.Deployment.MostTries/2)
-	w.Deployment.Grades = append([]policy.Grade{{Effect: policy.Unrepeatable, SetupGoal: time.Second, Utility: 1}}, w.Deployment.Grades...)
+	w.Deployment.MaxAttempts = max(1, w.Deployment.MaxAttempts/2)
+	w.Deployment.Classes = append([]policy.Class{{Idempotency: policy.NonIdempotent, SetupObjective: time.Second, PriorityWeight: 1}}, w.Deployment.Classes...)
 	w.GradeNames = append([]string{"retuned"}, w.GradeNames...)
 	w.OuterLimits = append([]time.Duration{2 * time.Second}, w.OuterLimits...)
 	return w
--- a/internal/lab/cluster/proc.go
+++ b/internal/lab/cluster/proc.go
@@ -355,8 +355,8 @@
 	return 0
 }
 
-var effectNames = map[policy.Effect]string{policy.Idempotent: "read_like", policy.Deduplicated: "idempotency_key", policy.Unrepeatable: "non_idempotent"}
-var scopeNames = map[policy.Scope]string{policy.ScopeAll: "all", policy.ScopeZone: "zone", policy.ScopeCell: "cell"}
+var effectNames = map[policy.Idempotency]string{policy.Idempotent: "read_like", policy.IdempotentWithKey: "idempotency_key", policy.NonIdempotent: "non_idempotent"}
+var scopeNames = map[policy.KeyScope]string{policy.KeyScopeAll: "all", policy.KeyScopeZone: "zone", policy.KeyScopeFailureDomain: "cell"}
 
 // BalancerConfig writes the configuration of one balancer of a world, in the form that the program reads.
 func BalancerConfig(w *topology.World, num int, listen, discovery string, seed uint64, known json.RawMessage) []byte {
@@ -364,9 +364,9 @@
 	us := func(t time.Duration) int64 { return t.Microseconds() }
 	var grades []map[string]any
 	var goals []float64
-	for i, g := range d.Grades {
-		grades = append(grades, map[string]any{"Name": w.GradeNames[i], "Effect": effectNames[g.Effect], "Group": scopeNames[g.Scope],
-			"WindowUs": us(g.Window), "LatencyGoalUs": us(g.SetupGoal), "OuterLimitUs": us(w.OuterLimits[i]), "Utility": g.Utility})
+	for i, g := range d.Classes {
+		grades = append(grades, map[string]any{"Name": w.GradeNames[i], "Effect": effectNames[g.Idempotency], "Group": scopeNames[g.KeyScope],
+			"WindowUs": us(g.KeyTTL), "LatencyGoalUs": us(g.SetupObjective), "OuterLimitUs": us(w.OuterLimits[i]), "Utility": g.PriorityWeight})
 		goals = append(goals, float64(us(w.MessageGoal)))
 	}
 	var zones []string
@@ -374,7 +374,7 @@
 		zones = append(zones, ZoneName(z))
 	}
 	report := map[string]any{"How": "none", "Fields": []string{}}
-	if d.ReportsOnAsk {
+	if d.HasLoadReports {
 		report = map[string]any{"How": "probe", "Fields": []string{"x0", "x1"}}
 	}
 	text, err := json.MarshalIndent(map[string]any{
@@ -383,11 +383,11 @@
 		"known":  known,
 		"settings": map[string]any{
 			"PeersTotal": w.Balancers, "Zone": num % w.Zones, "Areas": zones, "RegistryMode": "pushed", "ServiceGrades": grades, "Accounts": []any{},
-			"Guarantees": map[string]any{"ColdFrom": d.ColdFrom, "ColdUs": us(d.ColdFor), "DrainGraceUs": us(w.DrainGrace),
-				"FallMultiple": d.FallMultiple, "FallUs": us(d.FallFor)},
-			"Limits": map[string]any{"ConnectTimeoutUs": us(w.ConnectWithin), "MostSetupTries": d.MostTries,
-				"MaxRetryAfterUs": us(d.LongestAdvice), "RetryAfter": d.MayAdvise, "Probes": d.MayProbe},
-			"Prices": map[string]any{"CrossZone": d.CrossingPrice}, "Report": report,
+			"Guarantees": map[string]any{"ColdFrom": d.SlowStartFloor, "ColdUs": us(d.SlowStartWindow), "DrainGraceUs": us(w.DrainGrace),
+				"FallMultiple": d.OverloadMultiple, "FallUs": us(d.OverloadWindow)},
+			"Limits": map[string]any{"ConnectTimeoutUs": us(w.ConnectWithin), "MostSetupTries": d.MaxAttempts,
+				"MaxRetryAfterUs": us(d.MaxRetryAfter), "RetryAfter": d.CanSendRetryAfter, "Probes": d.CanHealthCheck},
+			"Prices": map[string]any{"CrossZone": d.CrossZoneCost}, "Report": report,
 			"Specifics": map[string]any{"Groups": w.Load.Groups > 0, "MessageAimUs": goals, "Mode": "proxy"},
 		},
 	}, "", "  ")
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -123,8 +123,8 @@
 	return virtual
 }
 
-var effects = map[string]policy.Effect{"idempotent": policy.Idempotent, "deduplicated": policy.Deduplicated, "unrepeatable": policy.Unrepeatable}
-var scopes = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
+var effects = map[string]policy.Idempotency{"idempotent": policy.Idempotent, "deduplicated": policy.IdempotentWithKey, "unrepeatable": policy.NonIdempotent}
+var scopes = map[string]policy.KeyScope{"all": policy.KeyScopeAll, "zone": policy.KeyScopeZone, "cell": policy.KeyScopeFailureDomain}
 
 func (r reader) world(x *Experiment, in *hcl.Block) {
 	b := r.Open("world", in.Body, in.DefRange, "balancers zones cells drain_grace message_goal message_each outer_limit setup_goal "+
@@ -148,12 +148,12 @@
 	w.Client, w.Near, w.Cross = b.Span("client_way", ms/2, 0, s), b.Span("near_way", ms/5, 0, s), b.Span("cross_way", ms, 0, s)
 	limit, goal := b.Span("outer_limit", 1800*ms, 10*ms, time.Minute), b.Span("setup_goal", 300*ms, ms, time.Minute)
 	d := &w.Deployment
-	d.MostTries = b.Whole("tries", 6, 1, 100)
+	d.MaxAttempts = b.Whole("tries", 6, 1, 100)
 	probes := b.Text("probes", "report", "none", "ping", "report")
-	d.MayProbe, d.ReportsOnAsk = probes != "none", probes == "report"
-	d.LongestAdvice = b.Span("advice", s, 0, time.Minute)
-	d.MayAdvise = d.LongestAdvice > 0
-	d.CrossingPrice = b.Number("crossing_price", 0.02, 0, 1)
+	d.CanHealthCheck, d.HasLoadReports = probes != "none", probes == "report"
+	d.MaxRetryAfter = b.Span("advice", s, 0, time.Minute)
+	d.CanSendRetryAfter = d.MaxRetryAfter > 0
+	d.CrossZoneCost = b.Number("crossing_price", 0.02, 0, 1)
 	if in := b.Only("warmup", false); in != nil {
 		u := r.Open("warmup", in.Body, in.DefRange, "from for multiple within")
 		w.Warmup = model.Warmup{From: u.Share("from", 0.2), For: u.Span("for", 20*s, ms, time.Hour),
@@ -161,7 +161,7 @@
 	} else {
 		w.Warmup = model.Warmup{From: 0.2, For: 20 * s, Multiple: 3, Within: 1500 * ms}
 	}
-	d.ColdFrom, d.ColdFor, d.FallMultiple, d.FallFor = w.Warmup.From, w.Warmup.For, w.Warmup.Multiple, w.Warmup.Within
+	d.SlowStartFloor, d.SlowStartWindow, d.OverloadMultiple, d.OverloadWindow = w.Warmup.From, w.Warmup.For, w.Warmup.Multiple, w.Warmup.Within
 	if in := b.Only("store", false); in != nil {
 		u := r.Open("store", in.Body, in.DefRange, "rate time wait")
 		u.Must("rate")
@@ -215,19 +215,19 @@
 		if slices.Contains(w.GradeNames, in.Labels[0]) {
 			r.At(in.DefRange, "grade %q stands twice", in.Labels[0])
 		}
-		g := policy.Grade{
-			Effect:    effects[u.Text("effect", "idempotent", slices.Sorted(maps.Keys(effects))...)],
-			Scope:     scopes[u.Text("scope", "all", slices.Sorted(maps.Keys(scopes))...)],
-			Window:    u.Span("window", 5*time.Second, 0, time.Hour),
-			SetupGoal: u.Span("setup_goal", goal, ms, time.Minute), MessageGoal: w.MessageGoal,
-			Utility: u.Number("utility", 1, 0, 1e6),
+		g := policy.Class{
+			Idempotency:    effects[u.Text("effect", "idempotent", slices.Sorted(maps.Keys(effects))...)],
+			KeyScope:       scopes[u.Text("scope", "all", slices.Sorted(maps.Keys(scopes))...)],
+			KeyTTL:         u.Span("window", 5*time.Second, 0, time.Hour),
+			SetupObjective: u.Span("setup_goal", goal, ms, time.Minute), MessageObjective: w.MessageGoal,
+			PriorityWeight: u.Number("utility", 1, 0, 1e6),
 		}
 		outer := u.Span("outer_limit", limit, 10*ms, time.Minute)
-		if outer < g.SetupGoal {
-			r.At(in.DefRange, "grade %q: the outer limit %v is shorter than the set-up goal %v", in.Labels[0], outer, g.SetupGoal)
+		if outer < g.SetupObjective {
+			r.At(in.DefRange, "grade %q: the outer limit %v is shorter than the set-up goal %v", in.Labels[0], outer, g.SetupObjective)
 		}
 		w.GradeNames, w.OuterLimits = append(w.GradeNames, in.Labels[0]), append(w.OuterLimits, outer)
-		w.Deployment.Grades = append(w.Deployment.Grades, g)
+		w.Deployment.Classes = append(w.Deployment.Classes, g)
 	}
 	if len(w.GradeNames) > 0 {
 		return
@@ -236,7 +236,7 @@
 		r.At(b.Where, "world: the outer limit %v is shorter than the set-up goal %v", limit, goal)
 	}
 	w.GradeNames, w.OuterLimits = []string{"feed"}, []time.Duration{limit}
-	w.Deployment.Grades = []policy.Grade{{SetupGoal: goal, MessageGoal: w.MessageGoal, Utility: 1}}
+	w.Deployment.Classes = []policy.Class{{SetupObjective: goal, MessageObjective: w.MessageGoal, PriorityWeight: 1}}
 }
 
 func (r reader) load(x *Experiment, in *hcl.Block, length time.Duration) {
--- a/internal/lab/reference/reference.go
+++ b/internal/lab/reference/reference.go
@@ -38,27 +38,27 @@
 
 // Host is one such balancer.
 type Host struct {
-	dep    *deployment.Deployment
+	dep    *deployment.Settings
 	broken string
 	start  time.Time
 
 	mu       sync.Mutex
 	d        baseline.Decider
-	address  map[policy.ServerID]string
-	state    map[policy.ServerID]policy.State
-	byUID    map[string]policy.ServerID
-	circuits map[policy.CircuitID]*circuit
-	last     policy.CircuitID
+	address  map[policy.EndpointID]string
+	state    map[policy.EndpointID]policy.EndpointState
+	byUID    map[string]policy.EndpointID
+	circuits map[policy.SessionID]*circuit
+	last     policy.SessionID
 	alarm    *time.Timer
 }
 
 // circuit is one client; its fields are guarded by the host's lock, the sockets by themselves.
 type circuit struct {
-	id     policy.CircuitID
+	id     policy.SessionID
 	ask    *protocol.Ask
 	client net.Conn
 	server net.Conn
-	at     policy.ServerID
+	at     policy.EndpointID
 	tries  int
 	turn   int
 	out    bool
@@ -72,23 +72,23 @@
 }
 
 // New makes a host of a policy; broken may be empty.
-func New(s *deployment.Station, name, broken string) (*Host, error) {
-	p := *s.Deployment.Policy
+func New(s *deployment.NodeConfig, name, broken string) (*Host, error) {
+	p := *s.Settings.Policy
 	d, err := baseline.New(name, &p, s.Seed)
 	if err != nil {
 		return nil, err
 	}
-	h := &Host{dep: s.Deployment, broken: broken, start: time.Now(), d: d, address: map[policy.ServerID]string{},
-		state: map[policy.ServerID]policy.State{}, byUID: map[string]policy.ServerID{}, circuits: map[policy.CircuitID]*circuit{}}
+	h := &Host{dep: s.Settings, broken: broken, start: time.Now(), d: d, address: map[policy.EndpointID]string{},
+		state: map[policy.EndpointID]policy.EndpointState{}, byUID: map[string]policy.EndpointID{}, circuits: map[policy.SessionID]*circuit{}}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.list(s.Known, true)
+	h.list(s.InitialEndpoints, true)
 	return h, nil
 }
 
 // Run serves clients on a listener and follows discovery until the context is done.
 func (h *Host) Run(ctx context.Context, ln net.Listener, at string) error {
-	w := discovery.New(at, h.dep.Policy.Peers, h.dep.AskForList, func(l discovery.List) { h.in(func() { h.list(l, false) }) }, func(error) {})
+	w := discovery.New(at, h.dep.Policy.Balancers, h.dep.PollEndpointList, func(l discovery.List) { h.in(func() { h.list(l, false) }) }, func(error) {})
 	go w.Run(ctx)
 	go func() { <-ctx.Done(); _ = ln.Close() }()
 	for {
@@ -107,7 +107,7 @@
 func (h *Host) Leave() {
 	h.in(func() {
 		now := time.Since(h.start)
-		h.d.Leave(now+leaveFrom, now+leaveBy)
+		h.d.StartDraining(now+leaveFrom, now+leaveBy)
 	})
 }
 
@@ -115,7 +115,7 @@
 func (h *Host) in(do func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.d.Clock(time.Since(h.start))
+	h.d.AdvanceClock(time.Since(h.start))
 	do()
 	h.pump()
 }
@@ -126,28 +126,28 @@
 		if !ok {
 			break
 		}
-		if d.Do == policy.Probe {
-			h.probe(d.Server)
+		if d.Action == policy.HealthCheck {
+			h.probe(d.Endpoint)
 			continue
 		}
-		c := h.circuits[d.Circuit]
+		c := h.circuits[d.Session]
 		if c == nil || c.over {
 			continue
 		}
-		switch d.Do {
-		case policy.Try:
-			h.try(c, d.Server, d.For)
-		case policy.Nack:
-			h.answer(c, protocol.Turned(d.For))
-		case policy.BreakOff:
+		switch d.Action {
+		case policy.StartAttempt:
+			h.try(c, d.Endpoint, d.Duration)
+		case policy.Reject:
+			h.answer(c, protocol.Turned(d.Duration))
+		case policy.Fail:
 			h.answer(c, protocol.ErrLine)
-		case policy.Move:
+		case policy.Migrate:
 			if c.open {
 				h.move(c, policy.Cancelled)
 			}
 		}
 	}
-	if at, ok := h.d.Wake(); ok {
+	if at, ok := h.d.NextWakeup(); ok {
 		wait := max(time.Millisecond, at-time.Since(h.start))
 		if h.alarm == nil {
 			h.alarm = time.AfterFunc(wait, func() { h.in(func() {}) })
@@ -159,14 +159,14 @@
 
 // list takes a list of servers; the host that sends to drained ones takes them all for ready.
 func (h *Host) list(l discovery.List, known bool) {
-	var lines []policy.Listed
-	named := map[policy.ServerID]bool{}
-	add := func(id policy.ServerID, s discovery.Server) {
+	var lines []policy.Endpoint
+	named := map[policy.EndpointID]bool{}
+	add := func(id policy.EndpointID, s discovery.Server) {
 		zone, told := h.dep.Zones[s.Zone]
 		if !told {
 			zone = len(h.dep.Zones)
 		}
-		started := policy.LongAgo
+		started := policy.StartedLongAgo
 		if !s.Boot.IsZero() {
 			started = s.Boot.Sub(h.start)
 		}
@@ -175,10 +175,10 @@
 			state = policy.Ready
 		}
 		h.state[id] = state
-		lines = append(lines, policy.Listed{Server: id, Zone: zone, Cell: s.Cell, State: state, Heft: s.Heft, Started: started})
+		lines = append(lines, policy.Endpoint{ID: id, Zone: zone, FailureDomain: s.Cell, State: state, Weight: s.Heft, StartedAt: started})
 	}
 	for _, s := range l.Servers {
-		id := policy.ServerID(protocol.Hash(s.UID))
+		id := policy.EndpointID(protocol.Hash(s.UID))
 		named[id] = true
 		if s.Endpoint != "" {
 			h.address[id] = s.Endpoint
@@ -186,7 +186,7 @@
 		h.byUID[s.UID] = id
 		add(id, s)
 	}
-	h.d.ListArrived(lines, l.Whole && h.broken != SendsToDrained || known)
+	h.d.UpdateEndpoints(lines, l.Whole && h.broken != SendsToDrained || known)
 }
 
 // serve takes one client.
@@ -205,7 +205,7 @@
 		}
 		grade, known := 0, false
 		if ln.Ask != nil {
-			grade, known = h.dep.Grades[ln.Ask.Grade]
+			grade, known = h.dep.Classes[ln.Ask.Grade]
 		}
 		if ln.Bad != nil || ln.Kind != protocol.Open || !known || !ln.Ask.Limited {
 			_, _ = client.Write(protocol.BadLine)
@@ -220,7 +220,7 @@
 			if h.broken == NeverAnswers && c.id%someOf == 0 {
 				return
 			}
-			h.d.CircuitArrived(policy.Arrival{ID: c.id, Key: ln.Ask.Key, Group: ln.Ask.Group, Grade: grade, Load: ln.Ask.Hint, Left: ln.Ask.Left - early})
+			h.d.AddSession(policy.SessionRequest{ID: c.id, Key: ln.Ask.Key, Group: ln.Ask.Group, Class: grade, Load: ln.Ask.Hint, Timeout: ln.Ask.Left - early})
 		})
 		h.fromClient(c, r)
 		return
@@ -302,7 +302,7 @@
 	_, _ = c.client.Write(protocol.MoveLine)
 	finish(c.client)
 	c.dropServer()
-	h.d.TryEnded(id, try, true, how)
+	h.d.AttemptEnded(id, try, true, how)
 }
 
 // left takes a client's end.
@@ -313,18 +313,18 @@
 	}
 	id, try, held := c.id, c.tries-1, c.out || c.open
 	if !c.open {
-		h.d.ClientLeft(id)
+		h.d.ClientDisconnected(id)
 	}
 	h.forget(c)
 	c.dropServer()
 	_ = c.client.Close()
 	if held {
-		h.d.TryEnded(id, try, true, policy.Cancelled)
+		h.d.AttemptEnded(id, try, true, policy.Cancelled)
 	}
 }
 
 // try starts a setup try; the host of two tries starts a second one beside it at some.
-func (h *Host) try(c *circuit, id policy.ServerID, within time.Duration) {
+func (h *Host) try(c *circuit, id policy.EndpointID, within time.Duration) {
 	c.tries++
 	c.turn++
 	c.out, c.at, c.called = true, id, time.Now()
@@ -336,7 +336,7 @@
 			}
 		})
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), max(h.dep.ConnectWithin, 50*time.Millisecond))
+	ctx, cancel := context.WithTimeout(context.Background(), max(h.dep.ConnectTimeout, 50*time.Millisecond))
 	c.cancel = cancel
 	go h.dial(ctx, c, turn, h.address[id], within)
 	if h.broken == TwoTries && c.id%someOf == 0 {
@@ -433,23 +433,23 @@
 		h.forget(c)
 		c.dropServer()
 		finish(c.client)
-		h.d.TryEnded(id, try, true, how)
+		h.d.AttemptEnded(id, try, true, how)
 	case err != nil:
 		h.tryEnded(c, policy.Reset)
 	case ln.Kind == protocol.Up:
 		c.turn++
 		c.out, c.open, c.heard = false, true, time.Now()
-		h.d.SetUp(c.id, c.tries-1, time.Since(c.called))
+		h.d.AttemptEstablished(c.id, c.tries-1, time.Since(c.called))
 		if h.broken == AnswersTwice && c.id%someOf == 0 {
 			raw = append(raw, []byte("BUSY 100\r\n")...)
 		}
 		_, _ = c.client.Write(raw)
 		return false
 	case ln.Kind == protocol.Load:
-		h.d.LoadNoted(c.id, c.tries-1, ln.Figure)
+		h.d.RecordLoad(c.id, c.tries-1, ln.Figure)
 		return false
 	case ln.Kind == protocol.Busy:
-		h.tryEnded(c, policy.TurnedAway)
+		h.tryEnded(c, policy.Rejected)
 	default:
 		h.tryEnded(c, policy.Failed)
 	}
@@ -460,18 +460,18 @@
 	c.turn++
 	c.out = false
 	c.dropServer()
-	h.d.TryEnded(c.id, c.tries-1, false, how)
+	h.d.AttemptEnded(c.id, c.tries-1, false, how)
 }
 
 // probe asks a server for its load.
-func (h *Host) probe(id policy.ServerID) {
+func (h *Host) probe(id policy.EndpointID) {
 	address := h.address[id]
 	go func() {
-		how, report := policy.ConnectFailed, policy.NoReport
-		if c, err := net.DialTimeout("tcp", address, max(h.dep.ConnectWithin, 50*time.Millisecond)); err == nil {
+		how, report := policy.ConnectFailed, policy.NoLoadReport
+		if c, err := net.DialTimeout("tcp", address, max(h.dep.ConnectTimeout, 50*time.Millisecond)); err == nil {
 			_ = c.SetDeadline(time.Now().Add(probeFor))
 			text := protocol.PingLine
-			if h.dep.Policy.ReportsOnAsk {
+			if h.dep.Policy.HasLoadReports {
 				text = protocol.AskLoad
 			}
 			_, _ = c.Write(text)
@@ -480,15 +480,15 @@
 			if ln := protocol.Decode(raw); err == nil && ln.Kind == protocol.Pong {
 				how = policy.Succeeded
 				if x, told := ln.Fields["x0"]; told {
-					report.Asked = x
+					report.Demand = x
 				}
 			} else {
 				how = policy.TimedOut
 			}
 		}
 		h.in(func() {
-			h.d.ProbeAnswered(id, how)
-			h.d.Reported(id, report)
+			h.d.HealthCheckEnded(id, how)
+			h.d.RecordLoadReport(id, report)
 		})
 	}()
 }
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -58,11 +58,11 @@
 type machine struct {
 	*model.Server
 	num     int
-	id      policy.ServerID
+	id      policy.EndpointID
 	zone    int
 	cell    int
 	listed  bool
-	state   policy.State
+	state   policy.EndpointState
 	started time.Duration
 	down    bool // refuses
 	silent  bool
@@ -81,9 +81,9 @@
 	alive  bool
 	leaves bool
 	wakeAt time.Duration
-	conns  map[policy.CircuitID]*conn
-	last   policy.CircuitID
-	list   []policy.Listed // as it was told, by server
+	conns  map[policy.SessionID]*conn
+	last   policy.SessionID
+	list   []policy.Endpoint // as it was told, by server
 	known  []bool
 }
 
@@ -99,7 +99,7 @@
 // conn is one connection of a client, and one circuit.
 type conn struct {
 	wire  uint64
-	id    policy.CircuitID
+	id    policy.SessionID
 	p     *person
 	n     *node
 	m     *machine // of the newest try
@@ -135,7 +135,7 @@
 	rng       *rand.Rand
 	nodes     []*node
 	machines  []*machine
-	byID      map[policy.ServerID]int
+	byID      map[policy.EndpointID]int
 	people    []*person
 	log       *history.Log
 	ids       uint64
@@ -152,8 +152,8 @@
 // Run runs a world to its end.
 func Run(w topology.World, name string, seed uint64) (report.Run, []history.Event, checker.Verdict, error) {
 	s := &world{World: w, policy: name, rng: rand.New(rand.NewPCG(seed, 0x3071d)), nodeSeeds: rand.New(rand.NewPCG(seed, 0x5eed)),
-		byID: map[policy.ServerID]int{}, log: history.New(evMost), reach: true, groupAt: map[uint64]map[int]int{}}
-	s.Deployment.Peers = w.Balancers
+		byID: map[policy.EndpointID]int{}, log: history.New(evMost), reach: true, groupAt: map[uint64]map[int]int{}}
+	s.Deployment.Balancers = w.Balancers
 	steps, _, err := faults.Expand(w.Faults, len(w.Machines), w.Balancers, seed)
 	if err != nil {
 		return report.Run{}, nil, checker.Verdict{}, err
@@ -230,7 +230,7 @@
 
 // machine adds a server whose process started at a time.
 func (s *world) machine(m topology.Machine, num int, started time.Duration) *machine {
-	id := policy.ServerID(uint64(num+1) * 0x9e3779b97f4a7c15)
+	id := policy.EndpointID(uint64(num+1) * 0x9e3779b97f4a7c15)
 	sv := &machine{Server: model.New(m.Type, s.Warmup, started), num: num, id: id, zone: m.Zone, cell: m.FailureDomain,
 		started: started, listed: true, heldBy: map[int32]int{}, noted: map[int32]bool{}}
 	sv.GroupCost = s.GroupCost
@@ -249,32 +249,32 @@
 }
 
 // line is what the list says of a server, to a balancer.
-func (s *world) line(m *machine, n *node) policy.Listed {
-	l := policy.Listed{Server: m.id, Zone: m.zone, Cell: m.cell, State: m.state, Heft: float64(m.Type.Cores) * m.Type.Speed,
-		Started: m.started - n.start}
+func (s *world) line(m *machine, n *node) policy.Endpoint {
+	l := policy.Endpoint{ID: m.id, Zone: m.zone, FailureDomain: m.cell, State: m.state, Weight: float64(m.Type.Cores) * m.Type.Speed,
+		StartedAt: m.started - n.start}
 	if m.started < 0 {
-		l.Started = policy.LongAgo
+		l.StartedAt = policy.StartedLongAgo
 	}
 	if !m.listed {
-		l.State = policy.Gone
+		l.State = policy.Removed
 	}
 	return l
 }
 
-var stateNames = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
+var stateNames = map[policy.EndpointState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Removed: "gone"}
 
 // tell has a balancer take lines of the list.
-func (s *world) tell(n *node, lines []policy.Listed, whole bool) {
+func (s *world) tell(n *node, lines []policy.Endpoint, whole bool) {
 	for _, l := range lines {
-		i := s.byID[l.Server]
+		i := s.byID[l.ID]
 		for len(n.list) <= i {
-			n.list, n.known = append(n.list, policy.Listed{}), append(n.known, false)
+			n.list, n.known = append(n.list, policy.Endpoint{}), append(n.known, false)
 		}
 		n.list[i], n.known[i] = l, true
 		s.note(history.Event{Kind: history.Notified, Balancer: n.num, Server: int32(i), Text: stateNames[l.State]})
 	}
-	n.d.Clock(s.now - n.start)
-	n.d.ListArrived(lines, whole)
+	n.d.AdvanceClock(s.now - n.start)
+	n.d.UpdateEndpoints(lines, whole)
 	s.pump(n)
 }
 
@@ -287,7 +287,7 @@
 	for _, n := range s.nodes {
 		s.after(s.between(wait)+s.late, func() {
 			if n := s.nodes[n.num]; n.alive {
-				s.tell(n, []policy.Listed{s.line(m, n)}, false)
+				s.tell(n, []policy.Endpoint{s.line(m, n)}, false)
 			}
 		})
 	}
@@ -370,7 +370,7 @@
 			s.sendAway(m, s.now+st.For)
 		}
 	case faults.Stop:
-		m.state, m.down = policy.Gone, true
+		m.state, m.down = policy.Removed, true
 		s.note(history.Event{Kind: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "stop"})
 		s.end(m)
 		s.changed(m, s.Notice)
@@ -378,7 +378,7 @@
 		m.down = true
 		s.note(history.Event{Kind: history.Stopped, Server: int32(m.num), Balancer: -1, Text: "crash"})
 		s.end(m)
-		m.state = policy.Gone
+		m.state = policy.Removed
 		s.changed(m, s.Silent)
 	case faults.Revive:
 		s.revive(m)
@@ -446,8 +446,8 @@
 			return
 		}
 		n.leaves = true
-		n.d.Clock(s.now - n.start)
-		n.d.Leave(s.now-n.start+leaveFrom, s.now-n.start+leaveBy)
+		n.d.AdvanceClock(s.now - n.start)
+		n.d.StartDraining(s.now-n.start+leaveFrom, s.now-n.start+leaveBy)
 		s.pump(n)
 		s.after(leaveBy+700*time.Millisecond, func() {
 			if s.nodes[st.Target] == n {
@@ -490,19 +490,19 @@
 
 func (s *world) begin(num int) {
 	old := s.nodes[num]
-	n := &node{num: int32(num), zone: num % max(s.Zones, 1), start: s.now, alive: true, wakeAt: -1, conns: map[policy.CircuitID]*conn{}}
+	n := &node{num: int32(num), zone: num % max(s.Zones, 1), start: s.now, alive: true, wakeAt: -1, conns: map[policy.SessionID]*conn{}}
 	dep := s.Deployment
 	dep.Zone = n.zone
 	n.d, _ = baseline.New(s.policy, &dep, s.nodeSeeds.Uint64()) // its name was looked at before the run
 	s.nodes[num] = n
 	s.note(history.Event{Kind: history.BalancerStarted, Balancer: n.num, Server: -1})
-	var lines []policy.Listed
+	var lines []policy.Endpoint
 	for i, m := range s.machines {
 		l := s.line(m, n)
 		if old != nil && i < len(old.known) && old.known[i] { // with what it knew last
 			l = old.list[i]
-			if l.Started != policy.LongAgo {
-				l.Started += old.start - n.start
+			if l.StartedAt != policy.StartedLongAgo {
+				l.StartedAt += old.start - n.start
 			}
 		} else if old != nil {
 			continue
@@ -525,7 +525,7 @@
 		if !n.alive {
 			return
 		}
-		var lines []policy.Listed
+		var lines []policy.Endpoint
 		for _, m := range s.machines {
 			lines = append(lines, s.line(m, n))
 		}
@@ -540,7 +540,7 @@
 	}
 	n.alive = false
 	s.note(history.Event{Kind: history.BalancerKilled, Balancer: n.num, Server: -1, Text: how})
-	ids := make([]policy.CircuitID, 0, len(n.conns))
+	ids := make([]policy.SessionID, 0, len(n.conns))
 	for id := range n.conns {
 		ids = append(ids, id)
 	}
@@ -555,7 +555,7 @@
 
 // pump carries out what a balancer decides.
 func (s *world) pump(n *node) {
-	n.d.Clock(s.now - n.start)
+	n.d.AdvanceClock(s.now - n.start)
 	for {
 		d, ok := n.d.Next()
 		if !ok {
@@ -563,7 +563,7 @@
 		}
 		s.carryOut(n, d)
 	}
-	at, ok := n.d.Wake()
+	at, ok := n.d.NextWakeup()
 	if at += n.start; !ok || at > s.Load.Length || n.wakeAt > s.now && n.wakeAt <= at {
 		return
 	}
@@ -577,23 +577,23 @@
 }
 
 func (s *world) carryOut(n *node, d policy.Decision) {
-	if d.Do == policy.Probe {
-		s.probe(n, s.machines[s.byID[d.Server]])
+	if d.Action == policy.HealthCheck {
+		s.probe(n, s.machines[s.byID[d.Endpoint]])
 		return
 	}
-	c := n.conns[d.Circuit]
+	c := n.conns[d.Session]
 	if c == nil || c.stage == over {
 		return
 	}
-	switch d.Do {
-	case policy.Try:
-		s.try(c, s.machines[s.byID[d.Server]], d.For)
-	case policy.Nack:
+	switch d.Action {
+	case policy.StartAttempt:
+		s.try(c, s.machines[s.byID[d.Endpoint]], d.Duration)
+	case policy.Reject:
 		s.meter.Reject(s.now)
-		s.refuse(c, "busy", load.Rejected, d.For)
-	case policy.BreakOff:
+		s.refuse(c, "busy", load.Rejected, d.Duration)
+	case policy.Fail:
 		s.refuse(c, "err", load.Failed, 0)
-	case policy.Move:
+	case policy.Migrate:
 		if c.stage == open {
 			s.move(c, policy.Cancelled)
 		}
@@ -646,8 +646,8 @@
 			s.again(c.p, load.Moved, 0)
 		}
 	})
-	n.d.Clock(s.now - n.start)
-	n.d.TryEnded(id, try, true, how)
+	n.d.AdvanceClock(s.now - n.start)
+	n.d.AttemptEnded(id, try, true, how)
 	s.pump(n)
 }
 
@@ -730,7 +730,7 @@
 		finish("server", policy.Reset, 0)
 		return
 	case model.Busy:
-		finish("refused", policy.TurnedAway, 0)
+		finish("refused", policy.Rejected, 0)
 		return
 	case model.Err:
 		finish("failed", policy.Failed, m.Type.Setup)
@@ -773,9 +773,9 @@
 	c.turn++
 	c.stage = open
 	turn := c.turn
-	n.d.Clock(s.now - n.start)
-	n.d.SetUp(c.id, c.try-1, s.now-c.calls)
-	n.d.LoadNoted(c.id, c.try-1, s.usual(c))
+	n.d.AdvanceClock(s.now - n.start)
+	n.d.AttemptEstablished(c.id, c.try-1, s.now-c.calls)
+	n.d.RecordLoad(c.id, c.try-1, s.usual(c))
 	s.after(s.Client, func() {
 		if c.p.conn != c {
 			return
@@ -799,7 +799,7 @@
 func (s *world) tryEnded(c *conn, how policy.Outcome) {
 	n, id, try, stood := c.n, c.id, c.try-1, c.stage == open
 	s.free(c)
-	n.d.Clock(s.now - n.start)
+	n.d.AdvanceClock(s.now - n.start)
 	if stood {
 		s.forget(c)
 		sent := how == policy.Cancelled // by its server
@@ -821,7 +821,7 @@
 		c.turn++
 		c.stage = asking
 	}
-	n.d.TryEnded(id, try, stood, how)
+	n.d.AttemptEnded(id, try, stood, how)
 	s.pump(n)
 }
 
@@ -829,25 +829,25 @@
 func (s *world) probe(n *node, m *machine) {
 	s.meter.Probe()
 	way := s.way(n, m)
-	tell := func(how policy.Outcome, r policy.Report) {
+	tell := func(how policy.Outcome, r policy.LoadReport) {
 		if n.alive {
-			n.d.Clock(s.now - n.start)
-			n.d.ProbeAnswered(m.id, how)
-			n.d.Reported(m.id, r)
+			n.d.AdvanceClock(s.now - n.start)
+			n.d.HealthCheckEnded(m.id, how)
+			n.d.RecordLoadReport(m.id, r)
 			s.pump(n)
 		}
 	}
 	switch {
 	case m.silent:
-		s.after(s.ConnectWithin, func() { tell(policy.ConnectFailed, policy.NoReport) })
+		s.after(s.ConnectWithin, func() { tell(policy.ConnectFailed, policy.NoLoadReport) })
 	case m.down:
-		s.after(2*way, func() { tell(policy.ConnectFailed, policy.NoReport) })
+		s.after(2*way, func() { tell(policy.ConnectFailed, policy.NoLoadReport) })
 	default:
 		s.after(3*way, func() {
 			m.Advance(s.now)
-			r := policy.NoReport
-			if s.Deployment.ReportsOnAsk {
-				r.Asked, r.Piled = m.Utilization(s.now)*(0.95+0.1*s.rng.Float64()), m.Backlog().Seconds()
+			r := policy.NoLoadReport
+			if s.Deployment.HasLoadReports {
+				r.Demand, r.Backlog = m.Utilization(s.now)*(0.95+0.1*s.rng.Float64()), m.Backlog().Seconds()
 			}
 			s.after(way, func() { tell(policy.Succeeded, r) })
 		})
@@ -890,9 +890,9 @@
 		n.last++
 		c.id = n.last
 		n.conns[c.id] = c
-		n.d.Clock(s.now - n.start)
-		n.d.CircuitArrived(policy.Arrival{ID: c.id, Key: p.Key, Group: p.Group, Tenant: p.Tenant, Grade: p.Grade,
-			Left: limit - 2*s.Client - time.Millisecond})
+		n.d.AdvanceClock(s.now - n.start)
+		n.d.AddSession(policy.SessionRequest{ID: c.id, Key: p.Key, Group: p.Group, Tenant: p.Tenant, Class: p.Grade,
+			Timeout: limit - 2*s.Client - time.Millisecond})
 		s.pump(n)
 	})
 }
@@ -912,12 +912,12 @@
 		id, try, stage := c.id, c.try-1, c.stage
 		s.forget(c)
 		s.free(c)
-		n.d.Clock(s.now - n.start)
+		n.d.AdvanceClock(s.now - n.start)
 		if stage != open {
-			n.d.ClientLeft(id)
+			n.d.ClientDisconnected(id)
 		}
 		if stage == open || stage == out {
-			n.d.TryEnded(id, try, true, policy.Cancelled)
+			n.d.AttemptEnded(id, try, true, policy.Cancelled)
 		}
 		s.pump(n)
 	})
@@ -1006,8 +1006,8 @@
 				delete(m.noted, b)
 			}
 			if n := s.nodes[b]; n.alive {
-				n.d.Clock(s.now - n.start)
-				n.d.DelayNoted(m.id, took)
+				n.d.AdvanceClock(s.now - n.start)
+				n.d.RecordLatency(m.id, took)
 				s.pump(n)
 			}
 		}
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -28,10 +28,10 @@
 		Balancers: 3, Zones: 2,
 		Warmup: model.Warmup{From: 0.2, For: 15 * time.Second, Multiple: 3, Within: 1500 * ms},
 		Store:  model.Store{Rate: 200, Time: 5 * ms, Wait: time.Second},
-		Deployment: policy.Deployment{
-			Grades:   []policy.Grade{{SetupGoal: 300 * ms, MessageGoal: 250 * ms, Utility: 1}, {Effect: policy.Unrepeatable, SetupGoal: 300 * ms, MessageGoal: 250 * ms, Utility: 1}},
-			MayProbe: true, MayAdvise: true, LongestAdvice: time.Second, MostTries: 6, ReportsOnAsk: true,
-			FallMultiple: 3, FallFor: 1500 * ms, ColdFrom: 0.2, ColdFor: 15 * time.Second, CrossingPrice: 0.02,
+		Deployment: policy.Config{
+			Classes:        []policy.Class{{SetupObjective: 300 * ms, MessageObjective: 250 * ms, PriorityWeight: 1}, {Idempotency: policy.NonIdempotent, SetupObjective: 300 * ms, MessageObjective: 250 * ms, PriorityWeight: 1}},
+			CanHealthCheck: true, CanSendRetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 6, HasLoadReports: true,
+			OverloadMultiple: 3, OverloadWindow: 1500 * ms, SlowStartFloor: 0.2, SlowStartWindow: 15 * time.Second, CrossZoneCost: 0.02,
 		},
 		OuterLimits: []time.Duration{1800 * ms, 1800 * ms}, MessageGoal: 250 * ms, DrainGrace: 750 * ms, ConnectWithin: 200 * ms,
 		GroupCost: 0.5, Sheds: 2 * time.Second, SendsAway: true,
--- a/internal/lab/topology/topology.go
+++ b/internal/lab/topology/topology.go
@@ -24,7 +24,7 @@
 	Machines            []Machine
 	Warmup              model.Warmup
 	Store               model.Store
-	Deployment          policy.Deployment // Zone and Peers are set by who runs it
+	Deployment          policy.Config // Zone and Peers are set by who runs it
 	GradeNames          []string
 	OuterLimits         []time.Duration // by grade
 	MessageGoal         time.Duration
@@ -53,5 +53,5 @@
 // Rules are what a run is judged by; slack is what the stand-ins may see late.
 func (w *World) Rules(slack time.Duration, places []checker.Place) checker.Rules {
 	return checker.Rules{DrainGrace: w.DrainGrace, Slack: slack, MaxLineDelay: time.Second, EndWithin: time.Second,
-		Warmup: w.Warmup, Grades: w.Deployment.Grades, Places: places}
+		Warmup: w.Warmup, Grades: w.Deployment.Classes, Places: places}
 }
--- a/internal/loadgossip/golden_test.go
+++ b/internal/loadgossip/golden_test.go
@@ -17,16 +17,16 @@
 
 // TestDatagramsAreAsBefore compares the bytes of messages, and what is read of them, with those of the build that wrote testdata.
 func TestDatagramsAreAsBefore(t *testing.T) {
-	long := policy.Told{Mark: 0xcafe0123, First: 5}
+	long := policy.GossipMessage{VersionHash: 0xcafe0123, Offset: 5}
 	for n := range 500 {
 		long.Loads = append(long.Loads, float64(n*n%977)*13.5)
-		long.Jammed = append(long.Jammed, n%7 == 3)
+		long.Overloaded = append(long.Overloaded, n%7 == 3)
 	}
 	var got []string
-	for _, message := range []policy.Told{
+	for _, message := range []policy.GossipMessage{
 		{},
-		{Mark: 1, Loads: []float64{0, 0}, Jammed: []bool{false, true}},
-		{Mark: 0xdeadbeef, First: 240, Loads: []float64{18410.5, 92000, 1}, Jammed: []bool{true, false, false}},
+		{VersionHash: 1, Loads: []float64{0, 0}, Overloaded: []bool{false, true}},
+		{VersionHash: 0xdeadbeef, Offset: 240, Loads: []float64{18410.5, 92000, 1}, Overloaded: []bool{true, false, false}},
 		long,
 	} {
 		for _, datagram := range Encode(message) {
@@ -34,7 +34,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got = append(got, fmt.Sprintf("%s %d %d %v %v", hex.EncodeToString(datagram), read.Mark, read.First, read.Loads, read.Jammed))
+			got = append(got, fmt.Sprintf("%s %d %d %v %v", hex.EncodeToString(datagram), read.VersionHash, read.Offset, read.Loads, read.Overloaded))
 		}
 	}
 	text := strings.Join(got, "\n") + "\n"
--- a/internal/loadgossip/message.go
+++ b/internal/loadgossip/message.go
@@ -11,8 +11,8 @@
 	"sabletally/policy"
 )
 
-// Most is the longest message in bytes.
-const Most = 256
+// MaxDatagramSize is the longest message in bytes.
+const MaxDatagramSize = 256
 
 const (
 	most   = 240  // servers told of in one message
@@ -22,30 +22,30 @@
 )
 
 // Encode words what is told in as many messages as it takes.
-func Encode(t policy.Told) [][]byte {
+func Encode(t policy.GossipMessage) [][]byte {
 	var all [][]byte
 	for from := 0; from < max(len(t.Loads), 1); from += most {
 		to := min(from+most, len(t.Loads))
-		all = append(all, encode(policy.Told{Mark: t.Mark, First: t.First + from, Loads: t.Loads[from:to], Jammed: t.Jammed[from:to]}))
+		all = append(all, encode(policy.GossipMessage{VersionHash: t.VersionHash, Offset: t.Offset + from, Loads: t.Loads[from:to], Overloaded: t.Overloaded[from:to]}))
 	}
 	return all
 }
 
 // encode words one message: the head, then a byte for each server.
-func encode(t policy.Told) []byte {
+func encode(t policy.GossipMessage) []byte {
 	unit := float32(0)
 	for _, load := range t.Loads {
 		unit = max(unit, float32(load/steps))
 	}
-	text := binary.LittleEndian.AppendUint32(make([]byte, 0, head+len(t.Loads)), t.Mark)
-	text = binary.LittleEndian.AppendUint16(text, uint16(t.First))
+	text := binary.LittleEndian.AppendUint32(make([]byte, 0, head+len(t.Loads)), t.VersionHash)
+	text = binary.LittleEndian.AppendUint16(text, uint16(t.Offset))
 	text = binary.LittleEndian.AppendUint32(text, math.Float32bits(unit))
 	for n, load := range t.Loads {
 		told := byte(0)
 		if unit > 0 {
 			told = byte(min(math.Round(load/float64(unit)), steps))
 		}
-		if t.Jammed[n] {
+		if t.Overloaded[n] {
 			told |= jammed
 		}
 		text = append(text, told)
@@ -54,18 +54,18 @@
 }
 
 // Decode reads a message; a text that Encode can't have made is an error.
-func Decode(text []byte) (policy.Told, error) {
+func Decode(text []byte) (policy.GossipMessage, error) {
 	if len(text) < head || len(text) > head+most {
-		return policy.Told{}, errors.New("a message of no length that is sent")
+		return policy.GossipMessage{}, errors.New("a message of no length that is sent")
 	}
 	unit := float64(math.Float32frombits(binary.LittleEndian.Uint32(text[6:])))
 	if !(unit >= 0 && unit < math.MaxFloat32) {
-		return policy.Told{}, errors.New("a message whose unit of load is no number")
+		return policy.GossipMessage{}, errors.New("a message whose unit of load is no number")
 	}
-	t := policy.Told{Mark: binary.LittleEndian.Uint32(text), First: int(binary.LittleEndian.Uint16(text[4:]))}
+	t := policy.GossipMessage{VersionHash: binary.LittleEndian.Uint32(text), Offset: int(binary.LittleEndian.Uint16(text[4:]))}
 	for _, told := range text[head:] {
 		t.Loads = append(t.Loads, float64(told&^jammed)*unit)
-		t.Jammed = append(t.Jammed, told&jammed != 0)
+		t.Overloaded = append(t.Overloaded, told&jammed != 0)
 	}
 	return t, nil
 }
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -58,7 +58,7 @@
 var (
 	le       = binary.LittleEndian
 	outcomes = map[uint16]policy.Outcome{
-		200: policy.Succeeded, 502: policy.Failed, 429: policy.TurnedAway, 408: policy.TimedOut,
+		200: policy.Succeeded, 502: policy.Failed, 429: policy.Rejected, 408: policy.TimedOut,
 		521: policy.ConnectFailed, 520: policy.Reset, 444: policy.Cancelled, 409: policy.NeverSent,
 	}
 )
@@ -165,11 +165,11 @@
 	return tail[off : off+n*uint64(unit)], nil
 }
 
-func serverAt(b []byte) policy.ServerID {
-	return policy.ServerID(uint64(binary.BigEndian.Uint32(b))<<16 | uint64(le.Uint16(b[4:])))
+func serverAt(b []byte) policy.EndpointID {
+	return policy.EndpointID(uint64(binary.BigEndian.Uint32(b))<<16 | uint64(le.Uint16(b[4:])))
 }
 
-func putServer(b []byte, s policy.ServerID) {
+func putServer(b []byte, s policy.EndpointID) {
 	binary.BigEndian.PutUint32(b, uint32(s>>16))
 	le.PutUint16(b[4:], uint16(s))
 }
@@ -203,19 +203,19 @@
 		return nil
 	}
 	b := in.bal
-	b.Clock(us(int64(h.clock - in.opened)))
-	id := policy.CircuitID(le.Uint64(rec[5:]))
+	b.AdvanceClock(us(int64(h.clock - in.opened)))
+	id := policy.SessionID(le.Uint64(rec[5:]))
 	switch code {
 	case evTimedOutClient:
-		b.ClientLeft(id)
+		b.ClientDisconnected(id)
 	case evMembership:
 		return h.members(in, rec, tail, base)
 	case evUpdateOf:
 		switch rec[20] {
 		case 1:
-			b.LoadNoted(id, int(rec[19]), float(rec[21:]))
+			b.RecordLoad(id, int(rec[19]), float(rec[21:]))
 		case 2:
-			b.DelayNoted(serverAt(rec[13:]), time.Duration(float(rec[21:])*float64(time.Millisecond)))
+			b.RecordLatency(serverAt(rec[13:]), time.Duration(float(rec[21:])*float64(time.Millisecond)))
 		}
 	case evAttemptEnd:
 		outcome, err := verdict(rec, 25, base)
@@ -226,8 +226,8 @@
 		if err != nil {
 			return err
 		}
-		b.TryEnded(id, int(rec[19]), rec[20] != 0, outcome)
-		b.Reported(serverAt(rec[13:]), rep)
+		b.AttemptEnded(id, int(rec[19]), rec[20] != 0, outcome)
+		b.RecordLoadReport(serverAt(rec[13:]), rep)
 	case evHealthResult:
 		outcome, err := verdict(rec, 11, base)
 		if err != nil {
@@ -237,35 +237,35 @@
 		if err != nil {
 			return err
 		}
-		b.ProbeAnswered(serverAt(rec[5:]), outcome)
-		b.Reported(serverAt(rec[5:]), rep)
+		b.HealthCheckEnded(serverAt(rec[5:]), outcome)
+		b.RecordLoadReport(serverAt(rec[5:]), rep)
 	case evInbox:
 		text, err := span(rec, tail, "Octets", 9, base, 1)
 		if err != nil {
 			return err
 		}
 		if t, err := loadgossip.Decode(text); err == nil { // another's fault is no reason to end
-			b.PeerTold(int(le.Uint32(rec[5:])), t)
+			b.ReceiveGossip(int(le.Uint32(rec[5:])), t)
 		}
 	case evFired:
 		if due := us(int64(h.clock - in.opened)); in.timerOn && in.timerAt <= due {
 			in.timerOn = false
 		}
 	case evOpened:
-		b.SetUp(id, int(rec[23]), micros(rec[13:]))
+		b.AttemptEstablished(id, int(rec[23]), micros(rec[13:]))
 	case evHandover:
-		b.HandedOver(arrival(rec, 17, 25, 13, 43, 39, 45, 49), serverAt(rec[33:]))
+		b.AdoptSession(arrival(rec, 17, 25, 13, 43, 39, 45, 49), serverAt(rec[33:]))
 	case evIngress:
-		b.CircuitArrived(arrival(rec, 20, 32, 13, 17, 40, 28, 19))
+		b.AddSession(arrival(rec, 20, 32, 13, 17, 40, 28, 19))
 	}
 	return nil
 }
 
 // arrival reads a circuit whose fields stand at the given bytes.
-func arrival(rec []byte, key, group, tenant, grade, left, hint, marks int) policy.Arrival {
-	a := policy.Arrival{
-		ID: policy.CircuitID(le.Uint64(rec[5:])), Key: le.Uint64(rec[key:]), Group: le.Uint64(rec[group:]),
-		Tenant: int(le.Uint32(rec[tenant:])), Grade: int(le.Uint16(rec[grade:])), Left: micros(rec[left:]),
+func arrival(rec []byte, key, group, tenant, grade, left, hint, marks int) policy.SessionRequest {
+	a := policy.SessionRequest{
+		ID: policy.SessionID(le.Uint64(rec[5:])), Key: le.Uint64(rec[key:]), Group: le.Uint64(rec[group:]),
+		Tenant: int(le.Uint32(rec[tenant:])), Class: int(le.Uint16(rec[grade:])), Timeout: micros(rec[left:]),
 	}
 	if rec[marks]&1 != 0 {
 		a.Load = float64(le.Uint32(rec[hint:]))
@@ -281,8 +281,8 @@
 	return o, nil
 }
 
-func (in *instance) report(rec []byte, pos, base int) (policy.Report, error) {
-	rep := policy.NoReport
+func (in *instance) report(rec []byte, pos, base int) (policy.LoadReport, error) {
+	rep := policy.NoLoadReport
 	n := int(rec[pos])
 	if n > 4 {
 		return rep, fmt.Errorf("Usage at byte %d: %d values, at most 4 fit", base+pos, n)
@@ -291,11 +291,11 @@
 		v := float(rec[pos+1+4*i:])
 		switch in.fields[i] {
 		case "x0":
-			rep.Asked = v
+			rep.Demand = v
 		case "x1":
-			rep.Piled = v
+			rep.Backlog = v
 		case "cpu":
-			rep.Util = v
+			rep.Utilization = v
 		}
 	}
 	return rep, nil
@@ -309,13 +309,13 @@
 	in := &instance{number: number, opened: h.clock, touched: true}
 	h.instances[number] = in
 	h.touched = append(h.touched, in)
-	d, err := deployment.Read(text)
+	d, err := deployment.ParseSettings(text)
 	if err != nil {
 		h.put(acDie, number, 0)
 		h.text("BootInfo: " + err.Error())
 		return nil
 	}
-	in.fields, in.asks, in.unasked = d.ReportFields, d.AskForList, d.AskForList
+	in.fields, in.asks, in.unasked = d.ReportFields, d.PollEndpointList, d.PollEndpointList
 	in.bal = policy.New(d.Policy, le.Uint64(rec[5:]))
 	return nil
 }
@@ -333,36 +333,36 @@
 	if mode != 1 && mode != 3 && mode != 4 {
 		return fmt.Errorf("Mode at byte %d: %d is not known", base+5, mode)
 	}
-	lines := make([]policy.Listed, 0, len(entries)/entrySize)
+	lines := make([]policy.Endpoint, 0, len(entries)/entrySize)
 	for ; len(entries) > 0; entries = entries[entrySize:] {
-		l := policy.Listed{
-			Server: serverAt(entries), Zone: int(le.Uint16(entries[6:])), Cell: int(le.Uint16(entries[10:])),
-			Kind: uint64(le.Uint16(entries[8:])),
-			Heft: float(entries[13:]), Started: policy.LongAgo,
+		l := policy.Endpoint{
+			ID: serverAt(entries), Zone: int(le.Uint16(entries[6:])), FailureDomain: int(le.Uint16(entries[10:])),
+			MachineType: uint64(le.Uint16(entries[8:])),
+			Weight:      float(entries[13:]), StartedAt: policy.StartedLongAgo,
 		}
-		if !(l.Heft > 0 && l.Heft < math.Inf(1)) {
-			l.Heft = 1
+		if !(l.Weight > 0 && l.Weight < math.Inf(1)) {
+			l.Weight = 1
 		}
 		switch entries[12] {
 		case 0:
 		case 1:
-			l.State = policy.Gone
+			l.State = policy.Removed
 		case 2:
 			l.State = policy.Draining
 		default:
 			return fmt.Errorf("Availability of an entry of Items at byte %d: %d is not known", base+14, entries[12])
 		}
 		if since := le.Uint64(entries[17:]); since != 0 {
-			l.Started = us(int64(since - in.opened))
+			l.StartedAt = us(int64(since - in.opened))
 		}
 		lines = append(lines, l)
 	}
-	in.bal.ListArrived(lines, mode != 4)
+	in.bal.UpdateEndpoints(lines, mode != 4)
 	return nil
 }
 
 // put begins an action record and returns it for its fields.
-func (h *host) put(code byte, number uint32, id policy.CircuitID) []byte {
+func (h *host) put(code byte, number uint32, id policy.SessionID) []byte {
 	var rec [actionSize]byte
 	rec[0] = code
 	le.PutUint32(rec[1:], number)
@@ -385,7 +385,7 @@
 // answer pulls an instance's decisions and sets its next timer.
 func (h *host) answer(in *instance) {
 	now := us(int64(h.clock - in.opened))
-	in.bal.Clock(now)
+	in.bal.AdvanceClock(now)
 	if in.unasked && !in.timerOn { // at the start, and after a failed call with the module's next round
 		in.unasked = false
 		h.put(acStreamChanges, in.number, 0)[5] = 1
@@ -395,22 +395,22 @@
 		if !ok {
 			break
 		}
-		span := uint32(max(0, min(d.For/time.Microsecond, math.MaxUint32)))
-		switch d.Do {
-		case policy.Try:
-			rec := h.put(acTransmit, in.number, d.Circuit)
-			putServer(rec[13:], d.Server)
+		span := uint32(max(0, min(d.Duration/time.Microsecond, math.MaxUint32)))
+		switch d.Action {
+		case policy.StartAttempt:
+			rec := h.put(acTransmit, in.number, d.Session)
+			putServer(rec[13:], d.Endpoint)
 			le.PutUint32(rec[19:], span)
-		case policy.Nack:
-			le.PutUint32(h.put(acShed, in.number, d.Circuit)[13:], span)
-		case policy.BreakOff:
-			h.put(acGiveUp, in.number, d.Circuit)
-		case policy.Move:
-			h.put(acBounce, in.number, d.Circuit)
-		case policy.Probe:
-			putServer(h.put(acAskLoad, in.number, 0)[5:], d.Server)
-		case policy.Tell:
-			for _, text := range loadgossip.Encode(d.Told) {
+		case policy.Reject:
+			le.PutUint32(h.put(acShed, in.number, d.Session)[13:], span)
+		case policy.Fail:
+			h.put(acGiveUp, in.number, d.Session)
+		case policy.Migrate:
+			h.put(acBounce, in.number, d.Session)
+		case policy.HealthCheck:
+			putServer(h.put(acAskLoad, in.number, 0)[5:], d.Endpoint)
+		case policy.SendGossip:
+			for _, text := range loadgossip.Encode(d.Gossip) {
 				rec := h.put(acSignal, in.number, 0)
 				le.PutUint16(rec[5:], everyPeer)
 				le.PutUint32(rec[7:], uint32(len(h.tail)))
@@ -419,7 +419,7 @@
 			}
 		}
 	}
-	if at, ok := in.bal.Wake(); ok && (!in.timerOn || at < in.timerAt) {
+	if at, ok := in.bal.NextWakeup(); ok && (!in.timerOn || at < in.timerAt) {
 		in.timerAt, in.timerOn = max(at, now+time.Microsecond), true
 		le.PutUint32(h.put(acSchedule, in.number, 0)[9:], uint32((in.timerAt-now)/time.Microsecond))
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -35,11 +35,11 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	d := deployment()
-	d.Grades[0].SetupGoal = time.Minute
+	d.Classes[0].SetupObjective = time.Minute
 	b := started(d, fleet(servers))
 	for i := range circuits {
-		id := CircuitID(i + 1)
-		b.HandedOver(Arrival{ID: id, Key: uint64(id), Group: 1 + uint64(i%groups), Load: 1000}, ServerID(100+i%servers))
+		id := SessionID(i + 1)
+		b.AdoptSession(SessionRequest{ID: id, Key: uint64(id), Group: 1 + uint64(i%groups), Load: 1000}, EndpointID(100+i%servers))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -51,16 +51,16 @@
 	stood := 0
 	done := metered(b)
 	for i := range b.N {
-		id := CircuitID(1<<40 + i)
-		bal.Clock(time.Duration(i) * ms)
-		bal.CircuitArrived(Arrival{ID: id, Key: uint64(id), Group: uint64(1 + i%groups), Left: 2 * time.Second, Load: 1000})
+		id := SessionID(1<<40 + i)
+		bal.AdvanceClock(time.Duration(i) * ms)
+		bal.AddSession(SessionRequest{ID: id, Key: uint64(id), Group: uint64(1 + i%groups), Timeout: 2 * time.Second, Load: 1000})
 		for d, ok := bal.Next(); ok; d, ok = bal.Next() {
-			if d.Do == Try && d.Circuit == id {
-				bal.SetUp(id, 0, ms)
+			if d.Action == StartAttempt && d.Session == id {
+				bal.AttemptEstablished(id, 0, ms)
 				stood++
 			}
 		}
-		bal.TryEnded(id, 0, true, Succeeded)
+		bal.AttemptEnded(id, 0, true, Succeeded)
 	}
 	if 10*stood < 9*b.N {
 		b.Fatalf("%d of %d circuits stood", stood, b.N)
@@ -104,17 +104,17 @@
 	for _, servers := range []int{100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("circuits=100000/groups=100000/servers=%d", servers), func(b *testing.B) {
 			bal, _ := placed(servers, 100000, 100000)
-			bal.Clock(roundEvery)
+			bal.AdvanceClock(roundEvery)
 			pull(bal)
 			for i := range servers {
-				bal.DelayNoted(ServerID(100+i), time.Second)
+				bal.RecordLatency(EndpointID(100+i), time.Second)
 			}
 			nacks := 0
 			done := metered(b)
 			for i := range b.N {
-				id := CircuitID(1<<40 + i)
-				bal.CircuitArrived(Arrival{ID: id, Key: uint64(id), Group: uint64(1 + i%100000), Left: 2 * time.Second, Load: 1000})
-				nacks += count(pull(bal), Nack)
+				id := SessionID(1<<40 + i)
+				bal.AddSession(SessionRequest{ID: id, Key: uint64(id), Group: uint64(1 + i%100000), Timeout: 2 * time.Second, Load: 1000})
+				nacks += count(pull(bal), Reject)
 			}
 			done()
 			if nacks != b.N {
@@ -131,7 +131,7 @@
 			bal, _ := placed(servers, 100000, 100000)
 			done := metered(b)
 			for i := range b.N {
-				bal.Clock(time.Duration(i+1) * roundEvery)
+				bal.AdvanceClock(time.Duration(i+1) * roundEvery)
 				pull(bal)
 			}
 			b.ReportMetric(done()/float64(roundEvery)*100, "%core")
@@ -147,8 +147,8 @@
 			done := metered(b)
 			for i := range b.N {
 				at := i / 2 % servers
-				list[at].State = State(1 - i%2)
-				bal.ListArrived(list, true)
+				list[at].State = EndpointState(1 - i%2)
+				bal.UpdateEndpoints(list, true)
 			}
 			done()
 		})
@@ -161,27 +161,27 @@
 	const balancers, members, others = 20, 24, 100000
 	for _, servers := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("members=%d/servers=%d", balancers*members, servers), func(b *testing.B) {
-			var at map[ServerID]int
+			var at map[EndpointID]int
 			stood := 0
 			for range b.N {
-				at, stood = map[ServerID]int{}, 0
+				at, stood = map[EndpointID]int{}, 0
 				for n := range balancers {
 					d := deployment()
-					d.Peers = 4600
+					d.Balancers = 4600
 					bal := New(d, uint64(n+1))
-					bal.ListArrived(fleet(servers), true)
+					bal.UpdateEndpoints(fleet(servers), true)
 					for i := range others {
-						id := CircuitID(i + 1)
-						bal.HandedOver(Arrival{ID: id, Key: uint64(n)<<32 + uint64(id), Group: 1000 + uint64(n*others+i)},
-							ServerID(100+(n*others+i)%servers))
+						id := SessionID(i + 1)
+						bal.AdoptSession(SessionRequest{ID: id, Key: uint64(n)<<32 + uint64(id), Group: 1000 + uint64(n*others+i)},
+							EndpointID(100+(n*others+i)%servers))
 					}
 					for i := range members {
-						id := CircuitID(1<<40 + i)
-						bal.CircuitArrived(Arrival{ID: id, Key: uint64(n)<<32 + uint64(id), Group: 7, Left: 2 * time.Second})
+						id := SessionID(1<<40 + i)
+						bal.AddSession(SessionRequest{ID: id, Key: uint64(n)<<32 + uint64(id), Group: 7, Timeout: 2 * time.Second})
 						for _, one := range pull(bal) {
-							if one.Do == Try && one.Circuit == id {
-								bal.SetUp(id, 0, ms)
-								at[one.Server]++
+							if one.Action == StartAttempt && one.Session == id {
+								bal.AttemptEstablished(id, 0, ms)
+								at[one.Endpoint]++
 								stood++
 							}
 						}
--- a/policy/brake_test.go
+++ b/policy/brake_test.go
@@ -24,34 +24,34 @@
 		{"forty a second, time-outs", 25 * ms, TimedOut},
 	} {
 		d := deployment()
-		d.Peers = 300
+		d.Balancers = 300
 		b := started(d, fleet(30))
 		var due []out // tries
-		tried := map[CircuitID]int{}
+		tried := map[SessionID]int{}
 		var tries []time.Duration
 		turned, worst, since := 0, 0, time.Duration(0)
 		const lasts = 60 * time.Second
-		id := CircuitID(1)
+		id := SessionID(1)
 		for now := time.Duration(0); now < lasts; now += 5 * ms {
-			b.Clock(now)
+			b.AdvanceClock(now)
 			due = slices.DeleteFunc(due, func(o out) bool {
 				if o.at <= now {
-					b.TryEnded(o.Circuit, o.try, false, c.how)
+					b.AttemptEnded(o.Session, o.try, false, c.how)
 				}
 				return o.at <= now
 			})
 			if now%c.every == 0 {
-				b.CircuitArrived(Arrival{ID: id, Key: uint64(id), Left: 2 * time.Second})
+				b.AddSession(SessionRequest{ID: id, Key: uint64(id), Timeout: 2 * time.Second})
 				id++
 			}
 			for _, d := range pull(b) {
-				switch d.Do {
-				case Try:
+				switch d.Action {
+				case StartAttempt:
 					tries = append(tries, now)
-					due = append(due, out{d, tried[d.Circuit], now + d.For})
-					tried[d.Circuit]++
+					due = append(due, out{d, tried[d.Session], now + d.Duration})
+					tried[d.Session]++
 					turned, since = 0, now
-				case Nack:
+				case Reject:
 					if turned++; turned >= 15 && now-since >= 4*time.Second {
 						worst = max(worst, int((now-since)/time.Millisecond))
 					}
--- a/policy/cold.go
+++ b/policy/cold.go
@@ -56,7 +56,7 @@
 // bears is this balancer's part of the connections of mean load that server i bears once it is warm, at least
 // as warm ones of its kind are seen to, as the tenants' shares say of the fleet, or as one core does.
 func (b *Balancer) bears(i int) float64 {
-	peers, notes, seen, core := float64(b.dep.Peers), float64(b.noted.figures), 0.0, 0.0
+	peers, notes, seen, core := float64(b.dep.Balancers), float64(b.noted.figures), 0.0, 0.0
 	if b.usual > 0 {
 		core = coreWork / b.usual * notes / (notes + trustLoad) / peers
 	}
@@ -74,11 +74,11 @@
 // tooHeavy tells whether a few circuits of a heavy class are more than a cold server bears, in the measure of
 // the lightest class. Of a class whose load was hardly noted they may be, where there are several.
 func (b *Balancer) tooHeavy(c *circuit, whole float64) bool {
-	if b.usual == 0 || len(b.dep.Grades) > 1 && b.usualOf[c.row].figures < fewNotes {
+	if b.usual == 0 || len(b.dep.Classes) > 1 && b.usualOf[c.row].figures < fewNotes {
 		return b.usual > 0
 	}
 	light := b.usual
-	for _, usual := range b.usualOf[:len(b.dep.Grades)] {
+	for _, usual := range b.usualOf[:len(b.dep.Classes)] {
 		light = min(light, cmp.Or(usual.mean, light))
 	}
 	whole *= b.usual / max(light, 1)
@@ -87,15 +87,15 @@
 
 // mayWarm tells whether a circuit may go to a cold server.
 func (b *Balancer) mayWarm(c *circuit, i int) bool {
-	peers, warmth, weight, spent := float64(b.dep.Peers), b.warmth(i), b.weightOf(c), 0.0
-	b.spent[i] = slices.DeleteFunc(b.spent[i], func(s spending) bool { return s.at <= b.now-b.dep.FallFor })
+	peers, warmth, weight, spent := float64(b.dep.Balancers), b.warmth(i), b.weightOf(c), 0.0
+	b.spent[i] = slices.DeleteFunc(b.spent[i], func(s spending) bool { return s.at <= b.now-b.dep.OverloadWindow })
 	for _, s := range b.spent[i] {
 		spent += s.weight
 	}
 	if !c.wanted {
 		c.wanted, b.wanted = true, b.wanted+1
 	}
-	whole := b.dep.FallMultiple * warmth * b.bears(i) * peers * float64(b.dep.FallFor) / float64(b.dep.ColdFor)
+	whole := b.dep.OverloadMultiple * warmth * b.bears(i) * peers * float64(b.dep.OverloadWindow) / float64(b.dep.SlowStartWindow)
 	if whole == 0 && b.warm == 0 {
 		whole = leastWhole
 	}
@@ -122,6 +122,6 @@
 // draw is the number that a client's chance at a server has to beat: the same at every balancer, and for a
 // while, as one that is drawn anew at each try would win sooner or later.
 func (b *Balancer) draw(c *circuit, i int) float64 {
-	window := uint64((b.now - b.started[i]) / max(fillEach, b.dep.FallFor))
+	window := uint64((b.now - b.started[i]) / max(fillEach, b.dep.OverloadWindow))
 	return unit(mix(mix(c.key, uint64(b.id[i])), window))
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -35,7 +35,7 @@
 type coldWorld struct {
 	trouble  trouble
 	uneven   bool // a tenth of the balancers get seven in ten of all that comes
-	dep      Deployment
+	dep      Config
 	servers  int
 	capacity float64 // connections of mean work that fill the larger kind of server once it is warm
 	smaller  float64 // capacity of the other kind, as a part of it
@@ -47,8 +47,8 @@
 
 func (w coldWorld) String() string {
 	return fmt.Sprintf("%v: %d balancers (uneven %v), %d servers of %.1f connections and %.2f times that, %.2f full, %.1f cores, heavy %.1f, sigma %.2f, "+
-		"cold from %.2f for %v, window %v, multiple %.2f", w.trouble, w.dep.Peers, w.uneven, w.servers, w.capacity, w.smaller, w.held, w.cores, w.heavy,
-		w.sigma, w.dep.ColdFrom, w.dep.ColdFor, w.dep.FallFor, w.dep.FallMultiple)
+		"cold from %.2f for %v, window %v, multiple %.2f", w.trouble, w.dep.Balancers, w.uneven, w.servers, w.capacity, w.smaller, w.held, w.cores, w.heavy,
+		w.sigma, w.dep.SlowStartFloor, w.dep.SlowStartWindow, w.dep.OverloadWindow, w.dep.OverloadMultiple)
 }
 
 // drawColdWorld draws a deployment over the whole space; connections are bounded for the time it takes.
@@ -62,13 +62,13 @@
 			capacity: between(4, 800), smaller: between(0.25, 1), held: between(0.1, 0.8), cores: between(1, 4), heavy: between(1, 30),
 			sigma: r.Float64(),
 		}
-		w.dep.Peers, w.dep.MayProbe = int(between(2, 350)), false
-		w.dep.Grades = append(w.dep.Grades, w.dep.Grades[0]) // the heavy class
-		w.dep.ColdFrom, w.dep.FallMultiple = between(0.05, 0.4), between(1.5, 4)
-		w.dep.ColdFor = time.Duration(between(5, 60) * float64(time.Second))
-		w.dep.FallFor = time.Duration(between(0.5, 6) * float64(time.Second))
+		w.dep.Balancers, w.dep.CanHealthCheck = int(between(2, 350)), false
+		w.dep.Classes = append(w.dep.Classes, w.dep.Classes[0]) // the heavy class
+		w.dep.SlowStartFloor, w.dep.OverloadMultiple = between(0.05, 0.4), between(1.5, 4)
+		w.dep.SlowStartWindow = time.Duration(between(5, 60) * float64(time.Second))
+		w.dep.OverloadWindow = time.Duration(between(0.5, 6) * float64(time.Second))
 		connections := w.held * w.capacity * float64(w.servers)
-		bears := w.bears(0, w.dep.ColdFor/2)
+		bears := w.bears(0, w.dep.SlowStartWindow/2)
 		if connections <= mostConnections && 3 <= w.held*w.capacity && 1 <= bears && bears <= 200 {
 			return w
 		}
@@ -85,8 +85,8 @@
 
 // bears is N of the rule: FallMultiple times the work that comes in one window where a server fills over its warm-up, at its warmth.
 func (w coldWorld) bears(server int, age time.Duration) float64 {
-	warmth := min(1, w.dep.ColdFrom+(1-w.dep.ColdFrom)*float64(age)/float64(w.dep.ColdFor))
-	return w.dep.FallMultiple * warmth * w.full(server) * w.dep.FallFor.Seconds() / w.dep.ColdFor.Seconds()
+	warmth := min(1, w.dep.SlowStartFloor+(1-w.dep.SlowStartFloor)*float64(age)/float64(w.dep.SlowStartWindow))
+	return w.dep.OverloadMultiple * warmth * w.full(server) * w.dep.OverloadWindow.Seconds() / w.dep.SlowStartWindow.Seconds()
 }
 
 type coldClient struct {
@@ -96,7 +96,7 @@
 	noted      float64 // its own, which load notes tell
 	balancer   int     // that holds it, -1 while none
 	server     int
-	circuit    CircuitID
+	circuit    SessionID
 	due        time.Duration // it comes then, while none holds it
 }
 
@@ -111,15 +111,15 @@
 	coldWorld
 	*rand.Rand
 	now      time.Duration
-	list     []Listed
+	list     []Endpoint
 	all      []*Balancer
 	born     []time.Duration
 	told     []bool
 	clients  []*coldClient
-	by       []map[CircuitID]*coldClient
+	by       []map[SessionID]*coldClient
 	load     []float64 // work held at each server
 	sent     [][]coldSend
-	next     CircuitID
+	next     SessionID
 	workUnit float64 // microseconds a second of the mean
 	cold     map[int]bool
 }
@@ -128,40 +128,40 @@
 
 func (x *coldRun) pick() int {
 	if x.uneven && x.IntN(10) < 7 {
-		return x.IntN(max(1, x.dep.Peers/10))
+		return x.IntN(max(1, x.dep.Balancers/10))
 	}
-	return x.IntN(x.dep.Peers)
+	return x.IntN(x.dep.Balancers)
 }
 
 func (x *coldRun) start(k int) {
 	own := x.dep
 	own.Index = k
-	x.all[k], x.by[k], x.born[k], x.told[k] = New(&own, x.Uint64()), map[CircuitID]*coldClient{}, x.now, false
+	x.all[k], x.by[k], x.born[k], x.told[k] = New(&own, x.Uint64()), map[SessionID]*coldClient{}, x.now, false
 }
 
 // tell hands a balancer the list, with starts by its own clock; one that is not told has the servers as warm.
 func (x *coldRun) tell(k int, knows bool) {
 	own := slices.Clone(x.list)
 	for i := range own {
-		if own[i].Started == LongAgo || !knows {
-			own[i].Started = LongAgo
+		if own[i].StartedAt == StartedLongAgo || !knows {
+			own[i].StartedAt = StartedLongAgo
 		} else {
-			own[i].Started -= x.born[k]
+			own[i].StartedAt -= x.born[k]
 		}
 	}
 	x.told[k] = knows
-	x.all[k].ListArrived(own, true)
+	x.all[k].UpdateEndpoints(own, true)
 }
 
 func newColdRun(w coldWorld, seed uint64) *coldRun {
 	x := &coldRun{coldWorld: w, Rand: rand.New(rand.NewPCG(seed, 2)), cold: map[int]bool{}}
-	peers := w.dep.Peers
-	x.all, x.born, x.told, x.by = make([]*Balancer, peers), make([]time.Duration, peers), make([]bool, peers), make([]map[CircuitID]*coldClient, peers)
+	peers := w.dep.Balancers
+	x.all, x.born, x.told, x.by = make([]*Balancer, peers), make([]time.Duration, peers), make([]bool, peers), make([]map[SessionID]*coldClient, peers)
 	x.list = fleet(w.servers)
 	fleetFull := 0.0
 	for i := range x.list {
 		if i%3 == 2 {
-			x.list[i].Kind = 1
+			x.list[i].MachineType = 1
 		}
 		fleetFull += w.full(i)
 	}
@@ -191,19 +191,19 @@
 	for n, c := range x.clients {
 		k, i := x.pick(), cold+n%(x.servers-cold)
 		x.next++
-		x.all[k].HandedOver(Arrival{ID: x.next, Key: c.key, Group: c.group, Grade: c.grade}, x.list[i].Server)
-		x.all[k].LoadNoted(x.next, 0, c.noted*x.workUnit)
+		x.all[k].AdoptSession(SessionRequest{ID: x.next, Key: c.key, Group: c.group, Class: c.grade}, x.list[i].ID)
+		x.all[k].RecordLoad(x.next, 0, c.noted*x.workUnit)
 		x.stands(c, k, i, x.next)
 	}
 	for _, b := range x.all { // rounds of some seconds, in which what is held is learned
 		for at := 40 * time.Second; at < time.Minute; at += 250 * ms {
-			b.Clock(at)
+			b.AdvanceClock(at)
 			pull(b)
 		}
 	}
 }
 
-func (x *coldRun) stands(c *coldClient, k, i int, id CircuitID) {
+func (x *coldRun) stands(c *coldClient, k, i int, id SessionID) {
 	c.balancer, c.server, c.circuit, x.by[k][id] = k, i, id, c
 	x.load[i] += c.work
 }
@@ -220,13 +220,13 @@
 }
 
 func (x *coldRun) breaks(c *coldClient, how Outcome, after time.Duration) {
-	x.all[c.balancer].TryEnded(c.circuit, 0, true, how)
+	x.all[c.balancer].AttemptEnded(c.circuit, 0, true, how)
 	x.leaves(c, after)
 }
 
 // restart has servers of the list stand there as started now, or so long ago.
 func (x *coldRun) restart(i int, age time.Duration) {
-	x.list[i].Started, x.cold[i] = x.now-age, true
+	x.list[i].StartedAt, x.cold[i] = x.now-age, true
 }
 
 func (x *coldRun) tellAll() {
@@ -245,10 +245,10 @@
 	x.settle(cold)
 	x.now = 0
 	for i := range cold {
-		x.restart(i, x.soon(x.dep.ColdFor*3/4))
+		x.restart(i, x.soon(x.dep.SlowStartWindow*3/4))
 	}
 	x.tellAll()
-	ends := max(4*time.Second, 2*x.dep.FallFor)
+	ends := max(4*time.Second, 2*x.dep.OverloadWindow)
 	if w.trouble == join {
 		ends = 12 * time.Second
 	}
@@ -282,8 +282,8 @@
 				got += s.work
 			}
 		}
-		for at := max(0, x.list[i].Started); at < ends && x.isCold(i, at); at += coldStep {
-			bears += x.bears(i, at-x.list[i].Started) * coldStep.Seconds() / x.dep.FallFor.Seconds()
+		for at := max(0, x.list[i].StartedAt); at < ends && x.isCold(i, at); at += coldStep {
+			bears += x.bears(i, at-x.list[i].StartedAt) * coldStep.Seconds() / x.dep.OverloadWindow.Seconds()
 		}
 	}
 	return fall, got / max(bears, 1e-9)
@@ -341,12 +341,12 @@
 			x.next++
 			c.balancer, c.circuit, c.server = k, x.next, -1
 			x.by[k][x.next] = c
-			x.all[k].Clock(x.now - x.born[k])
-			x.all[k].CircuitArrived(Arrival{ID: x.next, Key: c.key, Group: c.group, Grade: c.grade, Left: 1800 * ms})
+			x.all[k].AdvanceClock(x.now - x.born[k])
+			x.all[k].AddSession(SessionRequest{ID: x.next, Key: c.key, Group: c.group, Class: c.grade, Timeout: 1800 * ms})
 		}
 	}
 	for k, b := range x.all {
-		b.Clock(x.now - x.born[k])
+		b.AdvanceClock(x.now - x.born[k])
 		if x.now%time.Second == 0 {
 			x.notes(k)
 		}
@@ -364,30 +364,30 @@
 		}
 	}
 	for _, i := range slices.Sorted(maps.Keys(seen)) {
-		x.all[k].DelayNoted(x.list[i].Server, 60*ms)
+		x.all[k].RecordLatency(x.list[i].ID, 60*ms)
 	}
 }
 
 func (x *coldRun) carryOut(k int, d Decision) {
-	c := x.by[k][d.Circuit]
-	switch d.Do {
-	case Try:
-		i := int(d.Server - 100)
+	c := x.by[k][d.Session]
+	switch d.Action {
+	case StartAttempt:
+		i := int(d.Endpoint - 100)
 		x.sent[i] = append(x.sent[i], coldSend{x.now, x.told[k], c.work})
-		x.all[k].SetUp(d.Circuit, 0, ms)
-		x.all[k].LoadNoted(d.Circuit, 0, c.noted*x.workUnit)
-		x.stands(c, k, i, d.Circuit)
-	case Move:
+		x.all[k].AttemptEstablished(d.Session, 0, ms)
+		x.all[k].RecordLoad(d.Session, 0, c.noted*x.workUnit)
+		x.stands(c, k, i, d.Session)
+	case Migrate:
 		x.breaks(c, Cancelled, x.soon(time.Second))
-	case Nack, BreakOff:
-		delete(x.by[k], d.Circuit)
+	case Reject, Fail:
+		delete(x.by[k], d.Session)
 		c.balancer, c.due = -1, x.now+500*ms
 	}
 }
 
 // isCold tells whether server i's newest process runs and is cold: not the one before, and not once it is warm.
 func (x *coldRun) isCold(i int, at time.Duration) bool {
-	return at >= x.list[i].Started && at < x.list[i].Started+x.dep.ColdFor
+	return at >= x.list[i].StartedAt && at < x.list[i].StartedAt+x.dep.SlowStartWindow
 }
 
 // judge looks at each window that ends with a send, as the rule does: the first fall counts, and breaks the rule where over two
@@ -401,16 +401,16 @@
 		if s.told {
 			knew += s.work
 		}
-		for ; s.at >= all[from].at+x.dep.FallFor; from++ {
+		for ; s.at >= all[from].at+x.dep.OverloadWindow; from++ {
 			got -= all[from].work
 			if all[from].told {
 				knew -= all[from].work
 			}
 		}
-		bears := x.bears(i, s.at-x.list[i].Started)
+		bears := x.bears(i, s.at-x.list[i].StartedAt)
 		if got > bears+2*math.Sqrt(bears)+2 {
 			if 3*knew > 2*got {
-				return fmt.Sprintf("server %d got %.1f of mean work in %d circuits within %v, it bears %.1f", i, got, n+1-from, x.dep.FallFor, bears)
+				return fmt.Sprintf("server %d got %.1f of mean work in %d circuits within %v, it bears %.1f", i, got, n+1-from, x.dep.OverloadWindow, bears)
 			}
 			return ""
 		}
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -9,11 +9,11 @@
 // settled is a balancer that holds so many circuits on so many servers.
 func settled(servers, circuits int) *Balancer {
 	d := deployment()
-	d.Grades[0].SetupGoal = time.Minute
+	d.Classes[0].SetupObjective = time.Minute
 	b := started(d, fleet(servers))
 	for i := range circuits {
-		id := CircuitID(i + 1)
-		b.HandedOver(Arrival{ID: id, Key: uint64(id), Group: 1 + uint64(i%(circuits/20+1)), Load: 1000}, ServerID(100+i%servers))
+		id := SessionID(i + 1)
+		b.AdoptSession(SessionRequest{ID: id, Key: uint64(id), Group: 1 + uint64(i%(circuits/20+1)), Load: 1000}, EndpointID(100+i%servers))
 	}
 	return b
 }
@@ -27,15 +27,15 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				id := CircuitID(1<<40 + i)
-				bal.Clock(time.Duration(i) * ms)
-				bal.CircuitArrived(Arrival{ID: id, Key: uint64(id), Group: uint64(1 + i%100), Left: 2 * time.Second, Load: 1000})
+				id := SessionID(1<<40 + i)
+				bal.AdvanceClock(time.Duration(i) * ms)
+				bal.AddSession(SessionRequest{ID: id, Key: uint64(id), Group: uint64(1 + i%100), Timeout: 2 * time.Second, Load: 1000})
 				for d, ok := bal.Next(); ok; d, ok = bal.Next() {
-					if d.Do == Try && d.Circuit == id {
-						bal.SetUp(id, 0, ms)
+					if d.Action == StartAttempt && d.Session == id {
+						bal.AttemptEstablished(id, 0, ms)
 					}
 				}
-				bal.TryEnded(id, 0, true, Succeeded)
+				bal.AttemptEnded(id, 0, true, Succeeded)
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				bal.Clock(time.Duration(i+1) * roundEvery)
+				bal.AdvanceClock(time.Duration(i+1) * roundEvery)
 				for _, ok := bal.Next(); ok; _, ok = bal.Next() {
 				}
 			}
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -9,7 +9,7 @@
 
 // watched is what the checker knows of a circuit, from the decisions and news alone.
 type watched struct {
-	grade                        Grade
+	grade                        Class
 	answers, tries, on           int
 	out, open                    bool
 	until, sent, maybeAt, timeUp time.Duration
@@ -31,13 +31,13 @@
 	r := rand.New(rand.NewPCG(seed, 11))
 	d := deployment()
 	span := 2 * time.Second
-	d.MayTell, d.HeftExact = r.IntN(2) == 0, r.IntN(2) == 0
-	d.MayProbe, d.MayAdvise, d.Peers = r.IntN(3) > 0, r.IntN(3) > 0, 1+r.IntN(4)
-	d.MostTries, d.CrossingPrice, d.ReportsOnAsk = 1+r.IntN(5), 0.1*r.Float64(), r.IntN(2) == 0
-	d.Grades = nil
+	d.CanGossip, d.HasExactWeights = r.IntN(2) == 0, r.IntN(2) == 0
+	d.CanHealthCheck, d.CanSendRetryAfter, d.Balancers = r.IntN(3) > 0, r.IntN(3) > 0, 1+r.IntN(4)
+	d.MaxAttempts, d.CrossZoneCost, d.HasLoadReports = 1+r.IntN(5), 0.1*r.Float64(), r.IntN(2) == 0
+	d.Classes = nil
 	for range 3 {
-		d.Grades = append(d.Grades, Grade{Effect: Effect(r.IntN(3)), Scope: Scope(r.IntN(3)), Utility: 1,
-			Window: time.Duration(r.IntN(2000)) * ms, SetupGoal: 300 * ms, MessageGoal: 100 * ms})
+		d.Classes = append(d.Classes, Class{Idempotency: Idempotency(r.IntN(3)), KeyScope: KeyScope(r.IntN(3)), PriorityWeight: 1,
+			KeyTTL: time.Duration(r.IntN(2000)) * ms, SetupObjective: 300 * ms, MessageObjective: 100 * ms})
 	}
 	list := fleet(1 + r.IntN(8))
 	if seed%5 == 1 { // one ready server
@@ -45,50 +45,50 @@
 	}
 	started := make([]time.Duration, len(list))
 	for i := range list {
-		list[i].Zone, list[i].Cell = r.IntN(2), r.IntN(3)
+		list[i].Zone, list[i].FailureDomain = r.IntN(2), r.IntN(3)
 		switch seed % 5 {
 		case 2: // the own zone has none
 			list[i].Zone = 1
 		case 3: // all are cold
-			list[i].Started = 0
+			list[i].StartedAt = 0
 		}
 	}
 	b := New(d, seed)
-	b.ListArrived(list, true)
-	circuits := map[CircuitID]*watched{}
-	var ids []CircuitID
+	b.UpdateEndpoints(list, true)
+	circuits := map[SessionID]*watched{}
+	var ids []SessionID
 	sends := make([][]time.Duration, len(list)) // to servers while cold
 	for step := range 1500 {
-		b.Clock(b.now + time.Duration(r.IntN(40))*ms)
+		b.AdvanceClock(b.now + time.Duration(r.IntN(40))*ms)
 		k := r.IntN(len(list))
 		if seed%5 == 4 { // all are jammed, all the time
-			b.DelayNoted(list[step%len(list)].Server, time.Second)
+			b.RecordLatency(list[step%len(list)].ID, time.Second)
 		}
 		switch r.IntN(12) {
 		case 0, 1, 2, 3:
-			id := CircuitID(1 + len(ids))
-			a := Arrival{ID: id, Key: uint64(1 + r.IntN(50)), Group: uint64(r.IntN(6)), Grade: r.IntN(3),
-				Left: time.Duration(r.IntN(2000)) * ms}
+			id := SessionID(1 + len(ids))
+			a := SessionRequest{ID: id, Key: uint64(1 + r.IntN(50)), Group: uint64(r.IntN(6)), Class: r.IntN(3),
+				Timeout: time.Duration(r.IntN(2000)) * ms}
 			ids = append(ids, id)
-			circuits[id] = &watched{grade: d.Grades[a.Grade], until: b.now + a.Left, maybeOn: -1}
-			b.CircuitArrived(a)
+			circuits[id] = &watched{grade: d.Classes[a.Class], until: b.now + a.Timeout, maybeOn: -1}
+			b.AddSession(a)
 		case 4:
-			if list[k].State = State(r.IntN(3)); r.IntN(2) == 0 {
-				list[k].Started, started[k], list[k].State, sends[k] = b.now, b.now, Ready, nil
+			if list[k].State = EndpointState(r.IntN(3)); r.IntN(2) == 0 {
+				list[k].StartedAt, started[k], list[k].State, sends[k] = b.now, b.now, Ready, nil
 			}
-			b.ListArrived(list[k:k+1], false)
+			b.UpdateEndpoints(list[k:k+1], false)
 		case 5:
-			b.DelayNoted(list[k].Server, time.Duration(r.IntN(200))*ms)
-			b.Reported(list[k].Server, Report{Asked: 2 * r.Float64(), Piled: -1, Util: -1})
-			b.ProbeAnswered(list[k].Server, Outcome(r.IntN(7)))
+			b.RecordLatency(list[k].ID, time.Duration(r.IntN(200))*ms)
+			b.RecordLoadReport(list[k].ID, LoadReport{Demand: 2 * r.Float64(), Backlog: -1, Utilization: -1})
+			b.HealthCheckEnded(list[k].ID, Outcome(r.IntN(7)))
 		case 6:
 			if r.IntN(2) == 0 {
-				b.ListArrived(list, true)
+				b.UpdateEndpoints(list, true)
 			} else { // what another balancer tells, true or garbled
 				told := b.tell()
-				told.First = r.IntN(3)
-				told.Mark ^= uint32(r.IntN(2))
-				b.PeerTold(r.IntN(6)-1, told)
+				told.Offset = r.IntN(3)
+				told.VersionHash ^= uint32(r.IntN(2))
+				b.ReceiveGossip(r.IntN(6)-1, told)
 			}
 		}
 		for _, id := range ids[max(0, len(ids)-40):] {
@@ -100,44 +100,44 @@
 					how = TimedOut
 				} else if r.IntN(2) == 0 {
 					w.out, w.open = false, true
-					b.SetUp(id, w.tries-1, ms)
-					b.LoadNoted(id, w.tries-1, float64(coreOfYardstick/coreBears)*(0.6+0.8*r.Float64()))
+					b.AttemptEstablished(id, w.tries-1, ms)
+					b.RecordLoad(id, w.tries-1, float64(coreOfYardstick/coreBears)*(0.6+0.8*r.Float64()))
 					continue
 				}
 				w.out = false
-				if how != TurnedAway && how != ConnectFailed && how != NeverSent && w.maybeOn < 0 {
+				if how != Rejected && how != ConnectFailed && how != NeverSent && w.maybeOn < 0 {
 					w.maybeOn, w.maybeAt = w.on, w.sent
 				}
-				b.TryEnded(id, w.tries-1, false, how)
+				b.AttemptEnded(id, w.tries-1, false, how)
 			case w.open && r.IntN(30) == 0:
 				w.open = false
 				w.answers++
-				b.TryEnded(id, w.tries-1, true, Succeeded)
+				b.AttemptEnded(id, w.tries-1, true, Succeeded)
 			case w.out && r.IntN(60) == 0:
 				w.answers++
-				b.ClientLeft(id)
+				b.ClientDisconnected(id)
 			}
 		}
 		if seed%3 == 0 && step == 1300 { // the last steps are a planned restart
-			b.Leave(b.now+400*ms, b.now+2200*ms)
+			b.StartDraining(b.now+400*ms, b.now+2200*ms)
 		}
 		for _, dec := range pull(b) {
-			w := circuits[dec.Circuit]
-			switch dec.Do {
-			case Try:
-				k := int(dec.Server - 100)
+			w := circuits[dec.Session]
+			switch dec.Action {
+			case StartAttempt:
+				k := int(dec.Endpoint - 100)
 				if b.leaveBy < never {
 					t.Fatalf("step %d: tried while leaving: %+v", step, dec)
 				}
-				if w.answers > 0 || w.out || w.open || w.tries >= d.MostTries || b.now >= w.until ||
-					b.now+dec.For > w.until {
+				if w.answers > 0 || w.out || w.open || w.tries >= d.MaxAttempts || b.now >= w.until ||
+					b.now+dec.Duration > w.until {
 					t.Fatalf("step %d: no circuit is lost: %+v for %+v", step, dec, w)
 				}
 				checkEffect(t, list, w, k, b.now)
 				if list[k].State != Ready {
 					t.Fatalf("step %d: drains are kept: %+v", step, dec)
 				}
-				if list[k].Started != LongAgo && b.now-started[k] < d.ColdFor {
+				if list[k].StartedAt != StartedLongAgo && b.now-started[k] < d.SlowStartWindow {
 					n := 1
 					for _, at := range sends[k] {
 						if at > b.now-span {
@@ -147,28 +147,28 @@
 					sends[k] = append(sends[k], b.now)
 					bears := float64(coreBears) // or what a warm one is seen to hold: by the rule, in one window of its warm-up
 					for j, l := range list {
-						if l.Started == LongAgo || b.now-started[j] >= d.ColdFor {
-							bears = max(bears, float64(len(b.held[b.index[l.Server]])+1))
+						if l.StartedAt == StartedLongAgo || b.now-started[j] >= d.SlowStartWindow {
+							bears = max(bears, float64(len(b.held[b.index[l.ID]])+1))
 						}
 					}
-					bears *= d.FallMultiple * span.Seconds() / d.ColdFor.Seconds() * float64(d.Peers)
+					bears *= d.OverloadMultiple * span.Seconds() / d.SlowStartWindow.Seconds() * float64(d.Balancers)
 					if most := bears + 2*math.Sqrt(bears) + 2; float64(n) > most {
 						t.Fatalf("step %d: a cold server is not pushed over: %d tries in a span, %v at most", step, n, most)
 					}
 				}
-				w.out, w.on, w.sent, w.timeUp = true, k, b.now, b.now+dec.For
+				w.out, w.on, w.sent, w.timeUp = true, k, b.now, b.now+dec.Duration
 				w.tries++
-			case Nack, BreakOff:
+			case Reject, Fail:
 				w.answers++
 				if w.answers > 1 || w.out || w.open {
 					t.Fatalf("step %d: one final answer: %+v for %+v", step, dec, w)
 				}
-				harmless := w.maybeOn < 0 || w.grade.Effect == Idempotent || w.grade.Effect == Deduplicated &&
-					w.grade.Scope == ScopeAll && b.now < w.maybeAt+w.grade.Window
-				if dec.Do == Nack && !harmless {
+				harmless := w.maybeOn < 0 || w.grade.Idempotency == Idempotent || w.grade.Idempotency == IdempotentWithKey &&
+					w.grade.KeyScope == KeyScopeAll && b.now < w.maybeAt+w.grade.KeyTTL
+				if dec.Action == Reject && !harmless {
 					t.Fatalf("step %d: no effect happens twice: nacked %+v", step, w)
 				}
-			case Move:
+			case Migrate:
 				if !w.open {
 					t.Fatalf("step %d: moved %+v", step, w)
 				}
@@ -182,13 +182,13 @@
 	}
 }
 
-func checkEffect(t *testing.T, list []Listed, w *watched, k int, now time.Duration) {
-	if w.maybeOn < 0 || w.grade.Effect == Idempotent {
+func checkEffect(t *testing.T, list []Endpoint, w *watched, k int, now time.Duration) {
+	if w.maybeOn < 0 || w.grade.Idempotency == Idempotent {
 		return
 	}
 	was, is := list[w.maybeOn], list[k]
-	inside := w.grade.Scope == ScopeAll || is.Zone == was.Zone && (w.grade.Scope == ScopeZone || is.Cell == was.Cell)
-	if w.grade.Effect == Unrepeatable || !inside || now >= w.maybeAt+w.grade.Window {
+	inside := w.grade.KeyScope == KeyScopeAll || is.Zone == was.Zone && (w.grade.KeyScope == KeyScopeZone || is.FailureDomain == was.FailureDomain)
+	if w.grade.Idempotency == NonIdempotent || !inside || now >= w.maybeAt+w.grade.KeyTTL {
 		t.Fatalf("no effect happens twice: sent again %+v", w)
 	}
 }
--- a/policy/hash.go
+++ b/policy/hash.go
@@ -30,7 +30,7 @@
 func unit(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
 
 // score is a server's weighted rendezvous score for a key: the highest wins.
-func score(weight float64, key uint64, id ServerID) float64 {
+func score(weight float64, key uint64, id EndpointID) float64 {
 	return -weight / math.Log(unit(mix(key, uint64(id))))
 }
 
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -8,42 +8,42 @@
 const ms = time.Millisecond
 
 // deployment is one grade, idempotent, in one zone, with a pushed list; tests change what they need.
-func deployment() *Deployment {
-	return &Deployment{
-		Peers: 1, Grades: []Grade{{SetupGoal: 300 * ms, MessageGoal: 100 * ms, Window: 5 * time.Second, Utility: 1}},
-		MayProbe: true, MayAdvise: true, LongestAdvice: time.Second, MostTries: 4, FallMultiple: 3, FallFor: 2 * time.Second,
-		ColdFrom: 0.15, ColdFor: 20 * time.Second,
+func deployment() *Config {
+	return &Config{
+		Balancers: 1, Classes: []Class{{SetupObjective: 300 * ms, MessageObjective: 100 * ms, KeyTTL: 5 * time.Second, PriorityWeight: 1}},
+		CanHealthCheck: true, CanSendRetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 4, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+		SlowStartFloor: 0.15, SlowStartWindow: 20 * time.Second,
 	}
 }
 
 // fleet is a list of n ready servers, all warm.
-func fleet(n int) []Listed {
-	var l []Listed
+func fleet(n int) []Endpoint {
+	var l []Endpoint
 	for i := range n {
-		l = append(l, Listed{Server: ServerID(100 + i), Heft: 1, Started: LongAgo})
+		l = append(l, Endpoint{ID: EndpointID(100 + i), Weight: 1, StartedAt: StartedLongAgo})
 	}
 	return l
 }
 
 // starting has so many servers of a list start at a time.
-func starting(list []Listed, from, to int, at time.Duration) []Listed {
+func starting(list []Endpoint, from, to int, at time.Duration) []Endpoint {
 	for i := range list[from:to] {
-		list[from+i].Started = at
+		list[from+i].StartedAt = at
 	}
 	return list
 }
 
 // zoned has a list's servers stand in so many zones by turns.
-func zoned(list []Listed, zones int) []Listed {
+func zoned(list []Endpoint, zones int) []Endpoint {
 	for i := range list {
 		list[i].Zone = i % zones
 	}
 	return list
 }
 
-func started(d *Deployment, list []Listed) *Balancer {
+func started(d *Config, list []Endpoint) *Balancer {
 	b := New(d, 7)
-	b.ListArrived(list, true)
+	b.UpdateEndpoints(list, true)
 	return b
 }
 
@@ -56,10 +56,10 @@
 	return all
 }
 
-func count(all []Decision, do Verb) int {
+func count(all []Decision, do Action) int {
 	n := 0
 	for _, d := range all {
-		if d.Do == do {
+		if d.Action == do {
 			n++
 		}
 	}
@@ -67,23 +67,23 @@
 }
 
 // arrive takes a circuit and answers what was decided for it.
-func arrive(t *testing.T, b *Balancer, a Arrival) Decision {
-	if a.Left == 0 {
-		a.Left = 2 * time.Second
+func arrive(t *testing.T, b *Balancer, a SessionRequest) Decision {
+	if a.Timeout == 0 {
+		a.Timeout = 2 * time.Second
 	}
-	b.CircuitArrived(a)
+	b.AddSession(a)
 	return about(t, b, a.ID)
 }
 
 // end tells how a circuit's try ended and answers what was decided then.
-func end(t *testing.T, b *Balancer, id CircuitID, try int, how Outcome) Decision {
-	b.TryEnded(id, try, false, how)
+func end(t *testing.T, b *Balancer, id SessionID, try int, how Outcome) Decision {
+	b.AttemptEnded(id, try, false, how)
 	return about(t, b, id)
 }
 
-func about(t *testing.T, b *Balancer, id CircuitID) Decision {
+func about(t *testing.T, b *Balancer, id SessionID) Decision {
 	for _, d := range pull(b) {
-		if d.Circuit == id && d.Do != Move {
+		if d.Session == id && d.Action != Migrate {
 			return d
 		}
 	}
@@ -95,16 +95,16 @@
 const coreHolds = 80
 
 // connect sets circuits up, n of them from id on, and answers how many each server holds.
-func connect(t *testing.T, b *Balancer, id CircuitID, n int) map[ServerID]int {
-	held := map[ServerID]int{}
+func connect(t *testing.T, b *Balancer, id SessionID, n int) map[EndpointID]int {
+	held := map[EndpointID]int{}
 	for range n {
-		d := arrive(t, b, Arrival{ID: id, Key: uint64(id)})
-		if d.Do != Try {
+		d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)})
+		if d.Action != StartAttempt {
 			t.Fatalf("circuit %d was not tried: %+v", id, d)
 		}
-		held[d.Server]++
-		b.SetUp(id, 0, ms)
-		b.LoadNoted(id, 0, coreOfYardstick/coreHolds)
+		held[d.Endpoint]++
+		b.AttemptEstablished(id, 0, ms)
+		b.RecordLoad(id, 0, coreOfYardstick/coreHolds)
 		id++
 	}
 	return held
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -7,13 +7,13 @@
 )
 
 // many starts n balancers on one list, each with its part of the connections that all hold together.
-func many(t *testing.T, n, connections int, d *Deployment, list []Listed) []*Balancer {
+func many(t *testing.T, n, connections int, d *Config, list []Endpoint) []*Balancer {
 	var all []*Balancer
 	for k := range n {
 		own := *d
-		own.Peers = n
+		own.Balancers = n
 		b := New(&own, uint64(k)*7919+3)
-		b.ListArrived(list, true)
+		b.UpdateEndpoints(list, true)
 		connect(t, b, 1, connections*(k+1)/n-connections*k/n)
 		all = append(all, b)
 	}
@@ -26,25 +26,25 @@
 		list := fleet(10)
 		all := many(t, n, 200, deployment(), list)
 		for i := range 4 {
-			list[i].Started = time.Second
+			list[i].StartedAt = time.Second
 		}
 		var sent [4][]time.Duration
 		worst := 0
 		for step := range 80 { // a storm: every balancer has a circuit every quarter of a second
 			now := time.Second + time.Duration(step)*50*ms
 			for k, b := range all {
-				b.Clock(now)
+				b.AdvanceClock(now)
 				if step == 0 {
-					b.ListArrived(list[:4], false)
+					b.UpdateEndpoints(list[:4], false)
 				}
 				if (step+k)%5 != 0 {
 					continue
 				}
-				id := CircuitID(1000 + step)
-				if d := arrive(t, b, Arrival{ID: id, Key: uint64(id)*1e6 + uint64(k)}); d.Do == Try {
-					b.SetUp(id, 0, ms)
-					b.TryEnded(id, 0, true, Succeeded)
-					if i := int(d.Server - 100); i < 4 {
+				id := SessionID(1000 + step)
+				if d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)*1e6 + uint64(k)}); d.Action == StartAttempt {
+					b.AttemptEstablished(id, 0, ms)
+					b.AttemptEnded(id, 0, true, Succeeded)
+					if i := int(d.Endpoint - 100); i < 4 {
 						sent[i] = append(sent[i], now)
 					}
 				}
@@ -68,20 +68,20 @@
 		began := 5 * time.Second
 		sent := 0
 		for k, b := range all[:members] {
-			b.Clock(began - 2*roundEvery)
-			b.ListArrived(list, true)
+			b.AdvanceClock(began - 2*roundEvery)
+			b.UpdateEndpoints(list, true)
 			pull(b)
-			b.Clock(began + time.Duration(k)*time.Second/time.Duration(members)) // a round: the cold ones are known
+			b.AdvanceClock(began + time.Duration(k)*time.Second/time.Duration(members)) // a round: the cold ones are known
 			pull(b)
 			key := uint64(k)<<20 + 1
 			for ; ; key++ { // whose home is the first
-				c := b.take(Arrival{ID: 1 << 30, Key: key, Group: 1, Left: time.Second})
+				c := b.take(SessionRequest{ID: 1 << 30, Key: key, Group: 1, Timeout: time.Second})
 				delete(b.circuit, c.id)
 				if b.id[b.order(c)[0].server] == 100 {
 					break
 				}
 			}
-			if d := arrive(t, b, Arrival{ID: 1000, Key: key, Group: 1}); d.Do == Try && d.Server == 100 {
+			if d := arrive(t, b, SessionRequest{ID: 1000, Key: key, Group: 1}); d.Action == StartAttempt && d.Endpoint == 100 {
 				sent++
 			}
 		}
@@ -96,24 +96,24 @@
 // With every balancer asking every server each two seconds 200 of them ask 9404 times here.
 func TestManyBalancersAskLittleAfterACommonStart(t *testing.T) {
 	d := deployment()
-	d.ReportsOnAsk = true
+	d.HasLoadReports = true
 	probes := 0
 	all := many(t, 200, 0, d, fleet(20))
 	for _, b := range all[100:] { // the others hold nothing and ask nothing
 		for n := range 5 {
-			b.HandedOver(Arrival{ID: CircuitID(n + 1), Key: uint64(n + 1)}, ServerID(100+n))
+			b.AdoptSession(SessionRequest{ID: SessionID(n + 1), Key: uint64(n + 1)}, EndpointID(100+n))
 		}
 	}
 	for step := range 100 {
 		now := time.Duration(step) * 50 * ms
 		for k, b := range all {
-			b.Clock(now)
+			b.AdvanceClock(now)
 			for _, dec := range pull(b) {
-				if dec.Do == Probe {
+				if dec.Action == HealthCheck {
 					if probes++; k < 100 {
 						t.Fatal("one without connections asks")
 					}
-					b.ProbeAnswered(dec.Server, TimedOut)
+					b.HealthCheckEnded(dec.Endpoint, TimedOut)
 				}
 			}
 		}
@@ -125,14 +125,14 @@
 
 // With the plain part of a handful of connections for its share, 245 of 800 lie on one server, the others on 22.
 func TestManyBalancersBuildOneVersionAndMostlyOneHome(t *testing.T) {
-	on, first := map[ServerID]int{}, []int(nil)
+	on, first := map[EndpointID]int{}, []int(nil)
 	for k, b := range many(t, 200, 0, deployment(), fleet(40)) {
-		for id := CircuitID(1); id <= 8; id++ {
+		for id := SessionID(1); id <= 8; id++ {
 			group := uint64(id) + 10
-			if d := arrive(t, b, Arrival{ID: id, Key: uint64(id)*1e6 + uint64(k), Group: min(group, 15)}); group >= 15 {
-				on[d.Server]++
+			if d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)*1e6 + uint64(k), Group: min(group, 15)}); group >= 15 {
+				on[d.Endpoint]++
 			}
-			b.SetUp(id, 0, ms)
+			b.AttemptEstablished(id, 0, ms)
 		}
 		if first == nil {
 			first = b.newest().servers
@@ -155,22 +155,22 @@
 func TestAColdServerIsAskedOnlyWhereItTellsItself(t *testing.T) {
 	for _, tell := range []bool{false, true} {
 		d := deployment()
-		d.ReportsOnAsk, d.ServersTell = true, tell
+		d.HasLoadReports, d.HasEndpointReports = true, tell
 		b := started(d, starting(fleet(3), 0, 3, 0))
 		probes := 0
 		for step := range 200 {
-			b.Clock(time.Duration(step) * 50 * ms)
+			b.AdvanceClock(time.Duration(step) * 50 * ms)
 			if step%4 == 0 {
-				b.CircuitArrived(Arrival{ID: CircuitID(step + 1), Key: uint64(step + 1), Left: 2 * time.Second})
+				b.AddSession(SessionRequest{ID: SessionID(step + 1), Key: uint64(step + 1), Timeout: 2 * time.Second})
 			}
 			for _, d := range pull(b) {
-				switch d.Do {
-				case Probe:
+				switch d.Action {
+				case HealthCheck:
 					probes++
-					b.ProbeAnswered(d.Server, Succeeded)
-					b.Reported(d.Server, Report{Asked: 0.1, Piled: -1, Util: -1})
-				case Try:
-					b.SetUp(d.Circuit, 0, ms)
+					b.HealthCheckEnded(d.Endpoint, Succeeded)
+					b.RecordLoadReport(d.Endpoint, LoadReport{Demand: 0.1, Backlog: -1, Utilization: -1})
+				case StartAttempt:
+					b.AttemptEstablished(d.Session, 0, ms)
 				}
 			}
 		}
@@ -182,25 +182,25 @@
 
 func TestACircuitWaitsForAReportOnlyAWhile(t *testing.T) {
 	d := deployment()
-	d.ReportsOnAsk = true
+	d.HasLoadReports = true
 	for _, answered := range []bool{true, false} {
 		b := started(d, fleet(3))
-		b.CircuitArrived(Arrival{ID: 1, Key: 1, Left: 2 * time.Second})
+		b.AddSession(SessionRequest{ID: 1, Key: 1, Timeout: 2 * time.Second})
 		all := pull(b)
-		if count(all, Probe) != 1 || count(all, Try) != 0 {
+		if count(all, HealthCheck) != 1 || count(all, StartAttempt) != 0 {
 			t.Fatalf("%+v", all)
 		}
 		if answered {
-			b.Reported(all[0].Server, Report{Asked: 0.5, Piled: -1, Util: -1})
-			b.ProbeAnswered(all[0].Server, Succeeded)
+			b.RecordLoadReport(all[0].Endpoint, LoadReport{Demand: 0.5, Backlog: -1, Utilization: -1})
+			b.HealthCheckEnded(all[0].Endpoint, Succeeded)
 		}
-		for n := 0; n < 9 && count(all, Try) == 0; n++ { // no answer comes: the host calls when Wake says
-			if all = pull(b); count(all, Try) == 0 {
-				at, _ := b.Wake()
-				b.Clock(at)
+		for n := 0; n < 9 && count(all, StartAttempt) == 0; n++ { // no answer comes: the host calls when Wake says
+			if all = pull(b); count(all, StartAttempt) == 0 {
+				at, _ := b.NextWakeup()
+				b.AdvanceClock(at)
 			}
 		}
-		if count(all, Try) != 1 || answered && b.now > 0 || b.now > 225*ms { // three servers
+		if count(all, StartAttempt) != 1 || answered && b.now > 0 || b.now > 225*ms { // three servers
 			t.Fatalf("answered %v: %+v at %v", answered, all, b.now)
 		}
 	}
@@ -208,13 +208,13 @@
 
 func TestAYoungReportLetsOneIn(t *testing.T) {
 	d := deployment()
-	d.ReportsOnAsk = true
+	d.HasLoadReports = true
 	b := started(d, fleet(1))
-	b.Clock(time.Second)
-	b.Reported(100, Report{Asked: 0.5, Piled: -1, Util: -1}) // nothing is held here: no room by the own load
-	for id, want := range []Verb{Try, Nack} {
-		b.Clock(b.now + ms)
-		if got := arrive(t, b, Arrival{ID: CircuitID(id + 1), Key: 1, Load: 500}); got.Do != want {
+	b.AdvanceClock(time.Second)
+	b.RecordLoadReport(100, LoadReport{Demand: 0.5, Backlog: -1, Utilization: -1}) // nothing is held here: no room by the own load
+	for id, want := range []Action{StartAttempt, Reject} {
+		b.AdvanceClock(b.now + ms)
+		if got := arrive(t, b, SessionRequest{ID: SessionID(id + 1), Key: 1, Load: 500}); got.Action != want {
 			t.Fatalf("circuit %d: %+v", id+1, got)
 		}
 	}
@@ -226,18 +226,18 @@
 	for _, x := range []struct {
 		tell bool // by the servers, not by probes' times
 		now  float64
-		want Verb
-	}{{true, 0.5, Try}, {true, 0.8, Nack}, {false, 0.5, Nack}} {
+		want Action
+	}{{true, 0.5, StartAttempt}, {true, 0.8, Reject}, {false, 0.5, Reject}} {
 		d := deployment()
-		d.ReportsOnAsk, d.ServersTell = true, x.tell
+		d.HasLoadReports, d.HasEndpointReports = true, x.tell
 		b := started(d, fleet(1))
-		b.Reported(100, Report{Asked: 0.8, Piled: -1, Util: -1})
-		b.Clock(reportYoung + ms)
-		b.CircuitArrived(Arrival{ID: 1, Key: 1, Load: 500, Left: 2 * time.Second})
+		b.RecordLoadReport(100, LoadReport{Demand: 0.8, Backlog: -1, Utilization: -1})
+		b.AdvanceClock(reportYoung + ms)
+		b.AddSession(SessionRequest{ID: 1, Key: 1, Load: 500, Timeout: 2 * time.Second})
 		all := pull(b)
-		if asked := count(all, Probe) == 1; asked {
-			b.Reported(100, Report{Asked: x.now, Piled: -1, Util: -1})
-			b.ProbeAnswered(100, Succeeded)
+		if asked := count(all, HealthCheck) == 1; asked {
+			b.RecordLoadReport(100, LoadReport{Demand: x.now, Backlog: -1, Utilization: -1})
+			b.HealthCheckEnded(100, Succeeded)
 			all = pull(b)
 		}
 		if count(all, x.want) != 1 {
@@ -251,27 +251,27 @@
 func TestBeliedWordsOfKinTellOfNoRoom(t *testing.T) {
 	for n := range 4 {
 		d := deployment()
-		d.ReportsOnAsk, d.ServersTell = true, n < 2
+		d.HasLoadReports, d.HasEndpointReports = true, n < 2
 		list := fleet(3)
-		list[2].Cell = 1
+		list[2].FailureDomain = 1
 		b := started(d, list)
-		b.HandedOver(Arrival{ID: 1, Load: 1}, 100)
+		b.AdoptSession(SessionRequest{ID: 1, Load: 1}, 100)
 		told := func() { // all are idle, and nothing but that tells of room
 			for i, l := range list {
-				b.Reported(l.Server, Report{Asked: 0.1, Piled: -1, Util: -1})
+				b.RecordLoadReport(l.ID, LoadReport{Demand: 0.1, Backlog: -1, Utilization: -1})
 				b.room[i] = 0
 			}
 		}
 		if told(); n%2 == 0 {
-			b.TryEnded(1, 0, true, Reset)
+			b.AttemptEnded(1, 0, true, Reset)
 		} else {
-			b.DelayNoted(100, 90*ms)
+			b.RecordLatency(100, 90*ms)
 		}
-		c := &circuit{grade: &d.Grades[0], load: 1, asks: asksMost}
-		if kin, other := b.passed(c, 1, byAside, 3, 100), b.passed(c, 2, byAside, 3, 100); kin != d.ServersTell || other {
+		c := &circuit{grade: &d.Classes[0], load: 1, asks: asksMost}
+		if kin, other := b.passed(c, 1, byAside, 3, 100), b.passed(c, 2, byAside, 3, 100); kin != d.HasEndpointReports || other {
 			t.Errorf("%d: kin are passed: %v, others: %v", n, kin, other)
 		}
-		b.Clock(untrueFor + ms)
+		b.AdvanceClock(untrueFor + ms)
 		if told(); b.passed(c, 1, byAside, 3, 100) {
 			t.Error("marked for good")
 		}
@@ -283,11 +283,11 @@
 func TestTheDrawOnColdServersIsForFewBalancers(t *testing.T) {
 	for peers, want := range map[int]int{2: 33, 100: 0} { // so many of a hundred keys, at 0.4 of its warmth
 		d := deployment()
-		d.Peers = peers
-		b := started(d, starting(fleet(2), 0, 1, -d.ColdFor*5/17))
+		d.Balancers = peers
+		b := started(d, starting(fleet(2), 0, 1, -d.SlowStartWindow*5/17))
 		out := 0
 		for key := range uint64(1000) {
-			if b.passed(&circuit{key: key, grade: &d.Grades[0]}, 0, byAll, 2, 1e9) {
+			if b.passed(&circuit{key: key, grade: &d.Classes[0]}, 0, byAll, 2, 1e9) {
 				out++
 			}
 		}
@@ -300,15 +300,15 @@
 func TestThousandsOfServersAndBalancers(t *testing.T) {
 	list := fleet(4000)
 	for i := range list {
-		list[i].Started, list[i].Zone = 0, 1+i%2 // all cold, none in the own zone
+		list[i].StartedAt, list[i].Zone = 0, 1+i%2 // all cold, none in the own zone
 	}
 	d := deployment()
-	d.Peers, d.CrossingPrice = 1<<20, 0.1
+	d.Balancers, d.CrossZoneCost = 1<<20, 0.1
 	b := started(d, list)
-	b.HandedOver(Arrival{ID: 1e6, Key: 1}, 9)
+	b.AdoptSession(SessionRequest{ID: 1e6, Key: 1}, 9)
 	tries := 0
-	for id := CircuitID(1); id <= 200; id++ {
-		if arrive(t, b, Arrival{ID: id, Key: uint64(id)}).Do == Try {
+	for id := SessionID(1); id <= 200; id++ {
+		if arrive(t, b, SessionRequest{ID: id, Key: uint64(id)}).Action == StartAttempt {
 			tries++
 		}
 	}
@@ -324,14 +324,14 @@
 		at := map[[2]uint64]bool{}
 		for k := range peers {
 			d := deployment()
-			d.Peers, d.Zone, d.CrossingPrice, d.MayProbe = peers, k%3, 0.08, false
+			d.Balancers, d.Zone, d.CrossZoneCost, d.CanHealthCheck = peers, k%3, 0.08, false
 			b := started(d, zoned(fleet(12), 3))
 			for n := range each {
 				c := each*k + n + 1
 				group := mix(uint64(c), 1) % uint64(groups)
-				got := arrive(t, b, Arrival{ID: CircuitID(c), Key: uint64(c) + 1000, Group: group + 50})
-				b.SetUp(CircuitID(c), 0, ms)
-				if at[[2]uint64{group, uint64(got.Server)}] = true; n >= 50 && b.zone[b.index[got.Server]] != d.Zone {
+				got := arrive(t, b, SessionRequest{ID: SessionID(c), Key: uint64(c) + 1000, Group: group + 50})
+				b.AttemptEstablished(SessionID(c), 0, ms)
+				if at[[2]uint64{group, uint64(got.Endpoint)}] = true; n >= 50 && b.zone[b.index[got.Endpoint]] != d.Zone {
 					crossed++
 				}
 			}
@@ -347,13 +347,13 @@
 // With a group's reach counted over cold servers too, most of these are nacked.
 func TestColdServersTakeNoPlaceInAGroupsReach(t *testing.T) {
 	d := deployment()
-	d.Peers, d.MayProbe = 1000, false
+	d.Balancers, d.CanHealthCheck = 1000, false
 	b := started(d, starting(fleet(10), 0, 8, 0))
-	for id := CircuitID(1); id <= 20; id++ {
-		if got := arrive(t, b, Arrival{ID: id, Key: uint64(id), Group: uint64(id) + 100}); got.Do != Try {
+	for id := SessionID(1); id <= 20; id++ {
+		if got := arrive(t, b, SessionRequest{ID: id, Key: uint64(id), Group: uint64(id) + 100}); got.Action != StartAttempt {
 			t.Fatalf("circuit %d is nacked while two warm servers are empty", id)
 		}
-		b.SetUp(id, 0, ms)
+		b.AttemptEstablished(id, 0, ms)
 	}
 }
 
@@ -361,37 +361,37 @@
 // and never more in any span than a cold server bears. Nothing moved here once, until the clients left.
 func TestManyBalancersFillColdServersFromTheOthers(t *testing.T) {
 	d, list := deployment(), starting(fleet(10), 4, 10, time.Second)
-	all, next := many(t, 80, 0, d, list[:4]), CircuitID(1)
+	all, next := many(t, 80, 0, d, list[:4]), SessionID(1)
 	for _, b := range all {
 		connect(t, b, next, 5)
 		next += 5
-		b.ListArrived(list[4:], false)
+		b.UpdateEndpoints(list[4:], false)
 	}
-	sent, held, worst := map[ServerID][]time.Duration{}, 0, 0
+	sent, held, worst := map[EndpointID][]time.Duration{}, 0, 0
 	for step := range 300 {
 		now := time.Second + time.Duration(step)*50*ms
 		for k, b := range all {
-			b.Clock(now)
+			b.AdvanceClock(now)
 			for _, dec := range pull(b) {
-				if dec.Do != Move {
+				if dec.Action != Migrate {
 					continue
 				}
-				key, to := b.circuit[dec.Circuit].key, all[(k*7+step)%80] // the front deals it to any balancer
-				b.TryEnded(dec.Circuit, 0, true, Cancelled)
+				key, to := b.circuit[dec.Session].key, all[(k*7+step)%80] // the front deals it to any balancer
+				b.AttemptEnded(dec.Session, 0, true, Cancelled)
 				next++
-				to.Clock(now)
-				got := arrive(t, to, Arrival{ID: next, Key: key})
-				if to.SetUp(next, 0, ms); got.Server >= 104 {
+				to.AdvanceClock(now)
+				got := arrive(t, to, SessionRequest{ID: next, Key: key})
+				if to.AttemptEstablished(next, 0, ms); got.Endpoint >= 104 {
 					held++
-					sent[got.Server] = append(sent[got.Server], now)
+					sent[got.Endpoint] = append(sent[got.Endpoint], now)
 				}
 			}
 		}
 	}
 	for _, at := range sent {
-		worst = max(worst, crowd(at, d.FallFor))
+		worst = max(worst, crowd(at, d.OverloadWindow))
 	}
-	if bears := 3 * 40 * d.ColdFrom; held < 40 || len(sent) < 6 || float64(worst) > bears { // by its warmth at the start
+	if bears := 3 * 40 * d.SlowStartFloor; held < 40 || len(sent) < 6 || float64(worst) > bears { // by its warmth at the start
 		t.Errorf("%d went to %d cold servers, %d in a span at one that bears %v", held, len(sent), worst, bears)
 	}
 }
@@ -402,8 +402,8 @@
 	list := starting(fleet(10), 5, 10, -12*time.Second)
 	b := many(t, 170, 0, deployment(), list[:5])[0]
 	connect(t, b, 1, 15)
-	b.ListArrived(list, true)
-	for ; b.now < 4*time.Second; b.Clock(b.now + 250*ms) {
+	b.UpdateEndpoints(list, true)
+	for ; b.now < 4*time.Second; b.AdvanceClock(b.now + 250*ms) {
 		pull(b)
 	}
 	if b.wanted < 1 {
@@ -419,24 +419,24 @@
 	all := many(t, peers, 0, deployment(), list[:5])
 	for _, b := range all {
 		connect(t, b, 1, each)
-		b.ListArrived(list, true)
+		b.UpdateEndpoints(list, true)
 	}
-	sent, next := map[ServerID][]time.Duration{}, CircuitID(1000)
+	sent, next := map[EndpointID][]time.Duration{}, SessionID(1000)
 	for now := 3 * time.Second; now < 7*time.Second; now += 250 * ms {
 		for k, b := range all {
-			b.Clock(now)
+			b.AdvanceClock(now)
 			for _, dec := range pull(b) {
-				if dec.Do != Move {
+				if dec.Action != Migrate {
 					continue
 				}
-				key := b.circuit[dec.Circuit].key
-				b.TryEnded(dec.Circuit, 0, true, Cancelled)
+				key := b.circuit[dec.Session].key
+				b.AttemptEnded(dec.Session, 0, true, Cancelled)
 				to := all[(k+1)%peers]
-				to.Clock(now)
+				to.AdvanceClock(now)
 				next++
-				if got := arrive(t, to, Arrival{ID: next, Key: key}); got.Do == Try {
-					to.SetUp(next, 0, ms)
-					sent[got.Server] = append(sent[got.Server], now)
+				if got := arrive(t, to, SessionRequest{ID: next, Key: key}); got.Action == StartAttempt {
+					to.AttemptEstablished(next, 0, ms)
+					sent[got.Endpoint] = append(sent[got.Endpoint], now)
 				}
 			}
 		}
