--- a/policy/policy.go
+++ b/policy/policy.go
@@ -71,21 +71,21 @@
 var failsBy = [...]float64{Failed: 1, TimedOut: 0.5, ConnectFailed: 2, Reset: 1, NeverSent: 0}
 
 // New starts a balancer.
-func New(dep *Deployment, seed uint64) *Balancer {
+func New(dep *Config, seed uint64) *Balancer {
 	b := &Balancer{
 		seed: seed, chance: seed&0xffffffff | 1<<32, pools: []*version{{}}, untrue: map[[2]int]time.Duration{},
-		index: map[ServerID]int{}, circuit: map[CircuitID]*circuit{}, group: map[uint64]int{}, leaveBy: never,
+		index: map[EndpointID]int{}, circuit: map[SessionID]*circuit{}, group: map[uint64]int{}, leaveBy: never,
 		proven: map[uint64]proof{},
 	}
 	b.Reconfigure(dep, nil, nil)
-	b.roundAt, b.noColdUntil = time.Duration(b.random()*float64(roundEvery)), dep.FallFor // as Spent
+	b.roundAt, b.noColdUntil = time.Duration(b.random()*float64(roundEvery)), dep.OverloadWindow // as Spent
 	return b
 }
 
 // Reconfigure has a Deployment hold; the other two tell the new rows of the old grades and tenants, -1 for
 // none. What is held stays, each circuit under the grade and the most tries that it came with.
-func (b *Balancer) Reconfigure(dep *Deployment, grades, tenants []int) {
-	usual := make([]average, len(dep.Grades)+1)
+func (b *Balancer) Reconfigure(dep *Config, grades, tenants []int) {
+	usual := make([]average, len(dep.Classes)+1)
 	for row, now := range grades {
 		if now >= 0 {
 			usual[now] = b.usualOf[row]
@@ -93,64 +93,64 @@
 	}
 	b.dep, b.usualOf, b.tenant = dep, usual, make([]int, len(dep.Tenants)+1)
 	for _, c := range b.circuit {
-		c.row, c.tenant = Moved(grades, c.row, len(dep.Grades)), Moved(tenants, c.tenant, len(dep.Tenants))
+		c.row, c.tenant = RemapIndex(grades, c.row, len(dep.Classes)), RemapIndex(tenants, c.tenant, len(dep.Tenants))
 		if c.out || c.open {
 			b.tenant[c.tenant]++
 		}
 	}
-	b.goal, b.away, b.turn = never, max(0.02, 1-12*dep.CrossingPrice), time.Duration(dep.Peers)*gateEach
-	for _, g := range dep.Grades {
-		if g.MessageGoal > 0 {
-			b.goal = min(b.goal, g.MessageGoal)
+	b.goal, b.away, b.turn = never, max(0.02, 1-12*dep.CrossZoneCost), time.Duration(dep.Balancers)*gateEach
+	for _, g := range dep.Classes {
+		if g.MessageObjective > 0 {
+			b.goal = min(b.goal, g.MessageObjective)
 		}
-		if b.turn < g.SetupGoal { // few balancers each see enough of the store to brake by counts
+		if b.turn < g.SetupObjective { // few balancers each see enough of the store to brake by counts
 			b.turn = 0
 		}
 	}
 	b.tellAt, b.told, b.heard, b.entitled = never, nil, false, 0
 	for _, t := range dep.Tenants {
-		b.entitled += t.Connections
+		b.entitled += t.ConnectionQuota
 	}
-	if dep.MayTell {
-		b.told, b.toldAt = make([][]float64, dep.Peers), make([]time.Duration, dep.Peers)
+	if dep.CanGossip {
+		b.told, b.toldAt = make([][]float64, dep.Balancers), make([]time.Duration, dep.Balancers)
 		b.tellAt = b.now + time.Duration(b.random()*float64(tellEvery))
 	}
 }
 
-// Clock tells the time since the start.
-func (b *Balancer) Clock(now time.Duration) { b.now = max(b.now, now) }
+// AdvanceClock tells the time since the start.
+func (b *Balancer) AdvanceClock(now time.Duration) { b.now = max(b.now, now) }
 
-// ListArrived takes lines of the list; whole: servers not named are gone.
-func (b *Balancer) ListArrived(lines []Listed, whole bool) {
+// UpdateEndpoints takes lines of the list; whole: servers not named are gone.
+func (b *Balancer) UpdateEndpoints(lines []Endpoint, whole bool) {
 	named := map[int]bool{}
 	for _, l := range lines {
-		i := b.server(l.Server)
+		i := b.server(l.ID)
 		named[i] = true
-		if l.Started != b.started[i] {
+		if l.StartedAt != b.started[i] {
 			b.fresh(i)
 		}
-		b.zone[i], b.cell[i], b.state[i], b.started[i], b.heft[i] = l.Zone, l.Cell, l.State, l.Started, l.Heft
-		b.kind[i] = l.Kind
+		b.zone[i], b.cell[i], b.state[i], b.started[i], b.heft[i] = l.Zone, l.FailureDomain, l.State, l.StartedAt, l.Weight
+		b.kind[i] = l.MachineType
 	}
 	for i := range b.id {
 		if whole && !named[i] {
-			b.state[i] = Gone
+			b.state[i] = Removed
 		}
 	}
 	b.freeze()
 }
 
 // server finds a server by its id, or makes room for a new one.
-func (b *Balancer) server(id ServerID) int {
+func (b *Balancer) server(id EndpointID) int {
 	if i, known := b.index[id]; known {
 		return i
 	}
 	i := len(b.id)
 	b.index[id] = i
 	b.id = append(b.id, id)
-	b.zone, b.cell, b.state = append(b.zone, 0), append(b.cell, 0), append(b.state, Gone)
+	b.zone, b.cell, b.state = append(b.zone, 0), append(b.cell, 0), append(b.state, Removed)
 	b.kind = append(b.kind, 0)
-	b.heft, b.started, b.held = append(b.heft, 1), append(b.started, LongAgo), append(b.held, nil)
+	b.heft, b.started, b.held = append(b.heft, 1), append(b.started, StartedLongAgo), append(b.held, nil)
 	b.fails, b.aside, b.span = append(b.fails, 0), append(b.aside, false), append(b.span, 0)
 	b.probing, b.answers, b.probeAt = append(b.probing, false), append(b.answers, 0), append(b.probeAt, 0)
 	b.delay, b.delayAt, b.load = append(b.delay, 0), append(b.delayAt, 0), append(b.load, 0)
@@ -158,7 +158,7 @@
 	b.spent, b.others = append(b.spent, nil), append(b.others, 0)
 	b.movedAt, b.room, b.sentAt = append(b.movedAt, -never), append(b.room, 0), append(b.sentAt, -never)
 	b.fresh(i)
-	b.probeAt[i] = b.now + time.Duration(b.random()*float64(b.dep.Peers)*float64(firstAsk))
+	b.probeAt[i] = b.now + time.Duration(b.random()*float64(b.dep.Balancers)*float64(firstAsk))
 	return i
 }
 
@@ -168,14 +168,14 @@
 	b.delayAt[i], b.askedAt[i], b.spent[i], b.room[i] = -never, -never, nil, never.Seconds()
 }
 
-// Weighed tells the heft of a server as it shows.
-func (b *Balancer) Weighed(server ServerID, heft float64) {
+// SetWeight tells the heft of a server as it shows.
+func (b *Balancer) SetWeight(server EndpointID, heft float64) {
 	b.heft[b.server(server)] = heft
 	b.freeze()
 }
 
-// Doubted has a server asked again at once, as its newest report may be chance; not where balancers are many.
-func (b *Balancer) Doubted(server ServerID) {
+// RequestHealthCheck has a server asked again at once, as its newest report may be chance; not where balancers are many.
+func (b *Balancer) RequestHealthCheck(server EndpointID) {
 	if b.turn == 0 {
 		b.probeAt[b.server(server)] = b.now
 	}
@@ -214,32 +214,32 @@
 
 func (b *Balancer) newest() *version { return b.pools[len(b.pools)-1] }
 
-// Leave has all that is open moved, from the one time on, up to the other; Stay ends that.
-func (b *Balancer) Leave(from, by time.Duration) { b.leaveFrom, b.leaveBy = from, by }
-func (b *Balancer) Stay()                        { b.leaveBy = never }
+// StartDraining has all that is open moved, from the one time on, up to the other; Stay ends that.
+func (b *Balancer) StartDraining(from, by time.Duration) { b.leaveFrom, b.leaveBy = from, by }
+func (b *Balancer) StopDraining()                        { b.leaveBy = never }
 
-// Spent has cold servers get nothing for one span: another process of this balancer may have spent its part.
-func (b *Balancer) Spent() { b.noColdUntil = b.now + b.dep.FallFor }
+// PauseSlowStart has cold servers get nothing for one span: another process of this balancer may have spent its part.
+func (b *Balancer) PauseSlowStart() { b.noColdUntil = b.now + b.dep.OverloadWindow }
 
-func (b *Balancer) take(a Arrival) *circuit {
-	a.Grade, a.Tenant = min(a.Grade, len(b.dep.Grades)-1), min(a.Tenant, len(b.dep.Tenants))
+func (b *Balancer) take(a SessionRequest) *circuit {
+	a.Class, a.Tenant = min(a.Class, len(b.dep.Classes)-1), min(a.Tenant, len(b.dep.Tenants))
 	c := &circuit{
 		id: a.ID, key: cmp.Or(a.Key, uint64(a.ID)), place: cmp.Or(a.Group, a.Key, uint64(a.ID)),
-		grade: &b.dep.Grades[a.Grade], row: a.Grade, tenant: a.Tenant, most: b.dep.MostTries,
-		until: b.now + a.Left, load: cmp.Or(a.Load, b.usualOf[a.Grade].mean, 1), server: -1, ranOn: -1, waitsOn: -1,
+		grade: &b.dep.Classes[a.Class], row: a.Class, tenant: a.Tenant, most: b.dep.MaxAttempts,
+		until: b.now + a.Timeout, load: cmp.Or(a.Load, b.usualOf[a.Class].mean, 1), server: -1, ranOn: -1, waitsOn: -1,
 	}
 	b.circuit[a.ID] = c
 	return c
 }
 
-// CircuitArrived takes a circuit, which is now owed one final answer.
-func (b *Balancer) CircuitArrived(a Arrival) {
+// AddSession takes a circuit, which is now owed one final answer.
+func (b *Balancer) AddSession(a SessionRequest) {
 	b.queue = append(b.queue, b.take(a))
 	b.arrived++
 }
 
-// HandedOver takes a connection that is open already; its first try counts as made.
-func (b *Balancer) HandedOver(a Arrival, server ServerID) {
+// AdoptSession takes a connection that is open already; its first try counts as made.
+func (b *Balancer) AdoptSession(a SessionRequest, server EndpointID) {
 	c := b.take(a)
 	c.until, c.tries, c.open = never, 1, true
 	b.hold(c, b.server(server))
@@ -273,8 +273,8 @@
 	}
 }
 
-// SetUp tells that the connection of a setup try stands.
-func (b *Balancer) SetUp(id CircuitID, try int, took time.Duration) {
+// AttemptEstablished tells that the connection of a setup try stands.
+func (b *Balancer) AttemptEstablished(id SessionID, try int, took time.Duration) {
 	c := b.circuit[id]
 	if c == nil || !c.out || try != c.tries-1 {
 		return
@@ -284,18 +284,18 @@
 	b.fails[c.server] *= 0.3
 	b.tally(1, 0)
 	b.shutTill = min(b.shutTill, b.now)
-	if took > c.grade.SetupGoal/lateFrom {
+	if took > c.grade.SetupObjective/lateFrom {
 		b.late++
 	} else if b.shut /= 2; b.shut < b.turn {
 		b.shut = 0
 	}
-	if took > c.grade.SetupGoal {
+	if took > c.grade.SetupObjective {
 		b.gate() // the next one would stand in the same queue
 	}
 }
 
-// TryEnded tells how a setup try, or the connection it set up, ended.
-func (b *Balancer) TryEnded(id CircuitID, try int, finished bool, how Outcome) {
+// AttemptEnded tells how a setup try, or the connection it set up, ended.
+func (b *Balancer) AttemptEnded(id SessionID, try int, finished bool, how Outcome) {
 	c := b.circuit[id]
 	if c == nil || !(c.out || c.open) || try != c.tries-1 {
 		return
@@ -313,7 +313,7 @@
 	b.release(c)
 	wasOpen := c.open
 	c.out, c.open = false, false
-	if how != TurnedAway && how != ConnectFailed && how != NeverSent && c.ranOn < 0 {
+	if how != Rejected && how != ConnectFailed && how != NeverSent && c.ranOn < 0 {
 		c.ranOn, c.ranAt = c.server, c.sentAt
 	}
 	if finished || wasOpen || c.answered || how == Succeeded {
@@ -324,8 +324,8 @@
 	b.queue = append(b.queue, c)
 }
 
-// ClientLeft tells that nothing more is owed for a circuit.
-func (b *Balancer) ClientLeft(id CircuitID) {
+// ClientDisconnected tells that nothing more is owed for a circuit.
+func (b *Balancer) ClientDisconnected(id SessionID) {
 	if c := b.circuit[id]; c != nil {
 		c.answered = true // what is still out is told by its TryEnded, what waits is passed by in Next
 		if !c.out && !c.open {
@@ -334,8 +334,8 @@
 	}
 }
 
-// LoadNoted tells the load of an open connection now.
-func (b *Balancer) LoadNoted(id CircuitID, try int, load float64) {
+// RecordLoad tells the load of an open connection now.
+func (b *Balancer) RecordLoad(id SessionID, try int, load float64) {
 	c := b.circuit[id]
 	if c == nil || !(c.out || c.open) || try != c.tries-1 || !(load >= 0 && load < math.Inf(1)) {
 		return
@@ -347,8 +347,8 @@
 	b.usualOf[c.row].learn(load)
 }
 
-// DelayNoted tells what a message takes at a server now.
-func (b *Balancer) DelayNoted(server ServerID, delay time.Duration) {
+// RecordLatency tells what a message takes at a server now.
+func (b *Balancer) RecordLatency(server EndpointID, delay time.Duration) {
 	i, ok := b.index[server]
 	if !ok {
 		return
@@ -364,11 +364,11 @@
 	}
 }
 
-// Reported takes a load report.
-func (b *Balancer) Reported(server ServerID, r Report) {
-	if i, ok := b.index[server]; ok && (r.Asked >= 0 || r.Util >= 0) {
-		if b.asked[i], b.askedAt[i] = r.Asked, b.now; r.Asked < 0 {
-			b.asked[i] = r.Util
+// RecordLoadReport takes a load report.
+func (b *Balancer) RecordLoadReport(server EndpointID, r LoadReport) {
+	if i, ok := b.index[server]; ok && (r.Demand >= 0 || r.Utilization >= 0) {
+		if b.asked[i], b.askedAt[i] = r.Demand, b.now; r.Demand < 0 {
+			b.asked[i] = r.Utilization
 		}
 		b.room[i] = max(b.room[i], b.load[i]*2)
 		if b.shown[i] = b.load[i]; b.asked[i] > crowded.asked/2 {
@@ -378,26 +378,26 @@
 }
 
 // tell gathers what this balancer holds and finds jammed.
-func (b *Balancer) tell() Told {
-	t := Told{Mark: b.newest().mark}
+func (b *Balancer) tell() GossipMessage {
+	t := GossipMessage{VersionHash: b.newest().mark}
 	for _, i := range b.newest().servers {
 		t.Loads = append(t.Loads, b.load[i])
-		t.Jammed = append(t.Jammed, len(b.held[i]) > 0 && b.busy(i, jammed))
+		t.Overloaded = append(t.Overloaded, len(b.held[i]) > 0 && b.busy(i, jammed))
 	}
 	return t
 }
 
-// PeerTold takes the message of balancer from; what does not fit the newest version is passed by.
-func (b *Balancer) PeerTold(from int, t Told) {
-	if from < 0 || from >= len(b.told) || t.Mark != b.newest().mark {
+// ReceiveGossip takes the message of balancer from; what does not fit the newest version is passed by.
+func (b *Balancer) ReceiveGossip(from int, t GossipMessage) {
+	if from < 0 || from >= len(b.told) || t.VersionHash != b.newest().mark {
 		return
 	}
 	servers, load := b.newest().servers, b.told[from]
 	load = append(load, make([]float64, len(b.id)-len(load))...)
 	b.told[from], b.toldAt[from] = load, b.now
-	for n := 0; n < len(t.Loads) && t.First+n < len(servers); n++ {
-		if load[servers[t.First+n]] = t.Loads[n]; t.Jammed[n] {
-			b.close(servers[t.First+n], 0)
+	for n := 0; n < len(t.Loads) && t.Offset+n < len(servers); n++ {
+		if load[servers[t.Offset+n]] = t.Loads[n]; t.Overloaded[n] {
+			b.close(servers[t.Offset+n], 0)
 		}
 	}
 }
@@ -414,7 +414,7 @@
 			}
 		}
 	}
-	b.heard = 2*fresh >= b.dep.Peers-1 && fresh > 0
+	b.heard = 2*fresh >= b.dep.Balancers-1 && fresh > 0
 }
 
 // known is the load of all connections at a server that this balancer knows of.
@@ -432,7 +432,7 @@
 	}
 	// Jams: no try goes on there. Resets of what stood are none where a young report tells of room.
 	told := b.tellsRoom(i, crowded.asked/2)
-	if how == TurnedAway || how == ConnectFailed || how == Reset && c.open && !told {
+	if how == Rejected || how == ConnectFailed || how == Reset && c.open && !told {
 		b.close(i, c.load)
 	}
 	ready := b.newest().servers
@@ -447,7 +447,7 @@
 // belie weighs a server's word that it has little to do against slow messages or a reset here: for a while
 // such words of its kin count for nothing. Guards against hundreds of balancers that each believe it once.
 func (b *Balancer) belie(i int) {
-	if b.dep.ServersTell && b.now-b.askedAt[i] <= reportFresh && b.asked[i] < crowded.asked/2 {
+	if b.dep.HasEndpointReports && b.now-b.askedAt[i] <= reportFresh && b.asked[i] < crowded.asked/2 {
 		b.untrue[[2]int{b.zone[i], b.cell[i]}] = b.now + untrueFor
 	}
 }
@@ -481,8 +481,8 @@
 // enough are out, or by chance. Guards against retries that keep a store down.
 func (b *Balancer) throttled(c *circuit) bool {
 	bad := b.bad + b.late
-	besides := triesBesides * (b.good + 1) / (b.good + bad + 1) / float64(b.dep.Peers)
-	most := math.Floor(besides + b.good*c.grade.SetupGoal.Seconds()/tallyFor.Seconds() + b.random())
+	besides := triesBesides * (b.good + 1) / (b.good + bad + 1) / float64(b.dep.Balancers)
+	most := math.Floor(besides + b.good*c.grade.SetupObjective.Seconds()/tallyFor.Seconds() + b.random())
 	return (b.denied < deniedMost || b.now-b.triedAt < tallyFor) && (b.now < b.shutTill ||
 		float64(b.trying) >= most && bad > 1+b.good/8 || b.random() < (bad-b.good-1)/(bad+b.good+1))
 }
@@ -496,8 +496,8 @@
 	return 2*bad > b.good+4
 }
 
-// ProbeAnswered tells how a probe ended. A server set aside comes back after answered probes.
-func (b *Balancer) ProbeAnswered(server ServerID, how Outcome) {
+// HealthCheckEnded tells how a probe ended. A server set aside comes back after answered probes.
+func (b *Balancer) HealthCheckEnded(server EndpointID, how Outcome) {
 	i, ok := b.index[server]
 	if !ok || !b.probing[i] {
 		return
@@ -541,10 +541,10 @@
 // warmth is the least part of its capacity that a server can do by its age.
 func (b *Balancer) warmth(i int) float64 {
 	age := b.now - b.started[i]
-	if b.started[i] == LongAgo || age >= b.dep.ColdFor {
+	if b.started[i] == StartedLongAgo || age >= b.dep.SlowStartWindow {
 		return 1
 	}
-	return b.dep.ColdFrom + (1-b.dep.ColdFrom)*max(0, float64(age)/float64(b.dep.ColdFor))
+	return b.dep.SlowStartFloor + (1-b.dep.SlowStartFloor)*max(0, float64(age)/float64(b.dep.SlowStartWindow))
 }
 
 // ---- The gate: the one place that each rule is kept.
@@ -554,11 +554,11 @@
 	if c.answered || c.out || c.open || c.until <= b.now || c.tries >= c.most { // no circuit is lost
 		return false
 	}
-	if j := c.ranOn; j >= 0 && c.grade.Effect != Idempotent { // no effect happens twice
+	if j := c.ranOn; j >= 0 && c.grade.Idempotency != Idempotent { // no effect happens twice
 		switch {
-		case c.grade.Effect == Unrepeatable, b.now >= c.ranAt+c.grade.Window,
-			c.grade.Scope == ScopeZone && b.zone[i] != b.zone[j],
-			c.grade.Scope == ScopeCell && (b.cell[i] != b.cell[j] || b.zone[i] != b.zone[j]):
+		case c.grade.Idempotency == NonIdempotent, b.now >= c.ranAt+c.grade.KeyTTL,
+			c.grade.KeyScope == KeyScopeZone && b.zone[i] != b.zone[j],
+			c.grade.KeyScope == KeyScopeFailureDomain && (b.cell[i] != b.cell[j] || b.zone[i] != b.zone[j]):
 			return false
 		}
 	}
@@ -568,8 +568,8 @@
 
 // mayNack tells whether trying again is harmless.
 func (b *Balancer) mayNack(c *circuit) bool {
-	return c.ranOn < 0 || c.grade.Effect == Idempotent ||
-		c.grade.Effect == Deduplicated && c.grade.Scope == ScopeAll && b.now < c.ranAt+c.grade.Window
+	return c.ranOn < 0 || c.grade.Idempotency == Idempotent ||
+		c.grade.Idempotency == IdempotentWithKey && c.grade.KeyScope == KeyScopeAll && b.now < c.ranAt+c.grade.KeyTTL
 }
 
 // weight of a server: less elsewhere, where crossings cost, but not under the least.
@@ -590,7 +590,7 @@
 // the group's share of the connections, are its home; there the client's key ranks.
 func (b *Balancer) order(c *circuit) []ranked {
 	b.rank, b.reach, b.across = b.rank[:0], len(b.newest().servers), b.away
-	small := b.total < fewHeld && b.total*b.dep.Peers < fewInAll
+	small := b.total < fewHeld && b.total*b.dep.Balancers < fewInAll
 	few := b.colds > 0 && float64(b.total) < ownMembers*float64(len(b.group)+fewGroups)
 	sparse := b.total < len(b.newest().servers) // it can't see how many of a group a server gets
 	if c.place != c.key && (small || few) {
@@ -643,9 +643,9 @@
 	even := math.Inf(1) // the load for its heft that a server takes: by nothing where heft may be wrong
 	if b.heard {
 		even = evenTold * load / heft
-	} else if b.dep.HeftExact {
+	} else if b.dep.HasExactWeights {
 		even = evenMost * load / heft
-	} else if b.dep.ReportsOnAsk { // of a few connections nothing is learned where heft is a guess
+	} else if b.dep.HasLoadReports { // of a few connections nothing is learned where heft is a guess
 		// Guards against all that another balancer lost on one server, before any report can tell of it.
 		grown := max(evenGrown, min(1, b.heldMean/float64(max(b.total, 1))))
 		even = max(evenMost*grown*load, evenLeast*max(b.usual, 1)*float64(len(rank))) / heft
@@ -681,7 +681,7 @@
 	}
 	// A young report that tells of room lets one in: a hundred balancers each know of one connection or none.
 	// What an old one told refuses nobody: it is asked again. Guards against nacks beside empty servers.
-	told := b.dep.ServersTell && b.mayAsk(c, i) || b.tellsRoom(i, crowded.asked) && b.sentAt[i] < b.askedAt[i]
+	told := b.dep.HasEndpointReports && b.mayAsk(c, i) || b.tellsRoom(i, crowded.asked) && b.sentAt[i] < b.askedAt[i]
 	// Where nothing is held no notes come: as often as others are jammed, or all would fill a jammed fleet up.
 	blind := len(b.held[i]) == 0 && unit(mix(uint64(b.id[i]), b.seed+uint64(b.now/noteFresh))) < b.gloom
 	return b.busy(i, jammed) || blind && !told || b.known(i)+c.load > b.room[i] && !told
@@ -689,11 +689,11 @@
 
 // valueOf is a circuit's utility for its load, less beyond its tenant's share as far as is seen here.
 func (b *Balancer) valueOf(c *circuit) float64 {
-	v := c.grade.Utility / max(c.load, 1)
+	v := c.grade.PriorityWeight / max(c.load, 1)
 	if c.tenant < len(b.dep.Tenants) {
-		quota, held := b.dep.Tenants[c.tenant].Connections, float64(b.tenant[c.tenant]*b.dep.Peers)
+		quota, held := b.dep.Tenants[c.tenant].ConnectionQuota, float64(b.tenant[c.tenant]*b.dep.Balancers)
 		if quota > 0 && held > quota {
-			v *= b.dep.ExcessUtility
+			v *= b.dep.OverQuotaFactor
 		}
 	}
 	return v
@@ -704,9 +704,9 @@
 	if b.tellAt <= b.now {
 		b.tellAt = b.now + tellEvery
 		// Guards against messages that grow with balancers times servers, and cost more than they tell.
-		if size := len(b.newest().servers) * (b.dep.Peers - 1); 0 < size && size <= tellMost*b.arrived {
+		if size := len(b.newest().servers) * (b.dep.Balancers - 1); 0 < size && size <= tellMost*b.arrived {
 			b.arrived = 0
-			return Decision{Do: Tell, Told: b.tell()}, true
+			return Decision{Action: SendGossip, Gossip: b.tell()}, true
 		}
 	}
 	b.resume(-1)
@@ -730,8 +730,8 @@
 	return d, true
 }
 
-// Wake answers when Next wants to be called again at the latest.
-func (b *Balancer) Wake() (at time.Duration, ok bool) {
+// NextWakeup answers when Next wants to be called again at the latest.
+func (b *Balancer) NextWakeup() (at time.Duration, ok bool) {
 	at = min(b.roundAt, b.tellAt)
 	for _, c := range b.waiting {
 		at = min(at, c.waits)
@@ -742,15 +742,15 @@
 // mayAsk tells whether server i's report is old, and not asked for in vain for this circuit already. Guards
 // against work for cold servers by which nothing is learned: of their probes the host makes no guess.
 func (b *Balancer) mayAsk(c *circuit, i int) bool {
-	old := b.now-b.askedAt[i] > reportYoung && (b.dep.ServersTell || b.warmth(i) >= 1)
-	return b.dep.MayProbe && b.dep.ReportsOnAsk && old && c.asks < asksMost && c.waitsOn != i
+	old := b.now-b.askedAt[i] > reportYoung && (b.dep.HasEndpointReports || b.warmth(i) >= 1)
+	return b.dep.CanHealthCheck && b.dep.HasLoadReports && old && c.asks < asksMost && c.waitsOn != i
 }
 
 // asksFirst tells whether a circuit waits for server i's report: there is time to ask for it.
 func (b *Balancer) asksFirst(c *circuit, i int) bool {
 	c.asks++
-	c.waitsOn, c.waits = i, b.now+c.grade.SetupGoal/waitPart
-	if c.waits+c.grade.SetupGoal < c.until {
+	c.waitsOn, c.waits = i, b.now+c.grade.SetupObjective/waitPart
+	if c.waits+c.grade.SetupObjective < c.until {
 		b.waiting = append(b.waiting, c)
 		return true
 	}
@@ -772,17 +772,17 @@
 	if i < 0 {
 		c.answered, b.denied = true, b.denied+1
 		delete(b.circuit, c.id)
-		d := Decision{Do: Nack, Circuit: c.id}
+		d := Decision{Action: Reject, Session: c.id}
 		if !b.mayNack(c) {
-			d.Do = BreakOff
-		} else if b.dep.MayAdvise {
-			d.For = b.jitter(b.dep.LongestAdvice * 2 / 3)
+			d.Action = Fail
+		} else if b.dep.CanSendRetryAfter {
+			d.Duration = b.jitter(b.dep.MaxRetryAfter * 2 / 3)
 		}
 		return d, true
 	}
 	if asked := b.probing[i]; b.mayAsk(c, i) && b.asksFirst(c, i) {
 		b.probing[i] = true
-		return Decision{Do: Probe, Server: b.id[i]}, !asked
+		return Decision{Action: HealthCheck, Endpoint: b.id[i]}, !asked
 	}
 	b.hold(c, i)
 	if b.warmth(i) < 1 {
@@ -791,15 +791,15 @@
 	c.tried, c.out, c.sentAt, b.sentAt[i] = append(c.tried, i), true, b.now, b.now
 	b.trying, b.denied, b.triedAt = b.trying+1, 0, b.now
 	c.tries++
-	return Decision{Do: Try, Circuit: c.id, Server: b.id[i], For: b.timeOut(c)}, true
+	return Decision{Action: StartAttempt, Session: c.id, Endpoint: b.id[i], Duration: b.timeOut(c)}, true
 }
 
 // timeOut leaves a set-up's goal for one more setup try while there may be one, or half the time.
 func (b *Balancer) timeOut(c *circuit) time.Duration {
 	left := c.until - b.now
-	if c.tries < c.most && c.grade.Effect != Unrepeatable && !b.ailing() {
-		half := max(left/2, min(left, c.grade.SetupGoal))
-		if left -= c.grade.SetupGoal; left < half || b.turn == 0 {
+	if c.tries < c.most && c.grade.Idempotency != NonIdempotent && !b.ailing() {
+		half := max(left/2, min(left, c.grade.SetupObjective))
+		if left -= c.grade.SetupObjective; left < half || b.turn == 0 {
 			left = half // more, but for a set-up's time, where balancers are so many that each try is dear
 		}
 	}
@@ -830,26 +830,26 @@
 	}
 	b.gloom = float64(bad) / float64(max(seen, 1))
 	b.tally(0, 0)
-	apart := b.dep.Peers // balancers that know nothing of each other's connections
+	apart := b.dep.Balancers // balancers that know nothing of each other's connections
 	if b.heard {
 		apart = 1
 	}
 	b.fill()
 	for i := range b.id {
-		if b.state[i] == Gone {
+		if b.state[i] == Removed {
 			continue
 		}
 		if !b.busy(i, crowded) {
 			// Of one connection too: room that grew only by a part never came back from near nothing.
 			if w := b.warmth(i); w < 1 { // what it can do grows, not only what is known of it
-				b.room[i] *= 1 + (1-b.dep.ColdFrom)*float64(roundEvery)/float64(b.dep.ColdFor)/w
+				b.room[i] *= 1 + (1-b.dep.SlowStartFloor)*float64(roundEvery)/float64(b.dep.SlowStartWindow)/w
 			}
 			b.room[i] += roomGrowth*b.room[i] + 0.3*cmp.Or(b.usual, 1)/float64(apart)
 		}
 		switch held := max(b.load[i], float64(len(b.held[i]))); {
 		case b.ailing(): // whoever is moved now may not come to stand again
 		case b.state[i] == Draining: // before it stops and cuts them off
-			b.moveSome(i, held/8+max(b.usual, 1)/float64(b.dep.Peers), false)
+			b.moveSome(i, held/8+max(b.usual, 1)/float64(b.dep.Balancers), false)
 		case b.busy(i, jammed) && b.movedAt[i]+moveEvery <= b.now:
 			// Guards against thrash: the next move waits until this one shows in the notes.
 			part := movePart
@@ -865,12 +865,12 @@
 		if b.state[i] != Ready || b.probing[i] {
 			continue
 		}
-		if due := b.probeAt[i] <= b.now; due && b.aside[i] && !b.dep.MayProbe {
+		if due := b.probeAt[i] <= b.now; due && b.aside[i] && !b.dep.CanHealthCheck {
 			b.back(i)
-		} else if asks := b.dep.ReportsOnAsk && askedBy*b.total >= len(b.newest().servers) &&
-			(b.dep.ServersTell || b.warmth(i) >= 1); due && b.dep.MayProbe && (b.aside[i] || asks) {
-			b.due, b.probing[i] = append(b.due, Decision{Do: Probe, Server: b.id[i]}), true
-			b.probeAt[i] = b.now + b.jitter(time.Duration(b.dep.Peers)*reportEach) // one set aside: by its answer
+		} else if asks := b.dep.HasLoadReports && askedBy*b.total >= len(b.newest().servers) &&
+			(b.dep.HasEndpointReports || b.warmth(i) >= 1); due && b.dep.CanHealthCheck && (b.aside[i] || asks) {
+			b.due, b.probing[i] = append(b.due, Decision{Action: HealthCheck, Endpoint: b.id[i]}), true
+			b.probeAt[i] = b.now + b.jitter(time.Duration(b.dep.Balancers)*reportEach) // one set aside: by its answer
 		}
 	}
 }
@@ -888,7 +888,7 @@
 			continue
 		}
 		if j := b.again(c); j >= 0 && b.warmth(j) < 1 {
-			b.due, c.moving = append(b.due, Decision{Do: Move, Circuit: c.id}), true
+			b.due, c.moving = append(b.due, Decision{Action: Migrate, Session: c.id}), true
 		}
 	}
 }
@@ -910,7 +910,7 @@
 	slices.SortStableFunc(all, func(x, y *circuit) int { return x.slot - y.slot })
 	rounds := max(1, int((b.leaveBy-b.now)/roundEvery))
 	for _, c := range all[:(len(all)+rounds-1)/rounds] {
-		b.due, c.moving = append(b.due, Decision{Do: Move, Circuit: c.id}), true
+		b.due, c.moving = append(b.due, Decision{Action: Migrate, Session: c.id}), true
 	}
 }
 
@@ -946,7 +946,7 @@
 func (b *Balancer) part(c *circuit, load *float64) bool {
 	weight, left := max(c.load, 1), *load-max(c.load, 1) // where no load is told, each counts alike
 	if left >= 0 || b.random()*weight < *load {
-		b.due, c.moving = append(b.due, Decision{Do: Move, Circuit: c.id}), true
+		b.due, c.moving = append(b.due, Decision{Action: Migrate, Session: c.id}), true
 	}
 	*load = left
 	return left > 0
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -11,14 +11,14 @@
 	back := fleet(9)
 	slices.Reverse(back)
 	b, c := started(deployment(), fleet(9)), started(deployment(), back)
-	for k := CircuitID(1); k <= 40; k++ {
-		x, y := arrive(t, b, Arrival{ID: k, Key: uint64(k)}), arrive(t, c, Arrival{ID: k, Key: uint64(k)})
-		if x.Server != y.Server {
-			t.Fatalf("key %d: %d and %d", k, x.Server, y.Server)
+	for k := SessionID(1); k <= 40; k++ {
+		x, y := arrive(t, b, SessionRequest{ID: k, Key: uint64(k)}), arrive(t, c, SessionRequest{ID: k, Key: uint64(k)})
+		if x.Endpoint != y.Endpoint {
+			t.Fatalf("key %d: %d and %d", k, x.Endpoint, y.Endpoint)
 		}
 		for _, either := range []*Balancer{b, c} {
-			either.SetUp(k, 0, ms)
-			either.TryEnded(k, 0, true, Succeeded)
+			either.AttemptEstablished(k, 0, ms)
+			either.AttemptEnded(k, 0, true, Succeeded)
 		}
 	}
 	if len(b.rank) != 9 || b.total != 0 {
@@ -31,8 +31,8 @@
 	connect(t, b, 1, 1)
 	first := b.pools[0]
 	for n := 4; n < 4+2*versionCap; n++ {
-		b.ListArrived(fleet(n), true)
-		connect(t, b, CircuitID(n), 1)
+		b.UpdateEndpoints(fleet(n), true)
+		connect(t, b, SessionID(n), 1)
 		if n == 5 && (b.pools[0] != first || len(first.servers) != 3) {
 			t.Fatal("a version in use was changed or dropped")
 		}
@@ -44,7 +44,7 @@
 		t.Fatal("a connection of a dropped version lost its server")
 	}
 	for id := range b.circuit {
-		b.TryEnded(id, 0, true, Succeeded)
+		b.AttemptEnded(id, 0, true, Succeeded)
 	}
 	if len(b.pools) != 1 || b.total != 0 || len(b.group) != 0 {
 		t.Fatalf("%d versions, %d connections left", len(b.pools), b.total)
@@ -52,14 +52,14 @@
 }
 
 func TestPassOverAtTwiceTheMeanPlusTwo(t *testing.T) {
-	b, held := started(deployment(), fleet(4)), map[ServerID]int{}
-	for id := CircuitID(1); id <= 40; id++ { // one key: one server, but for the pass-over
-		d := arrive(t, b, Arrival{ID: id, Key: 5})
-		if most := 2*float64(b.total-1)/4 + 3; float64(held[d.Server]+1) > most {
-			t.Fatalf("server %d holds %d of %d", d.Server, held[d.Server]+1, b.total)
+	b, held := started(deployment(), fleet(4)), map[EndpointID]int{}
+	for id := SessionID(1); id <= 40; id++ { // one key: one server, but for the pass-over
+		d := arrive(t, b, SessionRequest{ID: id, Key: 5})
+		if most := 2*float64(b.total-1)/4 + 3; float64(held[d.Endpoint]+1) > most {
+			t.Fatalf("server %d holds %d of %d", d.Endpoint, held[d.Endpoint]+1, b.total)
 		}
-		held[d.Server]++
-		b.SetUp(id, 0, ms)
+		held[d.Endpoint]++
+		b.AttemptEstablished(id, 0, ms)
 	}
 	if len(held) < 2 {
 		t.Fatal("nothing was passed over")
@@ -68,12 +68,12 @@
 
 func TestBigGroupsSpreadAndSmallOnesStayTogether(t *testing.T) {
 	place := func(groups uint64) int {
-		b, on := started(deployment(), fleet(10)), map[ServerID]bool{}
-		for id := CircuitID(1); id <= 120; id++ {
-			d := arrive(t, b, Arrival{ID: id, Key: uint64(id), Group: 1000 + uint64(id)%groups})
-			b.SetUp(id, 0, ms)
+		b, on := started(deployment(), fleet(10)), map[EndpointID]bool{}
+		for id := SessionID(1); id <= 120; id++ {
+			d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id), Group: 1000 + uint64(id)%groups})
+			b.AttemptEstablished(id, 0, ms)
 			if uint64(id)%groups == 0 {
-				on[d.Server] = true
+				on[d.Endpoint] = true
 			}
 		}
 		return len(on)
@@ -85,7 +85,7 @@
 
 func TestOwnZoneFirstWhereCrossingsCost(t *testing.T) {
 	d := deployment()
-	d.CrossingPrice = 0.1
+	d.CrossZoneCost = 0.1
 	b, own := started(d, zoned(fleet(8), 2)), 0
 	for s, n := range connect(t, b, 1, 40) {
 		if s%2 == 0 {
@@ -102,16 +102,16 @@
 	held := connect(t, b, 1, 30)
 	list := fleet(3)
 	list[0].State = Draining
-	b.ListArrived(list[:1], false)
-	for id := CircuitID(100); id < 130; id++ {
-		if d := arrive(t, b, Arrival{ID: id, Key: uint64(id)}); d.Server == 100 {
+	b.UpdateEndpoints(list[:1], false)
+	for id := SessionID(100); id < 130; id++ {
+		if d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)}); d.Endpoint == 100 {
 			t.Fatal("a try went to a draining server")
 		}
 	}
 	moved := 0
 	for range 40 {
-		b.Clock(b.now + roundEvery)
-		moved += count(pull(b), Move)
+		b.AdvanceClock(b.now + roundEvery)
+		moved += count(pull(b), Migrate)
 	}
 	if moved < held[100] {
 		t.Fatalf("%d of %d moved", moved, held[100])
@@ -120,16 +120,16 @@
 
 func TestOneBadServerIsSetAsideAndComesBackAfterProbes(t *testing.T) {
 	b := started(deployment(), fleet(6))
-	for id := CircuitID(1); id <= 60; id++ {
-		d := arrive(t, b, Arrival{ID: id, Key: uint64(id)})
-		for try := 0; d.Do == Try; try++ {
-			if d.Server != 103 {
-				b.SetUp(id, try, ms)
+	for id := SessionID(1); id <= 60; id++ {
+		d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)})
+		for try := 0; d.Action == StartAttempt; try++ {
+			if d.Endpoint != 103 {
+				b.AttemptEstablished(id, try, ms)
 				break
 			}
 			d = end(t, b, id, try, Failed)
 		}
-		if d.Do != Try {
+		if d.Action != StartAttempt {
 			t.Fatalf("circuit %d: %+v", id, d)
 		}
 	}
@@ -138,11 +138,11 @@
 	}
 	probes := 0
 	for b.aside[3] && b.now < 20*time.Second {
-		b.Clock(b.now + roundEvery)
+		b.AdvanceClock(b.now + roundEvery)
 		for _, d := range pull(b) {
-			if d.Do == Probe {
+			if d.Action == HealthCheck {
 				probes++
-				b.ProbeAnswered(d.Server, Succeeded)
+				b.HealthCheckEnded(d.Endpoint, Succeeded)
 			}
 		}
 	}
@@ -153,24 +153,24 @@
 
 func TestSharedFailureThrottlesAndEmptiesNoPool(t *testing.T) {
 	b, tries := started(deployment(), fleet(9)), 0
-	for id := CircuitID(1); id <= 1000; id++ {
-		b.Clock(b.now + ms)
-		d := arrive(t, b, Arrival{ID: id, Key: uint64(id)})
-		for try := 0; d.Do == Try; try++ {
+	for id := SessionID(1); id <= 1000; id++ {
+		b.AdvanceClock(b.now + ms)
+		d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)})
+		for try := 0; d.Action == StartAttempt; try++ {
 			tries++
 			d = end(t, b, id, try, Failed)
 		}
-		if d.Do != Nack || d.For <= 0 || d.For > time.Second {
+		if d.Action != Reject || d.Duration <= 0 || d.Duration > time.Second {
 			t.Fatalf("no nack with advice: %+v", d)
 		}
 	}
 	if tries > 150 || len(slices.DeleteFunc(slices.Clone(b.aside), func(a bool) bool { return !a })) > 3 {
 		t.Fatalf("%d tries for 1000 circuits, set aside: %v", tries, b.aside)
 	}
-	for id := CircuitID(2001); b.now < 5*time.Second; id++ { // and it ends soon after the failure does
-		b.Clock(b.now + 10*ms)
-		if d := arrive(t, b, Arrival{ID: id, Key: uint64(id)}); d.Do == Try {
-			b.SetUp(id, 0, ms)
+	for id := SessionID(2001); b.now < 5*time.Second; id++ { // and it ends soon after the failure does
+		b.AdvanceClock(b.now + 10*ms)
+		if d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)}); d.Action == StartAttempt {
+			b.AttemptEstablished(id, 0, ms)
 		} else if b.now > 4*time.Second {
 			t.Fatal("still nacking long after the failure")
 		}
@@ -184,15 +184,15 @@
 		t.Fatalf("only %d servers used", len(held))
 	}
 	for s := range 8 {
-		b.Clock(time.Duration(s) * time.Second)
-		b.DelayNoted(102, 90*ms)
+		b.AdvanceClock(time.Duration(s) * time.Second)
+		b.RecordLatency(102, 90*ms)
 		for _, d := range pull(b) {
-			if d.Do == Move {
+			if d.Action == Migrate {
 				moves++
-				b.TryEnded(d.Circuit, 0, true, Cancelled)
+				b.AttemptEnded(d.Session, 0, true, Cancelled)
 			}
 		}
-		if d := arrive(t, b, Arrival{ID: CircuitID(100 + s), Key: uint64(s)}); d.Server == 102 {
+		if d := arrive(t, b, SessionRequest{ID: SessionID(100 + s), Key: uint64(s)}); d.Endpoint == 102 {
 			t.Fatal("a newcomer went to a jammed server")
 		}
 	}
@@ -205,11 +205,11 @@
 	moves := 0
 	for seed := range uint64(200) { // each of them holds one or two of its connections
 		b := New(deployment(), seed*7919)
-		b.ListArrived(fleet(5), true)
+		b.UpdateEndpoints(fleet(5), true)
 		connect(t, b, 1, 8)
-		b.Clock(time.Second)
-		b.DelayNoted(102, 65*ms+15*ms)
-		moves += count(pull(b), Move)
+		b.AdvanceClock(time.Second)
+		b.RecordLatency(102, 65*ms+15*ms)
+		moves += count(pull(b), Migrate)
 	}
 	if moves == 0 || moves > 100 {
 		t.Fatalf("%d moves by 200 balancers", moves)
@@ -219,17 +219,17 @@
 func TestRoomIsKeptWhenALowReportFollows(t *testing.T) {
 	b := started(deployment(), fleet(2))
 	connect(t, b, 1, 20)
-	b.Reported(100, Report{Asked: 2, Piled: -1, Util: -1})
+	b.RecordLoadReport(100, LoadReport{Demand: 2, Backlog: -1, Utilization: -1})
 	full := b.room[0]
 	if full >= b.load[0] {
 		t.Fatalf("room %v for a load of %v at twice the capacity", full, b.load[0])
 	}
-	for id := CircuitID(1); id <= 20; id++ {
+	for id := SessionID(1); id <= 20; id++ {
 		if b.circuit[id].server == 0 {
-			b.TryEnded(id, 0, true, Reset)
+			b.AttemptEnded(id, 0, true, Reset)
 		}
 	}
-	b.Reported(100, Report{Asked: 0.1, Piled: -1, Util: -1})
+	b.RecordLoadReport(100, LoadReport{Demand: 0.1, Backlog: -1, Utilization: -1})
 	if b.room[0] > full {
 		t.Fatalf("room grew from %v to %v on an empty server", full, b.room[0])
 	}
@@ -237,14 +237,14 @@
 
 func TestAllJammedNacksAtOnce(t *testing.T) {
 	b := started(deployment(), fleet(3))
-	for s := range ServerID(3) {
-		b.DelayNoted(100+s, 500*ms)
+	for s := range EndpointID(3) {
+		b.RecordLatency(100+s, 500*ms)
 	}
-	if d := arrive(t, b, Arrival{ID: 1, Key: 1}); d.Do != Nack || d.For <= 0 {
+	if d := arrive(t, b, SessionRequest{ID: 1, Key: 1}); d.Action != Reject || d.Duration <= 0 {
 		t.Fatalf("%+v", d)
 	}
-	b.Clock(noteFresh + time.Second) // notes that no longer come hold nothing closed
-	if d := arrive(t, b, Arrival{ID: 2, Key: 1}); d.Do != Try {
+	b.AdvanceClock(noteFresh + time.Second) // notes that no longer come hold nothing closed
+	if d := arrive(t, b, SessionRequest{ID: 2, Key: 1}); d.Action != StartAttempt {
 		t.Fatalf("%+v", d)
 	}
 }
@@ -252,17 +252,17 @@
 func TestColdServersKeepTheirBudgetInAStorm(t *testing.T) {
 	list, tries := fleet(4), 0
 	for i := range list {
-		list[i].Started = 0
+		list[i].StartedAt = 0
 	}
 	b := started(deployment(), list)
-	b.Clock(time.Second)
-	for id := CircuitID(1); id <= 2000; id++ {
-		b.Clock(b.now + ms)
-		d := arrive(t, b, Arrival{ID: id, Key: uint64(id)})
-		tries += count([]Decision{d}, Try)
-		if d.Do == Try {
-			b.SetUp(id, 0, ms)
-			b.TryEnded(id, 0, true, Reset)
+	b.AdvanceClock(time.Second)
+	for id := SessionID(1); id <= 2000; id++ {
+		b.AdvanceClock(b.now + ms)
+		d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)})
+		tries += count([]Decision{d}, StartAttempt)
+		if d.Action == StartAttempt {
+			b.AttemptEstablished(id, 0, ms)
+			b.AttemptEnded(id, 0, true, Reset)
 		}
 	}
 	if tries == 0 || tries > 40 {
@@ -273,32 +273,32 @@
 func TestEffects(t *testing.T) {
 	zoned := fleet(4)
 	for i := range zoned {
-		zoned[i].Zone, zoned[i].Cell = i%2, i
+		zoned[i].Zone, zoned[i].FailureDomain = i%2, i
 	}
 	for _, c := range []struct {
-		effect Effect
-		scope  Scope
+		effect Idempotency
+		scope  KeyScope
 		first  Outcome
 		wait   time.Duration
-		want   Verb
+		want   Action
 	}{
-		{Idempotent, ScopeAll, TimedOut, 0, Try},
-		{Unrepeatable, ScopeAll, TimedOut, 0, BreakOff},
-		{Unrepeatable, ScopeAll, ConnectFailed, 0, Try},
-		{Deduplicated, ScopeAll, Failed, 6 * time.Second, BreakOff},
-		{Deduplicated, ScopeZone, Failed, 0, Try},
-		{Deduplicated, ScopeCell, Failed, 0, Try},
-		{Deduplicated, ScopeCell, TurnedAway, 0, Try},
+		{Idempotent, KeyScopeAll, TimedOut, 0, StartAttempt},
+		{NonIdempotent, KeyScopeAll, TimedOut, 0, Fail},
+		{NonIdempotent, KeyScopeAll, ConnectFailed, 0, StartAttempt},
+		{IdempotentWithKey, KeyScopeAll, Failed, 6 * time.Second, Fail},
+		{IdempotentWithKey, KeyScopeZone, Failed, 0, StartAttempt},
+		{IdempotentWithKey, KeyScopeFailureDomain, Failed, 0, StartAttempt},
+		{IdempotentWithKey, KeyScopeFailureDomain, Rejected, 0, StartAttempt},
 	} {
 		d := deployment()
-		d.Grades[0].Effect, d.Grades[0].Scope = c.effect, c.scope
+		d.Classes[0].Idempotency, d.Classes[0].KeyScope = c.effect, c.scope
 		b := started(d, zoned)
-		first := arrive(t, b, Arrival{ID: 1, Key: 1, Left: 20 * time.Second})
-		b.Clock(c.wait)
+		first := arrive(t, b, SessionRequest{ID: 1, Key: 1, Timeout: 20 * time.Second})
+		b.AdvanceClock(c.wait)
 		then := end(t, b, 1, 0, c.first)
-		near := c.scope == ScopeAll || c.first == TurnedAway ||
-			c.scope == ScopeZone && then.Server%2 == first.Server%2 || then.Server == first.Server
-		if then.Do != c.want || then.Do == Try && !near {
+		near := c.scope == KeyScopeAll || c.first == Rejected ||
+			c.scope == KeyScopeZone && then.Endpoint%2 == first.Endpoint%2 || then.Endpoint == first.Endpoint
+		if then.Action != c.want || then.Action == StartAttempt && !near {
 			t.Errorf("%+v: %+v after %+v", c, then, first)
 		}
 	}
@@ -306,30 +306,30 @@
 
 func TestTimeOutsLeaveRoomForOneMore(t *testing.T) {
 	b := started(deployment(), fleet(3))
-	if d := arrive(t, b, Arrival{ID: 1, Key: 1, Left: 2 * time.Second}); d.For != time.Second {
-		t.Fatalf("%v of 2 s", d.For)
+	if d := arrive(t, b, SessionRequest{ID: 1, Key: 1, Timeout: 2 * time.Second}); d.Duration != time.Second {
+		t.Fatalf("%v of 2 s", d.Duration)
 	}
 	d := deployment()
-	d.Peers = 80 // each try is dear: all but a set-up's time
-	if d := arrive(t, started(d, fleet(3)), Arrival{ID: 1, Key: 1, Left: 2 * time.Second}); d.For != 1700*ms {
-		t.Fatalf("%v of 2 s, of eighty", d.For)
+	d.Balancers = 80 // each try is dear: all but a set-up's time
+	if d := arrive(t, started(d, fleet(3)), SessionRequest{ID: 1, Key: 1, Timeout: 2 * time.Second}); d.Duration != 1700*ms {
+		t.Fatalf("%v of 2 s, of eighty", d.Duration)
 	}
-	b.Clock(2 * time.Second) // the outer limit: answered at once, whatever is left of tries
-	if d := end(t, b, 1, 0, TimedOut); d.Do != Nack {
+	b.AdvanceClock(2 * time.Second) // the outer limit: answered at once, whatever is left of tries
+	if d := end(t, b, 1, 0, TimedOut); d.Action != Reject {
 		t.Fatalf("%+v", d)
 	}
 }
 
 func TestManyDeadServersDrawNoMoreTries(t *testing.T) {
 	b, failed := started(deployment(), fleet(9)), 0
-	for id := CircuitID(1); id <= 60; id++ { // six of nine are dead, twice as many as may be set aside
-		b.Clock(b.now + 5*ms)
-		d := arrive(t, b, Arrival{ID: id, Key: uint64(id)})
-		for try := 0; d.Do == Try && d.Server >= 103; try++ {
+	for id := SessionID(1); id <= 60; id++ { // six of nine are dead, twice as many as may be set aside
+		b.AdvanceClock(b.now + 5*ms)
+		d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)})
+		for try := 0; d.Action == StartAttempt && d.Endpoint >= 103; try++ {
 			failed++
 			d = end(t, b, id, try, ConnectFailed)
 		}
-		b.SetUp(id, len(b.circuit[id].tried)-1, ms)
+		b.AttemptEstablished(id, len(b.circuit[id].tried)-1, ms)
 	}
 	if failed != 6 {
 		t.Fatalf("%d tries at six dead servers", failed)
@@ -337,8 +337,8 @@
 }
 
 func TestNoReadyServer(t *testing.T) {
-	for _, list := range [][]Listed{nil, {{Server: 1, State: Draining}, {Server: 2, State: Gone}}} {
-		if d := arrive(t, started(deployment(), list), Arrival{ID: 1, Key: 1}); d.Do != Nack || d.For <= 0 {
+	for _, list := range [][]Endpoint{nil, {{ID: 1, State: Draining}, {ID: 2, State: Removed}}} {
+		if d := arrive(t, started(deployment(), list), SessionRequest{ID: 1, Key: 1}); d.Action != Reject || d.Duration <= 0 {
 			t.Fatalf("%+v", d)
 		}
 	}
@@ -346,19 +346,19 @@
 
 func TestHandedOverAndLateNews(t *testing.T) {
 	b := started(deployment(), fleet(2))
-	b.HandedOver(Arrival{ID: 9, Key: 9}, 101)
+	b.AdoptSession(SessionRequest{ID: 9, Key: 9}, 101)
 	if b.total != 1 || len(b.held[1]) != 1 || len(pull(b)) != 0 {
 		t.Fatal("an open connection was not taken over as it is")
 	}
-	b.TryEnded(9, 0, true, Succeeded)
-	b.TryEnded(9, 0, true, Succeeded)
-	b.SetUp(9, 0, ms)
-	b.LoadNoted(9, 0, 5)
-	b.ClientLeft(9)
-	b.ProbeAnswered(555, Succeeded)
-	b.DelayNoted(555, ms)
-	b.Reported(555, Report{Asked: 1})
-	if b.total != 0 || len(b.circuit) != 0 || count(pull(b), Try) != 0 {
+	b.AttemptEnded(9, 0, true, Succeeded)
+	b.AttemptEnded(9, 0, true, Succeeded)
+	b.AttemptEstablished(9, 0, ms)
+	b.RecordLoad(9, 0, 5)
+	b.ClientDisconnected(9)
+	b.HealthCheckEnded(555, Succeeded)
+	b.RecordLatency(555, ms)
+	b.RecordLoadReport(555, LoadReport{Demand: 1})
+	if b.total != 0 || len(b.circuit) != 0 || count(pull(b), StartAttempt) != 0 {
 		t.Fatal("late news had an effect")
 	}
 }
@@ -366,19 +366,19 @@
 func TestAServerThatShedIsNotTriedBlindly(t *testing.T) {
 	b := started(deployment(), fleet(3))
 	connect(t, b, 1, 12)
-	for id := CircuitID(1); id <= 12; id++ { // a full server sheds all that this balancer holds of it
+	for id := SessionID(1); id <= 12; id++ { // a full server sheds all that this balancer holds of it
 		if b.circuit[id].server == 1 {
-			b.TryEnded(id, 0, true, Reset)
+			b.AttemptEnded(id, 0, true, Reset)
 		}
 	}
 	again := 0
-	for id := CircuitID(20); id < 60; id++ {
-		b.Clock(b.now + 100*ms)
-		if d := arrive(t, b, Arrival{ID: id, Key: uint64(id)}); d.Do == Try {
-			b.SetUp(id, 0, ms)
-			if d.Server == 101 {
+	for id := SessionID(20); id < 60; id++ {
+		b.AdvanceClock(b.now + 100*ms)
+		if d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)}); d.Action == StartAttempt {
+			b.AttemptEstablished(id, 0, ms)
+			if d.Endpoint == 101 {
 				again++
-				b.TryEnded(id, 0, true, Reset)
+				b.AttemptEnded(id, 0, true, Reset)
 			}
 		}
 	}
@@ -389,16 +389,16 @@
 
 // TestResetsWithRoomAreNoJam guards against nacking all while every server resets what stands now and then.
 func TestResetsWithRoomAreNoJam(t *testing.T) {
-	for asked, want := range map[float64]Verb{0.1: Try, 0.6: Nack} {
+	for asked, want := range map[float64]Action{0.1: StartAttempt, 0.6: Reject} {
 		b := started(deployment(), fleet(3))
 		connect(t, b, 1, 30)
 		for _, l := range fleet(3) {
-			b.Reported(l.Server, Report{Asked: asked, Piled: -1, Util: -1})
+			b.RecordLoadReport(l.ID, LoadReport{Demand: asked, Backlog: -1, Utilization: -1})
 		}
-		for id := CircuitID(1); id <= 30; id += 4 {
-			b.TryEnded(id, 0, true, Reset)
+		for id := SessionID(1); id <= 30; id += 4 {
+			b.AttemptEnded(id, 0, true, Reset)
 		}
-		if d := arrive(t, b, Arrival{ID: 99, Key: 99}); d.Do != want {
+		if d := arrive(t, b, SessionRequest{ID: 99, Key: 99}); d.Action != want {
 			t.Errorf("%v asked: %+v", asked, d)
 		}
 	}
@@ -407,11 +407,11 @@
 func TestLateSetUpsBoundTheTriesOut(t *testing.T) {
 	b := started(deployment(), fleet(6))
 	most := 0
-	for id := CircuitID(1); id < 200; id++ { // a slow store: each set-up stands, but late
-		b.Clock(b.now + 20*ms)
-		arrive(t, b, Arrival{ID: id, Key: uint64(id)})
+	for id := SessionID(1); id < 200; id++ { // a slow store: each set-up stands, but late
+		b.AdvanceClock(b.now + 20*ms)
+		arrive(t, b, SessionRequest{ID: id, Key: uint64(id)})
 		if late := id - 25; late > 0 {
-			b.SetUp(late, 0, 500*ms)
+			b.AttemptEstablished(late, 0, 500*ms)
 		}
 		if id > 60 {
 			most = max(most, b.trying)
@@ -425,24 +425,24 @@
 func TestAPlannedRestartShedsInEvenParts(t *testing.T) {
 	b := started(deployment(), fleet(4))
 	connect(t, b, 1, 40)
-	b.Leave(b.now+400*ms, b.now+2400*ms)
-	moved, first := map[CircuitID]bool{}, time.Duration(0)
+	b.StartDraining(b.now+400*ms, b.now+2400*ms)
+	moved, first := map[SessionID]bool{}, time.Duration(0)
 	most := 0
 	for step := range 24 {
-		b.Clock(b.now + 100*ms)
+		b.AdvanceClock(b.now + 100*ms)
 		all := pull(b)
 		for _, d := range all {
-			if d.Do != Move || moved[d.Circuit] {
+			if d.Action != Migrate || moved[d.Session] {
 				t.Fatalf("%+v", d)
 			}
-			moved[d.Circuit] = true
-			b.TryEnded(d.Circuit, 0, true, Cancelled)
+			moved[d.Session] = true
+			b.AttemptEnded(d.Session, 0, true, Cancelled)
 		}
 		if first == 0 && len(all) > 0 {
 			first = b.now
 		}
 		most = max(most, len(all))
-		if d := arrive(t, b, Arrival{ID: CircuitID(1000 + step), Key: 5}); d.Do != Nack || d.For <= 0 {
+		if d := arrive(t, b, SessionRequest{ID: SessionID(1000 + step), Key: 5}); d.Action != Reject || d.Duration <= 0 {
 			t.Fatalf("a newcomer got %+v while leaving", d)
 		}
 	}
@@ -455,15 +455,15 @@
 func TestStayEndsALeaving(t *testing.T) {
 	b := started(deployment(), fleet(4))
 	connect(t, b, 1, 40)
-	b.Leave(b.now+400*ms, b.now+2400*ms)
+	b.StartDraining(b.now+400*ms, b.now+2400*ms)
 	moved := 0
 	for step := range 40 {
-		b.Clock(b.now + 100*ms)
+		b.AdvanceClock(b.now + 100*ms)
 		if step == 12 {
 			moved = 0
-			b.Stay()
+			b.StopDraining()
 		}
-		moved += count(pull(b), Move)
+		moved += count(pull(b), Migrate)
 		if step == 11 && (moved < 10 || moved == 40) {
 			t.Fatalf("%d moved half way", moved)
 		}
@@ -484,11 +484,11 @@
 
 func jamLeft(t *testing.T, peers int) {
 	d := deployment()
-	d.ReportsOnAsk, d.Peers = true, peers
+	d.HasLoadReports, d.Balancers = true, peers
 	b := started(d, fleet(4))
 	tell := func(first float64) {
 		for _, l := range fleet(4) {
-			b.Reported(l.Server, Report{Asked: first, Piled: -1, Util: -1})
+			b.RecordLoadReport(l.ID, LoadReport{Demand: first, Backlog: -1, Utilization: -1})
 			first = 0.1
 		}
 	}
@@ -497,8 +497,8 @@
 	tell(1.6)
 	var moved [2]int
 	for step := range 20 {
-		b.Clock(b.now + 100*ms)
-		moved[step/10] += count(pull(b), Move)
+		b.AdvanceClock(b.now + 100*ms)
+		moved[step/10] += count(pull(b), Migrate)
 	}
 	// 0.8 of what 1.6 is over 0.85; then, by the same report, an eighth.
 	if peers > 1 && moved[0] > held[100]/4 {
@@ -514,11 +514,11 @@
 func TestADrainGoesEvenly(t *testing.T) {
 	b := started(deployment(), fleet(20))
 	connect(t, b, 1, 60)
-	b.Leave(b.now+400*ms, b.now+3500*ms)
+	b.StartDraining(b.now+400*ms, b.now+3500*ms)
 	moved := 0
 	for range 20 {
-		b.Clock(b.now + 100*ms)
-		moved += count(pull(b), Move)
+		b.AdvanceClock(b.now + 100*ms)
+		moved += count(pull(b), Migrate)
 	}
 	if moved < 20 || moved > 40 {
 		t.Fatalf("%d of 60 moved within two of 3.5 seconds", moved)
@@ -529,16 +529,16 @@
 // against all of a restarted balancer's connections on that one, before any report can tell of it.
 func TestBeyondAnEvenShareRoomIsShown(t *testing.T) {
 	d := deployment()
-	d.ReportsOnAsk, d.CrossingPrice = true, 0.08
+	d.HasLoadReports, d.CrossZoneCost = true, 0.08
 	list := fleet(5)
 	for i := range list[1:] {
 		list[1+i].Zone = 1
 	}
 	b := started(d, list)
 	tell := func(asked float64) {
-		b.Clock(b.now + 3*time.Second)
+		b.AdvanceClock(b.now + 3*time.Second)
 		for _, l := range list {
-			b.Reported(l.Server, Report{Asked: asked, Piled: -1, Util: -1})
+			b.RecordLoadReport(l.ID, LoadReport{Demand: asked, Backlog: -1, Utilization: -1})
 		}
 	}
 	tell(0)
@@ -551,7 +551,7 @@
 	}
 	b = started(d, fleet(5)) // a machine that shows four times the pace is due as much more
 	tell(0)
-	b.Weighed(104, 4)
+	b.SetWeight(104, 4)
 	if held := connect(t, b, 1, 80); held[104] < 30 {
 		t.Errorf("by pace it got %v", held)
 	}
@@ -561,44 +561,44 @@
 // list says nothing, and what is old no longer counts.
 func TestWhatOthersHoldFillsAServer(t *testing.T) {
 	d := deployment()
-	d.Peers, d.MayTell, d.HeftExact = 3, true, true
+	d.Balancers, d.CanGossip, d.HasExactWeights = 3, true, true
 	b, o := started(d, fleet(4)), started(d, fleet(4))
 	key := uint64(0)
-	for id := CircuitID(1); key == 0; id++ { // a key whose first server is 100
-		if arrive(t, b, Arrival{ID: id, Key: uint64(id)}).Server == 100 {
+	for id := SessionID(1); key == 0; id++ { // a key whose first server is 100
+		if arrive(t, b, SessionRequest{ID: id, Key: uint64(id)}).Endpoint == 100 {
 			key = uint64(id)
 		}
 	}
 	told := o.tell()
 	told.Loads[0] = 500
-	first := func(id CircuitID) ServerID {
-		d := arrive(t, b, Arrival{ID: id, Key: key})
-		b.SetUp(id, 0, ms)
-		return d.Server
+	first := func(id SessionID) EndpointID {
+		d := arrive(t, b, SessionRequest{ID: id, Key: key})
+		b.AttemptEstablished(id, 0, ms)
+		return d.Endpoint
 	}
 	bad := told
-	bad.Mark++
-	for n, m := range []Told{bad, told} {
-		b.PeerTold(1, m)
-		b.Clock(b.now + roundEvery)
+	bad.VersionHash++
+	for n, m := range []GossipMessage{bad, told} {
+		b.ReceiveGossip(1, m)
+		b.AdvanceClock(b.now + roundEvery)
 		pull(b)
-		if got := first(CircuitID(1000 + n)); (got == 100) != (n == 0) {
+		if got := first(SessionID(1000 + n)); (got == 100) != (n == 0) {
 			t.Fatalf("message %d: a circuit went to %d", n, got)
 		}
 	}
-	b.Clock(b.now + toldFor + roundEvery)
+	b.AdvanceClock(b.now + toldFor + roundEvery)
 	pull(b)
 	if b.others[b.index[100]] != 0 || b.heard {
 		t.Fatalf("%v still counts", b.others)
 	}
-	b.PeerTold(2, told) // late and doubled: it counts once
-	b.PeerTold(2, told)
-	b.Clock(b.now + roundEvery)
+	b.ReceiveGossip(2, told) // late and doubled: it counts once
+	b.ReceiveGossip(2, told)
+	b.AdvanceClock(b.now + roundEvery)
 	pull(b)
 	if b.others[b.index[100]] != 500 {
 		t.Fatalf("%v after one message, told twice", b.others)
 	}
-	if n := count(pull(o), Tell); n > 1 {
+	if n := count(pull(o), SendGossip); n > 1 {
 		t.Fatalf("%d messages at once", n)
 	}
 }
@@ -607,25 +607,25 @@
 // count when settings of another shape come.
 func TestNewSettingsKeepWhatIsHeld(t *testing.T) {
 	d := deployment()
-	d.Grades[0].Effect = Unrepeatable
-	d.Tenants = []Tenant{{Connections: 5}}
+	d.Classes[0].Idempotency = NonIdempotent
+	d.Tenants = []Tenant{{ConnectionQuota: 5}}
 	b := started(d, fleet(3))
-	x := arrive(t, b, Arrival{ID: 1, Key: 1})
-	y := arrive(t, b, Arrival{ID: 2, Key: 2})
-	b.SetUp(2, 0, ms)
+	x := arrive(t, b, SessionRequest{ID: 1, Key: 1})
+	y := arrive(t, b, SessionRequest{ID: 2, Key: 2})
+	b.AttemptEstablished(2, 0, ms)
 	now := deployment()
-	now.Grades = append(now.Grades, now.Grades[0])
+	now.Classes = append(now.Classes, now.Classes[0])
 	b.Reconfigure(now, []int{-1}, []int{-1})
 	if b.tenant[0] != 2 || b.total != 2 {
 		t.Fatalf("%d of the tenants that are gone, %d held", b.tenant[0], b.total)
 	}
-	b.TryEnded(1, 0, false, Failed) // it may have run: no other try, by the grade that it came with
-	if got := pull(b); len(got) != 1 || got[0].Do != BreakOff {
-		t.Fatalf("%+v at %d", got, x.Server)
+	b.AttemptEnded(1, 0, false, Failed) // it may have run: no other try, by the grade that it came with
+	if got := pull(b); len(got) != 1 || got[0].Action != Fail {
+		t.Fatalf("%+v at %d", got, x.Endpoint)
 	}
 	b.Reconfigure(d, []int{0, -1}, nil)
-	b.TryEnded(2, 0, true, Succeeded)
-	if b.tenant[0] != 0 || b.total != 0 || len(b.held[b.index[y.Server]]) != 0 {
+	b.AttemptEnded(2, 0, true, Succeeded)
+	if b.tenant[0] != 0 || b.total != 0 || len(b.held[b.index[y.Endpoint]]) != 0 {
 		t.Fatalf("%v by tenant, %d held", b.tenant, b.total)
 	}
 }
@@ -637,17 +637,17 @@
 	for _, bad := range []bool{false, true} {
 		for seed := range uint64(40) {
 			b := New(deployment(), seed*7919)
-			b.ListArrived(fleet(40), true)
+			b.UpdateEndpoints(fleet(40), true)
 			connect(t, b, 1, 8)
-			b.Clock(time.Second)
+			b.AdvanceClock(time.Second)
 			for _, i := range b.newest().servers {
 				if bad && len(b.held[i]) > 0 {
-					b.DelayNoted(b.id[i], time.Second)
+					b.RecordLatency(b.id[i], time.Second)
 				}
 			}
 			pull(b)
-			for id := CircuitID(1000); id < 1020; id++ {
-				if arrive(t, b, Arrival{ID: id, Key: uint64(id) * seed, Group: uint64(id)}).Do == Nack {
+			for id := SessionID(1000); id < 1020; id++ {
+				if arrive(t, b, SessionRequest{ID: id, Key: uint64(id) * seed, Group: uint64(id)}).Action == Reject {
 					nacked[bad]++
 				}
 			}
@@ -662,14 +662,14 @@
 func TestLateSetUpsStopNoMovesInAJammedFleet(t *testing.T) {
 	for _, jams := range []int{0, 4} {
 		b := started(deployment(), fleet(4))
-		for id := CircuitID(1); id <= 20; id++ {
-			arrive(t, b, Arrival{ID: id, Key: uint64(id)})
-			b.SetUp(id, 0, 200*ms)
+		for id := SessionID(1); id <= 20; id++ {
+			arrive(t, b, SessionRequest{ID: id, Key: uint64(id)})
+			b.AttemptEstablished(id, 0, 200*ms)
 		}
 		for s := range jams {
-			b.DelayNoted(ServerID(100+s), 500*ms)
+			b.RecordLatency(EndpointID(100+s), 500*ms)
 		}
-		b.Clock(b.now + roundEvery)
+		b.AdvanceClock(b.now + roundEvery)
 		pull(b)
 		if got := b.ailing(); got != (jams == 0) {
 			t.Errorf("%d jams: ailing %v", jams, got)
--- a/policy/state.go
+++ b/policy/state.go
@@ -18,10 +18,10 @@
 
 // circuit is one circuit taken, from its arrival to its end.
 type circuit struct {
-	id                  CircuitID
+	id                  SessionID
 	key                 uint64 // the client's key
 	place               uint64 // what the ranking hashes: the group where there is one, else the client's key
-	grade               *Grade
+	grade               *Class
 	row, tenant         int           // of its grade, of its tenant
 	until               time.Duration // the outer limit of this client's try
 	out, open, answered bool          // a setup try is out; the connection stands; the final answer is given
@@ -38,13 +38,13 @@
 
 // Balancer is one balancer's knowledge and decisions.
 type Balancer struct {
-	dep                *Deployment
+	dep                *Config
 	now, triedAt       time.Duration // the newest setup try
 	seed, chance       uint64
 	away, across       float64       // weight of a server in another zone; for the circuit at hand
 	goal               time.Duration // the shortest message goal
-	index              map[ServerID]int
-	circuit            map[CircuitID]*circuit
+	index              map[EndpointID]int
+	circuit            map[SessionID]*circuit
 	pools              []*version // oldest first; the newest places new connections
 	queue              []*circuit // circuits that wait for a decision,
 	waiting            []*circuit // for a load report
@@ -74,10 +74,10 @@
 	heard              bool             // most of them did lately
 
 	// Figures about servers, by dense index.
-	id               []ServerID
+	id               []EndpointID
 	zone, cell       []int
 	kind             []uint64
-	state            []State
+	state            []EndpointState
 	heft             []float64
 	started          []time.Duration
 	held             [][]*circuit // connections and setup tries out
