--- a/internal/fleet/config/config.go
+++ b/internal/fleet/config/config.go
@@ -40,7 +40,7 @@
 	Advertise         netip.AddrPort // where the others reach it; Listen where the file tells none
 	Seeds             []netip.AddrPort
 	DataDir           string        // a directory of this member's own, absolute
-	Replicas          int           // holders of each record
+	ReplicationFactor int           // holders of each record
 	Machine           string        // what is lost together with this process,
 	Zone              string        // then what is lost together with the machine,
 	Site              string        // and with the zone
@@ -164,7 +164,7 @@
 	if b.Has("data") && !filepath.IsAbs(f.DataDir) {
 		r.At(b.At("data"), "data: %q is no absolute path; a relative one is another directory wherever the program is started", f.DataDir)
 	}
-	f.Replicas = b.Whole("copies", 3, 1, mostCopies)
+	f.ReplicationFactor = b.Whole("copies", 3, 1, mostCopies)
 	f.ForgetAfter = b.Span("gone_after", 24*time.Hour, time.Minute, 30*24*time.Hour)
 	f.ListFreshTTL = b.Span("list_young", 30*time.Second, 0, 24*time.Hour)
 	if f.ListStaleTTL = b.Span("list_old", 24*time.Hour, 0, 30*24*time.Hour); f.ListStaleTTL < f.ListFreshTTL {
--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.FleetName != "istanbul" || f.Advertise != f.Listen || len(f.Seeds) != 2 || f.Replicas != 3 || f.Machine != "m1" || f.ForgetAfter != 24*time.Hour {
+	if f.FleetName != "istanbul" || f.Advertise != f.Listen || len(f.Seeds) != 2 || f.ReplicationFactor != 3 || f.Machine != "m1" || f.ForgetAfter != 24*time.Hour {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -47,8 +47,8 @@
 	wire  *gossip.Transport
 	touch *gossip.Agent
 	held  *nodeserver.Server
-	feed  *publisher.Publisher // of a control process
-	tier  *subscriber.Follow   // in role "balancer" all that there is beside the seat
+	feed  *publisher.Server  // of a control process
+	tier  *subscriber.Client // in role "balancer" all that there is beside the seat
 	list  list
 	said  int // words of operators'
 	over  chan struct{}
@@ -104,7 +104,7 @@
 	}
 	streams := 0
 	if f.file.Role == config.RoleControl {
-		streams = f.file.MaxFollowers + publisher.More
+		streams = f.file.MaxFollowers + publisher.ExtraStreams
 	}
 	w, err := gossip.Listen(f.file.Listen, f.file.Advertise, streams)
 	if err != nil {
@@ -113,7 +113,7 @@
 	}
 	self := membership.Member{ID: s.MemberID, Name: f.name, Addr: f.file.Advertise, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site,
 		Incarnation: s.Incarnation, ProtocolVersion: gossip.ProtocolVersion, MinProtocolVersion: gossip.MinProtocolVersion}
-	t, err := gossip.Open(gossip.Options{FleetName: f.file.FleetName, Self: self, Seeds: f.file.Seeds, Replicas: f.file.Replicas, ForgetAfter: f.file.ForgetAfter,
+	t, err := gossip.Open(gossip.Options{FleetName: f.file.FleetName, Self: self, Seeds: f.file.Seeds, ReplicationFactor: f.file.ReplicationFactor, ForgetAfter: f.file.ForgetAfter,
 		MaxPeers: config.MaxMembers - 1, Seed: f.seed ^ s.Incarnation, Transport: w, Log: f.log, Now: boottime.Now})
 	if err != nil {
 		_ = w.Shutdown()
@@ -125,21 +125,21 @@
 		seeds = append(seeds, a.String())
 	}
 	var told nodeserver.Observer
-	var p *publisher.Publisher
+	var p *publisher.Server
 	if f.file.Role == config.RoleControl {
-		p = publisher.New(publisher.Options{ID: s.MemberID, Fleet: f.file.FleetName, Most: f.file.MaxFollowers, Seed: f.seed ^ s.Incarnation<<16, Wire: w, Now: boottime.Now, Log: f.log})
+		p = publisher.New(publisher.Options{ID: s.MemberID, Fleet: f.file.FleetName, MaxSubscribers: f.file.MaxFollowers, Seed: f.seed ^ s.Incarnation<<16, Streams: w, Now: boottime.Now, Log: f.log})
 		told = p
 	}
 	h, err := nodeserver.Open(nodeserver.Options{Node: node.Config{Self: nodeserver.ShardMember(self), Incarnation: s.Incarnation, BootstrapID: rand.Text(), CanBootstrap: f.file.Seeds[0] == f.file.Advertise, Seeds: seeds,
-		VoterCount: f.file.Voters, Replicas: f.file.Replicas, EvictAfter: f.file.RepairAfter, MaxRepairs: repairing, Seed: f.seed ^ s.Incarnation<<32, MaxKeys: f.file.MaxRecords,
-		MaxBytes: f.file.MaxBytes, MaxOperations: opsMost, Retention: []replication.Keep{{Prefix: idempotency.Prefix, For: idempotency.Keep}}}, FleetName: f.file.FleetName, Dir: f.file.DataDir, Transport: w, Gossip: t, Now: boottime.Now, Log: f.log, Observer: told})
+		VoterCount: f.file.Voters, ReplicationFactor: f.file.ReplicationFactor, EvictAfter: f.file.RepairAfter, MaxJoiningShards: repairing, Seed: f.seed ^ s.Incarnation<<32, MaxKeys: f.file.MaxRecords,
+		MaxBytes: f.file.MaxBytes, MaxPendingOperations: opsMost, Retention: []replication.RetentionRule{{Prefix: idempotency.KeyPrefix, TTL: idempotency.RecordTTL}}}, FleetName: f.file.FleetName, Dir: f.file.DataDir, Transport: w, Gossip: t, Now: boottime.Now, Log: f.log, Observer: told})
 	if err != nil {
 		t.Close()
 		s.Close()
 		return fmt.Errorf("data: %w", err)
 	}
 	if p != nil {
-		p.Serve(h)
+		p.Start(h)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,7 +172,7 @@
 	default:
 	}
 	f.seat = s
-	f.tier = subscriber.Open(subscriber.Options{Fleet: f.file.FleetName, Name: f.name, ID: s.MemberID, Life: s.Incarnation, Machine: f.file.Machine, Zone: f.file.Zone,
+	f.tier = subscriber.Open(subscriber.Options{Fleet: f.file.FleetName, Name: f.name, ID: s.MemberID, Incarnation: s.Incarnation, Machine: f.file.Machine, Zone: f.file.Zone,
 		Site: f.file.Site, Seeds: f.file.Seeds, Seed: f.seed ^ s.Incarnation<<32, Now: boottime.Now, Log: f.log})
 	f.log.Info("fleet: follower", zap.String("fleet", f.file.FleetName), zap.String("id", s.MemberID), zap.Uint64("life", s.Incarnation), zap.Bool("fresh", s.IsNew),
 		zap.String("machine", f.file.Machine), zap.String("zone", f.file.Zone), zap.String("site", f.file.Site))
@@ -181,7 +181,7 @@
 
 // asker is where records are held: here among others, or at the control processes.
 type asker interface {
-	Ask(op replication.Op, within time.Duration, done func(replication.Result))
+	Submit(op replication.Operation, within time.Duration, done func(replication.Result))
 }
 
 // holding is where records are held, and this process's ID; nil while another process of an upgrade has the directory.
@@ -199,12 +199,12 @@
 
 // Put has an operators' item changed, at a control process. done is called once, from another goroutine, within the span or a little
 // later; Refused says why it was not done, or is not known to be.
-func (f *Fleet) Put(p shardmap.Put, within time.Duration, done func(shardmap.Done)) {
+func (f *Fleet) Put(p shardmap.Put, within time.Duration, done func(shardmap.PutResult)) {
 	f.mu.Lock()
 	h := f.held
 	f.mu.Unlock()
 	if h == nil {
-		done(shardmap.Done{Op: p.Op, Refused: "this process is no member of the fleet"})
+		done(shardmap.PutResult{OperationID: p.OperationID, Rejection: "this process is no member of the fleet"})
 		return
 	}
 	h.Put(p, within, done)
@@ -221,17 +221,17 @@
 	return p.Get(key)
 }
 
-// Current tells whether what is known here may be taken for all that is agreed, as of this moment.
-func (f *Fleet) Current() bool {
+// IsCurrent tells whether what is known here may be taken for all that is agreed, as of this moment.
+func (f *Fleet) IsCurrent() bool {
 	f.mu.Lock()
 	p, t := f.feed, f.tier
 	f.mu.Unlock()
 	switch {
 	case t != nil:
-		return t.Current()
+		return t.IsCurrent()
 	case p != nil:
 		s := p.Status()
-		return s.Known && s.Age <= changefeed.Lease
+		return s.AgeKnown && s.Age <= changefeed.DefaultLease
 	}
 	return false
 }
@@ -243,7 +243,7 @@
 	t, h, p := f.touch, f.held, f.feed
 	f.mu.Unlock()
 	if p != nil {
-		p.Leave()
+		p.Drain()
 	}
 	if t == nil || !slices.ContainsFunc(t.Status().Peers, func(k membership.Peer) bool { return k.State == membership.Alive && !k.Leaving }) {
 		return // there is nobody to hand over to
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -27,17 +27,17 @@
 
 // Options is what a contact begins with.
 type Options struct {
-	FleetName   string
-	Self        membership.Member
-	Seeds       []netip.AddrPort
-	Replicas    int
-	ForgetAfter time.Duration
-	MaxPeers    int // other members
-	Seed        uint64
-	Transport   memberlist.Transport
-	Log         *zap.Logger
-	Now         func() time.Duration // a clock that goes on while the process is stopped
-	Tune        func(*memberlist.Config)
+	FleetName         string
+	Self              membership.Member
+	Seeds             []netip.AddrPort
+	ReplicationFactor int
+	ForgetAfter       time.Duration
+	MaxPeers          int // other members
+	Seed              uint64
+	Transport         memberlist.Transport
+	Log               *zap.Logger
+	Now               func() time.Duration // a clock that goes on while the process is stopped
+	Tune              func(*memberlist.Config)
 }
 
 // Status is what is known at one moment.
@@ -85,7 +85,7 @@
 // Open joins nobody yet: the table says whom to call.
 func Open(opt Options) (*Agent, error) {
 	c := &Agent{opt: opt, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	c.list = membership.New(membership.Config{Self: opt.Self, Seeds: opt.Seeds, Replicas: opt.Replicas, ForgetAfter: opt.ForgetAfter, MaxMembers: opt.MaxPeers, Seed: opt.Seed},
+	c.list = membership.New(membership.Config{Self: opt.Self, Seeds: opt.Seeds, ReplicationFactor: opt.ReplicationFactor, ForgetAfter: opt.ForgetAfter, MaxMembers: opt.MaxPeers, Seed: opt.Seed},
 		opt.Now())
 	c.beat.Store(int64(opt.Now()))
 	cfg := memberlist.DefaultLANConfig()
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -48,7 +48,7 @@
 	w.lives[id]++
 	self := membership.Member{ID: id, Name: fmt.Sprintf("n%d", i), Addr: memnet.Addr(i), Machine: fmt.Sprintf("m%d", i), Zone: "a", Site: "s",
 		Incarnation: w.lives[id], ProtocolVersion: ProtocolVersion, MinProtocolVersion: MinProtocolVersion}
-	opt := Options{FleetName: "f", Self: self, Replicas: 3, ForgetAfter: 24 * time.Hour, MaxPeers: 1024, Seed: uint64(i), Transport: w.ports[i], Log: zap.NewNop(), Now: w.now, Tune: w.tune}
+	opt := Options{FleetName: "f", Self: self, ReplicationFactor: 3, ForgetAfter: 24 * time.Hour, MaxPeers: 1024, Seed: uint64(i), Transport: w.ports[i], Log: zap.NewNop(), Now: w.now, Tune: w.tune}
 	for s := range min(3, len(w.all)) {
 		opt.Seeds = append(opt.Seeds, memnet.Addr(s))
 	}
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -41,7 +41,7 @@
 		seeds = append(seeds, member(i).Addr)
 	}
 	now := time.Duration(0)
-	table := New(Config{Self: self, Seeds: seeds, Replicas: 3, ForgetAfter: 3 * time.Minute, MaxMembers: 8, Seed: seed}, now)
+	table := New(Config{Self: self, Seeds: seeds, ReplicationFactor: 3, ForgetAfter: 3 * time.Minute, MaxMembers: 8, Seed: seed}, now)
 	for range heartbeats {
 		now += HeartbeatInterval
 		if rng.IntN(400) == 0 {
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -98,12 +98,12 @@
 
 // Config is what a table begins with.
 type Config struct {
-	Self        Member
-	Seeds       []netip.AddrPort
-	Replicas    int           // holders that each record is to have, on machines of their own
-	ForgetAfter time.Duration // a member that is gone longer is no part of the fleet any more
-	MaxMembers  int           // other members that are known at once
-	Seed        uint64
+	Self              Member
+	Seeds             []netip.AddrPort
+	ReplicationFactor int           // holders that each record is to have, on machines of their own
+	ForgetAfter       time.Duration // a member that is gone longer is no part of the fleet any more
+	MaxMembers        int           // other members that are known at once
+	Seed              uint64
 }
 
 // Table is what one member knows. It is one goroutine's.
@@ -361,13 +361,13 @@
 		t.act(Action{Kind: Report, Event: Event{Kind: StandingChanged, Standing: s, Alive: t.here() + 1, Total: t.fleet() + 1}})
 	}
 	machines := t.machines()
-	if short := t.met && machines < t.cfg.Replicas; short != t.short {
+	if short := t.met && machines < t.cfg.ReplicationFactor; short != t.short {
 		t.short = short
 		kind := EnoughMachines
 		if short {
 			kind = TooFewMachines
 		}
-		t.act(Action{Kind: Report, Event: Event{Kind: kind, Alive: machines, Total: t.cfg.Replicas}})
+		t.act(Action{Kind: Report, Event: Event{Kind: kind, Alive: machines, Total: t.cfg.ReplicationFactor}})
 	}
 }
 
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -22,7 +22,7 @@
 
 // table is member 0's, with seeds 0 to 2.
 func table(most int) *Table {
-	return New(Config{Self: member(0), Seeds: []netip.AddrPort{at(0), at(1), at(2)}, Replicas: 3, ForgetAfter: time.Hour, MaxMembers: most, Seed: 5}, 0)
+	return New(Config{Self: member(0), Seeds: []netip.AddrPort{at(0), at(1), at(2)}, ReplicationFactor: 3, ForgetAfter: time.Hour, MaxMembers: most, Seed: 5}, 0)
 }
 
 // run beats until a time and answers what was to be done, every 100 ms.
--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -45,15 +45,15 @@
 }
 
 // follower is a member that has been told of a fleet of n, with a view of each slot; it neither votes nor holds anything.
-func follower(b *testing.B, n int) (*Node, []placement.Seen) {
+func follower(b *testing.B, n int) (*Node, []placement.MemberStatus) {
 	all := listed(n)
-	c, err := New(Config{Self: all[0], Incarnation: 1, VoterCount: 5, Replicas: 3, EvictAfter: 10 * time.Second, MaxRepairs: 4, Seed: 7, MaxKeys: 1000, MaxBytes: 1 << 20, MaxOperations: 100}, PersistentState{}, 0)
+	c, err := New(Config{Self: all[0], Incarnation: 1, VoterCount: 5, ReplicationFactor: 3, EvictAfter: 10 * time.Second, MaxJoiningShards: 4, Seed: 7, MaxKeys: 1000, MaxBytes: 1 << 20, MaxPendingOperations: 100}, PersistentState{}, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
-	told := PollResponse{FleetID: "f", Version: 2, Epoch: 1, Members: all, Shards: map[int]shardmap.View{}, LeaderID: all[1].ID, Addr: all[1].Addr}
-	for num := range shardmap.Slots {
-		told.Shards[num] = shardmap.View{Num: 1, Full: shardmap.Pick(num, all[1:], 3)}
+	told := PollResponse{FleetID: "f", Version: 2, Epoch: 1, Members: all, Shards: map[int]shardmap.Configuration{}, LeaderID: all[1].ID, Addr: all[1].Addr}
+	for num := range shardmap.ShardCount {
+		told.Shards[num] = shardmap.Configuration{Number: 1, InSync: shardmap.PickReplicas(num, all[1:], 3)}
 	}
 	if err := c.Step(Packet{From: all[1].ID, To: all[0].ID, FleetID: "f", PollResponse: &told}); err != nil {
 		b.Fatal(err)
@@ -61,9 +61,9 @@
 	if len(c.State().Members) != n {
 		b.Fatal("the list was not taken over")
 	}
-	var seen []placement.Seen
+	var seen []placement.MemberStatus
 	for _, m := range all[1:] {
-		seen = append(seen, placement.Seen{Member: m, Here: true, For: time.Hour})
+		seen = append(seen, placement.MemberStatus{Member: m, Alive: true, StateAge: time.Hour})
 	}
 	return c, seen
 }
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -29,20 +29,20 @@
 
 // Config is what a member begins with.
 type Config struct {
-	Self          shardmap.Member
-	Incarnation   uint64
-	BootstrapID   string   // the ID of a fleet that this member may found, drawn for it
-	CanBootstrap  bool     // this member is at the first of the seeds' addresses: it is who founds a fleet
-	Seeds         []string // addresses
-	VoterCount    int      // that the log has, once there are so many machines
-	Replicas      int
-	EvictAfter    time.Duration // a member that is gone for so long is none of the next epoch
-	MaxRepairs    int           // slots that may be copied to somebody at once
-	Seed          uint64
-	MaxKeys       int // records that are held here at most,
-	MaxBytes      int // and their bytes
-	MaxOperations int // operations that wait
-	Retention     []replication.Keep
+	Self                 shardmap.Member
+	Incarnation          uint64
+	BootstrapID          string   // the ID of a fleet that this member may found, drawn for it
+	CanBootstrap         bool     // this member is at the first of the seeds' addresses: it is who founds a fleet
+	Seeds                []string // addresses
+	VoterCount           int      // that the log has, once there are so many machines
+	ReplicationFactor    int
+	EvictAfter           time.Duration // a member that is gone for so long is none of the next epoch
+	MaxJoiningShards     int           // slots that may be copied to somebody at once
+	Seed                 uint64
+	MaxKeys              int // records that are held here at most,
+	MaxBytes             int // and their bytes
+	MaxPendingOperations int // operations that wait
+	Retention            []replication.RetentionRule
 }
 
 // PersistentState is what is on disk.
@@ -58,21 +58,20 @@
 	Records []replication.Record
 }
 
-// Packet is a message from one member to another. At most one of Raft, Copies, Complaint, Poll, Told, Put and Done is set. The CBOR names
-// are the wire form.
+// Packet is a message from one member to another. At most one of the fields behind FleetID is set. The CBOR names are the wire form.
 type Packet struct {
 	From string `cbor:"From"` // member ID
 	To   string `cbor:"To"`   // member ID
 	Addr string `cbor:"Addr"` // unused; part of the wire form
 
-	FleetID      string                 `cbor:"Fleet"` // empty while the sender knows of no fleet
-	Raft         []byte                 `cbor:"Raft"`
-	Replication  []replication.Msg      `cbor:"Copies"`
-	Complaint    *replication.Complaint `cbor:"Complaint"`
-	PollRequest  *PollRequest           `cbor:"Poll"`
-	PollResponse *PollResponse          `cbor:"Told"`
-	PutRequest   *shardmap.Put          `cbor:"Put"`  // request to the log's leader
-	PutResult    *shardmap.Done         `cbor:"Done"` // response to Put
+	FleetID       string                     `cbor:"Fleet"` // empty while the sender knows of no fleet
+	Raft          []byte                     `cbor:"Raft"`  // a message of the log's
+	Replication   []replication.Message      `cbor:"Copies"`
+	ReplicaReport *replication.ReplicaReport `cbor:"Complaint"`
+	PollRequest   *PollRequest               `cbor:"Poll"`
+	PollResponse  *PollResponse              `cbor:"Told"`
+	PutRequest    *shardmap.Put              `cbor:"Put"`  // to the log's leader
+	PutResult     *shardmap.PutResult        `cbor:"Done"` // response to Put
 }
 
 // ProtocolVersion is the version of the protocol between members from which on they exchange the agreed state as changes and agree on operators'
@@ -90,14 +89,14 @@
 // PollResponse answers a Poll with all that was agreed since. A requester of the present protocol version gets Changes or, where these are no
 // longer kept, Snapshot; an older one gets Epoch, Members and Slots.
 type PollResponse struct {
-	FleetID  string                `cbor:"Fleet"`
-	Since    uint64                `cbor:"Since"` // the requester's version
-	Version  uint64                `cbor:"Version"`
-	Epoch    uint64                `cbor:"Epoch"`
-	Members  []shardmap.Member     `cbor:"Members"` // empty where they have not changed
-	Shards   map[int]shardmap.View `cbor:"Slots"`
-	LeaderID string                `cbor:"Leader"` // ID of the log's leader, as far as is known
-	Addr     string                `cbor:"Addr"`   // of the responder
+	FleetID  string                         `cbor:"Fleet"`
+	Since    uint64                         `cbor:"Since"` // the requester's version
+	Version  uint64                         `cbor:"Version"`
+	Epoch    uint64                         `cbor:"Epoch"`
+	Members  []shardmap.Member              `cbor:"Members"` // empty where they have not changed
+	Shards   map[int]shardmap.Configuration `cbor:"Slots"`
+	LeaderID string                         `cbor:"Leader"` // the log's leader, as far as is known
+	Addr     string                         `cbor:"Addr"`   // of the responder
 
 	ProtocolVersion int                  `cbor:"Form"`
 	RequestNumber   uint64               `cbor:"Number"`
@@ -115,7 +114,7 @@
 	ShardWrites []replication.Write
 	Packets     []Packet
 	Results     []replication.Result
-	PutResults  []shardmap.Done // how puts ended that were asked for here
+	PutResults  []shardmap.PutResult // how puts ended that were asked for here
 	Events      []Event
 
 	Installed *changefeed.Snapshot // the agreed state was replaced by this; before Changes
@@ -138,7 +137,7 @@
 	rng   *rand.Rand
 	log   *consensus.Node
 	held  *replication.Node
-	steer *placement.Steerer
+	steer *placement.Planner
 	term  uint64 // of the leadership that steer belongs to
 
 	feed    *changefeed.Log // the newest that is known, from the log or from others, as a map, and its newest changes
@@ -147,7 +146,7 @@
 	members uint64          // and of the list of members
 	leader  string
 
-	seen  []placement.Seen
+	seen  []placement.MemberStatus
 	poll  time.Duration
 	found time.Duration
 	vote  time.Duration
@@ -176,12 +175,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Node{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0xc02e)), log: log, known: shardmap.New(), changed: make([]uint64, shardmap.Slots),
-		fresh: map[string]time.Duration{}, poll: now, found: now, vote: now, said: saved.FleetID, feed: changefeed.NewLog(changefeed.LogConfig{Most: changesMost, Bytes: changesBytes}),
+	c := &Node{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 0xc02e)), log: log, known: shardmap.New(), changed: make([]uint64, shardmap.ShardCount),
+		fresh: map[string]time.Duration{}, poll: now, found: now, vote: now, said: saved.FleetID, feed: changefeed.NewLog(changefeed.LogConfig{MaxChanges: changesMost, MaxBytes: changesBytes}),
 		polls: polls{}, puts: map[string]*put{}, propose: map[string]*propose{}}
-	c.known.Fleet = saved.FleetID
-	c.held = replication.New(replication.Config{ID: cfg.Self.ID, Life: cfg.Incarnation, Least: min(2, cfg.Replicas), MostKeys: cfg.MaxKeys, MostBytes: cfg.MaxBytes,
-		MostOps: cfg.MaxOperations, Keeps: cfg.Retention}, now)
+	c.known.FleetID = saved.FleetID
+	c.held = replication.New(replication.Config{ID: cfg.Self.ID, Incarnation: cfg.Incarnation, MinReplicas: min(2, cfg.ReplicationFactor), MaxKeys: cfg.MaxKeys, MaxBytes: cfg.MaxBytes,
+		MaxPendingOperations: cfg.MaxPendingOperations, Retention: cfg.Retention}, now)
 	for _, num := range sortedSlots(saved.Shards) {
 		c.held.Load(num, saved.Shards[num].Ballot, saved.Shards[num].Records)
 	}
@@ -210,10 +209,10 @@
 // ---- What comes in.
 
 // Tick tells of the time, and how the other members are seen now.
-func (c *Node) Tick(now time.Duration, seen []placement.Seen) {
+func (c *Node) Tick(now time.Duration, seen []placement.MemberStatus) {
 	c.now, c.seen = now, seen
 	c.log.Tick(now)
-	c.held.Clock(now)
+	c.held.Tick(now)
 	c.begin()
 	c.lead()
 	c.push()
@@ -236,18 +235,18 @@
 func (c *Node) Leave() { c.leaves = true }
 
 // SetWallClock tells of the time of day, by which records age.
-func (c *Node) SetWallClock(unix int64) { c.held.Wall(unix) }
+func (c *Node) SetWallClock(unix int64) { c.held.SetWallClock(unix) }
 
 // Submit has an operation done within a span; its result comes with a Ready.
-func (c *Node) Submit(op replication.Op, within time.Duration) { c.held.Ask(op, within) }
+func (c *Node) Submit(op replication.Operation, within time.Duration) { c.held.Submit(op, within) }
 
-// DiskFailed tells that the disk can't be written: this member promises nothing any more, neither in the copies nor in the log.
-func (c *Node) DiskFailed() { c.held.Broken() }
+// MarkDiskFailed tells that the disk can't be written: this member promises nothing any more, neither in the copies nor in the log.
+func (c *Node) MarkDiskFailed() { c.held.MarkDiskFailed() }
 
 // Step takes a packet. One of another fleet's is an error, and so is one that can't be read.
 func (c *Node) Step(p Packet) error {
-	if p.FleetID != "" && c.known.Fleet != "" && p.FleetID != c.known.Fleet {
-		return fmt.Errorf("a word of fleet %s; this one is %s", p.FleetID, c.known.Fleet)
+	if p.FleetID != "" && c.known.FleetID != "" && p.FleetID != c.known.FleetID {
+		return fmt.Errorf("a word of fleet %s; this one is %s", p.FleetID, c.known.FleetID)
 	}
 	if p.To != "" && p.To != c.cfg.Self.ID {
 		return fmt.Errorf("a word for member %s", p.To)
@@ -255,9 +254,9 @@
 	switch {
 	case p.Raft != nil:
 		return c.log.Step(p.Raft)
-	case p.Complaint != nil:
-		if c.steer != nil && c.log.IsLeader() && p.Complaint.Slot >= 0 && p.Complaint.Slot < shardmap.Slots {
-			c.steer.Complain(c.now, c.log.State(), *p.Complaint)
+	case p.ReplicaReport != nil:
+		if c.steer != nil && c.log.IsLeader() && p.ReplicaReport.Shard >= 0 && p.ReplicaReport.Shard < shardmap.ShardCount {
+			c.steer.Report(c.now, c.log.State(), *p.ReplicaReport)
 		}
 	case p.PollRequest != nil:
 		c.tell(p)
@@ -281,7 +280,7 @@
 func (c *Node) ask() {
 	var ids []string
 	for _, m := range c.seen {
-		if m.Here && m.ID != c.cfg.Self.ID {
+		if m.Alive && m.ID != c.cfg.Self.ID {
 			ids = append(ids, m.ID)
 		}
 	}
@@ -311,7 +310,7 @@
 
 // tell answers a poll.
 func (c *Node) tell(p Packet) {
-	t := &PollResponse{FleetID: c.known.Fleet, Since: p.PollRequest.Version, Version: c.known.Version, Epoch: c.known.Epoch, LeaderID: c.leader, Addr: c.cfg.Self.Addr,
+	t := &PollResponse{FleetID: c.known.FleetID, Since: p.PollRequest.Version, Version: c.known.Version, Epoch: c.known.Epoch, LeaderID: c.leader, Addr: c.cfg.Self.Addr,
 		ProtocolVersion: ProtocolVersion, RequestNumber: p.PollRequest.RequestNumber, Digest: c.feed.Digest()}
 	if asOf, known := c.AsOf(); known {
 		t.HasAge, t.Age = true, c.now-asOf
@@ -319,11 +318,11 @@
 	since := p.PollRequest.Version
 	if p.PollRequest.ProtocolVersion >= ProtocolVersion {
 		c.since(p.PollRequest, t)
-	} else if t.Shards = map[int]shardmap.View{}; since < c.known.Version {
+	} else if t.Shards = map[int]shardmap.Configuration{}; since < c.known.Version {
 		if c.members > since {
 			t.Members = c.known.Members
 		}
-		for num, v := range c.known.Views {
+		for num, v := range c.known.Configurations {
 			if c.changed[num] > since {
 				t.Shards[num] = v
 			}
@@ -353,11 +352,11 @@
 	}
 	// An answer to a process before this one, which knew more, leaves out what this one lacks. So does one of an older program that came
 	// back to a fleet that has operators' items already.
-	if t.Version <= c.known.Version || t.Since > c.known.Version || len(c.feed.State().All(shardmap.Config)) > 0 {
+	if t.Version <= c.known.Version || t.Since > c.known.Version || len(c.feed.State().Items(shardmap.ItemPrefix)) > 0 {
 		return
 	}
-	if c.known.Fleet == "" {
-		c.known.Fleet = t.FleetID
+	if c.known.FleetID == "" {
+		c.known.FleetID = t.FleetID
 	}
 	epoch := t.Epoch > c.known.Epoch
 	if epoch && len(t.Members) > 0 {
@@ -365,7 +364,7 @@
 	}
 	c.known.Version = t.Version
 	for _, num := range sortedViews(t.Shards) {
-		if v := t.Shards[num]; num >= 0 && num < shardmap.Slots && v.Num > c.known.Views[num].Num {
+		if v := t.Shards[num]; num >= 0 && num < shardmap.ShardCount && v.Number > c.known.Configurations[num].Number {
 			c.view(num, v, t.Version)
 		}
 	}
@@ -373,7 +372,7 @@
 	c.wrote(epoch)
 }
 
-func sortedViews(m map[int]shardmap.View) []int {
+func sortedViews(m map[int]shardmap.Configuration) []int {
 	all := make([]int, 0, len(m))
 	for n := range m {
 		all = append(all, n)
@@ -382,16 +381,16 @@
 	return all
 }
 
-func (c *Node) view(num int, v shardmap.View, version uint64) {
-	c.known.Views[num], c.changed[num] = v, version
-	c.held.View(num, v)
+func (c *Node) view(num int, v shardmap.Configuration, version uint64) {
+	c.known.Configurations[num], c.changed[num] = v, version
+	c.held.SetConfiguration(num, v)
 }
 
 // wrote notes the fleet's ID for the disk, and tells of an epoch.
 func (c *Node) wrote(epoch bool) {
-	if c.known.Fleet != c.said {
-		c.said = c.known.Fleet
-		c.out.FleetID = c.known.Fleet
+	if c.known.FleetID != c.said {
+		c.said = c.known.FleetID
+		c.out.FleetID = c.known.FleetID
 	}
 	if epoch {
 		c.out.Events = append(c.out.Events, Event{Message: "epoch", Epoch: c.known.Epoch, Detail: fmt.Sprintf("%d members", len(c.known.Members))})
@@ -403,7 +402,7 @@
 // begin founds a fleet: at the first seed alone, and only when every seed is there and knows of none. Guards against a second
 // fleet beside the first, whose members' records nobody would find: a first seed that lost its disk finds the others here.
 func (c *Node) begin() {
-	if !c.cfg.CanBootstrap || c.known.Fleet != "" || c.now < c.found {
+	if !c.cfg.CanBootstrap || c.known.FleetID != "" || c.now < c.found {
 		return
 	}
 	c.found = c.now + foundEach
@@ -417,7 +416,7 @@
 			all = false
 		}
 		for _, m := range c.seen {
-			if m.Here && m.Addr == addr {
+			if m.Alive && m.Addr == addr {
 				c.send(Packet{To: m.ID, PollRequest: &PollRequest{}})
 			}
 		}
@@ -442,19 +441,19 @@
 	c.leader = c.cfg.Self.ID
 	if c.steer == nil || c.term != c.log.Term() {
 		c.term = c.log.Term()
-		c.steer = placement.New(placement.Config{Copies: c.cfg.Replicas, Least: min(2, c.cfg.Replicas), Evict: c.cfg.EvictAfter, Joining: c.cfg.MaxRepairs}, c.now)
+		c.steer = placement.New(placement.Config{ReplicationFactor: c.cfg.ReplicationFactor, MinReplicas: min(2, c.cfg.ReplicationFactor), EvictAfter: c.cfg.EvictAfter, MaxJoiningShards: c.cfg.MaxJoiningShards}, c.now)
 	}
 	if c.leaves && c.now >= c.vote {
 		c.vote = c.now + voteEach
 		for _, m := range c.seen {
-			if id := consensus.NodeID(m.ID); m.Here && !m.Going && slices.Contains(c.log.Voters(), id) {
+			if id := consensus.NodeID(m.ID); m.Alive && !m.Draining && slices.Contains(c.log.Voters(), id) {
 				c.log.TransferLeadership(id)
 				break
 			}
 		}
 	}
-	seen := append(slices.Clone(c.seen), placement.Seen{Member: c.cfg.Self, Here: true, Going: c.leaves, For: time.Hour})
-	if e, is := c.steer.Decide(c.now, c.log.State(), seen, len(c.log.Voters()) >= c.cfg.VoterCount); is {
+	seen := append(slices.Clone(c.seen), placement.MemberStatus{Member: c.cfg.Self, Alive: true, Draining: c.leaves, StateAge: time.Hour})
+	if e, is := c.steer.Propose(c.now, c.log.State(), seen, len(c.log.Voters()) >= c.cfg.VoterCount); is {
 		_ = c.log.Propose(e)
 	}
 	if c.now >= c.vote {
@@ -466,7 +465,7 @@
 // ---- What goes out.
 
 func (c *Node) send(p Packet) {
-	p.From, p.FleetID = c.cfg.Self.ID, c.known.Fleet
+	p.From, p.FleetID = c.cfg.Self.ID, c.known.FleetID
 	c.out.Packets = append(c.out.Packets, p)
 }
 
@@ -488,7 +487,7 @@
 	held := c.held.Ready()
 	c.out.ShardWrites, c.out.Results = held.Writes, held.Results
 	byTo := map[string]int{}
-	for _, m := range held.Msgs {
+	for _, m := range held.Messages {
 		i, is := byTo[m.To]
 		if !is {
 			i = len(c.out.Packets)
@@ -497,11 +496,11 @@
 		}
 		c.out.Packets[i].Replication = append(c.out.Packets[i].Replication, m)
 	}
-	for _, one := range held.Complaints {
+	for _, one := range held.Reports {
 		if c.log.IsLeader() && c.steer != nil {
-			c.steer.Complain(c.now, c.log.State(), one)
+			c.steer.Report(c.now, c.log.State(), one)
 		} else if c.leader != "" && c.leader != c.cfg.Self.ID {
-			c.send(Packet{To: c.leader, Complaint: &one})
+			c.send(Packet{To: c.leader, ReplicaReport: &one})
 		}
 	}
 	r := c.out
--- a/internal/fleet/nodeserver/bench_test.go
+++ b/internal/fleet/nodeserver/bench_test.go
@@ -48,7 +48,7 @@
 				known = append(known, membership.Peer{Member: m})
 				all = append(all, ShardMember(m))
 			}
-			c, err := node.New(node.Config{Self: all[0], Incarnation: 1, Replicas: 3}, node.PersistentState{}, 0)
+			c, err := node.New(node.Config{Self: all[0], Incarnation: 1, ReplicationFactor: 3}, node.PersistentState{}, 0)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -58,9 +58,9 @@
 			h := &Server{core: c}
 			done := metered(b)
 			for range b.N {
-				var at []placement.Seen
+				var at []placement.MemberStatus
 				for _, k := range known[1:] {
-					at = append(at, placement.Seen{Member: ShardMember(k.Member), Here: true, For: time.Hour})
+					at = append(at, placement.MemberStatus{Member: ShardMember(k.Member), Alive: true, StateAge: time.Hour})
 				}
 				h.out(node.Ready{}, at)
 			}
--- a/internal/fleet/nodeserver/golden_dir_test.go
+++ b/internal/fleet/nodeserver/golden_dir_test.go
@@ -22,7 +22,7 @@
 func goldenNode(life uint64) node.Config {
 	const addr = "10.0.0.1:7001"
 	return node.Config{Self: shardmap.Member{ID: goldenMember, Addr: addr, Machine: "m1", Zone: "a", Site: "s"}, Incarnation: life, BootstrapID: "fleet-id", CanBootstrap: true,
-		Seeds: []string{addr}, VoterCount: 1, Replicas: 1, EvictAfter: 10 * time.Second, MaxRepairs: 8, Seed: 7, MaxKeys: 100, MaxBytes: 1 << 20, MaxOperations: 10}
+		Seeds: []string{addr}, VoterCount: 1, ReplicationFactor: 1, EvictAfter: 10 * time.Second, MaxJoiningShards: 8, Seed: 7, MaxKeys: 100, MaxBytes: 1 << 20, MaxPendingOperations: 10}
 }
 
 // driveNode advances a node in steps, with all that it asks for written to the store, until something is so.
@@ -47,12 +47,12 @@
 }
 
 // operate has one operation done.
-func operate(t *testing.T, c *node.Node, s *store.Store, now *time.Duration, op replication.Op) (result replication.Result) {
+func operate(t *testing.T, c *node.Node, s *store.Store, now *time.Duration, op replication.Operation) (result replication.Result) {
 	t.Helper()
 	c.Submit(op, 10*time.Second)
 	driveNode(t, c, s, now, func(r node.Ready) bool {
 		for _, one := range r.Results {
-			if one.Op == op.ID {
+			if one.OperationID == op.ID {
 				result = one
 				return true
 			}
@@ -73,7 +73,7 @@
 	if err != nil || identity != (datadir.Identity{Format: 1, Fleet: "istanbul", Machine: "m1", MemberID: goldenMember, Incarnation: 3}) {
 		t.Fatalf("%v: %+v", err, identity)
 	}
-	if _, err := store.Look(dir); err != nil {
+	if _, err := store.Inspect(dir); err != nil {
 		t.Fatal(err)
 	}
 	s, saved, err := store.Open(dir)
@@ -85,7 +85,7 @@
 	for _, one := range saved.Shards {
 		records += len(one.Records)
 	}
-	if saved.FleetID != "fleet-id" || len(saved.Shards) != shardmap.Slots || records != 6 || len(saved.Log.HardState) == 0 || len(saved.Log.Snapshot) == 0 ||
+	if saved.FleetID != "fleet-id" || len(saved.Shards) != shardmap.ShardCount || records != 6 || len(saved.Log.HardState) == 0 || len(saved.Log.Snapshot) == 0 ||
 		len(saved.Log.Entries) != 8 {
 		t.Errorf("fleet %q, %d slots, %d records, %d entries", saved.FleetID, len(saved.Shards), records, len(saved.Log.Entries))
 	}
@@ -105,12 +105,12 @@
 	}
 	for i := range 5 {
 		key := fmt.Sprintf("key/%d", i)
-		got := operate(t, c, s, &now, replication.Op{ID: "read " + key, Key: key, Read: true})
-		if got.Outcome != replication.Conflict || got.Record.Version != uint64(1+i%2) || string(got.Record.Value) != fmt.Sprintf("%s at %d", key, got.Record.Version) {
+		got := operate(t, c, s, &now, replication.Operation{ID: "read " + key, Key: key, ReadOnly: true})
+		if got.Outcome != replication.OutcomeConflict || got.Record.Version != uint64(1+i%2) || string(got.Record.Value) != fmt.Sprintf("%s at %d", key, got.Record.Version) {
 			t.Errorf("%s: %+v", key, got)
 		}
 	}
-	if got := operate(t, c, s, &now, replication.Op{ID: "next", Key: "key/0", If: 1, Value: []byte("new")}); got.Outcome != replication.Done || got.Record.Version != 2 {
+	if got := operate(t, c, s, &now, replication.Operation{ID: "next", Key: "key/0", ExpectedVersion: 1, Value: []byte("new")}); got.Outcome != replication.OutcomeCommitted || got.Record.Version != 2 {
 		t.Errorf("a write that follows: %+v", got)
 	}
 }
--- a/internal/fleet/nodeserver/nodeserver.go
+++ b/internal/fleet/nodeserver/nodeserver.go
@@ -93,8 +93,8 @@
 	all     sync.WaitGroup
 	once    sync.Once
 
-	waiting map[string]func(replication.Result) // the core's goroutine's
-	putting map[string][]func(shardmap.Done)    // as well
+	waiting map[string]func(replication.Result)   // the core's goroutine's
+	putting map[string][]func(shardmap.PutResult) // as well
 	broken  error
 	untold  bool // the feed lacks changes
 	status  atomic.Pointer[Status]
@@ -103,7 +103,7 @@
 }
 
 type ask struct {
-	op     replication.Op
+	op     replication.Operation
 	within time.Duration
 	done   func(replication.Result)
 }
@@ -111,7 +111,7 @@
 type putAsk struct {
 	put    shardmap.Put
 	within time.Duration
-	done   func(shardmap.Done)
+	done   func(shardmap.PutResult)
 }
 
 // Open reads the disk and begins.
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	h := &Server{opt: opt, core: c, store: s, wake: make(chan struct{}, 1), done: make(chan struct{}), waiting: map[string]func(replication.Result){},
-		putting: map[string][]func(shardmap.Done){}}
+		putting: map[string][]func(shardmap.PutResult){}}
 	h.links = &links{fleet: opt.FleetName, self: opt.Node.Self.ID, wire: opt.Transport, heard: h.heard, to: map[string]*link{}}
 	h.publish()
 	h.all.Add(1)
@@ -136,9 +136,9 @@
 	return h, nil
 }
 
-// Ask has an operation done, here or wherever its slot's primary is. done is called once, from another goroutine, within the span
+// Submit has an operation done, here or wherever its slot's primary is. done is called once, from another goroutine, within the span
 // or a little later; it must not wait.
-func (h *Server) Ask(op replication.Op, within time.Duration, done func(replication.Result)) {
+func (h *Server) Submit(op replication.Operation, within time.Duration, done func(replication.Result)) {
 	h.mu.Lock()
 	over := h.over || len(h.asks) >= inboxMost
 	if !over {
@@ -146,7 +146,7 @@
 	}
 	h.mu.Unlock()
 	if over {
-		done(replication.Result{Op: op.ID, Outcome: replication.Refused, Why: replication.Busy})
+		done(replication.Result{OperationID: op.ID, Outcome: replication.OutcomeRejected, Reason: replication.ReasonBusy})
 		return
 	}
 	h.poke()
@@ -154,7 +154,7 @@
 
 // Put has an operators' item changed, wherever the log's leader is. done is called as with Ask; Refused says why where it was not
 // done, or is not known to be. Asked again with the same operation it is answered with the same version.
-func (h *Server) Put(p shardmap.Put, within time.Duration, done func(shardmap.Done)) {
+func (h *Server) Put(p shardmap.Put, within time.Duration, done func(shardmap.PutResult)) {
 	h.mu.Lock()
 	over := h.over || len(h.puts) >= inboxMost
 	if !over {
@@ -162,7 +162,7 @@
 	}
 	h.mu.Unlock()
 	if over {
-		done(shardmap.Done{Op: p.Op, Refused: "busy: too many wait, or this process ends"})
+		done(shardmap.PutResult{OperationID: p.OperationID, Rejection: "busy: too many wait, or this process ends"})
 		return
 	}
 	h.poke()
@@ -231,18 +231,18 @@
 	h.asks, h.puts = nil, nil
 	h.mu.Unlock()
 	for _, p := range puts {
-		p.done(shardmap.Done{Op: p.put.Op, Refused: "this process ends"})
+		p.done(shardmap.PutResult{OperationID: p.put.OperationID, Rejection: "this process ends"})
 	}
 	for op, all := range h.putting {
 		for _, done := range all {
-			done(shardmap.Done{Op: op, Refused: "this process ends: it is not known whether it took hold"})
+			done(shardmap.PutResult{OperationID: op, Rejection: "this process ends: it is not known whether it took hold"})
 		}
 	}
 	for _, a := range asks {
-		a.done(replication.Result{Op: a.op.ID, Outcome: replication.Refused, Why: replication.Busy})
+		a.done(replication.Result{OperationID: a.op.ID, Outcome: replication.OutcomeRejected, Reason: replication.ReasonBusy})
 	}
 	for id, done := range h.waiting {
-		done(replication.Result{Op: id, Outcome: replication.Unknown})
+		done(replication.Result{OperationID: id, Outcome: replication.OutcomeUnknown})
 	}
 }
 
@@ -269,7 +269,7 @@
 		h.core.Submit(a.op, a.within)
 	}
 	for _, p := range puts {
-		h.putting[p.put.Op] = append(h.putting[p.put.Op], p.done)
+		h.putting[p.put.OperationID] = append(h.putting[p.put.OperationID], p.done)
 		h.core.Put(p.put, p.within)
 	}
 	r, err := h.core.Ready()
@@ -281,16 +281,16 @@
 	}
 	if err != nil && h.broken == nil {
 		h.broken = err
-		h.core.DiskFailed()
+		h.core.MarkDiskFailed()
 		h.opt.Log.Error("fleet: this member promises nothing any more", zap.Error(err))
 	}
 	if h.broken != nil { // what it leans on is not on disk: nothing goes out
 		r.Packets = nil
 		for i := range r.Results {
-			r.Results[i] = replication.Result{Op: r.Results[i].Op, Outcome: replication.Unknown, Why: replication.Disk}
+			r.Results[i] = replication.Result{OperationID: r.Results[i].OperationID, Outcome: replication.OutcomeUnknown, Reason: replication.ReasonDiskFailed}
 		}
 		for i := range r.PutResults {
-			r.PutResults[i] = shardmap.Done{Op: r.PutResults[i].Op, Refused: "this member's disk has failed: it is not known whether it took hold"}
+			r.PutResults[i] = shardmap.PutResult{OperationID: r.PutResults[i].OperationID, Rejection: "this member's disk has failed: it is not known whether it took hold"}
 		}
 	}
 	h.out(r, at)
@@ -311,7 +311,7 @@
 	}
 }
 
-func (h *Server) out(r node.Ready, at []placement.Seen) {
+func (h *Server) out(r node.Ready, at []placement.MemberStatus) {
 	for _, l := range r.Events {
 		if l.IsAlert {
 			h.opt.Log.Error("fleet: "+l.Message, zap.Uint64("version", l.Version), zap.String("is", l.Detail))
@@ -320,8 +320,8 @@
 		}
 	}
 	for _, d := range r.PutResults {
-		all := h.putting[d.Op]
-		delete(h.putting, d.Op)
+		all := h.putting[d.OperationID]
+		delete(h.putting, d.OperationID)
 		for _, done := range all {
 			done(d)
 		}
@@ -339,10 +339,10 @@
 		}
 	}
 	for _, one := range r.Results {
-		if done := h.waiting[one.Op]; done != nil {
-			delete(h.waiting, one.Op)
-			if one.Outcome == replication.Refused || one.Outcome == replication.Unknown {
-				h.opt.Log.Warn("fleet: not promised", zap.String("op", one.Op), zap.Stringer("outcome", one.Outcome), zap.Stringer("why", one.Why))
+		if done := h.waiting[one.OperationID]; done != nil {
+			delete(h.waiting, one.OperationID)
+			if one.Outcome == replication.OutcomeRejected || one.Outcome == replication.OutcomeUnknown {
+				h.opt.Log.Warn("fleet: not promised", zap.String("op", one.OperationID), zap.Stringer("outcome", one.Outcome), zap.Stringer("why", one.Reason))
 			}
 			done(one)
 		}
@@ -350,13 +350,13 @@
 }
 
 // seen is how the other members are seen.
-func (h *Server) seen() []placement.Seen {
+func (h *Server) seen() []placement.MemberStatus {
 	s := h.opt.Gossip.Status()
 	now := h.opt.Now()
-	var all []placement.Seen
+	var all []placement.MemberStatus
 	for _, k := range s.Peers {
-		all = append(all, placement.Seen{Member: ShardMember(k.Member), Left: k.State == membership.Left, Going: k.Leaving, For: now - k.Since,
-			Here: k.State == membership.Alive, Speaks: k.ProtocolVersion})
+		all = append(all, placement.MemberStatus{Member: ShardMember(k.Member), Left: k.State == membership.Left, Draining: k.Leaving, StateAge: now - k.Since,
+			Alive: k.State == membership.Alive, Form: k.ProtocolVersion})
 	}
 	return all
 }
@@ -368,9 +368,9 @@
 
 func (h *Server) publish() {
 	st := h.core.State()
-	s := Status{FleetID: st.Fleet, Epoch: st.Epoch, Members: len(st.Members), IsLeader: h.core.IsLeader(), Voters: len(h.core.Voters()),
+	s := Status{FleetID: st.FleetID, Epoch: st.Epoch, Members: len(st.Members), IsLeader: h.core.IsLeader(), Voters: len(h.core.Voters()),
 		ReplicaCounts: map[int]int{}, Rejections: map[string]int{}, FileBytes: h.store.Size(), BytesSent: h.links.sent.Load(), BytesReceived: h.links.got.Load(),
-		PacketsDropped: h.links.dropped.Load() + h.dropped.Load(), Malformed: h.links.odd.Load(), Writes: h.store.Writes,
+		PacketsDropped: h.links.dropped.Load() + h.dropped.Load(), Malformed: h.links.odd.Load(), Writes: h.store.WriteCount,
 		Version: h.core.FeedState().Version(), Digest: h.core.FeedState().Digest(), Changes: h.core.ChangeCount()}
 	s.AsOf, s.HasAsOf = h.core.AsOf()
 	for _, id := range h.core.Voters() {
@@ -380,18 +380,18 @@
 			}
 		}
 	}
-	s.Keys, s.Bytes = h.core.Replicas().Held()
-	for _, v := range st.Views {
-		s.ReplicaCounts[len(v.Full)]++
-		for _, id := range v.Full {
+	s.Keys, s.Bytes = h.core.Replicas().Usage()
+	for _, v := range st.Configurations {
+		s.ReplicaCounts[len(v.InSync)]++
+		for _, id := range v.InSync {
 			if id == h.opt.Node.Self.ID {
 				s.LocalShards++
 			}
 		}
 	}
-	for w, n := range h.core.Replicas().Refusals {
+	for w, n := range h.core.Replicas().Rejections {
 		if n > 0 {
-			s.Rejections[replication.Why(w).String()] = n
+			s.Rejections[replication.RejectReason(w).String()] = n
 		}
 	}
 	if h.broken != nil {
