--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -57,7 +57,7 @@
 
 // Operation is one operation as its client saw it.
 type Operation struct {
-	Op        replication.Op
+	Op        replication.Operation
 	Client    int
 	From, To  time.Duration
 	Result    replication.Result
@@ -87,8 +87,8 @@
 	Cuts       int
 	Views      int // changes of what is agreed
 
-	Undecided int                        // keys whose order took too long to judge
-	wrote     map[[3]int]replication.Msg // of NotFenced: what was written last, by from, to and slot
+	Undecided int                            // keys whose order took too long to judge
+	wrote     map[[3]int]replication.Message // of NotFenced: what was written last, by from, to and slot
 	sum       uint64
 	err       error
 }
@@ -98,7 +98,7 @@
 	num     int
 	id      string
 	life    uint64
-	core    *node.Core
+	core    *node.Node
 	disk    *disk
 	up      bool
 	stopped time.Duration // until then nothing of it runs
@@ -108,7 +108,7 @@
 	waiting []func()
 	self    shardmap.Member
 	seen    []sight
-	looked  []placement.Seen // as of the newest look
+	looked  []placement.MemberStatus // as of the newest look
 	looksAt time.Duration
 	born    uint64 // counts lives, so that what was meant for one finds no other
 }
@@ -123,7 +123,7 @@
 
 // New makes a world in which all members begin with empty disks.
 func New(p Plan) *World {
-	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, byOp: map[string]*Operation{}, wrote: map[[3]int]replication.Msg{},
+	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, byOp: map[string]*Operation{}, wrote: map[[3]int]replication.Message{},
 		cut: func(int, int) bool { return false }}
 	for i := range p.Members {
 		n := &member{num: i, seen: make([]sight, p.Members)}
@@ -164,8 +164,8 @@
 	if w.plan.Defect == NoRepair {
 		repair = 0
 	}
-	c, err := node.New(node.Config{Self: n.self, Life: n.life, Found: fmt.Sprintf("f%d", w.ids), First: n.num == 0, Seeds: []string{"m0", "m1", "m2"}, Voters: 3,
-		Copies: w.plan.Copies, Evict: evict, Repair: repair, Seed: w.plan.Seed<<20 ^ uint64(n.num)<<10 ^ n.born, Keys: 1 << 20, Bytes: 1 << 30, Ops: 4096}, n.disk.read(), w.now)
+	c, err := node.New(node.Config{Self: n.self, Incarnation: n.life, BootstrapID: fmt.Sprintf("f%d", w.ids), CanBootstrap: n.num == 0, Seeds: []string{"m0", "m1", "m2"}, VoterCount: 3,
+		ReplicationFactor: w.plan.Copies, EvictAfter: evict, MaxJoiningShards: repair, Seed: w.plan.Seed<<20 ^ uint64(n.num)<<10 ^ n.born, MaxKeys: 1 << 20, MaxBytes: 1 << 30, MaxPendingOperations: 4096}, n.disk.read(), w.now)
 	if err != nil {
 		w.fail("%d does not start: %v", n.num, err)
 		return
@@ -203,8 +203,8 @@
 		do()
 	}
 	n.waiting = nil
-	n.core.Clock(w.now, w.sight(n))
-	n.core.Wall(int64(w.now / time.Second))
+	n.core.Tick(w.now, w.sight(n))
+	n.core.SetWallClock(int64(w.now / time.Second))
 	w.ready(n)
 }
 
@@ -225,10 +225,10 @@
 		}
 	}
 	if w.plan.Defect == TooSoon {
-		for _, one := range r.Slots {
+		for _, one := range r.ShardWrites {
 			for _, rec := range one.Records {
-				if !one.Replace {
-					w.answer(replication.Result{Op: rec.Op, Outcome: replication.Done, Record: rec})
+				if !one.ReplaceAll {
+					w.answer(replication.Result{OperationID: rec.OperationID, Outcome: replication.OutcomeCommitted, Record: rec})
 				}
 			}
 		}
@@ -238,7 +238,7 @@
 		return
 	}
 	if w.plan.Defect == NotWritten {
-		r.Slots = nil
+		r.ShardWrites = nil
 	}
 	n.disk.write(r)
 	if w.crashes() {
@@ -276,10 +276,10 @@
 		return
 	}
 	if w.plan.Defect == NotFenced {
-		p.Copies = w.unfenced(from, to, p.Copies)
+		p.Replication = w.unfenced(from, to, p.Replication)
 	}
 	w.note(from.num, to.num, p)
-	if w.cut(from.num, to.num) || to.deaf > w.now && len(p.Copies) == 0 || w.rng.Float64() < w.loss {
+	if w.cut(from.num, to.num) || to.deaf > w.now && len(p.Replication) == 0 || w.rng.Float64() < w.loss {
 		return
 	}
 	times := 1
@@ -300,17 +300,17 @@
 }
 
 // unfenced has a holder tell an overtaken primary that it has what was written last.
-func (w *World) unfenced(from, to *member, msgs []replication.Msg) []replication.Msg {
+func (w *World) unfenced(from, to *member, msgs []replication.Message) []replication.Message {
 	msgs = slices.Clone(msgs)
 	for i, m := range msgs {
-		at := [3]int{from.num, to.num, m.Slot}
-		back := [3]int{to.num, from.num, m.Slot}
+		at := [3]int{from.num, to.num, m.Shard}
+		back := [3]int{to.num, from.num, m.Shard}
 		switch m.Kind {
-		case replication.MsgWrite:
+		case replication.MessageWrite:
 			w.wrote[at] = m
-		case replication.MsgStale:
+		case replication.MessageStaleBallot:
 			if last, is := w.wrote[back]; is {
-				msgs[i].Kind, msgs[i].Ballot, msgs[i].Seq = replication.MsgWritten, last.Ballot, last.Seq
+				msgs[i].Kind, msgs[i].Ballot, msgs[i].Sequence = replication.MessageWriteAck, last.Ballot, last.Sequence
 			}
 		}
 	}
@@ -321,13 +321,13 @@
 func (w *World) note(from, to int, p node.Packet) {
 	h := fnv.New64a()
 	var b [8]byte
-	for _, v := range []uint64{w.sum, uint64(w.now), uint64(from), uint64(to), uint64(len(p.Raft)), uint64(len(p.Copies))} {
+	for _, v := range []uint64{w.sum, uint64(w.now), uint64(from), uint64(to), uint64(len(p.Raft)), uint64(len(p.Replication))} {
 		binary.LittleEndian.PutUint64(b[:], v)
 		h.Write(b[:])
 	}
 	h.Write(p.Raft)
-	for _, m := range p.Copies {
-		_, _ = fmt.Fprint(h, m.Kind, m.Slot, m.Ballot, m.Seq)
+	for _, m := range p.Replication {
+		_, _ = fmt.Fprint(h, m.Kind, m.Shard, m.Ballot, m.Sequence)
 	}
 	w.sum = h.Sum64()
 }
@@ -336,12 +336,12 @@
 func (w *World) Digest() uint64 { return w.sum }
 
 // sight is how a member sees the others: late, and not by what it can't know.
-func (w *World) sight(n *member) []placement.Seen {
+func (w *World) sight(n *member) []placement.MemberStatus {
 	if w.now < n.looksAt {
 		return n.looked
 	}
 	n.looksAt = w.now + lookEach
-	all := make([]placement.Seen, 0, len(w.nodes))
+	all := make([]placement.MemberStatus, 0, len(w.nodes))
 	for _, o := range w.nodes {
 		if o == n {
 			continue
@@ -358,7 +358,7 @@
 			s.here, s.since = is, w.now
 		}
 		n.seen[o.num] = s
-		all = append(all, placement.Seen{Member: o.self, Here: s.here, Going: o.going, For: w.now - s.since, Speaks: node.Form})
+		all = append(all, placement.MemberStatus{Member: o.self, Alive: s.here, Draining: o.going, StateAge: w.now - s.since, Form: node.ProtocolVersion})
 	}
 	n.looked = all
 	return all
--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -27,27 +27,27 @@
 	alive     bool
 	draining  bool
 	wakeAt    time.Duration // of the pending call to runDecisions, -1 for none
-	sessions  map[policy.CircuitID]*session
-	lastID    policy.CircuitID
-	endpoints []policy.Listed // the endpoint list that it has, by server
-	known     []bool          // servers that the list has named to it
+	sessions  map[policy.SessionID]*session
+	lastID    policy.SessionID
+	endpoints []policy.Endpoint // the endpoint list that it has, by server
+	known     []bool            // servers that the list has named to it
 }
 
 func (w *world) startBalancer(num int) {
 	old := w.balancers[num]
-	b := &balancer{index: int32(num), zone: num % max(w.Zones, 1), start: w.now, alive: true, wakeAt: -1, sessions: map[policy.CircuitID]*session{}}
+	b := &balancer{index: int32(num), zone: num % max(w.Zones, 1), start: w.now, alive: true, wakeAt: -1, sessions: map[policy.SessionID]*session{}}
 	dep := w.Deployment
 	dep.Zone = b.zone
 	b.decider, _ = baseline.New(w.policy, &dep, w.balancerSeeds.Uint64()) // Run has checked the name
 	w.balancers[num] = b
 	w.record(history.Event{Kind: history.BalancerStarted, Balancer: b.index, Server: -1})
-	var lines []policy.Listed
+	var lines []policy.Endpoint
 	for i, srv := range w.servers {
 		l := w.listing(srv, b)
 		if old != nil && i < len(old.known) && old.known[i] { // it starts with the list that its last process had
 			l = old.endpoints[i]
-			if l.Started != policy.LongAgo {
-				l.Started += old.start - b.start
+			if l.StartedAt != policy.StartedLongAgo {
+				l.StartedAt += old.start - b.start
 			}
 		} else if old != nil {
 			continue
@@ -70,7 +70,7 @@
 		if !b.alive {
 			return
 		}
-		var lines []policy.Listed
+		var lines []policy.Endpoint
 		for _, srv := range w.servers {
 			lines = append(lines, w.listing(srv, b))
 		}
@@ -85,7 +85,7 @@
 	}
 	b.alive = false
 	w.record(history.Event{Kind: history.BalancerKilled, Balancer: b.index, Server: -1, Text: how})
-	ids := make([]policy.CircuitID, 0, len(b.sessions))
+	ids := make([]policy.SessionID, 0, len(b.sessions))
 	for id := range b.sessions {
 		ids = append(ids, id)
 	}
@@ -100,7 +100,7 @@
 
 // runDecisions executes a balancer's decisions and schedules the next call.
 func (w *world) runDecisions(b *balancer) {
-	b.decider.Clock(w.now - b.start)
+	b.decider.AdvanceClock(w.now - b.start)
 	for {
 		d, ok := b.decider.Next()
 		if !ok {
@@ -108,7 +108,7 @@
 		}
 		w.execute(b, d)
 	}
-	at, ok := b.decider.Wake()
+	at, ok := b.decider.NextWakeup()
 	if at += b.start; !ok || at > w.Load.Length || b.wakeAt > w.now && b.wakeAt <= at {
 		return
 	}
@@ -122,23 +122,23 @@
 }
 
 func (w *world) execute(b *balancer, d policy.Decision) {
-	if d.Do == policy.Probe {
-		w.checkHealth(b, w.servers[w.serverIndex[d.Server]])
+	if d.Action == policy.HealthCheck {
+		w.checkHealth(b, w.servers[w.serverIndex[d.Endpoint]])
 		return
 	}
-	s := b.sessions[d.Circuit]
+	s := b.sessions[d.Session]
 	if s == nil || s.state == ended {
 		return
 	}
-	switch d.Do {
-	case policy.Try:
-		w.startAttempt(s, w.servers[w.serverIndex[d.Server]], d.For)
-	case policy.Nack:
+	switch d.Action {
+	case policy.StartAttempt:
+		w.startAttempt(s, w.servers[w.serverIndex[d.Endpoint]], d.Duration)
+	case policy.Reject:
 		w.meter.Reject(w.now)
-		w.reject(s, "busy", load.Rejected, d.For)
-	case policy.BreakOff:
+		w.reject(s, "busy", load.Rejected, d.Duration)
+	case policy.Fail:
 		w.reject(s, "err", load.Failed, 0)
-	case policy.Move:
+	case policy.Migrate:
 		if s.state == established {
 			w.moveSession(s, policy.Cancelled)
 		}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -53,9 +53,9 @@
 		b.lastID++
 		s.id = b.lastID
 		b.sessions[s.id] = s
-		b.decider.Clock(w.now - b.start)
-		b.decider.CircuitArrived(policy.Arrival{ID: s.id, Key: c.Key, Group: c.Group, Tenant: c.Tenant, Grade: c.Grade,
-			Left: limit - 2*w.Client - time.Millisecond})
+		b.decider.AdvanceClock(w.now - b.start)
+		b.decider.AddSession(policy.SessionRequest{ID: s.id, Key: c.Key, Group: c.Group, Tenant: c.Tenant, Class: c.Grade,
+			Timeout: limit - 2*w.Client - time.Millisecond})
 		w.runDecisions(b)
 	})
 }
@@ -75,12 +75,12 @@
 		id, try, stage := s.id, s.attempts-1, s.state
 		w.endSession(s)
 		w.releaseUpstream(s)
-		b.decider.Clock(w.now - b.start)
+		b.decider.AdvanceClock(w.now - b.start)
 		if stage != established {
-			b.decider.ClientLeft(id)
+			b.decider.ClientDisconnected(id)
 		}
 		if stage == established || stage == attempting {
-			b.decider.TryEnded(id, try, true, policy.Cancelled)
+			b.decider.AttemptEnded(id, try, true, policy.Cancelled)
 		}
 		w.runDecisions(b)
 	})
--- a/internal/lab/simulation/fault_steps.go
+++ b/internal/lab/simulation/fault_steps.go
@@ -50,7 +50,7 @@
 			w.moveClientsAway(srv, w.now+step.For)
 		}
 	case faults.Stop:
-		srv.state, srv.down = policy.Gone, true
+		srv.state, srv.down = policy.Removed, true
 		w.recordStop(srv, "stop")
 		w.endSessions(srv)
 		w.announce(srv, w.Notice)
@@ -58,7 +58,7 @@
 		srv.down = true
 		w.recordStop(srv, "crash")
 		w.endSessions(srv)
-		srv.state = policy.Gone
+		srv.state = policy.Removed
 		w.announce(srv, w.Silent)
 	case faults.Revive:
 		w.revive(srv)
@@ -148,8 +148,8 @@
 		return
 	}
 	b.draining = true
-	b.decider.Clock(w.now - b.start)
-	b.decider.Leave(w.now-b.start+drainStart, w.now-b.start+drainEnd)
+	b.decider.AdvanceClock(w.now - b.start)
+	b.decider.StartDraining(w.now-b.start+drainStart, w.now-b.start+drainEnd)
 	w.runDecisions(b)
 	w.after(drainEnd+exitDelay, func() {
 		if w.balancers[index] == b {
--- a/internal/lab/simulation/figures.go
+++ b/internal/lab/simulation/figures.go
@@ -64,8 +64,8 @@
 				delete(srv.slowReported, index)
 			}
 			if holder := w.balancers[index]; holder.alive {
-				holder.decider.Clock(w.now - holder.start)
-				holder.decider.DelayNoted(srv.id, took)
+				holder.decider.AdvanceClock(w.now - holder.start)
+				holder.decider.RecordLatency(srv.id, took)
 				w.runDecisions(holder)
 			}
 		}
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -13,11 +13,11 @@
 type server struct {
 	*model.Server
 	index        int
-	id           policy.ServerID
+	id           policy.EndpointID
 	zone         int
 	cell         int
 	listed       bool // the endpoint list names it
-	state        policy.State
+	state        policy.EndpointState
 	started      time.Duration
 	down         bool               // its machine refuses connections
 	silent       bool               // its machine answers nothing
@@ -29,7 +29,7 @@
 
 // addServer adds a server whose process started at a time.
 func (w *world) addServer(srv topology.Machine, num int, started time.Duration) *server {
-	id := policy.ServerID(uint64(num+1) * 0x9e3779b97f4a7c15)
+	id := policy.EndpointID(uint64(num+1) * 0x9e3779b97f4a7c15)
 	sv := &server{Server: model.New(srv.Type, w.Warmup, started), index: num, id: id, zone: srv.Zone, cell: srv.FailureDomain,
 		started: started, listed: true, holders: map[int32]int{}, slowReported: map[int32]bool{}}
 	sv.GroupCost = w.GroupCost
@@ -48,32 +48,32 @@
 }
 
 // listing is a server's line in the endpoint list, in a balancer's time.
-func (w *world) listing(srv *server, b *balancer) policy.Listed {
-	l := policy.Listed{Server: srv.id, Zone: srv.zone, Cell: srv.cell, State: srv.state, Heft: float64(srv.Type.Cores) * srv.Type.Speed,
-		Started: srv.started - b.start}
+func (w *world) listing(srv *server, b *balancer) policy.Endpoint {
+	l := policy.Endpoint{ID: srv.id, Zone: srv.zone, FailureDomain: srv.cell, State: srv.state, Weight: float64(srv.Type.Cores) * srv.Type.Speed,
+		StartedAt: srv.started - b.start}
 	if srv.started < 0 {
-		l.Started = policy.LongAgo
+		l.StartedAt = policy.StartedLongAgo
 	}
 	if !srv.listed {
-		l.State = policy.Gone
+		l.State = policy.Removed
 	}
 	return l
 }
 
-var stateNames = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
+var stateNames = map[policy.EndpointState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Removed: "gone"}
 
 // deliverListings gives a balancer lines of the endpoint list.
-func (w *world) deliverListings(b *balancer, lines []policy.Listed, whole bool) {
+func (w *world) deliverListings(b *balancer, lines []policy.Endpoint, whole bool) {
 	for _, l := range lines {
-		i := w.serverIndex[l.Server]
+		i := w.serverIndex[l.ID]
 		for len(b.endpoints) <= i {
-			b.endpoints, b.known = append(b.endpoints, policy.Listed{}), append(b.known, false)
+			b.endpoints, b.known = append(b.endpoints, policy.Endpoint{}), append(b.known, false)
 		}
 		b.endpoints[i], b.known[i] = l, true
 		w.record(history.Event{Kind: history.Notified, Balancer: b.index, Server: int32(i), Text: stateNames[l.State]})
 	}
-	b.decider.Clock(w.now - b.start)
-	b.decider.ListArrived(lines, whole)
+	b.decider.AdvanceClock(w.now - b.start)
+	b.decider.UpdateEndpoints(lines, whole)
 	w.runDecisions(b)
 }
 
@@ -86,7 +86,7 @@
 	for _, b := range w.balancers {
 		w.after(w.randomBetween(wait)+w.discoveryDelay, func() {
 			if b := w.balancers[b.index]; b.alive {
-				w.deliverListings(b, []policy.Listed{w.listing(srv, b)}, false)
+				w.deliverListings(b, []policy.Endpoint{w.listing(srv, b)}, false)
 			}
 		})
 	}
--- a/internal/lab/simulation/sessions.go
+++ b/internal/lab/simulation/sessions.go
@@ -27,7 +27,7 @@
 // session is one client connection at a balancer.
 type session struct {
 	number     uint64 // unique in the run
-	id         policy.CircuitID
+	id         policy.SessionID
 	client     *client
 	balancer   *balancer
 	server     *server          // of the newest attempt
@@ -97,8 +97,8 @@
 			w.retryLater(s.client, load.Moved, 0)
 		}
 	})
-	b.decider.Clock(w.now - b.start)
-	b.decider.TryEnded(id, attempt, true, how)
+	b.decider.AdvanceClock(w.now - b.start)
+	b.decider.AttemptEnded(id, attempt, true, how)
 	w.runDecisions(b)
 }
 
@@ -169,7 +169,7 @@
 		w.answerAttempt(s, srv, 0, policy.Reset)
 	case model.Busy:
 		w.recordAttemptEnd(s, srv, "refused")
-		w.answerAttempt(s, srv, 0, policy.TurnedAway)
+		w.answerAttempt(s, srv, 0, policy.Rejected)
 	case model.Err:
 		w.recordAttemptEnd(s, srv, "failed")
 		w.answerAttempt(s, srv, srv.Type.Setup, policy.Failed)
@@ -242,9 +242,9 @@
 	s.generation++
 	s.state = established
 	generation := s.generation
-	b.decider.Clock(w.now - b.start)
-	b.decider.SetUp(s.id, s.attempts-1, w.now-s.attemptAt)
-	b.decider.LoadNoted(s.id, s.attempts-1, w.reportedLoad(s))
+	b.decider.AdvanceClock(w.now - b.start)
+	b.decider.AttemptEstablished(s.id, s.attempts-1, w.now-s.attemptAt)
+	b.decider.RecordLoad(s.id, s.attempts-1, w.reportedLoad(s))
 	w.after(w.Client, func() {
 		if s.client.session != s {
 			return
@@ -270,7 +270,7 @@
 func (w *world) endAttempt(s *session, how policy.Outcome) {
 	b, id, attempt, wasEstablished := s.balancer, s.id, s.attempts-1, s.state == established
 	w.releaseUpstream(s)
-	b.decider.Clock(w.now - b.start)
+	b.decider.AdvanceClock(w.now - b.start)
 	if wasEstablished {
 		w.endSession(s)
 		movedByServer := how == policy.Cancelled
@@ -292,7 +292,7 @@
 		s.generation++
 		s.state = awaitingAttempt
 	}
-	b.decider.TryEnded(id, attempt, wasEstablished, how)
+	b.decider.AttemptEnded(id, attempt, wasEstablished, how)
 	w.runDecisions(b)
 }
 
@@ -300,25 +300,25 @@
 func (w *world) checkHealth(b *balancer, srv *server) {
 	w.meter.Probe()
 	way := w.networkDelay(b, srv)
-	tell := func(how policy.Outcome, r policy.Report) {
+	tell := func(how policy.Outcome, r policy.LoadReport) {
 		if b.alive {
-			b.decider.Clock(w.now - b.start)
-			b.decider.ProbeAnswered(srv.id, how)
-			b.decider.Reported(srv.id, r)
+			b.decider.AdvanceClock(w.now - b.start)
+			b.decider.HealthCheckEnded(srv.id, how)
+			b.decider.RecordLoadReport(srv.id, r)
 			w.runDecisions(b)
 		}
 	}
 	switch {
 	case srv.silent:
-		w.after(w.ConnectWithin, func() { tell(policy.ConnectFailed, policy.NoReport) })
+		w.after(w.ConnectWithin, func() { tell(policy.ConnectFailed, policy.NoLoadReport) })
 	case srv.down:
-		w.after(2*way, func() { tell(policy.ConnectFailed, policy.NoReport) })
+		w.after(2*way, func() { tell(policy.ConnectFailed, policy.NoLoadReport) })
 	default:
 		w.after(3*way, func() {
 			srv.Advance(w.now)
-			r := policy.NoReport
-			if w.Deployment.ReportsOnAsk {
-				r.Asked, r.Piled = srv.Utilization(w.now)*(0.95+0.1*w.rng.Float64()), srv.Backlog().Seconds()
+			r := policy.NoLoadReport
+			if w.Deployment.HasLoadReports {
+				r.Demand, r.Backlog = srv.Utilization(w.now)*(0.95+0.1*w.rng.Float64()), srv.Backlog().Seconds()
 			}
 			w.after(way, func() { tell(policy.Succeeded, r) })
 		})
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -33,7 +33,7 @@
 	rng            *rand.Rand
 	balancers      []*balancer
 	servers        []*server
-	serverIndex    map[policy.ServerID]int
+	serverIndex    map[policy.EndpointID]int
 	clients        []*client
 	log            *history.Log
 	lastSession    uint64
@@ -50,8 +50,8 @@
 // Run runs a world to its end and returns its figures, its events and the checker's verdict.
 func Run(setup topology.World, name string, seed uint64) (report.Run, []history.Event, checker.Verdict, error) {
 	w := &world{World: setup, policy: name, rng: rand.New(rand.NewPCG(seed, 0x3071d)), balancerSeeds: rand.New(rand.NewPCG(seed, 0x5eed)),
-		serverIndex: map[policy.ServerID]int{}, log: history.New(maxEvents), discoveryUp: true, groupSessions: map[uint64]map[int]int{}}
-	w.Deployment.Peers = setup.Balancers
+		serverIndex: map[policy.EndpointID]int{}, log: history.New(maxEvents), discoveryUp: true, groupSessions: map[uint64]map[int]int{}}
+	w.Deployment.Balancers = setup.Balancers
 	steps, _, err := faults.Expand(setup.Faults, len(setup.Machines), setup.Balancers, seed)
 	if err != nil {
 		return report.Run{}, nil, checker.Verdict{}, err
