--- a/internal/fleet/endpoint_list.go
+++ b/internal/fleet/endpoint_list.go
@@ -45,7 +45,7 @@
 	if h == nil {
 		return
 	}
-	h.Ask(op, wordTry, func(r replication.Result) {
+	h.Submit(op, wordTry, func(r replication.Result) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.list.out = false
@@ -59,7 +59,7 @@
 }
 
 // listOp is the write that is due, and where it is asked for: nil where none is.
-func (f *Fleet) listOp(rev uint64, known []byte) (*nodeserver.Hold, replication.Operation) {
+func (f *Fleet) listOp(rev uint64, known []byte) (*nodeserver.Server, replication.Operation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.held
@@ -110,4 +110,6 @@
 }
 
 // EndpointListAges are up to which age a list is used, and up to which its servers are candidates.
-func (f *Fleet) EndpointListAges() (young, old time.Duration) { return f.file.Young, f.file.Old }
+func (f *Fleet) EndpointListAges() (young, old time.Duration) {
+	return f.file.ListFreshTTL, f.file.ListStaleTTL
+}
--- a/internal/fleet/idempotency.go
+++ b/internal/fleet/idempotency.go
@@ -18,7 +18,7 @@
 
 // IsIdempotentClass tells whether circuits of a grade are held for others.
 func (f *Fleet) IsIdempotentClass(grade string) bool {
-	return slices.ContainsFunc(f.file.Intents, func(g config.Grade) bool { return g.Name == grade })
+	return slices.ContainsFunc(f.file.IdempotentClasses, func(g config.Class) bool { return g.Name == grade })
 }
 
 // IdempotentSession is one circuit's. Its methods are called by one goroutine, one at a time: none before the one before has called back.
@@ -69,7 +69,7 @@
 }
 
 func (h *IdempotentSession) step(hold asker, op replication.Operation, end time.Time, done func(Verdict)) {
-	hold.Ask(op, time.Until(end), func(r replication.Result) {
+	hold.Submit(op, time.Until(end), func(r replication.Result) {
 		v, next := h.intent.HandleResult(r)
 		if v == idempotency.Wait {
 			h.step(hold, next, end, done)
--- a/internal/fleet/publisher/server.go
+++ b/internal/fleet/publisher/server.go
@@ -39,7 +39,7 @@
 
 // Backend is where operations and puts are asked.
 type Backend interface {
-	Ask(op replication.Operation, within time.Duration, done func(replication.Result))
+	Submit(op replication.Operation, within time.Duration, done func(replication.Result))
 	Put(p shardmap.Put, within time.Duration, done func(shardmap.PutResult))
 }
 
@@ -390,7 +390,7 @@
 		p.busy.Add(1)
 		c.result(number, replication.Result{OperationID: op.ID, Outcome: replication.OutcomeRejected, Reason: replication.ReasonBusy})
 	case !again:
-		p.hold.Ask(op, within, func(r replication.Result) {
+		p.hold.Submit(op, within, func(r replication.Result) {
 			p.mu.Lock()
 			a := p.ops[op.ID]
 			delete(p.ops, op.ID)
--- a/internal/fleet/publisher/server_test.go
+++ b/internal/fleet/publisher/server_test.go
@@ -33,7 +33,7 @@
 	last atomic.Uint64
 }
 
-func (h *holder) Ask(op replication.Operation, _ time.Duration, done func(replication.Result)) {
+func (h *holder) Submit(op replication.Operation, _ time.Duration, done func(replication.Result)) {
 	h.do(op.ID, func() {
 		done(replication.Result{OperationID: op.ID, Outcome: replication.OutcomeCommitted, Record: replication.Record{Key: op.Key, Version: 7}})
 	})
@@ -69,7 +69,7 @@
 	log     *changefeed.Log
 	all     []*publisher.Server
 	holders []*holder
-	wires   []*gossip.Wire
+	wires   []*gossip.Transport
 	addrs   []netip.AddrPort
 	stop    chan struct{}
 	ends    sync.WaitGroup
@@ -80,7 +80,7 @@
 func newTier(t *testing.T, many, most int) *tier {
 	r := &tier{t: t, log: changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20}), stop: make(chan struct{})}
 	for i := range many {
-		var w *gossip.Wire
+		var w *gossip.Transport
 		var addr netip.AddrPort
 		for try := range 20 { // a port that is free for the one kind may be taken for the other
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -268,7 +268,7 @@
 	until(t, "both follow two", every([]*follower{f, other}, func(s subscriber.Status) bool { return len(s.Publishers) == 2 }))
 	ask := func(f *follower, id string, within time.Duration) <-chan replication.Result {
 		out := make(chan replication.Result, 2)
-		f.Ask(replication.Operation{ID: id, Key: id}, within, func(r replication.Result) { out <- r })
+		f.Submit(replication.Operation{ID: id, Key: id}, within, func(r replication.Result) { out <- r })
 		return out
 	}
 	for i, f := range []*follower{f, other} {
--- a/internal/fleet/subscriber/client.go
+++ b/internal/fleet/subscriber/client.go
@@ -347,10 +347,10 @@
 	answered   func(*changefeed.PutResponse, replication.Result)
 }
 
-// Ask has an operation done by the control processes. done is called once, from another goroutine, within the span or a little
+// Submit has an operation done by the control processes. done is called once, from another goroutine, within the span or a little
 // later; it must not wait. Where no answer comes it is Unknown, or Refused if nobody was asked. An operation whose connection ends is
 // asked again over another, which is safe, as it is known by its ID.
-func (f *Client) Ask(op replication.Operation, within time.Duration, done func(replication.Result)) {
+func (f *Client) Submit(op replication.Operation, within time.Duration, done func(replication.Result)) {
 	a := &ask{op: op.ID}
 	a.unanswered = func() {
 		r := replication.Result{OperationID: op.ID, Outcome: replication.OutcomeUnknown}
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -28,10 +28,10 @@
 		Balancers: 3, Zones: 2,
 		Warmup: model.Warmup{From: 0.2, For: 15 * time.Second, Multiple: 3, Within: 1500 * ms},
 		Store:  model.Store{Rate: 200, Time: 5 * ms, Wait: time.Second},
-		Deployment: policy.Deployment{
-			Grades:   []policy.Grade{{SetupGoal: 300 * ms, MessageGoal: 250 * ms, Utility: 1}, {Effect: policy.Unrepeatable, SetupGoal: 300 * ms, MessageGoal: 250 * ms, Utility: 1}},
-			MayProbe: true, MayAdvise: true, LongestAdvice: time.Second, MostTries: 6, ReportsOnAsk: true,
-			FallMultiple: 3, FallFor: 1500 * ms, ColdFrom: 0.2, ColdFor: 15 * time.Second, CrossingPrice: 0.02,
+		Deployment: policy.Config{
+			Classes:        []policy.Class{{SetupObjective: 300 * ms, MessageObjective: 250 * ms, PriorityWeight: 1}, {Idempotency: policy.NonIdempotent, SetupObjective: 300 * ms, MessageObjective: 250 * ms, PriorityWeight: 1}},
+			CanHealthCheck: true, CanSendRetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 6, HasLoadReports: true,
+			OverloadMultiple: 3, OverloadWindow: 1500 * ms, SlowStartFloor: 0.2, SlowStartWindow: 15 * time.Second, CrossZoneCost: 0.02,
 		},
 		OuterLimits: []time.Duration{1800 * ms, 1800 * ms}, MessageGoal: 250 * ms, DrainGrace: 750 * ms, ConnectWithin: 200 * ms,
 		GroupCost: 0.5, Sheds: 2 * time.Second, SendsAway: true,
@@ -48,12 +48,12 @@
 }
 
 // TestMain fixes the seed of the random runs: the same verdict each time. -rapid.seed draws others.
-func TestMain(m *testing.M) {
+func TestMain(srv *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = f.Value.Set("14")
 	}
-	os.Exit(m.Run())
+	os.Exit(srv.Run())
 }
 
 func run(t interface{ Fatal(...any) }, w topology.World, name string, seed uint64) (float64, []history.Event, checker.Verdict) {
@@ -117,9 +117,9 @@
 		if !v.Passed() {
 			t.Fatalf("%v\n%v", v, v.Violations[:min(5, len(v.Violations))])
 		}
-		for _, p := range r.Series {
-			if p.Served > 1.01*p.Asked+1 || p.Open < 0 {
-				t.Fatalf("%v open, %v served of %v asked for at %v s", p.Open, p.Served, p.Asked, p.At)
+		for _, c := range r.Series {
+			if c.Served > 1.01*c.Asked+1 || c.Open < 0 {
+				t.Fatalf("%v open, %v served of %v asked for at %v s", c.Open, c.Served, c.Asked, c.At)
 			}
 		}
 	})
