--- a/cmd/sabletally/control.go
+++ b/cmd/sabletally/control.go
@@ -7,7 +7,6 @@
 	"crypto/rand"
 	"encoding/binary"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -30,7 +29,7 @@
 	handWithin  = 5 * time.Second // a control process that ends has others take over what it holds
 	itemWithin  = 4 * time.Second // a change of an item is answered; an operators' call ends after five
 	controlMost = 64              // operators' connections
-	itemPath    = "/control/" + shardmap.ItemPrefix
+	itemPath    = "/control/" + shardmap.ConfigPrefix
 	versionHead = "Sabletally-Version"
 )
 
@@ -95,7 +94,7 @@
 		_, _ = io.WriteString(w, "yes\n")
 	})
 	mux.HandleFunc("GET "+itemPath+"{name...}", func(w http.ResponseWriter, r *http.Request) {
-		value, version, is := member.Get(shardmap.ItemPrefix + r.PathValue("name"))
+		value, version, is := member.Get(shardmap.ConfigPrefix + r.PathValue("name"))
 		w.Header().Set(versionHead, strconv.FormatUint(version, 10))
 		if !is {
 			http.Error(w, "there is no such item", http.StatusNotFound)
@@ -125,7 +124,7 @@
 
 // asked reads a change: the body is the value, ?op= names the operation, ?if= the version of the key that has to be in force.
 func asked(w http.ResponseWriter, r *http.Request) (p shardmap.Put, err error) {
-	p = shardmap.Put{Key: shardmap.ItemPrefix + r.PathValue("name"), Delete: r.Method == http.MethodDelete, OperationID: r.URL.Query().Get("op")}
+	p = shardmap.Put{Key: shardmap.ConfigPrefix + r.PathValue("name"), Delete: r.Method == http.MethodDelete, OperationID: r.URL.Query().Get("op")}
 	if p.OperationID == "" {
 		p.OperationID = rand.Text()
 	}
@@ -140,10 +139,7 @@
 			return p, fmt.Errorf("the value: %w", err)
 		}
 	}
-	if why := p.Wrong(); why != "" {
-		return p, errors.New(why)
-	}
-	return p, nil
+	return p, p.Validate()
 }
 
 type putCmd struct {
@@ -186,8 +182,8 @@
 
 // item makes a call about an item and prints what is answered.
 func item(address, method, key string, q url.Values, body []byte) error {
-	if !strings.HasPrefix(key, shardmap.ItemPrefix) {
-		return fmt.Errorf("key %q is none of operators': it begins with %q", key, shardmap.ItemPrefix)
+	if !strings.HasPrefix(key, shardmap.ConfigPrefix) {
+		return fmt.Errorf("key %q is none of operators': it begins with %q", key, shardmap.ConfigPrefix)
 	}
 	u := url.URL{Scheme: "http", Host: address, Path: "/control/" + key, RawQuery: q.Encode()}
 	req, err := http.NewRequest(method, u.String(), bytes.NewReader(body))
--- a/internal/fleet/node/changes.go
+++ b/internal/fleet/node/changes.go
@@ -229,8 +229,8 @@
 // Put has an operators' item changed within a span; how it ended comes with a Ready, under its operation. Asked for again with the
 // same operation meanwhile it is the same one.
 func (c *Node) Put(p shardmap.Put, within time.Duration) {
-	if why := p.Wrong(); why != "" {
-		c.out.PutResults = append(c.out.PutResults, shardmap.PutResult{OperationID: p.OperationID, Rejection: why})
+	if err := p.Validate(); err != nil {
+		c.out.PutResults = append(c.out.PutResults, shardmap.PutResult{OperationID: p.OperationID, Rejection: err.Error()})
 		return
 	}
 	if len(c.puts) >= putsMost {
@@ -278,8 +278,8 @@
 			refuse(why)
 			return
 		}
-		if why := p.Wrong(); why != "" {
-			refuse(why)
+		if err := p.Validate(); err != nil {
+			refuse(err.Error())
 			return
 		}
 		if len(c.propose) >= putsMost {
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -352,7 +352,7 @@
 	}
 	// An answer to a process before this one, which knew more, leaves out what this one lacks. So does one of an older program that came
 	// back to a fleet that has operators' items already.
-	if t.Version <= c.known.Version || t.Since > c.known.Version || len(c.feed.State().Items(shardmap.ItemPrefix)) > 0 {
+	if t.Version <= c.known.Version || t.Since > c.known.Version || len(c.feed.State().Items(shardmap.ConfigPrefix)) > 0 {
 		return
 	}
 	if c.known.FleetID == "" {
--- a/internal/fleet/publisher/trim_test.go
+++ b/internal/fleet/publisher/trim_test.go
@@ -27,7 +27,7 @@
 			if step > 0 {
 				items = nil
 				for range 1 + rng.IntN(3) {
-					i := changefeed.Item{Key: fmt.Sprintf("%s%d", []string{"view/", "view/", "view/", shardmap.ItemPrefix, changefeed.MemberPrefix}[rng.IntN(5)], len(items)*50+rng.IntN(50)),
+					i := changefeed.Item{Key: fmt.Sprintf("%s%d", []string{"view/", "view/", "view/", shardmap.ConfigPrefix, changefeed.MemberPrefix}[rng.IntN(5)], len(items)*50+rng.IntN(50)),
 						Value: fmt.Appendf(nil, "%d", rng.IntN(5))}
 					if rng.IntN(4) == 0 {
 						i.Value, i.Deleted = nil, true
@@ -91,7 +91,7 @@
 			odd, err = other.Append([]changefeed.Item{{Key: "view/7", Value: []byte("b")}})
 		}
 		if err == nil {
-			after, err = other.Append([]changefeed.Item{{Key: shardmap.ItemPrefix + "x", Value: []byte("b")}})
+			after, err = other.Append([]changefeed.Item{{Key: shardmap.ConfigPrefix + "x", Value: []byte("b")}})
 		}
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fleet/shardmap/bench_test.go
+++ b/internal/fleet/shardmap/bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// metered begins what is measured; the answer ends it, and tells the processor's time of one operation in ns, garbage collection within:
-// on a machine that others use as well the clock on the wall tells less.
-func metered(b *testing.B) func() float64 {
+// startCPUMeter starts a benchmark's measured part. The returned function ends it, and reports and returns the processor time of one
+// operation in ns, garbage collection included: it depends less on the machine's other load than elapsed time.
+func startCPUMeter(b *testing.B) func() float64 {
 	processor := func() time.Duration {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -28,11 +28,11 @@
 	}
 }
 
-// scales are the fleet sizes at which docs/CAPACITY.md takes its points.
+// scales are the fleet sizes of docs/CAPACITY.md.
 var scales = []int{17, 100, 300, 1000, 2300, 4600}
 
-// listed are n members on machines of their own, in eleven zones of three sites.
-func listed(n int) (all []Member) {
+// makeMembers returns n members, each on its own machine, in eleven zones of three sites.
+func makeMembers(n int) (all []Member) {
 	for i := range n {
 		all = append(all, Member{ID: fmt.Sprintf("%032x", i+1), Addr: fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
 			Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3)})
@@ -40,24 +40,24 @@
 	return all
 }
 
-// populated is a state with n members and a view of each slot.
-func populated(b *testing.B, n int) *State {
+// populatedState is a state with n members and a configuration of each shard.
+func populatedState(b *testing.B, n int) *State {
 	st := New()
-	st.Apply(Entry{BootstrapID: "f", Members: listed(n)})
+	st.Apply(Entry{BootstrapID: "f", Members: makeMembers(n)})
 	for num := range ShardCount {
 		if got := st.Apply(Entry{ShardChanges: []ShardChange{{Shard: num, InSync: PickReplicas(num, st.Members, 3)}}}); len(got.Shards) != 1 {
-			b.Fatalf("slot %d has no view", num)
+			b.Fatalf("shard %d has no configuration", num)
 		}
 	}
 	return st
 }
 
-// BenchmarkPick ranks one slot's holders.
-func BenchmarkPick(b *testing.B) {
+// BenchmarkPickReplicas picks one shard's replicas.
+func BenchmarkPickReplicas(b *testing.B) {
 	for _, n := range scales {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			all := listed(n)
-			done := metered(b)
+			all := makeMembers(n)
+			done := startCPUMeter(b)
 			for i := range b.N {
 				if len(PickReplicas(i%ShardCount, all, 3)) != 3 {
 					b.Fatal("too few are picked")
@@ -68,13 +68,13 @@
 	}
 }
 
-// BenchmarkEpoch is one change of the list of members, worded, read and applied, as each voter does.
+// BenchmarkEpoch is one change of the list of members, encoded, decoded and applied, as each voter does.
 func BenchmarkEpoch(b *testing.B) {
 	for _, n := range scales {
-		st := populated(b, n)
+		st := populatedState(b, n)
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			size := 0
-			done := metered(b)
+			done := startCPUMeter(b)
 			for range b.N {
 				text := Entry{BaseEpoch: st.Epoch, Members: st.Members}.Encode()
 				e, err := DecodeEntry(text)
@@ -82,7 +82,7 @@
 					b.Fatal(err)
 				}
 				if !st.Apply(e).EpochChanged {
-					b.Fatal("refused")
+					b.Fatal("rejected")
 				}
 				size = len(text)
 			}
@@ -92,13 +92,13 @@
 	}
 }
 
-// BenchmarkSnapshot words all that is agreed, and reads it.
+// BenchmarkSnapshot encodes the whole state and decodes it.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range scales {
-		st := populated(b, n)
+		st := populatedState(b, n)
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			size := 0
-			done := metered(b)
+			done := startCPUMeter(b)
 			for range b.N {
 				text := st.Snapshot()
 				if _, err := Restore(text); err != nil {
--- a/internal/fleet/shardmap/golden_test.go
+++ b/internal/fleet/shardmap/golden_test.go
@@ -54,7 +54,7 @@
 		log.Write(e.Encode())
 		log.WriteByte('\n')
 		a := st.Apply(e)
-		fmt.Fprintf(&applied, "%v %v %q %s\n", a.Shards, a.EpochChanged, a.ChangedKeys, text(a.PutResults))
+		fmt.Fprintf(&applied, "%v %v %q %s\n", a.Shards, a.EpochChanged, a.ChangedKeys, marshal(a.PutResults))
 	}
 	for _, key := range st.Keys() {
 		value, is := st.Value(key)
@@ -101,8 +101,8 @@
 	golden(t, "placement.golden", out.Bytes())
 }
 
-// TestRefusals holds the texts by which a put is refused: operators read them.
-func TestRefusals(t *testing.T) {
+// TestRejections compares the texts by which a put is rejected with those that operators know.
+func TestRejections(t *testing.T) {
 	long := strings.Repeat("x", 1000)
 	var out bytes.Buffer
 	for _, p := range []Put{
@@ -110,7 +110,11 @@
 		{Key: "config/a", OperationID: ""}, {Key: "config/a", OperationID: long}, {Key: "config/a", OperationID: "o", Delete: true, Value: []byte("v")},
 		{Key: "config/a", OperationID: "o", Value: make([]byte, 256<<10+1)}, {Key: "config/a", OperationID: "o"},
 	} {
-		fmt.Fprintf(&out, "%q\n", p.Wrong())
+		reason := ""
+		if err := p.Validate(); err != nil {
+			reason = err.Error()
+		}
+		fmt.Fprintf(&out, "%q\n", reason)
 	}
 	st := New()
 	put := func(p Put) {
@@ -124,5 +128,5 @@
 	st.Apply(Entry{BootstrapID: "f"})
 	put(Put{Key: "config/a", OperationID: "o", Conditional: true, ExpectedVersion: 7})
 	put(Put{Key: "config/a", OperationID: "o", Delete: true})
-	golden(t, "refusals.golden", out.Bytes())
+	golden(t, "rejections.golden", out.Bytes())
 }
