--- a/internal/fleet/changefeed/bench_test.go
+++ b/internal/fleet/changefeed/bench_test.go
@@ -96,8 +96,8 @@
 					}
 				}
 			}
-			if len(relay.peers) != n {
-				b.Fatalf("%d followers", len(relay.peers))
+			if len(relay.sessions) != n {
+				b.Fatalf("%d followers", len(relay.sessions))
 			}
 			b.ReportMetric(float64(sent)/float64(b.N)/float64(n), "B/follower")
 		})
@@ -185,11 +185,11 @@
 	b.Run("build", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			log.snap = nil
-			b.SetBytes(int64(len(log.snapshot().Encoded())))
+			log.latestSnapshot = nil
+			b.SetBytes(int64(len(log.sharedSnapshot().Encoded())))
 		}
 	})
-	text := log.snapshot().Encoded()
+	text := log.sharedSnapshot().Encoded()
 	b.Run("take", func(b *testing.B) {
 		b.ReportAllocs()
 		b.SetBytes(int64(len(text)))
@@ -212,7 +212,7 @@
 		items := []Item{{Key: ConfigPrefix + "name", Value: make([]byte, 100)}}
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, _, err := log.state.weigh(items); err != nil {
+			if _, _, err := log.state.evaluate(items); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -221,7 +221,7 @@
 		items := log.state.Items("")
 		b.SetBytes(int64(log.state.Bytes()))
 		for b.Loop() {
-			if _, _, err := NewState().weigh(items); err != nil {
+			if _, _, err := NewState().evaluate(items); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -237,7 +237,7 @@
 		return float64(m.HeapAlloc)
 	}
 	log := full(b)
-	text := log.snapshot().Encoded()
+	text := log.sharedSnapshot().Encoded()
 	for _, n := range []int{270, 541, 1840} {
 		b.Run(fmt.Sprintf("relay/followers=%d", n), func(b *testing.B) {
 			for b.Loop() {
--- a/internal/fleet/changefeed/event.go
+++ b/internal/fleet/changefeed/event.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// linesMost bounds the lines of one Ready; more are dropped, the counters have them.
-const linesMost = 64
+// maxEvents bounds the lines of one Ready; more are dropped, the counters have them.
+const maxEvents = 64
 
 // EventKind of a line for the log.
 type EventKind uint8
--- a/internal/fleet/changefeed/feed_test.go
+++ b/internal/fleet/changefeed/feed_test.go
@@ -12,12 +12,12 @@
 )
 
 // two is a rig of two relays of one region and a follower that is up to date.
-func two(t *testing.T) (*rig, *client) {
-	r := newRig(t, "s", "s")
-	c := r.follower("b0", "s")
+func two(t *testing.T) (*harness, *testSubscriber) {
+	r := newHarness(t, "s", "s")
+	c := r.newSubscriber("b0", "s")
 	r.run(3 * time.Second)
-	r.newest(c)
-	if got := c.f.Publishers(); len(got) != 2 {
+	r.requireUpToDate(c)
+	if got := c.core.Publishers(); len(got) != 2 {
 		t.Fatalf("it follows %v", got)
 	}
 	return r, c
@@ -28,15 +28,15 @@
 	r, c := two(t)
 	from := r.source.Version()
 	for i := range 50 {
-		r.put(config(i))
+		r.put(configItem(i))
 		r.run(100 * time.Millisecond)
 	}
 	r.run(time.Second)
-	r.newest(c)
-	if c.f.Stats.Snapshots != 1 || c.f.Stats.Changes != 50 || c.f.Stats.SyncRequests > 1 {
-		t.Errorf("%+v", c.f.Stats)
+	r.requireUpToDate(c)
+	if c.core.Stats.Snapshots != 1 || c.core.Stats.Changes != 50 || c.core.Stats.SyncRequests > 1 {
+		t.Errorf("%+v", c.core.Stats)
 	}
-	for i, a := range c.applied[len(c.applied)-50:] {
+	for i, a := range c.updates[len(c.updates)-50:] {
 		if a.Version != from+uint64(i)+1 || a.Complete {
 			t.Fatalf("step %d is version %d", i, a.Version)
 		}
@@ -49,45 +49,45 @@
 	if r.sent["snapshot"] != 1 {
 		t.Errorf("%d snapshots", r.sent["snapshot"])
 	}
-	before := c.f.Stats.Duplicates
-	r.put(config(1))
+	before := c.core.Stats.Duplicates
+	r.put(configItem(1))
 	r.run(time.Second)
-	if c.f.Stats.Duplicates != before+1 {
-		t.Errorf("the second relay sends nothing: %+v", c.f.Stats)
+	if c.core.Stats.Duplicates != before+1 {
+		t.Errorf("the second relay sends nothing: %+v", c.core.Stats)
 	}
 }
 
 // TestARelayThatWakesOnOldState stops a relay while renewals to it are under way, and hands its answers over late: none of them makes
 // the follower's knowledge younger than it is.
 func TestARelayThatWakesOnOldState(t *testing.T) {
-	r := newRig(t, "s")
-	c := r.follower("b0", "s")
+	r := newHarness(t, "s")
+	c := r.newSubscriber("b0", "s")
 	r.run(3 * time.Second)
-	r.newest(c)
-	s := r.relays["r0"]
+	r.requireUpToDate(c)
+	s := r.publishers["r0"]
 	s.stopped = true
 	truth := r.now // what was agreed until then is all that this relay knows
 	r.run(2 * time.Second)
-	r.put(config(1))
-	s.stale = true
+	r.put(configItem(1))
+	s.partitioned = true
 	s.stopped = false
 	for range 60 {
 		r.run(100 * time.Millisecond)
-		if age, _ := c.f.Age(r.now); r.now-age > truth {
+		if age, _ := c.core.Age(r.now); r.now-age > truth {
 			t.Fatalf("at %v it takes its knowledge for that of %v, the relay's is of %v", r.now, r.now-age, truth)
 		}
-		if c.f.IsCurrent(r.now) && r.now-truth > DefaultLease {
+		if c.core.IsCurrent(r.now) && r.now-truth > DefaultLease {
 			t.Fatalf("current at %v by knowledge of %v", r.now, truth)
 		}
 	}
-	if c.f.Stats.LeaseExpiries != 1 || r.said(EventStale) != 1 {
-		t.Errorf("%d lapses, told %d times", c.f.Stats.LeaseExpiries, r.said(EventStale))
+	if c.core.Stats.LeaseExpiries != 1 || r.countEvents(EventStale) != 1 {
+		t.Errorf("%d lapses, told %d times", c.core.Stats.LeaseExpiries, r.countEvents(EventStale))
 	}
-	s.stale = false
+	s.partitioned = false
 	r.run(2 * time.Second)
-	r.newest(c)
-	if r.said(EventCurrent) != 2 { // the first one at the start
-		t.Errorf("told %d times that it is current", r.said(EventCurrent))
+	r.requireUpToDate(c)
+	if r.countEvents(EventCurrent) != 2 { // the first one at the start
+		t.Errorf("told %d times that it is current", r.countEvents(EventCurrent))
 	}
 }
 
@@ -101,51 +101,51 @@
 	c.waiting, late = nil, c.waiting
 	r.run(8 * time.Second)
 	r.now += 100 * time.Millisecond
-	if c.f.IsCurrent(r.now) {
+	if c.core.IsCurrent(r.now) {
 		t.Fatal("current by the clock as it is, with no beat yet")
 	}
 	c.stopped = false
 	for _, what := range late {
 		what()
 	}
-	c.f.Tick(r.now)
-	if age, _ := c.f.Age(r.now); c.f.IsCurrent(r.now) || r.now-age > at+500*time.Millisecond {
+	c.core.Tick(r.now)
+	if age, _ := c.core.Age(r.now); c.core.IsCurrent(r.now) || r.now-age > at+500*time.Millisecond {
 		t.Errorf("its knowledge is %v old after %v", age, r.now-at)
 	}
 	// Its lapse was counted, and it is current once it is answered anew.
-	if c.f.Stats.LeaseExpiries != 1 {
-		t.Errorf("%d lapses", c.f.Stats.LeaseExpiries)
+	if c.core.Stats.LeaseExpiries != 1 {
+		t.Errorf("%d lapses", c.core.Stats.LeaseExpiries)
 	}
 	c.waiting = nil
 	r.run(4 * time.Second)
-	r.newest(c)
+	r.requireUpToDate(c)
 }
 
 // TestAFollowerIsAheadOfItsRelay has a relay that lags behind what the follower knows by another.
 func TestAFollowerIsAheadOfItsRelay(t *testing.T) {
-	r := newRig(t, "s", "s")
-	r.relays["r1"].stale = true
+	r := newHarness(t, "s", "s")
+	r.publishers["r1"].partitioned = true
 	for i := range 5 {
-		r.put(config(i))
+		r.put(configItem(i))
 	}
-	c := r.follower("b0", "s")
+	c := r.newSubscriber("b0", "s")
 	r.run(3 * time.Second)
-	r.newest(c)
-	version := c.f.State().Version()
+	r.requireUpToDate(c)
+	version := c.core.State().Version()
 	r.kill("r0")
 	r.run(2 * time.Second) // r1 alone, behind
-	if c.f.State().Version() != version || len(c.f.Publishers()) != 1 {
-		t.Fatalf("version %d, relays %v", c.f.State().Version(), c.f.Publishers())
+	if c.core.State().Version() != version || len(c.core.Publishers()) != 1 {
+		t.Fatalf("version %d, relays %v", c.core.State().Version(), c.core.Publishers())
 	}
 	r.run(6 * time.Second)
-	if c.f.IsCurrent(r.now) {
+	if c.core.IsCurrent(r.now) {
 		t.Error("current by a relay that knows nothing of its age")
 	}
-	r.relays["r1"].stale = false
+	r.publishers["r1"].partitioned = false
 	snapshots := r.sent["snapshot"]
-	r.put(config(9))
+	r.put(configItem(9))
 	r.run(3 * time.Second)
-	r.newest(c)
+	r.requireUpToDate(c)
 	if r.sent["snapshot"] != snapshots {
 		t.Error("it was led on by a snapshot")
 	}
@@ -156,42 +156,42 @@
 func TestTheRingIsCutUnderASlowFollower(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
-			r := newRig(t, "s")
-			slow, quick := r.follower("slow", "s"), r.follower("quick", "s")
+			r := newHarness(t, "s")
+			slow, quick := r.newSubscriber("slow", "s"), r.newSubscriber("quick", "s")
 			r.run(3 * time.Second)
-			s := r.relays["r0"]
+			s := r.publishers["r0"]
 			slow.stopped = true
 			waits := 0
 			for i := range 30 { // it is within its lease
 				r.put(Item{Key: fmt.Sprintf("%sk%d", ConfigPrefix, i), Value: make([]byte, 4<<10)})
 				r.run(100 * time.Millisecond)
-				p := s.relay.byID["slow"]
-				if p.bytes > s.relay.cfg.WindowBytes {
-					t.Fatalf("%d bytes are out", p.bytes)
+				p := s.core.sessionsByID["slow"]
+				if p.inFlightBytes > s.core.config.WindowBytes {
+					t.Fatalf("%d bytes are out", p.inFlightBytes)
 				}
-				if !s.relay.room(p, 4<<10) {
+				if !s.core.hasWindow(p, 4<<10) {
 					waits++
 				}
 			}
 			if waits == 0 {
 				t.Fatal("it never waited")
 			}
-			r.newest(quick)
+			r.requireUpToDate(quick)
 			if cut {
-				s.log.cfg.MaxChanges = 3
-				r.put(config(0))
+				s.log.config.MaxChanges = 3
+				r.put(configItem(0))
 				r.run(100 * time.Millisecond)
 			}
 			snapshots := r.sent["snapshot"]
 			slow.stopped = false
 			r.run(4 * time.Second)
-			r.newest(slow)
-			r.newest(quick)
+			r.requireUpToDate(slow)
+			r.requireUpToDate(quick)
 			if got := r.sent["snapshot"] - snapshots; got != map[bool]int{false: 0, true: 1}[cut] {
 				t.Errorf("%d snapshots", got)
 			}
-			if slow.f.Stats.DigestMismatches+slow.f.Stats.Conflicts > 0 {
-				t.Errorf("%+v", slow.f.Stats)
+			if slow.core.Stats.DigestMismatches+slow.core.Stats.Conflicts > 0 {
+				t.Errorf("%+v", slow.core.Stats)
 			}
 		})
 	}
@@ -201,34 +201,34 @@
 func TestADigestThatDoesNotMatch(t *testing.T) {
 	for name, harm := range map[string]func(*State){
 		"a value":    func(s *State) { s.items[ConfigPrefix+"k1"] = []byte("harmed") },
-		"the digest": func(s *State) { s.sum++ },
+		"the digest": func(s *State) { s.itemsDigest++ },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, c := two(t)
-			r.put(config(1))
+			r.put(configItem(1))
 			r.run(time.Second)
-			harm(c.f.state)
+			harm(c.core.state)
 			snapshots := r.sent["snapshot"]
-			r.put(config(1 + 7))
+			r.put(configItem(1 + 7))
 			r.run(3 * time.Second)
-			r.newest(c)
+			r.requireUpToDate(c)
 			for _, i := range r.source.State().Items("") {
-				if v, _ := c.f.State().Get(i.Key); string(v) != string(i.Value) {
+				if v, _ := c.core.State().Get(i.Key); string(v) != string(i.Value) {
 					t.Errorf("%s is %q", i.Key, v)
 				}
 			}
-			if c.f.Stats.DigestMismatches == 0 || r.said(EventDigestMismatch) != 1 || r.said(EventHistoryConflict) != 0 {
-				t.Errorf("%d mismatches, told %d times, %d conflicts", c.f.Stats.DigestMismatches, r.said(EventDigestMismatch), r.said(EventHistoryConflict))
+			if c.core.Stats.DigestMismatches == 0 || r.countEvents(EventDigestMismatch) != 1 || r.countEvents(EventHistoryConflict) != 0 {
+				t.Errorf("%d mismatches, told %d times, %d conflicts", c.core.Stats.DigestMismatches, r.countEvents(EventDigestMismatch), r.countEvents(EventHistoryConflict))
 			}
 			if n := r.sent["snapshot"] - snapshots; n < 1 || n > 2 {
 				t.Errorf("%d snapshots", n)
 			}
-			harm(c.f.state) // and it is told anew when it happens anew
-			r.put(config(1 + 14))
+			harm(c.core.state) // and it is told anew when it happens anew
+			r.put(configItem(1 + 14))
 			r.run(3 * time.Second)
-			r.newest(c)
-			if r.said(EventDigestMismatch) != 2 {
-				t.Errorf("told %d times", r.said(EventDigestMismatch))
+			r.requireUpToDate(c)
+			if r.countEvents(EventDigestMismatch) != 2 {
+				t.Errorf("told %d times", r.countEvents(EventDigestMismatch))
 			}
 		})
 	}
@@ -237,37 +237,37 @@
 // TestTheSameVersionOfOtherContent has a relay with another history: what it sends is refused, it is left, and that is an error.
 func TestTheSameVersionOfOtherContent(t *testing.T) {
 	r, c := two(t)
-	s := r.relays["r1"]
-	s.stale = true
-	if _, err := s.log.Append([]Item{config(100)}); err != nil {
+	s := r.publishers["r1"]
+	s.partitioned = true
+	if _, err := s.log.Append([]Item{configItem(100)}); err != nil {
 		t.Fatal(err)
 	}
-	r.put(config(1))
-	s.relay.LogChanged()
-	s.relay.ConfirmVersion(r.now, s.log.Version())
-	r.station(s)
+	r.put(configItem(1))
+	s.core.LogChanged()
+	s.core.ConfirmVersion(r.now, s.log.Version())
+	r.drainPublisher(s)
 	r.run(3 * time.Second)
-	if r.said(EventHistoryConflict) == 0 || c.f.Stats.Conflicts == 0 {
+	if r.countEvents(EventHistoryConflict) == 0 || c.core.Stats.Conflicts == 0 {
 		t.Fatal("it is not told")
 	}
-	if got := c.f.Publishers(); !slices.Equal(got, []string{"r0"}) && !slices.Equal(got, []string{"r1"}) {
+	if got := c.core.Publishers(); !slices.Equal(got, []string{"r0"}) && !slices.Equal(got, []string{"r1"}) {
 		t.Errorf("it still follows %v", got)
 	}
-	for _, l := range r.lines {
+	for _, l := range r.events {
 		if l.Kind == EventHistoryConflict && (!l.IsAlert() || l.Addr == "" || l.Version == 0) {
 			t.Errorf("%+v", l)
 		}
 	}
-	conflicts := c.f.Stats.Conflicts
+	conflicts := c.core.Stats.Conflicts
 	r.run(10 * time.Second)
-	if c.f.Stats.Conflicts > conflicts+1 {
-		t.Errorf("it went back to it %d times within 10 s", c.f.Stats.Conflicts-conflicts)
+	if c.core.Stats.Conflicts > conflicts+1 {
+		t.Errorf("it went back to it %d times within 10 s", c.core.Stats.Conflicts-conflicts)
 	}
 	// Which of the two it took first, it keeps to: never a mixture.
-	if d := c.f.State().Digest(); d != r.source.Digest() && d != s.log.Digest() {
+	if d := c.core.State().Digest(); d != r.source.Digest() && d != s.log.Digest() {
 		t.Error("it has a state of neither")
 	}
-	if err := NewState().Install(Snapshot{Fleet: c.f.State().Fleet(), Version: c.f.State().Version(), Digest: c.f.State().Digest(), Items: c.f.State().Items("")}); err != nil {
+	if err := NewState().Install(Snapshot{Fleet: c.core.State().Fleet(), Version: c.core.State().Version(), Digest: c.core.State().Digest(), Items: c.core.State().Items("")}); err != nil {
 		t.Errorf("its state is not whole: %v", err)
 	}
 }
@@ -276,26 +276,26 @@
 // and no relay has more than its share.
 func TestAllAtOnceAfterARestartOfAllRelays(t *testing.T) {
 	const relays, followers = 17, 4600
-	r := newRig(t, sites(relays)...)
+	r := newHarness(t, sites(relays)...)
 	for i := range followers {
-		r.follower(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
+		r.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 	}
 	r.run(3 * time.Second)
-	for _, c := range r.all {
-		r.newest(c)
+	for _, c := range r.subscribers {
+		r.requireUpToDate(c)
 	}
-	for _, a := range r.addrs {
+	for _, a := range r.addresses {
 		r.kill(a)
 	}
-	for _, a := range r.addrs {
+	for _, a := range r.addresses {
 		r.start(a, PublisherConfig{})
 	}
 	clear(r.sent)
 	began := r.now
 	for r.run(100 * time.Millisecond); ; r.run(100 * time.Millisecond) {
 		n := 0
-		for _, c := range r.all {
-			if len(c.f.Publishers()) > 0 && c.f.IsCurrent(r.now) {
+		for _, c := range r.subscribers {
+			if len(c.core.Publishers()) > 0 && c.core.IsCurrent(r.now) {
 				n++
 			}
 		}
@@ -308,8 +308,8 @@
 	}
 	back := r.now - began
 	r.run(3 * time.Second)
-	for _, c := range r.all {
-		r.newest(c)
+	for _, c := range r.subscribers {
+		r.requireUpToDate(c)
 	}
 	if r.sent["snapshot"] != 0 || r.sent["change"] != 0 {
 		t.Errorf("sent %v", r.sent)
@@ -335,54 +335,54 @@
 	} {
 		for _, silent := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, silent %v", name, silent), func(t *testing.T) {
-				r := newRig(t, sites(17)...)
+				r := newHarness(t, sites(17)...)
 				for i := range followers {
-					r.follower(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
+					r.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 				}
 				r.run(90 * time.Second) // each with whom it ranks first
 				lost := map[string]bool{}
-				for i, a := range r.addrs {
+				for i, a := range r.addresses {
 					if !gone(i) {
 						continue
 					}
 					lost[a] = true
 					if silent {
-						r.relays[a].mute, r.relays[a].stopped = true, true
+						r.publishers[a].blackholed, r.publishers[a].stopped = true, true
 					} else {
 						r.kill(a)
 					}
 				}
 				r.run(DefaultLease)
 				load, lapses := map[string]int{}, uint64(0)
-				for _, c := range r.all {
+				for _, c := range r.subscribers {
 					here := 0
-					for _, a := range c.f.Publishers() {
+					for _, a := range c.core.Publishers() {
 						load[a]++
 						if !lost[a] {
 							here++
 						}
 					}
 					if here == 0 {
-						t.Fatalf("%s follows %v", c.id, c.f.Publishers())
+						t.Fatalf("%s follows %v", c.id, c.core.Publishers())
 					}
-					lapses += c.f.Stats.LeaseExpiries
+					lapses += c.core.Stats.LeaseExpiries
 				}
 				if !silent && lapses > 0 {
 					t.Errorf("%d lapses", lapses)
 				}
 				r.run(5 * time.Second)
 				clear(load)
-				for _, c := range r.all {
-					if got := c.f.Publishers(); len(got) < 2 {
+				for _, c := range r.subscribers {
+					if got := c.core.Publishers(); len(got) < 2 {
 						t.Errorf("%s follows %v", c.id, got)
 					}
-					for _, a := range c.f.Publishers() {
+					for _, a := range c.core.Publishers() {
 						load[a]++
 					}
-					r.newest(c)
+					r.requireUpToDate(c)
 				}
 				left := 17 - len(lost)
-				for _, a := range r.addrs {
+				for _, a := range r.addresses {
 					if share := 2 * followers / left; !lost[a] && load[a] > 2*share {
 						t.Errorf("%s has %d, the share is %d", a, load[a], share)
 					}
@@ -401,10 +401,10 @@
 		"from it":      func(from, to string) bool { return from == "r1" && to == "b0" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, "s", "s", "s")
-			c := r.follower("b0", "s")
+			r := newHarness(t, "s", "s", "s")
+			c := r.newSubscriber("b0", "s")
 			r.run(90 * time.Second)
-			had := c.f.Publishers()
+			had := c.core.Publishers()
 			if !slices.Contains(had, "r1") {
 				c.id = "b0"
 				cut2 := cut
@@ -421,24 +421,24 @@
 			} else {
 				had = []string{"r1"}
 			}
-			r.hold = func(from, to string, _ *Message) bool { return cut(from, to) }
+			r.drop = func(from, to string, _ *Message) bool { return cut(from, to) }
 			for i := range 60 {
-				r.put(config(i))
+				r.put(configItem(i))
 				r.run(100 * time.Millisecond)
-				if !c.f.IsCurrent(r.now) {
+				if !c.core.IsCurrent(r.now) {
 					t.Fatalf("not current after %v", time.Duration(i)*100*time.Millisecond)
 				}
 			}
-			r.newest(c)
-			if got := c.f.Publishers(); slices.Contains(got, had[0]) || len(got) != 2 {
+			r.requireUpToDate(c)
+			if got := c.core.Publishers(); slices.Contains(got, had[0]) || len(got) != 2 {
 				t.Errorf("it follows %v, %s is cut off", got, had[0])
 			}
-			if n := len(r.relays[had[0]].relay.peers); n != 0 {
+			if n := len(r.publishers[had[0]].core.sessions); n != 0 {
 				t.Errorf("the relay still counts %d", n)
 			}
-			r.hold = func(string, string, *Message) bool { return false }
+			r.drop = func(string, string, *Message) bool { return false }
 			r.run(3 * time.Minute)
-			r.newest(c)
+			r.requireUpToDate(c)
 		})
 	}
 }
@@ -448,16 +448,16 @@
 	r, c := two(t)
 	c.stopped = true
 	r.run(4 * time.Second)
-	r.put(config(1))
+	r.put(configItem(1))
 	c.stopped = false
-	fails := c.f.Stats.DialFailures
-	if r.now += 3 * time.Second; c.f.IsCurrent(r.now) {
+	fails := c.core.Stats.DialFailures
+	if r.now += 3 * time.Second; c.core.IsCurrent(r.now) {
 		t.Error("current after 7 s without a word")
 	}
 	r.run(time.Second)
-	r.newest(c)
-	if len(c.f.Publishers()) != 2 || c.f.Stats.DialFailures != fails || r.said(EventUnsubscribed) != 0 || r.said(EventResumed) == 0 {
-		t.Errorf("it follows %v: %v", c.f.Publishers(), r.lines)
+	r.requireUpToDate(c)
+	if len(c.core.Publishers()) != 2 || c.core.Stats.DialFailures != fails || r.countEvents(EventUnsubscribed) != 0 || r.countEvents(EventResumed) == 0 {
+		t.Errorf("it follows %v: %v", c.core.Publishers(), r.events)
 	}
 }
 
@@ -470,13 +470,13 @@
 	}
 	relay.Tick(100 * time.Millisecond)
 	relay.Tick(20 * time.Second)
-	if len(relay.peers) != 1 {
+	if len(relay.sessions) != 1 {
 		t.Fatal("let go by its own stop")
 	}
 	for at := 20 * time.Second; at < 20*time.Second+DefaultLease+time.Second; at += 100 * time.Millisecond {
 		relay.Tick(at)
 	}
-	if len(relay.peers) != 0 || relay.Stats.LeaseExpiries != 1 {
+	if len(relay.sessions) != 0 || relay.Stats.LeaseExpiries != 1 {
 		t.Error("kept after a lease of silence")
 	}
 }
@@ -492,7 +492,7 @@
 		"a newer form":  {Hello{ProtocolVersion: ProtocolVersion + 1, ID: "x"}, ErrMalformedMessage, true},
 		"no form":       {Hello{ID: "x"}, ErrMalformedMessage, false},
 		"no ID":         {Hello{ProtocolVersion: ProtocolVersion}, ErrMalformedMessage, false},
-		"a long name":   {Hello{ProtocolVersion: ProtocolVersion, ID: "x", Name: string(make([]byte, nameMost+1))}, ErrMalformedMessage, false},
+		"a long name":   {Hello{ProtocolVersion: ProtocolVersion, ID: "x", Name: string(make([]byte, maxNameBytes+1))}, ErrMalformedMessage, false},
 		"an older life": {Hello{ProtocolVersion: ProtocolVersion, ID: "b0", Incarnation: 1}, ErrMalformedMessage, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -510,8 +510,8 @@
 				t.Fatalf("%v", err)
 			}
 			out := relay.Ready()
-			if !slices.Equal(out.Close, []uint64{2}) || len(out.Events) != 1 || len(relay.peers) != 1 || relay.peers[1] == nil {
-				t.Errorf("%+v, %d followers", out, len(relay.peers))
+			if !slices.Equal(out.Close, []uint64{2}) || len(out.Events) != 1 || len(relay.sessions) != 1 || relay.sessions[1] == nil {
+				t.Errorf("%+v, %d followers", out, len(relay.sessions))
 			}
 			told := len(out.Sends) == 1 && out.Sends[0].Message.Content.Reject != nil && out.Sends[0].Message.Content.Reject.RetryAfter > 0
 			if told != one.elsewhere {
@@ -557,49 +557,49 @@
 func TestMessagesThatAreDoubledCutOrUnknown(t *testing.T) {
 	r, c := two(t)
 	// Doubled: each message to the follower comes twice.
-	r.hold = func(from, to string, m *Message) bool {
+	r.drop = func(from, to string, m *Message) bool {
 		if to == c.id {
-			_ = c.f.Step(from, *m)
+			_ = c.core.Step(from, *m)
 		}
 		return false
 	}
 	for i := range 20 {
-		r.put(config(i))
+		r.put(configItem(i))
 		r.run(200 * time.Millisecond)
 	}
-	r.newest(c)
-	if c.f.Stats.Conflicts+c.f.Stats.DigestMismatches+c.f.Stats.InvalidMessages > 0 || c.f.Stats.Snapshots != 1 {
-		t.Errorf("%+v", c.f.Stats)
+	r.requireUpToDate(c)
+	if c.core.Stats.Conflicts+c.core.Stats.DigestMismatches+c.core.Stats.InvalidMessages > 0 || c.core.Stats.Snapshots != 1 {
+		t.Errorf("%+v", c.core.Stats)
 	}
 	// Lost in the middle: what comes after a gap is asked for again.
 	rng := rand.New(rand.NewPCG(3, 4))
-	r.hold = func(from, to string, m *Message) bool {
+	r.drop = func(from, to string, m *Message) bool {
 		return rng.IntN(2) == 0 && m.RenewResponse == nil && m.RenewRequest == nil
 	}
 	for i := range 20 {
-		r.put(config(100 + i))
+		r.put(configItem(100 + i))
 		r.run(200 * time.Millisecond)
 	}
-	r.hold = func(string, string, *Message) bool { return false }
+	r.drop = func(string, string, *Message) bool { return false }
 	r.run(4 * time.Second)
-	r.newest(c)
-	if c.f.Stats.Gaps == 0 {
+	r.requireUpToDate(c)
+	if c.core.Stats.Gaps == 0 {
 		t.Error("nothing was lost")
 	}
 	// Of nothing that is known.
-	if err := c.f.Step("r0", Message{}); !errors.Is(err, ErrMalformedMessage) {
+	if err := c.core.Step("r0", Message{}); !errors.Is(err, ErrMalformedMessage) {
 		t.Errorf("%v", err)
 	}
-	if err := c.f.Step("nobody", Message{}); err != nil {
+	if err := c.core.Step("nobody", Message{}); err != nil {
 		t.Errorf("a message from a connection that is gone: %v", err)
 	}
-	r.client(c)
+	r.drainSubscriber(c)
 	r.run(2 * time.Minute)
-	r.newest(c)
-	if len(c.f.Publishers()) != 2 {
-		t.Errorf("it follows %v", c.f.Publishers())
+	r.requireUpToDate(c)
+	if len(c.core.Publishers()) != 2 {
+		t.Errorf("it follows %v", c.core.Publishers())
 	}
-	relay := r.relays["r0"].relay
+	relay := r.publishers["r0"].core
 	if err := relay.Connected(r.now, 99, Hello{ProtocolVersion: ProtocolVersion, ID: "x"}); err != nil {
 		t.Fatal(err)
 	}
@@ -609,7 +609,7 @@
 	if err := relay.Connected(r.now, 98, Hello{ProtocolVersion: ProtocolVersion, ID: "y"}); err != nil {
 		t.Fatal(err)
 	}
-	if err := relay.Step(r.now, 98, Message{}); !errors.Is(err, ErrMalformedMessage) || relay.byID["x"] != nil || relay.byID["y"] != nil {
+	if err := relay.Step(r.now, 98, Message{}); !errors.Is(err, ErrMalformedMessage) || relay.sessionsByID["x"] != nil || relay.sessionsByID["y"] != nil {
 		t.Errorf("a message of nothing: %v", err)
 	}
 }
@@ -617,25 +617,25 @@
 // TestARelayThatIsFull sends the one too many elsewhere, with a wait, and takes it once there is room; one that comes anew takes
 // its own place.
 func TestARelayThatIsFull(t *testing.T) {
-	r := newRig(t, "s", "s", "s")
+	r := newHarness(t, "s", "s", "s")
 	r.start("r0", PublisherConfig{MaxSubscribers: 5})
 	for i := range 20 {
-		r.follower(fmt.Sprintf("b%d", i), "s")
+		r.newSubscriber(fmt.Sprintf("b%d", i), "s")
 	}
 	for range 300 {
 		r.run(100 * time.Millisecond)
-		if n := len(r.relays["r0"].relay.peers); n > 5 {
+		if n := len(r.publishers["r0"].core.sessions); n > 5 {
 			t.Fatalf("%d followers", n)
 		}
 	}
-	full := r.relays["r0"].relay.Stats.RejectedFull
+	full := r.publishers["r0"].core.Stats.RejectedFull
 	elsewhere := uint64(0)
-	for _, c := range r.all {
-		r.newest(c)
-		if len(c.f.Publishers()) != 2 {
-			t.Errorf("%s follows %v", c.id, c.f.Publishers())
+	for _, c := range r.subscribers {
+		r.requireUpToDate(c)
+		if len(c.core.Publishers()) != 2 {
+			t.Errorf("%s follows %v", c.id, c.core.Publishers())
 		}
-		elsewhere += c.f.Stats.Rejections
+		elsewhere += c.core.Stats.Rejections
 	}
 	if full == 0 || elsewhere != full {
 		t.Errorf("%d found no room, %d were sent elsewhere", full, elsewhere)
@@ -643,50 +643,50 @@
 	if full > 20*4 {
 		t.Errorf("20 followers asked %d times in 30 s", full)
 	}
-	relay := r.relays["r0"].relay
-	first := relay.order.Front().Value.(*peer)
-	if err := relay.Connected(r.now, 999, Hello{ProtocolVersion: ProtocolVersion, ID: first.hello.ID, Incarnation: 2, Fleet: "f"}); err != nil || relay.byID[first.hello.ID].conn != 999 || len(relay.peers) != 5 {
+	relay := r.publishers["r0"].core
+	first := relay.order.Front().Value.(*session)
+	if err := relay.Connected(r.now, 999, Hello{ProtocolVersion: ProtocolVersion, ID: first.hello.ID, Incarnation: 2, Fleet: "f"}); err != nil || relay.sessionsByID[first.hello.ID].connID != 999 || len(relay.sessions) != 5 {
 		t.Errorf("who came anew: %v", err)
 	}
 }
 
 // TestARelayThatLeaves sends its followers elsewhere: none of them is without a relay, and they are spread.
 func TestARelayThatLeaves(t *testing.T) {
-	r := newRig(t, sites(17)...)
+	r := newHarness(t, sites(17)...)
 	for i := range 500 {
-		r.follower(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
+		r.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 	}
 	r.run(90 * time.Second)
-	s := r.relays["r2"]
-	had := len(s.relay.peers)
-	s.relay.Drain()
-	r.station(s)
+	s := r.publishers["r2"]
+	had := len(s.core.sessions)
+	s.core.Drain()
+	r.drainPublisher(s)
 	r.run(2 * time.Second)
-	if len(s.relay.peers) != 0 || had == 0 {
-		t.Errorf("%d of %d are left", len(s.relay.peers), had)
+	if len(s.core.sessions) != 0 || had == 0 {
+		t.Errorf("%d of %d are left", len(s.core.sessions), had)
 	}
-	for _, c := range r.all {
-		r.newest(c)
-		if len(c.f.Publishers()) != 2 || c.f.Stats.LeaseExpiries > 0 {
-			t.Errorf("%s follows %v, %d lapses", c.id, c.f.Publishers(), c.f.Stats.LeaseExpiries)
+	for _, c := range r.subscribers {
+		r.requireUpToDate(c)
+		if len(c.core.Publishers()) != 2 || c.core.Stats.LeaseExpiries > 0 {
+			t.Errorf("%s follows %v, %d lapses", c.id, c.core.Publishers(), c.core.Stats.LeaseExpiries)
 		}
 	}
 }
 
 // TestSnapshotsArePaced has many followers that know nothing at one relay: the bytes go out at the pace that it was given.
 func TestSnapshotsArePaced(t *testing.T) {
-	r := newRig(t, "s")
+	r := newHarness(t, "s")
 	for i := range 20 {
 		r.put(Item{Key: fmt.Sprintf("%sk%d", ConfigPrefix, i), Value: make([]byte, 10<<10)})
 	}
 	size := r.source.Snapshot().Size()
 	r.start("r0", PublisherConfig{SnapshotBytesPerSecond: 4 * size})
 	for i := range 40 {
-		r.follower(fmt.Sprintf("b%d", i), "s")
+		r.newSubscriber(fmt.Sprintf("b%d", i), "s")
 	}
 	for i := range 40 {
 		from := r.sent["snapshot"]
-		r.put(config(i)) // a change a beat: they get the one that was built, and what follows
+		r.put(configItem(i)) // a change a beat: they get the one that was built, and what follows
 		r.run(100 * time.Millisecond)
 		if got := r.sent["snapshot"] - from; i > 15 && got > 2 {
 			t.Fatalf("%d snapshots in 0.1 s", got)
@@ -696,10 +696,10 @@
 		t.Errorf("%d snapshots in 4 s, at 4 a second", got)
 	}
 	r.run(10 * time.Second)
-	for _, c := range r.all {
-		r.newest(c)
-		if c.f.Stats.Snapshots != 1 {
-			t.Errorf("%s took %d snapshots", c.id, c.f.Stats.Snapshots)
+	for _, c := range r.subscribers {
+		r.requireUpToDate(c)
+		if c.core.Stats.Snapshots != 1 {
+			t.Errorf("%s took %d snapshots", c.id, c.core.Stats.Snapshots)
 		}
 	}
 }
@@ -721,13 +721,13 @@
 	for i := range followers {
 		f := NewSubscriber(SubscriberConfig{ID: fmt.Sprintf("b%d", i), Zone: "z0", Site: fmt.Sprintf("s%d", i%3)}, 0)
 		pick := func(without int) (all []string) {
-			f.relist(Update{Complete: true, Items: list(without)})
+			f.updateMembers(Update{Complete: true, Items: list(without)})
 			got := f.choose(false)
-			if len(got) != 2 || got[0].zone == got[1].zone || got[0].site != f.cfg.Site || got[1].site != f.cfg.Site {
-				t.Fatalf("%s of %s: %+v", f.cfg.ID, f.cfg.Site, got)
+			if len(got) != 2 || got[0].zone == got[1].zone || got[0].site != f.config.Site || got[1].site != f.config.Site {
+				t.Fatalf("%s of %s: %+v", f.config.ID, f.config.Site, got)
 			}
 			for _, w := range got {
-				all = append(all, w.addr)
+				all = append(all, w.address)
 			}
 			return all
 		}
@@ -739,7 +739,7 @@
 		had := slices.Contains(a, "r4")
 		for _, addr := range a {
 			if addr != "r4" && !slices.Contains(b, addr) && !had {
-				t.Fatalf("%s has %v, and without r4 %v", f.cfg.ID, a, b)
+				t.Fatalf("%s has %v, and without r4 %v", f.config.ID, a, b)
 			}
 		}
 		if had {
@@ -766,7 +766,7 @@
 		all = append(all, memberItem(t, shardmap.Member{ID: name, Addr: name, Zone: fmt.Sprintf("z%d", i%11), Site: "s"}))
 	}
 	f := NewSubscriber(SubscriberConfig{ID: "b", Zone: "z0", Site: "s"}, 0)
-	f.relist(Update{Complete: true, Items: all})
+	f.updateMembers(Update{Complete: true, Items: all})
 	if len(f.ranked) != relays {
 		t.Errorf("%d of %d are ranked", len(f.ranked), relays)
 	}
@@ -774,27 +774,27 @@
 
 // TestTheBetterRankedComeBackSlowly restarts a relay: its followers come back one by one, not all at once, and none is ever without.
 func TestTheBetterRankedComeBackSlowly(t *testing.T) {
-	r := newRig(t, sites(17)...)
+	r := newHarness(t, sites(17)...)
 	for i := range 500 {
-		r.follower(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
+		r.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 	}
 	r.run(2 * time.Minute)
-	had := len(r.relays["r3"].relay.peers)
+	had := len(r.publishers["r3"].core.sessions)
 	r.kill("r3")
 	r.run(10 * time.Second)
 	r.start("r3", PublisherConfig{})
 	most := 0
 	for second := range 150 {
-		before := r.relays["r3"].relay.Stats.Accepted
+		before := r.publishers["r3"].core.Stats.Accepted
 		r.run(time.Second)
-		most = max(most, int(r.relays["r3"].relay.Stats.Accepted-before))
-		for _, c := range r.all {
-			if c.f.Stats.LeaseExpiries > 0 || len(c.f.Publishers()) == 0 {
-				t.Fatalf("%s after %d s: %v, %d lapses", c.id, second, c.f.Publishers(), c.f.Stats.LeaseExpiries)
+		most = max(most, int(r.publishers["r3"].core.Stats.Accepted-before))
+		for _, c := range r.subscribers {
+			if c.core.Stats.LeaseExpiries > 0 || len(c.core.Publishers()) == 0 {
+				t.Fatalf("%s after %d s: %v, %d lapses", c.id, second, c.core.Publishers(), c.core.Stats.LeaseExpiries)
 			}
 		}
 	}
-	if back := len(r.relays["r3"].relay.peers); back != had {
+	if back := len(r.publishers["r3"].core.sessions); back != had {
 		t.Errorf("%d of %d are back", back, had)
 	}
 	if most > had/4 {
@@ -805,37 +805,37 @@
 
 // TestNobodyLeadsTheLog stops all freshness: followers keep their relays, say that they stand, and do not roam.
 func TestNobodyLeadsTheLog(t *testing.T) {
-	r := newRig(t, sites(17)...)
+	r := newHarness(t, sites(17)...)
 	for i := range 100 {
-		r.follower(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
+		r.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 	}
 	r.run(90 * time.Second)
-	for _, s := range r.relays {
-		s.stale = true
+	for _, s := range r.publishers {
+		s.partitioned = true
 	}
 	dials := uint64(0)
-	for _, c := range r.all {
-		dials -= c.f.Stats.Dials
+	for _, c := range r.subscribers {
+		dials -= c.core.Stats.Dials
 	}
 	r.run(2 * time.Minute)
-	for _, c := range r.all {
-		dials += c.f.Stats.Dials
-		if c.f.IsCurrent(r.now) || c.f.Stats.LeaseExpiries != 1 || len(c.f.Publishers()) < 2 {
-			t.Errorf("%s: %v, %d lapses", c.id, c.f.Publishers(), c.f.Stats.LeaseExpiries)
+	for _, c := range r.subscribers {
+		dials += c.core.Stats.Dials
+		if c.core.IsCurrent(r.now) || c.core.Stats.LeaseExpiries != 1 || len(c.core.Publishers()) < 2 {
+			t.Errorf("%s: %v, %d lapses", c.id, c.core.Publishers(), c.core.Stats.LeaseExpiries)
 		}
 	}
 	if dials > 100*15 {
 		t.Errorf("100 followers dialed %d times in 2 minutes", dials)
 	}
 	t.Logf("%d dials of 100 followers in 2 minutes", dials)
-	for _, s := range r.relays {
-		s.stale = false
+	for _, s := range r.publishers {
+		s.partitioned = false
 	}
 	clear(r.sent)
-	r.put(config(1))
+	r.put(configItem(1))
 	r.run(3 * time.Second)
-	for _, c := range r.all {
-		r.newest(c)
+	for _, c := range r.subscribers {
+		r.requireUpToDate(c)
 	}
 	if r.sent["snapshot"] > 0 {
 		t.Errorf("%d snapshots", r.sent["snapshot"])
@@ -845,40 +845,40 @@
 // TestAHealedCutNeedsNoSnapshots cuts a region with its relays off from the log for a while and lets it go on: its followers go on by
 // changes, though one of its relays had to take a snapshot itself.
 func TestAHealedCutNeedsNoSnapshots(t *testing.T) {
-	r := newRig(t, sites(17)...)
+	r := newHarness(t, sites(17)...)
 	for i := range 300 {
-		r.follower(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
+		r.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 	}
 	r.run(90 * time.Second)
-	for i, a := range r.addrs {
-		r.relays[a].stale = i%3 == 0
+	for i, a := range r.addresses {
+		r.publishers[a].partitioned = i%3 == 0
 	}
-	for _, c := range r.all { // and its followers cannot reach the others
+	for _, c := range r.subscribers { // and its followers cannot reach the others
 		c := c
-		hold := r.hold
-		r.hold = func(from, to string, m *Message) bool {
-			if from == c.id && c.f.cfg.Site == "s0" && r.relays[to] != nil && !r.relays[to].stale {
+		hold := r.drop
+		r.drop = func(from, to string, m *Message) bool {
+			if from == c.id && c.core.config.Site == "s0" && r.publishers[to] != nil && !r.publishers[to].partitioned {
 				return true
 			}
 			return hold(from, to, m)
 		}
 	}
 	for i := range 200 {
-		r.put(config(i))
+		r.put(configItem(i))
 		r.run(100 * time.Millisecond)
 	}
-	r.hold = func(string, string, *Message) bool { return false }
+	r.drop = func(string, string, *Message) bool { return false }
 	clear(r.sent)
-	log := r.relays["r0"]
+	log := r.publishers["r0"]
 	if err := log.log.Install(*r.source.Snapshot()); err != nil { // too far behind for the others' ring
 		t.Fatal(err)
 	}
-	for _, a := range r.addrs {
-		r.relays[a].stale = false
+	for _, a := range r.addresses {
+		r.publishers[a].partitioned = false
 	}
 	r.run(5 * time.Second)
-	for _, c := range r.all {
-		r.newest(c)
+	for _, c := range r.subscribers {
+		r.requireUpToDate(c)
 	}
 	if r.sent["snapshot"] > 5 {
 		t.Errorf("%d snapshots for 100 followers", r.sent["snapshot"])
@@ -894,19 +894,19 @@
 		t.Fatal(err)
 	}
 	sends, at := 0, time.Duration(0)
-	for n := uint64(1); n < 500 && len(relay.peers) > 0; n++ {
+	for n := uint64(1); n < 500 && len(relay.sessions) > 0; n++ {
 		at += 100 * time.Millisecond
-		_, _ = log.Append([]Item{config(int(n))})
+		_, _ = log.Append([]Item{configItem(int(n))})
 		relay.LogChanged()
 		_ = relay.Step(at, 1, Message{RenewRequest: &RenewRequest{Sequence: n}})
 		_ = relay.Step(at, 1, Message{SyncRequest: &SyncRequest{}})
 		relay.Tick(at)
 		sends += len(relay.Ready().Sends)
 	}
-	if len(relay.peers) != 0 || relay.Stats.SlowSubscribers != 1 || at > takeWithin+2*DefaultLease {
-		t.Errorf("after %v: %d followers, %+v", at, len(relay.peers), relay.Stats)
+	if len(relay.sessions) != 0 || relay.Stats.SlowSubscribers != 1 || at > ackTimeout+2*DefaultLease {
+		t.Errorf("after %v: %d followers, %+v", at, len(relay.sessions), relay.Stats)
 	}
-	if sends > unheardMost+20 {
+	if sends > maxUnreadResponses+20 {
 		t.Errorf("%d messages to somebody who reads none", sends)
 	}
 }
@@ -914,64 +914,64 @@
 // TestARelayOfAnotherHistoryThatLags is left as well: what it says of its age is of another history.
 func TestARelayOfAnotherHistoryThatLags(t *testing.T) {
 	r, c := two(t)
-	s := r.relays["r1"]
-	s.stale = true
-	if _, err := s.log.Append([]Item{config(100)}); err != nil {
+	s := r.publishers["r1"]
+	s.partitioned = true
+	if _, err := s.log.Append([]Item{configItem(100)}); err != nil {
 		t.Fatal(err)
 	}
 	r.kill("r1")
 	for i := range 5 {
-		r.put(config(i))
+		r.put(configItem(i))
 	}
 	r.run(time.Second)
 	s.down = false
-	s.relay = NewPublisher(PublisherConfig{MaxSubscribers: 10, WindowBytes: 1000, SnapshotBytesPerSecond: 1000}, s.log, r.now)
+	s.core = NewPublisher(PublisherConfig{MaxSubscribers: 10, WindowBytes: 1000, SnapshotBytesPerSecond: 1000}, s.log, r.now)
 	for range 100 {
-		s.relay.ConfirmVersion(r.now, s.log.Version())
+		s.core.ConfirmVersion(r.now, s.log.Version())
 		r.run(100 * time.Millisecond)
 	}
-	r.newest(c)
-	if c.f.Stats.Conflicts == 0 || r.said(EventHistoryConflict) == 0 || slices.Contains(c.f.Publishers(), "r1") {
-		t.Errorf("%d conflicts, it follows %v", c.f.Stats.Conflicts, c.f.Publishers())
+	r.requireUpToDate(c)
+	if c.core.Stats.Conflicts == 0 || r.countEvents(EventHistoryConflict) == 0 || slices.Contains(c.core.Publishers(), "r1") {
+		t.Errorf("%d conflicts, it follows %v", c.core.Stats.Conflicts, c.core.Publishers())
 	}
 }
 
 // TestAllRelaysLeaveAtOnce restarts all relays as planned: what they say of a wait does not leave followers without anybody.
 func TestAllRelaysLeaveAtOnce(t *testing.T) {
-	r := newRig(t, sites(17)...)
+	r := newHarness(t, sites(17)...)
 	for i := range 300 {
-		r.follower(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
+		r.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 	}
 	r.run(30 * time.Second)
-	for _, a := range r.addrs {
-		r.relays[a].relay.Drain()
-		r.station(r.relays[a])
+	for _, a := range r.addresses {
+		r.publishers[a].core.Drain()
+		r.drainPublisher(r.publishers[a])
 		r.kill(a)
 	}
 	r.run(time.Second)
-	for _, a := range r.addrs {
+	for _, a := range r.addresses {
 		r.start(a, PublisherConfig{})
 	}
 	clear(r.sent)
 	began := r.now
-	for n := 0; n < len(r.all); {
+	for n := 0; n < len(r.subscribers); {
 		r.run(100 * time.Millisecond)
 		n = 0
-		for _, c := range r.all {
-			if len(c.f.Publishers()) > 0 && c.f.IsCurrent(r.now) {
+		for _, c := range r.subscribers {
+			if len(c.core.Publishers()) > 0 && c.core.IsCurrent(r.now) {
 				n++
 			}
 		}
 		if r.now-began > DefaultLease {
-			t.Fatalf("%d of %d within the lease", n, len(r.all))
+			t.Fatalf("%d of %d within the lease", n, len(r.subscribers))
 		}
 	}
 	t.Logf("all are back after %v", r.now-began)
 	r.run(10 * time.Second)
-	for _, c := range r.all {
-		r.newest(c)
-		if len(c.f.Publishers()) != 2 {
-			t.Errorf("%s follows %v", c.id, c.f.Publishers())
+	for _, c := range r.subscribers {
+		r.requireUpToDate(c)
+		if len(c.core.Publishers()) != 2 {
+			t.Errorf("%s follows %v", c.id, c.core.Publishers())
 		}
 	}
 	if r.sent["snapshot"] > 0 {
@@ -982,16 +982,16 @@
 // TestOneHarmedChangeIsNoMatterForLong has one change come harmed: the other relay's is taken, and no snapshot is needed for good.
 func TestOneHarmedChangeIsNoMatterForLong(t *testing.T) {
 	r, c := two(t)
-	if err := c.f.Step(c.f.Publishers()[0], Message{Change: &Change{Version: r.source.Version() + 1, DigestBefore: r.source.Digest(), DigestAfter: 1, Items: []Item{config(3)}}}); !errors.Is(err, ErrDigestMismatch) {
+	if err := c.core.Step(c.core.Publishers()[0], Message{Change: &Change{Version: r.source.Version() + 1, DigestBefore: r.source.Digest(), DigestAfter: 1, Items: []Item{configItem(3)}}}); !errors.Is(err, ErrDigestMismatch) {
 		t.Fatal(err)
 	}
 	for i := range 5 {
-		r.put(config(i))
+		r.put(configItem(i))
 		r.run(2 * time.Second)
 	}
-	r.newest(c)
-	if c.f.Stats.DigestMismatches != 1 || r.said(EventDigestMismatch) != 1 || c.f.mismatch {
-		t.Errorf("%+v, told %d times", c.f.Stats, r.said(EventDigestMismatch))
+	r.requireUpToDate(c)
+	if c.core.Stats.DigestMismatches != 1 || r.countEvents(EventDigestMismatch) != 1 || c.core.digestMismatch {
+		t.Errorf("%+v, told %d times", c.core.Stats, r.countEvents(EventDigestMismatch))
 	}
 }
 
@@ -1011,7 +1011,7 @@
 		}
 	}
 	next := func() {
-		if _, err := log.Append([]Item{config(1)}); err != nil {
+		if _, err := log.Append([]Item{configItem(1)}); err != nil {
 			t.Fatal(err)
 		}
 		relay.LogChanged()
--- a/internal/fleet/changefeed/golden_test.go
+++ b/internal/fleet/changefeed/golden_test.go
@@ -134,7 +134,7 @@
 	again := NewSnapshot(snapshot.Fleet, 77, snapshot.Items)
 	lines = append(lines, fmt.Sprintf("new-snapshot %d %016x", again.Version, again.Digest))
 	for _, relay := range []string{"", "a", "10.0.0.1:7000"} {
-		lines = append(lines, fmt.Sprintf("score %q %016x", relay, score("follower", relay)))
+		lines = append(lines, fmt.Sprintf("score %q %016x", relay, rendezvousScore("follower", relay)))
 	}
 	compareGolden(t, "digests.golden", lines)
 }
@@ -142,7 +142,7 @@
 // TestGoldenConstants holds strings and numbers that are part of what other processes see.
 func TestGoldenConstants(t *testing.T) {
 	var texts []string
-	for _, err := range []error{ErrOutOfOrder, ErrDigestMismatch, ErrConflict, ErrFull, ErrInvalidItem, ErrForeignFleet, ErrMalformedMessage, errLeaves} {
+	for _, err := range []error{ErrOutOfOrder, ErrDigestMismatch, ErrConflict, ErrFull, ErrInvalidItem, ErrForeignFleet, ErrMalformedMessage, errDraining} {
 		texts = append(texts, err.Error()) // a relay sends them as the reason of an Elsewhere
 	}
 	compareGolden(t, "constants.golden", append(texts, FleetKey, MemberPrefix, ConfigPrefix, fmt.Sprint(ProtocolVersion), fmt.Sprint(MaxMessageBytes)))
--- a/internal/fleet/changefeed/state.go
+++ b/internal/fleet/changefeed/state.go
@@ -100,10 +100,10 @@
 
 // State is all items at one version.
 type State struct {
-	items   map[string][]byte
-	version uint64
-	sum     uint64 // of the items' hashes
-	bytes   int
+	items       map[string][]byte
+	version     uint64
+	itemsDigest uint64 // of the items' hashes
+	bytes       int
 }
 
 // NewState is the state before anything is known: version 0, digest 0.
@@ -111,7 +111,7 @@
 
 // Version counts the changes that led here; Digest tells two states apart, whatever way they were come by.
 func (s *State) Version() uint64 { return s.version }
-func (s *State) Digest() uint64  { return s.sum + mix(s.version) }
+func (s *State) Digest() uint64  { return s.itemsDigest + mixBits(s.version) }
 
 // Fleet is the ID of the fleet that this is of, empty before it is known.
 func (s *State) Fleet() string { return string(s.items[FleetKey]) }
@@ -140,11 +140,11 @@
 
 // hashItem is an item's part of the digest.
 func hashItem(key string, value []byte) uint64 {
-	return mix(xxhash.Sum64String(key)*0x9e3779b97f4a7c15 + bits.RotateLeft64(xxhash.Sum64(value), 17))
+	return mixBits(xxhash.Sum64String(key)*0x9e3779b97f4a7c15 + bits.RotateLeft64(xxhash.Sum64(value), 17))
 }
 
-// mix spreads each bit over all; 0 stays 0, so that nothing at version 0 has the digest 0.
-func mix(x uint64) uint64 {
+// mixBits spreads each bit over all; 0 stays 0, so that nothing at version 0 has the digest 0.
+func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -152,9 +152,9 @@
 	return x ^ x>>33
 }
 
-// weigh is what a state would be with these items in it, nothing done yet.
-func (s *State) weigh(items []Item) (sum uint64, bytes int, err error) {
-	sum, bytes = s.sum, s.bytes
+// evaluate is what a state would be with these items in it, nothing done yet.
+func (s *State) evaluate(items []Item) (sum uint64, bytes int, err error) {
+	sum, bytes = s.itemsDigest, s.bytes
 	keys := len(s.items)
 	seen := make(map[string]bool, len(items))
 	for _, i := range items {
@@ -186,13 +186,13 @@
 	return sum, bytes, nil
 }
 
-// next is the change that these items would make. ErrItem, ErrFull, ErrFleet.
-func (s *State) next(items []Item) (Change, error) {
-	sum, _, err := s.weigh(items)
+// nextChange is the change that these items would make. ErrItem, ErrFull, ErrFleet.
+func (s *State) nextChange(items []Item) (Change, error) {
+	sum, _, err := s.evaluate(items)
 	if err != nil {
 		return Change{}, err
 	}
-	return Change{Version: s.version + 1, DigestBefore: s.Digest(), DigestAfter: sum + mix(s.version+1), Items: items}, nil
+	return Change{Version: s.version + 1, DigestBefore: s.Digest(), DigestAfter: sum + mixBits(s.version+1), Items: items}, nil
 }
 
 // Apply takes the next change, whole or not at all.
@@ -205,11 +205,11 @@
 	case c.DigestBefore != s.Digest():
 		return fmt.Errorf("%w: version %d is of %016x, here is %016x", ErrDigestMismatch, c.Version, c.DigestBefore, s.Digest())
 	}
-	sum, bytes, err := s.weigh(c.Items)
+	sum, bytes, err := s.evaluate(c.Items)
 	if err != nil {
 		return err
 	}
-	if got := sum + mix(c.Version); got != c.DigestAfter {
+	if got := sum + mixBits(c.Version); got != c.DigestAfter {
 		return fmt.Errorf("%w: version %d comes out as %016x, not as %016x", ErrDigestMismatch, c.Version, got, c.DigestAfter)
 	}
 	for _, i := range c.Items {
@@ -219,7 +219,7 @@
 			s.items[i.Key] = i.Value
 		}
 	}
-	s.version, s.sum, s.bytes = c.Version, sum, bytes
+	s.version, s.itemsDigest, s.bytes = c.Version, sum, bytes
 	return nil
 }
 
@@ -237,7 +237,7 @@
 	}
 	next := &State{items: make(map[string][]byte, len(n.Items)), version: n.Version}
 	var err error
-	if next.sum, next.bytes, err = next.weigh(n.Items); err != nil {
+	if next.itemsDigest, next.bytes, err = next.evaluate(n.Items); err != nil {
 		return err
 	}
 	for _, i := range n.Items {
@@ -256,12 +256,12 @@
 	return nil
 }
 
-// score ranks a relay for a follower: each follower has a ranking of its own, so that those of a lost relay spread over all.
-func score(follower, relay string) uint64 {
+// rendezvousScore ranks a relay for a follower: each follower has a ranking of its own, so that those of a lost relay spread over all.
+func rendezvousScore(follower, relay string) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], xxhash.Sum64String(relay))
 	d := xxhash.New()
 	_, _ = d.WriteString(follower)
 	_, _ = d.Write(b[:])
-	return mix(d.Sum64())
+	return mixBits(d.Sum64())
 }
--- a/internal/fleet/changefeed/state_test.go
+++ b/internal/fleet/changefeed/state_test.go
@@ -163,7 +163,7 @@
 		}
 	}
 	for v := range uint64(50) {
-		d := c.sum + mix(v)
+		d := c.itemsDigest + mixBits(v)
 		if o := seen[d]; o != "" && v != c.Version() {
 			t.Errorf("version %d has the digest of %s", v, o)
 		}
@@ -215,7 +215,7 @@
 		_, _ = a.Append([]Item{{Key: "k", Value: []byte{byte(i)}}})
 		_, _ = b.Append([]Item{{Key: "k", Value: []byte{byte(i / 2)}}})
 	}
-	cs, _ := b.ChangesSince(1, b.ring[0].change.DigestAfter)
+	cs, _ := b.ChangesSince(1, b.entries[0].change.DigestAfter)
 	if err := a.Apply(*cs[0]); !errors.Is(err, ErrConflict) {
 		t.Errorf("version 2 of another history: %v", err)
 	}
--- a/internal/fleet/changefeed/walk_test.go
+++ b/internal/fleet/changefeed/walk_test.go
@@ -255,17 +255,17 @@
 func (w *small) check(f *smallFollower) {
 	st := f.core.State()
 	fresh := NewState() // by what is there, not by the digest that was carried forward
-	if _, _, err := fresh.weigh(st.Items("")); err != nil {
+	if _, _, err := fresh.evaluate(st.Items("")); err != nil {
 		w.fail(mixed, "%s: %v", f.id, err)
 	}
-	sum, _, _ := fresh.weigh(st.Items(""))
-	if got := sum + mix(st.Version()); st.Version() >= uint64(len(w.digests)) || got != w.digests[st.Version()] {
+	sum, _, _ := fresh.evaluate(st.Items(""))
+	if got := sum + mixBits(st.Version()); st.Version() >= uint64(len(w.digests)) || got != w.digests[st.Version()] {
 		w.fail(mixed, "%s at version %d", f.id, st.Version())
 		return
 	}
 	current := f.core.IsCurrent(w.now)
 	if w.broken == leaseNotLookedAt {
-		current = f.core.known
+		current = f.core.confirmed
 	}
 	if current && w.versionAt(w.now-DefaultLease) > st.Version() {
 		w.fail(falselyNew, "%s at version %d, %d was agreed a lease ago", f.id, st.Version(), w.versionAt(w.now-DefaultLease))
@@ -304,7 +304,7 @@
 	switch {
 	case w.broken == digestUnchecked && m.Change != nil && m.Change.Version == st.Version()+1:
 		c := *m.Change
-		if next, err := st.next(c.Items); err == nil {
+		if next, err := st.nextChange(c.Items); err == nil {
 			c.DigestBefore, c.DigestAfter = next.DigestBefore, next.DigestAfter
 		}
 		m.Change = &c
@@ -453,7 +453,7 @@
 		w.learn(i)
 	case "agree":
 		w.left.versions--
-		w.agree(config(len(w.truth)))
+		w.agree(configItem(len(w.truth)))
 	case "beat":
 		w.left.beats--
 		w.beat()
@@ -502,19 +502,19 @@
 		_, _ = fmt.Fprint(&h, " ", min(ago(t), time.Minute))
 	}
 	for _, r := range w.relays {
-		_, _ = fmt.Fprint(&h, "|", r.log.Version(), r.log.Changes(), r.stopped, r.core.known, ago(r.core.fresh.at), ago(r.core.now), len(r.core.claims), len(r.core.queue))
+		_, _ = fmt.Fprint(&h, "|", r.log.Version(), r.log.Changes(), r.stopped, r.core.confirmed, ago(r.core.latest.at), ago(r.core.now), len(r.core.pendingConfirmations), len(r.core.snapshotQueue))
 		for e := r.core.order.Front(); e != nil; e = e.Next() {
-			p := e.Value.(*peer)
-			_, _ = fmt.Fprint(&h, ";", p.hello.ID, p.hello.Incarnation, ago(p.heard), p.version, p.sent, p.parked, p.behind, p.whole, p.queued, len(p.out), p.bytes, p.answers, p.read, p.asked)
+			p := e.Value.(*session)
+			_, _ = fmt.Fprint(&h, ";", p.hello.ID, p.hello.Incarnation, ago(p.lastReceived), p.ackedVersion, p.sentVersion, p.standby, p.awaitingResume, p.forceSnapshot, p.awaitingSnapshot, len(p.inFlight), p.inFlightBytes, p.lastAnswered, p.lastResponse, p.syncPending)
 		}
 	}
 	for _, f := range w.follow {
 		c := f.core
-		_, _ = fmt.Fprint(&h, "|", c.state.Version(), c.known, ago(c.asOf), c.stands, f.stopped, ago(c.now), c.mismatch, ago(c.returnAt), c.hastens)
+		_, _ = fmt.Fprint(&h, "|", c.state.Version(), c.confirmed, ago(c.confirmedAt), c.stale, f.stopped, ago(c.now), c.digestMismatch, ago(c.replaceAt), c.replaceSoon)
 		for _, a := range []string{"r0", "r1"} {
-			if y := c.upstreams[a]; y != nil {
-				_, _ = fmt.Fprint(&h, ";", y.state, ago(y.began), ago(y.heard), ago(y.answered), y.proved, y.synced, y.parked, y.number, y.read, len(y.asks), y.claims, ago(y.renewAt), y.wants, y.wanted,
-					y.wantedAt, y.whole, y.unacked, y.fails, y.failed, ago(y.pass), y.told)
+			if y := c.candidates[a]; y != nil {
+				_, _ = fmt.Fprint(&h, ";", y.state, ago(y.stateSince), ago(y.lastReceived), ago(y.lastAnswered), y.healthy, y.synced, y.standby, y.lastSequence, y.lastResponse, len(y.pendingRenewals), y.pendingConfirmations, ago(y.nextRenewAt), y.syncPending, y.syncSequence,
+					y.syncVersion, y.syncSnapshot, y.unackedBytes, y.failures, y.hasFailed, ago(y.avoidUntil), y.rejected)
 			}
 			if s := f.conns[a]; s != nil {
 				for way := range s.ways {
@@ -582,49 +582,49 @@
 
 func (l *Log) clone() *Log {
 	n := *l
-	n.state, n.ring = l.state.clone(), slices.Clone(l.ring)
+	n.state, n.entries = l.state.clone(), slices.Clone(l.entries)
 	return &n
 }
 
 func (r *Publisher) clone(log *Log) *Publisher {
 	n := *r
 	n.log, n.rng = log, rand.New(rand.NewPCG(1, 1))
-	n.claims = slices.Clone(r.claims)
-	n.peers, n.byID, n.order, n.leases, n.queue, n.out = map[uint64]*peer{}, map[string]*peer{}, list.New(), make(leases, len(r.leases)), nil, map[uint64]*inflightSnapshot{}
-	of := map[*peer]*peer{}
+	n.pendingConfirmations = slices.Clone(r.pendingConfirmations)
+	n.sessions, n.sessionsByID, n.order, n.expiries, n.snapshotQueue, n.snapshotsInFlight = map[uint64]*session{}, map[string]*session{}, list.New(), make(expiryQueue, len(r.expiries)), nil, map[uint64]*inflightSnapshot{}
+	of := map[*session]*session{}
 	for e := r.order.Front(); e != nil; e = e.Next() {
-		p := *e.Value.(*peer)
-		p.out = slices.Clone(p.out)
-		p.at = n.order.PushBack(&p)
-		n.peers[p.conn], n.byID[p.hello.ID] = &p, &p
-		of[e.Value.(*peer)] = &p
+		p := *e.Value.(*session)
+		p.inFlight = slices.Clone(p.inFlight)
+		p.position = n.order.PushBack(&p)
+		n.sessions[p.connID], n.sessionsByID[p.hello.ID] = &p, &p
+		of[e.Value.(*session)] = &p
 	}
-	for i, p := range r.leases {
-		n.leases[i] = of[p]
+	for i, p := range r.expiries {
+		n.expiries[i] = of[p]
 	}
-	for _, p := range r.queue {
-		n.queue = append(n.queue, of[p])
+	for _, p := range r.snapshotQueue {
+		n.snapshotQueue = append(n.snapshotQueue, of[p])
 	}
-	for v, h := range r.out {
+	for v, h := range r.snapshotsInFlight {
 		c := *h
-		n.out[v] = &c
+		n.snapshotsInFlight[v] = &c
 	}
 	return &n
 }
 
 func (f *Subscriber) clone() *Subscriber {
 	n := *f
-	n.state, n.rng, n.upstreams, n.listed, n.use, n.ranked = f.state.clone(), rand.New(rand.NewPCG(1, 1)), map[string]*upstream{}, maps.Clone(f.listed), nil, nil
-	for a, w := range f.upstreams {
+	n.state, n.rng, n.candidates, n.members, n.active, n.ranked = f.state.clone(), rand.New(rand.NewPCG(1, 1)), map[string]*candidate{}, maps.Clone(f.members), nil, nil
+	for a, w := range f.candidates {
 		c := *w
-		c.asks, c.claims = slices.Clone(w.asks), slices.Clone(w.claims)
-		n.upstreams[a] = &c
+		c.pendingRenewals, c.pendingConfirmations = slices.Clone(w.pendingRenewals), slices.Clone(w.pendingConfirmations)
+		n.candidates[a] = &c
 	}
-	for _, w := range f.use {
-		n.use = append(n.use, n.upstreams[w.addr])
+	for _, w := range f.active {
+		n.active = append(n.active, n.candidates[w.address])
 	}
 	for _, w := range f.ranked {
-		n.ranked = append(n.ranked, n.upstreams[w.addr])
+		n.ranked = append(n.ranked, n.candidates[w.address])
 	}
 	return &n
 }
--- a/internal/fleet/changefeed/whole.go
+++ b/internal/fleet/changefeed/whole.go
@@ -7,5 +7,5 @@
 	for _, i := range items {
 		sum += hashItem(i.Key, i.Value)
 	}
-	return &Snapshot{Fleet: fleet, Version: version, Digest: sum + mix(version), Items: items}
+	return &Snapshot{Fleet: fleet, Version: version, Digest: sum + mixBits(version), Items: items}
 }
