--- a/internal/fleet/changefeed/event.go
+++ b/internal/fleet/changefeed/event.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// maxEvents bounds the lines of one Ready; more are dropped, the counters have them.
+// maxEvents bounds the events of one Ready. Further ones are dropped; the statistics count them.
 const maxEvents = 64
 
-// EventKind of a line for the log.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
+// The kinds of events, with the fields of Event that they use.
 const (
-	EventResumed          EventKind = iota // this process was stopped For so long
-	EventLeaseExpired                      // a relay let Peer go: it was not heard For so long
-	EventSlowSubscriber                    // a relay let Peer go: it took nothing For so long
-	EventForeignFleet                      // Peer is of another fleet, Text
-	EventNewerProtocol                     // Peer speaks a newer form, Text
-	EventMalformedMessage                  // Text
-	EventSubscribed                        // a follower follows Peer at Addr
-	EventUnsubscribed                      // a follower leaves Addr, Text tells why
-	EventStale                             // a follower's knowledge is no longer current; it is of Version and For so long ago
-	EventCurrent                           // it is again
-	EventDigestMismatch                    // a follower's state is not the one that a change from Addr is of; a snapshot is asked for. Once until that has come
-	EventHistoryConflict                   // Addr has another content at the same Version: two histories exist. An error for the pager
-	EventMessageRejected                   // what Addr sent can't be taken, Text
+	EventResumed          EventKind = iota // this process was suspended for Duration
+	EventLeaseExpired                      // a publisher closed the session of PeerID, which was silent for Duration
+	EventSlowSubscriber                    // a publisher closed the session of PeerID, which acknowledged nothing for Duration
+	EventForeignFleet                      // PeerID at Addr belongs to another fleet, Detail
+	EventNewerProtocol                     // PeerID speaks a newer version of the protocol, Detail
+	EventMalformedMessage                  // Detail
+	EventSubscribed                        // a subscriber follows PeerID at Addr
+	EventUnsubscribed                      // a subscriber stopped following Addr, Detail is the reason
+	EventStale                             // a subscriber's state is no longer current; it is of Version and was confirmed Duration ago
+	EventCurrent                           // it is current again, after Duration
+	EventDigestMismatch                    // a change from Addr applies to another state than Version here; reported once until a snapshot repairs it
+	EventHistoryConflict                   // Addr has other content at the same Version: two histories exist. It needs an operator
+	EventMessageRejected                   // what Addr sent is invalid, Detail
 )
 
-// Event is one thing that operators are told.
+// Event is something that operators are told.
 type Event struct {
 	Kind     EventKind
 	PeerID   string
@@ -37,36 +38,36 @@
 	Detail   string
 }
 
-// IsAlert tells whether a line is one for the pager.
-func (l Event) IsAlert() bool { return l.Kind == EventHistoryConflict }
+// IsAlert reports whether an event needs an operator at once.
+func (e Event) IsAlert() bool { return e.Kind == EventHistoryConflict }
 
-// String words a line.
-func (l Event) String() string {
-	switch l.Kind {
+// String describes the event.
+func (e Event) String() string {
+	switch e.Kind {
 	case EventResumed:
-		return fmt.Sprintf("this process was stopped for %v", l.Duration)
+		return fmt.Sprintf("this process was suspended for %v", e.Duration)
 	case EventLeaseExpired:
-		return fmt.Sprintf("follower %s was not heard for %v: it is let go", l.PeerID, l.Duration)
+		return fmt.Sprintf("lease of subscriber %s expired after %v of silence", e.PeerID, e.Duration)
 	case EventSlowSubscriber:
-		return fmt.Sprintf("follower %s took nothing for %v: it is let go", l.PeerID, l.Duration)
+		return fmt.Sprintf("subscriber %s acknowledged nothing for %v", e.PeerID, e.Duration)
 	case EventForeignFleet:
-		return fmt.Sprintf("%s%s is of another fleet: %s", l.PeerID, l.Addr, l.Detail)
+		return fmt.Sprintf("%s%s is of another fleet: %s", e.PeerID, e.Addr, e.Detail)
 	case EventNewerProtocol:
-		return fmt.Sprintf("follower %s speaks a newer form: %s", l.PeerID, l.Detail)
+		return fmt.Sprintf("subscriber %s speaks a newer protocol version: %s", e.PeerID, e.Detail)
 	case EventMalformedMessage:
-		return "a message that can't be read: " + l.Detail
+		return "malformed message: " + e.Detail
 	case EventSubscribed:
-		return fmt.Sprintf("follows %s at %s", l.PeerID, l.Addr)
+		return fmt.Sprintf("subscribed to %s at %s", e.PeerID, e.Addr)
 	case EventUnsubscribed:
-		return fmt.Sprintf("leaves %s: %s", l.Addr, l.Detail)
+		return fmt.Sprintf("unsubscribed from %s: %s", e.Addr, e.Detail)
 	case EventStale:
-		return fmt.Sprintf("standing: knows version %d, as of %v ago", l.Version, l.Duration)
+		return fmt.Sprintf("stale: version %d was confirmed %v ago", e.Version, e.Duration)
 	case EventCurrent:
-		return fmt.Sprintf("current again, at version %d, after %v", l.Version, l.Duration)
+		return fmt.Sprintf("current again, at version %d, after %v", e.Version, e.Duration)
 	case EventDigestMismatch:
-		return fmt.Sprintf("a change from %s is of another state than version %d here: a snapshot is asked for: %s", l.Addr, l.Version, l.Detail)
+		return fmt.Sprintf("a change from %s is of another state than version %d here, requesting a snapshot: %s", e.Addr, e.Version, e.Detail)
 	case EventHistoryConflict:
-		return fmt.Sprintf("%s has another content at version %d: two histories exist: %s", l.Addr, l.Version, l.Detail)
+		return fmt.Sprintf("%s has other content at version %d, two histories exist: %s", e.Addr, e.Version, e.Detail)
 	}
-	return fmt.Sprintf("%s is refused: %s", l.Addr, l.Detail)
+	return fmt.Sprintf("message from %s rejected: %s", e.Addr, e.Detail)
 }
--- a/internal/fleet/changefeed/log.go
+++ b/internal/fleet/changefeed/log.go
@@ -2,94 +2,114 @@
 
 import "fmt"
 
-// LogConfig bounds the ring of newest changes; what is cut from it is no longer told by changes, but by a snapshot.
+// maxSnapshotLag is the largest size of the changes after a cached snapshot, as a fraction 1/maxSnapshotLag of the snapshot, up to which
+// the snapshot is sent again.
+const maxSnapshotLag = 4
+
+// LogConfig bounds the newest changes that a Log retains. Older ones can only be replaced by a snapshot.
 type LogConfig struct {
-	MaxChanges int // changes
-	MaxBytes   int // of them, as Change.Size counts; the newest one is kept whatever its size
+	MaxChanges int
+	MaxBytes   int // by Change.Size; the newest change is retained whatever its size
 }
 
-// Log is a state with the newest of the changes that led to it.
+// Log is a state with the newest changes that led to it.
 type Log struct {
 	config         LogConfig
 	state          *State
 	entries        []entry // the newest changes in order, without a gap, up to the state's version
-	bytes          int
-	latestSnapshot *SharedMessage // the newest that was built, nil where there is none
+	bytes          int     // of the entries
+	latestSnapshot *SharedMessage
 }
 
+// entry is a retained change.
 type entry struct {
 	change  *Change
 	message *SharedMessage
 	size    int
 }
 
-// NewLog begins empty.
-func NewLog(cfg LogConfig) *Log {
-	return &Log{config: LogConfig{MaxChanges: max(1, cfg.MaxChanges), MaxBytes: max(1, cfg.MaxBytes)}, state: NewState()}
+// NewLog returns an empty log.
+func NewLog(config LogConfig) *Log {
+	config.MaxChanges = max(1, config.MaxChanges)
+	config.MaxBytes = max(1, config.MaxBytes)
+	return &Log{config: config, state: NewState()}
 }
 
-// State is what the log has come to, not to be changed but through the log.
+// State returns the newest state, which must only be modified by the log.
 func (l *Log) State() *State { return l.state }
 
-// Fleet, Version and Digest are the state's.
-func (l *Log) Fleet() string   { return l.state.Fleet() }
+// Fleet is the ID of the state's fleet, empty before it is known.
+func (l *Log) Fleet() string { return l.state.Fleet() }
+
+// Version is the state's version.
 func (l *Log) Version() uint64 { return l.state.Version() }
-func (l *Log) Digest() uint64  { return l.state.Digest() }
 
-// Changes is the number of changes in the ring, Bytes their size.
+// Digest is the state's digest.
+func (l *Log) Digest() uint64 { return l.state.Digest() }
+
+// Changes is the number of retained changes.
 func (l *Log) Changes() int { return len(l.entries) }
-func (l *Log) Bytes() int   { return l.bytes }
 
-// Append makes the next version at the source: the change is applied, kept, and handed out for the others. The items are kept as
-// they are. ErrItem, ErrFull and ErrFleet leave all as it was.
+// Bytes is the size of the retained changes.
+func (l *Log) Bytes() int { return l.bytes }
+
+// Append creates the next version: it applies and retains the change, and returns it for replication. The items are retained, not
+// copied. ErrInvalidItem, ErrFull and ErrForeignFleet leave the log as it was.
 func (l *Log) Append(items []Item) (Change, error) {
-	c, err := l.state.nextChange(items)
+	change, err := l.state.nextChange(items)
 	if err != nil {
 		return Change{}, err
 	}
-	return c, l.Apply(c)
+	return change, l.Apply(change)
 }
 
-// Apply takes the next change. An old one whose content the ring knows to be another is ErrConflict.
-func (l *Log) Apply(c Change) error {
-	if c.Version < l.Version() {
-		if d, is := l.digestAt(c.Version); is && d != c.DigestAfter {
-			return fmt.Errorf("%w: version %d with digest %016x, here %016x", ErrConflict, c.Version, c.DigestAfter, d)
+// Apply applies the next change. An old change whose content differs from the retained one is ErrConflict.
+func (l *Log) Apply(change Change) error {
+	if change.Version < l.Version() {
+		if digest, ok := l.digestAt(change.Version); ok && digest != change.DigestAfter {
+			return fmt.Errorf("%w: version %d with digest %016x, here %016x", ErrConflict, change.Version, change.DigestAfter, digest)
 		}
 	}
-	if err := l.state.Apply(c); err != nil {
+	if err := l.state.Apply(change); err != nil {
 		return err
 	}
-	e := entry{change: &c, size: c.Size()}
-	e.message = &SharedMessage{Content: Message{Change: e.change}}
-	l.entries = append(l.entries, e)
-	l.bytes += e.size
-	cut := 0
-	for len(l.entries)-cut > 1 && (len(l.entries)-cut > l.config.MaxChanges || l.bytes > l.config.MaxBytes) {
-		l.bytes -= l.entries[cut].size
-		l.entries[cut] = entry{}
-		cut++
-	}
-	l.entries = l.entries[cut:]
+	applied := entry{change: &change, size: change.Size()}
+	applied.message = &SharedMessage{Content: Message{Change: applied.change}}
+	l.entries = append(l.entries, applied)
+	l.bytes += applied.size
+	l.truncate()
 	return nil
 }
 
-// Install replaces all by a snapshot; the changes before it are forgotten.
-func (l *Log) Install(n Snapshot) error {
-	was := l.Version()
-	if err := l.state.Install(n); err != nil {
+// truncate drops the oldest changes until the rest is within the bounds; the newest one is kept in any case.
+func (l *Log) truncate() {
+	dropped := 0
+	for len(l.entries)-dropped > 1 && (len(l.entries)-dropped > l.config.MaxChanges || l.bytes > l.config.MaxBytes) {
+		l.bytes -= l.entries[dropped].size
+		l.entries[dropped] = entry{}
+		dropped++
+	}
+	l.entries = l.entries[dropped:]
+}
+
+// Install replaces the state by a snapshot and drops all retained changes, unless the log has that version already.
+func (l *Log) Install(snapshot Snapshot) error {
+	before := l.Version()
+	if err := l.state.Install(snapshot); err != nil {
 		return err
 	}
-	if l.Version() != was {
-		l.entries, l.bytes, l.latestSnapshot = nil, 0, nil
+	if l.Version() != before {
+		l.entries = nil
+		l.bytes = 0
+		l.latestSnapshot = nil
 	}
 	return nil
 }
 
-// firstVersion is the version from which on the ring leads to the newest.
+// firstVersion is the oldest version from which the retained changes lead to the newest one.
 func (l *Log) firstVersion() uint64 { return l.Version() - uint64(len(l.entries)) }
 
-// digestAt is the digest that the state had at a version, if the ring reaches back so far.
+// digestAt is the digest of the state at a version, if the retained changes reach back to it.
 func (l *Log) digestAt(version uint64) (uint64, bool) {
 	first := l.firstVersion()
 	switch {
@@ -103,18 +123,18 @@
 	return l.entries[version-first-1].change.DigestAfter, true
 }
 
-// canReplayFrom tells whether who has this version with this digest can be led on by changes alone. One that is ahead can: it lacks
-// nothing yet.
+// canReplayFrom reports whether a peer with this version and digest can be brought up to date by changes alone. A peer that is ahead
+// can: it lacks nothing yet.
 func (l *Log) canReplayFrom(version, digest uint64) bool {
 	if version > l.Version() {
 		return true
 	}
-	d, is := l.digestAt(version)
-	return is && d == digest
+	known, ok := l.digestAt(version)
+	return ok && known == digest
 }
 
-// ChangesSince are the changes after a version, in order, for who has that version with that digest; none for who is ahead. False where
-// only a snapshot helps.
+// ChangesSince returns the changes after a version, in order, for a peer with that version and digest; none for a peer that is ahead.
+// It returns false where a snapshot is needed.
 func (l *Log) ChangesSince(version, digest uint64) ([]*Change, bool) {
 	if !l.canReplayFrom(version, digest) {
 		return nil, false
@@ -122,39 +142,46 @@
 	if version >= l.Version() {
 		return nil, true
 	}
-	var all []*Change
-	for _, e := range l.entries[version-l.firstVersion():] {
-		all = append(all, e.change)
+	var changes []*Change
+	for _, e := range l.entriesAfter(version) {
+		changes = append(changes, e.change)
 	}
-	return all, true
+	return changes, true
 }
 
-// entryAfter is the change that follows a version which the ring reaches, and is not the newest.
+// entriesAfter returns the changes after a version that the log reaches back to.
+func (l *Log) entriesAfter(version uint64) []entry { return l.entries[version-l.firstVersion():] }
+
+// entryAfter returns the change that follows a version, which the log reaches back to and which is not the newest.
 func (l *Log) entryAfter(version uint64) entry { return l.entries[version-l.firstVersion()] }
 
-// Snapshot is the state as one message, built at most once for each version.
+// Snapshot returns the state as a message. It is built at most once for each version.
 func (l *Log) Snapshot() *Snapshot { return l.sharedSnapshot().Content.Snapshot }
 
 func (l *Log) sharedSnapshot() *SharedMessage {
 	if l.latestSnapshot == nil || l.latestSnapshot.Content.Snapshot.Version != l.Version() {
-		l.latestSnapshot = &SharedMessage{Content: Message{Snapshot: &Snapshot{Fleet: l.Fleet(), Version: l.Version(), Digest: l.Digest(), Items: l.state.Items("")}}}
+		snapshot := &Snapshot{Fleet: l.Fleet(), Version: l.Version(), Digest: l.Digest(), Items: l.state.Items("")}
+		l.latestSnapshot = &SharedMessage{Content: Message{Snapshot: snapshot}}
 	}
 	return l.latestSnapshot
 }
 
-// snapshotNewerThan is a snapshot that is newer than a version. The one built last is sent again, with the changes after it to follow,
-// while these are few beside it: a relay whose followers all begin anew words the state once, not at each change.
+// snapshotNewerThan returns a snapshot that is newer than a version. The cached one is returned while the changes after it are small
+// compared with it, so that many subscribers that start at once do not cause a new snapshot for each change.
 func (l *Log) snapshotNewerThan(version uint64) *SharedMessage {
-	if l.latestSnapshot != nil {
-		if s := l.latestSnapshot.Content.Snapshot; s.Version > version && l.canReplayFrom(s.Version, s.Digest) {
-			behind := 0
-			for _, e := range l.entries[s.Version-l.firstVersion():] {
-				behind += e.size
-			}
-			if behind*4 <= s.Size() {
-				return l.latestSnapshot
-			}
-		}
+	if l.latestSnapshot == nil {
+		return l.sharedSnapshot()
+	}
+	cached := l.latestSnapshot.Content.Snapshot
+	if cached.Version <= version || !l.canReplayFrom(cached.Version, cached.Digest) {
+		return l.sharedSnapshot()
+	}
+	lag := 0
+	for _, e := range l.entriesAfter(cached.Version) {
+		lag += e.size
+	}
+	if lag*maxSnapshotLag <= cached.Size() {
+		return l.latestSnapshot
 	}
 	return l.sharedSnapshot()
 }
--- a/internal/fleet/changefeed/message.go
+++ b/internal/fleet/changefeed/message.go
@@ -1,7 +1,6 @@
 package changefeed
 
 import (
-	"errors"
 	"fmt"
 	"sync"
 	"time"
@@ -9,17 +8,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ProtocolVersion is the form of the messages that this program speaks. A relay takes followers of its own form and of older ones; fields that
-// it does not know are skipped.
+// ProtocolVersion is the version of the messages that this program speaks. A publisher accepts subscribers of its own version and of
+// older ones; unknown fields are ignored.
 const ProtocolVersion = 1
 
-// MaxMessageBytes is how many bytes a message has at most, as it is worded.
+// MaxMessageBytes bounds an encoded message.
 const MaxMessageBytes = MaxStateBytes + 32*MaxKeys + 4096
 
-// ErrMalformedMessage is a message that says nothing that this program knows, or has a field out of bounds.
-var ErrMalformedMessage = errors.New("not a message")
-
-// Message is one message: one of its fields is set.
+// Message is a message between a subscriber and a publisher: exactly one of its fields is set.
 type Message struct {
 	Hello         *Hello         `cbor:"1,keyasint,omitempty"`
 	Change        *Change        `cbor:"2,keyasint,omitempty"`
@@ -31,123 +27,123 @@
 	Reject        *Reject        `cbor:"8,keyasint,omitempty"`
 	Disconnect    *Disconnect    `cbor:"9,keyasint,omitempty"`
 
-	// What passes beside the feed is the shells' business; the cores take it for a sign of life and no more.
+	// Operations belong to the shells that run the cores. The cores only take them as a sign that the peer is alive.
 	Operation       *Payload     `cbor:"10,keyasint,omitempty"`
 	OperationResult *Payload     `cbor:"11,keyasint,omitempty"`
 	PutRequest      *PutRequest  `cbor:"12,keyasint,omitempty"`
 	PutResponse     *PutResponse `cbor:"13,keyasint,omitempty"`
 }
 
-// Hello is a follower's first message.
+// Hello is a subscriber's first message.
 type Hello struct {
-	Fleet           string `cbor:"1,keyasint,omitempty"` // empty where it is not known yet
+	Fleet           string `cbor:"1,keyasint,omitempty"` // empty before it is known
 	ProtocolVersion int    `cbor:"2,keyasint"`
 	ID              string `cbor:"3,keyasint"`
 	Name            string `cbor:"4,keyasint,omitempty"`
-	Incarnation     uint64 `cbor:"5,keyasint,omitempty"` // grows with each start of the follower
+	Incarnation     uint64 `cbor:"5,keyasint,omitempty"` // grows with each start of the subscriber
 	Machine         string `cbor:"6,keyasint,omitempty"`
 	Zone            string `cbor:"7,keyasint,omitempty"`
 	Site            string `cbor:"8,keyasint,omitempty"`
 	Version         uint64 `cbor:"9,keyasint,omitempty"`
 	Digest          uint64 `cbor:"10,keyasint,omitempty"`
-	Standby         bool   `cbor:"11,keyasint,omitempty"` // nothing is to be sent before a Want: another relay brings this follower up to date
+	Standby         bool   `cbor:"11,keyasint,omitempty"` // another publisher brings the subscriber up to date: send nothing before a SyncRequest
 }
 
-// RenewRequest asks how old the relay's knowledge is, and acknowledges.
+// RenewRequest renews the subscriber's lease, asks how old the publisher's knowledge is, and acknowledges what was received.
 type RenewRequest struct {
 	Sequence     uint64 `cbor:"1,keyasint"`
-	LastResponse uint64 `cbor:"2,keyasint,omitempty"` // the newest number that was answered: what came before it was read
+	LastResponse uint64 `cbor:"2,keyasint,omitempty"` // sequence of the newest response that was received
 	Version      uint64 `cbor:"3,keyasint,omitempty"`
 	Digest       uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// RenewResponse answers it.
+// RenewResponse answers a RenewRequest.
 type RenewResponse struct {
 	Sequence    uint64        `cbor:"1,keyasint"`
-	Version     uint64        `cbor:"2,keyasint,omitempty"` // that the relay has
+	Version     uint64        `cbor:"2,keyasint,omitempty"` // of the publisher
 	Digest      uint64        `cbor:"3,keyasint,omitempty"`
-	SentVersion uint64        `cbor:"4,keyasint,omitempty"` // the version up to which this connection has brought, or was told, the feed
-	Age         time.Duration `cbor:"5,keyasint,omitempty"` // so long ago nothing newer was agreed than Version
-	AgeKnown    bool          `cbor:"6,keyasint,omitempty"` // Age is
-	Standby     bool          `cbor:"7,keyasint,omitempty"` // nothing is sent before a Want
+	SentVersion uint64        `cbor:"4,keyasint,omitempty"` // up to which this connection carried the changes, or which the subscriber reported
+	Age         time.Duration `cbor:"5,keyasint,omitempty"` // since Version was known to be the newest agreed version
+	AgeKnown    bool          `cbor:"6,keyasint,omitempty"`
+	Standby     bool          `cbor:"7,keyasint,omitempty"` // nothing is sent before a SyncRequest
 }
 
-// Ack acknowledges all up to a version, between two renewals.
+// Ack acknowledges everything up to a version, between two renewals.
 type Ack struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Digest  uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// SyncRequest asks for what comes after a version; Whole for a snapshot, whatever the ring has.
+// SyncRequest asks for everything after a version, by changes or by a snapshot.
 type SyncRequest struct {
 	Version       uint64 `cbor:"1,keyasint,omitempty"`
 	Digest        uint64 `cbor:"2,keyasint,omitempty"`
-	ForceSnapshot bool   `cbor:"3,keyasint,omitempty"`
-	LastResponse  uint64 `cbor:"4,keyasint,omitempty"` // as in Renew
+	ForceSnapshot bool   `cbor:"3,keyasint,omitempty"` // even if the changes are available
+	LastResponse  uint64 `cbor:"4,keyasint,omitempty"` // as in RenewRequest
 }
 
-// Reject tells a follower to follow somebody else, and when it may come again. The connection ends.
+// Reject tells a subscriber to follow another publisher. The connection ends.
 type Reject struct {
 	RetryAfter time.Duration `cbor:"1,keyasint,omitempty"`
 	Reason     string        `cbor:"2,keyasint,omitempty"`
 }
 
-// Disconnect is a follower's last message.
+// Disconnect is a subscriber's last message.
 type Disconnect struct{}
 
-// Payload is what the shells pass to each other, an answer under the number of its question.
+// Payload is an encoded request or response of the shells; a response carries the ID of its request.
 type Payload struct {
 	RequestID uint64 `cbor:"1,keyasint"`
 	Body      []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// PutRequest asks for a change of one key. It is idempotent by Op.
+// PutRequest asks for a change of one key. It is idempotent by OperationID.
 type PutRequest struct {
 	OperationID   string `cbor:"1,keyasint"`
 	Key           string `cbor:"2,keyasint"`
 	Value         []byte `cbor:"3,keyasint,omitempty"`
 	Delete        bool   `cbor:"4,keyasint,omitempty"`
-	IfVersion     uint64 `cbor:"5,keyasint,omitempty"` // the version that the key is to have, 0 where it is not to be there
-	Unconditional bool   `cbor:"6,keyasint,omitempty"` // whatever it has
+	IfVersion     uint64 `cbor:"5,keyasint,omitempty"` // version that the key must have; 0: the key must not exist
+	Unconditional bool   `cbor:"6,keyasint,omitempty"` // IfVersion is ignored
 }
 
-// PutResponse answers it: the version of the state that has it, or why it was refused.
+// PutResponse answers a PutRequest: the version of the state that contains it, or why it was rejected.
 type PutResponse struct {
 	OperationID  string `cbor:"1,keyasint"`
 	Version      uint64 `cbor:"2,keyasint,omitempty"`
 	RejectReason string `cbor:"3,keyasint,omitempty"`
 }
 
-// Encode words a message.
-func Encode(m *Message) []byte {
-	text, err := cbor.Marshal(m)
+// Encode encodes a message.
+func Encode(message *Message) []byte {
+	encoded, err := cbor.Marshal(message)
 	if err != nil {
 		panic(err) // plain values
 	}
-	return text
+	return encoded
 }
 
-// Decode reads one. What it returns holds no part of the text.
-func Decode(text []byte) (Message, error) {
-	if len(text) > MaxMessageBytes {
-		return Message{}, fmt.Errorf("%w: %d bytes, at most %d", ErrMalformedMessage, len(text), MaxMessageBytes)
+// Decode decodes a message. The result shares no memory with the input. The error is ErrMalformedMessage.
+func Decode(encoded []byte) (Message, error) {
+	if len(encoded) > MaxMessageBytes {
+		return Message{}, fmt.Errorf("%w: %d bytes, at most %d", ErrMalformedMessage, len(encoded), MaxMessageBytes)
 	}
-	var m Message
-	if err := cbor.Unmarshal(text, &m); err != nil {
+	var message Message
+	if err := cbor.Unmarshal(encoded, &message); err != nil {
 		return Message{}, fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
-	return m, nil
+	return message, nil
 }
 
-// SharedMessage is a message on its way to any number of followers, worded once for all of them. It is not changed once it is handed out.
+// SharedMessage is a message to any number of subscribers, encoded once for all of them. It is immutable once it is handed out.
 type SharedMessage struct {
 	Content Message
 	once    sync.Once
-	text    []byte
+	encoded []byte
 }
 
-// Encoded is the message as Encode words it, by whoever asks first; any goroutine may. It is not to be changed.
-func (o *SharedMessage) Encoded() []byte {
-	o.once.Do(func() { o.text = Encode(&o.Content) })
-	return o.text
+// Encoded returns the encoded message, which must not be modified. It is safe for concurrent use.
+func (m *SharedMessage) Encoded() []byte {
+	m.once.Do(func() { m.encoded = Encode(&m.Content) })
+	return m.encoded
 }
--- a/internal/fleet/changefeed/walk_test.go
+++ b/internal/fleet/changefeed/walk_test.go
@@ -590,7 +590,7 @@
 	n := *r
 	n.log, n.rng = log, rand.New(rand.NewPCG(1, 1))
 	n.pendingConfirmations = slices.Clone(r.pendingConfirmations)
-	n.sessions, n.sessionsByID, n.order, n.expiries, n.snapshotQueue, n.snapshotsInFlight = map[uint64]*session{}, map[string]*session{}, list.New(), make(expiryQueue, len(r.expiries)), nil, map[uint64]*inflightSnapshot{}
+	n.sessions, n.sessionsByID, n.order, n.expiries, n.snapshotQueue, n.snapshotsInFlight = map[uint64]*session{}, map[string]*session{}, list.New(), make(expiryQueue, len(r.expiries)), nil, maps.Clone(r.snapshotsInFlight)
 	of := map[*session]*session{}
 	for e := r.order.Front(); e != nil; e = e.Next() {
 		p := *e.Value.(*session)
@@ -605,10 +605,6 @@
 	for _, p := range r.snapshotQueue {
 		n.snapshotQueue = append(n.snapshotQueue, of[p])
 	}
-	for v, h := range r.snapshotsInFlight {
-		c := *h
-		n.snapshotsInFlight[v] = &c
-	}
 	return &n
 }
 
