--- a/internal/fleet/endpoint_list.go
+++ b/internal/fleet/endpoint_list.go
@@ -45,40 +45,40 @@
 	if h == nil {
 		return
 	}
-	h.Ask(op, wordTry, func(r replication.Result) {
+	h.Submit(op, wordTry, func(r replication.Result) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.list.out = false
-		if r.Outcome == replication.Done || r.Outcome == replication.Conflict { // written by another before: over it the next time
+		if r.Outcome == replication.OutcomeCommitted || r.Outcome == replication.OutcomeConflict { // written by another before: over it the next time
 			f.list.version = r.Record.Version
 		}
-		if r.Outcome == replication.Done {
+		if r.Outcome == replication.OutcomeCommitted {
 			f.list.rev = rev
 		}
 	})
 }
 
 // listOp is the write that is due, and where it is asked for: nil where none is.
-func (f *Fleet) listOp(rev uint64, known []byte) (*nodeserver.Hold, replication.Op) {
+func (f *Fleet) listOp(rev uint64, known []byte) (*nodeserver.Server, replication.Operation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.held
 	if h == nil || len(known) > listMost {
-		return nil, replication.Op{}
+		return nil, replication.Operation{}
 	}
 	l := &f.list
 	l.newest = EndpointList{Revision: rev, ConfirmedAt: time.Now().Unix(), Endpoints: known}
 	since := time.Since(l.written)
 	if l.out || since < listEach || since < listAgain && rev == l.rev {
-		return nil, replication.Op{}
+		return nil, replication.Operation{}
 	}
 	text, err := json.Marshal(l.newest)
 	if err != nil {
 		f.log.Error("fleet: a list that can't be written", zap.Error(err))
-		return nil, replication.Op{}
+		return nil, replication.Operation{}
 	}
 	l.out, l.written = true, time.Now()
-	return h, replication.Op{ID: rand.Text(), Key: f.listKey(), If: l.version, Value: text, Here: true}
+	return h, replication.Operation{ID: rand.Text(), Key: f.listKey(), ExpectedVersion: l.version, Value: text, LocalOnly: true}
 }
 
 // LoadEndpointList asks for the list that is held and hands it on with its age, once, if there is one; it goes on asking while
@@ -89,8 +89,8 @@
 		defer f.all.Done()
 		for !stop() {
 			if h, _ := f.holding(); h != nil {
-				r := f.ask(replication.Op{ID: rand.Text(), Key: f.listKey(), Read: true})
-				if r.Outcome == replication.Conflict {
+				r := f.ask(replication.Operation{ID: rand.Text(), Key: f.listKey(), ReadOnly: true})
+				if r.Outcome == replication.OutcomeConflict {
 					var l EndpointList
 					if r.Record.Version == 0 {
 						f.log.Info("fleet: no list is held")
@@ -110,4 +110,6 @@
 }
 
 // EndpointListAges are up to which age a list is used, and up to which its servers are candidates.
-func (f *Fleet) EndpointListAges() (young, old time.Duration) { return f.file.Young, f.file.Old }
+func (f *Fleet) EndpointListAges() (young, old time.Duration) {
+	return f.file.ListFreshTTL, f.file.ListStaleTTL
+}
--- a/internal/fleet/framing/framing.go
+++ b/internal/fleet/framing/framing.go
@@ -68,8 +68,8 @@
 
 // OperationRequest is an operation on what is held, as a follower has it asked.
 type OperationRequest struct {
-	Operation replication.Op `cbor:"1,keyasint"`
-	Timeout   time.Duration  `cbor:"2,keyasint"`
+	Operation replication.Operation `cbor:"1,keyasint"`
+	Timeout   time.Duration         `cbor:"2,keyasint"`
 }
 
 // Encode words a Greeting, an Ask or a copies.Result.
--- a/internal/fleet/publisher/server.go
+++ b/internal/fleet/publisher/server.go
@@ -39,8 +39,8 @@
 
 // Backend is where operations and puts are asked.
 type Backend interface {
-	Ask(op replication.Op, within time.Duration, done func(replication.Result))
-	Put(p shardmap.Put, within time.Duration, done func(shardmap.Done))
+	Submit(op replication.Operation, within time.Duration, done func(replication.Result))
+	Put(p shardmap.Put, within time.Duration, done func(shardmap.PutResult))
 }
 
 // StreamSource is where followers' streams come from.
@@ -372,7 +372,7 @@
 
 // ask has a follower's operation done where this member's are. One that is asked for again while it is under way is answered to who
 // asked last.
-func (p *Server) ask(c *conn, number uint64, op replication.Op, within time.Duration) {
+func (p *Server) ask(c *conn, number uint64, op replication.Operation, within time.Duration) {
 	p.mu.Lock()
 	_, again := p.ops[op.ID]
 	full := !again && (c.ops.Load() >= opsEach || len(p.ops) >= opsAll)
@@ -388,9 +388,9 @@
 	switch {
 	case full:
 		p.busy.Add(1)
-		c.result(number, replication.Result{Op: op.ID, Outcome: replication.Refused, Why: replication.Busy})
+		c.result(number, replication.Result{OperationID: op.ID, Outcome: replication.OutcomeRejected, Reason: replication.ReasonBusy})
 	case !again:
-		p.hold.Ask(op, within, func(r replication.Result) {
+		p.hold.Submit(op, within, func(r replication.Result) {
 			p.mu.Lock()
 			a := p.ops[op.ID]
 			delete(p.ops, op.ID)
@@ -403,17 +403,17 @@
 
 // change passes a put on to the log's leader.
 func (p *Server) change(c *conn, m *changefeed.PutRequest) {
-	answer := func(d shardmap.Done) {
-		c.say(&changefeed.Message{PutResponse: &changefeed.PutResponse{OperationID: d.Op, Version: d.Version, RejectReason: d.Refused}})
+	answer := func(d shardmap.PutResult) {
+		c.say(&changefeed.Message{PutResponse: &changefeed.PutResponse{OperationID: d.OperationID, Version: d.Version, RejectReason: d.Rejection}})
 	}
 	p.asks.Add(1)
 	if c.ops.Add(1) > opsEach {
 		c.ops.Add(-1)
 		p.busy.Add(1)
-		answer(shardmap.Done{Op: m.OperationID, Refused: "busy: too many changes of this follower wait"})
+		answer(shardmap.PutResult{OperationID: m.OperationID, Rejection: "busy: too many changes of this follower wait"})
 		return
 	}
-	p.hold.Put(shardmap.Put{Key: m.Key, Value: m.Value, Gone: m.Delete, Op: m.OperationID, Only: !m.Unconditional, If: m.IfVersion}, putWithin, func(d shardmap.Done) {
+	p.hold.Put(shardmap.Put{Key: m.Key, Value: m.Value, Delete: m.Delete, OperationID: m.OperationID, Conditional: !m.Unconditional, ExpectedVersion: m.IfVersion}, putWithin, func(d shardmap.PutResult) {
 		c.ops.Add(-1)
 		answer(d)
 	})
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -123,8 +123,8 @@
 }
 
 func one(m membership.Member) MemberReport {
-	return MemberReport{Name: m.Name, ID: m.ID, Addr: m.Addr.String(), Machine: m.Machine, Zone: m.Zone, Site: m.Site, Incarnation: m.Life,
-		State: membership.Here.String()}
+	return MemberReport{Name: m.Name, ID: m.ID, Addr: m.Addr.String(), Machine: m.Machine, Zone: m.Zone, Site: m.Site, Incarnation: m.Incarnation,
+		State: membership.Alive.String()}
 }
 
 // Report answers at once, from what is published.
@@ -132,7 +132,7 @@
 	f.mu.Lock()
 	t, w, h, err := f.touch, f.wire, f.held, f.err
 	f.mu.Unlock()
-	r := Report{Fleet: f.file.Fleet, Role: f.file.Role, Replicas: f.file.Copies}
+	r := Report{Fleet: f.file.FleetName, Role: f.file.Role, Replicas: f.file.ReplicationFactor}
 	f.mu.Lock()
 	tier, p, place := f.tier, f.feed, f.seat
 	f.mu.Unlock()
@@ -152,21 +152,21 @@
 	s, now := t.Status(), boottime.Now()
 	self := one(s.Self)
 	r.Member, r.Self, r.Standing, r.Alive = true, &self, s.Standing.String(), 1
-	r.Health, r.Pauses, r.Rejected, r.Malformed = s.Health, s.Stalls, s.Refused, s.Odd
-	r.Dropped, r.Unopened, r.Sent, r.Received = w.Dropped.Load(), w.Unopened.Load(), w.Sent.Load(), w.Heard.Load()
+	r.Health, r.Pauses, r.Rejected, r.Malformed = s.HealthScore, s.Stalls, s.Rejected, s.Malformed
+	r.Dropped, r.Unopened, r.Sent, r.Received = w.DatagramsDropped.Load(), w.StreamsRejected.Load(), w.BytesSent.Load(), w.BytesReceived.Load()
 	a := h.Status()
-	r.Store = &StoreReport{ID: a.Fleet, Epoch: a.Epoch, Members: a.Members, Voters: a.Voters, IsLeader: a.Leads, ShardsByReplicas: a.Slots, LocalShards: a.Mine, Records: a.Keys,
-		Bytes: a.Bytes, FileBytes: a.File, DiskError: a.Disk, Rejections: a.Refusals, Sent: a.Sent, Received: a.Got, Dropped: a.Dropped, Malformed: a.Odd, Writes: a.Writes,
-		VoterSites: a.VotersAt, Version: a.Version}
+	r.Store = &StoreReport{ID: a.FleetID, Epoch: a.Epoch, Members: a.Members, Voters: a.Voters, IsLeader: a.IsLeader, ShardsByReplicas: a.ReplicaCounts, LocalShards: a.LocalShards, Records: a.Keys,
+		Bytes: a.Bytes, FileBytes: a.FileBytes, DiskError: a.DiskError, Rejections: a.Rejections, Sent: a.BytesSent, Received: a.BytesReceived, Dropped: a.PacketsDropped, Malformed: a.Malformed, Writes: a.Writes,
+		VoterSites: a.VoterSites, Version: a.Version}
 	if p != nil {
-		r.Publisher = publishing(p.Status(), f.file.Followers)
+		r.Publisher = publishing(p.Status(), f.file.MaxFollowers)
 	}
 	machines := map[string]bool{s.Self.Machine: true}
-	for _, k := range s.Others {
+	for _, k := range s.Peers {
 		o := one(k.Member)
-		o.State, o.Seconds, o.ReportedBy = k.State.String(), (now - k.Since).Seconds(), k.By
+		o.State, o.Seconds, o.ReportedBy = k.State.String(), (now - k.Since).Seconds(), k.ReplacedBy
 		r.Others = append(r.Others, o)
-		if k.State == membership.Here {
+		if k.State == membership.Alive {
 			r.Alive++
 			machines[k.Machine] = true
 		}
@@ -176,13 +176,13 @@
 }
 
 // following fills in what a balancer shows that follows control processes.
-func (r *Report) following(f *Fleet, t *subscriber.Client, place *datadir.Seat) {
+func (r *Report) following(f *Fleet, t *subscriber.Client, place *datadir.Directory) {
 	s := t.Status()
 	r.Member, r.Replicas, r.Alive, r.Standing = true, 0, 1, "current"
 	if !s.Current {
 		r.Standing = "not current"
 	}
-	r.Self = &MemberReport{Name: f.name, ID: place.Member, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site, Incarnation: place.Life, State: membership.Here.String()}
+	r.Self = &MemberReport{Name: f.name, ID: place.MemberID, Machine: f.file.Machine, Zone: f.file.Zone, Site: f.file.Site, Incarnation: place.Incarnation, State: membership.Alive.String()}
 	c := s.Stats
 	r.Subscriber = &SubscriberReport{ID: s.Fleet, Version: s.Version, Digest: s.Digest, Keys: s.Keys, Bytes: s.Bytes, Current: s.Current, Age: seconds(s.Age, s.AgeKnown),
 		Publishers: s.Publishers, Changes: c.Changes, Snapshots: c.Snapshots, Gaps: c.Gaps, DigestMismatches: c.DigestMismatches, Conflicts: c.Conflicts, InvalidMessages: c.InvalidMessages,
