--- /dev/null
+++ b/internal/fleet/changefeed/admission_test.go
@@ -0,0 +1,88 @@
+package changefeed
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestRejectedHellos sends hellos that a publisher rejects: each is answered and reported, and leaves no session behind.
+func TestRejectedHellos(t *testing.T) {
+	for name, one := range map[string]struct {
+		hello     Hello
+		err       error
+		elsewhere bool
+	}{
+		"another fleet": {Hello{ProtocolVersion: ProtocolVersion, ID: "x", Fleet: "g"}, ErrForeignFleet, true},
+		"a newer form":  {Hello{ProtocolVersion: ProtocolVersion + 1, ID: "x"}, ErrMalformedMessage, true},
+		"no form":       {Hello{ID: "x"}, ErrMalformedMessage, false},
+		"no ID":         {Hello{ProtocolVersion: ProtocolVersion}, ErrMalformedMessage, false},
+		"a long name":   {Hello{ProtocolVersion: ProtocolVersion, ID: "x", Name: string(make([]byte, maxNameBytes+1))}, ErrMalformedMessage, false},
+		"an older life": {Hello{ProtocolVersion: ProtocolVersion, ID: "b0", Incarnation: 1}, ErrMalformedMessage, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			log := NewLog(LogConfig{MaxChanges: 10, MaxBytes: 1000})
+			if _, err := log.Append([]Item{{Key: FleetKey, Value: []byte("f")}}); err != nil {
+				t.Fatal(err)
+			}
+			publisher := NewPublisher(PublisherConfig{MaxSubscribers: 10, WindowBytes: 1000, SnapshotBytesPerSecond: 1000}, log, 0)
+			if err := publisher.Connected(0, 1, Hello{ProtocolVersion: ProtocolVersion, ID: "b0", Incarnation: 2}); err != nil {
+				t.Fatal(err)
+			}
+			publisher.Ready()
+			err := publisher.Connected(0, 2, one.hello)
+			if !errors.Is(err, one.err) {
+				t.Fatalf("%v", err)
+			}
+			out := publisher.Ready()
+			if !slices.Equal(out.Close, []uint64{2}) || len(out.Events) != 1 || len(publisher.sessions) != 1 || publisher.sessions[1] == nil {
+				t.Errorf("%+v, %d subscribers", out, len(publisher.sessions))
+			}
+			told := len(out.Sends) == 1 && out.Sends[0].Message.Content.Reject != nil && out.Sends[0].Message.Content.Reject.RetryAfter > 0
+			if told != one.elsewhere {
+				t.Errorf("sent %+v", out.Sends)
+			}
+			if err := publisher.Step(0, 2, Message{RenewRequest: &RenewRequest{Sequence: 1}}); err != nil || len(publisher.Ready().Sends) != 0 {
+				t.Error("it is answered all the same")
+			}
+		})
+	}
+}
+
+// TestFullPublisherRejects verifies that a subscriber beyond the maximum is rejected with a retry time and accepted once there is capacity,
+// and that a reconnecting subscriber replaces its own session.
+func TestFullPublisherRejects(t *testing.T) {
+	h := newHarness(t, "s", "s", "s")
+	h.start("r0", PublisherConfig{MaxSubscribers: 5})
+	for i := range 20 {
+		h.newSubscriber(fmt.Sprintf("b%d", i), "s")
+	}
+	for range 300 {
+		h.run(100 * time.Millisecond)
+		if n := len(h.publishers["r0"].core.sessions); n > 5 {
+			t.Fatalf("%d subscribers", n)
+		}
+	}
+	full := h.publishers["r0"].core.Stats.RejectedFull
+	elsewhere := uint64(0)
+	for _, sub := range h.subscribers {
+		h.requireUpToDate(sub)
+		if len(sub.core.Publishers()) != 2 {
+			t.Errorf("%s follows %v", sub.id, sub.core.Publishers())
+		}
+		elsewhere += sub.core.Stats.Rejections
+	}
+	if full == 0 || elsewhere != full {
+		t.Errorf("%d found no room, %d were sent elsewhere", full, elsewhere)
+	}
+	if full > 20*4 {
+		t.Errorf("20 subscribers asked %d times in 30 s", full)
+	}
+	publisher := h.publishers["r0"].core
+	first := publisher.order.Front().Value.(*session)
+	if err := publisher.Connected(h.now, 999, Hello{ProtocolVersion: ProtocolVersion, ID: first.hello.ID, Incarnation: 2, Fleet: "f"}); err != nil || publisher.sessionsByID[first.hello.ID].connID != 999 || len(publisher.sessions) != 5 {
+		t.Errorf("who came anew: %v", err)
+	}
+}
--- a/internal/fleet/changefeed/bench_test.go
+++ b/internal/fleet/changefeed/bench_test.go
@@ -9,8 +9,8 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// full is a log with a state of the size that is wanted: 17 members, 256 views, and 500 KB of configuration.
-func full(b testing.TB) *Log {
+// newFullLog returns a log with a state of a realistic size: 17 members, 256 shard configurations and 500 KB of configuration.
+func newFullLog(b testing.TB) *Log {
 	l := NewLog(LogConfig{MaxChanges: 1024, MaxBytes: 1 << 20})
 	items := []Item{{Key: FleetKey, Value: []byte("0123456789abcdef")}, {Key: "epoch", Value: []byte("1")}}
 	for i := range 17 {
@@ -29,19 +29,19 @@
 	return l
 }
 
-// BenchmarkChangeTold is a change of 100 bytes as a relay hands it to all its followers, and takes their renewals of a second; the
-// message is worded once.
-func BenchmarkChangeTold(b *testing.B) {
+// BenchmarkChangeDelivery measures a change of 100 bytes that a publisher sends to all its subscribers; the message is encoded once.
+// Acknowledgements are not measured.
+func BenchmarkChangeDelivery(b *testing.B) {
 	for _, n := range []int{270, 541, 1840} {
-		b.Run(fmt.Sprintf("followers=%d", n), func(b *testing.B) {
-			log := full(b)
-			relay := NewPublisher(PublisherConfig{MaxSubscribers: 2 * n, WindowBytes: 64 << 10, SnapshotBytesPerSecond: 32 << 20}, log, 0)
+		b.Run(fmt.Sprintf("subscribers=%d", n), func(b *testing.B) {
+			log := newFullLog(b)
+			publisher := NewPublisher(PublisherConfig{MaxSubscribers: 2 * n, WindowBytes: 64 << 10, SnapshotBytesPerSecond: 32 << 20}, log, 0)
 			for i := range n {
-				if err := relay.Connected(0, uint64(i+1), Hello{ProtocolVersion: ProtocolVersion, ID: fmt.Sprintf("b%d", i), Version: log.Version(), Digest: log.Digest()}); err != nil {
+				if err := publisher.Connected(0, uint64(i+1), Hello{ProtocolVersion: ProtocolVersion, ID: fmt.Sprintf("b%d", i), Version: log.Version(), Digest: log.Digest()}); err != nil {
 					b.Fatal(err)
 				}
 			}
-			relay.Ready()
+			publisher.Ready()
 			value := make([]byte, 100)
 			b.ReportAllocs()
 			sent, at := 0, uint64(0)
@@ -49,70 +49,70 @@
 				if _, err := log.Append([]Item{{Key: ConfigPrefix + "name1", Value: value}}); err != nil {
 					b.Fatal(err)
 				}
-				relay.LogChanged()
-				out := relay.Ready()
+				publisher.LogChanged()
+				out := publisher.Ready()
 				for _, s := range out.Sends {
 					sent += len(s.Message.Encoded())
 				}
 				b.StopTimer() // acknowledged, so that no window fills
 				at++
 				for i := range n {
-					_ = relay.Step(time.Duration(at)*time.Millisecond, uint64(i+1), Message{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}})
+					_ = publisher.Step(time.Duration(at)*time.Millisecond, uint64(i+1), Message{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}})
 				}
-				relay.Ready()
+				publisher.Ready()
 				b.StartTimer()
 			}
-			b.ReportMetric(float64(sent)/float64(b.N)/float64(n), "B/follower")
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/follower")
+			b.ReportMetric(float64(sent)/float64(b.N)/float64(n), "B/subscriber")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/subscriber")
 		})
 	}
 }
 
-// BenchmarkRelaySecond is a second of a relay without changes: ten beats, and a renewal of each follower.
-func BenchmarkRelaySecond(b *testing.B) {
+// BenchmarkPublisherSecond measures a second of a publisher without changes: ten ticks, and a renewal of each subscriber.
+func BenchmarkPublisherSecond(b *testing.B) {
 	for _, n := range []int{270, 541, 1840} {
-		b.Run(fmt.Sprintf("followers=%d", n), func(b *testing.B) {
-			log := full(b)
-			relay := NewPublisher(PublisherConfig{MaxSubscribers: 2 * n, WindowBytes: 64 << 10, SnapshotBytesPerSecond: 32 << 20}, log, 0)
+		b.Run(fmt.Sprintf("subscribers=%d", n), func(b *testing.B) {
+			log := newFullLog(b)
+			publisher := NewPublisher(PublisherConfig{MaxSubscribers: 2 * n, WindowBytes: 64 << 10, SnapshotBytesPerSecond: 32 << 20}, log, 0)
 			for i := range n {
-				if err := relay.Connected(0, uint64(i+1), Hello{ProtocolVersion: ProtocolVersion, ID: fmt.Sprintf("b%d", i), Version: log.Version(), Digest: log.Digest()}); err != nil {
+				if err := publisher.Connected(0, uint64(i+1), Hello{ProtocolVersion: ProtocolVersion, ID: fmt.Sprintf("b%d", i), Version: log.Version(), Digest: log.Digest()}); err != nil {
 					b.Fatal(err)
 				}
 			}
-			relay.Ready()
+			publisher.Ready()
 			b.ReportAllocs()
 			now, sent, number := time.Duration(0), 0, uint64(0)
 			for b.Loop() {
 				number++
 				for beat := range 10 {
 					now += 100 * time.Millisecond
-					relay.Tick(now)
-					relay.ConfirmVersion(now, log.Version())
+					publisher.Tick(now)
+					publisher.ConfirmVersion(now, log.Version())
 					for i := beat; i < n; i += 10 {
-						_ = relay.Step(now, uint64(i+1), Message{RenewRequest: &RenewRequest{Sequence: number, LastResponse: number - 1, Version: log.Version(), Digest: log.Digest()}})
+						_ = publisher.Step(now, uint64(i+1), Message{RenewRequest: &RenewRequest{Sequence: number, LastResponse: number - 1, Version: log.Version(), Digest: log.Digest()}})
 					}
-					for _, s := range relay.Ready().Sends {
+					for _, s := range publisher.Ready().Sends {
 						sent += len(s.Message.Encoded())
 					}
 				}
 			}
-			if len(relay.sessions) != n {
-				b.Fatalf("%d followers", len(relay.sessions))
+			if len(publisher.sessions) != n {
+				b.Fatalf("%d subscribers", len(publisher.sessions))
 			}
-			b.ReportMetric(float64(sent)/float64(b.N)/float64(n), "B/follower")
+			b.ReportMetric(float64(sent)/float64(b.N)/float64(n), "B/subscriber")
 		})
 	}
 }
 
-// BenchmarkFollowerSecond is a follower's second: ten beats, two renewals with their answers, and, as 21,000 changes a day are one
-// in 4.1 s, a quarter of a change by each of two relays; worded and read as on the wire.
-func BenchmarkFollowerSecond(b *testing.B) {
-	for _, relays := range []int{3, 17, 100} {
-		b.Run(fmt.Sprintf("relays=%d", relays), func(b *testing.B) {
+// BenchmarkSubscriberSecond measures a second of a subscriber: ten ticks, two renewals with their responses, and a quarter of a change from
+// each of two publishers (21,000 changes a day are one in 4.1 s). Messages are encoded and decoded as on the wire.
+func BenchmarkSubscriberSecond(b *testing.B) {
+	for _, publishers := range []int{3, 17, 100} {
+		b.Run(fmt.Sprintf("publishers=%d", publishers), func(b *testing.B) {
 			log := NewLog(LogConfig{MaxChanges: 1024, MaxBytes: 1 << 20})
 			items := []Item{{Key: FleetKey, Value: []byte("f")}}
 			var addrs []string
-			for i := range relays {
+			for i := range publishers {
 				addrs = append(addrs, fmt.Sprintf("r%d", i))
 				items = append(items, memberItem(b, shardmap.Member{ID: addrs[i], Addr: addrs[i], Zone: fmt.Sprintf("z%d", i%11), Site: fmt.Sprintf("s%d", i%11%3)}))
 			}
@@ -179,9 +179,10 @@
 	}
 }
 
-// BenchmarkSnapshot is the whole state as it is built and worded once for all followers, and as one of them reads and takes it.
+// BenchmarkSnapshot measures building and encoding a snapshot, which happens once for all subscribers, and decoding and installing it,
+// which each subscriber does.
 func BenchmarkSnapshot(b *testing.B) {
-	log := full(b)
+	log := newFullLog(b)
 	b.Run("build", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
@@ -205,9 +206,9 @@
 	})
 }
 
-// BenchmarkDigest is the digest's part: of a change of 100 bytes, and of the whole state anew.
+// BenchmarkDigest measures the digest: of a change of 100 bytes, and of a complete state.
 func BenchmarkDigest(b *testing.B) {
-	log := full(b)
+	log := newFullLog(b)
 	b.Run("change", func(b *testing.B) {
 		items := []Item{{Key: ConfigPrefix + "name", Value: make([]byte, 100)}}
 		b.ReportAllocs()
@@ -228,7 +229,7 @@
 	})
 }
 
-// BenchmarkMemory is what a relay holds for each follower, and a follower for the whole state with its list of relays.
+// BenchmarkMemory measures the memory that a publisher holds for each subscriber, and that a subscriber holds for a complete state.
 func BenchmarkMemory(b *testing.B) {
 	heap := func() float64 {
 		var m runtime.MemStats
@@ -236,27 +237,27 @@
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc)
 	}
-	log := full(b)
+	log := newFullLog(b)
 	text := log.sharedSnapshot().Encoded()
 	for _, n := range []int{270, 541, 1840} {
-		b.Run(fmt.Sprintf("relay/followers=%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("publisher/subscribers=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				before := heap()
-				relay := NewPublisher(PublisherConfig{MaxSubscribers: 2 * n, WindowBytes: 64 << 10, SnapshotBytesPerSecond: 32 << 20}, log, 0)
+				publisher := NewPublisher(PublisherConfig{MaxSubscribers: 2 * n, WindowBytes: 64 << 10, SnapshotBytesPerSecond: 32 << 20}, log, 0)
 				for i := range n {
 					h := Hello{ProtocolVersion: ProtocolVersion, ID: fmt.Sprintf("%032d", i), Name: fmt.Sprintf("balancer%d", i), Machine: fmt.Sprintf("machine%d", i), Zone: "zone", Site: "region",
 						Version: log.Version(), Digest: log.Digest()}
-					if err := relay.Connected(0, uint64(i+1), h); err != nil {
+					if err := publisher.Connected(0, uint64(i+1), h); err != nil {
 						b.Fatal(err)
 					}
 				}
-				relay.Ready()
-				b.ReportMetric((heap()-before)/float64(n), "B/follower")
-				runtime.KeepAlive(relay)
+				publisher.Ready()
+				b.ReportMetric((heap()-before)/float64(n), "B/subscriber")
+				runtime.KeepAlive(publisher)
 			}
 		})
 	}
-	b.Run("follower", func(b *testing.B) {
+	b.Run("subscriber", func(b *testing.B) {
 		for b.Loop() {
 			before := heap()
 			f := NewSubscriber(SubscriberConfig{ID: "b0", Site: "region0", Seeds: []string{"r0"}}, 0)
--- a/internal/fleet/changefeed/golden_test.go
+++ b/internal/fleet/changefeed/golden_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestGoldenDigests holds the digests that members compare, and the hash by which followers rank relays.
+// TestGoldenDigests holds the digests that members compare, and the hash by which subscribers rank publishers.
 func TestGoldenDigests(t *testing.T) {
 	var lines []string
 	log := NewLog(LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
@@ -133,8 +133,8 @@
 	lines = append(lines, fmt.Sprintf("snapshot %d %016x %d", snapshot.Version, snapshot.Digest, snapshot.Size()))
 	again := NewSnapshot(snapshot.Fleet, 77, snapshot.Items)
 	lines = append(lines, fmt.Sprintf("new-snapshot %d %016x", again.Version, again.Digest))
-	for _, relay := range []string{"", "a", "10.0.0.1:7000"} {
-		lines = append(lines, fmt.Sprintf("score %q %016x", relay, rendezvousScore("follower", relay)))
+	for _, publisher := range []string{"", "a", "10.0.0.1:7000"} {
+		lines = append(lines, fmt.Sprintf("score %q %016x", publisher, rendezvousScore("follower", publisher)))
 	}
 	compareGolden(t, "digests.golden", lines)
 }
@@ -143,7 +143,7 @@
 func TestGoldenConstants(t *testing.T) {
 	var texts []string
 	for _, err := range []error{ErrOutOfOrder, ErrDigestMismatch, ErrConflict, ErrFull, ErrInvalidItem, ErrForeignFleet, ErrMalformedMessage, errDraining} {
-		texts = append(texts, err.Error()) // a relay sends them as the reason of an Elsewhere
+		texts = append(texts, err.Error()) // a publisher sends them as the reason of a Reject
 	}
 	compareGolden(t, "constants.golden", append(texts, FleetKey, MemberPrefix, ConfigPrefix, fmt.Sprint(ProtocolVersion), fmt.Sprint(MaxMessageBytes)))
 }
--- a/internal/fleet/changefeed/harness_test.go
+++ b/internal/fleet/changefeed/harness_test.go
@@ -10,7 +10,7 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// harness joins followers and relays without any delay: what one hands out comes to the other at once, but for what a test holds back.
+// harness connects subscribers and publishers without delay: what one sends reaches the other at once, unless a test drops it.
 type harness struct {
 	t           testing.TB
 	now         time.Duration
@@ -45,20 +45,20 @@
 	updates []Update
 }
 
-// newHarness makes relays r0, r1, .. in zones z0, z1, .. of the sites named; the source knows them as members.
+// newHarness returns publishers r0, r1, ... in zones z0, z1, ... of the given sites; the source names them as members.
 func newHarness(t testing.TB, sites ...string) *harness {
-	r := &harness{t: t, source: NewLog(LogConfig{MaxChanges: 1000, MaxBytes: 1 << 20}), publishers: map[string]*testPublisher{}, sent: map[string]int{}}
-	r.drop = func(string, string, *Message) bool { return false }
+	h := &harness{t: t, source: NewLog(LogConfig{MaxChanges: 1000, MaxBytes: 1 << 20}), publishers: map[string]*testPublisher{}, sent: map[string]int{}}
+	h.drop = func(string, string, *Message) bool { return false }
 	items := []Item{{Key: FleetKey, Value: []byte("f")}}
 	for i, site := range sites {
 		id := fmt.Sprintf("r%d", i)
 		items = append(items, memberItem(t, shardmap.Member{ID: id, Addr: id, Machine: id, Zone: fmt.Sprintf("z%d", i), Site: site}))
-		r.addresses = append(r.addresses, id)
+		h.addresses = append(h.addresses, id)
 	}
-	r.put(items...)
-	for _, a := range r.addresses {
-		r.publishers[a] = &testPublisher{address: a}
-		r.start(a, PublisherConfig{})
+	h.put(items...)
+	for _, a := range h.addresses {
+		h.publishers[a] = &testPublisher{address: a}
+		h.start(a, PublisherConfig{})
 	}
 	return r
 }
@@ -71,9 +71,9 @@
 	return Item{Key: MemberPrefix + m.ID, Value: text}
 }
 
-// start makes a relay's process anew, with what the source has.
-func (r *harness) start(addr string, cfg PublisherConfig) {
-	s := r.publishers[addr]
+// start starts a publisher's process anew, with the source's state.
+func (h *harness) start(addr string, cfg PublisherConfig) {
+	pub := h.publishers[addr]
 	cfg.ID = addr
 	if cfg.MaxSubscribers == 0 {
 		cfg.MaxSubscribers = 10000
@@ -84,25 +84,25 @@
 	if cfg.SnapshotBytesPerSecond == 0 {
 		cfg.SnapshotBytesPerSecond = 100 << 20
 	}
-	s.log = NewLog(LogConfig{MaxChanges: 1000, MaxBytes: 1 << 20})
-	if err := s.log.Install(*r.source.Snapshot()); err != nil {
-		r.t.Fatal(err)
+	pub.log = NewLog(LogConfig{MaxChanges: 1000, MaxBytes: 1 << 20})
+	if err := pub.log.Install(*h.source.Snapshot()); err != nil {
+		h.t.Fatal(err)
 	}
-	s.core, s.conns, s.down = NewPublisher(cfg, s.log, r.now), map[uint64]*testSubscriber{}, false
+	pub.core, pub.conns, pub.down = NewPublisher(cfg, pub.log, h.now), map[uint64]*testSubscriber{}, false
 }
 
-// kill ends a relay's process.
-func (r *harness) kill(addr string) {
-	s := r.publishers[addr]
-	s.down = true
-	gone := s.conns
-	s.conns = map[uint64]*testSubscriber{}
+// kill ends a publisher's process.
+func (h *harness) kill(addr string) {
+	pub := h.publishers[addr]
+	pub.down = true
+	gone := pub.conns
+	pub.conns = map[uint64]*testSubscriber{}
 	for _, num := range sortedConns(gone) {
-		c := gone[num]
-		if c.conns[addr] == num {
-			delete(c.conns, addr)
-			c.do(func() { c.core.ConnectionClosed(addr) })
-			r.drainSubscriber(c)
+		sub := gone[num]
+		if sub.conns[addr] == num {
+			delete(sub.conns, addr)
+			sub.do(func() { sub.core.ConnectionClosed(addr) })
+			h.drainSubscriber(sub)
 		}
 	}
 }
@@ -116,34 +116,34 @@
 	return all
 }
 
-func (r *harness) newSubscriber(id, site string) *testSubscriber {
-	c := &testSubscriber{id: id, conns: map[string]uint64{}, core: NewSubscriber(SubscriberConfig{ID: id, Incarnation: 1, Site: site, Zone: "own", Seeds: r.addresses, Seed: rendezvousScore(id, "")}, r.now)}
-	r.subscribers = append(r.subscribers, c)
-	return c
+func (h *harness) newSubscriber(id, site string) *testSubscriber {
+	sub := &testSubscriber{id: id, conns: map[string]uint64{}, core: NewSubscriber(SubscriberConfig{ID: id, Incarnation: 1, Site: site, Zone: "own", Seeds: h.addresses, Seed: rendezvousScore(id, "")}, h.now)}
+	h.subscribers = append(h.subscribers, sub)
+	return sub
 }
 
-func (r *harness) put(items ...Item) Change {
-	c, err := r.source.Append(items)
+func (h *harness) put(items ...Item) Change {
+	sub, err := h.source.Append(items)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return c
+	return sub
 }
 
-// replicateTo brings the source's changes to a relay, as the control tier does.
-func (r *harness) replicateTo(s *testPublisher) {
-	cs, ok := r.source.ChangesSince(s.log.Version(), s.log.Digest())
+// replicateTo brings the source's changes to a publisher, as the control tier does.
+func (h *harness) replicateTo(pub *testPublisher) {
+	cs, ok := h.source.ChangesSince(pub.log.Version(), pub.log.Digest())
 	if !ok {
-		if err := s.log.Install(*r.source.Snapshot()); err != nil {
-			r.t.Fatal(err)
+		if err := pub.log.Install(*h.source.Snapshot()); err != nil {
+			h.t.Fatal(err)
 		}
 	}
-	for _, c := range cs {
-		if err := s.log.Apply(*c); err != nil {
-			r.t.Fatal(err)
+	for _, sub := range cs {
+		if err := pub.log.Apply(*sub); err != nil {
+			h.t.Fatal(err)
 		}
 	}
-	s.core.LogChanged()
+	pub.core.LogChanged()
 }
 
 func (c *testSubscriber) do(what func()) {
@@ -162,144 +162,144 @@
 	what()
 }
 
-// run lets time pass in beats of 100 ms; the relays hear of the log at each.
-func (r *harness) run(d time.Duration) {
-	for end := r.now + d; r.now < end; {
-		r.now += 100 * time.Millisecond
-		for _, a := range r.addresses {
-			s := r.publishers[a]
-			if s.down || s.stopped {
+// run advances the time in ticks of 100 ms; the publishers receive the log at each.
+func (h *harness) run(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += 100 * time.Millisecond
+		for _, a := range h.addresses {
+			pub := h.publishers[a]
+			if pub.down || pub.stopped {
 				continue
 			}
-			s.core.Tick(r.now)
-			for _, what := range s.waiting {
+			pub.core.Tick(h.now)
+			for _, what := range pub.waiting {
 				what()
 			}
-			s.waiting = nil
-			if !s.partitioned {
-				r.replicateTo(s)
-				s.core.ConfirmVersion(r.now, r.source.Version())
+			pub.waiting = nil
+			if !pub.partitioned {
+				h.replicateTo(pub)
+				pub.core.ConfirmVersion(h.now, h.source.Version())
 			}
-			r.drainPublisher(s)
+			h.drainPublisher(pub)
 		}
-		for _, c := range r.subscribers {
-			if c.stopped {
+		for _, sub := range h.subscribers {
+			if sub.stopped {
 				continue
 			}
-			c.core.Tick(r.now)
-			for _, what := range c.waiting {
+			sub.core.Tick(h.now)
+			for _, what := range sub.waiting {
 				what()
 			}
-			c.waiting = nil
-			r.drainSubscriber(c)
+			sub.waiting = nil
+			h.drainSubscriber(sub)
 		}
 	}
 }
 
-// drainPublisher does what a relay hands out.
-func (r *harness) drainPublisher(s *testPublisher) {
-	out := s.core.Ready()
-	r.events = append(r.events, out.Events...)
+// drainPublisher carries out a publisher's actions.
+func (h *harness) drainPublisher(pub *testPublisher) {
+	out := pub.core.Ready()
+	h.events = append(h.events, out.Events...)
 	for _, one := range out.Sends {
-		c := s.conns[one.Conn]
-		if c == nil {
+		sub := pub.conns[one.Conn]
+		if sub == nil {
 			continue
 		}
 		m := one.Message.Content
-		r.countSent(&m)
-		if c.conns[s.address] != one.Conn || r.drop(s.address, c.id, &m) {
+		h.countSent(&m)
+		if sub.conns[pub.address] != one.Conn || h.drop(pub.address, sub.id, &m) {
 			continue
 		}
-		c.do(func() {
-			if c.conns[s.address] == one.Conn {
-				_ = c.core.Step(s.address, m)
+		sub.do(func() {
+			if sub.conns[pub.address] == one.Conn {
+				_ = sub.core.Step(pub.address, m)
 			}
 		})
-		if !c.stopped {
-			r.drainSubscriber(c)
+		if !sub.stopped {
+			h.drainSubscriber(sub)
 		}
 	}
 	for _, num := range out.Close {
-		c := s.conns[num]
-		delete(s.conns, num)
-		if c != nil && c.conns[s.address] == num {
-			delete(c.conns, s.address)
-			c.do(func() { c.core.ConnectionClosed(s.address) })
-			if !c.stopped {
-				r.drainSubscriber(c)
+		sub := pub.conns[num]
+		delete(pub.conns, num)
+		if sub != nil && sub.conns[pub.address] == num {
+			delete(sub.conns, pub.address)
+			sub.do(func() { sub.core.ConnectionClosed(pub.address) })
+			if !sub.stopped {
+				h.drainSubscriber(sub)
 			}
 		}
 	}
 }
 
-// drainSubscriber does what a follower hands out.
-func (r *harness) drainSubscriber(c *testSubscriber) {
-	out := c.core.Ready()
-	r.events = append(r.events, out.Events...)
+// drainSubscriber carries out a subscriber's actions.
+func (h *harness) drainSubscriber(sub *testSubscriber) {
+	out := sub.core.Ready()
+	h.events = append(h.events, out.Events...)
 	for _, a := range out.Updates {
-		if n := len(c.updates); n > 0 && a.Version <= c.updates[n-1].Version {
-			r.t.Fatalf("%s went back from %d to %d", c.id, c.updates[n-1].Version, a.Version)
+		if n := len(sub.updates); n > 0 && a.Version <= sub.updates[n-1].Version {
+			h.t.Fatalf("%s went back from %d to %d", sub.id, sub.updates[n-1].Version, a.Version)
 		}
-		c.updates = append(c.updates, a)
+		sub.updates = append(sub.updates, a)
 	}
 	for _, one := range out.Sends {
 		m := one.Message
-		s, num := r.publishers[one.Addr], c.conns[one.Addr]
-		r.countSent(&m)
-		if num == 0 || s.blackholed || r.drop(c.id, one.Addr, &m) {
+		pub, num := h.publishers[one.Addr], sub.conns[one.Addr]
+		h.countSent(&m)
+		if num == 0 || pub.blackholed || h.drop(sub.id, one.Addr, &m) {
 			continue
 		}
-		s.do(func() {
+		pub.do(func() {
 			if m.Hello != nil {
-				_ = s.core.Connected(r.now, num, *m.Hello)
+				_ = pub.core.Connected(h.now, num, *m.Hello)
 			} else {
-				_ = s.core.Step(r.now, num, m)
+				_ = pub.core.Step(h.now, num, m)
 			}
 		})
-		if !s.stopped {
-			r.drainPublisher(s)
+		if !pub.stopped {
+			h.drainPublisher(pub)
 		}
 	}
 	for _, a := range out.Close {
-		s, num := r.publishers[a], c.conns[a]
-		delete(c.conns, a)
-		if num != 0 && !s.blackholed {
-			delete(s.conns, num)
-			s.do(func() { s.core.ConnectionClosed(num) })
+		pub, num := h.publishers[a], sub.conns[a]
+		delete(sub.conns, a)
+		if num != 0 && !pub.blackholed {
+			delete(pub.conns, num)
+			pub.do(func() { pub.core.ConnectionClosed(num) })
 		}
 	}
 	for _, a := range out.Dial {
-		s := r.publishers[a]
+		pub := h.publishers[a]
 		switch {
-		case s == nil || s.down:
-			c.core.DialFailed(a)
-		case s.blackholed:
+		case pub == nil || pub.down:
+			sub.core.DialFailed(a)
+		case pub.blackholed:
 			continue
 		default:
-			r.lastConn++
-			num := r.lastConn
-			c.conns[a], s.conns[num] = num, c
-			c.core.Connected(a)
+			h.lastConn++
+			num := h.lastConn
+			sub.conns[a], pub.conns[num] = num, sub
+			sub.core.Connected(a)
 		}
-		r.drainSubscriber(c)
+		h.drainSubscriber(sub)
 	}
 }
 
-func (r *harness) countSent(m *Message) {
+func (h *harness) countSent(m *Message) {
 	switch {
 	case m.Snapshot != nil:
-		r.sent["snapshot"]++
+		h.sent["snapshot"]++
 	case m.Change != nil:
-		r.sent["change"]++
+		h.sent["change"]++
 	case m.SyncRequest != nil:
-		r.sent["want"]++
+		h.sent["want"]++
 	case m.RenewResponse != nil:
-		r.sent["renewed"]++
+		h.sent["renewed"]++
 	}
 }
 
-func (r *harness) countEvents(kind EventKind) (n int) {
-	for _, l := range r.events {
+func (h *harness) countEvents(kind EventKind) (n int) {
+	for _, l := range h.events {
 		if l.Kind == kind {
 			n++
 		}
@@ -307,17 +307,37 @@
 	return n
 }
 
-// requireUpToDate fails unless a follower has all that the source has, and knows it.
-func (r *harness) requireUpToDate(c *testSubscriber) {
-	r.t.Helper()
-	if c.core.State().Version() != r.source.Version() || c.core.State().Digest() != r.source.Digest() {
-		r.t.Fatalf("%s is at %d (%016x), the source at %d (%016x)", c.id, c.core.State().Version(), c.core.State().Digest(), r.source.Version(), r.source.Digest())
+// requireUpToDate fails unless a subscriber has the source's state and is current.
+func (h *harness) requireUpToDate(sub *testSubscriber) {
+	h.t.Helper()
+	if sub.core.State().Version() != h.source.Version() || sub.core.State().Digest() != h.source.Digest() {
+		h.t.Fatalf("%s is at %d (%016x), the source at %d (%016x)", sub.id, sub.core.State().Version(), sub.core.State().Digest(), h.source.Version(), h.source.Digest())
 	}
-	if age, known := c.core.Age(r.now); !c.core.IsCurrent(r.now) {
-		r.t.Fatalf("%s is not current: %v, %v", c.id, age, known)
+	if age, known := sub.core.Age(h.now); !sub.core.IsCurrent(h.now) {
+		h.t.Fatalf("%s is not current: %v, %v", sub.id, age, known)
 	}
 }
 
 func configItem(n int) Item {
 	return Item{Key: fmt.Sprintf("%sk%d", ConfigPrefix, n%7), Value: fmt.Appendf(nil, "v%d", n)}
 }
+
+// newSyncedPair returns two publishers of one site and a subscriber that is up to date.
+func newSyncedPair(t *testing.T) (*harness, *testSubscriber) {
+	h := newHarness(t, "s", "s")
+	sub := h.newSubscriber("b0", "s")
+	h.run(3 * time.Second)
+	h.requireUpToDate(sub)
+	if got := sub.core.Publishers(); len(got) != 2 {
+		t.Fatalf("it follows %v", got)
+	}
+	return h, sub
+}
+
+func siteNames(publishers int) []string {
+	var all []string
+	for i := range publishers {
+		all = append(all, fmt.Sprintf("s%d", i%3))
+	}
+	return all
+}
--- a/internal/fleet/changefeed/state_test.go
+++ b/internal/fleet/changefeed/state_test.go
@@ -9,16 +9,16 @@
 	"testing"
 )
 
-// same tells whether a state is exactly as it was: nothing is half applied.
-func same(t *testing.T, s *State, version, digest uint64, items []Item) {
+// requireUnchanged fails if a state is not exactly as it was.
+func requireUnchanged(t *testing.T, s *State, version, digest uint64, items []Item) {
 	t.Helper()
 	if s.Version() != version || s.Digest() != digest || !reflect.DeepEqual(s.Items(""), items) {
 		t.Errorf("the state has changed: version %d, %016x, %v", s.Version(), s.Digest(), s.Items(""))
 	}
 }
 
-// TestWhatIsRefusedChangesNothing goes through each reason to refuse a change or a snapshot.
-func TestWhatIsRefusedChangesNothing(t *testing.T) {
+// TestRejectedChangesLeaveTheStateUnchanged covers each reason to reject a change or a snapshot.
+func TestRejectedChangesLeaveTheStateUnchanged(t *testing.T) {
 	l := NewLog(LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
 	must := func(items ...Item) Change {
 		t.Helper()
@@ -85,7 +85,7 @@
 			if !errors.Is(err, one.err) || (err == nil) != (one.err == nil) {
 				t.Errorf("%v, not %v", err, one.err)
 			}
-			same(t, s, version, digest, items)
+			requireUnchanged(t, s, version, digest, items)
 			if err := s.Apply(c4); err != nil || s.Digest() != newer.Digest {
 				t.Errorf("it does not go on: %v", err)
 			}
@@ -95,8 +95,8 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// TestAFullStateRefusesWhole fills a state by bytes and by keys.
-func TestAFullStateRefusesWhole(t *testing.T) {
+// TestFullStateRejectsWholeChanges fills a state by bytes and by keys.
+func TestFullStateRejectsWholeChanges(t *testing.T) {
 	l := NewLog(LogConfig{MaxChanges: 2, MaxBytes: 1})
 	for i := range MaxStateBytes / MaxValueBytes {
 		if _, err := l.Append([]Item{{Key: fmt.Sprint(i), Value: make([]byte, MaxValueBytes-8)}}); err != nil {
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestTheDigestIsOfContentAndVersionAlone comes to one state by changes, by changes in another order, and by a snapshot, and finds
+// TestDigestDependsOnContentAndVersionOnly comes to one state by changes, by changes in another order, and by a snapshot, and finds
 // each single difference.
-func TestTheDigestIsOfContentAndVersionAlone(t *testing.T) {
+func TestDigestDependsOnContentAndVersionOnly(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	a, b := NewLog(LogConfig{MaxChanges: 10, MaxBytes: 1 << 20}), NewLog(LogConfig{MaxChanges: 10, MaxBytes: 1 << 20})
 	var items []Item
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestTheRingIsBounded holds it by number and by bytes, and finds in it what it reaches.
-func TestTheRingIsBounded(t *testing.T) {
+// TestRetainedChangesAreBounded holds it by number and by bytes, and finds in it what it reaches.
+func TestRetainedChangesAreBounded(t *testing.T) {
 	l := NewLog(LogConfig{MaxChanges: 8, MaxBytes: 1000})
 	digests := []uint64{0}
 	for i := range 100 {
@@ -208,8 +208,8 @@
 	}
 }
 
-// TestAnOldChangeOfAnotherHistoryIsFound is the log's: it knows the digests that its ring reaches.
-func TestAnOldChangeOfAnotherHistoryIsFound(t *testing.T) {
+// TestLogDetectsOldConflictingChange verifies that the log compares old changes with the digests that it retains.
+func TestLogDetectsOldConflictingChange(t *testing.T) {
 	a, b := NewLog(LogConfig{MaxChanges: 8, MaxBytes: 1000}), NewLog(LogConfig{MaxChanges: 8, MaxBytes: 1000})
 	for i := range 4 {
 		_, _ = a.Append([]Item{{Key: "k", Value: []byte{byte(i)}}})
@@ -224,8 +224,8 @@
 	}
 }
 
-// TestAMessageIsReadAsItWasWritten words each kind and reads it again; what is cut or longer than it says is refused.
-func TestAMessageIsReadAsItWasWritten(t *testing.T) {
+// TestMessagesRoundTrip encodes and decodes each kind of message; a truncated or extended one is rejected.
+func TestMessagesRoundTrip(t *testing.T) {
 	for name, m := range map[string]Message{
 		"hello":    {Hello: &Hello{Fleet: "f", ProtocolVersion: 1, ID: "i", Name: "n", Incarnation: 3, Machine: "m", Zone: "z", Site: "s", Version: 9, Digest: 1 << 63, Standby: true}},
 		"change":   {Change: &Change{Version: 1, DigestBefore: 2, DigestAfter: 1<<64 - 1, Items: []Item{{Key: "k", Value: []byte{0, 255}}, {Key: "g", Deleted: true}}}},
