--- /dev/null
+++ b/internal/fleet/checksum/checksum.go
@@ -0,0 +1,10 @@
+// Package checksum is the one checksum of the fleet's files and frames: CRC-32 with the Castagnoli polynomial. It detects accidental
+// damage; it must never be relied on against an attacker.
+package checksum
+
+import "hash/crc32"
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// Sum returns the CRC-32C of data.
+func Sum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
--- a/internal/fleet/datadir/datadir.go
+++ b/internal/fleet/datadir/datadir.go
@@ -1,15 +1,13 @@
-// Package datadir owns a member's data directory: that one process has it at a time, which fleet and machine it belongs to, and
-// the member's id, which is drawn when the directory is empty. A member whose disk was lost is therefore another member. It must
-// never take over a directory that it can't read to the end, nor one of a newer format.
+// Package datadir owns a member's data directory: that one process uses it at a time, which fleet and machine it belongs to, and the
+// member's ID, which is drawn when the directory is empty. A member that lost its disk is therefore a new member. The package must
+// never accept a directory whose identity it can't read completely, nor one of a newer format.
 package datadir
 
 import (
 	"crypto/rand"
 	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -17,189 +15,168 @@
 	"golang.org/x/sys/unix"
 )
 
-// FormatVersion is the newest form of the directory that this program writes and reads; older ones are read.
-const FormatVersion = 1
+// Names of the files in a data directory.
+const (
+	identityFile     = "member"
+	identityTempFile = "member.new"
+	lockFile         = "lock"
+)
 
-// ErrLocked is that another process has the directory.
+// ErrLocked means that another process uses the directory.
 var ErrLocked = errors.New("another process has it")
 
-// Identity is what the directory says of the member.
-type Identity struct {
-	Format      int    `json:"format"`
-	Fleet       string `json:"fleet"`
-	Machine     string `json:"machine"`
-	MemberID    string `json:"member"` // 32 hexadecimal digits, drawn once
-	Incarnation uint64 `json:"life"`   // how often it has been started
-}
-
-// Directory is a directory that this process has.
+// Directory is a data directory that this process has locked.
 type Directory struct {
 	Identity
-	IsNew bool // the directory was empty
-	dir   string
-	lock  *os.File
+	IsNew bool // the directory was empty when it was opened
+
+	path string
+	lock *os.File
 }
 
-// Open takes a directory for this process, which it makes if it is not there. Errors name the directory; errors.Is tells
-// ErrTaken. A directory that was another fleet's or another machine's is refused: it was copied, and its member may still run.
-func Open(dir, fleet, machine string) (*Directory, error) {
-	s, err := open(dir, fleet, machine)
+// Open locks a directory for this process, creates it if it does not exist, and counts one more incarnation of its member. The fleet
+// and the machine have to be those of the directory: otherwise it is a copy, whose member may still be running elsewhere. Errors name
+// the directory; ErrLocked is reported through errors.Is.
+func Open(path, fleet, machine string) (*Directory, error) {
+	d, err := open(path, fleet, machine)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", dir, err)
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return s, nil
+	return d, nil
 }
 
-func open(dir, fleet, machine string) (*Directory, error) {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+func open(path, fleet, machine string) (*Directory, error) {
+	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	lock, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR|unix.O_CLOEXEC, 0o600)
+	lock, err := acquireLock(filepath.Join(path, lockFile))
 	if err != nil {
 		return nil, err
 	}
-	s := &Directory{dir: dir, lock: lock}
-	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		_ = lock.Close()
-		if errors.Is(err, unix.EWOULDBLOCK) {
-			err = ErrLocked
-		}
+	d := &Directory{path: path, lock: lock}
+	if err := d.start(fleet, machine); err != nil {
+		d.Close()
 		return nil, err
 	}
-	if err := s.sit(fleet, machine); err != nil {
-		_ = lock.Close()
+	return d, nil
+}
+
+// acquireLock opens a file and locks it, or returns ErrLocked. The lock ends with the file.
+func acquireLock(path string) (*os.File, error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|unix.O_CLOEXEC, 0o600)
+	if err != nil {
 		return nil, err
 	}
-	return s, nil
+	err = unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB)
+	if err == nil {
+		return file, nil
+	}
+	_ = file.Close() // the lock's error is reported
+	if errors.Is(err, unix.EWOULDBLOCK) {
+		err = ErrLocked
+	}
+	return nil, err
 }
 
-// sit reads the card, or writes the first one, and counts this life.
-func (s *Directory) sit(fleet, machine string) error {
-	text, err := os.ReadFile(s.path())
-	switch {
-	case errors.Is(err, fs.ErrNotExist):
-		if err := s.empty(); err != nil {
-			return err
-		}
-		var id [16]byte
-		rand.Read(id[:]) // never fails
-		s.IsNew = true
-		s.Identity = Identity{Format: FormatVersion, Fleet: fleet, Machine: machine, MemberID: hex.EncodeToString(id[:])}
-	case err != nil:
+// start reads or creates the identity, checks whose it is, and stores the next incarnation.
+func (d *Directory) start(fleet, machine string) error {
+	if err := d.loadOrCreate(fleet, machine); err != nil {
 		return err
-	default:
-		if s.Identity, err = decode(text); err != nil {
-			return fmt.Errorf("member: %w", err)
-		}
 	}
-	switch {
-	case s.Fleet != fleet:
-		return fmt.Errorf("it is a directory of fleet %q, not of %q", s.Fleet, fleet)
-	case s.Machine != machine:
+	if d.Fleet != fleet {
+		return fmt.Errorf("it is a directory of fleet %q, not of %q", d.Fleet, fleet)
+	}
+	if d.Machine != machine {
 		return fmt.Errorf("it is machine %q's directory, and this is %q: a member with a copy of it may still run; give this one an empty directory",
-			s.Machine, machine)
+			d.Machine, machine)
 	}
-	s.Incarnation++
-	s.Format = FormatVersion
-	return s.write()
+	d.Incarnation++
+	d.Format = FormatVersion
+	return d.writeIdentity()
 }
 
-// ReadIdentity reads the card of a directory and changes nothing.
-func ReadIdentity(dir string) (Identity, error) {
-	text, err := os.ReadFile(filepath.Join(dir, "member"))
-	if err != nil {
-		return Identity{}, err
+func (d *Directory) loadOrCreate(fleet, machine string) error {
+	text, err := os.ReadFile(filepath.Join(d.path, identityFile))
+	if errors.Is(err, fs.ErrNotExist) {
+		return d.create(fleet, machine)
 	}
-	c, err := decode(text)
 	if err != nil {
-		err = fmt.Errorf("%s: member: %w", dir, err)
+		return err
+	}
+	if d.Identity, err = decodeIdentity(text); err != nil {
+		return fmt.Errorf("%s: %w", identityFile, err)
+	}
+	return nil
+}
+
+// create draws the identity of a new member.
+func (d *Directory) create(fleet, machine string) error {
+	if err := d.checkEmpty(); err != nil {
+		return err
 	}
-	return c, err
+	var id [memberIDBytes]byte
+	_, _ = rand.Read(id[:]) // never fails
+	d.IsNew = true
+	d.Identity = Identity{Format: FormatVersion, Fleet: fleet, Machine: machine, MemberID: hex.EncodeToString(id[:])}
+	return nil
 }
 
-// empty tells whether nothing but the lock lies there. Guards against a directory whose card alone was lost: its member
-// would come back as another one in the middle of its own records.
-func (s *Directory) empty() error {
-	all, err := os.ReadDir(s.dir)
+// checkEmpty refuses a directory without an identity that has other files: its member would come back with a new ID among its own
+// records.
+func (d *Directory) checkEmpty() error {
+	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return err
 	}
-	for _, e := range all {
-		if e.Name() != "lock" && e.Name() != "member.new" {
-			return fmt.Errorf("it has no file \"member\" but is not empty (%q)", e.Name())
+	for _, entry := range entries {
+		if entry.Name() != lockFile && entry.Name() != identityTempFile {
+			return fmt.Errorf("it has no file %q but is not empty (%q)", identityFile, entry.Name())
 		}
 	}
 	return nil
 }
 
-func (s *Directory) path() string { return filepath.Join(s.dir, "member") }
-
-// write replaces the card whole: a process that ends at any point leaves the old one or the new one.
-func (s *Directory) write() error {
-	text, err := encode(s.Identity)
+// writeIdentity replaces the identity atomically: a process that ends at any point leaves the old one or the new one.
+func (d *Directory) writeIdentity() error {
+	text, err := d.encode()
 	if err != nil {
 		return err
 	}
-	f, err := os.OpenFile(s.path()+".new", os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
-	if err != nil {
+	temp := filepath.Join(d.path, identityTempFile)
+	if err := writeSynced(temp, text); err != nil {
 		return err
 	}
-	_, err = f.Write(text)
-	if err == nil {
-		err = f.Sync()
-	}
-	if e := f.Close(); err == nil {
-		err = e
-	}
-	if err == nil {
-		err = os.Rename(s.path()+".new", s.path())
-	}
-	if err != nil {
+	if err := os.Rename(temp, filepath.Join(d.path, identityFile)); err != nil {
 		return err
 	}
-	d, err := os.Open(s.dir)
+	return syncDirectory(d.path)
+}
+
+// writeSynced writes a file and waits until it is on disk.
+func writeSynced(path string, text []byte) error {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = d.Close() }()
-	return d.Sync()
+	_, err = file.Write(text)
+	if err == nil {
+		err = file.Sync()
+	}
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
+	}
+	return err
 }
 
-// Close lets go of the directory.
-func (s *Directory) Close() { _ = s.lock.Close() }
-
-// ---- The card's form: a line of JSON, then a line with its checksum.
-
-var table = crc32.MakeTable(crc32.Castagnoli)
-
-func encode(c Identity) ([]byte, error) {
-	text, err := json.Marshal(c)
+// syncDirectory waits until the names in a directory are on disk.
+func syncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	return append(text, sum(string(text))...), nil
+	defer func() { _ = directory.Close() }() // opened for reading
+	return directory.Sync()
 }
 
-func sum(body string) string { return fmt.Sprintf("\n%08x\n", crc32.Checksum([]byte(body), table)) }
-
-func decode(text []byte) (Identity, error) {
-	var c Identity
-	const tail = 1 + 8 + 1
-	if len(text) < tail {
-		return c, errors.New("it is cut short")
-	}
-	body := text[:len(text)-tail]
-	if string(text[len(body):]) != sum(string(body)) {
-		return c, errors.New("its checksum is wrong")
-	}
-	if err := json.Unmarshal(body, &c); err != nil {
-		return c, err
-	}
-	if c.Format > FormatVersion {
-		return c, fmt.Errorf("its format is %d, written by a newer program; this one reads up to %d", c.Format, FormatVersion)
-	}
-	if id, err := hex.DecodeString(c.MemberID); err != nil || len(id) != 16 || c.Format < 1 {
-		return c, fmt.Errorf("member %q or format %d is none", c.MemberID, c.Format)
-	}
-	return c, nil
-}
+// Close releases the directory.
+func (d *Directory) Close() { _ = d.lock.Close() } // the lock is released in any case
--- a/internal/fleet/datadir/datadir_test.go
+++ b/internal/fleet/datadir/datadir_test.go
@@ -8,71 +8,90 @@
 	"testing"
 )
 
-func TestADirectoryKeepsItsMember(t *testing.T) {
+func TestDirectoryKeepsItsMember(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new", "data")
-	a, err := Open(dir, "f", "m1")
-	if err != nil || !a.IsNew || a.Incarnation != 1 {
-		t.Fatal(a, err)
+	first, err := Open(dir, "f", "m1")
+	if err != nil || !first.IsNew || first.Incarnation != 1 {
+		t.Fatal(first, err)
 	}
 	if _, err := Open(dir, "f", "m1"); !errors.Is(err, ErrLocked) {
 		t.Fatal(err)
 	}
-	a.Close()
-	b, err := Open(dir, "f", "m1")
-	if err != nil || b.IsNew || b.MemberID != a.MemberID || b.Incarnation != 2 {
-		t.Fatal(b, err)
+	first.Close()
+	second, err := Open(dir, "f", "m1")
+	if err != nil || second.IsNew || second.MemberID != first.MemberID || second.Incarnation != 2 {
+		t.Fatal(second, err)
 	}
-	b.Close()
+	second.Close()
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Open(dir, "f", "m1")
-	if err != nil || c.MemberID == a.MemberID {
+	third, err := Open(dir, "f", "m1")
+	if err != nil || third.MemberID == first.MemberID {
 		t.Fatal("a member that lost its disk came back as itself", err)
 	}
-	c.Close()
+	third.Close()
 }
 
-// TestDirectoriesThatAreRefused spoils a directory in one way each; what lies there is left as it was.
-func TestDirectoriesThatAreRefused(t *testing.T) {
-	for want, spoil := range map[string]func(dir string, card []byte){
-		"checksum":                 func(dir string, card []byte) { card[3]++; put(dir, card) },
-		"cut short":                func(dir string, card []byte) { put(dir, card[:4]) },
-		"newer program":            func(dir string, card []byte) { put(dir, again(card, `"format":1`, `"format":2`)) },
-		"or format 0 is none":      func(dir string, card []byte) { put(dir, again(card, `"format":1`, `"format":0`)) },
-		`fleet "g", not of "f"`:    func(dir string, card []byte) { put(dir, again(card, `"fleet":"f"`, `"fleet":"g"`)) },
-		`machine "m9"'s directory`: func(dir string, card []byte) { put(dir, again(card, `"m1"`, `"m9"`)) },
-		"is not empty": func(dir string, card []byte) {
-			_ = os.Rename(filepath.Join(dir, "member"), filepath.Join(dir, "records"))
+// TestInvalidDirectoriesAreRefused damages a directory in one way each; what is in it stays as it was.
+func TestInvalidDirectoriesAreRefused(t *testing.T) {
+	for want, damage := range map[string]func(t *testing.T, dir string, identity []byte){
+		"checksum": func(t *testing.T, dir string, identity []byte) {
+			identity[3]++
+			writeIdentityFile(t, dir, identity)
+		},
+		"cut short": func(t *testing.T, dir string, identity []byte) {
+			writeIdentityFile(t, dir, identity[:4])
+		},
+		"newer program": func(t *testing.T, dir string, identity []byte) {
+			writeIdentityFile(t, dir, replaced(t, identity, `"format":1`, `"format":2`))
+		},
+		"or format 0 is none": func(t *testing.T, dir string, identity []byte) {
+			writeIdentityFile(t, dir, replaced(t, identity, `"format":1`, `"format":0`))
+		},
+		`fleet "g", not of "f"`: func(t *testing.T, dir string, identity []byte) {
+			writeIdentityFile(t, dir, replaced(t, identity, `"fleet":"f"`, `"fleet":"g"`))
+		},
+		`machine "m9"'s directory`: func(t *testing.T, dir string, identity []byte) {
+			writeIdentityFile(t, dir, replaced(t, identity, `"m1"`, `"m9"`))
+		},
+		"is not empty": func(t *testing.T, dir string, _ []byte) {
+			if err := os.Rename(filepath.Join(dir, identityFile), filepath.Join(dir, "records")); err != nil {
+				t.Fatal(err)
+			}
 		},
 	} {
 		dir := t.TempDir()
-		s, err := Open(dir, "f", "m1")
+		directory, err := Open(dir, "f", "m1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Close()
-		card, _ := os.ReadFile(filepath.Join(dir, "member"))
-		spoil(dir, card)
-		before, _ := os.ReadFile(filepath.Join(dir, "member"))
+		directory.Close()
+		identity, _ := os.ReadFile(filepath.Join(dir, identityFile))
+		damage(t, dir, identity)
+		before, _ := os.ReadFile(filepath.Join(dir, identityFile))
 		if _, err := Open(dir, "f", "m1"); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), dir) {
 			t.Errorf("%s: got %v", want, err)
 		}
-		if after, _ := os.ReadFile(filepath.Join(dir, "member")); string(after) != string(before) {
+		if after, _ := os.ReadFile(filepath.Join(dir, identityFile)); string(after) != string(before) {
 			t.Errorf("%s: the directory was changed", want)
 		}
 	}
 }
 
-func put(dir string, card []byte) { _ = os.WriteFile(filepath.Join(dir, "member"), card, 0o600) }
+func writeIdentityFile(t *testing.T, dir string, text []byte) {
+	t.Helper()
+	if err := os.WriteFile(filepath.Join(dir, identityFile), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
 
-// again changes a card and gives it the checksum that is due then.
-func again(card []byte, old, new string) []byte {
-	c, err := decode(card)
-	if err != nil {
-		panic(err)
+// replaced changes the body of an identity file and gives it the matching checksum.
+func replaced(t *testing.T, text []byte, from, to string) []byte {
+	t.Helper()
+	if _, err := decodeIdentity(text); err != nil {
+		t.Fatal(err)
 	}
-	text, _ := encode(c)
-	body := strings.Replace(string(text[:len(text)-10]), old, new, 1)
-	return append([]byte(body), sum(body)...)
+	body := strings.Replace(string(text[:len(text)-checksumBytes]), from, to, 1)
+	return append([]byte(body), checksumLine([]byte(body))...)
 }
