--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -9,7 +10,7 @@
 	"sabletally/internal/hclconfig"
 )
 
-const whole = `fleet "istanbul" {
+const completeFile = `fleet "istanbul" {
   listen  = "127.0.0.1:7001"
   seeds   = ["127.0.0.1:7001", "127.0.0.1:7002"]
   data    = "/var/lib/sabletally"
@@ -20,8 +21,8 @@
 }
 `
 
-func TestAWholeFile(t *testing.T) {
-	f, err := Parse([]byte(whole), "f.hcl")
+func TestCompleteFile(t *testing.T) {
+	f, err := Parse([]byte(completeFile), "f.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,14 +31,14 @@
 	}
 }
 
-// TestSeedsOfAWholeFleet reads a file that names a thousand other members, and refuses one seed too many.
-func TestSeedsOfAWholeFleet(t *testing.T) {
+// TestNumberOfSeedsIsBounded reads a file that names as many seeds as there may be members, and refuses one seed too many.
+func TestNumberOfSeedsIsBounded(t *testing.T) {
 	file := func(seeds int) string {
 		var all []string
 		for i := range seeds {
 			all = append(all, fmt.Sprintf("%q", fmt.Sprintf("127.1.%d.%d:7001", i/250, 1+i%250)))
 		}
-		return strings.Replace(whole, `"127.0.0.1:7001", "127.0.0.1:7002"`, strings.Join(all, ", "), 1)
+		return strings.Replace(completeFile, `"127.0.0.1:7001", "127.0.0.1:7002"`, strings.Join(all, ", "), 1)
 	}
 	f, err := Parse([]byte(file(1024)), "f.hcl")
 	if err != nil || len(f.Seeds) != 1024 {
@@ -48,10 +49,11 @@
 	}
 }
 
-// TestRoles reads a file of each role. Guards against one without a role that is read as anything but what it was.
+// TestRoles reads a file of each role, one without a role included.
 func TestRoles(t *testing.T) {
 	for _, c := range []struct {
-		old, new, role    string
+		old, replacement  string
+		role              Role
 		voters, followers int
 	}{
 		{"", "", RoleMember, 3, 0},
@@ -59,7 +61,7 @@
 		{`copies  = 3`, "role = \"control\"\n voters = 3\n followers = 300", RoleControl, 3, 300},
 		{"  listen  = \"127.0.0.1:7001\"\n", "", RoleBalancer, 3, 0},
 	} {
-		text := strings.Replace(whole, c.old, c.new, 1)
+		text := strings.Replace(completeFile, c.old, c.replacement, 1)
 		if c.role == RoleBalancer {
 			text = strings.Replace(text, `copies  = 3`, `role = "balancer"`, 1)
 		}
@@ -68,14 +70,14 @@
 			t.Fatal(err)
 		}
 		if f.Role != c.role || f.Voters != c.voters || f.MaxFollowers != c.followers {
-			t.Errorf("%q: %+v", c.new, f)
+			t.Errorf("%q: %+v", c.replacement, f)
 		}
 	}
 }
 
-// TestFaultsAreNamedWhereTheyStand changes one thing at a time.
-func TestFaultsAreNamedWhereTheyStand(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
+// TestFaultsNameFileLineAndColumn changes one thing at a time.
+func TestFaultsNameFileLineAndColumn(t *testing.T) {
+	for _, c := range []struct{ old, replacement, want string }{
 		{`"127.0.0.1:7001"` + "\n", `"m1:7001"` + "\n", `f.hcl:2:13: listen: "m1:7001" is no address`},
 		{`"127.0.0.1:7001"` + "\n", `"0.0.0.0:7001"` + "\n", `f.hcl:2:13: listen: 0.0.0.0:7001 is every address`},
 		{`"127.0.0.1:7002"`, `"127.0.0.1:7001"`, `f.hcl:3:32: seeds: "127.0.0.1:7001" stands twice`},
@@ -102,15 +104,15 @@
 		{"}\n", "  role = \"control\"\n}\nhold \"intents\" { grades = [\"pay\"] }\n", `f.hcl:11:1: hold: role "control" runs no circuits`},
 		{`copies  = 3`, `copies  =`, `f.hcl:5:12: Invalid expression`},
 	} {
-		_, err := Parse([]byte(strings.Replace(whole, c.old, c.new, 1)), "f.hcl")
-		if _, is := err.(hclconfig.Faults); !is || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: got %v, wanted %q", c.new, err, c.want)
+		_, err := Parse([]byte(strings.Replace(completeFile, c.old, c.replacement, 1)), "f.hcl")
+		if _, isFaults := errors.AsType[hclconfig.Faults](err); !isFaults || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%q: got %v, wanted %q", c.replacement, err, c.want)
 		}
 	}
 }
 
-func TestGradesThatAreNone(t *testing.T) {
-	f, err := Parse([]byte(whole+"hold \"intents\" { grades = [\"pay\", \"buy\"] }\n"), "f.hcl")
+func TestUnknownClassesAreReported(t *testing.T) {
+	f, err := Parse([]byte(completeFile+"hold \"intents\" { grades = [\"pay\", \"buy\"] }\n"), "f.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/config/golden_test.go
+++ b/internal/fleet/config/golden_test.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		for i := range got.IdempotentClasses {
-			if got.IdempotentClasses[i].at.Empty() {
+			if got.IdempotentClasses[i].location.Empty() {
 				t.Errorf("%s: no place of %q is known", name, got.IdempotentClasses[i].Name)
 			}
 			got.IdempotentClasses[i] = Class{Name: got.IdempotentClasses[i].Name}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -155,7 +155,7 @@
 	default:
 	}
 	f.seat, f.wire, f.touch, f.held, f.feed = s, w, t, h, p
-	f.log.Info("fleet: member", zap.String("role", f.file.Role), zap.String("fleet", f.file.FleetName), zap.String("id", s.MemberID), zap.Uint64("life", s.Incarnation),
+	f.log.Info("fleet: member", zap.String("role", string(f.file.Role)), zap.String("fleet", f.file.FleetName), zap.String("id", s.MemberID), zap.Uint64("life", s.Incarnation),
 		zap.Bool("fresh", s.IsNew), zap.Stringer("listen", f.file.Listen), zap.Stringer("advertise", f.file.Advertise),
 		zap.String("machine", f.file.Machine), zap.String("zone", f.file.Zone), zap.String("site", f.file.Site))
 	return nil
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -132,7 +132,7 @@
 	f.mu.Lock()
 	t, w, h, err := f.touch, f.wire, f.held, f.err
 	f.mu.Unlock()
-	r := Report{Fleet: f.file.FleetName, Role: f.file.Role, Replicas: f.file.ReplicationFactor}
+	r := Report{Fleet: f.file.FleetName, Role: string(f.file.Role), Replicas: f.file.ReplicationFactor}
 	f.mu.Lock()
 	tier, p, place := f.tier, f.feed, f.seat
 	f.mu.Unlock()
