--- a/internal/fleet/consensus/bench_test.go
+++ b/internal/fleet/consensus/bench_test.go
@@ -9,10 +9,10 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// metered begins what is measured; the answer ends it, and tells the processor's time of one operation in ns, garbage collection within:
-// on a machine that others use as well the clock on the wall tells less.
-func metered(b *testing.B) func() float64 {
-	processor := func() time.Duration {
+// measureCPU starts a measurement. The function that it returns ends it, and reports and returns the CPU time of one operation in ns, garbage
+// collection included: on a shared machine the wall clock says less.
+func measureCPU(b *testing.B) func() float64 {
+	cpuTime := func() time.Duration {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 			b.Fatal(err)
@@ -20,24 +20,24 @@
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
 	b.ReportAllocs()
-	from := processor()
+	from := cpuTime()
 	b.ResetTimer()
 	return func() float64 {
 		b.StopTimer()
-		each := float64(processor()-from) / float64(b.N)
+		each := float64(cpuTime()-from) / float64(b.N)
 		b.ReportMetric(each, "cpu-ns/op")
 		return each
 	}
 }
 
-// voters are so many logs in memory; the first leads. Nothing of it touches a disk.
-type voters struct {
+// cluster is voters in memory, without a disk; the first one is the leader.
+type cluster struct {
 	b     testing.TB
-	all   map[uint64]*Node
+	nodes map[uint64]*Node
 	order []uint64
 	now   time.Duration
 
-	msgs, bytes, written int
+	messages, bytes, written int
 }
 
 func member(i int) shardmap.Member {
@@ -45,29 +45,29 @@
 		Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3)}
 }
 
-func voting(b testing.TB, many int) *voters {
-	v := &voters{b: b, all: map[uint64]*Node{}}
+func newCluster(b testing.TB, many int) *cluster {
+	v := &cluster{b: b, nodes: map[uint64]*Node{}}
 	for i := range many {
 		n, err := New(member(i).ID, PersistentState{}, uint64(i), 0)
 		if err != nil {
 			b.Fatal(err)
 		}
-		v.all[NodeID(member(i).ID)] = n
+		v.nodes[NodeID(member(i).ID)] = n
 		v.order = append(v.order, NodeID(member(i).ID))
 	}
 	if err := v.leader().Bootstrap("f"); err != nil {
 		b.Fatal(err)
 	}
-	v.settle()
+	v.deliverAll()
 	if many > 1 {
 		if err := v.leader().ChangeVoters(v.order[1:], 0); err != nil {
 			b.Fatal(err)
 		}
 	}
 	for range 50 {
-		v.pass()
+		v.tick()
 	}
-	for _, n := range v.all {
+	for _, n := range v.nodes {
 		if len(n.Voters()) != many || n.State().FleetID != "f" {
 			b.Fatalf("%d of %d vote", len(n.Voters()), many)
 		}
@@ -75,14 +75,14 @@
 	return v
 }
 
-func (v *voters) leader() *Node { return v.all[v.order[0]] }
+func (v *cluster) leader() *Node { return v.nodes[v.order[0]] }
 
-// settle has all messages come, in order, until there is none.
-func (v *voters) settle() {
+// deliverAll delivers all messages in order until there is none.
+func (v *cluster) deliverAll() {
 	for again := true; again; {
 		again = false
 		for _, id := range v.order {
-			r, err := v.all[id].Ready()
+			r, err := v.nodes[id].Ready()
 			if err != nil {
 				v.b.Fatal(err)
 			}
@@ -91,10 +91,10 @@
 			}
 			v.written += len(r.Write.HardState) + len(r.Write.Snapshot)
 			for _, m := range r.Messages {
-				v.msgs++
+				v.messages++
 				v.bytes += len(m.Data)
 				again = true
-				if err := v.all[m.To].Step(m.Data); err != nil {
+				if err := v.nodes[m.To].Step(m.Data); err != nil {
 					v.b.Fatal(err)
 				}
 			}
@@ -102,35 +102,35 @@
 	}
 }
 
-// pass is a tick of all.
-func (v *voters) pass() {
-	v.now += tickEach
+// tick is one tick of all voters.
+func (v *cluster) tick() {
+	v.now += tickInterval
 	for _, id := range v.order {
-		v.all[id].Tick(v.now)
+		v.nodes[id].Tick(v.now)
 	}
-	v.settle()
+	v.deliverAll()
 }
 
-// propose has an entry agreed, and checks that it took hold at all.
-func (v *voters) propose(e shardmap.Entry) {
+// propose has an entry committed, and checks that all voters applied it.
+func (v *cluster) propose(e shardmap.Entry) {
 	before := v.leader().State().Version
 	if err := v.leader().Propose(e); err != nil {
 		v.b.Fatal(err)
 	}
-	v.settle()
-	for range 3 { // followers hear with the next heartbeat that it is agreed
-		if v.agreed(before + 1) {
+	v.deliverAll()
+	for range 3 { // followers learn with the next heartbeat that it is committed
+		if v.allAt(before + 1) {
 			return
 		}
-		v.pass()
+		v.tick()
 	}
-	if !v.agreed(before + 1) {
-		v.b.Fatal("not agreed everywhere")
+	if !v.allAt(before + 1) {
+		v.b.Fatal("not committed everywhere")
 	}
 }
 
-func (v *voters) agreed(version uint64) bool {
-	for _, n := range v.all {
+func (v *cluster) allAt(version uint64) bool {
+	for _, n := range v.nodes {
 		if n.State().Version != version {
 			return false
 		}
@@ -138,26 +138,26 @@
 	return true
 }
 
-func (v *voters) count(b *testing.B) {
-	b.ReportMetric(float64(v.msgs)/float64(b.N), "msgs/op")
+func (v *cluster) reportTraffic(b *testing.B) {
+	b.ReportMetric(float64(v.messages)/float64(b.N), "msgs/op")
 	b.ReportMetric(float64(v.bytes)/float64(b.N), "wire-B/op")
 	b.ReportMetric(float64(v.written)/float64(b.N), "disk-B/op")
 }
 
-// BenchmarkPropose is a change of one slot's view until all voters have it, all of them together; with the log's cuts, one in 512.
+// BenchmarkPropose is a change of one shard's configuration until all voters have it, the CPU time of all together, with the log's compactions.
 func BenchmarkPropose(b *testing.B) {
 	for _, many := range []int{1, 3, 5, 7} {
 		b.Run(fmt.Sprintf("voters=%d", many), func(b *testing.B) {
-			v := voting(b, many)
+			v := newCluster(b, many)
 			full := []string{member(0).ID, member(1).ID, member(2).ID}
-			v.msgs, v.bytes, v.written = 0, 0, 0
-			done := metered(b)
+			v.messages, v.bytes, v.written = 0, 0, 0
+			done := measureCPU(b)
 			for i := range b.N {
 				num := i % shardmap.ShardCount
 				v.propose(shardmap.Entry{ShardChanges: []shardmap.ShardChange{{Shard: num, BaseNumber: v.leader().State().Configurations[num].Number, InSync: full}}})
 			}
 			done()
-			v.count(b)
+			v.reportTraffic(b)
 		})
 	}
 }
@@ -166,19 +166,19 @@
 func BenchmarkProposeEpoch(b *testing.B) {
 	for _, n := range []int{17, 100, 300, 1000, 2300, 4600} {
 		b.Run(fmt.Sprintf("voters=5/members=%d", n), func(b *testing.B) {
-			v := voting(b, 5)
+			v := newCluster(b, 5)
 			var all []shardmap.Member
 			for i := range n {
 				all = append(all, member(i))
 			}
 			v.propose(shardmap.Entry{BaseEpoch: v.leader().State().Epoch, Members: all})
-			v.msgs, v.bytes, v.written = 0, 0, 0
-			done := metered(b)
+			v.messages, v.bytes, v.written = 0, 0, 0
+			done := measureCPU(b)
 			for range b.N {
 				v.propose(shardmap.Entry{BaseEpoch: v.leader().State().Epoch, Members: all})
 			}
 			done()
-			v.count(b)
+			v.reportTraffic(b)
 		})
 	}
 }
@@ -187,16 +187,16 @@
 func BenchmarkIdle(b *testing.B) {
 	for _, many := range []int{1, 3, 5, 7} {
 		b.Run(fmt.Sprintf("voters=%d", many), func(b *testing.B) {
-			v := voting(b, many)
-			v.msgs, v.bytes, v.written = 0, 0, 0
-			done := metered(b)
+			v := newCluster(b, many)
+			v.messages, v.bytes, v.written = 0, 0, 0
+			done := measureCPU(b)
 			for range b.N {
-				for range time.Second / tickEach {
-					v.pass()
+				for range time.Second / tickInterval {
+					v.tick()
 				}
 			}
 			done()
-			v.count(b)
+			v.reportTraffic(b)
 		})
 	}
 }
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -1,6 +1,7 @@
-// Package consensus is one member's part in the log on which the views are agreed: the Raft of go.etcd.io/raft, stepped, with this
-// package's clock and chance, so that the same seed gives the same run. It owns who votes and what was applied. It must never send
-// before what it hands out is on disk, and never let a member vote that has lost what it voted before: such a one has another ID.
+// Package consensus is one member's part in the replicated log by which the fleet agrees on its state: the Raft of go.etcd.io/raft, driven
+// step by step with a clock and a source of randomness of the caller's, so that the same seed gives the same run. It owns who votes and
+// which entries were applied. It must never release a message before the write that comes with it is on disk, and never let a member
+// vote that has lost its earlier votes: a member without its disk has another ID.
 package consensus
 
 import (
@@ -20,465 +21,259 @@
 )
 
 const (
-	tickEach    = 100 * time.Millisecond
-	heartbeat   = 2 // ticks
-	election    = 10
-	electFrom   = time.Second // a voter that hears of no leader for so long, and up to as much again, asks for votes
-	keepEntries = 512         // in the log, before it is cut behind a snapshot
-	tailEntries = 64          // kept behind one for voters that are a little late
-	bytesMost   = 1 << 20     // of entries in one message, and of those not agreed yet
-	confirmEach = 500 * time.Millisecond
-	confirmMost = 4 // questions to a majority that are out: the library keeps each until it is answered
+	tickInterval       = 100 * time.Millisecond
+	heartbeatTicks     = 2
+	electionTicks      = 10
+	minElectionTimeout = time.Second // a voter without a leader campaigns after this and a random part of as much again
+	maxMessageBytes    = 1 << 20     // of entries in one message
+	maxProposedBytes   = 1 << 20     // of entries that are not committed yet
+	maxInflight        = 64          // messages to one voter that are not acknowledged
+	nodeIDBytes        = 8           // of the member's ID
+	randomStream       = 0xa92e      // keeps this package's random numbers apart from others of the same seed
 )
 
-// PersistentState is what is on disk; empty at a member that has never been a voter.
+// PersistentState is what a member has on disk. It is empty at a member that has never been a voter.
 type PersistentState struct {
 	HardState []byte
 	Snapshot  []byte
 	Entries   [][]byte // those behind the snapshot, in order
 }
 
-// Write is what has to be on disk before the messages that come with it go out.
-type Write struct {
-	HardState     []byte   // empty: unchanged
-	Snapshot      []byte   // empty: unchanged. Entries up to its index may go then
-	SnapshotIndex uint64   // that index
-	Entries       [][]byte // from the index First on; what lay there or behind it is void
-	FirstIndex    uint64
-}
-
-// Ready is what is to be done: Write first.
-type Ready struct {
-	Write      Write
-	Messages   []Message
-	Snapshot   *changefeed.Snapshot // the state was replaced by this; nil where it was not
-	Changes    []Change             // of the state, in order, after that
-	PutResults []shardmap.PutResult // how operators' puts ended, of entries that came to be agreed
-}
-
-// Change is what one entry did to the state.
-type Change struct {
-	Version uint64
-	Items   []changefeed.Item
-}
-
-// Message is a message to a voter, by its number.
-type Message struct {
-	To   uint64
-	Data []byte
-}
-
-// Node is one member's. It is one goroutine's.
+// Node is one member's part in the log. It must be used by one goroutine at a time.
 type Node struct {
-	id    uint64
-	rn    *raft.RawNode
-	store *raft.MemoryStorage
-	rng   *rand.Rand
-	conf  *pb.ConfState
-	now   time.Duration
-	tick  time.Duration
-	elect time.Duration
-
-	applied, cut uint64
-	state        *shardmap.State
-	write        Write
-	changes      []Change
-	whole        *changefeed.Snapshot
-	puts         []shardmap.PutResult
-	voted        bool // who votes has changed: a snapshot has to say so, or who begins to vote can't be sent one
-
-	confirm time.Duration // the next question
-	asked   []question    // that a majority is to answer, the oldest first
-	term    uint64        // that they are of
-	number  uint64
-	asOf    time.Duration
-	known   bool
+	id        uint64
+	rawNode   *raft.RawNode
+	storage   *raft.MemoryStorage
+	rng       *rand.Rand
+	confState *pb.ConfState
+
+	now        time.Duration
+	lastTick   time.Duration
+	electionAt time.Duration // this voter campaigns then, if it has not heard of a leader
+
+	state         *shardmap.State
+	appliedIndex  uint64
+	snapshotIndex uint64
+	votersChanged bool // since the snapshot, which a new voter can only be sent with itself among the voters
+
+	pending       Ready // what the next call of Ready returns, but for the messages
+	confirmations confirmations
 }
 
-// question asks a majority whether this member leads yet. Once it is answered, what the log's index was when it was asked, it knows
-// that nothing beyond had been agreed by then.
-type question struct {
-	number   uint64
-	at       time.Duration
-	index    uint64 // that has to be applied
-	answered bool
-}
-
-// NodeID is a member's in the log: the first half of its ID.
+// NodeID returns a member's ID in the log, which is the first half of its ID in the fleet. It is 0 for what is no member's ID.
 func NodeID(member string) uint64 {
-	b, err := hex.DecodeString(member)
-	if err != nil || len(b) < 8 {
+	id, err := hex.DecodeString(member)
+	if err != nil || len(id) < nodeIDBytes {
 		return 0
 	}
-	n := uint64(0)
-	for _, one := range b[:8] {
-		n = n<<8 | uint64(one)
-	}
-	return max(n, 1)
+	return max(binary.BigEndian.Uint64(id), 1)
 }
 
-// New makes a member's part of what is on disk.
+// New makes a member's part in the log from what it has on disk.
 func New(member string, saved PersistentState, seed uint64, now time.Duration) (*Node, error) {
-	n := &Node{id: NodeID(member), store: raft.NewMemoryStorage(), rng: rand.New(rand.NewPCG(seed, 0xa92e)), conf: &pb.ConfState{},
-		now: now, tick: now, state: shardmap.New()}
+	n := &Node{
+		id:        NodeID(member),
+		storage:   raft.NewMemoryStorage(),
+		rng:       rand.New(rand.NewPCG(seed, randomStream)),
+		confState: &pb.ConfState{},
+		now:       now,
+		lastTick:  now,
+		state:     shardmap.New(),
+	}
 	if n.id == 0 {
-		return nil, fmt.Errorf("agree: %q is no member's ID", member)
+		return nil, fmt.Errorf("consensus: %q is no member's ID", member)
+	}
+	if err := n.load(saved); err != nil {
+		return nil, fmt.Errorf("consensus: %w", err)
 	}
+	if err := n.start(); err != nil {
+		return nil, fmt.Errorf("consensus: %w", err)
+	}
+	return n, nil
+}
+
+// load puts what is on disk into the library's storage.
+func (n *Node) load(saved PersistentState) error {
 	if len(saved.Snapshot) > 0 {
-		snap := &pb.Snapshot{}
-		if err := proto.Unmarshal(saved.Snapshot, snap); err != nil {
-			return nil, fmt.Errorf("agree: the snapshot: %w", err)
-		}
-		if err := n.restore(snap); err != nil {
-			return nil, err
-		}
-		if err := n.store.ApplySnapshot(snap); err != nil {
-			return nil, fmt.Errorf("agree: the snapshot: %w", err)
+		if err := n.loadSnapshot(saved.Snapshot); err != nil {
+			return fmt.Errorf("the snapshot: %w", err)
 		}
 	}
 	if len(saved.HardState) > 0 {
-		hard := &pb.HardState{}
-		if err := proto.Unmarshal(saved.HardState, hard); err != nil {
-			return nil, fmt.Errorf("agree: the vote: %w", err)
+		hardState := &pb.HardState{}
+		if err := proto.Unmarshal(saved.HardState, hardState); err != nil {
+			return fmt.Errorf("the hard state: %w", err)
 		}
-		_ = n.store.SetHardState(hard)
+		_ = n.storage.SetHardState(hardState) // memory: never fails
 	}
 	for i, text := range saved.Entries {
-		e := &pb.Entry{}
-		if err := proto.Unmarshal(text, e); err != nil {
-			return nil, fmt.Errorf("agree: entry %d: %w", i, err)
+		entry := &pb.Entry{}
+		if err := proto.Unmarshal(text, entry); err != nil {
+			return fmt.Errorf("entry %d: %w", i, err)
 		}
-		if err := n.store.Append([]*pb.Entry{e}); err != nil {
-			return nil, fmt.Errorf("agree: entry %d: %w", i, err)
+		if err := n.storage.Append([]*pb.Entry{entry}); err != nil {
+			return fmt.Errorf("entry %d: %w", i, err)
 		}
 	}
-	return n, n.start()
+	return nil
+}
+
+func (n *Node) loadSnapshot(text []byte) error {
+	snapshot := &pb.Snapshot{}
+	if err := proto.Unmarshal(text, snapshot); err != nil {
+		return err
+	}
+	if err := n.restore(snapshot); err != nil {
+		return err
+	}
+	return n.storage.ApplySnapshot(snapshot)
 }
 
-func (n *Node) start() (err error) {
-	n.rn, err = raft.NewRawNode(&raft.Config{ID: n.id, ElectionTick: election, HeartbeatTick: heartbeat, Storage: n.store, Applied: n.applied,
-		MaxSizePerMsg: bytesMost, MaxUncommittedEntriesSize: bytesMost, MaxInflightMsgs: 64, PreVote: true, StepDownOnRemoval: true, Logger: silent{}})
-	n.later()
+func (n *Node) start() error {
+	rawNode, err := raft.NewRawNode(&raft.Config{
+		ID:                        n.id,
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   n.storage,
+		Applied:                   n.appliedIndex,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxUncommittedEntriesSize: maxProposedBytes,
+		MaxInflightMsgs:           maxInflight,
+		PreVote:                   true,
+		StepDownOnRemoval:         true,
+		Logger:                    discardLogger{},
+	})
+	n.rawNode = rawNode
+	n.postponeElection()
 	return err
 }
 
-// Bootstrap begins the log with this member as its only voter, and the fleet under an ID. It may be called before anything else was.
-func (n *Node) Bootstrap(fleet string) error {
+// Bootstrap begins the log of a new fleet with this member as the only voter. It has to be called before anything else.
+func (n *Node) Bootstrap(fleetID string) error {
 	state := shardmap.New()
-	state.FleetID, state.Version = fleet, 1
-	one := uint64(1)
-	snap := &pb.Snapshot{Data: state.Snapshot(), Metadata: &pb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &pb.ConfState{Voters: []uint64{n.id}}}}
-	if err := n.store.ApplySnapshot(snap); err != nil {
+	state.FleetID = fleetID
+	state.Version = 1
+	first := uint64(1)
+	snapshot := &pb.Snapshot{
+		Data:     state.Snapshot(),
+		Metadata: &pb.SnapshotMetadata{Index: &first, Term: &first, ConfState: &pb.ConfState{Voters: []uint64{n.id}}},
+	}
+	hardState := &pb.HardState{Term: &first, Commit: &first}
+	if err := n.storage.ApplySnapshot(snapshot); err != nil {
 		return err
 	}
-	_ = n.store.SetHardState(&pb.HardState{Term: &one, Commit: &one})
-	if err := n.restore(snap); err != nil {
+	_ = n.storage.SetHardState(hardState) // memory: never fails
+	if err := n.restore(snapshot); err != nil {
 		return err
 	}
-	n.write.HardState, _ = proto.Marshal(&pb.HardState{Term: &one, Commit: &one})
-	n.write.Snapshot, n.write.SnapshotIndex = marshal(snap), 1
+	n.pending.Write.HardState = marshal(hardState)
+	n.pending.Write.Snapshot = marshal(snapshot)
+	n.pending.Write.SnapshotIndex = first
 	if err := n.start(); err != nil {
 		return err
 	}
-	return n.rn.Campaign() // there is nobody to wait for
+	return n.rawNode.Campaign() // it wins at once as the only voter
 }
 
-// State is what is agreed, as far as this member has heard. It is not to be changed.
+// State returns the newest state that this member has applied. It must not be changed.
 func (n *Node) State() *shardmap.State { return n.state }
 
-// IsLeader tells whether this member leads the log; whatever it decides is agreed only once it is in the state.
-func (n *Node) IsLeader() bool { return n.rn.BasicStatus().RaftState == raft.StateLeader }
+// IsLeader reports whether this member leads the log. What a leader proposes is agreed only once it is in the state.
+func (n *Node) IsLeader() bool { return n.rawNode.BasicStatus().RaftState == raft.StateLeader }
 
-// Leader is who leads as far as is known, 0 for nobody.
-func (n *Node) Leader() uint64 { return n.rn.BasicStatus().Lead }
+// Leader returns the leader's ID in the log as far as is known, 0 for none.
+func (n *Node) Leader() uint64 { return n.rawNode.BasicStatus().Lead }
 
-// Term is the number of the leadership that is known.
-func (n *Node) Term() uint64 { return n.rn.BasicStatus().GetTerm() }
+// Term returns the newest term that is known.
+func (n *Node) Term() uint64 { return n.rawNode.BasicStatus().GetTerm() }
 
-// Voters are the numbers of those that vote.
-func (n *Node) Voters() []uint64 { return n.conf.GetVoters() }
+// Voters returns the voters' IDs in the log.
+func (n *Node) Voters() []uint64 { return n.confState.GetVoters() }
 
-// AsOf is the time up to which this member knows that nothing was agreed but what its state has: it led and asked a majority then.
-// False where it never did.
-func (n *Node) AsOf() (time.Duration, bool) { return n.asOf, n.known }
-
-// Tick tells of the time. The library's own clock runs at leaders alone, as the chance within it can't be handed in.
+// Tick advances the time. The library's own clock runs at leaders alone, as its election timeout is drawn from a global source of
+// randomness.
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
-	if now-n.tick >= tickEach {
-		n.tick = now
+	if now-n.lastTick >= tickInterval {
+		n.lastTick = now
 		if n.IsLeader() {
-			n.rn.Tick()
+			n.rawNode.Tick()
 		}
 	}
-	n.ask()
-	if now >= n.elect {
-		n.later()
+	n.requestConfirmation()
+	if now >= n.electionAt {
+		n.postponeElection()
 		if !n.IsLeader() && slices.Contains(n.Voters(), n.id) {
-			_ = n.rn.Campaign()
-		}
-	}
-}
-
-// ask begins a question to a majority: raft's read index, which is safe without leaning on anybody's clock.
-func (n *Node) ask() {
-	if term := n.Term(); term != n.term || !n.IsLeader() { // the library forgets them with a leadership
-		n.asked, n.term = nil, term
-	}
-	if !n.IsLeader() || n.now < n.confirm || len(n.asked) >= confirmMost {
-		return
-	}
-	n.confirm = n.now + confirmEach
-	n.number++
-	n.asked = append(n.asked, question{number: n.number, at: n.now})
-	n.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, n.number))
-}
-
-// answered takes a majority's answer, which holds for the questions before it as well.
-func (n *Node) answered(r raft.ReadState) {
-	if len(r.RequestCtx) != 8 {
-		return
-	}
-	number := binary.BigEndian.Uint64(r.RequestCtx)
-	for i := range n.asked {
-		if n.asked[i].number == number {
-			n.asked[i].answered, n.asked[i].index = true, r.Index
-		}
-	}
-}
-
-// confirmed counts the answers whose index is applied.
-func (n *Node) confirmed() {
-	for i, q := range slices.Backward(n.asked) {
-		if q.answered && q.index <= n.applied {
-			n.asOf, n.known = max(n.asOf, q.at), true
-			n.asked = slices.Delete(n.asked, 0, i+1)
-			return
+			_ = n.rawNode.Campaign() // lost messages are retried at the next timeout
 		}
 	}
 }
 
-func (n *Node) later() {
-	n.elect = n.now + electFrom + time.Duration(n.rng.Float64()*float64(electFrom))
+func (n *Node) postponeElection() {
+	jitter := time.Duration(n.rng.Float64() * float64(minElectionTimeout))
+	n.electionAt = n.now + minElectionTimeout + jitter
 }
 
-// Step takes a message of another voter's.
+// Step takes a message of another voter.
 func (n *Node) Step(text []byte) error {
-	m := &pb.Message{}
-	if err := proto.Unmarshal(text, m); err != nil {
+	message := &pb.Message{}
+	if err := proto.Unmarshal(text, message); err != nil {
 		return err
 	}
-	if m.GetTo() != n.id || raft.IsLocalMsg(m.GetType()) {
-		return fmt.Errorf("agree: a message of type %v to %x", m.GetType(), m.GetTo())
+	if message.GetTo() != n.id || raft.IsLocalMsg(message.GetType()) {
+		return fmt.Errorf("consensus: a message of type %v to %x", message.GetType(), message.GetTo())
 	}
-	if err := n.rn.Step(m); err != nil {
+	if err := n.rawNode.Step(message); err != nil {
 		return err
 	}
-	switch m.GetType() {
+	switch message.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
-		if m.GetFrom() == n.Leader() {
-			n.later()
+		if message.GetFrom() == n.Leader() {
+			n.postponeElection()
 		}
 	case pb.MsgVote:
-		n.later()
+		n.postponeElection()
 	}
 	return nil
 }
 
-// Propose has the leader put an entry before the others; lost if this member leads no more.
-func (n *Node) Propose(e shardmap.Entry) error { return n.rn.Propose(e.Encode()) }
+// Propose appends an entry to the log. It may be lost when this member is no longer the leader.
+func (n *Node) Propose(entry shardmap.Entry) error { return n.rawNode.Propose(entry.Encode()) }
 
-// ChangeVoters has members begin to vote and one stop, by number and 0 for none, all in one step: in no state between are there fewer that
-// may be lost. One such change is under way at a time; another is refused.
-func (n *Node) ChangeVoters(begin []uint64, stops uint64) error {
-	cc := &pb.ConfChangeV2{}
-	change := func(kind pb.ConfChangeType, id uint64) {
-		cc.Changes = append(cc.Changes, &pb.ConfChangeSingle{Type: &kind, NodeId: &id})
-	}
-	for _, id := range begin {
-		change(pb.ConfChangeAddNode, id)
+// ChangeVoters adds and removes voters, by their IDs in the log, in one step, so that no state between tolerates fewer failures. A removed
+// ID of 0 stands for none. One change is in progress at a time; another is refused.
+func (n *Node) ChangeVoters(added []uint64, removed uint64) error {
+	change := &pb.ConfChangeV2{}
+	for _, id := range added {
+		change.Changes = append(change.Changes, voterChange(pb.ConfChangeAddNode, id))
 	}
-	if stops != 0 {
-		change(pb.ConfChangeRemoveNode, stops)
+	if removed != 0 {
+		change.Changes = append(change.Changes, voterChange(pb.ConfChangeRemoveNode, removed))
 	}
-	return n.rn.ProposeConfChange(cc)
+	return n.rawNode.ProposeConfChange(change)
 }
 
-// TransferLeadership has another voter lead, if it has all that this one has.
-func (n *Node) TransferLeadership(to uint64) { n.rn.TransferLeader(to) }
-
-// ReportUnreachable tells that a message to a voter may not have come.
-func (n *Node) ReportUnreachable(id uint64) { n.rn.ReportUnreachable(id) }
-
-// Ready hands out what is to be done, once.
-func (n *Node) Ready() (r Ready, err error) {
-	var msgs []*pb.Message
-	for n.rn.HasReady() {
-		rd := n.rn.Ready()
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := n.store.ApplySnapshot(rd.Snapshot); err != nil {
-				return r, fmt.Errorf("agree: %w", err)
-			}
-			if err := n.restore(rd.Snapshot); err != nil {
-				return r, err
-			}
-			n.write.Snapshot, n.write.SnapshotIndex = marshal(rd.Snapshot), rd.Snapshot.GetMetadata().GetIndex()
-			n.write.Entries, n.write.FirstIndex = nil, 0
-		}
-		if len(rd.Entries) > 0 {
-			if err := n.store.Append(rd.Entries); err != nil {
-				return r, fmt.Errorf("agree: %w", err)
-			}
-			n.append(rd.Entries)
-		}
-		if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
-			_ = n.store.SetHardState(rd.HardState)
-			n.write.HardState = marshal(rd.HardState)
-		}
-		msgs = append(msgs, rd.Messages...)
-		for _, e := range rd.CommittedEntries {
-			if err := n.apply(e); err != nil {
-				return r, err
-			}
-		}
-		for _, one := range rd.ReadStates {
-			n.answered(one)
-		}
-		n.rn.Advance(rd)
-	}
-	n.confirmed()
-	if err := n.compact(); err != nil {
-		return r, err
-	}
-	for _, m := range msgs {
-		r.Messages = append(r.Messages, Message{To: m.GetTo(), Data: marshal(m)})
-		if m.GetType() == pb.MsgSnap { // how it went shows by what the voter answers next
-			n.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
-		}
-	}
-	r.Write, r.Changes, r.Snapshot, r.PutResults = n.write, n.changes, n.whole, n.puts
-	n.write, n.changes, n.whole, n.puts = Write{}, nil, nil, nil
-	return r, nil
+func voterChange(kind pb.ConfChangeType, id uint64) *pb.ConfChangeSingle {
+	return &pb.ConfChangeSingle{Type: &kind, NodeId: &id}
 }
 
-// append gathers entries for the disk; those that replace others void what was behind them.
-func (n *Node) append(entries []*pb.Entry) {
-	first := entries[0].GetIndex()
-	if len(n.write.Entries) == 0 {
-		n.write.FirstIndex = first
-	} else if keep := int(first) - int(n.write.FirstIndex); keep >= 0 && keep < len(n.write.Entries) {
-		n.write.Entries = n.write.Entries[:keep]
-	} else if keep < 0 {
-		n.write.Entries, n.write.FirstIndex = nil, first
-	}
-	for _, e := range entries {
-		n.write.Entries = append(n.write.Entries, marshal(e))
-	}
-}
+// TransferLeadership makes another voter the leader, provided that its log is up to date.
+func (n *Node) TransferLeadership(to uint64) { n.rawNode.TransferLeader(to) }
 
-func (n *Node) apply(e *pb.Entry) error {
-	n.applied = e.GetIndex()
-	switch e.GetType() {
-	case pb.EntryConfChangeV2, pb.EntryConfChange:
-		var change pb.ConfChangeI
-		if cc := (&pb.ConfChangeV2{}); e.GetType() == pb.EntryConfChangeV2 {
-			if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-				return fmt.Errorf("agree: entry %d: %w", e.GetIndex(), err)
-			}
-			change = cc
-		} else { // a change of one voter is written in the older form
-			cc := &pb.ConfChange{}
-			if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-				return fmt.Errorf("agree: entry %d: %w", e.GetIndex(), err)
-			}
-			change = cc
-		}
-		n.conf = n.rn.ApplyConfChange(change)
-		n.voted = true
-	case pb.EntryNormal:
-		if len(e.GetData()) == 0 {
-			return nil // a leader's first
-		}
-		entry, err := shardmap.DecodeEntry(e.GetData())
-		if err != nil {
-			return fmt.Errorf("agree: entry %d: %w", e.GetIndex(), err)
-		}
-		did := n.state.Apply(entry)
-		n.puts = append(n.puts, did.PutResults...)
-		if len(did.ChangedKeys) > 0 {
-			n.changes = append(n.changes, Change{n.state.Version, ItemsOf(n.state, did.ChangedKeys)})
-		}
-	}
-	return nil
-}
+// ReportUnreachable reports that a message to a voter may have been lost.
+func (n *Node) ReportUnreachable(id uint64) { n.rawNode.ReportUnreachable(id) }
 
-// ItemsOf are the values of a state under keys; a key that has none is gone.
-func ItemsOf(st *shardmap.State, keys []string) []changefeed.Item {
+// ItemsOf returns the values of a state under keys; a key without a value is marked as deleted.
+func ItemsOf(state *shardmap.State, keys []string) []changefeed.Item {
 	items := make([]changefeed.Item, 0, len(keys))
-	for _, k := range keys {
-		v, is := st.Value(k)
-		items = append(items, changefeed.Item{Key: k, Value: v, Deleted: !is})
+	for _, key := range keys {
+		value, exists := state.Value(key)
+		items = append(items, changefeed.Item{Key: key, Value: value, Deleted: !exists})
 	}
 	return items
 }
 
-// SnapshotOf is all of a state, as a map.
-func SnapshotOf(st *shardmap.State) *changefeed.Snapshot {
-	return changefeed.NewSnapshot(st.FleetID, st.Version, ItemsOf(st, st.Keys()))
-}
-
-func (n *Node) restore(snap *pb.Snapshot) error {
-	state, err := shardmap.Restore(snap.GetData())
-	if err != nil {
-		return fmt.Errorf("agree: the snapshot: %w", err)
-	}
-	n.state, n.conf = state, snap.GetMetadata().GetConfState()
-	n.changes, n.whole = nil, SnapshotOf(state)
-	n.applied = snap.GetMetadata().GetIndex()
-	n.cut = n.applied
-	return nil
-}
-
-// compact cuts the log behind a snapshot once it has grown.
-func (n *Node) compact() error {
-	if n.applied-n.cut < keepEntries && !n.voted {
-		return nil
-	}
-	n.voted = false
-	snap, err := n.store.CreateSnapshot(n.applied, n.conf, n.state.Snapshot())
-	if first, e := n.store.FirstIndex(); err == nil && e == nil && n.applied > first+tailEntries {
-		err = n.store.Compact(n.applied - tailEntries)
-	}
-	if err != nil {
-		return fmt.Errorf("agree: %w", err)
-	}
-	n.cut = n.applied
-	n.write.Snapshot, n.write.SnapshotIndex = marshal(snap), n.applied
-	return nil
-}
-
-func marshal(m proto.Message) []byte {
-	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
-	if err != nil {
-		panic(err) // the library's own
-	}
-	return text
-}
-
-// silent takes the library's log: what operators are told is said by who decides.
-type silent struct{}
-
-func (silent) Debug(...any)            {}
-func (silent) Debugf(string, ...any)   {}
-func (silent) Error(...any)            {}
-func (silent) Errorf(string, ...any)   {}
-func (silent) Info(...any)             {}
-func (silent) Infof(string, ...any)    {}
-func (silent) Warning(...any)          {}
-func (silent) Warningf(string, ...any) {}
-func (silent) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (silent) Fatalf(f string, v ...any) {
-	panic(fmt.Sprintf(f, v...))
+// SnapshotOf returns all of a state as a snapshot of the changefeed.
+func SnapshotOf(state *shardmap.State) *changefeed.Snapshot {
+	return changefeed.NewSnapshot(state.FleetID, state.Version, ItemsOf(state, state.Keys()))
 }
-func (silent) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (silent) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -8,17 +8,17 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// log is three nodes whose messages are carried when a test says so.
-type log struct {
-	t     *testing.T
-	now   time.Duration
-	nodes map[uint64]*Node
-	first *Node
-	way   []Message
+// testLog is three nodes whose messages are delivered when a test says so.
+type testLog struct {
+	t         *testing.T
+	now       time.Duration
+	nodes     map[uint64]*Node
+	leader    *Node
+	inTransit []Message
 }
 
-func three(t *testing.T) *log {
-	l := &log{t: t, nodes: map[uint64]*Node{}}
+func newTestLog(t *testing.T) *testLog {
+	l := &testLog{t: t, nodes: map[uint64]*Node{}}
 	var others []uint64
 	for i := range 3 {
 		id := fmt.Sprintf("%016x%016x", i+1, i+1)
@@ -28,132 +28,130 @@
 		}
 		l.nodes[NodeID(id)] = n
 		if i == 0 {
-			l.first = n
+			l.leader = n
 		} else {
 			others = append(others, NodeID(id))
 		}
 	}
-	if err := l.first.Bootstrap("f"); err != nil {
+	if err := l.leader.Bootstrap("f"); err != nil {
 		t.Fatal(err)
 	}
-	l.pass(time.Second)
-	if err := l.first.ChangeVoters(others, 0); err != nil {
+	l.advance(time.Second)
+	if err := l.leader.ChangeVoters(others, 0); err != nil {
 		t.Fatal(err)
 	}
-	l.pass(time.Second)
-	if n := len(l.first.Voters()); n != 3 || !l.first.IsLeader() {
-		t.Fatalf("%d voters, leads %v", n, l.first.IsLeader())
+	l.advance(time.Second)
+	if n := len(l.leader.Voters()); n != 3 || !l.leader.IsLeader() {
+		t.Fatalf("%d voters, leader %v", n, l.leader.IsLeader())
 	}
 	return l
 }
 
-// gather takes what nodes send.
-func (l *log) gather() {
+// collect takes the messages that nodes send.
+func (l *testLog) collect() {
 	l.t.Helper()
 	for id := uint64(1); id <= 3; id++ {
 		r, err := l.nodes[id].Ready()
 		if err != nil {
 			l.t.Fatal(err)
 		}
-		l.way = append(l.way, r.Messages...)
+		l.inTransit = append(l.inTransit, r.Messages...)
 	}
 }
 
-// carry hands messages to whom they are for, if that is told.
-func (l *log) carry(to func(uint64) bool) {
-	way := l.way
-	l.way = nil
-	for _, m := range way {
+// deliver delivers the messages to the nodes that are selected.
+func (l *testLog) deliver(to func(uint64) bool) {
+	messages := l.inTransit
+	l.inTransit = nil
+	for _, m := range messages {
 		if !to(m.To) {
-			l.way = append(l.way, m)
+			l.inTransit = append(l.inTransit, m)
 		} else if err := l.nodes[m.To].Step(m.Data); err != nil {
 			l.t.Fatal(err)
 		}
 	}
 }
 
-func all(uint64) bool { return true }
+func everybody(uint64) bool { return true }
 
-// pass lets time go by with nothing in the way.
-func (l *log) pass(span time.Duration) {
+// advance lets time pass with all messages delivered.
+func (l *testLog) advance(span time.Duration) {
 	l.t.Helper()
 	for end := l.now + span; l.now < end; {
 		l.now += 50 * time.Millisecond
 		for id := uint64(1); id <= 3; id++ {
 			l.nodes[id].Tick(l.now)
 		}
-		l.gather()
-		l.carry(all)
-		l.gather()
-		l.carry(all)
+		l.collect()
+		l.deliver(everybody)
+		l.collect()
+		l.deliver(everybody)
 	}
 }
 
-// TestAnAnswerIsAsOldAsItsQuestion holds answers to a leader back while it stands still. Guards against a leader that wakes, reads what
-// lay in its buffers, and takes it for news.
-func TestAnAnswerIsAsOldAsItsQuestion(t *testing.T) {
-	l := three(t)
-	l.pass(2 * time.Second)
-	if at, known := l.first.AsOf(); !known || l.now-at > time.Second {
-		t.Fatalf("it knows up to %v at %v, %v", at, l.now, known)
-	}
-	asks := l.now + confirmEach
-	l.first.Tick(asks) // the question goes out
-	l.gather()
-	l.carry(func(to uint64) bool { return to != 1 })
-	l.gather() // and the answers lie there
-	wakes := asks + 5*time.Second
-	l.carry(all)
-	l.first.Tick(wakes)
-	l.gather()
-	at, _ := l.first.AsOf()
-	if at > asks {
-		t.Errorf("asked at %v, it knows up to %v after it woke at %v", asks, at, wakes)
-	}
-	if at < asks {
-		t.Errorf("the answers say nothing: %v, asked at %v", at, asks)
-	}
-	l.now = wakes
-	l.pass(time.Second)
-	if at, _ := l.first.AsOf(); at < wakes {
-		t.Errorf("it knows up to %v a second after it woke at %v", at, wakes)
+// TestConfirmationHasTheAgeOfItsRequest holds responses back while the leader is paused: what it reads from its buffers when it resumes is as
+// old as the request.
+func TestConfirmationHasTheAgeOfItsRequest(t *testing.T) {
+	l := newTestLog(t)
+	l.advance(2 * time.Second)
+	if at, known := l.leader.AsOf(); !known || l.now-at > time.Second {
+		t.Fatalf("confirmed up to %v at %v, %v", at, l.now, known)
+	}
+	requestedAt := l.now + confirmInterval
+	l.leader.Tick(requestedAt)
+	l.collect()
+	l.deliver(func(to uint64) bool { return to != 1 })
+	l.collect()
+	resumedAt := requestedAt + 5*time.Second
+	l.deliver(everybody)
+	l.leader.Tick(resumedAt)
+	l.collect()
+	at, _ := l.leader.AsOf()
+	if at > requestedAt {
+		t.Errorf("requested at %v, confirmed up to %v after it resumed at %v", requestedAt, at, resumedAt)
+	}
+	if at < requestedAt {
+		t.Errorf("the responses are ignored: confirmed up to %v, requested at %v", at, requestedAt)
+	}
+	l.now = resumedAt
+	l.advance(time.Second)
+	if at, _ := l.leader.AsOf(); at < resumedAt {
+		t.Errorf("confirmed up to %v a second after it resumed at %v", at, resumedAt)
 	}
 }
 
-// TestWithoutAMajorityNothingIsKnown lets a leader ask in vain. Guards against questions that pile up, and against one that is answered
-// by a minority.
-func TestWithoutAMajorityNothingIsKnown(t *testing.T) {
-	l := three(t)
-	l.pass(2 * time.Second)
+// TestNoConfirmationWithoutMajority cuts a leader off from the majority: its requests are bounded and none is confirmed by a minority.
+func TestNoConfirmationWithoutMajority(t *testing.T) {
+	l := newTestLog(t)
+	l.advance(2 * time.Second)
 	last := l.now
 	for range 200 {
 		l.now += 50 * time.Millisecond
-		l.first.Tick(l.now)
-		if _, err := l.first.Ready(); err != nil {
+		l.leader.Tick(l.now)
+		if _, err := l.leader.Ready(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if at, _ := l.first.AsOf(); at > last {
-		t.Errorf("it knows up to %v, nobody answered since %v", at, last)
+	if at, _ := l.leader.AsOf(); at > last {
+		t.Errorf("confirmed up to %v, nobody responded since %v", at, last)
 	}
-	if n := len(l.first.asked); n > confirmMost {
-		t.Errorf("%d questions are out", n)
+	if n := len(l.leader.confirmations.pending); n > maxConfirmations {
+		t.Errorf("%d requests are pending", n)
 	}
-	l.pass(3 * time.Second)
+	l.advance(3 * time.Second)
 	for _, n := range l.nodes {
 		if n.IsLeader() {
 			if at, known := n.AsOf(); !known || l.now-at > time.Second {
-				t.Errorf("with all back the leader knows up to %v at %v", at, l.now)
+				t.Errorf("with all connected the leader is confirmed up to %v at %v", at, l.now)
 			}
 			return
 		}
 	}
-	t.Error("nobody leads")
+	t.Error("there is no leader")
 }
 
-// TestARestoredStateComesBeforeItsChanges starts a node on a disk with a snapshot and entries behind it. Guards against changes that are
-// skipped, so that each follower had to be sent all.
-func TestARestoredStateComesBeforeItsChanges(t *testing.T) {
+// TestRestoredSnapshotPrecedesChanges starts a node on a disk with a snapshot and entries behind it: none of their changes is skipped.
+func TestRestoredSnapshotPrecedesChanges(t *testing.T) {
 	n, err := New(fmt.Sprintf("%016x%016x", 1, 1), PersistentState{}, 1, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +160,7 @@
 		t.Fatal(err)
 	}
 	saved := PersistentState{}
-	keep := func() {
+	persist := func() {
 		t.Helper()
 		r, err := n.Ready()
 		if err != nil {
@@ -176,18 +174,18 @@
 		}
 		saved.Entries = append(saved.Entries, r.Write.Entries...)
 	}
-	keep()
+	persist()
 	for i := range 3 {
 		if err := n.Propose(shardmap.Entry{Puts: []shardmap.Put{{Key: fmt.Sprint("config/", i), OperationID: fmt.Sprint(i)}}}); err != nil {
 			t.Fatal(err)
 		}
-		keep()
+		persist()
 	}
-	again, err := New(fmt.Sprintf("%016x%016x", 1, 1), saved, 2, 0)
+	restarted, err := New(fmt.Sprintf("%016x%016x", 1, 1), saved, 2, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := again.Ready()
+	r, err := restarted.Ready()
 	if err != nil {
 		t.Fatal(err)
 	}
