--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	w := &x.World
-	_, _ = config.Write(cluster.BalancerConfig(w, 0, f.Procs[0].Addr, f.DiscoveryAddr(0), 1, f.KnownEndpoints(0)))
+	_, _ = config.Write(cluster.BalancerConfig(w, 0, f.Processes[0].Addr, f.DiscoveryAddr(0), 1, f.KnownEndpoints(0)))
 	_ = config.Close()
 	fmt.Printf("The first balancer's configuration, written out: %s\n\n", config.Name())
 	run, _, v, err := f.Run(l.ctx, func(at time.Duration, text string) { fmt.Printf("%6.2fs  %s\n", at.Seconds(), text) })
@@ -74,7 +74,7 @@
 	}
 	defer f.Close()
 	f.Clock.Begin()
-	host, port, _ := net.SplitHostPort(f.Procs[0].Addr)
+	host, port, _ := net.SplitHostPort(f.Processes[0].Addr)
 	fmt.Printf("\nThe world is up again. Speak to a balancer with a plain TCP client, lines ended by CRLF:\n\n"+
 		"    printf 'OPEN 1 2 c=feed,d=1500\\r\\n' | nc -q 5 %s %s\n\nInterrupt ends it.\n", host, port)
 	if _, err := exec.LookPath("nc"); err != nil {
--- /dev/null
+++ b/internal/lab/cluster/describe.go
@@ -0,0 +1,42 @@
+package cluster
+
+import (
+	"fmt"
+
+	"sabletally/internal/lab/faults"
+)
+
+// actionTexts are the actions as the log of a run names them.
+var actionTexts = map[faults.Action]string{
+	faults.Start: "starts", faults.BeginDrain: "drains", faults.Stop: "stops", faults.Die: "crashes", faults.Revive: "is back, cold",
+	faults.Silence: "vanishes", faults.Speak: "speaks again", faults.SetSlow: "slower, times", faults.SetErrors: "fails, share",
+	faults.SetFull: "full", faults.SetDrip: "drips", faults.SetTorn: "tears lines", faults.SetHalfOpen: "half open",
+	faults.SetStore: "the store is slower, times", faults.SetDiscovery: "discovery in reach", faults.SetLate: "the list comes later",
+	faults.SetFaulty: "discovery answers with faults", faults.Hide: "is missing from the list", faults.Show: "is in the list again",
+	faults.DropClients: "clients drop, share", faults.KillBalancer: "is killed", faults.StartBalancer: "starts again",
+	faults.LeaveBalancer: "restarts as planned", faults.ReloadAll: "all balancers reload", faults.SetBad: "bad clients a second",
+	faults.UpgradeBalancer: "gets a new process beside it", faults.DrainBalancer: "is emptied", faults.SetTune: "all balancers are retuned",
+	faults.SetCrowd: "clients that never finish, a second", faults.SetPieces: "clients write in pieces",
+	faults.SetTies: "ways between members", faults.StallBalancer: "is stopped", faults.LoseBalancer: "is lost with its directory",
+	faults.SetLinkLate: "its link is later", faults.SetLinkCut: "its link is cut",
+}
+
+// describe returns a step as text.
+func describe(step faults.Step) string {
+	text := actionTexts[step.Action]
+	switch {
+	case step.OnServer():
+		text = serverName(step.Target) + " " + text
+	case step.Action == faults.SetTies:
+		text = fmt.Sprintf("%s %b: %+v", text, step.Band, step.Tie)
+	case step.Action == faults.StallBalancer || step.Action == faults.LoseBalancer || step.Action == faults.KillBalancer || step.Action == faults.StartBalancer || step.Action == faults.LeaveBalancer:
+		text = fmt.Sprintf("balancer n%d %s", step.Target, text)
+	}
+	if step.Figure != 0 {
+		text += fmt.Sprintf(" %g", step.Figure)
+	}
+	if step.For != 0 {
+		text += fmt.Sprintf(" %v", step.For)
+	}
+	return text
+}
--- /dev/null
+++ b/internal/lab/cluster/fault_steps.go
@@ -0,0 +1,194 @@
+package cluster
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"sabletally/internal/lab/emulator"
+	"sabletally/internal/lab/faults"
+	"sabletally/internal/lab/history"
+	"sabletally/internal/lab/model"
+)
+
+// applyStep carries out one step of the fault schedule; what takes longer joins running.
+func (c *Cluster) applyStep(ctx context.Context, step faults.Step, clients *emulator.Clients, running *sync.WaitGroup) {
+	switch {
+	case step.Action == faults.Start:
+		c.mu.Lock()
+		err := c.addServer(c.World.Machines[step.Of], c.Clock.Now(), false)
+		c.mu.Unlock()
+		c.recordError(err)
+	case step.OnServer():
+		if step.Target < len(c.Servers) { // else it has not started yet
+			c.applyServerStep(ctx, step, running)
+			c.applyListStep(ctx, step)
+		}
+	default:
+		c.applyDiscoveryStep(step)
+		c.applyClientStep(ctx, step, clients, running)
+		c.applyBalancerStep(ctx, step, running)
+	}
+}
+
+// applyServerStep carries out a step on a server itself or on the link to it.
+func (c *Cluster) applyServerStep(ctx context.Context, step faults.Step, running *sync.WaitGroup) {
+	server := c.Servers[step.Target]
+	on := step.Figure > 0
+	switch step.Action {
+	case faults.BeginDrain:
+		c.endpoints.SetState(ctx, serverName(step.Target), emulator.Terminating, 0, false)
+		by := c.Clock.Now() + step.For
+		running.Go(func() { server.Drain(ctx, c.World.SendsAway, by) })
+	case faults.Stop:
+		server.Fail("stop")
+		c.endpoints.SetState(ctx, serverName(step.Target), emulator.Terminated, 0, false)
+	case faults.Die:
+		server.Fail("crash")
+		c.endpoints.SetState(ctx, serverName(step.Target), emulator.Terminated, 0, true)
+	case faults.Revive:
+		c.recordError(server.Revive())
+		c.endpoints.SetState(ctx, serverName(step.Target), emulator.InService, time.Now().UnixMilli(), false)
+	case faults.Silence:
+		server.Misbehave(func(w *emulator.WireFaults) { w.Silent = true })
+	case faults.Speak:
+		server.Misbehave(func(w *emulator.WireFaults) { w.Silent = false })
+	case faults.SetSlow:
+		server.Set(func(m *model.Server) { m.Slow = step.Figure })
+	case faults.SetErrors:
+		server.Set(func(m *model.Server) { m.ErrorRate = step.Figure })
+	case faults.SetFull:
+		server.Set(func(m *model.Server) { m.Full = on })
+	case faults.SetDrip:
+		server.Misbehave(func(w *emulator.WireFaults) { w.Drip = on })
+	case faults.SetTorn:
+		server.Misbehave(func(w *emulator.WireFaults) { w.Torn = on })
+	case faults.SetHalfOpen:
+		server.Misbehave(func(w *emulator.WireFaults) { w.HalfOpen = on })
+	case faults.SetLinkLate:
+		c.links[step.Target].Set(func(l *emulator.Condition) { l.Late = step.For })
+	case faults.SetLinkCut:
+		c.cutLink(step.Target, on)
+	}
+}
+
+// applyListStep carries out a step on a server's line in the endpoint list.
+func (c *Cluster) applyListStep(ctx context.Context, step faults.Step) {
+	switch step.Action {
+	case faults.Hide:
+		c.endpoints.Hide(ctx, serverName(step.Target), true)
+	case faults.Show:
+		c.endpoints.Hide(ctx, serverName(step.Target), false)
+	}
+}
+
+// cutLink cuts the way back from a server, or restores it; what waited on it is stale by then and is reset.
+func (c *Cluster) cutLink(server int, cut bool) {
+	if cut {
+		c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.Stopped, Server: int32(server), Balancer: -1, Text: "link"})
+	}
+	c.links[server].Set(func(l *emulator.Condition) { l.CutOut = cut })
+	if !cut {
+		c.links[server].Reset()
+		c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.Started, Server: int32(server), Balancer: -1, Text: "warm"})
+	}
+}
+
+// applyDiscoveryStep carries out a step on discovery or on the servers' shared store.
+func (c *Cluster) applyDiscoveryStep(step faults.Step) {
+	on := step.Figure > 0
+	switch step.Action {
+	case faults.SetStore:
+		c.store.Slow(step.Figure)
+	case faults.SetDiscovery:
+		fault := emulator.Mute
+		if on {
+			fault = emulator.Healthy
+		}
+		c.endpoints.Misbehave(fault)
+	case faults.SetFaulty:
+		fault := emulator.Healthy
+		if on {
+			fault = emulator.Faulty
+		}
+		c.endpoints.Misbehave(fault)
+	case faults.SetLate:
+		c.endpoints.SetDelay(step.For)
+	}
+}
+
+// applyClientStep carries out a step on the clients.
+func (c *Cluster) applyClientStep(ctx context.Context, step faults.Step, clients *emulator.Clients, running *sync.WaitGroup) {
+	on := step.Figure > 0
+	switch step.Action {
+	case faults.DropClients:
+		clients.Drop(step.Figure, step.For, c.rng)
+	case faults.SetCrowd:
+		running.Go(func() { emulator.RunSilentClients(ctx, step.Figure, step.For, c.PickBalancer, c.seed) })
+	case faults.SetPieces:
+		clients.Pieces.Store(on)
+	case faults.SetBad:
+		if c.stopMisbehaving != nil {
+			c.stopMisbehaving()
+		}
+		var misbehaving context.Context
+		misbehaving, c.stopMisbehaving = context.WithCancel(ctx)
+		if on {
+			running.Go(func() {
+				emulator.RunMisbehavingClients(misbehaving, step.Figure, c.PickBalancer, c.Meter, c.seed)
+			})
+		}
+	}
+}
+
+// applyBalancerStep carries out a step on a balancer, or on the links between the members of its fleet.
+func (c *Cluster) applyBalancerStep(ctx context.Context, step faults.Step, running *sync.WaitGroup) {
+	b := step.Target
+	switch step.Action {
+	case faults.KillBalancer:
+		c.recordKill(b)
+		c.process(b).Kill()
+		running.Go(func() { c.noticeDeath(ctx, b) })
+	case faults.StartBalancer:
+		running.Go(func() { c.recordError(c.startBalancer(b)) })
+	case faults.LeaveBalancer:
+		running.Go(func() { c.restartAsPlanned(ctx, b) })
+	case faults.ReloadAll:
+		for _, agent := range c.agents {
+			c.recordError(agent.Replace())
+		}
+		c.reload(&c.World)
+	case faults.SetTune:
+		w := c.World
+		if step.Figure > 0 {
+			w = withMoreClasses(w)
+		}
+		c.reload(&w)
+	case faults.UpgradeBalancer:
+		running.Go(func() { c.recordError(c.upgradeBalancer(ctx, b)) })
+	case faults.DrainBalancer:
+		running.Go(func() { c.recordError(c.drainBalancer(ctx, b, step.For)) })
+	case faults.SetTies:
+		c.members.set(step.Band, step.Tie)
+	case faults.StallBalancer:
+		running.Go(func() { c.stallBalancer(ctx, b, step.For) })
+	case faults.LoseBalancer:
+		c.recordKill(b)
+		c.recordError(c.members.LoseMachine(b))
+		c.stopReceiving(b)
+	}
+}
+
+func (c *Cluster) recordKill(balancer int) {
+	c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.BalancerKilled, Balancer: int32(balancer), Server: -1, Text: "outright"})
+}
+
+// noticeDeath sends clients elsewhere once a balancer's death shows, if it has not been started again by then.
+func (c *Cluster) noticeDeath(ctx context.Context, balancer int) {
+	waitFor(ctx, deathNoticeDelay)
+	select {
+	case <-c.process(balancer).Exited():
+		c.stopReceiving(balancer)
+	default:
+	}
+}
--- a/internal/lab/cluster/member_group.go
+++ b/internal/lab/cluster/member_group.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	lookEach = 20 * time.Millisecond
-	meetIn   = 30 * time.Second
-	seedsOf  = 3 // members that are everybody's seeds
+	pollInterval  = 20 * time.Millisecond
+	quorumTimeout = 30 * time.Second
+	seedCount     = 3 // members that are everybody's seeds
 )
 
 // MemberGroup is the fleet of a world.
@@ -51,8 +51,8 @@
 		}
 	}
 	b.processes[i] = p
-	seeds := make([]string, 0, seedsOf)
-	for s := range min(seedsOf, len(b.processes)) {
+	seeds := make([]string, 0, seedCount)
+	for s := range min(seedCount, len(b.processes)) {
 		seeds = append(seeds, fmt.Sprintf("%q", b.Links.Advertised(s)))
 	}
 	text := fmt.Sprintf(`fleet "lab" {
@@ -96,12 +96,12 @@
 	})
 }
 
-// meet waits until all members that run see each other, once nothing is between them any more: a fleet that stays apart
+// waitForQuorum waits until all members that run see each other, once nothing is between them any more: a fleet that stays apart
 // is a fault of the program's, whatever clients saw of it.
-func (f *Cluster) meet() error {
-	f.members.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
+func (c *Cluster) waitForQuorum() error {
+	c.members.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
 	var run []int
-	for i, p := range f.Procs {
+	for i, p := range c.Processes {
 		select {
 		case <-p.Exited():
 		default:
@@ -109,7 +109,7 @@
 			run = append(run, i)
 		}
 	}
-	return f.members.WaitUntil("all members that run see each other", meetIn, run, SeesQuorumOf(len(run)))
+	return c.members.WaitUntil("all members that run see each other", quorumTimeout, run, SeesQuorumOf(len(run)))
 }
 
 // Fleet asks a member how it sees the others.
@@ -127,7 +127,7 @@
 
 // WaitUntil waits until every member told says of itself what is wanted, within a bound.
 func (b *MemberGroup) WaitUntil(what string, within time.Duration, members []int, is func(fleet.Report) bool) error {
-	for end := time.Now().Add(within); ; time.Sleep(lookEach) {
+	for end := time.Now().Add(within); ; time.Sleep(pollInterval) {
 		var last string
 		for _, i := range members {
 			if r, err := b.processes[i].Fleet(); err != nil {
