--- a/internal/fleet/membership/bench_test.go
+++ b/internal/fleet/membership/bench_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// metered begins what is measured; the answer ends it, and tells the processor's time of one operation in ns, garbage collection within:
-// on a machine that others use as well the clock on the wall tells less.
-func metered(b *testing.B) func() float64 {
-	processor := func() time.Duration {
+// measureCPU starts a measurement. The function that it returns ends it, and reports and returns the CPU time of one operation in ns, garbage
+// collection included: on a shared machine the wall clock says less.
+func measureCPU(b *testing.B) func() float64 {
+	cpuTime := func() time.Duration {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 			b.Fatal(err)
@@ -19,11 +19,11 @@
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
 	b.ReportAllocs()
-	from := processor()
+	from := cpuTime()
 	b.ResetTimer()
 	return func() float64 {
 		b.StopTimer()
-		each := float64(processor()-from) / float64(b.N)
+		each := float64(cpuTime()-from) / float64(b.N)
 		b.ReportMetric(each, "cpu-ns/op")
 		return each
 	}
@@ -32,32 +32,32 @@
 // scales are the fleet sizes at which docs/CAPACITY.md takes its points.
 var scales = []int{17, 100, 300, 1000, 2300, 4600}
 
-// joined is member 0's table once all of a fleet of n are here, and the bytes that it holds.
-func joined(n int) (*Table, uint64) {
+// fullTable makes the table of member 0 with all of a fleet of n alive, and returns the bytes that it uses.
+func fullTable(n int) (*Table, uint64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	l := table(n)
+	table := newTable(n)
 	for i := 1; i < n; i++ {
-		l.HandleAlive(member(i))
-		l.drain()
+		table.HandleAlive(member(i))
+		table.drain()
 	}
-	l.run(2 * s)
+	table.runUntil(2 * second)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	return l, after.HeapAlloc - min(before.HeapAlloc, after.HeapAlloc)
+	return table, after.HeapAlloc - min(before.HeapAlloc, after.HeapAlloc)
 }
 
-// BenchmarkBeat is what a contact does of the table ten times a second: the clock, then all members to be published.
-func BenchmarkBeat(b *testing.B) {
+// BenchmarkHeartbeat is what the gossip agent does with the table ten times a second: a tick, then the list of all members.
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range scales {
-		l, held := joined(n)
+		table, held := fullTable(n)
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			done := metered(b)
+			done := measureCPU(b)
 			for range b.N {
-				l.Tick(l.now + HeartbeatInterval)
-				l.drain()
-				if len(l.Peers()) != n-1 {
+				table.Tick(table.now + HeartbeatInterval)
+				table.drain()
+				if len(table.Peers()) != n-1 {
 					b.Fatal("members are missing")
 				}
 			}
@@ -68,18 +68,18 @@
 	}
 }
 
-// BenchmarkRestart is one member that is lost and comes again.
+// BenchmarkRestart is one member that fails and comes back.
 func BenchmarkRestart(b *testing.B) {
 	for _, n := range scales {
-		l, _ := joined(n)
+		table, _ := fullTable(n)
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			done := metered(b)
+			done := measureCPU(b)
 			for i := range b.N {
 				m := member(1 + i%(n-1))
-				m.Incarnation = l.known[m.ID].Incarnation + 1
-				l.HandleFailure(m.ID)
-				l.HandleAlive(m)
-				l.drain()
+				m.Incarnation = table.peers[m.ID].Incarnation + 1
+				table.HandleFailure(m.ID)
+				table.HandleAlive(m)
+				table.drain()
 			}
 			done()
 		})
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -54,7 +54,7 @@
 		case 4, 5:
 			table.HandleFailure(other.ID)
 		case 6:
-			fmt.Fprintln(sum, table.HandleLeave(other.ID, other.Incarnation))
+			_, _ = fmt.Fprintln(sum, table.HandleLeave(other.ID, other.Incarnation))
 		case 7:
 			table.HandleConflict(other.Addr)
 		}
@@ -66,7 +66,7 @@
 			}
 			actions++
 			line := action.Event
-			fmt.Fprintln(sum, now, uint8(action.Kind), action.Addr, action.ID, uint8(line.Kind), line.Member, line.Returns, uint8(line.Standing), line.Duration, line.Alive, line.Total)
+			_, _ = fmt.Fprintln(sum, now, uint8(action.Kind), action.Addr, action.ID, uint8(line.Kind), line.Member, line.Returns, uint8(line.Standing), line.Duration, line.Alive, line.Total)
 			switch action.Kind {
 			case Join:
 				table.HandleJoinResult(action.Addr, rng.IntN(3) == 0)
@@ -76,10 +76,10 @@
 				table.HandleProbeResult(action.Addr, rng.IntN(30) == 0)
 			}
 		}
-		fmt.Fprintln(sum, uint8(table.Standing(now)), table.Rejected, table.Stalls)
+		_, _ = fmt.Fprintln(sum, uint8(table.Standing(now)), table.Rejected, table.Stalls)
 		if rng.IntN(50) == 0 {
 			for _, known := range table.Peers() {
-				fmt.Fprintln(sum, known.Member, uint8(known.State), known.Since, known.Returns, known.ReplacedBy)
+				_, _ = fmt.Fprintln(sum, known.Member, uint8(known.State), known.Since, known.Returns, known.ReplacedBy)
 			}
 		}
 	}
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -10,23 +10,23 @@
 	"pgregory.net/rapid"
 )
 
-const s = time.Second
+const second = time.Second
 
 func member(i int) Member {
-	return Member{ID: fmt.Sprintf("%032d", i), Name: fmt.Sprintf("n%d", i), Addr: at(i), Machine: fmt.Sprintf("m%d", i), Incarnation: 1}
+	return Member{ID: fmt.Sprintf("%032d", i), Name: fmt.Sprintf("n%d", i), Addr: address(i), Machine: fmt.Sprintf("m%d", i), Incarnation: 1}
 }
 
-func at(i int) netip.AddrPort {
+func address(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 }
 
-// table is member 0's, with seeds 0 to 2.
-func table(most int) *Table {
-	return New(Config{Self: member(0), Seeds: []netip.AddrPort{at(0), at(1), at(2)}, ReplicationFactor: 3, ForgetAfter: time.Hour, MaxMembers: most, Seed: 5}, 0)
+// newTable makes the table of member 0, with seeds 0 to 2.
+func newTable(maxMembers int) *Table {
+	return New(Config{Self: member(0), Seeds: []netip.AddrPort{address(0), address(1), address(2)}, ReplicationFactor: 3, ForgetAfter: time.Hour, MaxMembers: maxMembers, Seed: 5}, 0)
 }
 
-// run beats until a time and answers what was to be done, every 100 ms.
-func (t *Table) run(until time.Duration) (all []Action) {
+// runUntil ticks until a time and returns all actions.
+func (t *Table) runUntil(until time.Duration) (all []Action) {
 	for t.now < until {
 		t.Tick(t.now + HeartbeatInterval)
 		all = append(all, t.drain()...)
@@ -41,7 +41,7 @@
 	return all
 }
 
-func lines(all []Action) (kinds []EventKind) {
+func eventKinds(all []Action) (kinds []EventKind) {
 	for _, a := range all {
 		if a.Kind == Report {
 			kinds = append(kinds, a.Event.Kind)
@@ -50,93 +50,91 @@
 	return kinds
 }
 
-// TestAStalledProcessTakesNothingForGranted stops one of five for five seconds. Guards against a process that goes on by
-// what it knew before, which the others may have given up meanwhile.
-func TestAStalledProcessTakesNothingForGranted(t *testing.T) {
-	l := table(100)
+// TestResumedProcessNeedsMajority pauses one of five for five seconds: it relies on nothing until a majority responded.
+func TestResumedProcessNeedsMajority(t *testing.T) {
+	table := newTable(100)
 	for i := 1; i < 5; i++ {
-		l.HandleAlive(member(i))
+		table.HandleAlive(member(i))
 	}
-	l.run(2 * s)
-	if got := l.Standing(2 * s); got != Quorum {
+	table.runUntil(2 * second)
+	if got := table.Standing(2 * second); got != Quorum {
 		t.Fatal(got)
 	}
-	if got := l.Standing(2*s + StallThreshold + 1); got != Resuming { // no beat has come yet: whoever uses it first has to know
+	if got := table.Standing(2*second + StallThreshold + 1); got != Resuming { // no tick has come yet
 		t.Fatal(got)
 	}
-	l.Tick(7 * s)
+	table.Tick(7 * second)
 	asked := map[string]bool{}
-	for _, a := range l.drain() {
+	for _, a := range table.drain() {
 		if a.Kind == Ping {
 			asked[a.ID] = true
 		}
 	}
-	if len(asked) != 4 || l.Standing(7*s) != Resuming {
-		t.Fatal(asked, l.Standing(7*s))
+	if len(asked) != 4 || table.Standing(7*second) != Resuming {
+		t.Fatal(asked, table.Standing(7*second))
 	}
-	l.HandlePingResult(member(1).ID, true)
-	l.HandlePingResult(member(1).ID, true) // the same one twice is one
-	l.HandlePingResult(member(2).ID, false)
-	if got := l.Standing(7 * s); got != Resuming {
+	table.HandlePingResult(member(1).ID, true)
+	table.HandlePingResult(member(1).ID, true) // counted once
+	table.HandlePingResult(member(2).ID, false)
+	if got := table.Standing(7 * second); got != Resuming {
 		t.Fatal(got)
 	}
-	l.HandlePingResult(member(3).ID, true)
-	if got := l.Standing(7 * s); got != Quorum {
+	table.HandlePingResult(member(3).ID, true)
+	if got := table.Standing(7 * second); got != Quorum {
 		t.Fatal(got)
 	}
-	l.Tick(20 * s)
-	l.drain()
-	again := 0
-	for _, a := range l.run(23 * s) { // nobody answers: it asks again, and stays as it is
+	table.Tick(20 * second)
+	table.drain()
+	pings := 0
+	for _, a := range table.runUntil(23 * second) { // nobody responds
 		if a.Kind == Ping {
-			again++
+			pings++
 		}
 	}
-	if again != 4*3 || l.Standing(l.now) != Resuming || l.Stalls != 2 {
-		t.Fatal(again, l.Standing(l.now), l.Stalls)
+	if pings != 4*3 || table.Standing(table.now) != Resuming || table.Stalls != 2 {
+		t.Fatal(pings, table.Standing(table.now), table.Stalls)
 	}
 	for i := 1; i < 5; i++ {
-		l.HandleFailure(member(i).ID)
+		table.HandleFailure(member(i).ID)
 	}
-	if l.run(25 * s); l.Standing(l.now) != NoQuorum {
-		t.Fatal(l.Standing(l.now))
+	if table.runUntil(25 * second); table.Standing(table.now) != NoQuorum {
+		t.Fatal(table.Standing(table.now))
 	}
 }
 
-// TestMostHaveToBeHere loses members one by one of five; one that left as planned counts no more.
-func TestMostHaveToBeHere(t *testing.T) {
+// TestQuorumNeedsMajority loses four of five members one by one; one that left does not count any more.
+func TestQuorumNeedsMajority(t *testing.T) {
 	for left, want := range map[bool][]Standing{false: {Quorum, Quorum, NoQuorum, NoQuorum}, true: {Quorum, Quorum, Quorum, Quorum}} {
-		l := table(100)
+		table := newTable(100)
 		for i := 1; i < 5; i++ {
-			l.HandleAlive(member(i))
+			table.HandleAlive(member(i))
 		}
 		for i := 1; i < 5; i++ {
-			if l.HandleFailure(member(i).ID); left && !l.HandleLeave(member(i).ID, 1) {
-				t.Error("that a member has left is no news")
+			if table.HandleFailure(member(i).ID); left && !table.HandleLeave(member(i).ID, 1) {
+				t.Error("the departure of a member is no news")
 			}
-			if got := l.Standing(0); got != want[i-1] {
+			if got := table.Standing(0); got != want[i-1] {
 				t.Errorf("%d lost, left %v: %v", i, left, got)
 			}
 		}
 	}
-	l := table(100)
-	l.HandleAlive(member(1))
-	l.HandleFailure(member(1).ID)
-	again := member(1)
-	again.Incarnation = 2
-	l.HandleAlive(again)
-	if l.HandleLeave(member(1).ID, 1) || l.Peers()[0].State != Alive {
-		t.Error("an old goodbye ended a new life")
+	table := newTable(100)
+	table.HandleAlive(member(1))
+	table.HandleFailure(member(1).ID)
+	restarted := member(1)
+	restarted.Incarnation = 2
+	table.HandleAlive(restarted)
+	if table.HandleLeave(member(1).ID, 1) || table.Peers()[0].State != Alive {
+		t.Error("the departure of an old incarnation ended the new one")
 	}
 }
 
-// TestCallsGoWhereSomebodyMayBe counts calls: to seeds until somebody is there, then to those that are gone, each address
-// less and less often.
-func TestCallsGoWhereSomebodyMayBe(t *testing.T) {
-	l := table(100)
-	calls := func(all []Action) map[netip.AddrPort]int {
+// TestJoinsGoToSeedsAndFailedMembers counts joins: of seeds until a member is alive there, then of failed members, with a growing backoff.
+func TestJoinsGoToSeedsAndFailedMembers(t *testing.T) {
+	table := newTable(100)
+	joins := func(actions []Action) map[netip.AddrPort]int {
 		n := map[netip.AddrPort]int{}
-		for _, a := range all {
+		for _, a := range actions {
 			if a.Kind == Join {
 				n[a.Addr]++
 			}
@@ -145,129 +143,129 @@
 	}
 	play := func(until time.Duration) map[netip.AddrPort]int {
 		n := map[netip.AddrPort]int{}
-		for l.now < until {
-			for a, k := range calls(l.run(l.now + HeartbeatInterval)) {
+		for table.now < until {
+			for a, k := range joins(table.runUntil(table.now + HeartbeatInterval)) {
 				n[a] += k
-				l.HandleJoinResult(a, false)
+				table.HandleJoinResult(a, false)
 			}
 		}
 		return n
 	}
-	if n := play(10 * s); n[at(0)] != 0 || n[at(1)] < 2 || n[at(2)] < 2 {
+	if n := play(10 * second); n[address(0)] != 0 || n[address(1)] < 2 || n[address(2)] < 2 {
 		t.Errorf("alone: %v", n)
 	}
-	l.HandleAlive(member(1))
-	l.HandleAlive(member(2))
-	l.HandleAlive(member(7))
-	if n := play(60 * s); len(n) != 0 {
-		t.Errorf("all are here: %v", n)
+	table.HandleAlive(member(1))
+	table.HandleAlive(member(2))
+	table.HandleAlive(member(7))
+	if n := play(60 * second); len(n) != 0 {
+		t.Errorf("all are alive: %v", n)
 	}
-	l.HandleFailure(member(7).ID)
-	first, late := play(120*s), play(30*time.Minute)
-	if first[at(7)] < 4 || first[at(7)] > 12 || late[at(7)] < 20 || late[at(7)] > 60 {
+	table.HandleFailure(member(7).ID)
+	first, late := play(120*second), play(30*time.Minute)
+	if first[address(7)] < 4 || first[address(7)] > 12 || late[address(7)] < 20 || late[address(7)] > 60 {
 		t.Errorf("%v, then %v", first, late)
 	}
-	if n := play(3 * time.Hour); len(l.known) != 2 || n[at(7)] > 60 {
-		t.Errorf("a member that was gone for long is still called: %v", n)
+	if n := play(3 * time.Hour); len(table.peers) != 2 || n[address(7)] > 60 {
+		t.Errorf("a member that was forgotten is still joined: %v", n)
 	}
 }
 
-// TestWhoIsTold plays members that come, restart, flap and lose their directories, and fewer machines than copies.
-func TestWhoIsTold(t *testing.T) {
-	l := table(100)
+// TestReportedEvents has members that join, restart, flap and lose their data directories, and fewer machines than replicas.
+func TestReportedEvents(t *testing.T) {
+	table := newTable(100)
 	a, b := member(1), member(2)
-	l.HandleAlive(a)
-	l.HandleAlive(b)
-	l.drain()
+	table.HandleAlive(a)
+	table.HandleAlive(b)
+	table.drain()
 	a.Incarnation = 2
-	l.HandleAlive(a)
-	if got := lines(l.drain()); !slices.Equal(got, []EventKind{MemberRestarted}) {
+	table.HandleAlive(a)
+	if got := eventKinds(table.drain()); !slices.Equal(got, []EventKind{MemberRestarted}) {
 		t.Error(got)
 	}
-	for range flapsMany + 1 {
-		l.HandleFailure(a.ID)
-		l.HandleAlive(a)
+	for range flapThreshold + 1 {
+		table.HandleFailure(a.ID)
+		table.HandleAlive(a)
 	}
-	if got := lines(l.drain()); got[len(got)-2] != MemberFlapping || slices.Index(got, MemberFlapping) != len(got)-2 {
+	if got := eventKinds(table.drain()); got[len(got)-2] != MemberFlapping || slices.Index(got, MemberFlapping) != len(got)-2 {
 		t.Error(got)
 	}
 	b2 := member(9)
 	b2.Addr, b2.Machine = b.Addr, b.Machine
-	l.HandleAlive(b2)
-	if got := lines(l.drain()); !slices.Equal(got, []EventKind{MemberJoined}) { // not yet known which of the two is there
+	table.HandleAlive(b2)
+	if got := eventKinds(table.drain()); !slices.Equal(got, []EventKind{MemberJoined}) { // not yet known which of the two is alive
 		t.Error(got)
 	}
-	l.HandleFailure(b.ID)
-	if got := lines(l.drain()); !slices.Equal(got, []EventKind{MemberFailed, MemberReplaced}) {
+	table.HandleFailure(b.ID)
+	if got := eventKinds(table.drain()); !slices.Equal(got, []EventKind{MemberFailed, MemberReplaced}) {
 		t.Error(got)
 	}
-	l.HandleFailure(b2.ID)
-	if got := l.Standing(0); got != Quorum { // two of three: the replaced one is none of them
+	table.HandleFailure(b2.ID)
+	if got := table.Standing(0); got != Quorum { // two of three: the replaced one does not count
 		t.Error(got)
 	}
-	if got := lines(l.drain()); !slices.Contains(got, TooFewMachines) {
+	if got := eventKinds(table.drain()); !slices.Contains(got, TooFewMachines) {
 		t.Error(got)
 	}
 }
 
-// TestAnyOrderOfEvents hands a table whatever may come: it keeps its bounds, does one call at a time, is the same for the same
-// events, and never takes itself for together while most are gone.
+// TestAnyOrderOfEvents draws events: the table keeps its bounds, has one join in flight, decides the same for the same events, and never has a quorum
+// while most members have failed.
 func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 6
-		one, two := table(most), table(most)
-		calling := map[netip.AddrPort]bool{}
+		const maxMembers = 6
+		table, twin := newTable(maxMembers), newTable(maxMembers)
+		joining := map[netip.AddrPort]bool{}
 		for n := range rapid.IntRange(1, 120).Draw(t, "events") {
 			i := rapid.IntRange(0, 9).Draw(t, "member")
-			well := rapid.Bool().Draw(t, "well")
+			ok := rapid.Bool().Draw(t, "ok")
 			kind := rapid.IntRange(0, 7).Draw(t, "kind")
 			gap := time.Duration(rapid.IntRange(1, 40).Draw(t, "gap")) * HeartbeatInterval
-			for _, l := range []*Table{one, two} {
+			for _, table := range []*Table{table, twin} {
 				switch kind {
 				case 0, 1:
 					m := member(i)
-					if well {
-						m.Addr = at(i % 3)
+					if ok {
+						m.Addr = address(i % 3)
 					}
-					l.HandleAlive(m)
+					table.HandleAlive(m)
 				case 2:
-					l.HandleFailure(member(i).ID)
+					table.HandleFailure(member(i).ID)
 				case 3:
-					l.HandleLeave(member(i).ID, 1)
+					table.HandleLeave(member(i).ID, 1)
 				case 4:
-					l.HandlePingResult(member(i).ID, well)
+					table.HandlePingResult(member(i).ID, ok)
 				case 5:
-					l.HandleJoinResult(at(i), well)
+					table.HandleJoinResult(address(i), ok)
 				default:
-					l.Tick(l.now + gap)
+					table.Tick(table.now + gap)
 				}
 			}
 			if kind == 5 {
-				delete(calling, at(i))
+				delete(joining, address(i))
 			}
-			did := one.drain()
-			if got := two.drain(); !slices.Equal(did, got) {
-				t.Fatalf("event %d: %v and %v", n, did, got)
+			actions := table.drain()
+			if got := twin.drain(); !slices.Equal(actions, got) {
+				t.Fatalf("event %d: %v and %v", n, actions, got)
 			}
-			for _, a := range did {
+			for _, a := range actions {
 				if a.Kind == Join {
-					if calling[a.Addr] || a.Addr == at(0) {
-						t.Fatalf("event %d: a second call to %v", n, a.Addr)
+					if joining[a.Addr] || a.Addr == address(0) {
+						t.Fatalf("event %d: a second join of %v", n, a.Addr)
 					}
-					calling[a.Addr] = true
+					joining[a.Addr] = true
 				}
 			}
-			here, gone := 0, 0
-			for _, k := range one.Peers() {
+			alive, failed := 0, 0
+			for _, k := range table.Peers() {
 				switch {
 				case k.State == Alive:
-					here++
+					alive++
 				case k.State == Failed && k.ReplacedBy == "":
-					gone++
+					failed++
 				}
 			}
-			if len(one.known) > most || one.Standing(one.now) == Quorum && here+1 <= gone {
-				t.Fatalf("event %d: %d known, %d here, %d gone, %v", n, len(one.known), here, gone, one.Standing(one.now))
+			if len(table.peers) > maxMembers || table.Standing(table.now) == Quorum && alive+1 <= failed {
+				t.Fatalf("event %d: %d known, %d alive, %d failed, %v", n, len(table.peers), alive, failed, table.Standing(table.now))
 			}
 		}
 	})
