--- a/cmd/sabletally/main.go
+++ b/cmd/sabletally/main.go
@@ -68,7 +68,7 @@
 	// which the runtime takes away only after up to ten milliseconds. Guards against a loop that waits for it on one core.
 	runtime.GOMAXPROCS(2*cores + 1)
 	debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * 3 / 4)
-	_ = netpoll.Configure(netpoll.Config{PollerNum: balancer.Pollers(cores), BufferSize: 4096, LoggerOutput: aside{log, "netpoll"},
+	_ = netpoll.Configure(netpoll.Config{PollerNum: balancer.PollerCount(cores), BufferSize: 4096, LoggerOutput: aside{log, "netpoll"},
 		// Guards against senders at full speed: what the poller has read is taken in before it reads on.
 		Runner: func(_ context.Context, f func()) { go f(); runtime.Gosched() }})
 
@@ -98,19 +98,19 @@
 			return 2
 		}
 		defer member.Leave()
-		l.HoldFor(member)
+		l.UseFleet(member)
 		if !gate.Shared() { // else the old process of an upgrade tells the new one
-			l.AwaitWord(wordWithin)
-			member.Recall(s.Name, wordWithin, l.Recalled)
+			l.AwaitServiceState(wordWithin)
+			member.Recall(s.Name, wordWithin, l.RestoreServiceState)
 		}
 		pages["/control/fleet"] = func() any { return member.Report() }
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	l.Follow(ctx, s.Discovery)
+	l.FollowDiscovery(ctx, s.Discovery)
 	go l.Run(ctx.Done())
 	if gate.Shared() {
-		if err := l.Succeed(gate, os.Getenv("TMPDIR"), s.Name, int64(s.MemoryMB)<<20, s.Sockets-sockets+balancer.KeptFds(cores)); err != nil {
+		if err := l.StartHandover(gate, os.Getenv("TMPDIR"), s.Name, int64(s.MemoryMB)<<20, s.Sockets-sockets+balancer.ReservedDescriptors(cores)); err != nil {
 			log.Warn("alone: an upgrade will have clients moved", zap.Error(err))
 		}
 	}
@@ -140,7 +140,7 @@
 	for {
 		select {
 		case <-asks:
-			l.Report("asked")
+			l.LogCounters("asked")
 		case <-reading:
 			// Read beside this loop: guards against a file that hangs while the end is asked for.
 			reading = nil
@@ -160,13 +160,13 @@
 				longest = max(longest, limit)
 			}
 			within := min(longest, leaveMost) + leaveExtra
-			l.Leave(comeOn, within, func() { close(emptied) })
+			l.Shutdown(comeOn, within, func() { close(emptied) })
 			exit = time.After(within + stayOn)
 			go func() {
 				defer close(handed)
 				switch {
 				case member == nil:
-				case l.HasHeir(): // which goes on as this member
+				case l.HasSuccessor(): // which goes on as this member
 					member.Close()
 				default:
 					member.HandOver(within + stayOn/2)
@@ -177,14 +177,14 @@
 			case <-handed:
 			case <-exit:
 			}
-			l.Report("exit")
+			l.LogCounters("exit")
 			return 0
 		case <-exit:
-			l.Report("exit")
+			l.LogCounters("exit")
 			return 0
 		case err := <-failed:
 			log.Error("the listener failed", zap.Error(err))
-			l.Report("exit")
+			l.LogCounters("exit")
 			return 1
 		}
 	}
@@ -216,10 +216,10 @@
 }
 
 // clients opens their address, or takes the socket that the platform holds for it.
-func clients(address string) (*balancer.Gate, error) {
+func clients(address string) (*balancer.Listener, error) {
 	const name = "EDGE_ACCEPT_FD"
 	if inherited := os.Getenv(name); inherited != "" {
-		g, err := balancer.Inherit(inherited)
+		g, err := balancer.InheritListener(inherited)
 		if err != nil {
 			err = fmt.Errorf("%s: %w", name, err)
 		}
@@ -253,7 +253,7 @@
 	}
 	l.Reloads.Add(1)
 	log.Info("reloaded", zap.String("discovery", s.Discovery), zap.Bool("restart-for-the-rest", s.Fixed != was.Fixed))
-	l.Follow(ctx, s.Discovery)
+	l.FollowDiscovery(ctx, s.Discovery)
 	s.Fixed = was.Fixed
 	return s
 }
--- a/internal/balancer/conn.go
+++ b/internal/balancer/conn.go
@@ -20,203 +20,203 @@
 )
 
 const (
-	outMost  = 64 << 10        // bytes that wait for a slow reader before its connection is ended
-	inMost   = 64 << 10        // bytes of one connection that wait for the loop
-	restMost = 64 << 10        // bytes that are still read of a connection that can't be read any further
-	pingMost = 4               // lines that may come at once before a circuit is asked for
-	writeFor = 5 * time.Second // a write that takes longer has failed
+	maxOutgoing    = 64 << 10        // bytes that wait for a slow reader before its connection is ended
+	maxQueuedInput = 64 << 10        // bytes of one connection that wait for the loop
+	maxDiscarded   = 64 << 10        // bytes that are still read of a connection that can't be read any further
+	maxPings       = 4               // lines that may come at once before a circuit is asked for
+	writeTimeout   = 5 * time.Second // a write that takes longer has failed
 )
 
 // Stage is how far an attempt had come when it ended: before Asked it never ran, from then on it may have.
 type Stage int32
 
 const (
-	Dialing   Stage = iota // no connection yet
-	Connected              // nothing is written
-	Asked                  // the line's last byte may be written
+	StageDialing   Stage = iota // no connection yet
+	StageConnected              // nothing is written
+	StageWritten                // the line's last byte may be written
 )
 
-// Broken is the end of a connection that nobody here asked for.
-type Broken struct {
+// DisconnectError is the end of a connection that nobody here asked for.
+type DisconnectError struct {
 	Stage  Stage
 	Abrupt bool // by a reset, not by an end
 	Cause  error
 }
 
-func (b *Broken) Error() string {
+func (b *DisconnectError) Error() string {
 	return fmt.Sprintf("broken at stage %d, abrupt %t: %v", b.Stage, b.Abrupt, b.Cause)
 }
 
-func (b *Broken) Unwrap() error { return b.Cause }
+func (b *DisconnectError) Unwrap() error { return b.Cause }
 
 var (
-	errEnded   = errors.New("ended by the other side")
-	errFlooded = errors.New("more lines than are taken")
-	errPanic   = errors.New("a fault of the program")
+	errPeerClosed = errors.New("ended by the other side")
+	errFlooding   = errors.New("more lines than are taken")
+	errPanic      = errors.New("a fault of the program")
 )
 
 // What a client's connection may send here: one first line, then nothing until its answer.
 const (
-	atFirst int32 = iota
-	waiting
+	expectFirstLine int32 = iota
+	expectNothing
 )
 
 // sink takes what happens to connections; it is the loop.
 type sink interface {
 	post(event)
-	panicked(at string, what any)
+	reportPanic(at string, what any)
 }
 
 // event is one thing that happened to a connection.
 type event struct {
-	conn   *conn
-	lines  []protocol.Line
-	size   int      // bytes of the lines
-	broken *Broken  // the connection is over
-	do     func()   // anything else; run by the loop
-	of     *circuit // whom a panic of do costs its connection
+	conn       *conn
+	lines      []protocol.Line
+	size       int              // bytes of the lines
+	disconnect *DisconnectError // the connection is over
+	run        func()           // anything else; run by the loop
+	session    *session         // whom a panic of do costs its connection
 }
 
 type conn struct {
-	nc    netpoll.Connection
-	to    sink
-	stage atomic.Int32
-	waits atomic.Int64      // bytes posted that the loop has not taken yet
-	split protocol.Splitter // the reading side's alone
-	cut   bool              // the stream can't be cut any further
-	rest  int               // bytes that came after that
-	phase atomic.Int32
-	door  *door
-
-	mu      sync.Mutex
-	out     []byte // waits to be written
-	writing bool
-	ending  bool              // no more is written once out is empty
-	closed  bool              // the descriptor is netpoll's again
-	handed  bool              // the connection goes on at a relay or in another process, by another descriptor
-	passTo  func(held []byte) // told what came and makes no line, where it goes on in another process
-
-	fds *atomic.Int64
+	netConn        netpoll.Connection
+	sink           sink
+	stage          atomic.Int32
+	queuedBytes    atomic.Int64      // bytes posted that the loop has not taken yet
+	splitter       protocol.Splitter // the reading side's alone
+	readingStopped bool              // the stream can't be cut any further
+	discardedBytes int               // bytes that came after that
+	phase          atomic.Int32
+	idle           *idleConns
+
+	mu           sync.Mutex
+	outgoing     []byte // waits to be written
+	writing      bool
+	closingWrite bool              // no more is written once out is empty
+	closed       bool              // the descriptor is netpoll's again
+	detached     bool              // the connection goes on at a relay or in another process, by another descriptor
+	onDetached   func(held []byte) // told what came and makes no line, where it goes on in another process
+
+	descriptors *atomic.Int64
 
 	// The loop's alone.
-	circuit *circuit
-	asks    atomic.Bool // its PING is not answered
-	pings   int         // unanswered, before the balancer is ready
-	over    bool        // answered and ended from here, or handed over; what still comes is passed by
-	passing bool        // it goes on in another process,
-	first   []byte      // with these whole lines of it
+	session         *session
+	awaitsPong      atomic.Bool // its PING is not answered
+	unansweredPings int         // unanswered, before the balancer is ready
+	finished        bool        // answered and ended from here, or handed over; what still comes is passed by
+	handingOver     bool        // it goes on in another process,
+	handoverInput   []byte      // with these whole lines of it
 }
 
-// adopt takes over a connection before its first byte is read.
-func adopt(nc netpoll.Connection, to sink, fds *atomic.Int64) *conn {
-	c := &conn{nc: nc, to: to, fds: fds}
-	c.stage.Store(int32(Connected))
-	_ = nc.SetWriteTimeout(writeFor)
+// newConn takes over a connection before its first byte is read.
+func newConn(nc netpoll.Connection, to sink, fds *atomic.Int64) *conn {
+	c := &conn{netConn: nc, sink: to, descriptors: fds}
+	c.stage.Store(int32(StageConnected))
+	_ = nc.SetWriteTimeout(writeTimeout)
 	// Guards against floods: netpoll reads whatever has come, however far behind its reader is.
-	_ = unix.SetsockoptInt(c.fd(), unix.SOL_SOCKET, unix.SO_RCVBUF, inMost/2)
+	_ = unix.SetsockoptInt(c.fd(), unix.SOL_SOCKET, unix.SO_RCVBUF, maxQueuedInput/2)
 	_ = nc.AddCloseCallback(func(netpoll.Connection) error { c.onClosed(); return nil })
 	return c
 }
 
-func (c *conn) fd() int { return c.nc.(netpoll.Conn).Fd() }
+func (c *conn) fd() int { return c.netConn.(netpoll.Conn).Fd() }
 
-// onRequest reads what there is and posts whole lines. A panic stops at the connection.
-func (c *conn) onRequest(context.Context, netpoll.Connection) (err error) {
+// onReadable reads what there is and posts whole lines. A panic stops at the connection.
+func (c *conn) onReadable(context.Context, netpoll.Connection) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			c.to.panicked("reading a connection", p)
-			c.fail()
+			c.sink.reportPanic("reading a connection", p)
+			c.postPanic()
 		}
 	}()
-	r := c.nc.Reader()
+	r := c.netConn.Reader()
 	n := r.Len()
 	p, err := r.Next(n)
 	if err != nil {
 		return err
 	}
-	if c.cut || c.waits.Load() > inMost {
+	if c.readingStopped || c.queuedBytes.Load() > maxQueuedInput {
 		_ = r.Release()
-		if !c.cut {
-			c.cut = true
-			c.to.post(event{conn: c, broken: &Broken{Stage: Stage(c.stage.Load()), Cause: errFlooded}})
+		if !c.readingStopped {
+			c.readingStopped = true
+			c.sink.post(event{conn: c, disconnect: &DisconnectError{Stage: Stage(c.stage.Load()), Cause: errFlooding}})
 		}
 		// Guards against senders that go on for ever at full speed: their answer is on its way, the rest is not read.
-		if c.rest += n; c.rest > restMost && c.answered() {
+		if c.discardedBytes += n; c.discardedBytes > maxDiscarded && c.hasSentFinalLine() {
 			c.reset()
 		}
 		return nil
 	}
-	c.split.Add(p)
+	c.splitter.Add(p)
 	_ = r.Release()
-	c.cutLines()
+	c.postLines()
 	return nil
 }
 
-// cutLines posts what makes whole lines.
-func (c *conn) cutLines() {
+// postLines posts what makes whole lines.
+func (c *conn) postLines() {
 	ev := event{conn: c}
 	for {
-		l, ok, err := c.split.Next()
+		l, ok, err := c.splitter.Next()
 		if err != nil {
-			l, ok, c.cut = protocol.Line{Bad: err}, true, true
+			l, ok, c.readingStopped = protocol.Line{Bad: err}, true, true
 		}
-		if !ok && !(c.phase.Load() == waiting && c.split.Held()) {
+		if !ok && !(c.phase.Load() == expectNothing && c.splitter.Held()) {
 			break
 		}
-		c.asked(&l, len(ev.lines))
+		c.checkLine(&l, len(ev.lines))
 		ev.lines = append(ev.lines, l)
 		ev.size += len(l.Raw)
-		if c.cut {
+		if c.readingStopped {
 			break
 		}
 	}
 	if len(ev.lines) > 0 {
-		c.waits.Add(int64(ev.size))
-		c.to.post(ev)
+		c.queuedBytes.Add(int64(ev.size))
+		c.sink.post(ev)
 	}
 }
 
-// asked minds what a client may send before its circuit stands; l is the line that comes after so many others
+// checkLine minds what a client may send before its circuit stands; l is the line that comes after so many others
 // at once. Guards against hundreds of commands at once: the first is not served before the rest is seen.
-func (c *conn) asked(l *protocol.Line, others int) {
+func (c *conn) checkLine(l *protocol.Line, others int) {
 	switch phase := c.phase.Load(); {
 	case l.Bad != nil:
-		c.cut = true
+		c.readingStopped = true
 		return
-	case phase == atFirst:
-		c.asks.Store(l.Kind == protocol.Ping)
-		c.door.spoke(c, l.Kind == protocol.Ping)
-		if l.Kind == protocol.Ping && others < pingMost {
+	case phase == expectFirstLine:
+		c.awaitsPong.Store(l.Kind == protocol.Ping)
+		c.idle.lineReceived(c, l.Kind == protocol.Ping)
+		if l.Kind == protocol.Ping && others < maxPings {
 			return
 		}
-		c.phase.Store(waiting)
-		if l.Kind != protocol.Ping && !c.split.Held() {
+		c.phase.Store(expectNothing)
+		if l.Kind != protocol.Ping && !c.splitter.Held() {
 			return
 		}
 	}
-	l.Bad, c.cut = protocol.ErrUnasked, true
+	l.Bad, c.readingStopped = protocol.ErrUnasked, true
 }
 
-// fail has the loop end the connection, and its circuit with the answer that it is owed.
-func (c *conn) fail() {
-	c.to.post(event{conn: c, broken: &Broken{Stage: Stage(c.stage.Load()), Abrupt: true, Cause: errPanic}})
+// postPanic has the loop end the connection, and its circuit with the answer that it is owed.
+func (c *conn) postPanic() {
+	c.sink.post(event{conn: c, disconnect: &DisconnectError{Stage: Stage(c.stage.Load()), Abrupt: true, Cause: errPanic}})
 }
 
 // onClosed runs once, after all that came was read and before the descriptor is closed.
 func (c *conn) onClosed() {
-	b := &Broken{Stage: Stage(c.stage.Load()), Cause: errEnded}
+	b := &DisconnectError{Stage: Stage(c.stage.Load()), Cause: errPeerClosed}
 	c.mu.Lock()
-	handed, passTo := c.handed, c.passTo
+	handed, passTo := c.detached, c.onDetached
 	c.closed = true
 	c.mu.Unlock()
-	c.fds.Add(-1)
-	c.door.left(c)
+	c.descriptors.Add(-1)
+	c.idle.remove(c)
 	if passTo != nil { // nobody reads it here any more: what was read goes along
-		r := c.nc.Reader()
+		r := c.netConn.Reader()
 		if p, err := r.Next(r.Len()); err == nil {
-			c.split.Add(p)
+			c.splitter.Add(p)
 		}
-		passTo(c.split.Rest())
+		passTo(c.splitter.Rest())
 	}
 	if handed {
 		return
@@ -225,11 +225,11 @@
 	if info, err := unix.GetsockoptTCPInfo(c.fd(), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 		b.Abrupt = info.State == unix.BPF_TCP_CLOSE
 	}
-	c.to.post(event{conn: c, broken: b})
+	c.sink.post(event{conn: c, disconnect: b})
 }
 
-// unread tells whether bytes wait in the kernel that nobody has read.
-func (c *conn) unread() bool {
+// hasUnreadBytes tells whether bytes wait in the kernel that nobody has read.
+func (c *conn) hasUnreadBytes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -243,46 +243,46 @@
 type presence uint8
 
 const (
-	isWaiting presence = iota
-	hasSpoken          // it has sent more, which no client may before its answer; an end behind that may have had no room to come
-	hasLeft            // it has ended its connection
+	clientWaiting  presence = iota
+	clientSentMore          // it has sent more, which no client may before its answer; an end behind that may have had no room to come
+	clientLeft              // it has ended its connection
 )
 
 func (c *conn) presence() presence {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return hasLeft
+		return clientLeft
 	}
 	var b [1]byte
 	switch n, _, err := unix.Recvfrom(c.fd(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT); {
 	case err == unix.EAGAIN || err == unix.EINTR:
-		return isWaiting
+		return clientWaiting
 	case n > 0:
 		info, err := unix.GetsockoptTCPInfo(c.fd(), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err != nil || info.State != unix.BPF_TCP_CLOSE_WAIT && info.State != unix.BPF_TCP_CLOSE {
-			return hasSpoken
+			return clientSentMore
 		}
 	}
-	return hasLeft
+	return clientLeft
 }
 
-// answered tells whether its last line is written: a reset before would take it away.
-func (c *conn) answered() bool {
+// hasSentFinalLine tells whether its last line is written: a reset before would take it away.
+func (c *conn) hasSentFinalLine() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ending && !c.writing
+	return c.closingWrite && !c.writing
 }
 
-// written tells whether nothing waits to be written.
-func (c *conn) written() bool {
+// isFlushed tells whether nothing waits to be written.
+func (c *conn) isFlushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.writing
 }
 
-// quietFor is how long ago the newest bytes came, by the kernel's own account.
-func (c *conn) quietFor() time.Duration {
+// sinceLastByte is how long ago the newest bytes came, by the kernel's own account.
+func (c *conn) sinceLastByte() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -299,83 +299,83 @@
 func (c *conn) send(b []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.ending {
+	if c.closed || c.closingWrite {
 		return true
 	}
-	if len(c.out)+len(b) > outMost {
+	if len(c.outgoing)+len(b) > maxOutgoing {
 		return false
 	}
-	c.out = append(c.out, b...)
-	c.write()
+	c.outgoing = append(c.outgoing, b...)
+	c.startWriterLocked()
 	return true
 }
 
-// write starts the writer unless it runs; mu is held.
-func (c *conn) write() {
+// startWriterLocked starts the writer unless it runs; mu is held.
+func (c *conn) startWriterLocked() {
 	if !c.writing {
 		c.writing = true
-		go c.drain()
+		go c.writeLoop()
 	}
 }
 
-// drain writes until nothing waits.
-func (c *conn) drain() {
+// writeLoop writes until nothing waits.
+func (c *conn) writeLoop() {
 	defer func() {
 		if p := recover(); p != nil {
-			c.to.panicked("writing to a connection", p)
-			c.fail()
+			c.sink.reportPanic("writing to a connection", p)
+			c.postPanic()
 		}
 	}()
 	for {
 		c.mu.Lock()
-		b := c.out
-		c.out = nil
+		b := c.outgoing
+		c.outgoing = nil
 		if len(b) == 0 || c.closed {
 			c.writing = false
-			if c.ending && !c.closed {
+			if c.closingWrite && !c.closed {
 				_ = unix.Shutdown(c.fd(), unix.SHUT_WR)
 			}
 			c.mu.Unlock()
 			return
 		}
 		c.mu.Unlock()
-		first := c.stage.CompareAndSwap(int32(Connected), int32(Asked))
-		w := c.nc.Writer()
+		first := c.stage.CompareAndSwap(int32(StageConnected), int32(StageWritten))
+		w := c.netConn.Writer()
 		_, err := w.WriteBinary(b)
 		if err == nil {
 			err = w.Flush()
 		}
 		if err != nil {
 			if first { // its last byte was not written
-				c.stage.Store(int32(Connected))
+				c.stage.Store(int32(StageConnected))
 			}
-			c.to.post(event{conn: c, broken: &Broken{Stage: Stage(c.stage.Load()), Abrupt: true, Cause: err}})
-			_ = c.nc.Close()
+			c.sink.post(event{conn: c, disconnect: &DisconnectError{Stage: Stage(c.stage.Load()), Abrupt: true, Cause: err}})
+			_ = c.netConn.Close()
 			return
 		}
 	}
 }
 
-// finish ends the sending once all is written. Guards against a close with unread bytes, which the kernel
+// closeWrite ends the sending once all is written. Guards against a close with unread bytes, which the kernel
 // turns into a reset that overtakes the last line.
-func (c *conn) finish() {
+func (c *conn) closeWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ending {
-		c.ending = true
-		c.write()
+	if !c.closingWrite {
+		c.closingWrite = true
+		c.startWriterLocked()
 	}
 }
 
 // close ends the connection now; abort does so by a reset.
-func (c *conn) close() { _ = c.nc.Close() }
+func (c *conn) close() { _ = c.netConn.Close() }
 
-// shut closes it beside the caller: netpoll's own goroutine would wait for itself.
-func (c *conn) shut() { go func() { _ = c.nc.Close() }() }
+// closeAsync closes it beside the caller: netpoll's own goroutine would wait for itself.
+func (c *conn) closeAsync() { go func() { _ = c.netConn.Close() }() }
 
-// word writes a last line past the buffer, as far as the kernel takes it, to a client whose connection is closed next. What it has
+// writeUnbuffered writes a last line past the buffer, as far as the kernel takes it, to a client whose connection is closed next. What it has
 // sent is read first: a close with unread bytes is a reset, which may take the line along.
-func (c *conn) word(b []byte) {
+func (c *conn) writeUnbuffered(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -388,7 +388,7 @@
 
 func (c *conn) abort() {
 	c.reset()
-	_ = c.nc.Close()
+	_ = c.netConn.Close()
 }
 
 // reset has the kernel drop the connection at once; netpoll then finds it ended. Guards against senders at full
@@ -403,44 +403,44 @@
 }
 
 // How a hand-over went.
-type handed uint8
+type detachResult uint8
 
 const (
-	isHanded handed = iota
-	stillWriting
-	hasEnded
+	detachDone detachResult = iota
+	detachWriting
+	detachClosed
 )
 
-// handOver gives the connection up for a descriptor of its own, which goes on. The client waits for its answer and must be
+// detach gives the connection up for a descriptor of its own, which goes on. The client waits for its answer and must be
 // silent until then: what it sends all the same while netpoll lets go is lost with it.
-func (c *conn) handOver() (int, handed) { return c.letGo(nil) }
+func (c *conn) detach() (int, detachResult) { return c.detachTo(nil) }
 
-// passOn gives the connection up for another process; to is told of its descriptor and of what came and makes no line.
-func (c *conn) passOn(to func(fd int, held []byte)) handed {
-	_, how := c.letGo(to)
+// detachWithInput gives the connection up for another process; to is told of its descriptor and of what came and makes no line.
+func (c *conn) detachWithInput(to func(fd int, held []byte)) detachResult {
+	_, how := c.detachTo(to)
 	return how
 }
 
-func (c *conn) letGo(to func(fd int, held []byte)) (int, handed) {
+func (c *conn) detachTo(to func(fd int, held []byte)) (int, detachResult) {
 	c.mu.Lock()
 	switch {
-	case c.closed || c.ending:
+	case c.closed || c.closingWrite:
 		c.mu.Unlock()
-		return -1, hasEnded
+		return -1, detachClosed
 	case c.writing:
 		c.mu.Unlock()
-		return -1, stillWriting
+		return -1, detachWriting
 	}
 	fd, err := unix.FcntlInt(uintptr(c.fd()), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		c.mu.Unlock()
-		return -1, stillWriting // no descriptor is left for the moment of the hand-over
+		return -1, detachWriting // no descriptor is left for the moment of the hand-over
 	}
-	c.handed = true
+	c.detached = true
 	if to != nil {
-		c.passTo = func(held []byte) { to(fd, held) }
+		c.onDetached = func(held []byte) { to(fd, held) }
 	}
 	c.mu.Unlock()
-	_ = c.nc.Close()
-	return fd, isHanded
+	_ = c.netConn.Close()
+	return fd, detachDone
 }
--- a/internal/balancer/descriptors_test.go
+++ b/internal/balancer/descriptors_test.go
@@ -39,39 +39,39 @@
 	if err != nil {
 		y.t.Fatal(err)
 	}
-	y.l.fds.Add(1)
-	y.client, y.c = near, adopt(nc, y.l, &y.l.fds)
-	y.c.door = y.l.door
-	_ = nc.SetOnRequest(y.c.onRequest)
+	y.l.descriptors.Add(1)
+	y.client, y.c = near, newConn(nc, y.l, &y.l.descriptors)
+	y.c.idle = y.l.idle
+	_ = nc.SetOnRequest(y.c.onReadable)
 	ln := protocol.Decode(fmt.Appendf(nil, asks, id))
-	y.c.phase.Store(waiting)
-	y.l.now = time.Since(y.l.start)
-	y.l.bal.Clock(y.l.now)
-	y.l.happened(event{conn: y.c, lines: []protocol.Line{ln}})
+	y.c.phase.Store(expectNothing)
+	y.l.now = time.Since(y.l.startTime)
+	y.l.policy.Clock(y.l.now)
+	y.l.handleEvent(event{conn: y.c, lines: []protocol.Line{ln}})
 }
 
 // TestCircuitsTakenAtOnceLeaveWhatIsKept has as many circuits taken before the first of them is dialed as there is room for: what they
 // dial holds none of the descriptors that the program keeps, and none of them hangs.
 func TestCircuitsTakenAtOnceLeaveWhatIsKept(t *testing.T) {
 	y, l := full(t)
-	l.dep.Policy.MayProbe = false
-	l.bal.Reconfigure(onSockets(l.dep), []int{0}, nil)
-	many := int(l.most-l.most/spareFds) - 1
+	l.deployment.Policy.MayProbe = false
+	l.policy.Reconfigure(withProbeReports(l.deployment), []int{0}, nil)
+	many := int(l.descriptorLimit-l.descriptorLimit/rejectReserve) - 1
 	for i := range many {
 		y.arrive(i + 1)
 	}
-	if n := len(l.circuits); n != many || int(l.fds.Load()) != many {
-		t.Fatalf("%d circuits of %d, %d descriptors", n, many, l.fds.Load())
+	if n := len(l.sessions); n != many || int(l.descriptors.Load()) != many {
+		t.Fatalf("%d circuits of %d, %d descriptors", n, many, l.descriptors.Load())
 	}
-	room, most := int(l.most)-many, int64(0)
+	room, most := int(l.descriptorLimit)-many, int64(0)
 	y.turns("each is sent or answered", func() bool {
-		most = max(most, l.fds.Load())
-		return y.s.told()+int(l.Nacked.Load()+l.BrokenOff.Load()) == many
+		most = max(most, l.descriptors.Load())
+		return y.s.told()+int(l.Rejected.Load()+l.Failed.Load()) == many
 	})
-	if n := y.s.attempts(); n > room || n == 0 || most > l.most {
-		t.Errorf("%d dials with room for %d, %d descriptors of %d", n, room, most, l.most)
+	if n := y.s.attempts(); n > room || n == 0 || most > l.descriptorLimit {
+		t.Errorf("%d dials with room for %d, %d descriptors of %d", n, room, most, l.descriptorLimit)
 	}
-	if n := l.BrokenOff.Load(); n != 0 {
+	if n := l.Failed.Load(); n != 0 {
 		t.Errorf("%d broken off that never ran", n)
 	}
 }
@@ -80,18 +80,18 @@
 func TestAProbeWithoutADescriptorSaysNothingOfItsServer(t *testing.T) {
 	y, l := full(t)
 	y.arrive(1)
-	l.fds.Add(64)
-	y.turns("the probe is over, and the circuit is answered", func() bool { return l.Probes.Load() == 1 && len(l.circuits) == 0 })
+	l.descriptors.Add(64)
+	y.turns("the probe is over, and the circuit is answered", func() bool { return l.Probes.Load() == 1 && len(l.sessions) == 0 })
 	if n := y.s.attempts(); n != 0 {
 		t.Fatalf("%d dials without a descriptor", n)
 	}
-	l.fds.Add(-64)
+	l.descriptors.Add(-64)
 	for i := range 4 {
 		y.arrive(i + 2)
 	}
-	before := l.Nacked.Load()
-	y.turns("the server is sent all of them", func() bool { return y.s.told() >= 4 || l.Nacked.Load() > before })
-	if l.Nacked.Load() > before {
+	before := l.Rejected.Load()
+	y.turns("the server is sent all of them", func() bool { return y.s.told() >= 4 || l.Rejected.Load() > before })
+	if l.Rejected.Load() > before {
 		t.Error("the server is set aside")
 	}
 }
@@ -99,12 +99,12 @@
 // TestProbesHaveAShareOfTheirOwn has connections hold all that they may: a probe is dialed all the same, and no more of them than the share.
 func TestProbesHaveAShareOfTheirOwn(t *testing.T) {
 	y, l := full(t)
-	l.fds.Store(l.most)
-	for range probeFds + 3 {
-		l.ask(policy.ServerID(protocol.Hash("s-1")))
+	l.descriptors.Store(l.descriptorLimit)
+	for range probeDescriptors + 3 {
+		l.startProbe(policy.ServerID(protocol.Hash("s-1")))
 	}
-	y.turns("the probes within the share are there, and the others are over", func() bool { return y.s.told() == probeFds && l.NoRoom.Load() == 3 })
-	if n := y.s.attempts(); n != probeFds {
-		t.Errorf("%d probes with a share of %d", n, probeFds)
+	y.turns("the probes within the share are there, and the others are over", func() bool { return y.s.told() == probeDescriptors && l.DescriptorShortages.Load() == 3 })
+	if n := y.s.attempts(); n != probeDescriptors {
+		t.Errorf("%d probes with a share of %d", n, probeDescriptors)
 	}
 }
--- a/internal/balancer/dial.go
+++ b/internal/balancer/dial.go
@@ -15,27 +15,27 @@
 	"sabletally/policy"
 )
 
-var errConnect = errors.New("not up in time")
+var errConnectTimeout = errors.New("not up in time")
 
-// noRoom tells whether a dial failed for want of a descriptor, which is no fault of its server's.
-func noRoom(err error) bool {
-	return errors.Is(err, relay.ErrNoRoom) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
+// isDescriptorShortage tells whether a dial failed for want of a descriptor, which is no fault of its server's.
+func isDescriptorShortage(err error) bool {
+	return errors.Is(err, relay.ErrDescriptorLimit) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// called is one dial: a setup try's, or a probe's.
-type called struct {
-	cir   *circuit // nil for a probe
-	up    func(c *relay.Conn, err error)
-	said  func(c *relay.Conn, ln protocol.Line)
-	gone  func(c *relay.Conn, why error)
-	conn  atomic.Pointer[relay.Conn]
-	off   atomic.Bool // it is not wanted any more
-	ended bool        // the loop's alone: up has been called
+// upstreamDial is one dial: a setup try's, or a probe's.
+type upstreamDial struct {
+	session        *session // nil for a probe
+	onConnected    func(c *relay.Conn, err error)
+	onLine         func(c *relay.Conn, ln protocol.Line)
+	onDisconnected func(c *relay.Conn, why error)
+	conn           atomic.Pointer[relay.Conn]
+	cancelled      atomic.Bool // it is not wanted any more
+	finished       bool        // the loop's alone: up has been called
 }
 
 // cancel ends a dial that is not wanted any more, whether or not it has a connection yet.
-func (a *called) cancel() {
-	a.off.Store(true)
+func (a *upstreamDial) cancel() {
+	a.cancelled.Store(true)
 	if c := a.conn.Load(); c != nil {
 		c.Close()
 	}
@@ -43,21 +43,21 @@
 
 // dial starts a connection to a server beside the loop, for the connect time limit or a try's time at most. None is begun once it
 // is cancelled or its circuit's client has gone.
-func (l *Loop) dial(address string, within time.Duration, cir *circuit, up func(*relay.Conn, error)) *called {
-	if limit := l.dep.ConnectWithin; limit > 0 {
+func (l *Loop) dial(address string, within time.Duration, cir *session, up func(*relay.Conn, error)) *upstreamDial {
+	if limit := l.deployment.ConnectWithin; limit > 0 {
 		within = min(within, limit)
 	} else {
-		within = min(within, connectMost)
+		within = min(within, maxConnectTimeout)
 	}
-	a := &called{cir: cir}
-	a.up = func(c *relay.Conn, err error) {
-		if a.ended {
+	a := &upstreamDial{session: cir}
+	a.onConnected = func(c *relay.Conn, err error) {
+		if a.finished {
 			if c != nil {
 				c.Close()
 			}
 			return
 		}
-		a.ended = true
+		a.finished = true
 		if err != nil && c != nil {
 			c.Close()
 			c = nil
@@ -65,90 +65,90 @@
 		up(c, err)
 	}
 	l.after(within, func() {
-		if !a.ended {
+		if !a.finished {
 			a.cancel()
-			a.up(nil, errConnect)
+			a.onConnected(nil, errConnectTimeout)
 		}
 	})
 	if cir != nil {
-		a.said = func(c *relay.Conn, ln protocol.Line) {
-			if cir.server == c {
-				l.verdict(cir, ln)
+		a.onLine = func(c *relay.Conn, ln protocol.Line) {
+			if cir.upstreamConn == c {
+				l.handleResponse(cir, ln)
 			}
 		}
-		a.gone = func(c *relay.Conn, why error) {
+		a.onDisconnected = func(c *relay.Conn, why error) {
 			switch {
-			case cir.server != c:
-			case errors.Is(why, relay.ErrTooLong):
-				l.tryEnded(cir, policy.Failed, why)
+			case cir.upstreamConn != c:
+			case errors.Is(why, relay.ErrLineTooLong):
+				l.attemptEnded(cir, policy.Failed, why)
 			default:
-				l.tryEnded(cir, policy.Reset, why)
+				l.attemptEnded(cir, policy.Reset, why)
 			}
 		}
 	}
-	wanted := func() bool { return !a.off.Load() }
+	wanted := func() bool { return !a.cancelled.Load() }
 	if cir != nil {
-		turn := cir.turn
-		wanted = func() bool { return l.stays(cir, turn) && !a.off.Load() }
+		turn := cir.generation
+		wanted = func() bool { return l.clientWaits(cir, turn) && !a.cancelled.Load() }
 	}
 	// Not less what the other process of an upgrade holds: what is taken in is not given up for what is passed between them.
-	most := l.most
+	most := l.descriptorLimit
 	if cir == nil {
-		most += probeFds
+		most += probeDescriptors
 	}
 	go func() {
-		c, err := l.relays.Dial(address, most, wanted, a)
-		if errors.Is(err, relay.ErrUnwanted) {
+		c, err := l.relay.Dial(address, most, wanted, a)
+		if errors.Is(err, relay.ErrDialCancelled) {
 			return
 		}
 		if err != nil {
-			l.post(event{of: cir, do: func() { a.up(nil, err) }})
+			l.post(event{session: cir, run: func() { a.onConnected(nil, err) }})
 			return
 		}
-		if a.conn.Store(c); a.off.Load() {
+		if a.conn.Store(c); a.cancelled.Load() {
 			c.Close()
 		}
 	}()
 	return a
 }
 
-// told takes what relays say; it posts.
-type told struct{ l *Loop }
+// relayHandler takes what relays say; it posts.
+type relayHandler struct{ loop *Loop }
 
-func (r told) Connected(c *relay.Conn, err error) {
-	a := c.Data.(*called)
-	r.l.post(event{of: a.cir, do: func() { a.up(c, err) }})
+func (r relayHandler) Connected(c *relay.Conn, err error) {
+	a := c.Data.(*upstreamDial)
+	r.loop.post(event{session: a.session, run: func() { a.onConnected(c, err) }})
 }
 
-func (r told) Said(c *relay.Conn, raw []byte) {
-	a := c.Data.(*called)
+func (r relayHandler) LineReceived(c *relay.Conn, raw []byte) {
+	a := c.Data.(*upstreamDial)
 	ln := protocol.Decode(raw)
-	r.l.post(event{of: a.cir, do: func() { a.said(c, ln) }})
+	r.loop.post(event{session: a.session, run: func() { a.onLine(c, ln) }})
 }
 
-func (r told) Gone(c *relay.Conn, _ bool, why error) {
-	a := c.Data.(*called)
-	r.l.post(event{of: a.cir, do: func() { a.gone(c, why) }})
+func (r relayHandler) Disconnected(c *relay.Conn, _ bool, why error) {
+	a := c.Data.(*upstreamDial)
+	r.loop.post(event{session: a.session, run: func() { a.onDisconnected(c, why) }})
 }
 
-func (r told) Ended(p *relay.Pair, by relay.Side, abrupt bool, why error) {
-	cir := p.Data.(*circuit)
-	r.l.post(event{of: cir, do: func() { r.l.pairEnded(cir, p, by, abrupt, why) }})
+func (r relayHandler) PairEnded(p *relay.Pair, by relay.Side, abrupt bool, why error) {
+	cir := p.Data.(*session)
+	r.loop.post(event{session: cir, run: func() { r.loop.relayEnded(cir, p, by, abrupt, why) }})
 }
 
-func (r told) Loads(all []relay.Load) {
-	r.l.post(event{do: func() {
+func (r relayHandler) LoadsReported(all []relay.LoadLine) {
+	r.loop.post(event{run: func() {
 		for _, one := range all {
-			cir := one.Pair.Data.(*circuit)
-			if ln := protocol.Decode(one.Raw); ln.Bad == nil && r.l.circuits[cir.id] == cir {
+			cir := one.Pair.Data.(*session)
+			if ln := protocol.Decode(one.Raw); ln.Bad == nil && r.loop.sessions[cir.id] == cir {
 				cir.arrival.Load = ln.Figure
-				r.l.bal.LoadNoted(cir.id, max(cir.tries-1, 0), ln.Figure)
+				r.loop.policy.LoadNoted(cir.id, max(cir.attempts-1, 0), ln.Figure)
 			}
 		}
 	}})
 }
 
-func (r told) Panicked(at string, what any, stack []byte) {
-	r.l.Panics.Add(1)
-	r.l.log.Error("panic", zap.String("at", at), zap.Any("what", what), zap.ByteString("stack", stack))
+func (r relayHandler) Panicked(at string, what any, stack []byte) {
+	r.loop.Panics.Add(1)
+	r.loop.log.Error("panic", zap.String("at", at), zap.Any("what", what), zap.ByteString("stack", stack))
 }
--- a/internal/balancer/endpoint_recovery.go
+++ b/internal/balancer/endpoint_recovery.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	recallAfter = 700 * time.Millisecond // discovery has so long before the fleet is asked
-	askAtOnce   = 4                      // candidates that are asked at a time
-	askTimes    = 20                     // rounds over those that did not answer
-	askPause    = time.Second            // between them
+	listRecoveryDelay   = 700 * time.Millisecond // discovery has so long before the fleet is asked
+	maxConcurrentChecks = 4                      // candidates that are asked at a time
+	maxCheckRounds      = 20                     // rounds over those that did not answer
+	checkRoundInterval  = time.Second            // between them
 )
 
-// keepList has the fleet hold what discovery said last.
-func (l *Loop) keepList(rev uint64) {
+// saveList has the fleet hold what discovery said last.
+func (l *Loop) saveList(rev uint64) {
 	if l.fleet == nil {
 		return
 	}
@@ -33,29 +33,29 @@
 	all.Rev, all.Whole = rev, true
 	for _, sv := range l.servers {
 		if sv.state != policy.Gone {
-			all.Servers = append(all.Servers, sv.listedAs)
+			all.Servers = append(all.Servers, sv.listed)
 		}
 	}
 	l.fleet.KeepList(rev, discovery.Encode(all))
 }
 
-// recall asks the fleet for its list if discovery has not answered by then.
-func (l *Loop) recall() {
+// scheduleListRecovery asks the fleet for its list if discovery has not answered by then.
+func (l *Loop) scheduleListRecovery() {
 	if l.fleet == nil {
 		return
 	}
-	l.after(recallAfter, func() {
-		if l.listed {
+	l.after(listRecoveryDelay, func() {
+		if l.hasCurrentList {
 			return
 		}
 		l.fleet.RecallList(func() bool { return l.Lists.Load() > 0 }, func(held fleet.List, age time.Duration) {
-			l.post(event{do: func() { l.recalled(held, age) }})
+			l.post(event{run: func() { l.listRecovered(held, age) }})
 		})
 	})
 }
 
-// recalled takes it, by its age.
-func (l *Loop) recalled(held fleet.List, age time.Duration) {
+// listRecovered takes it, by its age.
+func (l *Loop) listRecovered(held fleet.List, age time.Duration) {
 	young, old := l.fleet.ListAges()
 	list, err := discovery.Decode(json.RawMessage(held.Known))
 	say := func(what string) {
@@ -65,22 +65,22 @@
 	switch {
 	case err != nil:
 		say("unreadable")
-	case l.listed || l.known.Whole && l.known.Rev >= held.Rev && len(l.known.Servers) > 0:
+	case l.hasCurrentList || l.initialList.Whole && l.initialList.Rev >= held.Rev && len(l.initialList.Servers) > 0:
 		say("not needed")
 	case age <= young:
 		say("used")
-		l.list(list, true)
-		l.due = true // there is somebody to go to
-		l.welcome()
+		l.applyList(list, true)
+		l.readyDue = true // there is somebody to go to
+		l.markReady()
 	case age <= old:
 		say("asked one by one")
-		c := &candidates{l: l}
+		c := &candidates{loop: l}
 		for _, s := range list.Servers {
 			if s.State == policy.Ready {
-				c.wait = append(c.wait, s)
+				c.pending = append(c.pending, s)
 			}
 		}
-		c.more()
+		c.startNext()
 	default:
 		say("too old")
 	}
@@ -88,63 +88,63 @@
 
 // candidates are servers of an old list.
 type candidates struct {
-	l      *Loop
-	wait   []discovery.Server // in this round
-	again  []discovery.Server // did not answer in it
-	out    int
-	rounds int
-	there  []discovery.Server // answered
+	loop       *Loop
+	pending    []discovery.Server // in this round
+	unanswered []discovery.Server // did not answer in it
+	inFlight   int
+	rounds     int
+	alive      []discovery.Server // answered
 }
 
-// more asks the next ones, few at a time.
-func (c *candidates) more() {
-	for !c.l.listed && c.out < askAtOnce && len(c.wait) > 0 {
-		s := c.wait[0]
-		c.wait = c.wait[1:]
-		c.out++
-		c.ask(s)
+// startNext asks the next ones, few at a time.
+func (c *candidates) startNext() {
+	for !c.loop.hasCurrentList && c.inFlight < maxConcurrentChecks && len(c.pending) > 0 {
+		s := c.pending[0]
+		c.pending = c.pending[1:]
+		c.inFlight++
+		c.check(s)
 	}
-	if c.l.listed || c.out > 0 || len(c.wait) > 0 || len(c.again) == 0 || c.rounds == askTimes {
+	if c.loop.hasCurrentList || c.inFlight > 0 || len(c.pending) > 0 || len(c.unanswered) == 0 || c.rounds == maxCheckRounds {
 		return
 	}
 	c.rounds++
-	c.l.after(askPause, func() {
-		c.wait, c.again = c.again, nil
-		c.more()
+	c.loop.after(checkRoundInterval, func() {
+		c.pending, c.unanswered = c.unanswered, nil
+		c.startNext()
 	})
 }
 
-// ask asks one whether it is there; who says yes is listed.
-func (c *candidates) ask(s discovery.Server) {
-	l := c.l
+// check asks one whether it is there; who says yes is listed.
+func (c *candidates) check(s discovery.Server) {
+	l := c.loop
 	l.Candidates.Add(1)
 	over := false
-	var a *called
+	var a *upstreamDial
 	end := func(yes bool) {
 		if over {
 			return
 		}
 		over = true
 		a.cancel()
-		c.out--
-		if yes && !l.listed {
-			c.there = append(c.there, s)
-			l.list(discovery.List{Whole: true, Servers: c.there}, true)
-			l.due = true // somebody to go to is enough to be ready
-			l.welcome()
+		c.inFlight--
+		if yes && !l.hasCurrentList {
+			c.alive = append(c.alive, s)
+			l.applyList(discovery.List{Whole: true, Servers: c.alive}, true)
+			l.readyDue = true // somebody to go to is enough to be ready
+			l.markReady()
 		} else {
-			c.again = append(c.again, s)
+			c.unanswered = append(c.unanswered, s)
 		}
-		c.more()
+		c.startNext()
 	}
-	a = l.dial(s.Endpoint, connectMost, nil, func(conn *relay.Conn, err error) {
-		if err != nil || conn.Early() != nil || conn.Ask(protocol.PingLine) != nil {
+	a = l.dial(s.Endpoint, maxConnectTimeout, nil, func(conn *relay.Conn, err error) {
+		if err != nil || conn.CheckOpen() != nil || conn.WriteFirst(protocol.PingLine) != nil {
 			end(false)
 			return
 		}
-		conn.Listen()
+		conn.AwaitLine()
 	})
-	a.said = func(_ *relay.Conn, ln protocol.Line) { end(ln.Bad == nil && ln.Kind == protocol.Pong) }
-	a.gone = func(*relay.Conn, error) { end(false) }
-	l.after(connectMost+l.probeWithin(), func() { end(false) })
+	a.onLine = func(_ *relay.Conn, ln protocol.Line) { end(ln.Bad == nil && ln.Kind == protocol.Pong) }
+	a.onDisconnected = func(*relay.Conn, error) { end(false) }
+	l.after(maxConnectTimeout+l.probeTimeout(), func() { end(false) })
 }
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -21,7 +21,7 @@
 type upgrading struct {
 	t       *testing.T
 	servers net.Listener
-	door    *Gate
+	door    *Listener
 	dir     string // the old process's
 	old     *Loop
 	clients []*bufio.ReadWriter
@@ -56,7 +56,7 @@
 	}
 	u.door.shared = true
 	u.old = u.process(u.dir, u.door)
-	<-u.old.welcomed
+	<-u.old.becameReady
 	for n := range clients {
 		rw := u.client()
 		_, _ = fmt.Fprintf(rw, "OPEN %d 2 c=feed,d=20000\r\n", n+1)
@@ -80,13 +80,13 @@
 	return bufio.NewReadWriter(bufio.NewReader(c), bufio.NewWriterSize(c, 16))
 }
 
-func (u *upgrading) process(dir string, g *Gate) *Loop {
+func (u *upgrading) process(dir string, g *Listener) *Loop {
 	u.t.Helper()
 	l := alone(u.t, u.servers.Addr().String(), policy.Idempotent)
 	ctx, stop := context.WithCancel(context.Background())
 	u.t.Cleanup(stop)
 	go l.Run(ctx.Done())
-	if err := l.Succeed(g, dir, "n", 64<<20, 0); err != nil {
+	if err := l.StartHandover(g, dir, "n", 64<<20, 0); err != nil {
 		u.t.Fatal(err)
 	}
 	go l.Serve(g)
@@ -96,7 +96,7 @@
 // in runs something in a loop.
 func in(l *Loop, do func()) {
 	done := make(chan bool)
-	l.post(event{do: func() { defer close(done); do() }})
+	l.post(event{run: func() { defer close(done); do() }})
 	<-done
 }
 
@@ -110,7 +110,7 @@
 	}
 }
 
-func (u *upgrading) leave() { u.old.Leave(0, time.Second, func() { close(u.left) }) }
+func (u *upgrading) leave() { u.old.Shutdown(0, time.Second, func() { close(u.left) }) }
 
 func (u *upgrading) hasLeft() {
 	u.t.Helper()
@@ -124,7 +124,7 @@
 // deafHeir is a new process that has said it is ready and takes only what take reads.
 func (u *upgrading) deafHeir() *net.UnixConn {
 	u.t.Helper()
-	path, err := hotrestart.Path(u.dir, "n")
+	path, err := hotrestart.SocketPath(u.dir, "n")
 	if err != nil {
 		u.t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	if _, err := c.Write([]byte(`{"V":1,"Kind":2,"Confirms":true}`)); err != nil {
 		u.t.Fatal(err)
 	}
-	u.until("the new process is ready", func() bool { return u.old.takesAll() != nil })
+	u.until("the new process is ready", func() bool { return u.old.readySuccessor() != nil })
 	return c
 }
 
@@ -153,7 +153,7 @@
 		msgs, _ := unix.ParseSocketControlMessage(rights[:m])
 		for i := range msgs {
 			fds, _ := unix.ParseUnixRights(&msgs[i])
-			closeAll(fds)
+			closeDescriptors(fds)
 			if _, err := c.Write([]byte(`{"V":1,"Kind":6}`)); err != nil {
 				u.t.Fatal(err)
 			}
@@ -185,16 +185,16 @@
 	u := upgradeOf(t, clients)
 	silent := u.client()
 	u.until("the silent one is here", func() bool {
-		u.old.door.mu.Lock()
-		defer u.old.door.mu.Unlock()
-		return u.old.door.silent.Len() == 1
+		u.old.idle.mu.Lock()
+		defer u.old.idle.mu.Unlock()
+		return u.old.idle.silent.Len() == 1
 	})
 	heir := u.deafHeir()
 	u.leave()
-	u.until("all are passed on", func() bool { return len(u.old.circuits) == 0 && u.old.fds.Load() == 0 })
-	in(u.old, func() { u.old.heirGone(u.old.succession.heir, errors.New("as the test wants")) })
+	u.until("all are passed on", func() bool { return len(u.old.sessions) == 0 && u.old.descriptors.Load() == 0 })
+	in(u.old, func() { u.old.successorLost(u.old.handover.successor, errors.New("as the test wants")) })
 	u.hasLeft()
-	moves, passed := int(u.old.Moves.Load()), int(u.old.Passed.Load())
+	moves, passed := int(u.old.Migrations.Load()), int(u.old.HandedOver.Load())
 	_ = heir.Close() // what is unread ends with it
 	moved, bare := u.answers()
 	nacked := 0
@@ -222,11 +222,11 @@
 				u := upgradeOf(t, clients)
 				heir := u.deafHeir()
 				u.leave()
-				u.until("all are passed on", func() bool { return len(u.old.circuits) == 0 })
+				u.until("all are passed on", func() bool { return len(u.old.sessions) == 0 })
 				u.take(heir, confirmed)
-				u.until("it is heard", func() bool { return int(u.old.Passed.Load()) >= confirmed })
+				u.until("it is heard", func() bool { return int(u.old.HandedOver.Load()) >= confirmed })
 				if never := clients - confirmed - 16; hangs && never > 0 {
-					u.until("those that were not sent are moved", func() bool { return int(u.old.Moves.Load()) == never })
+					u.until("those that were not sent are moved", func() bool { return int(u.old.Migrations.Load()) == never })
 				}
 				_ = heir.Close()
 				if moved, bare := u.answers(); moved != clients-confirmed || bare != confirmed {
@@ -252,13 +252,13 @@
 			}
 			cut := make(chan bool)
 			between(t, u.dir, newDir, most, cut)
-			next := u.process(newDir, &Gate{fd: fd, addr: u.door.addr, shared: true})
+			next := u.process(newDir, &Listener{fd: fd, addr: u.door.addr, shared: true})
 			u.until("the new process is ready, or cut off", func() bool {
 				select {
 				case <-cut:
 					return true
 				default:
-					return u.old.takesAll() != nil
+					return u.old.readySuccessor() != nil
 				}
 			})
 			u.leave()
@@ -284,11 +284,11 @@
 // cut is closed once all has.
 func between(t *testing.T, oldDir, newDir string, most int, cut chan bool) {
 	t.Helper()
-	to, err := hotrestart.Path(oldDir, "n")
+	to, err := hotrestart.SocketPath(oldDir, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := hotrestart.Path(newDir, "n")
+	at, err := hotrestart.SocketPath(newDir, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -15,158 +15,158 @@
 )
 
 const (
-	promiseMost = time.Second            // a promise is waited for so long, or half of what is left to the outer limit
-	tellMost    = 300 * time.Millisecond // that a success is held, before it is told all the same: it has run
+	maxWriteWait  = time.Second            // a promise is waited for so long, or half of what is left to the outer limit
+	maxCommitWait = 300 * time.Millisecond // that a success is held, before it is told all the same: it has run
 )
 
-// held is what the loop knows of a circuit that is held.
-type held struct {
+// idempotencyRecord is what the loop knows of a circuit that is held.
+type idempotencyRecord struct {
 	*fleet.Held
-	asks  bool          // a promise is out
-	may   bool          // the newest try may write
-	until time.Duration // by the clock that goes on while the process is stopped
-	wrote bool          // a first byte may have gone to a server
-	write func()        // waits for the promise: the connection is up
-	tells bool          // the server said yes, and that is being promised
-	gone  bool          // its connection has ended meanwhile
-	after []func()      // what waits for the promise that is out
+	requesting     bool          // a promise is out
+	writeAllowed   bool          // the newest try may write
+	writeDeadline  time.Duration // by the clock that goes on while the process is stopped
+	written        bool          // a first byte may have gone to a server
+	onWriteAllowed func()        // waits for the promise: the connection is up
+	committing     bool          // the server said yes, and that is being promised
+	upstreamClosed bool          // its connection has ended meanwhile
+	waiting        []func()      // what waits for the promise that is out
 }
 
-// HoldFor has circuits of the grades that the fleet holds go by it, and the list of servers held there. It is called before Run.
-func (l *Loop) HoldFor(f *fleet.Fleet) {
+// UseFleet has circuits of the grades that the fleet holds go by it, and the list of servers held there. It is called before Run.
+func (l *Loop) UseFleet(f *fleet.Fleet) {
 	l.fleet = f
-	l.recall()
+	l.scheduleListRecovery()
 }
 
-// hold begins for a circuit whose grade is held.
-func (l *Loop) hold(cir *circuit) {
-	if l.fleet != nil && l.fleet.Holds(cir.ask.Grade) {
-		l.Held.Add(1)
-		cir.held = &held{Held: l.fleet.Hold(cir.ask.ID)}
+// beginRecord begins for a circuit whose grade is held.
+func (l *Loop) beginRecord(cir *session) {
+	if l.fleet != nil && l.fleet.Holds(cir.request.Grade) {
+		l.Replicated.Add(1)
+		cir.record = &idempotencyRecord{Held: l.fleet.Hold(cir.request.ID)}
 	}
 }
 
-// promise asks for the right to write for the newest try, beside its dial.
-func (l *Loop) promise(cir *circuit) {
-	h := cir.held
-	h.may, h.write = false, nil
-	h.when(func() { // the try before may still have been asking
-		if l.circuits[cir.id] != cir || !cir.out {
+// requestWrite asks for the right to write for the newest try, beside its dial.
+func (l *Loop) requestWrite(cir *session) {
+	h := cir.record
+	h.writeAllowed, h.onWriteAllowed = false, nil
+	h.whenIdle(func() { // the try before may still have been asking
+		if l.sessions[cir.id] != cir || !cir.attemptActive {
 			return
 		}
-		turn := cir.turn
-		h.asks = true
-		h.Begin(cir.at.listedAs.UID, min(promiseMost, (cir.until-l.now)/2), func(v fleet.Verdict) {
-			l.post(event{of: cir, do: func() { l.promised(cir, turn, v) }})
+		turn := cir.generation
+		h.requesting = true
+		h.Begin(cir.upstream.listed.UID, min(maxWriteWait, (cir.deadline-l.now)/2), func(v fleet.Verdict) {
+			l.post(event{session: cir, run: func() { l.writeDecided(cir, turn, v) }})
 		})
 	})
 }
 
-// when runs something once no promise is out.
-func (h *held) when(do func()) {
-	if h.asks {
-		h.after = append(h.after, do)
+// whenIdle runs something once no promise is out.
+func (h *idempotencyRecord) whenIdle(do func()) {
+	if h.requesting {
+		h.waiting = append(h.waiting, do)
 		return
 	}
 	do()
 }
 
-// free notes that none is out any more.
-func (h *held) free() {
-	h.asks = false
-	for len(h.after) > 0 && !h.asks {
-		do := h.after[0]
-		h.after = h.after[1:]
+// requestDone notes that none is out any more.
+func (h *idempotencyRecord) requestDone() {
+	h.requesting = false
+	for len(h.waiting) > 0 && !h.requesting {
+		do := h.waiting[0]
+		h.waiting = h.waiting[1:]
 		do()
 	}
 }
 
-// promised takes the end of one.
-func (l *Loop) promised(cir *circuit, turn int, v fleet.Verdict) {
-	h := cir.held
-	defer h.free()
-	if l.circuits[cir.id] != cir {
+// writeDecided takes the end of one.
+func (l *Loop) writeDecided(cir *session, turn int, v fleet.Verdict) {
+	h := cir.record
+	defer h.requestDone()
+	if l.sessions[cir.id] != cir {
 		return
 	}
 	switch v.Verdict {
 	case idempotency.Go:
-		if cir.turn != turn || !cir.out {
+		if cir.generation != turn || !cir.attemptActive {
 			return
 		}
-		h.may, h.until = true, v.Until
-		if do := h.write; do != nil {
-			h.write = nil
+		h.writeAllowed, h.writeDeadline = true, v.Until
+		if do := h.onWriteAllowed; do != nil {
+			h.onWriteAllowed = nil
 			do()
 		}
 	case idempotency.Same:
-		l.Same.Add(1)
+		l.RepeatedAnswers.Add(1)
 		l.log.Info("fleet: answered before", zap.Stringer("circuit", cir), zap.ByteString("answer", v.Answer))
-		l.conclude(cir, v.Answer)
+		l.endWithAnswer(cir, v.Answer)
 	case idempotency.Broken:
 		l.log.Info("fleet: broken off, as another owner may have run it", zap.Stringer("circuit", cir))
-		l.giveUp(cir, protocol.ErrLine)
+		l.failSession(cir, protocol.ErrLine)
 	default:
-		l.NotHeld.Add(1)
-		l.Nacked.Add(1)
-		l.conclude(cir, protocol.Turned(l.comeAgain()))
+		l.NotReplicated.Add(1)
+		l.Rejected.Add(1)
+		l.endWithAnswer(cir, protocol.Turned(l.retryAfter()))
 	}
 }
 
-// allowed tells whether the first byte may go now; where it may not yet, do runs once it may.
-func (l *Loop) allowed(cir *circuit, do func()) bool {
-	h := cir.held
+// mayWrite tells whether the first byte may go now; where it may not yet, do runs once it may.
+func (l *Loop) mayWrite(cir *session, do func()) bool {
+	h := cir.record
 	switch {
 	case h == nil:
 		return true
-	case !h.may:
-		h.write = do
+	case !h.writeAllowed:
+		h.onWriteAllowed = do
 		return false
-	case boottime.Now() >= h.until: // it was stopped since: another may have broken it off
-		l.promise(cir)
-		h.write = do
+	case boottime.Now() >= h.writeDeadline: // it was stopped since: another may have broken it off
+		l.requestWrite(cir)
+		h.onWriteAllowed = do
 		return false
 	}
 	return true
 }
 
-// confirm has a server's yes promised, then goes on with it. What ends meanwhile waits for that.
-func (l *Loop) confirm(cir *circuit, ln protocol.Line) {
-	h := cir.held
-	cir.turn++ // no time-out is the try's any more
-	h.tells = true
-	h.when(func() {
-		h.asks = true
-		h.Tell(ln.Raw, max(0, min(tellMost, (cir.until-l.now)/2)), func(v fleet.Verdict) {
-			l.post(event{of: cir, do: func() { l.confirmed(cir, ln, v) }})
+// commitAnswer has a server's yes promised, then goes on with it. What ends meanwhile waits for that.
+func (l *Loop) commitAnswer(cir *session, ln protocol.Line) {
+	h := cir.record
+	cir.generation++ // no time-out is the try's any more
+	h.committing = true
+	h.whenIdle(func() {
+		h.requesting = true
+		h.Tell(ln.Raw, max(0, min(maxCommitWait, (cir.deadline-l.now)/2)), func(v fleet.Verdict) {
+			l.post(event{session: cir, run: func() { l.answerCommitted(cir, ln, v) }})
 		})
 	})
 }
 
-func (l *Loop) confirmed(cir *circuit, ln protocol.Line, v fleet.Verdict) {
-	h := cir.held
-	defer h.free()
-	if l.circuits[cir.id] != cir {
+func (l *Loop) answerCommitted(cir *session, ln protocol.Line, v fleet.Verdict) {
+	h := cir.record
+	defer h.requestDone()
+	if l.sessions[cir.id] != cir {
 		return
 	}
-	h.tells = false
+	h.committing = false
 	switch {
 	case v.Verdict == idempotency.Broken || v.Verdict == idempotency.Same && string(v.Answer) != string(ln.Raw):
 		l.log.Info("fleet: broken off by another owner before its answer was held", zap.Stringer("circuit", cir))
-		l.giveUp(cir, protocol.ErrLine)
-	case h.gone: // it ran, and stands no more
-		l.conclude(cir, ln.Raw)
+		l.failSession(cir, protocol.ErrLine)
+	case h.upstreamClosed: // it ran, and stands no more
+		l.endWithAnswer(cir, ln.Raw)
 	default:
 		if v.Verdict == idempotency.CantSay {
-			l.NotHeld.Add(1)
+			l.NotReplicated.Add(1)
 			l.log.Warn("fleet: an answer is told that is not held", zap.Stringer("circuit", cir))
 		}
-		l.stands(cir, ln)
+		l.sessionEstablished(cir, ln)
 	}
 }
 
 // withdraw says that a circuit that is turned away never ran.
-func (l *Loop) withdraw(cir *circuit) {
-	if h := cir.held; h != nil {
-		h.when(h.Withdraw)
+func (l *Loop) withdraw(cir *session) {
+	if h := cir.record; h != nil {
+		h.whenIdle(h.Withdraw)
 	}
 }
--- a/internal/balancer/lifecycle.go
+++ b/internal/balancer/lifecycle.go
@@ -16,199 +16,199 @@
 )
 
 const (
-	drainFrom   = 400 * time.Millisecond  // so long clients still come after a no; who is moved before would come back
-	emptyEach   = 20 * time.Millisecond   // how often an old process looks whether it holds nothing
-	drainWithin = 3500 * time.Millisecond // and nothing is held after this, with room before the 4 s that are owed
+	drainDelay         = 400 * time.Millisecond  // so long clients still come after a no; who is moved before would come back
+	emptyCheckInterval = 20 * time.Millisecond   // how often an old process looks whether it holds nothing
+	drainTimeout       = 3500 * time.Millisecond // and nothing is held after this, with room before the 4 s that are owed
 )
 
 var (
-	errStarting = errors.New("starting: the list of servers has not come yet")
-	errLeaving  = errors.New("leaving: this process was told to end and takes no clients any more")
+	errStarting     = errors.New("starting: the list of servers has not come yet")
+	errShuttingDown = errors.New("leaving: this process was told to end and takes no clients any more")
 )
 
-// service is what is wanted of this process. Whoever asks never waits for the loop.
-type service struct {
-	out       bool // an operator wants it empty,
-	inherited bool // and wanted so of the process before this one, which may be replaced all the same
-	leaving   bool // it ends, whatever operators want
+// serviceState is what is wanted of this process. Whoever asks never waits for the loop.
+type serviceState struct {
+	outOfService bool // an operator wants it empty,
+	inherited    bool // and wanted so of the process before this one, which may be replaced all the same
+	shuttingDown bool // it ends, whatever operators want
 }
 
 // Ready tells whether clients are welcome: nil, or why not.
 func (l *Loop) Ready() error {
-	l.wanted.Lock()
-	defer l.wanted.Unlock()
+	l.serviceMu.Lock()
+	defer l.serviceMu.Unlock()
 	switch {
-	case l.service.leaving:
-		return errLeaving
-	case l.service.out && !l.service.inherited:
+	case l.service.shuttingDown:
+		return errShuttingDown
+	case l.service.outOfService && !l.service.inherited:
 		return fmt.Errorf("out of service: told by an operator, %d circuits open", l.Open.Load())
 	}
 	select {
-	case <-l.welcomed:
+	case <-l.becameReady:
 		return nil
 	default:
 		return errStarting
 	}
 }
 
-func (l *Loop) isOut() bool {
-	l.wanted.Lock()
-	defer l.wanted.Unlock()
-	return l.service.out
+func (l *Loop) isOutOfService() bool {
+	l.serviceMu.Lock()
+	defer l.serviceMu.Unlock()
+	return l.service.outOfService
 }
 
-func (l *Loop) isLeaving() bool {
-	l.wanted.Lock()
-	defer l.wanted.Unlock()
-	return l.service.leaving
+func (l *Loop) isShuttingDown() bool {
+	l.serviceMu.Lock()
+	defer l.serviceMu.Unlock()
+	return l.service.shuttingDown
 }
 
 // OutOfService has the balancer emptied; it goes on running. What is asked after it has answered finds it so: its
 // post stands in the inbox before theirs.
-func (l *Loop) OutOfService() error { return l.setOut(true) }
+func (l *Loop) OutOfService() error { return l.setOutOfService(true) }
 
 // InService has it take clients again, whatever is left of the emptying.
-func (l *Loop) InService() error { return l.setOut(false) }
+func (l *Loop) InService() error { return l.setOutOfService(false) }
 
-func (l *Loop) setOut(out bool) error {
-	l.wanted.Lock()
-	defer l.wanted.Unlock()
+func (l *Loop) setOutOfService(out bool) error {
+	l.serviceMu.Lock()
+	defer l.serviceMu.Unlock()
 	switch {
-	case l.service.leaving && out: // it empties as it is
+	case l.service.shuttingDown && out: // it empties as it is
 		return nil
-	case l.service.leaving:
-		return errLeaving
-	case l.service == service{out: out}: // an inherited drain is no call to this process
+	case l.service.shuttingDown:
+		return errShuttingDown
+	case l.service == serviceState{outOfService: out}: // an inherited drain is no call to this process
 		return nil
 	}
-	l.service.out, l.service.inherited = out, false
-	l.post(event{do: func() { // in the order of the calls, as they hold the lock
+	l.service.outOfService, l.service.inherited = out, false
+	l.post(event{run: func() { // in the order of the calls, as they hold the lock
 		if out {
 			l.Drains.Add(1)
-			l.log.Info("out of service", zap.Duration("within", drainWithin), zap.Int("open", l.open), zap.Int("held", len(l.circuits)))
-			l.empty(drainFrom, drainWithin)
+			l.log.Info("out of service", zap.Duration("within", drainTimeout), zap.Int("open", l.openSessions), zap.Int("held", len(l.sessions)))
+			l.drain(drainDelay, drainTimeout)
 			return
 		}
-		l.log.Info("in service", zap.Int("open", l.open))
-		l.bal.Stay()
+		l.log.Info("in service", zap.Int("open", l.openSessions))
+		l.policy.Stay()
 	}})
 	return nil
 }
 
-// AwaitWord has the balancer not be ready before Recalled, or a span, is over. It is called before Run.
-func (l *Loop) AwaitWord(within time.Duration) {
-	l.awaits = true
+// AwaitServiceState has the balancer not be ready before Recalled, or a span, is over. It is called before Run.
+func (l *Loop) AwaitServiceState(within time.Duration) {
+	l.awaitsServiceState = true
 	l.after(within, func() {
-		if l.awaits {
+		if l.awaitsServiceState {
 			l.log.Warn("ready without its operators' word of before: nobody who holds it has answered", zap.Duration("within", within))
-			l.heard()
+			l.serviceStateKnown()
 		}
 	})
 }
 
-// Recalled takes what operators said last of this balancer, to whichever of its processes: out of service, or not. What they have told
+// RestoreServiceState takes what operators said last of this balancer, to whichever of its processes: out of service, or not. What they have told
 // this process itself wins over it.
-func (l *Loop) Recalled(out bool) {
-	l.post(event{do: func() {
-		l.wanted.Lock()
-		take := out && l.service == (service{})
+func (l *Loop) RestoreServiceState(out bool) {
+	l.post(event{run: func() {
+		l.serviceMu.Lock()
+		take := out && l.service == (serviceState{})
 		if take {
-			l.service.out = true
+			l.service.outOfService = true
 		}
-		l.wanted.Unlock()
+		l.serviceMu.Unlock()
 		if take {
 			l.Drains.Add(1)
 			l.log.Info("out of service, by its operators' word of before")
-			l.empty(drainFrom, drainWithin)
+			l.drain(drainDelay, drainTimeout)
 		}
-		l.heard()
+		l.serviceStateKnown()
 	}})
 }
 
-func (l *Loop) heard() {
-	if l.awaits = false; l.due {
-		l.welcome()
+func (l *Loop) serviceStateKnown() {
+	if l.awaitsServiceState = false; l.readyDue {
+		l.markReady()
 	}
 }
 
-// inheritOut has this process begin out of service, as the one before it was told.
-func (l *Loop) inheritOut() {
-	l.wanted.Lock()
-	defer l.wanted.Unlock()
-	if l.service == (service{}) { // it was told nothing itself meanwhile
-		l.service = service{out: true, inherited: true}
-		l.empty(drainFrom, drainWithin)
+// inheritOutOfService has this process begin out of service, as the one before it was told.
+func (l *Loop) inheritOutOfService() {
+	l.serviceMu.Lock()
+	defer l.serviceMu.Unlock()
+	if l.service == (serviceState{}) { // it was told nothing itself meanwhile
+		l.service = serviceState{outOfService: true, inherited: true}
+		l.drain(drainDelay, drainTimeout)
 	}
 }
 
-// Leave tells of the process's end: all that is held goes, from the one time from now to the other. There is no way back.
+// Shutdown tells of the process's end: all that is held goes, from the one time from now to the other. There is no way back.
 // Where the listener is shared no client comes any more, and done is called once nothing is held; until then clients
 // without a line are waited for, up to the end.
-func (l *Loop) Leave(from, within time.Duration, done func()) {
-	g := l.gate.Load()
+func (l *Loop) Shutdown(from, within time.Duration, done func()) {
+	g := l.listener.Load()
 	if g != nil {
 		from = 0
-		g.shut.Store(true)
+		g.stopped.Store(true)
 	}
-	l.wanted.Lock()
-	defer l.wanted.Unlock()
-	l.service.leaving = true
-	l.post(event{do: func() {
-		l.log.Info("leaving", zap.Duration("within", within), zap.Bool("shared", g != nil), zap.Int("open", l.open),
-			zap.Int("held", len(l.circuits)))
-		if s := l.succession; s != nil && s.heir != nil {
-			from = passWithin
+	l.serviceMu.Lock()
+	defer l.serviceMu.Unlock()
+	l.service.shuttingDown = true
+	l.post(event{run: func() {
+		l.log.Info("leaving", zap.Duration("within", within), zap.Bool("shared", g != nil), zap.Int("open", l.openSessions),
+			zap.Int("held", len(l.sessions)))
+		if s := l.handover; s != nil && s.successor != nil {
+			from = handoverTimeout
 		}
-		if l.takesAll() != nil {
-			l.passAll()
+		if l.readySuccessor() != nil {
+			l.handOverAll()
 		}
-		l.empty(from, within)
-		l.after(within, l.answerAll)
+		l.drain(from, within)
+		l.after(within, l.endWaiting)
 		if g != nil {
-			l.after(within, l.turnAway)
-			l.emptied(done)
+			l.after(within, l.rejectSilent)
+			l.notifyWhenEmpty(done)
 		}
 	}})
 }
 
-// answerAll ends what still waits for a server when a process that leaves has to be done: the module nacks it, or breaks it off
+// endWaiting ends what still waits for a server when a process that leaves has to be done: the module nacks it, or breaks it off
 // where it may have run. Guards against circuits with outer limits that are longer than a process has.
-func (l *Loop) answerAll() {
-	for _, id := range slices.Sorted(maps.Keys(l.circuits)) {
-		switch cir := l.circuits[id]; {
-		case cir.standing:
-			l.giveUp(cir, protocol.ErrLine)
-		case cir.out:
-			l.timeIsUp(cir, errLeaving)
+func (l *Loop) endWaiting() {
+	for _, id := range slices.Sorted(maps.Keys(l.sessions)) {
+		switch cir := l.sessions[id]; {
+		case cir.reattaching:
+			l.failSession(cir, protocol.ErrLine)
+		case cir.attemptActive:
+			l.attemptTimedOut(cir, errShuttingDown)
 		}
 	}
 }
 
-// emptied looks again and again whether nothing is held any more.
-func (l *Loop) emptied(done func()) {
-	if s := l.succession; len(l.circuits) == 0 && l.fds.Load() == 0 && (s == nil || s.unsettled == 0) {
-		if s != nil && s.left > 0 {
-			l.log.Warn("left with a new process that has not confirmed them", zap.Int("connections", s.left))
+// notifyWhenEmpty looks again and again whether nothing is held any more.
+func (l *Loop) notifyWhenEmpty(done func()) {
+	if s := l.handover; len(l.sessions) == 0 && l.descriptors.Load() == 0 && (s == nil || s.unsettled == 0) {
+		if s != nil && s.unconfirmed > 0 {
+			l.log.Warn("left with a new process that has not confirmed them", zap.Int("connections", s.unconfirmed))
 		}
 		done()
 		return
 	}
-	l.after(emptyEach, func() { l.emptied(done) })
+	l.after(emptyCheckInterval, func() { l.notifyWhenEmpty(done) })
 }
 
-// empty has all that is held go.
-func (l *Loop) empty(from, within time.Duration) {
-	l.bal.Leave(l.now+from, l.now+within)
-	for _, cir := range l.circuits {
-		if cir.standing { // waits for its server for longer than there is time
-			l.giveUp(cir, protocol.ErrLine)
+// drain has all that is held go.
+func (l *Loop) drain(from, within time.Duration) {
+	l.policy.Leave(l.now+from, l.now+within)
+	for _, cir := range l.sessions {
+		if cir.reattaching { // waits for its server for longer than there is time
+			l.failSession(cir, protocol.ErrLine)
 		}
 	}
 }
 
-// pong answers a question for readiness once the list is here: yes or no.
-func (l *Loop) pong() []byte {
-	if l.isOut() {
+// readinessLine answers a question for readiness once the list is here: yes or no.
+func (l *Loop) readinessLine() []byte {
+	if l.isOutOfService() {
 		return protocol.NoLine
 	}
 	return protocol.PongLine
--- a/internal/balancer/load_estimator.go
+++ b/internal/balancer/load_estimator.go
@@ -16,137 +16,139 @@
 )
 
 const (
-	steep   = 2.5         // by which a guess rises over what the probe has waited: it gets its turn at a full server too
-	slowest = 2           // so many times slower than the middle one a server may be by its machine alone,
-	against = 4           // and so many times slower than the fastest: more is a queue that never ends
-	trifle  = 100         // a probe that takes under so-many-th of the shortest message goal tells of no load
-	paces   = 2.0         // steps of pace in which a machine is twice as fast
-	doubtAt = 0.85        // a load of which one probe tells and the one before did not is asked for again at once
-	anewIn  = time.Second // a probe that ended so long ago is judged anew once more is known
-	paceFar = 4           // steps that a machine may be from the middle one
+	loadSlope          = 2.5         // by which a guess rises over what the probe has waited: it gets its turn at a full server too
+	maxMachineSlowdown = 2           // so many times slower than the middle one a server may be by its machine alone,
+	maxFleetSlowdown   = 4           // and so many times slower than the fastest: more is a queue that never ends
+	negligibleDivisor  = 100         // a probe that takes under so-many-th of the shortest message goal tells of no load
+	stepsPerDoubling   = 2.0         // steps of pace in which a machine is twice as fast
+	recheckLoad        = 0.85        // a load of which one probe tells and the one before did not is asked for again at once
+	reestimateWindow   = time.Second // a probe that ended so long ago is judged anew once more is known
+	maxSpeedStep       = 4           // steps that a machine may be from the middle one
 )
 
-// timed is what probes of one server took.
-type timed struct {
-	last, before time.Duration
-	at           time.Duration   // when the last ended
-	low          []time.Duration // the three shortest, the shortest first
+// probeTimes is what probes of one server took.
+type probeTimes struct {
+	last, previous time.Duration
+	endedAt        time.Duration   // when the last ended
+	shortest       []time.Duration // the three shortest, the shortest first
 }
 
-// took is the newest figure: the less of two, as a probe may have waited for those of other balancers; what is
+// observed is the newest figure: the less of two, as a probe may have waited for those of other balancers; what is
 // longer than all of them together tells at once.
-func (t *timed) took(peers int, alone time.Duration) time.Duration {
-	if t.before == 0 {
+func (t *probeTimes) observed(peers int, alone time.Duration) time.Duration {
+	if t.previous == 0 {
 		return t.last
 	}
-	return max(min(t.last, t.before), t.last-time.Duration(peers)*alone)
+	return max(min(t.last, t.previous), t.last-time.Duration(peers)*alone)
 }
 
 // idle is what a probe takes while there is nothing else to do: the third shortest, as some are short by luck.
-func (t *timed) idle() time.Duration { return t.low[len(t.low)-1] }
+func (t *probeTimes) idle() time.Duration { return t.shortest[len(t.shortest)-1] }
 
-// heft is what the list gives a server, for a machine that is as fast as its probes show. Guards against slow
+// weight is what the list gives a server, for a machine that is as fast as its probes show. Guards against slow
 // machines that get as many connections as fast ones: the list may know no more than their cores.
-func (sv *server) heft() float64 { return sv.listedAs.Heft * math.Exp2(float64(sv.pace)/paces) }
+func (sv *upstream) weight() float64 {
+	return sv.listed.Heft * math.Exp2(float64(sv.speedStep)/stepsPerDoubling)
+}
 
-// weigh has a server's heft follow its pace against the middle machine, once half of them have shown theirs. A step is
+// updateSpeeds has a server's heft follow its pace against the middle machine, once half of them have shown theirs. A step is
 // taken when it is well passed: each new heft makes a new version. The middle machine only gets faster: where the first
 // probes met a busy hour, or this balancer's own start, all are weighed anew.
-func (l *Loop) weigh(sv *server, idle []time.Duration) {
+func (l *Loop) updateSpeeds(sv *upstream, idle []time.Duration) {
 	middle := idle[(len(idle)-1)/2]
 	switch {
 	case 2*len(idle) <= len(l.servers):
-	case l.middle == 0 || middle < l.middle:
-		l.middle = middle
+	case l.medianProbeTime == 0 || middle < l.medianProbeTime:
+		l.medianProbeTime = middle
 		for _, id := range slices.Sorted(maps.Keys(l.servers)) {
-			l.step(l.servers[id], idle)
-			l.judgeAnew(l.servers[id], sv, idle)
+			l.updateSpeedStep(l.servers[id], idle)
+			l.reestimate(l.servers[id], sv, idle)
 		}
 	default:
-		l.step(sv, idle)
+		l.updateSpeedStep(sv, idle)
 	}
 }
 
-func (l *Loop) step(sv *server, idle []time.Duration) {
-	if len(sv.timed.low) == 0 || l.cold(sv) {
+func (l *Loop) updateSpeedStep(sv *upstream, idle []time.Duration) {
+	if len(sv.probeTimes.shortest) == 0 || l.isWarmingUp(sv) {
 		return
 	}
-	at := paces * math.Log2(l.middle.Seconds()/sv.timed.alone(idle).Seconds())
-	at = max(-paceFar, min(at, paceFar))
-	if math.Abs(at-float64(sv.pace)) > 0.75 {
-		sv.pace = int(math.Round(at))
-		l.log.Debug("pace", zap.String("server", sv.listedAs.UID), zap.Int("steps", sv.pace))
-		l.bal.Weighed(sv.id, sv.heft())
+	at := stepsPerDoubling * math.Log2(l.medianProbeTime.Seconds()/sv.probeTimes.unloaded(idle).Seconds())
+	at = max(-maxSpeedStep, min(at, maxSpeedStep))
+	if math.Abs(at-float64(sv.speedStep)) > 0.75 {
+		sv.speedStep = int(math.Round(at))
+		l.log.Debug("pace", zap.String("server", sv.listed.UID), zap.Int("steps", sv.speedStep))
+		l.policy.Weighed(sv.id, sv.weight())
 	}
 }
 
-// alone is what a probe takes there while nothing else is done: what was seen, but no longer than a slow machine's against
+// unloaded is what a probe takes there while nothing else is done: what was seen, but no longer than a slow machine's against
 // the middle one and the fastest of the idle times, sorted. A server that was full from the start was never seen idle.
-func (t *timed) alone(idle []time.Duration) time.Duration {
-	return min(t.idle(), slowest*idle[(len(idle)-1)/2], against*idle[0])
+func (t *probeTimes) unloaded(idle []time.Duration) time.Duration {
+	return min(t.idle(), maxMachineSlowdown*idle[(len(idle)-1)/2], maxFleetSlowdown*idle[0])
 }
 
-// guess takes what a probe of a server took and answers its load over capacity. Of a server that warms up nothing is
+// estimateLoad takes what a probe of a server took and answers its load over capacity. Of a server that warms up nothing is
 // said: its probes are slow for another reason.
-func (l *Loop) guess(sv *server, took time.Duration) (float64, bool) {
-	t := &sv.timed
-	t.before, t.last, t.at = t.last, max(took, time.Microsecond), l.now
-	if l.cold(sv) {
+func (l *Loop) estimateLoad(sv *upstream, took time.Duration) (float64, bool) {
+	t := &sv.probeTimes
+	t.previous, t.last, t.endedAt = t.last, max(took, time.Microsecond), l.now
+	if l.isWarmingUp(sv) {
 		return 0, false
 	}
-	t.low = append(t.low, t.last)
-	slices.Sort(t.low)
-	t.low = t.low[:min(len(t.low), 3)]
+	t.shortest = append(t.shortest, t.last)
+	slices.Sort(t.shortest)
+	t.shortest = t.shortest[:min(len(t.shortest), 3)]
 	var idle []time.Duration
 	for _, other := range l.servers {
-		if other.state == policy.Ready && len(other.timed.low) > 0 {
-			idle = append(idle, other.timed.idle())
+		if other.state == policy.Ready && len(other.probeTimes.shortest) > 0 {
+			idle = append(idle, other.probeTimes.idle())
 		}
 	}
 	slices.Sort(idle)
 	if len(idle) > 0 {
-		l.weigh(sv, idle)
+		l.updateSpeeds(sv, idle)
 	}
-	load := l.figure(t, idle)
-	if load < doubtAt && l.told(t.last, l.alone(t, idle)) >= doubtAt {
-		l.bal.Doubted(sv.id) // guards against a queue that is seen only by the second long probe, seconds later
+	load := l.loadOf(t, idle)
+	if load < recheckLoad && l.loadFromTimes(t.last, l.unloadedTime(t, idle)) >= recheckLoad {
+		l.policy.Doubted(sv.id) // guards against a queue that is seen only by the second long probe, seconds later
 	}
 	return load, true
 }
 
-// figure is the load over capacity that the newest probes tell of, against the idle times of all, sorted.
-func (l *Loop) figure(t *timed, idle []time.Duration) float64 {
-	alone := l.alone(t, idle)
-	return l.told(t.took(l.dep.Policy.Peers, alone), alone)
+// loadOf is the load over capacity that the newest probes tell of, against the idle times of all, sorted.
+func (l *Loop) loadOf(t *probeTimes, idle []time.Duration) float64 {
+	alone := l.unloadedTime(t, idle)
+	return l.loadFromTimes(t.observed(l.deployment.Policy.Peers, alone), alone)
 }
 
-func (l *Loop) alone(t *timed, idle []time.Duration) time.Duration {
+func (l *Loop) unloadedTime(t *probeTimes, idle []time.Duration) time.Duration {
 	if len(idle) == 0 {
 		return t.idle()
 	}
-	return t.alone(idle)
+	return t.unloaded(idle)
 }
 
-// told is the load over capacity where a probe takes so long, and so long while there is nothing else to do.
-func (l *Loop) told(took, alone time.Duration) float64 {
-	if trifle*took < l.goal { // what is so short may be this machine's own doing
+// loadFromTimes is the load over capacity where a probe takes so long, and so long while there is nothing else to do.
+func (l *Loop) loadFromTimes(took, alone time.Duration) float64 {
+	if negligibleDivisor*took < l.messageObjective { // what is so short may be this machine's own doing
 		return 0
 	}
-	return max(0, steep*(1-alone.Seconds()/took.Seconds()))
+	return max(0, loadSlope*(1-alone.Seconds()/took.Seconds()))
 }
 
-// judgeAnew judges a server's newest probe anew, now that the others have shown what is usual. Guards against a fleet that is
+// reestimate judges a server's newest probe anew, now that the others have shown what is usual. Guards against a fleet that is
 // full from the start: the first probe of a jammed server was taken for its usual one, and nothing left it for two seconds.
-func (l *Loop) judgeAnew(sv, but *server, idle []time.Duration) {
-	if t := &sv.timed; sv != but && len(t.low) > 0 && l.now-t.at < anewIn && sv.state == policy.Ready && !l.cold(sv) {
-		load := l.figure(t, idle)
-		l.log.Debug("guess", zap.String("server", sv.listedAs.UID), zap.Float64("load", load), zap.Duration("took", t.last))
-		l.bal.Reported(sv.id, policy.Report{Asked: load, Piled: -1, Util: -1})
+func (l *Loop) reestimate(sv, but *upstream, idle []time.Duration) {
+	if t := &sv.probeTimes; sv != but && len(t.shortest) > 0 && l.now-t.endedAt < reestimateWindow && sv.state == policy.Ready && !l.isWarmingUp(sv) {
+		load := l.loadOf(t, idle)
+		l.log.Debug("guess", zap.String("server", sv.listed.UID), zap.Float64("load", load), zap.Duration("took", t.last))
+		l.policy.Reported(sv.id, policy.Report{Asked: load, Piled: -1, Util: -1})
 	}
 }
 
-// cold tells whether a server still warms up.
-func (l *Loop) cold(sv *server) bool {
-	boot := sv.listedAs.Boot
-	return !boot.IsZero() && l.now-boot.Sub(l.start) < l.dep.Policy.ColdFor
+// isWarmingUp tells whether a server still warms up.
+func (l *Loop) isWarmingUp(sv *upstream) bool {
+	boot := sv.listed.Boot
+	return !boot.IsZero() && l.now-boot.Sub(l.startTime) < l.deployment.Policy.ColdFor
 }
--- a/internal/balancer/loop.go
+++ b/internal/balancer/loop.go
@@ -27,88 +27,88 @@
 )
 
 const (
-	readyWithin = 2 * time.Second        // ready after that without a list
-	readySoon   = 250 * time.Millisecond // and after that with the one known at the start: what is newer comes at once
-	stalledFor  = 300 * time.Millisecond // a turn that comes so late had the process stopped, or starved
-	spareFds    = 8                      // so-many-th of the rest, kept for clients that are only told to come again
+	readyTimeout     = 2 * time.Second        // ready after that without a list
+	freshListTimeout = 250 * time.Millisecond // and after that with the one known at the start: what is newer comes at once
+	stallThreshold   = 300 * time.Millisecond // a turn that comes so late had the process stopped, or starved
+	rejectReserve    = 8                      // so-many-th of the rest, kept for clients that are only told to come again
 )
 
 // Loop is one running balancer.
 type Loop struct {
-	log    *zap.Logger
-	dep    *deployment.Deployment
-	bal    *policy.Balancer
-	start  time.Time
-	now    time.Duration
-	goal   time.Duration // the shortest message goal, 0 where none is told
-	middle time.Duration // what a probe of the middle machine takes, once it is known
+	log              *zap.Logger
+	deployment       *deployment.Deployment
+	policy           *policy.Balancer
+	startTime        time.Time
+	now              time.Duration
+	messageObjective time.Duration // the shortest message goal, 0 where none is told
+	medianProbeTime  time.Duration // what a probe of the middle machine takes, once it is known
 	Counters
 
-	mu     sync.Mutex
-	inbox  []event
-	wake   chan struct{}
-	fds    atomic.Int64 // descriptors of connections
-	most   int64        // of those at most, less
-	beside atomic.Int64 // what the other process of an upgrade holds
-
-	link     *loadgossip.Link // to the other balancers, nil where they are not told
-	linked   *loadgossip.Link // the newest one that was opened, and whether another process of this balancer may run
-	shared   bool             // beside it, which only Reconfigure looks at
-	fleet    *fleet.Fleet     // holds circuits of some grades for others; nil where there is none
-	relays   *relay.Shards
-	watch    *discovery.Watch
-	unwatch  context.CancelFunc // ends it
-	known    discovery.List     // the list from before the start, until it is followed
-	servers  map[policy.ServerID]*server
-	byUID    map[string]*server
-	circuits map[policy.CircuitID]*circuit
-	byAsk    map[uint64]*circuit // by the id that the client gave it
-	door     *door
-	open     int
-	last     policy.CircuitID
-	timers   timers
-	order    int
-	listed   bool          // discovery has answered since the start
-	hearBy   time.Duration // until then no line goes to a server before discovery has been heard,
-	unsent   []func()      // and these wait for that
-	ready    bool          // clients are welcome
-	awaits   bool          // not before its operators' word of before is heard,
-	due      bool          // though it would be ready
-	pinged   []*conn       // ask whether it is so
-
-	welcomed chan struct{}        // closed once it is ready
-	gate     atomic.Pointer[Gate] // the listener, where it is shared with another process
-
-	wanted  sync.Mutex
-	service service // under it
-
-	succession *succession // nil where this process can have no heir
-	heired     atomic.Bool // it has one now
+	mu              sync.Mutex
+	inbox           []event
+	wake            chan struct{}
+	descriptors     atomic.Int64 // descriptors of connections
+	descriptorLimit int64        // of those at most, less
+	peerDescriptors atomic.Int64 // what the other process of an upgrade holds
+
+	gossip             *loadgossip.Link // to the other balancers, nil where they are not told
+	openedGossip       *loadgossip.Link // the newest one that was opened, and whether another process of this balancer may run
+	sharesListener     bool             // beside it, which only Reconfigure looks at
+	fleet              *fleet.Fleet     // holds circuits of some grades for others; nil where there is none
+	relay              *relay.Relay
+	watch              *discovery.Watch
+	stopWatch          context.CancelFunc // ends it
+	initialList        discovery.List     // the list from before the start, until it is followed
+	servers            map[policy.ServerID]*upstream
+	serversByUID       map[string]*upstream
+	sessions           map[policy.CircuitID]*session
+	sessionsByClientID map[uint64]*session // by the id that the client gave it
+	idle               *idleConns
+	openSessions       int
+	lastSessionID      policy.CircuitID
+	timers             timers
+	timerSequence      int
+	hasCurrentList     bool          // discovery has answered since the start
+	freshListDeadline  time.Duration // until then no line goes to a server before discovery has been heard,
+	deferred           []func()      // and these wait for that
+	ready              bool          // clients are welcome
+	awaitsServiceState bool          // not before its operators' word of before is heard,
+	readyDue           bool          // though it would be ready
+	pendingPings       []*conn       // ask whether it is so
+
+	becameReady chan struct{}            // closed once it is ready
+	listener    atomic.Pointer[Listener] // the listener, where it is shared with another process
+
+	serviceMu sync.Mutex
+	service   serviceState // under it
+
+	handover        *handover   // nil where this process can have no heir
+	successorLinked atomic.Bool // it has one now
 }
 
-// server is what the sockets need to know of one server.
-type server struct {
-	id       policy.ServerID
-	address  string
-	state    policy.State
-	timed    timed // what probes took
-	pace     int   // how fast its machine is by them, in steps over the middle one
-	noted    bool  // the newest note was one of slow messages
-	listedAs discovery.Server
+// upstream is what the sockets need to know of one server.
+type upstream struct {
+	id           policy.ServerID
+	address      string
+	state        policy.State
+	probeTimes   probeTimes // what probes took
+	speedStep    int        // how fast its machine is by them, in steps over the middle one
+	reportedSlow bool       // the newest note was one of slow messages
+	listed       discovery.Server
 }
 
 // timer runs a function of the loop at a time.
 type timer struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
 func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].order < t[j].order
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].sequence < t[j].sequence
 }
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
@@ -122,54 +122,54 @@
 func New(log *zap.Logger, dep *deployment.Deployment, seed uint64, known discovery.List, sockets int) (*Loop, error) {
 	shards := (runtime.GOMAXPROCS(0) - 1) / 2
 	l := &Loop{
-		log: log, bal: policy.New(onSockets(dep), seed), start: time.Now(),
-		wake: make(chan struct{}, 1), most: int64(max(sockets-KeptFds(shards), 2)),
-		servers: map[policy.ServerID]*server{}, byUID: map[string]*server{},
-		circuits: map[policy.CircuitID]*circuit{}, byAsk: map[uint64]*circuit{}, door: newDoor(),
-		known: known, welcomed: make(chan struct{}),
+		log: log, policy: policy.New(withProbeReports(dep), seed), startTime: time.Now(),
+		wake: make(chan struct{}, 1), descriptorLimit: int64(max(sockets-ReservedDescriptors(shards), 2)),
+		servers: map[policy.ServerID]*upstream{}, serversByUID: map[string]*upstream{},
+		sessions: map[policy.CircuitID]*session{}, sessionsByClientID: map[uint64]*session{}, idle: newIdleConns(),
+		initialList: known, becameReady: make(chan struct{}),
 	}
-	l.settings(dep)
+	l.applySettings(dep)
 	var err error
-	if l.relays, err = relay.New(shards, told{l}, &l.fds); err != nil {
+	if l.relay, err = relay.New(shards, relayHandler{l}, &l.descriptors); err != nil {
 		return nil, err
 	}
-	l.list(known, true)
+	l.applyList(known, true)
 	if known.Whole && len(known.Servers) > 0 {
-		l.after(readySoon, l.welcome)
+		l.after(freshListTimeout, l.markReady)
 	}
-	l.after(readyWithin, l.welcome)
-	l.after(beat, l.beat)
-	l.after(silentEach, l.silent)
-	l.after(sweepEach, l.sweep)
+	l.after(readyTimeout, l.markReady)
+	l.after(slowReportInterval, l.reportSlowServers)
+	l.after(silenceCheckInterval, l.migrateSilent)
+	l.after(expireInterval, l.expireSilent)
 	return l, nil
 }
 
-// Follow has the loop follow discovery's list at an address, in place of the one before: that one is ended, and
+// FollowDiscovery has the loop follow discovery's list at an address, in place of the one before: that one is ended, and
 // what it still has to say is void, or an old list would win over the new one's.
-func (l *Loop) Follow(ctx context.Context, address string) {
-	l.post(event{do: func() {
-		if l.unwatch != nil {
-			l.unwatch()
+func (l *Loop) FollowDiscovery(ctx context.Context, address string) {
+	l.post(event{run: func() {
+		if l.stopWatch != nil {
+			l.stopWatch()
 		}
 		var w *discovery.Watch
 		of := func(do func()) {
-			l.post(event{do: func() {
+			l.post(event{run: func() {
 				if l.watch == w {
 					do()
 				}
 			}})
 		}
-		w = discovery.New(address, l.dep.Policy.Peers, l.dep.AskForList,
-			func(list discovery.List) { of(func() { l.list(list, false) }) },
-			func(err error) { of(func() { l.unlisted(err) }) })
-		if l.unwatch == nil { // another discovery counts its lists by itself
-			w.From(l.known)
-			l.known = discovery.List{}
+		w = discovery.New(address, l.deployment.Policy.Peers, l.deployment.AskForList,
+			func(list discovery.List) { of(func() { l.applyList(list, false) }) },
+			func(err error) { of(func() { l.discoveryFailed(err) }) })
+		if l.stopWatch == nil { // another discovery counts its lists by itself
+			w.From(l.initialList)
+			l.initialList = discovery.List{}
 		}
-		first := l.unwatch == nil
-		ctx, l.unwatch = context.WithCancel(ctx)
+		first := l.stopWatch == nil
+		ctx, l.stopWatch = context.WithCancel(ctx)
 		if l.watch = w; first {
-			l.hear()
+			l.requestFreshList()
 		}
 		go w.Run(ctx)
 	}})
@@ -186,15 +186,15 @@
 	}
 }
 
-func (l *Loop) panicked(at string, what any) {
+func (l *Loop) reportPanic(at string, what any) {
 	l.Panics.Add(1)
 	l.log.Error("panic", zap.String("at", at), zap.Any("what", what), zap.ByteString("stack", debug.Stack()))
 }
 
 // after has the loop run do in a while.
 func (l *Loop) after(d time.Duration, do func()) {
-	l.order++
-	heap.Push(&l.timers, timer{l.now + d, l.order, do})
+	l.timerSequence++
+	heap.Push(&l.timers, timer{l.now + d, l.timerSequence, do})
 }
 
 // Run is the loop; it ends when done does.
@@ -208,53 +208,53 @@
 		case <-l.wake:
 		case <-alarm.C:
 		}
-		l.turn()
-		alarm.Reset(max(0, l.next()-time.Since(l.start)))
+		l.runOnce()
+		alarm.Reset(max(0, l.nextWakeup()-time.Since(l.startTime)))
 	}
 }
 
-// turn takes in what is ready, then carries out what the module decides.
-func (l *Loop) turn() {
+// runOnce takes in what is ready, then carries out what the module decides.
+func (l *Loop) runOnce() {
 	l.mu.Lock()
 	batch := l.inbox
 	l.inbox = nil
 	l.mu.Unlock()
-	due := l.next()
-	l.now = time.Since(l.start)
-	l.bal.Clock(l.now)
-	if l.now-due > stalledFor {
+	due := l.nextWakeup()
+	l.now = time.Since(l.startTime)
+	l.policy.Clock(l.now)
+	if l.now-due > stallThreshold {
 		l.Stalls.Add(1)
 		l.log.Warn("stopped, or starved", zap.Duration("for", l.now-due))
-		l.hear()
+		l.requestFreshList()
 	}
 	for _, ev := range batch {
 		c := ev.conn
-		if ev.of != nil {
-			c = ev.of.client
+		if ev.session != nil {
+			c = ev.session.client
 		}
-		l.guard(c, func() { l.happened(ev) })
+		l.recoverPanics(c, func() { l.handleEvent(ev) })
 	}
 	for len(l.timers) > 0 && l.timers[0].at <= l.now {
 		t := heap.Pop(&l.timers).(timer)
-		l.guard(nil, t.do)
+		l.recoverPanics(nil, t.run)
 	}
 	for {
-		d, ok := l.bal.Next()
+		d, ok := l.policy.Next()
 		if !ok {
 			return
 		}
 		var c *conn
-		if cir := l.circuits[d.Circuit]; cir != nil {
+		if cir := l.sessions[d.Circuit]; cir != nil {
 			c = cir.client
 		}
-		l.guard(c, func() { l.carryOut(d) })
+		l.recoverPanics(c, func() { l.execute(d) })
 	}
 }
 
-// next is when the loop has something to do if nothing comes in.
-func (l *Loop) next() time.Duration {
+// nextWakeup is when the loop has something to do if nothing comes in.
+func (l *Loop) nextWakeup() time.Duration {
 	at := l.now + time.Second
-	if w, ok := l.bal.Wake(); ok {
+	if w, ok := l.policy.Wake(); ok {
 		at = min(at, w)
 	}
 	if len(l.timers) > 0 {
@@ -263,25 +263,25 @@
 	return at
 }
 
-// guard stops a panic at the connection it was about.
-func (l *Loop) guard(c *conn, do func()) {
+// recoverPanics stops a panic at the connection it was about.
+func (l *Loop) recoverPanics(c *conn, do func()) {
 	defer func() {
 		p := recover()
 		if p == nil {
 			return
 		}
-		l.panicked("the loop", p)
+		l.reportPanic("the loop", p)
 		if c == nil {
 			return
 		}
-		if cir := c.circuit; cir != nil && cir.pair != nil {
-			if cir.pair.Abort() && l.circuits[cir.id] == cir {
-				l.guard(nil, func() { l.stoodEnded(cir, policy.Cancelled) })
+		if cir := c.session; cir != nil && cir.pair != nil {
+			if cir.pair.Abort() && l.sessions[cir.id] == cir {
+				l.recoverPanics(nil, func() { l.establishedEnded(cir, policy.Cancelled) })
 			}
-		} else if !c.over { // a second panic, while this one is cleared away, ends the connection alone
-			l.guard(nil, func() { l.broken(c, &Broken{Stage: Asked, Abrupt: true, Cause: errPanic}) })
-			if !c.over {
-				c.over = true
+		} else if !c.finished { // a second panic, while this one is cleared away, ends the connection alone
+			l.recoverPanics(nil, func() { l.clientDisconnected(c, &DisconnectError{Stage: StageWritten, Abrupt: true, Cause: errPanic}) })
+			if !c.finished {
+				c.finished = true
 				c.abort()
 			}
 		}
@@ -289,66 +289,66 @@
 	do()
 }
 
-func (l *Loop) happened(ev event) {
-	if ev.do != nil {
-		ev.do()
+func (l *Loop) handleEvent(ev event) {
+	if ev.run != nil {
+		ev.run()
 		return
 	}
 	c := ev.conn
-	c.waits.Add(-int64(ev.size))
+	c.queuedBytes.Add(-int64(ev.size))
 	for _, ln := range ev.lines {
 		if ln.Bad != nil {
 			l.BadLines.Add(1)
 		}
 		switch {
-		case c.passing:
-			c.first = append(c.first, ln.Raw...)
-		case c.over:
-		case c.circuit != nil:
-			l.clientLine(c.circuit)
+		case c.handingOver:
+			c.handoverInput = append(c.handoverInput, ln.Raw...)
+		case c.finished:
+		case c.session != nil:
+			l.unexpectedLine(c.session)
 		default:
-			l.firstLine(c, ln)
+			l.handleFirstLine(c, ln)
 		}
 	}
-	if ev.broken != nil && !c.over {
-		l.broken(c, ev.broken)
+	if ev.disconnect != nil && !c.finished {
+		l.clientDisconnected(c, ev.disconnect)
 	}
 }
 
-func (l *Loop) carryOut(d policy.Decision) {
+func (l *Loop) execute(d policy.Decision) {
 	switch d.Do {
 	case policy.Probe:
-		l.ask(d.Server)
+		l.startProbe(d.Server)
 		return
 	case policy.Tell:
-		if l.link != nil {
-			l.link.Tell(d.Told)
+		if l.gossip != nil {
+			l.gossip.Tell(d.Told)
 		}
 		return
 	}
-	c := l.circuits[d.Circuit]
+	c := l.sessions[d.Circuit]
 	if c == nil {
 		return
 	}
 	switch d.Do {
 	case policy.Try:
-		l.try(c, d.Server, d.For)
+		l.startAttempt(c, d.Server, d.For)
 	case policy.Nack:
-		l.Nacked.Add(1)
+		l.Rejected.Add(1)
 		l.withdraw(c)
-		l.answer(c, protocol.Turned(d.For))
+		l.endUnserved(c, protocol.Turned(d.For))
 	case policy.BreakOff:
-		l.BrokenOff.Add(1)
-		l.answer(c, protocol.ErrLine)
+		l.Failed.Add(1)
+		l.endUnserved(c, protocol.ErrLine)
 	case policy.Move:
-		l.move(c, policy.Cancelled)
+		l.migrate(c, policy.Cancelled)
 	}
 }
 
 // ---- The list of servers.
 
-// list takes a list of servers; known: from before the start.
-func (l *Loop) list(list discovery.List, known bool) {
+// applyList takes a list of servers; known: from before the start.
+func (l *Loop) applyList(list discovery.List, known bool) {
 	named := map[policy.ServerID]bool{}
 	lines := make([]policy.Listed, 0, len(list.Servers))
 	for _, s := range list.Servers {
@@ -356,116 +356,116 @@
 		named[id] = true
 		sv := l.servers[id]
 		if sv == nil {
-			sv = &server{id: id}
-			l.servers[id], l.byUID[s.UID] = sv, sv
+			sv = &upstream{id: id}
+			l.servers[id], l.serversByUID[s.UID] = sv, sv
 		}
 		if s.Endpoint != "" {
 			sv.address = s.Endpoint
 		}
-		if sv.listedAs != s {
+		if sv.listed != s {
 			l.log.Info("listed", zap.String("server", s.UID), zap.String("address", s.Endpoint),
 				zap.Uint8("state", uint8(s.State)), zap.Time("boot", s.Boot))
 		}
-		if !sv.listedAs.Boot.Equal(s.Boot) { // another process, maybe on another machine
-			sv.timed, sv.pace = timed{}, 0
+		if !sv.listed.Boot.Equal(s.Boot) { // another process, maybe on another machine
+			sv.probeTimes, sv.speedStep = probeTimes{}, 0
 		}
-		sv.state, sv.listedAs = s.State, s
-		zone, told := l.dep.Zones[s.Zone]
+		sv.state, sv.listed = s.State, s
+		zone, told := l.deployment.Zones[s.Zone]
 		if !told {
-			zone = len(l.dep.Zones)
+			zone = len(l.deployment.Zones)
 		}
 		started := policy.LongAgo
 		if !s.Boot.IsZero() {
-			started = s.Boot.Sub(l.start)
+			started = s.Boot.Sub(l.startTime)
 		}
 		lines = append(lines, policy.Listed{
-			Server: id, Zone: zone, Cell: s.Cell, Kind: protocol.Hash(s.Model), State: s.State, Heft: sv.heft(), Started: started,
+			Server: id, Zone: zone, Cell: s.Cell, Kind: protocol.Hash(s.Model), State: s.State, Heft: sv.weight(), Started: started,
 		})
 	}
 	if list.Whole {
 		for id, sv := range l.servers {
 			if !named[id] {
-				sv.state, sv.listedAs = policy.Gone, discovery.Server{}
+				sv.state, sv.listed = policy.Gone, discovery.Server{}
 			}
 		}
 	}
-	l.bal.ListArrived(lines, list.Whole || known)
+	l.policy.ListArrived(lines, list.Whole || known)
 	if !known {
 		l.log.Debug("list", zap.Uint64("rev", list.Rev), zap.Bool("whole", list.Whole), zap.Int("entries", len(list.Servers)))
 		l.Lists.Add(1)
-		l.keepList(list.Rev)
-		l.hearBy = l.now
-		l.heardOf()
-		if !l.listed {
-			l.listed = true
-			l.welcome()
+		l.saveList(list.Rev)
+		l.freshListDeadline = l.now
+		l.runDeferred()
+		if !l.hasCurrentList {
+			l.hasCurrentList = true
+			l.markReady()
 		}
 	}
 }
 
-// hear has nothing go to a server before its own machine's agent has said what it has, which counts as told: after a start, or
+// requestFreshList has nothing go to a server before its own machine's agent has said what it has, which counts as told: after a start, or
 // while the process was stopped. Where it is silent that is not waited for. Guards against a first line to a server that
 // drains since, by a word that nobody here has read yet.
-func (l *Loop) hear() {
-	if l.watch == nil || l.dep.AskForList {
+func (l *Loop) requestFreshList() {
+	if l.watch == nil || l.deployment.AskForList {
 		return
 	}
 	l.watch.Again()
-	l.hearBy = l.now + readySoon
-	l.after(readySoon, l.heardOf)
+	l.freshListDeadline = l.now + freshListTimeout
+	l.after(freshListTimeout, l.runDeferred)
 }
 
-// unheard tells whether that is waited for; do then runs once it is over.
-func (l *Loop) unheard(do func()) bool {
-	if l.now >= l.hearBy {
+// deferUntilFresh tells whether that is waited for; do then runs once it is over.
+func (l *Loop) deferUntilFresh(do func()) bool {
+	if l.now >= l.freshListDeadline {
 		return false
 	}
-	l.unsent = append(l.unsent, do)
+	l.deferred = append(l.deferred, do)
 	return true
 }
 
-// heardOf goes on with what waits, unless it has to wait again.
-func (l *Loop) heardOf() {
-	if l.now < l.hearBy {
+// runDeferred goes on with what waits, unless it has to wait again.
+func (l *Loop) runDeferred() {
+	if l.now < l.freshListDeadline {
 		return
 	}
-	all := l.unsent
-	l.unsent = nil
+	all := l.deferred
+	l.deferred = nil
 	for _, do := range all {
-		l.guard(nil, do)
+		l.recoverPanics(nil, do)
 	}
 }
 
-func (l *Loop) unlisted(err error) {
+func (l *Loop) discoveryFailed(err error) {
 	l.ListErrors.Add(1)
 	l.log.Warn("no list", zap.Error(err))
 }
 
-// welcome answers that the balancer is ready, once the newest list is here or has not come for long.
-func (l *Loop) welcome() {
-	if l.ready || l.awaits {
-		l.due = true
+// markReady answers that the balancer is ready, once the newest list is here or has not come for long.
+func (l *Loop) markReady() {
+	if l.ready || l.awaitsServiceState {
+		l.readyDue = true
 		return
 	}
 	l.ready = true
-	close(l.welcomed)
-	l.tellReady()
-	l.log.Info("ready", zap.Bool("listed", l.listed), zap.Int("servers", len(l.servers)))
-	for _, c := range l.pinged {
-		for ; c.pings > 0; c.pings-- {
-			c.send(l.pong())
+	close(l.becameReady)
+	l.notifyReady()
+	l.log.Info("ready", zap.Bool("listed", l.hasCurrentList), zap.Int("servers", len(l.servers)))
+	for _, c := range l.pendingPings {
+		for ; c.unansweredPings > 0; c.unansweredPings-- {
+			c.send(l.readinessLine())
 		}
-		c.asks.Store(false)
+		c.awaitsPong.Store(false)
 	}
-	l.pinged = nil
+	l.pendingPings = nil
 }
 
-// Report logs the counters.
-func (l *Loop) Report(why string) {
+// LogCounters logs the counters.
+func (l *Loop) LogCounters(why string) {
 	fields := append([]zap.Field{zap.String("why", why)}, l.Counters.fields()...)
-	l.Relayed.Store(l.relays.Lines.Load())
-	l.log.Info("counters", append(fields, zap.Int64("descriptors", l.fds.Load()))...)
+	l.ForwardedLines.Store(l.relay.ForwardedLines.Load())
+	l.log.Info("counters", append(fields, zap.Int64("descriptors", l.descriptors.Load()))...)
 }
 
 // String names a circuit in the log.
-func (c *circuit) String() string { return fmt.Sprintf("%d (%x)", c.id, c.ask.ID) }
+func (c *session) String() string { return fmt.Sprintf("%d (%x)", c.id, c.request.ID) }
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -78,11 +78,11 @@
 	}
 	in := func(do func()) { // the loop, and waits for it
 		done := make(chan struct{})
-		l.post(event{do: func() { defer close(done); do() }})
+		l.post(event{run: func() { defer close(done); do() }})
 		<-done
 	}
 	fail := func(id policy.CircuitID) {
-		in(func() { l.guard(l.circuits[id].client, func() { panic("for the test") }) })
+		in(func() { l.recoverPanics(l.sessions[id].client, func() { panic("for the test") }) })
 	}
 	_, waits, _ := client()
 	_, stands, server := client()
@@ -106,8 +106,8 @@
 		t.Fatalf("%q", got)
 	}
 	in(func() {
-		if n := l.Panics.Load(); n != 3 || len(l.circuits) != 1 || l.open != 1 {
-			t.Errorf("%d panics, %d circuits, %d open", n, len(l.circuits), l.open)
+		if n := l.Panics.Load(); n != 3 || len(l.sessions) != 1 || l.openSessions != 1 {
+			t.Errorf("%d panics, %d circuits, %d open", n, len(l.sessions), l.openSessions)
 		}
 	})
 }
@@ -140,41 +140,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cir := &circuit{id: 1, client: &conn{nc: nc}, at: &server{}, ask: &protocol.Ask{}, out: true, turn: 1, giveUp: time.Hour}
+	cir := &session{id: 1, client: &conn{netConn: nc}, upstream: &upstream{}, request: &protocol.Ask{}, attemptActive: true, generation: 1, attemptDeadline: time.Hour}
 	up := make(chan *relay.Conn, 1)
 	l.dial(ln.Addr().String(), 20*time.Second, cir, func(c *relay.Conn, err error) { up <- c })
 	for len(up) == 0 {
 		<-l.wake
-		l.turn()
+		l.runOnce()
 	}
 	c := <-up
-	for c.Early() == nil { // until its end is here
+	for c.CheckOpen() == nil { // until its end is here
 		time.Sleep(time.Millisecond)
 	}
-	l.dialed(cir, 1, c, nil)
-	for cir.out {
+	l.upstreamDialed(cir, 1, c, nil)
+	for cir.attemptActive {
 		<-l.wake
-		l.turn()
+		l.runOnce()
 	}
 	if got := <-told; got != "" {
 		t.Fatalf("the server was told %q", got)
 	}
-	if cir.out || l.Ended[policy.ConnectFailed].Load() != 1 || l.fds.Load() != 0 {
+	if cir.attemptActive || l.Outcomes[policy.ConnectFailed].Load() != 1 || l.descriptors.Load() != 0 {
 		t.Fatal("a connection that was gone by then was used")
 	}
 }
 
 func TestProbesTellOfLoad(t *testing.T) {
 	dep := &deployment.Deployment{Policy: &policy.Deployment{Peers: 2, ColdFor: 20 * time.Second}}
-	l := &Loop{log: zap.NewNop(), dep: dep, bal: policy.New(dep.Policy, 7), start: time.Now(),
-		now: 30 * time.Second, goal: 200 * time.Millisecond, servers: map[policy.ServerID]*server{}}
+	l := &Loop{log: zap.NewNop(), deployment: dep, policy: policy.New(dep.Policy, 7), startTime: time.Now(),
+		now: 30 * time.Second, messageObjective: 200 * time.Millisecond, servers: map[policy.ServerID]*upstream{}}
 	for id := range policy.ServerID(5) {
-		l.servers[id] = &server{id: id}
+		l.servers[id] = &upstream{id: id}
 	}
 	ms := time.Millisecond
 	tell := func(id policy.ServerID, each ...time.Duration) (load float64, told bool) {
 		for _, took := range each {
-			load, told = l.guess(l.servers[id], took)
+			load, told = l.estimateLoad(l.servers[id], took)
 		}
 		return load, told
 	}
@@ -207,12 +207,12 @@
 	}
 	for id, want := range map[policy.ServerID]float64{0: 1, 2: 2.5, 3: 0.7} { // of machines of 8, 3 and 12 ms
 		sv := l.servers[id]
-		sv.listedAs.Heft = 1
-		if got := sv.heft(); got < want/1.5 || got > want*1.5 {
+		sv.listed.Heft = 1
+		if got := sv.weight(); got < want/1.5 || got > want*1.5 {
 			t.Errorf("server %d of heft %v, wanted about %v", id, got, want)
 		}
 	}
-	l.servers[1].listedAs.Boot = l.start.Add(15 * time.Second)
+	l.servers[1].listed.Boot = l.startTime.Add(15 * time.Second)
 	if _, told := tell(1, 40*ms); told {
 		t.Error("a cold server's probes tell of its load")
 	}
@@ -225,37 +225,37 @@
 	ms := time.Millisecond
 	dep := &deployment.Deployment{Policy: &policy.Deployment{Peers: 2, MayProbe: true, ReportsOnAsk: true, MostTries: 3,
 		Grades: []policy.Grade{{SetupGoal: 300 * ms, MessageGoal: 250 * ms}}}}
-	l := &Loop{log: zap.NewNop(), bal: policy.New(dep.Policy, 7), start: time.Now(), servers: map[policy.ServerID]*server{}}
-	l.settings(dep)
+	l := &Loop{log: zap.NewNop(), policy: policy.New(dep.Policy, 7), startTime: time.Now(), servers: map[policy.ServerID]*upstream{}}
+	l.applySettings(dep)
 	var list []policy.Listed
 	for id := range policy.ServerID(4) {
-		l.servers[id] = &server{id: id, listedAs: discovery.Server{UID: fmt.Sprint(id), Heft: 1}}
+		l.servers[id] = &upstream{id: id, listed: discovery.Server{UID: fmt.Sprint(id), Heft: 1}}
 		list = append(list, policy.Listed{Server: id, Heft: 1, Started: policy.LongAgo})
 	}
-	l.bal.ListArrived(list, true)
+	l.policy.ListArrived(list, true)
 	tell := func(id policy.ServerID, took time.Duration) {
-		load, _ := l.guess(l.servers[id], took)
-		l.bal.Reported(id, policy.Report{Asked: load, Piled: -1, Util: -1})
+		load, _ := l.estimateLoad(l.servers[id], took)
+		l.policy.Reported(id, policy.Report{Asked: load, Piled: -1, Util: -1})
 	}
 	for id, took := range []time.Duration{47, 7, 8, 7} {
 		tell(policy.ServerID(id), took*ms)
 	}
 	next := func() (tries map[policy.ServerID]int, probed map[policy.ServerID]bool) {
 		tries, probed = map[policy.ServerID]int{}, map[policy.ServerID]bool{}
-		for d, ok := l.bal.Next(); ok; d, ok = l.bal.Next() {
+		for d, ok := l.policy.Next(); ok; d, ok = l.policy.Next() {
 			switch d.Do {
 			case policy.Try:
 				tries[d.Server]++
-				l.bal.SetUp(d.Circuit, 0, ms)
+				l.policy.SetUp(d.Circuit, 0, ms)
 			case policy.Probe:
 				probed[d.Server] = true
-				l.bal.ProbeAnswered(d.Server, policy.Succeeded)
+				l.policy.ProbeAnswered(d.Server, policy.Succeeded)
 			}
 		}
 		return tries, probed
 	}
 	for id := range policy.CircuitID(40) {
-		l.bal.CircuitArrived(policy.Arrival{ID: id + 1, Key: uint64(id + 1), Left: time.Second})
+		l.policy.CircuitArrived(policy.Arrival{ID: id + 1, Key: uint64(id + 1), Left: time.Second})
 	}
 	if tries, _ := next(); tries[0] > 0 || tries[1] == 0 || tries[2] == 0 || tries[3] == 0 {
 		t.Fatalf("%v", tries)
@@ -266,12 +266,12 @@
 		want bool
 	}{{7, false}, {8, false}, {28, true}} {
 		for probed := map[policy.ServerID]bool{}; !probed[1]; at += 10 * ms { // its own turn comes
-			l.bal.Clock(at)
+			l.policy.Clock(at)
 			l.now = at
 			_, probed = next()
 		}
 		tell(1, x.took*ms)
-		l.bal.Clock(at + 260*ms) // the next round: no turn of its own comes before 700 ms
+		l.policy.Clock(at + 260*ms) // the next round: no turn of its own comes before 700 ms
 		if _, probed := next(); probed[1] != x.want {
 			t.Fatalf("asked again after %d ms: %t", x.took, probed[1])
 		}
@@ -282,20 +282,20 @@
 // fast each machine is. With the middle kept as it first stood, all were taken for four times as fast as the middle.
 func TestAFewProbesTellTheMachinesPace(t *testing.T) {
 	dep := &deployment.Deployment{Policy: &policy.Deployment{Peers: 80, Grades: []policy.Grade{{MessageGoal: time.Second}}}}
-	l := &Loop{log: zap.NewNop(), bal: policy.New(dep.Policy, 7), start: time.Now(), servers: map[policy.ServerID]*server{}}
-	l.settings(dep)
+	l := &Loop{log: zap.NewNop(), policy: policy.New(dep.Policy, 7), startTime: time.Now(), servers: map[policy.ServerID]*upstream{}}
+	l.applySettings(dep)
 	took, want := []time.Duration{4, 4, 10, 10, 10, 10, 20}, []int{3, 3, 0, 0, 0, 0, -1} // none is under a quarter of the fastest
 	for i := range took {
-		l.servers[policy.ServerID(i)] = &server{id: policy.ServerID(i), listedAs: discovery.Server{UID: fmt.Sprint(i), Heft: 1}}
+		l.servers[policy.ServerID(i)] = &upstream{id: policy.ServerID(i), listed: discovery.Server{UID: fmt.Sprint(i), Heft: 1}}
 	}
 	for id := range policy.ServerID(5) {
-		l.guess(l.servers[id], 200*time.Millisecond)
+		l.estimateLoad(l.servers[id], 200*time.Millisecond)
 	}
 	for n := range 3 * len(took) {
-		l.guess(l.servers[policy.ServerID(n/3)], took[n/3]*time.Millisecond)
+		l.estimateLoad(l.servers[policy.ServerID(n/3)], took[n/3]*time.Millisecond)
 	}
 	for i := range want {
-		if got := l.servers[policy.ServerID(i)].pace; got != want[i] {
+		if got := l.servers[policy.ServerID(i)].speedStep; got != want[i] {
 			t.Errorf("server %d, whose probes take %d ms, has pace %d, not %d", i, took[i], got, want[i])
 		}
 	}
--- a/internal/balancer/planned_end_test.go
+++ b/internal/balancer/planned_end_test.go
@@ -168,9 +168,9 @@
 	y.client = near
 	u := &unread{fd: descriptor(t, far)}
 	t.Cleanup(func() { _ = u.Close() })
-	l.fds.Add(1)
-	y.c = adopt(u, l, &l.fds)
-	y.c.door = l.door
+	l.descriptors.Add(1)
+	y.c = newConn(u, l, &l.descriptors)
+	y.c.idle = l.idle
 	return y
 }
 
@@ -180,7 +180,7 @@
 	for i := range many {
 		all = append(all, discovery.Server{UID: fmt.Sprint("s-", i+1), Endpoint: y.s.ln.Addr().String(), Heft: 1, State: state})
 	}
-	y.l.list(discovery.List{Whole: true, Servers: all}, false)
+	y.l.applyList(discovery.List{Whole: true, Servers: all}, false)
 }
 
 // says has the loop read the client's line at its next turn.
@@ -189,7 +189,7 @@
 	if ln.Bad != nil {
 		y.t.Fatal(ln.Bad)
 	}
-	y.c.phase.Store(waiting)
+	y.c.phase.Store(expectNothing)
 	y.l.post(event{conn: y.c, lines: []protocol.Line{ln}})
 }
 
@@ -258,7 +258,7 @@
 // nothing waits until the loop has done with the client and wants nothing begun beside what was.
 func (y *leaver) nothing(attempts, lines int) {
 	y.t.Helper()
-	y.turns("no circuit is left", func() bool { return len(y.l.circuits) == 0 })
+	y.turns("no circuit is left", func() bool { return len(y.l.sessions) == 0 })
 	if n := y.s.attempts(); n != attempts {
 		y.t.Errorf("%d attempts, %d of them before it went", n, attempts)
 	}
@@ -271,19 +271,19 @@
 }
 
 // taken turns the loop until the client's circuit is in the table.
-func (y *leaver) taken() *circuit {
+func (y *leaver) taken() *session {
 	y.t.Helper()
 	y.says(fmt.Sprintf(asks, 1))
-	y.turns("it is taken", func() bool { return len(y.l.circuits) == 1 })
-	return y.l.circuits[y.l.last]
+	y.turns("it is taken", func() bool { return len(y.l.sessions) == 1 })
+	return y.l.sessions[y.l.lastSessionID]
 }
 
 // up has a try's connection come up and hides that from the loop.
-func (y *leaver) upUnseen() *circuit {
+func (y *leaver) upUnseen() *session {
 	y.t.Helper()
 	cir := y.taken()
 	y.cir = cir
-	y.until("the try's connection is up", func() bool { return y.take(func(ev event) bool { return ev.of == cir }) })
+	y.until("the try's connection is up", func() bool { return y.take(func(ev event) bool { return ev.session == cir }) })
 	return cir
 }
 
@@ -298,17 +298,17 @@
 			y := leaving(t, how, "")
 			y.says(fmt.Sprintf(asks, 1))
 			y.leave()
-			y.l.turn()
+			y.l.runOnce()
 			y.nothing(0, 0)
 		}},
 		{"between the decision and the dial", func(t *testing.T, how string) {
 			y := leaving(t, how, "")
 			y.says(fmt.Sprintf(asks, 1))
-			y.l.happened(y.l.inbox[0])
+			y.l.handleEvent(y.l.inbox[0])
 			y.l.inbox = nil
 			y.c.mu.Lock() // the last look is taken under it
-			y.l.turn()
-			if len(y.l.circuits) != 1 || y.l.circuits[y.l.last].tries != 1 {
+			y.l.runOnce()
+			if len(y.l.sessions) != 1 || y.l.sessions[y.l.lastSessionID].attempts != 1 {
 				t.Fatal("no try was decided")
 			}
 			y.leave()
@@ -317,16 +317,16 @@
 		}},
 		{"for its turn, until its server has told its load", func(t *testing.T, how string) {
 			y := leaving(t, how, "")
-			y.l.dep.Policy.MayProbe = true
-			y.l.bal.Reconfigure(onSockets(y.l.dep), []int{0}, nil)
+			y.l.deployment.Policy.MayProbe = true
+			y.l.policy.Reconfigure(withProbeReports(y.l.deployment), []int{0}, nil)
 			y.list(1, policy.Ready)
 			cir := y.taken()
-			if cir.tries != 0 {
+			if cir.attempts != 0 {
 				t.Fatal("it does not wait")
 			}
 			y.turns("the server is asked", func() bool { return y.s.told() == 1 })
 			y.leave()
-			y.turns("its turn comes", func() bool { return cir.tries == 1 })
+			y.turns("its turn comes", func() bool { return cir.attempts == 1 })
 			y.nothing(1, 1) // the probe
 		}},
 		{"for a try's answer, and another try follows", func(t *testing.T, how string) {
@@ -336,10 +336,10 @@
 			y.turns("the line is there", func() bool { return y.s.told() == 1 })
 			y.cir = cir
 			close(y.s.may)
-			y.until("the answer is here", func() bool { return y.has(func(ev event) bool { return ev.of == cir }) })
+			y.until("the answer is here", func() bool { return y.has(func(ev event) bool { return ev.session == cir }) })
 			y.leave()
-			y.l.turn()
-			if cir.tries < 2 {
+			y.l.runOnce()
+			if cir.attempts < 2 {
 				t.Fatal("no other try was decided")
 			}
 			y.nothing(1, 1)
@@ -349,9 +349,9 @@
 			y.list(3, policy.Ready)
 			cir := y.upUnseen()
 			y.leave()
-			y.l.tryEnded(cir, policy.ConnectFailed, nil)
-			y.l.turn()
-			if cir.tries < 2 {
+			y.l.attemptEnded(cir, policy.ConnectFailed, nil)
+			y.l.runOnce()
+			if cir.attempts < 2 {
 				t.Fatal("no other try was decided")
 			}
 			y.nothing(1, 0)
@@ -375,35 +375,35 @@
 		{"for discovery to be heard", func(t *testing.T, how string) {
 			y := leaving(t, how, "")
 			y.upUnseen()
-			y.l.hearBy = time.Hour
+			y.l.freshListDeadline = time.Hour
 			y.see()
-			if len(y.l.unsent) != 1 {
+			if len(y.l.deferred) != 1 {
 				t.Fatal("it does not wait")
 			}
 			y.leave()
-			y.l.hearBy = y.l.now
-			y.l.heardOf()
+			y.l.freshListDeadline = y.l.now
+			y.l.runDeferred()
 			y.nothing(1, 0)
 		}},
 		{"for the holders' promise", func(t *testing.T, how string) {
 			y := leaving(t, how, "")
 			cir := y.upUnseen()
-			cir.held = &held{asks: true}
+			cir.record = &idempotencyRecord{requesting: true}
 			y.see()
-			if cir.held.write == nil {
+			if cir.record.onWriteAllowed == nil {
 				t.Fatal("it does not wait")
 			}
 			y.leave()
-			y.l.promised(cir, cir.turn, fleet.Verdict{Verdict: idempotency.Go, Until: boottime.Now() + time.Hour})
+			y.l.writeDecided(cir, cir.generation, fleet.Verdict{Verdict: idempotency.Go, Until: boottime.Now() + time.Hour})
 			y.nothing(1, 0)
 		}},
 		{"to go back to its server", func(t *testing.T, how string) {
 			y := leaving(t, how, "")
 			y.says("OPEN 1 2 c=feed,d=20000,at=s-2\r\n") // which the list has later
-			y.turns("it is taken", func() bool { return len(y.l.circuits) == 1 })
+			y.turns("it is taken", func() bool { return len(y.l.sessions) == 1 })
 			y.leave()
 			y.list(2, policy.Ready)
-			y.l.stand(y.l.circuits[y.l.last])
+			y.l.reattach(y.l.sessions[y.l.lastSessionID])
 			y.nothing(0, 0)
 		}},
 	}
@@ -426,14 +426,14 @@
 			near, far := pipe(t)
 			fd := descriptor(t, far)
 			leave(t, how, near, fd)
-			y.l.takeClient(fd, fmt.Appendf(nil, asks, 2))
+			y.l.takeOverClient(fd, fmt.Appendf(nil, asks, 2))
 			y.l.mu.Lock()
 			y.l.inbox = y.l.inbox[:1]
 			if got := y.l.inbox[0].lines; len(got) != 1 || got[0].Kind != protocol.Open {
 				t.Errorf("%v", got)
 			}
 			y.l.mu.Unlock()
-			y.l.turn()
+			y.l.runOnce()
 			y.nothing(0, 0)
 		})
 	}
@@ -443,18 +443,18 @@
 func TestADialThatIsCancelledBeforeItBeginsDoesNot(t *testing.T) {
 	y := leaving(t, "end", "")
 	y.says(fmt.Sprintf(asks, 1))
-	y.l.happened(y.l.inbox[0])
+	y.l.handleEvent(y.l.inbox[0])
 	y.l.inbox = nil
 	y.c.mu.Lock() // the last look is taken under it
-	y.l.turn()
-	cir := y.l.circuits[y.l.last]
-	if cir == nil || cir.called == nil {
+	y.l.runOnce()
+	cir := y.l.sessions[y.l.lastSessionID]
+	if cir == nil || cir.dial == nil {
 		t.Fatal("no try was decided")
 	}
-	dialed := cir.called
-	cir.called.cancel()
+	dialed := cir.dial
+	cir.dial.cancel()
 	y.c.mu.Unlock()
-	y.turns("the dial is over", func() bool { return dialed.ended || dialed.conn.Load() != nil })
+	y.turns("the dial is over", func() bool { return dialed.finished || dialed.conn.Load() != nil })
 	if n := y.s.attempts(); n != 0 {
 		t.Errorf("%d attempts", n)
 	}
@@ -466,7 +466,7 @@
 	const many, tried = 5000, 1500
 	s := count(t, "BUSY\r\n")
 	l := alone(t, s.ln.Addr().String(), policy.Idempotent)
-	l.most = 3 * many
+	l.descriptorLimit = 3 * many
 	y := &leaver{crossing: &crossing{t: t, l: l}, s: s}
 	y.list(3, policy.Ready)
 	clients, conns := make([]*net.TCPConn, many), make([]*conn, many)
@@ -474,9 +474,9 @@
 		near, far := pipe(t)
 		u := &unread{fd: descriptor(t, far)}
 		t.Cleanup(func() { _ = u.Close() })
-		l.fds.Add(1)
-		y.c = adopt(u, l, &l.fds)
-		y.c.door = l.door
+		l.descriptors.Add(1)
+		y.c = newConn(u, l, &l.descriptors)
+		y.c.idle = l.idle
 		clients[i], conns[i] = near, y.c
 		y.says(fmt.Sprintf(asks, i+1))
 		if i == tried-1 {
@@ -501,15 +501,15 @@
 	}
 	time.Sleep(goneFor)
 	close(s.may)
-	y.cir = &circuit{}
+	y.cir = &session{}
 	y.until("the servers' answers are here", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return len(l.inbox) >= many
 	})
-	before := l.Tries.Load()
-	l.turn()
-	decided := l.Tries.Load() - before
+	before := l.Attempts.Load()
+	l.runOnce()
+	decided := l.Attempts.Load() - before
 	y.nothing(tried, tried)
 	if t.Logf("%d tries were decided for them", decided); decided < many-tried {
 		t.Error("too few to show anything")
--- a/internal/balancer/probe.go
+++ b/internal/balancer/probe.go
@@ -15,94 +15,94 @@
 
 // probe is one probe that is out.
 type probe struct {
-	at     *server
-	called *called
-	conn   *relay.Conn
-	ponged bool // answered, the report is still to come
-	done   bool
+	upstream *upstream
+	dial     *upstreamDial
+	conn     *relay.Conn
+	ponged   bool // answered, the report is still to come
+	done     bool
 }
 
-// probeWithin is how long a probe may take once its connection stands: as long as a set-up should.
-func (l *Loop) probeWithin() time.Duration {
+// probeTimeout is how long a probe may take once its connection stands: as long as a set-up should.
+func (l *Loop) probeTimeout() time.Duration {
 	goal := time.Duration(0)
-	for _, g := range l.dep.Policy.Grades {
+	for _, g := range l.deployment.Policy.Grades {
 		goal = max(goal, g.SetupGoal)
 	}
 	return goal
 }
 
-// ask starts a probe.
-func (l *Loop) ask(id policy.ServerID) {
+// startProbe starts a probe.
+func (l *Loop) startProbe(id policy.ServerID) {
 	l.Probes.Add(1)
-	p := &probe{at: l.servers[id]}
-	within := l.probeWithin()
-	p.called = l.dial(p.at.address, connectMost, nil, func(c *relay.Conn, err error) { l.probeDialed(p, c, err) })
-	p.called.said = func(_ *relay.Conn, ln protocol.Line) { l.probeLine(p, ln) }
-	p.called.gone = func(*relay.Conn, error) { l.probed(p, policy.Reset, nil) }
-	if limit := l.dep.ConnectWithin; limit > 0 {
+	p := &probe{upstream: l.servers[id]}
+	within := l.probeTimeout()
+	p.dial = l.dial(p.upstream.address, maxConnectTimeout, nil, func(c *relay.Conn, err error) { l.probeConnected(p, c, err) })
+	p.dial.onLine = func(_ *relay.Conn, ln protocol.Line) { l.handleProbeLine(p, ln) }
+	p.dial.onDisconnected = func(*relay.Conn, error) { l.finishProbe(p, policy.Reset, nil) }
+	if limit := l.deployment.ConnectWithin; limit > 0 {
 		within += limit
 	} else {
-		within += connectMost
+		within += maxConnectTimeout
 	}
-	l.after(within, func() { l.probed(p, policy.TimedOut, nil) })
+	l.after(within, func() { l.finishProbe(p, policy.TimedOut, nil) })
 }
 
-func (l *Loop) probeDialed(p *probe, c *relay.Conn, err error) {
+func (l *Loop) probeConnected(p *probe, c *relay.Conn, err error) {
 	if p.done {
 		if c != nil {
 			c.Close()
 		}
 		return
 	}
-	if p.conn = c; noRoom(err) { // guards against servers set aside because this balancer is full
-		l.NoRoom.Add(1)
-		l.probed(p, policy.NeverSent, nil)
+	if p.conn = c; isDescriptorShortage(err) { // guards against servers set aside because this balancer is full
+		l.DescriptorShortages.Add(1)
+		l.finishProbe(p, policy.NeverSent, nil)
 		return
 	}
 	if err != nil {
-		l.probed(p, policy.ConnectFailed, nil)
+		l.finishProbe(p, policy.ConnectFailed, nil)
 		return
 	}
 	text := protocol.PingLine
-	if l.dep.Policy.ReportsOnAsk {
+	if l.deployment.Policy.ReportsOnAsk {
 		text = protocol.AskLoad
 	}
-	if c.Early() != nil || c.Ask(text) != nil {
-		l.probed(p, policy.Reset, nil)
+	if c.CheckOpen() != nil || c.WriteFirst(text) != nil {
+		l.finishProbe(p, policy.Reset, nil)
 		return
 	}
-	c.Listen()
+	c.AwaitLine()
 }
 
-// probeLine takes an answer: PONG, with or before the load report, or anything else.
-func (l *Loop) probeLine(p *probe, ln protocol.Line) {
+// handleProbeLine takes an answer: PONG, with or before the load report, or anything else.
+func (l *Loop) handleProbeLine(p *probe, ln protocol.Line) {
 	switch {
 	case p.done:
 	case p.ponged:
-		l.probed(p, policy.Succeeded, ln.Report())
+		l.finishProbe(p, policy.Succeeded, ln.Report())
 	case ln.Kind != protocol.Pong || ln.Bad != nil:
-		l.probed(p, policy.Failed, nil)
-	case l.dep.Policy.ReportsOnAsk && len(ln.Fields) == 0:
+		l.finishProbe(p, policy.Failed, nil)
+	case l.deployment.Policy.ReportsOnAsk && len(ln.Fields) == 0:
 		p.ponged = true
-		p.conn.Listen()
+		p.conn.AwaitLine()
 	default:
-		l.probed(p, policy.Succeeded, ln.Fields)
+		l.finishProbe(p, policy.Succeeded, ln.Fields)
 	}
 }
 
-// probed tells the module how a probe ended.
-func (l *Loop) probed(p *probe, how policy.Outcome, fields map[string]float64) {
+// finishProbe tells the module how a probe ended.
+func (l *Loop) finishProbe(p *probe, how policy.Outcome, fields map[string]float64) {
 	if p.done {
 		return
 	}
 	p.done = true
-	p.called.cancel()
+	p.dial.cancel()
 	if p.ponged {
 		how = policy.Succeeded
 	}
-	l.bal.ProbeAnswered(p.at.id, how)
+	l.policy.ProbeAnswered(p.upstream.id, how)
 	report := policy.NoReport
-	for _, name := range l.dep.ReportFields {
+	for _, name := range l.deployment.ReportFields {
 		v, told := fields[name]
 		switch {
 		case !told:
@@ -114,13 +114,13 @@
 			report.Util = v
 		}
 	}
-	if !l.dep.Policy.ReportsOnAsk && how == policy.Succeeded {
-		took := p.conn.Took()
-		if load, told := l.guess(p.at, took); told {
+	if !l.deployment.Policy.ReportsOnAsk && how == policy.Succeeded {
+		took := p.conn.ResponseTime()
+		if load, told := l.estimateLoad(p.upstream, took); told {
 			report.Asked = load
-			l.log.Debug("guess", zap.String("server", p.at.listedAs.UID), zap.Float64("load", load),
+			l.log.Debug("guess", zap.String("server", p.upstream.listed.UID), zap.Float64("load", load),
 				zap.Duration("took", took))
 		}
 	}
-	l.bal.Reported(p.at.id, report)
+	l.policy.Reported(p.upstream.id, report)
 }
--- a/internal/balancer/race_test.go
+++ b/internal/balancer/race_test.go
@@ -32,7 +32,7 @@
 type crossing struct {
 	t      *testing.T
 	l      *Loop
-	cir    *circuit
+	cir    *session
 	client net.Conn    // the client's end
 	up     *relay.Conn // to the server
 	asked  chan string // the server's first line
@@ -115,17 +115,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.fds.Add(1)
-	c := adopt(nc, l, &l.fds)
-	c.door = l.door
-	_ = nc.SetOnRequest(c.onRequest)
+	l.descriptors.Add(1)
+	c := newConn(nc, l, &l.descriptors)
+	c.idle = l.idle
+	_ = nc.SetOnRequest(c.onReadable)
 	x.client = near
 	_, _ = io.WriteString(near, "OPEN 1 2 c=feed,d=20000\r\n")
 	x.until("the try's connection is up", func() bool {
-		if cir := l.circuits[1]; cir != nil {
+		if cir := l.sessions[1]; cir != nil {
 			x.cir = cir
 			// Its event stands in the inbox and is taken out: the test says when it is seen.
-			return x.take(func(ev event) bool { return ev.of == cir })
+			return x.take(func(ev event) bool { return ev.session == cir })
 		}
 		return false
 	})
@@ -139,7 +139,7 @@
 		select {
 		case <-x.l.wake:
 			if x.cir == nil {
-				x.l.turn()
+				x.l.runOnce()
 			}
 		case <-time.After(time.Millisecond):
 		case <-end:
@@ -158,13 +158,13 @@
 		case <-end:
 			x.t.Fatalf("not so within %v: %s", crossBound, what)
 		}
-		x.l.turn()
+		x.l.runOnce()
 	}
 }
 
 // take takes an event out of the inbox.
 func (x *crossing) take(is func(event) bool) bool {
-	if x.up = x.cir.called.conn.Load(); x.up == nil { // it may be up before who dials knows it
+	if x.up = x.cir.dial.conn.Load(); x.up == nil { // it may be up before who dials knows it
 		return false
 	}
 	x.l.mu.Lock()
@@ -192,9 +192,9 @@
 
 // see has the loop see that the try's connection is up, as its event would.
 func (x *crossing) see() {
-	x.cir.called.ended = true
-	x.l.now = time.Since(x.l.start)
-	x.l.dialed(x.cir, x.cir.turn, x.up, nil)
+	x.cir.dial.finished = true
+	x.l.now = time.Since(x.l.startTime)
+	x.l.upstreamDialed(x.cir, x.cir.generation, x.up, nil)
 }
 
 // settled turns the loop until the server's connection has ended, and answers what the server was told.
@@ -203,7 +203,7 @@
 	for end := time.After(crossBound); ; {
 		select {
 		case <-x.l.wake:
-			x.l.turn()
+			x.l.runOnce()
 		case got := <-x.told:
 			return got
 		case <-end:
@@ -232,12 +232,12 @@
 				_ = tcp.Close()
 			}
 			c := x.cir.client
-			x.until("its end is here", func() bool { return x.has(func(ev event) bool { return ev.conn == c && ev.broken != nil }) })
+			x.until("its end is here", func() bool { return x.has(func(ev event) bool { return ev.conn == c && ev.disconnect != nil }) })
 			x.see()
 			if got := x.settled(); got != "" {
 				t.Errorf("the server was told %q", got)
 			}
-			if n := len(x.l.circuits); n != 0 {
+			if n := len(x.l.sessions); n != 0 {
 				t.Errorf("%d circuits are left", n)
 			}
 		})
@@ -247,12 +247,12 @@
 // TestATryWhoseTimeIsUpIsNotSent has the process stopped while a connection comes up, past the try's time: it is seen first.
 func TestATryWhoseTimeIsUpIsNotSent(t *testing.T) {
 	x := cross(t, policy.Unrepeatable)
-	x.cir.giveUp = time.Since(x.l.start)
+	x.cir.attemptDeadline = time.Since(x.l.startTime)
 	x.see()
 	if got := x.settled(); got != "" {
 		t.Errorf("the server was told %q", got)
 	}
-	if n := x.l.Ended[policy.NeverSent].Load(); n != 1 {
+	if n := x.l.Outcomes[policy.NeverSent].Load(); n != 1 {
 		t.Errorf("%d ended as never sent", n)
 	}
 }
@@ -265,8 +265,8 @@
 	c.mu.Lock() // it looks at the client last
 	x.see()
 	held := time.Now()
-	x.l.list(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.at.address, Heft: 1, State: policy.Draining}}}, false)
-	x.until("the look is old", func() bool { return time.Since(held) > lookFresh })
+	x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.upstream.address, Heft: 1, State: policy.Draining}}}, false)
+	x.until("the look is old", func() bool { return time.Since(held) > maxCheckAge })
 	c.mu.Unlock()
 	if got := x.settled(); got != "" {
 		t.Errorf("a draining server was told %q", got)
@@ -292,23 +292,23 @@
 			if silent {
 				agent.Misbehave(emulator.Mute)
 			}
-			agent.Set(emulator.Entry{UID: "s-1", Endpoint: x.cir.at.address, State: emulator.Terminating, Heft: 1})
+			agent.Set(emulator.Entry{UID: "s-1", Endpoint: x.cir.upstream.address, State: emulator.Terminating, Heft: 1})
 			ctx, stop := context.WithCancel(context.Background())
 			t.Cleanup(stop)
 			heard := x.l.Lists.Load()
 			if stalled { // the loop was there before: it is followed already, and its newest word is not in yet
 				x.l.watch = discovery.New(agent.Addr(), 1, false, func(list discovery.List) {
-					x.l.post(event{do: func() { x.l.list(list, false) }})
+					x.l.post(event{run: func() { x.l.applyList(list, false) }})
 				}, func(err error) {})
-				x.l.start = x.l.start.Add(-2 * time.Second) // stopped for so long, and the try's time is not up
-				x.l.post(event{do: x.see})
+				x.l.startTime = x.l.startTime.Add(-2 * time.Second) // stopped for so long, and the try's time is not up
+				x.l.post(event{run: x.see})
 			} else {
-				x.l.Follow(ctx, agent.Addr())
-				x.l.post(event{do: x.see})
+				x.l.FollowDiscovery(ctx, agent.Addr())
+				x.l.post(event{run: x.see})
 			}
-			x.l.turn()
-			if x.l.Lists.Load() != heard || len(x.l.unsent) != 1 {
-				t.Fatalf("%d lists heard before, %d lines wait", x.l.Lists.Load()-heard, len(x.l.unsent))
+			x.l.runOnce()
+			if x.l.Lists.Load() != heard || len(x.l.deferred) != 1 {
+				t.Fatalf("%d lists heard before, %d lines wait", x.l.Lists.Load()-heard, len(x.l.deferred))
 			}
 			if stalled {
 				go x.l.watch.Run(ctx)
@@ -332,17 +332,17 @@
 	c.mu.Lock()
 	c.writing = true // a writer that hangs looks the same: the hand-over has to wait
 	c.mu.Unlock()
-	x.cir.called.ended, x.cir.called, x.cir.server = true, nil, x.up
-	x.l.now = time.Since(x.l.start)
-	x.l.stands(x.cir, protocol.Decode([]byte("UP 1\r\n")))
+	x.cir.dial.finished, x.cir.dial, x.cir.upstreamConn = true, nil, x.up
+	x.l.now = time.Since(x.l.startTime)
+	x.l.sessionEstablished(x.cir, protocol.Decode([]byte("UP 1\r\n")))
 	began := time.Now()
-	x.turns("it is tried no more", func() bool { return len(x.l.circuits) == 0 })
-	if took := time.Since(began); took < pairWithin/2 {
+	x.turns("it is tried no more", func() bool { return len(x.l.sessions) == 0 })
+	if took := time.Since(began); took < relayStartTimeout/2 {
 		t.Errorf("given up after %v", took)
 	}
 	c.mu.Lock()
-	if got := string(c.out); got != "ERR\r\n" || !c.ending {
-		t.Errorf("the client gets %q, ending %v", got, c.ending)
+	if got := string(c.outgoing); got != "ERR\r\n" || !c.closingWrite {
+		t.Errorf("the client gets %q, ending %v", got, c.closingWrite)
 	}
 	c.mu.Unlock()
 	if got := x.settled(); got != "" {
@@ -368,12 +368,12 @@
 		}, "UP 1\r\nM 1\r\nUP 2\r\nBYE\r\n"},
 		{"the server resets", func(_ *crossing, server net.Conn) { _ = server.(*net.TCPConn).SetLinger(0); server.Close() }, "?"},
 		{"the server drains", func(x *crossing, _ net.Conn) {
-			x.l.post(event{do: func() {
-				x.l.list(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.at.address, Heft: 1, State: policy.Draining},
-					{UID: "s-2", Endpoint: x.cir.at.address, Heft: 1}}}, false) // nobody is moved to nowhere
+			x.l.post(event{run: func() {
+				x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.upstream.address, Heft: 1, State: policy.Draining},
+					{UID: "s-2", Endpoint: x.cir.upstream.address, Heft: 1}}}, false) // nobody is moved to nowhere
 			}})
 		}, "UP 1\r\nMOVE\r\n"},
-		{"the process is told to end", func(x *crossing, _ net.Conn) { x.l.Leave(0, 100*time.Millisecond, func() {}) }, "UP 1\r\nMOVE\r\n"},
+		{"the process is told to end", func(x *crossing, _ net.Conn) { x.l.Shutdown(0, 100*time.Millisecond, func() {}) }, "UP 1\r\nMOVE\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := cross(t, policy.Idempotent)
@@ -385,15 +385,15 @@
 			conn := x.cir.client
 			conn.mu.Lock() // the hand-over waits for it
 			x.until("it stands", func() bool {
-				if !x.cir.open {
-					x.l.turn()
+				if !x.cir.established {
+					x.l.runOnce()
 				}
-				return x.cir.open
+				return x.cir.established
 			})
 			c.do(x, server)
 			if c.after != "" {
 				for range 3 { // what has been posted is taken in while the hand-over waits
-					x.l.turn()
+					x.l.runOnce()
 				}
 			}
 			conn.mu.Unlock()
@@ -403,7 +403,7 @@
 				all, _ := io.ReadAll(x.client)
 				got <- string(all)
 			}()
-			x.turns("no circuit and no descriptor is left", func() bool { return len(x.l.circuits) == 0 && x.l.fds.Load() == 0 })
+			x.turns("no circuit and no descriptor is left", func() bool { return len(x.l.sessions) == 0 && x.l.descriptors.Load() == 0 })
 			if text := <-got; c.after != "?" && c.after != "" && text != c.after {
 				t.Errorf("the client got %q", text)
 			}
@@ -411,8 +411,8 @@
 			if _, err := io.ReadAll(server); err != nil && strings.Contains(err.Error(), "timeout") {
 				t.Error("the server's side is open")
 			}
-			if n := x.l.Panics.Load(); n != 0 || x.l.open != 0 {
-				t.Errorf("%d panics, %d open", n, x.l.open)
+			if n := x.l.Panics.Load(); n != 0 || x.l.openSessions != 0 {
+				t.Errorf("%d panics, %d open", n, x.l.openSessions)
 			}
 		})
 	}
@@ -422,14 +422,14 @@
 // nacked, as trying again is harmless.
 func TestATryThatNeverWentOutHasNotRun(t *testing.T) {
 	x := cross(t, policy.Unrepeatable)
-	x.l.hearBy = time.Hour // discovery is waited for
+	x.l.freshListDeadline = time.Hour // discovery is waited for
 	x.see()
-	x.l.start = x.l.start.Add(-x.cir.giveUp)
-	x.l.turn()
+	x.l.startTime = x.l.startTime.Add(-x.cir.attemptDeadline)
+	x.l.runOnce()
 	if got := x.settled(); got != "" {
 		t.Errorf("the server was told %q", got)
 	}
-	x.l.turn()
+	x.l.runOnce()
 	_ = x.client.SetReadDeadline(time.Now().Add(crossBound))
 	if got, err := bufio.NewReader(x.client).ReadString('\n'); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("the client got %q, %v", got, err)
@@ -444,7 +444,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.fds.Store(l.mostFds())
+	l.descriptors.Store(l.availableDescriptors())
 	door, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -483,18 +483,18 @@
 		{"the server ends", false, func(_ *crossing, server *net.TCPConn) { _ = server.CloseWrite() }},
 		{"the server resets", false, func(_ *crossing, server *net.TCPConn) { _ = server.SetLinger(0); server.Close() }},
 		{"the server drains", false, func(x *crossing, _ *net.TCPConn) {
-			x.l.post(event{do: func() {
-				x.l.list(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.at.address, Heft: 1, State: policy.Draining}}}, false)
+			x.l.post(event{run: func() {
+				x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.upstream.address, Heft: 1, State: policy.Draining}}}, false)
 			}})
 		}},
 		{"the try's time is up", false, func(x *crossing, _ *net.TCPConn) {
-			x.l.post(event{do: func() {
-				if x.l.circuits[x.cir.id] == x.cir && x.cir.out {
-					x.l.timeIsUp(x.cir, nil)
+			x.l.post(event{run: func() {
+				if x.l.sessions[x.cir.id] == x.cir && x.cir.attemptActive {
+					x.l.attemptTimedOut(x.cir, nil)
 				}
 			}})
 		}},
-		{"the process is told to end", false, func(x *crossing, _ *net.TCPConn) { x.l.Leave(0, 20*time.Millisecond, func() {}) }},
+		{"the process is told to end", false, func(x *crossing, _ *net.TCPConn) { x.l.Shutdown(0, 20*time.Millisecond, func() {}) }},
 	}
 	for _, effect := range []policy.Effect{policy.Idempotent, policy.Unrepeatable} {
 		for _, first := range acts {
@@ -512,10 +512,10 @@
 					asked := len(x.asked)
 					for _, a := range []act{first, second} {
 						if a.do(x, server); !a.left {
-							x.l.turn() // with what is here by now, or the next time
+							x.l.runOnce() // with what is here by now, or the next time
 						}
 					}
-					x.l.Leave(0, 20*time.Millisecond, func() {})
+					x.l.Shutdown(0, 20*time.Millisecond, func() {})
 					var got []byte
 					var err error
 					var over atomic.Bool
@@ -525,12 +525,12 @@
 							got, err = io.ReadAll(x.client)
 						}
 					}()
-					x.turns("no circuit is left, and its client has an end", func() bool { return over.Load() && len(x.l.circuits) == 0 })
+					x.turns("no circuit is left, and its client has an end", func() bool { return over.Load() && len(x.l.sessions) == 0 })
 					if n := len(x.asked) - asked; n > 0 && effect == policy.Unrepeatable && first.name != "turned away" && second.name != "turned away" {
 						t.Errorf("asked %d times more, and it may have run", n)
 					}
-					if n := x.l.Panics.Load(); n != 0 || x.l.open != 0 || len(x.l.byAsk) != 0 {
-						t.Errorf("%d panics, %d open, %d ids", n, x.l.open, len(x.l.byAsk))
+					if n := x.l.Panics.Load(); n != 0 || x.l.openSessions != 0 || len(x.l.sessionsByClientID) != 0 {
+						t.Errorf("%d panics, %d open, %d ids", n, x.l.openSessions, len(x.l.sessionsByClientID))
 					}
 					if first.left || second.left {
 						return
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -17,20 +17,20 @@
 	"sabletally/policy"
 )
 
-// onSockets is what the module goes by here: where servers report no load a probe's time tells of it, which is a
+// withProbeReports is what the module goes by here: where servers report no load a probe's time tells of it, which is a
 // report all the same.
-func onSockets(dep *deployment.Deployment) *policy.Deployment {
+func withProbeReports(dep *deployment.Deployment) *policy.Deployment {
 	p := *dep.Policy
 	p.ReportsOnAsk = p.MayProbe
 	return &p
 }
 
-// settings has a deployment hold for the loop itself.
-func (l *Loop) settings(dep *deployment.Deployment) {
-	l.dep, l.goal = dep, 0
+// applySettings has a deployment hold for the loop itself.
+func (l *Loop) applySettings(dep *deployment.Deployment) {
+	l.deployment, l.messageObjective = dep, 0
 	for _, g := range dep.Policy.Grades {
-		if g.MessageGoal > 0 && (l.goal == 0 || g.MessageGoal < l.goal) {
-			l.goal = g.MessageGoal
+		if g.MessageGoal > 0 && (l.messageObjective == 0 || g.MessageGoal < l.messageObjective) {
+			l.messageObjective = g.MessageGoal
 		}
 	}
 }
@@ -40,47 +40,47 @@
 // a first line that the loop has not read yet is taken by the new ones. It waits for that turn, so the loop must run. An
 // error means that all is as before.
 func (l *Loop) Reconfigure(dep *deployment.Deployment, at deployment.Peers) error {
-	was, known := l.linked, []netip.AddrPort(nil)
+	was, known := l.openedGossip, []netip.AddrPort(nil)
 	if was != nil {
 		known = was.Known()
 	}
-	link, err := l.connect(dep, at)
+	link, err := l.openGossip(dep, at)
 	if err != nil {
 		return err
 	}
 	done := make(chan error, 1)
-	l.post(event{do: func() {
+	l.post(event{run: func() {
 		err := errPanic // a panic here is the loop's to catch; guards against a caller that waits for ever
 		defer func() { done <- err }()
-		if err = l.refuses(dep); err != nil {
+		if err = l.checkReplaceable(dep); err != nil {
 			return
 		}
 		err = errPanic
-		grades, tenants := rows(l.dep.Grades, dep.Grades), rows(l.dep.Tenants, dep.Tenants)
-		for _, cir := range l.circuits {
+		grades, tenants := mapIndices(l.deployment.Grades, dep.Grades), mapIndices(l.deployment.Tenants, dep.Tenants)
+		for _, cir := range l.sessions {
 			cir.arrival.Grade = policy.Moved(grades, cir.arrival.Grade, len(dep.Grades))
 			cir.arrival.Tenant = policy.Moved(tenants, cir.arrival.Tenant, len(dep.Tenants))
 		}
-		l.settings(dep)
-		l.bal.Reconfigure(onSockets(dep), grades, tenants)
-		if l.link != nil && l.link != link {
-			l.link.Close()
+		l.applySettings(dep)
+		l.policy.Reconfigure(withProbeReports(dep), grades, tenants)
+		if l.gossip != nil && l.gossip != link {
+			l.gossip.Close()
 		}
-		l.link = link
+		l.gossip = link
 		// The list again: its zones have other numbers now.
 		again := discovery.List{Whole: true}
 		for _, sv := range l.servers {
 			if sv.state != policy.Gone {
-				again.Servers = append(again.Servers, sv.listedAs)
+				again.Servers = append(again.Servers, sv.listed)
 			}
 		}
 		slices.SortFunc(again.Servers, func(x, y discovery.Server) int { return cmp.Compare(x.UID, y.UID) })
-		l.list(again, true)
-		l.log.Info("settings", zap.Int("held", len(l.circuits)), zap.Int("open", l.open), zap.Bool("told", link != nil))
+		l.applyList(again, true)
+		l.log.Info("settings", zap.Int("held", len(l.sessions)), zap.Int("open", l.openSessions), zap.Bool("told", link != nil))
 		err = nil
 	}})
 	if err = <-done; err != nil {
-		if l.linked = was; link != was && link != nil {
+		if l.openedGossip = was; link != was && link != nil {
 			link.Close()
 		} else if link != nil {
 			link.Know(known)
@@ -89,11 +89,11 @@
 	return err
 }
 
-// refuses tells why new settings can't hold while what there is stands: nil where they can.
-func (l *Loop) refuses(dep *deployment.Deployment) error {
+// checkReplaceable tells why new settings can't hold while what there is stands: nil where they can.
+func (l *Loop) checkReplaceable(dep *deployment.Deployment) error {
 	for _, sv := range l.servers {
-		zone := sv.listedAs.Zone
-		_, was := l.dep.Zones[zone]
+		zone := sv.listed.Zone
+		_, was := l.deployment.Zones[zone]
 		if _, stays := dep.Zones[zone]; sv.state != policy.Gone && was && !stays {
 			return fmt.Errorf("settings.Areas: %q is gone, and servers stand there", zone)
 		}
@@ -101,25 +101,25 @@
 	return nil
 }
 
-// connect opens the link to the other balancers, or takes the one that there is where it listens at the same address.
+// openGossip opens the link to the other balancers, or takes the one that there is where it listens at the same address.
 // It is called by one goroutine, which is not the loop's.
-func (l *Loop) connect(dep *deployment.Deployment, at deployment.Peers) (*loadgossip.Link, error) {
+func (l *Loop) openGossip(dep *deployment.Deployment, at deployment.Peers) (*loadgossip.Link, error) {
 	if !dep.Policy.MayTell {
-		l.linked = nil
+		l.openedGossip = nil
 		return nil, nil
 	}
-	if l.linked != nil && l.linked.At() == at.Listen {
-		l.linked.Know(at.Others)
-		return l.linked, nil
+	if l.openedGossip != nil && l.openedGossip.At() == at.Listen {
+		l.openedGossip.Know(at.Others)
+		return l.openedGossip, nil
 	}
 	var link *loadgossip.Link
 	ready := make(chan struct{})
-	counts := &loadgossip.Counts{Sent: &l.Sent, Heard: &l.Heard, Dropped: &l.Dropped}
-	link, err := loadgossip.Open(at.Listen, l.shared, at.Others, counts, func(from int, t policy.Told, done func()) {
+	counts := &loadgossip.Counts{Sent: &l.GossipSent, Heard: &l.GossipReceived, Dropped: &l.GossipDropped}
+	link, err := loadgossip.Open(at.Listen, l.sharesListener, at.Others, counts, func(from int, t policy.Told, done func()) {
 		<-ready
-		l.post(event{do: func() {
-			if done(); l.link == link {
-				l.bal.PeerTold(from, t)
+		l.post(event{run: func() {
+			if done(); l.gossip == link {
+				l.policy.PeerTold(from, t)
 			}
 		}})
 	})
@@ -127,12 +127,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
-	l.linked = link
+	l.openedGossip = link
 	return link, nil
 }
 
-// rows tells the new place of each old name, -1 for one that is gone.
-func rows(was, now map[string]int) []int {
+// mapIndices tells the new place of each old name, -1 for one that is gone.
+func mapIndices(was, now map[string]int) []int {
 	all := make([]int, len(was))
 	for name, i := range was {
 		all[i] = -1
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -15,30 +15,30 @@
 // goldenMessages has one message of each kind, with every field set, in the order of testdata/messages.jsonl.
 func goldenMessages() []Message {
 	return []Message{
-		{V: version, Kind: Hello, Known: &Known{
-			Out: true,
-			Servers: []Probed{
-				{UID: "s-1", Boot: 1700000000123, Last: 3 * time.Millisecond, Before: 5 * time.Millisecond,
-					Low: []time.Duration{time.Millisecond, 2 * time.Millisecond, 3 * time.Millisecond}, Pace: -2},
+		{Version: protocolVersion, Kind: Hello, State: &State{
+			OutOfService: true,
+			Servers: []ProbeTimes{
+				{UID: "s-1", BootMillis: 1700000000123, Last: 3 * time.Millisecond, Previous: 5 * time.Millisecond,
+					Shortest: []time.Duration{time.Millisecond, 2 * time.Millisecond, 3 * time.Millisecond}, SpeedStep: -2},
 				{UID: "s-2"},
 			},
 		}},
-		{V: version, Kind: Hello, Known: &Known{}},
-		{V: version, Kind: Ready, Confirms: true},
-		{V: version, Kind: Ready},
-		{V: version, Kind: Descriptors, Descriptors: 321},
-		{V: version, Kind: Circuit, First: []byte("OPEN 1 2 c=feed,d=20000\r\n"), At: "s-1", Load: 7.25, Pair: &relay.Passed{
-			Client:   relay.End{FD: 7, Held: []byte("half"), Out: []byte("waits\r\n")},
-			Server:   relay.End{FD: 8, Held: []byte("part"), Out: []byte("more\r\n")},
-			Byed:     true,
-			Moved:    true,
-			AskedAgo: time.Second,
-			HeardAgo: 1500 * time.Millisecond,
+		{Version: protocolVersion, Kind: Hello, State: &State{}},
+		{Version: protocolVersion, Kind: Ready, Confirms: true},
+		{Version: protocolVersion, Kind: Ready},
+		{Version: protocolVersion, Kind: DescriptorCount, DescriptorCount: 321},
+		{Version: protocolVersion, Kind: Session, Input: []byte("OPEN 1 2 c=feed,d=20000\r\n"), ServerUID: "s-1", Load: 7.25, Pair: &relay.PairState{
+			Client:        relay.ConnState{FD: 7, Partial: []byte("half"), Unwritten: []byte("waits\r\n")},
+			Server:        relay.ConnState{FD: 8, Partial: []byte("part"), Unwritten: []byte("more\r\n")},
+			Completed:     true,
+			MoveRequested: true,
+			RequestAge:    time.Second,
+			LastLineAge:   1500 * time.Millisecond,
 		}},
-		{V: version, Kind: Circuit, Pair: &relay.Passed{}},
-		{V: version, Kind: Client, First: []byte("PING\r\nOP")},
-		{V: version, Kind: Client},
-		{V: version, Kind: taken},
+		{Version: protocolVersion, Kind: Session, Pair: &relay.PairState{}},
+		{Version: protocolVersion, Kind: Client, Input: []byte("PING\r\nOP")},
+		{Version: protocolVersion, Kind: Client},
+		{Version: protocolVersion, Kind: confirmation},
 	}
 }
 
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -21,76 +21,77 @@
 )
 
 const (
-	version    = 1
-	pathMost   = 107                    // bytes of a socket's path, by the kernel
-	textMost   = 160 << 10              // bytes of a message: a circuit's waiting lines are most of it
-	fdsMost    = 2                      // descriptors of a message
-	onTheWay   = 16                     // messages with descriptors that are not taken yet: the kernel counts those too
-	takeFor    = 700 * time.Millisecond // nothing more is sent to one that takes nothing for so long: lines may be held for a second
-	confirmFor = 2 * time.Second        // after that: what it was sent is its own then, whether it says so or not
-	sendBuffer = 512 << 10
-
-	acceptPause = 50 * time.Millisecond // after a link could not be taken
+	protocolVersion   = 1
+	maxSocketPath     = 107                    // bytes of a socket's path, by the kernel
+	maxMessageSize    = 160 << 10              // bytes of a message: a circuit's waiting lines are most of it
+	maxDescriptors    = 2                      // descriptors of a message
+	maxUnconfirmed    = 16                     // messages with descriptors that are not taken yet: the kernel counts those too
+	confirmTimeout    = 700 * time.Millisecond // nothing more is sent to one that takes nothing for so long: lines may be held for a second
+	silentPeerTimeout = 2 * time.Second        // after that: what it was sent is its own then, whether it says so or not
+	sendBufferSize    = 512 << 10
+
+	acceptRetryDelay = 50 * time.Millisecond // after a link could not be taken
 )
 
 // Kind tells messages apart.
 type Kind uint8
 
 const (
-	Hello       Kind = 1 + iota // old to new, once: what is slow to learn
-	Ready                       // new to old: it may be passed what is held
-	Descriptors                 // both ways: how many are held
-	Circuit                     // old to new: one that stands, with both its descriptors
-	Client                      // old to new: one without a circuit, with its descriptor
-	taken                       // new to old: one of these two has come
+	Hello           Kind = 1 + iota // old to new, once: what is slow to learn
+	Ready                           // new to old: it may be passed what is held
+	DescriptorCount                 // both ways: how many are held
+	Session                         // old to new: one that stands, with both its descriptors
+	Client                          // old to new: one without a circuit, with its descriptor
+	confirmation                    // new to old: one of these two has come
 )
 
 // Outcome is what became of a message with descriptors.
 type Outcome uint8
 
 const (
-	Taken Outcome = iota // the other process has confirmed it: it is its own
-	Back                 // it neither has it nor ever will: the descriptors are the caller's again
-	Left                 // it was sent it, and has neither confirmed nor ended in time: it may take it yet
+	Confirmed   Outcome = iota // the other process has confirmed it: it is its own
+	Returned                   // it neither has it nor ever will: the descriptors are the caller's again
+	Unconfirmed                // it was sent it, and has neither confirmed nor ended in time: it may take it yet
 )
 
 // Message is what one process tells the other.
 type Message struct {
-	V           int
-	Kind        Kind
-	Known       *Known        `json:",omitempty"`
-	Descriptors int64         `json:",omitempty"`
-	Confirms    bool          `json:",omitempty"` // with Ready: this process confirms what comes before it takes it
-	First       []byte        `json:",omitempty"` // a circuit's first line, whole; what a client has sent so far
-	At          string        `json:",omitempty"` // a circuit's server
-	Load        float64       `json:",omitempty"`
-	Pair        *relay.Passed `json:",omitempty"`
+	Version         int              `json:"V"`
+	Kind            Kind             `json:"Kind"`
+	State           *State           `json:"Known,omitempty"`
+	DescriptorCount int64            `json:"Descriptors,omitempty"`
+	Confirms        bool             `json:"Confirms,omitempty"` // with Ready: this process confirms what comes before it takes it
+	Input           []byte           `json:"First,omitempty"`    // a circuit's first line, whole; what a client has sent so far
+	ServerUID       string           `json:"At,omitempty"`       // a circuit's server
+	Load            float64          `json:"Load,omitempty"`
+	Pair            *relay.PairState `json:"Pair,omitempty"`
 }
 
-// Known is what a new process would learn slowly.
-type Known struct {
-	Out     bool // an operator has taken the balancer out of service
-	Servers []Probed
+// State is what a new process would learn slowly.
+type State struct {
+	OutOfService bool         `json:"Out"` // an operator has taken the balancer out of service
+	Servers      []ProbeTimes `json:"Servers"`
 }
 
-// Probed is what probes of a server have taken.
-type Probed struct {
-	UID          string
-	Boot         int64 // of its process, Unix time in milliseconds; 0 for long ago
-	Last, Before time.Duration
-	Low          []time.Duration
-	Pace         int
+// ProbeTimes is what probes of a server have taken.
+type ProbeTimes struct {
+	UID        string          `json:"UID"`
+	BootMillis int64           `json:"Boot"` // of its process, Unix time in milliseconds; 0 for long ago
+	Last       time.Duration   `json:"Last"`
+	Previous   time.Duration   `json:"Before"`
+	Shortest   []time.Duration `json:"Low"`
+	SpeedStep  int             `json:"Pace"`
 }
 
-// Path is where the processes of a balancer meet in a directory; an error where there can be no socket.
-func Path(dir, name string) (string, error) {
+// SocketPath is where the processes of a balancer meet in a directory; an error where there can be no socket.
+func SocketPath(dir, name string) (string, error) {
 	path := filepath.Join(dir, "sabletally-"+name+".sock")
 	switch {
 	case dir == "":
 		return "", errors.New("TMPDIR is not told")
 	case filepath.Base(path) != "sabletally-"+name+".sock":
 		return "", fmt.Errorf("%q is no name of a file", name)
-	case len(path) > pathMost:
+	case len(path) > maxSocketPath:
 		return "", fmt.Errorf("%s is longer than a socket's path may be", path)
 	}
 	return path, nil
@@ -102,28 +103,28 @@
 	heed func(*Link, Message, []int)
 	gone func(*Link, error)
 
-	mu          sync.Mutex
-	queue       []item
-	unconfirmed []item  // were sent, oldest first: their descriptors stay open here until the other process has confirmed
-	ended       bool    // nothing more is sent
-	readAll     bool    // nothing is confirmed any more,
-	rest        Outcome // and this became of what is not
-	wake        *sync.Cond
-	late        *time.Timer // runs while something is unconfirmed
-	once        sync.Once
+	mu           sync.Mutex
+	queue        []outbound
+	unconfirmed  []outbound // were sent, oldest first: their descriptors stay open here until the other process has confirmed
+	sendClosed   bool       // nothing more is sent
+	readDone     bool       // nothing is confirmed any more,
+	finalOutcome Outcome    // and this became of what is not
+	changed      *sync.Cond
+	confirmTimer *time.Timer // runs while something is unconfirmed
+	closeOnce    sync.Once
 }
 
-// item is a message on its way.
-type item struct {
-	text []byte
-	fds  []int
-	done func(Outcome)
+// outbound is a message on its way.
+type outbound struct {
+	text        []byte
+	descriptors []int
+	done        func(Outcome)
 }
 
 // settle tells of an outcome, after the descriptors that are not the caller's again are closed.
-func (it item) settle(o Outcome) {
-	if o != Back {
-		for _, fd := range it.fds {
+func (it outbound) settle(o Outcome) {
+	if o != Returned {
+		for _, fd := range it.descriptors {
 			_ = unix.Close(fd)
 		}
 	}
@@ -163,7 +164,7 @@
 				return
 			}
 			if err != nil { // no descriptor is left for now: guards against a balancer that no next process reaches ever after
-				time.Sleep(acceptPause)
+				time.Sleep(acceptRetryDelay)
 				continue
 			}
 			if l, err := start(c, heed, gone); err == nil {
@@ -175,22 +176,22 @@
 }
 
 func start(c *net.UnixConn, heed func(*Link, Message, []int), gone func(*Link, error)) (*Link, error) {
-	if err := own(c); err != nil {
+	if err := checkPeerUser(c); err != nil {
 		_ = c.Close()
 		return nil, err
 	}
-	_ = c.SetWriteBuffer(sendBuffer)
-	l := &Link{conn: c, heed: heed, gone: gone, rest: Left}
-	l.wake = sync.NewCond(&l.mu)
-	l.late = time.AfterFunc(takeFor, l.tooLate)
-	l.late.Stop()
-	go l.write()
-	go l.read()
+	_ = c.SetWriteBuffer(sendBufferSize)
+	l := &Link{conn: c, heed: heed, gone: gone, finalOutcome: Unconfirmed}
+	l.changed = sync.NewCond(&l.mu)
+	l.confirmTimer = time.AfterFunc(confirmTimeout, l.confirmTimedOut)
+	l.confirmTimer.Stop()
+	go l.writeLoop()
+	go l.readLoop()
 	return l, nil
 }
 
-// own refuses a process of another user. Guards against one that would be given clients' connections.
-func own(c *net.UnixConn) error {
+// checkPeerUser refuses a process of another user. Guards against one that would be given clients' connections.
+func checkPeerUser(c *net.UnixConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
@@ -205,105 +206,105 @@
 	return err
 }
 
-// Tell sends a message; it does not wait. Descriptors that go with it are the link's; done is told once what became of them,
+// Send sends a message; it does not wait. Descriptors that go with it are the link's; done is told once what became of them,
 // nil where that does not matter. It may be told before Tell returns.
-func (l *Link) Tell(m Message, done func(Outcome), fds ...int) {
-	m.V = version
+func (l *Link) Send(m Message, done func(Outcome), fds ...int) {
+	m.Version = protocolVersion
 	text, err := json.Marshal(m)
-	it := item{text, fds, done}
+	it := outbound{text, fds, done}
 	l.mu.Lock()
-	ended := l.ended || err != nil || len(text) > textMost
+	ended := l.sendClosed || err != nil || len(text) > maxMessageSize
 	if !ended {
 		l.queue = append(l.queue, it)
-		l.wake.Broadcast()
+		l.changed.Broadcast()
 	}
 	l.mu.Unlock()
 	if ended {
-		it.settle(Back)
+		it.settle(Returned)
 	}
 }
 
-// write sends what is told, until nothing more is, and then settles what is left: it alone does, or what was never sent could be
+// writeLoop sends what is told, until nothing more is, and then settles what is left: it alone does, or what was never sent could be
 // taken for unconfirmed.
-func (l *Link) write() {
+func (l *Link) writeLoop() {
 	for {
 		l.mu.Lock()
-		for !l.ended && (len(l.queue) == 0 || len(l.queue[0].fds) > 0 && len(l.unconfirmed) == onTheWay) {
-			l.wake.Wait()
+		for !l.sendClosed && (len(l.queue) == 0 || len(l.queue[0].descriptors) > 0 && len(l.unconfirmed) == maxUnconfirmed) {
+			l.changed.Wait()
 		}
-		if l.ended {
+		if l.sendClosed {
 			queue := l.queue
 			l.queue = nil
 			l.mu.Unlock()
 			for _, it := range queue {
-				it.settle(Back)
+				it.settle(Returned)
 			}
 			break
 		}
 		it := l.queue[0]
 		l.queue = l.queue[1:]
 		var rights []byte
-		if len(it.fds) > 0 {
-			rights = unix.UnixRights(it.fds...)
+		if len(it.descriptors) > 0 {
+			rights = unix.UnixRights(it.descriptors...)
 			if l.unconfirmed = append(l.unconfirmed, it); len(l.unconfirmed) == 1 {
-				l.late.Reset(takeFor)
+				l.confirmTimer.Reset(confirmTimeout)
 			}
 		}
 		l.mu.Unlock()
-		_ = l.conn.SetWriteDeadline(time.Now().Add(takeFor))
+		_ = l.conn.SetWriteDeadline(time.Now().Add(confirmTimeout))
 		if _, _, err := l.conn.WriteMsgUnix(it.text, rights, nil); err != nil {
 			l.mu.Lock()
-			if n := len(l.unconfirmed) - 1; len(it.fds) > 0 {
+			if n := len(l.unconfirmed) - 1; len(it.descriptors) > 0 {
 				l.unconfirmed = l.unconfirmed[:n] // it was not sent
 			}
 			l.mu.Unlock()
-			l.mute()
-			it.settle(Back)
-			if !parted(err) { // or else what it has sent before is still read, to its end
-				l.hang(fmt.Errorf("writing: %w", err))
+			l.closeSend()
+			it.settle(Returned)
+			if !isClosedByPeer(err) { // or else what it has sent before is still read, to its end
+				l.giveUpSending(fmt.Errorf("writing: %w", err))
 			}
 		}
 	}
 	l.mu.Lock()
-	for !l.readAll {
-		l.wake.Wait()
+	for !l.readDone {
+		l.changed.Wait()
 	}
-	unconfirmed, rest := l.unconfirmed, l.rest
+	unconfirmed, rest := l.unconfirmed, l.finalOutcome
 	l.unconfirmed = nil
 	l.mu.Unlock()
-	l.late.Stop()
+	l.confirmTimer.Stop()
 	for _, it := range unconfirmed {
 		it.settle(rest)
 	}
 }
 
-// tooLate guards against a process that hangs: what waits for it would wait for ever.
-func (l *Link) tooLate() {
+// confirmTimedOut guards against a process that hangs: what waits for it would wait for ever.
+func (l *Link) confirmTimedOut() {
 	l.mu.Lock()
 	waits := len(l.unconfirmed) > 0
 	l.mu.Unlock()
 	if waits {
-		l.hang(errors.New("the other process takes nothing"))
+		l.giveUpSending(errors.New("the other process takes nothing"))
 	}
 }
 
-// hang sends nothing more to a process that does not take what it is sent, and waits for its word a while: if it ends, what it
+// giveUpSending sends nothing more to a process that does not take what it is sent, and waits for its word a while: if it ends, what it
 // has not confirmed comes back.
-func (l *Link) hang(why error) {
-	l.mute()
+func (l *Link) giveUpSending(why error) {
+	l.closeSend()
 	l.mu.Lock()
 	waits := len(l.unconfirmed) > 0
 	l.mu.Unlock()
 	if !waits { // no half-close either: who is passed something and can't confirm it must be seen to have ended
-		l.end(why)
+		l.closeWith(why)
 		return
 	}
 	_ = l.conn.CloseWrite()
-	time.AfterFunc(confirmFor, func() { l.end(why) })
+	time.AfterFunc(silentPeerTimeout, func() { l.closeWith(why) })
 }
 
-// confirmed takes the other process's word for the oldest message.
-func (l *Link) confirmed() {
+// handleConfirmation takes the other process's word for the oldest message.
+func (l *Link) handleConfirmation() {
 	l.mu.Lock()
 	if len(l.unconfirmed) == 0 { // an odd word
 		l.mu.Unlock()
@@ -311,32 +312,32 @@
 	}
 	it := l.unconfirmed[0]
 	if l.unconfirmed = l.unconfirmed[1:]; len(l.unconfirmed) > 0 {
-		l.late.Reset(takeFor)
+		l.confirmTimer.Reset(confirmTimeout)
 	} else {
-		l.late.Stop()
+		l.confirmTimer.Stop()
 	}
-	l.wake.Broadcast()
+	l.changed.Broadcast()
 	l.mu.Unlock()
-	it.settle(Taken)
+	it.settle(Confirmed)
 }
 
-// confirm tells the other process that a message has come, before it is heeded. An error: that process may have it back,
+// sendConfirmation tells the other process that a message has come, before it is heeded. An error: that process may have it back,
 // and it must not be heeded. One that has ended, or has closed its end, has nothing back any more.
-func (l *Link) confirm() error {
-	text, err := json.Marshal(Message{V: version, Kind: taken})
+func (l *Link) sendConfirmation() error {
+	text, err := json.Marshal(Message{Version: protocolVersion, Kind: confirmation})
 	if err != nil {
 		return err
 	}
-	_ = l.conn.SetWriteDeadline(time.Now().Add(takeFor))
-	if _, _, err := l.conn.WriteMsgUnix(text, nil, nil); err != nil && !parted(err) {
+	_ = l.conn.SetWriteDeadline(time.Now().Add(confirmTimeout))
+	if _, _, err := l.conn.WriteMsgUnix(text, nil, nil); err != nil && !isClosedByPeer(err) {
 		return fmt.Errorf("confirming: %w", err)
 	}
 	return nil
 }
 
-// closed tells whether the other process has closed its end or died, so that what it has not read is nobody's. One that has only
+// isPeerClosed tells whether the other process has closed its end or died, so that what it has not read is nobody's. One that has only
 // ended what it sends may read yet.
-func (l *Link) closed() (is bool) {
+func (l *Link) isPeerClosed() (is bool) {
 	raw, err := l.conn.SyscallConn()
 	if err != nil {
 		return false
@@ -349,14 +350,14 @@
 	return is
 }
 
-// read takes what the other process says.
-func (l *Link) read() {
-	text, rights, again, confirms := make([]byte, textMost+1), make([]byte, unix.CmsgSpace(fdsMost*4)), false, false
-	rest := Left
+// readLoop takes what the other process says.
+func (l *Link) readLoop() {
+	text, rights, again, confirms := make([]byte, maxMessageSize+1), make([]byte, unix.CmsgSpace(maxDescriptors*4)), false, false
+	rest := Unconfirmed
 	defer func() {
 		l.mu.Lock()
-		l.readAll, l.rest = true, rest
-		l.wake.Broadcast()
+		l.readDone, l.finalOutcome = true, rest
+		l.changed.Broadcast()
 		l.mu.Unlock()
 	}()
 	for {
@@ -365,35 +366,35 @@
 			again = true
 			continue
 		}
-		fds := descriptors(rights[:m])
+		fds := parseDescriptors(rights[:m])
 		if n == 0 && (err == nil || errors.Is(err, io.EOF)) {
-			if confirms && l.closed() {
-				rest = Back
+			if confirms && l.isPeerClosed() {
+				rest = Returned
 			}
 			err = errors.New("ended by the other process")
 		}
 		var msg Message
 		if err == nil {
-			if err = json.Unmarshal(text[:n], &msg); err == nil && (msg.V != version || flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0) {
-				err = fmt.Errorf("version %d, flags %x", msg.V, flags)
+			if err = json.Unmarshal(text[:n], &msg); err == nil && (msg.Version != protocolVersion || flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0) {
+				err = fmt.Errorf("version %d, flags %x", msg.Version, flags)
 			}
 		}
-		if want := wants[msg.Kind]; err == nil && want != len(fds) {
+		if want := descriptorsPerKind[msg.Kind]; err == nil && want != len(fds) {
 			err = fmt.Errorf("%d descriptors with a message of kind %d", len(fds), msg.Kind)
 		}
 		if err == nil && len(fds) > 0 {
-			err = l.confirm()
+			err = l.sendConfirmation()
 		}
 		if err != nil {
 			for _, fd := range fds {
 				_ = unix.Close(fd)
 			}
-			l.end(err)
+			l.closeWith(err)
 			return
 		}
 		switch msg.Kind {
-		case taken:
-			l.confirmed()
+		case confirmation:
+			l.handleConfirmation()
 			continue
 		case Ready:
 			confirms = msg.Confirms
@@ -402,10 +403,10 @@
 	}
 }
 
-// wants is how many descriptors go with a message.
-var wants = map[Kind]int{Circuit: 2, Client: 1}
+// descriptorsPerKind is how many descriptors go with a message.
+var descriptorsPerKind = map[Kind]int{Session: 2, Client: 1}
 
-func descriptors(rights []byte) []int {
+func parseDescriptors(rights []byte) []int {
 	var all []int
 	if msgs, err := unix.ParseSocketControlMessage(rights); err == nil {
 		for i := range msgs {
@@ -417,26 +418,28 @@
 	return all
 }
 
-// parted tells whether an error says that the other process has closed its end. Guards against clients whose descriptors
+// isClosedByPeer tells whether an error says that the other process has closed its end. Guards against clients whose descriptors
 // wait here unread while this end is closed for want of somebody to thank.
-func parted(err error) bool { return errors.Is(err, unix.EPIPE) || errors.Is(err, unix.ECONNRESET) }
+func isClosedByPeer(err error) bool {
+	return errors.Is(err, unix.EPIPE) || errors.Is(err, unix.ECONNRESET)
+}
 
-// mute has nothing more sent.
-func (l *Link) mute() {
+// closeSend has nothing more sent.
+func (l *Link) closeSend() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = true
-	l.wake.Broadcast()
+	l.sendClosed = true
+	l.changed.Broadcast()
 }
 
-// end ends the link and tells why, once.
-func (l *Link) end(why error) {
-	l.once.Do(func() {
-		l.mute()
+// closeWith ends the link and tells why, once.
+func (l *Link) closeWith(why error) {
+	l.closeOnce.Do(func() {
+		l.closeSend()
 		_ = l.conn.Close()
 		l.gone(l, why)
 	})
 }
 
 // Close ends it from here.
-func (l *Link) Close() { l.end(errors.New("ended from here")) }
+func (l *Link) Close() { l.closeWith(errors.New("ended from here")) }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -49,7 +49,7 @@
 }
 
 func linked(t *testing.T) (path string, old, young *side, from, to *Link) {
-	path, err := Path(t.TempDir(), "n0")
+	path, err := SocketPath(t.TempDir(), "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,15 +83,15 @@
 func TestDescriptorsGoAlong(t *testing.T) {
 	_, _, young, from, _ := linked(t)
 	var ends []*os.File
-	outcomes := make(chan Outcome, 3*onTheWay)
-	for n := range 3 * onTheWay {
+	outcomes := make(chan Outcome, 3*maxUnconfirmed)
+	for n := range 3 * maxUnconfirmed {
 		fd, r := pipe(t)
 		ends = append(ends, r)
-		from.Tell(Message{Kind: Client, First: []byte{byte(n)}}, func(o Outcome) { outcomes <- o }, fd)
+		from.Send(Message{Kind: Client, Input: []byte{byte(n)}}, func(o Outcome) { outcomes <- o }, fd)
 	}
 	for n, r := range ends {
 		m, fd := get(t, young.said), get(t, young.fds)
-		if m.Kind != Client || len(m.First) != 1 || m.First[0] != byte(n) {
+		if m.Kind != Client || len(m.Input) != 1 || m.Input[0] != byte(n) {
 			t.Fatalf("%d: %+v", n, m)
 		}
 		_, _ = unix.Write(fd, []byte("x"))
@@ -99,15 +99,15 @@
 		if text, err := io.ReadAll(r); string(text) != "x" || err != nil { // nobody else holds it any more
 			t.Fatalf("%q, %v", text, err)
 		}
-		if o := get(t, outcomes); o != Taken {
+		if o := get(t, outcomes); o != Confirmed {
 			t.Fatalf("%d: outcome %d", n, o)
 		}
 	}
-	pair := &relay.Passed{Client: relay.End{Held: []byte("half")}, AskedAgo: time.Second}
+	pair := &relay.PairState{Client: relay.ConnState{Partial: []byte("half")}, RequestAge: time.Second}
 	a, _ := pipe(t)
 	b, _ := pipe(t)
-	from.Tell(Message{Kind: Circuit, At: "s-1", Load: 7, Pair: pair}, nil, a, b)
-	if m := get(t, young.said); m.At != "s-1" || m.Load != 7 || string(m.Pair.Client.Held) != "half" || m.Pair.AskedAgo != time.Second {
+	from.Send(Message{Kind: Session, ServerUID: "s-1", Load: 7, Pair: pair}, nil, a, b)
+	if m := get(t, young.said); m.ServerUID != "s-1" || m.Load != 7 || string(m.Pair.Client.Partial) != "half" || m.Pair.RequestAge != time.Second {
 		t.Fatalf("%+v", m)
 	}
 }
@@ -119,8 +119,8 @@
 	_ = get(t, old.gone)
 	lost := make(chan Outcome, 1)
 	fd, r := pipe(t)
-	from.Tell(Message{Kind: Client}, func(o Outcome) { lost <- o }, fd)
-	if o := get(t, lost); o != Back {
+	from.Send(Message{Kind: Client}, func(o Outcome) { lost <- o }, fd)
+	if o := get(t, lost); o != Returned {
 		t.Fatalf("outcome %d", o)
 	}
 	_, _ = unix.Write(fd, []byte("mine"))
@@ -145,11 +145,11 @@
 	if m := get(t, old.said); m.Kind != Ready {
 		t.Fatalf("%+v", m)
 	}
-	for range 2 * onTheWay {
+	for range 2 * maxUnconfirmed {
 		fd, r := pipe(t)
 		outcome := make(chan Outcome, 2)
 		outcomes, fds, ends = append(outcomes, outcome), append(fds, fd), append(ends, r)
-		from.Tell(Message{Kind: Client}, func(o Outcome) { outcome <- o }, fd)
+		from.Send(Message{Kind: Client}, func(o Outcome) { outcome <- o }, fd)
 	}
 	return from, old.gone, c, outcomes, fds, ends
 }
@@ -158,20 +158,20 @@
 // as two processes hold: what it was sent stays its own.
 func TestAProcessThatHangsEndsTheLink(t *testing.T) {
 	_, gone, c, outcomes, fds, ends := deaf(t)
-	for n := onTheWay; n < 2*onTheWay; n++ {
-		if o := get(t, outcomes[n]); o != Back {
+	for n := maxUnconfirmed; n < 2*maxUnconfirmed; n++ {
+		if o := get(t, outcomes[n]); o != Returned {
 			t.Fatalf("%d, never sent: outcome %d", n, o)
 		}
 		_ = unix.Close(fds[n])
 	}
 	_ = get(t, gone)
-	text, rights := make([]byte, textMost), make([]byte, unix.CmsgSpace(fdsMost*4))
-	for n := range onTheWay {
-		if o := get(t, outcomes[n]); o != Left {
+	text, rights := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(maxDescriptors*4))
+	for n := range maxUnconfirmed {
+		if o := get(t, outcomes[n]); o != Unconfirmed {
 			t.Fatalf("%d, unread: outcome %d", n, o)
 		}
 		_, m, _, _, err := c.ReadMsgUnix(text, rights) // it runs again
-		its := descriptors(rights[:m])
+		its := parseDescriptors(rights[:m])
 		if err != nil || len(its) != 1 {
 			t.Fatalf("%d: %v, %v", n, its, err)
 		}
@@ -188,7 +188,7 @@
 func TestWhatIsUnreadAtADeathComesBack(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		_, gone, c, outcomes, fds, ends := deaf(t)
-		text := make([]byte, textMost)
+		text := make([]byte, maxMessageSize)
 		for range 2 {
 			if _, _, _, _, err := c.ReadMsgUnix(text, nil); err != nil { // its descriptor is dropped by the kernel
 				t.Fatal(err)
@@ -198,19 +198,19 @@
 			}
 		}
 		for n := range 2 {
-			if o := get(t, outcomes[n]); o != Taken {
+			if o := get(t, outcomes[n]); o != Confirmed {
 				t.Fatalf("%d: outcome %d", n, o)
 			}
 		}
 		if hangs {
-			if o := get(t, outcomes[2*onTheWay-1]); o != Back {
+			if o := get(t, outcomes[2*maxUnconfirmed-1]); o != Returned {
 				t.Fatalf("outcome %d", o)
 			}
-			outcomes[2*onTheWay-1] <- Back
+			outcomes[2*maxUnconfirmed-1] <- Returned
 		}
 		_ = c.Close()
-		for n := 2; n < 2*onTheWay; n++ {
-			if o := get(t, outcomes[n]); o != Back {
+		for n := 2; n < 2*maxUnconfirmed; n++ {
+			if o := get(t, outcomes[n]); o != Returned {
 				t.Fatalf("hangs %v, %d: outcome %d", hangs, n, o)
 			}
 			_, _ = unix.Write(fds[n], []byte("mine"))
@@ -240,24 +240,24 @@
 	}
 	_ = c.CloseWrite()
 	left := 0
-	for n := range 2 * onTheWay {
+	for n := range 2 * maxUnconfirmed {
 		switch o := get(t, outcomes[n]); {
-		case o == Left && left == n:
+		case o == Unconfirmed && left == n:
 			left++
-		case o == Back:
+		case o == Returned:
 			_ = unix.Close(fds[n])
 		default:
 			t.Fatalf("%d: outcome %d, %d were left before", n, o, left)
 		}
 	}
-	if left == 0 || left > onTheWay {
+	if left == 0 || left > maxUnconfirmed {
 		t.Fatalf("%d are left", left)
 	}
 	_ = get(t, gone)
-	text, rights := make([]byte, textMost), make([]byte, unix.CmsgSpace(fdsMost*4))
+	text, rights := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(maxDescriptors*4))
 	for n := range left {
 		_, m, _, _, err := c.ReadMsgUnix(text, rights)
-		its := descriptors(rights[:m])
+		its := parseDescriptors(rights[:m])
 		if err != nil || len(its) != 1 {
 			t.Fatalf("%d of %d that are left: %v, %v", n, left, its, err)
 		}
@@ -270,14 +270,14 @@
 
 // TestOddWordsEndTheLink has another version, no message, and one whose descriptors are missing.
 func TestOddWordsEndTheLink(t *testing.T) {
-	for _, text := range []string{`{"V":2,"Kind":2}`, "hello", `{"V":1,"Kind":4}`, `{"V":1,"Kind":2` + strings.Repeat(" ", textMost) + "}"} {
+	for _, text := range []string{`{"V":2,"Kind":2}`, "hello", `{"V":1,"Kind":4}`, `{"V":1,"Kind":2` + strings.Repeat(" ", maxMessageSize) + "}"} {
 		path, old, _, _, _ := linked(t)
 		c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		get(t, old.link)
-		_ = c.SetWriteBuffer(sendBuffer)
+		_ = c.SetWriteBuffer(sendBufferSize)
 		if _, err := c.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
@@ -293,7 +293,7 @@
 
 func TestNobodyAndLeftovers(t *testing.T) {
 	s := newSide()
-	path, _ := Path(t.TempDir(), "n0")
+	path, _ := SocketPath(t.TempDir(), "n0")
 	if l, err := Dial(path, s.heed, s.ended); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
@@ -315,7 +315,7 @@
 		t.Fatal(l, err)
 	}
 	for _, bad := range [][2]string{{"", "n0"}, {"/tmp", "../n0"}, {"/tmp", "a/b"}, {filepath.Join("/tmp", strings.Repeat("x", 100)), "n0"}} {
-		if path, err := Path(bad[0], bad[1]); err == nil {
+		if path, err := SocketPath(bad[0], bad[1]); err == nil {
 			t.Error(path)
 		}
 	}
@@ -323,7 +323,7 @@
 
 // TestALinkComesUpOnceADescriptorIsFree has a next process come while this one has no descriptor left.
 func TestALinkComesUpOnceADescriptorIsFree(t *testing.T) {
-	path, err := Path(t.TempDir(), "n0")
+	path, err := SocketPath(t.TempDir(), "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -357,7 +357,7 @@
 	select {
 	case <-old.link:
 		t.Fatal("taken without a descriptor")
-	case <-time.After(3 * acceptPause): // tried, and tried again
+	case <-time.After(3 * acceptRetryDelay): // tried, and tried again
 	}
 	free()
 	get(t, old.link).Close()
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -29,13 +29,13 @@
 	}
 	far := get(b.t, b.taken)
 	_, _ = io.WriteString(far, "UP 1\r\n")
-	c.Listen()
+	c.AwaitLine()
 	get(b.t, b.said)
 	near, err := net.Dial("tcp", b.ln.Addr().String())
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	p, err := b.Stand(b.take(), c, []byte("UP 1\r\n"), 7, nil)
+	p, err := b.Join(b.take(), c, []byte("UP 1\r\n"), 7, nil)
 	if err != nil {
 		b.t.Fatal(err)
 	}
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -18,67 +18,67 @@
 type state uint8
 
 const (
-	dialing state = iota
-	lone          // connected; its lines go to the owner, one at a time
-	resting       // a client's that is being made one of a pair
-	paired
-	ending // nothing of it is passed on any more; it is read to its end
+	stateDialing  state = iota
+	stateUnpaired       // connected; its lines go to the owner, one at a time
+	stateParked         // a client's that is being made one of a pair
+	statePaired
+	stateDraining // nothing of it is passed on any more; it is read to its end
 )
 
 // Conn is one connection. Its methods may be called by anyone.
 type Conn struct {
-	Data any // the owner's
-	sh   *shard
-	slot int32
-	gen  int32
-
-	mu       sync.Mutex
-	fd       int
-	state    state
-	interest uint32
-	oneShot  bool   // events come once until they are wanted again
-	held     []byte // a line that is not whole yet, or that the owner has not asked for
-	out      []byte // waits to be written, from the byte written on
-	written  int
-	ending   bool // nothing more is written once out is empty
-	askedAt  time.Duration
-	took     time.Duration // from the first line's write to the newest line's read
-	closed   bool
-	pair     atomic.Pointer[Pair]
-	mine     Side // set before the pair
-
-	stalled   atomic.Bool  // something waits to be written: the other side is not read
-	stalledAt atomic.Int64 // since when nothing of it was taken; 0: nothing waits
+	Data       any // the owner's
+	worker     *worker
+	slot       int32
+	generation int32
+
+	mu             sync.Mutex
+	fd             int
+	state          state
+	interest       uint32
+	oneShot        bool   // events come once until they are wanted again
+	partial        []byte // a line that is not whole yet, or that the owner has not asked for
+	writeBuffer    []byte // waits to be written, from the byte written on
+	written        int
+	closingWrite   bool // nothing more is written once out is empty
+	firstWrittenAt time.Duration
+	responseTime   time.Duration // from the first line's write to the newest line's read
+	closed         bool
+	pair           atomic.Pointer[Pair]
+	side           Side // set before the pair
+
+	writeBlocked atomic.Bool  // something waits to be written: the other side is not read
+	blockedSince atomic.Int64 // since when nothing of it was taken; 0: nothing waits
 }
 
 // Pair is a circuit that stands.
 type Pair struct {
-	Data   any // the owner's
-	s      *Shards
-	server uint64
-	side   [2]*Conn
-	over   atomic.Bool
-	byed   atomic.Bool // its server has said that it is served to its end
-	moved  atomic.Bool // it sends the client away
-	asked  atomic.Int64
-	heard  atomic.Int64
+	Data          any // the owner's
+	relay         *Relay
+	serverID      uint64
+	conns         [2]*Conn
+	ended         atomic.Bool
+	completed     atomic.Bool // its server has said that it is served to its end
+	moveRequested atomic.Bool // it sends the client away
+	requestedAt   atomic.Int64
+	lastLineAt    atomic.Int64
 }
 
-// Byed and Moved tell what the server has said of the pair's end.
-func (p *Pair) Byed() bool  { return p.byed.Load() }
-func (p *Pair) Moved() bool { return p.moved.Load() }
+// Completed and Moved tell what the server has said of the pair's end.
+func (p *Pair) Completed() bool     { return p.completed.Load() }
+func (p *Pair) MoveRequested() bool { return p.moveRequested.Load() }
 
 // register puts it into its shard's set.
 func (c *Conn) register(events uint32) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.interest, c.oneShot = events, events&unix.EPOLLONESHOT != 0
-	ev := unix.EpollEvent{Events: events, Fd: c.slot, Pad: c.gen}
-	return os.NewSyscallError("epoll", unix.EpollCtl(c.sh.epfd, unix.EPOLL_CTL_ADD, c.fd, &ev))
+	ev := unix.EpollEvent{Events: events, Fd: c.slot, Pad: c.generation}
+	return os.NewSyscallError("epoll", unix.EpollCtl(c.worker.epfd, unix.EPOLL_CTL_ADD, c.fd, &ev))
 }
 
-// want changes what it waits for; mu is held. One that comes once is armed anew even if nothing changes.
-func (c *Conn) want(events uint32, on bool) {
+// setInterestLocked changes what it waits for; mu is held. One that comes once is armed anew even if nothing changes.
+func (c *Conn) setInterestLocked(events uint32, on bool) {
 	to := c.interest &^ (events | unix.EPOLLONESHOT)
 	if on {
 		to |= events
@@ -90,34 +90,34 @@
 		return
 	}
 	c.interest = to
-	ev := unix.EpollEvent{Events: to, Fd: c.slot, Pad: c.gen}
-	_ = unix.EpollCtl(c.sh.epfd, unix.EPOLL_CTL_MOD, c.fd, &ev)
+	ev := unix.EpollEvent{Events: to, Fd: c.slot, Pad: c.generation}
+	_ = unix.EpollCtl(c.worker.epfd, unix.EPOLL_CTL_MOD, c.fd, &ev)
 }
 
-// shut closes the descriptor; mu is held.
-func (c *Conn) shut() {
+// closeLocked closes the descriptor; mu is held.
+func (c *Conn) closeLocked() {
 	if !c.closed {
-		c.detach()
+		c.detachLocked()
 		_ = unix.Close(c.fd)
 	}
 }
 
-// detach takes it out of its shard, for good; mu is held.
-func (c *Conn) detach() {
+// detachLocked takes it out of its shard, for good; mu is held.
+func (c *Conn) detachLocked() {
 	c.closed = true
-	c.stalledAt.Store(0)
+	c.blockedSince.Store(0)
 	// Another descriptor of the same socket may be open for a moment: the set would go on telling of it.
-	_ = unix.EpollCtl(c.sh.epfd, unix.EPOLL_CTL_DEL, c.fd, nil)
-	c.sh.drop(c)
-	c.sh.of.fds.Add(-1)
-	c.out, c.written = nil, 0
+	_ = unix.EpollCtl(c.worker.epfd, unix.EPOLL_CTL_DEL, c.fd, nil)
+	c.worker.remove(c)
+	c.worker.relay.descriptors.Add(-1)
+	c.writeBuffer, c.written = nil, 0
 }
 
 // Close ends it now; Abort does so by a reset.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shut()
+	c.closeLocked()
 }
 
 // Abort ends it by a reset.
@@ -127,11 +127,11 @@
 	if !c.closed {
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
-	c.shut()
+	c.closeLocked()
 }
 
-// Early looks at what a server has said or done before it was asked anything: an error if it has ended.
-func (c *Conn) Early() error {
+// CheckOpen looks at what a server has said or done before it was asked anything: an error if it has ended.
+func (c *Conn) CheckOpen() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -148,8 +148,8 @@
 	return net.ErrClosed
 }
 
-// Ask writes a first line; an error says that its last byte was not written. Then Listen has it read.
-func (c *Conn) Ask(text []byte) error {
+// WriteFirst writes a first line; an error says that its last byte was not written. Then Listen has it read.
+func (c *Conn) WriteFirst(text []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -165,63 +165,63 @@
 		}
 		text = text[n:]
 	}
-	c.askedAt = c.sh.of.now()
+	c.firstWrittenAt = c.worker.relay.now()
 	return nil
 }
 
-// Took is how long after the first line was written the newest line was read, however late its owner looks at it.
-func (c *Conn) Took() time.Duration {
+// ResponseTime is how long after the first line was written the newest line was read, however late its owner looks at it.
+func (c *Conn) ResponseTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.took
+	return c.responseTime
 }
 
-// Listen has the next line told to the owner.
-func (c *Conn) Listen() {
+// AwaitLine has the next line told to the owner.
+func (c *Conn) AwaitLine() {
 	c.mu.Lock()
-	raw := c.cutLine()
+	raw := c.nextLineLocked()
 	if raw == nil {
-		c.want(unix.EPOLLIN, true)
+		c.setInterestLocked(unix.EPOLLIN, true)
 	}
 	c.mu.Unlock()
 	if raw != nil {
-		c.sh.of.owner.Said(c, raw)
+		c.worker.relay.handler.LineReceived(c, raw)
 	}
 }
 
-// cutLine takes the next whole line out of what is held; mu is held.
-func (c *Conn) cutLine() []byte {
-	end := bytes.IndexByte(c.held, '\n')
+// nextLineLocked takes the next whole line out of what is held; mu is held.
+func (c *Conn) nextLineLocked() []byte {
+	end := bytes.IndexByte(c.partial, '\n')
 	if end < 0 {
 		return nil
 	}
-	raw := bytes.Clone(c.held[:end+1])
-	c.held = append(c.held[:0], c.held[end+1:]...)
+	raw := bytes.Clone(c.partial[:end+1])
+	c.partial = append(c.partial[:0], c.partial[end+1:]...)
 	return raw
 }
 
-// readable reads what there is, once: a connection that sends at full speed does not keep the others waiting. dead:
+// onReadable reads what there is, once: a connection that sends at full speed does not keep the others waiting. dead:
 // no bytes are told of, only an end.
-func (c *Conn) readable(dead bool) {
+func (c *Conn) onReadable(dead bool) {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return
 	}
 	st := c.state
-	if st == dialing {
+	if st == stateDialing {
 		c.mu.Unlock()
-		c.connected()
+		c.onConnected()
 		return
 	}
-	if st == resting { // it is told again once the pair stands
+	if st == stateParked { // it is told again once the pair stands
 		c.mu.Unlock()
 		return
 	}
-	n, err := unix.Read(c.fd, c.sh.buf)
+	n, err := unix.Read(c.fd, c.worker.readBuffer)
 	if err == unix.EAGAIN || err == unix.EINTR {
 		if c.oneShot {
-			c.want(unix.EPOLLIN, true)
+			c.setInterestLocked(unix.EPOLLIN, true)
 		}
 		c.mu.Unlock()
 		return
@@ -231,37 +231,37 @@
 		if err != nil {
 			err = os.NewSyscallError("read", err)
 		}
-		c.over(err)
+		c.onEnded(err)
 		return
 	}
 	switch st {
-	case lone:
-		c.held = append(c.held, c.sh.buf[:n]...)
-		c.took = c.sh.of.now() - c.askedAt
-		raw := c.cutLine()
-		long := raw == nil && len(c.held) >= protocol.Longest
+	case stateUnpaired:
+		c.partial = append(c.partial, c.worker.readBuffer[:n]...)
+		c.responseTime = c.worker.relay.now() - c.firstWrittenAt
+		raw := c.nextLineLocked()
+		long := raw == nil && len(c.partial) >= protocol.Longest
 		if raw == nil && !long {
-			c.want(unix.EPOLLIN, true)
+			c.setInterestLocked(unix.EPOLLIN, true)
 		}
 		c.mu.Unlock()
 		switch {
 		case long:
-			c.sh.of.owner.Gone(c, true, ErrTooLong)
+			c.worker.relay.handler.Disconnected(c, true, ErrLineTooLong)
 		case raw != nil:
-			c.sh.of.owner.Said(c, raw)
+			c.worker.relay.handler.LineReceived(c, raw)
 		}
-	case paired:
+	case statePaired:
 		c.mu.Unlock()
-		c.pass(c.sh.buf[:n])
+		c.forward(c.worker.readBuffer[:n])
 	default:
 		c.mu.Unlock()
 	}
 }
 
-// connected tells how a dial ended.
-func (c *Conn) connected() {
+// onConnected tells how a dial ended.
+func (c *Conn) onConnected() {
 	c.mu.Lock()
-	if c.closed || c.state != dialing {
+	if c.closed || c.state != stateDialing {
 		c.mu.Unlock()
 		return
 	}
@@ -270,33 +270,33 @@
 		err = os.NewSyscallError("connect", unix.Errno(code))
 	}
 	if err == nil {
-		c.state = lone
+		c.state = stateUnpaired
 		// Guards against a first line that is listened for as well by the wish to write: that event would arm the set anew, and a
 		// second line was told unasked.
 		c.interest = unix.EPOLLONESHOT
 	}
 	c.mu.Unlock()
-	c.sh.of.owner.Connected(c, err)
+	c.worker.relay.handler.Connected(c, err)
 }
 
-// over takes the end of a connection by the other side.
-func (c *Conn) over(err error) {
-	abrupt := reset(err)
+// onEnded takes the end of a connection by the other side.
+func (c *Conn) onEnded(err error) {
+	abrupt := isReset(err)
 	switch p := c.pair.Load(); {
 	case p == nil:
-		c.sh.of.owner.Gone(c, abrupt, err)
-	case p.over.CompareAndSwap(false, true):
-		other := p.side[1-c.mine]
+		c.worker.relay.handler.Disconnected(c, abrupt, err)
+	case p.ended.CompareAndSwap(false, true):
+		other := p.conns[1-c.side]
 		switch {
 		case abrupt:
 			other.Abort()
-		case c.mine == Client: // nobody reads what its server still says
+		case c.side == Client: // nobody reads what its server still says
 			other.Close()
 		default:
-			other.Finish()
+			other.CloseWrite()
 		}
 		c.Close()
-		p.s.owner.Ended(p, c.mine, abrupt, nil)
+		p.relay.handler.PairEnded(p, c.side, abrupt, nil)
 	default:
 		c.Close()
 	}
@@ -306,58 +306,58 @@
 func (c *Conn) fail(why error) {
 	p := c.pair.Load()
 	if p == nil {
-		c.sh.of.owner.Gone(c, true, why)
+		c.worker.relay.handler.Disconnected(c, true, why)
 		return
 	}
 	if p.Abort() {
-		p.s.owner.Ended(p, c.mine, true, why)
+		p.relay.handler.PairEnded(p, c.side, true, why)
 		return
 	}
 	c.Abort()
 }
 
-// pass hands whole lines on; what makes no whole line is held. Only one goroutine at a time passes what a connection says:
+// forward hands whole lines on; what makes no whole line is held. Only one goroutine at a time passes what a connection says:
 // its shard's, or the one that makes the pair, before events are wanted.
-func (c *Conn) pass(more []byte) {
+func (c *Conn) forward(more []byte) {
 	work := more
-	if len(c.held) > 0 {
-		c.held = append(c.held, more...)
-		work = c.held
+	if len(c.partial) > 0 {
+		c.partial = append(c.partial, more...)
+		work = c.partial
 	}
 	end := bytes.LastIndexByte(work, '\n') + 1
-	if why := c.look(work[:end]); why != nil {
+	if why := c.inspect(work[:end]); why != nil {
 		c.fail(why)
 		return
 	}
 	if len(work)-end >= protocol.Longest {
-		c.fail(ErrTooLong)
+		c.fail(ErrLineTooLong)
 		return
 	}
 	if end > 0 {
-		other := c.pair.Load().side[1-c.mine]
-		if other.push(work[:end]) {
+		other := c.pair.Load().conns[1-c.side]
+		if other.write(work[:end]) {
 			c.mu.Lock()
-			c.want(unix.EPOLLIN, false)
+			c.setInterestLocked(unix.EPOLLIN, false)
 			c.mu.Unlock()
-			if !other.stalled.Load() { // it was written meanwhile
-				c.resume()
+			if !other.writeBlocked.Load() { // it was written meanwhile
+				c.resumeReading()
 			}
 		}
 	}
 	switch rest := work[end:]; {
-	case len(rest) > 0 && len(c.held) > 0:
-		c.held = append(c.held[:0], rest...)
+	case len(rest) > 0 && len(c.partial) > 0:
+		c.partial = append(c.partial[:0], rest...)
 	case len(rest) > 0:
-		c.held = append(c.sh.buffer(&c.sh.small, protocol.Longest/4), rest...)
-	case c.held != nil:
-		c.sh.giveBack(&c.sh.small, c.held, 2*protocol.Longest)
-		c.held = nil
+		c.partial = append(c.worker.takeBuffer(&c.worker.partialBuffers, protocol.Longest/4), rest...)
+	case c.partial != nil:
+		c.worker.returnBuffer(&c.worker.partialBuffers, c.partial, 2*protocol.Longest)
+		c.partial = nil
 	}
 }
 
-// buffer and giveBack keep a few buffers of partial lines and of what waits, so that an idle connection has none and a
+// takeBuffer and giveBack keep a few buffers of partial lines and of what waits, so that an idle connection has none and a
 // busy one makes no garbage; kept is sh.small or sh.large.
-func (sh *shard) buffer(kept *[][]byte, size int) []byte {
+func (sh *worker) takeBuffer(kept *[][]byte, size int) []byte {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if n := len(*kept); n > 0 {
@@ -368,69 +368,69 @@
 	return make([]byte, 0, size)
 }
 
-func (sh *shard) giveBack(kept *[][]byte, b []byte, most int) {
+func (sh *worker) returnBuffer(kept *[][]byte, b []byte, most int) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if cap(b) <= most && len(*kept) < spareMost {
+	if cap(b) <= most && len(*kept) < maxSpareBuffers {
 		*kept = append(*kept, b[:0])
 	}
 }
 
-// look goes over whole lines for what the owner has to know; an error ends the pair.
-func (c *Conn) look(text []byte) error {
+// inspect goes over whole lines for what the owner has to know; an error ends the pair.
+func (c *Conn) inspect(text []byte) error {
 	p, now, lines := c.pair.Load(), int64(0), int64(0)
 	for len(text) > 0 {
 		end := bytes.IndexByte(text, '\n') + 1
 		one := text[:end]
 		text = text[end:]
 		if now == 0 {
-			now = int64(p.s.now())
+			now = int64(p.relay.now())
 		}
 		lines++
 		if end >= protocol.Longest+1 {
-			return ErrTooLong
+			return ErrLineTooLong
 		}
-		if c.mine == Client {
+		if c.side == Client {
 			if end < 2 || one[end-2] != '\r' {
 				return ErrBareLF
 			}
-			p.asked.CompareAndSwap(0, now)
+			p.requestedAt.CompareAndSwap(0, now)
 			continue
 		}
 		switch protocol.KindOf(one) {
 		case protocol.Load:
-			c.sh.load(Load{p, bytes.Clone(one)})
+			c.worker.addLoad(LoadLine{p, bytes.Clone(one)})
 		case protocol.Bye:
-			p.byed.Store(true)
+			p.completed.Store(true)
 		case protocol.Move:
-			p.moved.Store(true)
+			p.moveRequested.Store(true)
 		default:
-			if asked := p.asked.Swap(0); asked > 0 {
-				c.sh.took(p.server, time.Duration(now-asked))
+			if asked := p.requestedAt.Swap(0); asked > 0 {
+				c.worker.addSample(p.serverID, time.Duration(now-asked))
 			}
 		}
-		p.heard.Store(now)
+		p.lastLineAt.Store(now)
 	}
 	if lines > 0 {
-		p.s.Lines.Add(lines)
+		p.relay.ForwardedLines.Add(lines)
 	}
 	return nil
 }
 
-// push writes as much as is taken and keeps the rest; true: something waits now, and the other side must not be read
+// write writes as much as is taken and keeps the rest; true: something waits now, and the other side must not be read
 // on until it is written.
-func (c *Conn) push(text []byte) bool {
+func (c *Conn) write(text []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.write(text)
+	return c.writeLocked(text)
 }
 
-// write is push; mu is held.
-func (c *Conn) write(text []byte) bool {
-	if c.closed || c.ending {
+// writeLocked is push; mu is held.
+func (c *Conn) writeLocked(text []byte) bool {
+	if c.closed || c.closingWrite {
 		return false
 	}
-	for len(c.out) == 0 && len(text) > 0 {
+	for len(c.writeBuffer) == 0 && len(text) > 0 {
 		n, err := unix.Write(c.fd, text)
 		if err == unix.EINTR {
 			continue
@@ -444,34 +444,34 @@
 		text = text[n:]
 	}
 	if len(text) > 0 {
-		if c.out == nil {
-			c.out = c.sh.buffer(&c.sh.large, readMost)
+		if c.writeBuffer == nil {
+			c.writeBuffer = c.worker.takeBuffer(&c.worker.writeBuffers, readBufferSize)
 		}
-		c.out = append(c.out, text...)
-		c.stall()
+		c.writeBuffer = append(c.writeBuffer, text...)
+		c.markBlockedLocked()
 	}
-	return len(c.out) > 0
+	return len(c.writeBuffer) > 0
 }
 
-// stall notes that something waits; mu is held.
-func (c *Conn) stall() {
-	c.stalled.Store(true)
-	if c.stalledAt.Load() == 0 {
-		c.stalledAt.Store(int64(c.sh.of.now()))
+// markBlockedLocked notes that something waits; mu is held.
+func (c *Conn) markBlockedLocked() {
+	c.writeBlocked.Store(true)
+	if c.blockedSince.Load() == 0 {
+		c.blockedSince.Store(int64(c.worker.relay.now()))
 	}
-	c.want(unix.EPOLLOUT, true)
+	c.setInterestLocked(unix.EPOLLOUT, true)
 }
 
-// writable writes what waits, or finds that a dial has ended.
-func (c *Conn) writable() {
+// onWritable writes what waits, or finds that a dial has ended.
+func (c *Conn) onWritable() {
 	c.mu.Lock()
-	if c.state == dialing {
+	if c.state == stateDialing {
 		c.mu.Unlock()
-		c.connected()
+		c.onConnected()
 		return
 	}
-	for !c.closed && c.written < len(c.out) {
-		n, err := unix.Write(c.fd, c.out[c.written:])
+	for !c.closed && c.written < len(c.writeBuffer) {
+		n, err := unix.Write(c.fd, c.writeBuffer[c.written:])
 		if err == unix.EINTR {
 			continue
 		}
@@ -479,69 +479,69 @@
 			break
 		}
 		c.written += n
-		c.stalledAt.Store(int64(c.sh.of.now()))
+		c.blockedSince.Store(int64(c.worker.relay.now()))
 	}
-	done := c.written == len(c.out)
+	done := c.written == len(c.writeBuffer)
 	if done && !c.closed {
-		if c.out != nil {
-			c.sh.giveBack(&c.sh.large, c.out, 4*readMost)
+		if c.writeBuffer != nil {
+			c.worker.returnBuffer(&c.worker.writeBuffers, c.writeBuffer, 4*readBufferSize)
 		}
-		c.out, c.written = nil, 0
-		c.stalledAt.Store(0)
-		c.stalled.Store(false)
-		c.want(unix.EPOLLOUT, false)
-		if c.ending {
+		c.writeBuffer, c.written = nil, 0
+		c.blockedSince.Store(0)
+		c.writeBlocked.Store(false)
+		c.setInterestLocked(unix.EPOLLOUT, false)
+		if c.closingWrite {
 			_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 		}
 	}
 	c.mu.Unlock()
 	p := c.pair.Load()
 	if done && p != nil {
-		p.side[1-c.mine].resume()
+		p.conns[1-c.side].resumeReading()
 	}
 }
 
-// resume has a side read on whose other side takes more.
-func (c *Conn) resume() {
+// resumeReading has a side read on whose other side takes more.
+func (c *Conn) resumeReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == paired {
-		c.want(unix.EPOLLIN, true)
+	if c.state == statePaired {
+		c.setInterestLocked(unix.EPOLLIN, true)
 	}
 }
 
-// Finish ends the sending once all is written; what still comes is read and passed by, to the end, so that no unread
+// CloseWrite ends the sending once all is written; what still comes is read and passed by, to the end, so that no unread
 // byte turns the close into a reset that overtakes the last line. The owner closes it for good a little later.
-func (c *Conn) Finish() {
+func (c *Conn) CloseWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.finish()
+	c.closeWriteLocked()
 }
 
-// finish is Finish; mu is held.
-func (c *Conn) finish() {
-	if c.closed || c.ending {
+// closeWriteLocked is Finish; mu is held.
+func (c *Conn) closeWriteLocked() {
+	if c.closed || c.closingWrite {
 		return
 	}
-	c.ending, c.state = true, ending
-	c.want(unix.EPOLLIN, true)
-	if len(c.out) == 0 {
+	c.closingWrite, c.state = true, stateDraining
+	c.setInterestLocked(unix.EPOLLIN, true)
+	if len(c.writeBuffer) == 0 {
 		_ = unix.Shutdown(c.fd, unix.SHUT_WR)
 	}
 }
 
-// End has a pair end from here: the client gets a last line, behind whole lines, and an end; the server's side is
+// CloseWithLine has a pair end from here: the client gets a last line, behind whole lines, and an end; the server's side is
 // closed, by a reset if abrupt. False: it was over already, and the owner has been or will be told.
-func (p *Pair) End(last []byte, abrupt bool) bool {
-	if !p.over.CompareAndSwap(false, true) {
+func (p *Pair) CloseWithLine(last []byte, abrupt bool) bool {
+	if !p.ended.CompareAndSwap(false, true) {
 		return false
 	}
-	c := p.side[Client]
+	c := p.conns[Client]
 	c.mu.Lock()
-	c.write(last)
-	c.finish() // under the same lock, or the relay would pass a line between the last and the end
+	c.writeLocked(last)
+	c.closeWriteLocked() // under the same lock, or the relay would pass a line between the last and the end
 	c.mu.Unlock()
-	if s := p.side[Server]; abrupt {
+	if s := p.conns[Server]; abrupt {
 		s.Abort()
 	} else {
 		s.Close()
@@ -551,13 +551,13 @@
 
 // Abort ends both sides by a reset; false: it was over already.
 func (p *Pair) Abort() bool {
-	if !p.over.CompareAndSwap(false, true) {
+	if !p.ended.CompareAndSwap(false, true) {
 		return false
 	}
-	p.side[Client].Abort()
-	p.side[Server].Abort()
+	p.conns[Client].Abort()
+	p.conns[Server].Abort()
 	return true
 }
 
 // Close closes what is left of the client's side for good.
-func (p *Pair) Close() { p.side[Client].Close() }
+func (p *Pair) Close() { p.conns[Client].Close() }
--- a/internal/relay/dial_test.go
+++ b/internal/relay/dial_test.go
@@ -58,7 +58,7 @@
 		most   int64
 		wanted bool
 		why    error
-	}{{"unwanted", 1, false, ErrUnwanted}, {"wanted", 1, true, nil}, {"no room", 0, true, ErrNoRoom}} {
+	}{{"unwanted", 1, false, ErrDialCancelled}, {"wanted", 1, true, nil}, {"no room", 0, true, ErrDescriptorLimit}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := begin(t, 1)
 			asked, may := names(t)
@@ -126,7 +126,7 @@
 	close(start)
 	none := 0
 	for range many {
-		if err := get(t, errs); errors.Is(err, ErrNoRoom) {
+		if err := get(t, errs); errors.Is(err, ErrDescriptorLimit) {
 			none++
 		} else if err != nil {
 			t.Error(err)
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -17,19 +17,19 @@
 		t.Fatal(err)
 	}
 	golden = bytes.TrimSuffix(golden, []byte("\n"))
-	want := Passed{
-		Client:   End{Held: []byte("half a line"), Out: []byte("waits\r\n")},
-		Server:   End{Held: []byte{0, 255}, Out: []byte("more\r\n")},
-		Byed:     true,
-		Moved:    true,
-		AskedAgo: 1234567 * time.Nanosecond,
-		HeardAgo: time.Minute,
+	want := PairState{
+		Client:        ConnState{Partial: []byte("half a line"), Unwritten: []byte("waits\r\n")},
+		Server:        ConnState{Partial: []byte{0, 255}, Unwritten: []byte("more\r\n")},
+		Completed:     true,
+		MoveRequested: true,
+		RequestAge:    1234567 * time.Nanosecond,
+		LastLineAge:   time.Minute,
 	}
 	encoded, err := json.Marshal(want)
 	if err != nil || !bytes.Equal(encoded, golden) {
 		t.Errorf("encodes to\n%s, not\n%s (%v)", encoded, golden, err)
 	}
-	var decoded Passed
+	var decoded PairState
 	decoder := json.NewDecoder(strings.NewReader(string(golden)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&decoded); err != nil {
