--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -26,7 +26,7 @@
 	said      chan string
 	gone      chan error
 	ended     chan end
-	loads     chan Load
+	loads     chan LoadLine
 	panics    chan any
 }
 
@@ -37,12 +37,12 @@
 	why    error
 }
 
-func (o *told) Connected(_ *Conn, err error)           { o.connected <- err }
-func (o *told) Said(_ *Conn, raw []byte)               { o.said <- string(raw) }
-func (o *told) Gone(_ *Conn, _ bool, why error)        { o.gone <- why }
-func (o *told) Ended(p *Pair, b Side, a bool, w error) { o.ended <- end{p, b, a, w} }
-func (o *told) Panicked(_ string, what any, _ []byte)  { o.panics <- what }
-func (o *told) Loads(all []Load) {
+func (o *told) Connected(_ *Conn, err error)               { o.connected <- err }
+func (o *told) LineReceived(_ *Conn, raw []byte)           { o.said <- string(raw) }
+func (o *told) Disconnected(_ *Conn, _ bool, why error)    { o.gone <- why }
+func (o *told) PairEnded(p *Pair, b Side, a bool, w error) { o.ended <- end{p, b, a, w} }
+func (o *told) Panicked(_ string, what any, _ []byte)      { o.panics <- what }
+func (o *told) LoadsReported(all []LoadLine) {
 	for _, l := range all {
 		o.loads <- l
 	}
@@ -50,7 +50,7 @@
 
 // bench is shards with a listener whose connections the test takes.
 type bench struct {
-	*Shards
+	*Relay
 	*told
 	t     testing.TB
 	ln    net.Listener
@@ -62,9 +62,9 @@
 
 func begin(t testing.TB, many int) *bench {
 	b := &bench{t: t, taken: make(chan net.Conn, 100), told: &told{make(chan error, 100), make(chan string, 100), make(chan error, 100),
-		make(chan end, 1000), make(chan Load, 1000), make(chan any, 100)}}
+		make(chan end, 1000), make(chan LoadLine, 1000), make(chan any, 100)}}
 	var err error
-	if b.Shards, err = New(many, b.told, &b.fds); err != nil {
+	if b.Relay, err = New(many, b.told, &b.fds); err != nil {
 		t.Fatal(err)
 	}
 	if b.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -79,7 +79,7 @@
 			b.taken <- c
 		}
 	}()
-	t.Cleanup(func() { _ = b.ln.Close(); b.Shards.Close() })
+	t.Cleanup(func() { _ = b.ln.Close(); b.Relay.Close() })
 	return b
 }
 
@@ -139,7 +139,7 @@
 	b.t.Helper()
 	c, server := b.dial()
 	_, _ = io.WriteString(server, "UP 1\r\n")
-	c.Listen()
+	c.AwaitLine()
 	if raw := get(b.t, b.said); raw != "UP 1\r\n" {
 		b.t.Fatal(raw)
 	}
@@ -147,7 +147,7 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	if p, err = b.Stand(b.take(), c, []byte("UP 1\r\n"), 7, nil); err != nil {
+	if p, err = b.Join(b.take(), c, []byte("UP 1\r\n"), 7, nil); err != nil {
 		b.t.Fatal(err)
 	}
 	client = b.outer(near)
@@ -175,15 +175,15 @@
 func TestAConnectionWithoutAPair(t *testing.T) {
 	b := begin(t, 1)
 	c, far := b.dial()
-	if err := c.Early(); err != nil {
+	if err := c.CheckOpen(); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Ask([]byte("OPEN\r\n")); err != nil {
+	if err := c.WriteFirst([]byte("OPEN\r\n")); err != nil {
 		t.Fatal(err)
 	}
 	far.want("OPEN\r\n")
 	_, _ = io.WriteString(far, "LOAD 1\r\nUP 1\r\nhal") // one line at a time, however many have come
-	c.Listen()
+	c.AwaitLine()
 	if got := get(t, b.said); got != "LOAD 1\r\n" {
 		t.Fatal(got)
 	}
@@ -192,11 +192,11 @@
 		t.Fatalf("%q unasked", got)
 	case <-time.After(20 * time.Millisecond):
 	}
-	c.Listen()
+	c.AwaitLine()
 	if got := get(t, b.said); got != "UP 1\r\n" {
 		t.Fatal(got)
 	}
-	c.Listen()
+	c.AwaitLine()
 	_ = far.Close()
 	if err := get(t, b.gone); err != nil {
 		t.Fatal(err)
@@ -208,18 +208,18 @@
 	}
 	c, far = b.dial()
 	_, _ = io.WriteString(far, strings.Repeat("x", 5000))
-	c.Listen()
-	if err := get(t, b.gone); !errors.Is(err, ErrTooLong) {
+	c.AwaitLine()
+	if err := get(t, b.gone); !errors.Is(err, ErrLineTooLong) {
 		t.Fatal(err)
 	}
 	c.Close()
 	c, far = b.dial()
 	_ = far.Conn.(*net.TCPConn).SetLinger(0)
 	_ = far.Close()
-	for c.Early() == nil {
+	for c.CheckOpen() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	if err := c.Ask([]byte("OPEN\r\n")); err == nil {
+	if err := c.WriteFirst([]byte("OPEN\r\n")); err == nil {
 		t.Fatal("a line was written to a connection that was reset")
 	}
 	c.Close()
@@ -254,7 +254,7 @@
 		}
 		_, _ = io.WriteString(far, "UP 1\r\n")
 		until(func() bool { return waits(6) })
-		c.Listen()
+		c.AwaitLine()
 		if got := get(t, b.said); got != "UP 1\r\n" {
 			t.Fatal(got)
 		}
@@ -264,7 +264,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := b.Stand(b.take(), c, []byte("UP 1\r\n"), 7, nil); err != nil {
+		if _, err := b.Join(b.take(), c, []byte("UP 1\r\n"), 7, nil); err != nil {
 			t.Fatal(err)
 		}
 		client := b.outer(near)
@@ -285,7 +285,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.Stand(b.take(), c, []byte("UP 1\r\n"), 7, nil); err == nil {
+	if _, err := b.Join(b.take(), c, []byte("UP 1\r\n"), 7, nil); err == nil {
 		t.Fatal("a pair without a server")
 	}
 	client := b.outer(near)
@@ -314,7 +314,7 @@
 	_ = server.Close()
 	client.want("BYE\r\n")
 	client.ends(false)
-	if e := get(t, b.ended); e.by != Server || e.abrupt || e.why != nil || !e.p.Byed() || e.p.Moved() {
+	if e := get(t, b.ended); e.by != Server || e.abrupt || e.why != nil || !e.p.Completed() || e.p.MoveRequested() {
 		t.Fatal(e)
 	}
 	_ = client.Close()
@@ -378,7 +378,7 @@
 		for range 50 {
 			client.want("M 12345678\r\n")
 		}
-		if !p.End([]byte("MOVE\r\n"), false) || p.End([]byte("MOVE\r\n"), false) {
+		if !p.CloseWithLine([]byte("MOVE\r\n"), false) || p.CloseWithLine([]byte("MOVE\r\n"), false) {
 			t.Fatal("a pair ends once")
 		}
 		for {
@@ -425,20 +425,20 @@
 		other.want(fmt.Sprintf("M %d\r\n", i))
 	}
 	n := get(t, sent)
-	c := p.side[Client]
+	c := p.conns[Client]
 	c.mu.Lock()
-	waits := cap(c.out)
+	waits := cap(c.writeBuffer)
 	c.mu.Unlock()
-	if waits > 4*readMost || waits == 0 {
+	if waits > 4*readBufferSize || waits == 0 {
 		t.Fatalf("%d bytes wait", waits)
 	}
 	for whole := n / len(text); whole > 0; whole-- {
 		client.want(string(text))
 	}
-	c.stalledAt.Store(1) // as if it had taken nothing since the start
-	b.stall = 0
-	b.Gather(0)
-	if e := get(t, b.ended); !errors.Is(e.why, ErrSlow) || e.p != p {
+	c.blockedSince.Store(1) // as if it had taken nothing since the start
+	b.stallTimeout = 0
+	b.CollectResponseTimes(0)
+	if e := get(t, b.ended); !errors.Is(e.why, ErrSlowReader) || e.p != p {
 		t.Fatal(e)
 	}
 	_ = server.Close()
@@ -452,7 +452,7 @@
 	here, there := begin(t, 1), begin(t, 2)
 	p, client, server := here.pair()
 	_ = client.Conn.(*net.TCPConn).SetReadBuffer(128 << 10)
-	_ = unix.SetsockoptInt(p.side[Client].fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 128<<10)
+	_ = unix.SetsockoptInt(p.conns[Client].fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 128<<10)
 	const lines = 4000
 	text := strings.Repeat("x", 1000)
 	for _, from := range []*side{client, server} {
@@ -462,7 +462,7 @@
 			}
 		}()
 	}
-	for end := time.Now().Add(bound); !p.side[Client].stalled.Load(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(bound); !p.conns[Client].writeBlocked.Load(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing waits for the reader")
 		}
@@ -471,18 +471,18 @@
 	for n := range lines {
 		if n%400 == 0 {
 			type took struct {
-				Passed
+				PairState
 				mine bool
 			}
 			done := make(chan took, 1)
-			p.Take(func(t Passed, mine bool) { done <- took{t, mine} })
+			p.Detach(func(t PairState, mine bool) { done <- took{t, mine} })
 			got := get(t, done)
 			if !got.mine || p.Abort() || here.fds.Load() != 0 {
 				t.Fatalf("%+v, %d descriptors", got.mine, here.fds.Load())
 			}
-			waited += len(got.Client.Out) + len(got.Server.Out)
+			waited += len(got.Client.Unwritten) + len(got.Server.Unwritten)
 			var err error
-			if p, err = there.Resume(got.Passed, 1, nil); err != nil {
+			if p, err = there.Attach(got.PairState, 1, nil); err != nil {
 				t.Fatal(err)
 			}
 			here, there = there, here
@@ -509,20 +509,20 @@
 	client.want("LOAD 1\r\n")
 	client.want("M 1\r\n")
 	_, _ = io.WriteString(quiet, "M 1\r\n")
-	for end := time.Now().Add(bound); silent.asked.Load() == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(bound); silent.requestedAt.Load() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(5 * time.Millisecond)
-	if all := b.Silent(2 * time.Millisecond); len(all) != 1 || all[0] != silent {
+	if all := b.SilentPairs(2 * time.Millisecond); len(all) != 1 || all[0] != silent {
 		t.Fatalf("%d silent", len(all))
 	}
-	if all := b.Silent(time.Hour); len(all) != 0 {
+	if all := b.SilentPairs(time.Hour); len(all) != 0 {
 		t.Fatal(all)
 	}
-	if took := b.Gather(time.Millisecond)[7]; len(took) != 2 || max(took[0], took[1]) < 20*time.Millisecond || min(took[0], took[1]) < 5*time.Millisecond {
+	if took := b.CollectResponseTimes(time.Millisecond)[7]; len(took) != 2 || max(took[0], took[1]) < 20*time.Millisecond || min(took[0], took[1]) < 5*time.Millisecond {
 		t.Fatalf("%v", took)
 	}
-	if all := b.Gather(0); len(all) != 0 {
+	if all := b.CollectResponseTimes(0); len(all) != 0 {
 		t.Fatal(all)
 	}
 }
@@ -532,9 +532,9 @@
 	b := begin(t, 1)
 	_, client, server := b.pair()
 	_, calm, other := b.pair()
-	sh := b.all[0]
+	sh := b.workers[0]
 	sh.mu.Lock()
-	sh.times = nil
+	sh.samples = nil
 	sh.mu.Unlock()
 	_, _ = io.WriteString(client, "M 1\r\n")
 	server.want("M 1\r\n")
@@ -577,7 +577,7 @@
 			_ = x.server.Close()
 			x.client.ends(true)
 		case 2:
-			if x.p.End([]byte("MOVE\r\n"), true) {
+			if x.p.CloseWithLine([]byte("MOVE\r\n"), true) {
 				x.client.want("MOVE\r\n")
 				x.p.Close()
 			}
