--- a/cmd/testbed/scale_world.go
+++ b/cmd/testbed/scale_world.go
@@ -142,7 +142,7 @@
 		if c.Process, err = cluster.NewProcess(name, []string{binary, "fleet", "control", file, "--mgmt", mgmt.String()}, nil, dir, log(name)); err != nil {
 			return all, fronts, err
 		}
-		c.Mgmt = mgmt.String()
+		c.AdminAddr = mgmt.String()
 	}
 	return all, fronts, nil
 }
@@ -163,7 +163,7 @@
 
 // used is the processor time of all lives.
 func (c *control) used() time.Duration {
-	before, _ := c.Used()
+	before, _ := c.TotalUsage()
 	if c.runs() {
 		before += c.CPU()
 	}
@@ -191,7 +191,7 @@
 	}
 	var datagrams int64
 	if r, err := c.Fleet(); err == nil {
-		datagrams = r.Sent + r.Heard
+		datagrams = r.Sent + r.Received
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -236,13 +236,13 @@
 		var last error
 		for _, c := range all {
 			if !c.runs() {
-				return fmt.Errorf("control process %s ended at its start: %s", c.Name, c.Tail())
+				return fmt.Errorf("control process %s ended at its start: %s", c.Name, c.LogTail())
 			}
 			switch r, err := c.Fleet(); {
 			case err != nil:
 				last = err
-			case r.Here != len(all) || r.Held == nil || r.Held.ID == "" || r.Held.Members != len(all):
-				last = fmt.Errorf("control process %s: %s, %d of %d here, %+v", c.Name, r.Standing, r.Here, len(all), r.Held)
+			case r.Alive != len(all) || r.Store == nil || r.Store.ID == "" || r.Store.Members != len(all):
+				last = fmt.Errorf("control process %s: %s, %d of %d here, %+v", c.Name, r.Standing, r.Alive, len(all), r.Store)
 			}
 			if last != nil {
 				break
@@ -585,7 +585,7 @@
 		}
 		all.Wait()
 	}
-	switch s.Do {
+	switch s.Action {
 	case scale.Kill:
 		each(func(c *control) error { c.kill(); return nil })
 	case scale.End:
@@ -601,7 +601,7 @@
 		})
 	case scale.Cut, scale.Heal:
 		var off []int
-		if s.Do == scale.Cut {
+		if s.Action == scale.Cut {
 			off = s.Who
 		}
 		errs = make([]error, len(w.fronts))
@@ -625,7 +625,7 @@
 				continue
 			}
 			o := hollowOrder{Down: mine}
-			if s.Do == scale.Up {
+			if s.Action == scale.Up {
 				o = hollowOrder{Up: mine}
 			}
 			if err := h.order(o); err != nil {
@@ -639,7 +639,7 @@
 				continue
 			}
 			all.Go(func() {
-				if s.Do == scale.ZoneOn {
+				if s.Action == scale.ZoneOn {
 					if errs[i] = h.start(); errs[i] == nil {
 						errs[i] = h.order(hollowOrder{Up: w.of[i]})
 					}
@@ -661,7 +661,7 @@
 		}
 		all.Wait()
 	default:
-		return fmt.Errorf("%q is no step", s.Do)
+		return fmt.Errorf("%q is no step", s.Action)
 	}
 	return errors.Join(errs...)
 }
@@ -734,9 +734,9 @@
 				not[i] = c.Name + " does not run"
 			case err != nil:
 				not[i] = err.Error()
-			case r.Here != len(w.control) || r.Held == nil || r.Held.Members != len(w.control):
-				not[i] = fmt.Sprintf("%s sees %d control processes here", c.Name, r.Here)
-			case r.Publishing == nil || r.Publishing.Version < version || r.Publishing.Age < 0 || r.Publishing.Age > changefeed.Lease.Seconds():
+			case r.Alive != len(w.control) || r.Store == nil || r.Store.Members != len(w.control):
+				not[i] = fmt.Sprintf("%s sees %d control processes here", c.Name, r.Alive)
+			case r.Publisher == nil || r.Publisher.Version < version || r.Publisher.Age < 0 || r.Publisher.Age > changefeed.DefaultLease.Seconds():
 				not[i] = c.Name + " is not current"
 			}
 		})
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -119,7 +119,7 @@
 			return err
 		}
 		before := a.process.RSS()
-		s, err := bench.Stand(a.target, c.Idle)
+		s, err := bench.OpenConnections(a.target, c.Idle)
 		if err != nil {
 			return fmt.Errorf("%s, %d cores: %w", a.Arm, a.Cores, err)
 		}
@@ -135,22 +135,22 @@
 func (a *throughputArm) start(num int, dir string, servers []string, idle int) error {
 	w := topology.World{Balancers: 1, Zones: 1, GradeNames: []string{"feed"}, OuterLimits: []time.Duration{time.Minute},
 		MessageGoal: 10 * time.Second, DrainGrace: time.Second, ConnectWithin: 10 * time.Second,
-		Deployment: policy.Deployment{Grades: []policy.Grade{{SetupGoal: 10 * time.Second, MessageGoal: 10 * time.Second, Utility: 1}},
-			MostTries: 3, FallMultiple: 3, FallFor: time.Second, ColdFrom: 1, ColdFor: time.Second},
+		Deployment: policy.Config{Classes: []policy.Class{{SetupObjective: 10 * time.Second, MessageObjective: 10 * time.Second, PriorityWeight: 1}},
+			MaxAttempts: 3, OverloadMultiple: 3, OverloadWindow: time.Second, SlowStartFloor: 1, SlowStartWindow: time.Second},
 		Limits: topology.Limits{Cores: float64(a.Cores), MemoryMB: 4096, Sockets: 2*idle + 8192}}
 	agent, err := emulator.NewAgent(num, &emulator.Clock{}, history.New(1000), func(string) int { return 0 })
 	if err != nil {
 		return err
 	}
 	for i, s := range servers {
-		agent.Set(emulator.Entry{UID: fmt.Sprintf("s-%d", i), Endpoint: s, Zone: cluster.Zone(0), State: emulator.InService, Heft: 1})
+		agent.Set(emulator.Endpoint{UID: fmt.Sprintf("s-%d", i), Address: s, Zone: cluster.ZoneName(0), State: emulator.InService, Weight: 1})
 	}
 	a.agent = agent
 	if a.process, err = cluster.NewProcess(fmt.Sprintf("%s-%d", a.Arm, a.Cores), a.command, nil, dir, nil); err != nil {
 		return err
 	}
 	a.process.CPUs = a.Cores
-	if err := a.process.Write(cluster.Config(&w, 0, a.process.Addr, agent.Addr(), 7, agent.Known())); err != nil {
+	if err := a.process.WriteConfig(cluster.BalancerConfig(&w, 0, a.process.Addr, agent.Addr(), 7, agent.Known())); err != nil {
 		return err
 	}
 	a.target = bench.NewTarget(a.process.Addr)
@@ -161,7 +161,7 @@
 func (c *throughputCmd) measure(l *lab, a *throughputArm) error {
 	s := bench.Setups(a.target, 64, c.Span)
 	paced := bench.PacedSetups(a.target, c.Setups, c.Span)
-	standing, err := bench.Stand(a.target, c.Lines)
+	standing, err := bench.OpenConnections(a.target, c.Lines)
 	if err != nil {
 		return err
 	}
--- a/internal/balancer/dial.go
+++ b/internal/balancer/dial.go
@@ -44,7 +44,7 @@
 // dial starts a connection to a server beside the loop, for the connect time limit or a try's time at most. None is begun once it
 // is cancelled or its circuit's client has gone.
 func (l *Loop) dial(address string, within time.Duration, cir *session, up func(*relay.Conn, error)) *upstreamDial {
-	if limit := l.deployment.ConnectWithin; limit > 0 {
+	if limit := l.deployment.ConnectTimeout; limit > 0 {
 		within = min(within, limit)
 	} else {
 		within = min(within, maxConnectTimeout)
@@ -142,7 +142,7 @@
 			cir := one.Pair.Data.(*session)
 			if ln := protocol.Decode(one.Raw); ln.Bad == nil && r.loop.sessions[cir.id] == cir {
 				cir.arrival.Load = ln.Figure
-				r.loop.policy.LoadNoted(cir.id, max(cir.attempts-1, 0), ln.Figure)
+				r.loop.policy.RecordLoad(cir.id, max(cir.attempts-1, 0), ln.Figure)
 			}
 		}
 	}})
--- a/internal/balancer/endpoint_recovery.go
+++ b/internal/balancer/endpoint_recovery.go
@@ -32,11 +32,11 @@
 	var all discovery.List
 	all.Rev, all.Whole = rev, true
 	for _, sv := range l.servers {
-		if sv.state != policy.Gone {
+		if sv.state != policy.Removed {
 			all.Servers = append(all.Servers, sv.listed)
 		}
 	}
-	l.fleet.KeepList(rev, discovery.Encode(all))
+	l.fleet.SaveEndpointList(rev, discovery.Encode(all))
 }
 
 // scheduleListRecovery asks the fleet for its list if discovery has not answered by then.
@@ -48,24 +48,24 @@
 		if l.hasCurrentList {
 			return
 		}
-		l.fleet.RecallList(func() bool { return l.Lists.Load() > 0 }, func(held fleet.List, age time.Duration) {
+		l.fleet.LoadEndpointList(func() bool { return l.Lists.Load() > 0 }, func(held fleet.EndpointList, age time.Duration) {
 			l.post(event{run: func() { l.listRecovered(held, age) }})
 		})
 	})
 }
 
 // listRecovered takes it, by its age.
-func (l *Loop) listRecovered(held fleet.List, age time.Duration) {
-	young, old := l.fleet.ListAges()
-	list, err := discovery.Decode(json.RawMessage(held.Known))
+func (l *Loop) listRecovered(held fleet.EndpointList, age time.Duration) {
+	young, old := l.fleet.EndpointListAges()
+	list, err := discovery.Decode(json.RawMessage(held.Endpoints))
 	say := func(what string) {
-		l.log.Warn("fleet: list of before, as discovery is silent", zap.String("is", what), zap.Duration("age", age), zap.Uint64("rev", held.Rev),
+		l.log.Warn("fleet: list of before, as discovery is silent", zap.String("is", what), zap.Duration("age", age), zap.Uint64("rev", held.Revision),
 			zap.Int("servers", len(list.Servers)), zap.Error(err))
 	}
 	switch {
 	case err != nil:
 		say("unreadable")
-	case l.hasCurrentList || l.initialList.Whole && l.initialList.Rev >= held.Rev && len(l.initialList.Servers) > 0:
+	case l.hasCurrentList || l.initialList.Whole && l.initialList.Rev >= held.Revision && len(l.initialList.Servers) > 0:
 		say("not needed")
 	case age <= young:
 		say("used")
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -139,7 +139,7 @@
 	l.setMemoryShare(true)
 	known := &hotrestart.State{OutOfService: l.isOutOfService()}
 	for _, sv := range l.servers {
-		if t := &sv.probeTimes; len(t.shortest) > 0 && sv.state != policy.Gone {
+		if t := &sv.probeTimes; len(t.shortest) > 0 && sv.state != policy.Removed {
 			known.Servers = append(known.Servers, hotrestart.ProbeTimes{UID: sv.listed.UID, BootMillis: bootMillis(sv), Last: t.last, Previous: t.previous,
 				Shortest: t.shortest, SpeedStep: sv.speedStep})
 		}
@@ -318,7 +318,7 @@
 
 // applyState takes what would be slow to learn anew.
 func (l *Loop) applyState(k *hotrestart.State) {
-	l.policy.Spent() // what the old process has let to cold servers of late counts
+	l.policy.PauseSlowStart() // what the old process has let to cold servers of late counts
 	for _, p := range k.Servers {
 		sv := l.serversByUID[p.UID]
 		if sv == nil || bootMillis(sv) != p.BootMillis || len(p.Shortest) == 0 || len(sv.probeTimes.shortest) > 0 {
@@ -326,7 +326,7 @@
 		}
 		sv.probeTimes = probeTimes{last: p.Last, previous: p.Previous, shortest: slices.Sorted(slices.Values(p.Shortest[:min(len(p.Shortest), 3)]))}
 		sv.speedStep = max(-maxSpeedStep, min(p.SpeedStep, maxSpeedStep))
-		l.policy.Weighed(sv.id, sv.weight())
+		l.policy.SetWeight(sv.id, sv.weight())
 	}
 	if k.OutOfService {
 		l.inheritOutOfService()
@@ -345,7 +345,7 @@
 	}
 	sv := l.serversByUID[m.ServerUID]
 	if sv == nil { // a list that is older or newer: it stands where it stands
-		sv = &upstream{id: policy.ServerID(protocol.Hash(m.ServerUID)), state: policy.Gone, listed: discovery.Server{UID: m.ServerUID}}
+		sv = &upstream{id: policy.EndpointID(protocol.Hash(m.ServerUID)), state: policy.Removed, listed: discovery.Server{UID: m.ServerUID}}
 		l.servers[sv.id], l.serversByUID[m.ServerUID] = sv, sv
 	}
 	l.lastSessionID++
@@ -362,7 +362,7 @@
 	l.sessions[cir.id], l.sessionsByClientID[ln.Ask.ID] = cir, cir
 	l.openSessions++
 	l.Open.Store(int64(l.openSessions))
-	l.policy.HandedOver(cir.arrival, sv.id)
+	l.policy.AdoptSession(cir.arrival, sv.id)
 	if l.isHandingOver() {
 		l.handOverSession(cir)
 	}
@@ -392,7 +392,7 @@
 	l.handover.predecessor = nil
 	l.peerDescriptors.Store(0)
 	l.setMemoryShare(false)
-	l.policy.Spent()
+	l.policy.PauseSlowStart()
 	if !l.isShuttingDown() {
 		l.listenForSuccessor()
 	}
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -21,7 +21,7 @@
 
 // idempotencyRecord is what the loop knows of a circuit that is held.
 type idempotencyRecord struct {
-	*fleet.Held
+	*fleet.IdempotentSession
 	requesting     bool          // a promise is out
 	writeAllowed   bool          // the newest try may write
 	writeDeadline  time.Duration // by the clock that goes on while the process is stopped
@@ -40,9 +40,9 @@
 
 // beginRecord begins for a circuit whose grade is held.
 func (l *Loop) beginRecord(cir *session) {
-	if l.fleet != nil && l.fleet.Holds(cir.request.Grade) {
+	if l.fleet != nil && l.fleet.IsIdempotentClass(cir.request.Grade) {
 		l.Replicated.Add(1)
-		cir.record = &idempotencyRecord{Held: l.fleet.Hold(cir.request.ID)}
+		cir.record = &idempotencyRecord{IdempotentSession: l.fleet.NewIdempotentSession(cir.request.ID)}
 	}
 }
 
@@ -88,8 +88,8 @@
 	if l.sessions[cir.id] != cir {
 		return
 	}
-	switch v.Verdict {
-	case idempotency.Go:
+	switch v.Decision {
+	case idempotency.Proceed:
 		if cir.generation != turn || !cir.attemptActive {
 			return
 		}
@@ -98,11 +98,11 @@
 			h.onWriteAllowed = nil
 			do()
 		}
-	case idempotency.Same:
+	case idempotency.Replay:
 		l.RepeatedAnswers.Add(1)
 		l.log.Info("fleet: answered before", zap.Stringer("circuit", cir), zap.ByteString("answer", v.Answer))
 		l.endWithAnswer(cir, v.Answer)
-	case idempotency.Broken:
+	case idempotency.Abandoned:
 		l.log.Info("fleet: broken off, as another owner may have run it", zap.Stringer("circuit", cir))
 		l.failSession(cir, protocol.ErrLine)
 	default:
@@ -136,7 +136,7 @@
 	h.committing = true
 	h.whenIdle(func() {
 		h.requesting = true
-		h.Tell(ln.Raw, max(0, min(maxCommitWait, (cir.deadline-l.now)/2)), func(v fleet.Verdict) {
+		h.Complete(ln.Raw, max(0, min(maxCommitWait, (cir.deadline-l.now)/2)), func(v fleet.Verdict) {
 			l.post(event{session: cir, run: func() { l.answerCommitted(cir, ln, v) }})
 		})
 	})
@@ -150,13 +150,13 @@
 	}
 	h.committing = false
 	switch {
-	case v.Verdict == idempotency.Broken || v.Verdict == idempotency.Same && string(v.Answer) != string(ln.Raw):
+	case v.Decision == idempotency.Abandoned || v.Decision == idempotency.Replay && string(v.Answer) != string(ln.Raw):
 		l.log.Info("fleet: broken off by another owner before its answer was held", zap.Stringer("circuit", cir))
 		l.failSession(cir, protocol.ErrLine)
 	case h.upstreamClosed: // it ran, and stands no more
 		l.endWithAnswer(cir, ln.Raw)
 	default:
-		if v.Verdict == idempotency.CantSay {
+		if v.Decision == idempotency.Unavailable {
 			l.NotReplicated.Add(1)
 			l.log.Warn("fleet: an answer is told that is not held", zap.Stringer("circuit", cir))
 		}
--- a/internal/balancer/lifecycle.go
+++ b/internal/balancer/lifecycle.go
@@ -90,7 +90,7 @@
 			return
 		}
 		l.log.Info("in service", zap.Int("open", l.openSessions))
-		l.policy.Stay()
+		l.policy.StopDraining()
 	}})
 	return nil
 }
@@ -198,7 +198,7 @@
 
 // drain has all that is held go.
 func (l *Loop) drain(from, within time.Duration) {
-	l.policy.Leave(l.now+from, l.now+within)
+	l.policy.StartDraining(l.now+from, l.now+within)
 	for _, cir := range l.sessions {
 		if cir.reattaching { // waits for its server for longer than there is time
 			l.failSession(cir, protocol.ErrLine)
--- a/internal/balancer/listener.go
+++ b/internal/balancer/listener.go
@@ -288,8 +288,8 @@
 
 // retryAfter is the advice of a nack for want of room.
 func (l *Loop) retryAfter() time.Duration {
-	if !l.deployment.Policy.MayAdvise {
+	if !l.deployment.Policy.CanSendRetryAfter {
 		return 0
 	}
-	return l.deployment.Policy.LongestAdvice / 2
+	return l.deployment.Policy.MaxRetryAfter / 2
 }
--- a/internal/balancer/load_estimator.go
+++ b/internal/balancer/load_estimator.go
@@ -78,7 +78,7 @@
 	if math.Abs(at-float64(sv.speedStep)) > 0.75 {
 		sv.speedStep = int(math.Round(at))
 		l.log.Debug("pace", zap.String("server", sv.listed.UID), zap.Int("steps", sv.speedStep))
-		l.policy.Weighed(sv.id, sv.weight())
+		l.policy.SetWeight(sv.id, sv.weight())
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 	load := l.loadOf(t, idle)
 	if load < recheckLoad && l.loadFromTimes(t.last, l.unloadedTime(t, idle)) >= recheckLoad {
-		l.policy.Doubted(sv.id) // guards against a queue that is seen only by the second long probe, seconds later
+		l.policy.RequestHealthCheck(sv.id) // guards against a queue that is seen only by the second long probe, seconds later
 	}
 	return load, true
 }
@@ -119,7 +119,7 @@
 // loadOf is the load over capacity that the newest probes tell of, against the idle times of all, sorted.
 func (l *Loop) loadOf(t *probeTimes, idle []time.Duration) float64 {
 	alone := l.unloadedTime(t, idle)
-	return l.loadFromTimes(t.observed(l.deployment.Policy.Peers, alone), alone)
+	return l.loadFromTimes(t.observed(l.deployment.Policy.Balancers, alone), alone)
 }
 
 func (l *Loop) unloadedTime(t *probeTimes, idle []time.Duration) time.Duration {
@@ -143,12 +143,12 @@
 	if t := &sv.probeTimes; sv != but && len(t.shortest) > 0 && l.now-t.endedAt < reestimateWindow && sv.state == policy.Ready && !l.isWarmingUp(sv) {
 		load := l.loadOf(t, idle)
 		l.log.Debug("guess", zap.String("server", sv.listed.UID), zap.Float64("load", load), zap.Duration("took", t.last))
-		l.policy.Reported(sv.id, policy.Report{Asked: load, Piled: -1, Util: -1})
+		l.policy.RecordLoadReport(sv.id, policy.LoadReport{Demand: load, Backlog: -1, Utilization: -1})
 	}
 }
 
 // isWarmingUp tells whether a server still warms up.
 func (l *Loop) isWarmingUp(sv *upstream) bool {
 	boot := sv.listed.Boot
-	return !boot.IsZero() && l.now-boot.Sub(l.startTime) < l.deployment.Policy.ColdFor
+	return !boot.IsZero() && l.now-boot.Sub(l.startTime) < l.deployment.Policy.SlowStartWindow
 }
--- a/internal/balancer/loop.go
+++ b/internal/balancer/loop.go
@@ -36,7 +36,7 @@
 // Loop is one running balancer.
 type Loop struct {
 	log              *zap.Logger
-	deployment       *deployment.Deployment
+	deployment       *deployment.Settings
 	policy           *policy.Balancer
 	startTime        time.Time
 	now              time.Duration
@@ -51,21 +51,21 @@
 	descriptorLimit int64        // of those at most, less
 	peerDescriptors atomic.Int64 // what the other process of an upgrade holds
 
-	gossip             *loadgossip.Link // to the other balancers, nil where they are not told
-	openedGossip       *loadgossip.Link // the newest one that was opened, and whether another process of this balancer may run
-	sharesListener     bool             // beside it, which only Reconfigure looks at
-	fleet              *fleet.Fleet     // holds circuits of some grades for others; nil where there is none
+	gossip             *loadgossip.Transport // to the other balancers, nil where they are not told
+	openedGossip       *loadgossip.Transport // the newest one that was opened, and whether another process of this balancer may run
+	sharesListener     bool                  // beside it, which only Reconfigure looks at
+	fleet              *fleet.Fleet          // holds circuits of some grades for others; nil where there is none
 	relay              *relay.Relay
 	watch              *discovery.Watch
 	stopWatch          context.CancelFunc // ends it
 	initialList        discovery.List     // the list from before the start, until it is followed
-	servers            map[policy.ServerID]*upstream
+	servers            map[policy.EndpointID]*upstream
 	serversByUID       map[string]*upstream
-	sessions           map[policy.CircuitID]*session
+	sessions           map[policy.SessionID]*session
 	sessionsByClientID map[uint64]*session // by the id that the client gave it
 	idle               *idleConns
 	openSessions       int
-	lastSessionID      policy.CircuitID
+	lastSessionID      policy.SessionID
 	timers             timers
 	timerSequence      int
 	hasCurrentList     bool          // discovery has answered since the start
@@ -88,9 +88,9 @@
 
 // upstream is what the sockets need to know of one server.
 type upstream struct {
-	id           policy.ServerID
+	id           policy.EndpointID
 	address      string
-	state        policy.State
+	state        policy.EndpointState
 	probeTimes   probeTimes // what probes took
 	speedStep    int        // how fast its machine is by them, in steps over the middle one
 	reportedSlow bool       // the newest note was one of slow messages
@@ -119,13 +119,13 @@
 }
 
 // New makes a balancer from what it was told at its start; sockets is the most descriptors it may hold.
-func New(log *zap.Logger, dep *deployment.Deployment, seed uint64, known discovery.List, sockets int) (*Loop, error) {
+func New(log *zap.Logger, dep *deployment.Settings, seed uint64, known discovery.List, sockets int) (*Loop, error) {
 	shards := (runtime.GOMAXPROCS(0) - 1) / 2
 	l := &Loop{
 		log: log, policy: policy.New(withProbeReports(dep), seed), startTime: time.Now(),
 		wake: make(chan struct{}, 1), descriptorLimit: int64(max(sockets-ReservedDescriptors(shards), 2)),
-		servers: map[policy.ServerID]*upstream{}, serversByUID: map[string]*upstream{},
-		sessions: map[policy.CircuitID]*session{}, sessionsByClientID: map[uint64]*session{}, idle: newIdleConns(),
+		servers: map[policy.EndpointID]*upstream{}, serversByUID: map[string]*upstream{},
+		sessions: map[policy.SessionID]*session{}, sessionsByClientID: map[uint64]*session{}, idle: newIdleConns(),
 		initialList: known, becameReady: make(chan struct{}),
 	}
 	l.applySettings(dep)
@@ -159,7 +159,7 @@
 				}
 			}})
 		}
-		w = discovery.New(address, l.deployment.Policy.Peers, l.deployment.AskForList,
+		w = discovery.New(address, l.deployment.Policy.Balancers, l.deployment.PollEndpointList,
 			func(list discovery.List) { of(func() { l.applyList(list, false) }) },
 			func(err error) { of(func() { l.discoveryFailed(err) }) })
 		if l.stopWatch == nil { // another discovery counts its lists by itself
@@ -221,7 +221,7 @@
 	l.mu.Unlock()
 	due := l.nextWakeup()
 	l.now = time.Since(l.startTime)
-	l.policy.Clock(l.now)
+	l.policy.AdvanceClock(l.now)
 	if l.now-due > stallThreshold {
 		l.Stalls.Add(1)
 		l.log.Warn("stopped, or starved", zap.Duration("for", l.now-due))
@@ -244,7 +244,7 @@
 			return
 		}
 		var c *conn
-		if cir := l.sessions[d.Circuit]; cir != nil {
+		if cir := l.sessions[d.Session]; cir != nil {
 			c = cir.client
 		}
 		l.recoverPanics(c, func() { l.execute(d) })
@@ -254,7 +254,7 @@
 // nextWakeup is when the loop has something to do if nothing comes in.
 func (l *Loop) nextWakeup() time.Duration {
 	at := l.now + time.Second
-	if w, ok := l.policy.Wake(); ok {
+	if w, ok := l.policy.NextWakeup(); ok {
 		at = min(at, w)
 	}
 	if len(l.timers) > 0 {
@@ -316,31 +316,31 @@
 }
 
 func (l *Loop) execute(d policy.Decision) {
-	switch d.Do {
-	case policy.Probe:
-		l.startProbe(d.Server)
+	switch d.Action {
+	case policy.HealthCheck:
+		l.startProbe(d.Endpoint)
 		return
-	case policy.Tell:
+	case policy.SendGossip:
 		if l.gossip != nil {
-			l.gossip.Tell(d.Told)
+			l.gossip.Broadcast(d.Gossip)
 		}
 		return
 	}
-	c := l.sessions[d.Circuit]
+	c := l.sessions[d.Session]
 	if c == nil {
 		return
 	}
-	switch d.Do {
-	case policy.Try:
-		l.startAttempt(c, d.Server, d.For)
-	case policy.Nack:
+	switch d.Action {
+	case policy.StartAttempt:
+		l.startAttempt(c, d.Endpoint, d.Duration)
+	case policy.Reject:
 		l.Rejected.Add(1)
 		l.withdraw(c)
-		l.endUnserved(c, protocol.Turned(d.For))
-	case policy.BreakOff:
+		l.endUnserved(c, protocol.Turned(d.Duration))
+	case policy.Fail:
 		l.Failed.Add(1)
 		l.endUnserved(c, protocol.ErrLine)
-	case policy.Move:
+	case policy.Migrate:
 		l.migrate(c, policy.Cancelled)
 	}
 }
@@ -349,10 +349,10 @@
 
 // applyList takes a list of servers; known: from before the start.
 func (l *Loop) applyList(list discovery.List, known bool) {
-	named := map[policy.ServerID]bool{}
-	lines := make([]policy.Listed, 0, len(list.Servers))
+	named := map[policy.EndpointID]bool{}
+	lines := make([]policy.Endpoint, 0, len(list.Servers))
 	for _, s := range list.Servers {
-		id := policy.ServerID(protocol.Hash(s.UID))
+		id := policy.EndpointID(protocol.Hash(s.UID))
 		named[id] = true
 		sv := l.servers[id]
 		if sv == nil {
@@ -374,22 +374,22 @@
 		if !told {
 			zone = len(l.deployment.Zones)
 		}
-		started := policy.LongAgo
+		started := policy.StartedLongAgo
 		if !s.Boot.IsZero() {
 			started = s.Boot.Sub(l.startTime)
 		}
-		lines = append(lines, policy.Listed{
-			Server: id, Zone: zone, Cell: s.Cell, Kind: protocol.Hash(s.Model), State: s.State, Heft: sv.weight(), Started: started,
+		lines = append(lines, policy.Endpoint{
+			ID: id, Zone: zone, FailureDomain: s.Cell, MachineType: protocol.Hash(s.Model), State: s.State, Weight: sv.weight(), StartedAt: started,
 		})
 	}
 	if list.Whole {
 		for id, sv := range l.servers {
 			if !named[id] {
-				sv.state, sv.listed = policy.Gone, discovery.Server{}
+				sv.state, sv.listed = policy.Removed, discovery.Server{}
 			}
 		}
 	}
-	l.policy.ListArrived(lines, list.Whole || known)
+	l.policy.UpdateEndpoints(lines, list.Whole || known)
 	if !known {
 		l.log.Debug("list", zap.Uint64("rev", list.Rev), zap.Bool("whole", list.Whole), zap.Int("entries", len(list.Servers)))
 		l.Lists.Add(1)
@@ -407,7 +407,7 @@
 // while the process was stopped. Where it is silent that is not waited for. Guards against a first line to a server that
 // drains since, by a word that nobody here has read yet.
 func (l *Loop) requestFreshList() {
-	if l.watch == nil || l.deployment.AskForList {
+	if l.watch == nil || l.deployment.PollEndpointList {
 		return
 	}
 	l.watch.Again()
--- a/internal/balancer/probe.go
+++ b/internal/balancer/probe.go
@@ -25,21 +25,21 @@
 // probeTimeout is how long a probe may take once its connection stands: as long as a set-up should.
 func (l *Loop) probeTimeout() time.Duration {
 	goal := time.Duration(0)
-	for _, g := range l.deployment.Policy.Grades {
-		goal = max(goal, g.SetupGoal)
+	for _, g := range l.deployment.Policy.Classes {
+		goal = max(goal, g.SetupObjective)
 	}
 	return goal
 }
 
 // startProbe starts a probe.
-func (l *Loop) startProbe(id policy.ServerID) {
+func (l *Loop) startProbe(id policy.EndpointID) {
 	l.Probes.Add(1)
 	p := &probe{upstream: l.servers[id]}
 	within := l.probeTimeout()
 	p.dial = l.dial(p.upstream.address, maxConnectTimeout, nil, func(c *relay.Conn, err error) { l.probeConnected(p, c, err) })
 	p.dial.onLine = func(_ *relay.Conn, ln protocol.Line) { l.handleProbeLine(p, ln) }
 	p.dial.onDisconnected = func(*relay.Conn, error) { l.finishProbe(p, policy.Reset, nil) }
-	if limit := l.deployment.ConnectWithin; limit > 0 {
+	if limit := l.deployment.ConnectTimeout; limit > 0 {
 		within += limit
 	} else {
 		within += maxConnectTimeout
@@ -64,7 +64,7 @@
 		return
 	}
 	text := protocol.PingLine
-	if l.deployment.Policy.ReportsOnAsk {
+	if l.deployment.Policy.HasLoadReports {
 		text = protocol.AskLoad
 	}
 	if c.CheckOpen() != nil || c.WriteFirst(text) != nil {
@@ -82,7 +82,7 @@
 		l.finishProbe(p, policy.Succeeded, ln.Report())
 	case ln.Kind != protocol.Pong || ln.Bad != nil:
 		l.finishProbe(p, policy.Failed, nil)
-	case l.deployment.Policy.ReportsOnAsk && len(ln.Fields) == 0:
+	case l.deployment.Policy.HasLoadReports && len(ln.Fields) == 0:
 		p.ponged = true
 		p.conn.AwaitLine()
 	default:
@@ -100,27 +100,27 @@
 	if p.ponged {
 		how = policy.Succeeded
 	}
-	l.policy.ProbeAnswered(p.upstream.id, how)
-	report := policy.NoReport
+	l.policy.HealthCheckEnded(p.upstream.id, how)
+	report := policy.NoLoadReport
 	for _, name := range l.deployment.ReportFields {
 		v, told := fields[name]
 		switch {
 		case !told:
 		case name == "x0":
-			report.Asked = v
+			report.Demand = v
 		case name == "x1":
-			report.Piled = v
+			report.Backlog = v
 		case name == "cpu":
-			report.Util = v
+			report.Utilization = v
 		}
 	}
-	if !l.deployment.Policy.ReportsOnAsk && how == policy.Succeeded {
+	if !l.deployment.Policy.HasLoadReports && how == policy.Succeeded {
 		took := p.conn.ResponseTime()
 		if load, told := l.estimateLoad(p.upstream, took); told {
-			report.Asked = load
+			report.Demand = load
 			l.log.Debug("guess", zap.String("server", p.upstream.listed.UID), zap.Float64("load", load),
 				zap.Duration("took", took))
 		}
 	}
-	l.policy.Reported(p.upstream.id, report)
+	l.policy.RecordLoadReport(p.upstream.id, report)
 }
--- a/internal/balancer/session.go
+++ b/internal/balancer/session.go
@@ -35,26 +35,26 @@
 
 // session is one circuit, from its first line to its end.
 type session struct {
-	id               policy.CircuitID
+	id               policy.SessionID
 	request          *protocol.Ask
 	client           *conn
-	dial             *upstreamDial      // the newest try's dial
-	upstreamConn     *relay.Conn        // its connection, once that stands
-	pair             *relay.Pair        // both connections, once the circuit stands
-	upstream         *upstream          // of the newest try
-	arrival          policy.Arrival     // its load by the newest note
-	deadline         time.Duration      // the client's outer limit, by the loop's clock
-	attempts         int                // made; the newest has this number less one
-	generation       int                // counts tries and their ends, so that what comes late is known as such
-	attemptActive    bool               // a try is out,
-	requestSent      bool               // and its line may have gone to the server
-	established      bool               // it stands
-	migrationPending bool               // it is to be moved as soon as its connections are a pair
-	reattaching      bool               // it was open before the run and goes to its server without the module
-	attemptStart     time.Duration      // when the newest try was decided,
-	establishedAt    time.Duration      // and when it came to stand
-	attemptDeadline  time.Duration      // when it is given up
-	record           *idempotencyRecord // where the fleet holds it for others
+	dial             *upstreamDial         // the newest try's dial
+	upstreamConn     *relay.Conn           // its connection, once that stands
+	pair             *relay.Pair           // both connections, once the circuit stands
+	upstream         *upstream             // of the newest try
+	arrival          policy.SessionRequest // its load by the newest note
+	deadline         time.Duration         // the client's outer limit, by the loop's clock
+	attempts         int                   // made; the newest has this number less one
+	generation       int                   // counts tries and their ends, so that what comes late is known as such
+	attemptActive    bool                  // a try is out,
+	requestSent      bool                  // and its line may have gone to the server
+	established      bool                  // it stands
+	migrationPending bool                  // it is to be moved as soon as its connections are a pair
+	reattaching      bool                  // it was open before the run and goes to its server without the module
+	attemptStart     time.Duration         // when the newest try was decided,
+	establishedAt    time.Duration         // and when it came to stand
+	attemptDeadline  time.Duration         // when it is given up
+	record           *idempotencyRecord    // where the fleet holds it for others
 }
 
 // handleFirstLine takes a client's first line.
@@ -88,7 +88,7 @@
 		return
 	}
 	l.Sessions.Add(1)
-	_, known := l.deployment.Grades[a.Grade]
+	_, known := l.deployment.Classes[a.Grade]
 	// Guards against judging servers by what they turn away with reason: clients that tell neither grade nor limit
 	// had them set aside.
 	if !known || !a.Limited {
@@ -119,20 +119,20 @@
 		return
 	}
 	l.beginRecord(cir)
-	l.policy.CircuitArrived(cir.arrival)
+	l.policy.AddSession(cir.arrival)
 }
 
 // arrivalOf is a circuit for the module, by the settings that hold.
-func (l *Loop) arrivalOf(id policy.CircuitID, a *protocol.Ask, left time.Duration) policy.Arrival {
-	grade, known := l.deployment.Grades[a.Grade]
+func (l *Loop) arrivalOf(id policy.SessionID, a *protocol.Ask, left time.Duration) policy.SessionRequest {
+	grade, known := l.deployment.Classes[a.Grade]
 	if !known {
-		grade = len(l.deployment.Grades)
+		grade = len(l.deployment.Classes)
 	}
 	tenant, known := l.deployment.Tenants[a.Tenant]
 	if !known {
 		tenant = len(l.deployment.Tenants)
 	}
-	return policy.Arrival{ID: id, Key: a.Key, Group: a.Group, Tenant: tenant, Grade: grade, Left: left, Load: a.Hint}
+	return policy.SessionRequest{ID: id, Key: a.Key, Group: a.Group, Tenant: tenant, Class: grade, Timeout: left, Load: a.Hint}
 }
 
 // closeWithLine gives a client that has no circuit its last line.
@@ -194,7 +194,7 @@
 // ---- Setup tries.
 
 // startAttempt starts a setup try.
-func (l *Loop) startAttempt(cir *session, id policy.ServerID, wait time.Duration) {
+func (l *Loop) startAttempt(cir *session, id policy.EndpointID, wait time.Duration) {
 	l.Attempts.Add(1)
 	cir.attempts++
 	cir.attemptActive, cir.attemptStart, cir.attemptDeadline = true, l.now, l.now+wait
@@ -324,7 +324,7 @@
 		l.retryReattach(cir)
 		return
 	}
-	l.policy.TryEnded(cir.id, cir.attempts-1, false, how)
+	l.policy.AttemptEnded(cir.id, cir.attempts-1, false, how)
 }
 
 // ---- Circuits that were open before the run.
@@ -364,10 +364,10 @@
 	case ln.Kind == protocol.Up:
 		l.sessionEstablished(cir, ln)
 	case ln.Kind == protocol.Busy:
-		l.attemptEnded(cir, policy.TurnedAway, nil)
+		l.attemptEnded(cir, policy.Rejected, nil)
 	case ln.Kind == protocol.Load:
 		cir.arrival.Load = ln.Figure
-		l.policy.LoadNoted(cir.id, max(cir.attempts-1, 0), ln.Figure)
+		l.policy.RecordLoad(cir.id, max(cir.attempts-1, 0), ln.Figure)
 		cir.upstreamConn.AwaitLine()
 	case ln.Kind == protocol.Move:
 		l.attemptEnded(cir, policy.Cancelled, nil)
@@ -378,7 +378,7 @@
 		l.removeSession(cir)
 		cir.closeUpstream(false)
 		if !cir.reattaching {
-			l.policy.TryEnded(id, try, true, policy.Succeeded)
+			l.policy.AttemptEnded(id, try, true, policy.Succeeded)
 		}
 		l.closeWithLine(client, ln.Raw)
 	default:
@@ -397,9 +397,9 @@
 	l.Served.Add(1)
 	if cir.reattaching {
 		cir.reattaching, cir.attempts = false, 1
-		l.policy.HandedOver(cir.arrival, cir.upstream.id)
+		l.policy.AdoptSession(cir.arrival, cir.upstream.id)
 	} else {
-		l.policy.SetUp(cir.id, cir.attempts-1, l.now-cir.attemptStart)
+		l.policy.AttemptEstablished(cir.id, cir.attempts-1, l.now-cir.attemptStart)
 	}
 	l.startRelay(cir, ln.Raw)
 }
@@ -490,7 +490,7 @@
 	l.Outcomes[how].Add(1)
 	id, try := cir.id, cir.attempts-1
 	l.removeSession(cir)
-	l.policy.TryEnded(id, try, true, how)
+	l.policy.AttemptEnded(id, try, true, how)
 }
 
 // relayEnded takes the end of a circuit that stood; the relay has ended the other side in the same way.
@@ -555,7 +555,7 @@
 func (l *Loop) cancelSession(cir *session, b *DisconnectError) {
 	id, try, held := cir.id, cir.attempts-1, cir.attemptActive || cir.established
 	if !cir.established {
-		l.policy.ClientLeft(id)
+		l.policy.ClientDisconnected(id)
 	}
 	told := !cir.reattaching
 	if h := cir.record; h != nil && !h.written {
@@ -565,7 +565,7 @@
 	cir.closeUpstream(b.Abrupt)
 	if held && told {
 		l.Outcomes[policy.Cancelled].Add(1)
-		l.policy.TryEnded(id, try, true, policy.Cancelled)
+		l.policy.AttemptEnded(id, try, true, policy.Cancelled)
 	}
 }
 
@@ -601,14 +601,14 @@
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(took)) {
-		sv, took := l.servers[policy.ServerID(id)], took[id]
+		sv, took := l.servers[policy.EndpointID(id)], took[id]
 		if sv == nil || len(took) == 0 {
 			continue
 		}
 		slices.Sort(took)
 		middle := took[len(took)/2]
 		if slow := middle > edge; slow || sv.reportedSlow {
-			l.policy.DelayNoted(sv.id, middle)
+			l.policy.RecordLatency(sv.id, middle)
 			l.log.Debug("slow messages", zap.String("server", sv.listed.UID), zap.Duration("take", middle),
 				zap.Int("of", len(took)))
 			sv.reportedSlow = slow
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -19,18 +19,18 @@
 
 // withProbeReports is what the module goes by here: where servers report no load a probe's time tells of it, which is a
 // report all the same.
-func withProbeReports(dep *deployment.Deployment) *policy.Deployment {
+func withProbeReports(dep *deployment.Settings) *policy.Config {
 	p := *dep.Policy
-	p.ReportsOnAsk = p.MayProbe
+	p.HasLoadReports = p.CanHealthCheck
 	return &p
 }
 
 // applySettings has a deployment hold for the loop itself.
-func (l *Loop) applySettings(dep *deployment.Deployment) {
+func (l *Loop) applySettings(dep *deployment.Settings) {
 	l.deployment, l.messageObjective = dep, 0
-	for _, g := range dep.Policy.Grades {
-		if g.MessageGoal > 0 && (l.messageObjective == 0 || g.MessageGoal < l.messageObjective) {
-			l.messageObjective = g.MessageGoal
+	for _, g := range dep.Policy.Classes {
+		if g.MessageObjective > 0 && (l.messageObjective == 0 || g.MessageObjective < l.messageObjective) {
+			l.messageObjective = g.MessageObjective
 		}
 	}
 }
@@ -39,10 +39,10 @@
 // wait, tries that are out and what stands go on under the rules that they were taken by, also where their grade is gone;
 // a first line that the loop has not read yet is taken by the new ones. It waits for that turn, so the loop must run. An
 // error means that all is as before.
-func (l *Loop) Reconfigure(dep *deployment.Deployment, at deployment.Peers) error {
+func (l *Loop) Reconfigure(dep *deployment.Settings, at deployment.GossipAddresses) error {
 	was, known := l.openedGossip, []netip.AddrPort(nil)
 	if was != nil {
-		known = was.Known()
+		known = was.Peers()
 	}
 	link, err := l.openGossip(dep, at)
 	if err != nil {
@@ -56,10 +56,10 @@
 			return
 		}
 		err = errPanic
-		grades, tenants := mapIndices(l.deployment.Grades, dep.Grades), mapIndices(l.deployment.Tenants, dep.Tenants)
+		grades, tenants := mapIndices(l.deployment.Classes, dep.Classes), mapIndices(l.deployment.Tenants, dep.Tenants)
 		for _, cir := range l.sessions {
-			cir.arrival.Grade = policy.Moved(grades, cir.arrival.Grade, len(dep.Grades))
-			cir.arrival.Tenant = policy.Moved(tenants, cir.arrival.Tenant, len(dep.Tenants))
+			cir.arrival.Class = policy.RemapIndex(grades, cir.arrival.Class, len(dep.Classes))
+			cir.arrival.Tenant = policy.RemapIndex(tenants, cir.arrival.Tenant, len(dep.Tenants))
 		}
 		l.applySettings(dep)
 		l.policy.Reconfigure(withProbeReports(dep), grades, tenants)
@@ -70,7 +70,7 @@
 		// The list again: its zones have other numbers now.
 		again := discovery.List{Whole: true}
 		for _, sv := range l.servers {
-			if sv.state != policy.Gone {
+			if sv.state != policy.Removed {
 				again.Servers = append(again.Servers, sv.listed)
 			}
 		}
@@ -83,18 +83,18 @@
 		if l.openedGossip = was; link != was && link != nil {
 			link.Close()
 		} else if link != nil {
-			link.Know(known)
+			link.SetPeers(known)
 		}
 	}
 	return err
 }
 
 // checkReplaceable tells why new settings can't hold while what there is stands: nil where they can.
-func (l *Loop) checkReplaceable(dep *deployment.Deployment) error {
+func (l *Loop) checkReplaceable(dep *deployment.Settings) error {
 	for _, sv := range l.servers {
 		zone := sv.listed.Zone
 		_, was := l.deployment.Zones[zone]
-		if _, stays := dep.Zones[zone]; sv.state != policy.Gone && was && !stays {
+		if _, stays := dep.Zones[zone]; sv.state != policy.Removed && was && !stays {
 			return fmt.Errorf("settings.Areas: %q is gone, and servers stand there", zone)
 		}
 	}
@@ -103,23 +103,23 @@
 
 // openGossip opens the link to the other balancers, or takes the one that there is where it listens at the same address.
 // It is called by one goroutine, which is not the loop's.
-func (l *Loop) openGossip(dep *deployment.Deployment, at deployment.Peers) (*loadgossip.Link, error) {
-	if !dep.Policy.MayTell {
+func (l *Loop) openGossip(dep *deployment.Settings, at deployment.GossipAddresses) (*loadgossip.Transport, error) {
+	if !dep.Policy.CanGossip {
 		l.openedGossip = nil
 		return nil, nil
 	}
-	if l.openedGossip != nil && l.openedGossip.At() == at.Listen {
-		l.openedGossip.Know(at.Others)
+	if l.openedGossip != nil && l.openedGossip.Addr() == at.Listen {
+		l.openedGossip.SetPeers(at.Peers)
 		return l.openedGossip, nil
 	}
-	var link *loadgossip.Link
+	var link *loadgossip.Transport
 	ready := make(chan struct{})
-	counts := &loadgossip.Counts{Sent: &l.GossipSent, Heard: &l.GossipReceived, Dropped: &l.GossipDropped}
-	link, err := loadgossip.Open(at.Listen, l.sharesListener, at.Others, counts, func(from int, t policy.Told, done func()) {
+	counts := &loadgossip.Counters{Sent: &l.GossipSent, Received: &l.GossipReceived, Dropped: &l.GossipDropped}
+	link, err := loadgossip.Listen(at.Listen, l.sharesListener, at.Peers, counts, func(from int, t policy.GossipMessage, done func()) {
 		<-ready
 		l.post(event{run: func() {
 			if done(); l.gossip == link {
-				l.policy.PeerTold(from, t)
+				l.policy.ReceiveGossip(from, t)
 			}
 		}})
 	})
--- a/internal/fleet/node/changes.go
+++ b/internal/fleet/node/changes.go
@@ -41,17 +41,17 @@
 	return number
 }
 
-// Feed is the newest that is agreed, as far as is known here, as a map. It is not to be changed.
-func (c *Core) Feed() *changefeed.State { return c.feed.State() }
+// FeedState is the newest that is agreed, as far as is known here, as a map. It is not to be changed.
+func (c *Node) FeedState() *changefeed.State { return c.feed.State() }
 
-// Snapshot is the same as one message.
-func (c *Core) Snapshot() *changefeed.Snapshot { return c.feed.Snapshot() }
+// FeedSnapshot is the same as one message.
+func (c *Node) FeedSnapshot() *changefeed.Snapshot { return c.feed.Snapshot() }
 
-// Changes is how many of the newest changes are kept here.
-func (c *Core) Changes() int { return c.feed.Changes() }
+// ChangeCount is how many of the newest changes are kept here.
+func (c *Node) ChangeCount() int { return c.feed.Changes() }
 
 // AsOf is the time up to which this member knows that nothing was agreed but what it knows; false where it has not heard yet.
-func (c *Core) AsOf() (time.Duration, bool) {
+func (c *Node) AsOf() (time.Duration, bool) {
 	at, known := c.log.AsOf()
 	if c.asKnow {
 		at, known = max(at, c.asOf), true
@@ -60,11 +60,11 @@
 }
 
 // since answers a poll of the newer form.
-func (c *Core) since(p *Poll, t *Told) {
+func (c *Node) since(p *PollRequest, t *PollResponse) {
 	if p.Version == c.feed.Version() && p.Digest == c.feed.Digest() || c.feed.Version() == 0 || p.Version > c.feed.Version() {
 		return
 	}
-	changes, is := c.feed.Since(p.Version, p.Digest)
+	changes, is := c.feed.ChangesSince(p.Version, p.Digest)
 	if !is {
 		t.Snapshot = c.feed.Snapshot()
 		return
@@ -82,9 +82,9 @@
 }
 
 // toldChanges takes an answer of the newer form.
-func (c *Core) toldChanges(t *Told) {
-	at, asked := c.polls[t.Number]
-	delete(c.polls, t.Number)
+func (c *Node) toldChanges(t *PollResponse) {
+	at, asked := c.polls[t.RequestNumber]
+	delete(c.polls, t.RequestNumber)
 	if t.Snapshot != nil {
 		c.replace(t.Snapshot)
 	}
@@ -93,7 +93,7 @@
 			continue
 		}
 		if err := c.feed.Apply(*one); err != nil { // the next answer mends it, by a snapshot where the digest is another
-			if !errors.Is(err, changefeed.ErrOrder) {
+			if !errors.Is(err, changefeed.ErrOutOfOrder) {
 				c.odd("a change that does not fit", one.Version, err)
 			}
 			break
@@ -105,25 +105,25 @@
 		c.conflict(t.Version)
 		return
 	}
-	if asked && t.Known && t.Version <= c.feed.Version() && (!c.asKnow || at-t.Age > c.asOf) {
+	if asked && t.HasAge && t.Version <= c.feed.Version() && (!c.asKnow || at-t.Age > c.asOf) {
 		c.asOf, c.asKnow = at-t.Age, true
 	}
 }
 
 // heard takes over what the log has come to.
-func (c *Core) heard(r consensus.Ready) {
-	if r.Whole != nil {
-		c.replace(r.Whole)
+func (c *Node) heard(r consensus.Ready) {
+	if r.Snapshot != nil {
+		c.replace(r.Snapshot)
 	}
 	for _, one := range r.Changes {
 		if one.Version <= c.feed.Version() {
 			continue // it was told of before
 		}
 		if one.Version != c.feed.Version()+1 {
-			c.replace(consensus.Whole(c.log.State()))
+			c.replace(consensus.SnapshotOf(c.log.State()))
 			break
 		}
-		change, err := c.feed.Next(one.Items)
+		change, err := c.feed.Append(one.Items)
 		if err != nil {
 			c.odd("an agreed change that can't be taken", one.Version, err)
 			break
@@ -131,13 +131,13 @@
 		c.out.Changes = append(c.out.Changes, &change)
 		c.take(one.Items, one.Version)
 	}
-	for _, d := range r.Puts {
+	for _, d := range r.PutResults {
 		c.ended(d)
 	}
 }
 
 // replace takes a whole state, if it is newer.
-func (c *Core) replace(s *changefeed.Snapshot) {
+func (c *Node) replace(s *changefeed.Snapshot) {
 	if s.Version < max(1, c.feed.Version()) || s.Version == c.feed.Version() && s.Digest == c.feed.Digest() {
 		return
 	}
@@ -153,17 +153,17 @@
 }
 
 // take has what is known be what items say. Views are never taken back to an older one.
-func (c *Core) take(items []changefeed.Item, version uint64) {
-	epoch, fleet, members := c.known.Epoch, c.known.Fleet, c.known.Members
+func (c *Node) take(items []changefeed.Item, version uint64) {
+	epoch, fleet, members := c.known.Epoch, c.known.FleetID, c.known.Members
 	next := *c.known
-	next.Views = slices.Clone(c.known.Views)
+	next.Configurations = slices.Clone(c.known.Configurations)
 	var changed []int
 	for _, one := range items {
-		num, is := shardmap.SlotKey(one.Key)
+		num, is := shardmap.ShardFromKey(one.Key)
 		if is {
 			changed = append(changed, num)
 		}
-		if err := next.Take(one.Key, one.Value, one.Gone); err != nil {
+		if err := next.SetValue(one.Key, one.Value, one.Deleted); err != nil {
 			c.odd("an item that can't be read", version, err)
 		}
 	}
@@ -173,34 +173,34 @@
 			return !is
 		})
 	}
-	c.known.Fleet, c.known.Epoch, c.known.Members, c.known.Version = next.Fleet, next.Epoch, next.Members, version
+	c.known.FleetID, c.known.Epoch, c.known.Members, c.known.Version = next.FleetID, next.Epoch, next.Members, version
 	if !slices.Equal(members, next.Members) || epoch != next.Epoch {
 		c.members = version
 	}
 	for _, num := range changed {
-		if v := next.Views[num]; v.Num > c.known.Views[num].Num {
+		if v := next.Configurations[num]; v.Number > c.known.Configurations[num].Number {
 			c.view(num, v, version)
 		}
 	}
-	c.wrote(epoch != c.known.Epoch || fleet != c.known.Fleet)
+	c.wrote(epoch != c.known.Epoch || fleet != c.known.FleetID)
 }
 
 // conflict tells once that there are two histories: of one version, with other contents.
-func (c *Core) conflict(version uint64) {
+func (c *Node) conflict(version uint64) {
 	if !c.split {
 		c.split = true
-		c.out.Lines = append(c.out.Lines, Line{What: "two histories: one version of the agreed state with other contents", Bad: true, Version: version})
+		c.out.Events = append(c.out.Events, Event{Message: "two histories: one version of the agreed state with other contents", IsAlert: true, Version: version})
 	}
 }
 
 // odd tells once of a kind of fault.
-func (c *Core) odd(what string, version uint64, err error) {
+func (c *Node) odd(what string, version uint64, err error) {
 	if c.oddly == nil {
 		c.oddly = map[string]bool{}
 	}
 	if !c.oddly[what] {
 		c.oddly[what] = true
-		c.out.Lines = append(c.out.Lines, Line{What: what, Bad: true, Version: version, Text: err.Error()})
+		c.out.Events = append(c.out.Events, Event{Message: what, IsAlert: true, Version: version, Detail: err.Error()})
 	}
 }
 
@@ -228,25 +228,25 @@
 
 // Put has an operators' item changed within a span; how it ended comes with a Ready, under its operation. Asked for again with the
 // same operation meanwhile it is the same one.
-func (c *Core) Put(p shardmap.Put, within time.Duration) {
+func (c *Node) Put(p shardmap.Put, within time.Duration) {
 	if why := p.Wrong(); why != "" {
-		c.out.Puts = append(c.out.Puts, shardmap.Done{Op: p.Op, Refused: why})
+		c.out.PutResults = append(c.out.PutResults, shardmap.PutResult{OperationID: p.OperationID, Rejection: why})
 		return
 	}
 	if len(c.puts) >= putsMost {
-		c.out.Puts = append(c.out.Puts, shardmap.Done{Op: p.Op, Refused: "busy: too many changes wait"})
+		c.out.PutResults = append(c.out.PutResults, shardmap.PutResult{OperationID: p.OperationID, Rejection: "busy: too many changes wait"})
 		return
 	}
-	c.puts[p.Op] = &put{put: p, until: c.now + within, next: c.now}
+	c.puts[p.OperationID] = &put{put: p, until: c.now + within, next: c.now}
 	c.push()
 }
 
 // push asks the leader for what was asked for here, again and again.
-func (c *Core) push() {
+func (c *Node) push() {
 	for _, op := range slices.Sorted(maps.Keys(c.puts)) {
 		p := c.puts[op]
 		if c.now >= p.until {
-			c.done(shardmap.Done{Op: op, Refused: unanswered})
+			c.done(shardmap.PutResult{OperationID: op, Rejection: unanswered})
 			continue
 		}
 		if c.now < p.next {
@@ -254,25 +254,25 @@
 		}
 		p.next = c.now + pushEach
 		switch {
-		case c.log.Leads():
+		case c.log.IsLeader():
 			c.asked(c.cfg.Self.ID, p.put)
 		case c.leader != "" && c.leader != c.cfg.Self.ID:
-			c.send(Packet{To: c.leader, Put: &p.put})
+			c.send(Packet{To: c.leader, PutRequest: &p.put})
 		}
 	}
 }
 
 // asked takes a put at the leader.
-func (c *Core) asked(from string, p shardmap.Put) {
-	if !c.log.Leads() {
+func (c *Node) asked(from string, p shardmap.Put) {
+	if !c.log.IsLeader() {
 		return // whoever asks hears soon who does
 	}
-	refuse := func(why string) { c.answer(from, shardmap.Done{Op: p.Op, Refused: why}) }
-	if d, is := c.log.State().Done(p.Op); is {
+	refuse := func(why string) { c.answer(from, shardmap.PutResult{OperationID: p.OperationID, Rejection: why}) }
+	if d, is := c.log.State().PutResult(p.OperationID); is {
 		c.answer(from, d)
 		return
 	}
-	one := c.propose[p.Op]
+	one := c.propose[p.OperationID]
 	if one == nil {
 		if why := c.older(); why != "" {
 			refuse(why)
@@ -287,28 +287,28 @@
 			return
 		}
 		one = &propose{put: p, froms: map[string]bool{}}
-		c.propose[p.Op] = one
+		c.propose[p.OperationID] = one
 	}
 	one.froms[from] = true
 	if c.now >= one.next { // lost where the library has no room: then at the next time that it is asked for
 		one.next = c.now + time.Second
-		_ = c.log.Propose(shardmap.Entry{Put: []shardmap.Put{one.put}})
+		_ = c.log.Propose(shardmap.Entry{Puts: []shardmap.Put{one.put}})
 	}
 }
 
 // older says which member of the epoch does not speak of operators' items yet; empty where all do.
-func (c *Core) older() string {
+func (c *Node) older() string {
 	st := c.log.State()
 	if st.Epoch == 0 {
 		return "the fleet has no members yet"
 	}
-	speaks := map[string]int{c.cfg.Self.ID: Form}
+	speaks := map[string]int{c.cfg.Self.ID: ProtocolVersion}
 	for _, m := range c.seen {
-		speaks[m.ID] = m.Speaks
+		speaks[m.ID] = m.Form
 	}
-	used := len(st.Ops) > 0 // all did once: one that is not seen any more is away
+	used := len(st.RecentPuts) > 0 // all did once: one that is not seen any more is away
 	for _, m := range st.Members {
-		if form, seen := speaks[m.ID]; form < Form && (seen || !used) {
+		if form, seen := speaks[m.ID]; form < ProtocolVersion && (seen || !used) {
 			return fmt.Sprintf("member %s at %s is of an older program, or was not heard: replace it first", m.ID, m.Addr)
 		}
 	}
@@ -316,29 +316,29 @@
 }
 
 // ended takes what the log says of a put.
-func (c *Core) ended(d shardmap.Done) {
-	one := c.propose[d.Op]
+func (c *Node) ended(d shardmap.PutResult) {
+	one := c.propose[d.OperationID]
 	if one == nil {
 		return
 	}
-	delete(c.propose, d.Op)
+	delete(c.propose, d.OperationID)
 	for _, from := range slices.Sorted(maps.Keys(one.froms)) {
 		c.answer(from, d)
 	}
 }
 
-func (c *Core) answer(to string, d shardmap.Done) {
+func (c *Node) answer(to string, d shardmap.PutResult) {
 	if to == c.cfg.Self.ID {
 		c.done(d)
 	} else {
-		c.send(Packet{To: to, Done: &d})
+		c.send(Packet{To: to, PutResult: &d})
 	}
 }
 
 // done ends a put that was asked for here.
-func (c *Core) done(d shardmap.Done) {
-	if c.puts[d.Op] != nil {
-		delete(c.puts, d.Op)
-		c.out.Puts = append(c.out.Puts, d)
+func (c *Node) done(d shardmap.PutResult) {
+	if c.puts[d.OperationID] != nil {
+		delete(c.puts, d.OperationID)
+		c.out.PutResults = append(c.out.PutResults, d)
 	}
 }
--- a/internal/fleet/node/golden_test.go
+++ b/internal/fleet/node/golden_test.go
@@ -38,7 +38,7 @@
 	}
 	w.until("there are three voters", 30*time.Second, func() bool { return len(w.voters()) == 3 && w.same() })
 	for i := range w.cores {
-		w.put(i, shardmap.Put{Key: fmt.Sprintf("config/%d", i), Value: []byte{byte(i)}, Op: fmt.Sprintf("op-%d", i)})
+		w.put(i, shardmap.Put{Key: fmt.Sprintf("config/%d", i), Value: []byte{byte(i)}, OperationID: fmt.Sprintf("op-%d", i)})
 	}
 	leader := w.leader()
 	w.cut = func(from, to int) bool { return from == leader || to == leader }
@@ -47,7 +47,7 @@
 	w.run(5 * time.Second)
 	w.turn(slices.Max(w.voters()), true)
 	w.run(2 * evict)
-	got := fmt.Sprintf("%016x, %d packets, version %d\n", sum.Sum64(), packets, w.cores[0].Feed().Version())
+	got := fmt.Sprintf("%016x, %d packets, version %d\n", sum.Sum64(), packets, w.cores[0].FeedState().Version())
 	golden, err := os.ReadFile("testdata/digest.golden")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/feedsim/world_test.go
+++ b/internal/lab/feedsim/world_test.go
@@ -22,7 +22,7 @@
 	versions, due, restarts := 0, 0, 0
 	for seed := *from; seed < *from+uint64(*seeds); seed++ {
 		began := time.Now()
-		w := New(Usual(seed, *many))
+		w := New(DefaultPlan(seed, *many))
 		err := w.Play()
 		t.Logf("seed %d: %d versions, %d killed, %d stalls, %d cuts, %d resets, %d times all relays, %d messages, %d changes, %d snapshots, %d wants, %d mismatches, %d lapses, "+
 			"in force %v at the latest of %d, in %v", seed, len(w.agreed)-1, w.Kills, w.Stalls, w.Cuts, w.Resets, w.Restarts, w.Messages, w.Changes, w.Snapshots, w.Wants, w.Mismatches,
@@ -40,21 +40,21 @@
 
 // TestTheSameSeedIsTheSameHistory plays one twice.
 func TestTheSameSeedIsTheSameHistory(t *testing.T) {
-	a, b := New(Usual(9, 30)), New(Usual(9, 30))
+	a, b := New(DefaultPlan(9, 30)), New(DefaultPlan(9, 30))
 	errA, errB := a.Play(), b.Play()
-	if a.Sum() != b.Sum() || a.Messages != b.Messages || a.Lapses != b.Lapses || errA != nil || errB != nil {
-		t.Errorf("%x and %x, %d and %d messages, %v, %v", a.Sum(), b.Sum(), a.Messages, b.Messages, errA, errB)
+	if a.Digest() != b.Digest() || a.Messages != b.Messages || a.Lapses != b.Lapses || errA != nil || errB != nil {
+		t.Errorf("%x and %x, %d and %d messages, %v, %v", a.Digest(), b.Digest(), a.Messages, b.Messages, errA, errB)
 	}
-	if c := New(Usual(10, 30)); c.Play() != nil || c.Sum() == a.Sum() {
+	if c := New(DefaultPlan(10, 30)); c.Play() != nil || c.Digest() == a.Digest() {
 		t.Error("another seed is the same history")
 	}
 }
 
 // harm has one change of so many come with another value than was agreed.
-func harm(w *World, each int) func(*follower, string, changefeed.Msg) changefeed.Msg {
+func harm(w *World, each int) func(*follower, string, changefeed.Message) changefeed.Message {
 	n := 0
-	return func(_ *follower, _ string, m changefeed.Msg) changefeed.Msg {
-		if m.Change == nil || m.Change.Items[0].Gone || w.calm {
+	return func(_ *follower, _ string, m changefeed.Message) changefeed.Message {
+		if m.Change == nil || m.Change.Items[0].Deleted || w.calm {
 			return m
 		}
 		if n++; n%each != 0 {
@@ -63,14 +63,14 @@
 		c := *m.Change
 		c.Items = slices.Clone(c.Items)
 		c.Items[0].Value = append([]byte("harmed "), c.Items[0].Value...)
-		return changefeed.Msg{Change: &c}
+		return changefeed.Message{Change: &c}
 	}
 }
 
 // TestWhatIsHarmedOnTheWayIsRefused plays histories in which changes come with other values: none is taken, and all go on.
 func TestWhatIsHarmedOnTheWayIsRefused(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := New(Usual(seed, 30))
+		w := New(DefaultPlan(seed, 30))
 		w.given = harm(w, 20)
 		if err := w.Play(); err != nil {
 			t.Error(err)
@@ -90,27 +90,27 @@
 	}{
 		"digest not checked": {Mixed, func(w *World) {
 			harmed := harm(w, 20)
-			w.given = func(f *follower, addr string, m changefeed.Msg) changefeed.Msg {
+			w.given = func(f *follower, addr string, m changefeed.Message) changefeed.Message {
 				m = harmed(f, addr, m)
 				st := f.core.State()
 				if m.Change == nil || m.Change.Version != st.Version()+1 || st.Version() == 0 {
 					return m
 				}
-				l := changefeed.NewLog(changefeed.LogConfig{Most: 1, Bytes: 1}) // what the change comes to there, whatever it says
-				if err := l.Install(changefeed.Snapshot{Fleet: st.Fleet(), Version: st.Version(), Digest: st.Digest(), Items: st.All("")}); err != nil {
+				l := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 1, MaxBytes: 1}) // what the change comes to there, whatever it says
+				if err := l.Install(changefeed.Snapshot{Fleet: st.Fleet(), Version: st.Version(), Digest: st.Digest(), Items: st.Items("")}); err != nil {
 					t.Fatal(err)
 				}
-				c, err := l.Next(m.Change.Items)
+				c, err := l.Append(m.Change.Items)
 				if err != nil {
 					return m
 				}
-				return changefeed.Msg{Change: &c}
+				return changefeed.Message{Change: &c}
 			}
 		}},
 		"snapshot over a newer state": {WentBack, func(w *World) {
-			w.given = func(f *follower, _ string, m changefeed.Msg) changefeed.Msg {
+			w.given = func(f *follower, _ string, m changefeed.Message) changefeed.Message {
 				if s := m.Snapshot; s != nil && s.Version < f.core.State().Version() {
-					w.applied(f, changefeed.Applied{Version: s.Version, Items: s.Items, Whole: true}) // as if it were taken
+					w.applied(f, changefeed.Update{Version: s.Version, Items: s.Items, Complete: true}) // as if it were taken
 				}
 				return m
 			}
@@ -125,7 +125,7 @@
 		t.Run(broken, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 60; seed++ {
-				w := New(Usual(seed, 30))
+				w := New(DefaultPlan(seed, 30))
 				one.in(w)
 				err := w.Play()
 				if err == nil {
--- a/internal/lab/fleetsim/play.go
+++ b/internal/lab/fleetsim/play.go
@@ -1,7 +1,6 @@
 package fleetsim
 
 import (
-	"container/heap"
 	"fmt"
 	"slices"
 	"time"
@@ -33,10 +32,10 @@
 }
 
 func (w *World) until(end time.Duration) {
-	for w.err == nil && len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.do()
+	for at, ok := w.queue.NextAt(); w.err == nil && ok && at <= end; at, ok = w.queue.NextAt() {
+		var action func()
+		w.now, action = w.queue.Next()
+		action()
 	}
 	w.now = end
 }
@@ -54,27 +53,27 @@
 	}
 	w.opN++
 	key := fmt.Sprintf("k%d", w.rng.IntN(w.plan.Keys))
-	op := replication.Op{ID: fmt.Sprintf("o%d", w.opN), Key: key, Value: fmt.Appendf(nil, "v%d", w.opN)}
+	op := replication.Operation{ID: fmt.Sprintf("o%d", w.opN), Key: key, Value: fmt.Appendf(nil, "v%d", w.opN)}
 	switch w.rng.IntN(4) {
 	case 0:
-		op.Read, op.Value = true, nil
+		op.ReadOnly, op.Value = true, nil
 	case 1:
-		op.If = w.last(key) // the version that was heard of last
+		op.ExpectedVersion = w.last(key) // the version that was heard of last
 	}
 	w.ask(n, op)
 }
 
-func (w *World) ask(n *member, op replication.Op) {
-	a := &Act{Op: op, Client: n.num, From: w.now}
-	w.Acts = append(w.Acts, a)
+func (w *World) ask(n *member, op replication.Operation) {
+	a := &Operation{Op: op, Client: n.num, From: w.now}
+	w.Operations = append(w.Operations, a)
 	w.byOp[op.ID] = a
-	w.run(n, n.born, func() { n.core.Ask(op, askWithin) })
+	w.run(n, n.born, func() { n.core.Submit(op, askWithin) })
 }
 
 // last is the version of a key that any client heard of last.
 func (w *World) last(key string) uint64 {
-	for _, a := range slices.Backward(w.Acts) {
-		if a.Answered && a.Op.Key == key && a.Result.Record.Version > 0 && !a.Result.Record.Gone {
+	for _, a := range slices.Backward(w.Operations) {
+		if a.Answered && a.Op.Key == key && a.Result.Record.Version > 0 && !a.Result.Record.Deleted {
 			return a.Result.Record.Version
 		}
 	}
@@ -82,7 +81,7 @@
 }
 
 func (w *World) answer(r replication.Result) {
-	if a := w.byOp[r.Op]; a != nil && !a.Answered {
+	if a := w.byOp[r.OperationID]; a != nil && !a.Answered {
 		a.Answered, a.Result, a.To = true, r, w.now
 	}
 }
@@ -172,9 +171,9 @@
 	if newest == nil {
 		return false
 	}
-	for _, v := range newest.Views {
+	for _, v := range newest.Configurations {
 		left := 0
-		for _, id := range v.Full {
+		for _, id := range v.InSync {
 			if id != n.id && w.byID[id] != nil {
 				left++
 			}
@@ -189,7 +188,7 @@
 		}
 		left := 0
 		for _, other := range w.nodes {
-			if other != n && !other.gone && slices.Contains(o.core.Voters(), consensus.Number(other.id)) {
+			if other != n && !other.gone && slices.Contains(o.core.Voters(), consensus.NodeID(other.id)) {
 				left++
 			}
 		}
@@ -209,7 +208,7 @@
 		if s := n.core.State(); st == nil || s.Version > st.Version {
 			st = s
 		}
-		if n.up && n.core.Leads() {
+		if n.up && n.core.IsLeader() {
 			voters = n.core.Voters()
 		}
 	}
@@ -219,7 +218,7 @@
 // Counts are how operations ended; those that nobody answered count as unknown.
 func (w *World) Counts() map[replication.Outcome]int {
 	n := map[replication.Outcome]int{}
-	for _, a := range w.Acts {
+	for _, a := range w.Operations {
 		n[a.Result.Outcome]++
 	}
 	return n
--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -4,7 +4,6 @@
 package fleetsim
 
 import (
-	"container/heap"
 	"encoding/binary"
 	"fmt"
 	"hash/fnv"
@@ -16,6 +15,7 @@
 	"sabletally/internal/fleet/placement"
 	"sabletally/internal/fleet/replication"
 	"sabletally/internal/fleet/shardmap"
+	"sabletally/internal/lab/eventqueue"
 )
 
 const (
@@ -29,16 +29,16 @@
 	askWithin = 1500 * time.Millisecond
 )
 
-// Break is a fault of the cores' own, put in to see that it is found.
-type Break string
+// Defect is a fault of the cores' own, put in to see that it is found.
+type Defect string
 
 // The faults that a history can put in.
 const (
-	Sound      Break = ""
-	TooSoon    Break = "acknowledged-before-copied" // results are told before any copy is made
-	NotFenced  Break = "old-owner-not-fenced"       // a holder tells an overtaken primary that it has its write
-	NoRepair   Break = "repair-left-out"            // nobody begins to be a holder
-	NotWritten Break = "records-not-written"        // what goes out does not wait for the disk, and records never come there
+	NoDefect   Defect = ""
+	TooSoon    Defect = "acknowledged-before-copied" // results are told before any copy is made
+	NotFenced  Defect = "old-owner-not-fenced"       // a holder tells an overtaken primary that it has its write
+	NoRepair   Defect = "repair-left-out"            // nobody begins to be a holder
+	NotWritten Defect = "records-not-written"        // what goes out does not wait for the disk, and records never come there
 )
 
 // Plan is one history.
@@ -52,12 +52,12 @@
 	Faults   float64 // a second
 	Machines bool    // machines are lost with their disks, as far as the table says that this is stood
 	Loss     float64 // of packets, doubled as often
-	Break    Break
+	Defect   Defect
 }
 
-// Act is one operation as its client saw it.
-type Act struct {
-	Op        replication.Op
+// Operation is one operation as its client saw it.
+type Operation struct {
+	Op        replication.Operation
 	Client    int
 	From, To  time.Duration
 	Result    replication.Result
@@ -70,8 +70,7 @@
 	plan  Plan
 	rng   *rand.Rand
 	now   time.Duration
-	queue events
-	order int
+	queue eventqueue.Queue
 	nodes []*member
 	byID  map[string]*member
 	ids   int
@@ -80,16 +79,16 @@
 	calm  bool
 	opN   int
 
-	Acts  []*Act
-	byOp  map[string]*Act
-	Lost  int // machines
-	Kills int
-	Waits int // stalls
-	Cuts  int
-	Views int // changes of what is agreed
+	Operations []*Operation
+	byOp       map[string]*Operation
+	Lost       int // machines
+	Kills      int
+	Waits      int // stalls
+	Cuts       int
+	Views      int // changes of what is agreed
 
-	Undecided int                        // keys whose order took too long to judge
-	wrote     map[[3]int]replication.Msg // of NotFenced: what was written last, by from, to and slot
+	Undecided int                            // keys whose order took too long to judge
+	wrote     map[[3]int]replication.Message // of NotFenced: what was written last, by from, to and slot
 	sum       uint64
 	err       error
 }
@@ -99,7 +98,7 @@
 	num     int
 	id      string
 	life    uint64
-	core    *node.Core
+	core    *node.Node
 	disk    *disk
 	up      bool
 	stopped time.Duration // until then nothing of it runs
@@ -109,7 +108,7 @@
 	waiting []func()
 	self    shardmap.Member
 	seen    []sight
-	looked  []placement.Seen // as of the newest look
+	looked  []placement.MemberStatus // as of the newest look
 	looksAt time.Duration
 	born    uint64 // counts lives, so that what was meant for one finds no other
 }
@@ -122,29 +121,9 @@
 	id    string
 }
 
-type event struct {
-	at    time.Duration
-	order int
-	do    func()
-}
-
-type events []event
-
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
-}
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() any {
-	last := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return last
-}
-
 // New makes a world in which all members begin with empty disks.
 func New(p Plan) *World {
-	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, byOp: map[string]*Act{}, wrote: map[[3]int]replication.Msg{},
+	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, byOp: map[string]*Operation{}, wrote: map[[3]int]replication.Message{},
 		cut: func(int, int) bool { return false }}
 	for i := range p.Members {
 		n := &member{num: i, seen: make([]sight, p.Members)}
@@ -159,8 +138,7 @@
 }
 
 func (w *World) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{w.now + d, w.order, do})
+	w.queue.Schedule(w.now+d, do)
 }
 
 func memberOf(n *member) shardmap.Member {
@@ -183,11 +161,11 @@
 	n.life++
 	n.born++
 	repair := 8
-	if w.plan.Break == NoRepair {
+	if w.plan.Defect == NoRepair {
 		repair = 0
 	}
-	c, err := node.New(node.Config{Self: n.self, Life: n.life, Found: fmt.Sprintf("f%d", w.ids), First: n.num == 0, Seeds: []string{"m0", "m1", "m2"}, Voters: 3,
-		Copies: w.plan.Copies, Evict: evict, Repair: repair, Seed: w.plan.Seed<<20 ^ uint64(n.num)<<10 ^ n.born, Keys: 1 << 20, Bytes: 1 << 30, Ops: 4096}, n.disk.read(), w.now)
+	c, err := node.New(node.Config{Self: n.self, Incarnation: n.life, BootstrapID: fmt.Sprintf("f%d", w.ids), CanBootstrap: n.num == 0, Seeds: []string{"m0", "m1", "m2"}, VoterCount: 3,
+		ReplicationFactor: w.plan.Copies, EvictAfter: evict, MaxJoiningShards: repair, Seed: w.plan.Seed<<20 ^ uint64(n.num)<<10 ^ n.born, MaxKeys: 1 << 20, MaxBytes: 1 << 30, MaxPendingOperations: 4096}, n.disk.read(), w.now)
 	if err != nil {
 		w.fail("%d does not start: %v", n.num, err)
 		return
@@ -225,8 +203,8 @@
 		do()
 	}
 	n.waiting = nil
-	n.core.Clock(w.now, w.sight(n))
-	n.core.Wall(int64(w.now / time.Second))
+	n.core.Tick(w.now, w.sight(n))
+	n.core.SetWallClock(int64(w.now / time.Second))
 	w.ready(n)
 }
 
@@ -246,11 +224,11 @@
 			w.answer(one)
 		}
 	}
-	if w.plan.Break == TooSoon {
-		for _, one := range r.Slots {
+	if w.plan.Defect == TooSoon {
+		for _, one := range r.ShardWrites {
 			for _, rec := range one.Records {
-				if !one.Replace {
-					w.answer(replication.Result{Op: rec.Op, Outcome: replication.Done, Record: rec})
+				if !one.ReplaceAll {
+					w.answer(replication.Result{OperationID: rec.OperationID, Outcome: replication.OutcomeCommitted, Record: rec})
 				}
 			}
 		}
@@ -259,8 +237,8 @@
 		w.kill(n)
 		return
 	}
-	if w.plan.Break == NotWritten {
-		r.Slots = nil
+	if w.plan.Defect == NotWritten {
+		r.ShardWrites = nil
 	}
 	n.disk.write(r)
 	if w.crashes() {
@@ -297,11 +275,11 @@
 	if to == nil {
 		return
 	}
-	if w.plan.Break == NotFenced {
-		p.Copies = w.unfenced(from, to, p.Copies)
+	if w.plan.Defect == NotFenced {
+		p.Replication = w.unfenced(from, to, p.Replication)
 	}
 	w.note(from.num, to.num, p)
-	if w.cut(from.num, to.num) || to.deaf > w.now && len(p.Copies) == 0 || w.rng.Float64() < w.loss {
+	if w.cut(from.num, to.num) || to.deaf > w.now && len(p.Replication) == 0 || w.rng.Float64() < w.loss {
 		return
 	}
 	times := 1
@@ -322,17 +300,17 @@
 }
 
 // unfenced has a holder tell an overtaken primary that it has what was written last.
-func (w *World) unfenced(from, to *member, msgs []replication.Msg) []replication.Msg {
+func (w *World) unfenced(from, to *member, msgs []replication.Message) []replication.Message {
 	msgs = slices.Clone(msgs)
 	for i, m := range msgs {
-		at := [3]int{from.num, to.num, m.Slot}
-		back := [3]int{to.num, from.num, m.Slot}
+		at := [3]int{from.num, to.num, m.Shard}
+		back := [3]int{to.num, from.num, m.Shard}
 		switch m.Kind {
-		case replication.MsgWrite:
+		case replication.MessageWrite:
 			w.wrote[at] = m
-		case replication.MsgStale:
+		case replication.MessageStaleBallot:
 			if last, is := w.wrote[back]; is {
-				msgs[i].Kind, msgs[i].Ballot, msgs[i].Seq = replication.MsgWritten, last.Ballot, last.Seq
+				msgs[i].Kind, msgs[i].Ballot, msgs[i].Sequence = replication.MessageWriteAck, last.Ballot, last.Sequence
 			}
 		}
 	}
@@ -343,27 +321,27 @@
 func (w *World) note(from, to int, p node.Packet) {
 	h := fnv.New64a()
 	var b [8]byte
-	for _, v := range []uint64{w.sum, uint64(w.now), uint64(from), uint64(to), uint64(len(p.Raft)), uint64(len(p.Copies))} {
+	for _, v := range []uint64{w.sum, uint64(w.now), uint64(from), uint64(to), uint64(len(p.Raft)), uint64(len(p.Replication))} {
 		binary.LittleEndian.PutUint64(b[:], v)
 		h.Write(b[:])
 	}
 	h.Write(p.Raft)
-	for _, m := range p.Copies {
-		_, _ = fmt.Fprint(h, m.Kind, m.Slot, m.Ballot, m.Seq)
+	for _, m := range p.Replication {
+		_, _ = fmt.Fprint(h, m.Kind, m.Shard, m.Ballot, m.Sequence)
 	}
 	w.sum = h.Sum64()
 }
 
-// Sum tells two histories apart.
-func (w *World) Sum() uint64 { return w.sum }
+// Digest tells two histories apart.
+func (w *World) Digest() uint64 { return w.sum }
 
 // sight is how a member sees the others: late, and not by what it can't know.
-func (w *World) sight(n *member) []placement.Seen {
+func (w *World) sight(n *member) []placement.MemberStatus {
 	if w.now < n.looksAt {
 		return n.looked
 	}
 	n.looksAt = w.now + lookEach
-	all := make([]placement.Seen, 0, len(w.nodes))
+	all := make([]placement.MemberStatus, 0, len(w.nodes))
 	for _, o := range w.nodes {
 		if o == n {
 			continue
@@ -380,7 +358,7 @@
 			s.here, s.since = is, w.now
 		}
 		n.seen[o.num] = s
-		all = append(all, placement.Seen{Member: o.self, Here: s.here, Going: o.going, For: w.now - s.since, Speaks: node.Form})
+		all = append(all, placement.MemberStatus{Member: o.self, Alive: s.here, Draining: o.going, StateAge: w.now - s.since, Form: node.ProtocolVersion})
 	}
 	n.looked = all
 	return all
--- /dev/null
+++ b/policy/golden_test.go
@@ -0,0 +1,389 @@
+package policy
+
+import (
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"hash"
+	"math"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+var updateGolden = flag.Bool("update", false, "write testdata/decisions.golden from the present build")
+
+const (
+	goldenFile  = "testdata/decisions.golden"
+	goldenSteps = 1200
+)
+
+// goldenScenario is one deployment under a fixed seed; every input method is called at random.
+type goldenScenario struct {
+	name      string
+	balancers int // that are played; the deployment may name more
+	servers   int
+	groups    int
+	cold      bool // a third of the servers are warming up at the start
+	dep       Config
+}
+
+// goldenCircuit is what the driver knows of a circuit that has no final answer yet.
+type goldenCircuit struct {
+	tries     int
+	out, open bool
+	server    EndpointID
+}
+
+type goldenMessage struct {
+	at       time.Duration
+	from, to int
+	told     GossipMessage
+}
+
+// goldenRun plays one scenario and hashes what the balancers answer.
+type goldenRun struct {
+	goldenScenario
+	*rand.Rand
+	now      time.Duration
+	list     []Endpoint
+	all      []*Balancer
+	circuits []map[SessionID]*goldenCircuit
+	order    [][]SessionID  // of circuits, as they came
+	probes   [][]EndpointID // out
+	messages []goldenMessage
+	next     SessionID
+	sum      hash.Hash
+	counts   [SendGossip + 1]int
+}
+
+func goldenScenarios() []goldenScenario {
+	base := func(change func(d *Config)) Config {
+		d := *deployment()
+		d.Classes = []Class{
+			{SetupObjective: 300 * ms, MessageObjective: 100 * ms, KeyTTL: 5 * time.Second, PriorityWeight: 1},
+			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeAll, SetupObjective: 200 * ms, MessageObjective: 80 * ms, KeyTTL: 900 * ms, PriorityWeight: 3},
+			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeZone, SetupObjective: 400 * ms, MessageObjective: 150 * ms, KeyTTL: 2 * time.Second, PriorityWeight: 0.5},
+			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeFailureDomain, SetupObjective: 300 * ms, KeyTTL: 2 * time.Second, PriorityWeight: 2},
+			{Idempotency: NonIdempotent, SetupObjective: 500 * ms, MessageObjective: 100 * ms, PriorityWeight: 10},
+		}
+		d.Tenants = []Tenant{{ConnectionQuota: 20}, {}, {ConnectionQuota: 300}}
+		d.OverQuotaFactor, d.CrossZoneCost = 0.25, 0.03
+		change(&d)
+		return d
+	}
+	return []goldenScenario{
+		{"one balancer", 1, 9, 12, true, base(func(d *Config) {})},
+		{"one balancer without health checks", 1, 7, 5, false, base(func(d *Config) { d.CanHealthCheck, d.CanSendRetryAfter = false, false })},
+		{"one balancer that polls load reports", 1, 12, 20, true, base(func(d *Config) { d.HasLoadReports = true })},
+		{"one balancer whose servers tell", 1, 12, 20, true, base(func(d *Config) { d.HasLoadReports, d.HasEndpointReports, d.CrossZoneCost = true, true, 0.08 })},
+		{"three balancers", 3, 10, 15, true, base(func(d *Config) { d.Balancers = 3 })},
+		{"three balancers that gossip", 3, 10, 15, true, base(func(d *Config) { d.Balancers, d.CanGossip = 3, true })},
+		{"three balancers, exact weights", 3, 16, 40, false, base(func(d *Config) { d.Balancers, d.HasExactWeights = 3, true })},
+		{"three balancers, gossip, exact weights, load reports", 3, 14, 9, true, base(func(d *Config) { d.Balancers, d.CanGossip, d.HasExactWeights, d.HasLoadReports = 3, true, true, true })},
+		{"three balancers whose servers tell", 3, 14, 9, true, base(func(d *Config) { d.Balancers, d.HasLoadReports, d.HasEndpointReports = 3, true, true })},
+		{"four of eighty balancers", 4, 24, 10, true, base(func(d *Config) { d.Balancers = 80 })},
+		{"four of eighty balancers that gossip", 4, 6, 10, true, base(func(d *Config) { d.Balancers, d.CanGossip = 80, true })},
+		{"four of eighty balancers whose servers tell", 4, 24, 30, true, base(func(d *Config) {
+			d.Balancers, d.HasLoadReports, d.HasEndpointReports, d.CanSendRetryAfter = 80, true, true, false
+		})},
+		{"four of eighty balancers, reports, one try", 4, 20, 3, false, base(func(d *Config) { d.Balancers, d.HasLoadReports, d.MaxAttempts = 80, true, 1 })},
+		{"slow warm-up", 2, 12, 6, true, base(func(d *Config) {
+			d.Balancers, d.SlowStartWindow, d.SlowStartFloor, d.OverloadWindow, d.OverloadMultiple = 2, 60*time.Second, 0.05, 500*ms, 2
+		})},
+		{"no message objective", 2, 8, 6, true, base(func(d *Config) {
+			d.Balancers = 2
+			for i := range d.Classes {
+				d.Classes[i].MessageObjective = 0
+			}
+			d.Tenants = nil
+		})},
+		{"hundreds of servers", 2, 300, 50, true, base(func(d *Config) { d.Balancers, d.HasLoadReports = 300, true })},
+	}
+}
+
+func (g goldenScenario) run(seed uint64) *goldenRun {
+	r := &goldenRun{goldenScenario: g, Rand: rand.New(rand.NewPCG(seed, 29)), sum: sha256.New()}
+	for i := range g.servers {
+		l := Endpoint{ID: EndpointID(1000 + 7*i), Zone: i % 3, FailureDomain: i % 2, MachineType: uint64(i % 4), Weight: 1 + float64(i%5)/2, StartedAt: StartedLongAgo}
+		if g.cold && i%3 == 0 {
+			l.StartedAt = time.Duration(i) * -100 * ms
+		}
+		r.list = append(r.list, l)
+	}
+	for k := range g.balancers {
+		r.all = append(r.all, New(r.settings(k), seed+uint64(k)*7919))
+		r.all[k].UpdateEndpoints(r.list, true)
+		r.circuits = append(r.circuits, map[SessionID]*goldenCircuit{})
+	}
+	r.order, r.probes = make([][]SessionID, g.balancers), make([][]EndpointID, g.balancers)
+	for step := range goldenSteps {
+		r.step(step)
+	}
+	return r
+}
+
+func (r *goldenRun) settings(k int) *Config {
+	d := r.dep
+	d.Index, d.Zone = k, k%3
+	return &d
+}
+
+func (r *goldenRun) step(step int) {
+	r.now += time.Duration(r.IntN(60)) * ms
+	var late []goldenMessage
+	for _, m := range r.messages {
+		if m.at > r.now {
+			late = append(late, m)
+			continue
+		}
+		r.all[m.to].AdvanceClock(r.now)
+		r.all[m.to].ReceiveGossip(m.from, m.told)
+	}
+	r.messages = late
+	if step%40 == 7 {
+		r.changeList(step)
+	}
+	for k, b := range r.all {
+		b.AdvanceClock(r.now)
+		r.rare(k, b, step)
+		for range r.IntN(3) {
+			r.arrive(k, b)
+		}
+		r.notes(b, step)
+		r.probeEnds(k, b)
+		for _, id := range r.order[k] {
+			if c := r.circuits[k][id]; c != nil {
+				r.circuitEvent(k, b, id, c, step)
+			}
+		}
+		if len(r.order[k]) > 300 {
+			r.order[k] = r.order[k][1:]
+		}
+		r.decide(k, b)
+	}
+}
+
+// badPhase tells which part of the time is calm (0), has failures (1) or slow servers (2).
+func badPhase(step int) int { return step / 150 % 3 }
+
+func (r *goldenRun) changeList(step int) {
+	i := r.IntN(len(r.list))
+	switch l := &r.list[i]; r.IntN(5) {
+	case 0:
+		l.State = Draining
+	case 1:
+		l.State = Removed
+	case 2:
+		l.State, l.StartedAt = Ready, r.now
+	case 3:
+		l.Weight = 0.5 + 3*r.Float64()
+	case 4:
+		l.State = Ready
+	}
+	for _, b := range r.all {
+		b.AdvanceClock(r.now)
+		if step%3 == 0 {
+			b.UpdateEndpoints(r.list, true)
+		} else {
+			b.UpdateEndpoints(r.list[i:i+1], false)
+		}
+	}
+}
+
+// rare calls what happens seldom: new settings, a planned restart, weights and doubts.
+func (r *goldenRun) rare(k int, b *Balancer, step int) {
+	server := r.list[r.IntN(len(r.list))].ID
+	switch {
+	case step == 500:
+		d := r.settings(k)
+		d.MaxAttempts++
+		d.Classes = append(append([]Class(nil), d.Classes[1:]...), d.Classes[0])
+		d.Tenants = append([]Tenant{{ConnectionQuota: 7}}, d.Tenants...)
+		b.Reconfigure(d, []int{4, 0, 1, 2, 3}, []int{1, 2, 3})
+	case step == 700:
+		b.Reconfigure(r.settings(k), []int{1, 2, 3, 4, -1}, []int{-1, 0, 1, 2})
+	case step == 900 && k == 0:
+		b.StartDraining(r.now+300*ms, r.now+3*time.Second)
+	case step == 960 && k == 0:
+		b.StopDraining()
+	case step == 1000:
+		b.PauseSlowStart()
+	case r.IntN(40) == 0:
+		b.SetWeight(server, 0.5+2*r.Float64())
+	case r.IntN(40) == 0:
+		b.RequestHealthCheck(server)
+	case r.IntN(60) == 0:
+		r.next++
+		b.AdoptSession(r.arrival(), server)
+		r.circuits[k][r.next] = &goldenCircuit{tries: 1, open: true, server: server}
+		r.order[k] = append(r.order[k], r.next)
+	}
+}
+
+func (r *goldenRun) arrival() SessionRequest {
+	a := SessionRequest{
+		ID: r.next, Key: uint64(1 + r.IntN(400)), Tenant: r.IntN(5), Class: r.IntN(len(r.dep.Classes)),
+		Timeout: time.Duration(200+r.IntN(2500)) * ms,
+	}
+	if r.IntN(3) > 0 {
+		a.Group = uint64(1 + r.IntN(r.groups))
+	}
+	if r.IntN(3) == 0 {
+		a.Load = float64(1000 + r.IntN(30000))
+	}
+	return a
+}
+
+func (r *goldenRun) arrive(k int, b *Balancer) {
+	r.next++
+	b.AddSession(r.arrival())
+	r.circuits[k][r.next] = &goldenCircuit{}
+	r.order[k] = append(r.order[k], r.next)
+}
+
+func (r *goldenRun) notes(b *Balancer, step int) {
+	server := r.list[r.IntN(len(r.list))].ID
+	if badPhase(step) == 2 && r.IntN(3) == 0 {
+		b.RecordLatency(server, time.Duration(r.IntN(180))*ms)
+	}
+	if r.IntN(8) == 0 {
+		b.RecordLatency(server, time.Duration(r.IntN(40))*ms)
+	}
+	if r.IntN(12) == 0 {
+		b.RecordLoadReport(server, r.report(step))
+	}
+}
+
+func (r *goldenRun) report(step int) LoadReport {
+	asked := 0.7 * r.Float64()
+	if badPhase(step) == 2 {
+		asked *= 2.5
+	}
+	switch r.IntN(4) {
+	case 0:
+		return LoadReport{Demand: -1, Backlog: -1, Utilization: asked}
+	case 1:
+		return NoLoadReport
+	default:
+		return LoadReport{Demand: asked, Backlog: asked / 3, Utilization: min(1, asked)}
+	}
+}
+
+func (r *goldenRun) probeEnds(k int, b *Balancer) {
+	var out []EndpointID
+	for _, server := range r.probes[k] {
+		switch r.IntN(4) {
+		case 0:
+			out = append(out, server)
+		case 1:
+			b.HealthCheckEnded(server, Outcome(r.IntN(int(NeverSent)+1)))
+		default:
+			b.RecordLoadReport(server, r.report(0))
+			b.HealthCheckEnded(server, Succeeded)
+		}
+	}
+	r.probes[k] = out
+}
+
+func (r *goldenRun) circuitEvent(k int, b *Balancer, id SessionID, c *goldenCircuit, step int) {
+	try := c.tries - 1
+	failures, slowest := 80, 60 // one in so many ends badly a step; ms of a set-up
+	if badPhase(step) > 0 {
+		failures, slowest = 16, 250
+	}
+	switch {
+	case c.out && r.IntN(4) == 0 && (badPhase(step) != 1 || r.IntN(2) == 0 || c.server%2 == 0):
+		b.AttemptEstablished(id, try, time.Duration(r.IntN(slowest))*ms)
+		c.out, c.open = false, true
+	case c.out && r.IntN(failures) == 0:
+		how := Outcome(1 + r.IntN(int(NeverSent)))
+		finished := r.IntN(9) == 0
+		b.AttemptEnded(id, try, finished, how)
+		if c.out = false; finished {
+			delete(r.circuits[k], id)
+		}
+	case c.open && r.IntN(10) == 0:
+		b.RecordLoad(id, try, float64(r.IntN(40000)))
+	case c.open && r.IntN(60) == 0:
+		b.AttemptEnded(id, try, true, [...]Outcome{Succeeded, Succeeded, Reset, Cancelled}[r.IntN(4)])
+		delete(r.circuits[k], id)
+	case r.IntN(300) == 0:
+		b.ClientDisconnected(id)
+		if !c.open && !c.out {
+			delete(r.circuits[k], id)
+		}
+	case r.IntN(300) == 0: // late news of an earlier try
+		b.AttemptEstablished(id, try-1, ms)
+		b.AttemptEnded(id, try-1, false, Failed)
+		b.RecordLoad(id, try-1, 5)
+	}
+}
+
+func (r *goldenRun) decide(k int, b *Balancer) {
+	for d, ok := b.Next(); ok; d, ok = b.Next() {
+		r.counts[d.Action]++
+		fmt.Fprintf(r.sum, "%d %d %d %d %d %d %d %d", r.now, k, d.Action, d.Session, d.Endpoint, d.Duration, d.Gossip.VersionHash, d.Gossip.Offset)
+		for n, load := range d.Gossip.Loads {
+			fmt.Fprintf(r.sum, " %x %v", math.Float64bits(load), d.Gossip.Overloaded[n])
+		}
+		fmt.Fprintln(r.sum)
+		r.carryOut(k, b, d)
+	}
+	at, ok := b.NextWakeup()
+	fmt.Fprintln(r.sum, "wake", at, ok)
+}
+
+func (r *goldenRun) carryOut(k int, b *Balancer, d Decision) {
+	c := r.circuits[k][d.Session]
+	switch d.Action {
+	case StartAttempt:
+		c.tries++
+		c.out, c.server = true, d.Endpoint
+	case Reject, Fail:
+		delete(r.circuits[k], d.Session)
+	case Migrate:
+		b.AttemptEnded(d.Session, c.tries-1, true, Cancelled)
+		delete(r.circuits[k], d.Session)
+	case HealthCheck:
+		r.probes[k] = append(r.probes[k], d.Endpoint)
+	case SendGossip:
+		for to := range r.all {
+			if to != k && r.IntN(5) > 0 {
+				r.messages = append(r.messages, goldenMessage{r.now + time.Duration(r.IntN(3000))*ms, k, to, d.Gossip})
+			}
+		}
+	}
+}
+
+// TestDecisionsAreAsBefore compares a digest of all decisions under fixed seeds with the digests in testdata. A change that
+// is meant to decide otherwise writes them anew with -update.
+func TestDecisionsAreAsBefore(t *testing.T) {
+	var got []string
+	for n, g := range goldenScenarios() {
+		r := g.run(uint64(n) + 1)
+		got = append(got, fmt.Sprintf("%s: tries %d, nacks %d, break-offs %d, moves %d, probes %d, messages %d, sha256 %x",
+			g.name, r.counts[StartAttempt], r.counts[Reject], r.counts[Fail], r.counts[Migrate], r.counts[HealthCheck], r.counts[SendGossip], r.sum.Sum(nil)))
+	}
+	text := strings.Join(got, "\n") + "\n"
+	if *updateGolden {
+		if err := os.WriteFile(goldenFile, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+	if len(lines) != len(got) {
+		t.Fatalf("%d scenarios, %d in %s", len(got), len(lines), goldenFile)
+	}
+	for n, line := range got {
+		if line != lines[n] {
+			t.Errorf("is  %s\nwas %s", line, lines[n])
+		}
+	}
+}
