--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -78,11 +78,11 @@
 	}
 	in := func(do func()) { // the loop, and waits for it
 		done := make(chan struct{})
-		l.post(event{do: func() { defer close(done); do() }})
+		l.post(event{run: func() { defer close(done); do() }})
 		<-done
 	}
 	fail := func(id policy.SessionID) {
-		in(func() { l.guard(l.circuits[id].client, func() { panic("for the test") }) })
+		in(func() { l.recoverPanics(l.sessions[id].client, func() { panic("for the test") }) })
 	}
 	_, waits, _ := client()
 	_, stands, server := client()
@@ -106,8 +106,8 @@
 		t.Fatalf("%q", got)
 	}
 	in(func() {
-		if n := l.Panics.Load(); n != 3 || len(l.circuits) != 1 || l.open != 1 {
-			t.Errorf("%d panics, %d circuits, %d open", n, len(l.circuits), l.open)
+		if n := l.Panics.Load(); n != 3 || len(l.sessions) != 1 || l.openSessions != 1 {
+			t.Errorf("%d panics, %d circuits, %d open", n, len(l.sessions), l.openSessions)
 		}
 	})
 }
@@ -140,41 +140,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cir := &circuit{id: 1, client: &conn{nc: nc}, at: &server{}, ask: &protocol.Ask{}, out: true, turn: 1, giveUp: time.Hour}
+	cir := &session{id: 1, client: &conn{netConn: nc}, upstream: &upstream{}, request: &protocol.Ask{}, attemptActive: true, generation: 1, attemptDeadline: time.Hour}
 	up := make(chan *relay.Conn, 1)
 	l.dial(ln.Addr().String(), 20*time.Second, cir, func(c *relay.Conn, err error) { up <- c })
 	for len(up) == 0 {
 		<-l.wake
-		l.turn()
+		l.runOnce()
 	}
 	c := <-up
-	for c.Early() == nil { // until its end is here
+	for c.CheckOpen() == nil { // until its end is here
 		time.Sleep(time.Millisecond)
 	}
-	l.dialed(cir, 1, c, nil)
-	for cir.out {
+	l.upstreamDialed(cir, 1, c, nil)
+	for cir.attemptActive {
 		<-l.wake
-		l.turn()
+		l.runOnce()
 	}
 	if got := <-told; got != "" {
 		t.Fatalf("the server was told %q", got)
 	}
-	if cir.out || l.Ended[policy.ConnectFailed].Load() != 1 || l.fds.Load() != 0 {
+	if cir.attemptActive || l.Outcomes[policy.ConnectFailed].Load() != 1 || l.descriptors.Load() != 0 {
 		t.Fatal("a connection that was gone by then was used")
 	}
 }
 
 func TestProbesTellOfLoad(t *testing.T) {
 	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 2, SlowStartWindow: 20 * time.Second}}
-	l := &Loop{log: zap.NewNop(), dep: dep, bal: policy.New(dep.Policy, 7), start: time.Now(),
-		now: 30 * time.Second, goal: 200 * time.Millisecond, servers: map[policy.EndpointID]*server{}}
+	l := &Loop{log: zap.NewNop(), deployment: dep, policy: policy.New(dep.Policy, 7), startTime: time.Now(),
+		now: 30 * time.Second, messageObjective: 200 * time.Millisecond, servers: map[policy.EndpointID]*upstream{}}
 	for id := range policy.EndpointID(5) {
-		l.servers[id] = &server{id: id}
+		l.servers[id] = &upstream{id: id}
 	}
 	ms := time.Millisecond
 	tell := func(id policy.EndpointID, each ...time.Duration) (load float64, told bool) {
 		for _, took := range each {
-			load, told = l.guess(l.servers[id], took)
+			load, told = l.estimateLoad(l.servers[id], took)
 		}
 		return load, told
 	}
@@ -207,12 +207,12 @@
 	}
 	for id, want := range map[policy.EndpointID]float64{0: 1, 2: 2.5, 3: 0.7} { // of machines of 8, 3 and 12 ms
 		sv := l.servers[id]
-		sv.listedAs.Heft = 1
-		if got := sv.heft(); got < want/1.5 || got > want*1.5 {
+		sv.listed.Heft = 1
+		if got := sv.weight(); got < want/1.5 || got > want*1.5 {
 			t.Errorf("server %d of heft %v, wanted about %v", id, got, want)
 		}
 	}
-	l.servers[1].listedAs.Boot = l.start.Add(15 * time.Second)
+	l.servers[1].listed.Boot = l.startTime.Add(15 * time.Second)
 	if _, told := tell(1, 40*ms); told {
 		t.Error("a cold server's probes tell of its load")
 	}
@@ -225,37 +225,37 @@
 	ms := time.Millisecond
 	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 2, CanHealthCheck: true, HasLoadReports: true, MaxAttempts: 3,
 		Classes: []policy.Class{{SetupObjective: 300 * ms, MessageObjective: 250 * ms}}}}
-	l := &Loop{log: zap.NewNop(), bal: policy.New(dep.Policy, 7), start: time.Now(), servers: map[policy.EndpointID]*server{}}
-	l.settings(dep)
+	l := &Loop{log: zap.NewNop(), policy: policy.New(dep.Policy, 7), startTime: time.Now(), servers: map[policy.EndpointID]*upstream{}}
+	l.applySettings(dep)
 	var list []policy.Endpoint
 	for id := range policy.EndpointID(4) {
-		l.servers[id] = &server{id: id, listedAs: discovery.Server{UID: fmt.Sprint(id), Heft: 1}}
+		l.servers[id] = &upstream{id: id, listed: discovery.Server{UID: fmt.Sprint(id), Heft: 1}}
 		list = append(list, policy.Endpoint{ID: id, Weight: 1, StartedAt: policy.StartedLongAgo})
 	}
-	l.bal.UpdateEndpoints(list, true)
+	l.policy.UpdateEndpoints(list, true)
 	tell := func(id policy.EndpointID, took time.Duration) {
-		load, _ := l.guess(l.servers[id], took)
-		l.bal.RecordLoadReport(id, policy.LoadReport{Demand: load, Backlog: -1, Utilization: -1})
+		load, _ := l.estimateLoad(l.servers[id], took)
+		l.policy.RecordLoadReport(id, policy.LoadReport{Demand: load, Backlog: -1, Utilization: -1})
 	}
 	for id, took := range []time.Duration{47, 7, 8, 7} {
 		tell(policy.EndpointID(id), took*ms)
 	}
 	next := func() (tries map[policy.EndpointID]int, probed map[policy.EndpointID]bool) {
 		tries, probed = map[policy.EndpointID]int{}, map[policy.EndpointID]bool{}
-		for d, ok := l.bal.Next(); ok; d, ok = l.bal.Next() {
+		for d, ok := l.policy.Next(); ok; d, ok = l.policy.Next() {
 			switch d.Action {
 			case policy.StartAttempt:
 				tries[d.Endpoint]++
-				l.bal.AttemptEstablished(d.Session, 0, ms)
+				l.policy.AttemptEstablished(d.Session, 0, ms)
 			case policy.HealthCheck:
 				probed[d.Endpoint] = true
-				l.bal.HealthCheckEnded(d.Endpoint, policy.Succeeded)
+				l.policy.HealthCheckEnded(d.Endpoint, policy.Succeeded)
 			}
 		}
 		return tries, probed
 	}
 	for id := range policy.SessionID(40) {
-		l.bal.AddSession(policy.SessionRequest{ID: id + 1, Key: uint64(id + 1), Timeout: time.Second})
+		l.policy.AddSession(policy.SessionRequest{ID: id + 1, Key: uint64(id + 1), Timeout: time.Second})
 	}
 	if tries, _ := next(); tries[0] > 0 || tries[1] == 0 || tries[2] == 0 || tries[3] == 0 {
 		t.Fatalf("%v", tries)
@@ -266,12 +266,12 @@
 		want bool
 	}{{7, false}, {8, false}, {28, true}} {
 		for probed := map[policy.EndpointID]bool{}; !probed[1]; at += 10 * ms { // its own turn comes
-			l.bal.AdvanceClock(at)
+			l.policy.AdvanceClock(at)
 			l.now = at
 			_, probed = next()
 		}
 		tell(1, x.took*ms)
-		l.bal.AdvanceClock(at + 260*ms) // the next round: no turn of its own comes before 700 ms
+		l.policy.AdvanceClock(at + 260*ms) // the next round: no turn of its own comes before 700 ms
 		if _, probed := next(); probed[1] != x.want {
 			t.Fatalf("asked again after %d ms: %t", x.took, probed[1])
 		}
@@ -282,20 +282,20 @@
 // fast each machine is. With the middle kept as it first stood, all were taken for four times as fast as the middle.
 func TestAFewProbesTellTheMachinesPace(t *testing.T) {
 	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 80, Classes: []policy.Class{{MessageObjective: time.Second}}}}
-	l := &Loop{log: zap.NewNop(), bal: policy.New(dep.Policy, 7), start: time.Now(), servers: map[policy.EndpointID]*server{}}
-	l.settings(dep)
+	l := &Loop{log: zap.NewNop(), policy: policy.New(dep.Policy, 7), startTime: time.Now(), servers: map[policy.EndpointID]*upstream{}}
+	l.applySettings(dep)
 	took, want := []time.Duration{4, 4, 10, 10, 10, 10, 20}, []int{3, 3, 0, 0, 0, 0, -1} // none is under a quarter of the fastest
 	for i := range took {
-		l.servers[policy.EndpointID(i)] = &server{id: policy.EndpointID(i), listedAs: discovery.Server{UID: fmt.Sprint(i), Heft: 1}}
+		l.servers[policy.EndpointID(i)] = &upstream{id: policy.EndpointID(i), listed: discovery.Server{UID: fmt.Sprint(i), Heft: 1}}
 	}
 	for id := range policy.EndpointID(5) {
-		l.guess(l.servers[id], 200*time.Millisecond)
+		l.estimateLoad(l.servers[id], 200*time.Millisecond)
 	}
 	for n := range 3 * len(took) {
-		l.guess(l.servers[policy.EndpointID(n/3)], took[n/3]*time.Millisecond)
+		l.estimateLoad(l.servers[policy.EndpointID(n/3)], took[n/3]*time.Millisecond)
 	}
 	for i := range want {
-		if got := l.servers[policy.EndpointID(i)].pace; got != want[i] {
+		if got := l.servers[policy.EndpointID(i)].speedStep; got != want[i] {
 			t.Errorf("server %d, whose probes take %d ms, has pace %d, not %d", i, took[i], got, want[i])
 		}
 	}
