--- a/internal/fleet/changefeed/harness_test.go
+++ b/internal/fleet/changefeed/harness_test.go
@@ -60,7 +60,7 @@
 		h.publishers[a] = &testPublisher{address: a}
 		h.start(a, PublisherConfig{})
 	}
-	return r
+	return h
 }
 
 func memberItem(t testing.TB, m shardmap.Member) Item {
