--- a/cmd/testbed/fronts.go
+++ b/cmd/testbed/fronts.go
@@ -61,16 +61,16 @@
 	}
 }
 
-// frontProcess is one of them, as it is seen from outside.
-type frontProcess struct {
+// forwarderProcess is one of them, as it is seen from outside.
+type forwarderProcess struct {
 	cmd    *exec.Cmd
 	in     io.Closer
 	orders *gob.Encoder
 	told   *gob.Decoder
 }
 
-// startFronts starts one, and answers where its members are reached.
-func startFronts(self string, members []netip.AddrPort, before []int) (*frontProcess, map[int]netip.AddrPort, error) {
+// startForwarders starts one, and answers where its members are reached.
+func startForwarders(self string, members []netip.AddrPort, before []int) (*forwarderProcess, map[int]netip.AddrPort, error) {
 	cmd := exec.Command(self, "fronts")
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -85,7 +85,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, nil, fmt.Errorf("fronts: %w", err)
 	}
-	p := &frontProcess{cmd: cmd, in: in, orders: gob.NewEncoder(in), told: gob.NewDecoder(out)}
+	p := &forwarderProcess{cmd: cmd, in: in, orders: gob.NewEncoder(in), told: gob.NewDecoder(out)}
 	told, err := p.order(frontOrder{Members: members, Before: before})
 	if err != nil {
 		p.close()
@@ -95,7 +95,7 @@
 }
 
 // order gives one, and waits until it is carried out. It is one goroutine's.
-func (p *frontProcess) order(o frontOrder) (told frontTold, err error) {
+func (p *forwarderProcess) order(o frontOrder) (told frontTold, err error) {
 	if err = p.orders.Encode(o); err == nil {
 		err = p.told.Decode(&told)
 	}
@@ -108,7 +108,7 @@
 	return told, err
 }
 
-func (p *frontProcess) close() {
+func (p *forwarderProcess) close() {
 	_ = p.in.Close()
 	_ = p.cmd.Process.Kill() // it holds nothing that would be lost
 	_ = p.cmd.Wait()
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -76,7 +76,7 @@
 	if _, err := os.Stat(c.Binary); err != nil {
 		return scale.BadArgument{Flag: "binary", What: fmt.Sprintf("%v; build both with: go build -o bin/ ./cmd/...", err)}
 	}
-	hosts := plan.Hosts(perHost)
+	hosts := plan.Hosts(balancersPerProcess)
 	files, err := openFiles()
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 		return err
 	}
 	r.world = w
-	if err := founded(ctx, w.control); err != nil {
+	if err := waitForBootstrap(ctx, w.controls); err != nil {
 		return err
 	}
 	var beside sync.WaitGroup
@@ -149,7 +149,7 @@
 	beside.Go(func() { r.watch(ctx, stop) })
 
 	started := time.Now()
-	if err := w.open(l.self); err != nil {
+	if err := w.startBalancers(l.self); err != nil {
 		return err
 	}
 	if _, err := r.until(ctx, "together", time.Now().Add(togetherIn), lookOften); err != nil {
@@ -171,10 +171,10 @@
 	if err != nil {
 		return err
 	}
-	cpu, bytes := make([]time.Duration, len(w.control)), make([]int64, len(w.control))
-	for i, c := range w.control {
-		c.meter()
-		cpu[i], bytes[i] = c.used(), c.bytes()
+	cpu, bytes := make([]time.Duration, len(w.controls)), make([]int64, len(w.controls))
+	for i, c := range w.controls {
+		c.measureTraffic()
+		cpu[i], bytes[i] = c.cpuTime(), c.traffic()
 	}
 	r.begin = boottime.Now()
 	w.mu.Lock()
@@ -234,7 +234,7 @@
 			len(r.plan.Changes), last.Up, r.Balancers, last.Current, spread)
 		r.f.Even = fmt.Sprintf("%d of %d balancers up, %d current; %v", last.Up, r.Balancers, last.Current, spread)
 		if is && (over > 0 && steady == 0 || after != nil || now >= end) { // asked then alone: it costs them something
-			if not := w.whole(want); not != "" {
+			if not := w.missing(want); not != "" {
 				is, r.f.Even = false, r.f.Even+"; "+not
 			} else if over > 0 && steady == 0 {
 				steady = boottime.Now()
@@ -242,10 +242,10 @@
 		}
 		if after == nil && now >= end {
 			after, seconds = last, (now - r.begin).Seconds()
-			for i, c := range w.control {
-				c.meter()
-				r.f.ControlBytes = max(r.f.ControlBytes, float64(c.bytes()-bytes[i])/seconds)
-				r.f.ControlCore = max(r.f.ControlCore, 100*(c.used()-cpu[i]).Seconds()/seconds)
+			for i, c := range w.controls {
+				c.measureTraffic()
+				r.f.ControlBytes = max(r.f.ControlBytes, float64(c.traffic()-bytes[i])/seconds)
+				r.f.ControlCore = max(r.f.ControlCore, 100*(c.cpuTime()-cpu[i]).Seconds()/seconds)
 			}
 		}
 		if after != nil {
@@ -355,7 +355,7 @@
 			break
 		}
 		all.Go(func() { // one that takes long keeps no other waiting
-			e := r.world.step(s)
+			e := r.world.applyStep(s)
 			mu.Lock()
 			defer mu.Unlock()
 			err, over = errors.Join(err, e), max(over, boottime.Now())
@@ -393,7 +393,7 @@
 // account has the ledger reckon, against what the control processes have and what was put.
 func (r *scaleRun) account() error {
 	w := r.world
-	want, err := w.agreed()
+	want, err := w.agreedState()
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -169,7 +169,7 @@
 			}
 		}()
 	}
-	p, reached, err := startFronts(os.Args[0], members, []int{0})
+	p, reached, err := startForwarders(os.Args[0], members, []int{0})
 	if err != nil {
 		t.Fatal(err)
 	}
