--- a/internal/fleet/placement/bench_test.go
+++ b/internal/fleet/placement/bench_test.go
@@ -9,9 +9,9 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// metered begins what is measured; the answer ends it, and tells the processor's time of one operation in ns, garbage collection within:
-// on a machine that others use as well the clock on the wall tells less.
-func metered(b *testing.B) func() float64 {
+// startCPUMeter starts a benchmark's measured part. The returned function ends it, and reports and returns the processor time of one
+// operation in ns, garbage collection included: it depends less on the machine's other load than elapsed time.
+func startCPUMeter(b *testing.B) func() float64 {
 	processor := func() time.Duration {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -30,11 +30,11 @@
 	}
 }
 
-// scales are the fleet sizes at which docs/CAPACITY.md takes its points.
+// scales are the fleet sizes of docs/CAPACITY.md.
 var scales = []int{17, 100, 300, 1000, 2300, 4600}
 
-// calm is a fleet of n in which all are here, with the views that its list asks for.
-func calm(n int) (*shardmap.State, []MemberStatus) {
+// stableFleet is a fleet of n members, all alive, with the configurations that its epoch asks for.
+func stableFleet(n int) (*shardmap.State, []MemberStatus) {
 	var all []shardmap.Member
 	var seen []MemberStatus
 	for i := range n {
@@ -51,41 +51,41 @@
 	return st, seen
 }
 
-func steerer() *Planner {
+func newPlanner() *Planner {
 	return New(Config{ReplicationFactor: 3, MinReplicas: 2, EvictAfter: 10 * time.Second, MaxJoiningShards: 4}, 0)
 }
 
-// BenchmarkDecide is what the log's leader does ten times a second while nothing changes.
-func BenchmarkDecide(b *testing.B) {
+// BenchmarkPropose is one look of the log's leader while nothing changes.
+func BenchmarkPropose(b *testing.B) {
 	for _, n := range scales {
-		st, seen := calm(n)
+		st, seen := stableFleet(n)
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			t := steerer()
+			t := newPlanner()
 			now := time.Duration(0)
-			t.Propose(now, st, seen, true) // the epoch's ranking, which is kept
-			done := metered(b)
+			t.Propose(now, st, seen, true) // ranks the epoch's replicas once
+			done := startCPUMeter(b)
 			for range b.N {
-				now += each
+				now += proposalInterval
 				if _, is := t.Propose(now, st, seen, true); is {
-					b.Fatal("a change where nothing has")
+					b.Fatal("a proposal where nothing has changed")
 				}
 			}
 			per := done()
-			b.ReportMetric(per/float64(each)*100, "%core")
+			b.ReportMetric(per/float64(proposalInterval)*100, "%core")
 		})
 	}
 }
 
-// BenchmarkDecideEpoch is the same at the first look after each epoch: every slot is ranked anew.
-func BenchmarkDecideEpoch(b *testing.B) {
+// BenchmarkProposeAfterEpoch is the first look after a new epoch, at which every shard's replicas are ranked again.
+func BenchmarkProposeAfterEpoch(b *testing.B) {
 	for _, n := range scales {
-		st, seen := calm(n)
+		st, seen := stableFleet(n)
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			t := steerer()
+			t := newPlanner()
 			now := time.Duration(0)
-			done := metered(b)
+			done := startCPUMeter(b)
 			for range b.N {
-				now += each
+				now += proposalInterval
 				st.Epoch++
 				t.Propose(now, st, seen, true)
 			}
--- a/internal/fleet/placement/digest_test.go
+++ b/internal/fleet/placement/digest_test.go
@@ -17,7 +17,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// digestSeed hashes all proposals of one seeded run, in which members fail, return, leave and complain of each other.
+// digestSeed hashes all proposals of one seeded run, in which members fail, return, leave and report each other.
 func digestSeed(seed uint64) (digest string, proposals int) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	h := sha256.New()
@@ -29,7 +29,7 @@
 		seen = append(seen, MemberStatus{Member: m, Alive: true})
 	}
 	now := time.Duration(0)
-	steer := New(Config{ReplicationFactor: 3, MinReplicas: 2, EvictAfter: 5 * time.Second, MaxJoiningShards: 4}, now)
+	planner := New(Config{ReplicationFactor: 3, MinReplicas: 2, EvictAfter: 5 * time.Second, MaxJoiningShards: 4}, now)
 	for range 1500 {
 		now += time.Duration(rng.IntN(120)) * time.Millisecond
 		for i := range seen {
@@ -43,14 +43,14 @@
 		num := rng.IntN(shardmap.ShardCount)
 		v := st.Configurations[num]
 		if ids := append(v.InSync, v.Joining...); len(ids) > 1 && rng.IntN(2) == 0 {
-			steer.Report(now, st, replication.ReplicaReport{Shard: num, Configuration: v.Number - uint64(rng.IntN(20)/19), From: ids[rng.IntN(len(ids))], Subject: ids[rng.IntN(len(ids))]})
+			planner.Report(now, st, replication.ReplicaReport{Shard: num, Configuration: v.Number - uint64(rng.IntN(20)/19), From: ids[rng.IntN(len(ids))], Subject: ids[rng.IntN(len(ids))]})
 		}
 		for n, v := range st.Configurations {
 			if len(v.Joining) > 0 && rng.IntN(10) == 0 {
-				steer.Report(now, st, replication.ReplicaReport{Shard: n, Configuration: v.Number, From: v.InSync[0], Subject: v.Joining[0], CaughtUp: true})
+				planner.Report(now, st, replication.ReplicaReport{Shard: n, Configuration: v.Number, From: v.InSync[0], Subject: v.Joining[0], CaughtUp: true})
 			}
 		}
-		e, is := steer.Propose(now, st, seen, now > time.Second)
+		e, is := planner.Propose(now, st, seen, now > time.Second)
 		_, _ = fmt.Fprintf(h, "%d %v %s\n", now, is, e.Encode())
 		if is {
 			proposals++
@@ -59,7 +59,7 @@
 			}
 		}
 		if rng.IntN(500) == 0 {
-			steer = New(Config{ReplicationFactor: 3, MinReplicas: 2, EvictAfter: 5 * time.Second, MaxJoiningShards: 4}, now)
+			planner = New(Config{ReplicationFactor: 3, MinReplicas: 2, EvictAfter: 5 * time.Second, MaxJoiningShards: 4}, now)
 		}
 	}
 	return fmt.Sprintf("%x", h.Sum(nil)), proposals
--- a/internal/fleet/shardmap/pick.go
+++ b/internal/fleet/shardmap/pick.go
@@ -22,7 +22,7 @@
 			if used.machines[m.Machine] {
 				continue
 			}
-			if spread := used.spreadOf(m); spread > bestSpread {
+			if spread := used.spreadOf(m.Member); spread > bestSpread {
 				best = i
 				bestSpread = spread
 			}
@@ -30,18 +30,20 @@
 		if best < 0 {
 			break
 		}
-		used.add(ranked[best])
+		used.add(ranked[best].Member)
 		picked = append(picked, ranked[best].ID)
 	}
 	return picked
 }
 
-// rankMembers sorts members by their hash with the shard, the highest first.
-func rankMembers(shard int, members []Member) []Member {
-	type scoredMember struct {
-		Member
-		score uint64
-	}
+// scoredMember is a member with its hash for a shard.
+type scoredMember struct {
+	Member
+	score uint64
+}
+
+// rankMembers sorts members by their hash for a shard, the highest first.
+func rankMembers(shard int, members []Member) []scoredMember {
 	scored := make([]scoredMember, 0, len(members))
 	for _, m := range members {
 		scored = append(scored, scoredMember{m, xxhash.Sum64String(fmt.Sprintf("%s/%d", m.ID, shard))})
@@ -49,11 +51,7 @@
 	slices.SortFunc(scored, func(a, b scoredMember) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.ID, b.ID))
 	})
-	ranked := make([]Member, 0, len(scored))
-	for _, m := range scored {
-		ranked = append(ranked, m.Member)
-	}
-	return ranked
+	return scored
 }
 
 // failureDomains are those that the replicas picked so far are in.
