--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -143,7 +143,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return start(c, heed, gone)
+	l, err := newLink(c, heed, gone)
+	if err == nil {
+		l.start()
+	}
+	return l, err
 }
 
 // Listen opens the socket for the next process, in place of whatever file is there, for as long as this one lives. accepted
@@ -167,15 +171,16 @@
 				time.Sleep(acceptRetryDelay)
 				continue
 			}
-			if l, err := start(c, heed, gone); err == nil {
+			if l, err := newLink(c, heed, gone); err == nil {
 				accepted(l)
+				l.start() // only now: a message before the announcement would belong to no link
 			}
 		}
 	}()
 	return nil
 }
 
-func start(c *net.UnixConn, heed func(*Link, Message, []int), gone func(*Link, error)) (*Link, error) {
+func newLink(c *net.UnixConn, heed func(*Link, Message, []int), gone func(*Link, error)) (*Link, error) {
 	if err := checkPeerUser(c); err != nil {
 		_ = c.Close()
 		return nil, err
@@ -185,9 +190,12 @@
 	l.changed = sync.NewCond(&l.mu)
 	l.confirmTimer = time.AfterFunc(confirmTimeout, l.confirmTimedOut)
 	l.confirmTimer.Stop()
+	return l, nil
+}
+
+func (l *Link) start() {
 	go l.writeLoop()
 	go l.readLoop()
-	return l, nil
 }
 
 // checkPeerUser refuses a process of another user. Guards against one that would be given clients' connections.
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -362,3 +362,35 @@
 	free()
 	get(t, old.link).Close()
 }
+
+// TestALinkIsAnnouncedBeforeItsMessages has the other process send its first message at once, while the announcement of the link takes
+// long: the message must come after it. One that came before was dropped as another link's, and its process was never taken for ready.
+func TestALinkIsAnnouncedBeforeItsMessages(t *testing.T) {
+	path, err := SocketPath(t.TempDir(), "n0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	events := make(chan string, 10)
+	opened := func(*Link) {
+		time.Sleep(100 * time.Millisecond)
+		events <- "opened"
+	}
+	received := func(*Link, Message, []int) { events <- "received" }
+	closed := func(*Link, error) { events <- "closed" }
+	if err := Listen(path, opened, received, closed); err != nil {
+		t.Fatal(err)
+	}
+	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Write([]byte(`{"V":1,"Kind":2,"Confirms":true}`)); err != nil {
+		t.Fatal(err)
+	}
+	_ = c.Close()
+	for n, want := range []string{"opened", "received", "closed"} {
+		if got := get(t, events); got != want {
+			t.Fatalf("event %d is %q, not %q", n, got, want)
+		}
+	}
+}
