--- /dev/null
+++ b/internal/balancer/admission.go
@@ -0,0 +1,128 @@
+package balancer
+
+import (
+	"errors"
+	"time"
+
+	"go.uber.org/zap"
+
+	"sabletally/internal/protocol"
+	"sabletally/policy"
+)
+
+const (
+	deadlineMargin = 10 * time.Millisecond // a client gets its answer this long before its deadline
+	// rejectReserve is the part of all descriptors, as a divisor, that is kept for clients that are rejected at once.
+	rejectReserve = 8
+)
+
+// handleFirstLine handles a line of a client that has no session.
+func (l *Loop) handleFirstLine(c *conn, line protocol.Line) {
+	switch {
+	case line.Bad == nil && line.Kind == protocol.Ping:
+		l.answerPing(c)
+	case line.Bad == nil && line.Kind == protocol.Open:
+		l.admit(c, line.Ask)
+	default:
+		l.rejectMalformed(c, line.Bad)
+	}
+}
+
+// answerPing answers whether clients are welcome, as soon as this balancer is ready.
+func (l *Loop) answerPing(c *conn) {
+	if l.ready {
+		c.send(l.readinessLine())
+		c.awaitsPong.Store(false)
+		return
+	}
+	c.unansweredPings++
+	if c.unansweredPings == 1 {
+		l.pendingPings = append(l.pendingPings, c)
+	}
+}
+
+// rejectMalformed ends a client whose first line is no request; err is nil for a line that can be read but is no client's.
+func (l *Loop) rejectMalformed(c *conn, err error) {
+	if err != nil {
+		l.log.Info("bad line", zap.Error(err))
+	}
+	if errors.Is(err, protocol.ErrUnasked) {
+		l.UnexpectedLines.Add(1)
+	}
+	l.Malformed.Add(1)
+	l.closeWithLine(c, protocol.BadLine)
+}
+
+// admit begins a session, which is owed one final answer from here on, or ends the client.
+func (l *Loop) admit(c *conn, request *protocol.Ask) {
+	if l.isHandingOver() { // nothing new is begun here
+		l.handOverClient(c, request.Raw())
+		return
+	}
+	l.Sessions.Add(1)
+	if last := l.refusal(request); last != nil {
+		l.closeWithLine(c, last)
+		return
+	}
+	left := request.Left - c.sinceLastByte() - deadlineMargin
+	l.lastSessionID++
+	session := &session{
+		id:            l.lastSessionID,
+		request:       request,
+		client:        c,
+		deadline:      l.now + left,
+		policyRequest: l.policyRequestOf(l.lastSessionID, request, left),
+	}
+	c.session = session
+	l.sessions[session.id] = session
+	l.sessionsByClientID[request.ID] = session
+	if request.At != "" {
+		session.reattaching = true
+		session.deadline = max(session.deadline, l.now+reattachTimeout)
+		l.reattach(session)
+		return
+	}
+	l.beginRecord(session)
+	l.policy.AddSession(session.policyRequest)
+}
+
+// refusal returns the last line for a client that is not admitted, nil for one that is.
+func (l *Loop) refusal(request *protocol.Ask) []byte {
+	// Servers reject requests without a class or a deadline, and must not be judged by that.
+	_, known := l.deployment.Classes[request.Grade]
+	if !known || !request.Limited {
+		l.Malformed.Add(1)
+		return protocol.BadLine
+	}
+	if l.descriptors.Load() >= l.availableDescriptors()-l.descriptorLimit/rejectReserve { // none for the server's side
+		l.DescriptorShortages.Add(1)
+		l.Rejected.Add(1)
+		return protocol.Turned(l.retryAfter())
+	}
+	if l.sessionsByClientID[request.ID] != nil { // another client's session
+		l.DuplicateIDs.Add(1)
+		return protocol.BadLine
+	}
+	return nil
+}
+
+// policyRequestOf describes a session to the policy under the current settings.
+func (l *Loop) policyRequestOf(id policy.SessionID, request *protocol.Ask, left time.Duration) policy.SessionRequest {
+	class, known := l.deployment.Classes[request.Grade]
+	if !known {
+		class = len(l.deployment.Classes)
+	}
+	tenant, known := l.deployment.Tenants[request.Tenant]
+	if !known {
+		tenant = len(l.deployment.Tenants)
+	}
+	return policy.SessionRequest{
+		ID:      id,
+		Key:     request.Key,
+		Group:   request.Group,
+		Tenant:  tenant,
+		Class:   class,
+		Timeout: left,
+		Load:    request.Hint,
+	}
+}
--- /dev/null
+++ b/internal/balancer/attempt.go
@@ -0,0 +1,228 @@
+package balancer
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"sabletally/internal/protocol"
+	"sabletally/internal/relay"
+	"sabletally/policy"
+)
+
+const (
+	reattachTimeout  = 38 * time.Second // a session from before the start is established by then, or failed
+	reattachInterval = 300 * time.Millisecond
+	maxCheckAge      = 100 * time.Millisecond // of the loop's last check before a request is written
+)
+
+// startAttempt starts the attempt that the policy has decided; timeout bounds it.
+func (l *Loop) startAttempt(session *session, endpoint policy.EndpointID, timeout time.Duration) {
+	l.Attempts.Add(1)
+	session.attempts++
+	session.attemptActive = true
+	session.attemptStart = l.now
+	session.attemptDeadline = l.now + timeout
+	l.dialUpstream(session, l.servers[endpoint])
+}
+
+// dialUpstream dials a session's server and asks for the right to write to it, if the session needs that.
+func (l *Loop) dialUpstream(session *session, server *upstream) {
+	session.generation++
+	session.upstream = server
+	session.requestSent = false
+	generation := session.generation
+	timeout := session.attemptDeadline - l.now
+	l.after(timeout, func() {
+		if session.isActive(generation) {
+			l.attemptTimedOut(session, nil)
+		}
+	})
+	if session.record != nil {
+		l.requestWrite(session)
+	}
+	session.dial = l.dial(server.address, timeout, session, func(c *relay.Conn, err error) {
+		l.upstreamDialed(session, generation, c, err)
+	})
+}
+
+// upstreamDialed sends the session's request on a new connection, if the attempt is still wanted. It runs again for the same
+// connection whenever something that it waited for has happened.
+func (l *Loop) upstreamDialed(session *session, generation int, c *relay.Conn, err error) {
+	if !session.isActive(generation) {
+		if c != nil {
+			c.Close()
+		}
+		return
+	}
+	session.dial = nil
+	session.upstreamConn = c
+	again := func() { l.upstreamDialed(session, generation, c, nil) }
+	switch {
+	case isDescriptorShortage(err):
+		l.DescriptorShortages.Add(1)
+		l.attemptEnded(session, policy.NeverSent, err)
+	case err != nil:
+		l.attemptEnded(session, policy.ConnectFailed, err)
+	case session.upstream.state != policy.Ready && !session.reattaching: // the list has changed during the dial
+		l.attemptEnded(session, policy.NeverSent, nil)
+	case l.now >= session.attemptDeadline: // after a stall: the timeout is still to run
+		l.attemptEnded(session, policy.NeverSent, nil)
+	case !session.reattaching && l.deferUntilFresh(again):
+	case !l.mayWrite(session, again):
+	default:
+		if session.record != nil {
+			session.record.written = true
+		}
+		l.sendRequest(session, generation, c)
+	}
+}
+
+// sendRequest writes the session's request on a goroutine of its own, as the write is most of what an attempt costs. Just before, it
+// checks what the loop can't know yet: that the client has not ended, and that the process was not stopped since the loop's checks.
+func (l *Loop) sendRequest(session *session, generation int, c *relay.Conn) {
+	session.requestSent = true
+	text := session.request.Onward(session.attemptDeadline - l.now)
+	checkedAt := time.Now()
+	go func() {
+		err := c.CheckOpen()
+		if err == nil {
+			if !l.clientWaits(session, generation) {
+				return
+			}
+			if time.Since(checkedAt) > maxCheckAge {
+				l.postIfActive(session, generation, func() { l.upstreamDialed(session, generation, c, nil) })
+				return
+			}
+			err = c.WriteFirst(text)
+		}
+		if err != nil { // the connection has ended, or the request's last byte was not written
+			l.postIfActive(session, generation, func() { l.attemptEnded(session, policy.ConnectFailed, err) })
+			return
+		}
+		c.AwaitLine()
+	}()
+}
+
+// postIfActive has the loop run a function if the attempt is still active by then.
+func (l *Loop) postIfActive(session *session, generation int, run func()) {
+	l.post(event{session: session, run: func() {
+		if session.isActive(generation) {
+			run()
+		}
+	}})
+}
+
+// clientWaits reports whether the kernel still knows the session's client to wait for its answer. If not, the loop ends the session,
+// if its attempt is still active by then. It runs on other goroutines than the loop's.
+func (l *Loop) clientWaits(session *session, generation int) bool {
+	switch session.client.presence() {
+	case clientWaiting:
+		return true
+	case clientSentMore:
+		l.postIfActive(session, generation, func() { l.unexpectedLine(session) })
+	default:
+		l.postIfActive(session, generation, func() {
+			l.clientDisconnected(session.client, &DisconnectError{Stage: StageWritten, Cause: errPeerClosed})
+		})
+	}
+	return false
+}
+
+// attemptTimedOut ends an attempt whose time is up. One whose request was not sent had no effect.
+func (l *Loop) attemptTimedOut(session *session, why error) {
+	outcome := policy.NeverSent
+	if session.requestSent {
+		outcome = policy.TimedOut
+	}
+	l.attemptEnded(session, outcome, why)
+}
+
+// attemptEnded ends an attempt that did not establish the session. Its connection is closed before the policy knows of it.
+func (l *Loop) attemptEnded(session *session, outcome policy.Outcome, why error) {
+	if record := session.record; record != nil && record.committing { // the server's answer is being committed
+		record.upstreamClosed = true
+		return
+	}
+	l.log.Debug("try ended",
+		zap.Stringer("circuit", session),
+		zap.String("how", outcomeNames[outcome]),
+		zap.String("server", session.upstream.listed.UID),
+		zap.Duration("after", l.now-session.attemptStart),
+		zap.Error(why))
+	l.Outcomes[outcome].Add(1)
+	session.generation++
+	session.attemptActive = false
+	session.closeUpstream(false)
+	if session.reattaching {
+		l.retryReattach(session)
+		return
+	}
+	l.policy.AttemptEnded(session.id, session.attempts-1, false, outcome)
+}
+
+// handleResponse handles a server's line before the session is established.
+func (l *Loop) handleResponse(session *session, line protocol.Line) {
+	switch {
+	case line.Bad != nil && line.Kind != protocol.Busy:
+		l.attemptEnded(session, policy.Failed, line.Bad)
+	case line.Kind == protocol.Up && session.record != nil:
+		l.commitAnswer(session, line)
+	case line.Kind == protocol.Up:
+		l.sessionEstablished(session, line)
+	case line.Kind == protocol.Busy:
+		l.attemptEnded(session, policy.Rejected, nil)
+	case line.Kind == protocol.Load:
+		l.recordLoad(session, line.Figure)
+		session.upstreamConn.AwaitLine()
+	case line.Kind == protocol.Move:
+		l.attemptEnded(session, policy.Cancelled, nil)
+	case line.Kind == protocol.Bye:
+		l.servedWithoutSession(session, line)
+	default:
+		l.attemptEnded(session, policy.Failed, nil)
+	}
+}
+
+// recordLoad records the load that a session's server reports.
+func (l *Loop) recordLoad(session *session, load float64) {
+	session.policyRequest.Load = load
+	l.policy.RecordLoad(session.id, max(session.attempts-1, 0), load)
+}
+
+// servedWithoutSession ends a session that its server has served completely without establishing it.
+func (l *Loop) servedWithoutSession(session *session, line protocol.Line) {
+	l.Outcomes[policy.Succeeded].Add(1)
+	l.Served.Add(1)
+	l.removeSession(session)
+	session.closeUpstream(false)
+	if !session.reattaching {
+		l.policy.AttemptEnded(session.id, session.attempts-1, true, policy.Succeeded)
+	}
+	l.closeWithLine(session.client, line.Raw)
+}
+
+// reattach dials the server at which a session was open before this balancer started.
+func (l *Loop) reattach(session *session) {
+	if !l.isCurrent(session) {
+		return
+	}
+	server := l.serversByUID[session.request.At]
+	if server == nil || server.address == "" {
+		l.retryReattach(session)
+		return
+	}
+	session.attemptActive = true
+	session.attemptStart = l.now
+	session.attemptDeadline = session.deadline
+	l.dialUpstream(session, server)
+}
+
+func (l *Loop) retryReattach(session *session) {
+	if l.now+reattachInterval >= session.deadline {
+		l.Failed.Add(1)
+		l.endUnserved(session, protocol.ErrLine)
+		return
+	}
+	l.after(reattachInterval, func() { l.reattach(session) })
+}
--- a/internal/balancer/cost_test.go
+++ b/internal/balancer/cost_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	go l.Serve(gate)
+	serve(l, gate)
 	target := bench.NewTarget(gate.Addr().String())
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/balancer/counters.go
+++ b/internal/balancer/counters.go
@@ -1,6 +1,3 @@
-// This file owns the counters: what is taken in, sent and answered. They are written by whoever counts and may
-// be read at any time. They must never steer anything.
-
 package balancer
 
 import (
@@ -11,51 +8,122 @@
 	"sabletally/policy"
 )
 
-// Counters are sums since the start, but for Open.
+// Counters are what a balancer has done since its start. They may be read and written at any time, and decide nothing. The names under
+// which they are logged are in fields.
 type Counters struct {
-	Accepted, Sessions, Malformed, BadLines                   atomic.Int64 // connections, circuits, first lines that can't be read
-	Attempts, Probes                                          atomic.Int64
-	Served, Rejected, Failed, ClientsLeft                     atomic.Int64 // final answers; clients that left before theirs
-	Migrations, SilentServers, ForwardedLines                 atomic.Int64
-	Open                                                      atomic.Int64 // circuits that stand now
-	Lists, ListErrors, Errors, Panics, DescriptorShortages    atomic.Int64
-	Reloads, ReloadErrors, Drains                             atomic.Int64
-	Stalls                                                    atomic.Int64                       // turns that came late: the process was stopped, or starved
-	HandedOver, TakenOver                                     atomic.Int64                       // circuits and clients, to the new process and from the old one
-	GossipSent, GossipReceived, GossipDropped                 atomic.Int64                       // messages between balancers
-	DuplicateIDs, UnexpectedLines, FirstLineTimeouts, Evicted atomic.Int64                       // turned away: taken id, more before the answer, silent
-	Candidates                                                atomic.Int64                       // servers of a held list that were asked before they were listed
-	Replicated, RepeatedAnswers, NotReplicated                atomic.Int64                       // circuits held by the fleet, answered by its word, not promised in time
-	Outcomes                                                  [policy.NeverSent + 1]atomic.Int64 // tries and circuits, by outcome
+	Accepted  atomic.Int64 // clients' connections
+	Sessions  atomic.Int64 // requests that are owed one final answer
+	Malformed atomic.Int64 // first lines that are no request
+	BadLines  atomic.Int64 // lines of clients that can't be read
+	Attempts  atomic.Int64
+	Probes    atomic.Int64
+
+	// Final answers.
+	Served      atomic.Int64
+	Rejected    atomic.Int64
+	Failed      atomic.Int64
+	ClientsLeft atomic.Int64 // clients that left before theirs
+
+	Migrations     atomic.Int64
+	SilentServers  atomic.Int64 // sessions whose server said nothing for too long
+	ForwardedLines atomic.Int64 // both ways, as of the last LogCounters
+	Open           atomic.Int64 // established sessions now
+
+	Lists               atomic.Int64 // endpoint lists from discovery
+	ListErrors          atomic.Int64
+	Errors              atomic.Int64
+	Panics              atomic.Int64
+	DescriptorShortages atomic.Int64
+	Reloads             atomic.Int64
+	ReloadErrors        atomic.Int64
+	Drains              atomic.Int64
+	Stalls              atomic.Int64 // turns of the loop that came too late
+
+	// Hot restart: sessions and clients.
+	HandedOver atomic.Int64
+	TakenOver  atomic.Int64
+
+	GossipSent     atomic.Int64
+	GossipReceived atomic.Int64
+	GossipDropped  atomic.Int64
+
+	// Clients that break the rules.
+	DuplicateIDs      atomic.Int64
+	UnexpectedLines   atomic.Int64 // more before the answer
+	FirstLineTimeouts atomic.Int64
+	Evicted           atomic.Int64 // to free descriptors
+
+	Candidates atomic.Int64 // servers of a recovered list that were checked before they were listed
+
+	// Replication of sessions in the fleet.
+	Replicated      atomic.Int64
+	RepeatedAnswers atomic.Int64 // answered from the record
+	NotReplicated   atomic.Int64 // not recorded in time
+
+	Outcomes [policy.NeverSent + 1]atomic.Int64 // of attempts and established sessions
 }
 
+// outcomeNames are the names of outcomes in the log.
 var outcomeNames = [policy.NeverSent + 1]string{
-	policy.Succeeded: "succeeded", policy.Failed: "failed", policy.Rejected: "turned-away", policy.TimedOut: "timed-out",
-	policy.ConnectFailed: "connect-failed", policy.Reset: "reset", policy.Cancelled: "cancelled",
-	policy.NeverSent: "never-sent",
+	policy.Succeeded:     "succeeded",
+	policy.Failed:        "failed",
+	policy.Rejected:      "turned-away",
+	policy.TimedOut:      "timed-out",
+	policy.ConnectFailed: "connect-failed",
+	policy.Reset:         "reset",
+	policy.Cancelled:     "cancelled",
+	policy.NeverSent:     "never-sent",
+}
+
+// LogCounters logs the counters.
+func (l *Loop) LogCounters(why string) {
+	fields := append([]zap.Field{zap.String("why", why)}, l.fields()...)
+	l.ForwardedLines.Store(l.relay.ForwardedLines.Load())
+	l.log.Info("counters", append(fields, zap.Int64("descriptors", l.descriptors.Load()))...)
 }
 
+// fields returns the counters under the names that operators read.
 func (c *Counters) fields() []zap.Field {
-	var all []zap.Field
-	for _, f := range []struct {
-		name string
-		n    *atomic.Int64
-	}{
-		{"accepted", &c.Accepted}, {"taken", &c.Sessions}, {"malformed", &c.Malformed}, {"bad-lines", &c.BadLines},
-		{"tries", &c.Attempts}, {"probes", &c.Probes}, {"served", &c.Served}, {"nacked", &c.Rejected},
-		{"broken-off", &c.Failed}, {"left", &c.ClientsLeft}, {"moves", &c.Migrations}, {"silent", &c.SilentServers},
-		{"relayed", &c.ForwardedLines}, {"open", &c.Open}, {"lists", &c.Lists}, {"list-errors", &c.ListErrors},
-		{"reloads", &c.Reloads}, {"reload-errors", &c.ReloadErrors}, {"drains", &c.Drains},
-		{"passed", &c.HandedOver}, {"inherited", &c.TakenOver},
-		{"sent", &c.GossipSent}, {"heard", &c.GossipReceived}, {"dropped", &c.GossipDropped},
-		{"same-id", &c.DuplicateIDs}, {"unasked", &c.UnexpectedLines}, {"late", &c.FirstLineTimeouts}, {"shed", &c.Evicted},
-		{"candidates", &c.Candidates}, {"held", &c.Replicated}, {"same-word", &c.RepeatedAnswers}, {"not-held", &c.NotReplicated},
-		{"stalls", &c.Stalls}, {"errors", &c.Errors}, {"panics", &c.Panics}, {"no-room", &c.DescriptorShortages},
-	} {
-		all = append(all, zap.Int64(f.name, f.n.Load()))
+	fields := []zap.Field{
+		zap.Int64("accepted", c.Accepted.Load()),
+		zap.Int64("taken", c.Sessions.Load()),
+		zap.Int64("malformed", c.Malformed.Load()),
+		zap.Int64("bad-lines", c.BadLines.Load()),
+		zap.Int64("tries", c.Attempts.Load()),
+		zap.Int64("probes", c.Probes.Load()),
+		zap.Int64("served", c.Served.Load()),
+		zap.Int64("nacked", c.Rejected.Load()),
+		zap.Int64("broken-off", c.Failed.Load()),
+		zap.Int64("left", c.ClientsLeft.Load()),
+		zap.Int64("moves", c.Migrations.Load()),
+		zap.Int64("silent", c.SilentServers.Load()),
+		zap.Int64("relayed", c.ForwardedLines.Load()),
+		zap.Int64("open", c.Open.Load()),
+		zap.Int64("lists", c.Lists.Load()),
+		zap.Int64("list-errors", c.ListErrors.Load()),
+		zap.Int64("reloads", c.Reloads.Load()),
+		zap.Int64("reload-errors", c.ReloadErrors.Load()),
+		zap.Int64("drains", c.Drains.Load()),
+		zap.Int64("passed", c.HandedOver.Load()),
+		zap.Int64("inherited", c.TakenOver.Load()),
+		zap.Int64("sent", c.GossipSent.Load()),
+		zap.Int64("heard", c.GossipReceived.Load()),
+		zap.Int64("dropped", c.GossipDropped.Load()),
+		zap.Int64("same-id", c.DuplicateIDs.Load()),
+		zap.Int64("unasked", c.UnexpectedLines.Load()),
+		zap.Int64("late", c.FirstLineTimeouts.Load()),
+		zap.Int64("shed", c.Evicted.Load()),
+		zap.Int64("candidates", c.Candidates.Load()),
+		zap.Int64("held", c.Replicated.Load()),
+		zap.Int64("same-word", c.RepeatedAnswers.Load()),
+		zap.Int64("not-held", c.NotReplicated.Load()),
+		zap.Int64("stalls", c.Stalls.Load()),
+		zap.Int64("errors", c.Errors.Load()),
+		zap.Int64("panics", c.Panics.Load()),
+		zap.Int64("no-room", c.DescriptorShortages.Load()),
 	}
-	for how, name := range outcomeNames {
-		all = append(all, zap.Int64("ended-"+name, c.Outcomes[how].Load()))
+	for outcome, name := range outcomeNames {
+		fields = append(fields, zap.Int64("ended-"+name, c.Outcomes[outcome].Load()))
 	}
-	return all
+	return fields
 }
--- a/internal/balancer/descriptors_test.go
+++ b/internal/balancer/descriptors_test.go
@@ -23,7 +23,7 @@
 			Classes: []policy.Class{{SetupObjective: time.Second, PriorityWeight: 1, Idempotency: policy.Idempotent}}},
 		Classes: map[string]int{"feed": 0}, Deadlines: []time.Duration{20 * time.Second},
 	}
-	known := discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: s.ln.Addr().String(), Heft: 1}}}
+	known := discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: s.listener.Addr().String(), Heft: 1}}}
 	l, err := New(zap.NewNop(), dep, 7, known, 64)
 	if err != nil {
 		t.Fatal(err)
@@ -43,11 +43,11 @@
 	y.client, y.c = near, newConn(nc, y.l, &y.l.descriptors)
 	y.c.idle = y.l.idle
 	_ = nc.SetOnRequest(y.c.onReadable)
-	ln := protocol.Decode(fmt.Appendf(nil, asks, id))
+	line := protocol.Decode(fmt.Appendf(nil, asks, id))
 	y.c.phase.Store(expectNothing)
 	y.l.now = time.Since(y.l.startTime)
 	y.l.policy.AdvanceClock(y.l.now)
-	y.l.handleEvent(event{conn: y.c, lines: []protocol.Line{ln}})
+	y.l.handleEvent(event{conn: y.c, lines: []protocol.Line{line}})
 }
 
 // TestCircuitsTakenAtOnceLeaveWhatIsKept has as many circuits taken before the first of them is dialed as there is room for: what they
--- a/internal/balancer/dial.go
+++ b/internal/balancer/dial.go
@@ -1,5 +1,3 @@
-// This file owns the loop's side of relays: dials, and what relays say, posted to the loop. It must never decide.
-
 package balancer
 
 import (
@@ -15,140 +13,154 @@
 	"sabletally/policy"
 )
 
+// maxConnectTimeout bounds a dial where the settings give no limit.
+const maxConnectTimeout = time.Second
+
 var errConnectTimeout = errors.New("not up in time")
 
-// isDescriptorShortage tells whether a dial failed for want of a descriptor, which is no fault of its server's.
+// isDescriptorShortage reports whether a dial failed for want of a descriptor, which is no fault of its server's.
 func isDescriptorShortage(err error) bool {
 	return errors.Is(err, relay.ErrDescriptorLimit) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// upstreamDial is one dial: a setup try's, or a probe's.
+// upstreamDial is one dial to a server: an attempt's, or a probe's.
 type upstreamDial struct {
 	session        *session // nil for a probe
 	onConnected    func(c *relay.Conn, err error)
-	onLine         func(c *relay.Conn, ln protocol.Line)
+	onLine         func(c *relay.Conn, line protocol.Line)
 	onDisconnected func(c *relay.Conn, why error)
-	conn           atomic.Pointer[relay.Conn]
-	cancelled      atomic.Bool // it is not wanted any more
-	finished       bool        // the loop's alone: up has been called
+
+	conn      atomic.Pointer[relay.Conn]
+	cancelled atomic.Bool
+	finished  bool // onConnected has been called; the loop's alone
 }
 
 // cancel ends a dial that is not wanted any more, whether or not it has a connection yet.
-func (a *upstreamDial) cancel() {
-	a.cancelled.Store(true)
-	if c := a.conn.Load(); c != nil {
+func (d *upstreamDial) cancel() {
+	d.cancelled.Store(true)
+	if c := d.conn.Load(); c != nil {
 		c.Close()
 	}
 }
 
-// dial starts a connection to a server beside the loop, for the connect time limit or a try's time at most. None is begun once it
-// is cancelled or its circuit's client has gone.
-func (l *Loop) dial(address string, within time.Duration, cir *session, up func(*relay.Conn, error)) *upstreamDial {
-	if limit := l.deployment.ConnectTimeout; limit > 0 {
-		within = min(within, limit)
-	} else {
-		within = min(within, maxConnectTimeout)
+// finish calls a function with the result of the dial, the first time. A connection that nobody takes is closed.
+func (d *upstreamDial) finish(c *relay.Conn, err error, onConnected func(*relay.Conn, error)) {
+	if c != nil && (d.finished || err != nil) {
+		c.Close()
+		c = nil
 	}
-	a := &upstreamDial{session: cir}
-	a.onConnected = func(c *relay.Conn, err error) {
-		if a.finished {
-			if c != nil {
-				c.Close()
-			}
-			return
-		}
-		a.finished = true
-		if err != nil && c != nil {
-			c.Close()
-			c = nil
-		}
-		up(c, err)
+	if d.finished {
+		return
 	}
-	l.after(within, func() {
-		if !a.finished {
-			a.cancel()
-			a.onConnected(nil, errConnectTimeout)
+	d.finished = true
+	onConnected(c, err)
+}
+
+// connectTimeout returns how long a connection to a server may take to be established.
+func (l *Loop) connectTimeout() time.Duration {
+	if limit := l.deployment.ConnectTimeout; limit > 0 {
+		return limit
+	}
+	return maxConnectTimeout
+}
+
+// dial connects to a server beside the loop, within the timeout and the settings' limit. It begins nothing once it is cancelled or the
+// client of its session has gone. session is nil for a probe.
+func (l *Loop) dial(address string, timeout time.Duration, session *session, onConnected func(*relay.Conn, error)) *upstreamDial {
+	timeout = min(timeout, l.connectTimeout())
+	d := &upstreamDial{session: session}
+	d.onConnected = func(c *relay.Conn, err error) { d.finish(c, err, onConnected) }
+	l.after(timeout, func() {
+		if !d.finished {
+			d.cancel()
+			d.onConnected(nil, errConnectTimeout)
 		}
 	})
-	if cir != nil {
-		a.onLine = func(c *relay.Conn, ln protocol.Line) {
-			if cir.upstreamConn == c {
-				l.handleResponse(cir, ln)
-			}
+	// Not less what the other process of a hot restart holds: an admitted session is not failed for what is handed over.
+	limit := l.descriptorLimit
+	wanted := func() bool { return !d.cancelled.Load() }
+	if session == nil {
+		limit += probeDescriptors
+	} else {
+		l.handleSessionDial(d)
+		generation := session.generation
+		wanted = func() bool { return l.clientWaits(session, generation) && !d.cancelled.Load() }
+	}
+	go l.runDial(d, address, limit, wanted)
+	return d
+}
+
+// handleSessionDial has a session handle what its server sends.
+func (l *Loop) handleSessionDial(d *upstreamDial) {
+	session := d.session
+	d.onLine = func(c *relay.Conn, line protocol.Line) {
+		if session.upstreamConn == c {
+			l.handleResponse(session, line)
 		}
-		a.onDisconnected = func(c *relay.Conn, why error) {
-			switch {
-			case cir.upstreamConn != c:
-			case errors.Is(why, relay.ErrLineTooLong):
-				l.attemptEnded(cir, policy.Failed, why)
-			default:
-				l.attemptEnded(cir, policy.Reset, why)
-			}
+	}
+	d.onDisconnected = func(c *relay.Conn, why error) {
+		switch {
+		case session.upstreamConn != c:
+		case errors.Is(why, relay.ErrLineTooLong):
+			l.attemptEnded(session, policy.Failed, why)
+		default:
+			l.attemptEnded(session, policy.Reset, why)
 		}
 	}
-	wanted := func() bool { return !a.cancelled.Load() }
-	if cir != nil {
-		turn := cir.generation
-		wanted = func() bool { return l.clientWaits(cir, turn) && !a.cancelled.Load() }
+}
+
+// runDial starts the connection; the relay reports how it goes on.
+func (l *Loop) runDial(d *upstreamDial, address string, descriptorLimit int64, wanted func() bool) {
+	c, err := l.relay.Dial(address, descriptorLimit, wanted, d)
+	if errors.Is(err, relay.ErrDialCancelled) {
+		return
 	}
-	// Not less what the other process of an upgrade holds: what is taken in is not given up for what is passed between them.
-	most := l.descriptorLimit
-	if cir == nil {
-		most += probeDescriptors
+	if err != nil {
+		l.post(event{session: d.session, run: func() { d.onConnected(nil, err) }})
+		return
+	}
+	d.conn.Store(c)
+	if d.cancelled.Load() {
+		c.Close()
 	}
-	go func() {
-		c, err := l.relay.Dial(address, most, wanted, a)
-		if errors.Is(err, relay.ErrDialCancelled) {
-			return
-		}
-		if err != nil {
-			l.post(event{session: cir, run: func() { a.onConnected(nil, err) }})
-			return
-		}
-		if a.conn.Store(c); a.cancelled.Load() {
-			c.Close()
-		}
-	}()
-	return a
 }
 
-// relayHandler takes what relays say; it posts.
+// relayHandler posts what the relay reports to the loop.
 type relayHandler struct{ loop *Loop }
 
-func (r relayHandler) Connected(c *relay.Conn, err error) {
-	a := c.Data.(*upstreamDial)
-	r.loop.post(event{session: a.session, run: func() { a.onConnected(c, err) }})
+func (h relayHandler) Connected(c *relay.Conn, err error) {
+	d := c.Data.(*upstreamDial)
+	h.loop.post(event{session: d.session, run: func() { d.onConnected(c, err) }})
 }
 
-func (r relayHandler) LineReceived(c *relay.Conn, raw []byte) {
-	a := c.Data.(*upstreamDial)
-	ln := protocol.Decode(raw)
-	r.loop.post(event{session: a.session, run: func() { a.onLine(c, ln) }})
+func (h relayHandler) LineReceived(c *relay.Conn, raw []byte) {
+	d := c.Data.(*upstreamDial)
+	line := protocol.Decode(raw)
+	h.loop.post(event{session: d.session, run: func() { d.onLine(c, line) }})
 }
 
-func (r relayHandler) Disconnected(c *relay.Conn, _ bool, why error) {
-	a := c.Data.(*upstreamDial)
-	r.loop.post(event{session: a.session, run: func() { a.onDisconnected(c, why) }})
+func (h relayHandler) Disconnected(c *relay.Conn, _ bool, why error) {
+	d := c.Data.(*upstreamDial)
+	h.loop.post(event{session: d.session, run: func() { d.onDisconnected(c, why) }})
 }
 
-func (r relayHandler) PairEnded(p *relay.Pair, by relay.Side, abrupt bool, why error) {
-	cir := p.Data.(*session)
-	r.loop.post(event{session: cir, run: func() { r.loop.relayEnded(cir, p, by, abrupt, why) }})
+func (h relayHandler) PairEnded(pair *relay.Pair, by relay.Side, abrupt bool, why error) {
+	session := pair.Data.(*session)
+	h.loop.post(event{session: session, run: func() { h.loop.relayEnded(session, pair, by, abrupt, why) }})
 }
 
-func (r relayHandler) LoadsReported(all []relay.LoadLine) {
-	r.loop.post(event{run: func() {
-		for _, one := range all {
-			cir := one.Pair.Data.(*session)
-			if ln := protocol.Decode(one.Raw); ln.Bad == nil && r.loop.sessions[cir.id] == cir {
-				cir.arrival.Load = ln.Figure
-				r.loop.policy.RecordLoad(cir.id, max(cir.attempts-1, 0), ln.Figure)
+func (h relayHandler) LoadsReported(loads []relay.LoadLine) {
+	h.loop.post(event{run: func() {
+		for _, load := range loads {
+			session := load.Pair.Data.(*session)
+			if line := protocol.Decode(load.Raw); line.Bad == nil && h.loop.isCurrent(session) {
+				h.loop.recordLoad(session, line.Figure)
 			}
 		}
 	}})
 }
 
-func (r relayHandler) Panicked(at string, what any, stack []byte) {
-	r.loop.Panics.Add(1)
-	r.loop.log.Error("panic", zap.String("at", at), zap.Any("what", what), zap.ByteString("stack", stack))
+func (h relayHandler) Panicked(at string, what any, stack []byte) {
+	h.loop.Panics.Add(1)
+	h.loop.log.Error("panic", zap.String("at", at), zap.Any("what", what), zap.ByteString("stack", stack))
 }
--- a/internal/balancer/endpoint_recovery.go
+++ b/internal/balancer/endpoint_recovery.go
@@ -1,11 +1,6 @@
-// This file owns a start while discovery is silent: the list that the fleet holds. A young one is used; of an older one each server
-// is asked before it is listed, few at a time; past a limit nothing of it is. Discovery's first word ends all that. It must
-// never list a server that the held list calls draining, nor judge one: who is listed is the module's to choose from.
-
 package balancer
 
 import (
-	"encoding/json"
 	"time"
 
 	"go.uber.org/zap"
@@ -17,29 +12,32 @@
 	"sabletally/policy"
 )
 
+// This file is the start while discovery is silent: the balancer recovers the endpoint list that the fleet keeps. A recent list is
+// used. Of an older one only servers that answer a check are listed. One that is too old is not used at all. It never lists a server
+// that the recovered list calls draining. Discovery's first list ends all that.
+
 const (
-	listRecoveryDelay   = 700 * time.Millisecond // discovery has so long before the fleet is asked
-	maxConcurrentChecks = 4                      // candidates that are asked at a time
-	maxCheckRounds      = 20                     // rounds over those that did not answer
-	checkRoundInterval  = time.Second            // between them
+	listRecoveryDelay   = 700 * time.Millisecond // discovery has this long to answer
+	maxConcurrentChecks = 4
+	maxCheckRounds      = 20 // over the servers that have not answered
+	checkRoundInterval  = time.Second
 )
 
-// saveList has the fleet hold what discovery said last.
-func (l *Loop) saveList(rev uint64) {
+// saveList saves the current endpoint list in the fleet.
+func (l *Loop) saveList(revision uint64) {
 	if l.fleet == nil {
 		return
 	}
-	var all discovery.List
-	all.Rev, all.Whole = rev, true
-	for _, sv := range l.servers {
-		if sv.state != policy.Removed {
-			all.Servers = append(all.Servers, sv.listed)
+	list := discovery.List{Rev: revision, Whole: true}
+	for _, server := range l.servers {
+		if server.state != policy.Removed {
+			list.Servers = append(list.Servers, server.listed)
 		}
 	}
-	l.fleet.SaveEndpointList(rev, discovery.Encode(all))
+	l.fleet.SaveEndpointList(revision, discovery.Encode(list))
 }
 
-// scheduleListRecovery asks the fleet for its list if discovery has not answered by then.
+// scheduleListRecovery loads the fleet's endpoint list if discovery has not answered by then.
 func (l *Loop) scheduleListRecovery() {
 	if l.fleet == nil {
 		return
@@ -48,103 +46,130 @@
 		if l.hasCurrentList {
 			return
 		}
-		l.fleet.LoadEndpointList(func() bool { return l.Lists.Load() > 0 }, func(held fleet.EndpointList, age time.Duration) {
-			l.post(event{run: func() { l.listRecovered(held, age) }})
+		isSuperseded := func() bool { return l.Lists.Load() > 0 }
+		l.fleet.LoadEndpointList(isSuperseded, func(saved fleet.EndpointList, age time.Duration) {
+			l.post(event{run: func() { l.listRecovered(saved, age) }})
 		})
 	})
 }
 
-// listRecovered takes it, by its age.
-func (l *Loop) listRecovered(held fleet.EndpointList, age time.Duration) {
-	young, old := l.fleet.EndpointListAges()
-	list, err := discovery.Decode(json.RawMessage(held.Endpoints))
-	say := func(what string) {
-		l.log.Warn("fleet: list of before, as discovery is silent", zap.String("is", what), zap.Duration("age", age), zap.Uint64("rev", held.Revision),
-			zap.Int("servers", len(list.Servers)), zap.Error(err))
+// listRecovered decides by its age what becomes of the fleet's list.
+func (l *Loop) listRecovered(saved fleet.EndpointList, age time.Duration) {
+	maxUncheckedAge, maxAge := l.fleet.EndpointListAges()
+	list, err := discovery.Decode(saved.Endpoints)
+	logUse := func(use string) {
+		l.log.Warn("fleet: list of before, as discovery is silent",
+			zap.String("is", use),
+			zap.Duration("age", age),
+			zap.Uint64("rev", saved.Revision),
+			zap.Int("servers", len(list.Servers)),
+			zap.Error(err))
 	}
 	switch {
 	case err != nil:
-		say("unreadable")
-	case l.hasCurrentList || l.initialList.Whole && l.initialList.Rev >= held.Revision && len(l.initialList.Servers) > 0:
-		say("not needed")
-	case age <= young:
-		say("used")
-		l.applyList(list, true)
-		l.readyDue = true // there is somebody to go to
-		l.markReady()
-	case age <= old:
-		say("asked one by one")
-		c := &candidates{loop: l}
-		for _, s := range list.Servers {
-			if s.State == policy.Ready {
-				c.pending = append(c.pending, s)
-			}
-		}
-		c.startNext()
+		logUse("unreadable")
+	case l.hasCurrentList || l.hasInitialListSince(saved.Revision):
+		logUse("not needed")
+	case age <= maxUncheckedAge:
+		logUse("used")
+		l.useRecoveredList(list)
+	case age <= maxAge:
+		logUse("asked one by one")
+		l.checkCandidates(list)
 	default:
-		say("too old")
+		logUse("too old")
 	}
 }
 
-// candidates are servers of an old list.
+// hasInitialListSince reports whether the list from before the start is as new as that revision.
+func (l *Loop) hasInitialListSince(revision uint64) bool {
+	return l.initialList.Whole && l.initialList.Rev >= revision && len(l.initialList.Servers) > 0
+}
+
+// useRecoveredList lists servers, which is enough to be ready.
+func (l *Loop) useRecoveredList(list discovery.List) {
+	l.applyList(list, true)
+	l.readyDue = true
+	l.markReady()
+}
+
+// checkCandidates checks the servers of a list one by one.
+func (l *Loop) checkCandidates(list discovery.List) {
+	c := &candidates{loop: l}
+	for _, server := range list.Servers {
+		if server.State == policy.Ready {
+			c.pending = append(c.pending, server)
+		}
+	}
+	c.startNext()
+}
+
+// candidates are the servers of an old list.
 type candidates struct {
 	loop       *Loop
-	pending    []discovery.Server // in this round
-	unanswered []discovery.Server // did not answer in it
+	pending    []discovery.Server // to be checked in this round
+	unanswered []discovery.Server // did not answer in this round
+	alive      []discovery.Server // answered
 	inFlight   int
 	rounds     int
-	alive      []discovery.Server // answered
 }
 
-// startNext asks the next ones, few at a time.
+// startNext starts as many checks as may run at a time, and the next round after an interval.
 func (c *candidates) startNext() {
 	for !c.loop.hasCurrentList && c.inFlight < maxConcurrentChecks && len(c.pending) > 0 {
-		s := c.pending[0]
+		next := c.pending[0]
 		c.pending = c.pending[1:]
 		c.inFlight++
-		c.check(s)
+		c.check(next)
+	}
+	if c.loop.hasCurrentList || c.inFlight > 0 || len(c.pending) > 0 {
+		return
 	}
-	if c.loop.hasCurrentList || c.inFlight > 0 || len(c.pending) > 0 || len(c.unanswered) == 0 || c.rounds == maxCheckRounds {
+	if len(c.unanswered) == 0 || c.rounds == maxCheckRounds {
 		return
 	}
 	c.rounds++
 	c.loop.after(checkRoundInterval, func() {
-		c.pending, c.unanswered = c.unanswered, nil
+		c.pending = c.unanswered
+		c.unanswered = nil
 		c.startNext()
 	})
 }
 
-// check asks one whether it is there; who says yes is listed.
-func (c *candidates) check(s discovery.Server) {
+// check asks a server whether it answers.
+func (c *candidates) check(server discovery.Server) {
 	l := c.loop
 	l.Candidates.Add(1)
-	over := false
-	var a *upstreamDial
-	end := func(yes bool) {
-		if over {
+	done := false
+	var dial *upstreamDial
+	finish := func(answered bool) {
+		if done {
 			return
 		}
-		over = true
-		a.cancel()
-		c.inFlight--
-		if yes && !l.hasCurrentList {
-			c.alive = append(c.alive, s)
-			l.applyList(discovery.List{Whole: true, Servers: c.alive}, true)
-			l.readyDue = true // somebody to go to is enough to be ready
-			l.markReady()
-		} else {
-			c.unanswered = append(c.unanswered, s)
-		}
-		c.startNext()
+		done = true
+		dial.cancel()
+		c.checked(server, answered)
 	}
-	a = l.dial(s.Endpoint, maxConnectTimeout, nil, func(conn *relay.Conn, err error) {
+	dial = l.dial(server.Endpoint, maxConnectTimeout, nil, func(conn *relay.Conn, err error) {
 		if err != nil || conn.CheckOpen() != nil || conn.WriteFirst(protocol.PingLine) != nil {
-			end(false)
+			finish(false)
 			return
 		}
 		conn.AwaitLine()
 	})
-	a.onLine = func(_ *relay.Conn, ln protocol.Line) { end(ln.Bad == nil && ln.Kind == protocol.Pong) }
-	a.onDisconnected = func(*relay.Conn, error) { end(false) }
-	l.after(maxConnectTimeout+l.probeTimeout(), func() { end(false) })
+	dial.onLine = func(_ *relay.Conn, line protocol.Line) { finish(line.Bad == nil && line.Kind == protocol.Pong) }
+	dial.onDisconnected = func(*relay.Conn, error) { finish(false) }
+	l.after(maxConnectTimeout+l.probeTimeout(), func() { finish(false) })
+}
+
+// checked handles the end of a check: a server that has answered is listed.
+func (c *candidates) checked(server discovery.Server, answered bool) {
+	c.inFlight--
+	if answered && !c.loop.hasCurrentList {
+		c.alive = append(c.alive, server)
+		c.loop.useRecoveredList(discovery.List{Whole: true, Servers: c.alive})
+	} else {
+		c.unanswered = append(c.unanswered, server)
+	}
+	c.startNext()
 }
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -89,7 +89,7 @@
 	if err := l.StartHandover(g, dir, "n", 64<<20, 0); err != nil {
 		u.t.Fatal(err)
 	}
-	go l.Serve(g)
+	serve(l, g)
 	return l
 }
 
@@ -292,15 +292,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: at, Net: "unixpacket"})
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: at, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.SetUnlinkOnClose(false) // the new process listens there next
+	listener.SetUnlinkOnClose(false) // the new process listens there next
 	go func() {
 		defer close(cut)
-		near, err := ln.AcceptUnix()
-		_ = ln.Close()
+		near, err := listener.AcceptUnix()
+		_ = listener.Close()
 		if err != nil {
 			return
 		}
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -1,9 +1,7 @@
-// This file owns the loop's side of circuits that the fleet holds for others: no first byte goes to a server before it is promised,
-// and no success to a client. It must never wait for a promise, and never touch a circuit of a grade that is not held.
-
 package balancer
 
 import (
+	"bytes"
 	"time"
 
 	"go.uber.org/zap"
@@ -14,159 +12,179 @@
 	"sabletally/internal/protocol"
 )
 
+// This file is the loop's side of sessions whose outcome the fleet replicates: nothing is written to a server before the fleet has
+// allowed it, and no success is sent to a client before it is committed. The loop never waits for the fleet.
+
 const (
-	maxWriteWait  = time.Second            // a promise is waited for so long, or half of what is left to the outer limit
-	maxCommitWait = 300 * time.Millisecond // that a success is held, before it is told all the same: it has run
+	// Both are also at most half of the time that is left to the session's deadline.
+	maxWriteWait  = time.Second
+	maxCommitWait = 300 * time.Millisecond // after that the client gets its answer uncommitted, as its request was served
 )
 
-// idempotencyRecord is what the loop knows of a circuit that is held.
+// idempotencyRecord is what the loop knows of the replicated record of a session.
 type idempotencyRecord struct {
 	*fleet.IdempotentSession
-	requesting     bool          // a promise is out
-	writeAllowed   bool          // the newest try may write
-	writeDeadline  time.Duration // by the clock that goes on while the process is stopped
-	written        bool          // a first byte may have gone to a server
-	onWriteAllowed func()        // waits for the promise: the connection is up
-	committing     bool          // the server said yes, and that is being promised
-	upstreamClosed bool          // its connection has ended meanwhile
-	waiting        []func()      // what waits for the promise that is out
+
+	// requesting is set while a request to the fleet is in flight. waiting are the functions that wait for its end.
+	requesting bool
+	waiting    []func()
+
+	// writeAllowed is set once the newest attempt may write. The right ends at writeDeadline, on the clock that does not stop with
+	// the process.
+	writeAllowed   bool
+	writeDeadline  time.Duration
+	onWriteAllowed func() // waits for writeAllowed, on a connection that is up
+	written        bool   // a byte may have been written to a server
+
+	committing     bool // the server's answer is being committed
+	upstreamClosed bool // its connection has ended meanwhile
 }
 
-// UseFleet has circuits of the grades that the fleet holds go by it, and the list of servers held there. It is called before Run.
+// UseFleet replicates sessions of the classes that the fleet names, and keeps the endpoint list there. It is called before Run.
 func (l *Loop) UseFleet(f *fleet.Fleet) {
 	l.fleet = f
 	l.scheduleListRecovery()
 }
 
-// beginRecord begins for a circuit whose grade is held.
-func (l *Loop) beginRecord(cir *session) {
-	if l.fleet != nil && l.fleet.IsIdempotentClass(cir.request.Grade) {
-		l.Replicated.Add(1)
-		cir.record = &idempotencyRecord{IdempotentSession: l.fleet.NewIdempotentSession(cir.request.ID)}
+// beginRecord begins the record of a session whose class is replicated.
+func (l *Loop) beginRecord(session *session) {
+	if l.fleet == nil || !l.fleet.IsIdempotentClass(session.request.Grade) {
+		return
 	}
+	l.Replicated.Add(1)
+	session.record = &idempotencyRecord{IdempotentSession: l.fleet.NewIdempotentSession(session.request.ID)}
 }
 
-// requestWrite asks for the right to write for the newest try, beside its dial.
-func (l *Loop) requestWrite(cir *session) {
-	h := cir.record
-	h.writeAllowed, h.onWriteAllowed = false, nil
-	h.whenIdle(func() { // the try before may still have been asking
-		if l.sessions[cir.id] != cir || !cir.attemptActive {
+// requestWrite asks the fleet for the right to write in the newest attempt, beside its dial.
+func (l *Loop) requestWrite(session *session) {
+	record := session.record
+	record.writeAllowed = false
+	record.onWriteAllowed = nil
+	record.whenIdle(func() { // an earlier attempt's request may be in flight
+		if !l.isCurrent(session) || !session.attemptActive {
 			return
 		}
-		turn := cir.generation
-		h.requesting = true
-		h.Begin(cir.upstream.listed.UID, min(maxWriteWait, (cir.deadline-l.now)/2), func(v fleet.Verdict) {
-			l.post(event{session: cir, run: func() { l.writeDecided(cir, turn, v) }})
+		generation := session.generation
+		record.requesting = true
+		timeout := min(maxWriteWait, (session.deadline-l.now)/2)
+		record.Begin(session.upstream.listed.UID, timeout, func(verdict fleet.Verdict) {
+			l.post(event{session: session, run: func() { l.writeDecided(session, generation, verdict) }})
 		})
 	})
 }
 
-// whenIdle runs something once no promise is out.
-func (h *idempotencyRecord) whenIdle(do func()) {
-	if h.requesting {
-		h.waiting = append(h.waiting, do)
+// whenIdle runs a function once no request is in flight.
+func (r *idempotencyRecord) whenIdle(run func()) {
+	if r.requesting {
+		r.waiting = append(r.waiting, run)
 		return
 	}
-	do()
+	run()
 }
 
-// requestDone notes that none is out any more.
-func (h *idempotencyRecord) requestDone() {
-	h.requesting = false
-	for len(h.waiting) > 0 && !h.requesting {
-		do := h.waiting[0]
-		h.waiting = h.waiting[1:]
-		do()
+// requestDone notes that no request is in flight any more, and runs what waited for that.
+func (r *idempotencyRecord) requestDone() {
+	r.requesting = false
+	for len(r.waiting) > 0 && !r.requesting {
+		run := r.waiting[0]
+		r.waiting = r.waiting[1:]
+		run()
 	}
 }
 
-// writeDecided takes the end of one.
-func (l *Loop) writeDecided(cir *session, turn int, v fleet.Verdict) {
-	h := cir.record
-	defer h.requestDone()
-	if l.sessions[cir.id] != cir {
+// writeDecided handles the fleet's verdict on writing.
+func (l *Loop) writeDecided(session *session, generation int, verdict fleet.Verdict) {
+	record := session.record
+	defer record.requestDone()
+	if !l.isCurrent(session) {
 		return
 	}
-	switch v.Decision {
+	switch verdict.Decision {
 	case idempotency.Proceed:
-		if cir.generation != turn || !cir.attemptActive {
-			return
-		}
-		h.writeAllowed, h.writeDeadline = true, v.Until
-		if do := h.onWriteAllowed; do != nil {
-			h.onWriteAllowed = nil
-			do()
+		if session.isActive(generation) {
+			record.allowWrite(verdict.Until)
 		}
 	case idempotency.Replay:
 		l.RepeatedAnswers.Add(1)
-		l.log.Info("fleet: answered before", zap.Stringer("circuit", cir), zap.ByteString("answer", v.Answer))
-		l.endWithAnswer(cir, v.Answer)
+		l.log.Info("fleet: answered before", zap.Stringer("circuit", session), zap.ByteString("answer", verdict.Answer))
+		l.endWithAnswer(session, verdict.Answer)
 	case idempotency.Abandoned:
-		l.log.Info("fleet: broken off, as another owner may have run it", zap.Stringer("circuit", cir))
-		l.failSession(cir, protocol.ErrLine)
+		l.log.Info("fleet: failed, as another owner may have served it", zap.Stringer("circuit", session))
+		l.failSession(session, protocol.ErrLine)
 	default:
 		l.NotReplicated.Add(1)
 		l.Rejected.Add(1)
-		l.endWithAnswer(cir, protocol.Turned(l.retryAfter()))
+		l.endWithAnswer(session, protocol.Turned(l.retryAfter()))
+	}
+}
+
+func (r *idempotencyRecord) allowWrite(until time.Duration) {
+	r.writeAllowed = true
+	r.writeDeadline = until
+	if run := r.onWriteAllowed; run != nil {
+		r.onWriteAllowed = nil
+		run()
 	}
 }
 
-// mayWrite tells whether the first byte may go now; where it may not yet, do runs once it may.
-func (l *Loop) mayWrite(cir *session, do func()) bool {
-	h := cir.record
+// mayWrite reports whether the request may be written now; if not, the function runs once it may.
+func (l *Loop) mayWrite(session *session, run func()) bool {
+	record := session.record
 	switch {
-	case h == nil:
+	case record == nil:
 		return true
-	case !h.writeAllowed:
-		h.onWriteAllowed = do
+	case !record.writeAllowed:
+		record.onWriteAllowed = run
 		return false
-	case boottime.Now() >= h.writeDeadline: // it was stopped since: another may have broken it off
-		l.requestWrite(cir)
-		h.onWriteAllowed = do
+	case boottime.Now() >= record.writeDeadline: // the process was stopped: another owner may have failed the session
+		l.requestWrite(session)
+		record.onWriteAllowed = run
 		return false
 	}
 	return true
 }
 
-// commitAnswer has a server's yes promised, then goes on with it. What ends meanwhile waits for that.
-func (l *Loop) commitAnswer(cir *session, ln protocol.Line) {
-	h := cir.record
-	cir.generation++ // no time-out is the try's any more
-	h.committing = true
-	h.whenIdle(func() {
-		h.requesting = true
-		h.Complete(ln.Raw, max(0, min(maxCommitWait, (cir.deadline-l.now)/2)), func(v fleet.Verdict) {
-			l.post(event{session: cir, run: func() { l.answerCommitted(cir, ln, v) }})
+// commitAnswer commits a server's success before it goes to the client. The attempt's timeout does not apply any more.
+func (l *Loop) commitAnswer(session *session, line protocol.Line) {
+	record := session.record
+	session.generation++
+	record.committing = true
+	record.whenIdle(func() {
+		record.requesting = true
+		timeout := max(0, min(maxCommitWait, (session.deadline-l.now)/2))
+		record.Complete(line.Raw, timeout, func(verdict fleet.Verdict) {
+			l.post(event{session: session, run: func() { l.answerCommitted(session, line, verdict) }})
 		})
 	})
 }
 
-func (l *Loop) answerCommitted(cir *session, ln protocol.Line, v fleet.Verdict) {
-	h := cir.record
-	defer h.requestDone()
-	if l.sessions[cir.id] != cir {
+// answerCommitted handles the fleet's verdict on a success.
+func (l *Loop) answerCommitted(session *session, line protocol.Line, verdict fleet.Verdict) {
+	record := session.record
+	defer record.requestDone()
+	if !l.isCurrent(session) {
 		return
 	}
-	h.committing = false
+	record.committing = false
+	hasOtherAnswer := verdict.Decision == idempotency.Replay && !bytes.Equal(verdict.Answer, line.Raw)
 	switch {
-	case v.Decision == idempotency.Abandoned || v.Decision == idempotency.Replay && string(v.Answer) != string(ln.Raw):
-		l.log.Info("fleet: broken off by another owner before its answer was held", zap.Stringer("circuit", cir))
-		l.failSession(cir, protocol.ErrLine)
-	case h.upstreamClosed: // it ran, and stands no more
-		l.endWithAnswer(cir, ln.Raw)
+	case verdict.Decision == idempotency.Abandoned || hasOtherAnswer:
+		l.log.Info("fleet: failed by another owner before its answer was committed", zap.Stringer("circuit", session))
+		l.failSession(session, protocol.ErrLine)
+	case record.upstreamClosed:
+		l.endWithAnswer(session, line.Raw)
 	default:
-		if v.Decision == idempotency.Unavailable {
+		if verdict.Decision == idempotency.Unavailable {
 			l.NotReplicated.Add(1)
-			l.log.Warn("fleet: an answer is told that is not held", zap.Stringer("circuit", cir))
+			l.log.Warn("fleet: an answer is sent that is not committed", zap.Stringer("circuit", session))
 		}
-		l.sessionEstablished(cir, ln)
+		l.sessionEstablished(session, line)
 	}
 }
 
-// withdraw says that a circuit that is turned away never ran.
-func (l *Loop) withdraw(cir *session) {
-	if h := cir.record; h != nil {
-		h.whenIdle(h.Withdraw)
+// withdraw notifies the fleet that a session's request was never written to a server.
+func (l *Loop) withdraw(session *session) {
+	if record := session.record; record != nil {
+		record.whenIdle(record.Withdraw)
 	}
 }
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -20,6 +20,11 @@
 	"sabletally/policy"
 )
 
+// serve accepts clients beside the test.
+func serve(l *Loop, listener *Listener) {
+	go func() { _ = l.Serve(listener) }() // it ends with the listener
+}
+
 // alone is a loop with one server in its list and one grade, of an effect, that nobody runs yet.
 func alone(t *testing.T, server string, effect policy.Idempotency) *Loop {
 	t.Helper()
@@ -64,7 +69,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go l.Run(ctx.Done())
-	go l.Serve(door)
+	serve(l, door)
 	last := 0
 	client := func() (net.Conn, *bufio.Reader, net.Conn) {
 		c, err := net.Dial("tcp", door.Addr().String())
@@ -115,13 +120,13 @@
 // TestAServerThatSpeaksFirstIsNoClient has a server speak and end before it was asked anything: it is told nothing, and the
 // try never ran.
 func TestAServerThatSpeaksFirstIsNoClient(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	told := make(chan string, 1)
 	go func() {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -140,9 +145,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cir := &session{id: 1, client: &conn{netConn: nc}, upstream: &upstream{}, request: &protocol.Ask{}, attemptActive: true, generation: 1, attemptDeadline: time.Hour}
+	session := &session{id: 1, client: &conn{netConn: nc}, upstream: &upstream{}, request: &protocol.Ask{}, attemptActive: true, generation: 1, attemptDeadline: time.Hour}
 	up := make(chan *relay.Conn, 1)
-	l.dial(ln.Addr().String(), 20*time.Second, cir, func(c *relay.Conn, err error) { up <- c })
+	l.dial(listener.Addr().String(), 20*time.Second, session, func(c *relay.Conn, _ error) { up <- c })
 	for len(up) == 0 {
 		<-l.wake
 		l.runOnce()
@@ -151,15 +156,15 @@
 	for c.CheckOpen() == nil { // until its end is here
 		time.Sleep(time.Millisecond)
 	}
-	l.upstreamDialed(cir, 1, c, nil)
-	for cir.attemptActive {
+	l.upstreamDialed(session, 1, c, nil)
+	for session.attemptActive {
 		<-l.wake
 		l.runOnce()
 	}
 	if got := <-told; got != "" {
 		t.Fatalf("the server was told %q", got)
 	}
-	if cir.attemptActive || l.Outcomes[policy.ConnectFailed].Load() != 1 || l.descriptors.Load() != 0 {
+	if session.attemptActive || l.Outcomes[policy.ConnectFailed].Load() != 1 || l.descriptors.Load() != 0 {
 		t.Fatal("a connection that was gone by then was used")
 	}
 }
@@ -206,9 +211,9 @@
 		t.Errorf("a server that was full from the start: %v", load)
 	}
 	for id, want := range map[policy.EndpointID]float64{0: 1, 2: 2.5, 3: 0.7} { // of machines of 8, 3 and 12 ms
-		sv := l.servers[id]
-		sv.listed.Heft = 1
-		if got := sv.weight(); got < want/1.5 || got > want*1.5 {
+		server := l.servers[id]
+		server.listed.Heft = 1
+		if got := server.weight(); got < want/1.5 || got > want*1.5 {
 			t.Errorf("server %d of heft %v, wanted about %v", id, got, want)
 		}
 	}
--- a/internal/balancer/planned_end_test.go
+++ b/internal/balancer/planned_end_test.go
@@ -58,28 +58,28 @@
 
 // counted counts what is begun at a server.
 type counted struct {
-	t      *testing.T
-	ln     net.Listener
-	says   string        // to each line,
-	may    chan struct{} // once this is closed
-	mu     sync.Mutex
-	begun  int
-	lines  []string
-	fence  string // an address of the test's own
-	passed chan int
+	t        *testing.T
+	listener net.Listener
+	says     string        // to each line,
+	may      chan struct{} // once this is closed
+	mu       sync.Mutex
+	begun    int
+	lines    []string
+	fence    string // an address of the test's own
+	passed   chan int
 }
 
 func count(t *testing.T, says string) *counted {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = ln.Close() })
-	s := &counted{t: t, ln: ln, says: says, may: make(chan struct{}), passed: make(chan int, 1)}
+	t.Cleanup(func() { _ = listener.Close() })
+	s := &counted{t: t, listener: listener, says: says, may: make(chan struct{}), passed: make(chan int, 1)}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -124,7 +124,7 @@
 	s.t.Helper()
 	// Under the lock, so that it is known as the test's by the time that it is accepted.
 	s.mu.Lock()
-	c, err := net.Dial("tcp", s.ln.Addr().String())
+	c, err := net.Dial("tcp", s.listener.Addr().String())
 	if err != nil {
 		s.mu.Unlock()
 		s.t.Fatal(err)
@@ -162,7 +162,7 @@
 func leaving(t *testing.T, how, says string) *leaver {
 	t.Helper()
 	s := count(t, says)
-	l := alone(t, s.ln.Addr().String(), policy.Idempotent)
+	l := alone(t, s.listener.Addr().String(), policy.Idempotent)
 	y := &leaver{crossing: &crossing{t: t, l: l}, s: s, how: how}
 	near, far := pipe(t)
 	y.client = near
@@ -178,19 +178,19 @@
 func (y *leaver) list(many int, state policy.EndpointState) {
 	var all []discovery.Server
 	for i := range many {
-		all = append(all, discovery.Server{UID: fmt.Sprint("s-", i+1), Endpoint: y.s.ln.Addr().String(), Heft: 1, State: state})
+		all = append(all, discovery.Server{UID: fmt.Sprint("s-", i+1), Endpoint: y.s.listener.Addr().String(), Heft: 1, State: state})
 	}
 	y.l.applyList(discovery.List{Whole: true, Servers: all}, false)
 }
 
 // says has the loop read the client's line at its next turn.
 func (y *leaver) says(text string) {
-	ln := protocol.Decode([]byte(text))
-	if ln.Bad != nil {
-		y.t.Fatal(ln.Bad)
+	line := protocol.Decode([]byte(text))
+	if line.Bad != nil {
+		y.t.Fatal(line.Bad)
 	}
 	y.c.phase.Store(expectNothing)
-	y.l.post(event{conn: y.c, lines: []protocol.Line{ln}})
+	y.l.post(event{conn: y.c, lines: []protocol.Line{line}})
 }
 
 // leave has the client go, and the loop be late by more than it may.
@@ -281,10 +281,10 @@
 // up has a try's connection come up and hides that from the loop.
 func (y *leaver) upUnseen() *session {
 	y.t.Helper()
-	cir := y.taken()
-	y.cir = cir
-	y.until("the try's connection is up", func() bool { return y.take(func(ev event) bool { return ev.session == cir }) })
-	return cir
+	session := y.taken()
+	y.session = session
+	y.until("the try's connection is up", func() bool { return y.take(func(ev event) bool { return ev.session == session }) })
+	return session
 }
 
 // TestNothingBeginsForAClientThatHasGone goes over the places where a request waits and the ways in which its client goes, each time
@@ -320,26 +320,26 @@
 			y.l.deployment.Policy.CanHealthCheck = true
 			y.l.policy.Reconfigure(withProbeReports(y.l.deployment), []int{0}, nil)
 			y.list(1, policy.Ready)
-			cir := y.taken()
-			if cir.attempts != 0 {
+			session := y.taken()
+			if session.attempts != 0 {
 				t.Fatal("it does not wait")
 			}
 			y.turns("the server is asked", func() bool { return y.s.told() == 1 })
 			y.leave()
-			y.turns("its turn comes", func() bool { return cir.attempts == 1 })
+			y.turns("its turn comes", func() bool { return session.attempts == 1 })
 			y.nothing(1, 1) // the probe
 		}},
 		{"for a try's answer, and another try follows", func(t *testing.T, how string) {
 			y := leaving(t, how, "BUSY\r\n")
 			y.list(3, policy.Ready)
-			cir := y.taken()
+			session := y.taken()
 			y.turns("the line is there", func() bool { return y.s.told() == 1 })
-			y.cir = cir
+			y.session = session
 			close(y.s.may)
-			y.until("the answer is here", func() bool { return y.has(func(ev event) bool { return ev.session == cir }) })
+			y.until("the answer is here", func() bool { return y.has(func(ev event) bool { return ev.session == session }) })
 			y.leave()
 			y.l.runOnce()
-			if cir.attempts < 2 {
+			if session.attempts < 2 {
 				t.Fatal("no other try was decided")
 			}
 			y.nothing(1, 1)
@@ -347,11 +347,11 @@
 		{"for a dial, and another try follows", func(t *testing.T, how string) {
 			y := leaving(t, how, "")
 			y.list(3, policy.Ready)
-			cir := y.upUnseen()
+			session := y.upUnseen()
 			y.leave()
-			y.l.attemptEnded(cir, policy.ConnectFailed, nil)
+			y.l.attemptEnded(session, policy.ConnectFailed, nil)
 			y.l.runOnce()
-			if cir.attempts < 2 {
+			if session.attempts < 2 {
 				t.Fatal("no other try was decided")
 			}
 			y.nothing(1, 0)
@@ -387,14 +387,14 @@
 		}},
 		{"for the holders' promise", func(t *testing.T, how string) {
 			y := leaving(t, how, "")
-			cir := y.upUnseen()
-			cir.record = &idempotencyRecord{requesting: true}
+			session := y.upUnseen()
+			session.record = &idempotencyRecord{requesting: true}
 			y.see()
-			if cir.record.onWriteAllowed == nil {
+			if session.record.onWriteAllowed == nil {
 				t.Fatal("it does not wait")
 			}
 			y.leave()
-			y.l.writeDecided(cir, cir.generation, fleet.Verdict{Decision: idempotency.Proceed, Until: boottime.Now() + time.Hour})
+			y.l.writeDecided(session, session.generation, fleet.Verdict{Decision: idempotency.Proceed, Until: boottime.Now() + time.Hour})
 			y.nothing(1, 0)
 		}},
 		{"to go back to its server", func(t *testing.T, how string) {
@@ -447,12 +447,12 @@
 	y.l.inbox = nil
 	y.c.mu.Lock() // the last look is taken under it
 	y.l.runOnce()
-	cir := y.l.sessions[y.l.lastSessionID]
-	if cir == nil || cir.dial == nil {
+	session := y.l.sessions[y.l.lastSessionID]
+	if session == nil || session.dial == nil {
 		t.Fatal("no try was decided")
 	}
-	dialed := cir.dial
-	cir.dial.cancel()
+	dialed := session.dial
+	session.dial.cancel()
 	y.c.mu.Unlock()
 	y.turns("the dial is over", func() bool { return dialed.finished || dialed.conn.Load() != nil })
 	if n := y.s.attempts(); n != 0 {
@@ -465,7 +465,7 @@
 func TestNothingBeginsForManyThatHaveGone(t *testing.T) {
 	const many, tried = 5000, 1500
 	s := count(t, "BUSY\r\n")
-	l := alone(t, s.ln.Addr().String(), policy.Idempotent)
+	l := alone(t, s.listener.Addr().String(), policy.Idempotent)
 	l.descriptorLimit = 3 * many
 	y := &leaver{crossing: &crossing{t: t, l: l}, s: s}
 	y.list(3, policy.Ready)
@@ -501,7 +501,7 @@
 	}
 	time.Sleep(goneFor)
 	close(s.may)
-	y.cir = &session{}
+	y.session = &session{}
 	y.until("the servers' answers are here", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
--- a/internal/balancer/probe.go
+++ b/internal/balancer/probe.go
@@ -1,6 +1,3 @@
-// This file owns probes: a connection of its own that asks a server whether it answers, and for its load where
-// servers report it. It must never probe by itself; the module decides which server is asked and when.
-
 package balancer
 
 import (
@@ -13,38 +10,40 @@
 	"sabletally/policy"
 )
 
-// probe is one probe that is out.
+// Load report fields, by their names in the settings and on the wire.
+const (
+	demandField      = "x0"
+	backlogField     = "x1"
+	utilizationField = "cpu"
+)
+
+// probe is one health check: a connection of its own on which a server is asked whether it answers, and for its load where servers
+// report it. The policy decides which server is probed and when.
 type probe struct {
 	upstream *upstream
 	dial     *upstreamDial
 	conn     *relay.Conn
-	ponged   bool // answered, the report is still to come
+	ponged   bool // PONG has arrived, the load report has not
 	done     bool
 }
 
-// probeTimeout is how long a probe may take once its connection stands: as long as a set-up should.
+// probeTimeout is how long a probe may take once it is connected: as long as an attempt should take at most.
 func (l *Loop) probeTimeout() time.Duration {
-	goal := time.Duration(0)
-	for _, g := range l.deployment.Policy.Classes {
-		goal = max(goal, g.SetupObjective)
+	timeout := time.Duration(0)
+	for _, class := range l.deployment.Policy.Classes {
+		timeout = max(timeout, class.SetupObjective)
 	}
-	return goal
+	return timeout
 }
 
 // startProbe starts a probe.
-func (l *Loop) startProbe(id policy.EndpointID) {
+func (l *Loop) startProbe(endpoint policy.EndpointID) {
 	l.Probes.Add(1)
-	p := &probe{upstream: l.servers[id]}
-	within := l.probeTimeout()
+	p := &probe{upstream: l.servers[endpoint]}
 	p.dial = l.dial(p.upstream.address, maxConnectTimeout, nil, func(c *relay.Conn, err error) { l.probeConnected(p, c, err) })
-	p.dial.onLine = func(_ *relay.Conn, ln protocol.Line) { l.handleProbeLine(p, ln) }
+	p.dial.onLine = func(_ *relay.Conn, line protocol.Line) { l.handleProbeLine(p, line) }
 	p.dial.onDisconnected = func(*relay.Conn, error) { l.finishProbe(p, policy.Reset, nil) }
-	if limit := l.deployment.ConnectTimeout; limit > 0 {
-		within += limit
-	} else {
-		within += maxConnectTimeout
-	}
-	l.after(within, func() { l.finishProbe(p, policy.TimedOut, nil) })
+	l.after(l.probeTimeout()+l.connectTimeout(), func() { l.finishProbe(p, policy.TimedOut, nil) })
 }
 
 func (l *Loop) probeConnected(p *probe, c *relay.Conn, err error) {
@@ -54,7 +53,8 @@
 		}
 		return
 	}
-	if p.conn = c; isDescriptorShortage(err) { // guards against servers set aside because this balancer is full
+	p.conn = c
+	if isDescriptorShortage(err) { // no fault of the server's
 		l.DescriptorShortages.Add(1)
 		l.finishProbe(p, policy.NeverSent, nil)
 		return
@@ -63,64 +63,74 @@
 		l.finishProbe(p, policy.ConnectFailed, nil)
 		return
 	}
-	text := protocol.PingLine
+	request := protocol.PingLine
 	if l.deployment.Policy.HasLoadReports {
-		text = protocol.AskLoad
+		request = protocol.AskLoad
 	}
-	if c.CheckOpen() != nil || c.WriteFirst(text) != nil {
+	if c.CheckOpen() != nil || c.WriteFirst(request) != nil {
 		l.finishProbe(p, policy.Reset, nil)
 		return
 	}
 	c.AwaitLine()
 }
 
-// handleProbeLine takes an answer: PONG, with or before the load report, or anything else.
-func (l *Loop) handleProbeLine(p *probe, ln protocol.Line) {
+// handleProbeLine handles an answer: PONG, with the load report or before it, or anything else.
+func (l *Loop) handleProbeLine(p *probe, line protocol.Line) {
 	switch {
 	case p.done:
 	case p.ponged:
-		l.finishProbe(p, policy.Succeeded, ln.Report())
-	case ln.Kind != protocol.Pong || ln.Bad != nil:
+		l.finishProbe(p, policy.Succeeded, line.Report())
+	case line.Kind != protocol.Pong || line.Bad != nil:
 		l.finishProbe(p, policy.Failed, nil)
-	case l.deployment.Policy.HasLoadReports && len(ln.Fields) == 0:
+	case l.deployment.Policy.HasLoadReports && len(line.Fields) == 0:
 		p.ponged = true
 		p.conn.AwaitLine()
 	default:
-		l.finishProbe(p, policy.Succeeded, ln.Fields)
+		l.finishProbe(p, policy.Succeeded, line.Fields)
 	}
 }
 
-// finishProbe tells the module how a probe ended.
-func (l *Loop) finishProbe(p *probe, how policy.Outcome, fields map[string]float64) {
+// finishProbe reports to the policy how a probe ended, and the load that it found.
+func (l *Loop) finishProbe(p *probe, outcome policy.Outcome, fields map[string]float64) {
 	if p.done {
 		return
 	}
 	p.done = true
 	p.dial.cancel()
 	if p.ponged {
-		how = policy.Succeeded
+		outcome = policy.Succeeded
+	}
+	l.policy.HealthCheckEnded(p.upstream.id, outcome)
+	report := l.loadReport(fields)
+	if !l.deployment.Policy.HasLoadReports && outcome == policy.Succeeded {
+		elapsed := p.conn.ResponseTime()
+		if load, known := l.estimateLoad(p.upstream, elapsed); known {
+			report.Demand = load
+			l.log.Debug("guess",
+				zap.String("server", p.upstream.listed.UID),
+				zap.Float64("load", load),
+				zap.Duration("took", elapsed))
+		}
 	}
-	l.policy.HealthCheckEnded(p.upstream.id, how)
+	l.policy.RecordLoadReport(p.upstream.id, report)
+}
+
+// loadReport returns the fields of a load report that the settings name.
+func (l *Loop) loadReport(fields map[string]float64) policy.LoadReport {
 	report := policy.NoLoadReport
 	for _, name := range l.deployment.ReportFields {
-		v, told := fields[name]
-		switch {
-		case !told:
-		case name == "x0":
-			report.Demand = v
-		case name == "x1":
-			report.Backlog = v
-		case name == "cpu":
-			report.Utilization = v
+		value, known := fields[name]
+		if !known {
+			continue
 		}
-	}
-	if !l.deployment.Policy.HasLoadReports && how == policy.Succeeded {
-		took := p.conn.ResponseTime()
-		if load, told := l.estimateLoad(p.upstream, took); told {
-			report.Demand = load
-			l.log.Debug("guess", zap.String("server", p.upstream.listed.UID), zap.Float64("load", load),
-				zap.Duration("took", took))
+		switch name {
+		case demandField:
+			report.Demand = value
+		case backlogField:
+			report.Backlog = value
+		case utilizationField:
+			report.Utilization = value
 		}
 	}
-	l.policy.RecordLoadReport(p.upstream.id, report)
+	return report
 }
--- a/internal/balancer/race_test.go
+++ b/internal/balancer/race_test.go
@@ -30,34 +30,37 @@
 
 // crossing is a loop that the test turns, with one circuit whose try has just come up: its client and its server are real sockets.
 type crossing struct {
-	t      *testing.T
-	l      *Loop
-	cir    *session
-	client net.Conn    // the client's end
-	up     *relay.Conn // to the server
-	asked  chan string // the server's first line
-	want   chan bool   // the test wants the server's connection for itself, once its line has come
-	mine   chan net.Conn
-	told   chan string // all that the server was told, once its connection has ended
+	t       *testing.T
+	l       *Loop
+	session *session
+	client  net.Conn    // the client's end
+	up      *relay.Conn // to the server
+	asked   chan string // the server's first line
+	want    chan bool   // the test wants the server's connection for itself, once its line has come
+	mine    chan net.Conn
+	told    chan string // all that the server was told, once its connection has ended
 }
 
 // pipe is a connection of two ends over loopback.
 func pipe(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = ln.Close() }()
-	c, err := net.Dial("tcp", ln.Addr().String())
+	defer func() { _ = listener.Close() }()
+	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := ln.Accept()
+	d, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close(); d.Close() })
+	t.Cleanup(func() {
+		_ = c.Close()
+		_ = d.Close()
+	})
 	return c.(*net.TCPConn), d.(*net.TCPConn)
 }
 
@@ -78,16 +81,16 @@
 
 func cross(t *testing.T, effect policy.Idempotency) *crossing {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = ln.Close() })
-	l := alone(t, ln.Addr().String(), effect)
+	t.Cleanup(func() { _ = listener.Close() })
+	l := alone(t, listener.Addr().String(), effect)
 	x := &crossing{t: t, l: l, want: make(chan bool, 1), mine: make(chan net.Conn, 1), asked: make(chan string, 4), told: make(chan string, 4)}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -122,10 +125,10 @@
 	x.client = near
 	_, _ = io.WriteString(near, "OPEN 1 2 c=feed,d=20000\r\n")
 	x.until("the try's connection is up", func() bool {
-		if cir := l.sessions[1]; cir != nil {
-			x.cir = cir
+		if session := l.sessions[1]; session != nil {
+			x.session = session
 			// Its event stands in the inbox and is taken out: the test says when it is seen.
-			return x.take(func(ev event) bool { return ev.session == cir })
+			return x.take(func(ev event) bool { return ev.session == session })
 		}
 		return false
 	})
@@ -138,7 +141,7 @@
 	for end := time.After(crossBound); !is(); {
 		select {
 		case <-x.l.wake:
-			if x.cir == nil {
+			if x.session == nil {
 				x.l.runOnce()
 			}
 		case <-time.After(time.Millisecond):
@@ -164,7 +167,7 @@
 
 // take takes an event out of the inbox.
 func (x *crossing) take(is func(event) bool) bool {
-	if x.up = x.cir.dial.conn.Load(); x.up == nil { // it may be up before who dials knows it
+	if x.up = x.session.dial.conn.Load(); x.up == nil { // it may be up before who dials knows it
 		return false
 	}
 	x.l.mu.Lock()
@@ -192,9 +195,9 @@
 
 // see has the loop see that the try's connection is up, as its event would.
 func (x *crossing) see() {
-	x.cir.dial.finished = true
+	x.session.dial.finished = true
 	x.l.now = time.Since(x.l.startTime)
-	x.l.upstreamDialed(x.cir, x.cir.generation, x.up, nil)
+	x.l.upstreamDialed(x.session, x.session.generation, x.up, nil)
 }
 
 // settled turns the loop until the server's connection has ended, and answers what the server was told.
@@ -231,7 +234,7 @@
 			default:
 				_ = tcp.Close()
 			}
-			c := x.cir.client
+			c := x.session.client
 			x.until("its end is here", func() bool { return x.has(func(ev event) bool { return ev.conn == c && ev.disconnect != nil }) })
 			x.see()
 			if got := x.settled(); got != "" {
@@ -247,7 +250,7 @@
 // TestATryWhoseTimeIsUpIsNotSent has the process stopped while a connection comes up, past the try's time: it is seen first.
 func TestATryWhoseTimeIsUpIsNotSent(t *testing.T) {
 	x := cross(t, policy.NonIdempotent)
-	x.cir.attemptDeadline = time.Since(x.l.startTime)
+	x.session.attemptDeadline = time.Since(x.l.startTime)
 	x.see()
 	if got := x.settled(); got != "" {
 		t.Errorf("the server was told %q", got)
@@ -261,11 +264,11 @@
 // the line is not written by what was seen before.
 func TestAStallBetweenTheLookAndTheWrite(t *testing.T) {
 	x := cross(t, policy.Idempotent)
-	c := x.cir.client
+	c := x.session.client
 	c.mu.Lock() // it looks at the client last
 	x.see()
 	held := time.Now()
-	x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.upstream.address, Heft: 1, State: policy.Draining}}}, false)
+	x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.session.upstream.address, Heft: 1, State: policy.Draining}}}, false)
 	x.until("the look is old", func() bool { return time.Since(held) > maxCheckAge })
 	c.mu.Unlock()
 	if got := x.settled(); got != "" {
@@ -292,14 +295,14 @@
 			if silent {
 				agent.Misbehave(emulator.Mute)
 			}
-			agent.Set(emulator.Endpoint{UID: "s-1", Address: x.cir.upstream.address, State: emulator.Terminating, Weight: 1})
+			agent.Set(emulator.Endpoint{UID: "s-1", Address: x.session.upstream.address, State: emulator.Terminating, Weight: 1})
 			ctx, stop := context.WithCancel(context.Background())
 			t.Cleanup(stop)
 			heard := x.l.Lists.Load()
 			if stalled { // the loop was there before: it is followed already, and its newest word is not in yet
 				x.l.watch = discovery.New(agent.Addr(), 1, false, func(list discovery.List) {
 					x.l.post(event{run: func() { x.l.applyList(list, false) }})
-				}, func(err error) {})
+				}, func(error) {})
 				x.l.startTime = x.l.startTime.Add(-2 * time.Second) // stopped for so long, and the try's time is not up
 				x.l.post(event{run: x.see})
 			} else {
@@ -328,13 +331,13 @@
 // in time, and the loop does not try for ever.
 func TestACircuitThatCantBeMadeAPairIsAnswered(t *testing.T) {
 	x := cross(t, policy.NonIdempotent)
-	c := x.cir.client
+	c := x.session.client
 	c.mu.Lock()
 	c.writing = true // a writer that hangs looks the same: the hand-over has to wait
 	c.mu.Unlock()
-	x.cir.dial.finished, x.cir.dial, x.cir.upstreamConn = true, nil, x.up
+	x.session.dial.finished, x.session.dial, x.session.upstreamConn = true, nil, x.up
 	x.l.now = time.Since(x.l.startTime)
-	x.l.sessionEstablished(x.cir, protocol.Decode([]byte("UP 1\r\n")))
+	x.l.sessionEstablished(x.session, protocol.Decode([]byte("UP 1\r\n")))
 	began := time.Now()
 	x.turns("it is tried no more", func() bool { return len(x.l.sessions) == 0 })
 	if took := time.Since(began); took < relayStartTimeout/2 {
@@ -360,17 +363,17 @@
 		after string // what the client reads, to the end
 	}{
 		{"the client ends", func(x *crossing, _ net.Conn) { _ = x.client.Close() }, ""},
-		{"the client resets", func(x *crossing, _ net.Conn) { _ = x.client.(*net.TCPConn).SetLinger(0); x.client.Close() }, ""},
+		{"the client resets", func(x *crossing, _ net.Conn) { _ = x.client.(*net.TCPConn).SetLinger(0); _ = x.client.Close() }, ""},
 		{"the server ends", func(_ *crossing, server net.Conn) { _ = server.Close() }, "UP 1\r\n"},
 		{"the server says more and ends", func(_ *crossing, server net.Conn) {
 			_, _ = io.WriteString(server, "M 1\r\nUP 2\r\nBYE\r\n")
 			_ = server.Close()
 		}, "UP 1\r\nM 1\r\nUP 2\r\nBYE\r\n"},
-		{"the server resets", func(_ *crossing, server net.Conn) { _ = server.(*net.TCPConn).SetLinger(0); server.Close() }, "?"},
+		{"the server resets", func(_ *crossing, server net.Conn) { _ = server.(*net.TCPConn).SetLinger(0); _ = server.Close() }, "?"},
 		{"the server drains", func(x *crossing, _ net.Conn) {
 			x.l.post(event{run: func() {
-				x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.upstream.address, Heft: 1, State: policy.Draining},
-					{UID: "s-2", Endpoint: x.cir.upstream.address, Heft: 1}}}, false) // nobody is moved to nowhere
+				x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.session.upstream.address, Heft: 1, State: policy.Draining},
+					{UID: "s-2", Endpoint: x.session.upstream.address, Heft: 1}}}, false) // nobody is moved to nowhere
 			}})
 		}, "UP 1\r\nMOVE\r\n"},
 		{"the process is told to end", func(x *crossing, _ net.Conn) { x.l.Shutdown(0, 100*time.Millisecond, func() {}) }, "UP 1\r\nMOVE\r\n"},
@@ -382,13 +385,13 @@
 			x.turns("the server gets its line", func() bool { return len(x.mine) > 0 })
 			server := <-x.mine
 			_, _ = io.WriteString(server, "UP 1\r\n")
-			conn := x.cir.client
+			conn := x.session.client
 			conn.mu.Lock() // the hand-over waits for it
 			x.until("it stands", func() bool {
-				if !x.cir.established {
+				if !x.session.established {
 					x.l.runOnce()
 				}
-				return x.cir.established
+				return x.session.established
 			})
 			c.do(x, server)
 			if c.after != "" {
@@ -424,7 +427,7 @@
 	x := cross(t, policy.NonIdempotent)
 	x.l.freshListDeadline = time.Hour // discovery is waited for
 	x.see()
-	x.l.startTime = x.l.startTime.Add(-x.cir.attemptDeadline)
+	x.l.startTime = x.l.startTime.Add(-x.session.attemptDeadline)
 	x.l.runOnce()
 	if got := x.settled(); got != "" {
 		t.Errorf("the server was told %q", got)
@@ -456,7 +459,7 @@
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(crossBound))
 	_, _ = io.WriteString(c, "OPEN 1 2 c=feed,d=20000\r\n")
-	go l.Serve(door)
+	serve(l, door)
 	if got, err := io.ReadAll(c); !strings.HasPrefix(string(got), "BUSY") || err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
@@ -474,23 +477,23 @@
 	}
 	acts := []act{
 		{"the client ends", true, func(x *crossing, _ *net.TCPConn) { _ = x.client.Close() }},
-		{"the client resets", true, func(x *crossing, _ *net.TCPConn) { _ = x.client.(*net.TCPConn).SetLinger(0); x.client.Close() }},
+		{"the client resets", true, func(x *crossing, _ *net.TCPConn) { _ = x.client.(*net.TCPConn).SetLinger(0); _ = x.client.Close() }},
 		{"the client says more", false, func(x *crossing, _ *net.TCPConn) { _, _ = io.WriteString(x.client, "M 1\r\n") }},
 		{"up", false, func(_ *crossing, server *net.TCPConn) { _, _ = io.WriteString(server, "UP 1\r\n") }},
 		{"up and more", false, func(_ *crossing, server *net.TCPConn) { _, _ = io.WriteString(server, "UP 1\r\nLOAD 1\r\nUP 2\r\n") }},
 		{"turned away", false, func(_ *crossing, server *net.TCPConn) { _, _ = io.WriteString(server, "BUSY\r\n") }},
 		{"an error", false, func(_ *crossing, server *net.TCPConn) { _, _ = io.WriteString(server, "ERR\r\n") }},
 		{"the server ends", false, func(_ *crossing, server *net.TCPConn) { _ = server.CloseWrite() }},
-		{"the server resets", false, func(_ *crossing, server *net.TCPConn) { _ = server.SetLinger(0); server.Close() }},
+		{"the server resets", false, func(_ *crossing, server *net.TCPConn) { _ = server.SetLinger(0); _ = server.Close() }},
 		{"the server drains", false, func(x *crossing, _ *net.TCPConn) {
 			x.l.post(event{run: func() {
-				x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.cir.upstream.address, Heft: 1, State: policy.Draining}}}, false)
+				x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.session.upstream.address, Heft: 1, State: policy.Draining}}}, false)
 			}})
 		}},
 		{"the try's time is up", false, func(x *crossing, _ *net.TCPConn) {
 			x.l.post(event{run: func() {
-				if x.l.sessions[x.cir.id] == x.cir && x.cir.attemptActive {
-					x.l.attemptTimedOut(x.cir, nil)
+				if x.l.sessions[x.session.id] == x.session && x.session.attemptActive {
+					x.l.attemptTimedOut(x.session, nil)
 				}
 			}})
 		}},
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -1,6 +1,3 @@
-// This file owns what settings hold and the link to the other balancers: how new ones take the old ones' place in a
-// running loop, whole or not at all. It must never touch a circuit's connections or decide for it.
-
 package balancer
 
 import (
@@ -17,128 +14,153 @@
 	"sabletally/policy"
 )
 
-// withProbeReports is what the module goes by here: where servers report no load a probe's time tells of it, which is a
-// report all the same.
-func withProbeReports(dep *deployment.Settings) *policy.Config {
-	p := *dep.Policy
-	p.HasLoadReports = p.CanHealthCheck
-	return &p
+// This file is how new settings replace the old ones in a running loop, completely or not at all.
+
+// withProbeReports returns the policy's settings. Where servers report no load, the estimate from a probe's time is a report too.
+func withProbeReports(settings *deployment.Settings) *policy.Config {
+	config := *settings.Policy
+	config.HasLoadReports = config.CanHealthCheck
+	return &config
 }
 
-// applySettings has a deployment hold for the loop itself.
-func (l *Loop) applySettings(dep *deployment.Settings) {
-	l.deployment, l.messageObjective = dep, 0
-	for _, g := range dep.Policy.Classes {
-		if g.MessageObjective > 0 && (l.messageObjective == 0 || g.MessageObjective < l.messageObjective) {
-			l.messageObjective = g.MessageObjective
+// applySettings applies settings to the loop itself.
+func (l *Loop) applySettings(settings *deployment.Settings) {
+	l.deployment = settings
+	l.messageObjective = 0
+	for _, class := range settings.Policy.Classes {
+		objective := class.MessageObjective
+		if objective > 0 && (l.messageObjective == 0 || objective < l.messageObjective) {
+			l.messageObjective = objective
 		}
 	}
 }
 
-// Reconfigure has new settings and other peers hold, in one turn of the loop. What is taken in stays: circuits that
-// wait, tries that are out and what stands go on under the rules that they were taken by, also where their grade is gone;
-// a first line that the loop has not read yet is taken by the new ones. It waits for that turn, so the loop must run. An
-// error means that all is as before.
-func (l *Loop) Reconfigure(dep *deployment.Settings, at deployment.GossipAddresses) error {
-	was, known := l.openedGossip, []netip.AddrPort(nil)
-	if was != nil {
-		known = was.Peers()
+// Reconfigure applies new settings and gossip addresses in one turn of the loop, which must run, and waits for that. Sessions that have
+// been admitted go on under the rules that they were admitted by, also if their class is gone. After an error everything is as before.
+// It is not safe for concurrent use.
+func (l *Loop) Reconfigure(settings *deployment.Settings, addresses deployment.GossipAddresses) error {
+	previous := l.openedGossip
+	var previousPeers []netip.AddrPort
+	if previous != nil {
+		previousPeers = previous.Peers()
 	}
-	link, err := l.openGossip(dep, at)
+	transport, err := l.openGossip(settings, addresses)
 	if err != nil {
 		return err
 	}
 	done := make(chan error, 1)
 	l.post(event{run: func() {
-		err := errPanic // a panic here is the loop's to catch; guards against a caller that waits for ever
+		err := errPanic // unless replaceSettings returns
 		defer func() { done <- err }()
-		if err = l.checkReplaceable(dep); err != nil {
-			return
-		}
-		err = errPanic
-		grades, tenants := mapIndices(l.deployment.Classes, dep.Classes), mapIndices(l.deployment.Tenants, dep.Tenants)
-		for _, cir := range l.sessions {
-			cir.arrival.Class = policy.RemapIndex(grades, cir.arrival.Class, len(dep.Classes))
-			cir.arrival.Tenant = policy.RemapIndex(tenants, cir.arrival.Tenant, len(dep.Tenants))
-		}
-		l.applySettings(dep)
-		l.policy.Reconfigure(withProbeReports(dep), grades, tenants)
-		if l.gossip != nil && l.gossip != link {
-			l.gossip.Close()
-		}
-		l.gossip = link
-		// The list again: its zones have other numbers now.
-		again := discovery.List{Whole: true}
-		for _, sv := range l.servers {
-			if sv.state != policy.Removed {
-				again.Servers = append(again.Servers, sv.listed)
-			}
-		}
-		slices.SortFunc(again.Servers, func(x, y discovery.Server) int { return cmp.Compare(x.UID, y.UID) })
-		l.applyList(again, true)
-		l.log.Info("settings", zap.Int("held", len(l.sessions)), zap.Int("open", l.openSessions), zap.Bool("told", link != nil))
-		err = nil
+		err = l.replaceSettings(settings, transport)
 	}})
-	if err = <-done; err != nil {
-		if l.openedGossip = was; link != was && link != nil {
-			link.Close()
-		} else if link != nil {
-			link.SetPeers(known)
-		}
+	err = <-done
+	if err == nil {
+		return nil
+	}
+	l.openedGossip = previous
+	switch {
+	case transport == nil:
+	case transport != previous:
+		transport.Close()
+	default:
+		transport.SetPeers(previousPeers)
 	}
 	return err
 }
 
-// checkReplaceable tells why new settings can't hold while what there is stands: nil where they can.
-func (l *Loop) checkReplaceable(dep *deployment.Settings) error {
-	for _, sv := range l.servers {
-		zone := sv.listed.Zone
-		_, was := l.deployment.Zones[zone]
-		if _, stays := dep.Zones[zone]; sv.state != policy.Removed && was && !stays {
+// replaceSettings replaces the settings in the loop.
+func (l *Loop) replaceSettings(settings *deployment.Settings, transport *loadgossip.Transport) error {
+	if err := l.checkReplaceable(settings); err != nil {
+		return err
+	}
+	classes := mapIndices(l.deployment.Classes, settings.Classes)
+	tenants := mapIndices(l.deployment.Tenants, settings.Tenants)
+	for _, session := range l.sessions {
+		session.policyRequest.Class = policy.RemapIndex(classes, session.policyRequest.Class, len(settings.Classes))
+		session.policyRequest.Tenant = policy.RemapIndex(tenants, session.policyRequest.Tenant, len(settings.Tenants))
+	}
+	l.applySettings(settings)
+	l.policy.Reconfigure(withProbeReports(settings), classes, tenants)
+	if l.gossip != nil && l.gossip != transport {
+		l.gossip.Close()
+	}
+	l.gossip = transport
+	l.applyList(l.currentList(), true) // zones have other numbers now
+	l.log.Info("settings",
+		zap.Int("held", len(l.sessions)),
+		zap.Int("open", l.openSessions),
+		zap.Bool("told", transport != nil))
+	return nil
+}
+
+// currentList returns the servers that are listed now, in the order of their names.
+func (l *Loop) currentList() discovery.List {
+	list := discovery.List{Whole: true}
+	for _, server := range l.servers {
+		if server.state != policy.Removed {
+			list.Servers = append(list.Servers, server.listed)
+		}
+	}
+	slices.SortFunc(list.Servers, func(a, b discovery.Server) int { return cmp.Compare(a.UID, b.UID) })
+	return list
+}
+
+// checkReplaceable returns why new settings can't be applied now; nil if they can.
+func (l *Loop) checkReplaceable(settings *deployment.Settings) error {
+	for _, server := range l.servers {
+		if server.state == policy.Removed {
+			continue
+		}
+		zone := server.listed.Zone
+		_, wasKnown := l.deployment.Zones[zone]
+		_, isKnown := settings.Zones[zone]
+		if wasKnown && !isKnown {
 			return fmt.Errorf("settings.Areas: %q is gone, and servers stand there", zone)
 		}
 	}
 	return nil
 }
 
-// openGossip opens the link to the other balancers, or takes the one that there is where it listens at the same address.
-// It is called by one goroutine, which is not the loop's.
-func (l *Loop) openGossip(dep *deployment.Settings, at deployment.GossipAddresses) (*loadgossip.Transport, error) {
-	if !dep.Policy.CanGossip {
+// openGossip opens the transport to the other balancers, or returns the present one if it listens at the same address.
+func (l *Loop) openGossip(settings *deployment.Settings, addresses deployment.GossipAddresses) (*loadgossip.Transport, error) {
+	if !settings.Policy.CanGossip {
 		l.openedGossip = nil
 		return nil, nil
 	}
-	if l.openedGossip != nil && l.openedGossip.Addr() == at.Listen {
-		l.openedGossip.SetPeers(at.Peers)
+	if l.openedGossip != nil && l.openedGossip.Addr() == addresses.Listen {
+		l.openedGossip.SetPeers(addresses.Peers)
 		return l.openedGossip, nil
 	}
-	var link *loadgossip.Transport
-	ready := make(chan struct{})
-	counts := &loadgossip.Counters{Sent: &l.GossipSent, Received: &l.GossipReceived, Dropped: &l.GossipDropped}
-	link, err := loadgossip.Listen(at.Listen, l.sharesListener, at.Peers, counts, func(from int, t policy.GossipMessage, done func()) {
-		<-ready
+	var transport *loadgossip.Transport
+	opened := make(chan struct{})
+	receive := func(from int, message policy.GossipMessage, done func()) {
+		<-opened
 		l.post(event{run: func() {
-			if done(); l.gossip == link {
-				l.policy.ReceiveGossip(from, t)
+			done()
+			if l.gossip == transport {
+				l.policy.ReceiveGossip(from, message)
 			}
 		}})
-	})
-	close(ready)
+	}
+	counters := &loadgossip.Counters{Sent: &l.GossipSent, Received: &l.GossipReceived, Dropped: &l.GossipDropped}
+	transport, err := loadgossip.Listen(addresses.Listen, l.sharesListener, addresses.Peers, counters, receive)
+	close(opened)
 	if err != nil {
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
-	l.openedGossip = link
-	return link, nil
+	l.openedGossip = transport
+	return transport, nil
 }
 
-// mapIndices tells the new place of each old name, -1 for one that is gone.
-func mapIndices(was, now map[string]int) []int {
-	all := make([]int, len(was))
-	for name, i := range was {
-		all[i] = -1
-		if j, stays := now[name]; stays {
-			all[i] = j
+// mapIndices returns the new index of each old one, by name; -1 for a name that is gone.
+func mapIndices(previous, current map[string]int) []int {
+	indices := make([]int, len(previous))
+	for name, i := range previous {
+		indices[i] = -1
+		if j, stays := current[name]; stays {
+			indices[i] = j
 		}
 	}
-	return all
+	return indices
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -14,57 +14,65 @@
 	"sabletally/internal/relay"
 )
 
-const bound = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// side is one end of a link, with what it was told.
-type side struct {
-	link chan *Link
-	said chan Message
-	fds  chan int
-	gone chan error
+// recorder is a Handler that keeps what it is notified of.
+type recorder struct {
+	opened      chan *Link
+	messages    chan Message
+	descriptors chan int
+	closed      chan error
 }
 
-func newSide() *side {
-	return &side{make(chan *Link, 4), make(chan Message, 100), make(chan int, 100), make(chan error, 4)}
+func newRecorder() *recorder {
+	return &recorder{
+		opened:      make(chan *Link, 4),
+		messages:    make(chan Message, 100),
+		descriptors: make(chan int, 100),
+		closed:      make(chan error, 4),
+	}
 }
 
-func (s *side) heed(_ *Link, m Message, fds []int) {
-	for _, fd := range fds {
-		s.fds <- fd
+func (r *recorder) Opened(l *Link) { r.opened <- l }
+
+func (r *recorder) Received(_ *Link, m Message, descriptors []int) {
+	for _, fd := range descriptors {
+		r.descriptors <- fd
 	}
-	s.said <- m
+	r.messages <- m
 }
 
-func (s *side) ended(_ *Link, why error) { s.gone <- why }
+func (r *recorder) Closed(_ *Link, why error) { r.closed <- why }
 
 func get[T any](t *testing.T, from chan T) T {
 	t.Helper()
 	select {
 	case got := <-from:
 		return got
-	case <-time.After(bound):
-		t.Fatal("nothing has come")
+	case <-time.After(testTimeout):
+		t.Fatal("nothing arrived in time")
 		panic(0)
 	}
 }
 
-func linked(t *testing.T) (path string, old, young *side, from, to *Link) {
+// openPair opens a link between two recorders.
+func openPair(t *testing.T) (path string, oldSide, newSide *recorder, oldLink, newLink *Link) {
 	path, err := SocketPath(t.TempDir(), "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, young = newSide(), newSide()
-	if err := Listen(path, func(l *Link) { old.link <- l }, old.heed, old.ended); err != nil {
+	oldSide, newSide = newRecorder(), newRecorder()
+	if err := Listen(path, oldSide); err != nil {
 		t.Fatal(err)
 	}
-	if to, err = Dial(path, young.heed, young.ended); err != nil || to == nil {
+	if newLink, err = Dial(path, newSide); err != nil || newLink == nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(to.Close)
-	return path, old, young, get(t, old.link), to
+	t.Cleanup(newLink.Close)
+	return path, oldSide, newSide, get(t, oldSide.opened), newLink
 }
 
-// pipe is a descriptor to send and the end that proves it is the same.
+// pipe returns a descriptor to send, and the file that proves that another one is its duplicate.
 func pipe(t *testing.T) (int, *os.File) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -79,9 +87,9 @@
 	return fd, r
 }
 
-// TestDescriptorsGoAlong sends more messages with descriptors than may be on their way at once, in order.
-func TestDescriptorsGoAlong(t *testing.T) {
-	_, _, young, from, _ := linked(t)
+// TestDescriptorsAccompanyMessages sends more messages with descriptors than may be unconfirmed at once, in order.
+func TestDescriptorsAccompanyMessages(t *testing.T) {
+	_, _, newSide, from, _ := openPair(t)
 	var ends []*os.File
 	outcomes := make(chan Outcome, 3*maxUnconfirmed)
 	for n := range 3 * maxUnconfirmed {
@@ -90,7 +98,7 @@
 		from.Send(Message{Kind: Client, Input: []byte{byte(n)}}, func(o Outcome) { outcomes <- o }, fd)
 	}
 	for n, r := range ends {
-		m, fd := get(t, young.said), get(t, young.fds)
+		m, fd := get(t, newSide.messages), get(t, newSide.descriptors)
 		if m.Kind != Client || len(m.Input) != 1 || m.Input[0] != byte(n) {
 			t.Fatalf("%d: %+v", n, m)
 		}
@@ -100,28 +108,28 @@
 			t.Fatalf("%q, %v", text, err)
 		}
 		if o := get(t, outcomes); o != Confirmed {
-			t.Fatalf("%d: outcome %d", n, o)
+			t.Fatalf("%d: outcome %v", n, o)
 		}
 	}
 	pair := &relay.PairState{Client: relay.ConnState{Partial: []byte("half")}, RequestAge: time.Second}
 	a, _ := pipe(t)
 	b, _ := pipe(t)
 	from.Send(Message{Kind: Session, ServerUID: "s-1", Load: 7, Pair: pair}, nil, a, b)
-	if m := get(t, young.said); m.ServerUID != "s-1" || m.Load != 7 || string(m.Pair.Client.Partial) != "half" || m.Pair.RequestAge != time.Second {
+	if m := get(t, newSide.messages); m.ServerUID != "s-1" || m.Load != 7 || string(m.Pair.Client.Partial) != "half" || m.Pair.RequestAge != time.Second {
 		t.Fatalf("%+v", m)
 	}
 }
 
-// TestWhatIsNotSentIsTheCallersAgain ends a link under its messages. Guards against clients that neither process holds.
-func TestWhatIsNotSentIsTheCallersAgain(t *testing.T) {
-	_, old, _, from, to := linked(t)
+// TestUnsentDescriptorsReturnToTheCaller closes a link and then sends: the caller keeps the descriptors.
+func TestUnsentDescriptorsReturnToTheCaller(t *testing.T) {
+	_, oldSide, _, from, to := openPair(t)
 	to.Close()
-	_ = get(t, old.gone)
+	_ = get(t, oldSide.closed)
 	lost := make(chan Outcome, 1)
 	fd, r := pipe(t)
 	from.Send(Message{Kind: Client}, func(o Outcome) { lost <- o }, fd)
 	if o := get(t, lost); o != Returned {
-		t.Fatalf("outcome %d", o)
+		t.Fatalf("outcome %v", o)
 	}
 	_, _ = unix.Write(fd, []byte("mine"))
 	_ = unix.Close(fd)
@@ -130,19 +138,19 @@
 	}
 }
 
-// deaf is another process that has said it is ready and reads nothing. It is sent twice as much as may be on the way.
-func deaf(t *testing.T) (from *Link, gone chan error, c *net.UnixConn, outcomes []chan Outcome, fds []int, ends []*os.File) {
-	path, old, _, _, _ := linked(t)
+// hangingPeer is another process that has said that it is ready and reads nothing. It is sent twice as much as may be unconfirmed.
+func hangingPeer(t *testing.T) (from *Link, gone chan error, c *net.UnixConn, outcomes []chan Outcome, fds []int, ends []*os.File) {
+	path, oldSide, _, _, _ := openPair(t)
 	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	from = get(t, old.link)
+	from = get(t, oldSide.opened)
 	if _, err := c.Write([]byte(`{"V":1,"Kind":2,"Confirms":true}`)); err != nil {
 		t.Fatal(err)
 	}
-	if m := get(t, old.said); m.Kind != Ready {
+	if m := get(t, oldSide.messages); m.Kind != Ready {
 		t.Fatalf("%+v", m)
 	}
 	for range 2 * maxUnconfirmed {
@@ -151,16 +159,15 @@
 		outcomes, fds, ends = append(outcomes, outcome), append(fds, fd), append(ends, r)
 		from.Send(Message{Kind: Client}, func(o Outcome) { outcome <- o }, fd)
 	}
-	return from, old.gone, c, outcomes, fds, ends
+	return from, oldSide.closed, c, outcomes, fds, ends
 }
 
-// TestAProcessThatHangsEndsTheLink has one that takes nothing. Guards against clients that wait for it for ever, and against such
-// as two processes hold: what it was sent stays its own.
-func TestAProcessThatHangsEndsTheLink(t *testing.T) {
-	_, gone, c, outcomes, fds, ends := deaf(t)
+// TestAHangingProcessEndsTheLink has another process that reads nothing: what it was not sent returns, what it was sent stays its own.
+func TestAHangingProcessEndsTheLink(t *testing.T) {
+	_, gone, c, outcomes, fds, ends := hangingPeer(t)
 	for n := maxUnconfirmed; n < 2*maxUnconfirmed; n++ {
 		if o := get(t, outcomes[n]); o != Returned {
-			t.Fatalf("%d, never sent: outcome %d", n, o)
+			t.Fatalf("%d, never sent: outcome %v", n, o)
 		}
 		_ = unix.Close(fds[n])
 	}
@@ -168,7 +175,7 @@
 	text, rights := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(maxDescriptors*4))
 	for n := range maxUnconfirmed {
 		if o := get(t, outcomes[n]); o != Unconfirmed {
-			t.Fatalf("%d, unread: outcome %d", n, o)
+			t.Fatalf("%d, unread: outcome %v", n, o)
 		}
 		_, m, _, _, err := c.ReadMsgUnix(text, rights) // it runs again
 		its := parseDescriptors(rights[:m])
@@ -183,11 +190,11 @@
 	}
 }
 
-// TestWhatIsUnreadAtADeathComesBack ends the other process after it was sent all that may be on the way, at once and once it was
-// taken for one that hangs; it has confirmed two. Guards against clients that end without a word.
-func TestWhatIsUnreadAtADeathComesBack(t *testing.T) {
+// TestUnreadDescriptorsReturnWhenTheProcessDies ends the other process after it was sent all that may be unconfirmed, at once and after
+// it was found to hang. It has confirmed two messages; the rest returns.
+func TestUnreadDescriptorsReturnWhenTheProcessDies(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
-		_, gone, c, outcomes, fds, ends := deaf(t)
+		_, gone, c, outcomes, fds, ends := hangingPeer(t)
 		text := make([]byte, maxMessageSize)
 		for range 2 {
 			if _, _, _, _, err := c.ReadMsgUnix(text, nil); err != nil { // its descriptor is dropped by the kernel
@@ -199,19 +206,19 @@
 		}
 		for n := range 2 {
 			if o := get(t, outcomes[n]); o != Confirmed {
-				t.Fatalf("%d: outcome %d", n, o)
+				t.Fatalf("%d: outcome %v", n, o)
 			}
 		}
 		if hangs {
 			if o := get(t, outcomes[2*maxUnconfirmed-1]); o != Returned {
-				t.Fatalf("outcome %d", o)
+				t.Fatalf("outcome %v", o)
 			}
 			outcomes[2*maxUnconfirmed-1] <- Returned
 		}
 		_ = c.Close()
 		for n := 2; n < 2*maxUnconfirmed; n++ {
 			if o := get(t, outcomes[n]); o != Returned {
-				t.Fatalf("hangs %v, %d: outcome %d", hangs, n, o)
+				t.Fatalf("hangs %v, %d: outcome %v", hangs, n, o)
 			}
 			_, _ = unix.Write(fds[n], []byte("mine"))
 			_ = unix.Close(fds[n])
@@ -223,15 +230,15 @@
 	}
 }
 
-// TestAHalfCloseIsNoDeath has another process end only what it sends: it may read on, so nothing of what it was sent comes back, and all
-// else does. How much was sent by then is the link's matter: what the other one finds is what was left with it.
-func TestAHalfCloseIsNoDeath(t *testing.T) {
-	_, gone, c, outcomes, fds, _ := deaf(t)
+// TestAHalfCloseIsNotAnExit has another process close only its sending side: it may read on, so nothing of what it was sent returns, and
+// all else does. How much was sent by then is up to the link: the other process finds exactly what was left unconfirmed.
+func TestAHalfCloseIsNotAnExit(t *testing.T) {
+	_, gone, c, outcomes, fds, _ := hangingPeer(t)
 	raw, err := c.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetReadDeadline(time.Now().Add(bound))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	if err := raw.Read(func(fd uintptr) bool { // the first is on the way
 		_, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		return err != unix.EAGAIN
@@ -247,7 +254,7 @@
 		case o == Returned:
 			_ = unix.Close(fds[n])
 		default:
-			t.Fatalf("%d: outcome %d, %d were left before", n, o, left)
+			t.Fatalf("%d: outcome %v, %d were left before", n, o, left)
 		}
 	}
 	if left == 0 || left > maxUnconfirmed {
@@ -268,33 +275,34 @@
 	}
 }
 
-// TestOddWordsEndTheLink has another version, no message, and one whose descriptors are missing.
-func TestOddWordsEndTheLink(t *testing.T) {
+// TestMalformedMessagesEndTheLink sends another version, text that is no message, one without its descriptors, and one that is too long.
+func TestMalformedMessagesEndTheLink(t *testing.T) {
 	for _, text := range []string{`{"V":2,"Kind":2}`, "hello", `{"V":1,"Kind":4}`, `{"V":1,"Kind":2` + strings.Repeat(" ", maxMessageSize) + "}"} {
-		path, old, _, _, _ := linked(t)
+		path, oldSide, _, _, _ := openPair(t)
 		c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		get(t, old.link)
+		get(t, oldSide.opened)
 		_ = c.SetWriteBuffer(sendBufferSize)
 		if _, err := c.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		_ = get(t, old.gone)
+		_ = get(t, oldSide.closed)
 		_ = c.Close()
 		select {
-		case m := <-old.said:
+		case m := <-oldSide.messages:
 			t.Errorf("%.20s: %+v", text, m)
 		default:
 		}
 	}
 }
 
-func TestNobodyAndLeftovers(t *testing.T) {
-	s := newSide()
+// TestSocketsLeftBehind dials where there is no process, or only the socket of one that was killed, and names that make no path.
+func TestSocketsLeftBehind(t *testing.T) {
+	s := newRecorder()
 	path, _ := SocketPath(t.TempDir(), "n0")
-	if l, err := Dial(path, s.heed, s.ended); l != nil || err != nil {
+	if l, err := Dial(path, s); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
@@ -303,15 +311,15 @@
 	}
 	ln.SetUnlinkOnClose(false)
 	_ = ln.Close() // as a process that was killed leaves it
-	if l, err := Dial(path, s.heed, s.ended); l != nil || err != nil {
+	if l, err := Dial(path, s); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
-	if err := Listen(path, func(l *Link) { s.link <- l }, s.heed, s.ended); err != nil {
+	if err := Listen(path, s); err != nil {
 		t.Fatal(err)
 	}
 	_ = os.Remove(path)
 	_ = os.WriteFile(path, nil, 0o600) // no socket
-	if l, err := Dial(path, s.heed, s.ended); l != nil || err != nil {
+	if l, err := Dial(path, s); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
 	for _, bad := range [][2]string{{"", "n0"}, {"/tmp", "../n0"}, {"/tmp", "a/b"}, {filepath.Join("/tmp", strings.Repeat("x", 100)), "n0"}} {
@@ -321,21 +329,21 @@
 	}
 }
 
-// TestALinkComesUpOnceADescriptorIsFree has a next process come while this one has no descriptor left.
-func TestALinkComesUpOnceADescriptorIsFree(t *testing.T) {
+// TestALinkOpensOnceADescriptorIsFree has the next process connect while this one is out of descriptors.
+func TestALinkOpensOnceADescriptorIsFree(t *testing.T) {
 	path, err := SocketPath(t.TempDir(), "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := newSide()
-	if err := Listen(path, func(l *Link) { old.link <- l }, old.heed, old.ended); err != nil {
+	oldSide := newRecorder()
+	if err := Listen(path, oldSide); err != nil {
 		t.Fatal(err)
 	}
 	next, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer unix.Close(next)
+	defer func() { _ = unix.Close(next) }()
 	var was unix.Rlimit
 	if err := unix.Prlimit(0, unix.RLIMIT_NOFILE, nil, &was); err != nil {
 		t.Fatal(err)
@@ -355,29 +363,35 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-old.link:
+	case <-oldSide.opened:
 		t.Fatal("taken without a descriptor")
 	case <-time.After(3 * acceptRetryDelay): // tried, and tried again
 	}
 	free()
-	get(t, old.link).Close()
+	get(t, oldSide.opened).Close()
+}
+
+// slowHandler is a Handler that takes long to accept a link, and keeps the order of what it is notified of.
+type slowHandler struct{ events chan string }
+
+func (h slowHandler) Opened(*Link) {
+	time.Sleep(100 * time.Millisecond)
+	h.events <- "opened"
 }
 
-// TestALinkIsAnnouncedBeforeItsMessages has the other process send its first message at once, while the announcement of the link takes
-// long: the message must come after it. One that came before was dropped as another link's, and its process was never taken for ready.
+func (h slowHandler) Received(*Link, Message, []int) { h.events <- "received" }
+
+func (h slowHandler) Closed(*Link, error) { h.events <- "closed" }
+
+// TestALinkIsAnnouncedBeforeItsMessages has the other process send its first message at once, while the handler takes long to accept the
+// link: the message must come after it. One that comes before belongs to no link that the handler knows, and is lost.
 func TestALinkIsAnnouncedBeforeItsMessages(t *testing.T) {
 	path, err := SocketPath(t.TempDir(), "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	events := make(chan string, 10)
-	opened := func(*Link) {
-		time.Sleep(100 * time.Millisecond)
-		events <- "opened"
-	}
-	received := func(*Link, Message, []int) { events <- "received" }
-	closed := func(*Link, error) { events <- "closed" }
-	if err := Listen(path, opened, received, closed); err != nil {
+	h := slowHandler{events: make(chan string, 10)}
+	if err := Listen(path, h); err != nil {
 		t.Fatal(err)
 	}
 	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
@@ -389,7 +403,7 @@
 	}
 	_ = c.Close()
 	for n, want := range []string{"opened", "received", "closed"} {
-		if got := get(t, events); got != want {
+		if got := get(t, h.events); got != want {
 			t.Fatalf("event %d is %q, not %q", n, got, want)
 		}
 	}
