--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -123,13 +123,13 @@
 }
 
 // applied notes a step that is none: back, or over a gap.
-func (f *hollow) applied(version uint64, _ []changefeed.Item, whole bool) {
+func (f *hollow) applied(update changefeed.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if version <= f.last || !whole && version != f.last+1 {
-		f.bad = fmt.Sprintf("version %d (whole %v) after %d", version, whole, f.last)
+	if update.Version <= f.last || !update.Complete && update.Version != f.last+1 {
+		f.bad = fmt.Sprintf("version %d (complete %v) after %d", update.Version, update.Complete, f.last)
 	}
-	f.last = version
+	f.last = update.Version
 }
 
 // want waits until control processes say of themselves what is wanted.
--- a/cmd/testbed/follower.go
+++ b/cmd/testbed/follower.go
@@ -27,7 +27,7 @@
 func openFollower(in *hollowBegin, one hollowOne, applied func(version uint64)) client {
 	return subscriber.Open(subscriber.Options{Fleet: in.Fleet, Name: one.Name, ID: one.Name, Incarnation: one.Life, Machine: one.Machine, Zone: one.Zone, Site: one.Site,
 		Seeds: in.Seeds, Seed: in.Seed + uint64(one.Index)*7919 + one.Life, Now: boottime.Now, Log: zap.NewNop(),
-		OnUpdate: func(version uint64, _ []changefeed.Item, _ bool) { applied(version) }})
+		OnUpdate: func(update changefeed.Update) { applied(update.Version) }})
 }
 
 // tools are an operator's: followers that stand nowhere, and put what is put.
--- a/internal/fleet/framing/framing.go
+++ b/internal/fleet/framing/framing.go
@@ -1,5 +1,5 @@
-// Package framing is the form of words on a stream between a control process and a balancer that follows it: each has its length and
-// its checksum before it. It must never hold more of a word than its reader allows.
+// Package framing encodes the frames of a stream between a control process and a balancer that follows it. It owns the form of a frame:
+// the length and the checksum of its body, then the body. It must never hold more of a body than its reader allows.
 package framing
 
 import (
@@ -15,71 +15,74 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// StreamMark is the first byte of such a stream; others on the same address begin with another one.
+// StreamMark is the first byte of a stream. Streams of other protocols on the same address begin with another one.
 const StreamMark = 'f'
 
-// HeaderSize is how many bytes stand before each word.
+// HeaderSize is the number of bytes before each body: its length and its CRC-32C, both big-endian.
 const HeaderSize = 8
 
-// chunk is how much room is made for a word before so much of it has come: a length alone takes no memory.
-const chunk = 64 << 10
+// readChunkBytes is the memory that is allocated before as much of a body has arrived: a length alone takes no memory.
+const readChunkBytes = 64 << 10
 
-// ErrChecksum is a word that did not come as it was sent.
-var ErrChecksum = errors.New("its checksum is wrong")
+// ErrChecksum reports a body that was corrupted in transit.
+var ErrChecksum = errors.New("wrong checksum")
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+// ErrTooLarge reports a body that is longer than its reader allows.
+var ErrTooLarge = errors.New("frame too large")
 
-// Header is what stands before a body.
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// Header returns the header of a body.
 func Header(body []byte) []byte {
-	head := binary.BigEndian.AppendUint32(make([]byte, 0, HeaderSize), uint32(len(body)))
-	return binary.BigEndian.AppendUint32(head, crc32.Checksum(body, table))
+	header := binary.BigEndian.AppendUint32(make([]byte, 0, HeaderSize), uint32(len(body)))
+	return binary.BigEndian.AppendUint32(header, crc32.Checksum(body, castagnoli))
 }
 
-// Read reads one body of so many bytes at most.
-func Read(r io.Reader, most int) ([]byte, error) {
-	var head [HeaderSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+// Read reads one frame and returns its body of at most maxBytes. The error is ErrTooLarge, ErrChecksum, or the reader's.
+func Read(r io.Reader, maxBytes int) ([]byte, error) {
+	var header [HeaderSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
-	n := int(binary.BigEndian.Uint32(head[:]))
-	if n > most {
-		return nil, fmt.Errorf("%d bytes, at most %d", n, most)
+	size := int(binary.BigEndian.Uint32(header[:]))
+	if size > maxBytes {
+		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, size, maxBytes)
 	}
-	body := make([]byte, 0, min(n, chunk))
-	for len(body) < n {
-		at := len(body)
-		more := min(n-at, max(chunk, at))
-		body = append(body, make([]byte, more)...)
-		if _, err := io.ReadFull(r, body[at:]); err != nil {
+	body := make([]byte, 0, min(size, readChunkBytes))
+	for len(body) < size {
+		start := len(body)
+		chunk := min(size-start, max(readChunkBytes, start))
+		body = append(body, make([]byte, chunk)...)
+		if _, err := io.ReadFull(r, body[start:]); err != nil {
 			return nil, err
 		}
 	}
-	if crc32.Checksum(body, table) != binary.BigEndian.Uint32(head[4:]) {
+	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(header[4:]) {
 		return nil, ErrChecksum
 	}
 	return body, nil
 }
 
-// Greeting is the first word on a stream, before those of package feed: which fleet is meant, by its name in the files. Guards
-// against seeds that are another fleet's, while the fleet's ID is not known yet.
+// Greeting is the first body of a stream, before the messages of package changefeed. It names the fleet as the files do, and so protects
+// against seeds of another fleet while the fleet's ID is unknown.
 type Greeting struct {
 	Fleet string `cbor:"1,keyasint"`
 }
 
-// OperationRequest is an operation on what is held, as a follower has it asked.
+// OperationRequest is an operation that a subscriber submits.
 type OperationRequest struct {
 	Operation replication.Operation `cbor:"1,keyasint"`
 	Timeout   time.Duration         `cbor:"2,keyasint"`
 }
 
-// Encode words a Greeting, an Ask or a copies.Result.
-func Encode(v any) []byte {
-	text, err := cbor.Marshal(v)
+// Encode encodes a Greeting, an OperationRequest or a replication.Result.
+func Encode(value any) []byte {
+	encoded, err := cbor.Marshal(value)
 	if err != nil {
 		panic(err) // plain values
 	}
-	return text
+	return encoded
 }
 
-// Decode reads one.
-func Decode(text []byte, v any) error { return cbor.Unmarshal(text, v) }
+// Decode decodes what Encode returned into the value that a pointer points to.
+func Decode(encoded []byte, value any) error { return cbor.Unmarshal(encoded, value) }
--- a/internal/fleet/publisher/trim_test.go
+++ b/internal/fleet/publisher/filtered_state_test.go
@@ -10,18 +10,17 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// TestTheSameHoweverItIsComeBy plays a history to publishers' states that hear it by changes, by snapshots, and by both by chance, begun
-// anew now and then. Guards against a version that means other contents at another control process, and against one that covers less than
-// the agreed version of that number, which freshness is told of.
-func TestTheSameHoweverItIsComeBy(t *testing.T) {
+// TestStateIsIndependentOfItsPath applies a history to filtered states by changes, by snapshots, and by both at random with restarts: a
+// version has the same content everywhere, and covers the agreed version of that number.
+func TestStateIsIndependentOfItsPath(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		core := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
-		fresh := func() *trimmed {
-			return &trimmed{log: changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})}
+		fresh := func() *filteredState {
+			return &filteredState{log: changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})}
 		}
 		byChanges, bySnapshots, mixed := fresh(), fresh(), fresh()
-		follower := changefeed.NewState()
+		subscriber := changefeed.NewState()
 		for step := range 200 {
 			items := []changefeed.Item{{Key: changefeed.FleetKey, Value: []byte("f")}}
 			if step > 0 {
@@ -57,38 +56,38 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for name, one := range map[string]*trimmed{"changes": byChanges, "snapshots": bySnapshots, "both": mixed} {
-				if one.log.Version() != core.Version() || one.log.Digest() != byChanges.log.Digest() || one.digest != core.Digest() {
+			for name, one := range map[string]*filteredState{"changes": byChanges, "snapshots": bySnapshots, "both": mixed} {
+				if one.log.Version() != core.Version() || one.log.Digest() != byChanges.log.Digest() || one.agreedDigest != core.Digest() {
 					t.Fatalf("seed %d, by %s: version %d with %016x, agreed %d, by changes %016x", seed, name, one.log.Version(), one.log.Digest(), core.Version(), byChanges.log.Digest())
 				}
-				if got, want := one.log.State().Items(""), kept(core.State().Items("")); fmt.Sprint(got) != fmt.Sprint(want) {
+				if got, want := one.log.State().Items(""), withoutShardConfigurations(core.State().Items("")); fmt.Sprint(got) != fmt.Sprint(want) {
 					t.Fatalf("seed %d, by %s: %v, agreed %v", seed, name, got, want)
 				}
 			}
 			if n := len(byChanges.log.State().Items("view/")); n > 0 {
-				t.Fatalf("%d views are sent", n)
+				t.Fatalf("%d shard configurations are sent", n)
 			}
-			sent, is := byChanges.log.ChangesSince(follower.Version(), follower.Digest())
+			sent, is := byChanges.log.ChangesSince(subscriber.Version(), subscriber.Digest())
 			if !is || len(sent) != 1 {
-				t.Fatalf("%d changes after version %d", len(sent), follower.Version())
+				t.Fatalf("%d changes after version %d", len(sent), subscriber.Version())
 			}
-			if err := follower.Apply(*sent[0]); err != nil {
+			if err := subscriber.Apply(*sent[0]); err != nil {
 				t.Fatal(err)
 			}
 		}
 
-		other := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20}) // another history, which differs in a view alone
-		snap := core.Snapshot()
+		other := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20}) // another history, which differs in a shard configuration alone
+		snapshot := core.Snapshot()
 		next, err := core.Append([]changefeed.Item{{Key: "view/7", Value: []byte("a")}})
 		if err == nil {
 			err = byChanges.apply(&next)
 		}
 		if err == nil {
-			err = other.Install(*snap)
+			err = other.Install(*snapshot)
 		}
-		var odd, after changefeed.Change
+		var conflicting, after changefeed.Change
 		if err == nil {
-			odd, err = other.Append([]changefeed.Item{{Key: "view/7", Value: []byte("b")}})
+			conflicting, err = other.Append([]changefeed.Item{{Key: "view/7", Value: []byte("b")}})
 		}
 		if err == nil {
 			after, err = other.Append([]changefeed.Item{{Key: shardmap.ItemPrefix + "x", Value: []byte("b")}})
@@ -97,25 +96,25 @@
 			t.Fatal(err)
 		}
 		before := byChanges.log.Digest()
-		if err := byChanges.apply(&odd); !errors.Is(err, changefeed.ErrConflict) {
+		if err := byChanges.apply(&conflicting); !errors.Is(err, changefeed.ErrConflict) {
 			t.Errorf("a change of another history: %v", err)
 		}
 		if err := byChanges.apply(&after); !errors.Is(err, changefeed.ErrDigestMismatch) {
 			t.Errorf("a change that is of another history: %v", err)
 		}
-		if err := bySnapshots.install(snap); err != nil {
+		if err := bySnapshots.install(snapshot); err != nil {
 			t.Errorf("what is there already: %v", err)
 		}
-		if err := byChanges.install(snap); !errors.Is(err, changefeed.ErrOutOfOrder) {
+		if err := byChanges.install(snapshot); !errors.Is(err, changefeed.ErrOutOfOrder) {
 			t.Errorf("an older snapshot: %v", err)
 		}
-		unlike := *snap
+		unlike := *snapshot
 		unlike.Digest++
 		if err := bySnapshots.install(&unlike); !errors.Is(err, changefeed.ErrConflict) {
 			t.Errorf("a snapshot of another history: %v", err)
 		}
-		if byChanges.log.Digest() != before || byChanges.digest != next.DigestAfter {
-			t.Error("what was refused has changed something")
+		if byChanges.log.Digest() != before || byChanges.agreedDigest != next.DigestAfter {
+			t.Error("a rejected update has changed something")
 		}
 	}
 }
