--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -104,7 +104,7 @@
 	for _, servers := range []int{100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("circuits=100000/groups=100000/servers=%d", servers), func(b *testing.B) {
 			bal, _ := placed(servers, 100000, 100000)
-			bal.AdvanceClock(roundEvery)
+			bal.AdvanceClock(roundInterval)
 			pull(bal)
 			for i := range servers {
 				bal.RecordLatency(EndpointID(100+i), time.Second)
@@ -131,10 +131,10 @@
 			bal, _ := placed(servers, 100000, 100000)
 			done := metered(b)
 			for i := range b.N {
-				bal.AdvanceClock(time.Duration(i+1) * roundEvery)
+				bal.AdvanceClock(time.Duration(i+1) * roundInterval)
 				pull(bal)
 			}
-			b.ReportMetric(done()/float64(roundEvery)*100, "%core")
+			b.ReportMetric(done()/float64(roundInterval)*100, "%core")
 		})
 	}
 }
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -49,9 +49,8 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
-				bal.AdvanceClock(time.Duration(i+1) * roundEvery)
-				for _, ok := bal.Next(); ok; _, ok = bal.Next() {
-				}
+				bal.AdvanceClock(time.Duration(i+1) * roundInterval)
+				pull(bal)
 			}
 		})
 	}
--- /dev/null
+++ b/policy/draining.go
@@ -0,0 +1,38 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// drainWindow is the time in which this balancer migrates all its sessions.
+type drainWindow struct {
+	from  time.Duration
+	until time.Duration // never unless the balancer drains
+}
+
+// StartDraining migrates all established sessions evenly between two times, and rejects new ones from now on.
+func (b *Balancer) StartDraining(from, until time.Duration) { b.draining = drainWindow{from, until} }
+
+// StopDraining takes back StartDraining.
+func (b *Balancer) StopDraining() { b.draining.until = never }
+
+func (b *Balancer) isDraining() bool { return b.draining.until < never }
+
+// migrateForDraining plans to migrate an even part of the sessions, taken from all endpoints alike, so that the other
+// balancers do not get all of them at once.
+func (b *Balancer) migrateForDraining() {
+	if b.now < b.draining.from {
+		return
+	}
+	inOrder := func(_, _ *session) int { return 0 }
+	var sessions []*session
+	for _, e := range b.endpoints {
+		sessions = append(sessions, migratableSessions(e, inOrder)...)
+	}
+	slices.SortStableFunc(sessions, func(x, y *session) int { return x.position - y.position })
+	rounds := max(1, int((b.draining.until-b.now)/roundInterval))
+	for _, s := range sessions[:(len(sessions)+rounds-1)/rounds] {
+		b.migrate(s)
+	}
+}
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -85,7 +85,7 @@
 			if r.IntN(2) == 0 {
 				b.UpdateEndpoints(list, true)
 			} else { // what another balancer tells, true or garbled
-				told := b.tell()
+				told := b.gossipMessage()
 				told.Offset = r.IntN(3)
 				told.VersionHash ^= uint32(r.IntN(2))
 				b.ReceiveGossip(r.IntN(6)-1, told)
@@ -126,7 +126,7 @@
 			switch dec.Action {
 			case StartAttempt:
 				k := int(dec.Endpoint - 100)
-				if b.leaveBy < never {
+				if b.isDraining() {
 					t.Fatalf("step %d: tried while leaving: %+v", step, dec)
 				}
 				if w.answers > 0 || w.out || w.open || w.tries >= d.MaxAttempts || b.now >= w.until ||
@@ -148,7 +148,7 @@
 					bears := float64(coreBears) // or what a warm one is seen to hold: by the rule, in one window of its warm-up
 					for j, l := range list {
 						if l.StartedAt == StartedLongAgo || b.now-started[j] >= d.SlowStartWindow {
-							bears = max(bears, float64(len(b.held[b.index[l.ID]])+1))
+							bears = max(bears, float64(len(b.endpointByID[l.ID].sessions)+1))
 						}
 					}
 					bears *= d.OverloadMultiple * span.Seconds() / d.SlowStartWindow.Seconds() * float64(d.Balancers)
@@ -175,7 +175,7 @@
 			}
 		}
 		for id, w := range circuits {
-			if c := b.circuit[id]; w.answers == 0 && !w.out && !w.open && (c == nil || c.waits <= b.now) {
+			if c := b.sessions[id]; w.answers == 0 && !w.out && !w.open && (c == nil || c.reportDeadline <= b.now) {
 				t.Fatalf("step %d: circuit %d is held back", step, id)
 			}
 		}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -75,7 +75,7 @@
 		return d
 	}
 	return []goldenScenario{
-		{"one balancer", 1, 9, 12, true, base(func(d *Config) {})},
+		{"one balancer", 1, 9, 12, true, base(func(*Config) {})},
 		{"one balancer without health checks", 1, 7, 5, false, base(func(d *Config) { d.CanHealthCheck, d.CanSendRetryAfter = false, false })},
 		{"one balancer that polls load reports", 1, 12, 20, true, base(func(d *Config) { d.HasLoadReports = true })},
 		{"one balancer whose servers tell", 1, 12, 20, true, base(func(d *Config) { d.HasLoadReports, d.HasEndpointReports, d.CrossZoneCost = true, true, 0.08 })},
@@ -325,15 +325,15 @@
 func (r *goldenRun) decide(k int, b *Balancer) {
 	for d, ok := b.Next(); ok; d, ok = b.Next() {
 		r.counts[d.Action]++
-		fmt.Fprintf(r.sum, "%d %d %d %d %d %d %d %d", r.now, k, d.Action, d.Session, d.Endpoint, d.Duration, d.Gossip.VersionHash, d.Gossip.Offset)
+		_, _ = fmt.Fprintf(r.sum, "%d %d %d %d %d %d %d %d", r.now, k, d.Action, d.Session, d.Endpoint, d.Duration, d.Gossip.VersionHash, d.Gossip.Offset)
 		for n, load := range d.Gossip.Loads {
-			fmt.Fprintf(r.sum, " %x %v", math.Float64bits(load), d.Gossip.Overloaded[n])
+			_, _ = fmt.Fprintf(r.sum, " %x %v", math.Float64bits(load), d.Gossip.Overloaded[n])
 		}
-		fmt.Fprintln(r.sum)
+		_, _ = fmt.Fprintln(r.sum)
 		r.carryOut(k, b, d)
 	}
 	at, ok := b.NextWakeup()
-	fmt.Fprintln(r.sum, "wake", at, ok)
+	_, _ = fmt.Fprintln(r.sum, "wake", at, ok)
 }
 
 func (r *goldenRun) carryOut(k int, b *Balancer, d Decision) {
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -68,16 +68,16 @@
 		began := 5 * time.Second
 		sent := 0
 		for k, b := range all[:members] {
-			b.AdvanceClock(began - 2*roundEvery)
+			b.AdvanceClock(began - 2*roundInterval)
 			b.UpdateEndpoints(list, true)
 			pull(b)
 			b.AdvanceClock(began + time.Duration(k)*time.Second/time.Duration(members)) // a round: the cold ones are known
 			pull(b)
 			key := uint64(k)<<20 + 1
 			for ; ; key++ { // whose home is the first
-				c := b.take(SessionRequest{ID: 1 << 30, Key: key, Group: 1, Timeout: time.Second})
-				delete(b.circuit, c.id)
-				if b.id[b.order(c)[0].server] == 100 {
+				c := b.newSession(SessionRequest{ID: 1 << 30, Key: key, Group: 1, Timeout: time.Second})
+				delete(b.sessions, c.id)
+				if b.rank(c).endpoints[0].ID == 100 {
 					break
 				}
 			}
@@ -125,7 +125,7 @@
 
 // With the plain part of a handful of connections for its share, 245 of 800 lie on one server, the others on 22.
 func TestManyBalancersBuildOneVersionAndMostlyOneHome(t *testing.T) {
-	on, first := map[EndpointID]int{}, []int(nil)
+	on, first := map[EndpointID]int{}, []*endpoint(nil)
 	for k, b := range many(t, 200, 0, deployment(), fleet(40)) {
 		for id := SessionID(1); id <= 8; id++ {
 			group := uint64(id) + 10
@@ -135,9 +135,9 @@
 			b.AttemptEstablished(id, 0, ms)
 		}
 		if first == nil {
-			first = b.newest().servers
+			first = b.newestPool().endpoints
 		}
-		if v := b.newest().servers; len(v) != len(first) || b.id[v[0]] != 100 || b.id[v[39]] != 139 {
+		if v := b.newestPool().endpoints; len(v) != len(first) || v[0].ID != 100 || v[39].ID != 139 {
 			t.Fatal("the versions differ")
 		}
 	}
@@ -174,7 +174,7 @@
 				}
 			}
 		}
-		if held := b.total; held == 0 || (probes > 0) != tell {
+		if held := b.sessionsHeld; held == 0 || (probes > 0) != tell {
 			t.Errorf("servers tell %v: %d probes, %d held", tell, probes, held)
 		}
 	}
@@ -232,7 +232,7 @@
 		d.HasLoadReports, d.HasEndpointReports = true, x.tell
 		b := started(d, fleet(1))
 		b.RecordLoadReport(100, LoadReport{Demand: 0.8, Backlog: -1, Utilization: -1})
-		b.AdvanceClock(reportYoung + ms)
+		b.AdvanceClock(freshReportTTL + ms)
 		b.AddSession(SessionRequest{ID: 1, Key: 1, Load: 500, Timeout: 2 * time.Second})
 		all := pull(b)
 		if asked := count(all, HealthCheck) == 1; asked {
@@ -259,7 +259,7 @@
 		told := func() { // all are idle, and nothing but that tells of room
 			for i, l := range list {
 				b.RecordLoadReport(l.ID, LoadReport{Demand: 0.1, Backlog: -1, Utilization: -1})
-				b.room[i] = 0
+				b.endpoints[i].capacity = 0
 			}
 		}
 		if told(); n%2 == 0 {
@@ -267,12 +267,13 @@
 		} else {
 			b.RecordLatency(100, 90*ms)
 		}
-		c := &circuit{grade: &d.Classes[0], load: 1, asks: asksMost}
-		if kin, other := b.passed(c, 1, byAside, 3, 100), b.passed(c, 2, byAside, 3, 100); kin != d.HasEndpointReports || other {
+		c := &session{class: &d.Classes[0], load: 1, polls: maxPolls}
+		search := selection{Balancer: b, session: c, totalWeight: 3, fairLoad: 100}
+		if kin, other := search.skips(b.endpoints[1], relaxEjection), search.skips(b.endpoints[2], relaxEjection); kin != d.HasEndpointReports || other {
 			t.Errorf("%d: kin are passed: %v, others: %v", n, kin, other)
 		}
-		b.AdvanceClock(untrueFor + ms)
-		if told(); b.passed(c, 1, byAside, 3, 100) {
+		b.AdvanceClock(distrustTTL + ms)
+		if told(); search.skips(b.endpoints[1], relaxEjection) {
 			t.Error("marked for good")
 		}
 	}
@@ -287,7 +288,9 @@
 		b := started(d, starting(fleet(2), 0, 1, -d.SlowStartWindow*5/17))
 		out := 0
 		for key := range uint64(1000) {
-			if b.passed(&circuit{key: key, grade: &d.Classes[0]}, 0, byAll, 2, 1e9) {
+			s := &session{clientKey: key, class: &d.Classes[0]}
+			search := selection{Balancer: b, session: s, totalWeight: 2, fairLoad: 1e9}
+			if search.skips(b.endpoints[0], relaxNone) {
 				out++
 			}
 		}
@@ -331,7 +334,7 @@
 				group := mix(uint64(c), 1) % uint64(groups)
 				got := arrive(t, b, SessionRequest{ID: SessionID(c), Key: uint64(c) + 1000, Group: group + 50})
 				b.AttemptEstablished(SessionID(c), 0, ms)
-				if at[[2]uint64{group, uint64(got.Endpoint)}] = true; n >= 50 && b.zone[b.index[got.Endpoint]] != d.Zone {
+				if at[[2]uint64{group, uint64(got.Endpoint)}] = true; n >= 50 && b.endpointByID[got.Endpoint].Zone != d.Zone {
 					crossed++
 				}
 			}
@@ -376,7 +379,7 @@
 				if dec.Action != Migrate {
 					continue
 				}
-				key, to := b.circuit[dec.Session].key, all[(k*7+step)%80] // the front deals it to any balancer
+				key, to := b.sessions[dec.Session].clientKey, all[(k*7+step)%80] // the front deals it to any balancer
 				b.AttemptEnded(dec.Session, 0, true, Cancelled)
 				next++
 				to.AdvanceClock(now)
@@ -406,8 +409,8 @@
 	for ; b.now < 4*time.Second; b.AdvanceClock(b.now + 250*ms) {
 		pull(b)
 	}
-	if b.wanted < 1 {
-		t.Fatalf("of 15 connections, half at home at cold servers, %.1f count", b.wanted)
+	if b.recent.warmupDemand < 1 {
+		t.Fatalf("of 15 connections, half at home at cold servers, %.1f count", b.recent.warmupDemand)
 	}
 }
 
@@ -429,7 +432,7 @@
 				if dec.Action != Migrate {
 					continue
 				}
-				key := b.circuit[dec.Session].key
+				key := b.sessions[dec.Session].clientKey
 				b.AttemptEnded(dec.Session, 0, true, Cancelled)
 				to := all[(k+1)%peers]
 				to.AdvanceClock(now)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -21,8 +21,8 @@
 			either.AttemptEnded(k, 0, true, Succeeded)
 		}
 	}
-	if len(b.rank) != 9 || b.total != 0 {
-		t.Fatalf("%d servers ranked, %d connections left", len(b.rank), b.total)
+	if len(b.rankBuffer) != 9 || b.sessionsHeld != 0 {
+		t.Fatalf("%d servers ranked, %d connections left", len(b.rankBuffer), b.sessionsHeld)
 	}
 }
 
@@ -30,24 +30,24 @@
 	b := started(deployment(), fleet(3))
 	connect(t, b, 1, 1)
 	first := b.pools[0]
-	for n := 4; n < 4+2*versionCap; n++ {
+	for n := 4; n < 4+2*maxPools; n++ {
 		b.UpdateEndpoints(fleet(n), true)
 		connect(t, b, SessionID(n), 1)
-		if n == 5 && (b.pools[0] != first || len(first.servers) != 3) {
+		if n == 5 && (b.pools[0] != first || len(first.endpoints) != 3) {
 			t.Fatal("a version in use was changed or dropped")
 		}
 	}
-	if len(b.pools) != versionCap || b.pools[0] == first {
+	if len(b.pools) != maxPools || b.pools[0] == first {
 		t.Fatalf("%d versions kept", len(b.pools))
 	}
-	if c := b.circuit[1]; !c.open || c.server < 0 {
+	if c := b.sessions[1]; c.state != stateEstablished || c.endpoint == nil {
 		t.Fatal("a connection of a dropped version lost its server")
 	}
-	for id := range b.circuit {
+	for id := range b.sessions {
 		b.AttemptEnded(id, 0, true, Succeeded)
 	}
-	if len(b.pools) != 1 || b.total != 0 || len(b.group) != 0 {
-		t.Fatalf("%d versions, %d connections left", len(b.pools), b.total)
+	if len(b.pools) != 1 || b.sessionsHeld != 0 || len(b.heldByGroup) != 0 {
+		t.Fatalf("%d versions, %d connections left", len(b.pools), b.sessionsHeld)
 	}
 }
 
@@ -55,8 +55,8 @@
 	b, held := started(deployment(), fleet(4)), map[EndpointID]int{}
 	for id := SessionID(1); id <= 40; id++ { // one key: one server, but for the pass-over
 		d := arrive(t, b, SessionRequest{ID: id, Key: 5})
-		if most := 2*float64(b.total-1)/4 + 3; float64(held[d.Endpoint]+1) > most {
-			t.Fatalf("server %d holds %d of %d", d.Endpoint, held[d.Endpoint]+1, b.total)
+		if most := 2*float64(b.sessionsHeld-1)/4 + 3; float64(held[d.Endpoint]+1) > most {
+			t.Fatalf("server %d holds %d of %d", d.Endpoint, held[d.Endpoint]+1, b.sessionsHeld)
 		}
 		held[d.Endpoint]++
 		b.AttemptEstablished(id, 0, ms)
@@ -110,7 +110,7 @@
 	}
 	moved := 0
 	for range 40 {
-		b.AdvanceClock(b.now + roundEvery)
+		b.AdvanceClock(b.now + roundInterval)
 		moved += count(pull(b), Migrate)
 	}
 	if moved < held[100] {
@@ -133,12 +133,12 @@
 			t.Fatalf("circuit %d: %+v", id, d)
 		}
 	}
-	if !b.aside[3] {
+	if !b.endpoints[3].ejected {
 		t.Fatal("the bad server is not set aside")
 	}
 	probes := 0
-	for b.aside[3] && b.now < 20*time.Second {
-		b.AdvanceClock(b.now + roundEvery)
+	for b.endpoints[3].ejected && b.now < 20*time.Second {
+		b.AdvanceClock(b.now + roundInterval)
 		for _, d := range pull(b) {
 			if d.Action == HealthCheck {
 				probes++
@@ -146,8 +146,8 @@
 			}
 		}
 	}
-	if b.aside[3] || probes != answersBack {
-		t.Fatalf("aside %v after %d probes", b.aside[3], probes)
+	if b.endpoints[3].ejected || probes != healthyThreshold {
+		t.Fatalf("aside %v after %d probes", b.endpoints[3].ejected, probes)
 	}
 }
 
@@ -164,8 +164,14 @@
 			t.Fatalf("no nack with advice: %+v", d)
 		}
 	}
-	if tries > 150 || len(slices.DeleteFunc(slices.Clone(b.aside), func(a bool) bool { return !a })) > 3 {
-		t.Fatalf("%d tries for 1000 circuits, set aside: %v", tries, b.aside)
+	ejected := 0
+	for _, e := range b.endpoints {
+		if e.ejected {
+			ejected++
+		}
+	}
+	if tries > 150 || ejected > 3 {
+		t.Fatalf("%d attempts for 1000 sessions, %d endpoints ejected", tries, ejected)
 	}
 	for id := SessionID(2001); b.now < 5*time.Second; id++ { // and it ends soon after the failure does
 		b.AdvanceClock(b.now + 10*ms)
@@ -220,18 +226,18 @@
 	b := started(deployment(), fleet(2))
 	connect(t, b, 1, 20)
 	b.RecordLoadReport(100, LoadReport{Demand: 2, Backlog: -1, Utilization: -1})
-	full := b.room[0]
-	if full >= b.load[0] {
-		t.Fatalf("room %v for a load of %v at twice the capacity", full, b.load[0])
+	full := b.endpoints[0].capacity
+	if full >= b.endpoints[0].load {
+		t.Fatalf("room %v for a load of %v at twice the capacity", full, b.endpoints[0].load)
 	}
 	for id := SessionID(1); id <= 20; id++ {
-		if b.circuit[id].server == 0 {
+		if b.sessions[id].endpoint.index == 0 {
 			b.AttemptEnded(id, 0, true, Reset)
 		}
 	}
 	b.RecordLoadReport(100, LoadReport{Demand: 0.1, Backlog: -1, Utilization: -1})
-	if b.room[0] > full {
-		t.Fatalf("room grew from %v to %v on an empty server", full, b.room[0])
+	if b.endpoints[0].capacity > full {
+		t.Fatalf("room grew from %v to %v on an empty server", full, b.endpoints[0].capacity)
 	}
 }
 
@@ -243,7 +249,7 @@
 	if d := arrive(t, b, SessionRequest{ID: 1, Key: 1}); d.Action != Reject || d.Duration <= 0 {
 		t.Fatalf("%+v", d)
 	}
-	b.AdvanceClock(noteFresh + time.Second) // notes that no longer come hold nothing closed
+	b.AdvanceClock(latencyTTL + time.Second) // notes that no longer come hold nothing closed
 	if d := arrive(t, b, SessionRequest{ID: 2, Key: 1}); d.Action != StartAttempt {
 		t.Fatalf("%+v", d)
 	}
@@ -329,7 +335,7 @@
 			failed++
 			d = end(t, b, id, try, ConnectFailed)
 		}
-		b.AttemptEstablished(id, len(b.circuit[id].tried)-1, ms)
+		b.AttemptEstablished(id, len(b.sessions[id].attempted)-1, ms)
 	}
 	if failed != 6 {
 		t.Fatalf("%d tries at six dead servers", failed)
@@ -347,7 +353,7 @@
 func TestHandedOverAndLateNews(t *testing.T) {
 	b := started(deployment(), fleet(2))
 	b.AdoptSession(SessionRequest{ID: 9, Key: 9}, 101)
-	if b.total != 1 || len(b.held[1]) != 1 || len(pull(b)) != 0 {
+	if b.sessionsHeld != 1 || len(b.endpoints[1].sessions) != 1 || len(pull(b)) != 0 {
 		t.Fatal("an open connection was not taken over as it is")
 	}
 	b.AttemptEnded(9, 0, true, Succeeded)
@@ -358,7 +364,7 @@
 	b.HealthCheckEnded(555, Succeeded)
 	b.RecordLatency(555, ms)
 	b.RecordLoadReport(555, LoadReport{Demand: 1})
-	if b.total != 0 || len(b.circuit) != 0 || count(pull(b), StartAttempt) != 0 {
+	if b.sessionsHeld != 0 || len(b.sessions) != 0 || count(pull(b), StartAttempt) != 0 {
 		t.Fatal("late news had an effect")
 	}
 }
@@ -367,7 +373,7 @@
 	b := started(deployment(), fleet(3))
 	connect(t, b, 1, 12)
 	for id := SessionID(1); id <= 12; id++ { // a full server sheds all that this balancer holds of it
-		if b.circuit[id].server == 1 {
+		if b.sessions[id].endpoint.index == 1 {
 			b.AttemptEnded(id, 0, true, Reset)
 		}
 	}
@@ -382,7 +388,7 @@
 			}
 		}
 	}
-	if len(b.held[1]) > 0 || again > 3 {
+	if len(b.endpoints[1].sessions) > 0 || again > 3 {
 		t.Fatalf("tried %d times in four seconds", again)
 	}
 }
@@ -414,7 +420,7 @@
 			b.AttemptEstablished(late, 0, 500*ms)
 		}
 		if id > 60 {
-			most = max(most, b.trying)
+			most = max(most, b.pendingAttempts)
 		}
 	}
 	if most == 0 || most > 9 {
@@ -569,7 +575,7 @@
 			key = uint64(id)
 		}
 	}
-	told := o.tell()
+	told := o.gossipMessage()
 	told.Loads[0] = 500
 	first := func(id SessionID) EndpointID {
 		d := arrive(t, b, SessionRequest{ID: id, Key: key})
@@ -580,23 +586,23 @@
 	bad.VersionHash++
 	for n, m := range []GossipMessage{bad, told} {
 		b.ReceiveGossip(1, m)
-		b.AdvanceClock(b.now + roundEvery)
+		b.AdvanceClock(b.now + roundInterval)
 		pull(b)
 		if got := first(SessionID(1000 + n)); (got == 100) != (n == 0) {
 			t.Fatalf("message %d: a circuit went to %d", n, got)
 		}
 	}
-	b.AdvanceClock(b.now + toldFor + roundEvery)
+	b.AdvanceClock(b.now + gossipTTL + roundInterval)
 	pull(b)
-	if b.others[b.index[100]] != 0 || b.heard {
-		t.Fatalf("%v still counts", b.others)
+	if b.endpointByID[100].peerLoad != 0 || b.gossip.isCurrent {
+		t.Fatalf("%v still counts", b.endpointByID[100].peerLoad)
 	}
 	b.ReceiveGossip(2, told) // late and doubled: it counts once
 	b.ReceiveGossip(2, told)
-	b.AdvanceClock(b.now + roundEvery)
+	b.AdvanceClock(b.now + roundInterval)
 	pull(b)
-	if b.others[b.index[100]] != 500 {
-		t.Fatalf("%v after one message, told twice", b.others)
+	if b.endpointByID[100].peerLoad != 500 {
+		t.Fatalf("%v after one message, told twice", b.endpointByID[100].peerLoad)
 	}
 	if n := count(pull(o), SendGossip); n > 1 {
 		t.Fatalf("%d messages at once", n)
@@ -616,8 +622,8 @@
 	now := deployment()
 	now.Classes = append(now.Classes, now.Classes[0])
 	b.Reconfigure(now, []int{-1}, []int{-1})
-	if b.tenant[0] != 2 || b.total != 2 {
-		t.Fatalf("%d of the tenants that are gone, %d held", b.tenant[0], b.total)
+	if b.heldByTenant[0] != 2 || b.sessionsHeld != 2 {
+		t.Fatalf("%d of the tenants that are gone, %d held", b.heldByTenant[0], b.sessionsHeld)
 	}
 	b.AttemptEnded(1, 0, false, Failed) // it may have run: no other try, by the grade that it came with
 	if got := pull(b); len(got) != 1 || got[0].Action != Fail {
@@ -625,8 +631,8 @@
 	}
 	b.Reconfigure(d, []int{0, -1}, nil)
 	b.AttemptEnded(2, 0, true, Succeeded)
-	if b.tenant[0] != 0 || b.total != 0 || len(b.held[b.index[y.Endpoint]]) != 0 {
-		t.Fatalf("%v by tenant, %d held", b.tenant, b.total)
+	if b.heldByTenant[0] != 0 || b.sessionsHeld != 0 || len(b.endpointByID[y.Endpoint].sessions) != 0 {
+		t.Fatalf("%v by tenant, %d held", b.heldByTenant, b.sessionsHeld)
 	}
 }
 
@@ -640,9 +646,9 @@
 			b.UpdateEndpoints(fleet(40), true)
 			connect(t, b, 1, 8)
 			b.AdvanceClock(time.Second)
-			for _, i := range b.newest().servers {
-				if bad && len(b.held[i]) > 0 {
-					b.RecordLatency(b.id[i], time.Second)
+			for _, e := range b.newestPool().endpoints {
+				if bad && len(e.sessions) > 0 {
+					b.RecordLatency(e.ID, time.Second)
 				}
 			}
 			pull(b)
@@ -669,9 +675,9 @@
 		for s := range jams {
 			b.RecordLatency(EndpointID(100+s), 500*ms)
 		}
-		b.AdvanceClock(b.now + roundEvery)
+		b.AdvanceClock(b.now + roundInterval)
 		pull(b)
-		if got := b.ailing(); got != (jams == 0) {
+		if got := b.areRetriesFutile(); got != (jams == 0) {
 			t.Errorf("%d jams: ailing %v", jams, got)
 		}
 	}
--- /dev/null
+++ b/policy/random.go
@@ -0,0 +1,21 @@
+package policy
+
+import "time"
+
+// randomSource is a multiply-with-carry generator.
+type randomSource struct{ state uint64 }
+
+func newRandomSource(seed uint64) randomSource {
+	return randomSource{state: seed&0xffffffff | 1<<32}
+}
+
+// float64 returns a number in [0, 1).
+func (r *randomSource) float64() float64 {
+	r.state = (r.state&0xffffffff)*4294957665 + r.state>>32
+	return float64(r.state&0xffffffff) / (1 << 32)
+}
+
+// jitter returns a duration from half of d to one and a half of it.
+func (r *randomSource) jitter(d time.Duration) time.Duration {
+	return time.Duration((0.5 + r.float64()) * float64(d))
+}
