--- a/internal/fleet/admin_state.go
+++ b/internal/fleet/admin_state.go
@@ -111,7 +111,7 @@
 func (f *Fleet) ask(op replication.Operation) replication.Result {
 	h, _ := f.holding()
 	out := make(chan replication.Result, 1)
-	h.Ask(op, wordTry, func(r replication.Result) { out <- r })
+	h.Submit(op, wordTry, func(r replication.Result) { out <- r })
 	select {
 	case r := <-out:
 		return r
