--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,8 +5,8 @@
 // minAttemptTimeout keeps timeouts above 0.
 const minAttemptTimeout = time.Microsecond
 
-// decide decides on a queued session: an attempt, a final answer, or a poll of the endpoint's load report before.
-// It reports false if there is nothing for the host to do.
+// decide decides on a queued session: an attempt, a final answer, or a poll of the endpoint's load report
+// before. It reports false if there is nothing for the host to do.
 func (b *Balancer) decide(s *session) (Decision, bool) {
 	if s.hasAnswer {
 		return Decision{}, false
@@ -29,8 +29,8 @@
 	return b.startAttempt(s, e), true
 }
 
-// admit returns the endpoint for a session's next attempt, nil if it gets none. A session that finds only overloaded
-// endpoints gets none, or they would stay overloaded.
+// admit returns the endpoint for a session's next attempt, nil if it gets none. A session that finds only
+// overloaded endpoints gets none, or they would stay overloaded.
 func (b *Balancer) admit(s *session) *endpoint {
 	if b.isDraining() {
 		return nil
@@ -72,8 +72,8 @@
 	return Decision{Action: StartAttempt, Session: s.id, Endpoint: e.ID, Duration: b.attemptTimeout(s)}
 }
 
-// attemptTimeout is the time that an attempt gets. While another attempt is possible, time is left for it: half of what
-// remains, or in large deployments, where each attempt is expensive, only the setup objective.
+// attemptTimeout is the time that an attempt gets. While another attempt is possible, time is left for it:
+// half of what remains, or in large deployments, where each attempt is expensive, only the setup objective.
 func (b *Balancer) attemptTimeout(s *session) time.Duration {
 	timeout := s.deadline - b.now
 	if s.attempts < s.maxAttempts && s.class.Idempotency != NonIdempotent && !b.areRetriesFutile() {
--- a/policy/attempt_rules.go
+++ b/policy/attempt_rules.go
@@ -1,7 +1,8 @@
 package policy
 
-// canAttempt reports whether a session's next attempt may go to an endpoint, under all four rules: a session gets one
-// final answer, no effect happens twice, a draining endpoint gets nothing new, a warming one is not overloaded.
+// canAttempt reports whether a session's next attempt may go to an endpoint, under all four rules: a session
+// gets one final answer, no effect happens twice, a draining endpoint gets nothing new, a warming one is not
+// overloaded.
 func (b *Balancer) canAttempt(s *session, e *endpoint) bool {
 	if s.hasAnswer || s.isActive() || s.deadline <= b.now || s.attempts >= s.maxAttempts {
 		return false
--- /dev/null
+++ b/policy/attempt_rules_test.go
@@ -0,0 +1,56 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestIdempotency(t *testing.T) {
+	list := warmEndpointList(4)
+	for i := range list {
+		list[i].Zone, list[i].FailureDomain = i%2, i
+	}
+	for _, c := range []struct {
+		idempotency Idempotency
+		scope       KeyScope
+		first       Outcome
+		wait        time.Duration
+		want        Action
+	}{
+		{Idempotent, KeyScopeAll, TimedOut, 0, StartAttempt},
+		{NonIdempotent, KeyScopeAll, TimedOut, 0, Fail},
+		{NonIdempotent, KeyScopeAll, ConnectFailed, 0, StartAttempt},
+		{IdempotentWithKey, KeyScopeAll, Failed, 6 * time.Second, Fail},
+		{IdempotentWithKey, KeyScopeZone, Failed, 0, StartAttempt},
+		{IdempotentWithKey, KeyScopeFailureDomain, Failed, 0, StartAttempt},
+		{IdempotentWithKey, KeyScopeFailureDomain, Rejected, 0, StartAttempt},
+	} {
+		d := testConfig()
+		d.Classes[0].Idempotency, d.Classes[0].KeyScope = c.idempotency, c.scope
+		b := newBalancer(d, list)
+		first := addSession(t, b, SessionRequest{ID: 1, Key: 1, Timeout: 20 * time.Second})
+		b.AdvanceClock(c.wait)
+		then := endAttempt(t, b, 1, 0, c.first)
+		near := c.scope == KeyScopeAll || c.first == Rejected ||
+			c.scope == KeyScopeZone && then.Endpoint%2 == first.Endpoint%2 || then.Endpoint == first.Endpoint
+		if then.Action != c.want || then.Action == StartAttempt && !near {
+			t.Errorf("%+v: %+v after %+v", c, then, first)
+		}
+	}
+}
+
+func TestAttemptTimeoutLeavesTimeForRetry(t *testing.T) {
+	b := newBalancer(testConfig(), warmEndpointList(3))
+	if d := addSession(t, b, SessionRequest{ID: 1, Key: 1, Timeout: 2 * time.Second}); d.Duration != time.Second {
+		t.Fatalf("%v of 2 s", d.Duration)
+	}
+	d := testConfig()
+	d.Balancers = 80 // all of the time but one setup objective
+	if d := addSession(t, newBalancer(d, warmEndpointList(3)), SessionRequest{ID: 1, Key: 1, Timeout: 2 * time.Second}); d.Duration != 1700*ms {
+		t.Fatalf("%v of 2 s, of eighty", d.Duration)
+	}
+	b.AdvanceClock(2 * time.Second) // the deadline: a final answer, though attempts are left
+	if d := endAttempt(t, b, 1, 0, TimedOut); d.Action != Reject {
+		t.Fatalf("%+v", d)
+	}
+}
--- a/policy/config.go
+++ b/policy/config.go
@@ -12,6 +12,14 @@
 	NonIdempotent                        // must never run twice
 )
 
+var idempotencyNames = [...]string{
+	Idempotent:        "idempotent",
+	IdempotentWithKey: "idempotent with key",
+	NonIdempotent:     "non-idempotent",
+}
+
+func (i Idempotency) String() string { return idempotencyNames[i] }
+
 // KeyScope is the set of endpoints that share their record of idempotency keys.
 type KeyScope uint8
 
@@ -22,6 +30,14 @@
 	KeyScopeFailureDomain                 // endpoints of the same zone and failure domain
 )
 
+var keyScopeNames = [...]string{
+	KeyScopeAll:           "all",
+	KeyScopeZone:          "zone",
+	KeyScopeFailureDomain: "failure domain",
+}
+
+func (s KeyScope) String() string { return keyScopeNames[s] }
+
 // Class is one service class.
 type Class struct {
 	Idempotency      Idempotency
--- a/policy/decision.go
+++ b/policy/decision.go
@@ -15,6 +15,17 @@
 	SendGossip                 // send Gossip to every other balancer
 )
 
+var actionNames = [...]string{
+	StartAttempt: "start attempt",
+	Reject:       "reject",
+	Fail:         "fail",
+	Migrate:      "migrate",
+	HealthCheck:  "health check",
+	SendGossip:   "send gossip",
+}
+
+func (a Action) String() string { return actionNames[a] }
+
 // Decision is one thing for the host to do. Fields that the action does not name are zero.
 type Decision struct {
 	Action   Action
--- a/policy/draining.go
+++ b/policy/draining.go
@@ -19,8 +19,8 @@
 
 func (b *Balancer) isDraining() bool { return b.draining.until < never }
 
-// migrateForDraining plans to migrate an even part of the sessions, taken from all endpoints alike, so that the other
-// balancers do not get all of them at once.
+// migrateForDraining plans to migrate an even part of the sessions, taken from all endpoints alike, so that
+// the other balancers do not get all of them at once.
 func (b *Balancer) migrateForDraining() {
 	if b.now < b.draining.from {
 		return
--- /dev/null
+++ b/policy/draining_test.go
@@ -0,0 +1,94 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestDrainingEndpointGetsNothingAndIsEmptied(t *testing.T) {
+	b := newBalancer(testConfig(), warmEndpointList(3))
+	held := establish(t, b, 1, 30)
+	list := warmEndpointList(3)
+	list[0].State = Draining
+	b.UpdateEndpoints(list[:1], false)
+	for id := SessionID(100); id < 130; id++ {
+		if d := addSession(t, b, SessionRequest{ID: id, Key: uint64(id)}); d.Endpoint == 100 {
+			t.Fatal("an attempt went to a draining endpoint")
+		}
+	}
+	migrated := 0
+	for range 40 {
+		b.AdvanceClock(b.now + roundInterval)
+		migrated += count(allDecisions(b), Migrate)
+	}
+	if migrated < held[100] {
+		t.Fatalf("%d of %d migrated", migrated, held[100])
+	}
+}
+
+func TestDrainingMigratesInEvenParts(t *testing.T) {
+	b := newBalancer(testConfig(), warmEndpointList(4))
+	establish(t, b, 1, 40)
+	b.StartDraining(b.now+400*ms, b.now+2400*ms)
+	migrated, first := map[SessionID]bool{}, time.Duration(0)
+	most := 0
+	for step := range 24 {
+		b.AdvanceClock(b.now + 100*ms)
+		all := allDecisions(b)
+		for _, d := range all {
+			if d.Action != Migrate || migrated[d.Session] {
+				t.Fatalf("%+v", d)
+			}
+			migrated[d.Session] = true
+			b.AttemptEnded(d.Session, 0, true, Cancelled)
+		}
+		if first == 0 && len(all) > 0 {
+			first = b.now
+		}
+		most = max(most, len(all))
+		if d := addSession(t, b, SessionRequest{ID: SessionID(1000 + step), Key: 5}); d.Action != Reject || d.Duration <= 0 {
+			t.Fatalf("a new session got %+v while draining", d)
+		}
+	}
+	if len(migrated) != 40 || most > 14 || first < 400*ms {
+		t.Fatalf("%d migrated, %d at a time, first at %v", len(migrated), most, first)
+	}
+}
+
+// TestStopDrainingEndsMigrations has a balancer serve again.
+func TestStopDrainingEndsMigrations(t *testing.T) {
+	b := newBalancer(testConfig(), warmEndpointList(4))
+	establish(t, b, 1, 40)
+	b.StartDraining(b.now+400*ms, b.now+2400*ms)
+	migrated := 0
+	for step := range 40 {
+		b.AdvanceClock(b.now + 100*ms)
+		if step == 12 {
+			migrated = 0
+			b.StopDraining()
+		}
+		migrated += count(allDecisions(b), Migrate)
+		if step == 11 && (migrated < 10 || migrated == 40) {
+			t.Fatalf("%d migrated half way", migrated)
+		}
+	}
+	if migrated > 0 {
+		t.Fatalf("%d migrated afterwards", migrated)
+	}
+	establish(t, b, 1000, 4)
+}
+
+// TestDrainingGoesEvenly has so few sessions at each endpoint that a part of each, rounded up, would end the draining early.
+func TestDrainingGoesEvenly(t *testing.T) {
+	b := newBalancer(testConfig(), warmEndpointList(20))
+	establish(t, b, 1, 60)
+	b.StartDraining(b.now+400*ms, b.now+3500*ms)
+	migrated := 0
+	for range 20 {
+		b.AdvanceClock(b.now + 100*ms)
+		migrated += count(allDecisions(b), Migrate)
+	}
+	if migrated < 20 || migrated > 40 {
+		t.Fatalf("%d of 60 migrated within two of 3.5 seconds", migrated)
+	}
+}
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -15,6 +15,10 @@
 	Removed
 )
 
+var endpointStateNames = [...]string{Ready: "ready", Draining: "draining", Removed: "removed"}
+
+func (s EndpointState) String() string { return endpointStateNames[s] }
+
 // StartedLongAgo is the start of an endpoint that has surely finished its slow start.
 const StartedLongAgo = -time.Duration(1 << 62)
 
@@ -59,7 +63,8 @@
 	warmupAttempts []warmupAttempt // within one overload window
 }
 
-// UpdateEndpoints applies entries of the endpoint list. If complete, endpoints that are not among them are removed.
+// UpdateEndpoints applies entries of the endpoint list. If complete, endpoints that are not among them are
+// removed.
 func (b *Balancer) UpdateEndpoints(entries []Endpoint, complete bool) {
 	b.listUpdates++
 	for _, entry := range entries {
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -7,188 +7,315 @@
 	"time"
 )
 
-// watched is what the checker knows of a circuit, from the decisions and news alone.
-type watched struct {
-	grade                        Class
-	answers, tries, on           int
-	out, open                    bool
-	until, sent, maybeAt, timeUp time.Duration
-	maybeOn                      int // where a try may have run first, -1
-}
+const (
+	fuzzSteps       = 1500
+	fuzzDrainAt     = 1300            // step from which some runs drain the balancer
+	fuzzWindow      = 2 * time.Second // of overload
+	sessionsPerFuzz = 4               // sessions that one core bears here
+	watchedSessions = 40              // the newest ones, which get events
+)
 
-// FuzzRules plays random news to a balancer and checks the four rules after every decision.
+// FuzzRules plays random events to a balancer and checks the four rules after each decision.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(60) {
 		f.Add(seed)
 	}
-	f.Fuzz(rules)
+	f.Fuzz(func(t *testing.T, seed uint64) {
+		r := newRuleChecker(t, seed)
+		for r.step = range fuzzSteps {
+			r.playStep()
+		}
+	})
+}
+
+// expectedSession is what the checker knows of a session, from the events and decisions alone.
+type expectedSession struct {
+	class           Class
+	answers         int
+	attempts        int
+	endpoint        int
+	attempting      bool
+	established     bool
+	deadline        time.Duration
+	attemptedAt     time.Duration
+	attemptDeadline time.Duration
+	mayHaveRunOn    int // the first endpoint at which it may have run, -1 for none
+	mayHaveRunAt    time.Duration
 }
 
-// coreBears is how many of the connections here fill a core.
-const coreBears = 4
+// ruleChecker plays events to one balancer and checks its decisions.
+type ruleChecker struct {
+	*testing.T
+	*rand.Rand
+	seed      uint64
+	step      int
+	config    *Config
+	list      []Endpoint
+	startedAt []time.Duration // by the clock of the test; 0 for endpoints that were never restarted
+	balancer  *Balancer
+	sessions  map[SessionID]*expectedSession
+	ids       []SessionID
+	warmups   [][]time.Duration // attempts at each endpoint while it warms up
+}
 
-func rules(t *testing.T, seed uint64) {
-	r := rand.New(rand.NewPCG(seed, 11))
-	d := deployment()
-	span := 2 * time.Second
-	d.CanGossip, d.HasExactWeights = r.IntN(2) == 0, r.IntN(2) == 0
-	d.CanHealthCheck, d.CanSendRetryAfter, d.Balancers = r.IntN(3) > 0, r.IntN(3) > 0, 1+r.IntN(4)
-	d.MaxAttempts, d.CrossZoneCost, d.HasLoadReports = 1+r.IntN(5), 0.1*r.Float64(), r.IntN(2) == 0
+func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
+	r := &ruleChecker{
+		T: t, Rand: rand.New(rand.NewPCG(seed, 11)), seed: seed,
+		config: testConfig(), sessions: map[SessionID]*expectedSession{},
+	}
+	r.drawConfig()
+	r.drawEndpoints()
+	r.startedAt = make([]time.Duration, len(r.list))
+	r.warmups = make([][]time.Duration, len(r.list))
+	r.balancer = New(r.config, seed)
+	r.balancer.UpdateEndpoints(r.list, true)
+	return r
+}
+
+func (r *ruleChecker) drawConfig() {
+	d := r.config
+	d.CanGossip = r.IntN(2) == 0
+	d.HasExactWeights = r.IntN(2) == 0
+	d.CanHealthCheck = r.IntN(3) > 0
+	d.CanSendRetryAfter = r.IntN(3) > 0
+	d.Balancers = 1 + r.IntN(4)
+	d.MaxAttempts = 1 + r.IntN(5)
+	d.CrossZoneCost = 0.1 * r.Float64()
+	d.HasLoadReports = r.IntN(2) == 0
 	d.Classes = nil
 	for range 3 {
-		d.Classes = append(d.Classes, Class{Idempotency: Idempotency(r.IntN(3)), KeyScope: KeyScope(r.IntN(3)), PriorityWeight: 1,
-			KeyTTL: time.Duration(r.IntN(2000)) * ms, SetupObjective: 300 * ms, MessageObjective: 100 * ms})
-	}
-	list := fleet(1 + r.IntN(8))
-	if seed%5 == 1 { // one ready server
-		list = list[:1]
-	}
-	started := make([]time.Duration, len(list))
-	for i := range list {
-		list[i].Zone, list[i].FailureDomain = r.IntN(2), r.IntN(3)
-		switch seed % 5 {
-		case 2: // the own zone has none
-			list[i].Zone = 1
-		case 3: // all are cold
-			list[i].StartedAt = 0
-		}
+		d.Classes = append(d.Classes, Class{
+			Idempotency:      Idempotency(r.IntN(3)),
+			KeyScope:         KeyScope(r.IntN(3)),
+			PriorityWeight:   1,
+			KeyTTL:           time.Duration(r.IntN(2000)) * ms,
+			SetupObjective:   300 * ms,
+			MessageObjective: 100 * ms,
+		})
 	}
-	b := New(d, seed)
-	b.UpdateEndpoints(list, true)
-	circuits := map[SessionID]*watched{}
-	var ids []SessionID
-	sends := make([][]time.Duration, len(list)) // to servers while cold
-	for step := range 1500 {
-		b.AdvanceClock(b.now + time.Duration(r.IntN(40))*ms)
-		k := r.IntN(len(list))
-		if seed%5 == 4 { // all are jammed, all the time
-			b.RecordLatency(list[step%len(list)].ID, time.Second)
+}
+
+func (r *ruleChecker) drawEndpoints() {
+	r.list = warmEndpointList(1 + r.IntN(8))
+	if r.seed%5 == 1 { // one ready endpoint
+		r.list = r.list[:1]
+	}
+	for i := range r.list {
+		r.list[i].Zone = r.IntN(2)
+		r.list[i].FailureDomain = r.IntN(3)
+		switch r.seed % 5 {
+		case 2: // no endpoint in the own zone
+			r.list[i].Zone = 1
+		case 3: // all warm up
+			r.list[i].StartedAt = 0
 		}
-		switch r.IntN(12) {
-		case 0, 1, 2, 3:
-			id := SessionID(1 + len(ids))
-			a := SessionRequest{ID: id, Key: uint64(1 + r.IntN(50)), Group: uint64(r.IntN(6)), Class: r.IntN(3),
-				Timeout: time.Duration(r.IntN(2000)) * ms}
-			ids = append(ids, id)
-			circuits[id] = &watched{grade: d.Classes[a.Class], until: b.now + a.Timeout, maybeOn: -1}
-			b.AddSession(a)
-		case 4:
-			if list[k].State = EndpointState(r.IntN(3)); r.IntN(2) == 0 {
-				list[k].StartedAt, started[k], list[k].State, sends[k] = b.now, b.now, Ready, nil
-			}
-			b.UpdateEndpoints(list[k:k+1], false)
-		case 5:
-			b.RecordLatency(list[k].ID, time.Duration(r.IntN(200))*ms)
-			b.RecordLoadReport(list[k].ID, LoadReport{Demand: 2 * r.Float64(), Backlog: -1, Utilization: -1})
-			b.HealthCheckEnded(list[k].ID, Outcome(r.IntN(7)))
-		case 6:
-			if r.IntN(2) == 0 {
-				b.UpdateEndpoints(list, true)
-			} else { // what another balancer tells, true or garbled
-				told := b.gossipMessage()
-				told.Offset = r.IntN(3)
-				told.VersionHash ^= uint32(r.IntN(2))
-				b.ReceiveGossip(r.IntN(6)-1, told)
-			}
+	}
+}
+
+func (r *ruleChecker) playStep() {
+	b := r.balancer
+	b.AdvanceClock(b.now + time.Duration(r.IntN(40))*ms)
+	r.playEvent(r.IntN(len(r.list)))
+	for _, id := range r.ids[max(0, len(r.ids)-watchedSessions):] {
+		r.playSessionEvent(id, r.sessions[id])
+	}
+	if r.seed%3 == 0 && r.step == fuzzDrainAt {
+		b.StartDraining(b.now+400*ms, b.now+2200*ms)
+	}
+	for _, decision := range allDecisions(b) {
+		r.checkDecision(decision)
+	}
+	r.checkNoneIsHeldBack()
+}
+
+// playEvent plays one random event, where it names an endpoint for the one at index k.
+func (r *ruleChecker) playEvent(k int) {
+	b := r.balancer
+	if r.seed%5 == 4 { // all are overloaded, all the time
+		b.RecordLatency(r.list[r.step%len(r.list)].ID, time.Second)
+	}
+	switch r.IntN(12) {
+	case 0, 1, 2, 3:
+		r.playArrival()
+	case 4:
+		r.list[k].State = EndpointState(r.IntN(3))
+		if r.IntN(2) == 0 {
+			r.list[k].StartedAt = b.now
+			r.list[k].State = Ready
+			r.startedAt[k] = b.now
+			r.warmups[k] = nil
 		}
-		for _, id := range ids[max(0, len(ids)-40):] {
-			w := circuits[id]
-			switch {
-			case w.out && (b.now >= w.timeUp || r.IntN(6) == 0):
-				how := Outcome(1 + r.IntN(7))
-				if b.now >= w.timeUp {
-					how = TimedOut
-				} else if r.IntN(2) == 0 {
-					w.out, w.open = false, true
-					b.AttemptEstablished(id, w.tries-1, ms)
-					b.RecordLoad(id, w.tries-1, float64(coreOfYardstick/coreBears)*(0.6+0.8*r.Float64()))
-					continue
-				}
-				w.out = false
-				if how != Rejected && how != ConnectFailed && how != NeverSent && w.maybeOn < 0 {
-					w.maybeOn, w.maybeAt = w.on, w.sent
-				}
-				b.AttemptEnded(id, w.tries-1, false, how)
-			case w.open && r.IntN(30) == 0:
-				w.open = false
-				w.answers++
-				b.AttemptEnded(id, w.tries-1, true, Succeeded)
-			case w.out && r.IntN(60) == 0:
-				w.answers++
-				b.ClientDisconnected(id)
-			}
+		b.UpdateEndpoints(r.list[k:k+1], false)
+	case 5:
+		b.RecordLatency(r.list[k].ID, time.Duration(r.IntN(200))*ms)
+		b.RecordLoadReport(r.list[k].ID, LoadReport{Demand: 2 * r.Float64(), Backlog: -1, Utilization: -1})
+		b.HealthCheckEnded(r.list[k].ID, Outcome(r.IntN(7)))
+	case 6:
+		if r.IntN(2) == 0 {
+			b.UpdateEndpoints(r.list, true)
+			return
 		}
-		if seed%3 == 0 && step == 1300 { // the last steps are a planned restart
-			b.StartDraining(b.now+400*ms, b.now+2200*ms)
+		message := b.gossipMessage() // of another balancer, right or damaged
+		message.Offset = r.IntN(3)
+		message.VersionHash ^= uint32(r.IntN(2))
+		b.ReceiveGossip(r.IntN(6)-1, message)
+	}
+}
+
+func (r *ruleChecker) playArrival() {
+	id := SessionID(1 + len(r.ids))
+	request := SessionRequest{
+		ID:      id,
+		Key:     uint64(1 + r.IntN(50)),
+		Group:   uint64(r.IntN(6)),
+		Class:   r.IntN(3),
+		Timeout: time.Duration(r.IntN(2000)) * ms,
+	}
+	r.ids = append(r.ids, id)
+	r.sessions[id] = &expectedSession{
+		class:        r.config.Classes[request.Class],
+		deadline:     r.balancer.now + request.Timeout,
+		mayHaveRunOn: -1,
+	}
+	r.balancer.AddSession(request)
+}
+
+func (r *ruleChecker) playSessionEvent(id SessionID, s *expectedSession) {
+	b := r.balancer
+	switch {
+	case s.attempting && (b.now >= s.attemptDeadline || r.IntN(6) == 0):
+		r.endAttempt(id, s)
+	case s.established && r.IntN(30) == 0:
+		s.established = false
+		s.answers++
+		b.AttemptEnded(id, s.attempts-1, true, Succeeded)
+	case s.attempting && r.IntN(60) == 0:
+		s.answers++
+		b.ClientDisconnected(id)
+	}
+}
+
+// endAttempt has an attempt establish its session or fail.
+func (r *ruleChecker) endAttempt(id SessionID, s *expectedSession) {
+	b := r.balancer
+	outcome := Outcome(1 + r.IntN(7))
+	if b.now >= s.attemptDeadline {
+		outcome = TimedOut
+	} else if r.IntN(2) == 0 {
+		s.attempting = false
+		s.established = true
+		b.AttemptEstablished(id, s.attempts-1, ms)
+		b.RecordLoad(id, s.attempts-1, float64(modelCoreCapacity/sessionsPerFuzz)*(0.6+0.8*r.Float64()))
+		return
+	}
+	s.attempting = false
+	if outcome != Rejected && outcome != ConnectFailed && outcome != NeverSent && s.mayHaveRunOn < 0 {
+		s.mayHaveRunOn = s.endpoint
+		s.mayHaveRunAt = s.attemptedAt
+	}
+	b.AttemptEnded(id, s.attempts-1, false, outcome)
+}
+
+func (r *ruleChecker) checkDecision(decision Decision) {
+	s := r.sessions[decision.Session]
+	switch decision.Action {
+	case StartAttempt:
+		r.checkAttempt(decision, s)
+	case Reject, Fail:
+		s.answers++
+		if s.answers > 1 || s.attempting || s.established {
+			r.Fatalf("step %d: one final answer: %+v for %+v", r.step, decision, s)
 		}
-		for _, dec := range pull(b) {
-			w := circuits[dec.Session]
-			switch dec.Action {
-			case StartAttempt:
-				k := int(dec.Endpoint - 100)
-				if b.isDraining() {
-					t.Fatalf("step %d: tried while leaving: %+v", step, dec)
-				}
-				if w.answers > 0 || w.out || w.open || w.tries >= d.MaxAttempts || b.now >= w.until ||
-					b.now+dec.Duration > w.until {
-					t.Fatalf("step %d: no circuit is lost: %+v for %+v", step, dec, w)
-				}
-				checkEffect(t, list, w, k, b.now)
-				if list[k].State != Ready {
-					t.Fatalf("step %d: drains are kept: %+v", step, dec)
-				}
-				if list[k].StartedAt != StartedLongAgo && b.now-started[k] < d.SlowStartWindow {
-					n := 1
-					for _, at := range sends[k] {
-						if at > b.now-span {
-							n++
-						}
-					}
-					sends[k] = append(sends[k], b.now)
-					bears := float64(coreBears) // or what a warm one is seen to hold: by the rule, in one window of its warm-up
-					for j, l := range list {
-						if l.StartedAt == StartedLongAgo || b.now-started[j] >= d.SlowStartWindow {
-							bears = max(bears, float64(len(b.endpointByID[l.ID].sessions)+1))
-						}
-					}
-					bears *= d.OverloadMultiple * span.Seconds() / d.SlowStartWindow.Seconds() * float64(d.Balancers)
-					if most := bears + 2*math.Sqrt(bears) + 2; float64(n) > most {
-						t.Fatalf("step %d: a cold server is not pushed over: %d tries in a span, %v at most", step, n, most)
-					}
-				}
-				w.out, w.on, w.sent, w.timeUp = true, k, b.now, b.now+dec.Duration
-				w.tries++
-			case Reject, Fail:
-				w.answers++
-				if w.answers > 1 || w.out || w.open {
-					t.Fatalf("step %d: one final answer: %+v for %+v", step, dec, w)
-				}
-				harmless := w.maybeOn < 0 || w.grade.Idempotency == Idempotent || w.grade.Idempotency == IdempotentWithKey &&
-					w.grade.KeyScope == KeyScopeAll && b.now < w.maybeAt+w.grade.KeyTTL
-				if dec.Action == Reject && !harmless {
-					t.Fatalf("step %d: no effect happens twice: nacked %+v", step, w)
-				}
-			case Migrate:
-				if !w.open {
-					t.Fatalf("step %d: moved %+v", step, w)
-				}
-			}
+		if decision.Action == Reject && !r.isRetrySafe(s) {
+			r.Fatalf("step %d: no effect happens twice: rejected %+v", r.step, s)
 		}
-		for id, w := range circuits {
-			if c := b.sessions[id]; w.answers == 0 && !w.out && !w.open && (c == nil || c.reportDeadline <= b.now) {
-				t.Fatalf("step %d: circuit %d is held back", step, id)
-			}
+	case Migrate:
+		if !s.established {
+			r.Fatalf("step %d: migrated %+v", r.step, s)
 		}
 	}
 }
 
-func checkEffect(t *testing.T, list []Endpoint, w *watched, k int, now time.Duration) {
-	if w.maybeOn < 0 || w.grade.Idempotency == Idempotent {
+func (r *ruleChecker) isRetrySafe(s *expectedSession) bool {
+	if s.mayHaveRunOn < 0 || s.class.Idempotency == Idempotent {
+		return true
+	}
+	return s.class.Idempotency == IdempotentWithKey && s.class.KeyScope == KeyScopeAll &&
+		r.balancer.now < s.mayHaveRunAt+s.class.KeyTTL
+}
+
+func (r *ruleChecker) checkAttempt(decision Decision, s *expectedSession) {
+	b := r.balancer
+	if b.isDraining() {
+		r.Fatalf("step %d: attempted while draining: %+v", r.step, decision)
+	}
+	isOwed := s.answers == 0 && !s.attempting && !s.established
+	isInTime := b.now < s.deadline && b.now+decision.Duration <= s.deadline
+	if !isOwed || !isInTime || s.attempts >= r.config.MaxAttempts {
+		r.Fatalf("step %d: no session is lost: %+v for %+v", r.step, decision, s)
+	}
+	k := int(decision.Endpoint - 100)
+	r.checkIdempotency(s, k)
+	if r.list[k].State != Ready {
+		r.Fatalf("step %d: draining endpoints get nothing: %+v", r.step, decision)
+	}
+	if r.isWarming(k) {
+		r.checkWarmup(k)
+	}
+	s.attempting = true
+	s.attempts++
+	s.endpoint = k
+	s.attemptedAt = b.now
+	s.attemptDeadline = b.now + decision.Duration
+}
+
+func (r *ruleChecker) checkIdempotency(s *expectedSession, k int) {
+	if s.mayHaveRunOn < 0 || s.class.Idempotency == Idempotent {
 		return
 	}
-	was, is := list[w.maybeOn], list[k]
-	inside := w.grade.KeyScope == KeyScopeAll || is.Zone == was.Zone && (w.grade.KeyScope == KeyScopeZone || is.FailureDomain == was.FailureDomain)
-	if w.grade.Idempotency == NonIdempotent || !inside || now >= w.maybeAt+w.grade.KeyTTL {
-		t.Fatalf("no effect happens twice: sent again %+v", w)
+	was, is := r.list[s.mayHaveRunOn], r.list[k]
+	inScope := s.class.KeyScope == KeyScopeAll ||
+		is.Zone == was.Zone && (s.class.KeyScope == KeyScopeZone || is.FailureDomain == was.FailureDomain)
+	if s.class.Idempotency == NonIdempotent || !inScope || r.balancer.now >= s.mayHaveRunAt+s.class.KeyTTL {
+		r.Fatalf("step %d: no effect happens twice: attempted again %+v", r.step, s)
+	}
+}
+
+func (r *ruleChecker) isWarming(k int) bool {
+	return r.list[k].StartedAt != StartedLongAgo && r.balancer.now-r.startedAt[k] < r.config.SlowStartWindow
+}
+
+// checkWarmup checks the attempts at a warming endpoint, with one more, against what it bears in a window by the rule.
+func (r *ruleChecker) checkWarmup(k int) {
+	b := r.balancer
+	attempts := 1
+	for _, at := range r.warmups[k] {
+		if at > b.now-fuzzWindow {
+			attempts++
+		}
+	}
+	r.warmups[k] = append(r.warmups[k], b.now)
+	warm := float64(sessionsPerFuzz) // or what a warm endpoint is seen to hold
+	for j, entry := range r.list {
+		if !r.isWarming(j) {
+			warm = max(warm, float64(len(b.endpointByID[entry.ID].sessions)+1))
+		}
+	}
+	share := fuzzWindow.Seconds() / r.config.SlowStartWindow.Seconds()
+	bears := warm * r.config.OverloadMultiple * share * float64(r.config.Balancers)
+	if limit := bears + 2*math.Sqrt(bears) + 2; float64(attempts) > limit {
+		r.Fatalf("step %d: a warming endpoint is not overloaded: %d attempts in a window, %v at most", r.step, attempts, limit)
+	}
+}
+
+// checkNoneIsHeldBack checks that each session without a final answer has an attempt or waits for a load report.
+func (r *ruleChecker) checkNoneIsHeldBack() {
+	for id, s := range r.sessions {
+		if s.answers > 0 || s.attempting || s.established {
+			continue
+		}
+		if held := r.balancer.sessions[id]; held == nil || held.reportDeadline <= r.balancer.now {
+			r.Fatalf("step %d: session %d is held back", r.step, id)
+		}
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -24,23 +24,23 @@
 type goldenScenario struct {
 	name      string
 	balancers int // that are played; the deployment may name more
-	servers   int
+	endpoints int
 	groups    int
-	cold      bool // a third of the servers are warming up at the start
-	dep       Config
+	warming   bool // a third of the endpoints are warming up at the start
+	config    Config
 }
 
-// goldenCircuit is what the driver knows of a circuit that has no final answer yet.
-type goldenCircuit struct {
-	tries     int
-	out, open bool
-	server    EndpointID
+// goldenSession is what the driver knows of a session that has no final answer yet.
+type goldenSession struct {
+	attempts                int
+	attempting, established bool
+	endpoint                EndpointID
 }
 
 type goldenMessage struct {
 	at       time.Duration
 	from, to int
-	told     GossipMessage
+	message  GossipMessage
 }
 
 // goldenRun plays one scenario and hashes what the balancers answer.
@@ -49,19 +49,19 @@
 	*rand.Rand
 	now      time.Duration
 	list     []Endpoint
-	all      []*Balancer
-	circuits []map[SessionID]*goldenCircuit
-	order    [][]SessionID  // of circuits, as they came
-	probes   [][]EndpointID // out
+	players  []*Balancer
+	sessions []map[SessionID]*goldenSession
+	order    [][]SessionID  // of sessions, as they came
+	checks   [][]EndpointID // under way
 	messages []goldenMessage
-	next     SessionID
+	lastID   SessionID
 	sum      hash.Hash
 	counts   [SendGossip + 1]int
 }
 
 func goldenScenarios() []goldenScenario {
 	base := func(change func(d *Config)) Config {
-		d := *deployment()
+		d := *testConfig()
 		d.Classes = []Class{
 			{SetupObjective: 300 * ms, MessageObjective: 100 * ms, KeyTTL: 5 * time.Second, PriorityWeight: 1},
 			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeAll, SetupObjective: 200 * ms, MessageObjective: 80 * ms, KeyTTL: 900 * ms, PriorityWeight: 3},
@@ -78,18 +78,18 @@
 		{"one balancer", 1, 9, 12, true, base(func(*Config) {})},
 		{"one balancer without health checks", 1, 7, 5, false, base(func(d *Config) { d.CanHealthCheck, d.CanSendRetryAfter = false, false })},
 		{"one balancer that polls load reports", 1, 12, 20, true, base(func(d *Config) { d.HasLoadReports = true })},
-		{"one balancer whose servers tell", 1, 12, 20, true, base(func(d *Config) { d.HasLoadReports, d.HasEndpointReports, d.CrossZoneCost = true, true, 0.08 })},
+		{"one balancer with endpoint reports", 1, 12, 20, true, base(func(d *Config) { d.HasLoadReports, d.HasEndpointReports, d.CrossZoneCost = true, true, 0.08 })},
 		{"three balancers", 3, 10, 15, true, base(func(d *Config) { d.Balancers = 3 })},
 		{"three balancers that gossip", 3, 10, 15, true, base(func(d *Config) { d.Balancers, d.CanGossip = 3, true })},
 		{"three balancers, exact weights", 3, 16, 40, false, base(func(d *Config) { d.Balancers, d.HasExactWeights = 3, true })},
 		{"three balancers, gossip, exact weights, load reports", 3, 14, 9, true, base(func(d *Config) { d.Balancers, d.CanGossip, d.HasExactWeights, d.HasLoadReports = 3, true, true, true })},
-		{"three balancers whose servers tell", 3, 14, 9, true, base(func(d *Config) { d.Balancers, d.HasLoadReports, d.HasEndpointReports = 3, true, true })},
+		{"three balancers with endpoint reports", 3, 14, 9, true, base(func(d *Config) { d.Balancers, d.HasLoadReports, d.HasEndpointReports = 3, true, true })},
 		{"four of eighty balancers", 4, 24, 10, true, base(func(d *Config) { d.Balancers = 80 })},
 		{"four of eighty balancers that gossip", 4, 6, 10, true, base(func(d *Config) { d.Balancers, d.CanGossip = 80, true })},
-		{"four of eighty balancers whose servers tell", 4, 24, 30, true, base(func(d *Config) {
+		{"four of eighty balancers with endpoint reports", 4, 24, 30, true, base(func(d *Config) {
 			d.Balancers, d.HasLoadReports, d.HasEndpointReports, d.CanSendRetryAfter = 80, true, true, false
 		})},
-		{"four of eighty balancers, reports, one try", 4, 20, 3, false, base(func(d *Config) { d.Balancers, d.HasLoadReports, d.MaxAttempts = 80, true, 1 })},
+		{"four of eighty balancers, load reports, one attempt", 4, 20, 3, false, base(func(d *Config) { d.Balancers, d.HasLoadReports, d.MaxAttempts = 80, true, 1 })},
 		{"slow warm-up", 2, 12, 6, true, base(func(d *Config) {
 			d.Balancers, d.SlowStartWindow, d.SlowStartFloor, d.OverloadWindow, d.OverloadMultiple = 2, 60*time.Second, 0.05, 500*ms, 2
 		})},
@@ -100,25 +100,25 @@
 			}
 			d.Tenants = nil
 		})},
-		{"hundreds of servers", 2, 300, 50, true, base(func(d *Config) { d.Balancers, d.HasLoadReports = 300, true })},
+		{"hundreds of endpoints", 2, 300, 50, true, base(func(d *Config) { d.Balancers, d.HasLoadReports = 300, true })},
 	}
 }
 
 func (g goldenScenario) run(seed uint64) *goldenRun {
 	r := &goldenRun{goldenScenario: g, Rand: rand.New(rand.NewPCG(seed, 29)), sum: sha256.New()}
-	for i := range g.servers {
+	for i := range g.endpoints {
 		l := Endpoint{ID: EndpointID(1000 + 7*i), Zone: i % 3, FailureDomain: i % 2, MachineType: uint64(i % 4), Weight: 1 + float64(i%5)/2, StartedAt: StartedLongAgo}
-		if g.cold && i%3 == 0 {
+		if g.warming && i%3 == 0 {
 			l.StartedAt = time.Duration(i) * -100 * ms
 		}
 		r.list = append(r.list, l)
 	}
 	for k := range g.balancers {
-		r.all = append(r.all, New(r.settings(k), seed+uint64(k)*7919))
-		r.all[k].UpdateEndpoints(r.list, true)
-		r.circuits = append(r.circuits, map[SessionID]*goldenCircuit{})
+		r.players = append(r.players, New(r.settings(k), seed+uint64(k)*7919))
+		r.players[k].UpdateEndpoints(r.list, true)
+		r.sessions = append(r.sessions, map[SessionID]*goldenSession{})
 	}
-	r.order, r.probes = make([][]SessionID, g.balancers), make([][]EndpointID, g.balancers)
+	r.order, r.checks = make([][]SessionID, g.balancers), make([][]EndpointID, g.balancers)
 	for step := range goldenSteps {
 		r.step(step)
 	}
@@ -126,7 +126,7 @@
 }
 
 func (r *goldenRun) settings(k int) *Config {
-	d := r.dep
+	d := r.config
 	d.Index, d.Zone = k, k%3
 	return &d
 }
@@ -139,24 +139,24 @@
 			late = append(late, m)
 			continue
 		}
-		r.all[m.to].AdvanceClock(r.now)
-		r.all[m.to].ReceiveGossip(m.from, m.told)
+		r.players[m.to].AdvanceClock(r.now)
+		r.players[m.to].ReceiveGossip(m.from, m.message)
 	}
 	r.messages = late
 	if step%40 == 7 {
 		r.changeList(step)
 	}
-	for k, b := range r.all {
+	for k, b := range r.players {
 		b.AdvanceClock(r.now)
-		r.rare(k, b, step)
+		r.rareEvent(k, b, step)
 		for range r.IntN(3) {
-			r.arrive(k, b)
+			r.addSession(k, b)
 		}
-		r.notes(b, step)
-		r.probeEnds(k, b)
+		r.recordLatencies(b, step)
+		r.endChecks(k, b)
 		for _, id := range r.order[k] {
-			if c := r.circuits[k][id]; c != nil {
-				r.circuitEvent(k, b, id, c, step)
+			if c := r.sessions[k][id]; c != nil {
+				r.sessionEvent(k, b, id, c, step)
 			}
 		}
 		if len(r.order[k]) > 300 {
@@ -166,8 +166,8 @@
 	}
 }
 
-// badPhase tells which part of the time is calm (0), has failures (1) or slow servers (2).
-func badPhase(step int) int { return step / 150 % 3 }
+// goldenPhase is 0 while the deployment is healthy, 1 while attempts fail, 2 while endpoints are slow.
+func goldenPhase(step int) int { return step / 150 % 3 }
 
 func (r *goldenRun) changeList(step int) {
 	i := r.IntN(len(r.list))
@@ -183,7 +183,7 @@
 	case 4:
 		l.State = Ready
 	}
-	for _, b := range r.all {
+	for _, b := range r.players {
 		b.AdvanceClock(r.now)
 		if step%3 == 0 {
 			b.UpdateEndpoints(r.list, true)
@@ -193,9 +193,9 @@
 	}
 }
 
-// rare calls what happens seldom: new settings, a planned restart, weights and doubts.
-func (r *goldenRun) rare(k int, b *Balancer, step int) {
-	server := r.list[r.IntN(len(r.list))].ID
+// rareEvent plays what happens seldom: a new configuration, draining, weights and requested health checks.
+func (r *goldenRun) rareEvent(k int, b *Balancer, step int) {
+	id := r.list[r.IntN(len(r.list))].ID
 	switch {
 	case step == 500:
 		d := r.settings(k)
@@ -212,20 +212,20 @@
 	case step == 1000:
 		b.PauseSlowStart()
 	case r.IntN(40) == 0:
-		b.SetWeight(server, 0.5+2*r.Float64())
+		b.SetWeight(id, 0.5+2*r.Float64())
 	case r.IntN(40) == 0:
-		b.RequestHealthCheck(server)
+		b.RequestHealthCheck(id)
 	case r.IntN(60) == 0:
-		r.next++
-		b.AdoptSession(r.arrival(), server)
-		r.circuits[k][r.next] = &goldenCircuit{tries: 1, open: true, server: server}
-		r.order[k] = append(r.order[k], r.next)
+		r.lastID++
+		b.AdoptSession(r.request(), id)
+		r.sessions[k][r.lastID] = &goldenSession{attempts: 1, established: true, endpoint: id}
+		r.order[k] = append(r.order[k], r.lastID)
 	}
 }
 
-func (r *goldenRun) arrival() SessionRequest {
+func (r *goldenRun) request() SessionRequest {
 	a := SessionRequest{
-		ID: r.next, Key: uint64(1 + r.IntN(400)), Tenant: r.IntN(5), Class: r.IntN(len(r.dep.Classes)),
+		ID: r.lastID, Key: uint64(1 + r.IntN(400)), Tenant: r.IntN(5), Class: r.IntN(len(r.config.Classes)),
 		Timeout: time.Duration(200+r.IntN(2500)) * ms,
 	}
 	if r.IntN(3) > 0 {
@@ -237,88 +237,88 @@
 	return a
 }
 
-func (r *goldenRun) arrive(k int, b *Balancer) {
-	r.next++
-	b.AddSession(r.arrival())
-	r.circuits[k][r.next] = &goldenCircuit{}
-	r.order[k] = append(r.order[k], r.next)
+func (r *goldenRun) addSession(k int, b *Balancer) {
+	r.lastID++
+	b.AddSession(r.request())
+	r.sessions[k][r.lastID] = &goldenSession{}
+	r.order[k] = append(r.order[k], r.lastID)
 }
 
-func (r *goldenRun) notes(b *Balancer, step int) {
-	server := r.list[r.IntN(len(r.list))].ID
-	if badPhase(step) == 2 && r.IntN(3) == 0 {
-		b.RecordLatency(server, time.Duration(r.IntN(180))*ms)
+func (r *goldenRun) recordLatencies(b *Balancer, step int) {
+	id := r.list[r.IntN(len(r.list))].ID
+	if goldenPhase(step) == 2 && r.IntN(3) == 0 {
+		b.RecordLatency(id, time.Duration(r.IntN(180))*ms)
 	}
 	if r.IntN(8) == 0 {
-		b.RecordLatency(server, time.Duration(r.IntN(40))*ms)
+		b.RecordLatency(id, time.Duration(r.IntN(40))*ms)
 	}
 	if r.IntN(12) == 0 {
-		b.RecordLoadReport(server, r.report(step))
+		b.RecordLoadReport(id, r.report(step))
 	}
 }
 
 func (r *goldenRun) report(step int) LoadReport {
-	asked := 0.7 * r.Float64()
-	if badPhase(step) == 2 {
-		asked *= 2.5
+	demand := 0.7 * r.Float64()
+	if goldenPhase(step) == 2 {
+		demand *= 2.5
 	}
 	switch r.IntN(4) {
 	case 0:
-		return LoadReport{Demand: -1, Backlog: -1, Utilization: asked}
+		return LoadReport{Demand: -1, Backlog: -1, Utilization: demand}
 	case 1:
 		return NoLoadReport
 	default:
-		return LoadReport{Demand: asked, Backlog: asked / 3, Utilization: min(1, asked)}
+		return LoadReport{Demand: demand, Backlog: demand / 3, Utilization: min(1, demand)}
 	}
 }
 
-func (r *goldenRun) probeEnds(k int, b *Balancer) {
+func (r *goldenRun) endChecks(k int, b *Balancer) {
 	var out []EndpointID
-	for _, server := range r.probes[k] {
+	for _, id := range r.checks[k] {
 		switch r.IntN(4) {
 		case 0:
-			out = append(out, server)
+			out = append(out, id)
 		case 1:
-			b.HealthCheckEnded(server, Outcome(r.IntN(int(NeverSent)+1)))
+			b.HealthCheckEnded(id, Outcome(r.IntN(int(NeverSent)+1)))
 		default:
-			b.RecordLoadReport(server, r.report(0))
-			b.HealthCheckEnded(server, Succeeded)
+			b.RecordLoadReport(id, r.report(0))
+			b.HealthCheckEnded(id, Succeeded)
 		}
 	}
-	r.probes[k] = out
+	r.checks[k] = out
 }
 
-func (r *goldenRun) circuitEvent(k int, b *Balancer, id SessionID, c *goldenCircuit, step int) {
-	try := c.tries - 1
-	failures, slowest := 80, 60 // one in so many ends badly a step; ms of a set-up
-	if badPhase(step) > 0 {
+func (r *goldenRun) sessionEvent(k int, b *Balancer, id SessionID, c *goldenSession, step int) {
+	attempt := c.attempts - 1
+	failures, slowest := 80, 60 // one attempt in so many fails in a step; ms of a setup
+	if goldenPhase(step) > 0 {
 		failures, slowest = 16, 250
 	}
 	switch {
-	case c.out && r.IntN(4) == 0 && (badPhase(step) != 1 || r.IntN(2) == 0 || c.server%2 == 0):
-		b.AttemptEstablished(id, try, time.Duration(r.IntN(slowest))*ms)
-		c.out, c.open = false, true
-	case c.out && r.IntN(failures) == 0:
+	case c.attempting && r.IntN(4) == 0 && (goldenPhase(step) != 1 || r.IntN(2) == 0 || c.endpoint%2 == 0):
+		b.AttemptEstablished(id, attempt, time.Duration(r.IntN(slowest))*ms)
+		c.attempting, c.established = false, true
+	case c.attempting && r.IntN(failures) == 0:
 		how := Outcome(1 + r.IntN(int(NeverSent)))
 		finished := r.IntN(9) == 0
-		b.AttemptEnded(id, try, finished, how)
-		if c.out = false; finished {
-			delete(r.circuits[k], id)
+		b.AttemptEnded(id, attempt, finished, how)
+		if c.attempting = false; finished {
+			delete(r.sessions[k], id)
 		}
-	case c.open && r.IntN(10) == 0:
-		b.RecordLoad(id, try, float64(r.IntN(40000)))
-	case c.open && r.IntN(60) == 0:
-		b.AttemptEnded(id, try, true, [...]Outcome{Succeeded, Succeeded, Reset, Cancelled}[r.IntN(4)])
-		delete(r.circuits[k], id)
+	case c.established && r.IntN(10) == 0:
+		b.RecordLoad(id, attempt, float64(r.IntN(40000)))
+	case c.established && r.IntN(60) == 0:
+		b.AttemptEnded(id, attempt, true, [...]Outcome{Succeeded, Succeeded, Reset, Cancelled}[r.IntN(4)])
+		delete(r.sessions[k], id)
 	case r.IntN(300) == 0:
 		b.ClientDisconnected(id)
-		if !c.open && !c.out {
-			delete(r.circuits[k], id)
+		if !c.established && !c.attempting {
+			delete(r.sessions[k], id)
 		}
-	case r.IntN(300) == 0: // late news of an earlier try
-		b.AttemptEstablished(id, try-1, ms)
-		b.AttemptEnded(id, try-1, false, Failed)
-		b.RecordLoad(id, try-1, 5)
+	case r.IntN(300) == 0: // late events of an earlier attempt
+		b.AttemptEstablished(id, attempt-1, ms)
+		b.AttemptEnded(id, attempt-1, false, Failed)
+		b.RecordLoad(id, attempt-1, 5)
 	}
 }
 
@@ -337,20 +337,20 @@
 }
 
 func (r *goldenRun) carryOut(k int, b *Balancer, d Decision) {
-	c := r.circuits[k][d.Session]
+	c := r.sessions[k][d.Session]
 	switch d.Action {
 	case StartAttempt:
-		c.tries++
-		c.out, c.server = true, d.Endpoint
+		c.attempts++
+		c.attempting, c.endpoint = true, d.Endpoint
 	case Reject, Fail:
-		delete(r.circuits[k], d.Session)
+		delete(r.sessions[k], d.Session)
 	case Migrate:
-		b.AttemptEnded(d.Session, c.tries-1, true, Cancelled)
-		delete(r.circuits[k], d.Session)
+		b.AttemptEnded(d.Session, c.attempts-1, true, Cancelled)
+		delete(r.sessions[k], d.Session)
 	case HealthCheck:
-		r.probes[k] = append(r.probes[k], d.Endpoint)
+		r.checks[k] = append(r.checks[k], d.Endpoint)
 	case SendGossip:
-		for to := range r.all {
+		for to := range r.players {
 			if to != k && r.IntN(5) > 0 {
 				r.messages = append(r.messages, goldenMessage{r.now + time.Duration(r.IntN(3000))*ms, k, to, d.Gossip})
 			}
@@ -364,7 +364,7 @@
 	var got []string
 	for n, g := range goldenScenarios() {
 		r := g.run(uint64(n) + 1)
-		got = append(got, fmt.Sprintf("%s: tries %d, nacks %d, break-offs %d, moves %d, probes %d, messages %d, sha256 %x",
+		got = append(got, fmt.Sprintf("%s: attempts %d, rejects %d, fails %d, migrations %d, health checks %d, messages %d, sha256 %x",
 			g.name, r.counts[StartAttempt], r.counts[Reject], r.counts[Fail], r.counts[Migrate], r.counts[HealthCheck], r.counts[SendGossip], r.sum.Sum(nil)))
 	}
 	text := strings.Join(got, "\n") + "\n"
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -7,8 +7,8 @@
 
 const ms = time.Millisecond
 
-// deployment is one grade, idempotent, in one zone, with a pushed list; tests change what they need.
-func deployment() *Config {
+// testConfig is a configuration with one idempotent class. Tests change what they need.
+func testConfig() *Config {
 	return &Config{
 		Balancers: 1, Classes: []Class{{SetupObjective: 300 * ms, MessageObjective: 100 * ms, KeyTTL: 5 * time.Second, PriorityWeight: 1}},
 		CanHealthCheck: true, CanSendRetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 4, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
@@ -16,8 +16,8 @@
 	}
 }
 
-// fleet is a list of n ready servers, all warm.
-func fleet(n int) []Endpoint {
+// warmEndpointList returns n ready endpoints that have finished their slow start; the first ID is 100.
+func warmEndpointList(n int) []Endpoint {
 	var l []Endpoint
 	for i := range n {
 		l = append(l, Endpoint{ID: EndpointID(100 + i), Weight: 1, StartedAt: StartedLongAgo})
@@ -25,30 +25,30 @@
 	return l
 }
 
-// starting has so many servers of a list start at a time.
-func starting(list []Endpoint, from, to int, at time.Duration) []Endpoint {
+// startingAt sets the start of the entries list[from:to].
+func startingAt(list []Endpoint, from, to int, at time.Duration) []Endpoint {
 	for i := range list[from:to] {
 		list[from+i].StartedAt = at
 	}
 	return list
 }
 
-// zoned has a list's servers stand in so many zones by turns.
-func zoned(list []Endpoint, zones int) []Endpoint {
+// inZones distributes the entries of a list over zones in turn.
+func inZones(list []Endpoint, zones int) []Endpoint {
 	for i := range list {
 		list[i].Zone = i % zones
 	}
 	return list
 }
 
-func started(d *Config, list []Endpoint) *Balancer {
+func newBalancer(d *Config, list []Endpoint) *Balancer {
 	b := New(d, 7)
 	b.UpdateEndpoints(list, true)
 	return b
 }
 
-// pull takes all decisions there are now.
-func pull(b *Balancer) []Decision {
+// allDecisions calls Next until there is no decision left.
+func allDecisions(b *Balancer) []Decision {
 	var all []Decision
 	for d, ok := b.Next(); ok; d, ok = b.Next() {
 		all = append(all, d)
@@ -66,52 +66,52 @@
 	return n
 }
 
-// arrive takes a circuit and answers what was decided for it.
-func arrive(t *testing.T, b *Balancer, a SessionRequest) Decision {
+// addSession adds a session and returns the decision for it.
+func addSession(t *testing.T, b *Balancer, a SessionRequest) Decision {
 	if a.Timeout == 0 {
 		a.Timeout = 2 * time.Second
 	}
 	b.AddSession(a)
-	return about(t, b, a.ID)
+	return decisionFor(t, b, a.ID)
 }
 
-// end tells how a circuit's try ended and answers what was decided then.
-func end(t *testing.T, b *Balancer, id SessionID, try int, how Outcome) Decision {
-	b.AttemptEnded(id, try, false, how)
-	return about(t, b, id)
+// endAttempt ends an attempt and returns the next decision for its session.
+func endAttempt(t *testing.T, b *Balancer, id SessionID, attempt int, how Outcome) Decision {
+	b.AttemptEnded(id, attempt, false, how)
+	return decisionFor(t, b, id)
 }
 
-func about(t *testing.T, b *Balancer, id SessionID) Decision {
-	for _, d := range pull(b) {
+func decisionFor(t *testing.T, b *Balancer, id SessionID) Decision {
+	for _, d := range allDecisions(b) {
 		if d.Session == id && d.Action != Migrate {
 			return d
 		}
 	}
-	t.Fatalf("circuit %d got no decision", id)
+	t.Fatalf("session %d got no decision", id)
 	return Decision{}
 }
 
-// coreHolds is how many of connect's connections fill a core of the yardstick.
-const coreHolds = 80
+// sessionsPerCore is the number of sessions of establish that one core bears.
+const sessionsPerCore = 80
 
-// connect sets circuits up, n of them from id on, and answers how many each server holds.
-func connect(t *testing.T, b *Balancer, id SessionID, n int) map[EndpointID]int {
+// establish adds n sessions from an ID on and returns how many each endpoint got.
+func establish(t *testing.T, b *Balancer, id SessionID, n int) map[EndpointID]int {
 	held := map[EndpointID]int{}
 	for range n {
-		d := arrive(t, b, SessionRequest{ID: id, Key: uint64(id)})
+		d := addSession(t, b, SessionRequest{ID: id, Key: uint64(id)})
 		if d.Action != StartAttempt {
-			t.Fatalf("circuit %d was not tried: %+v", id, d)
+			t.Fatalf("session %d was not attempted: %+v", id, d)
 		}
 		held[d.Endpoint]++
 		b.AttemptEstablished(id, 0, ms)
-		b.RecordLoad(id, 0, coreOfYardstick/coreHolds)
+		b.RecordLoad(id, 0, modelCoreCapacity/sessionsPerCore)
 		id++
 	}
 	return held
 }
 
-// crowd is the most of some times in order that lie within one span.
-func crowd(at []time.Duration, span time.Duration) (most int) {
+// maxWithin returns the largest number of the ascending times that lie within one span.
+func maxWithin(at []time.Duration, span time.Duration) (most int) {
 	from := 0
 	for n := range at {
 		for at[n] >= at[from]+span {
--- /dev/null
+++ b/policy/overload_test.go
@@ -0,0 +1,95 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestOverloadedEndpointGetsNoSessionsAndLosesFew(t *testing.T) {
+	b := newBalancer(testConfig(), warmEndpointList(5))
+	held, migrations := establish(t, b, 1, 50), 0
+	if len(held) != 5 {
+		t.Fatalf("only %d endpoints used", len(held))
+	}
+	for s := range 8 {
+		b.AdvanceClock(time.Duration(s) * time.Second)
+		b.RecordLatency(102, 90*ms)
+		for _, d := range allDecisions(b) {
+			if d.Action == Migrate {
+				migrations++
+				b.AttemptEnded(d.Session, 0, true, Cancelled)
+			}
+		}
+		if d := addSession(t, b, SessionRequest{ID: SessionID(100 + s), Key: uint64(s)}); d.Endpoint == 102 {
+			t.Fatal("a new session went to an overloaded endpoint")
+		}
+	}
+	if migrations == 0 || migrations > held[102] {
+		t.Fatalf("%d of %d migrated", migrations, held[102])
+	}
+}
+
+func TestManyBalancersDoNotEmptyOverloadedEndpoint(t *testing.T) {
+	migrations := 0
+	for seed := range uint64(200) { // each of them holds one or two of its sessions
+		b := New(testConfig(), seed*7919)
+		b.UpdateEndpoints(warmEndpointList(5), true)
+		establish(t, b, 1, 8)
+		b.AdvanceClock(time.Second)
+		b.RecordLatency(102, 65*ms+15*ms)
+		migrations += count(allDecisions(b), Migrate)
+	}
+	if migrations == 0 || migrations > 100 {
+		t.Fatalf("%d migrations by 200 balancers", migrations)
+	}
+}
+
+func TestAllOverloadedRejectsAtOnce(t *testing.T) {
+	b := newBalancer(testConfig(), warmEndpointList(3))
+	for s := range EndpointID(3) {
+		b.RecordLatency(100+s, 500*ms)
+	}
+	if d := addSession(t, b, SessionRequest{ID: 1, Key: 1}); d.Action != Reject || d.Duration <= 0 {
+		t.Fatalf("%+v", d)
+	}
+	b.AdvanceClock(latencyTTL + time.Second) // latencies that are not recorded again expire
+	if d := addSession(t, b, SessionRequest{ID: 2, Key: 1}); d.Action != StartAttempt {
+		t.Fatalf("%+v", d)
+	}
+}
+
+// TestOverloadMigrationFollowsLoadReport has a small deployment migrate the excess that a load report shows, once for each
+// report, and a large one only a small part, as each balancer gets its own report.
+func TestOverloadMigrationFollowsLoadReport(t *testing.T) {
+	for _, balancers := range []int{1, 80} {
+		t.Run(fmt.Sprint(balancers), func(t *testing.T) { checkOverloadMigration(t, balancers) })
+	}
+}
+
+func checkOverloadMigration(t *testing.T, balancers int) {
+	d := testConfig()
+	d.HasLoadReports, d.Balancers = true, balancers
+	b := newBalancer(d, warmEndpointList(4))
+	report := func(first float64) {
+		for _, l := range warmEndpointList(4) {
+			b.RecordLoadReport(l.ID, LoadReport{Demand: first, Backlog: -1, Utilization: -1})
+			first = 0.1 // of the other endpoints
+		}
+	}
+	report(0.1)
+	held := establish(t, b, 1, 80)
+	report(1.6)
+	var migrated [2]int
+	for step := range 20 {
+		b.AdvanceClock(b.now + 100*ms)
+		migrated[step/10] += count(allDecisions(b), Migrate)
+	}
+	// 0.8 of the excess of 1.6 over 0.85; then an eighth, as the report has been used.
+	if balancers > 1 && migrated[0] > held[100]/4 {
+		t.Fatalf("of %d %v were migrated", held[100], migrated)
+	}
+	if part := float64(migrated[0]) / float64(held[100]); balancers == 1 && (part < 0.25 || part > 0.5 || migrated[1]*2 > migrated[0]) {
+		t.Fatalf("of %d %v were migrated", held[100], migrated)
+	}
+}
--- a/policy/pool.go
+++ b/policy/pool.go
@@ -41,7 +41,8 @@
 	b.maxPoolWeight = max(b.maxPoolWeight, p.totalWeight)
 }
 
-// dropPools drops pools without sessions, and the oldest ones beyond maxPools. Their sessions keep their endpoint.
+// dropPools drops pools without sessions, and the oldest ones beyond maxPools. Their sessions keep their
+// endpoint.
 func (b *Balancer) dropPools() {
 	newest := b.newestPool()
 	excess := len(b.pools) - maxPools
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	migrationInterval     = time.Second     // between migrations away from one overloaded endpoint: their effect has to show
+	migrationInterval     = time.Second     // between two away from an overloaded endpoint
 	overloadMigrationPart = 0.12            // of the load held at an overloaded endpoint, migrated at a time
 	excessMigrationPart   = 0.8             // of the excess over targetDemand by a load report, if that is more
 	drainRoundsDivisor    = 8               // the part of a draining endpoint's load that migrates in a round
 	refillInterval        = 4 * time.Second // between two considerations of a session for a warming endpoint
 	maxRefillsPerRound    = 16              // sessions considered
-	capacityGrowth        = 0.015           // by which the capacity of an endpoint that is not overloaded grows in a round,
+	capacityGrowth        = 0.015           // by which a capacity grows in a round without overload,
 	capacityStep          = 0.3             // and this of the mean load, so that it grows from near 0 too
 )
 
@@ -58,9 +58,9 @@
 	b.migrateLoad(e, part*load, b.exceeds(e, terminateThreshold))
 }
 
-// migrateLoad plans to migrate so much load off an endpoint, of sessions that would be placed elsewhere now: lone members
-// of a group first, then the heaviest ones. If terminate is set, sessions that find no other endpoint end as well,
-// those of the least value first.
+// migrateLoad plans to migrate so much load off an endpoint, of sessions that would be placed elsewhere now:
+// lone members of a group first, then the heaviest ones. If terminate is set, sessions that find no other
+// endpoint end as well, those of the least value first.
 func (b *Balancer) migrateLoad(e *endpoint, load float64, terminate bool) {
 	members := map[uint64]int{}
 	for _, s := range e.sessions {
@@ -89,7 +89,8 @@
 	}
 }
 
-// migratableSessions returns the established sessions of an endpoint that do not migrate yet, in the given order.
+// migratableSessions returns the established sessions of an endpoint that do not migrate yet, in the given
+// order.
 func migratableSessions(e *endpoint, compare func(x, y *session) int) []*session {
 	sessions := slices.DeleteFunc(slices.Clone(e.sessions), func(s *session) bool {
 		return s.state != stateEstablished || s.migrating
@@ -98,8 +99,8 @@
 	return sessions
 }
 
-// migrateWithin plans to migrate a session if its load is within the remaining load, else by chance. It reports whether
-// load remains.
+// migrateWithin plans to migrate a session if its load is within the remaining load, else by chance. It
+// reports whether load remains.
 func (b *Balancer) migrateWithin(s *session, remaining *float64) bool {
 	load := max(s.load, 1) // where no loads are known each session counts the same
 	left := *remaining - load
@@ -115,7 +116,8 @@
 	b.planned = append(b.planned, Decision{Action: Migrate, Session: s.id})
 }
 
-// value is a session's priority weight for its load, reduced beyond its tenant's quota as far as this balancer can tell.
+// value is a session's priority weight for its load, reduced beyond its tenant's quota as far as this
+// balancer can tell.
 func (b *Balancer) value(s *session) float64 {
 	value := s.class.PriorityWeight / max(s.load, 1)
 	if s.tenantIndex >= len(b.config.Tenants) {
@@ -141,8 +143,8 @@
 	return b.selectEndpoint(&again, relaxNone)
 }
 
-// refillWarmingEndpoints plans to migrate sessions to warming endpoints that they would be placed at now. Without this,
-// what had left an endpoint before it restarted would stay away.
+// refillWarmingEndpoints plans to migrate sessions to warming endpoints that they would be placed at now.
+// Without this, what had left an endpoint before it restarted would stay away.
 func (b *Balancer) refillWarmingEndpoints() {
 	expected := min(float64(b.sessionsHeld)*float64(roundInterval)/float64(refillInterval), maxRefillsPerRound)
 	for n := int(expected + b.random.float64()); n > 0 && b.canRefill(); n-- {
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -56,7 +56,8 @@
 }
 
 // isRetryBudgetSpent reports whether a session gets no attempt because attempts fail at all endpoints alike.
-// Beyond the budget, or during a pause, none is made; below it they are rejected with the probability of failure.
+// Beyond the budget, or during a pause, none is made; below it they are rejected with the probability of
+// failure.
 func (b *Balancer) isRetryBudgetSpent(s *session) bool {
 	established := b.recent.established
 	failed := b.recent.failed + b.recent.late
--- /dev/null
+++ b/policy/retry_budget_test.go
@@ -0,0 +1,141 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestRetryBudgetDoesNotRejectAllForLong has all attempts fail at one of 300 balancers. It may reject most sessions, but not all
+// for four seconds, or it would not notice a recovery; and it makes few attempts, as all balancers together would overload
+// what has failed.
+func TestRetryBudgetDoesNotRejectAllForLong(t *testing.T) {
+	type pendingAttempt struct {
+		Decision
+		attempt int
+		at      time.Duration
+	}
+	for _, c := range []struct {
+		name  string
+		every time.Duration
+		how   Outcome
+	}{
+		{"eight a second, timeouts", 125 * ms, TimedOut},
+		{"eight a second, failures", 125 * ms, Failed},
+		{"forty a second, timeouts", 25 * ms, TimedOut},
+	} {
+		d := testConfig()
+		d.Balancers = 300
+		b := newBalancer(d, warmEndpointList(30))
+		var pending []pendingAttempt
+		attempted := map[SessionID]int{}
+		var attempts []time.Duration
+		rejects, worst, since := 0, 0, time.Duration(0)
+		const lasts = 60 * time.Second
+		id := SessionID(1)
+		for now := time.Duration(0); now < lasts; now += 5 * ms {
+			b.AdvanceClock(now)
+			pending = slices.DeleteFunc(pending, func(o pendingAttempt) bool {
+				if o.at <= now {
+					b.AttemptEnded(o.Session, o.attempt, false, c.how)
+				}
+				return o.at <= now
+			})
+			if now%c.every == 0 {
+				b.AddSession(SessionRequest{ID: id, Key: uint64(id), Timeout: 2 * time.Second})
+				id++
+			}
+			for _, d := range allDecisions(b) {
+				switch d.Action {
+				case StartAttempt:
+					attempts = append(attempts, now)
+					pending = append(pending, pendingAttempt{d, attempted[d.Session], now + d.Duration})
+					attempted[d.Session]++
+					rejects, since = 0, now
+				case Reject:
+					if rejects++; rejects >= 15 && now-since >= 4*time.Second {
+						worst = max(worst, int((now-since)/time.Millisecond))
+					}
+				}
+			}
+		}
+		if worst > 0 {
+			t.Errorf("%s: rejected 15 or more, all of them, for %d ms", c.name, worst)
+		}
+		// Once the budget is spent, one attempt a second at most.
+		const spentAfter = 10 * time.Second
+		from, _ := slices.BinarySearch(attempts, spentAfter)
+		if n, most := len(attempts)-from, int((lasts-spentAfter)/time.Second); n > most {
+			t.Errorf("%s: %d attempts in %v while all fail, at most %d are wanted", c.name, n, lasts-spentAfter, most)
+		}
+	}
+}
+
+func TestSharedFailureSpendsRetryBudgetAndEjectsFew(t *testing.T) {
+	b, attempts := newBalancer(testConfig(), warmEndpointList(9)), 0
+	for id := SessionID(1); id <= 1000; id++ {
+		b.AdvanceClock(b.now + ms)
+		d := addSession(t, b, SessionRequest{ID: id, Key: uint64(id)})
+		for attempt := 0; d.Action == StartAttempt; attempt++ {
+			attempts++
+			d = endAttempt(t, b, id, attempt, Failed)
+		}
+		if d.Action != Reject || d.Duration <= 0 || d.Duration > time.Second {
+			t.Fatalf("no reject with Retry-After: %+v", d)
+		}
+	}
+	ejected := 0
+	for _, e := range b.endpoints {
+		if e.ejected {
+			ejected++
+		}
+	}
+	if attempts > 150 || ejected > 3 {
+		t.Fatalf("%d attempts for 1000 sessions, %d endpoints ejected", attempts, ejected)
+	}
+	for id := SessionID(2001); b.now < 5*time.Second; id++ { // and sessions are admitted soon after the failure ends
+		b.AdvanceClock(b.now + 10*ms)
+		if d := addSession(t, b, SessionRequest{ID: id, Key: uint64(id)}); d.Action == StartAttempt {
+			b.AttemptEstablished(id, 0, ms)
+		} else if b.now > 4*time.Second {
+			t.Fatal("still rejecting long after the failure")
+		}
+	}
+}
+
+func TestLateSetupsBoundPendingAttempts(t *testing.T) {
+	b := newBalancer(testConfig(), warmEndpointList(6))
+	most := 0
+	for id := SessionID(1); id < 200; id++ { // each setup succeeds, but late
+		b.AdvanceClock(b.now + 20*ms)
+		addSession(t, b, SessionRequest{ID: id, Key: uint64(id)})
+		if late := id - 25; late > 0 {
+			b.AttemptEstablished(late, 0, 500*ms)
+		}
+		if id > 60 {
+			most = max(most, b.pendingAttempts)
+		}
+	}
+	if most == 0 || most > 9 {
+		t.Fatalf("%d pending attempts", most)
+	}
+}
+
+// TestLateSetupsStopNoMigrationsUnderOverload has late setups count as failures only while few endpoints are overloaded.
+func TestLateSetupsStopNoMigrationsUnderOverload(t *testing.T) {
+	for _, overloaded := range []int{0, 4} {
+		b := newBalancer(testConfig(), warmEndpointList(4))
+		for id := SessionID(1); id <= 20; id++ {
+			addSession(t, b, SessionRequest{ID: id, Key: uint64(id)})
+			b.AttemptEstablished(id, 0, 200*ms)
+		}
+		for s := range overloaded {
+			b.RecordLatency(EndpointID(100+s), 500*ms)
+		}
+		b.AdvanceClock(b.now + roundInterval)
+		allDecisions(b)
+		if got := b.areRetriesFutile(); got != (overloaded == 0) {
+			t.Errorf("%d overloaded: futile %v", overloaded, got)
+		}
+	}
+}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -32,8 +32,8 @@
 	fairLoad    float64 // load for each unit of weight that an endpoint takes, +Inf if unlimited
 }
 
-// selectEndpoint returns the first endpoint in a session's order that has no reason to be skipped, nil if there is
-// none. Reasons are dropped one by one up to maxRelaxation.
+// selectEndpoint returns the first endpoint in a session's order that has no reason to be skipped, nil if
+// there is none. Reasons are dropped one by one up to maxRelaxation.
 func (b *Balancer) selectEndpoint(s *session, maxRelaxation relaxation) *endpoint {
 	search := b.newSelection(s)
 	for relaxed := relaxNone; relaxed <= maxRelaxation; relaxed++ {
@@ -60,8 +60,8 @@
 	return search
 }
 
-// fairLoad is the load for each unit of weight that an endpoint takes while nothing shows that it can bear more. It is
-// unlimited where weights are estimates and no load reports come.
+// fairLoad is the load for each unit of weight that an endpoint takes while nothing shows that it can bear
+// more. It is unlimited where weights are estimates and no load reports come.
 func (b *Balancer) fairLoad(load, weight float64, endpoints int) float64 {
 	switch {
 	case b.gossip.isCurrent:
@@ -116,11 +116,12 @@
 	weight := search.zoneWeight(e, search.ranking.remoteZoneFactor, minRemoteFactor) * factor
 	maxSessions := maxMeanMultiple*float64(search.sessionsHeld)*weight/max(search.totalWeight, epsilon) + extraSessions
 	maxLoad := max(search.fairLoad*e.Weight*factor, provenLoadMultiple*e.provenLoad)
-	return search.avoidsWarmup(e) || float64(len(e.sessions)) > maxSessions || e.knownLoad()+search.session.load > maxLoad
+	load := e.knownLoad() + search.session.load
+	return search.avoidsWarmup(e) || float64(len(e.sessions)) > maxSessions || load > maxLoad
 }
 
-// avoidsWarmup reports whether the client's key is among those that a warming endpoint does not take yet. In large
-// deployments canWarmUp bounds them by chance instead.
+// avoidsWarmup reports whether the client's key is among those that a warming endpoint does not take yet. In
+// large deployments canWarmUp bounds them by chance instead.
 func (search *selection) avoidsWarmup(e *endpoint) bool {
 	if !search.isSmallDeployment() || search.gossip.isCurrent {
 		return false
@@ -128,7 +129,8 @@
 	return unit(mix(search.session.clientKey, ^uint64(e.ID))) >= warmupShare*search.slowStartFactor(e)
 }
 
-// lacksCapacity reports whether an endpoint is overloaded, or would be by this session, or must be assumed to be.
+// lacksCapacity reports whether an endpoint is overloaded, or would be by this session, or must be assumed to
+// be.
 func (search *selection) lacksCapacity(e *endpoint) bool {
 	if search.exceeds(e, migrateThreshold) {
 		return true
@@ -138,8 +140,8 @@
 	return (isAssumedOverloaded || isFull) && !search.mayHaveSpareCapacity(e)
 }
 
-// mayHaveSpareCapacity reports whether a fresh load report, used only once, tells of spare capacity, or whether a poll
-// for a new report comes before the attempt. An old report rejects nobody.
+// mayHaveSpareCapacity reports whether a fresh load report, used only once, tells of spare capacity, or
+// whether a poll for a new report comes before the attempt. An old report rejects nobody.
 func (search *selection) mayHaveSpareCapacity(e *endpoint) bool {
 	if search.config.HasEndpointReports && search.canPoll(search.session, e) {
 		return true
@@ -147,8 +149,9 @@
 	return search.reportsSpareCapacity(e, skipThreshold.demand) && e.attemptedAt < e.reportedAt
 }
 
-// assumesOverload reports whether an endpoint without sessions of this balancer, whose latency is thus unknown, is taken
-// for overloaded: as often, by chance, as those with sessions are. The chance is drawn anew each latencyTTL.
+// assumesOverload reports whether an endpoint without sessions of this balancer, whose latency is thus
+// unknown, is taken for overloaded: as often, by chance, as those with sessions are. The chance is drawn anew
+// each latencyTTL.
 func (search *selection) assumesOverload(e *endpoint) bool {
 	window := search.hashSeed + uint64(search.now/latencyTTL)
 	return unit(mix(uint64(e.ID), window)) < search.overloadFraction
--- a/policy/session.go
+++ b/policy/session.go
@@ -34,6 +34,19 @@
 	NeverSent             // the request has not run
 )
 
+var outcomeNames = [...]string{
+	Succeeded:     "succeeded",
+	Failed:        "failed",
+	Rejected:      "rejected",
+	TimedOut:      "timed out",
+	ConnectFailed: "connect failed",
+	Reset:         "reset",
+	Cancelled:     "cancelled",
+	NeverSent:     "never sent",
+}
+
+func (o Outcome) String() string { return outcomeNames[o] }
+
 // mayHaveRun reports whether the request may have had an effect at the endpoint.
 func (o Outcome) mayHaveRun() bool {
 	return o != Rejected && o != ConnectFailed && o != NeverSent
@@ -176,8 +189,8 @@
 	b.recordEstablished(s.class, took)
 }
 
-// AttemptEnded reports the end of an attempt, or of the session that it established. If final, the client has its
-// answer and no further attempt is wanted.
+// AttemptEnded reports the end of an attempt, or of the session that it established. If final, the client has
+// its answer and no further attempt is wanted.
 func (b *Balancer) AttemptEnded(id SessionID, attempt int, final bool, outcome Outcome) {
 	s := b.activeSession(id, attempt)
 	if s == nil {
--- /dev/null
+++ b/policy/session_test.go
@@ -0,0 +1,49 @@
+package policy
+
+import "testing"
+
+func TestAdoptedSessionAndLateEvents(t *testing.T) {
+	b := newBalancer(testConfig(), warmEndpointList(2))
+	b.AdoptSession(SessionRequest{ID: 9, Key: 9}, 101)
+	if b.sessionsHeld != 1 || len(b.endpoints[1].sessions) != 1 || len(allDecisions(b)) != 0 {
+		t.Fatal("an established session was not adopted as it is")
+	}
+	b.AttemptEnded(9, 0, true, Succeeded)
+	b.AttemptEnded(9, 0, true, Succeeded)
+	b.AttemptEstablished(9, 0, ms)
+	b.RecordLoad(9, 0, 5)
+	b.ClientDisconnected(9)
+	b.HealthCheckEnded(555, Succeeded)
+	b.RecordLatency(555, ms)
+	b.RecordLoadReport(555, LoadReport{Demand: 1})
+	if b.sessionsHeld != 0 || len(b.sessions) != 0 || count(allDecisions(b), StartAttempt) != 0 {
+		t.Fatal("late events had an effect")
+	}
+}
+
+// TestReconfigureKeepsSessions replaces the classes and tenants: sessions keep the class that they came with, their endpoint
+// and their place in their tenant's count.
+func TestReconfigureKeepsSessions(t *testing.T) {
+	d := testConfig()
+	d.Classes[0].Idempotency = NonIdempotent
+	d.Tenants = []Tenant{{ConnectionQuota: 5}}
+	b := newBalancer(d, warmEndpointList(3))
+	x := addSession(t, b, SessionRequest{ID: 1, Key: 1})
+	y := addSession(t, b, SessionRequest{ID: 2, Key: 2})
+	b.AttemptEstablished(2, 0, ms)
+	now := testConfig()
+	now.Classes = append(now.Classes, now.Classes[0])
+	b.Reconfigure(now, []int{-1}, []int{-1})
+	if b.heldByTenant[0] != 2 || b.sessionsHeld != 2 {
+		t.Fatalf("%d of the tenants that are gone, %d held", b.heldByTenant[0], b.sessionsHeld)
+	}
+	b.AttemptEnded(1, 0, false, Failed) // it may have run: no retry, by the class that it came with
+	if got := allDecisions(b); len(got) != 1 || got[0].Action != Fail {
+		t.Fatalf("%+v at %d", got, x.Endpoint)
+	}
+	b.Reconfigure(d, []int{0, -1}, nil)
+	b.AttemptEnded(2, 0, true, Succeeded)
+	if b.heldByTenant[0] != 0 || b.sessionsHeld != 0 || len(b.endpointByID[y.Endpoint].sessions) != 0 {
+		t.Fatalf("%v by tenant, %d held", b.heldByTenant, b.sessionsHeld)
+	}
+}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -45,8 +45,8 @@
 
 func (b *Balancer) isWarmingUp(e *endpoint) bool { return b.slowStartFactor(e) < 1 }
 
-// PauseSlowStart keeps sessions from warming endpoints for one overload window: an earlier process of this balancer may
-// have used its part of their capacity.
+// PauseSlowStart keeps sessions from warming endpoints for one overload window: an earlier process of this
+// balancer may have used its part of their capacity.
 func (b *Balancer) PauseSlowStart() { b.slowStartPausedUntil = b.now + b.config.OverloadWindow }
 
 // observeCapacity adds up what warm endpoints hold.
@@ -67,13 +67,15 @@
 		b.observed[e.MachineType] = o
 	}
 	for machineType, o := range b.observed {
-		o.loadPerWeight += (o.load/max(o.weight, epsilon) - o.loadPerWeight) * float64(roundInterval) / float64(recentWindow)
+		change := o.load/max(o.weight, epsilon) - o.loadPerWeight
+		o.loadPerWeight += change * float64(roundInterval) / float64(recentWindow)
 		b.observed[machineType] = o
 	}
 }
 
-// warmCapacity is a lower bound of the sessions of mean load that an endpoint bears once it is warm, divided by the number
-// of balancers: by what warm endpoints of its machine type bear, by one core, or by the tenants' quotas.
+// warmCapacity is a lower bound of the sessions of mean load that an endpoint bears once it is warm, divided
+// by the number of balancers: by what warm endpoints of its machine type bear, by one core, or by the
+// tenants' quotas.
 func (b *Balancer) warmCapacity(e *endpoint) float64 {
 	balancers := float64(b.config.Balancers)
 	byQuota := b.tenantQuota / balancers * e.Weight / max(b.maxPoolWeight, e.Weight)
@@ -103,8 +105,8 @@
 // relativeLoad is a session's load in sessions of mean load, 1 at least.
 func (b *Balancer) relativeLoad(s *session) float64 { return max(1, s.load/b.meanLoad()) }
 
-// isTooHeavy reports whether a few sessions of a session's class are more than a warming endpoint bears in a window
-// of the given capacity. Where there are several classes, one of unknown load may be.
+// isTooHeavy reports whether a few sessions of a session's class are more than a warming endpoint bears in a
+// window of the given capacity. Where there are several classes, one of unknown load may be.
 func (b *Balancer) isTooHeavy(s *session, windowCapacity float64) bool {
 	if b.load.mean == 0 {
 		return false
@@ -155,8 +157,8 @@
 	return used
 }
 
-// windowCapacity is the number of sessions of mean load that a warming endpoint bears in one overload window, from all
-// balancers together.
+// windowCapacity is the number of sessions of mean load that a warming endpoint bears in one overload window,
+// from all balancers together.
 func (b *Balancer) windowCapacity(e *endpoint) float64 {
 	balancers := float64(b.config.Balancers)
 	capacity := b.config.OverloadMultiple * b.slowStartFactor(e) * b.warmCapacity(e) * balancers *
@@ -167,8 +169,8 @@
 	return capacity
 }
 
-// warmupSelectivity is the factor from a balancer's part of the capacity to the probability with which it admits a
-// session: the fewer sessions come to a warming endpoint, the higher.
+// warmupSelectivity is the factor from a balancer's part of the capacity to the probability with which it
+// admits a session: the fewer sessions come to a warming endpoint, the higher.
 func (b *Balancer) warmupSelectivity(e *endpoint) float64 {
 	endpoints := float64(max(len(b.newestPool().endpoints), 1))
 	arrivals := maxArrivalMultiple * max(float64(b.sessionsHeld), b.meanHeld, 1) / endpoints
@@ -176,14 +178,15 @@
 	return min(1/arrivals, attraction/max(b.recent.warmupDemand, 1))
 }
 
-// roundingOffset is what this balancer adds to a fraction before it rounds down, in [0, 1). The offsets of all balancers
-// are spread evenly, by the golden ratio, and stay the same after a restart.
+// roundingOffset is what this balancer adds to a fraction before it rounds down, in [0, 1). The offsets of
+// all balancers are spread evenly, by the golden ratio, and stay the same after a restart.
 func (b *Balancer) roundingOffset(e *endpoint) float64 {
 	return math.Mod(unit(mix(uint64(e.ID), 0))+float64(b.config.Index)*(math.Phi-1), 1)
 }
 
-// warmupDraw is the number in (0, 1) that the probability of admitting a client to a warming endpoint has to exceed. It
-// is the same at every balancer, and for a while: one drawn for each attempt would be exceeded sooner or later.
+// warmupDraw is the number in (0, 1) that the probability of admitting a client to a warming endpoint has to
+// exceed. It is the same at every balancer, and for a while: one drawn for each attempt would be exceeded
+// sooner or later.
 func (b *Balancer) warmupDraw(s *session, e *endpoint) float64 {
 	window := uint64((b.now - e.StartedAt) / max(refillInterval, b.config.OverloadWindow))
 	return unit(mix(mix(s.clientKey, uint64(e.ID)), window))
