--- /dev/null
+++ b/internal/lab/feedsim/processes.go
@@ -0,0 +1,135 @@
+package feedsim
+
+import (
+	"fmt"
+
+	"sabletally/internal/fleet/changefeed"
+)
+
+func (w *World) startPublisher(pub *publisher) {
+	old := pub.log
+	pub.log = changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 256 << 10})
+	if old != nil && w.rng.IntN(3) > 0 { // it starts with the state on its disk, without the changes that led there
+		if err := pub.log.Install(*old.Snapshot()); err != nil {
+			w.fail(Broken, "publisher %d does not start: %v", pub.index, err)
+		}
+	}
+	pub.incarnation++
+	pub.up, pub.machineOff, pub.stalledUntil, pub.deferred, pub.conns, pub.startedAt, pub.unreachableAt = true, false, 0, nil, map[uint64]*conn{}, w.now, w.now
+	pub.core = changefeed.NewPublisher(changefeed.PublisherConfig{ID: pub.addr, MaxSubscribers: 4 * w.plan.Subscribers, WindowBytes: windowBytes, SnapshotBytesPerSecond: snapshotBytesPerSecond, Seed: w.plan.Seed<<16 ^ uint64(pub.index)<<8 ^ pub.incarnation},
+		pub.log, w.clock(&pub.process))
+}
+
+func (w *World) startSubscriber(sub *subscriber) {
+	sub.starts++
+	sub.incarnation++
+	var seeds []string
+	for i := range 5 {
+		seeds = append(seeds, w.publishers[(sub.index*7+i*3)%len(w.publishers)].addr)
+	}
+	sub.up, sub.machineOff, sub.stalledUntil, sub.deferred, sub.conns, sub.startedAt, sub.unreachableAt = true, false, 0, nil, map[string]*conn{}, w.now, w.now
+	sub.applied = newApplied()
+	sub.core = changefeed.NewSubscriber(changefeed.SubscriberConfig{ID: fmt.Sprintf("b%d", sub.index), Incarnation: sub.starts, Zone: fmt.Sprintf("z%d", sub.zone), Site: fmt.Sprintf("s%d", sub.region),
+		Seeds: seeds, Seed: w.plan.Seed<<20 ^ uint64(sub.index)<<4 ^ sub.incarnation}, w.clock(&sub.process))
+}
+
+// runOrDefer has a process do something now, or, if it is stalled, once it runs again.
+func (w *World) runOrDefer(n *process, do func()) {
+	if n.stalledUntil > w.now || len(n.deferred) > 0 {
+		n.deferred = append(n.deferred, do)
+		return
+	}
+	do()
+}
+
+// runDeferred does what a process has deferred while it was stalled: before its next tick or after it.
+func (w *World) runDeferred(n *process, beat func()) {
+	waiting := n.deferred
+	n.deferred = nil
+	first := len(waiting) > 0 && w.rng.IntN(2) == 0
+	if !first {
+		beat()
+	}
+	born := n.incarnation
+	for _, do := range waiting {
+		if n.up && n.incarnation == born {
+			do()
+		}
+	}
+	if first && n.up && n.incarnation == born {
+		beat()
+	}
+}
+
+func (w *World) tickPublisher(pub *publisher) {
+	w.after(heartbeatInterval, func() { w.tickPublisher(pub) })
+	if !pub.up || pub.stalledUntil > w.now {
+		return
+	}
+	w.runDeferred(&pub.process, func() {
+		pub.core.Tick(w.clock(&pub.process))
+		w.drainPublisher(pub)
+	})
+}
+
+func (w *World) tickSubscriber(sub *subscriber) {
+	w.after(heartbeatInterval, func() { w.tickSubscriber(sub) })
+	if !sub.up || sub.stalledUntil > w.now {
+		return
+	}
+	w.checkCurrent(sub) // it may have been stalled until now
+	w.runDeferred(&sub.process, func() {
+		sub.core.Tick(w.clock(&sub.process))
+		w.drainSubscriber(sub)
+	})
+	w.checkCurrent(sub)
+}
+
+func (w *World) drainPublisher(pub *publisher) {
+	out := pub.core.Ready()
+	for _, s := range out.Sends {
+		if c := pub.conns[s.Conn]; c != nil {
+			switch {
+			case s.Message.Content.Snapshot != nil:
+				w.Snapshots++
+			case s.Message.Content.Change != nil:
+				w.Changes++
+			}
+			w.send(c, toSubscriber, &s.Message.Content)
+		}
+	}
+	for _, num := range out.Close {
+		if c := pub.conns[num]; c != nil {
+			delete(pub.conns, num)
+			c.publisherOpen = false
+			w.send(c, toSubscriber, nil)
+		}
+	}
+}
+
+func (w *World) drainSubscriber(sub *subscriber) {
+	out := sub.core.Ready()
+	for _, a := range out.Updates {
+		w.recordUpdate(sub, a)
+	}
+	for _, l := range out.Events {
+		if l.IsAlert() {
+			w.fail(Broken, "subscriber %d: %v", sub.index, l)
+		}
+	}
+	for _, s := range out.Sends {
+		if c := sub.conns[s.Addr]; c != nil {
+			w.send(c, toPublisher, &s.Message)
+		}
+	}
+	for _, addr := range out.Close {
+		if c := sub.conns[addr]; c != nil {
+			delete(sub.conns, addr)
+			c.subscriberOpen = false
+			w.send(c, toPublisher, nil)
+		}
+	}
+	for _, addr := range out.Dial {
+		w.dial(sub, addr)
+	}
+}
--- a/internal/lab/feedsim/world_test.go
+++ b/internal/lab/feedsim/world_test.go
@@ -13,28 +13,28 @@
 var (
 	seeds = flag.Int("seeds", 4, "histories in virtual time")
 	from  = flag.Uint64("from", 1, "the first seed")
-	many  = flag.Int("followers", 60, "followers of each")
+	many  = flag.Int("followers", 60, "subscribers of each")
 )
 
-// TestNoFollowerGoesBackMixesOrIsForgotten plays histories with every fault.
-func TestNoFollowerGoesBackMixesOrIsForgotten(t *testing.T) {
+// TestNoSubscriberGoesBackMixesOrIsForgotten plays histories with every fault.
+func TestNoSubscriberGoesBackMixesOrIsForgotten(t *testing.T) {
 	var late time.Duration
 	versions, due, restarts := 0, 0, 0
 	for seed := *from; seed < *from+uint64(*seeds); seed++ {
 		began := time.Now()
 		w := New(DefaultPlan(seed, *many))
 		err := w.Play()
-		t.Logf("seed %d: %d versions, %d killed, %d stalls, %d cuts, %d resets, %d times all relays, %d messages, %d changes, %d snapshots, %d wants, %d mismatches, %d lapses, "+
-			"in force %v at the latest of %d, in %v", seed, len(w.agreed)-1, w.Kills, w.Stalls, w.Cuts, w.Resets, w.Restarts, w.Messages, w.Changes, w.Snapshots, w.Wants, w.Mismatches,
+		t.Logf("seed %d: %d versions, %d killed, %d stalls, %d cuts, %d resets, %d times all publishers, %d messages, %d changes, %d snapshots, %d wants, %d mismatches, %d lapses, "+
+			"in force %v at the latest of %d, in %v", seed, len(w.versions)-1, w.Kills, w.Stalls, w.Cuts, w.Resets, w.Restarts, w.Messages, w.Changes, w.Snapshots, w.Wants, w.Mismatches,
 			w.Lapses, w.Late, w.Due, time.Since(began).Round(10*time.Millisecond))
 		if err != nil {
 			t.Error(err)
 		}
-		late, versions, due, restarts = max(late, w.Late), versions+len(w.agreed)-1, due+w.Due, restarts+w.Restarts
+		late, versions, due, restarts = max(late, w.Late), versions+len(w.versions)-1, due+w.Due, restarts+w.Restarts
 	}
-	t.Logf("%d histories of %d followers, %d versions, all relays restarted %d times, in force %v at the latest of %d", *seeds, *many, versions, restarts, late, due)
+	t.Logf("%d histories of %d followers, %d versions, all publishers restarted %d times, in force %v at the latest of %d", *seeds, *many, versions, restarts, late, due)
 	if due < versions {
-		t.Errorf("only %d times was a change judged to be in force", due)
+		t.Errorf("only %d times was a change found to be in force", due)
 	}
 }
 
@@ -51,10 +51,10 @@
 }
 
 // harm has one change of so many come with another value than was agreed.
-func harm(w *World, each int) func(*follower, string, changefeed.Message) changefeed.Message {
+func harm(w *World, each int) func(*subscriber, string, changefeed.Message) changefeed.Message {
 	n := 0
-	return func(_ *follower, _ string, m changefeed.Message) changefeed.Message {
-		if m.Change == nil || m.Change.Items[0].Deleted || w.calm {
+	return func(_ *subscriber, _ string, m changefeed.Message) changefeed.Message {
+		if m.Change == nil || m.Change.Items[0].Deleted || w.faultsOver {
 			return m
 		}
 		if n++; n%each != 0 {
@@ -71,7 +71,7 @@
 func TestWhatIsHarmedOnTheWayIsRefused(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		w := New(DefaultPlan(seed, 30))
-		w.given = harm(w, 20)
+		w.replaceMessage = harm(w, 20)
 		if err := w.Play(); err != nil {
 			t.Error(err)
 		}
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestWhatIsBrokenOnPurposeIsNamed puts each break around the followers until it shows: a judge that finds nothing proves nothing.
+// TestWhatIsBrokenOnPurposeIsNamed puts each break around the subscribers until it shows: a checker that finds nothing proves nothing.
 func TestWhatIsBrokenOnPurposeIsNamed(t *testing.T) {
 	for broken, one := range map[string]struct {
 		name string
@@ -90,9 +90,9 @@
 	}{
 		"digest not checked": {Mixed, func(w *World) {
 			harmed := harm(w, 20)
-			w.given = func(f *follower, addr string, m changefeed.Message) changefeed.Message {
-				m = harmed(f, addr, m)
-				st := f.core.State()
+			w.replaceMessage = func(sub *subscriber, addr string, m changefeed.Message) changefeed.Message {
+				m = harmed(sub, addr, m)
+				st := sub.core.State()
 				if m.Change == nil || m.Change.Version != st.Version()+1 || st.Version() == 0 {
 					return m
 				}
@@ -108,16 +108,16 @@
 			}
 		}},
 		"snapshot over a newer state": {WentBack, func(w *World) {
-			w.given = func(f *follower, _ string, m changefeed.Message) changefeed.Message {
-				if s := m.Snapshot; s != nil && s.Version < f.core.State().Version() {
-					w.applied(f, changefeed.Update{Version: s.Version, Items: s.Items, Complete: true}) // as if it were taken
+			w.replaceMessage = func(sub *subscriber, _ string, m changefeed.Message) changefeed.Message {
+				if s := m.Snapshot; s != nil && s.Version < sub.core.State().Version() {
+					w.recordUpdate(sub, changefeed.Update{Version: s.Version, Items: s.Items, Complete: true}) // as if it were taken
 				}
 				return m
 			}
 		}},
 		"lease not looked at": {FalselyNew, func(w *World) {
-			w.believes = func(f *follower, now time.Duration) bool {
-				_, known := f.core.Age(now)
+			w.isCurrent = func(sub *subscriber, now time.Duration) bool {
+				_, known := sub.core.Age(now)
 				return known
 			}
 		}},
