--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -168,7 +168,7 @@
 	}
 	note(history.Taken, history.Event{At: max(at, 1), Len: limit}) // from before the write: a server may be faster than this goroutine
 	_ = nc.SetReadDeadline(c.Clock.At(at + limit + lateAnswer))
-	r := bufio.NewReaderSize(nc, lineMost)
+	r := bufio.NewReaderSize(nc, maxLine)
 	raw, err := r.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
--- /dev/null
+++ b/internal/lab/emulator/server_session.go
@@ -0,0 +1,246 @@
+package emulator
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+	"sync"
+	"time"
+
+	"sabletally/internal/lab/history"
+	"sabletally/internal/lab/model"
+	"sabletally/internal/protocol"
+)
+
+// serverSession is one connection at a server.
+type serverSession struct {
+	server  *Server
+	conn    net.Conn
+	reader  *bufio.Reader
+	writeMu sync.Mutex
+
+	// Guarded by server.mu once the session runs.
+	number      uint64 // the session id of its first line
+	load        float64
+	group       uint64
+	requested   bool // its first line has come and is not settled
+	admitted    bool // the model counts it
+	established bool
+	ended       bool
+	endedBy     string
+}
+
+// reset closes a connection by a reset.
+func reset(c net.Conn) {
+	if t, ok := c.(*net.TCPConn); ok {
+		_ = t.SetLinger(0)
+	}
+	_ = c.Close()
+}
+
+func (s *serverSession) record(w history.Kind, more history.Event) {
+	more.At, more.Kind, more.Session, more.Server, more.Balancer = s.server.clock.Now(), w, s.number, int32(s.server.Index), -1
+	s.server.log.Add(more)
+}
+
+func (s *serverSession) silent() bool {
+	s.server.mu.Lock()
+	defer s.server.mu.Unlock()
+	return s.server.wireFaults.Silent
+}
+
+// run answers a connection's lines until its end.
+func (s *serverSession) run() {
+	endedBy := "peer"
+	defer func() { s.end(endedBy, false) }()
+	for {
+		if _, err := s.reader.Peek(1); err != nil {
+			return
+		}
+		firstByteAt := s.server.clock.Now()
+		raw, err := s.reader.ReadSlice('\n')
+		if err != nil {
+			if errors.Is(err, bufio.ErrBufferFull) {
+				endedBy = "server"
+			}
+			return
+		}
+		if s.silent() { // it reads on only to see the connection's end
+			continue
+		}
+		if s.established {
+			s.answerMessage(raw)
+			continue
+		}
+		switch line := protocol.Decode(append([]byte(nil), raw...)); {
+		case line.Bad != nil:
+			s.write([]byte("SYNTAX\r\n"))
+			endedBy = "server"
+			return
+		case line.Kind == protocol.Ping:
+			s.write(protocol.PongLine)
+		case string(raw) == string(protocol.AskLoad):
+			s.server.mu.Lock()
+			s.server.model.Advance(s.server.clock.Now())
+			utilization, backlog := s.server.model.Utilization(s.server.clock.Now()), s.server.model.Backlog().Seconds()
+			s.server.mu.Unlock()
+			s.write(fmt.Appendf(nil, "PONG x0=%.4f,x1=%.4f\r\n", utilization, backlog))
+		case line.Kind == protocol.Open && !s.requested:
+			s.answerOpen(line.Ask, firstByteAt)
+		default:
+			s.write([]byte("SYNTAX\r\n"))
+			endedBy = "server"
+			return
+		}
+	}
+}
+
+// answerOpen admits a session, or rejects it, and answers once the model's time has passed.
+func (s *serverSession) answerOpen(ask *protocol.Ask, firstByteAt time.Duration) {
+	server := s.server
+	now := server.clock.Now()
+	s.requested = true
+	s.number, s.load, s.group = ask.ID, ask.Hint, ask.Group
+	if s.load == 0 {
+		s.load = 1
+	}
+	s.record(history.AttemptReceived, history.Event{Len: now - firstByteAt, Text: strconv.FormatUint(ask.Key, 16)})
+	server.mu.Lock()
+	answer, took := server.model.Ask(now, s.load, s.group, server.rng.Float64())
+	s.admitted = answer == model.Up
+	server.mu.Unlock()
+	switch answer {
+	case model.Overloaded:
+		server.overload(s.number)
+		return
+	case model.Busy:
+		s.reject("refused", "BUSY\r\n")
+		return
+	case model.Err:
+		s.reject("failed", "ERR\r\n")
+		return
+	}
+	storeTook, stored := server.store.Call(now)
+	took += storeTook
+	if took < minDelay {
+		s.establish(stored)
+		return
+	}
+	time.AfterFunc(took, func() { s.establish(stored) })
+}
+
+// reject ends an attempt; its connection stays open.
+func (s *serverSession) reject(reason, answer string) {
+	s.record(history.AttemptEnded, history.Event{Text: reason})
+	s.leaveModel()
+	s.write([]byte(answer))
+}
+
+// establish answers an admitted session: by success if the store has taken it.
+func (s *serverSession) establish(stored bool) {
+	if s.silent() {
+		return
+	}
+	server := s.server
+	server.mu.Lock()
+	if s.ended {
+		server.mu.Unlock()
+		return
+	}
+	s.established = stored
+	server.mu.Unlock()
+	if !stored {
+		s.reject("failed", "ERR\r\n")
+		return
+	}
+	s.record(history.Ran, history.Event{N: float64(s.number)})
+	s.write(fmt.Appendf(nil, "UP %x\r\nLOAD %.3f\r\n", s.number, s.load*1e6/float64(server.model.Type.Fills)))
+}
+
+// leaveModel takes a session out of the model; its connection may go on.
+func (s *serverSession) leaveModel() {
+	s.server.mu.Lock()
+	defer s.server.mu.Unlock()
+	s.requested = false
+	if s.admitted {
+		s.admitted = false
+		s.server.model.Leave(s.server.clock.Now(), s.load, s.group)
+	}
+}
+
+// answerMessage answers a line of an established session by that line and the time of sending.
+func (s *serverSession) answerMessage(line []byte) {
+	server := s.server
+	now := server.clock.Now()
+	server.mu.Lock()
+	took := server.model.Message(now)
+	server.mu.Unlock()
+	text := append(make([]byte, 0, len(line)+16), line[:len(line)-2]...)
+	if took < minDelay {
+		s.write(appendSendTime(text, server.clock.Now()))
+		return
+	}
+	time.AfterFunc(took, func() {
+		if !s.silent() {
+			s.write(appendSendTime(text, server.clock.Now()))
+		}
+	})
+}
+
+// appendSendTime ends a line with the time at which it is sent, so that its reader can tell how long it took.
+func appendSendTime(text []byte, now time.Duration) []byte {
+	text = append(text, " t="...)
+	return append(strconv.AppendInt(text, int64(now), 10), '\r', '\n')
+}
+
+// write sends text, as the server's wire faults will have it.
+func (s *serverSession) write(text []byte) {
+	s.server.mu.Lock()
+	faults := s.server.wireFaults
+	s.server.mu.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	switch {
+	case faults.Silent:
+	case faults.Torn && len(text) > 8:
+		_, _ = s.conn.Write(text[:len(text)/2])
+		go s.end("server", true)
+	case faults.Drip:
+		for i := range text {
+			if _, err := s.conn.Write(text[i : i+1]); err != nil {
+				return
+			}
+			time.Sleep(dripInterval)
+		}
+	default:
+		_, _ = s.conn.Write(text)
+	}
+}
+
+// end ends a session, by a reset if abrupt. Only the first call has an effect and says who ended it.
+func (s *serverSession) end(by string, abrupt bool) {
+	server := s.server
+	server.mu.Lock()
+	if s.ended {
+		server.mu.Unlock()
+		return
+	}
+	s.ended, s.endedBy = true, by
+	delete(server.sessions, s)
+	requested := s.requested
+	if s.admitted {
+		s.admitted = false
+		server.model.Leave(server.clock.Now(), s.load, s.group)
+	}
+	server.mu.Unlock()
+	if requested {
+		s.record(history.AttemptEnded, history.Event{Text: by})
+	}
+	if abrupt {
+		reset(s.conn)
+	} else {
+		_ = s.conn.Close()
+	}
+}
--- a/internal/lab/emulator/standin_test.go
+++ b/internal/lab/emulator/standin_test.go
@@ -144,7 +144,7 @@
 	s.Misbehave(func(w *WireFaults) { *w = WireFaults{Drip: true} })
 	c = dial(t, s.Addr(), "PING\r\n")
 	began := time.Now()
-	if c.want("PONG\r\n"); time.Since(began) < 5*dripEach {
+	if c.want("PONG\r\n"); time.Since(began) < 5*dripInterval {
 		t.Fatal("it did not drip")
 	}
 	s.Misbehave(func(w *WireFaults) { *w = WireFaults{} })
@@ -160,7 +160,7 @@
 	c.ends(true)
 	s.Misbehave(func(w *WireFaults) { w.HalfOpen = true })
 	c = dial(t, s.Addr(), "PING\r\n")
-	for end := time.Now().Add(20 * time.Second); len(s.all()) == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(20 * time.Second); len(s.openSessions()) == 0 && time.Now().Before(end); {
 		time.Sleep(ms) // until it has taken the connection
 	}
 	s.Misbehave(func(w *WireFaults) { w.HalfOpen = false })
