--- a/internal/fleet/gossip/log.go
+++ b/internal/fleet/gossip/log.go
@@ -6,42 +6,52 @@
 	"sabletally/internal/fleet/membership"
 )
 
-// say writes one line of the table's for the person with the pager: what was decided, and by which figures.
-func (c *Agent) say(l membership.Event) {
-	who := []zap.Field{zap.String("member", l.Member.Name), zap.String("id", l.Member.ID), zap.Stringer("addr", l.Member.Addr),
-		zap.String("machine", l.Member.Machine), zap.String("zone", l.Member.Zone), zap.String("site", l.Member.Site),
-		zap.Int("here", l.Alive), zap.Int("of", l.Total)}
-	log := c.opt.Log
-	switch l.Kind {
+// logEvent logs one decision of the table with its figures. docs/fleet.md says what each line asks of operators.
+func (a *Agent) logEvent(event membership.Event) {
+	log := a.opt.Log
+	alive := zap.Int("alive", event.Alive)
+	total := zap.Int("total", event.Total)
+	member := append(memberFields(event.Member), alive, total)
+	switch event.Kind {
 	case membership.MemberJoined:
-		log.Info("fleet: member is here", who...)
+		log.Info("fleet: member joined", member...)
 	case membership.MemberRestarted:
-		log.Info("fleet: member was restarted", who...)
+		log.Info("fleet: member restarted", member...)
 	case membership.MemberFailed:
-		log.Warn("fleet: member is gone", who...)
+		log.Warn("fleet: member failed", member...)
 	case membership.MemberLeft:
-		log.Info("fleet: member has left", who...)
+		log.Info("fleet: member left", member...)
 	case membership.MemberFlapping:
-		log.Warn("fleet: member comes and goes", append(who, zap.Int("times", l.Returns))...)
+		log.Warn("fleet: member is flapping", append(member, zap.Int("times", event.Returns))...)
 	case membership.MemberReplaced:
-		log.Warn("fleet: member's directory is lost: another one is at its address", who...)
+		log.Warn("fleet: member's data directory is lost: another member has its address", member...)
 	case membership.MemberForgotten:
-		log.Warn("fleet: member is no part of the fleet any more", who...)
+		log.Warn("fleet: member forgotten", member...)
 	case membership.ProcessResumed:
-		log.Warn("fleet: this process was stopped: nothing that was known holds until most have answered", zap.Duration("for", l.Duration),
-			zap.Int("here", l.Alive))
+		log.Warn("fleet: process was paused: nothing known is relied on until a majority responds", zap.Duration("for", event.Duration), alive)
 	case membership.StandingChanged:
-		told := log.Info
-		if l.Standing != membership.Quorum {
-			told = log.Warn
+		write := log.Warn
+		if event.Standing == membership.Quorum {
+			write = log.Info
 		}
-		told("fleet: standing", zap.Stringer("standing", l.Standing), zap.Int("here", l.Alive), zap.Int("of", l.Total))
+		write("fleet: standing", zap.Stringer("standing", event.Standing), alive, total)
 	case membership.TooFewMachines:
-		log.Warn("fleet: too few machines are here for all copies", zap.Int("machines", l.Alive), zap.Int("copies", l.Total))
+		log.Warn("fleet: too few machines for all replicas", zap.Int("machines", event.Alive), zap.Int("replicas", event.Total))
 	case membership.EnoughMachines:
-		log.Info("fleet: machines enough for all copies", zap.Int("machines", l.Alive), zap.Int("copies", l.Total))
+		log.Info("fleet: enough machines for all replicas", zap.Int("machines", event.Alive), zap.Int("replicas", event.Total))
 	case membership.DuplicateDetected:
 		log.Error("fleet: another process has a copy of this member's directory: end one and give it an empty directory",
-			zap.String("id", l.Member.ID), zap.Stringer("addr", l.Member.Addr))
+			zap.String("id", event.Member.ID), zap.Stringer("addr", event.Member.Addr))
+	}
+}
+
+func memberFields(m membership.Member) []zap.Field {
+	return []zap.Field{
+		zap.String("member", m.Name),
+		zap.String("id", m.ID),
+		zap.Stringer("addr", m.Addr),
+		zap.String("machine", m.Machine),
+		zap.String("zone", m.Zone),
+		zap.String("site", m.Site),
 	}
 }
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -16,233 +16,239 @@
 )
 
 const (
-	packetsMost = 4096 // datagrams that wait to be read; more are dropped, as the network drops them
-	streamsMost = 1024 // streams that others hold open, one from each other member; one more is closed
-	linksMost   = 1024
-	comingMost  = 256             // streams more that may be open unsorted where followers are taken: many come at once when others are lost
-	firstIn     = 3 * time.Second // the first byte of a stream
-	longest     = 65536
-	bufferKiB   = 256 // of the kernel, for datagrams: a member that was stopped finds so much of what came meanwhile
+	maxQueuedDatagrams = 4096 // more are dropped, as the network drops them
+	maxStreams         = 1024 // of the library's that others opened
+	maxPeerStreams     = 1024
+	maxUnsorted        = 256 // further streams whose first byte is not read yet, where followers are accepted: many reconnect at once
+	firstByteTimeout   = 3 * time.Second
+	acceptRetryDelay   = 100 * time.Millisecond
+	maxDatagramBytes   = 64 << 10
+	receiveBufferBytes = 256 << 10 // of the kernel, for what arrives while the process is paused
 )
 
-// Transport carries the library's datagrams and streams, over one address for both. It sends from that address's IP, so that who
-// it is sent from tells who sends.
+// PeerStreamMark is the first byte of a stream for packets between members. A follower's stream begins with framing.StreamMark, one of the
+// library's with neither.
+const PeerStreamMark = 's'
+
+// errNoRoom means that a stream was rejected as there are too many of its kind.
+var errNoRoom = errors.New("too many streams")
+
+// Transport carries the library's datagrams and streams, the streams between members, and those of followers over one address. It sends
+// from that address, so that the receiver sees who sent. It is a memberlist.Transport.
 type Transport struct {
-	listen, advertise netip.AddrPort
-	udp               *net.UDPConn
-	tcp               *net.TCPListener
-	packets           chan *memberlist.Packet
-	streams           chan net.Conn
-	links, follows    chan net.Conn
-	followers         int64 // most
-	held, linked      atomic.Int64
-	followed          atomic.Int64
-	all               sync.WaitGroup
-	done              context.Context
-	end               context.CancelFunc
-
-	BytesSent, BytesReceived          atomic.Int64 // bytes of datagrams
-	DatagramsDropped, StreamsRejected atomic.Int64 // datagrams, and streams, that found no room
+	// Counts of datagrams' bytes.
+	BytesSent, BytesReceived atomic.Int64
+
+	DatagramsDropped atomic.Int64 // the queue was full
+	StreamsRejected  atomic.Int64 // there were too many
+
+	listen    netip.AddrPort
+	advertise netip.AddrPort
+	udp       *net.UDPConn
+	tcp       *net.TCPListener
+
+	datagrams       chan *memberlist.Packet
+	libraryStreams  chan net.Conn
+	peerStreams     chan net.Conn
+	followerStreams chan net.Conn
+
+	// Open streams that others opened, by kind. Those whose kind is not known yet count as the library's.
+	libraryStreamCount  atomic.Int64
+	peerStreamCount     atomic.Int64
+	followerStreamCount atomic.Int64
+	maxFollowerStreams  int64
+
+	ctx        context.Context // ends with the transport
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// Listen opens an address for both; followers is how many streams of those are taken, 0 for none.
-func Listen(listen, advertise netip.AddrPort, followers int) (*Transport, error) {
-	w := &Transport{listen: listen, advertise: advertise, packets: make(chan *memberlist.Packet, packetsMost), streams: make(chan net.Conn),
-		links: make(chan net.Conn), follows: make(chan net.Conn), followers: int64(followers)}
-	w.done, w.end = context.WithCancel(context.Background())
+// Listen opens the address. maxFollowers is how many streams of followers are accepted, 0 for none.
+func Listen(listen, advertise netip.AddrPort, maxFollowers int) (*Transport, error) {
+	t := &Transport{
+		listen:             listen,
+		advertise:          advertise,
+		datagrams:          make(chan *memberlist.Packet, maxQueuedDatagrams),
+		libraryStreams:     make(chan net.Conn),
+		peerStreams:        make(chan net.Conn),
+		followerStreams:    make(chan net.Conn),
+		maxFollowerStreams: int64(maxFollowers),
+	}
+	t.ctx, t.cancel = context.WithCancel(context.Background())
 	var err error
-	if w.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(listen)); err != nil {
+	if t.tcp, err = net.ListenTCP("tcp", net.TCPAddrFromAddrPort(listen)); err != nil {
 		return nil, err
 	}
-	if w.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen)); err != nil {
-		_ = w.tcp.Close()
+	if t.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen)); err != nil {
+		_ = t.tcp.Close() // the error of the other listener is reported
 		return nil, err
 	}
-	_ = w.udp.SetReadBuffer(bufferKiB << 10) // less is what the kernel grants: more is lost then, and sent again
-	w.all.Add(2)
-	go w.read()
-	go w.accept()
-	return w, nil
+	_ = t.udp.SetReadBuffer(receiveBufferBytes) // with less than that more datagrams are lost, and sent again
+	t.goroutines.Add(2)
+	go t.receive()
+	go t.accept()
+	return t, nil
 }
 
-func (w *Transport) read() {
-	defer w.all.Done()
-	buffer := make([]byte, longest)
+// receive queues datagrams until the transport ends.
+func (t *Transport) receive() {
+	defer t.goroutines.Done()
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, from, err := w.udp.ReadFromUDPAddrPort(buffer)
+		n, from, err := t.udp.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			continue // nobody listened at an address that was sent to
+			continue // an earlier datagram reached an address where nobody listens
 		}
-		w.BytesReceived.Add(int64(n))
-		p := &memberlist.Packet{Buf: append([]byte(nil), buffer[:n]...), From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}
+		t.BytesReceived.Add(int64(n))
+		packet := &memberlist.Packet{Buf: append([]byte(nil), buffer[:n]...), From: net.UDPAddrFromAddrPort(from), Timestamp: time.Now()}
 		select {
-		case w.packets <- p:
+		case t.datagrams <- packet:
 		default:
-			w.DatagramsDropped.Add(1)
+			t.DatagramsDropped.Add(1)
 		}
 	}
 }
 
-func (w *Transport) accept() {
-	defer w.all.Done()
+// accept takes streams that others open until the transport ends.
+func (t *Transport) accept() {
+	defer t.goroutines.Done()
+	limit := int64(maxStreams)
+	if t.maxFollowerStreams > 0 {
+		limit += maxUnsorted
+	}
 	for {
-		c, err := w.tcp.Accept()
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			select { // no descriptors, most likely
-			case <-w.done.Done():
+		conn, err := t.tcp.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil { // most likely there are too many open files
+			select {
+			case <-t.ctx.Done():
 				return
-			case <-time.After(100 * time.Millisecond):
+			case <-time.After(acceptRetryDelay):
 			}
 			continue
 		}
-		most := int64(streamsMost)
-		if w.followers > 0 {
-			most += comingMost
-		}
-		if w.held.Add(1) > most {
-			w.held.Add(-1)
-			w.StreamsRejected.Add(1)
-			_ = c.Close()
+		if !t.acquire(&t.libraryStreamCount, limit) {
+			_ = conn.Close() // it is rejected in any case
 			continue
 		}
-		s := w.hold(c, &w.held)
-		w.all.Add(1)
-		go func() { defer w.all.Done(); w.sort(s) }()
+		s := t.newStream(conn, &t.libraryStreamCount)
+		t.goroutines.Add(1)
+		go func() {
+			defer t.goroutines.Done()
+			t.dispatch(s)
+		}()
 	}
 }
 
-// PeerStreamMark is the first byte of a stream that is a link between members; followers' begin with stream.Mark, the library's with others.
-const PeerStreamMark = 's'
-
-// sort hands a stream to whom it is for, by its first byte.
-func (w *Transport) sort(s *taken) {
-	_ = s.SetReadDeadline(time.Now().Add(firstIn))
-	n, err := io.ReadFull(s.Conn, s.first[:])
-	_ = s.SetReadDeadline(time.Time{})
-	to := w.streams
-	if err == nil {
-		switch s.first[0] {
-		case PeerStreamMark:
-			err = w.move(s, &w.linked, linksMost)
-			to = w.links
-		case framing.StreamMark:
-			err = w.move(s, &w.followed, w.followers)
-			to = w.follows
-		}
+// acquire counts one more stream of a kind, or rejects it.
+func (t *Transport) acquire(count *atomic.Int64, limit int64) bool {
+	if count.Add(1) > limit {
+		count.Add(-1)
+		t.StreamsRejected.Add(1)
+		return false
 	}
+	return true
+}
+
+// dispatch hands a stream to the receiver of its kind, which its first byte says.
+func (t *Transport) dispatch(s *stream) {
+	receiver, err := t.identify(s)
 	if err != nil {
-		_ = s.Close()
+		_ = s.Close() // it is rejected in any case
 		return
 	}
-	s.unread = n
 	select {
-	case to <- s:
-	case <-w.done.Done():
+	case receiver <- s:
+	case <-t.ctx.Done():
 		_ = s.Close()
 	}
 }
 
-// move counts a stream among others of its kind, of which there may be so many.
-func (w *Transport) move(s *taken, to *atomic.Int64, most int64) error {
-	if to.Add(1) > most {
-		to.Add(-1)
-		w.StreamsRejected.Add(1)
-		return net.ErrClosed
+// identify reads the first byte of a stream and counts it among those of its kind.
+func (t *Transport) identify(s *stream) (chan<- net.Conn, error) {
+	_ = s.SetReadDeadline(time.Now().Add(firstByteTimeout)) // a closed connection fails in the read
+	n, err := io.ReadFull(s.Conn, s.first[:])
+	_ = s.SetReadDeadline(time.Time{})
+	if err != nil {
+		return nil, err
 	}
-	w.held.Add(-1)
-	s.counts = to
-	return nil
-}
-
-// taken is a stream; it ends with the wire, and one that others opened gives its place back.
-type taken struct {
-	net.Conn
-	stop   func() bool
-	once   sync.Once
-	counts *atomic.Int64
-	first  [1]byte // read already
-	unread int
-}
-
-func (w *Transport) hold(c net.Conn, counts *atomic.Int64) *taken {
-	return &taken{Conn: c, counts: counts, stop: context.AfterFunc(w.done, func() { _ = c.Close() })}
-}
-
-// Unwrap is the connection itself.
-func (s *taken) Unwrap() net.Conn { return s.Conn }
-
-func (s *taken) Read(b []byte) (int, error) {
-	if s.unread > 0 && len(b) > 0 {
-		s.unread = 0
-		b[0] = s.first[0]
-		return 1, nil
+	receiver := t.libraryStreams
+	switch s.first[0] {
+	case PeerStreamMark:
+		err = t.reclassify(s, &t.peerStreamCount, maxPeerStreams)
+		receiver = t.peerStreams
+	case framing.StreamMark:
+		err = t.reclassify(s, &t.followerStreamCount, t.maxFollowerStreams)
+		receiver = t.followerStreams
 	}
-	return s.Conn.Read(b)
+	s.unread = n
+	return receiver, err
 }
 
-func (s *taken) Close() error {
-	s.once.Do(func() {
-		s.stop()
-		if s.counts != nil {
-			s.counts.Add(-1)
-		}
-	})
-	return s.Conn.Close()
+// reclassify counts a stream among those of another kind.
+func (t *Transport) reclassify(s *stream, count *atomic.Int64, limit int64) error {
+	if !t.acquire(count, limit) {
+		return errNoRoom
+	}
+	t.libraryStreamCount.Add(-1)
+	s.count = count
+	return nil
 }
 
-// FinalAdvertiseAddr is where the others reach this member.
-func (w *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	return w.advertise.Addr().AsSlice(), int(w.advertise.Port()), nil
+// FinalAdvertiseAddr returns the address at which the others reach this member.
+func (t *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
 }
 
 // WriteTo sends a datagram.
-func (w *Transport) WriteTo(b []byte, addr string) (time.Time, error) {
+func (t *Transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return time.Time{}, err
 	}
-	w.BytesSent.Add(int64(len(b)))
-	_, err = w.udp.WriteToUDPAddrPort(b, to)
+	t.BytesSent.Add(int64(len(b)))
+	_, err = t.udp.WriteToUDPAddrPort(b, to)
 	return time.Now(), err
 }
 
-// DialTimeout opens a stream.
-func (w *Transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+// DialTimeout opens a stream, which ends with the transport.
+func (t *Transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
-	if ip := w.listen.Addr(); !ip.IsUnspecified() {
+	if ip := t.listen.Addr(); !ip.IsUnspecified() {
 		d.LocalAddr = &net.TCPAddr{IP: ip.AsSlice()}
 	}
-	c, err := d.DialContext(w.done, "tcp", addr)
+	conn, err := d.DialContext(t.ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return w.hold(c, nil), nil
+	return t.newStream(conn, nil), nil
 }
 
-// PacketCh and StreamCh are where what comes in is taken from.
-func (w *Transport) PacketCh() <-chan *memberlist.Packet { return w.packets }
-func (w *Transport) StreamCh() <-chan net.Conn           { return w.streams }
+// PacketCh returns the datagrams that arrive.
+func (t *Transport) PacketCh() <-chan *memberlist.Packet { return t.datagrams }
+
+// StreamCh returns the library's streams that others opened.
+func (t *Transport) StreamCh() <-chan net.Conn { return t.libraryStreams }
 
-// PeerStreams is where links that other members opened are taken from, their first byte still to be read.
-func (w *Transport) PeerStreams() <-chan net.Conn { return w.links }
+// PeerStreams returns the streams for packets that other members opened. Their first byte is still to be read.
+func (t *Transport) PeerStreams() <-chan net.Conn { return t.peerStreams }
 
-// Follows is the same for followers' streams.
-func (w *Transport) Follows() <-chan net.Conn { return w.follows }
+// Follows returns the streams that followers opened. Their first byte is still to be read.
+func (t *Transport) Follows() <-chan net.Conn { return t.followerStreams }
 
-// Done is closed with the wire.
-func (w *Transport) Done() <-chan struct{} { return w.done.Done() }
+// Done returns a channel that is closed when the transport ends.
+func (t *Transport) Done() <-chan struct{} { return t.ctx.Done() }
 
-// Shutdown closes the address and waits until nothing is read any more.
-func (w *Transport) Shutdown() error {
-	w.end()
-	_ = w.tcp.Close()
-	_ = w.udp.Close()
-	w.all.Wait()
+// Shutdown closes the address and all streams, and waits for the transport's goroutines. It never fails.
+func (t *Transport) Shutdown() error {
+	t.cancel()
+	_ = t.tcp.Close() // nothing of it is used any more
+	_ = t.udp.Close()
+	t.goroutines.Wait()
 	return nil
 }
