--- a/internal/lab/fleetsim/disk.go
+++ b/internal/lab/fleetsim/disk.go
@@ -9,29 +9,29 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// disk is a member's in memory: what was written stays until its machine is lost.
+// disk is a member's disk in memory; it survives the process and is lost with the machine.
 type disk struct {
-	fleet      string
-	hard, snap []byte
-	upto       uint64
-	entries    map[uint64][]byte
-	slots      map[int]*part
+	fleetID             string
+	hardState, snapshot []byte
+	snapshotIndex       uint64
+	entries             map[uint64][]byte
+	shards              map[int]*shardData
 }
 
-type part struct {
+type shardData struct {
 	ballot  replication.Ballot
 	records map[string]replication.Record
 }
 
-func newDisk() *disk { return &disk{entries: map[uint64][]byte{}, slots: map[int]*part{}} }
+func newDisk() *disk { return &disk{entries: map[uint64][]byte{}, shards: map[int]*shardData{}} }
 
-// write takes all of a Ready.
+// write stores everything that a Ready asks for.
 func (d *disk) write(r node.Ready) {
 	if r.FleetID != "" {
-		d.fleet = r.FleetID
+		d.fleetID = r.FleetID
 	}
 	if len(r.Log.HardState) > 0 {
-		d.hard = r.Log.HardState
+		d.hardState = r.Log.HardState
 	}
 	if len(r.Log.Entries) > 0 {
 		maps.DeleteFunc(d.entries, func(i uint64, _ []byte) bool { return i >= r.Log.FirstIndex })
@@ -40,14 +40,14 @@
 		}
 	}
 	if len(r.Log.Snapshot) > 0 {
-		d.snap, d.upto = r.Log.Snapshot, r.Log.SnapshotIndex
-		maps.DeleteFunc(d.entries, func(i uint64, _ []byte) bool { return i <= d.upto })
+		d.snapshot, d.snapshotIndex = r.Log.Snapshot, r.Log.SnapshotIndex
+		maps.DeleteFunc(d.entries, func(i uint64, _ []byte) bool { return i <= d.snapshotIndex })
 	}
 	for _, w := range r.ShardWrites {
-		s := d.slots[w.Shard]
+		s := d.shards[w.Shard]
 		if s == nil {
-			s = &part{records: map[string]replication.Record{}}
-			d.slots[w.Shard] = s
+			s = &shardData{records: map[string]replication.Record{}}
+			d.shards[w.Shard] = s
 		}
 		s.ballot = w.Ballot
 		if w.ReplaceAll {
@@ -61,13 +61,13 @@
 	}
 }
 
-// read is what a process finds at its start.
+// read returns what a process finds at its start.
 func (d *disk) read() node.PersistentState {
-	out := node.PersistentState{FleetID: d.fleet, Log: consensus.PersistentState{HardState: d.hard, Snapshot: d.snap}, Shards: map[int]node.ShardState{}}
+	out := node.PersistentState{FleetID: d.fleetID, Log: consensus.PersistentState{HardState: d.hardState, Snapshot: d.snapshot}, Shards: map[int]node.ShardState{}}
 	for _, i := range slices.Sorted(maps.Keys(d.entries)) {
 		out.Log.Entries = append(out.Log.Entries, d.entries[i])
 	}
-	for num, s := range d.slots {
+	for num, s := range d.shards {
 		one := node.ShardState{Ballot: s.ballot}
 		for _, k := range slices.Sorted(maps.Keys(s.records)) {
 			one.Records = append(one.Records, s.records[k])
--- a/internal/lab/fleetsim/world_test.go
+++ b/internal/lab/fleetsim/world_test.go
@@ -16,7 +16,7 @@
 )
 
 func usual(seed uint64) Plan {
-	return Plan{Seed: seed, Members: 5, Copies: 3, Length: time.Minute, Rate: 20, Keys: 60, Faults: 0.5, Machines: true, Loss: 0.2}
+	return Plan{Seed: seed, Members: 5, ReplicationFactor: 3, Length: time.Minute, Rate: 20, Keys: 60, Faults: 0.5, LoseMachines: true, Loss: 0.2}
 }
 
 // TestNothingPromisedIsLost plays histories with every fault.
@@ -27,7 +27,7 @@
 		w := New(p)
 		err := w.Play()
 		n := w.Counts()
-		t.Logf("seed %d: %v, %d machines lost, %d killed, %d stalls, %d cuts, %d versions, %d of %d keys not judged", seed, n, w.Lost, w.Kills, w.Waits, w.Cuts, w.Views,
+		t.Logf("seed %d: %v, %d machines lost, %d killed, %d stalls, %d cuts, %d versions, %d of %d keys not judged", seed, n, w.MachinesLost, w.Kills, w.Stalls, w.Cuts, w.Configurations,
 			w.Undecided, w.plan.Keys)
 		if err != nil {
 			t.Error(err)
@@ -50,8 +50,8 @@
 // TestWhatIsBrokenOnPurposeIsNamed plays each break until it shows: a judge that finds nothing proves nothing.
 func TestWhatIsBrokenOnPurposeIsNamed(t *testing.T) {
 	for broken, names := range map[Defect][]string{
-		TooSoon: {PromiseLost, TwoOwners, NotInOrder}, NotFenced: {PromiseLost, TwoOwners, NotInOrder}, NoRepair: {NotRepaired},
-		NotWritten: {PromiseLost, TwoOwners, NotInOrder},
+		EarlyAcknowledgement: {LostWrite, DuplicateVersion, NotLinearizable}, MissingFence: {LostWrite, DuplicateVersion, NotLinearizable}, NoRepair: {UnderReplicated},
+		MissingWrite: {LostWrite, DuplicateVersion, NotLinearizable},
 	} {
 		t.Run(string(broken), func(t *testing.T) {
 			t.Parallel()
