--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -130,9 +130,9 @@
 		p = publisher.New(publisher.Options{ID: s.MemberID, Fleet: f.file.FleetName, MaxSubscribers: f.file.MaxFollowers, Seed: f.seed ^ s.Incarnation<<16, Streams: w, Now: boottime.Now, Log: f.log})
 		told = p
 	}
-	h, err := nodeserver.Open(nodeserver.Options{Node: node.Config{Self: nodeserver.ShardMember(self), Incarnation: s.Incarnation, BootstrapID: rand.Text(), CanBootstrap: f.file.Seeds[0] == f.file.Advertise, Seeds: seeds,
+	h, err := nodeserver.Open(nodeserver.Options{NodeConfig: node.Config{Self: nodeserver.ShardMember(self), Incarnation: s.Incarnation, BootstrapID: rand.Text(), CanBootstrap: f.file.Seeds[0] == f.file.Advertise, Seeds: seeds,
 		VoterCount: f.file.Voters, ReplicationFactor: f.file.ReplicationFactor, EvictAfter: f.file.RepairAfter, MaxJoiningShards: repairing, Seed: f.seed ^ s.Incarnation<<32, MaxKeys: f.file.MaxRecords,
-		MaxBytes: f.file.MaxBytes, MaxPendingOperations: opsMost, Retention: []replication.RetentionRule{{Prefix: idempotency.KeyPrefix, TTL: idempotency.RecordTTL}}}, FleetName: f.file.FleetName, Dir: f.file.DataDir, Transport: w, Gossip: t, Now: boottime.Now, Log: f.log, Observer: told})
+		MaxBytes: f.file.MaxBytes, MaxPendingOperations: opsMost, Retention: []replication.RetentionRule{{Prefix: idempotency.KeyPrefix, TTL: idempotency.RecordTTL}}}, FleetName: f.file.FleetName, DataDir: f.file.DataDir, Transport: w, Gossip: t, Now: boottime.Now, Log: f.log, Observer: told})
 	if err != nil {
 		t.Close()
 		s.Close()
--- a/internal/fleet/nodeserver/bench_test.go
+++ b/internal/fleet/nodeserver/bench_test.go
@@ -13,10 +13,10 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// metered begins what is measured; the answer ends it, and tells the processor's time of one operation in ns, garbage collection within:
-// on a machine that others use as well the clock on the wall tells less.
-func metered(b *testing.B) func() float64 {
-	processor := func() time.Duration {
+// measureCPU starts a measurement. The function that it returns ends it, and reports and returns the CPU time of one operation in ns, garbage
+// collection included: on a shared machine the wall clock says less.
+func measureCPU(b *testing.B) func() float64 {
+	cpuTime := func() time.Duration {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 			b.Fatal(err)
@@ -24,19 +24,19 @@
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
 	b.ReportAllocs()
-	from := processor()
+	from := cpuTime()
 	b.ResetTimer()
 	return func() float64 {
 		b.StopTimer()
-		each := float64(processor()-from) / float64(b.N)
+		each := float64(cpuTime()-from) / float64(b.N)
 		b.ReportMetric(each, "cpu-ns/op")
 		return each
 	}
 }
 
-// BenchmarkOut is what each turn does of the members though nothing is to go out: their agreed form (as seen makes it of what the
-// contact knows), and the map of their addresses. A turn comes each 50 ms, and with each packet.
-func BenchmarkOut(b *testing.B) {
+// BenchmarkIdleTurn is what each turn does with the members though nothing is sent: their agreed form, as peerStatus makes it, and the map of
+// their addresses. There is a turn each 50 ms, and with each packet.
+func BenchmarkIdleTurn(b *testing.B) {
 	for _, n := range []int{17, 100, 300, 1000, 2300, 4600} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			var known []membership.Peer
@@ -55,17 +55,17 @@
 			if err := c.Step(node.Packet{FleetID: "f", PollResponse: &node.PollResponse{FleetID: "f", Version: 2, Epoch: 1, Members: all}}); err != nil {
 				b.Fatal(err)
 			}
-			h := &Server{core: c}
-			done := metered(b)
+			s := &Server{node: c, links: newLinks("", "", nil, nil)}
+			done := measureCPU(b)
 			for range b.N {
 				var at []placement.MemberStatus
 				for _, k := range known[1:] {
 					at = append(at, placement.MemberStatus{Member: ShardMember(k.Member), Alive: true, StateAge: time.Hour})
 				}
-				h.out(node.Ready{}, at)
+				s.send(nil, at)
 			}
 			per := done()
-			b.ReportMetric(per/float64(beat)*100, "%core")
+			b.ReportMetric(per/float64(tickInterval)*100, "%core")
 		})
 	}
 }
--- a/internal/fleet/nodeserver/golden_dir_test.go
+++ b/internal/fleet/nodeserver/golden_dir_test.go
@@ -29,7 +29,7 @@
 func driveNode(t *testing.T, c *node.Node, s *store.Store, now *time.Duration, done func(node.Ready) bool) {
 	t.Helper()
 	for end := *now + time.Minute; *now < end; {
-		*now += beat
+		*now += tickInterval
 		c.Tick(*now, nil)
 		c.SetWallClock(1700000000)
 		r, err := c.Ready()
--- a/internal/fleet/nodeserver/golden_test.go
+++ b/internal/fleet/nodeserver/golden_test.go
@@ -77,24 +77,24 @@
 
 // TestFramesAreUnchanged encodes a hello and one packet of each kind to the bytes of the golden files, and decodes these to the same values.
 func TestFramesAreUnchanged(t *testing.T) {
-	first := hello{Fleet: "istanbul", Form: 2, From: "from", To: "to"}
-	text, err := frame(first)
+	first := hello{FleetName: "istanbul", ProtocolVersion: 2, From: "from", To: "to"}
+	text, err := encodeFrame(first)
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkGolden(t, "hello.frame", text)
 	var again hello
-	if n, err := unframe(bytes.NewReader(text), &again); err != nil || n != len(text) || again != first {
+	if n, err := readFrame(bytes.NewReader(text), &again); err != nil || n != len(text) || again != first {
 		t.Errorf("%v: %d bytes, %+v", err, n, again)
 	}
 	for name, p := range goldenPackets() {
-		text, err := frame(p)
+		text, err := encodeFrame(p)
 		if err != nil {
 			t.Fatal(err)
 		}
 		checkGolden(t, name+".frame", text)
 		var got node.Packet
-		if n, err := unframe(bytes.NewReader(text), &got); err != nil || n != len(text) || !reflect.DeepEqual(got, p) {
+		if n, err := readFrame(bytes.NewReader(text), &got); err != nil || n != len(text) || !reflect.DeepEqual(got, p) {
 			t.Errorf("%s: %v: %d bytes, %+v", name, err, n, got)
 		}
 	}
--- a/internal/fleet/nodeserver/link.go
+++ b/internal/fleet/nodeserver/link.go
@@ -2,17 +2,14 @@
 
 import (
 	"bufio"
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
 	"sabletally/internal/fleet/gossip"
@@ -20,239 +17,260 @@
 )
 
 const (
-	waitMost  = 1024     // packets that wait for one member; more are dropped, and asked for again by who needs them
-	frameMost = 16 << 20 // bytes of one packet
-	dialIn    = time.Second
-	dialEach  = 200 * time.Millisecond
-	writeIn   = 2 * time.Second
-	helloIn   = 3 * time.Second
-	idle      = time.Minute // a link that nothing was sent on for so long is closed
-	deadAfter = 3 * time.Second
+	maxLinkQueue    = 1024 // packets that wait for one member; more are dropped, and retried by their senders
+	dialTimeout     = time.Second
+	redialDelay     = 200 * time.Millisecond
+	writeTimeout    = 2 * time.Second
+	helloTimeout    = 3 * time.Second
+	linkIdleTimeout = time.Minute // a link without packets is closed
+	readIdleTimeout = 2 * linkIdleTimeout
+	unackedTimeout  = 3 * time.Second // of the kernel, for data that the other side does not acknowledge
+	readBufferBytes = 64 << 10
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+// links are the connections to all other members. Each member opens one for its own packets when it has one to send.
+type links struct {
+	fleetName string
+	self      string // member ID
+	transport *gossip.Transport
+	receive   func(node.Packet) // called by one goroutine for each link that others opened; must not wait
 
-// hello is the first frame of a stream: who speaks to whom. The receiver refuses one that was meant for a member that had its address
-// before. The CBOR names are the wire form.
-type hello struct {
-	Fleet string `cbor:"Fleet"` // name in the fleet file
-	Form  int    `cbor:"Form"`
-	From  string `cbor:"From"` // member ID
-	To    string `cbor:"To"`   // member ID
-}
+	mu         sync.Mutex
+	byMember   map[string]*link
+	goroutines sync.WaitGroup
 
-// frame words one packet: its length, its checksum, and itself.
-func frame(v any) ([]byte, error) {
-	body, err := cbor.Marshal(v)
-	if err != nil {
-		return nil, err
-	}
-	text := make([]byte, 8, 8+len(body))
-	binary.BigEndian.PutUint32(text, uint32(len(body)))
-	binary.BigEndian.PutUint32(text[4:], crc32.Checksum(body, table))
-	return append(text, body...), nil
+	bytesSent     atomic.Int64
+	bytesReceived atomic.Int64
+	dropped       atomic.Int64 // packets that found no room or no connection
+	malformed     atomic.Int64 // packets and streams
 }
 
-// unframe reads one.
-func unframe(r io.Reader, v any) (int, error) {
-	var head [8]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return 0, err
-	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > frameMost {
-		return 0, fmt.Errorf("a packet of %d bytes", n)
-	}
-	body := make([]byte, n)
-	if _, err := io.ReadFull(r, body); err != nil {
-		return 0, err
-	}
-	if crc32.Checksum(body, table) != binary.BigEndian.Uint32(head[4:]) {
-		return 0, errors.New("a packet whose checksum is wrong")
-	}
-	return int(n) + len(head), cbor.Unmarshal(body, v)
+func newLinks(fleetName, self string, transport *gossip.Transport, receive func(node.Packet)) *links {
+	return &links{fleetName: fleetName, self: self, transport: transport, receive: receive, byMember: map[string]*link{}}
 }
 
-// links are the ways to all other members, each opened when something is to be sent.
-type links struct {
-	fleet, self string
-	wire        *gossip.Transport
-	heard       func(node.Packet)
-
-	mu  sync.Mutex
-	to  map[string]*link
-	all sync.WaitGroup
-
-	sent, got, dropped, odd atomic.Int64 // bytes; packets that found no room, what made no sense
+// start accepts links until the transport ends.
+func (l *links) start() {
+	l.goroutines.Add(1)
+	go l.accept()
 }
 
-// link is the way to one.
-type link struct {
-	of   *links
-	id   string
-	addr string
-	wait chan []byte
-}
+// wait waits until all goroutines have ended, which they do after the transport.
+func (l *links) wait() { l.goroutines.Wait() }
 
-// send puts a packet on the way to a member at an address. It never waits.
-func (l *links) send(id, addr string, p node.Packet) {
-	text, err := frame(p)
-	if err != nil || len(text) > frameMost {
+// send queues a packet for a member at an address. It never waits.
+func (l *links) send(member, address string, packet node.Packet) {
+	frame, err := encodeFrame(packet)
+	if err != nil || len(frame) > maxFrameBytes {
 		l.dropped.Add(1)
 		return
 	}
 	l.mu.Lock()
-	k := l.to[id]
-	if k == nil || k.addr != addr {
-		if k != nil {
-			close(k.wait)
-		}
-		k = &link{of: l, id: id, addr: addr, wait: make(chan []byte, waitMost)}
-		l.to[id] = k
-		l.all.Add(1)
-		go func() { defer l.all.Done(); k.run() }()
-	}
 	defer l.mu.Unlock()
+	k := l.linkTo(member, address)
 	select {
-	case k.wait <- text:
+	case k.queue <- frame:
 	default:
 		l.dropped.Add(1)
 	}
 }
 
-// forget ends a link that is not needed any more.
-func (l *links) forget(k *link) bool {
+// linkTo returns the link to a member, a new one where it has another address now. The lock is held.
+func (l *links) linkTo(member, address string) *link {
+	existing := l.byMember[member]
+	if existing != nil && existing.address == address {
+		return existing
+	}
+	if existing != nil {
+		close(existing.queue)
+	}
+	k := &link{links: l, member: member, address: address, queue: make(chan []byte, maxLinkQueue)}
+	l.byMember[member] = k
+	l.goroutines.Add(1)
+	go func() {
+		defer l.goroutines.Done()
+		k.run()
+	}()
+	return k
+}
+
+// removeIdle removes a link without packets, and reports whether it has to end.
+func (l *links) removeIdle(k *link) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(k.wait) > 0 || l.to[k.id] != k {
-		return l.to[k.id] != k
+	if l.byMember[k.member] != k {
+		return true
+	}
+	if len(k.queue) > 0 {
+		return false
 	}
-	delete(l.to, k.id)
+	delete(l.byMember, k.member)
 	return true
 }
 
-// run sends what waits, over one connection after the other. What a connection took along when it broke is lost.
+// link sends packets to one member at one address, over one connection at a time.
+type link struct {
+	links   *links
+	member  string // ID
+	address string
+	queue   chan []byte // frames; closed when the member has another address
+
+	conn       net.Conn // nil while there is none
+	nextDialAt time.Time
+}
+
+// run sends frames until the link is idle, replaced, or the transport ends. Frames that a broken connection had taken are lost.
 func (k *link) run() {
-	var c net.Conn
-	defer func() {
-		if c != nil {
-			_ = c.Close()
-		}
-	}()
-	var next time.Time
-	quiet := time.NewTimer(idle)
-	defer quiet.Stop()
+	defer k.closeConn()
+	idle := time.NewTimer(linkIdleTimeout)
+	defer idle.Stop()
 	for {
-		var text []byte
-		var open bool
-		quiet.Reset(idle)
+		idle.Reset(linkIdleTimeout)
 		select {
-		case <-k.of.wire.Done():
+		case <-k.links.transport.Done():
 			return
-		case <-quiet.C:
-			if k.of.forget(k) {
+		case <-idle.C:
+			if k.links.removeIdle(k) {
 				return
 			}
-			continue
-		case text, open = <-k.wait:
+		case frame, open := <-k.queue:
 			if !open {
 				return
 			}
+			k.write(frame)
 		}
-		if c == nil {
-			if time.Now().Before(next) {
-				k.of.dropped.Add(1)
-				continue
-			}
-			next = time.Now().Add(dialEach)
-			var err error
-			if c, err = k.open(); err != nil {
-				k.of.dropped.Add(1)
-				continue
-			}
-		}
-		_ = c.SetWriteDeadline(time.Now().Add(writeIn))
-		if _, err := c.Write(text); err != nil {
-			k.of.dropped.Add(1)
-			_ = c.Close()
-			c = nil
-			continue
-		}
-		k.of.sent.Add(int64(len(text)))
 	}
 }
 
-func (k *link) open() (net.Conn, error) {
-	c, err := k.of.wire.DialTimeout(k.addr, dialIn)
+// write sends one frame, or counts it as dropped.
+func (k *link) write(frame []byte) {
+	if !k.connect() {
+		k.links.dropped.Add(1)
+		return
+	}
+	_ = k.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a closed connection fails in the write
+	if _, err := k.conn.Write(frame); err != nil {
+		k.links.dropped.Add(1)
+		k.closeConn()
+		return
+	}
+	k.links.bytesSent.Add(int64(len(frame)))
+}
+
+// connect reports whether there is a connection. It dials when there is none, but not soon after the last time.
+func (k *link) connect() bool {
+	if k.conn != nil {
+		return true
+	}
+	if time.Now().Before(k.nextDialAt) {
+		return false
+	}
+	k.nextDialAt = time.Now().Add(redialDelay)
+	conn, err := k.dial()
 	if err != nil {
-		return nil, err
+		return false
 	}
-	if raw, is := c.(interface{ Unwrap() net.Conn }); is {
-		if t, is := raw.Unwrap().(*net.TCPConn); is { // else a way that was cut is found out minutes after it is whole again
-			if sc, err := t.SyscallConn(); err == nil {
-				_ = sc.Control(func(fd uintptr) {
-					_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadAfter.Milliseconds()))
-				})
-			}
-		}
+	k.conn = conn
+	return true
+}
+
+func (k *link) closeConn() {
+	if k.conn != nil {
+		_ = k.conn.Close() // a write that failed was counted
+		k.conn = nil
 	}
-	text, err := frame(hello{Fleet: k.of.fleet, Form: gossip.ProtocolVersion, From: k.of.self, To: k.id})
+}
+
+// dial opens a connection and sends the hello.
+func (k *link) dial() (net.Conn, error) {
+	conn, err := k.links.transport.DialTimeout(k.address, dialTimeout)
+	if err != nil {
+		return nil, err
+	}
+	limitUnacked(conn)
+	frame, err := encodeFrame(hello{FleetName: k.links.fleetName, ProtocolVersion: gossip.ProtocolVersion, From: k.links.self, To: k.member})
 	if err == nil {
-		_ = c.SetWriteDeadline(time.Now().Add(writeIn))
-		_, err = c.Write(append([]byte{gossip.PeerStreamMark}, text...))
+		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a closed connection fails in the write
+		_, err = conn.Write(append([]byte{gossip.PeerStreamMark}, frame...))
 	}
 	if err != nil {
-		_ = c.Close()
+		_ = conn.Close() // the error of the write is returned
 		return nil, err
 	}
-	return c, nil
+	return conn, nil
+}
+
+// limitUnacked has the kernel end a connection whose other side does not acknowledge. Without it a network partition is noticed minutes
+// after it has healed. Failures are ignored: the connection is slower to fail then.
+func limitUnacked(conn net.Conn) {
+	wrapper, ok := conn.(interface{ Unwrap() net.Conn })
+	if !ok {
+		return
+	}
+	tcp, ok := wrapper.Unwrap().(*net.TCPConn)
+	if !ok {
+		return
+	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return
+	}
+	_ = raw.Control(func(fd uintptr) {
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+	})
 }
 
 // accept takes links that others open.
 func (l *links) accept() {
-	defer l.all.Done()
+	defer l.goroutines.Done()
 	for {
 		select {
-		case <-l.wire.Done():
+		case <-l.transport.Done():
 			return
-		case c := <-l.wire.PeerStreams():
-			l.all.Add(1)
+		case conn := <-l.transport.PeerStreams():
+			l.goroutines.Add(1)
 			go func() {
-				defer l.all.Done()
-				defer func() { _ = c.Close() }()
-				if err := l.read(c); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-					l.odd.Add(1)
-				}
+				defer l.goroutines.Done()
+				l.serve(conn)
 			}()
 		}
 	}
 }
 
-// read takes in what one member says, until its link ends.
-func (l *links) read(c net.Conn) error {
-	r := bufio.NewReaderSize(c, 64<<10)
-	_ = c.SetReadDeadline(time.Now().Add(helloIn))
-	if _, err := r.Discard(1); err != nil {
+// serve reads a link that another member opened until it ends.
+func (l *links) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }() // nothing was written
+	err := l.readPackets(conn)
+	if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
+		l.malformed.Add(1)
+	}
+}
+
+// readPackets receives packets until the link fails, which it returns why.
+func (l *links) readPackets(conn net.Conn) error {
+	r := bufio.NewReaderSize(conn, readBufferBytes)
+	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout)) // a closed connection fails in the read
+	if _, err := r.Discard(1); err != nil {                // the mark
 		return err
 	}
-	var h hello
-	if _, err := unframe(r, &h); err != nil {
+	var first hello
+	if _, err := readFrame(r, &first); err != nil {
 		return err
 	}
-	if h.Fleet != l.fleet || h.To != l.self || h.Form < gossip.MinProtocolVersion {
-		return fmt.Errorf("a link of fleet %q, form %d, for member %s", h.Fleet, h.Form, h.To)
+	if first.FleetName != l.fleetName || first.To != l.self || first.ProtocolVersion < gossip.MinProtocolVersion {
+		return fmt.Errorf("a link of fleet %q, protocol version %d, for member %s", first.FleetName, first.ProtocolVersion, first.To)
 	}
 	for {
-		_ = c.SetReadDeadline(time.Now().Add(2 * idle))
-		var p node.Packet
-		n, err := unframe(r, &p)
+		_ = conn.SetReadDeadline(time.Now().Add(readIdleTimeout))
+		var packet node.Packet
+		n, err := readFrame(r, &packet)
 		if err != nil {
 			return err
 		}
-		if p.From != h.From {
-			return fmt.Errorf("a packet of %s on a link of %s", p.From, h.From)
+		if packet.From != first.From {
+			return fmt.Errorf("a packet of %s on a link of %s", packet.From, first.From)
 		}
-		l.got.Add(int64(n))
-		l.heard(p)
+		l.bytesReceived.Add(int64(n))
+		l.receive(packet)
 	}
 }
--- a/internal/fleet/nodeserver/link_test.go
+++ b/internal/fleet/nodeserver/link_test.go
@@ -10,9 +10,9 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// TestAPacketIsReadAsItWasWritten words one with every part, and spoils its bytes. Guards against a decoder that has the views of
-// one packet share their lists, which gave every member views of its own.
-func TestAPacketIsReadAsItWasWritten(t *testing.T) {
+// TestPacketRoundTrip encodes and decodes a packet with all parts, and damages its bytes. The configurations of a decoded packet must not
+// share their lists.
+func TestPacketRoundTrip(t *testing.T) {
 	p := node.Packet{From: "a", To: "b", FleetID: "f", Raft: []byte{1}, ReplicaReport: &replication.ReplicaReport{Shard: 3, Subject: "c"}, PollRequest: &node.PollRequest{Version: 7},
 		Replication: []replication.Message{{Kind: replication.MessageWrite, Ballot: replication.Ballot{Configuration: 1 << 63, Incarnation: 2}, Records: []replication.Record{{Key: "k", Value: []byte("v")}}},
 			{Kind: replication.MessageResult, Result: replication.Result{Outcome: replication.OutcomeConflict, Record: replication.Record{PastOperationIDs: []string{"p"}}}}},
@@ -20,19 +20,19 @@
 	for n := range shardmap.ShardCount {
 		p.PollResponse.Shards[n] = shardmap.Configuration{Number: uint64(n), InSync: []string{string(rune('a' + n%5)), string(rune('f' + n%3)), "z"}[:1+n%3]}
 	}
-	text, err := frame(p)
+	text, err := encodeFrame(p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got node.Packet
-	if _, err := unframe(bytes.NewReader(text), &got); err != nil || !reflect.DeepEqual(got, p) {
+	if _, err := readFrame(bytes.NewReader(text), &got); err != nil || !reflect.DeepEqual(got, p) {
 		t.Errorf("%v: %+v", err, got)
 	}
 	for _, at := range []int{0, 5, 9, len(text) - 1} {
 		bad := bytes.Clone(text)
 		bad[at] ^= 0x40
-		if _, err := unframe(bytes.NewReader(bad), &got); err == nil {
-			t.Errorf("byte %d changed, and nobody noticed", at)
+		if _, err := readFrame(bytes.NewReader(bad), &got); err == nil {
+			t.Errorf("a change of byte %d was not detected", at)
 		}
 	}
 }
--- a/internal/fleet/publisher/server.go
+++ b/internal/fleet/publisher/server.go
@@ -136,9 +136,9 @@
 	go p.accept()
 }
 
-// Changed takes what the member's core tells of the agreed state; it never waits. False where too much of it waits: it has to be told of
+// StateChanged takes what the member's core tells of the agreed state; it never waits. False where too much of it waits: it has to be told of
 // the whole then.
-func (p *Server) Changed(whole *changefeed.Snapshot, changes []*changefeed.Change) bool {
+func (p *Server) StateChanged(whole *changefeed.Snapshot, changes []*changefeed.Change) bool {
 	p.news.Lock()
 	if whole != nil {
 		p.whole, p.fresh = whole, nil
@@ -152,9 +152,9 @@
 	return room
 }
 
-// Fresh takes the time up to which nothing newer than a version was agreed; it never waits. It counts from when that version is
+// VersionConfirmed takes the time up to which nothing newer than a version was agreed; it never waits. It counts from when that version is
 // published.
-func (p *Server) Fresh(asOf time.Duration, version uint64) {
+func (p *Server) VersionConfirmed(asOf time.Duration, version uint64) {
 	p.news.Lock()
 	news := !p.known || asOf > p.asOf
 	p.asOf, p.asOfVersion, p.known = asOf, version, true
--- a/internal/fleet/publisher/server_test.go
+++ b/internal/fleet/publisher/server_test.go
@@ -115,7 +115,7 @@
 				r.mu.Unlock()
 				if !r.stale.Load() {
 					for _, p := range r.all {
-						p.Fresh(now, version)
+						p.VersionConfirmed(now, version)
 					}
 				}
 			}
@@ -145,7 +145,7 @@
 		r.t.Fatal(err)
 	}
 	for _, p := range r.all {
-		p.Changed(nil, []*changefeed.Change{&c})
+		p.StateChanged(nil, []*changefeed.Change{&c})
 	}
 	return c.Version
 }
@@ -402,7 +402,7 @@
 		if s := p.Status(); s.Version != last || s.Digest != f.Status().Digest {
 			t.Errorf("version %d with %016x; the follower has %016x", s.Version, s.Digest, f.Status().Digest)
 		}
-		p.Changed(whole, nil)
+		p.StateChanged(whole, nil)
 	}
 	late := r.follower(1)
 	until(t, "both are current", every([]*follower{f, late}, func(s subscriber.Status) bool { return s.Current && s.Version == last && len(s.Publishers) == 2 }))
@@ -462,7 +462,7 @@
 	until(t, "it is current", func() bool { return f.Status().Current })
 	r.stale.Store(true)
 	until(t, "a version that is not here makes nothing younger", func() bool {
-		p.Fresh(boottime.Now(), 2)
+		p.VersionConfirmed(boottime.Now(), 2)
 		return p.Status().Age > time.Second && f.Status().Age > time.Second
 	})
 	if s := f.Status(); s.Version != 1 {
@@ -470,7 +470,7 @@
 	}
 	r.change(changefeed.Item{Key: "view/1", Value: []byte("v")})
 	until(t, "the version makes it young", func() bool {
-		p.Fresh(boottime.Now(), 2)
+		p.VersionConfirmed(boottime.Now(), 2)
 		return p.Status().Age < time.Second/2 && f.Status().Version == 2 && f.Status().Age < time.Second/2
 	})
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -155,8 +155,8 @@
 	r.Health, r.Pauses, r.Rejected, r.Malformed = s.HealthScore, s.Stalls, s.Rejected, s.Malformed
 	r.Dropped, r.Unopened, r.Sent, r.Received = w.DatagramsDropped.Load(), w.StreamsRejected.Load(), w.BytesSent.Load(), w.BytesReceived.Load()
 	a := h.Status()
-	r.Store = &StoreReport{ID: a.FleetID, Epoch: a.Epoch, Members: a.Members, Voters: a.Voters, IsLeader: a.IsLeader, ShardsByReplicas: a.ReplicaCounts, LocalShards: a.LocalShards, Records: a.Keys,
-		Bytes: a.Bytes, FileBytes: a.FileBytes, DiskError: a.DiskError, Rejections: a.Rejections, Sent: a.BytesSent, Received: a.BytesReceived, Dropped: a.PacketsDropped, Malformed: a.Malformed, Writes: a.Writes,
+	r.Store = &StoreReport{ID: a.FleetID, Epoch: a.Epoch, Members: a.MemberCount, Voters: a.VoterCount, IsLeader: a.IsLeader, ShardsByReplicas: a.ReplicaCounts, LocalShards: a.LocalShards, Records: a.RecordCount,
+		Bytes: a.RecordBytes, FileBytes: a.FileBytes, DiskError: a.DiskError, Rejections: a.Rejections, Sent: a.BytesSent, Received: a.BytesReceived, Dropped: a.PacketsDropped, Malformed: a.Malformed, Writes: a.WriteCount,
 		VoterSites: a.VoterSites, Version: a.Version}
 	if p != nil {
 		r.Publisher = publishing(p.Status(), f.file.MaxFollowers)
