--- a/cmd/sabletally/fleet_cost_test.go
+++ b/cmd/sabletally/fleet_cost_test.go
@@ -42,7 +42,7 @@
 	}()
 	m := enlistNow(t, many, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
 	m.want("every slot has its holders", m.all, repaired)
-	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Late = late })
+	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Delay = late })
 	if err := m.procs[0].WaitReady(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -216,7 +216,7 @@
 	}
 
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) {
-		*tie = emulator.MemberLink{Loss: 0.3, Mixed: 0.3, Late: 20 * time.Millisecond}
+		*tie = emulator.MemberLink{Loss: 0.3, Duplicated: 0.3, Delay: 20 * time.Millisecond}
 	})
 	_ = m.procs[4].Signal(syscall.SIGSTOP)
 	m.want("the stopped one is missed, over bad ways", m.without(4), gone(4))
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -32,7 +32,7 @@
 		return fmt.Errorf("%s is missing, both programs are built by: go build -o bin/ ./cmd/... (%w)", binary, err)
 	}
 	fmt.Printf("A world of %d stand-in servers, %d balancers (%s) and about %.0f clients, for %v.\n",
-		len(x.World.Machines), x.World.Balancers, filepath.Base(binary), float64(x.World.Load.Standing)+x.World.Load.Rate*(x.World.Load.Length-x.World.Load.Fill).Seconds(), x.World.Load.Length)
+		len(x.World.Machines), x.World.Balancers, filepath.Base(binary), float64(x.World.Load.Standing)+x.World.Load.Rate*(x.World.Load.Length-x.World.Load.WarmupTime).Seconds(), x.World.Load.Length)
 	f, err := cluster.Start(x.World, cluster.Arm{Name: "demo", Command: []string{binary}}, x.Seeds[0])
 	if err != nil {
 		return err
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -133,8 +133,8 @@
 
 // start starts an arm's balancer, with nothing in its way: no probes, many descriptors.
 func (a *throughputArm) start(num int, dir string, servers []string, idle int) error {
-	w := topology.World{Balancers: 1, Zones: 1, GradeNames: []string{"feed"}, OuterLimits: []time.Duration{time.Minute},
-		MessageGoal: 10 * time.Second, DrainGrace: time.Second, ConnectWithin: 10 * time.Second,
+	w := topology.World{Balancers: 1, Zones: 1, ClassNames: []string{"feed"}, Deadlines: []time.Duration{time.Minute},
+		MessageObjective: 10 * time.Second, DrainGrace: time.Second, ConnectTimeout: 10 * time.Second,
 		Deployment: policy.Config{Classes: []policy.Class{{SetupObjective: 10 * time.Second, MessageObjective: 10 * time.Second, PriorityWeight: 1}},
 			MaxAttempts: 3, OverloadMultiple: 3, OverloadWindow: time.Second, SlowStartFloor: 1, SlowStartWindow: time.Second},
 		Limits: topology.Limits{Cores: float64(a.Cores), MemoryMB: 4096, Sockets: 2*idle + 8192}}
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -18,7 +18,7 @@
 // testFleet is a fleet in memory, with the clock of a synctest bubble.
 type testFleet struct {
 	t            *testing.T
-	network      *memnet.Net
+	network      *memnet.Network
 	ports        []*memnet.Port
 	agents       []*Agent
 	began        time.Time
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -18,14 +18,14 @@
 	DrainGrace   time.Duration
 	Slack        time.Duration // more, for what the stand-ins see late; 50 ms on sockets, none in virtual time
 	MaxLineDelay time.Duration // a line is held so long at most
-	EndWithin    time.Duration // an end is passed on by then
+	CloseTimeout time.Duration // an end is passed on by then
 	Warmup       model.Warmup
-	Grades       []policy.Class
+	Classes      []policy.Class
 	Places       []Place // of the servers, by their index
 }
 
 // Place is where a server stands, for grades whose repeats only its zone or cell drops.
-type Place struct{ Zone, Cell int }
+type Place struct{ Zone, FailureDomain int }
 
 // Rule names what was broken.
 type Rule string
@@ -189,7 +189,7 @@
 	switch e.Kind {
 	case history.Taken:
 		c := j.of(e.Session)
-		c.balancer, c.grade, c.takenAt, c.limit = e.Balancer, e.Grade, e.At, e.Len
+		c.balancer, c.grade, c.takenAt, c.limit = e.Balancer, e.Class, e.At, e.Duration
 		c.killed = j.down[e.Balancer]
 		j.v.Sessions++
 	case history.Answered:
@@ -204,8 +204,8 @@
 		c.ended, c.endedAt = true, e.At
 	case history.LineDelayed:
 		at := j.of(e.Session).at()
-		if e.Len > j.r.MaxLineDelay+j.r.Slack && (at == nil || !j.out(at.server, e.At-e.Len, e.At)) {
-			j.broken(e.At, LineDelayed, e.Session, fmt.Sprintf("for %v", e.Len))
+		if e.Duration > j.r.MaxLineDelay+j.r.Slack && (at == nil || !j.out(at.server, e.At-e.Duration, e.At)) {
+			j.broken(e.At, LineDelayed, e.Session, fmt.Sprintf("for %v", e.Duration))
 		}
 	case history.AttemptReceived:
 		j.sent(e, j.of(e.Session))
@@ -213,7 +213,7 @@
 		c := j.of(e.Session)
 		for n := range c.tries {
 			if t := &c.tries[n]; t.server == e.Server && !t.over {
-				t.ran, t.receipt = true, e.N
+				t.ran, t.receipt = true, e.Number
 			}
 		}
 	case history.AttemptEnded:
@@ -235,7 +235,7 @@
 		if all := j.outages[e.Server]; len(all) > 0 && all[len(all)-1].to == forever {
 			all[len(all)-1].to = e.At
 		}
-		j.process[e.Server] = &process{at: e.At, fills: e.N, cold: e.Text == "cold"}
+		j.process[e.Server] = &process{at: e.At, fills: e.Number, cold: e.Text == "cold"}
 	case history.Stopped:
 		j.outages[e.Server] = append(j.outages[e.Server], span{e.At, forever})
 	case history.Overloaded:
@@ -271,12 +271,12 @@
 		j.broken(e.At, OneFinalAnswer, e.Session, fmt.Sprintf("%v after its outer limit", late))
 	}
 	if e.Text == "up" {
-		c.up, c.receipt = true, e.N
+		c.up, c.receipt = true, e.Number
 	}
 }
 
 func (j *judge) sent(e *history.Event, c *circuit) {
-	first := e.At - e.Len
+	first := e.At - e.Duration
 	if c.balancer < 0 {
 		j.broken(e.At, FabricatedAnswer, e.Session, "no client has asked for it")
 	}
@@ -288,15 +288,15 @@
 			j.broken(e.At, NoDuplicateEffect, e.Session, fmt.Sprintf("server %d may have run it, server %d gets it again", t.server, e.Server))
 		}
 	}
-	if p := j.process[e.Server]; p != nil && p.cold && e.At-p.at < j.r.Warmup.For {
-		for len(p.sends) > 0 && p.sends[0] <= e.At-j.r.Warmup.Within {
+	if p := j.process[e.Server]; p != nil && p.cold && e.At-p.at < j.r.Warmup.Window {
+		for len(p.sends) > 0 && p.sends[0] <= e.At-j.r.Warmup.OverloadWindow {
 			p.sends = p.sends[1:]
 		}
 		p.sends = append(p.sends, e.At)
 		bears := j.r.Warmup.Budget(p.fills, j.r.Warmup.Warmth(e.At-p.at))
 		if float64(len(p.sends)) > bears+1 { // the model falls at the budget; its clock may differ by a hair
 			j.broken(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d was sent %d within %v, bears %.1f",
-				e.Server, len(p.sends), j.r.Warmup.Within, bears))
+				e.Server, len(p.sends), j.r.Warmup.OverloadWindow, bears))
 		}
 	}
 	c.tries = append(c.tries, try{server: e.Server, sentAt: e.At})
@@ -304,10 +304,10 @@
 
 // mayRepeat tells whether a circuit that a try may have run may be sent again now.
 func (j *judge) mayRepeat(c *circuit, t *try, e *history.Event) bool {
-	if int(c.grade) >= len(j.r.Grades) {
+	if int(c.grade) >= len(j.r.Classes) {
 		return true
 	}
-	g := j.r.Grades[c.grade]
+	g := j.r.Classes[c.grade]
 	place := func(server int32) Place {
 		if int(server) < len(j.r.Places) {
 			return j.r.Places[server]
@@ -322,7 +322,7 @@
 		return false
 	}
 	return e.At <= t.sentAt+g.KeyTTL+j.r.Slack && (g.KeyScope == policy.KeyScopeAll || was.Zone == is.Zone &&
-		(g.KeyScope == policy.KeyScopeZone || was.Cell == is.Cell))
+		(g.KeyScope == policy.KeyScopeZone || was.FailureDomain == is.FailureDomain))
 }
 
 // close judges what can be told of a circuit only once all is known.
@@ -353,13 +353,13 @@
 	}
 	switch byServer := at.over && at.how == "server"; {
 	case c.ended && !c.moved && !c.left && (!byServer || at.overAt > c.endedAt+j.r.Slack):
-		if !j.out(at.server, c.endedAt-j.r.EndWithin, c.endedAt) {
+		if !j.out(at.server, c.endedAt-j.r.CloseTimeout, c.endedAt) {
 			j.broken(c.endedAt, CutWithoutMove, id, fmt.Sprintf("server %d still answered", at.server))
 		}
-	case byServer && !c.left && end > at.overAt+j.r.EndWithin+j.r.Slack &&
-		(!c.ended || c.endedAt > at.overAt+j.r.EndWithin+j.r.Slack) && !c.moved:
+	case byServer && !c.left && end > at.overAt+j.r.CloseTimeout+j.r.Slack &&
+		(!c.ended || c.endedAt > at.overAt+j.r.CloseTimeout+j.r.Slack) && !c.moved:
 		j.broken(at.overAt, CloseDelayed, id, fmt.Sprintf("server %d had ended it", at.server))
-	case c.left && end > c.leftAt+j.r.EndWithin+j.r.Slack && (!at.over || at.overAt > c.leftAt+j.r.EndWithin+j.r.Slack):
+	case c.left && end > c.leftAt+j.r.CloseTimeout+j.r.Slack && (!at.over || at.overAt > c.leftAt+j.r.CloseTimeout+j.r.Slack):
 		if !j.out(at.server, c.leftAt, end) {
 			j.broken(c.leftAt, CloseDelayed, id, fmt.Sprintf("server %d still held it", at.server))
 		}
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -12,10 +12,10 @@
 const ms = time.Millisecond
 
 var rules = Rules{
-	DrainGrace: 750 * ms, Slack: 50 * ms, MaxLineDelay: time.Second, EndWithin: time.Second,
-	Warmup: model.Warmup{From: 0.2, For: 20 * time.Second, Multiple: 3, Within: 1500 * ms},
-	Grades: []policy.Class{{}, {Idempotency: policy.NonIdempotent}, {Idempotency: policy.IdempotentWithKey, KeyScope: policy.KeyScopeFailureDomain, KeyTTL: 2 * time.Second}},
-	Places: []Place{{0, 1}, {0, 1}, {0, 2}},
+	DrainGrace: 750 * ms, Slack: 50 * ms, MaxLineDelay: time.Second, CloseTimeout: time.Second,
+	Warmup:  model.Warmup{Floor: 0.2, Window: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 1500 * ms},
+	Classes: []policy.Class{{}, {Idempotency: policy.NonIdempotent}, {Idempotency: policy.IdempotentWithKey, KeyScope: policy.KeyScopeFailureDomain, KeyTTL: 2 * time.Second}},
+	Places:  []Place{{0, 1}, {0, 1}, {0, 2}},
 }
 
 // Events in short. Circuit 1 of balancer 0, unless told otherwise.
@@ -27,14 +27,14 @@
 	return e
 }
 func taken(t, limit int) history.Event {
-	return at(t, history.Taken, func(e *history.Event) { e.Len = time.Duration(limit) * ms })
+	return at(t, history.Taken, func(e *history.Event) { e.Duration = time.Duration(limit) * ms })
 }
-func grade(g int16, e history.Event) history.Event { e.Grade = g; return e }
+func grade(g int16, e history.Event) history.Event { e.Class = g; return e }
 func sent(t int, server int32) history.Event {
 	return at(t, history.AttemptReceived, func(e *history.Event) { e.Server = server })
 }
 func ran(t int, server int32) history.Event {
-	return at(t, history.Ran, func(e *history.Event) { e.Server, e.N = server, 7 })
+	return at(t, history.Ran, func(e *history.Event) { e.Server, e.Number = server, 7 })
 }
 func over(t int, server int32, how string) history.Event {
 	return at(t, history.AttemptEnded, func(e *history.Event) { e.Server, e.Text = server, how })
@@ -42,12 +42,12 @@
 func answer(t int, text string) history.Event {
 	return at(t, history.Answered, func(e *history.Event) {
 		if e.Text = text; text == "up" {
-			e.N = 7
+			e.Number = 7
 		}
 	})
 }
 func server(w history.Kind, t int, server int32, text string) history.Event {
-	return at(t, w, func(e *history.Event) { e.Server, e.Text, e.Session, e.N = server, text, 0, 100 })
+	return at(t, w, func(e *history.Event) { e.Server, e.Text, e.Session, e.Number = server, text, 0, 100 })
 }
 func ended(t int) history.Event { return at(t, history.Ended) }
 
@@ -72,7 +72,7 @@
 
 func TestTheJudge(t *testing.T) {
 	held := func(ms int) history.Event {
-		return at(500, history.LineDelayed, func(e *history.Event) { e.Len = time.Duration(ms) * time.Millisecond })
+		return at(500, history.LineDelayed, func(e *history.Event) { e.Duration = time.Duration(ms) * time.Millisecond })
 	}
 	bears := int(rules.Warmup.Budget(100, 0.2)) // at the start
 	for _, c := range []struct {
@@ -111,7 +111,7 @@
 		{"sent after the grace", []history.Event{server(history.Notified, 0, 0, "draining"), taken(700, 1000), sent(801, 0), ran(802, 0), answer(810, "up")}, DrainRespected},
 		{"sent after the grace of a gone one", []history.Event{server(history.Notified, 0, 0, "gone"), taken(700, 1000), sent(900, 0), ran(902, 0), answer(910, "up")}, DrainRespected},
 		{"its first byte within the grace", []history.Event{server(history.Notified, 0, 0, "draining"), taken(700, 1000),
-			at(900, history.AttemptReceived, func(e *history.Event) { e.Len = 100 * ms }), ran(901, 0), answer(910, "up")}, ""},
+			at(900, history.AttemptReceived, func(e *history.Event) { e.Duration = 100 * ms }), ran(901, 0), answer(910, "up")}, ""},
 		{"told draining and then gone: the first counts", []history.Event{server(history.Notified, 0, 0, "draining"), server(history.Notified, 700, 0, "gone"),
 			taken(700, 1000), sent(810, 0), ran(811, 0), answer(820, "up")}, DrainRespected},
 		{"told ready again", []history.Event{server(history.Notified, 0, 0, "gone"), server(history.Notified, 500, 0, "ready"), taken(1700, 1000),
@@ -126,7 +126,7 @@
 		{"a line in time", up(held(1050)), ""},
 		{"a line held", up(held(1051)), LineDelayed},
 		{"a line held by a link that was cut", up(server(history.Stopped, 30, 0, "link"), server(history.Started, 200, 0, "warm"), held(400), held(1051)), ""},
-		{"a line held after the link was back", up(server(history.Stopped, 30, 0, "link"), server(history.Started, 40, 0, "warm"), at(1200, history.LineDelayed, func(e *history.Event) { e.Len = 1100 * ms })), LineDelayed},
+		{"a line held after the link was back", up(server(history.Stopped, 30, 0, "link"), server(history.Started, 40, 0, "warm"), at(1200, history.LineDelayed, func(e *history.Event) { e.Duration = 1100 * ms })), LineDelayed},
 		{"cut while the server answers", up(ended(500)), CutWithoutMove},
 		{"moved", up(at(500, history.Moved), ended(501), over(510, 0, "peer")), ""},
 		{"cut with its server", up(over(499, 0, "server"), ended(500)), ""},
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -69,8 +69,8 @@
 func Start(w topology.World, arm Arm, seed uint64) (*Cluster, error) {
 	c := &Cluster{World: w, Clock: &emulator.Clock{}, Log: history.New(maxEvents), rng: rand.New(rand.NewPCG(seed, 0xf1e1d)), seed: seed,
 		receiving: make([]bool, w.Balancers), incarnations: make([]int, w.Balancers), store: emulator.NewStore(w.Store),
-		Meter: report.NewMeter(w.Load.Fill, w.Load.Length)}
-	c.endpoints = emulator.NewEndpointList(c.Clock, w.Notice, w.Silent, seed)
+		Meter: report.NewMeter(w.Load.WarmupTime, w.Load.Length)}
+	c.endpoints = emulator.NewEndpointList(c.Clock, w.ListDelay, w.DetectionDelay, seed)
 	for _, fault := range w.Faults {
 		c.hasLinks = c.hasLinks || fault.Kind == faults.LinkSlow || fault.Kind == faults.LinkCut
 	}
@@ -97,7 +97,7 @@
 			return fail(err)
 		}
 	}
-	if w.Copies > 0 {
+	if w.ReplicationFactor > 0 {
 		if c.members, err = NewMemberGroup(w.Balancers, dir, seed); err != nil {
 			return fail(err)
 		}
@@ -126,7 +126,7 @@
 			}
 		}
 		if c.members != nil {
-			if err := c.members.Add(b, w.Copies, w.Zones, p); err != nil {
+			if err := c.members.Add(b, w.ReplicationFactor, w.Zones, p); err != nil {
 				return fail(err)
 			}
 		}
@@ -151,12 +151,12 @@
 // addServer adds a server; first: before the run.
 func (c *Cluster) addServer(m topology.Machine, started time.Duration, first bool) error {
 	num := len(c.Servers)
-	s := emulator.NewServer(num, serverName(num), m.Type, c.World.Warmup, c.World.GroupCost, c.World.Sheds, started, c.store, c.Clock, c.Log, c.seed)
+	s := emulator.NewServer(num, serverName(num), m.Type, c.World.Warmup, c.World.GroupCost, c.World.ShedBacklog, started, c.store, c.Clock, c.Log, c.seed)
 	if err := s.Listen(); err != nil {
 		return err
 	}
 	c.Servers = append(c.Servers, s)
-	c.places = append(c.places, checker.Place{Zone: m.Zone, Cell: m.FailureDomain})
+	c.places = append(c.places, checker.Place{Zone: m.Zone, FailureDomain: m.FailureDomain})
 	at := s.Addr()
 	if c.hasLinks {
 		l, err := emulator.NewLink(at)
--- a/internal/lab/cluster/describe.go
+++ b/internal/lab/cluster/describe.go
@@ -14,10 +14,10 @@
 	faults.SetStore: "the store is slower, times", faults.SetDiscovery: "discovery in reach", faults.SetLate: "the list comes later",
 	faults.SetFaulty: "discovery answers with faults", faults.Hide: "is missing from the list", faults.Show: "is in the list again",
 	faults.DropClients: "clients drop, share", faults.KillBalancer: "is killed", faults.StartBalancer: "starts again",
-	faults.LeaveBalancer: "restarts as planned", faults.ReloadAll: "all balancers reload", faults.SetBad: "bad clients a second",
-	faults.UpgradeBalancer: "gets a new process beside it", faults.DrainBalancer: "is emptied", faults.SetTune: "all balancers are retuned",
-	faults.SetCrowd: "clients that never finish, a second", faults.SetPieces: "clients write in pieces",
-	faults.SetTies: "ways between members", faults.StallBalancer: "is stopped", faults.LoseBalancer: "is lost with its directory",
+	faults.RestartBalancer: "restarts as planned", faults.ReloadAll: "all balancers reload", faults.SetMisbehavingClients: "bad clients a second",
+	faults.UpgradeBalancer: "gets a new process beside it", faults.DrainBalancer: "is emptied", faults.SetMoreClasses: "all balancers are retuned",
+	faults.SetSilentClients: "clients that never finish, a second", faults.SetPieces: "clients write in pieces",
+	faults.SetMemberLinks: "ways between members", faults.StallBalancer: "is stopped", faults.LoseBalancer: "is lost with its directory",
 	faults.SetLinkLate: "its link is later", faults.SetLinkCut: "its link is cut",
 }
 
@@ -27,9 +27,9 @@
 	switch {
 	case step.OnServer():
 		text = serverName(step.Target) + " " + text
-	case step.Action == faults.SetTies:
-		text = fmt.Sprintf("%s %b: %+v", text, step.Band, step.Tie)
-	case step.Action == faults.StallBalancer || step.Action == faults.LoseBalancer || step.Action == faults.KillBalancer || step.Action == faults.StartBalancer || step.Action == faults.LeaveBalancer:
+	case step.Action == faults.SetMemberLinks:
+		text = fmt.Sprintf("%s %b: %+v", text, step.Members, step.Link)
+	case step.Action == faults.StallBalancer || step.Action == faults.LoseBalancer || step.Action == faults.KillBalancer || step.Action == faults.StartBalancer || step.Action == faults.RestartBalancer:
 		text = fmt.Sprintf("balancer n%d %s", step.Target, text)
 	}
 	if step.Figure != 0 {
--- a/internal/lab/cluster/fault_steps.go
+++ b/internal/lab/cluster/fault_steps.go
@@ -39,7 +39,7 @@
 	case faults.BeginDrain:
 		c.endpoints.SetState(ctx, serverName(step.Target), emulator.Terminating, 0, false)
 		by := c.Clock.Now() + step.For
-		running.Go(func() { server.Drain(ctx, c.World.SendsAway, by) })
+		running.Go(func() { server.Drain(ctx, c.World.MovesClients, by) })
 	case faults.Stop:
 		server.Fail("stop")
 		c.endpoints.SetState(ctx, serverName(step.Target), emulator.Terminated, 0, false)
@@ -54,7 +54,7 @@
 	case faults.Speak:
 		server.Misbehave(func(w *emulator.WireFaults) { w.Silent = false })
 	case faults.SetSlow:
-		server.Set(func(m *model.Server) { m.Slow = step.Figure })
+		server.Set(func(m *model.Server) { m.SlowFactor = step.Figure })
 	case faults.SetErrors:
 		server.Set(func(m *model.Server) { m.ErrorRate = step.Figure })
 	case faults.SetFull:
@@ -66,7 +66,7 @@
 	case faults.SetHalfOpen:
 		server.Misbehave(func(w *emulator.WireFaults) { w.HalfOpen = on })
 	case faults.SetLinkLate:
-		c.links[step.Target].Set(func(l *emulator.Condition) { l.Late = step.For })
+		c.links[step.Target].Set(func(l *emulator.Condition) { l.Delay = step.For })
 	case faults.SetLinkCut:
 		c.cutLink(step.Target, on)
 	}
@@ -123,11 +123,11 @@
 	switch step.Action {
 	case faults.DropClients:
 		clients.Drop(step.Figure, step.For, c.rng)
-	case faults.SetCrowd:
+	case faults.SetSilentClients:
 		running.Go(func() { emulator.RunSilentClients(ctx, step.Figure, step.For, c.PickBalancer, c.seed) })
 	case faults.SetPieces:
 		clients.Pieces.Store(on)
-	case faults.SetBad:
+	case faults.SetMisbehavingClients:
 		if c.stopMisbehaving != nil {
 			c.stopMisbehaving()
 		}
@@ -151,14 +151,14 @@
 		running.Go(func() { c.noticeDeath(ctx, b) })
 	case faults.StartBalancer:
 		running.Go(func() { c.recordError(c.startBalancer(b)) })
-	case faults.LeaveBalancer:
+	case faults.RestartBalancer:
 		running.Go(func() { c.restartAsPlanned(ctx, b) })
 	case faults.ReloadAll:
 		for _, agent := range c.agents {
 			c.recordError(agent.Replace())
 		}
 		c.reload(&c.World)
-	case faults.SetTune:
+	case faults.SetMoreClasses:
 		w := c.World
 		if step.Figure > 0 {
 			w = withMoreClasses(w)
@@ -168,8 +168,8 @@
 		running.Go(func() { c.recordError(c.upgradeBalancer(ctx, b)) })
 	case faults.DrainBalancer:
 		running.Go(func() { c.recordError(c.drainBalancer(ctx, b, step.For)) })
-	case faults.SetTies:
-		c.members.set(step.Band, step.Tie)
+	case faults.SetMemberLinks:
+		c.members.set(step.Members, step.Link)
 	case faults.StallBalancer:
 		running.Go(func() { c.stallBalancer(ctx, b, step.For) })
 	case faults.LoseBalancer:
--- a/internal/lab/cluster/member_group.go
+++ b/internal/lab/cluster/member_group.go
@@ -91,7 +91,7 @@
 	b.Links.Set(func(from, to int, tie *emulator.MemberLink) {
 		out, in := band>>from&1 == 1, band>>to&1 == 1
 		if out != in && (out && as.Out || in && as.In) {
-			*tie = emulator.MemberLink{Cut: as.Cut, Loss: as.Loss, Late: as.Late, Mixed: as.Mixed}
+			*tie = emulator.MemberLink{Cut: as.Cut, Loss: as.Loss, Delay: as.Delay, Duplicated: as.Duplicated}
 		}
 	})
 }
--- a/internal/lab/cluster/operations.go
+++ b/internal/lab/cluster/operations.go
@@ -62,8 +62,8 @@
 func withMoreClasses(w topology.World) topology.World {
 	w.Deployment.MaxAttempts = max(1, w.Deployment.MaxAttempts/2)
 	w.Deployment.Classes = append([]policy.Class{{Idempotency: policy.NonIdempotent, SetupObjective: time.Second, PriorityWeight: 1}}, w.Deployment.Classes...)
-	w.GradeNames = append([]string{"retuned"}, w.GradeNames...)
-	w.OuterLimits = append([]time.Duration{2 * time.Second}, w.OuterLimits...)
+	w.ClassNames = append([]string{"retuned"}, w.ClassNames...)
+	w.Deadlines = append([]time.Duration{2 * time.Second}, w.Deadlines...)
 	return w
 }
 
@@ -142,7 +142,7 @@
 }
 
 func (c *Cluster) longestDeadline() (most time.Duration) {
-	for _, l := range c.World.OuterLimits {
+	for _, l := range c.World.Deadlines {
 		most = max(most, l)
 	}
 	return most
--- a/internal/lab/cluster/proc.go
+++ b/internal/lab/cluster/proc.go
@@ -365,9 +365,9 @@
 	var grades []map[string]any
 	var goals []float64
 	for i, g := range d.Classes {
-		grades = append(grades, map[string]any{"Name": w.GradeNames[i], "Effect": effectNames[g.Idempotency], "Group": scopeNames[g.KeyScope],
-			"WindowUs": us(g.KeyTTL), "LatencyGoalUs": us(g.SetupObjective), "OuterLimitUs": us(w.OuterLimits[i]), "Utility": g.PriorityWeight})
-		goals = append(goals, float64(us(w.MessageGoal)))
+		grades = append(grades, map[string]any{"Name": w.ClassNames[i], "Effect": effectNames[g.Idempotency], "Group": scopeNames[g.KeyScope],
+			"WindowUs": us(g.KeyTTL), "LatencyGoalUs": us(g.SetupObjective), "OuterLimitUs": us(w.Deadlines[i]), "Utility": g.PriorityWeight})
+		goals = append(goals, float64(us(w.MessageObjective)))
 	}
 	var zones []string
 	for z := range w.Zones {
@@ -385,7 +385,7 @@
 			"PeersTotal": w.Balancers, "Zone": num % w.Zones, "Areas": zones, "RegistryMode": "pushed", "ServiceGrades": grades, "Accounts": []any{},
 			"Guarantees": map[string]any{"ColdFrom": d.SlowStartFloor, "ColdUs": us(d.SlowStartWindow), "DrainGraceUs": us(w.DrainGrace),
 				"FallMultiple": d.OverloadMultiple, "FallUs": us(d.OverloadWindow)},
-			"Limits": map[string]any{"ConnectTimeoutUs": us(w.ConnectWithin), "MostSetupTries": d.MaxAttempts,
+			"Limits": map[string]any{"ConnectTimeoutUs": us(w.ConnectTimeout), "MostSetupTries": d.MaxAttempts,
 				"MaxRetryAfterUs": us(d.MaxRetryAfter), "RetryAfter": d.CanSendRetryAfter, "Probes": d.CanHealthCheck},
 			"Prices": map[string]any{"CrossZone": d.CrossZoneCost}, "Report": report,
 			"Specifics": map[string]any{"Groups": w.Load.Groups > 0, "MessageAimUs": goals, "Mode": "proxy"},
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -25,8 +25,8 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	c.Clock.Begin()
-	clients := &emulator.Clients{Clock: c.Clock, Log: c.Log, Meter: c.Meter, Door: c.PickBalancer, Grades: w.GradeNames, Limits: w.OuterLimits,
-		Each: w.MessageEach, Goal: w.MessageGoal, Return: w.Retry, Seed: c.seed}
+	clients := &emulator.Clients{Clock: c.Clock, Log: c.Log, Meter: c.Meter, PickBalancer: c.PickBalancer, ClassNames: w.ClassNames, Deadlines: w.Deadlines,
+		MessageInterval: w.MessageInterval, MessageObjective: w.MessageObjective, Retry: w.Retry, Seed: c.seed}
 	var running sync.WaitGroup
 	running.Go(func() { clients.Run(ctx, planned) })
 	running.Go(func() { c.takeFigures(ctx) })
@@ -48,7 +48,7 @@
 	run.Late = float64(clients.Late().Milliseconds())
 	c.endProcesses(&run)
 	events := c.eventsUntil(end, &run)
-	verdict := checker.Check(w.Rules(checkSlack, c.places), events, c.Log.Lost(), end)
+	verdict := checker.Check(w.Rules(checkSlack, c.places), events, c.Log.Dropped(), end)
 	run.SetVerdict(verdict)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +112,7 @@
 		switch {
 		case e.Kind == history.AttemptReceived:
 			run.Tries++
-		case e.Kind == history.Answered && e.Text == "busy" && e.At >= c.World.Load.Fill:
+		case e.Kind == history.Answered && e.Text == "busy" && e.At >= c.World.Load.WarmupTime:
 			run.Nacks++
 		}
 	}
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -31,16 +31,16 @@
 
 // Clients is all usual clients of a run.
 type Clients struct {
-	Clock  *Clock
-	Log    *history.Log
-	Meter  *report.Meter
-	Door   func(rng *rand.Rand) (balancer int, address string, ok bool) // the front
-	Grades []string
-	Limits []time.Duration // outer limits by grade
-	Each   time.Duration   // a line is sent so often
-	Goal   time.Duration   // and wants its answer within
-	Return load.RetryPolicy
-	Seed   uint64
+	Clock            *Clock
+	Log              *history.Log
+	Meter            *report.Meter
+	PickBalancer     func(rng *rand.Rand) (balancer int, address string, ok bool) // the front
+	ClassNames       []string
+	Deadlines        []time.Duration // outer limits by grade
+	MessageInterval  time.Duration   // a line is sent so often
+	MessageObjective time.Duration   // and wants its answer within
+	Retry            load.RetryPolicy
+	Seed             uint64
 
 	Pieces atomic.Bool // they write their first lines in pieces
 
@@ -77,7 +77,7 @@
 		if late := int64(c.Clock.Now() - p.At); late > c.late.Load() {
 			c.late.Store(late)
 		}
-		one := &person{Client: p, c: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), due: p.At + c.Each, drop: make(chan time.Duration, 1)}
+		one := &person{Client: p, c: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), due: p.At + c.MessageInterval, drop: make(chan time.Duration, 1)}
 		c.all.Add(1)
 		go func() {
 			defer c.all.Done()
@@ -116,7 +116,7 @@
 		if how == load.Rejected || how == load.Failed {
 			failures++
 		}
-		wait := time.NewTimer(min(c.Return.Delay(how, failures, advice, p.rng.Float64()), p.Until-c.Clock.Now()))
+		wait := time.NewTimer(min(c.Retry.Delay(how, failures, advice, p.rng.Float64()), p.Until-c.Clock.Now()))
 		select {
 		case <-ctx.Done():
 		case <-wait.C:
@@ -128,19 +128,19 @@
 
 // missed counts the lines that could not be sent up to a time.
 func (p *person) missed(up time.Duration) {
-	for ; p.due <= up; p.due += p.c.Each {
-		p.c.Meter.Message(p.due, 0, p.c.Each, false)
+	for ; p.due <= up; p.due += p.c.MessageInterval {
+		p.c.Meter.Message(p.due, 0, p.c.MessageInterval, false)
 	}
 }
 
 // connect asks once, and stays as long as it stands.
 func (p *person) connect(ctx context.Context, since time.Duration) (how load.Ending, advice time.Duration, stood bool) {
 	c := p.c
-	balancer, address, ok := c.Door(p.rng)
+	balancer, address, ok := c.PickBalancer(p.rng)
 	if !ok {
 		return load.Failed, 0, false
 	}
-	limit := c.Limits[p.Grade]
+	limit := c.Deadlines[p.Class]
 	nc, err := net.DialTimeout("tcp", address, limit)
 	if err != nil {
 		return load.Failed, 0, false
@@ -151,14 +151,14 @@
 		if more.At == 0 {
 			more.At = c.Clock.Now()
 		}
-		more.Kind, more.Session, more.Balancer, more.Grade, more.Server = w, id, int32(balancer), int16(p.Grade), -1
+		more.Kind, more.Session, more.Balancer, more.Class, more.Server = w, id, int32(balancer), int16(p.Class), -1
 		c.Log.Add(more)
 	}
 	group := ""
 	if p.Group > 0 {
 		group = fmt.Sprintf(",g=%x", p.Group)
 	}
-	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", id, p.Key, c.Grades[p.Grade], limit.Milliseconds(), group, p.Load)
+	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", id, p.Key, c.ClassNames[p.Class], limit.Milliseconds(), group, p.Load)
 	if c.Pieces.Load() {
 		text = inPieces(nc, text)
 	}
@@ -166,7 +166,7 @@
 	if _, err := nc.Write([]byte(text)); err != nil {
 		return load.Failed, 0, false // its last byte was not written: nothing was taken
 	}
-	note(history.Taken, history.Event{At: max(at, 1), Len: limit}) // from before the write: a server may be faster than this goroutine
+	note(history.Taken, history.Event{At: max(at, 1), Duration: limit}) // from before the write: a server may be faster than this goroutine
 	_ = nc.SetReadDeadline(c.Clock.At(at + limit + lateAnswer))
 	r := bufio.NewReaderSize(nc, maxLine)
 	raw, err := r.ReadSlice('\n')
@@ -188,7 +188,7 @@
 		return load.Failed, 0, false
 	}
 	receipt, _ := strconv.ParseUint(strings.TrimSpace(string(bytes.TrimPrefix(ln.Raw, []byte("UP ")))), 16, 64)
-	note(history.Answered, history.Event{Text: "up", N: float64(receipt)})
+	note(history.Answered, history.Event{Text: "up", Number: float64(receipt)})
 	now := c.Clock.Now()
 	c.Meter.Setup(now, now-since)
 	c.Meter.Open(1)
@@ -259,12 +259,12 @@
 			case bytes.HasPrefix(raw, []byte("M ")):
 				due, sent := echo(raw)
 				if sent > 0 && now-sent > time.Second {
-					note(history.LineDelayed, history.Event{Len: now - sent})
+					note(history.LineDelayed, history.Event{Duration: now - sent})
 				}
 				mu.Lock()
 				if waits[due] {
 					delete(waits, due)
-					c.Meter.Message(due, now-due, c.Each, now-due <= c.Goal)
+					c.Meter.Message(due, now-due, c.MessageInterval, now-due <= c.MessageObjective)
 				}
 				mu.Unlock()
 			case bytes.HasPrefix(raw, protocol.MoveLine):
@@ -282,8 +282,8 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for due := range waits {
-			if how != load.Dropped || c.Clock.Now()-due > c.Goal {
-				c.Meter.Message(due, 0, c.Each, false)
+			if how != load.Dropped || c.Clock.Now()-due > c.MessageObjective {
+				c.Meter.Message(due, 0, c.MessageInterval, false)
 			}
 		}
 		clear(waits)
@@ -314,7 +314,7 @@
 			return leave(load.Dropped)
 		case <-next.C:
 			due := p.due
-			p.due += c.Each
+			p.due += c.MessageInterval
 			if due >= p.Until {
 				continue
 			}
--- a/internal/lab/emulator/link.go
+++ b/internal/lab/emulator/link.go
@@ -19,7 +19,7 @@
 
 // Condition is how a link is now.
 type Condition struct {
-	Late    time.Duration // everything takes so much longer
+	Delay   time.Duration // everything takes so much longer
 	Jitter  time.Duration // and up to so much more; what was sent first still arrives first
 	Rate    float64       // bytes a second, each connection and direction; 0: no limit
 	LateIn  time.Duration // towards the listener's side so much longer still,
@@ -160,7 +160,7 @@
 			text := make([]byte, linkChunk)
 			n, err := from.Read(text)
 			cond, _, _ := l.now()
-			due := time.Now().Add(cond.Late)
+			due := time.Now().Add(cond.Delay)
 			if in {
 				due = due.Add(cond.LateIn)
 			} else {
--- a/internal/lab/emulator/network_links.go
+++ b/internal/lab/emulator/network_links.go
@@ -19,10 +19,10 @@
 
 // MemberLink is how the way from one member to another is.
 type MemberLink struct {
-	Cut   bool          // nothing passes
-	Loss  float64       // share of datagrams that are lost; what is lost of a connection is sent again
-	Late  time.Duration // everything takes so much longer
-	Mixed float64       // share of datagrams that come twice, each at any moment of a short time
+	Cut        bool          // nothing passes
+	Loss       float64       // share of datagrams that are lost; what is lost of a connection is sent again
+	Delay      time.Duration // everything takes so much longer
+	Duplicated float64       // share of datagrams that come twice, each at any moment of a short time
 }
 
 // MemberLinks are the ways between so many members. Each member listens at one address and is reached at another, where its front
@@ -131,7 +131,7 @@
 		for to := range t.ties[from] {
 			there, back := t.ties[from][to], t.ties[to][from]
 			t.links[from][to].Set(func(c *Condition) {
-				*c = Condition{CutIn: there.Cut, CutOut: back.Cut, LateIn: there.Late, LateOut: back.Late,
+				*c = Condition{CutIn: there.Cut, CutOut: back.Cut, LateIn: there.Delay, LateOut: back.Delay,
 					Resent: min(max(there.Loss, back.Loss), mostResent)}
 			})
 		}
@@ -206,7 +206,7 @@
 		text := append([]byte(nil), buffer[:n]...)
 		t.mu.Lock()
 		tie := t.ties[from][to]
-		lost, mixed := t.rng.Float64() < tie.Loss, t.rng.Float64() < tie.Mixed
+		lost, mixed := t.rng.Float64() < tie.Loss, t.rng.Float64() < tie.Duplicated
 		one, two := time.Duration(t.rng.Float64()*float64(disorder)), time.Duration(t.rng.Float64()*float64(disorder))
 		t.mu.Unlock()
 		pass := func(late time.Duration) {
@@ -219,10 +219,10 @@
 		switch {
 		case tie.Cut || lost:
 		case mixed:
-			pass(tie.Late + one)
-			pass(tie.Late + two)
+			pass(tie.Delay + one)
+			pass(tie.Delay + two)
 		default:
-			pass(tie.Late)
+			pass(tie.Delay)
 		}
 	}
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -85,7 +85,7 @@
 	}
 	fills := s.model.Capacity()
 	s.mu.Unlock()
-	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Index), Balancer: -1, N: fills, Text: cold})
+	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Index), Balancer: -1, Number: fills, Text: cold})
 	go s.accept(ln)
 	return nil
 }
@@ -189,7 +189,7 @@
 		for _, e := range s.openSessions() {
 			e.end("server", true)
 		}
-		s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Index), Balancer: -1, N: s.model.Capacity(), Text: "warm"})
+		s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Index), Balancer: -1, Number: s.model.Capacity(), Text: "warm"})
 	case was.HalfOpen && !is.HalfOpen:
 		for _, e := range s.openSessions() {
 			if !e.requested && !e.established {
--- a/internal/lab/emulator/server_session.go
+++ b/internal/lab/emulator/server_session.go
@@ -106,9 +106,9 @@
 	if s.load == 0 {
 		s.load = 1
 	}
-	s.record(history.AttemptReceived, history.Event{Len: now - firstByteAt, Text: strconv.FormatUint(ask.Key, 16)})
+	s.record(history.AttemptReceived, history.Event{Duration: now - firstByteAt, Text: strconv.FormatUint(ask.Key, 16)})
 	server.mu.Lock()
-	answer, took := server.model.Ask(now, s.load, s.group, server.rng.Float64())
+	answer, took := server.model.Admit(now, s.load, s.group, server.rng.Float64())
 	s.admitted = answer == model.Up
 	server.mu.Unlock()
 	switch answer {
@@ -155,8 +155,8 @@
 		s.reject("failed", "ERR\r\n")
 		return
 	}
-	s.record(history.Ran, history.Event{N: float64(s.number)})
-	s.write(fmt.Appendf(nil, "UP %x\r\nLOAD %.3f\r\n", s.number, s.load*1e6/float64(server.model.Type.Fills)))
+	s.record(history.Ran, history.Event{Number: float64(s.number)})
+	s.write(fmt.Appendf(nil, "UP %x\r\nLOAD %.3f\r\n", s.number, s.load*1e6/float64(server.model.Type.SessionsPerCore)))
 }
 
 // leaveModel takes a session out of the model; its connection may go on.
--- a/internal/lab/emulator/standin_test.go
+++ b/internal/lab/emulator/standin_test.go
@@ -20,13 +20,13 @@
 
 const ms = time.Millisecond
 
-var kind = model.MachineType{Name: "std", Cores: 2, Speed: 1, Fills: 30, Most: 3, Setup: ms, Message: ms}
+var kind = model.MachineType{Name: "std", Cores: 2, Speed: 1, SessionsPerCore: 30, MaxSessions: 3, Setup: ms, Message: ms}
 
 func server(t *testing.T, k model.MachineType, started time.Duration) (*Server, *history.Log) {
 	t.Helper()
 	log, clock := history.New(1000), &Clock{}
 	clock.Begin()
-	s := NewServer(4, "s-4", k, model.Warmup{From: 0.1, For: 20 * time.Second, Multiple: 1, Within: time.Second}, 0, 0, started,
+	s := NewServer(4, "s-4", k, model.Warmup{Floor: 0.1, Window: 20 * time.Second, OverloadMultiple: 1, OverloadWindow: time.Second}, 0, 0, started,
 		NewStore(model.Store{}), clock, log, 1)
 	if err := s.Listen(); err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 	bad := dial(t, s.Addr(), "HELLO\r\n")
 	bad.want("SYNTAX\r\n")
 	bad.ends(false)
-	s.Set(func(m *model.Server) { m.ErrorRate = 1; m.Type.Most = 10 })
+	s.Set(func(m *model.Server) { m.ErrorRate = 1; m.Type.MaxSessions = 10 })
 	dial(t, s.Addr(), "OPEN 2e 2 c=feed,d=900\r\n").want("ERR\r\n")
 	s.Fail("crash")
 	if _, err := net.Dial("tcp", s.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -168,7 +168,7 @@
 }
 
 func TestAColdServerFallsOver(t *testing.T) {
-	s, log := server(t, model.MachineType{Cores: 1, Speed: 1, Fills: 2, Most: 100, Message: ms}, 0)
+	s, log := server(t, model.MachineType{Cores: 1, Speed: 1, SessionsPerCore: 2, MaxSessions: 100, Message: ms}, 0)
 	for id := 1; ; id++ {
 		c, err := net.Dial("tcp", s.Addr())
 		if err != nil {
@@ -274,7 +274,7 @@
 	_ = far.SetDeadline(time.Now().Add(20 * time.Second))
 	far.r = bufio.NewReader(far)
 	far.want("hello\n")
-	l.Set(func(c *Condition) { c.Late, c.Jitter = 100*ms, 50*ms })
+	l.Set(func(c *Condition) { c.Delay, c.Jitter = 100*ms, 50*ms })
 	began := time.Now()
 	for i := range 20 { // in order, whatever the jitter
 		_, _ = fmt.Fprintf(near, "%d\n", i)
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -137,15 +137,15 @@
 	w.Zones = b.Whole("zones", 1, 1, 64)
 	cells := b.Whole("cells", 1, 1, 1000)
 	w.DrainGrace = b.Span("drain_grace", 750*ms, 0, time.Minute)
-	w.MessageGoal = b.Span("message_goal", 250*ms, ms, time.Minute)
-	w.MessageEach = b.Span("message_each", s, 5*ms, time.Minute)
-	w.ConnectWithin = b.Span("connect_within", 200*ms, ms, time.Minute)
+	w.MessageObjective = b.Span("message_goal", 250*ms, ms, time.Minute)
+	w.MessageInterval = b.Span("message_each", s, 5*ms, time.Minute)
+	w.ConnectTimeout = b.Span("connect_within", 200*ms, ms, time.Minute)
 	w.GroupCost = b.Number("group_cost", 0, 0, 100)
-	w.Sheds = b.Span("sheds", 0, 0, time.Minute)
-	w.SendsAway = b.Yes("sends_away", true)
-	w.Notice = b.Spans("notice", [2]time.Duration{200 * ms, s}, time.Minute)
-	w.Silent = b.Spans("silent_notice", [2]time.Duration{s, 3 * s}, time.Minute)
-	w.Client, w.Near, w.Cross = b.Span("client_way", ms/2, 0, s), b.Span("near_way", ms/5, 0, s), b.Span("cross_way", ms, 0, s)
+	w.ShedBacklog = b.Span("sheds", 0, 0, time.Minute)
+	w.MovesClients = b.Yes("sends_away", true)
+	w.ListDelay = b.Spans("notice", [2]time.Duration{200 * ms, s}, time.Minute)
+	w.DetectionDelay = b.Spans("silent_notice", [2]time.Duration{s, 3 * s}, time.Minute)
+	w.ClientDelay, w.ZoneDelay, w.CrossZoneDelay = b.Span("client_way", ms/2, 0, s), b.Span("near_way", ms/5, 0, s), b.Span("cross_way", ms, 0, s)
 	limit, goal := b.Span("outer_limit", 1800*ms, 10*ms, time.Minute), b.Span("setup_goal", 300*ms, ms, time.Minute)
 	d := &w.Deployment
 	d.MaxAttempts = b.Whole("tries", 6, 1, 100)
@@ -156,12 +156,12 @@
 	d.CrossZoneCost = b.Number("crossing_price", 0.02, 0, 1)
 	if in := b.Only("warmup", false); in != nil {
 		u := r.Open("warmup", in.Body, in.DefRange, "from for multiple within")
-		w.Warmup = model.Warmup{From: u.Share("from", 0.2), For: u.Span("for", 20*s, ms, time.Hour),
-			Multiple: u.Number("multiple", 3, 1, 1000), Within: u.Span("within", 1500*ms, ms, time.Minute)}
+		w.Warmup = model.Warmup{Floor: u.Share("from", 0.2), Window: u.Span("for", 20*s, ms, time.Hour),
+			OverloadMultiple: u.Number("multiple", 3, 1, 1000), OverloadWindow: u.Span("within", 1500*ms, ms, time.Minute)}
 	} else {
-		w.Warmup = model.Warmup{From: 0.2, For: 20 * s, Multiple: 3, Within: 1500 * ms}
+		w.Warmup = model.Warmup{Floor: 0.2, Window: 20 * s, OverloadMultiple: 3, OverloadWindow: 1500 * ms}
 	}
-	d.SlowStartFloor, d.SlowStartWindow, d.OverloadMultiple, d.OverloadWindow = w.Warmup.From, w.Warmup.For, w.Warmup.Multiple, w.Warmup.Within
+	d.SlowStartFloor, d.SlowStartWindow, d.OverloadMultiple, d.OverloadWindow = w.Warmup.Floor, w.Warmup.Window, w.Warmup.OverloadMultiple, w.Warmup.OverloadWindow
 	if in := b.Only("store", false); in != nil {
 		u := r.Open("store", in.Body, in.DefRange, "rate time wait")
 		u.Must("rate")
@@ -170,7 +170,7 @@
 	}
 	if in := b.Only("fleet", false); in != nil {
 		u := r.Open("fleet", in.Body, in.DefRange, "copies")
-		w.Copies = u.Whole("copies", 3, 1, 7)
+		w.ReplicationFactor = u.Whole("copies", 3, 1, 7)
 		if x.Mode == Virtual {
 			r.At(in.DefRange, "world: a fleet has no meaning in virtual time")
 		}
@@ -181,8 +181,8 @@
 		u := r.Open("server", in.Body, in.DefRange, "count cores speed fills most setup message")
 		u.Must("count")
 		k := model.MachineType{Name: in.Labels[0], Cores: u.Whole("cores", 2, 1, 1024), Speed: u.Number("speed", 1, 0.01, 100),
-			Fills: u.Whole("fills", 30, 1, 1000000), Setup: u.Span("setup", 8*ms, 0, s), Message: u.Span("message", 10*ms, 0, s)}
-		k.Most = u.Whole("most", 4*k.Cores*k.Fills, 1, 100000000)
+			SessionsPerCore: u.Whole("fills", 30, 1, 1000000), Setup: u.Span("setup", 8*ms, 0, s), Message: u.Span("message", 10*ms, 0, s)}
+		k.MaxSessions = u.Whole("most", 4*k.Cores*k.SessionsPerCore, 1, 100000000)
 		for range u.Whole("count", 1, 1, x.bound(mostSocketServers, mostServers)) {
 			i := len(w.Machines)
 			if i > x.bound(mostSocketServers, mostServers) {
@@ -212,31 +212,31 @@
 	w := &x.World
 	for _, in := range b.In["grade"] {
 		u := r.Open("grade", in.Body, in.DefRange, "effect scope window outer_limit setup_goal utility")
-		if slices.Contains(w.GradeNames, in.Labels[0]) {
+		if slices.Contains(w.ClassNames, in.Labels[0]) {
 			r.At(in.DefRange, "grade %q stands twice", in.Labels[0])
 		}
 		g := policy.Class{
 			Idempotency:    effects[u.Text("effect", "idempotent", slices.Sorted(maps.Keys(effects))...)],
 			KeyScope:       scopes[u.Text("scope", "all", slices.Sorted(maps.Keys(scopes))...)],
 			KeyTTL:         u.Span("window", 5*time.Second, 0, time.Hour),
-			SetupObjective: u.Span("setup_goal", goal, ms, time.Minute), MessageObjective: w.MessageGoal,
+			SetupObjective: u.Span("setup_goal", goal, ms, time.Minute), MessageObjective: w.MessageObjective,
 			PriorityWeight: u.Number("utility", 1, 0, 1e6),
 		}
 		outer := u.Span("outer_limit", limit, 10*ms, time.Minute)
 		if outer < g.SetupObjective {
 			r.At(in.DefRange, "grade %q: the outer limit %v is shorter than the set-up goal %v", in.Labels[0], outer, g.SetupObjective)
 		}
-		w.GradeNames, w.OuterLimits = append(w.GradeNames, in.Labels[0]), append(w.OuterLimits, outer)
+		w.ClassNames, w.Deadlines = append(w.ClassNames, in.Labels[0]), append(w.Deadlines, outer)
 		w.Deployment.Classes = append(w.Deployment.Classes, g)
 	}
-	if len(w.GradeNames) > 0 {
+	if len(w.ClassNames) > 0 {
 		return
 	}
 	if limit < goal {
 		r.At(b.Where, "world: the outer limit %v is shorter than the set-up goal %v", limit, goal)
 	}
-	w.GradeNames, w.OuterLimits = []string{"feed"}, []time.Duration{limit}
-	w.Deployment.Classes = []policy.Class{{SetupObjective: goal, MessageObjective: w.MessageGoal, PriorityWeight: 1}}
+	w.ClassNames, w.Deadlines = []string{"feed"}, []time.Duration{limit}
+	w.Deployment.Classes = []policy.Class{{SetupObjective: goal, MessageObjective: w.MessageObjective, PriorityWeight: 1}}
 }
 
 func (r reader) load(x *Experiment, in *hcl.Block, length time.Duration) {
@@ -248,29 +248,29 @@
 	p := &x.World.Load
 	*p = load.Plan{
 		Shape: load.Shape(b.Text("shape", string(load.Poisson), string(load.Poisson), string(load.Constant))),
-		Rate:  b.Number("rate", 0, 0, 1e6), Standing: b.Whole("standing", 0, 0, most), Fill: b.Span("fill", 0, 0, longestRun),
-		Life: b.Span("life", 20*s, ms, 24*time.Hour), Groups: b.Whole("groups", 0, 0, 10000000), Loads: b.Number("spread", 0, 0, 3),
-		Grades: len(x.World.GradeNames), Length: length,
+		Rate:  b.Number("rate", 0, 0, 1e6), Standing: b.Whole("standing", 0, 0, most), WarmupTime: b.Span("fill", 0, 0, longestRun),
+		MeanLifetime: b.Span("life", 20*s, ms, 24*time.Hour), Groups: b.Whole("groups", 0, 0, 10000000), Loads: b.Number("spread", 0, 0, 3),
+		Classes: len(x.World.ClassNames), Length: length,
 	}
 	for _, in := range b.In["burst"] {
 		u := r.Open("burst", in.Body, in.DefRange, "at for times")
 		u.Must("at", "for", "times")
-		p.Bursts = append(p.Bursts, load.Burst{At: u.Span("at", 0, 0, length), For: u.Span("for", s, ms, length), Times: u.Number("times", 2, 0, 1000)})
+		p.Bursts = append(p.Bursts, load.Burst{At: u.Span("at", 0, 0, length), For: u.Span("for", s, ms, length), Factor: u.Number("times", 2, 0, 1000)})
 	}
-	if p.Fill >= length {
-		r.At(in.DefRange, "load: nothing is left to measure: fill %v of a length of %v", p.Fill, length)
+	if p.WarmupTime >= length {
+		r.At(in.DefRange, "load: nothing is left to measure: fill %v of a length of %v", p.WarmupTime, length)
 	}
-	if p.Standing > 0 && p.Fill == 0 {
+	if p.Standing > 0 && p.WarmupTime == 0 {
 		r.At(in.DefRange, "load: standing clients want a time to come in: fill")
 	}
 	if p.Standing == 0 && p.Rate == 0 {
 		r.At(in.DefRange, "load: nobody comes: neither standing nor rate")
 	}
-	if all := p.Rate * (length - p.Fill).Seconds(); all > float64(most) {
+	if all := p.Rate * (length - p.WarmupTime).Seconds(); all > float64(most) {
 		r.At(in.DefRange, "load: %.0f clients are more than the %d that can be run", all, most)
 	}
-	x.World.Retry = load.RetryPolicy{Wait: b.Span("wait", 100*ms, 0, time.Minute), Most: b.Span("wait_most", 2*s, 0, time.Hour),
-		Move: b.Span("move", 100*ms, 0, time.Minute), Break: b.Span("break", 300*ms, 0, time.Minute)}
+	x.World.Retry = load.RetryPolicy{Backoff: b.Span("wait", 100*ms, 0, time.Minute), MaxDelay: b.Span("wait_most", 2*s, 0, time.Hour),
+		MoveDelay: b.Span("move", 100*ms, 0, time.Minute), BreakDelay: b.Span("break", 300*ms, 0, time.Minute)}
 }
 
 func (r reader) fault(x *Experiment, in *hcl.Block, length time.Duration) {
@@ -288,7 +288,7 @@
 	if x.Mode == Virtual && faults.SocketsOnly(kind) {
 		r.At(in.LabelRanges[0], "fault %q has no meaning in virtual time", kind)
 	}
-	if faults.BetweenMembers(kind) && x.World.Copies == 0 {
+	if faults.BetweenMembers(kind) && x.World.ReplicationFactor == 0 {
 		r.At(in.LabelRanges[0], "fault %q wants a fleet: a block \"fleet\" in the world", kind)
 	}
 	b := r.Open(fmt.Sprintf("fault %q", kind), in.Body, in.DefRange, "at for part batch drain times rate late ways")
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -108,54 +108,54 @@
 	SetDrip
 	SetTorn
 	SetHalfOpen
-	SetStore      // Figure: times slower
-	SetDiscovery  // Figure: 1 in reach, 0 not
-	SetLate       // For: how much later the list comes
-	SetFaulty     // Figure: 1 or 0
-	Hide          // the list lacks server Who
-	Show          // it has it again
-	DropClients   // Figure: the share; For: within
-	KillBalancer  // outright
-	StartBalancer // again
-	LeaveBalancer // planned; it starts again once it has left
+	SetStore        // Figure: times slower
+	SetDiscovery    // Figure: 1 in reach, 0 not
+	SetLate         // For: how much later the list comes
+	SetFaulty       // Figure: 1 or 0
+	Hide            // the list lacks server Who
+	Show            // it has it again
+	DropClients     // Figure: the share; For: within
+	KillBalancer    // outright
+	StartBalancer   // again
+	RestartBalancer // planned; it starts again once it has left
 	ReloadAll
-	SetBad // Figure: bad clients a second
+	SetMisbehavingClients // Figure: bad clients a second
 	UpgradeBalancer
-	DrainBalancer // For: until it is back
-	SetTune       // Figure: 1 retuned, 0 as it was
-	SetCrowd      // Figure: clients a second
-	SetPieces     // Figure: 1 or 0
-	SetLinkLate   // For: how much later all passes
-	SetLinkCut    // Figure: 1 or 0
-	SetTies       // the ways between Band and the other members are as Tie says
-	StallBalancer // it is stopped; For: until it goes on
-	LoseBalancer  // killed, and its directory deleted
+	DrainBalancer    // For: until it is back
+	SetMoreClasses   // Figure: 1 retuned, 0 as it was
+	SetSilentClients // Figure: clients a second
+	SetPieces        // Figure: 1 or 0
+	SetLinkLate      // For: how much later all passes
+	SetLinkCut       // Figure: 1 or 0
+	SetMemberLinks   // the ways between Band and the other members are as Tie says
+	StallBalancer    // it is stopped; For: until it goes on
+	LoseBalancer     // killed, and its directory deleted
 )
 
 // MemberLink is how ways between members are.
 type MemberLink struct {
-	In, Out     bool // which ways: towards those of the band, from them
-	Loss, Mixed float64
-	Late        time.Duration
-	Cut         bool
+	In, Out          bool // which ways: towards those of the band, from them
+	Loss, Duplicated float64
+	Delay            time.Duration
+	Cut              bool
 }
 
 // Step is one act. Who is a server, or a balancer for the acts on balancers.
 type Step struct {
-	At     time.Duration
-	Action Action
-	Target int
-	Of     int // the machine whose place a started one takes
-	Figure float64
-	For    time.Duration
-	Band   uint64 // the members that SetTies is about, a bit each; on sockets there are few
-	Tie    MemberLink
+	At      time.Duration
+	Action  Action
+	Target  int
+	Of      int // the machine whose place a started one takes
+	Figure  float64
+	For     time.Duration
+	Members uint64 // the members that SetTies is about, a bit each; on sockets there are few
+	Link    MemberLink
 }
 
 func onServer(a Action) bool {
 	switch a {
-	case SetStore, SetDiscovery, SetLate, SetFaulty, DropClients, KillBalancer, StartBalancer, LeaveBalancer, ReloadAll, SetBad,
-		UpgradeBalancer, DrainBalancer, SetTune, SetCrowd, SetPieces, SetTies, StallBalancer, LoseBalancer:
+	case SetStore, SetDiscovery, SetLate, SetFaulty, DropClients, KillBalancer, StartBalancer, RestartBalancer, ReloadAll, SetMisbehavingClients,
+		UpgradeBalancer, DrainBalancer, SetMoreClasses, SetSilentClients, SetPieces, SetMemberLinks, StallBalancer, LoseBalancer:
 		return false
 	}
 	return true
@@ -270,7 +270,7 @@
 		case BalancerRestart:
 			which := some(balancers)
 			for n, b := range which {
-				step(f.At+time.Duration(float64(f.For)*float64(n)/float64(len(which))), LeaveBalancer, b, 0, 0)
+				step(f.At+time.Duration(float64(f.For)*float64(n)/float64(len(which))), RestartBalancer, b, 0, 0)
 			}
 		case Upgrade:
 			which := some(balancers)
@@ -282,10 +282,10 @@
 				step(f.At+time.Duration(n)*f.For, DrainBalancer, b, 0, f.For)
 			}
 		case Retune:
-			step(f.At, SetTune, 0, 1, 0)
-			step(f.At+f.For, SetTune, 0, 0, 0)
+			step(f.At, SetMoreClasses, 0, 1, 0)
+			step(f.At+f.For, SetMoreClasses, 0, 0, 0)
 		case Crowd:
-			step(f.At, SetCrowd, 0, f.Rate, f.For)
+			step(f.At, SetSilentClients, 0, f.Rate, f.For)
 		case Pieces:
 			step(f.At, SetPieces, 0, 1, 0)
 			step(f.At+f.For, SetPieces, 0, 0, 0)
@@ -295,9 +295,9 @@
 			case MembersLossy:
 				tie.Loss = f.Rate
 			case MembersSlow:
-				tie.Late = f.Late
+				tie.Delay = f.Late
 			case MembersReorder:
-				tie.Mixed = f.Rate
+				tie.Duplicated = f.Rate
 			default:
 				tie.Cut = true
 			}
@@ -305,8 +305,8 @@
 			for _, b := range some(min(balancers, 64)) {
 				band |= 1 << b
 			}
-			all = append(all, Step{At: f.At, Action: SetTies, Band: band, Tie: tie},
-				Step{At: f.At + f.For, Action: SetTies, Band: band, Tie: MemberLink{In: tie.In, Out: tie.Out}})
+			all = append(all, Step{At: f.At, Action: SetMemberLinks, Members: band, Link: tie},
+				Step{At: f.At + f.For, Action: SetMemberLinks, Members: band, Link: MemberLink{In: tie.In, Out: tie.Out}})
 		case Stall:
 			for _, b := range some(balancers) {
 				step(f.At, StallBalancer, b, 0, f.For)
@@ -321,8 +321,8 @@
 		case Reload:
 			step(f.At, ReloadAll, 0, 0, 0)
 		case BadClients:
-			step(f.At, SetBad, 0, f.Rate, 0)
-			step(f.At+f.For, SetBad, 0, 0, 0)
+			step(f.At, SetMisbehavingClients, 0, f.Rate, 0)
+			step(f.At+f.For, SetMisbehavingClients, 0, 0, 0)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -37,15 +37,15 @@
 				on[[2]int{int(s.Action), s.Target}]++
 			case LoseBalancer:
 				on[[2]int{int(KillBalancer), s.Target}]++
-			case SetTies:
-				on[[2]int{int(s.Action), int(s.Band)}] += map[bool]int{true: -1, false: 1}[s.Tie == MemberLink{In: s.Tie.In, Out: s.Tie.Out}]
+			case SetMemberLinks:
+				on[[2]int{int(s.Action), int(s.Members)}] += map[bool]int{true: -1, false: 1}[s.Link == MemberLink{In: s.Link.In, Out: s.Link.Out}]
 			case Revive, Speak, Show, StartBalancer:
 				on[[2]int{int(s.Action) - 1, s.Target}]--
 			case SetSlow, SetStore:
 				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Figure > 1]
 			case SetDiscovery:
 				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Figure == 0]
-			case SetErrors, SetFull, SetDrip, SetTorn, SetHalfOpen, SetFaulty, SetBad, SetLinkCut:
+			case SetErrors, SetFull, SetDrip, SetTorn, SetHalfOpen, SetFaulty, SetMisbehavingClients, SetLinkCut:
 				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Figure > 0]
 			case SetLate, SetLinkLate:
 				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.For > 0]
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -43,13 +43,13 @@
 // Event is one of them. Balancer and Server are indices, -1 where none is meant; times count from the run's start.
 type Event struct {
 	At       time.Duration
-	Len      time.Duration
+	Duration time.Duration
 	Session  uint64
-	N        float64
+	Number   float64
 	Text     string
 	Balancer int32
 	Server   int32
-	Grade    int16
+	Class    int16
 	Kind     Kind
 }
 
@@ -84,8 +84,8 @@
 	return all
 }
 
-// Lost is how many events found no room; a run with any can't be judged.
-func (l *Log) Lost() int {
+// Dropped is how many events found no room; a run with any can't be judged.
+func (l *Log) Dropped() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lost
@@ -96,7 +96,7 @@
 	out := bufio.NewWriter(w)
 	for _, e := range events {
 		_, _ = fmt.Fprintf(out, "%d %s b%d s%d c%x g%d %d %g %s\n",
-			e.At.Nanoseconds(), e.Kind, e.Balancer, e.Server, e.Session, e.Grade, e.Len.Nanoseconds(), e.N, e.Text)
+			e.At.Nanoseconds(), e.Kind, e.Balancer, e.Server, e.Session, e.Class, e.Duration.Nanoseconds(), e.Number, e.Text)
 	}
 	return out.Flush()
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -22,22 +22,22 @@
 // Burst multiplies the rate for a while.
 type Burst struct {
 	At, For time.Duration
-	Times   float64
+	Factor  float64
 }
 
 // Plan says who comes.
 type Plan struct {
-	Shape    Shape
-	Rate     float64       // new clients a second, beside those that stand
-	Standing int           // clients that come first, spread evenly over Fill
-	Fill     time.Duration // from then on the rest comes, and figures are taken
-	Length   time.Duration // nobody comes after it
-	Life     time.Duration // mean of how long a client wants its connection
-	Groups   int           // 0: no groups
-	Loads    float64       // spread of the clients' loads: sigma of a log-normal of mean 1; 0: all alike
-	Grades   int
-	Tenants  int
-	Bursts   []Burst
+	Shape        Shape
+	Rate         float64       // new clients a second, beside those that stand
+	Standing     int           // clients that come first, spread evenly over Fill
+	WarmupTime   time.Duration // from then on the rest comes, and figures are taken
+	Length       time.Duration // nobody comes after it
+	MeanLifetime time.Duration // mean of how long a client wants its connection
+	Groups       int           // 0: no groups
+	Loads        float64       // spread of the clients' loads: sigma of a log-normal of mean 1; 0: all alike
+	Classes      int
+	Tenants      int
+	Bursts       []Burst
 }
 
 // Client is one client: what it wants from when on.
@@ -46,7 +46,7 @@
 	Load      float64
 	Key       uint64
 	Group     uint64 // 0: none
-	Grade     int
+	Class     int
 	Tenant    int
 }
 
@@ -55,7 +55,7 @@
 	rng := rand.New(rand.NewPCG(seed, 0x10ad))
 	var all []Client
 	come := func(at time.Duration) {
-		c := Client{At: at, Load: 1, Key: rng.Uint64() | 1, Until: at + time.Duration(rng.ExpFloat64()*float64(p.Life))}
+		c := Client{At: at, Load: 1, Key: rng.Uint64() | 1, Until: at + time.Duration(rng.ExpFloat64()*float64(p.MeanLifetime))}
 		if p.Groups > 0 {
 			// A few large groups, many small ones.
 			c.Group = 1 + uint64(float64(p.Groups)*math.Pow(rng.Float64(), 1.5))
@@ -63,8 +63,8 @@
 		if p.Loads > 0 {
 			c.Load = math.Exp(rng.NormFloat64()*p.Loads - p.Loads*p.Loads/2)
 		}
-		if p.Grades > 1 {
-			c.Grade = rng.IntN(p.Grades)
+		if p.Classes > 1 {
+			c.Class = rng.IntN(p.Classes)
 		}
 		if p.Tenants > 1 {
 			c.Tenant = rng.IntN(p.Tenants)
@@ -72,13 +72,13 @@
 		all = append(all, c)
 	}
 	for n := range p.Standing {
-		come(time.Duration(float64(p.Fill) * float64(n) / float64(p.Standing)))
+		come(time.Duration(float64(p.WarmupTime) * float64(n) / float64(p.Standing)))
 	}
-	for at := p.Fill; p.Rate > 0; {
+	for at := p.WarmupTime; p.Rate > 0; {
 		rate := p.Rate
 		for _, b := range p.Bursts {
 			if at >= b.At && at < b.At+b.For {
-				rate *= b.Times
+				rate *= b.Factor
 			}
 		}
 		gap := 1 / rate
@@ -108,10 +108,10 @@
 
 // RetryPolicy says how clients come again; they do so until what they want is over.
 type RetryPolicy struct {
-	Wait  time.Duration // after a nack without advice, and after a failure; doubles with each in a row
-	Most  time.Duration // the longest wait
-	Move  time.Duration // after a move
-	Break time.Duration // after a break
+	Backoff    time.Duration // after a nack without advice, and after a failure; doubles with each in a row
+	MaxDelay   time.Duration // the longest wait
+	MoveDelay  time.Duration // after a move
+	BreakDelay time.Duration // after a break
 }
 
 // Delay is how long a client waits before it comes again, after so many failures in a row, with a draw from [0, 1).
@@ -119,11 +119,11 @@
 	spread := func(d time.Duration) time.Duration { return time.Duration((0.5 + draw) * float64(d)) }
 	switch {
 	case how == Moved || how == Dropped:
-		return spread(r.Move)
+		return spread(r.MoveDelay)
 	case how == Broken && failures == 0:
-		return spread(r.Break)
+		return spread(r.BreakDelay)
 	case how == Rejected && advice > 0:
 		return advice
 	}
-	return spread(min(r.Most, r.Wait<<min(max(failures-1, 0), 16)))
+	return spread(min(r.MaxDelay, r.Backoff<<min(max(failures-1, 0), 16)))
 }
--- a/internal/lab/memnet/memnet.go
+++ b/internal/lab/memnet/memnet.go
@@ -22,14 +22,14 @@
 
 // Link is how one ordered pair is: what goes from the one to the other.
 type Link struct {
-	Loss  float64 // share of datagrams that are lost; a stream's are sent again, which takes time
-	Late  time.Duration
-	Twice float64 // share of datagrams that come twice, the second one late by up to Late and 50 ms
-	Cut   bool
+	Loss       float64 // share of datagrams that are lost; a stream's are sent again, which takes time
+	Delay      time.Duration
+	Duplicated float64 // share of datagrams that come twice, the second one late by up to Late and 50 ms
+	Cut        bool
 }
 
-// Net is one network.
-type Net struct {
+// Network is one network.
+type Network struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
 	at    map[netip.AddrPort]*Port
@@ -40,20 +40,20 @@
 }
 
 // New makes a network in which everything takes so long and nothing is lost.
-func New(seed uint64, usual time.Duration) *Net {
-	return &Net{rng: rand.New(rand.NewPCG(seed, 0x6e37)), at: map[netip.AddrPort]*Port{}, usual: usual,
+func New(seed uint64, usual time.Duration) *Network {
+	return &Network{rng: rand.New(rand.NewPCG(seed, 0x6e37)), at: map[netip.AddrPort]*Port{}, usual: usual,
 		way: func(int, int) Link { return Link{} }}
 }
 
 // Set says from now on how each ordered pair is.
-func (n *Net) Set(way func(from, to int) Link) {
+func (n *Network) Set(way func(from, to int) Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.way = way
 }
 
 // Sum answers what was sent so far.
-func (n *Net) Sum() (bytes, packets int64) {
+func (n *Network) Sum() (bytes, packets int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.Bytes, n.Packets
@@ -61,7 +61,7 @@
 
 // Port is one member's place in it.
 type Port struct {
-	net     *Net
+	net     *Network
 	num     int
 	addr    netip.AddrPort
 	packets chan *memberlist.Packet
@@ -77,7 +77,7 @@
 }
 
 // Port makes a member's place, in place of an earlier one of that number.
-func (n *Net) Port(num int) *Port {
+func (n *Network) Port(num int) *Port {
 	p := &Port{net: n, num: num, addr: Addr(num), packets: make(chan *memberlist.Packet, packetsMost), streams: make(chan net.Conn, 64)}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -157,22 +157,22 @@
 			})
 		})
 	}
-	arrive(n.usual + w.Late)
-	if n.rng.Float64() < w.Twice {
-		arrive(n.usual + w.Late + time.Duration(n.rng.Float64()*float64(w.Late+50*time.Millisecond)))
+	arrive(n.usual + w.Delay)
+	if n.rng.Float64() < w.Duplicated {
+		arrive(n.usual + w.Delay + time.Duration(n.rng.Float64()*float64(w.Delay+50*time.Millisecond)))
 	}
 	return now, nil
 }
 
 // after is what one write, or the opening, of a stream takes between two members; false where nothing passes.
-func (n *Net) after(from, to *Port) (time.Duration, bool) {
+func (n *Network) after(from, to *Port) (time.Duration, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	w := n.way(from.num, to.num)
 	if w.Cut || from.shut || to.shut || from.stopped || to.stopped {
 		return 0, false
 	}
-	took := n.usual + w.Late
+	took := n.usual + w.Delay
 	for wait, i := resendEach, 0; n.rng.Float64() < w.Loss; i++ {
 		if i == resendMost {
 			return 0, false
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -10,22 +10,22 @@
 
 // MachineType is one kind of machine.
 type MachineType struct {
-	Name    string
-	Cores   int
-	Speed   float64       // of a core; 1 is the yardstick
-	Fills   int           // usual connections that fill one core of speed 1
-	Most    int           // connections held at most; beyond it newcomers are turned away
-	Setup   time.Duration // work of one set-up on a core of speed 1
-	Message time.Duration // a message on an idle server of speed 1
+	Name            string
+	Cores           int
+	Speed           float64       // of a core; 1 is the yardstick
+	SessionsPerCore int           // usual connections that fill one core of speed 1
+	MaxSessions     int           // connections held at most; beyond it newcomers are turned away
+	Setup           time.Duration // work of one set-up on a core of speed 1
+	Message         time.Duration // a message on an idle server of speed 1
 }
 
 // Warmup says how servers start and what pushes a cold one over: more than Multiple of what it can take within
 // any time of Within. It can take what fills it over a third of For, cut to its warmth.
 type Warmup struct {
-	From     float64 // share of the capacity at the start
-	For      time.Duration
-	Multiple float64
-	Within   time.Duration
+	Floor            float64 // share of the capacity at the start
+	Window           time.Duration
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
 }
 
 const (
@@ -36,18 +36,18 @@
 
 // Budget is how many connections within the window a cold server bears at a warmth.
 func (w Warmup) Budget(fills, warmth float64) float64 {
-	if w.For <= 0 {
+	if w.Window <= 0 {
 		return math.Inf(1)
 	}
-	return w.Multiple*fills*warmth*float64(w.Within)/(float64(w.For)/fillPart) + pushSlack
+	return w.OverloadMultiple*fills*warmth*float64(w.OverloadWindow)/(float64(w.Window)/fillPart) + pushSlack
 }
 
 // Warmth of a process so long after its start.
 func (w Warmup) Warmth(age time.Duration) float64 {
-	if age >= w.For {
+	if age >= w.Window {
 		return 1
 	}
-	return w.From + (1-w.From)*max(0, float64(age)/float64(w.For))
+	return w.Floor + (1-w.Floor)*max(0, float64(age)/float64(w.Window))
 }
 
 // Answer is what a server says to a first line.
@@ -63,12 +63,12 @@
 
 // Server is one server's state. What is exported is set by the timetable of faults.
 type Server struct {
-	Type      MachineType
-	Slow      float64 // times slower than its machine; 1 is sound
-	ErrorRate float64 // share of set-ups that fail
-	Full      bool    // turns all newcomers away
-	Draining  bool
-	GroupCost float64 // usual loads that each group costs once
+	Type       MachineType
+	SlowFactor float64 // times slower than its machine; 1 is sound
+	ErrorRate  float64 // share of set-ups that fail
+	Full       bool    // turns all newcomers away
+	Draining   bool
+	GroupCost  float64 // usual loads that each group costs once
 
 	warm    Warmup
 	started time.Duration
@@ -83,11 +83,13 @@
 
 // New makes a server whose process started at a time; long before the run for one that is warm.
 func New(k MachineType, w Warmup, started time.Duration) *Server {
-	return &Server{Type: k, Slow: 1, warm: w, started: started, groups: map[uint64]int{}}
+	return &Server{Type: k, SlowFactor: 1, warm: w, started: started, groups: map[uint64]int{}}
 }
 
 // Capacity is how many usual connections fill it once it is warm and sound.
-func (s *Server) Capacity() float64 { return float64(s.Type.Cores*s.Type.Fills) * s.Type.Speed }
+func (s *Server) Capacity() float64 {
+	return float64(s.Type.Cores*s.Type.SessionsPerCore) * s.Type.Speed
+}
 
 // Warmth at a time.
 func (s *Server) Warmth(now time.Duration) float64 { return s.warm.Warmth(now - s.started) }
@@ -97,7 +99,7 @@
 
 // Utilization is the load asked of it over what it can do now.
 func (s *Server) Utilization(now time.Duration) float64 {
-	return s.load / (s.Capacity() * s.Warmth(now) / s.Slow)
+	return s.load / (s.Capacity() * s.Warmth(now) / s.SlowFactor)
 }
 
 // Backlog is how much work waits, in time, as of the newest account.
@@ -113,18 +115,18 @@
 
 // pace is how much longer work takes now than on an idle server of speed 1.
 func (s *Server) pace(now time.Duration) float64 {
-	return s.Slow / s.Type.Speed / (1 - min(s.Utilization(now), busiest))
+	return s.SlowFactor / s.Type.Speed / (1 - min(s.Utilization(now), busiest))
 }
 
-// Ask hands it a first line of a connection of a load and group, with a draw from [0, 1). It answers the verdict
+// Admit hands it a first line of a connection of a load and group, with a draw from [0, 1). It answers the verdict
 // and how long until it says so, the store not counted. An Up counts as held from now on.
-func (s *Server) Ask(now time.Duration, load float64, group uint64, draw float64) (Answer, time.Duration) {
+func (s *Server) Admit(now time.Duration, load float64, group uint64, draw float64) (Answer, time.Duration) {
 	s.Advance(now)
 	if s.fallen {
 		return Overloaded, 0
 	}
-	if now-s.started < s.warm.For && !s.Draining {
-		for len(s.joins) > 0 && s.joins[0] <= now-s.warm.Within {
+	if now-s.started < s.warm.Window && !s.Draining {
+		for len(s.joins) > 0 && s.joins[0] <= now-s.warm.OverloadWindow {
 			s.joins = s.joins[1:]
 		}
 		if s.joins = append(s.joins, now); float64(len(s.joins)) > s.warm.Budget(s.Capacity(), s.Warmth(now)) {
@@ -133,13 +135,13 @@
 		}
 	}
 	switch {
-	case s.Draining || s.Full || s.held >= s.Type.Most:
+	case s.Draining || s.Full || s.held >= s.Type.MaxSessions:
 		return Busy, 0
 	case draw < s.ErrorRate:
 		return Err, 0
 	}
 	took := time.Duration(float64(s.Type.Setup)*s.pace(now)) + s.piled
-	s.piled += time.Duration(float64(s.Type.Setup) * s.Slow / s.Type.Speed / float64(s.Type.Cores) / s.Warmth(now))
+	s.piled += time.Duration(float64(s.Type.Setup) * s.SlowFactor / s.Type.Speed / float64(s.Type.Cores) / s.Warmth(now))
 	s.Join(load, group)
 	return Up, took
 }
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -38,15 +38,15 @@
 	w.lastSession++
 	s := &session{number: w.lastSession, client: c, balancer: b}
 	c.session = s
-	limit := w.OuterLimits[c.Grade]
-	w.record(history.Event{Kind: history.Taken, Session: s.number, Balancer: b.index, Grade: int16(c.Grade), Len: limit})
+	limit := w.Deadlines[c.Class]
+	w.record(history.Event{Kind: history.Taken, Session: s.number, Balancer: b.index, Class: int16(c.Class), Duration: limit})
 	w.after(limit, func() { // the client's own deadline
 		if c.session == s && s.state < established {
 			w.disconnect(c)
 			w.retryLater(c, load.Failed, 0)
 		}
 	})
-	w.after(w.Client, func() {
+	w.after(w.ClientDelay, func() {
 		if c.session != s || !b.alive {
 			return
 		}
@@ -54,8 +54,8 @@
 		s.id = b.lastID
 		b.sessions[s.id] = s
 		b.decider.AdvanceClock(w.now - b.start)
-		b.decider.AddSession(policy.SessionRequest{ID: s.id, Key: c.Key, Group: c.Group, Tenant: c.Tenant, Class: c.Grade,
-			Timeout: limit - 2*w.Client - time.Millisecond})
+		b.decider.AddSession(policy.SessionRequest{ID: s.id, Key: c.Key, Group: c.Group, Tenant: c.Tenant, Class: c.Class,
+			Timeout: limit - 2*w.ClientDelay - time.Millisecond})
 		w.runDecisions(b)
 	})
 }
@@ -67,7 +67,7 @@
 		return
 	}
 	w.record(history.Event{Kind: history.Left, Session: s.number})
-	w.after(w.Client, func() {
+	w.after(w.ClientDelay, func() {
 		b := s.balancer
 		if !b.alive || b.sessions[s.id] != s {
 			return
@@ -90,7 +90,7 @@
 func (w *world) balancerLost(s *session, how load.Ending) {
 	s.state = ended
 	s.generation++
-	w.after(w.Client, func() {
+	w.after(w.ClientDelay, func() {
 		if s.client.session == s {
 			w.record(history.Event{Kind: history.Ended, Session: s.number})
 			w.retryLater(s.client, how, 0)
--- a/internal/lab/simulation/fault_steps.go
+++ b/internal/lab/simulation/fault_steps.go
@@ -31,7 +31,7 @@
 		w.killBalancer(w.balancers[step.Target], "outright")
 	case faults.StartBalancer:
 		w.startBalancer(step.Target)
-	case faults.LeaveBalancer:
+	case faults.RestartBalancer:
 		w.restartAsPlanned(step.Target)
 	default:
 		if step.Target < len(w.servers) { // else it has not started yet
@@ -45,41 +45,41 @@
 	switch step.Action {
 	case faults.BeginDrain:
 		srv.state, srv.Draining = policy.Draining, true
-		w.announce(srv, w.Notice)
-		if w.SendsAway {
+		w.announce(srv, w.ListDelay)
+		if w.MovesClients {
 			w.moveClientsAway(srv, w.now+step.For)
 		}
 	case faults.Stop:
 		srv.state, srv.down = policy.Removed, true
 		w.recordStop(srv, "stop")
 		w.endSessions(srv)
-		w.announce(srv, w.Notice)
+		w.announce(srv, w.ListDelay)
 	case faults.Die:
 		srv.down = true
 		w.recordStop(srv, "crash")
 		w.endSessions(srv)
 		srv.state = policy.Removed
-		w.announce(srv, w.Silent)
+		w.announce(srv, w.DetectionDelay)
 	case faults.Revive:
 		w.revive(srv)
 	case faults.Silence:
 		w.silence(srv)
 	case faults.Speak:
 		srv.silent = false
-		w.record(history.Event{Kind: history.Started, Server: int32(srv.index), Balancer: -1, N: srv.Capacity(), Text: "warm"})
+		w.record(history.Event{Kind: history.Started, Server: int32(srv.index), Balancer: -1, Number: srv.Capacity(), Text: "warm"})
 	case faults.SetSlow:
 		srv.Advance(w.now)
-		srv.Slow = step.Figure
+		srv.SlowFactor = step.Figure
 	case faults.SetErrors:
 		srv.ErrorRate = step.Figure
 	case faults.SetFull:
 		srv.Full = step.Figure > 0
 	case faults.Hide:
 		srv.listed = false
-		w.announce(srv, w.Notice)
+		w.announce(srv, w.ListDelay)
 	case faults.Show:
 		srv.listed = true
-		w.announce(srv, w.Notice)
+		w.announce(srv, w.ListDelay)
 	}
 }
 
@@ -87,7 +87,7 @@
 func (w *world) startReplacement(index int) {
 	old := w.servers[index]
 	machine := topology.Machine{Type: old.Type, Zone: old.zone, FailureDomain: old.cell}
-	w.announce(w.addServer(machine, len(w.servers), w.now), w.Notice)
+	w.announce(w.addServer(machine, len(w.servers), w.now), w.ListDelay)
 }
 
 func (w *world) recordStop(srv *server, reason string) {
@@ -165,7 +165,7 @@
 	srv.Server = model.New(old.Type, w.Warmup, w.now)
 	srv.GroupCost, srv.started, srv.down, srv.state = w.GroupCost, w.now, false, policy.Ready
 	w.recordStart(srv)
-	w.announce(srv, w.Notice)
+	w.announce(srv, w.ListDelay)
 }
 
 // moveClientsAway has a draining server move an even part of its clients away at a time until the drain ends.
--- a/internal/lab/simulation/figures.go
+++ b/internal/lab/simulation/figures.go
@@ -27,12 +27,12 @@
 		}
 		srv.Advance(w.now)
 		if !srv.silent {
-			served += float64(srv.served) * srv.Served(w.now, w.MessageGoal)
+			served += float64(srv.served) * srv.Served(w.now, w.MessageObjective)
 		}
 		if srv.state == policy.Ready {
 			w.loads = append(w.loads, srv.Utilization(w.now))
 		}
-		if w.Sheds > 0 && srv.Backlog() > w.Sheds {
+		if w.ShedBacklog > 0 && srv.Backlog() > w.ShedBacklog {
 			for range max(1, len(srv.sessions)/shedDivisor) {
 				if len(srv.sessions) > 0 && srv.sessions[len(srv.sessions)-1].served {
 					w.endFromServer(srv.sessions[len(srv.sessions)-1], policy.Reset)
@@ -51,7 +51,7 @@
 			continue
 		}
 		took := srv.Message(w.now)
-		slow := took > w.MessageGoal/slowMessageDivisor
+		slow := took > w.MessageObjective/slowMessageDivisor
 		holders := make([]int32, 0, len(srv.holders))
 		for index := range srv.holders {
 			if slow || srv.slowReported[index] {
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -41,10 +41,10 @@
 
 func (w *world) recordStart(srv *server) {
 	how := "warm"
-	if w.now-srv.started < w.Warmup.For {
+	if w.now-srv.started < w.Warmup.Window {
 		how = "cold"
 	}
-	w.record(history.Event{Kind: history.Started, Server: int32(srv.index), Balancer: -1, N: srv.Capacity(), Text: how})
+	w.record(history.Event{Kind: history.Started, Server: int32(srv.index), Balancer: -1, Number: srv.Capacity(), Text: how})
 }
 
 // listing is a server's line in the endpoint list, in a balancer's time.
@@ -143,9 +143,9 @@
 }
 
 func (w *world) networkDelay(b *balancer, srv *server) time.Duration {
-	d := w.Near
+	d := w.ZoneDelay
 	if b.zone != srv.zone {
-		d = w.Cross
+		d = w.CrossZoneDelay
 	}
 	return d
 }
--- a/internal/lab/simulation/sessions.go
+++ b/internal/lab/simulation/sessions.go
@@ -54,7 +54,7 @@
 // reject gives a session a final answer other than success.
 func (w *world) reject(s *session, text string, how load.Ending, advice time.Duration) {
 	w.endSession(s)
-	w.after(w.Client, func() {
+	w.after(w.ClientDelay, func() {
 		if s.client.session != s {
 			return
 		}
@@ -90,7 +90,7 @@
 	id, attempt, b := s.id, s.attempts-1, s.balancer
 	w.endSession(s)
 	w.releaseUpstream(s)
-	w.after(w.Client, func() {
+	w.after(w.ClientDelay, func() {
 		if s.client.session == s {
 			w.record(history.Event{Kind: history.Moved, Session: s.number})
 			w.record(history.Event{Kind: history.Ended, Session: s.number})
@@ -117,7 +117,7 @@
 	way := w.networkDelay(b, srv)
 	switch {
 	case srv.silent:
-		w.after(w.ConnectWithin, func() {
+		w.after(w.ConnectTimeout, func() {
 			if s.isAttempting(generation) {
 				w.endAttempt(s, policy.ConnectFailed)
 			}
@@ -156,8 +156,8 @@
 	if srv.silent {
 		return
 	}
-	w.record(history.Event{Kind: history.AttemptReceived, Session: s.number, Server: int32(srv.index), Balancer: s.balancer.index, Grade: int16(s.client.Grade)})
-	answer, took := srv.Ask(w.now, s.client.Load, s.client.Group, w.rng.Float64())
+	w.record(history.Event{Kind: history.AttemptReceived, Session: s.number, Server: int32(srv.index), Balancer: s.balancer.index, Class: int16(s.client.Class)})
+	answer, took := srv.Admit(w.now, s.client.Load, s.client.Group, w.rng.Float64())
 	switch answer {
 	case model.Overloaded:
 		if !srv.down {
@@ -194,7 +194,7 @@
 			w.answerAttemptOf(s, srv, generation, 0, policy.Failed)
 			return
 		}
-		w.record(history.Event{Kind: history.Ran, Session: s.number, Server: int32(srv.index), N: receipt})
+		w.record(history.Event{Kind: history.Ran, Session: s.number, Server: int32(srv.index), Number: receipt})
 		w.after(w.networkDelay(s.balancer, srv), func() {
 			if s.isAttempting(generation) {
 				w.establish(s, receipt)
@@ -245,11 +245,11 @@
 	b.decider.AdvanceClock(w.now - b.start)
 	b.decider.AttemptEstablished(s.id, s.attempts-1, w.now-s.attemptAt)
 	b.decider.RecordLoad(s.id, s.attempts-1, w.reportedLoad(s))
-	w.after(w.Client, func() {
+	w.after(w.ClientDelay, func() {
 		if s.client.session != s {
 			return
 		}
-		w.record(history.Event{Kind: history.Answered, Session: s.number, Balancer: b.index, Text: "up", N: receipt})
+		w.record(history.Event{Kind: history.Answered, Session: s.number, Balancer: b.index, Text: "up", Number: receipt})
 		w.meter.Setup(w.now, w.now-s.client.waitingSince)
 		s.client.failures = 0
 		if up := s.upstream; s.generation == generation && up != nil && up.slot >= 0 {
@@ -263,7 +263,7 @@
 
 // reportedLoad is a session's load as servers report it: microseconds of work a second.
 func (w *world) reportedLoad(s *session) float64 {
-	return s.client.Load * 1e6 / float64(s.server.Type.Fills)
+	return s.client.Load * 1e6 / float64(s.server.Type.SessionsPerCore)
 }
 
 // endAttempt ends an attempt, or the session that it established.
@@ -274,7 +274,7 @@
 	if wasEstablished {
 		w.endSession(s)
 		movedByServer := how == policy.Cancelled
-		w.after(w.Client, func() {
+		w.after(w.ClientDelay, func() {
 			if s.client.session != s {
 				return
 			}
@@ -310,7 +310,7 @@
 	}
 	switch {
 	case srv.silent:
-		w.after(w.ConnectWithin, func() { tell(policy.ConnectFailed, policy.NoLoadReport) })
+		w.after(w.ConnectTimeout, func() { tell(policy.ConnectFailed, policy.NoLoadReport) })
 	case srv.down:
 		w.after(2*way, func() { tell(policy.ConnectFailed, policy.NoLoadReport) })
 	default:
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -60,7 +60,7 @@
 		return report.Run{}, nil, checker.Verdict{}, err
 	}
 	end := setup.Load.Length
-	w.meter = report.NewMeter(setup.Load.Fill, end)
+	w.meter = report.NewMeter(setup.Load.WarmupTime, end)
 	for i, srv := range setup.Machines {
 		w.addServer(srv, i, -time.Hour)
 	}
@@ -101,9 +101,9 @@
 	events := w.log.Events()
 	places := make([]checker.Place, len(w.servers))
 	for i, srv := range w.servers {
-		places[i] = checker.Place{Zone: srv.zone, Cell: srv.cell}
+		places[i] = checker.Place{Zone: srv.zone, FailureDomain: srv.cell}
 	}
-	verdict := checker.Check(setup.Rules(checkSlack, places), events, w.log.Lost(), end)
+	verdict := checker.Check(setup.Rules(checkSlack, places), events, w.log.Dropped(), end)
 	run.SetVerdict(verdict)
 	return run, events, verdict, nil
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -23,22 +23,22 @@
 
 // small is a world of a few balancers with room to spare.
 func small(faults ...faults.Fault) topology.World {
-	kind := model.MachineType{Name: "std", Cores: 2, Speed: 1, Fills: 30, Most: 200, Setup: 8 * ms, Message: 10 * ms}
+	kind := model.MachineType{Name: "std", Cores: 2, Speed: 1, SessionsPerCore: 30, MaxSessions: 200, Setup: 8 * ms, Message: 10 * ms}
 	w := topology.World{
 		Balancers: 3, Zones: 2,
-		Warmup: model.Warmup{From: 0.2, For: 15 * time.Second, Multiple: 3, Within: 1500 * ms},
+		Warmup: model.Warmup{Floor: 0.2, Window: 15 * time.Second, OverloadMultiple: 3, OverloadWindow: 1500 * ms},
 		Store:  model.Store{Rate: 200, Time: 5 * ms, Wait: time.Second},
 		Deployment: policy.Config{
 			Classes:        []policy.Class{{SetupObjective: 300 * ms, MessageObjective: 250 * ms, PriorityWeight: 1}, {Idempotency: policy.NonIdempotent, SetupObjective: 300 * ms, MessageObjective: 250 * ms, PriorityWeight: 1}},
 			CanHealthCheck: true, CanSendRetryAfter: true, MaxRetryAfter: time.Second, MaxAttempts: 6, HasLoadReports: true,
 			OverloadMultiple: 3, OverloadWindow: 1500 * ms, SlowStartFloor: 0.2, SlowStartWindow: 15 * time.Second, CrossZoneCost: 0.02,
 		},
-		OuterLimits: []time.Duration{1800 * ms, 1800 * ms}, MessageGoal: 250 * ms, DrainGrace: 750 * ms, ConnectWithin: 200 * ms,
-		GroupCost: 0.5, Sheds: 2 * time.Second, SendsAway: true,
-		Client: ms, Near: ms / 2, Cross: 2 * ms, Notice: [2]time.Duration{200 * ms, time.Second}, Silent: [2]time.Duration{time.Second, 3 * time.Second},
-		Load: load.Plan{Shape: load.Poisson, Rate: 10, Standing: 200, Fill: 5 * time.Second, Length: 25 * time.Second, Life: 20 * time.Second,
-			Groups: 30, Loads: 0.5, Grades: 2},
-		Retry:  load.RetryPolicy{Wait: 100 * ms, Most: 2 * time.Second, Move: 100 * ms, Break: 300 * ms},
+		Deadlines: []time.Duration{1800 * ms, 1800 * ms}, MessageObjective: 250 * ms, DrainGrace: 750 * ms, ConnectTimeout: 200 * ms,
+		GroupCost: 0.5, ShedBacklog: 2 * time.Second, MovesClients: true,
+		ClientDelay: ms, ZoneDelay: ms / 2, CrossZoneDelay: 2 * ms, ListDelay: [2]time.Duration{200 * ms, time.Second}, DetectionDelay: [2]time.Duration{time.Second, 3 * time.Second},
+		Load: load.Plan{Shape: load.Poisson, Rate: 10, Standing: 200, WarmupTime: 5 * time.Second, Length: 25 * time.Second, MeanLifetime: 20 * time.Second,
+			Groups: 30, Loads: 0.5, Classes: 2},
+		Retry:  load.RetryPolicy{Backoff: 100 * ms, MaxDelay: 2 * time.Second, MoveDelay: 100 * ms, BreakDelay: 300 * ms},
 		Faults: faults,
 	}
 	for i := range 12 {
--- a/internal/lab/topology/topology.go
+++ b/internal/lab/topology/topology.go
@@ -20,27 +20,27 @@
 
 // World is all that a run is made of, but for its seed and the policy or program under test.
 type World struct {
-	Balancers, Zones    int
-	Machines            []Machine
-	Warmup              model.Warmup
-	Store               model.Store
-	Deployment          policy.Config // Zone and Peers are set by who runs it
-	GradeNames          []string
-	OuterLimits         []time.Duration // by grade
-	MessageGoal         time.Duration
-	MessageEach         time.Duration // a client sends a line so often; sockets only
-	DrainGrace          time.Duration
-	ConnectWithin       time.Duration
-	GroupCost           float64
-	Sheds               time.Duration // servers drop connections while more is piled up; 0: never
-	SendsAway           bool          // draining servers send their clients away in even parts
-	Client, Near, Cross time.Duration // ways, one way; virtual time only
-	Notice, Silent      [2]time.Duration
-	Load                load.Plan
-	Retry               load.RetryPolicy
-	Faults              []faults.Fault
-	Limits              Limits
-	Copies              int // of each record, where the balancers are members of a fleet; 0: they are not
+	Balancers, Zones                       int
+	Machines                               []Machine
+	Warmup                                 model.Warmup
+	Store                                  model.Store
+	Deployment                             policy.Config // Zone and Peers are set by who runs it
+	ClassNames                             []string
+	Deadlines                              []time.Duration // by grade
+	MessageObjective                       time.Duration
+	MessageInterval                        time.Duration // a client sends a line so often; sockets only
+	DrainGrace                             time.Duration
+	ConnectTimeout                         time.Duration
+	GroupCost                              float64
+	ShedBacklog                            time.Duration // servers drop connections while more is piled up; 0: never
+	MovesClients                           bool          // draining servers send their clients away in even parts
+	ClientDelay, ZoneDelay, CrossZoneDelay time.Duration // ways, one way; virtual time only
+	ListDelay, DetectionDelay              [2]time.Duration
+	Load                                   load.Plan
+	Retry                                  load.RetryPolicy
+	Faults                                 []faults.Fault
+	Limits                                 Limits
+	ReplicationFactor                      int // of each record, where the balancers are members of a fleet; 0: they are not
 }
 
 // Limits are those of one balancer's process.
@@ -52,6 +52,6 @@
 
 // Rules are what a run is judged by; slack is what the stand-ins may see late.
 func (w *World) Rules(slack time.Duration, places []checker.Place) checker.Rules {
-	return checker.Rules{DrainGrace: w.DrainGrace, Slack: slack, MaxLineDelay: time.Second, EndWithin: time.Second,
-		Warmup: w.Warmup, Grades: w.Deployment.Classes, Places: places}
+	return checker.Rules{DrainGrace: w.DrainGrace, Slack: slack, MaxLineDelay: time.Second, CloseTimeout: time.Second,
+		Warmup: w.Warmup, Classes: w.Deployment.Classes, Places: places}
 }
