--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -79,11 +79,13 @@
 				since := uint64(2)
 				switch kind {
 				case "epoch":
-					clear(c.changed)
+					clear(c.agreed.shardVersions)
 					since = 1
 				case "slot":
-					clear(c.changed)
-					c.members, c.changed[17], since = 0, 2, 1
+					clear(c.agreed.shardVersions)
+					c.agreed.membersVersion = 0
+					c.agreed.shardVersions[17] = 2
+					since = 1
 				case "all":
 					since = 0
 				}
@@ -91,11 +93,11 @@
 				done := metered(b)
 				for range b.N {
 					_ = c.Step(Packet{From: from, To: c.cfg.Self.ID, FleetID: "f", PollRequest: &PollRequest{Version: since}})
-					text, err := cbor.Marshal(c.out.Packets[0])
+					text, err := cbor.Marshal(c.ready.Packets[0])
 					if err != nil {
 						b.Fatal(err)
 					}
-					c.out.Packets = c.out.Packets[:0]
+					c.ready.Packets = c.ready.Packets[:0]
 					var p Packet
 					if err := cbor.Unmarshal(text, &p); err != nil {
 						b.Fatal(err)
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -449,7 +449,7 @@
 		_ = c.Step(Packet{From: id(0), PollResponse: &PollResponse{FleetID: "f", ProtocolVersion: ProtocolVersion, Version: other.Version, Digest: other.Digest, Snapshot: other}})
 	}
 	r, _ := c.Ready()
-	if c.FeedState().Digest() != was || r.Installed != nil {
+	if c.FeedState().Digest() != was || r.Snapshot != nil {
 		t.Error("it was taken")
 	}
 	if n := len(slices.DeleteFunc(r.Events, func(l Event) bool { return !l.IsAlert })); n != 1 {
--- a/internal/fleet/node/voters.go
+++ b/internal/fleet/node/voters.go
@@ -1,5 +1,3 @@
-// This file owns who votes: spread over sites, then zones, so that what is lost together is a minority.
-
 package node
 
 import (
@@ -12,101 +10,141 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// settledFor is how new a majority's word has to be before a voter is replaced that could stay.
-const settledFor = 2 * time.Second
+const (
+	voterChangeInterval = 500 * time.Millisecond // also between two attempts to transfer the leadership
+	minAliveTime        = time.Second            // a new voter has been alive for so long
+	maxConfirmationAge  = 2 * time.Second        // of the majority's last response, for replacing a voter that could stay
+)
 
-// spread counts voters.
-type spread struct {
-	sites, zones, machines map[string]int
+// voterSpread counts voters by failure domain. Voters are spread over sites, then over zones, so that what fails together is a minority.
+type voterSpread struct {
+	sites    map[string]int
+	zones    map[string]int // by site and zone
+	machines map[string]int
 }
 
-func (s spread) add(m shardmap.Member, by int) {
-	s.sites[m.Site] += by
-	s.zones[m.Site+"/"+m.Zone] += by
-	s.machines[m.Machine] += by
+func newVoterSpread() voterSpread {
+	return voterSpread{sites: map[string]int{}, zones: map[string]int{}, machines: map[string]int{}}
+}
+
+func zoneKey(m shardmap.Member) string { return m.Site + "/" + m.Zone }
+
+func (s voterSpread) add(m shardmap.Member, count int) {
+	s.sites[m.Site] += count
+	s.zones[zoneKey(m)] += count
+	s.machines[m.Machine] += count
 }
 
-// better orders candidates: of the site with the fewest voters, then of the zone, then by ID.
-func (s spread) better(a, b shardmap.Member) int {
-	return cmp.Or(cmp.Compare(s.sites[a.Site], s.sites[b.Site]), cmp.Compare(s.zones[a.Site+"/"+a.Zone], s.zones[b.Site+"/"+b.Zone]),
-		cmp.Compare(a.ID, b.ID))
+// compare orders candidates: the best one is of the site with the fewest voters, then of the zone, then by ID.
+func (s voterSpread) compare(a, b shardmap.Member) int {
+	return cmp.Or(
+		cmp.Compare(s.sites[a.Site], s.sites[b.Site]),
+		cmp.Compare(s.zones[zoneKey(a)], s.zones[zoneKey(b)]),
+		cmp.Compare(a.ID, b.ID),
+	)
 }
 
-// voters has members on further machines begin to vote: as many as are lacking, all at once, or one in place of one that is no
-// member any more, or of one at a site that has most of them. Two voters are never made: both would be needed then, and the second
-// one may be gone already, unnoticed.
-func (c *Node) voters(seen []placement.MemberStatus) {
-	st, voters := c.log.State(), c.log.Voters()
-	member := map[uint64]shardmap.Member{}
-	for _, m := range st.Members {
-		member[consensus.NodeID(m.ID)] = m
+// voterChange is a change of voters that is being prepared.
+type voterChange struct {
+	removed  uint64 // ID in the log, 0 for none
+	missing  int    // voters to add
+	eligible func(shardmap.Member) bool
+}
+
+// changeVoters makes members on other machines voters: as many as are missing, all at once, or one in place of a voter that is no member any
+// more or that a crowded site has too many of. Never is a number of voters of two made by steps: both would be needed then, and the second
+// one may have failed unnoticed.
+func (n *Node) changeVoters(members []placement.MemberStatus) {
+	voters := n.log.Voters()
+	byID := map[uint64]shardmap.Member{}
+	for _, m := range n.log.State().Members {
+		byID[consensus.NodeID(m.ID)] = m
 	}
-	at := spread{map[string]int{}, map[string]int{}, map[string]int{}}
-	stops := uint64(0)
+	spread := newVoterSpread()
 	for _, id := range voters {
-		if m, is := member[id]; is {
-			at.add(m, 1)
-		} else if stops == 0 && id != consensus.NodeID(c.cfg.Self.ID) {
-			stops = id
+		if m, isMember := byID[id]; isMember {
+			spread.add(m, 1)
 		}
 	}
-	lacking := 1
-	var least func(shardmap.Member) bool // whom the new one may be
-	if len(voters) < c.cfg.VoterCount {
-		lacking, stops = c.cfg.VoterCount-len(voters), 0
-	} else if stops == 0 {
-		if stops, least = c.crowded(seen, voters, member, at); stops == 0 {
-			return
-		}
+	change, isNeeded := n.planVoterChange(members, voters, byID, spread)
+	if !isNeeded {
+		return
 	}
-	var sound []shardmap.Member
-	for _, m := range seen {
-		if id := consensus.NodeID(m.ID); m.Alive && !m.Draining && m.StateAge >= soundFor && member[id].ID == m.ID && !slices.Contains(voters, id) &&
-			(least == nil || least(m.Member)) {
-			sound = append(sound, m.Member)
+	var candidates []shardmap.Member
+	for _, m := range members {
+		id := consensus.NodeID(m.ID)
+		isHealthy := m.Alive && !m.Draining && m.StateAge >= minAliveTime
+		if isHealthy && byID[id].ID == m.ID && !slices.Contains(voters, id) && change.eligible(m.Member) {
+			candidates = append(candidates, m.Member)
 		}
 	}
-	var begin []uint64
-	for len(begin) < lacking {
-		sound = slices.DeleteFunc(sound, func(m shardmap.Member) bool { return at.machines[m.Machine] > 0 })
-		if len(sound) == 0 {
-			return
+	added, ok := pickVoters(candidates, change.missing, spread)
+	if !ok {
+		return
+	}
+	n.leading.votersChangedAt = n.now
+	_ = n.log.ChangeVoters(added, change.removed) // one that was lost is made again
+}
+
+// planVoterChange decides how many voters are added and which one is removed. A removed one is taken out of the spread.
+func (n *Node) planVoterChange(members []placement.MemberStatus, voters []uint64, byID map[uint64]shardmap.Member, spread voterSpread) (voterChange, bool) {
+	anyMember := func(shardmap.Member) bool { return true }
+	if missing := n.cfg.VoterCount - len(voters); missing > 0 {
+		return voterChange{missing: missing, eligible: anyMember}, true
+	}
+	for _, id := range voters {
+		if _, isMember := byID[id]; !isMember && id != n.self {
+			return voterChange{removed: id, missing: 1, eligible: anyMember}, true
 		}
-		best := slices.MinFunc(sound, at.better)
-		at.add(best, 1)
-		begin = append(begin, consensus.NodeID(best.ID))
 	}
-	c.moved = c.now
-	_ = c.log.ChangeVoters(begin, stops)
+	crowded, found := n.crowdedVoter(members, voters, byID, spread)
+	if !found {
+		return voterChange{}, false
+	}
+	votersAtSite := spread.sites[crowded.Site]
+	spread.add(crowded, -1)
+	isBetter := func(m shardmap.Member) bool { return m.Site != crowded.Site && spread.sites[m.Site]+1 < votersAtSite }
+	return voterChange{removed: consensus.NodeID(crowded.ID), missing: 1, eligible: isBetter}, true
 }
 
-// crowded picks a voter of a site that has most of them, and tells who may take its place: one of a site that has fewer then than
-// the crowded one had. 0 where none is to go: also while a voter is away or a majority has not answered since the last
-// change, as that one is not needed to go on.
-func (c *Node) crowded(seen []placement.MemberStatus, voters []uint64, member map[uint64]shardmap.Member, at spread) (uint64, func(shardmap.Member) bool) {
-	asOf, known := c.log.AsOf()
-	if !known || c.now-asOf > settledFor || asOf <= c.moved {
-		return 0, nil
+// crowdedVoter returns a voter of a site that has a majority of them. There is none while a voter is not alive, and while a majority has not
+// responded since the last change, as the removed one may be needed then.
+func (n *Node) crowdedVoter(members []placement.MemberStatus, voters []uint64, byID map[uint64]shardmap.Member, spread voterSpread) (shardmap.Member, bool) {
+	asOf, known := n.log.AsOf()
+	if !known || n.now-asOf > maxConfirmationAge || asOf <= n.leading.votersChangedAt {
+		return shardmap.Member{}, false
 	}
-	here := map[uint64]bool{}
-	for _, m := range seen {
-		here[consensus.NodeID(m.ID)] = m.Alive && !m.Draining
+	alive := map[uint64]bool{}
+	for _, m := range members {
+		alive[consensus.NodeID(m.ID)] = m.Alive && !m.Draining
 	}
-	self := consensus.NodeID(c.cfg.Self.ID)
-	var last shardmap.Member
+	var worst shardmap.Member
+	found := false
 	for _, id := range voters {
-		m := member[id]
-		if !here[id] {
-			return 0, nil
+		if !alive[id] {
+			return shardmap.Member{}, false
 		}
-		if at.sites[m.Site]*2 > len(voters) && id != self && (last.ID == "" || at.better(m, last) > 0) {
-			last = m
+		m := byID[id]
+		isCrowded := spread.sites[m.Site]*2 > len(voters)
+		if isCrowded && id != n.self && (!found || spread.compare(m, worst) > 0) {
+			worst = m
+			found = true
 		}
 	}
-	if last.ID == "" {
-		return 0, nil
+	return worst, found
+}
+
+// pickVoters returns so many candidates, each on a machine without another voter; false where there are too few.
+func pickVoters(candidates []shardmap.Member, count int, spread voterSpread) ([]uint64, bool) {
+	var picked []uint64
+	for len(picked) < count {
+		candidates = slices.DeleteFunc(candidates, func(m shardmap.Member) bool { return spread.machines[m.Machine] > 0 })
+		if len(candidates) == 0 {
+			return nil, false
+		}
+		best := slices.MinFunc(candidates, spread.compare)
+		spread.add(best, 1)
+		picked = append(picked, consensus.NodeID(best.ID))
 	}
-	most := at.sites[last.Site]
-	at.add(last, -1)
-	return consensus.NodeID(last.ID), func(m shardmap.Member) bool { return m.Site != last.Site && at.sites[m.Site]+1 < most }
+	return picked, true
 }
--- a/internal/fleet/nodeserver/loop.go
+++ b/internal/fleet/nodeserver/loop.go
@@ -179,7 +179,7 @@
 	if observer == nil || s.failure != nil {
 		return
 	}
-	snapshot, changes := ready.Installed, ready.Changes
+	snapshot, changes := ready.Snapshot, ready.Changes
 	if s.observerIsBehind {
 		snapshot, changes = s.node.FeedSnapshot(), nil
 	}
