--- /dev/null
+++ b/internal/fleet/node/testfleet_test.go
@@ -0,0 +1,215 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"go.etcd.io/raft/v3"
+
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/consensus"
+	"sabletally/internal/fleet/placement"
+	"sabletally/internal/fleet/shardmap"
+)
+
+const (
+	testStep       = 50 * time.Millisecond
+	testEvictAfter = 10 * time.Second
+)
+
+// testFleet is nodes in virtual time, whose packets arrive one step later. It has no disks, so that nodes are not restarted.
+type testFleet struct {
+	t         *testing.T
+	now       time.Duration
+	cfgs      []Config
+	nodes     []*Node
+	down      map[int]bool
+	changedAt map[int]time.Duration // when a node was stopped or started last
+
+	isCut            func(from, to int) bool // packets are lost
+	protocolVersions map[int]int             // where it is not this program's
+	inTransit        []sentPacket
+
+	putResults map[string]shardmap.PutResult // by operation ID
+	alerts     []string
+	afterStep  func()
+}
+
+type sentPacket struct {
+	from, to int
+	packet   Packet
+}
+
+func memberID(i int) string { return fmt.Sprintf("%016x%016x", i+1, i+1) }
+
+// newTestFleet makes one member for each site. Each has a machine of its own, and a zone of its own unless the site has one, as in "a/1".
+func newTestFleet(t *testing.T, voters int, sites ...string) *testFleet {
+	fleet := &testFleet{t: t, down: map[int]bool{}, changedAt: map[int]time.Duration{}, protocolVersions: map[int]int{}, putResults: map[string]shardmap.PutResult{},
+		isCut: func(int, int) bool { return false }, afterStep: func() {}}
+	for _, s := range sites {
+		fleet.join(voters, s)
+	}
+	return fleet
+}
+
+func (fleet *testFleet) join(voters int, site string) int {
+	fleet.t.Helper()
+	i := len(fleet.nodes)
+	site, zone, hasZone := strings.Cut(site, "/")
+	if !hasZone {
+		zone = fmt.Sprint("of ", i)
+	}
+	cfg := Config{Self: shardmap.Member{ID: memberID(i), Addr: fmt.Sprintf("m%d", i), Machine: fmt.Sprintf("m%d", i), Zone: zone, Site: site}, Incarnation: 1,
+		BootstrapID: "f", CanBootstrap: i == 0, Seeds: []string{"m0"}, VoterCount: voters, ReplicationFactor: 1, EvictAfter: testEvictAfter, MaxJoiningShards: 8, Seed: uint64(i), MaxKeys: 10, MaxBytes: 1 << 20, MaxPendingOperations: 10}
+	node, err := New(cfg, PersistentState{}, fleet.now)
+	if err != nil {
+		fleet.t.Fatal(err)
+	}
+	fleet.cfgs = append(fleet.cfgs, cfg)
+	fleet.nodes = append(fleet.nodes, node)
+	fleet.changedAt[i] = fleet.now
+	return i
+}
+
+func (fleet *testFleet) setDown(i int, down bool) {
+	fleet.down[i] = down
+	fleet.changedAt[i] = fleet.now
+}
+
+// run advances the time in steps.
+func (fleet *testFleet) run(duration time.Duration) {
+	fleet.t.Helper()
+	for end := fleet.now + duration; fleet.now < end; {
+		fleet.now += testStep
+		packets := fleet.inTransit
+		fleet.inTransit = nil
+		for i := range fleet.nodes {
+			if !fleet.down[i] {
+				fleet.step(i, packets)
+			}
+		}
+		fleet.afterStep()
+	}
+}
+
+// step runs one node: a tick, the packets that arrive, and what it has ready.
+func (fleet *testFleet) step(i int, packets []sentPacket) {
+	fleet.t.Helper()
+	node := fleet.nodes[i]
+	node.Tick(fleet.now, fleet.peersOf(i))
+	for _, sent := range packets {
+		if sent.to != i || fleet.isCut(sent.from, i) {
+			continue
+		}
+		if err := node.Step(sent.packet); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) { // a response of a former voter
+			fleet.t.Fatalf("%d: %v", i, err)
+		}
+	}
+	ready, err := node.Ready()
+	if err != nil {
+		fleet.t.Fatalf("%d: %v", i, err)
+	}
+	for _, packet := range ready.Packets {
+		to := slices.IndexFunc(fleet.cfgs, func(cfg Config) bool { return cfg.Self.ID == packet.To })
+		fleet.inTransit = append(fleet.inTransit, sentPacket{i, to, packet})
+	}
+	for _, result := range ready.PutResults {
+		fleet.putResults[result.OperationID] = result
+	}
+	for _, event := range ready.Events {
+		if event.IsAlert {
+			fleet.alerts = append(fleet.alerts, fmt.Sprintf("%d: %s: %s", i, event.Message, event.Detail))
+		}
+	}
+}
+
+// peersOf returns the other members as the gossip of a member would have them.
+func (fleet *testFleet) peersOf(i int) []placement.MemberStatus {
+	var peers []placement.MemberStatus
+	for j := range fleet.nodes {
+		if j == i {
+			continue
+		}
+		version, isSet := fleet.protocolVersions[j]
+		if !isSet {
+			version = ProtocolVersion
+		}
+		peers = append(peers, placement.MemberStatus{
+			Member:   fleet.cfgs[j].Self,
+			Alive:    !fleet.down[j],
+			StateAge: fleet.now - fleet.changedAt[j],
+			Form:     version,
+		})
+	}
+	return peers
+}
+
+// waitFor runs until a condition holds.
+func (fleet *testFleet) waitFor(what string, timeout time.Duration, holds func() bool) {
+	fleet.t.Helper()
+	for end := fleet.now + timeout; !holds(); fleet.run(testStep) {
+		if fleet.now >= end {
+			fleet.t.Fatalf("not within %v: %s", timeout, what)
+		}
+	}
+}
+
+func (fleet *testFleet) leader() int {
+	for i, node := range fleet.nodes {
+		if node.IsLeader() && !fleet.down[i] {
+			return i
+		}
+	}
+	return -1
+}
+
+// voters returns the indexes of the leader's voters.
+func (fleet *testFleet) voters() (all []int) {
+	if at := fleet.leader(); at >= 0 {
+		for _, n := range fleet.nodes[at].Voters() {
+			all = append(all, slices.IndexFunc(fleet.cfgs, func(node Config) bool { return consensus.NodeID(node.Self.ID) == n }))
+		}
+	}
+	slices.Sort(all)
+	return all
+}
+
+func (fleet *testFleet) votersBySite(voters []int) (counts []int) {
+	at := map[string]int{}
+	for _, i := range voters {
+		at[fleet.cfgs[i].Self.Site]++
+	}
+	counts = slices.Collect(maps.Values(at))
+	slices.Sort(counts)
+	return counts
+}
+
+// allAgree reports whether all nodes that are up know the same state.
+func (fleet *testFleet) allAgree() bool {
+	var first *changefeed.State
+	for i, node := range fleet.nodes {
+		if fleet.down[i] {
+			continue
+		}
+		if first == nil {
+			first = node.FeedState()
+		}
+		if node.FeedState().Version() != first.Version() || node.FeedState().Digest() != first.Digest() {
+			return false
+		}
+	}
+	return true
+}
+
+func (fleet *testFleet) put(i int, p shardmap.Put) shardmap.PutResult {
+	fleet.t.Helper()
+	delete(fleet.putResults, p.OperationID)
+	fleet.nodes[i].Put(p, 5*time.Second)
+	fleet.waitFor("the put "+p.OperationID+" is answered", 6*time.Second, func() bool { _, is := fleet.putResults[p.OperationID]; return is })
+	return fleet.putResults[p.OperationID]
+}
