--- a/internal/fleet/publisher/server.go
+++ b/internal/fleet/publisher/server.go
@@ -137,15 +137,15 @@
 	go s.accept()
 }
 
-// Changed takes over changes of the agreed state, which replace it if a snapshot is given. It never waits. It returns false where too
+// StateChanged takes over changes of the agreed state, which replace it if a snapshot is given. It never waits. It returns false where too
 // many changes are pending: it then needs a snapshot.
-func (s *Server) Changed(snapshot *changefeed.Snapshot, changes []*changefeed.Change) bool {
+func (s *Server) StateChanged(snapshot *changefeed.Snapshot, changes []*changefeed.Change) bool {
 	return s.pending.add(snapshot, changes)
 }
 
-// Fresh takes over the time at which nothing newer than a version was agreed. It never waits. It takes effect once the version is
+// VersionConfirmed takes over the time at which nothing newer than a version was agreed. It never waits. It takes effect once the version is
 // published.
-func (s *Server) Fresh(at time.Duration, version uint64) {
+func (s *Server) VersionConfirmed(at time.Duration, version uint64) {
 	s.pending.confirm(at, version)
 }
 
--- a/internal/fleet/publisher/server_test.go
+++ b/internal/fleet/publisher/server_test.go
@@ -119,7 +119,7 @@
 				tier.mu.Unlock()
 				if !tier.withoutLeader.Load() {
 					for _, p := range tier.servers {
-						p.Fresh(now, version)
+						p.VersionConfirmed(now, version)
 					}
 				}
 			}
@@ -149,7 +149,7 @@
 		tier.t.Fatal(err)
 	}
 	for _, p := range tier.servers {
-		p.Changed(nil, []*changefeed.Change{&c})
+		p.StateChanged(nil, []*changefeed.Change{&c})
 	}
 	return c.Version
 }
@@ -407,7 +407,7 @@
 		if s := p.Status(); s.Version != last || s.Digest != client.Status().Digest {
 			t.Errorf("version %d with %016x; the subscriber has %016x", s.Version, s.Digest, client.Status().Digest)
 		}
-		p.Changed(snapshot, nil)
+		p.StateChanged(snapshot, nil)
 	}
 	late := tier.newClient(1)
 	waitFor(t, "both are current", allClients([]*testClient{client, late}, func(s subscriber.Status) bool { return s.Current && s.Version == last && len(s.Publishers) == 2 }))
@@ -467,7 +467,7 @@
 	waitFor(t, "it is current", func() bool { return client.Status().Current })
 	tier.withoutLeader.Store(true)
 	waitFor(t, "a version that is not here makes nothing younger", func() bool {
-		p.Fresh(boottime.Now(), 2)
+		p.VersionConfirmed(boottime.Now(), 2)
 		return p.Status().Age > time.Second && client.Status().Age > time.Second
 	})
 	if s := client.Status(); s.Version != 1 {
@@ -475,7 +475,7 @@
 	}
 	tier.publish(changefeed.Item{Key: "view/1", Value: []byte("v")})
 	waitFor(t, "the version makes it young", func() bool {
-		p.Fresh(boottime.Now(), 2)
+		p.VersionConfirmed(boottime.Now(), 2)
 		return p.Status().Age < time.Second/2 && client.Status().Version == 2 && client.Status().Age < time.Second/2
 	})
 }
