--- a/internal/balancer/cost_test.go
+++ b/internal/balancer/cost_test.go
@@ -13,8 +13,8 @@
 	"sabletally/policy"
 )
 
-// BenchmarkSetup is a circuit from its client's dial to its end, 64 at a time, balancer, clients and servers in one process: for
-// profiles and allocations. `testbed throughput` tells how many a second.
+// BenchmarkSetup is a session from its client's dial to its end, 64 at a time, with balancer, clients and servers in one process. `testbed
+// throughput` measures how many a second there can be.
 func BenchmarkSetup(b *testing.B) {
 	var known discovery.List
 	for i := range 8 {
