--- a/internal/fleet/config/parse.go
+++ b/internal/fleet/config/parse.go
@@ -29,7 +29,9 @@
 	defaultControlVoters = 5
 )
 
-const attributes = "role listen advertise seeds data copies machine zone site gone_after repair_after voters records megabytes list_young list_old followers"
+// fleetAttributes are all attributes of the block "fleet".
+const fleetAttributes = "role listen advertise seeds data copies machine zone site gone_after repair_after voters records megabytes " +
+	"list_young list_old followers"
 
 // unavailable has the attributes that a role does not have, and why.
 var unavailable = map[Role]struct {
@@ -86,7 +88,7 @@
 
 // parseFleet reads the block "fleet". Faults are reported in the order of the calls.
 func (f *File) parseFleet(r *hclconfig.Reader, block *hcl.Block) {
-	p := &fleetParser{Block: r.Open("fleet", block.Body, block.DefRange, attributes), reader: r}
+	p := &fleetParser{Block: r.Open("fleet", block.Body, block.DefRange, fleetAttributes), reader: r}
 	f.Role = Role(p.Text("role", string(RoleMember), string(RoleControl), string(RoleBalancer)))
 	p.Must("seeds", "data", "machine", "zone", "site")
 	p.checkAvailable(f.Role)
--- a/internal/fleet/consensus/bench_test.go
+++ b/internal/fleet/consensus/bench_test.go
@@ -41,8 +41,13 @@
 }
 
 func member(i int) shardmap.Member {
-	return shardmap.Member{ID: fmt.Sprintf("%016x%016x", i+1, i+1), Addr: fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
-		Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3)}
+	return shardmap.Member{
+		ID:      fmt.Sprintf("%016x%016x", i+1, i+1),
+		Addr:    fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
+		Machine: fmt.Sprintf("m%04d", i),
+		Zone:    fmt.Sprintf("zone-%02d", i%11),
+		Site:    fmt.Sprintf("region-%d", i%11%3),
+	}
 }
 
 func newCluster(b testing.TB, many int) *cluster {
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -49,7 +49,7 @@
 
 	now        time.Duration
 	lastTick   time.Duration
-	electionAt time.Duration // this voter campaigns then, if it has not heard of a leader
+	electionAt time.Duration // this voter campaigns then, unless a leader contacts it
 
 	state         *shardmap.State
 	appliedIndex  uint64
--- a/internal/fleet/gossip/bench_test.go
+++ b/internal/fleet/gossip/bench_test.go
@@ -100,8 +100,17 @@
 // memberAt makes a member with a random ID, as streams are compressed.
 func memberAt(i int) membership.Member {
 	rng := rand.New(rand.NewPCG(uint64(i), 0x51))
-	return membership.Member{ID: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()), Name: fmt.Sprintf("b%04d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7001),
-		Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3), Incarnation: 1, ProtocolVersion: ProtocolVersion, MinProtocolVersion: MinProtocolVersion}
+	return membership.Member{
+		ID:                 fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()),
+		Name:               fmt.Sprintf("b%04d", i),
+		Addr:               netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7001),
+		Machine:            fmt.Sprintf("m%04d", i),
+		Zone:               fmt.Sprintf("zone-%02d", i%11),
+		Site:               fmt.Sprintf("region-%d", i%11%3),
+		Incarnation:        1,
+		ProtocolVersion:    ProtocolVersion,
+		MinProtocolVersion: MinProtocolVersion,
+	}
 }
 
 // BenchmarkExchange is the library's full exchange between two members that both know all of n: the CPU time of both together. Each
--- a/internal/fleet/gossip/compare_test.go
+++ b/internal/fleet/gossip/compare_test.go
@@ -79,17 +79,17 @@
 	fleet.waitFor("all see all", 5*time.Minute, fleet.allConnected(many))
 	fleet.network.Set(usual)
 	time.Sleep(10 * time.Second)
-	gone := make([]map[string]membership.State, many)
+	failed := make([]map[string]membership.State, many)
 	falsely := func() (n int) {
 		for i, c := range fleet.agents {
 			now := map[string]membership.State{}
 			for _, k := range c.Status().Peers {
 				now[k.ID] = k.State
-				if k.State == membership.Failed && gone[i][k.ID] != membership.Failed {
+				if k.State == membership.Failed && failed[i][k.ID] != membership.Failed {
 					n++
 				}
 			}
-			gone[i] = now
+			failed[i] = now
 		}
 		return n
 	}
@@ -101,7 +101,7 @@
 	}
 	after, _ := fleet.network.Sum()
 	f.bytes = float64(after-before) / quietTime.Seconds() / float64(many)
-	half := func(num int) time.Duration { // until half of the others see it gone
+	half := func(num int) time.Duration { // until half of the others see it as failed
 		began := time.Now()
 		for time.Since(began) < maxWait {
 			n := 0
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -27,8 +27,17 @@
 
 // TestMetaIsUnchanged encodes what goes with a member's address to the bytes of the golden files, and decodes these to the same member.
 func TestMetaIsUnchanged(t *testing.T) {
-	m := membership.Member{ID: "0123456789abcdef0123456789abcdef", Name: "b1", Addr: netip.MustParseAddrPort("10.0.0.1:7001"), Machine: "machine", Zone: "zone",
-		Site: "site", Incarnation: 7, ProtocolVersion: 2, MinProtocolVersion: 1}
+	m := membership.Member{
+		ID:                 "0123456789abcdef0123456789abcdef",
+		Name:               "b1",
+		Addr:               netip.MustParseAddrPort("10.0.0.1:7001"),
+		Machine:            "machine",
+		Zone:               "zone",
+		Site:               "site",
+		Incarnation:        7,
+		ProtocolVersion:    2,
+		MinProtocolVersion: 1,
+	}
 	for name, leaving := range map[string]bool{"meta.json": false, "meta-leaving.json": true} {
 		m.Leaving = leaving
 		text := encodeMeta(m)
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -46,9 +46,29 @@
 func (fleet *testFleet) start(i int, id string) {
 	fleet.ports[i] = fleet.network.Port(i)
 	fleet.incarnations[id]++
-	self := membership.Member{ID: id, Name: fmt.Sprintf("n%d", i), Addr: memnet.Addr(i), Machine: fmt.Sprintf("m%d", i), Zone: "a", Site: "s",
-		Incarnation: fleet.incarnations[id], ProtocolVersion: ProtocolVersion, MinProtocolVersion: MinProtocolVersion}
-	opt := Options{FleetName: "f", Self: self, ReplicationFactor: 3, ForgetAfter: 24 * time.Hour, MaxPeers: 1024, Seed: uint64(i), Transport: fleet.ports[i], Log: zap.NewNop(), Now: fleet.now, Tune: fleet.tune}
+	self := membership.Member{
+		ID:                 id,
+		Name:               fmt.Sprintf("n%d", i),
+		Addr:               memnet.Addr(i),
+		Machine:            fmt.Sprintf("m%d", i),
+		Zone:               "a",
+		Site:               "s",
+		Incarnation:        fleet.incarnations[id],
+		ProtocolVersion:    ProtocolVersion,
+		MinProtocolVersion: MinProtocolVersion,
+	}
+	opt := Options{
+		FleetName:         "f",
+		Self:              self,
+		ReplicationFactor: 3,
+		ForgetAfter:       24 * time.Hour,
+		MaxPeers:          1024,
+		Seed:              uint64(i),
+		Transport:         fleet.ports[i],
+		Log:               zap.NewNop(),
+		Now:               fleet.now,
+		Tune:              fleet.tune,
+	}
 	for s := range min(3, len(fleet.agents)) {
 		opt.Seeds = append(opt.Seeds, memnet.Addr(s))
 	}
@@ -78,10 +98,10 @@
 }
 
 // waitFor waits until a condition holds and returns how long that took.
-func (fleet *testFleet) waitFor(what string, timeout time.Duration, holds func() bool) time.Duration {
+func (fleet *testFleet) waitFor(what string, timeout time.Duration, isTrue func() bool) time.Duration {
 	fleet.t.Helper()
 	began := time.Now()
-	for !holds() {
+	for !isTrue() {
 		if time.Since(began) > timeout {
 			for _, c := range fleet.agents {
 				fleet.t.Logf("%s: %v, %d alive", c.opt.Self.Name, c.Status().Standing, aliveCount(c))
--- a/internal/fleet/membership/bench_test.go
+++ b/internal/fleet/membership/bench_test.go
@@ -51,7 +51,7 @@
 // BenchmarkHeartbeat is what the gossip agent does with the table ten times a second: a tick, then the list of all members.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range scales {
-		table, held := fullTable(n)
+		table, heapBytes := fullTable(n)
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			done := measureCPU(b)
 			for range b.N {
@@ -63,7 +63,7 @@
 			}
 			per := done()
 			b.ReportMetric(per/float64(HeartbeatInterval)*100, "%core")
-			b.ReportMetric(float64(held), "held-B")
+			b.ReportMetric(float64(heapBytes), "heap-B")
 		})
 	}
 }
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// TestDecisionsMatchTheGoldenDigest plays events drawn under a fixed seed to a table and holds its actions and standings to the digests that testdata keeps.
+// TestDecisionsMatchTheGoldenDigest draws events from fixed seeds and compares the digests of a table's actions and standings with those of
+// an earlier build.
 func TestDecisionsMatchTheGoldenDigest(t *testing.T) {
 	got := ""
 	for seed := uint64(1); seed <= 4; seed++ {
@@ -32,8 +33,18 @@
 	rng := rand.New(rand.NewPCG(seed, 99))
 	sum := fnv.New64a()
 	member := func(i int) Member {
-		return Member{ID: fmt.Sprintf("%032x", i+1), Name: fmt.Sprintf("b%02d", i), Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i % 9)}), 7001),
-			Machine: fmt.Sprintf("m%d", i/2), Zone: "z", Site: "s", Incarnation: 1 + uint64(rng.IntN(3)), Leaving: rng.IntN(8) == 0, ProtocolVersion: 2, MinProtocolVersion: 1}
+		return Member{
+			ID:                 fmt.Sprintf("%032x", i+1),
+			Name:               fmt.Sprintf("b%02d", i),
+			Addr:               netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i % 9)}), 7001),
+			Machine:            fmt.Sprintf("m%d", i/2),
+			Zone:               "z",
+			Site:               "s",
+			Incarnation:        1 + uint64(rng.IntN(3)),
+			Leaving:            rng.IntN(8) == 0,
+			ProtocolVersion:    2,
+			MinProtocolVersion: 1,
+		}
 	}
 	self := member(0)
 	var seeds []netip.AddrPort
@@ -41,7 +52,14 @@
 		seeds = append(seeds, member(i).Addr)
 	}
 	now := time.Duration(0)
-	table := New(Config{Self: self, Seeds: seeds, ReplicationFactor: 3, ForgetAfter: 3 * time.Minute, MaxMembers: 8, Seed: seed}, now)
+	table := New(Config{
+		Self:              self,
+		Seeds:             seeds,
+		ReplicationFactor: 3,
+		ForgetAfter:       3 * time.Minute,
+		MaxMembers:        8,
+		Seed:              seed,
+	}, now)
 	for range heartbeats {
 		now += HeartbeatInterval
 		if rng.IntN(400) == 0 {
@@ -65,8 +83,9 @@
 				break
 			}
 			actions++
-			line := action.Event
-			_, _ = fmt.Fprintln(sum, now, uint8(action.Kind), action.Addr, action.ID, uint8(line.Kind), line.Member, line.Returns, uint8(line.Standing), line.Duration, line.Alive, line.Total)
+			event := action.Event
+			_, _ = fmt.Fprintln(sum, now, uint8(action.Kind), action.Addr, action.ID, uint8(event.Kind), event.Member, event.Returns,
+				uint8(event.Standing), event.Duration, event.Alive, event.Total)
 			switch action.Kind {
 			case Join:
 				table.HandleJoinResult(action.Addr, rng.IntN(3) == 0)
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -22,7 +22,14 @@
 
 // newTable makes the table of member 0, with seeds 0 to 2.
 func newTable(maxMembers int) *Table {
-	return New(Config{Self: member(0), Seeds: []netip.AddrPort{address(0), address(1), address(2)}, ReplicationFactor: 3, ForgetAfter: time.Hour, MaxMembers: maxMembers, Seed: 5}, 0)
+	return New(Config{
+		Self:              member(0),
+		Seeds:             []netip.AddrPort{address(0), address(1), address(2)},
+		ReplicationFactor: 3,
+		ForgetAfter:       time.Hour,
+		MaxMembers:        maxMembers,
+		Seed:              5,
+	}, 0)
 }
 
 // runUntil ticks until a time and returns all actions.
@@ -64,14 +71,14 @@
 		t.Fatal(got)
 	}
 	table.Tick(7 * second)
-	asked := map[string]bool{}
+	pinged := map[string]bool{}
 	for _, a := range table.drain() {
 		if a.Kind == Ping {
-			asked[a.ID] = true
+			pinged[a.ID] = true
 		}
 	}
-	if len(asked) != 4 || table.Standing(7*second) != Resuming {
-		t.Fatal(asked, table.Standing(7*second))
+	if len(pinged) != 4 || table.Standing(7*second) != Resuming {
+		t.Fatal(pinged, table.Standing(7*second))
 	}
 	table.HandlePingResult(member(1).ID, true)
 	table.HandlePingResult(member(1).ID, true) // counted once
--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -38,8 +38,13 @@
 
 func members(n int) (all []shardmap.Member) {
 	for i := range n {
-		all = append(all, shardmap.Member{ID: fmt.Sprintf("%032x", i+1), Addr: fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
-			Machine: fmt.Sprintf("m%04d", i), Zone: fmt.Sprintf("zone-%02d", i%11), Site: fmt.Sprintf("region-%d", i%11%3)})
+		all = append(all, shardmap.Member{
+			ID:      fmt.Sprintf("%032x", i+1),
+			Addr:    fmt.Sprintf("10.%d.%d.%d:7001", i>>16, i>>8&255, i&255),
+			Machine: fmt.Sprintf("m%04d", i),
+			Zone:    fmt.Sprintf("zone-%02d", i%11),
+			Site:    fmt.Sprintf("region-%d", i%11%3),
+		})
 	}
 	return all
 }
@@ -47,11 +52,30 @@
 // newFollower makes a member that knows of a fleet of n, with a configuration of each shard. It neither votes nor has replicas.
 func newFollower(b *testing.B, n int) (*Node, []placement.MemberStatus) {
 	all := members(n)
-	node, err := New(Config{Self: all[0], Incarnation: 1, VoterCount: 5, ReplicationFactor: 3, EvictAfter: 10 * time.Second, MaxJoiningShards: 4, Seed: 7, MaxKeys: 1000, MaxBytes: 1 << 20, MaxPendingOperations: 100}, PersistentState{}, 0)
+	node, err := New(Config{
+		Self:                 all[0],
+		Incarnation:          1,
+		VoterCount:           5,
+		ReplicationFactor:    3,
+		EvictAfter:           10 * time.Second,
+		MaxJoiningShards:     4,
+		Seed:                 7,
+		MaxKeys:              1000,
+		MaxBytes:             1 << 20,
+		MaxPendingOperations: 100,
+	}, PersistentState{}, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
-	response := PollResponse{FleetID: "f", Version: 2, Epoch: 1, Members: all, Shards: map[int]shardmap.Configuration{}, LeaderID: all[1].ID, Addr: all[1].Addr}
+	response := PollResponse{
+		FleetID:  "f",
+		Version:  2,
+		Epoch:    1,
+		Members:  all,
+		Shards:   map[int]shardmap.Configuration{},
+		LeaderID: all[1].ID,
+		Addr:     all[1].Addr,
+	}
 	for num := range shardmap.ShardCount {
 		response.Shards[num] = shardmap.Configuration{Number: 1, InSync: shardmap.PickReplicas(num, all[1:], 3)}
 	}
--- a/internal/fleet/node/golden_test.go
+++ b/internal/fleet/node/golden_test.go
@@ -14,8 +14,8 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// TestPacketsMatchTheGoldenDigest plays a fleet of five with a seed, puts and a leader that is cut off, and holds all packets, as they are encoded, to the
-// digest that testdata keeps.
+// TestPacketsMatchTheGoldenDigest runs a fleet of five with a seed, puts and a leader that is cut off, and compares the digest of all encoded
+// packets with that of an earlier build.
 func TestPacketsMatchTheGoldenDigest(t *testing.T) {
 	fleet := newTestFleet(t, 3, "a", "a", "b", "b", "c")
 	sum := fnv.New64a()
--- a/internal/fleet/node/poll.go
+++ b/internal/fleet/node/poll.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// believesLeader reports whether a response changes whom this member takes for the leader. While the leader responds, only its own word and
-// that of the new leader do.
+// believesLeader reports whether a response changes whom this member takes for the leader. While the leader responds, only its own
+// response and that of the new leader do.
 func (n *Node) believesLeader(from, leaderID string) bool {
 	if leaderID == "" {
 		return false
--- a/internal/fleet/node/put_test.go
+++ b/internal/fleet/node/put_test.go
@@ -17,7 +17,7 @@
 func TestPuts(t *testing.T) {
 	fleet := newTestFleet(t, 3, "a", "a", "a", "a", "a")
 	fleet.waitFor("there are three voters", 30*time.Second, func() bool { return len(fleet.voters()) == 3 && fleet.allAgree() })
-	fleet.run(5 * time.Second) // views settle
+	fleet.run(5 * time.Second) // configurations settle
 	fleet.waitFor("all agree", 5*time.Second, fleet.allAgree)
 	for i := range fleet.nodes {
 		was := fleet.nodes[i].FeedState().Version()
@@ -27,7 +27,7 @@
 			t.Fatalf("put by %d on version %d: %+v", i, was, d)
 		}
 		if again := fleet.put((i+1)%5, p); again != d {
-			t.Errorf("asked again: %+v, before %+v", again, d)
+			t.Errorf("repeated: %+v, before %+v", again, d)
 		}
 		fleet.waitFor("all agree", 5*time.Second, fleet.allAgree)
 		if v, _ := fleet.nodes[0].FeedState().Get(p.Key); string(v) != string(p.Value) || fleet.nodes[0].FeedState().Version() != d.Version {
@@ -52,12 +52,12 @@
 	if now := fleet.nodes[0].FeedState().Version(); now != was {
 		t.Errorf("rejected puts made version %d of %d", now, was)
 	}
-	if d := fleet.put(3, shardmap.Put{Key: "config/0", Delete: true, OperationID: "gone"}); d.Version != was+1 {
+	if d := fleet.put(3, shardmap.Put{Key: "config/0", Delete: true, OperationID: "delete"}); d.Version != was+1 {
 		t.Errorf("%+v", d)
 	}
 	late := fleet.join(3, "a") // it gets a snapshot
-	fleet.waitFor("one that came later knows the same", 20*time.Second, func() bool { return fleet.allAgree() && len(fleet.nodes[late].State().Members) == 6 })
-	fleet.waitFor("and the same by the log, built anew", time.Second, func() bool {
+	fleet.waitFor("a later member agrees", 20*time.Second, func() bool { return fleet.allAgree() && len(fleet.nodes[late].State().Members) == 6 })
+	fleet.waitFor("and with the log's state", time.Second, func() bool {
 		st := fleet.nodes[fleet.leader()].log.State()
 		return consensus.SnapshotOf(st).Digest == fleet.nodes[late].FeedState().Digest()
 	})
@@ -123,7 +123,13 @@
 	was := node.FeedState().Digest()
 	other := changefeed.NewSnapshot("f", node.FeedState().Version(), []changefeed.Item{{Key: "epoch", Value: []byte("9")}, {Key: "fleet", Value: []byte("f")}})
 	for range 2 {
-		_ = node.Step(Packet{From: memberID(0), PollResponse: &PollResponse{FleetID: "f", ProtocolVersion: ProtocolVersion, Version: other.Version, Digest: other.Digest, Snapshot: other}})
+		_ = node.Step(Packet{From: memberID(0), PollResponse: &PollResponse{
+			FleetID:         "f",
+			ProtocolVersion: ProtocolVersion,
+			Version:         other.Version,
+			Digest:          other.Digest,
+			Snapshot:        other,
+		}})
 	}
 	r, _ := node.Ready()
 	if node.FeedState().Digest() != was || r.Snapshot != nil {
--- a/internal/fleet/node/testfleet_test.go
+++ b/internal/fleet/node/testfleet_test.go
@@ -49,8 +49,15 @@
 
 // newTestFleet makes one member for each site. Each has a machine of its own, and a zone of its own unless the site has one, as in "a/1".
 func newTestFleet(t *testing.T, voters int, sites ...string) *testFleet {
-	fleet := &testFleet{t: t, down: map[int]bool{}, changedAt: map[int]time.Duration{}, protocolVersions: map[int]int{}, putResults: map[string]shardmap.PutResult{},
-		isCut: func(int, int) bool { return false }, afterStep: func() {}}
+	fleet := &testFleet{
+		t:                t,
+		down:             map[int]bool{},
+		changedAt:        map[int]time.Duration{},
+		protocolVersions: map[int]int{},
+		putResults:       map[string]shardmap.PutResult{},
+		isCut:            func(int, int) bool { return false },
+		afterStep:        func() {},
+	}
 	for _, s := range sites {
 		fleet.join(voters, s)
 	}
@@ -64,8 +71,27 @@
 	if !hasZone {
 		zone = fmt.Sprint("of ", i)
 	}
-	cfg := Config{Self: shardmap.Member{ID: memberID(i), Addr: fmt.Sprintf("m%d", i), Machine: fmt.Sprintf("m%d", i), Zone: zone, Site: site}, Incarnation: 1,
-		BootstrapID: "f", CanBootstrap: i == 0, Seeds: []string{"m0"}, VoterCount: voters, ReplicationFactor: 1, EvictAfter: testEvictAfter, MaxJoiningShards: 8, Seed: uint64(i), MaxKeys: 10, MaxBytes: 1 << 20, MaxPendingOperations: 10}
+	cfg := Config{
+		Self: shardmap.Member{
+			ID:      memberID(i),
+			Addr:    fmt.Sprintf("m%d", i),
+			Machine: fmt.Sprintf("m%d", i),
+			Zone:    zone,
+			Site:    site,
+		},
+		Incarnation:          1,
+		BootstrapID:          "f",
+		CanBootstrap:         i == 0,
+		Seeds:                []string{"m0"},
+		VoterCount:           voters,
+		ReplicationFactor:    1,
+		EvictAfter:           testEvictAfter,
+		MaxJoiningShards:     8,
+		Seed:                 uint64(i),
+		MaxKeys:              10,
+		MaxBytes:             1 << 20,
+		MaxPendingOperations: 10,
+	}
 	node, err := New(cfg, PersistentState{}, fleet.now)
 	if err != nil {
 		fleet.t.Fatal(err)
@@ -150,9 +176,9 @@
 }
 
 // waitFor runs until a condition holds.
-func (fleet *testFleet) waitFor(what string, timeout time.Duration, holds func() bool) {
+func (fleet *testFleet) waitFor(what string, timeout time.Duration, isTrue func() bool) {
 	fleet.t.Helper()
-	for end := fleet.now + timeout; !holds(); fleet.run(testStep) {
+	for end := fleet.now + timeout; !isTrue(); fleet.run(testStep) {
 		if fleet.now >= end {
 			fleet.t.Fatalf("not within %v: %s", timeout, what)
 		}
--- a/internal/fleet/node/voters.go
+++ b/internal/fleet/node/voters.go
@@ -44,6 +44,27 @@
 	)
 }
 
+// electorate is the voters and those who may become voters.
+type electorate struct {
+	voters  []uint64                   // IDs in the log
+	members []placement.MemberStatus   // as the gossip has them
+	byID    map[uint64]shardmap.Member // of the epoch, by ID in the log
+	spread  voterSpread
+}
+
+func newElectorate(voters []uint64, epoch []shardmap.Member, members []placement.MemberStatus) electorate {
+	e := electorate{voters: voters, members: members, byID: map[uint64]shardmap.Member{}, spread: newVoterSpread()}
+	for _, m := range epoch {
+		e.byID[consensus.NodeID(m.ID)] = m
+	}
+	for _, id := range voters {
+		if m, isMember := e.byID[id]; isMember {
+			e.spread.add(m, 1)
+		}
+	}
+	return e
+}
+
 // voterChange is a change of voters that is being prepared.
 type voterChange struct {
 	removed  uint64 // ID in the log, 0 for none
@@ -55,30 +76,12 @@
 // more or that a crowded site has too many of. Never is a number of voters of two made by steps: both would be needed then, and the second
 // one may have failed unnoticed.
 func (n *Node) changeVoters(members []placement.MemberStatus) {
-	voters := n.log.Voters()
-	byID := map[uint64]shardmap.Member{}
-	for _, m := range n.log.State().Members {
-		byID[consensus.NodeID(m.ID)] = m
-	}
-	spread := newVoterSpread()
-	for _, id := range voters {
-		if m, isMember := byID[id]; isMember {
-			spread.add(m, 1)
-		}
-	}
-	change, isNeeded := n.planVoterChange(members, voters, byID, spread)
+	e := newElectorate(n.log.Voters(), n.log.State().Members, members)
+	change, isNeeded := n.planVoterChange(e)
 	if !isNeeded {
 		return
 	}
-	var candidates []shardmap.Member
-	for _, m := range members {
-		id := consensus.NodeID(m.ID)
-		isHealthy := m.Alive && !m.Draining && m.StateAge >= minAliveTime
-		if isHealthy && byID[id].ID == m.ID && !slices.Contains(voters, id) && change.eligible(m.Member) {
-			candidates = append(candidates, m.Member)
-		}
-	}
-	added, ok := pickVoters(candidates, change.missing, spread)
+	added, ok := e.pick(e.candidates(change), change.missing)
 	if !ok {
 		return
 	}
@@ -87,46 +90,46 @@
 }
 
 // planVoterChange decides how many voters are added and which one is removed. A removed one is taken out of the spread.
-func (n *Node) planVoterChange(members []placement.MemberStatus, voters []uint64, byID map[uint64]shardmap.Member, spread voterSpread) (voterChange, bool) {
+func (n *Node) planVoterChange(e electorate) (voterChange, bool) {
 	anyMember := func(shardmap.Member) bool { return true }
-	if missing := n.cfg.VoterCount - len(voters); missing > 0 {
+	if missing := n.cfg.VoterCount - len(e.voters); missing > 0 {
 		return voterChange{missing: missing, eligible: anyMember}, true
 	}
-	for _, id := range voters {
-		if _, isMember := byID[id]; !isMember && id != n.self {
+	for _, id := range e.voters {
+		if _, isMember := e.byID[id]; !isMember && id != n.self {
 			return voterChange{removed: id, missing: 1, eligible: anyMember}, true
 		}
 	}
-	crowded, found := n.crowdedVoter(members, voters, byID, spread)
+	crowded, found := n.crowdedVoter(e)
 	if !found {
 		return voterChange{}, false
 	}
-	votersAtSite := spread.sites[crowded.Site]
-	spread.add(crowded, -1)
-	isBetter := func(m shardmap.Member) bool { return m.Site != crowded.Site && spread.sites[m.Site]+1 < votersAtSite }
+	votersAtSite := e.spread.sites[crowded.Site]
+	e.spread.add(crowded, -1)
+	isBetter := func(m shardmap.Member) bool { return m.Site != crowded.Site && e.spread.sites[m.Site]+1 < votersAtSite }
 	return voterChange{removed: consensus.NodeID(crowded.ID), missing: 1, eligible: isBetter}, true
 }
 
 // crowdedVoter returns a voter of a site that has a majority of them. There is none while a voter is not alive, and while a majority has not
 // responded since the last change, as the removed one may be needed then.
-func (n *Node) crowdedVoter(members []placement.MemberStatus, voters []uint64, byID map[uint64]shardmap.Member, spread voterSpread) (shardmap.Member, bool) {
+func (n *Node) crowdedVoter(e electorate) (shardmap.Member, bool) {
 	asOf, known := n.log.AsOf()
 	if !known || n.now-asOf > maxConfirmationAge || asOf <= n.leading.votersChangedAt {
 		return shardmap.Member{}, false
 	}
 	alive := map[uint64]bool{}
-	for _, m := range members {
+	for _, m := range e.members {
 		alive[consensus.NodeID(m.ID)] = m.Alive && !m.Draining
 	}
 	var worst shardmap.Member
 	found := false
-	for _, id := range voters {
+	for _, id := range e.voters {
 		if !alive[id] {
 			return shardmap.Member{}, false
 		}
-		m := byID[id]
-		isCrowded := spread.sites[m.Site]*2 > len(voters)
-		if isCrowded && id != n.self && (!found || spread.compare(m, worst) > 0) {
+		m := e.byID[id]
+		isCrowded := e.spread.sites[m.Site]*2 > len(e.voters)
+		if isCrowded && id != n.self && (!found || e.spread.compare(m, worst) > 0) {
 			worst = m
 			found = true
 		}
@@ -134,16 +137,30 @@
 	return worst, found
 }
 
-// pickVoters returns so many candidates, each on a machine without another voter; false where there are too few.
-func pickVoters(candidates []shardmap.Member, count int, spread voterSpread) ([]uint64, bool) {
+// candidates returns the healthy members that may become voters.
+func (e electorate) candidates(change voterChange) []shardmap.Member {
+	var candidates []shardmap.Member
+	for _, m := range e.members {
+		id := consensus.NodeID(m.ID)
+		isHealthy := m.Alive && !m.Draining && m.StateAge >= minAliveTime
+		isMember := e.byID[id].ID == m.ID
+		if isHealthy && isMember && !slices.Contains(e.voters, id) && change.eligible(m.Member) {
+			candidates = append(candidates, m.Member)
+		}
+	}
+	return candidates
+}
+
+// pick returns so many of the candidates, each on a machine without another voter; false where there are too few.
+func (e electorate) pick(candidates []shardmap.Member, count int) ([]uint64, bool) {
 	var picked []uint64
 	for len(picked) < count {
-		candidates = slices.DeleteFunc(candidates, func(m shardmap.Member) bool { return spread.machines[m.Machine] > 0 })
+		candidates = slices.DeleteFunc(candidates, func(m shardmap.Member) bool { return e.spread.machines[m.Machine] > 0 })
 		if len(candidates) == 0 {
 			return nil, false
 		}
-		best := slices.MinFunc(candidates, spread.compare)
-		spread.add(best, 1)
+		best := slices.MinFunc(candidates, e.spread.compare)
+		e.spread.add(best, 1)
 		picked = append(picked, consensus.NodeID(best.ID))
 	}
 	return picked, true
--- a/internal/fleet/node/voters_test.go
+++ b/internal/fleet/node/voters_test.go
@@ -51,13 +51,13 @@
 		if now == nil {
 			return
 		}
-		gone := 0
+		removed := 0
 		for _, i := range last {
 			if !slices.Contains(now, i) {
-				gone++
+				removed++
 			}
 		}
-		if gone > 1 || len(now) < 5 {
+		if removed > 1 || len(now) < 5 {
 			t.Errorf("voters %v became %v in one step", last, now)
 		}
 		last = now
--- a/internal/fleet/nodeserver/bench_test.go
+++ b/internal/fleet/nodeserver/bench_test.go
@@ -42,9 +42,14 @@
 			var known []membership.Peer
 			var all []shardmap.Member
 			for i := range n {
-				m := membership.Member{ID: fmt.Sprintf("%032x", i+1), Name: fmt.Sprintf("b%04d", i), Machine: fmt.Sprintf("m%04d", i),
-					Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7001), Zone: fmt.Sprintf("zone-%02d", i%11),
-					Site: fmt.Sprintf("region-%d", i%11%3)}
+				m := membership.Member{
+					ID:      fmt.Sprintf("%032x", i+1),
+					Name:    fmt.Sprintf("b%04d", i),
+					Machine: fmt.Sprintf("m%04d", i),
+					Addr:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7001),
+					Zone:    fmt.Sprintf("zone-%02d", i%11),
+					Site:    fmt.Sprintf("region-%d", i%11%3),
+				}
 				known = append(known, membership.Peer{Member: m})
 				all = append(all, ShardMember(m))
 			}
--- a/internal/fleet/nodeserver/golden_dir_test.go
+++ b/internal/fleet/nodeserver/datadir_golden_test.go
@@ -19,13 +19,26 @@
 const goldenState = "version 8, digest 6b8f0b15caebb508"
 
 // goldenNode is the configuration of the member that the golden directory belongs to, a fleet of one.
-func goldenNode(life uint64) node.Config {
+func goldenNode(incarnation uint64) node.Config {
 	const addr = "10.0.0.1:7001"
-	return node.Config{Self: shardmap.Member{ID: goldenMember, Addr: addr, Machine: "m1", Zone: "a", Site: "s"}, Incarnation: life, BootstrapID: "fleet-id", CanBootstrap: true,
-		Seeds: []string{addr}, VoterCount: 1, ReplicationFactor: 1, EvictAfter: 10 * time.Second, MaxJoiningShards: 8, Seed: 7, MaxKeys: 100, MaxBytes: 1 << 20, MaxPendingOperations: 10}
+	return node.Config{
+		Self:                 shardmap.Member{ID: goldenMember, Addr: addr, Machine: "m1", Zone: "a", Site: "s"},
+		Incarnation:          incarnation,
+		BootstrapID:          "fleet-id",
+		CanBootstrap:         true,
+		Seeds:                []string{addr},
+		VoterCount:           1,
+		ReplicationFactor:    1,
+		EvictAfter:           10 * time.Second,
+		MaxJoiningShards:     8,
+		Seed:                 7,
+		MaxKeys:              100,
+		MaxBytes:             1 << 20,
+		MaxPendingOperations: 10,
+	}
 }
 
-// driveNode advances a node in steps, with all that it asks for written to the store, until something is so.
+// driveNode advances a node in steps, with its writes stored, until a condition holds.
 func driveNode(t *testing.T, c *node.Node, s *store.Store, now *time.Duration, done func(node.Ready) bool) {
 	t.Helper()
 	for end := *now + time.Minute; *now < end; {
@@ -43,10 +56,10 @@
 			return
 		}
 	}
-	t.Fatal("nothing came within a minute")
+	t.Fatal("the condition does not hold within a minute")
 }
 
-// operate has one operation done.
+// operate executes one operation.
 func operate(t *testing.T, c *node.Node, s *store.Store, now *time.Duration, op replication.Operation) (result replication.Result) {
 	t.Helper()
 	c.Submit(op, 10*time.Second)
@@ -62,8 +75,8 @@
 	return result
 }
 
-// TestDataDirectoryOfAnEarlierBuildIsRead opens a copy of a whole directory that an earlier build wrote: its identity, its log and its records are as they were, and
-// the member goes on with them.
+// TestDataDirectoryOfAnEarlierBuildIsRead opens a copy of a directory that an earlier build wrote: its identity, log and records are the same,
+// and the member continues with them.
 func TestDataDirectoryOfAnEarlierBuildIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "datadir"))); err != nil {
@@ -87,7 +100,7 @@
 	}
 	if saved.FleetID != "fleet-id" || len(saved.Shards) != shardmap.ShardCount || records != 6 || len(saved.Log.HardState) == 0 || len(saved.Log.Snapshot) == 0 ||
 		len(saved.Log.Entries) != 8 {
-		t.Errorf("fleet %q, %d slots, %d records, %d entries", saved.FleetID, len(saved.Shards), records, len(saved.Log.Entries))
+		t.Errorf("fleet %q, %d shards, %d records, %d entries", saved.FleetID, len(saved.Shards), records, len(saved.Log.Entries))
 	}
 	now := time.Hour
 	c, err := node.New(goldenNode(identity.Incarnation+1), saved, now)
--- a/internal/fleet/nodeserver/golden_test.go
+++ b/internal/fleet/nodeserver/golden_test.go
@@ -15,7 +15,15 @@
 )
 
 // goldenRecord has every field set.
-var goldenRecord = replication.Record{Key: "k", Version: 3, Value: []byte("v"), OperationID: "op", CreatedAt: 1700000000, Deleted: true, PastOperationIDs: []string{"p", "q"}}
+var goldenRecord = replication.Record{
+	Key:              "k",
+	Version:          3,
+	Value:            []byte("v"),
+	OperationID:      "op",
+	CreatedAt:        1700000000,
+	Deleted:          true,
+	PastOperationIDs: []string{"p", "q"},
+}
 
 // goldenPackets are one packet of each kind, with every field set.
 func goldenPackets() map[string]node.Packet {
@@ -24,15 +32,40 @@
 		set(&p)
 		return p
 	}
-	change := &changefeed.Change{Version: 9, DigestBefore: 8, DigestAfter: 77, Items: []changefeed.Item{{Key: "config/a", Value: []byte("a")}, {Key: "config/b", Deleted: true}}}
+	change := &changefeed.Change{
+		Version:      9,
+		DigestBefore: 8,
+		DigestAfter:  77,
+		Items:        []changefeed.Item{{Key: "config/a", Value: []byte("a")}, {Key: "config/b", Deleted: true}},
+	}
 	snapshot := changefeed.NewSnapshot("f", 9, []changefeed.Item{{Key: "epoch", Value: []byte("9")}, {Key: "fleet", Value: []byte("f")}})
 	members := []shardmap.Member{{ID: "m", Addr: "10.0.0.2:7001", Machine: "machine", Zone: "zone", Site: "site"}}
 	view := shardmap.Configuration{Number: 5, InSync: []string{"a", "b"}, Joining: []string{"c"}, DataLosses: 2}
-	message := replication.Message{Kind: replication.MessageWrite, From: "from", To: "to", Incarnation: 1, TargetIncarnation: 2, Shard: 3, Ballot: replication.Ballot{Configuration: 4, Incarnation: 5}, Sequence: 6,
-		Digest: 7, Records: []replication.Record{goldenRecord},
-		Operation: replication.Operation{ID: "op", Key: "k", ExpectedVersion: 2, Value: []byte("v"), CreatedAt: 1700000000, Delete: true, LocalOnly: true, ReadOnly: true},
-		Result:    replication.Result{OperationID: "op", Outcome: replication.OutcomeConflict, Reason: replication.ReasonBusy, Record: goldenRecord},
-		InSync:    []string{"a"}, Joining: []string{"c"}}
+	message := replication.Message{
+		Kind:              replication.MessageWrite,
+		From:              "from",
+		To:                "to",
+		Incarnation:       1,
+		TargetIncarnation: 2,
+		Shard:             3,
+		Ballot:            replication.Ballot{Configuration: 4, Incarnation: 5},
+		Sequence:          6,
+		Digest:            7,
+		Records:           []replication.Record{goldenRecord},
+		Operation: replication.Operation{
+			ID:              "op",
+			Key:             "k",
+			ExpectedVersion: 2,
+			Value:           []byte("v"),
+			CreatedAt:       1700000000,
+			Delete:          true,
+			LocalOnly:       true,
+			ReadOnly:        true,
+		},
+		Result:  replication.Result{OperationID: "op", Outcome: replication.OutcomeConflict, Reason: replication.ReasonBusy, Record: goldenRecord},
+		InSync:  []string{"a"},
+		Joining: []string{"c"},
+	}
 	return map[string]node.Packet{
 		"raft":   packet(func(p *node.Packet) { p.Raft = []byte{1, 2, 3} }),
 		"copies": packet(func(p *node.Packet) { p.Replication = []replication.Message{message} }),
@@ -43,15 +76,46 @@
 			p.PollRequest = &node.PollRequest{Version: 1, Digest: 2, ProtocolVersion: 3, RequestNumber: 4}
 		}),
 		"told-form1": packet(func(p *node.Packet) {
-			p.PollResponse = &node.PollResponse{FleetID: "f", Since: 1, Version: 2, Epoch: 3, Members: members, Shards: map[int]shardmap.Configuration{4: view}, LeaderID: "l", Addr: "10.0.0.2:7001"}
+			p.PollResponse = &node.PollResponse{
+				FleetID:  "f",
+				Since:    1,
+				Version:  2,
+				Epoch:    3,
+				Members:  members,
+				Shards:   map[int]shardmap.Configuration{4: view},
+				LeaderID: "l",
+				Addr:     "10.0.0.2:7001",
+			}
 		}),
 		"told-changes": packet(func(p *node.Packet) {
-			p.PollResponse = &node.PollResponse{FleetID: "f", Since: 1, Version: 9, LeaderID: "l", Addr: "10.0.0.2:7001", ProtocolVersion: 2, RequestNumber: 5, Digest: 6, HasAge: true, Age: time.Second,
-				Changes: []*changefeed.Change{change}}
+			p.PollResponse = &node.PollResponse{
+				FleetID:         "f",
+				Since:           1,
+				Version:         9,
+				LeaderID:        "l",
+				Addr:            "10.0.0.2:7001",
+				ProtocolVersion: 2,
+				RequestNumber:   5,
+				Digest:          6,
+				HasAge:          true,
+				Age:             time.Second,
+				Changes:         []*changefeed.Change{change},
+			}
 		}),
 		"told-snapshot": packet(func(p *node.Packet) {
-			p.PollResponse = &node.PollResponse{FleetID: "f", Since: 1, Version: 9, LeaderID: "l", Addr: "10.0.0.2:7001", ProtocolVersion: 2, RequestNumber: 5, Digest: 6, HasAge: true, Age: time.Second,
-				Snapshot: snapshot}
+			p.PollResponse = &node.PollResponse{
+				FleetID:         "f",
+				Since:           1,
+				Version:         9,
+				LeaderID:        "l",
+				Addr:            "10.0.0.2:7001",
+				ProtocolVersion: 2,
+				RequestNumber:   5,
+				Digest:          6,
+				HasAge:          true,
+				Age:             time.Second,
+				Snapshot:        snapshot,
+			}
 		}),
 		"put": packet(func(p *node.Packet) {
 			p.PutRequest = &shardmap.Put{Key: "config/a", Value: []byte("a"), Delete: true, OperationID: "op", Conditional: true, ExpectedVersion: 7}
--- a/internal/fleet/nodeserver/link_test.go
+++ b/internal/fleet/nodeserver/link_test.go
@@ -13,10 +13,19 @@
 // TestPacketRoundTrip encodes and decodes a packet with all parts, and damages its bytes. The configurations of a decoded packet must not
 // share their lists.
 func TestPacketRoundTrip(t *testing.T) {
-	p := node.Packet{From: "a", To: "b", FleetID: "f", Raft: []byte{1}, ReplicaReport: &replication.ReplicaReport{Shard: 3, Subject: "c"}, PollRequest: &node.PollRequest{Version: 7},
-		Replication: []replication.Message{{Kind: replication.MessageWrite, Ballot: replication.Ballot{Configuration: 1 << 63, Incarnation: 2}, Records: []replication.Record{{Key: "k", Value: []byte("v")}}},
-			{Kind: replication.MessageResult, Result: replication.Result{Outcome: replication.OutcomeConflict, Record: replication.Record{PastOperationIDs: []string{"p"}}}}},
-		PollResponse: &node.PollResponse{FleetID: "f", Shards: map[int]shardmap.Configuration{}}}
+	p := node.Packet{
+		From:          "a",
+		To:            "b",
+		FleetID:       "f",
+		Raft:          []byte{1},
+		ReplicaReport: &replication.ReplicaReport{Shard: 3, Subject: "c"},
+		PollRequest:   &node.PollRequest{Version: 7},
+		Replication: []replication.Message{
+			{Kind: replication.MessageWrite, Ballot: replication.Ballot{Configuration: 1 << 63, Incarnation: 2}, Records: []replication.Record{{Key: "k", Value: []byte("v")}}},
+			{Kind: replication.MessageResult, Result: replication.Result{Outcome: replication.OutcomeConflict, Record: replication.Record{PastOperationIDs: []string{"p"}}}},
+		},
+		PollResponse: &node.PollResponse{FleetID: "f", Shards: map[int]shardmap.Configuration{}},
+	}
 	for n := range shardmap.ShardCount {
 		p.PollResponse.Shards[n] = shardmap.Configuration{Number: uint64(n), InSync: []string{string(rune('a' + n%5)), string(rune('f' + n%3)), "z"}[:1+n%3]}
 	}
