--- a/cmd/testbed/balancer.go
+++ b/cmd/testbed/balancer.go
@@ -44,7 +44,7 @@
 	signal.Ignore(syscall.SIGHUP)
 	go func() {
 		<-leave
-		h.Leave()
+		h.StartDraining()
 		time.Sleep(5 * time.Second)
 		stop()
 	}()
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -46,15 +46,15 @@
 	if name == Ours {
 		return policy.New(dep, seed), nil
 	}
-	p := &plain{dep: dep, rng: rand.New(rand.NewPCG(seed, 0xba5e)), circuits: map[policy.SessionID]*circuit{},
+	p := &simple{dep: dep, rng: rand.New(rand.NewPCG(seed, 0xba5e)), sessions: map[policy.SessionID]*session{},
 		index: map[policy.EndpointID]int{}}
 	switch name {
 	case Random:
-		p.prefer = func(*circuit, int) float64 { return p.rng.Float64() }
+		p.prefer = func(*session, int) float64 { return p.rng.Float64() }
 	case Least:
-		p.prefer = func(_ *circuit, i int) float64 { return -float64(p.held[i]) + 0.5*p.rng.Float64() }
+		p.prefer = func(_ *session, i int) float64 { return -float64(p.held[i]) + 0.5*p.rng.Float64() }
 	case Hash:
-		p.prefer = func(c *circuit, i int) float64 { return hash(c.place, uint64(p.id[i])) }
+		p.prefer = func(c *session, i int) float64 { return hash(c.place, uint64(p.id[i])) }
 	default:
 		return nil, fmt.Errorf("policy %q is not known; there are %v", name, Names)
 	}
@@ -68,41 +68,41 @@
 	return float64(x^x>>32) / math.MaxUint64
 }
 
-// circuit is one that waits, is out or stands.
-type circuit struct {
-	id      policy.SessionID
-	place   uint64
-	until   time.Duration
-	goal    time.Duration
-	repeat  bool // a try that may have run may be repeated
-	tries   int
-	server  int
-	out     bool
-	tried   []int
-	nothing bool // no try may have run
+// session is one that waits, is out or stands.
+type session struct {
+	id       policy.SessionID
+	place    uint64
+	until    time.Duration
+	goal     time.Duration
+	repeat   bool // a try that may have run may be repeated
+	attempts int
+	server   int
+	out      bool
+	tried    []int
+	nothing  bool // no try may have run
 }
 
-// plain is any of the baselines: a preference over the ready servers that were not tried yet.
-type plain struct {
+// simple is any of the baselines: a preference over the ready servers that were not tried yet.
+type simple struct {
 	dep       *policy.Config
 	rng       *rand.Rand
 	now       time.Duration
-	prefer    func(c *circuit, server int) float64
-	circuits  map[policy.SessionID]*circuit
-	queue     []*circuit
+	prefer    func(c *session, server int) float64
+	sessions  map[policy.SessionID]*session
+	queue     []*session
 	id        []policy.EndpointID
 	index     map[policy.EndpointID]int
 	ready     []bool
 	held      []int
 	leaveFrom time.Duration
-	leaving   bool // newcomers are nacked, and at leaveFrom all is moved
+	draining  bool // newcomers are nacked, and at leaveFrom all is moved
 	moved     bool
 	due       []policy.Decision
 }
 
-func (p *plain) AdvanceClock(now time.Duration) { p.now = now }
+func (p *simple) AdvanceClock(now time.Duration) { p.now = now }
 
-func (p *plain) UpdateEndpoints(lines []policy.Endpoint, whole bool) {
+func (p *simple) UpdateEndpoints(lines []policy.Endpoint, whole bool) {
 	if whole {
 		clear(p.ready)
 	}
@@ -117,25 +117,25 @@
 	}
 }
 
-func (p *plain) AddSession(a policy.SessionRequest) {
+func (p *simple) AddSession(a policy.SessionRequest) {
 	g := p.dep.Classes[a.Class]
-	c := &circuit{id: a.ID, place: a.Group, until: p.now + a.Timeout, goal: g.SetupObjective, repeat: g.Idempotency == policy.Idempotent,
+	c := &session{id: a.ID, place: a.Group, until: p.now + a.Timeout, goal: g.SetupObjective, repeat: g.Idempotency == policy.Idempotent,
 		server: -1, nothing: true}
 	if c.place == 0 {
 		c.place = a.Key
 	}
-	p.circuits[a.ID] = c
+	p.sessions[a.ID] = c
 	p.queue = append(p.queue, c)
 }
 
-func (p *plain) AttemptEstablished(id policy.SessionID, _ int, _ time.Duration) {
-	if c := p.circuits[id]; c != nil {
+func (p *simple) AttemptEstablished(id policy.SessionID, _ int, _ time.Duration) {
+	if c := p.sessions[id]; c != nil {
 		c.out = false
 	}
 }
 
-func (p *plain) AttemptEnded(id policy.SessionID, _ int, finished bool, how policy.Outcome) {
-	c := p.circuits[id]
+func (p *simple) AttemptEnded(id policy.SessionID, _ int, finished bool, how policy.Outcome) {
+	c := p.sessions[id]
 	if c == nil || c.server < 0 {
 		return
 	}
@@ -145,52 +145,52 @@
 		c.nothing = false
 	}
 	if finished || !c.out {
-		delete(p.circuits, id)
+		delete(p.sessions, id)
 		return
 	}
 	c.out = false
 	p.queue = append(p.queue, c)
 }
 
-func (p *plain) ClientDisconnected(id policy.SessionID) {
-	if c := p.circuits[id]; c != nil && c.server < 0 {
-		delete(p.circuits, id)
-		p.queue = slices.DeleteFunc(p.queue, func(o *circuit) bool { return o == c })
+func (p *simple) ClientDisconnected(id policy.SessionID) {
+	if c := p.sessions[id]; c != nil && c.server < 0 {
+		delete(p.sessions, id)
+		p.queue = slices.DeleteFunc(p.queue, func(o *session) bool { return o == c })
 	}
 }
 
-func (p *plain) RecordLoad(policy.SessionID, int, float64)             {}
-func (p *plain) RecordLatency(policy.EndpointID, time.Duration)        {}
-func (p *plain) HealthCheckEnded(policy.EndpointID, policy.Outcome)    {}
-func (p *plain) RecordLoadReport(policy.EndpointID, policy.LoadReport) {}
-func (p *plain) StartDraining(from, _ time.Duration)                   { p.leaving, p.leaveFrom = true, from }
+func (p *simple) RecordLoad(policy.SessionID, int, float64)             {}
+func (p *simple) RecordLatency(policy.EndpointID, time.Duration)        {}
+func (p *simple) HealthCheckEnded(policy.EndpointID, policy.Outcome)    {}
+func (p *simple) RecordLoadReport(policy.EndpointID, policy.LoadReport) {}
+func (p *simple) StartDraining(from, _ time.Duration)                   { p.draining, p.leaveFrom = true, from }
 
 // answer gives a circuit its final answer.
-func (p *plain) answer(c *circuit, do policy.Action) policy.Decision {
-	delete(p.circuits, c.id)
+func (p *simple) answer(c *session, do policy.Action) policy.Decision {
+	delete(p.sessions, c.id)
 	return policy.Decision{Action: do, Session: c.id, Duration: p.advice(do)}
 }
 
-func (p *plain) advice(do policy.Action) time.Duration {
+func (p *simple) advice(do policy.Action) time.Duration {
 	if do != policy.Reject || !p.dep.CanSendRetryAfter {
 		return 0
 	}
 	return time.Duration((0.5 + p.rng.Float64()/2) * float64(p.dep.MaxRetryAfter))
 }
 
-func (p *plain) Next() (policy.Decision, bool) {
+func (p *simple) Next() (policy.Decision, bool) {
 	for len(p.queue) > 0 {
 		c := p.queue[0]
 		p.queue = p.queue[1:]
-		if p.circuits[c.id] != c {
+		if p.sessions[c.id] != c {
 			continue
 		}
-		return p.settle(c), true
+		return p.decide(c), true
 	}
-	if p.leaving && !p.moved && p.now >= p.leaveFrom {
+	if p.draining && !p.moved && p.now >= p.leaveFrom {
 		p.moved = true
 		var ids []policy.SessionID
-		for id, c := range p.circuits {
+		for id, c := range p.sessions {
 			if !c.out && c.server >= 0 {
 				ids = append(ids, id)
 			}
@@ -208,10 +208,10 @@
 	return d, true
 }
 
-// settle decides on a circuit.
-func (p *plain) settle(c *circuit) policy.Decision {
+// decide decides on a circuit.
+func (p *simple) decide(c *session) policy.Decision {
 	best, score := -1, 0.0
-	if !p.leaving && c.tries < p.dep.MaxAttempts && (c.nothing || c.repeat) && p.now < c.until {
+	if !p.draining && c.attempts < p.dep.MaxAttempts && (c.nothing || c.repeat) && p.now < c.until {
 		for i, ready := range p.ready {
 			if !ready || slices.Contains(c.tried, i) {
 				continue
@@ -229,14 +229,14 @@
 		return p.answer(c, policy.Fail)
 	}
 	left := c.until - p.now
-	c.tries++
+	c.attempts++
 	c.server, c.out, c.tried = best, true, append(c.tried, best)
 	p.held[best]++
 	return policy.Decision{Action: policy.StartAttempt, Session: c.id, Endpoint: p.id[best], Duration: max(left/2, min(left, c.goal))}
 }
 
-func (p *plain) NextWakeup() (time.Duration, bool) {
-	if p.leaving && !p.moved {
+func (p *simple) NextWakeup() (time.Duration, bool) {
+	if p.draining && !p.moved {
 		return p.leaveFrom, true
 	}
 	return 0, false
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -16,7 +16,7 @@
 // Rules are the figures that a run is held to.
 type Rules struct {
 	DrainGrace   time.Duration
-	Slack        time.Duration // more, for what the stand-ins see late; 50 ms on sockets, none in virtual time
+	Slack        time.Duration // for what the emulators see late: 50 ms on sockets, none in virtual time
 	MaxLineDelay time.Duration // a line is held so long at most
 	CloseTimeout time.Duration // an end is passed on by then
 	Warmup       model.Warmup
@@ -24,7 +24,7 @@
 	Places       []Place // of the servers, by their index
 }
 
-// Place is where a server stands, for grades whose repeats only its zone or cell drops.
+// Place is where a server runs: some classes' repeats are dropped only within a zone or failure domain.
 type Place struct{ Zone, FailureDomain int }
 
 // Rule names what was broken.
@@ -52,10 +52,10 @@
 }
 
 func (b Violation) String() string {
-	return fmt.Sprintf("%.3fs circuit %x: %s: %s", b.At.Seconds(), b.Session, b.Rule, b.Detail)
+	return fmt.Sprintf("%.3fs session %x: %s: %s", b.At.Seconds(), b.Session, b.Rule, b.Detail)
 }
 
-// Verdict is the judge's word on a run.
+// Verdict is the checker's result for a run.
 type Verdict struct {
 	Violations []Violation
 	Sessions   int // taken
@@ -68,7 +68,7 @@
 // String is the verdict in one line.
 func (v Verdict) String() string {
 	if v.Passed() {
-		return fmt.Sprintf("kept: %d circuits, %d final answers, no rule broken", v.Sessions, v.Answers)
+		return fmt.Sprintf("kept: %d sessions, %d final answers, no rule broken", v.Sessions, v.Answers)
 	}
 	count := map[Rule]int{}
 	for _, b := range v.Violations {
@@ -79,54 +79,60 @@
 		rules = append(rules, r)
 	}
 	slices.Sort(rules)
-	text := fmt.Sprintf("BROKEN: %d circuits, %d final answers", v.Sessions, v.Answers)
+	text := fmt.Sprintf("BROKEN: %d sessions, %d final answers", v.Sessions, v.Answers)
 	for _, r := range rules {
 		text += fmt.Sprintf("; %s: %d", r, count[r])
 	}
 	return text
 }
 
-// try is one send of a circuit, as its server saw it.
-type try struct {
-	server         int32
-	sentAt, overAt time.Duration
-	over           bool
-	how            string
-	ran            bool
-	receipt        float64
+// attempt is one attempt of a session, as its server saw it.
+type attempt struct {
+	server  int32
+	sentAt  time.Duration
+	ended   bool
+	endedAt time.Duration
+	endedBy string
+	ran     bool // its effect happened
+	receipt float64
 }
 
-// circuit is what is known of one circuit.
-type circuit struct {
-	balancer        int32
-	grade           int16
-	takenAt, limit  time.Duration
-	answers         int
-	up, moved, left bool
-	receipt         float64
-	leftAt, endedAt time.Duration
-	ended, killed   bool // killed: its balancer was, and owes nothing more
-	tries           []try
+// session is what the events tell of one session.
+type session struct {
+	balancer       int32 // -1 for a session that no client has opened
+	class          int16
+	takenAt        time.Duration
+	deadline       time.Duration // after takenAt
+	answers        int
+	established    bool
+	receipt        float64
+	moved          bool
+	left           bool // its client has disconnected
+	leftAt         time.Duration
+	ended          bool
+	endedAt        time.Duration
+	balancerKilled bool // a killed balancer owes nothing more
+	attempts       []attempt
 }
 
-type pair struct{ balancer, server int32 }
+type balancerServer struct{ balancer, server int32 }
 
-// process is a server's newest start.
+// process is a server's newest process.
 type process struct {
-	at    time.Duration
-	fills float64
-	cold  bool
-	sends []time.Duration
+	at       time.Duration
+	capacity float64
+	cold     bool
+	attempts []time.Duration
 }
 
-// span is a stretch of time in which a server, or the way to it, did not answer.
-type span struct{ from, to time.Duration }
+// outage is a time in which a server, or the link to it, did not answer.
+type outage struct{ from, to time.Duration }
 
-const forever = time.Duration(1 << 62)
+const stillOut = time.Duration(1 << 62)
 
-// out tells whether a server was out at any time of a stretch.
-func (j *judge) out(server int32, from, to time.Duration) bool {
-	for _, o := range j.outages[server] {
+// wasOut reports whether a server had an outage at any time within a span.
+func (run *checkRun) wasOut(server int32, from, to time.Duration) bool {
+	for _, o := range run.outages[server] {
 		if o.from <= to && o.to >= from {
 			return true
 		}
@@ -134,183 +140,184 @@
 	return false
 }
 
-// at is the newest try of a circuit, nil before the first.
-func (c *circuit) at() *try {
-	if len(c.tries) == 0 {
+// newestAttempt returns a session's newest attempt, nil before the first.
+func (c *session) newestAttempt() *attempt {
+	if len(c.attempts) == 0 {
 		return nil
 	}
-	return &c.tries[len(c.tries)-1]
+	return &c.attempts[len(c.attempts)-1]
 }
 
-type judge struct {
-	r        Rules
-	v        Verdict
-	circuits map[uint64]*circuit
-	order    []uint64
-	banned   map[pair]time.Duration
-	process  map[int32]*process
-	outages  map[int32][]span
-	down     map[int32]bool // balancers that were killed
+// checkRun is a check under way.
+type checkRun struct {
+	rules        Rules
+	verdict      Verdict
+	sessions     map[uint64]*session
+	order        []uint64
+	drainedSince map[balancerServer]time.Duration
+	processes    map[int32]*process
+	outages      map[int32][]outage
+	killed       map[int32]bool // balancers that were killed
 }
 
-// Check reads events in order of time, end being when the run was over.
+// Check checks the events of a run, in order of time, up to its end. Lost is the number of events that were dropped.
 func Check(r Rules, events []history.Event, lost int, end time.Duration) Verdict {
-	j := &judge{r: r, circuits: map[uint64]*circuit{}, banned: map[pair]time.Duration{},
-		process: map[int32]*process{}, outages: map[int32][]span{}, down: map[int32]bool{}}
+	run := &checkRun{rules: r, sessions: map[uint64]*session{}, drainedSince: map[balancerServer]time.Duration{},
+		processes: map[int32]*process{}, outages: map[int32][]outage{}, killed: map[int32]bool{}}
 	if lost > 0 {
-		j.broken(end, EventsLost, 0, fmt.Sprintf("%d events found no room", lost))
+		run.report(end, EventsLost, 0, fmt.Sprintf("%d events found no room", lost))
 	}
 	for i := range events {
-		j.take(&events[i])
+		run.apply(&events[i])
 	}
-	for _, id := range j.order {
-		j.close(id, j.circuits[id], end)
+	for _, id := range run.order {
+		run.checkEnd(id, run.sessions[id], end)
 	}
-	slices.SortStableFunc(j.v.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return j.v
+	slices.SortStableFunc(run.verdict.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return run.verdict
 }
 
-func (j *judge) broken(at time.Duration, r Rule, id uint64, what string) {
-	j.v.Violations = append(j.v.Violations, Violation{at, r, id, what})
+func (run *checkRun) report(at time.Duration, r Rule, id uint64, what string) {
+	run.verdict.Violations = append(run.verdict.Violations, Violation{at, r, id, what})
 }
 
-// of finds a circuit; one that no client has is the judge's business too: a server may be sent what nobody asked for.
-func (j *judge) of(id uint64) *circuit {
-	c := j.circuits[id]
+// session returns the session of an id, also of one that no client has opened: a server may receive such.
+func (run *checkRun) session(id uint64) *session {
+	c := run.sessions[id]
 	if c == nil {
-		c = &circuit{balancer: -1}
-		j.circuits[id] = c
-		j.order = append(j.order, id)
+		c = &session{balancer: -1}
+		run.sessions[id] = c
+		run.order = append(run.order, id)
 	}
 	return c
 }
 
-func (j *judge) take(e *history.Event) {
+func (run *checkRun) apply(e *history.Event) {
 	switch e.Kind {
 	case history.Taken:
-		c := j.of(e.Session)
-		c.balancer, c.grade, c.takenAt, c.limit = e.Balancer, e.Class, e.At, e.Duration
-		c.killed = j.down[e.Balancer]
-		j.v.Sessions++
+		c := run.session(e.Session)
+		c.balancer, c.class, c.takenAt, c.deadline = e.Balancer, e.Class, e.At, e.Duration
+		c.balancerKilled = run.killed[e.Balancer]
+		run.verdict.Sessions++
 	case history.Answered:
-		j.answered(e, j.of(e.Session))
+		run.applyAnswer(e, run.session(e.Session))
 	case history.Left:
-		c := j.of(e.Session)
+		c := run.session(e.Session)
 		c.left, c.leftAt = true, e.At
 	case history.Moved:
-		j.of(e.Session).moved = true
+		run.session(e.Session).moved = true
 	case history.Ended:
-		c := j.of(e.Session)
+		c := run.session(e.Session)
 		c.ended, c.endedAt = true, e.At
 	case history.LineDelayed:
-		at := j.of(e.Session).at()
-		if e.Duration > j.r.MaxLineDelay+j.r.Slack && (at == nil || !j.out(at.server, e.At-e.Duration, e.At)) {
-			j.broken(e.At, LineDelayed, e.Session, fmt.Sprintf("for %v", e.Duration))
+		at := run.session(e.Session).newestAttempt()
+		if e.Duration > run.rules.MaxLineDelay+run.rules.Slack && (at == nil || !run.wasOut(at.server, e.At-e.Duration, e.At)) {
+			run.report(e.At, LineDelayed, e.Session, fmt.Sprintf("for %v", e.Duration))
 		}
 	case history.AttemptReceived:
-		j.sent(e, j.of(e.Session))
+		run.applyAttempt(e, run.session(e.Session))
 	case history.Ran:
-		c := j.of(e.Session)
-		for n := range c.tries {
-			if t := &c.tries[n]; t.server == e.Server && !t.over {
+		c := run.session(e.Session)
+		for n := range c.attempts {
+			if t := &c.attempts[n]; t.server == e.Server && !t.ended {
 				t.ran, t.receipt = true, e.Number
 			}
 		}
 	case history.AttemptEnded:
-		c := j.of(e.Session)
-		for n := range c.tries {
-			if t := &c.tries[n]; t.server == e.Server && !t.over {
-				t.over, t.overAt, t.how = true, e.At, e.Text
+		c := run.session(e.Session)
+		for n := range c.attempts {
+			if t := &c.attempts[n]; t.server == e.Server && !t.ended {
+				t.ended, t.endedAt, t.endedBy = true, e.At, e.Text
 				break
 			}
 		}
 	case history.Notified:
-		p := pair{e.Balancer, e.Server}
+		p := balancerServer{e.Balancer, e.Server}
 		if e.Text == "ready" {
-			delete(j.banned, p)
-		} else if _, already := j.banned[p]; !already {
-			j.banned[p] = e.At
+			delete(run.drainedSince, p)
+		} else if _, already := run.drainedSince[p]; !already {
+			run.drainedSince[p] = e.At
 		}
 	case history.Started:
-		if all := j.outages[e.Server]; len(all) > 0 && all[len(all)-1].to == forever {
+		if all := run.outages[e.Server]; len(all) > 0 && all[len(all)-1].to == stillOut {
 			all[len(all)-1].to = e.At
 		}
-		j.process[e.Server] = &process{at: e.At, fills: e.Number, cold: e.Text == "cold"}
+		run.processes[e.Server] = &process{at: e.At, capacity: e.Number, cold: e.Text == "cold"}
 	case history.Stopped:
-		j.outages[e.Server] = append(j.outages[e.Server], span{e.At, forever})
+		run.outages[e.Server] = append(run.outages[e.Server], outage{e.At, stillOut})
 	case history.Overloaded:
-		j.outages[e.Server] = append(j.outages[e.Server], span{e.At, forever})
-		j.broken(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d fell over", e.Server))
+		run.outages[e.Server] = append(run.outages[e.Server], outage{e.At, stillOut})
+		run.report(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d was overloaded", e.Server))
 	case history.BalancerStarted:
-		delete(j.down, e.Balancer)
-		for p := range j.banned { // its list is told anew
+		delete(run.killed, e.Balancer)
+		for p := range run.drainedSince { // it starts with a new list
 			if p.balancer == e.Balancer {
-				delete(j.banned, p)
+				delete(run.drainedSince, p)
 			}
 		}
 	case history.BalancerKilled:
-		j.down[e.Balancer] = true
-		if e.Text == "planned" { // what it still holds is lost all the same
+		run.killed[e.Balancer] = true
+		if e.Text == "planned" { // what it still holds is a loss
 			return
 		}
-		for _, c := range j.circuits {
+		for _, c := range run.sessions {
 			if c.balancer == e.Balancer && !c.ended && !c.left {
-				c.killed = true
+				c.balancerKilled = true
 			}
 		}
 	}
 }
 
-func (j *judge) answered(e *history.Event, c *circuit) {
-	j.v.Answers++
+func (run *checkRun) applyAnswer(e *history.Event, c *session) {
+	run.verdict.Answers++
 	if c.answers++; c.answers > 1 {
-		j.broken(e.At, OneFinalAnswer, e.Session, fmt.Sprintf("answer %d, %s", c.answers, e.Text))
+		run.report(e.At, OneFinalAnswer, e.Session, fmt.Sprintf("answer %d, %s", c.answers, e.Text))
 		return
 	}
-	if late := e.At - c.takenAt - c.limit; late > j.r.Slack && !c.killed {
-		j.broken(e.At, OneFinalAnswer, e.Session, fmt.Sprintf("%v after its outer limit", late))
+	if late := e.At - c.takenAt - c.deadline; late > run.rules.Slack && !c.balancerKilled {
+		run.report(e.At, OneFinalAnswer, e.Session, fmt.Sprintf("%v after its deadline", late))
 	}
 	if e.Text == "up" {
-		c.up, c.receipt = true, e.Number
+		c.established, c.receipt = true, e.Number
 	}
 }
 
-func (j *judge) sent(e *history.Event, c *circuit) {
+func (run *checkRun) applyAttempt(e *history.Event, c *session) {
 	first := e.At - e.Duration
 	if c.balancer < 0 {
-		j.broken(e.At, FabricatedAnswer, e.Session, "no client has asked for it")
+		run.report(e.At, FabricatedAnswer, e.Session, "no client has asked for it")
 	}
-	if at, told := j.banned[pair{c.balancer, e.Server}]; told && first > at+j.r.DrainGrace+j.r.Slack {
-		j.broken(e.At, DrainRespected, e.Session, fmt.Sprintf("server %d, %v after it was told", e.Server, first-at))
+	if at, told := run.drainedSince[balancerServer{c.balancer, e.Server}]; told && first > at+run.rules.DrainGrace+run.rules.Slack {
+		run.report(e.At, DrainRespected, e.Session, fmt.Sprintf("server %d, %v after the balancer was notified", e.Server, first-at))
 	}
-	for n := range c.tries {
-		if t := &c.tries[n]; (!t.over || t.how != "refused" || t.ran) && !j.mayRepeat(c, t, e) {
-			j.broken(e.At, NoDuplicateEffect, e.Session, fmt.Sprintf("server %d may have run it, server %d gets it again", t.server, e.Server))
+	for n := range c.attempts {
+		if t := &c.attempts[n]; (!t.ended || t.endedBy != "refused" || t.ran) && !run.mayRepeat(c, t, e) {
+			run.report(e.At, NoDuplicateEffect, e.Session, fmt.Sprintf("server %d may have run it, server %d gets it again", t.server, e.Server))
 		}
 	}
-	if p := j.process[e.Server]; p != nil && p.cold && e.At-p.at < j.r.Warmup.Window {
-		for len(p.sends) > 0 && p.sends[0] <= e.At-j.r.Warmup.OverloadWindow {
-			p.sends = p.sends[1:]
+	if p := run.processes[e.Server]; p != nil && p.cold && e.At-p.at < run.rules.Warmup.Window {
+		for len(p.attempts) > 0 && p.attempts[0] <= e.At-run.rules.Warmup.OverloadWindow {
+			p.attempts = p.attempts[1:]
 		}
-		p.sends = append(p.sends, e.At)
-		bears := j.r.Warmup.Budget(p.fills, j.r.Warmup.Warmth(e.At-p.at))
-		if float64(len(p.sends)) > bears+1 { // the model falls at the budget; its clock may differ by a hair
-			j.broken(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d was sent %d within %v, bears %.1f",
-				e.Server, len(p.sends), j.r.Warmup.OverloadWindow, bears))
+		p.attempts = append(p.attempts, e.At)
+		bears := run.rules.Warmup.Budget(p.capacity, run.rules.Warmup.Warmth(e.At-p.at))
+		if float64(len(p.attempts)) > bears+1 { // the model's clock may differ a little
+			run.report(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d was sent %d within %v, bears %.1f",
+				e.Server, len(p.attempts), run.rules.Warmup.OverloadWindow, bears))
 		}
 	}
-	c.tries = append(c.tries, try{server: e.Server, sentAt: e.At})
+	c.attempts = append(c.attempts, attempt{server: e.Server, sentAt: e.At})
 }
 
-// mayRepeat tells whether a circuit that a try may have run may be sent again now.
-func (j *judge) mayRepeat(c *circuit, t *try, e *history.Event) bool {
-	if int(c.grade) >= len(j.r.Classes) {
+// mayRepeat reports whether a session that may have run at an attempt may be sent again now.
+func (run *checkRun) mayRepeat(c *session, t *attempt, e *history.Event) bool {
+	if int(c.class) >= len(run.rules.Classes) {
 		return true
 	}
-	g := j.r.Classes[c.grade]
+	g := run.rules.Classes[c.class]
 	place := func(server int32) Place {
-		if int(server) < len(j.r.Places) {
-			return j.r.Places[server]
+		if int(server) < len(run.rules.Places) {
+			return run.rules.Places[server]
 		}
 		return Place{}
 	}
@@ -321,47 +328,47 @@
 	case policy.NonIdempotent:
 		return false
 	}
-	return e.At <= t.sentAt+g.KeyTTL+j.r.Slack && (g.KeyScope == policy.KeyScopeAll || was.Zone == is.Zone &&
+	return e.At <= t.sentAt+g.KeyTTL+run.rules.Slack && (g.KeyScope == policy.KeyScopeAll || was.Zone == is.Zone &&
 		(g.KeyScope == policy.KeyScopeZone || was.FailureDomain == is.FailureDomain))
 }
 
-// close judges what can be told of a circuit only once all is known.
-func (j *judge) close(id uint64, c *circuit, end time.Duration) {
+// checkEnd checks what shows only at the end of the run.
+func (run *checkRun) checkEnd(id uint64, c *session, end time.Duration) {
 	twice := false
-	for n := 1; n < len(c.tries); n++ {
+	for n := 1; n < len(c.attempts); n++ {
 		for m := range n {
-			// Guards against taking a server's late look at an end for a second copy: the slack.
-			if a, b := c.tries[m], c.tries[n]; !a.over || a.overAt > b.sentAt+j.r.Slack {
-				j.broken(b.sentAt, NoDuplicateEffect, id, fmt.Sprintf("out at server %d while at server %d", b.server, a.server))
+			// The slack allows for a server that sees the end of its connection late.
+			if a, b := c.attempts[m], c.attempts[n]; !a.ended || a.endedAt > b.sentAt+run.rules.Slack {
+				run.report(b.sentAt, NoDuplicateEffect, id, fmt.Sprintf("out at server %d while at server %d", b.server, a.server))
 				twice = true
 			}
 		}
 	}
-	if c.balancer < 0 || c.killed {
+	if c.balancer < 0 || c.balancerKilled {
 		return
 	}
-	if c.answers == 0 && end > c.takenAt+c.limit+j.r.Slack && (!c.left || c.leftAt > c.takenAt+c.limit) {
-		j.broken(c.takenAt+c.limit, OneFinalAnswer, id, "no answer before its outer limit")
+	if c.answers == 0 && end > c.takenAt+c.deadline+run.rules.Slack && (!c.left || c.leftAt > c.takenAt+c.deadline) {
+		run.report(c.takenAt+c.deadline, OneFinalAnswer, id, "no answer before its deadline")
 	}
-	at := c.at()
-	if !c.up || twice { // where one stands that was out twice can't be told
+	at := c.newestAttempt()
+	if !c.established || twice { // it is not known which attempt was established
 		return
 	}
 	if at == nil || !at.ran || at.receipt != c.receipt {
-		j.broken(c.takenAt, FabricatedAnswer, id, "no server made its receipt")
+		run.report(c.takenAt, FabricatedAnswer, id, "no server made its receipt")
 		return
 	}
-	switch byServer := at.over && at.how == "server"; {
-	case c.ended && !c.moved && !c.left && (!byServer || at.overAt > c.endedAt+j.r.Slack):
-		if !j.out(at.server, c.endedAt-j.r.CloseTimeout, c.endedAt) {
-			j.broken(c.endedAt, CutWithoutMove, id, fmt.Sprintf("server %d still answered", at.server))
+	switch byServer := at.ended && at.endedBy == "server"; {
+	case c.ended && !c.moved && !c.left && (!byServer || at.endedAt > c.endedAt+run.rules.Slack):
+		if !run.wasOut(at.server, c.endedAt-run.rules.CloseTimeout, c.endedAt) {
+			run.report(c.endedAt, CutWithoutMove, id, fmt.Sprintf("server %d still answered", at.server))
 		}
-	case byServer && !c.left && end > at.overAt+j.r.CloseTimeout+j.r.Slack &&
-		(!c.ended || c.endedAt > at.overAt+j.r.CloseTimeout+j.r.Slack) && !c.moved:
-		j.broken(at.overAt, CloseDelayed, id, fmt.Sprintf("server %d had ended it", at.server))
-	case c.left && end > c.leftAt+j.r.CloseTimeout+j.r.Slack && (!at.over || at.overAt > c.leftAt+j.r.CloseTimeout+j.r.Slack):
-		if !j.out(at.server, c.leftAt, end) {
-			j.broken(c.leftAt, CloseDelayed, id, fmt.Sprintf("server %d still held it", at.server))
+	case byServer && !c.left && end > at.endedAt+run.rules.CloseTimeout+run.rules.Slack &&
+		(!c.ended || c.endedAt > at.endedAt+run.rules.CloseTimeout+run.rules.Slack) && !c.moved:
+		run.report(at.endedAt, CloseDelayed, id, fmt.Sprintf("server %d had ended it", at.server))
+	case c.left && end > c.leftAt+run.rules.CloseTimeout+run.rules.Slack && (!at.ended || at.endedAt > c.leftAt+run.rules.CloseTimeout+run.rules.Slack):
+		if !run.wasOut(at.server, c.leftAt, end) {
+			run.report(c.leftAt, CloseDelayed, id, fmt.Sprintf("server %d still held it", at.server))
 		}
 	}
 }
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -18,7 +18,7 @@
 	Places:  []Place{{0, 1}, {0, 1}, {0, 2}},
 }
 
-// Events in short. Circuit 1 of balancer 0, unless told otherwise.
+// Events in short. Session 1 of balancer 0, unless stated otherwise.
 func at(t int, w history.Kind, more ...func(*history.Event)) history.Event {
 	e := history.Event{At: time.Duration(t) * ms, Kind: w, Session: 1}
 	for _, m := range more {
@@ -29,7 +29,7 @@
 func taken(t, limit int) history.Event {
 	return at(t, history.Taken, func(e *history.Event) { e.Duration = time.Duration(limit) * ms })
 }
-func grade(g int16, e history.Event) history.Event { e.Class = g; return e }
+func class(g int16, e history.Event) history.Event { e.Class = g; return e }
 func sent(t int, server int32) history.Event {
 	return at(t, history.AttemptReceived, func(e *history.Event) { e.Server = server })
 }
@@ -51,7 +51,7 @@
 }
 func ended(t int) history.Event { return at(t, history.Ended) }
 
-// up is a circuit that stands at server 0 from 20 ms on.
+// up is a session that is established at server 0 from 20 ms on.
 func up(more ...history.Event) []history.Event {
 	return append([]history.Event{taken(0, 1000), sent(10, 0), ran(12, 0), answer(20, "up")}, more...)
 }
@@ -81,7 +81,7 @@
 		want   Rule // empty: kept
 	}{
 		{"served", up(), ""},
-		{"nacked", []history.Event{taken(0, 1000), answer(5, "busy")}, ""},
+		{"rejected", []history.Event{taken(0, 1000), answer(5, "busy")}, ""},
 		{"answered at the limit", []history.Event{taken(0, 1000), answer(1050, "busy")}, ""},
 		{"answered after it", []history.Event{taken(0, 1000), answer(1051, "busy")}, OneFinalAnswer},
 		{"never answered", []history.Event{taken(0, 1000)}, OneFinalAnswer},
@@ -89,7 +89,7 @@
 		{"left before the answer", []history.Event{taken(0, 1000), at(900, history.Left)}, ""},
 		{"left because none came", []history.Event{taken(0, 1000), at(1100, history.Left)}, OneFinalAnswer},
 		{"answered twice", up(answer(30, "busy")), OneFinalAnswer},
-		{"nacked and then served", []history.Event{taken(0, 1000), answer(5, "busy"), sent(10, 0), ran(12, 0), answer(20, "up")}, OneFinalAnswer},
+		{"rejected and then served", []history.Event{taken(0, 1000), answer(5, "busy"), sent(10, 0), ran(12, 0), answer(20, "up")}, OneFinalAnswer},
 		{"not answered by a killed balancer", []history.Event{taken(0, 1000), at(500, history.BalancerKilled)}, ""},
 		{"taken by the kernel of a killed balancer", []history.Event{at(500, history.BalancerKilled), taken(501, 1000)}, ""},
 		{"taken after it began again", []history.Event{at(500, history.BalancerKilled), at(600, history.BalancerStarted), taken(601, 1000)}, OneFinalAnswer},
@@ -99,24 +99,24 @@
 
 		{"a second try after a refusal", []history.Event{taken(0, 1000), sent(10, 0), over(15, 0, "refused"), sent(20, 1), ran(21, 1), answer(30, "up")}, ""},
 		{"a second try, the first's end seen within the slack", []history.Event{taken(0, 1000), sent(10, 0), sent(20, 1), over(70, 0, "peer"), ran(71, 1), answer(90, "up")}, ""},
-		{"two tries out", []history.Event{taken(0, 1000), sent(10, 0), sent(20, 1), over(71, 0, "peer"), ran(72, 1), answer(90, "up")}, NoDuplicateEffect},
-		{"two tries out for good", []history.Event{taken(0, 1000), sent(10, 0), sent(20, 1), ran(21, 1), answer(30, "up")}, NoDuplicateEffect},
-		{"unrepeatable, refused, again", []history.Event{grade(1, taken(0, 1000)), sent(10, 0), over(15, 0, "refused"), sent(20, 1), ran(21, 1), answer(30, "up")}, ""},
-		{"unrepeatable, broken, again", []history.Event{grade(1, taken(0, 1000)), sent(10, 0), over(15, 0, "server"), sent(20, 1), ran(21, 1), answer(30, "up")}, NoDuplicateEffect},
-		{"deduplicated, again in its cell and window", []history.Event{grade(2, taken(0, 4000)), sent(10, 0), over(15, 0, "server"), sent(2060, 1), ran(2061, 1), answer(2070, "up")}, ""},
-		{"deduplicated, again after its window", []history.Event{grade(2, taken(0, 4000)), sent(10, 0), over(15, 0, "server"), sent(2061, 1), ran(2062, 1), answer(2070, "up")}, NoDuplicateEffect},
-		{"deduplicated, again in another cell", []history.Event{grade(2, taken(0, 4000)), sent(10, 0), over(15, 0, "server"), sent(100, 2), ran(101, 2), answer(2070, "up")}, NoDuplicateEffect},
+		{"two attempts out", []history.Event{taken(0, 1000), sent(10, 0), sent(20, 1), over(71, 0, "peer"), ran(72, 1), answer(90, "up")}, NoDuplicateEffect},
+		{"two attempts out for good", []history.Event{taken(0, 1000), sent(10, 0), sent(20, 1), ran(21, 1), answer(30, "up")}, NoDuplicateEffect},
+		{"non-idempotent, refused, again", []history.Event{class(1, taken(0, 1000)), sent(10, 0), over(15, 0, "refused"), sent(20, 1), ran(21, 1), answer(30, "up")}, ""},
+		{"non-idempotent, broken, again", []history.Event{class(1, taken(0, 1000)), sent(10, 0), over(15, 0, "server"), sent(20, 1), ran(21, 1), answer(30, "up")}, NoDuplicateEffect},
+		{"deduplicated, again in its failure domain and window", []history.Event{class(2, taken(0, 4000)), sent(10, 0), over(15, 0, "server"), sent(2060, 1), ran(2061, 1), answer(2070, "up")}, ""},
+		{"deduplicated, again after its window", []history.Event{class(2, taken(0, 4000)), sent(10, 0), over(15, 0, "server"), sent(2061, 1), ran(2062, 1), answer(2070, "up")}, NoDuplicateEffect},
+		{"deduplicated, again in another failure domain", []history.Event{class(2, taken(0, 4000)), sent(10, 0), over(15, 0, "server"), sent(100, 2), ran(101, 2), answer(2070, "up")}, NoDuplicateEffect},
 
 		{"sent within the grace", []history.Event{server(history.Notified, 0, 0, "draining"), taken(700, 1000), sent(800, 0), ran(801, 0), answer(810, "up")}, ""},
 		{"sent after the grace", []history.Event{server(history.Notified, 0, 0, "draining"), taken(700, 1000), sent(801, 0), ran(802, 0), answer(810, "up")}, DrainRespected},
 		{"sent after the grace of a gone one", []history.Event{server(history.Notified, 0, 0, "gone"), taken(700, 1000), sent(900, 0), ran(902, 0), answer(910, "up")}, DrainRespected},
 		{"its first byte within the grace", []history.Event{server(history.Notified, 0, 0, "draining"), taken(700, 1000),
 			at(900, history.AttemptReceived, func(e *history.Event) { e.Duration = 100 * ms }), ran(901, 0), answer(910, "up")}, ""},
-		{"told draining and then gone: the first counts", []history.Event{server(history.Notified, 0, 0, "draining"), server(history.Notified, 700, 0, "gone"),
+		{"draining and then gone: the first counts", []history.Event{server(history.Notified, 0, 0, "draining"), server(history.Notified, 700, 0, "gone"),
 			taken(700, 1000), sent(810, 0), ran(811, 0), answer(820, "up")}, DrainRespected},
-		{"told ready again", []history.Event{server(history.Notified, 0, 0, "gone"), server(history.Notified, 500, 0, "ready"), taken(1700, 1000),
+		{"ready again", []history.Event{server(history.Notified, 0, 0, "gone"), server(history.Notified, 500, 0, "ready"), taken(1700, 1000),
 			sent(1800, 0), ran(1801, 0), answer(1810, "up")}, ""},
-		{"another balancer was told", []history.Event{at(0, history.Notified, func(e *history.Event) { e.Balancer, e.Text = 1, "gone" }),
+		{"another balancer was notified", []history.Event{at(0, history.Notified, func(e *history.Event) { e.Balancer, e.Text = 1, "gone" }),
 			taken(1700, 1000), sent(1800, 0), ran(1801, 0), answer(1810, "up")}, ""},
 
 		{"a cold server, as many as it bears", burst(bears), ""},
@@ -147,6 +147,6 @@
 		}
 	}
 	if v := Check(rules, nil, 1, 0); v.Passed() || v.Violations[0].Rule != EventsLost {
-		t.Error("a log that lost events was judged")
+		t.Error("a log that lost events was checked")
 	}
 }
