--- a/internal/loadgossip/transport.go
+++ b/internal/loadgossip/transport.go
@@ -15,101 +15,124 @@
 )
 
 const (
-	waitMost  = 4    // messages that wait to be sent; more are dropped
-	heardMost = 1024 // messages that wait to be taken in; more are dropped
+	sendQueueLength = 4    // messages; more are dropped
+	maxPending      = 1024 // received messages that the handler has not finished; more are dropped
 )
 
-// Transport is one balancer's socket for the messages. Others are known by the address that they send from, which is the one
-// that they listen at.
-type Transport struct {
-	conn   *net.UDPConn
-	others atomic.Pointer[[]netip.AddrPort]
-	send   chan [][]byte
-	told   func(from int, t policy.GossipMessage, done func())
-	wait   atomic.Int64
+// Handler takes a message of the peer with the given index. It must not block, and calls done once the message
+// has been taken in.
+type Handler func(peer int, message policy.GossipMessage, done func())
 
-	n *Counters
+// Counters count messages. Several transports may share them.
+type Counters struct {
+	Sent     *atomic.Int64 // datagrams
+	Received *atomic.Int64 // datagrams that went to the handler
+	Dropped  *atomic.Int64 // of unknown senders, malformed, or beyond a queue's length
 }
 
-// Counters are sums over all links: messages sent and taken in, and those of strangers, unreadable, or too many.
-type Counters struct{ Sent, Received, Dropped *atomic.Int64 }
+// Transport is one balancer's socket for load messages. It knows peers by the address that they send from, which
+// is the one that they listen at.
+type Transport struct {
+	conn     *net.UDPConn
+	peers    atomic.Pointer[[]netip.AddrPort]
+	outgoing chan [][]byte
+	handle   Handler
+	pending  atomic.Int64
+	counters *Counters
+}
 
-// Listen listens at an address and knows the others, whose numbers are their places. What they tell goes to told, which
-// must not block and calls done when the message is taken in. shared: another process of the same balancer may listen there
-// too; what comes then goes to the newest.
-func Listen(listen netip.AddrPort, shared bool, others []netip.AddrPort, n *Counters, told func(from int, t policy.GossipMessage, done func())) (*Transport, error) {
+// Listen opens a Transport at an address. A peer's index is its place in peers. If shared, another process of the
+// same balancer may listen at the address too; datagrams then go to the newest one.
+func Listen(address netip.AddrPort, shared bool, peers []netip.AddrPort, counters *Counters, handle Handler) (*Transport, error) {
 	config := net.ListenConfig{}
-	if shared { // guards against an upgrade that can't start: the old process still listens there
-		config.Control = func(_, _ string, raw syscall.RawConn) (err error) {
-			_ = raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) })
-			return err
-		}
+	if shared { // during a hot restart the previous process still listens
+		config.Control = setReuseAddress
 	}
-	conn, err := config.ListenPacket(context.Background(), "udp", listen.String())
+	conn, err := config.ListenPacket(context.Background(), "udp", address.String())
 	if err != nil {
 		return nil, err
 	}
-	l := &Transport{conn: conn.(*net.UDPConn), send: make(chan [][]byte, waitMost), told: told, n: n}
-	l.SetPeers(others)
-	go l.read()
-	go l.write()
-	return l, nil
+	t := &Transport{
+		conn:     conn.(*net.UDPConn),
+		outgoing: make(chan [][]byte, sendQueueLength),
+		handle:   handle,
+		counters: counters,
+	}
+	t.SetPeers(peers)
+	go t.receive()
+	go t.send()
+	return t, nil
 }
 
-// SetPeers has others take the place of those known before.
-func (l *Transport) SetPeers(others []netip.AddrPort) { l.others.Store(&others) }
+func setReuseAddress(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
+	err := raw.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	})
+	if err != nil {
+		return err
+	}
+	return optionErr
+}
 
-// Peers are the others known now.
-func (l *Transport) Peers() []netip.AddrPort { return *l.others.Load() }
+// SetPeers replaces the peers.
+func (t *Transport) SetPeers(peers []netip.AddrPort) { t.peers.Store(&peers) }
 
-// Addr is the address that it listens at.
-func (l *Transport) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+// Peers returns the present peers, which must not be changed.
+func (t *Transport) Peers() []netip.AddrPort { return *t.peers.Load() }
 
-// Broadcast sends a message to every other balancer, beside the caller. It is called by one goroutine, none after Close.
-func (l *Transport) Broadcast(t policy.GossipMessage) {
+// Addr returns the address at which the Transport listens.
+func (t *Transport) Addr() netip.AddrPort { return t.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+
+// Broadcast sends a message to all peers without blocking. Only one goroutine may call it, and none after Close.
+func (t *Transport) Broadcast(message policy.GossipMessage) {
 	select {
-	case l.send <- Encode(t):
+	case t.outgoing <- Encode(message):
 	default:
-		l.n.Dropped.Add(1)
+		t.counters.Dropped.Add(1)
 	}
 }
 
-// Close ends both ways at once; what has not been sent is lost.
-func (l *Transport) Close() {
-	close(l.send)
-	_ = l.conn.Close()
+// Close stops sending and receiving at once. Messages that have not been sent are lost.
+func (t *Transport) Close() {
+	close(t.outgoing)
+	_ = t.conn.Close() // nothing is buffered that could be lost
 }
 
-func (l *Transport) write() {
-	for texts := range l.send {
-		for _, other := range l.Peers() {
-			for _, text := range texts {
-				if _, err := l.conn.WriteToUDPAddrPort(text, other); err == nil {
-					l.n.Sent.Add(1)
+func (t *Transport) send() {
+	for datagrams := range t.outgoing {
+		for _, peer := range t.Peers() {
+			for _, datagram := range datagrams {
+				if _, err := t.conn.WriteToUDPAddrPort(datagram, peer); err == nil {
+					t.counters.Sent.Add(1)
 				}
 			}
 		}
 	}
 }
 
-func (l *Transport) read() {
-	text := make([]byte, MaxDatagramSize+1)
+func (t *Transport) receive() {
+	buffer := make([]byte, MaxDatagramSize+1) // a longer datagram is malformed
 	for {
-		n, from, err := l.conn.ReadFromUDPAddrPort(text)
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			continue // nobody listened at an address that was sent to: the kernel tells it with the next read
+		n, from, err := t.conn.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
 		}
-		number := slices.Index(l.Peers(), netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
-		t, err := Decode(text[:n])
-		if number < 0 || err != nil || l.wait.Load() >= heardMost {
-			l.n.Dropped.Add(1)
-			continue
+		if err != nil {
+			continue // an earlier datagram reached no listener: the kernel reports it with the next read
 		}
-		l.n.Received.Add(1)
-		l.wait.Add(1)
-		l.told(number, t, func() { l.wait.Add(-1) })
+		t.deliver(from, buffer[:n])
+	}
+}
+
+func (t *Transport) deliver(from netip.AddrPort, datagram []byte) {
+	peer := slices.Index(t.Peers(), netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+	message, err := Decode(datagram)
+	if peer < 0 || err != nil || t.pending.Load() >= maxPending {
+		t.counters.Dropped.Add(1)
+		return
 	}
+	t.counters.Received.Add(1)
+	t.pending.Add(1)
+	t.handle(peer, message, func() { t.pending.Add(-1) })
 }
