--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -84,10 +84,10 @@
 	compareGolden(t, "testdata/settings.golden", describe(d))
 }
 
-// TestStationFilesAreReadAsBefore reads a whole file, alone, under variables that win over it, and in the place of another.
-func TestStationFilesAreReadAsBefore(t *testing.T) {
+// TestNodeFilesAreReadAsBefore reads a node file, alone, under variables that win over it, and in the place of another.
+func TestNodeFilesAreReadAsBefore(t *testing.T) {
 	var text strings.Builder
-	var first *NodeConfig
+	var inForce *NodeConfig
 	for _, c := range []struct {
 		name string
 		env  map[string]string
@@ -97,20 +97,20 @@
 		{"under variables", map[string]string{"EDGE_NAME": "other", "EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2", "EDGE_MGMT": "127.0.0.1:3"}, false},
 		{"in the place of another", map[string]string{"EDGE_DISCOVERY": "127.0.0.1:2"}, true},
 	} {
-		was := first
+		previous := inForce
 		if !c.was {
-			was = nil
+			previous = nil
 		}
 		s, err := ReadNodeConfig(func(key string) string {
 			if key == "EDGE_CONFIG" {
-				return "testdata/station.json"
+				return "testdata/node.json"
 			}
 			return c.env[key]
-		}, was)
+		}, previous)
 		if err != nil {
 			t.Fatal(err)
 		}
-		first = s
+		inForce = s
 		fmt.Fprintf(&text, "%s: name %s, listen %s, discovery %s, mgmt %s, seed %d, cores %v, memory %d, sockets %d, gossip at %v to %v, fixed %q, "+
 			"revision %d, whole %v\n", c.name, s.Name, s.Listen, s.Discovery, s.Admin, s.Seed, s.Cores, s.MemoryMB, s.MaxSockets, s.Gossip.Listen, s.Gossip.Peers,
 			s.StartupOnly, s.InitialEndpoints.Rev, s.InitialEndpoints.Whole)
@@ -119,7 +119,7 @@
 		}
 		text.WriteString(describe(s.Settings))
 	}
-	compareGolden(t, "testdata/station.golden", text.String())
+	compareGolden(t, "testdata/node.golden", text.String())
 }
 
 // TestBadSettingsAreNamedAsBefore holds the errors that operators read.
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	station, err := os.ReadFile("testdata/station.json")
+	node, err := os.ReadFile("testdata/node.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 		_, err := ParseSettings([]byte(strings.Replace(string(settings), change[0], change[1], 1)))
 		fmt.Fprintf(&text, "%s for %s: %v\n", change[1], change[0], err)
 	}
-	file := t.TempDir() + "/station.json"
+	file := t.TempDir() + "/node.json"
 	for _, change := range [][2]string{
 		{`"listen": "127.0.0.1:7000"`, `"listen": "x"`}, {`"discovery": "127.0.0.1:7001"`, `"discovery": "x"`},
 		{`"discovery": "127.0.0.1:7001"`, `"discovery": ":7"`}, {`"mgmt": "127.0.0.1:7002"`, `"mgmt": "x"`}, {`"seed": "1f"`, `"seed": "x"`},
@@ -152,7 +152,7 @@
 		{`, "127.0.0.1:7005"`, ``}, {`"OuterLimitUs": 2000000`, `"x": 1`}, {`"LatencyGoalUs": 300000`, `"x": 1`}, {`"MaxRetryAfterUs"`, `"x"`},
 		{`"Utility": 4.0`, `"x": 1`}, {`{`, `[`},
 	} {
-		if err := os.WriteFile(file, []byte(strings.Replace(string(station), change[0], change[1], 1)), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(strings.Replace(string(node), change[0], change[1], 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		env := func(path string) func(string) string {
@@ -163,7 +163,7 @@
 				return ""
 			}
 		}
-		was, err := ReadNodeConfig(env("testdata/station.json"), nil)
+		was, err := ReadNodeConfig(env("testdata/node.json"), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/deployment/settings_test.go
+++ b/internal/deployment/settings_test.go
@@ -6,20 +6,19 @@
 	"time"
 )
 
-// TestSpansOfAnySizeAreRead has spans that no sum may overflow with. Guards against settings of another customer that mean "for
-// ever" and are taken for a time that is over.
-func TestSpansOfAnySizeAreRead(t *testing.T) {
-	for _, span := range []string{"0", "1", "9000000000000000", "9223372036854775807"} {
+// TestDurationsOfAnySizeAreRead has durations that mean "for ever": no sum of two may overflow.
+func TestDurationsOfAnySizeAreRead(t *testing.T) {
+	for _, duration := range []string{"0", "1", "9000000000000000", "9223372036854775807"} {
 		d, err := ParseSettings(fmt.Appendf(nil, `{"PeersTotal":1,"Zone":0,"RegistryMode":"pushed","ServiceGrades":[{"Name":"feed","Effect":"read_like",
 			"LatencyGoalUs":%[1]s,"OuterLimitUs":%[1]s,"WindowUs":%[1]s}],"Guarantees":{"ColdFrom":1,"ColdUs":%[1]s,"FallMultiple":3,"FallUs":1},
-			"Limits":{"ConnectTimeoutUs":%[1]s,"MaxRetryAfterUs":%[1]s,"MostSetupTries":1},"Specifics":{"MessageAimUs":[%[1]s]}}`, span))
+			"Limits":{"ConnectTimeoutUs":%[1]s,"MaxRetryAfterUs":%[1]s,"MostSetupTries":1},"Specifics":{"MessageAimUs":[%[1]s]}}`, duration))
 		if err != nil {
 			t.Fatal(err)
 		}
 		g := d.Policy.Classes[0]
 		for _, got := range []time.Duration{d.Deadlines[0], d.ConnectTimeout, g.SetupObjective, g.MessageObjective, g.KeyTTL, d.Policy.SlowStartWindow, d.Policy.MaxRetryAfter} {
-			if got < 0 || got > longest || (got == 0) != (span == "0") {
-				t.Errorf("%s microseconds are %v", span, got)
+			if got < 0 || got > maxDuration || (got == 0) != (duration == "0") {
+				t.Errorf("%s microseconds are %v", duration, got)
 			}
 		}
 	}
