--- a/cmd/sabletally/descriptors_test.go
+++ b/cmd/sabletally/descriptors_test.go
@@ -145,7 +145,7 @@
 				return
 			}
 			defer func() { _ = far.Close() }()
-			go func() { _, _ = io.Copy(far, near); far.Close() }()
+			go func() { _, _ = io.Copy(far, near); _ = far.Close() }()
 			_, _ = io.Copy(near, far)
 		}()
 	}
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -249,7 +249,7 @@
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
 	m.together()
 
-	m.Links.Set(func(from, to int, tie *emulator.MemberLink) { tie.Cut = from == 1 }) // what it says is lost, what it is told is not
+	m.Links.Set(func(from, _ int, tie *emulator.MemberLink) { tie.Cut = from == 1 }) // what it says is lost, what it is told is not
 	m.want("one that nobody hears is missed", m.without(1), gone(1))
 	m.want("and knows that it is apart", []int{1}, func(r fleet.Report) bool { return r.Standing == "apart" })
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
