--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -68,6 +68,10 @@
 		if silent {
 			oldest.writeUnbuffered(protocol.Turned(l.retryAfter()))
 		}
+		if oldest == c {
+			c.close() // at once: netpoll registers it next, and fails on a connection that is closed meanwhile
+			continue
+		}
 		oldest.closeAsync()
 		runtime.Gosched() // the poller, which runs this, would accept more before the close
 	}
