--- a/cmd/sabletally/commands.go
+++ b/cmd/sabletally/commands.go
@@ -57,7 +57,7 @@
 			return 2
 		}
 		eachFault(err, func(err error) { fmt.Fprintln(os.Stderr, err) })
-		if _, is := errors.AsType[hclconfig.Faults](err); is {
+		if _, is := errors.AsType[hclconfig.Diagnostics](err); is {
 			return 2
 		}
 		return 1
@@ -67,7 +67,7 @@
 
 // eachFault hands out what is wrong one by one.
 func eachFault(err error, each func(error)) {
-	all, is := errors.AsType[hclconfig.Faults](err)
+	all, is := errors.AsType[hclconfig.Diagnostics](err)
 	if !is {
 		each(err)
 	}
--- a/cmd/sabletally/control.go
+++ b/cmd/sabletally/control.go
@@ -66,7 +66,7 @@
 	}
 	defer member.Leave()
 	if c.Mgmt != "" {
-		m, err := admin.OpenWith(c.Mgmt, controlMost, controlCalls(member), aside{log, "mgmt"})
+		m, err := admin.OpenHandler(c.Mgmt, controlMost, controlCalls(member), aside{log, "mgmt"})
 		if err != nil {
 			return fmt.Errorf("mgmt: %w", err)
 		}
--- a/cmd/sabletally/main.go
+++ b/cmd/sabletally/main.go
@@ -79,7 +79,7 @@
 	}
 	sockets := s.MaxSockets
 	if s.Admin != "" {
-		sockets -= admin.Conns(s.MaxSockets)
+		sockets -= admin.MaxConns(s.MaxSockets)
 	}
 	l, err := balancer.New(log, s.Settings, s.Seed, s.InitialEndpoints, sockets)
 	if err != nil {
@@ -119,7 +119,7 @@
 		return 2
 	}
 	if s.Admin != "" { // last: who is answered there finds a loop that runs
-		m, err := admin.Open(s.Admin, admin.Conns(s.MaxSockets), operated{l, member, s.Name}, pages, aside{log, "mgmt"})
+		m, err := admin.Open(s.Admin, admin.MaxConns(s.MaxSockets), operated{l, member, s.Name}, pages, aside{log, "mgmt"})
 		if err != nil {
 			log.Error("can't start", zap.NamedError("mgmt", err))
 			return 2
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -78,7 +78,7 @@
 		kong.Description("A world of stand-ins round balancers under test, on loopback or in virtual time, judged by the four rules."))
 	err = k.Run(&lab{ctx: ctx, self: self})
 	progress("")
-	var faults hclconfig.Faults
+	var faults hclconfig.Diagnostics
 	var bad scale.BadArgument
 	switch {
 	case err == nil:
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -224,10 +224,10 @@
 }
 
 func (c *checkCmd) Run(*lab) error {
-	var all hclconfig.Faults
+	var all hclconfig.Diagnostics
 	for _, path := range c.Files {
 		x, err := experiment.Load(path)
-		var faults hclconfig.Faults
+		var faults hclconfig.Diagnostics
 		if errors.As(err, &faults) {
 			all = append(all, faults...)
 			continue
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -123,7 +123,7 @@
 	s := serve(t, 8, f)
 	for _, text := range []string{"PUT /control/out-of-service HTTP/1.1\r\nX: " + strings.Repeat("y", 64<<10), "OPEN 1 2 c=feed\r\n\r\n"} {
 		c := dial(t, s)
-		go io.WriteString(c, text)
+		go func() { _, _ = io.WriteString(c, text) }()
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err == nil && r.StatusCode < 400 { // a reset may overtake the answer
 			t.Errorf("%.20q: %d", text, r.StatusCode)
--- a/internal/fleet/config/config.go
+++ b/internal/fleet/config/config.go
@@ -69,7 +69,7 @@
 	r := &hclconfig.Reader{}
 	for _, class := range f.IdempotentClasses {
 		if _, isDeployed := deployed[class.Name]; !isDeployed {
-			r.At(class.location, "grades: %q is no grade of the settings", class.Name)
+			r.Errorf(class.location, "grades: %q is no grade of the settings", class.Name)
 		}
 	}
 	return r.Err()
--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -105,7 +105,7 @@
 		{`copies  = 3`, `copies  =`, `f.hcl:5:12: Invalid expression`},
 	} {
 		_, err := Parse([]byte(strings.Replace(completeFile, c.old, c.replacement, 1)), "f.hcl")
-		if _, isFaults := errors.AsType[hclconfig.Faults](err); !isFaults || !strings.Contains(err.Error(), c.want) {
+		if _, isFaults := errors.AsType[hclconfig.Diagnostics](err); !isFaults || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: got %v, wanted %q", c.replacement, err, c.want)
 		}
 	}
--- a/internal/hclconfig/hclconfig.go
+++ b/internal/hclconfig/hclconfig.go
@@ -1,5 +1,6 @@
-// Package hclconfig reads HCL files that people write: blocks, each figure with its unit and bounds, all faults at once by file,
-// line and column. It owns the form of messages. It must never know what a file is about, and never fill in what is wrong.
+// Package hclconfig reads HCL files that people write: blocks with typed attributes, each with its unit and bounds. It
+// reports everything that is wrong at once, by file, line and column, and owns the form of these messages. It must
+// never know what a file is about, and never replace a wrong value silently.
 package hclconfig
 
 import (
@@ -15,19 +16,21 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Fault is one thing that is wrong with a file.
-type Fault struct {
+// Diagnostic is one error in a file.
+type Diagnostic struct {
 	File         string
 	Line, Column int
-	What         string
+	Message      string
 }
 
-func (f Fault) Error() string { return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.What) }
+func (f Diagnostic) Error() string {
+	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
+}
 
-// Faults are all of them, in the order of the file.
-type Faults []Fault
+// Diagnostics are all errors in a file, in the order of the file.
+type Diagnostics []Diagnostic
 
-func (f Faults) Error() string {
+func (f Diagnostics) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
 		lines[i] = one.Error()
@@ -35,232 +38,232 @@
 	return strings.Join(lines, "\n")
 }
 
-// Reader gathers what is wrong.
-type Reader struct{ Faults Faults }
+// Reader collects the errors of one file.
+type Reader struct{ Diagnostics Diagnostics }
 
-// At notes a fault at a place.
-func (r *Reader) At(where hcl.Range, format string, args ...any) {
-	r.Faults = append(r.Faults, Fault{where.Filename, where.Start.Line, where.Start.Column, fmt.Sprintf(format, args...)})
+// Errorf adds an error at a place in the file.
+func (r *Reader) Errorf(where hcl.Range, format string, args ...any) {
+	r.Diagnostics = append(r.Diagnostics, Diagnostic{where.Filename, where.Start.Line, where.Start.Column, fmt.Sprintf(format, args...)})
 }
 
-// Diags takes over what the library has found wrong.
-func (r *Reader) Diags(all hcl.Diagnostics) {
+// AddHCL adds the errors that the HCL library has found.
+func (r *Reader) AddHCL(all hcl.Diagnostics) {
 	for _, d := range all {
 		where := hcl.Range{}
 		if d.Subject != nil {
 			where = *d.Subject
 		}
-		r.At(where, "%s: %s", d.Summary, strings.ReplaceAll(d.Detail, "\n", " "))
+		r.Errorf(where, "%s: %s", d.Summary, strings.ReplaceAll(d.Detail, "\n", " "))
 	}
 }
 
-// File reads a file's text as HCL; path is its name in messages. It answers nil where nothing can be read of it.
-func (r *Reader) File(text []byte, path string) hcl.Body {
+// Parse parses a file's text; path names it in messages. It returns nil if the text is not HCL.
+func (r *Reader) Parse(text []byte, path string) hcl.Body {
 	file, diags := hclparse.NewParser().ParseHCL(text, path)
-	r.Diags(diags)
+	r.AddHCL(diags)
 	if file == nil || diags.HasErrors() {
 		return nil
 	}
 	return file.Body
 }
 
-// Err is all that is wrong, in the order of the file; nil where nothing is.
+// Err returns all errors in the order of the file as Diagnostics, nil if there are none.
 func (r *Reader) Err() error {
-	if len(r.Faults) == 0 {
+	if len(r.Diagnostics) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.Faults, func(a, b Fault) int {
+	slices.SortStableFunc(r.Diagnostics, func(a, b Diagnostic) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	return r.Faults
+	return r.Diagnostics
 }
 
-// Start is where a file begins.
-func Start(path string) hcl.Range {
+// FileStart returns the first place of a file.
+func FileStart(path string) hcl.Range {
 	return hcl.Range{Filename: path, Start: hcl.Pos{Line: 1, Column: 1}}
 }
 
-// Block is one block of a file while it is read.
+// Block is one block of a file. Its methods return otherwise for an attribute that is absent or wrong.
 type Block struct {
-	r     *Reader
-	name  string
-	Where hcl.Range
-	attrs hcl.Attributes
-	In    map[string][]*hcl.Block
+	reader *Reader
+	name   string
+	Range  hcl.Range
+	attrs  hcl.Attributes
+	Blocks map[string][]*hcl.Block
 }
 
-// Open reads a block's content: which attributes and which blocks it may hold.
-func (r *Reader) Open(name string, body hcl.Body, where hcl.Range, attrs string, blocks ...hcl.BlockHeaderSchema) *Block {
+// Block opens a block, given the attributes (separated by spaces) and blocks that it may hold.
+func (r *Reader) Block(name string, body hcl.Body, where hcl.Range, attrs string, blocks ...hcl.BlockHeaderSchema) *Block {
 	schema := &hcl.BodySchema{Blocks: blocks}
 	for _, a := range strings.Fields(attrs) {
 		schema.Attributes = append(schema.Attributes, hcl.AttributeSchema{Name: a})
 	}
 	content, diags := body.Content(schema)
-	r.Diags(diags)
-	b := &Block{r: r, name: name, Where: where, attrs: hcl.Attributes{}, In: map[string][]*hcl.Block{}}
+	r.AddHCL(diags)
+	b := &Block{reader: r, name: name, Range: where, attrs: hcl.Attributes{}, Blocks: map[string][]*hcl.Block{}}
 	if content != nil {
 		b.attrs = content.Attributes
 		for _, in := range content.Blocks {
-			b.In[in.Type] = append(b.In[in.Type], in)
+			b.Blocks[in.Type] = append(b.Blocks[in.Type], in)
 		}
 	}
 	return b
 }
 
-// Only answers the one block of a kind, nil where there is none.
-func (b *Block) Only(kind string, must bool) *hcl.Block {
-	all := b.In[kind]
+// Single returns the only block of a kind, nil if there is none; must makes that an error.
+func (b *Block) Single(kind string, must bool) *hcl.Block {
+	all := b.Blocks[kind]
 	if len(all) == 0 {
 		if must {
-			b.r.At(b.Where, "%s wants a block %q", b.name, kind)
+			b.reader.Errorf(b.Range, "%s wants a block %q", b.name, kind)
 		}
 		return nil
 	}
 	for _, more := range all[1:] {
-		b.r.At(more.DefRange, "a second block %q; the first is in line %d", kind, all[0].DefRange.Start.Line)
+		b.reader.Errorf(more.DefRange, "a second block %q; the first is in line %d", kind, all[0].DefRange.Start.Line)
 	}
 	return all[0]
 }
 
-// Has tells whether an attribute stands there.
+// Has reports whether an attribute is present.
 func (b *Block) Has(name string) bool { return b.attrs[name] != nil }
 
-// Must notes which attributes are missing.
-func (b *Block) Must(names ...string) {
+// Require adds an error for each attribute that is missing.
+func (b *Block) Require(names ...string) {
 	for _, n := range names {
 		if !b.Has(n) {
-			b.r.At(b.Where, "%s wants %q", b.name, n)
+			b.reader.Errorf(b.Range, "%s wants %q", b.name, n)
 		}
 	}
 }
 
-// value answers an attribute's value, false where it is not told or wrong.
+// value returns an attribute's value; ok is false if it is absent or wrong.
 func (b *Block) value(name string) (cty.Value, hcl.Range, bool) {
 	a := b.attrs[name]
 	if a == nil {
-		return cty.NilVal, b.Where, false
+		return cty.NilVal, b.Range, false
 	}
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() {
-		b.r.Diags(diags)
+		b.reader.AddHCL(diags)
 		return cty.NilVal, a.Expr.Range(), false
 	}
 	return v, a.Expr.Range(), !v.IsNull()
 }
 
-// Text reads a text, which is one of those told if any are.
-func (b *Block) Text(name, otherwise string, among ...string) string {
-	v, where, told := b.value(name)
-	if !told {
+// String reads a string, which has to be one of allowed if any are given.
+func (b *Block) String(name, otherwise string, allowed ...string) string {
+	v, where, ok := b.value(name)
+	if !ok {
 		return otherwise
 	}
 	if v.Type() != cty.String {
-		b.r.At(where, "%s: wants a text in quotes", name)
+		b.reader.Errorf(where, "%s: wants a text in quotes", name)
 		return otherwise
 	}
-	if s := v.AsString(); len(among) == 0 || slices.Contains(among, s) {
+	if s := v.AsString(); len(allowed) == 0 || slices.Contains(allowed, s) {
 		return s
 	}
-	b.r.At(where, "%s: %q is none of %s%s", name, v.AsString(), strings.Join(among, ", "), Nearest(v.AsString(), among))
+	b.reader.Errorf(where, "%s: %q is none of %s%s", name, v.AsString(), strings.Join(allowed, ", "), Suggestion(v.AsString(), allowed))
 	return otherwise
 }
 
-// Yes reads true or false.
-func (b *Block) Yes(name string, otherwise bool) bool {
-	v, where, told := b.value(name)
-	if !told {
+// Bool reads a boolean.
+func (b *Block) Bool(name string, otherwise bool) bool {
+	v, where, ok := b.value(name)
+	if !ok {
 		return otherwise
 	}
 	if v.Type() != cty.Bool {
-		b.r.At(where, "%s: wants true or false", name)
+		b.reader.Errorf(where, "%s: wants true or false", name)
 		return otherwise
 	}
 	return v.True()
 }
 
 // Number reads a number within bounds.
-func (b *Block) Number(name string, otherwise, least, most float64) float64 {
-	v, where, told := b.value(name)
-	if !told {
+func (b *Block) Number(name string, otherwise, minimum, maximum float64) float64 {
+	v, where, ok := b.value(name)
+	if !ok {
 		return otherwise
 	}
 	if v.Type() != cty.Number {
-		b.r.At(where, "%s: wants a number", name)
+		b.reader.Errorf(where, "%s: wants a number", name)
 		return otherwise
 	}
 	n, _ := v.AsBigFloat().Float64()
-	if n < least || n > most {
-		b.r.At(where, "%s: %v lies outside %v to %v", name, n, least, most)
+	if n < minimum || n > maximum {
+		b.reader.Errorf(where, "%s: %v lies outside %v to %v", name, n, minimum, maximum)
 		return otherwise
 	}
 	return n
 }
 
-// Whole reads a whole number within bounds.
-func (b *Block) Whole(name string, otherwise, least, most int) int {
-	n := b.Number(name, float64(otherwise), float64(least), float64(most))
+// Int reads an integer within bounds.
+func (b *Block) Int(name string, otherwise, minimum, maximum int) int {
+	n := b.Number(name, float64(otherwise), float64(minimum), float64(maximum))
 	if n != float64(int(n)) {
 		_, where, _ := b.value(name)
-		b.r.At(where, "%s: %v is no whole number", name, n)
+		b.reader.Errorf(where, "%s: %v is no whole number", name, n)
 		return otherwise
 	}
 	return int(n)
 }
 
-// Span reads a time, which always has its unit.
-func (b *Block) Span(name string, otherwise, least, most time.Duration) time.Duration {
-	v, where, told := b.value(name)
-	if !told {
+// Duration reads a duration within bounds, which has to have a unit.
+func (b *Block) Duration(name string, otherwise, minimum, maximum time.Duration) time.Duration {
+	v, where, ok := b.value(name)
+	if !ok {
 		return otherwise
 	}
-	return b.spanOf(name, v, where, otherwise, least, most)
+	return b.parseDuration(name, v, where, otherwise, minimum, maximum)
 }
 
-func (b *Block) spanOf(name string, v cty.Value, where hcl.Range, otherwise, least, most time.Duration) time.Duration {
+func (b *Block) parseDuration(name string, v cty.Value, where hcl.Range, otherwise, minimum, maximum time.Duration) time.Duration {
 	if v.Type() == cty.Number {
 		n, _ := v.AsBigFloat().Float64()
-		b.r.At(where, `%s: %v has no unit; wants a time such as "%vms" or "%vs"`, name, n, n, n)
+		b.reader.Errorf(where, `%s: %v has no unit; wants a time such as "%vms" or "%vs"`, name, n, n, n)
 		return otherwise
 	}
 	if v.Type() != cty.String {
-		b.r.At(where, `%s: wants a time such as "250ms"`, name)
+		b.reader.Errorf(where, `%s: wants a time such as "250ms"`, name)
 		return otherwise
 	}
 	d, err := time.ParseDuration(v.AsString())
 	switch {
 	case err != nil:
-		b.r.At(where, `%s: %q is no time; wants one such as "250ms", "1.5s" or "2m"`, name, v.AsString())
-	case d < least || d > most:
-		b.r.At(where, "%s: %v lies outside %v to %v", name, d, least, most)
+		b.reader.Errorf(where, `%s: %q is no time; wants one such as "250ms", "1.5s" or "2m"`, name, v.AsString())
+	case d < minimum || d > maximum:
+		b.reader.Errorf(where, "%s: %v lies outside %v to %v", name, d, minimum, maximum)
 	default:
 		return d
 	}
 	return otherwise
 }
 
-// Spans reads a range of times: ["200ms", "1s"].
-func (b *Block) Spans(name string, otherwise [2]time.Duration, most time.Duration) [2]time.Duration {
-	v, where, told := b.value(name)
-	if !told {
+// DurationRange reads a range of durations: ["200ms", "1s"].
+func (b *Block) DurationRange(name string, otherwise [2]time.Duration, maximum time.Duration) [2]time.Duration {
+	v, where, ok := b.value(name)
+	if !ok {
 		return otherwise
 	}
 	if !v.Type().IsTupleType() || v.LengthInt() != 2 {
-		b.r.At(where, `%s: wants two times, such as ["200ms", "1s"]`, name)
+		b.reader.Errorf(where, `%s: wants two times, such as ["200ms", "1s"]`, name)
 		return otherwise
 	}
 	both := v.AsValueSlice()
-	out := [2]time.Duration{b.spanOf(name, both[0], where, otherwise[0], 0, most), b.spanOf(name, both[1], where, otherwise[1], 0, most)}
+	out := [2]time.Duration{b.parseDuration(name, both[0], where, otherwise[0], 0, maximum), b.parseDuration(name, both[1], where, otherwise[1], 0, maximum)}
 	if out[0] > out[1] {
-		b.r.At(where, "%s: %v is longer than %v", name, out[0], out[1])
+		b.reader.Errorf(where, "%s: %v is longer than %v", name, out[0], out[1])
 		return otherwise
 	}
 	return out
 }
 
-// Share reads a part: "30%", or a number from 0 to 1.
-func (b *Block) Share(name string, otherwise float64) float64 {
-	v, where, told := b.value(name)
-	if !told {
+// Fraction reads a fraction: "30%", or a number from 0 to 1.
+func (b *Block) Fraction(name string, otherwise float64) float64 {
+	v, where, ok := b.value(name)
+	if !ok {
 		return otherwise
 	}
 	n := -1.0
@@ -275,31 +278,31 @@
 		}
 	}
 	if n < 0 || n > 1 {
-		b.r.At(where, `%s: wants a share such as "30%%", or a number from 0 to 1`, name)
+		b.reader.Errorf(where, `%s: wants a share such as "30%%", or a number from 0 to 1`, name)
 		return otherwise
 	}
 	return n
 }
 
-// Numbers reads a list of whole numbers.
-func (b *Block) Numbers(name string, otherwise []uint64, most int) []uint64 {
-	v, where, told := b.value(name)
-	if !told {
+// UintList reads a list of distinct integers of maxItems at most.
+func (b *Block) UintList(name string, otherwise []uint64, maxItems int) []uint64 {
+	v, where, ok := b.value(name)
+	if !ok {
 		return otherwise
 	}
-	if !v.Type().IsTupleType() || v.LengthInt() == 0 || v.LengthInt() > most {
-		b.r.At(where, "%s: wants a list of 1 to %d whole numbers, such as [1, 2, 3]", name, most)
+	if !v.Type().IsTupleType() || v.LengthInt() == 0 || v.LengthInt() > maxItems {
+		b.reader.Errorf(where, "%s: wants a list of 1 to %d whole numbers, such as [1, 2, 3]", name, maxItems)
 		return otherwise
 	}
 	var all []uint64
 	for _, one := range v.AsValueSlice() {
 		if one.IsNull() || one.Type() != cty.Number {
-			b.r.At(where, "%s: wants whole numbers", name)
+			b.reader.Errorf(where, "%s: wants whole numbers", name)
 			return otherwise
 		}
 		n, exact := one.AsBigFloat().Uint64()
 		if exact != 0 || slices.Contains(all, n) {
-			b.r.At(where, "%s: wants whole numbers, each once", name)
+			b.reader.Errorf(where, "%s: wants whole numbers, each once", name)
 			return otherwise
 		}
 		all = append(all, n)
@@ -307,47 +310,51 @@
 	return all
 }
 
-// Texts reads a list of texts, each once; places are where each stands.
-func (b *Block) Texts(name string, most int) (all []string, places []hcl.Range) {
+// StringList reads a list of distinct strings of maxItems at most, with the place of each.
+func (b *Block) StringList(name string, maxItems int) (items []string, places []hcl.Range) {
 	a := b.attrs[name]
 	if a == nil {
 		return nil, nil
 	}
-	items, diags := hcl.ExprList(a.Expr)
-	if diags.HasErrors() || len(items) == 0 || len(items) > most {
-		b.r.At(a.Expr.Range(), "%s: wants a list of 1 to %d texts", name, most)
+	expressions, diags := hcl.ExprList(a.Expr)
+	if diags.HasErrors() || len(expressions) == 0 || len(expressions) > maxItems {
+		b.reader.Errorf(a.Expr.Range(), "%s: wants a list of 1 to %d texts", name, maxItems)
 		return nil, nil
 	}
-	for _, item := range items {
-		v, diags := item.Value(nil)
+	for _, expression := range expressions {
+		v, diags := expression.Value(nil)
 		switch {
 		case diags.HasErrors():
-			b.r.Diags(diags)
+			b.reader.AddHCL(diags)
 		case v.IsNull() || v.Type() != cty.String:
-			b.r.At(item.Range(), "%s: wants texts in quotes", name)
-		case slices.Contains(all, v.AsString()):
-			b.r.At(item.Range(), "%s: %q stands twice", name, v.AsString())
+			b.reader.Errorf(expression.Range(), "%s: wants texts in quotes", name)
+		case slices.Contains(items, v.AsString()):
+			b.reader.Errorf(expression.Range(), "%s: %q stands twice", name, v.AsString())
 		default:
-			all, places = append(all, v.AsString()), append(places, item.Range())
+			items = append(items, v.AsString())
+			places = append(places, expression.Range())
 		}
 	}
-	return all, places
+	return items, places
 }
 
-// At is where an attribute's value stands; the block's head where it is not told.
-func (b *Block) At(name string) hcl.Range {
+// AttributeRange returns the place of an attribute's value, or of the block if it is absent.
+func (b *Block) AttributeRange(name string) hcl.Range {
 	if a := b.attrs[name]; a != nil {
 		return a.Expr.Range()
 	}
-	return b.Where
+	return b.Range
 }
 
-// Nearest suggests the known name that a misspelt one is likely to mean.
-func Nearest(name string, among []string) string {
-	best, least := "", 3
-	for _, a := range among {
-		if d := distance(name, a); d < least {
-			best, least = a, d
+// maxSuggestionDistance is the largest edit distance of a misspelled name.
+const maxSuggestionDistance = 2
+
+// Suggestion names the known name that a misspelled one is likely to mean, as the end of a message; "" if there is none.
+func Suggestion(name string, allowed []string) string {
+	best, smallest := "", maxSuggestionDistance+1
+	for _, a := range allowed {
+		if d := editDistance(name, a); d < smallest {
+			best, smallest = a, d
 		}
 	}
 	if best == "" {
@@ -356,8 +363,8 @@
 	return fmt.Sprintf("; did you mean %q?", best)
 }
 
-// distance is Levenshtein's.
-func distance(a, b string) int {
+// editDistance is the Levenshtein distance.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -109,7 +109,7 @@
 	}
 	// All faults at once, in the order of the file.
 	_, err := Parse([]byte(strings.NewReplacer(`"10s"`, `10`, "count = 3", "count = 0", "rate = 5", "rate = -1").Replace(whole)), "f.hcl")
-	var faults hclconfig.Faults
+	var faults hclconfig.Diagnostics
 	if !errors.As(err, &faults) || len(faults) < 4 || faults[0].Line != 3 || faults[len(faults)-1].Line < 9 {
 		t.Errorf("%v", err)
 	}
@@ -137,7 +137,7 @@
 	f.Add("experiment {}\nworld {}\nload {}")
 	f.Fuzz(func(t *testing.T, text string) {
 		x, err := Parse([]byte(text), "f.hcl")
-		var faults hclconfig.Faults
+		var faults hclconfig.Diagnostics
 		is := errors.As(err, &faults)
 		if err == nil && x == nil || err != nil && (!is || len(faults) == 0 || faults[0].File != "f.hcl" || faults[0].Line == 0) {
 			t.Fatalf("%v", err)
