--- a/internal/fleet/framing/framing.go
+++ b/internal/fleet/framing/framing.go
@@ -6,12 +6,12 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
 
+	"sabletally/internal/fleet/checksum"
 	"sabletally/internal/fleet/replication"
 )
 
@@ -30,12 +30,10 @@
 // ErrTooLarge reports a body that is longer than its reader allows.
 var ErrTooLarge = errors.New("frame too large")
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
 // Header returns the header of a body.
 func Header(body []byte) []byte {
 	header := binary.BigEndian.AppendUint32(make([]byte, 0, HeaderSize), uint32(len(body)))
-	return binary.BigEndian.AppendUint32(header, crc32.Checksum(body, castagnoli))
+	return binary.BigEndian.AppendUint32(header, checksum.Sum(body))
 }
 
 // Read reads one frame and returns its body of at most maxBytes. The error is ErrTooLarge, ErrChecksum, or the reader's.
@@ -57,7 +55,7 @@
 			return nil, err
 		}
 	}
-	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(header[4:]) {
+	if checksum.Sum(body) != binary.BigEndian.Uint32(header[4:]) {
 		return nil, ErrChecksum
 	}
 	return body, nil
