--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -30,29 +30,29 @@
 		second   = "0b 03000000 c5913a5d24e80400 01000000 0000 00 650ad2557c3bf091 00000000 0000000000000000 80841e00"
 		write    = "0b 03000000 c6913a5d24e80400 01000000 0100 01 660ad2557c3bf091 e02e0000 107cf3d901648e2b 80841e00"
 		handover = "09 03000000 0100000000000000 00000000 0100000000000000 0000000000000000 0a124a07 5b1b 80a90300"
-		server   = "0a124a07 5b1b"
+		endpoint = "0a124a07 5b1b"
 	)
 	datagram := []byte{1, 2, 3, 4, 0, 0, 0, 0, 0x80, 0x3f, 0x10, 0x90}
 	frames := [][]byte{
 		frame(900_000, nil),
 		boot(strings.Replace(everySetting, `"Probes": true`, `"Probes": false`, 1)),
 		frame(1_100_000, nil, write),
-		frame(1_200_000, nil, "04 03000000 c6913a5d24e80400 "+server+" 00 00 f6010000 9801 00"),
+		frame(1_200_000, nil, "04 03000000 c6913a5d24e80400 "+endpoint+" 00 00 f6010000 9801 00"),
 		frame(1_300_000, nil, "01 03000000"),
 	}
-	frames = append(frames, boot(everySetting), frame(1_100_000, nil, ingress, second, write, handover))
+	frames = append(frames, boot(everySetting), frame(1_100_000, nil, sessionEvent, second, write, handover))
 	frames = append(frames,
-		frame(1_120_000, nil, "05 03000000 "+server+" c800 00000000 03 cdcc4c3e 0000003f cdcccc3e"),
+		frame(1_120_000, nil, "05 03000000 "+endpoint+" c800 00000000 03 cdcc4c3e 0000003f cdcccc3e"),
 		frame(1_130_000, nil, "05 03000000 0a9011f2841b c800 00000000 03 cdcc4c3e 0000003f cdcccc3e"),
 		frame(1_300_000, datagram,
-			"08 03000000 c4913a5d24e80400 10270000 "+server+" 00",
-			"08 03000000 c5913a5d24e80400 10270000 "+server+" 00",
-			"04 03000000 c6913a5d24e80400 "+server+" 00 00 f6010000 c800 01 0000803f",
+			"08 03000000 c4913a5d24e80400 10270000 "+endpoint+" 00",
+			"08 03000000 c5913a5d24e80400 10270000 "+endpoint+" 00",
+			"04 03000000 c6913a5d24e80400 "+endpoint+" 00 00 f6010000 c800 01 0000803f",
 			"06 03000000 01000000 00000000 0c000000",
 			"07 03000000 4d000000"),
 		frame(1_400_000, nil,
-			"03 03000000 c4913a5d24e80400 "+server+" 00 01 0000c842",
-			"03 03000000 c4913a5d24e80400 "+server+" 00 02 0000c842",
+			"03 03000000 c4913a5d24e80400 "+endpoint+" 00 01 0000c842",
+			"03 03000000 c4913a5d24e80400 "+endpoint+" 00 02 0000c842",
 			"00 03000000 c5913a5d24e80400"),
 		frame(1_500_000, nil, "02 03000000 00"),
 		frame(4_000_000, nil, "07 03000000 4d000000"),
@@ -75,11 +75,11 @@
 	return frames
 }
 
-// replies cuts what Serve wrote into its replies.
+// replies splits the output of Serve.
 func replies(t *testing.T, out []byte) [][]byte {
 	var all [][]byte
 	for len(out) > 0 {
-		if len(out) < replySize {
+		if len(out) < replyHeaderSize {
 			t.Fatalf("%d bytes are no reply", len(out))
 		}
 		size := int(binary.LittleEndian.Uint32(out))
@@ -138,7 +138,7 @@
 		}
 		records := int(binary.LittleEndian.Uint32(reply[4:]))
 		for i := range records {
-			seen[reply[replySize+i*actionSize]] = true
+			seen[reply[replyHeaderSize+i*actionSize]] = true
 		}
 	}
 	for _, code := range []byte{0, 1, 2, 4, 5, 7, 9, 10, 12} {
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-const bootInfo = `{"PeersTotal": 1, "Zone": 0, "RegistryMode": "pushed", "NotKnown": {"x": 1},
+const testSettings = `{"PeersTotal": 1, "Zone": 0, "RegistryMode": "pushed", "NotKnown": {"x": 1},
  "ServiceGrades": [{"Effect": "read_like", "Group": "all", "LatencyGoalUs": 300000, "Utility": 1.0}],
  "Guarantees": {"AnswerSlackUs": 8000, "ColdFrom": 0.16, "ColdUs": 23000000, "DrainGraceUs": 750000,
   "FallMultiple": 3.0, "FallUs": 1500000},
  "Limits": {"MostSetupTries": 3, "MaxRetryAfterUs": 1000000, "RetryAfter": true}}`
 
-// frame puts records of the given hex together with a tail.
+// frame returns a frame of records, given in hexadecimal, and a tail.
 func frame(clock uint64, tail []byte, records ...string) []byte {
 	var b []byte
 	for _, r := range records {
@@ -34,7 +34,7 @@
 
 func u32(n int) string { return hex.EncodeToString(binary.LittleEndian.AppendUint32(nil, uint32(n))) }
 
-// boot opens instance 3 with a cached list of the two servers of the wire page's example.
+// boot returns a frame that opens instance 3 with a list of two endpoints.
 func boot(info string) []byte {
 	lines, err := hex.DecodeString("0a124a075b1b000000000000000000803f0000000000000000" +
 		"0a9011f2841b010000000000000000c03f20145d0000000000")
@@ -52,7 +52,7 @@
 	return out.Bytes(), err
 }
 
-func TestEmptyBatchAsOnTheWirePage(t *testing.T) {
+func TestEmptyFrameIsAnsweredAsDocumented(t *testing.T) {
 	in, _ := hex.DecodeString("5a5c8000000000001000000000000000")
 	out, err := serve(in)
 	if got := hex.EncodeToString(out); err != nil || got != "0800000000000000" {
@@ -60,26 +60,26 @@
 	}
 }
 
-const ingress = "0b 03000000 c4913a5d24e80400 00000000 0000 01 640ad2557c3bf091 e02e0000 107cf3d901648e2b 80a90300"
+const sessionEvent = "0b 03000000 c4913a5d24e80400 00000000 0000 01 640ad2557c3bf091 e02e0000 107cf3d901648e2b 80a90300"
 
-func TestACircuitIsTriedOnTheWire(t *testing.T) {
-	out, err := serve(append(boot(bootInfo), frame(1_100_000, nil, ingress)...))
+func TestSessionIsAttempted(t *testing.T) {
+	out, err := serve(append(boot(testSettings), frame(1_100_000, nil, sessionEvent)...))
 	if err != nil {
 		t.Fatal(err)
 	}
 	second := out[binary.LittleEndian.Uint32(out):]
-	rec := second[replySize : replySize+actionSize]
+	rec := second[replyHeaderSize : replyHeaderSize+actionSize]
 	left := time.Duration(binary.LittleEndian.Uint32(rec[19:])) * time.Microsecond
 	ref := hex.EncodeToString(rec[:13])
-	server := hex.EncodeToString(rec[13:19])
-	if ref != "0003000000c4913a5d24e80400" || server != "0a124a075b1b" && server != "0a9011f2841b" ||
+	endpoint := hex.EncodeToString(rec[13:19])
+	if ref != "0003000000c4913a5d24e80400" || endpoint != "0a124a075b1b" && endpoint != "0a9011f2841b" ||
 		left <= 0 || left > 240*time.Millisecond {
 		t.Fatalf("%x", rec)
 	}
 }
 
-func TestNewsOfEveryKindIsTaken(t *testing.T) {
-	in := append(boot(bootInfo), frame(1_100_000, nil, ingress)...)
+func TestEventsOfAllCodesAreApplied(t *testing.T) {
+	in := append(boot(testSettings), frame(1_100_000, nil, sessionEvent)...)
 	in = append(in, frame(1_200_000, []byte{1, 2},
 		"08 03000000 c4913a5d24e80400 10270000 0a124a07 5b1b 00",
 		"03 03000000 c4913a5d24e80400 0a124a07 5b1b 00 01 0000c842",
@@ -95,9 +95,9 @@
 	}
 }
 
-func TestBadFramesAreNamedAndGetNoReply(t *testing.T) {
-	whole := boot(bootInfo)
-	short := frame(1, nil, ingress)
+func TestMalformedFramesAreNamedAndGetNoReply(t *testing.T) {
+	valid := boot(testSettings)
+	short := frame(1, nil, sessionEvent)
 	binary.LittleEndian.PutUint32(short[8:], 20)
 	huge := frame(1, nil)
 	binary.LittleEndian.PutUint32(huge[8:], 0xffffffff)
@@ -106,17 +106,17 @@
 		in   []byte
 		want string
 	}{
-		"half a header":  {whole[:7], "byte 7"},
-		"half a frame":   {whole[:100], "byte 100"},
-		"wrong length":   {short, "byte 8"},
-		"huge length":    {huge, "cut short at byte 16"},
-		"unknown code":   {frame(1, nil, "3f 03000000"), "record code at byte 16"},
-		"not open":       {frame(1, nil, ingress), "instance 3, which is not open"},
-		"text outside":   {frame(1, nil, "0a 03000000 0700000000000000 04000000 ffffff7f"), "BootInfo at byte 29"},
-		"lines outside":  {append(boot(bootInfo), frame(2_000_000, nil, "02 03000000 03 2900000000000000 00000000 ffffffff")...), "Items at byte 30"},
-		"unknown result": {append(boot(bootInfo), frame(2_000_000, nil, "05 03000000 0a124a07 5b1b 0700")...), "Verdict at byte 27"},
-		"many figures":   {append(boot(bootInfo), frame(2_000_000, nil, "05 03000000 0a124a07 5b1b c800 00000000 09")...), "Usage at byte 33"},
-		"unknown mode":   {append(boot(bootInfo), frame(2_000_000, nil, "02 03000000 07")...), "Mode at byte 21"},
+		"half a header":   {valid[:7], "byte 7"},
+		"half a frame":    {valid[:100], "byte 100"},
+		"wrong length":    {short, "byte 8"},
+		"huge length":     {huge, "cut short at byte 16"},
+		"unknown code":    {frame(1, nil, "3f 03000000"), "record code at byte 16"},
+		"not open":        {frame(1, nil, sessionEvent), "instance 3, which is not open"},
+		"text outside":    {frame(1, nil, "0a 03000000 0700000000000000 04000000 ffffff7f"), "BootInfo at byte 29"},
+		"entries outside": {append(boot(testSettings), frame(2_000_000, nil, "02 03000000 03 2900000000000000 00000000 ffffffff")...), "Items at byte 30"},
+		"unknown result":  {append(boot(testSettings), frame(2_000_000, nil, "05 03000000 0a124a07 5b1b 0700")...), "Verdict at byte 27"},
+		"many values":     {append(boot(testSettings), frame(2_000_000, nil, "05 03000000 0a124a07 5b1b c800 00000000 09")...), "Usage at byte 33"},
+		"unknown mode":    {append(boot(testSettings), frame(2_000_000, nil, "02 03000000 07")...), "Mode at byte 21"},
 	} {
 		out, err := serve(c.in)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestBadSettingsAreDeclaredByKey(t *testing.T) {
+func TestSettingsErrorsNameKey(t *testing.T) {
 	for _, c := range [][3]string{
 		{"", "", "BootInfo"},
 		{`"read_like"`, `"sometimes"`, "ServiceGrades[0].Effect"},
@@ -147,30 +147,30 @@
 		{`"MostSetupTries"`, `"Most"`, "Limits.MostSetupTries"},
 		{`"Zone": 0`, `"Specifics": {"Mode": "odd"}, "Zone": 0`, "Specifics.Mode"},
 	} {
-		info := strings.Replace(bootInfo, c[0], c[1], 1)
+		info := strings.Replace(testSettings, c[0], c[1], 1)
 		if c[0] == "" {
 			info = "not json"
 		}
 		out, err := serve(boot(info))
-		if err != nil || len(out) < replySize+actionSize || out[replySize] != acDie ||
-			!strings.Contains(string(out[replySize+actionSize:]), c[2]) {
+		if err != nil || len(out) < replyHeaderSize+actionSize || out[replyHeaderSize] != actionFailInstance ||
+			!strings.Contains(string(out[replyHeaderSize+actionSize:]), c[2]) {
 			t.Errorf("%s: %q, %v", c[2], out, err)
 		}
 	}
 }
 
-func TestAHugeTotalOfBalancersWorks(t *testing.T) {
-	info := strings.Replace(bootInfo, `"PeersTotal": 1`, `"PeersTotal": 4000000000000000000`, 1)
-	out, err := serve(append(boot(info), frame(1_100_000, nil, ingress)...))
+func TestHugeNumberOfBalancersWorks(t *testing.T) {
+	info := strings.Replace(testSettings, `"PeersTotal": 1`, `"PeersTotal": 4000000000000000000`, 1)
+	out, err := serve(append(boot(info), frame(1_100_000, nil, sessionEvent)...))
 	if err != nil || bytes.Contains(out, []byte("BootInfo")) {
 		t.Fatalf("%q, %v", out, err)
 	}
 }
 
-func TestThousandsOfInstancesComeAndGo(t *testing.T) {
-	h := &host{instances: map[uint32]*instance{}}
+func TestThousandsOfInstancesOpenAndClose(t *testing.T) {
+	h := newHost()
 	for n := range 3000 {
-		in := boot(bootInfo)
+		in := boot(testSettings)
 		for _, rec := range []int{headerSize, headerSize + eventSize} {
 			binary.LittleEndian.PutUint32(in[rec+1:], uint32(n))
 		}
@@ -184,15 +184,15 @@
 		}
 	}
 	if len(h.instances) != 0 || len(h.touched) != 0 {
-		t.Fatalf("%d instances and %d touched left", len(h.instances), len(h.touched))
+		t.Fatalf("%d instances and %d touched instances left", len(h.instances), len(h.touched))
 	}
 }
 
-// FuzzFrames feeds broken bytes: an error or a reply, never a panic.
+// FuzzFrames plays damaged frames: they get an error or a reply, never a panic.
 func FuzzFrames(f *testing.F) {
-	whole := append(boot(bootInfo), frame(1_100_000, nil, ingress)...)
-	for at := 0; at < len(whole); at += 3 {
-		b := bytes.Clone(whole)
+	valid := append(boot(testSettings), frame(1_100_000, nil, sessionEvent)...)
+	for at := 0; at < len(valid); at += 3 {
+		b := bytes.Clone(valid)
 		b[at] ^= 0x41
 		f.Add(b)
 	}
@@ -200,7 +200,7 @@
 		out, err := serve(in)
 		for len(out) > 0 {
 			n := int(binary.LittleEndian.Uint32(out))
-			if n < replySize || n > len(out) {
+			if n < replyHeaderSize || n > len(out) {
 				t.Fatalf("a reply of %d bytes in %d, error %v", n, len(out), err)
 			}
 			out = out[n:]
