--- a/internal/fleet/config/parse.go
+++ b/internal/fleet/config/parse.go
@@ -29,7 +29,9 @@
 	defaultControlVoters = 5
 )
 
-const attributes = "role listen advertise seeds data copies machine zone site gone_after repair_after voters records megabytes list_young list_old followers"
+// fleetAttributes are all attributes of the block "fleet".
+const fleetAttributes = "role listen advertise seeds data copies machine zone site gone_after repair_after voters records megabytes " +
+	"list_young list_old followers"
 
 // unavailable has the attributes that a role does not have, and why.
 var unavailable = map[Role]struct {
@@ -42,7 +44,7 @@
 		`role "balancer" has none: the control processes' files say it`},
 }
 
-// Parse reads the text of a file; path is its name in errors. The error is a hclconfig.Faults with all that is wrong.
+// Parse reads the text of a file; path is its name in errors. The error is a hclconfig.Diagnostics with all that is wrong.
 func Parse(text []byte, path string) (*File, error) {
 	r := &hclconfig.Reader{}
 	body := r.Parse(text, path)
@@ -86,7 +88,7 @@
 
 // parseFleet reads the block "fleet". Faults are reported in the order of the calls.
 func (f *File) parseFleet(r *hclconfig.Reader, block *hcl.Block) {
-	p := &fleetParser{Block: r.Block("fleet", block.Body, block.DefRange, attributes), reader: r}
+	p := &fleetParser{Block: r.Block("fleet", block.Body, block.DefRange, fleetAttributes), reader: r}
 	f.Role = Role(p.String("role", string(RoleMember), string(RoleControl), string(RoleBalancer)))
 	p.Require("seeds", "data", "machine", "zone", "site")
 	p.checkAvailable(f.Role)
