--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -19,21 +19,21 @@
 	maxQueuedDatagrams = 4096 // more are dropped, as the network drops them
 	maxStreams         = 1024 // of the library's that others opened
 	maxPeerStreams     = 1024
-	maxUnsorted        = 256 // further streams whose first byte is not read yet, where followers are accepted: many reconnect at once
+	maxUnsorted        = 256 // further streams whose first byte is not read yet, where subscribers are accepted: many reconnect at once
 	firstByteTimeout   = 3 * time.Second
 	acceptRetryDelay   = 100 * time.Millisecond
 	maxDatagramBytes   = 64 << 10
 	receiveBufferBytes = 256 << 10 // of the kernel, for what arrives while the process is paused
 )
 
-// PeerStreamMark is the first byte of a stream for packets between members. A follower's stream begins with framing.StreamMark, one of the
+// PeerStreamMark is the first byte of a stream for packets between members. A subscriber's stream begins with framing.StreamMark, one of the
 // library's with neither.
 const PeerStreamMark = 's'
 
 // errNoRoom means that a stream was rejected as there are too many of its kind.
 var errNoRoom = errors.New("too many streams")
 
-// Transport carries the library's datagrams and streams, the streams between members, and those of followers over one address. It sends
+// Transport carries the library's datagrams and streams, the streams between members, and those of subscribers over one address. It sends
 // from that address, so that the receiver sees who sent. It is a memberlist.Transport.
 type Transport struct {
 	// Counts of datagrams' bytes.
@@ -47,32 +47,32 @@
 	udp       *net.UDPConn
 	tcp       *net.TCPListener
 
-	datagrams       chan *memberlist.Packet
-	libraryStreams  chan net.Conn
-	peerStreams     chan net.Conn
-	followerStreams chan net.Conn
+	datagrams         chan *memberlist.Packet
+	libraryStreams    chan net.Conn
+	peerStreams       chan net.Conn
+	subscriberStreams chan net.Conn
 
 	// Open streams that others opened, by kind. Those whose kind is not known yet count as the library's.
-	libraryStreamCount  atomic.Int64
-	peerStreamCount     atomic.Int64
-	followerStreamCount atomic.Int64
-	maxFollowerStreams  int64
+	libraryStreamCount    atomic.Int64
+	peerStreamCount       atomic.Int64
+	subscriberStreamCount atomic.Int64
+	maxSubscriberStreams  int64
 
 	ctx        context.Context // ends with the transport
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// Listen opens the address. maxFollowers is how many streams of followers are accepted, 0 for none.
-func Listen(listen, advertise netip.AddrPort, maxFollowers int) (*Transport, error) {
+// Listen opens the address. maxSubscribers is how many streams of subscribers are accepted, 0 for none.
+func Listen(listen, advertise netip.AddrPort, maxSubscribers int) (*Transport, error) {
 	t := &Transport{
-		listen:             listen,
-		advertise:          advertise,
-		datagrams:          make(chan *memberlist.Packet, maxQueuedDatagrams),
-		libraryStreams:     make(chan net.Conn),
-		peerStreams:        make(chan net.Conn),
-		followerStreams:    make(chan net.Conn),
-		maxFollowerStreams: int64(maxFollowers),
+		listen:               listen,
+		advertise:            advertise,
+		datagrams:            make(chan *memberlist.Packet, maxQueuedDatagrams),
+		libraryStreams:       make(chan net.Conn),
+		peerStreams:          make(chan net.Conn),
+		subscriberStreams:    make(chan net.Conn),
+		maxSubscriberStreams: int64(maxSubscribers),
 	}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	var err error
@@ -116,7 +116,7 @@
 func (t *Transport) accept() {
 	defer t.goroutines.Done()
 	limit := int64(maxStreams)
-	if t.maxFollowerStreams > 0 {
+	if t.maxSubscriberStreams > 0 {
 		limit += maxUnsorted
 	}
 	for {
@@ -183,8 +183,8 @@
 		err = t.reclassify(s, &t.peerStreamCount, maxPeerStreams)
 		receiver = t.peerStreams
 	case framing.StreamMark:
-		err = t.reclassify(s, &t.followerStreamCount, t.maxFollowerStreams)
-		receiver = t.followerStreams
+		err = t.reclassify(s, &t.subscriberStreamCount, t.maxSubscriberStreams)
+		receiver = t.subscriberStreams
 	}
 	s.unread = n
 	return receiver, err
@@ -238,8 +238,8 @@
 // PeerStreams returns the streams for packets that other members opened. Their first byte is still to be read.
 func (t *Transport) PeerStreams() <-chan net.Conn { return t.peerStreams }
 
-// Follows returns the streams that followers opened. Their first byte is still to be read.
-func (t *Transport) Follows() <-chan net.Conn { return t.followerStreams }
+// SubscriberStreams returns the streams that subscribers opened. Their first byte is still to be read.
+func (t *Transport) SubscriberStreams() <-chan net.Conn { return t.subscriberStreams }
 
 // Done returns a channel that is closed when the transport ends.
 func (t *Transport) Done() <-chan struct{} { return t.ctx.Done() }
--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -49,8 +49,8 @@
 	return all
 }
 
-// newFollower makes a member that knows of a fleet of n, with a configuration of each shard. It neither votes nor has replicas.
-func newFollower(b *testing.B, n int) (*Node, []placement.MemberStatus) {
+// newNonVoter makes a member that knows of a fleet of n, with a configuration of each shard. It neither votes nor has replicas.
+func newNonVoter(b *testing.B, n int) (*Node, []placement.MemberStatus) {
 	all := members(n)
 	node, err := New(Config{
 		Self:                 all[0],
@@ -98,7 +98,7 @@
 	for _, n := range scales {
 		for _, kind := range []string{"epoch", "shard", "all", "nothing"} {
 			b.Run(fmt.Sprintf("kind=%s/members=%d", kind, n), func(b *testing.B) {
-				node, _ := newFollower(b, n)
+				node, _ := newNonVoter(b, n)
 				from := members(2)[1].ID
 				since := uint64(2)
 				switch kind {
@@ -139,7 +139,7 @@
 func BenchmarkIdleTurn(b *testing.B) {
 	for _, n := range scales {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			node, peers := newFollower(b, n)
+			node, peers := newNonVoter(b, n)
 			now, packets := time.Duration(0), 0
 			var newest Packet
 			done := measureCPU(b)
--- a/internal/fleet/publisher/server.go
+++ b/internal/fleet/publisher/server.go
@@ -41,7 +41,7 @@
 
 // StreamSource delivers the streams of subscribers until it is done.
 type StreamSource interface {
-	Follows() <-chan net.Conn
+	SubscriberStreams() <-chan net.Conn
 	Done() <-chan struct{}
 }
 
@@ -209,7 +209,7 @@
 			return
 		case <-s.done:
 			return
-		case netConn := <-s.options.Streams.Follows():
+		case netConn := <-s.options.Streams.SubscriberStreams():
 			s.goroutines.Add(1)
 			go func() {
 				defer s.goroutines.Done()
