--- a/cmd/sabletally/golden_test.go
+++ b/cmd/sabletally/golden_test.go
@@ -29,7 +29,7 @@
 		{"limits.cores", s.Cores, 2.5},
 		{"limits.memory_mb", s.MemoryMB, 96},
 		{"limits.sockets", s.MaxSockets, 777},
-		{"known", fmt.Sprint(s.InitialEndpoints.Whole, s.InitialEndpoints.Rev, len(s.InitialEndpoints.Servers), s.InitialEndpoints.Servers[0].UID, s.InitialEndpoints.Servers[0].Endpoint), "true 5 1s-9127.0.0.1:14009"},
+		{"known", fmt.Sprint(s.InitialEndpoints.Complete, s.InitialEndpoints.Revision, len(s.InitialEndpoints.Endpoints), s.InitialEndpoints.Endpoints[0].UID, s.InitialEndpoints.Endpoints[0].Address), "true 5 1s-9127.0.0.1:14009"},
 		{"peers.listen", s.Gossip.Listen, netip.MustParseAddrPort("127.0.0.1:14004")},
 		{"peers.others", fmt.Sprint(s.Gossip.Peers), "[127.0.0.1:14005 127.0.0.1:14006]"},
 		{"what only a start takes in", s.StartupOnly, "n7127.0.0.1:14001127.0.0.1:14003{2.5 96 777}abc"},
--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -66,14 +66,14 @@
 		}
 		l.Evicted.Add(1)
 		if silent {
-			oldest.writeUnbuffered(protocol.Turned(l.retryAfter()))
+			oldest.writeUnbuffered(protocol.RejectLine(l.retryAfter()))
 		}
 		oldest.closeAsync()
 		runtime.Gosched() // the poller, which runs this, would accept more before the close
 	}
 	if l.descriptors.Load() > l.availableDescriptors() { // all the others have sessions
 		l.DescriptorShortages.Add(1)
-		c.writeUnbuffered(protocol.Turned(l.retryAfter()))
+		c.writeUnbuffered(protocol.RejectLine(l.retryAfter()))
 		c.close()
 	}
 }
@@ -88,7 +88,7 @@
 			l.idle.add(c, l.idle.silent)
 		default:
 			l.FirstLineTimeouts.Add(1)
-			l.closeWithLine(c, protocol.ErrLine)
+			l.closeWithLine(c, protocol.FailLine)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 func (l *Loop) rejectSilent() {
 	for _, c := range l.idle.takeSilentSince(time.Now()) {
 		if c.session == nil && !c.finished {
-			l.closeWithLine(c, protocol.Turned(l.retryAfter()))
+			l.closeWithLine(c, protocol.RejectLine(l.retryAfter()))
 		}
 	}
 }
--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -19,12 +19,12 @@
 // handleFirstLine handles a line of a client that has no session.
 func (l *Loop) handleFirstLine(c *conn, line protocol.Line) {
 	switch {
-	case line.Bad == nil && line.Kind == protocol.Ping:
+	case line.Err == nil && line.Kind == protocol.KindPing:
 		l.answerPing(c)
-	case line.Bad == nil && line.Kind == protocol.Open:
-		l.admit(c, line.Ask)
+	case line.Err == nil && line.Kind == protocol.KindOpen:
+		l.admit(c, line.Request)
 	default:
-		l.rejectMalformed(c, line.Bad)
+		l.rejectMalformed(c, line.Err)
 	}
 }
 
@@ -46,15 +46,15 @@
 	if err != nil {
 		l.log.Info("bad line", zap.Error(err))
 	}
-	if errors.Is(err, protocol.ErrUnasked) {
+	if errors.Is(err, protocol.ErrUnexpectedData) {
 		l.UnexpectedLines.Add(1)
 	}
 	l.Malformed.Add(1)
-	l.closeWithLine(c, protocol.BadLine)
+	l.closeWithLine(c, protocol.SyntaxErrorLine)
 }
 
 // admit begins a session, which is owed one final answer from here on, or ends the client.
-func (l *Loop) admit(c *conn, request *protocol.Ask) {
+func (l *Loop) admit(c *conn, request *protocol.SessionRequest) {
 	if l.isHandingOver() { // nothing new is begun here
 		l.handOverClient(c, request.Raw())
 		return
@@ -64,7 +64,7 @@
 		l.closeWithLine(c, last)
 		return
 	}
-	left := request.Left - c.sinceLastByte() - deadlineMargin
+	left := request.Timeout - c.sinceLastByte() - deadlineMargin
 	l.lastSessionID++
 	session := &session{
 		id:            l.lastSessionID,
@@ -76,7 +76,7 @@
 	c.session = session
 	l.sessions[session.id] = session
 	l.sessionsByClientID[request.ID] = session
-	if request.At != "" {
+	if request.StickyEndpoint != "" {
 		session.reattaching = true
 		session.deadline = max(session.deadline, l.now+reattachTimeout)
 		l.reattach(session)
@@ -87,28 +87,28 @@
 }
 
 // refusal returns the last line for a client that is not admitted, nil for one that is.
-func (l *Loop) refusal(request *protocol.Ask) []byte {
+func (l *Loop) refusal(request *protocol.SessionRequest) []byte {
 	// Servers reject requests without a class or a deadline, and must not be judged by that.
-	_, known := l.deployment.Classes[request.Grade]
-	if !known || !request.Limited {
+	_, known := l.deployment.Classes[request.Class]
+	if !known || !request.HasTimeout {
 		l.Malformed.Add(1)
-		return protocol.BadLine
+		return protocol.SyntaxErrorLine
 	}
 	if l.descriptors.Load() >= l.availableDescriptors()-l.descriptorLimit/rejectReserve { // none for the server's side
 		l.DescriptorShortages.Add(1)
 		l.Rejected.Add(1)
-		return protocol.Turned(l.retryAfter())
+		return protocol.RejectLine(l.retryAfter())
 	}
 	if l.sessionsByClientID[request.ID] != nil { // another client's session
 		l.DuplicateIDs.Add(1)
-		return protocol.BadLine
+		return protocol.SyntaxErrorLine
 	}
 	return nil
 }
 
 // policyRequestOf describes a session to the policy under the current settings.
-func (l *Loop) policyRequestOf(id policy.SessionID, request *protocol.Ask, left time.Duration) policy.SessionRequest {
-	class, known := l.deployment.Classes[request.Grade]
+func (l *Loop) policyRequestOf(id policy.SessionID, request *protocol.SessionRequest, left time.Duration) policy.SessionRequest {
+	class, known := l.deployment.Classes[request.Class]
 	if !known {
 		class = len(l.deployment.Classes)
 	}
@@ -123,6 +123,6 @@
 		Tenant:  tenant,
 		Class:   class,
 		Timeout: left,
-		Load:    request.Hint,
+		Load:    request.LoadHint,
 	}
 }
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -82,7 +82,7 @@
 // checks what the loop can't know yet: that the client has not ended, and that the process was not stopped since the loop's checks.
 func (l *Loop) sendRequest(session *session, generation int, c *relay.Conn) {
 	session.requestSent = true
-	text := session.request.Onward(session.attemptDeadline - l.now)
+	text := session.request.WithTimeout(session.attemptDeadline - l.now)
 	checkedAt := time.Now()
 	go func() {
 		err := c.CheckOpen()
@@ -164,20 +164,20 @@
 // handleResponse handles a server's line before the session is established.
 func (l *Loop) handleResponse(session *session, line protocol.Line) {
 	switch {
-	case line.Bad != nil && line.Kind != protocol.Busy:
-		l.attemptEnded(session, policy.Failed, line.Bad)
-	case line.Kind == protocol.Up && session.record != nil:
+	case line.Err != nil && line.Kind != protocol.KindRejected:
+		l.attemptEnded(session, policy.Failed, line.Err)
+	case line.Kind == protocol.KindEstablished && session.record != nil:
 		l.commitAnswer(session, line)
-	case line.Kind == protocol.Up:
+	case line.Kind == protocol.KindEstablished:
 		l.sessionEstablished(session, line)
-	case line.Kind == protocol.Busy:
+	case line.Kind == protocol.KindRejected:
 		l.attemptEnded(session, policy.Rejected, nil)
-	case line.Kind == protocol.Load:
-		l.recordLoad(session, line.Figure)
+	case line.Kind == protocol.KindLoad:
+		l.recordLoad(session, line.Value)
 		session.upstreamConn.AwaitLine()
-	case line.Kind == protocol.Move:
+	case line.Kind == protocol.KindMigrate:
 		l.attemptEnded(session, policy.Cancelled, nil)
-	case line.Kind == protocol.Bye:
+	case line.Kind == protocol.KindEnded:
 		l.servedWithoutSession(session, line)
 	default:
 		l.attemptEnded(session, policy.Failed, nil)
@@ -207,7 +207,7 @@
 	if !l.isCurrent(session) {
 		return
 	}
-	server := l.serversByUID[session.request.At]
+	server := l.serversByUID[session.request.StickyEndpoint]
 	if server == nil || server.address == "" {
 		l.retryReattach(session)
 		return
@@ -221,7 +221,7 @@
 func (l *Loop) retryReattach(session *session) {
 	if l.now+reattachInterval >= session.deadline {
 		l.Failed.Add(1)
-		l.endUnserved(session, protocol.ErrLine)
+		l.endUnserved(session, protocol.FailLine)
 		return
 	}
 	l.after(reattachInterval, func() { l.reattach(session) })
--- a/internal/balancer/client_left_test.go
+++ b/internal/balancer/client_left_test.go
@@ -167,7 +167,7 @@
 			y.l.takeOverClient(fd, fmt.Appendf(nil, openLine, 2))
 			y.l.mu.Lock()
 			y.l.inbox = y.l.inbox[:1]
-			if got := y.l.inbox[0].lines; len(got) != 1 || got[0].Kind != protocol.Open {
+			if got := y.l.inbox[0].lines; len(got) != 1 || got[0].Kind != protocol.KindOpen {
 				t.Errorf("%v", got)
 			}
 			y.l.mu.Unlock()
--- a/internal/balancer/conn.go
+++ b/internal/balancer/conn.go
@@ -127,11 +127,11 @@
 	for !c.readingStopped {
 		line, ok, err := c.splitter.Next()
 		if err != nil {
-			line = protocol.Line{Bad: err}
+			line = protocol.Line{Err: err}
 			ok = true
 			c.readingStopped = true
 		}
-		sentTooMuch := c.phase.Load() == expectNothing && c.splitter.Held()
+		sentTooMuch := c.phase.Load() == expectNothing && c.splitter.HasBuffered()
 		if !ok && !sentTooMuch {
 			break
 		}
@@ -148,23 +148,23 @@
 // checkLine marks a line that a client may not send before its session is established, and stops the reading: the session must not be
 // served before that is known. before is the number of lines that arrived with it and before it.
 func (c *conn) checkLine(line *protocol.Line, before int) {
-	if line.Bad != nil {
+	if line.Err != nil {
 		c.readingStopped = true
 		return
 	}
 	if c.phase.Load() == expectFirstLine {
-		isPing := line.Kind == protocol.Ping
+		isPing := line.Kind == protocol.KindPing
 		c.awaitsPong.Store(isPing)
 		c.idle.lineReceived(c, isPing)
 		if isPing && before < maxPings {
 			return
 		}
 		c.phase.Store(expectNothing)
-		if !isPing && !c.splitter.Held() {
+		if !isPing && !c.splitter.HasBuffered() {
 			return
 		}
 	}
-	line.Bad = protocol.ErrUnasked
+	line.Err = protocol.ErrUnexpectedData
 	c.readingStopped = true
 }
 
@@ -182,7 +182,7 @@
 		if input, err := reader.Next(reader.Len()); err == nil {
 			c.splitter.Add(input)
 		}
-		onDetached(c.splitter.Rest())
+		onDetached(c.splitter.Buffered())
 	}
 	if detached {
 		return
--- a/internal/balancer/conn_write.go
+++ b/internal/balancer/conn_write.go
@@ -116,7 +116,7 @@
 	if c.closed {
 		return
 	}
-	var unread [protocol.Longest]byte
+	var unread [protocol.MaxLineBytes]byte
 	_, _, _ = unix.Recvfrom(c.fd(), unread[:], unix.MSG_DONTWAIT) // there may be nothing
 	_, _ = unix.Write(c.fd(), line)                               // the connection is closed whether or not it takes the line
 }
--- a/internal/balancer/cost_test.go
+++ b/internal/balancer/cost_test.go
@@ -23,9 +23,9 @@
 			b.Fatal(err)
 		}
 		defer s.Close()
-		known.Servers = append(known.Servers, discovery.Server{UID: string(rune('a' + i)), Endpoint: s.Addr(), Heft: 1})
+		known.Endpoints = append(known.Endpoints, discovery.Endpoint{UID: string(rune('a' + i)), Address: s.Addr(), Weight: 1})
 	}
-	known.Whole = true
+	known.Complete = true
 	dep := &deployment.Settings{
 		Policy: &policy.Config{Balancers: 1, MaxAttempts: 4, OverloadMultiple: 3, OverloadWindow: time.Second, SlowStartFloor: 1, SlowStartWindow: time.Second,
 			Classes: []policy.Class{{SetupObjective: 10 * time.Second, PriorityWeight: 1}}},
--- a/internal/balancer/descriptors_test.go
+++ b/internal/balancer/descriptors_test.go
@@ -23,7 +23,7 @@
 			Classes: []policy.Class{{SetupObjective: time.Second, PriorityWeight: 1, Idempotency: policy.Idempotent}}},
 		Classes: map[string]int{"feed": 0}, Deadlines: []time.Duration{20 * time.Second},
 	}
-	known := discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: s.listener.Addr().String(), Heft: 1}}}
+	known := discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: s.listener.Addr().String(), Weight: 1}}}
 	l, err := New(zap.NewNop(), dep, 7, known, 64)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/balancer/dial.go
+++ b/internal/balancer/dial.go
@@ -153,8 +153,8 @@
 	h.loop.post(event{run: func() {
 		for _, load := range loads {
 			session := load.Pair.Data.(*session)
-			if line := protocol.Decode(load.Raw); line.Bad == nil && h.loop.isCurrent(session) {
-				h.loop.recordLoad(session, line.Figure)
+			if line := protocol.Decode(load.Raw); line.Err == nil && h.loop.isCurrent(session) {
+				h.loop.recordLoad(session, line.Value)
 			}
 		}
 	}})
--- a/internal/balancer/endpoint_recovery.go
+++ b/internal/balancer/endpoint_recovery.go
@@ -28,10 +28,10 @@
 	if l.fleet == nil {
 		return
 	}
-	list := discovery.List{Rev: revision, Whole: true}
+	list := discovery.List{Revision: revision, Complete: true}
 	for _, server := range l.servers {
 		if server.state != policy.Removed {
-			list.Servers = append(list.Servers, server.listed)
+			list.Endpoints = append(list.Endpoints, server.listed)
 		}
 	}
 	l.fleet.SaveEndpointList(revision, discovery.Encode(list))
@@ -62,7 +62,7 @@
 			zap.String("is", use),
 			zap.Duration("age", age),
 			zap.Uint64("rev", saved.Revision),
-			zap.Int("servers", len(list.Servers)),
+			zap.Int("servers", len(list.Endpoints)),
 			zap.Error(err))
 	}
 	switch {
@@ -83,7 +83,7 @@
 
 // hasInitialListSince reports whether the list from before the start is as new as that revision.
 func (l *Loop) hasInitialListSince(revision uint64) bool {
-	return l.initialList.Whole && l.initialList.Rev >= revision && len(l.initialList.Servers) > 0
+	return l.initialList.Complete && l.initialList.Revision >= revision && len(l.initialList.Endpoints) > 0
 }
 
 // useRecoveredList lists servers, which is enough to be ready.
@@ -96,7 +96,7 @@
 // checkCandidates checks the servers of a list one by one.
 func (l *Loop) checkCandidates(list discovery.List) {
 	c := &candidates{loop: l}
-	for _, server := range list.Servers {
+	for _, server := range list.Endpoints {
 		if server.State == policy.Ready {
 			c.pending = append(c.pending, server)
 		}
@@ -107,9 +107,9 @@
 // candidates are the servers of an old list.
 type candidates struct {
 	loop       *Loop
-	pending    []discovery.Server // to be checked in this round
-	unanswered []discovery.Server // did not answer in this round
-	alive      []discovery.Server // answered
+	pending    []discovery.Endpoint // to be checked in this round
+	unanswered []discovery.Endpoint // did not answer in this round
+	alive      []discovery.Endpoint // answered
 	inFlight   int
 	rounds     int
 }
@@ -137,7 +137,7 @@
 }
 
 // check asks a server whether it answers.
-func (c *candidates) check(server discovery.Server) {
+func (c *candidates) check(server discovery.Endpoint) {
 	l := c.loop
 	l.Candidates.Add(1)
 	done := false
@@ -150,24 +150,24 @@
 		dial.cancel()
 		c.checked(server, answered)
 	}
-	dial = l.dial(server.Endpoint, maxConnectTimeout, nil, func(conn *relay.Conn, err error) {
+	dial = l.dial(server.Address, maxConnectTimeout, nil, func(conn *relay.Conn, err error) {
 		if err != nil || conn.CheckOpen() != nil || conn.WriteFirst(protocol.PingLine) != nil {
 			finish(false)
 			return
 		}
 		conn.AwaitLine()
 	})
-	dial.onLine = func(_ *relay.Conn, line protocol.Line) { finish(line.Bad == nil && line.Kind == protocol.Pong) }
+	dial.onLine = func(_ *relay.Conn, line protocol.Line) { finish(line.Err == nil && line.Kind == protocol.KindPong) }
 	dial.onDisconnected = func(*relay.Conn, error) { finish(false) }
 	l.after(maxConnectTimeout+l.probeTimeout(), func() { finish(false) })
 }
 
 // checked handles the end of a check: a server that has answered is listed.
-func (c *candidates) checked(server discovery.Server, answered bool) {
+func (c *candidates) checked(server discovery.Endpoint, answered bool) {
 	c.inFlight--
 	if answered && !c.loop.hasCurrentList {
 		c.alive = append(c.alive, server)
-		c.loop.useRecoveredList(discovery.List{Whole: true, Servers: c.alive})
+		c.loop.useRecoveredList(discovery.List{Complete: true, Endpoints: c.alive})
 	} else {
 		c.unanswered = append(c.unanswered, server)
 	}
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -19,7 +19,7 @@
 	id         policy.EndpointID
 	address    string
 	state      policy.EndpointState
-	listed     discovery.Server // the newest entry of the endpoint list
+	listed     discovery.Endpoint // the newest entry of the endpoint list
 	probeTimes probeTimes
 	// speedStep is the speed of the server's machine, in steps above the median machine.
 	speedStep int
@@ -50,7 +50,7 @@
 		func(list discovery.List) { postIfWatched(func() { l.applyList(list, false) }) },
 		func(err error) { postIfWatched(func() { l.discoveryFailed(err) }) })
 	if isFirst { // another discovery numbers its lists by itself
-		watch.From(l.initialList)
+		watch.StartFrom(l.initialList)
 		l.initialList = discovery.List{}
 	}
 	ctx, l.stopWatch = context.WithCancel(ctx)
@@ -64,23 +64,23 @@
 // applyList applies an endpoint list. isInitial marks a list that is not from discovery but from before.
 func (l *Loop) applyList(list discovery.List, isInitial bool) {
 	listed := map[policy.EndpointID]bool{}
-	endpoints := make([]policy.Endpoint, 0, len(list.Servers))
-	for _, entry := range list.Servers {
+	endpoints := make([]policy.Endpoint, 0, len(list.Endpoints))
+	for _, entry := range list.Endpoints {
 		endpoint := l.applyEntry(entry)
 		listed[endpoint.ID] = true
 		endpoints = append(endpoints, endpoint)
 	}
-	if list.Whole {
+	if list.Complete {
 		l.removeUnlisted(listed)
 	}
-	l.policy.UpdateEndpoints(endpoints, list.Whole || isInitial)
+	l.policy.UpdateEndpoints(endpoints, list.Complete || isInitial)
 	if !isInitial {
 		l.listReceived(list)
 	}
 }
 
 // applyEntry applies a server's entry in the endpoint list and describes the server to the policy.
-func (l *Loop) applyEntry(entry discovery.Server) policy.Endpoint {
+func (l *Loop) applyEntry(entry discovery.Endpoint) policy.Endpoint {
 	id := policy.EndpointID(protocol.Hash(entry.UID))
 	server := l.servers[id]
 	if server == nil {
@@ -88,17 +88,17 @@
 		l.servers[id] = server
 		l.serversByUID[entry.UID] = server
 	}
-	if entry.Endpoint != "" {
-		server.address = entry.Endpoint
+	if entry.Address != "" {
+		server.address = entry.Address
 	}
 	if server.listed != entry {
 		l.log.Info("listed",
 			zap.String("server", entry.UID),
-			zap.String("address", entry.Endpoint),
+			zap.String("address", entry.Address),
 			zap.Uint8("state", uint8(entry.State)),
-			zap.Time("boot", entry.Boot))
+			zap.Time("boot", entry.StartedAt))
 	}
-	if !server.listed.Boot.Equal(entry.Boot) { // another process, possibly on another machine
+	if !server.listed.StartedAt.Equal(entry.StartedAt) { // another process, possibly on another machine
 		server.probeTimes = probeTimes{}
 		server.speedStep = 0
 	}
@@ -109,14 +109,14 @@
 		zone = len(l.deployment.Zones)
 	}
 	startedAt := policy.StartedLongAgo
-	if !entry.Boot.IsZero() {
-		startedAt = entry.Boot.Sub(l.startTime)
+	if !entry.StartedAt.IsZero() {
+		startedAt = entry.StartedAt.Sub(l.startTime)
 	}
 	return policy.Endpoint{
 		ID:            id,
 		Zone:          zone,
-		FailureDomain: entry.Cell,
-		MachineType:   protocol.Hash(entry.Model),
+		FailureDomain: entry.FailureDomain,
+		MachineType:   protocol.Hash(entry.MachineType),
 		State:         entry.State,
 		Weight:        server.weight(),
 		StartedAt:     startedAt,
@@ -128,7 +128,7 @@
 	for id, server := range l.servers {
 		if !listed[id] {
 			server.state = policy.Removed
-			server.listed = discovery.Server{}
+			server.listed = discovery.Endpoint{}
 		}
 	}
 }
@@ -136,11 +136,11 @@
 // listReceived notes that discovery has answered, and goes on with what waited for that.
 func (l *Loop) listReceived(list discovery.List) {
 	l.log.Debug("list",
-		zap.Uint64("rev", list.Rev),
-		zap.Bool("whole", list.Whole),
-		zap.Int("entries", len(list.Servers)))
+		zap.Uint64("rev", list.Revision),
+		zap.Bool("whole", list.Complete),
+		zap.Int("entries", len(list.Endpoints)))
 	l.Lists.Add(1)
-	l.saveList(list.Rev)
+	l.saveList(list.Revision)
 	l.freshListDeadline = l.now
 	l.runDeferred()
 	if !l.hasCurrentList {
@@ -155,7 +155,7 @@
 	if l.watch == nil || l.deployment.PollEndpointList {
 		return
 	}
-	l.watch.Again()
+	l.watch.Refresh()
 	l.freshListDeadline = l.now + freshListTimeout
 	l.after(freshListTimeout, l.runDeferred)
 }
--- a/internal/balancer/established.go
+++ b/internal/balancer/established.go
@@ -73,7 +73,7 @@
 func (l *Loop) relayTimedOut(session *session) {
 	session.closeUpstream(false)
 	l.establishedEnded(session, policy.Reset)
-	l.closeWithLine(session.client, protocol.ErrLine)
+	l.closeWithLine(session.client, protocol.FailLine)
 }
 
 // relayStarted takes the relayed connections, if the session has not ended.
@@ -108,7 +108,7 @@
 		session.migrationPending = true
 		return
 	}
-	if session.pair == nil || !session.pair.CloseWithLine(protocol.MoveLine, outcome == policy.Reset) {
+	if session.pair == nil || !session.pair.CloseWithLine(protocol.MigrateLine, outcome == policy.Reset) {
 		return // its end is on its way
 	}
 	l.Migrations.Add(1)
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -91,10 +91,10 @@
 
 // bootMillis returns when a server's process started, in milliseconds since 1970; 0 where that is unknown.
 func bootMillis(server *upstream) int64 {
-	if server.listed.Boot.IsZero() {
+	if server.listed.StartedAt.IsZero() {
 		return 0
 	}
-	return server.listed.Boot.UnixMilli()
+	return server.listed.StartedAt.UnixMilli()
 }
 
 func closeDescriptors(descriptors []int) {
--- a/internal/balancer/handover_predecessor.go
+++ b/internal/balancer/handover_predecessor.go
@@ -104,9 +104,9 @@
 // takeOverSession continues an established session here, under this process's settings.
 func (l *Loop) takeOverSession(m hotrestart.Message) {
 	line := protocol.Decode(m.Input)
-	if line.Kind != protocol.Open || line.Bad != nil || l.sessionsByClientID[line.Ask.ID] != nil {
+	if line.Kind != protocol.KindOpen || line.Err != nil || l.sessionsByClientID[line.Request.ID] != nil {
 		l.Errors.Add(1)
-		l.log.Error("a session of the old process can't be read", zap.Error(line.Bad))
+		l.log.Error("a session of the old process can't be read", zap.Error(line.Err))
 		l.migrateDetached(*m.Pair)
 		return
 	}
@@ -114,11 +114,11 @@
 	l.lastSessionID++
 	session := &session{
 		id:            l.lastSessionID,
-		request:       line.Ask,
+		request:       line.Request,
 		upstream:      server,
 		attempts:      1,
 		established:   true,
-		policyRequest: l.policyRequestOf(l.lastSessionID, line.Ask, 0),
+		policyRequest: l.policyRequestOf(l.lastSessionID, line.Request, 0),
 	}
 	session.policyRequest.Load = m.Load
 	session.client = &conn{session: session, finished: true, closed: true}
@@ -129,7 +129,7 @@
 	}
 	session.pair = pair
 	l.sessions[session.id] = session
-	l.sessionsByClientID[line.Ask.ID] = session
+	l.sessionsByClientID[line.Request.ID] = session
 	l.addOpenSession()
 	l.policy.AdoptSession(session.policyRequest, server.id)
 	if l.isHandingOver() {
@@ -145,7 +145,7 @@
 	server := &upstream{
 		id:     policy.EndpointID(protocol.Hash(uid)),
 		state:  policy.Removed,
-		listed: discovery.Server{UID: uid},
+		listed: discovery.Endpoint{UID: uid},
 	}
 	l.servers[server.id] = server
 	l.serversByUID[uid] = server
--- a/internal/balancer/handover_successor.go
+++ b/internal/balancer/handover_successor.go
@@ -189,7 +189,7 @@
 		l.logRelayError(err)
 		return
 	}
-	if pair.CloseWithLine(protocol.MoveLine, false) {
+	if pair.CloseWithLine(protocol.MigrateLine, false) {
 		l.Migrations.Add(1)
 	}
 	l.after(lingerTimeout, pair.Close)
@@ -208,7 +208,7 @@
 		c.handoverInput = firstLine
 		l.handover.unsettled++ // its descriptor is not counted any more before it is sent
 	case result == detachWriting && firstLine != nil:
-		l.closeWithLine(c, protocol.Turned(l.retryAfter()))
+		l.closeWithLine(c, protocol.RejectLine(l.retryAfter()))
 	case result == detachWriting: // the answer to a PING: the first line or the end follows
 		l.idle.add(c, l.idle.silent)
 	}
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -48,7 +48,7 @@
 
 // beginRecord begins the record of a session whose class is replicated.
 func (l *Loop) beginRecord(session *session) {
-	if l.fleet == nil || !l.fleet.IsIdempotentClass(session.request.Grade) {
+	if l.fleet == nil || !l.fleet.IsIdempotentClass(session.request.Class) {
 		return
 	}
 	l.Replicated.Add(1)
@@ -110,11 +110,11 @@
 		l.endWithAnswer(session, verdict.Answer)
 	case idempotency.Abandoned:
 		l.log.Info("fleet: failed, as another owner may have served it", zap.Stringer("circuit", session))
-		l.failSession(session, protocol.ErrLine)
+		l.failSession(session, protocol.FailLine)
 	default:
 		l.NotReplicated.Add(1)
 		l.Rejected.Add(1)
-		l.endWithAnswer(session, protocol.Turned(l.retryAfter()))
+		l.endWithAnswer(session, protocol.RejectLine(l.retryAfter()))
 	}
 }
 
@@ -170,7 +170,7 @@
 	switch {
 	case verdict.Decision == idempotency.Abandoned || hasOtherAnswer:
 		l.log.Info("fleet: failed by another owner before its answer was committed", zap.Stringer("circuit", session))
-		l.failSession(session, protocol.ErrLine)
+		l.failSession(session, protocol.FailLine)
 	case record.upstreamClosed:
 		l.endWithAnswer(session, line.Raw)
 	default:
--- a/internal/balancer/leaving_client_test.go
+++ b/internal/balancer/leaving_client_test.go
@@ -169,18 +169,18 @@
 
 // applyServers lists so many servers at the one address, in a state.
 func (y *leavingClient) applyServers(many int, state policy.EndpointState) {
-	var all []discovery.Server
+	var all []discovery.Endpoint
 	for i := range many {
-		all = append(all, discovery.Server{UID: fmt.Sprint("s-", i+1), Endpoint: y.server.listener.Addr().String(), Heft: 1, State: state})
+		all = append(all, discovery.Endpoint{UID: fmt.Sprint("s-", i+1), Address: y.server.listener.Addr().String(), Weight: 1, State: state})
 	}
-	y.l.applyList(discovery.List{Whole: true, Servers: all}, false)
+	y.l.applyList(discovery.List{Complete: true, Endpoints: all}, false)
 }
 
 // receiveLine has the loop handle the client's line in its next turn.
 func (y *leavingClient) receiveLine(text string) {
 	line := protocol.Decode([]byte(text))
-	if line.Bad != nil {
-		y.t.Fatal(line.Bad)
+	if line.Err != nil {
+		y.t.Fatal(line.Err)
 	}
 	y.conn.phase.Store(expectNothing)
 	y.l.post(event{conn: y.conn, lines: []protocol.Line{line}})
--- a/internal/balancer/lifecycle.go
+++ b/internal/balancer/lifecycle.go
@@ -66,7 +66,7 @@
 	l.policy.StartDraining(l.now+delay, l.now+timeout)
 	for _, session := range l.sessions {
 		if session.reattaching { // it would wait for its server for longer
-			l.failSession(session, protocol.ErrLine)
+			l.failSession(session, protocol.FailLine)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 		session := l.sessions[id]
 		switch {
 		case session.reattaching:
-			l.failSession(session, protocol.ErrLine)
+			l.failSession(session, protocol.FailLine)
 		case session.attemptActive:
 			l.attemptTimedOut(session, errShuttingDown)
 		}
--- a/internal/balancer/load_estimator.go
+++ b/internal/balancer/load_estimator.go
@@ -80,7 +80,7 @@
 
 // weight returns the listed weight of a server, corrected by the speed of its machine: the list may know no more than its cores.
 func (u *upstream) weight() float64 {
-	return u.listed.Heft * math.Exp2(float64(u.speedStep)/stepsPerDoubling)
+	return u.listed.Weight * math.Exp2(float64(u.speedStep)/stepsPerDoubling)
 }
 
 // estimateLoad records how long a probe of a server took and returns its load over capacity. Of a server that warms up nothing is known:
@@ -192,6 +192,6 @@
 
 // isWarmingUp reports whether a server is in its slow-start window.
 func (l *Loop) isWarmingUp(server *upstream) bool {
-	boot := server.listed.Boot
+	boot := server.listed.StartedAt
 	return !boot.IsZero() && l.now-boot.Sub(l.startTime) < l.deployment.Policy.SlowStartWindow
 }
--- a/internal/balancer/loop.go
+++ b/internal/balancer/loop.go
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	l.applyList(known, true)
-	if known.Whole && len(known.Servers) > 0 {
+	if known.Complete && len(known.Endpoints) > 0 {
 		l.after(freshListTimeout, l.markReady)
 	}
 	l.after(readyTimeout, l.markReady)
@@ -220,7 +220,7 @@
 
 // handleLine handles a line of a client whose session, if it has one, is not relayed.
 func (l *Loop) handleLine(c *conn, line protocol.Line) {
-	if line.Bad != nil {
+	if line.Err != nil {
 		l.BadLines.Add(1)
 	}
 	switch {
@@ -256,10 +256,10 @@
 	case policy.Reject:
 		l.Rejected.Add(1)
 		l.withdraw(session)
-		l.endUnserved(session, protocol.Turned(decision.Duration))
+		l.endUnserved(session, protocol.RejectLine(decision.Duration))
 	case policy.Fail:
 		l.Failed.Add(1)
-		l.endUnserved(session, protocol.ErrLine)
+		l.endUnserved(session, protocol.FailLine)
 	case policy.Migrate:
 		l.migrate(session, policy.Cancelled)
 	}
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -33,7 +33,7 @@
 			Classes: []policy.Class{{SetupObjective: 5 * time.Second, PriorityWeight: 1, Idempotency: effect}}},
 		Classes: map[string]int{"feed": 0}, Deadlines: []time.Duration{20 * time.Second},
 	}
-	known := discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: server, Heft: 1}}}
+	known := discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: server, Weight: 1}}}
 	l, err := New(zap.NewNop(), dep, 7, known, 1024)
 	if err != nil {
 		t.Fatal(err)
@@ -136,7 +136,7 @@
 		received <- string(got)
 	}()
 	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 1, Classes: []policy.Class{{}}}}
-	l, err := New(zap.NewNop(), dep, 7, discovery.List{Whole: true}, 1024)
+	l, err := New(zap.NewNop(), dep, 7, discovery.List{Complete: true}, 1024)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	session := &session{id: 1, client: &conn{netConn: nc}, upstream: &upstream{}, request: &protocol.Ask{}, attemptActive: true, generation: 1, attemptDeadline: time.Hour}
+	session := &session{id: 1, client: &conn{netConn: nc}, upstream: &upstream{}, request: &protocol.SessionRequest{}, attemptActive: true, generation: 1, attemptDeadline: time.Hour}
 	up := make(chan *relay.Conn, 1)
 	l.dial(listener.Addr().String(), 20*time.Second, session, func(c *relay.Conn, _ error) { up <- c })
 	for len(up) == 0 {
--- a/internal/balancer/probe.go
+++ b/internal/balancer/probe.go
@@ -65,7 +65,7 @@
 	}
 	request := protocol.PingLine
 	if l.deployment.Policy.HasLoadReports {
-		request = protocol.AskLoad
+		request = protocol.LoadReportRequest
 	}
 	if c.CheckOpen() != nil || c.WriteFirst(request) != nil {
 		l.finishProbe(p, policy.Reset, nil)
@@ -79,8 +79,8 @@
 	switch {
 	case p.done:
 	case p.ponged:
-		l.finishProbe(p, policy.Succeeded, line.Report())
-	case line.Kind != protocol.Pong || line.Bad != nil:
+		l.finishProbe(p, policy.Succeeded, line.LoadReport())
+	case line.Kind != protocol.KindPong || line.Err != nil:
 		l.finishProbe(p, policy.Failed, nil)
 	case l.deployment.Policy.HasLoadReports && len(line.Fields) == 0:
 		p.ponged = true
--- a/internal/balancer/race_test.go
+++ b/internal/balancer/race_test.go
@@ -78,7 +78,7 @@
 	c.mu.Lock() // the client is checked last
 	x.handleConnected()
 	held := time.Now()
-	x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.session.upstream.address, Heft: 1, State: policy.Draining}}}, false)
+	x.l.applyList(discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: x.session.upstream.address, Weight: 1, State: policy.Draining}}}, false)
 	x.waitUntil("the check is old", func() bool { return time.Since(held) > maxCheckAge })
 	c.mu.Unlock()
 	if got := x.serverInput(); got != "" {
@@ -180,8 +180,8 @@
 		{"the server resets", func(_ *steppedLoop, server net.Conn) { _ = server.(*net.TCPConn).SetLinger(0); _ = server.Close() }, "?"},
 		{"the server drains", func(x *steppedLoop, _ net.Conn) {
 			x.l.post(event{run: func() {
-				x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.session.upstream.address, Heft: 1, State: policy.Draining},
-					{UID: "s-2", Endpoint: x.session.upstream.address, Heft: 1}}}, false) // otherwise there is no server to migrate to
+				x.l.applyList(discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: x.session.upstream.address, Weight: 1, State: policy.Draining},
+					{UID: "s-2", Address: x.session.upstream.address, Weight: 1}}}, false) // otherwise there is no server to migrate to
 			}})
 		}, "UP 1\r\nMOVE\r\n"},
 		{"the process is shut down", func(x *steppedLoop, _ net.Conn) { x.l.Shutdown(0, 100*time.Millisecond, func() {}) }, "UP 1\r\nMOVE\r\n"},
@@ -251,7 +251,7 @@
 // reads its rejection and an orderly end.
 func TestAClientWithoutADescriptorIsRejected(t *testing.T) {
 	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 1, Classes: []policy.Class{{}}}}
-	l, err := New(zap.NewNop(), dep, 7, discovery.List{Whole: true}, 1024)
+	l, err := New(zap.NewNop(), dep, 7, discovery.List{Complete: true}, 1024)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -295,7 +295,7 @@
 		{"the server resets", false, func(_ *steppedLoop, server *net.TCPConn) { _ = server.SetLinger(0); _ = server.Close() }},
 		{"the server drains", false, func(x *steppedLoop, _ *net.TCPConn) {
 			x.l.post(event{run: func() {
-				x.l.applyList(discovery.List{Whole: true, Servers: []discovery.Server{{UID: "s-1", Endpoint: x.session.upstream.address, Heft: 1, State: policy.Draining}}}, false)
+				x.l.applyList(discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: x.session.upstream.address, Weight: 1, State: policy.Draining}}}, false)
 			}})
 		}},
 		{"the attempt times out", false, func(x *steppedLoop, _ *net.TCPConn) {
--- a/internal/balancer/readiness.go
+++ b/internal/balancer/readiness.go
@@ -77,7 +77,7 @@
 // readinessLine answers a PING of a client to a ready balancer.
 func (l *Loop) readinessLine() []byte {
 	if l.isOutOfService() {
-		return protocol.NoLine
+		return protocol.NotReadyLine
 	}
 	return protocol.PongLine
 }
--- a/internal/balancer/session.go
+++ b/internal/balancer/session.go
@@ -15,7 +15,7 @@
 // relayed without the loop (established.go), and ends (session_end.go).
 type session struct {
 	id            policy.SessionID
-	request       *protocol.Ask
+	request       *protocol.SessionRequest
 	client        *conn
 	policyRequest policy.SessionRequest // with the newest load that its server reported
 	// deadline is when the client must have its answer, on the loop's clock.
--- a/internal/balancer/session_end.go
+++ b/internal/balancer/session_end.go
@@ -42,7 +42,7 @@
 // unexpectedLine ends a session whose client sent more before its answer.
 func (l *Loop) unexpectedLine(session *session) {
 	l.UnexpectedLines.Add(1)
-	l.failSession(session, protocol.BadLine)
+	l.failSession(session, protocol.SyntaxErrorLine)
 }
 
 // clientDisconnected handles the end of a client's connection that this balancer did not ask for.
@@ -53,7 +53,7 @@
 		l.Errors.Add(1)
 		l.log.Info("connection broken", zap.Error(disconnect))
 		if current && !session.established {
-			l.failSession(session, protocol.ErrLine) // its client is still owed the answer
+			l.failSession(session, protocol.FailLine) // its client is still owed the answer
 			return
 		}
 		c.abort()
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -96,13 +96,13 @@
 
 // currentList returns the servers that are listed now, in the order of their names.
 func (l *Loop) currentList() discovery.List {
-	list := discovery.List{Whole: true}
+	list := discovery.List{Complete: true}
 	for _, server := range l.servers {
 		if server.state != policy.Removed {
-			list.Servers = append(list.Servers, server.listed)
+			list.Endpoints = append(list.Endpoints, server.listed)
 		}
 	}
-	slices.SortFunc(list.Servers, func(a, b discovery.Server) int { return cmp.Compare(a.UID, b.UID) })
+	slices.SortFunc(list.Endpoints, func(a, b discovery.Endpoint) int { return cmp.Compare(a.UID, b.UID) })
 	return list
 }
 
--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -113,9 +113,9 @@
 		inForce = s
 		fmt.Fprintf(&text, "%s: name %s, listen %s, discovery %s, mgmt %s, seed %d, cores %v, memory %d, sockets %d, gossip at %v to %v, fixed %q, "+
 			"revision %d, whole %v\n", c.name, s.Name, s.Listen, s.Discovery, s.Admin, s.Seed, s.Cores, s.MemoryMB, s.MaxSockets, s.Gossip.Listen, s.Gossip.Peers,
-			s.StartupOnly, s.InitialEndpoints.Rev, s.InitialEndpoints.Whole)
-		for _, server := range s.InitialEndpoints.Servers {
-			fmt.Fprintln(&text, server.UID, server.Endpoint, server.Zone, server.Cell, server.Model, uint8(server.State), server.Heft, server.Boot.UnixMilli())
+			s.StartupOnly, s.InitialEndpoints.Revision, s.InitialEndpoints.Complete)
+		for _, server := range s.InitialEndpoints.Endpoints {
+			fmt.Fprintln(&text, server.UID, server.Address, server.Zone, server.FailureDomain, server.MachineType, uint8(server.State), server.Weight, server.StartedAt.UnixMilli())
 		}
 		text.WriteString(describe(s.Settings))
 	}
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -13,10 +13,10 @@
 	for _, servers := range []int{100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 2))
-			l := List{Rev: 1 << 20, Whole: true}
+			l := List{Revision: 1 << 20, Complete: true}
 			for i := range servers {
-				l.Servers = append(l.Servers, Server{UID: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()), Zone: fmt.Sprintf("zone-%02d", i%11),
-					Endpoint: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), Cell: i % 40, State: policy.Ready, Heft: 1})
+				l.Endpoints = append(l.Endpoints, Endpoint{UID: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()), Zone: fmt.Sprintf("zone-%02d", i%11),
+					Address: fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), FailureDomain: i % 40, State: policy.Ready, Weight: 1})
 			}
 			size := 0
 			b.ReportAllocs()
@@ -24,8 +24,8 @@
 			for range b.N {
 				text := Encode(l)
 				got, err := Decode(text)
-				if err != nil || len(got.Servers) != servers {
-					b.Fatal(len(got.Servers), err)
+				if err != nil || len(got.Endpoints) != servers {
+					b.Fatal(len(got.Endpoints), err)
 				}
 				size = len(text)
 			}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,13 +12,13 @@
 
 func TestAnAnswerIsRead(t *testing.T) {
 	l, err := Decode([]byte(answer))
-	if err != nil || l.Rev != 43 || l.Whole || len(l.Servers) != 2 {
+	if err != nil || l.Revision != 43 || l.Complete || len(l.Endpoints) != 2 {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	want := Server{UID: "s-5be2a07c", Endpoint: "10.1.0.18:8080", Zone: "a", Cell: 3, Model: "m2", State: policy.Draining, Heft: 1.5,
-		Boot: time.UnixMilli(1500)}
-	if l.Servers[0] != want || l.Servers[1].State != policy.Removed || l.Servers[1].Heft != 1 {
-		t.Fatalf("%+v", l.Servers)
+	want := Endpoint{UID: "s-5be2a07c", Address: "10.1.0.18:8080", Zone: "a", FailureDomain: 3, MachineType: "m2", State: policy.Draining, Weight: 1.5,
+		StartedAt: time.UnixMilli(1500)}
+	if l.Endpoints[0] != want || l.Endpoints[1].State != policy.Removed || l.Endpoints[1].Weight != 1 {
+		t.Fatalf("%+v", l.Endpoints)
 	}
 }
 
@@ -32,11 +32,11 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l, err := Decode(text)
-		if err != nil && len(l.Servers) > 0 {
+		if err != nil && len(l.Endpoints) > 0 {
 			t.Fatalf("%+v beside %v", l, err)
 		}
-		for _, s := range l.Servers {
-			if s.UID == "" || s.Endpoint == "" && s.State != policy.Removed || !(s.Heft > 0) {
+		for _, s := range l.Endpoints {
+			if s.UID == "" || s.Address == "" && s.State != policy.Removed || !(s.Weight > 0) {
 				t.Fatalf("%+v", s)
 			}
 		}
--- a/internal/discovery/reach_test.go
+++ b/internal/discovery/reach_test.go
@@ -202,7 +202,7 @@
 			a, heard := &asker{service: s}, false
 			all.Add(1)
 			w := New("desk", among, true, func(l List) {
-				if l.Rev != 51 || heard {
+				if l.Revision != 51 || heard {
 					return
 				}
 				heard = true
@@ -215,7 +215,7 @@
 				p.over = max(p.over, at-max(what.to+6*time.Second, a.lost+2*time.Second))
 			}, func(error) {})
 			if !reload {
-				w.From(known)
+				w.StartFrom(known)
 			}
 			w.client.Transport = a
 			go w.Run(ctx)
@@ -343,7 +343,7 @@
 		default:
 		}
 	}, func(error) {})
-	w.From(known)
+	w.StartFrom(known)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go w.Run(ctx)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -24,16 +24,16 @@
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Body: io.NopCloser(strings.NewReader(text))}, r.Context().Err()
 }
 
-var known = List{Rev: 41, Whole: true, Servers: []Server{{UID: "s"}}}
+var known = List{Revision: 41, Complete: true, Endpoints: []Endpoint{{UID: "s"}}}
 
 // TestWhatIsAskedAfterEachAnswer has a busy discovery, which has lost no change, asked on from the known list, and one that
 // can't be read for the whole list, as a change may hide there.
 func TestWhatIsAskedAfterEachAnswer(t *testing.T) {
 	w := &Watch{shared: true}
 	const busy, news, whole, on = "503", `{"rev":50,"all":false,"targets":[]}`, "", "from=41&"
-	for _, l := range []List{{}, {Rev: 41}, {Rev: 41, Whole: true}, known} {
-		if w.From(l); w.whole != (len(l.Servers) > 0) {
-			t.Errorf("goes on from %+v: %v", l, w.whole)
+	for _, l := range []List{{}, {Revision: 41}, {Revision: 41, Complete: true}, known} {
+		if w.StartFrom(l); w.hasList != (len(l.Endpoints) > 0) {
+			t.Errorf("goes on from %+v: %v", l, w.hasList)
 		}
 	}
 	type steps = []string
@@ -45,7 +45,7 @@
 			var mu sync.Mutex // a call may be asked for again beside itself
 			var asked []string
 			w := New("desk", 2, true, func(List) {}, func(error) {})
-			w.From(known)
+			w.StartFrom(known)
 			w.client.Transport = answers(func(r *http.Request) (int, string) {
 				mu.Lock()
 				asked = append(asked, r.URL.RawQuery)
@@ -79,19 +79,19 @@
 func TestOnlyASharedDiscoveryIsAskedMoreSeldomByMany(t *testing.T) {
 	few, many, shared, huge := New("", 2, false, nil, nil), New("", 80, false, nil, nil), New("", 80, true, nil, nil), New("", 1e5, true, nil, nil)
 	for _, w := range []*Watch{few, many} {
-		if w.hold > time.Second || w.hold+w.lag > 1500*time.Millisecond || answerIn >= 2*time.Second || w.most > 250*time.Millisecond || w.start > 0 {
+		if w.hold > time.Second || w.hold+w.lateAfter > 1500*time.Millisecond || responseTimeout >= 2*time.Second || w.maxBackoff > 250*time.Millisecond || w.maxStartDelay > 0 {
 			t.Errorf("%+v", w)
 		}
 	}
-	if shared.hold != 40*time.Second || shared.lag > time.Second || huge.hold != shareMost {
+	if shared.hold != 40*time.Second || shared.lateAfter > time.Second || huge.hold != sharedMaxHold {
 		t.Errorf("%+v, %+v", shared, huge)
 	}
 	for among, w := range map[int]*Watch{2: New("", 2, true, nil, nil), 35: New("", 35, true, nil, nil), 80: shared, 1e5: huge} {
 		// Two turns fit nowhere into the 6 s of one: what is asked a turn after discovery's return has over a second for its answer.
-		if w.start >= 3500*time.Millisecond || w.turn > 4800*time.Millisecond || w.round > 10*time.Second || among >= 12 && w.turn < 4*time.Second {
+		if w.maxStartDelay >= 3500*time.Millisecond || w.turn > 4800*time.Millisecond || w.round > 10*time.Second || among >= 12 && w.turn < 4*time.Second {
 			t.Errorf("%d: %+v", among, w)
 		}
-		if w.From(known); w.start >= 5*time.Second {
+		if w.StartFrom(known); w.maxStartDelay >= 5*time.Second {
 			t.Errorf("%d: %+v", among, w)
 		}
 	}
@@ -124,7 +124,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					start, heard := time.Now(), make(chan time.Duration, 1)
 					w := New("agent", c.among, c.shared, func(l List) {
-						if l.Rev == 51 && len(heard) == 0 {
+						if l.Revision == 51 && len(heard) == 0 {
 							heard <- time.Since(start)
 						}
 					}, func(error) {})
@@ -183,7 +183,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		start, calls, heard := time.Now(), atomic.Int64{}, make(chan time.Duration, 1)
 		w := New("agent", 3, false, func(l List) {
-			if l.Rev == 51 && len(heard) == 0 {
+			if l.Revision == 51 && len(heard) == 0 {
 				heard <- time.Since(start)
 			}
 		}, func(error) {})
@@ -223,11 +223,11 @@
 			start := func(ctx context.Context, n int) {
 				for range n {
 					w := New("desk", 80, shared, func(l List) {
-						if l.Rev == 42 {
+						if l.Revision == 42 {
 							count.Add(1)
 						}
 					}, func(error) {})
-					w.From(known)
+					w.StartFrom(known)
 					w.client.Transport = desk
 					go w.Run(ctx)
 				}
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -179,11 +179,11 @@
 		return load.Failed, 0, false
 	}
 	ln := protocol.Decode(bytes.Clone(raw))
-	if ln.Kind != protocol.Up {
-		note(history.Answered, history.Event{Text: map[bool]string{true: "busy", false: "err"}[ln.Kind == protocol.Busy]})
+	if ln.Kind != protocol.KindEstablished {
+		note(history.Answered, history.Event{Text: map[bool]string{true: "busy", false: "err"}[ln.Kind == protocol.KindRejected]})
 		p.rest(nc, r, note)
-		if ln.Kind == protocol.Busy {
-			return load.Rejected, time.Duration(ln.Figure) * time.Millisecond, false
+		if ln.Kind == protocol.KindRejected {
+			return load.Rejected, time.Duration(ln.Value) * time.Millisecond, false
 		}
 		return load.Failed, 0, false
 	}
@@ -267,7 +267,7 @@
 					c.Meter.Message(due, now-due, c.MessageInterval, now-due <= c.MessageObjective)
 				}
 				mu.Unlock()
-			case bytes.HasPrefix(raw, protocol.MoveLine):
+			case bytes.HasPrefix(raw, protocol.MigrateLine):
 				how = load.Moved
 				c.Meter.Move(now)
 				note(history.Moved, history.Event{})
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -32,7 +32,7 @@
 	// minDelay is the shortest delay that is waited for by a timer.
 	minDelay       = time.Millisecond / 2
 	dripInterval   = 20 * time.Millisecond
-	maxLine        = protocol.Longest
+	maxLine        = protocol.MaxLineBytes
 	drainInterval  = 250 * time.Millisecond
 	readBufferSize = 4096
 )
@@ -211,7 +211,7 @@
 		}
 		rounds := max(1, int((by-s.clock.Now())/drainInterval))
 		for _, e := range up[:(len(up)+rounds-1)/rounds] {
-			e.write(protocol.MoveLine)
+			e.write(protocol.MigrateLine)
 			e.end("server", false)
 		}
 		select {
--- a/internal/lab/emulator/server_session.go
+++ b/internal/lab/emulator/server_session.go
@@ -75,20 +75,20 @@
 			continue
 		}
 		switch line := protocol.Decode(append([]byte(nil), raw...)); {
-		case line.Bad != nil:
+		case line.Err != nil:
 			s.write([]byte("SYNTAX\r\n"))
 			endedBy = "server"
 			return
-		case line.Kind == protocol.Ping:
+		case line.Kind == protocol.KindPing:
 			s.write(protocol.PongLine)
-		case string(raw) == string(protocol.AskLoad):
+		case string(raw) == string(protocol.LoadReportRequest):
 			s.server.mu.Lock()
 			s.server.model.Advance(s.server.clock.Now())
 			utilization, backlog := s.server.model.Utilization(s.server.clock.Now()), s.server.model.Backlog().Seconds()
 			s.server.mu.Unlock()
 			s.write(fmt.Appendf(nil, "PONG x0=%.4f,x1=%.4f\r\n", utilization, backlog))
-		case line.Kind == protocol.Open && !s.requested:
-			s.answerOpen(line.Ask, firstByteAt)
+		case line.Kind == protocol.KindOpen && !s.requested:
+			s.answerOpen(line.Request, firstByteAt)
 		default:
 			s.write([]byte("SYNTAX\r\n"))
 			endedBy = "server"
@@ -98,11 +98,11 @@
 }
 
 // answerOpen admits a session, or rejects it, and answers once the model's time has passed.
-func (s *serverSession) answerOpen(ask *protocol.Ask, firstByteAt time.Duration) {
+func (s *serverSession) answerOpen(ask *protocol.SessionRequest, firstByteAt time.Duration) {
 	server := s.server
 	now := server.clock.Now()
 	s.requested = true
-	s.number, s.load, s.group = ask.ID, ask.Hint, ask.Group
+	s.number, s.load, s.group = ask.ID, ask.LoadHint, ask.Group
 	if s.load == 0 {
 		s.load = 1
 	}
--- a/internal/lab/emulator/standin_test.go
+++ b/internal/lab/emulator/standin_test.go
@@ -213,12 +213,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go discovery.New(a.Addr(), 1, false, func(l discovery.List) { lists <- l }, func(err error) { errs <- err }).Run(ctx)
-	if l := <-lists; !l.Whole || len(l.Servers) != 1 || l.Servers[0].Heft != 2 {
+	if l := <-lists; !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Weight != 2 {
 		t.Fatal(l)
 	}
 	wait(t, log, history.Notified, "ready")
 	list.SetState(ctx, "s-9", Terminating, 0, false)
-	if l := <-lists; l.Whole || len(l.Servers) != 1 {
+	if l := <-lists; l.Complete || len(l.Endpoints) != 1 {
 		t.Fatal(l)
 	}
 	if e := wait(t, log, history.Notified, "draining"); e.Balancer != 2 || e.Server != 9 {
@@ -229,7 +229,7 @@
 		<-errs
 	}
 	a.Misbehave(Healthy)
-	if l := <-lists; !l.Whole {
+	if l := <-lists; !l.Complete {
 		t.Fatal(l)
 	}
 	a.UseHub(NewWatchHub(time.Hour, time.Millisecond))
--- a/internal/lab/reference/reference.go
+++ b/internal/lab/reference/reference.go
@@ -55,7 +55,7 @@
 // session is one client's session; its fields are guarded by the host's lock.
 type session struct {
 	id          policy.SessionID
-	ask         *protocol.Ask
+	ask         *protocol.SessionRequest
 	client      net.Conn
 	server      net.Conn
 	endpoint    policy.EndpointID
@@ -138,9 +138,9 @@
 		case policy.StartAttempt:
 			h.startAttempt(c, d.Endpoint, d.Duration)
 		case policy.Reject:
-			h.answer(c, protocol.Turned(d.Duration))
+			h.answer(c, protocol.RejectLine(d.Duration))
 		case policy.Fail:
-			h.answer(c, protocol.ErrLine)
+			h.answer(c, protocol.FailLine)
 		case policy.Migrate:
 			if c.established {
 				h.moveSession(c, policy.Cancelled)
@@ -161,37 +161,37 @@
 func (h *Host) updateEndpoints(l discovery.List, known bool) {
 	var lines []policy.Endpoint
 	named := map[policy.EndpointID]bool{}
-	add := func(id policy.EndpointID, s discovery.Server) {
+	add := func(id policy.EndpointID, s discovery.Endpoint) {
 		zone, told := h.settings.Zones[s.Zone]
 		if !told {
 			zone = len(h.settings.Zones)
 		}
 		started := policy.StartedLongAgo
-		if !s.Boot.IsZero() {
-			started = s.Boot.Sub(h.start)
+		if !s.StartedAt.IsZero() {
+			started = s.StartedAt.Sub(h.start)
 		}
 		state := s.State
 		if h.broken == SendsToDrained {
 			state = policy.Ready
 		}
 		h.state[id] = state
-		lines = append(lines, policy.Endpoint{ID: id, Zone: zone, FailureDomain: s.Cell, State: state, Weight: s.Heft, StartedAt: started})
+		lines = append(lines, policy.Endpoint{ID: id, Zone: zone, FailureDomain: s.FailureDomain, State: state, Weight: s.Weight, StartedAt: started})
 	}
-	for _, s := range l.Servers {
+	for _, s := range l.Endpoints {
 		id := policy.EndpointID(protocol.Hash(s.UID))
 		named[id] = true
-		if s.Endpoint != "" {
-			h.address[id] = s.Endpoint
+		if s.Address != "" {
+			h.address[id] = s.Address
 		}
 		h.byUID[s.UID] = id
 		add(id, s)
 	}
-	h.decider.UpdateEndpoints(lines, l.Whole && h.broken != SendsToDrained || known)
+	h.decider.UpdateEndpoints(lines, l.Complete && h.broken != SendsToDrained || known)
 }
 
 // serve reads a client's first line and opens its session.
 func (h *Host) serve(client net.Conn) {
-	r := bufio.NewReaderSize(client, protocol.Longest)
+	r := bufio.NewReaderSize(client, protocol.MaxLineBytes)
 	for {
 		raw, err := r.ReadSlice('\n')
 		if err != nil {
@@ -199,20 +199,20 @@
 			return
 		}
 		ln := protocol.Decode(bytes.Clone(raw))
-		if ln.Bad == nil && ln.Kind == protocol.Ping {
+		if ln.Err == nil && ln.Kind == protocol.KindPing {
 			_, _ = client.Write(protocol.PongLine)
 			continue
 		}
 		class, known := 0, false
-		if ln.Ask != nil {
-			class, known = h.settings.Classes[ln.Ask.Grade]
+		if ln.Request != nil {
+			class, known = h.settings.Classes[ln.Request.Class]
 		}
-		if ln.Bad != nil || ln.Kind != protocol.Open || !known || !ln.Ask.Limited {
-			_, _ = client.Write(protocol.BadLine)
+		if ln.Err != nil || ln.Kind != protocol.KindOpen || !known || !ln.Request.HasTimeout {
+			_, _ = client.Write(protocol.SyntaxErrorLine)
 			_ = client.Close()
 			return
 		}
-		c := &session{ask: ln.Ask, client: client}
+		c := &session{ask: ln.Request, client: client}
 		h.update(func() {
 			h.last++
 			c.id = h.last
@@ -220,7 +220,7 @@
 			if h.broken == NeverAnswers && c.id%breakOneIn == 0 {
 				return
 			}
-			h.decider.AddSession(policy.SessionRequest{ID: c.id, Key: ln.Ask.Key, Group: ln.Ask.Group, Class: class, Load: ln.Ask.Hint, Timeout: ln.Ask.Left - answerMargin})
+			h.decider.AddSession(policy.SessionRequest{ID: c.id, Key: ln.Request.Key, Group: ln.Request.Group, Class: class, Load: ln.Request.LoadHint, Timeout: ln.Request.Timeout - answerMargin})
 		})
 		h.relayFromClient(c, r)
 		return
--- a/internal/lab/reference/session.go
+++ b/internal/lab/reference/session.go
@@ -55,7 +55,7 @@
 func (h *Host) answer(c *session, text []byte) {
 	h.endSession(c)
 	if h.broken == AnswersTwice && c.id%breakOneIn == 0 {
-		text = append(bytes.Clone(text), protocol.ErrLine...)
+		text = append(bytes.Clone(text), protocol.FailLine...)
 	}
 	_, _ = c.client.Write(text)
 	closeGracefully(c.client)
@@ -83,7 +83,7 @@
 func (h *Host) moveSession(c *session, how policy.Outcome) {
 	id, attempt := c.id, c.attempts-1
 	h.endSession(c)
-	_, _ = c.client.Write(protocol.MoveLine)
+	_, _ = c.client.Write(protocol.MigrateLine)
 	closeGracefully(c.client)
 	c.dropServer()
 	h.decider.AttemptEnded(id, attempt, true, how)
@@ -126,7 +126,7 @@
 	if h.broken == TwoAttempts && c.id%breakOneIn == 0 {
 		for other, address := range h.address {
 			if other != id && h.state[other] == policy.Ready {
-				go sendCopy(address, c.ask.Onward(within))
+				go sendCopy(address, c.ask.WithTimeout(within))
 				break
 			}
 		}
@@ -157,7 +157,7 @@
 			live = false
 		default:
 			c.server = nc
-			_, _ = nc.Write(c.ask.Onward(within - time.Since(c.attemptAt)))
+			_, _ = nc.Write(c.ask.WithTimeout(within - time.Since(c.attemptAt)))
 		}
 	})
 	if !live {
@@ -171,7 +171,7 @@
 
 // relayFromServer relays a server's lines until its end.
 func (h *Host) relayFromServer(c *session, nc net.Conn) {
-	r := bufio.NewReaderSize(nc, protocol.Longest)
+	r := bufio.NewReaderSize(nc, protocol.MaxLineBytes)
 	for {
 		raw, err := r.ReadSlice('\n')
 		stop := false
@@ -180,7 +180,7 @@
 		open := c.established
 		if mine && err == nil && open {
 			c.answeredAt, c.asked = time.Now(), time.Time{}
-			if bytes.HasPrefix(raw, protocol.MoveLine) || bytes.HasPrefix(raw, []byte("BYE")) {
+			if bytes.HasPrefix(raw, protocol.MigrateLine) || bytes.HasPrefix(raw, []byte("BYE")) {
 				c.moved = true
 			}
 		}
@@ -221,7 +221,7 @@
 		h.decider.AttemptEnded(id, attempt, true, how)
 	case err != nil:
 		h.attemptEnded(c, policy.Reset)
-	case ln.Kind == protocol.Up:
+	case ln.Kind == protocol.KindEstablished:
 		c.generation++
 		c.attempting, c.established, c.answeredAt = false, true, time.Now()
 		h.decider.AttemptEstablished(c.id, c.attempts-1, time.Since(c.attemptAt))
@@ -230,10 +230,10 @@
 		}
 		_, _ = c.client.Write(raw)
 		return false
-	case ln.Kind == protocol.Load:
-		h.decider.RecordLoad(c.id, c.attempts-1, ln.Figure)
+	case ln.Kind == protocol.KindLoad:
+		h.decider.RecordLoad(c.id, c.attempts-1, ln.Value)
 		return false
-	case ln.Kind == protocol.Busy:
+	case ln.Kind == protocol.KindRejected:
 		h.attemptEnded(c, policy.Rejected)
 	default:
 		h.attemptEnded(c, policy.Failed)
@@ -257,12 +257,12 @@
 			_ = c.SetDeadline(time.Now().Add(healthCheckTimeout))
 			text := protocol.PingLine
 			if h.settings.Policy.HasLoadReports {
-				text = protocol.AskLoad
+				text = protocol.LoadReportRequest
 			}
 			_, _ = c.Write(text)
 			raw, err := bufio.NewReader(c).ReadBytes('\n')
 			_ = c.Close()
-			if ln := protocol.Decode(raw); err == nil && ln.Kind == protocol.Pong {
+			if ln := protocol.Decode(raw); err == nil && ln.Kind == protocol.KindPong {
 				how = policy.Succeeded
 				if x, told := ln.Fields["x0"]; told {
 					report.Demand = x
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -13,37 +13,37 @@
 	"time"
 )
 
-// Longest is the longest line, its ending included.
-const Longest = 4096
+// MaxLineBytes is the longest line, its ending included.
+const MaxLineBytes = 4096
 
 // What is wrong with a line.
 var (
-	ErrTooLong = errors.New("line over 4 KiB")
-	ErrBareLF  = errors.New("line not ended by CRLF")
-	ErrUnasked = errors.New("more before the answer has come")
-	errSigns   = errors.New("OPEN: signs that no line holds")
+	ErrTooLong          = errors.New("line over 4 KiB")
+	ErrBareLF           = errors.New("line not ended by CRLF")
+	ErrUnexpectedData   = errors.New("more before the answer has come")
+	errInvalidCharacter = errors.New("OPEN: signs that no line holds")
 )
 
 // Kind tells lines apart by their first word.
 type Kind uint8
 
 const (
-	Other Kind = iota
-	Open       // a client wants a circuit
-	Ping       // is it ready?
-	Pong
-	Up   // the circuit stands
-	Busy // turned away, never ran
-	Err
-	Bye // served to its end
-	Move
-	Load // what a connection asks of its server now
-	No   // probes are not answered here
+	KindOther Kind = iota
+	KindOpen       // a client wants a circuit
+	KindPing       // is it ready?
+	KindPong
+	KindEstablished // the circuit stands
+	KindRejected    // turned away, never ran
+	KindFailed
+	KindEnded // served to its end
+	KindMigrate
+	KindLoad     // what a connection asks of its server now
+	KindNotReady // probes are not answered here
 )
 
-var kinds = map[string]Kind{
-	"OPEN": Open, "PING": Ping, "PONG": Pong, "UP": Up, "BUSY": Busy, "ERR": Err, "BYE": Bye, "MOVE": Move,
-	"LOAD": Load, "NO": No,
+var kindByWord = map[string]Kind{
+	"OPEN": KindOpen, "PING": KindPing, "PONG": KindPong, "UP": KindEstablished, "BUSY": KindRejected, "ERR": KindFailed, "BYE": KindEnded, "MOVE": KindMigrate,
+	"LOAD": KindLoad, "NO": KindNotReady,
 }
 
 // KindOf tells a line by its first word, without reading the rest.
@@ -52,57 +52,57 @@
 	for end < len(raw) && raw[end] > ' ' {
 		end++
 	}
-	return kinds[string(raw[:end])]
+	return kindByWord[string(raw[:end])]
 }
 
 // Line is one line as it came.
 type Line struct {
-	Kind   Kind
-	Raw    []byte // all of it, its ending included
-	Figure float64
-	Fields map[string]float64 // of a load report
-	Ask    *Ask               // of an Open line
-	Bad    error              // what is wrong with it, if anything is
+	Kind    Kind
+	Raw     []byte // all of it, its ending included
+	Value   float64
+	Fields  map[string]float64 // of a load report
+	Request *SessionRequest    // of an Open line
+	Err     error              // what is wrong with it, if anything is
 }
 
-// Ask is what a client's first line asks for.
-type Ask struct {
-	ID, Key uint64
-	Grade   string
-	Tenant  string
-	Group   uint64
-	Left    time.Duration // how long the client waits from when it sent the line
-	Limited bool          // Left is told
-	Hint    float64       // a guess at the load; 0 where not told
-	At      string        // the server at which the connection was open before
-	raw     []byte
-	from    int // where the figure of d stands in raw
-	to      int
+// SessionRequest is what a client's first line asks for.
+type SessionRequest struct {
+	ID, Key        uint64
+	Class          string
+	Tenant         string
+	Group          uint64
+	Timeout        time.Duration // how long the client waits from when it sent the line
+	HasTimeout     bool          // Left is told
+	LoadHint       float64       // a guess at the load; 0 where not told
+	StickyEndpoint string        // the server at which the connection was open before
+	raw            []byte
+	timeoutStart   int // where the figure of d stands in raw
+	timeoutEnd     int
 }
 
 // Splitter cuts a stream of bytes into lines.
-type Splitter struct{ held []byte }
+type Splitter struct{ buffered []byte }
 
 // Add takes more bytes of the stream.
-func (s *Splitter) Add(b []byte) { s.held = append(s.held, b...) }
+func (s *Splitter) Add(b []byte) { s.buffered = append(s.buffered, b...) }
 
-// Held tells whether bytes are left that make no whole line, or that Next has not answered yet.
-func (s *Splitter) Held() bool { return len(s.held) > 0 }
+// HasBuffered tells whether bytes are left that make no whole line, or that Next has not answered yet.
+func (s *Splitter) HasBuffered() bool { return len(s.buffered) > 0 }
 
-// Rest answers those bytes.
-func (s *Splitter) Rest() []byte { return s.held }
+// Buffered answers those bytes.
+func (s *Splitter) Buffered() []byte { return s.buffered }
 
 // Next answers the next whole line, false when there is none yet. After an error the stream can't be cut.
 func (s *Splitter) Next() (Line, bool, error) {
-	end := bytes.IndexByte(s.held, '\n')
-	if end >= Longest || end < 0 && len(s.held) >= Longest {
+	end := bytes.IndexByte(s.buffered, '\n')
+	if end >= MaxLineBytes || end < 0 && len(s.buffered) >= MaxLineBytes {
 		return Line{}, false, ErrTooLong
 	}
 	if end < 0 {
 		return Line{}, false, nil
 	}
-	raw := bytes.Clone(s.held[:end+1])
-	s.held = append(s.held[:0], s.held[end+1:]...)
+	raw := bytes.Clone(s.buffered[:end+1])
+	s.buffered = append(s.buffered[:0], s.buffered[end+1:]...)
 	return Decode(raw), true, nil
 }
 
@@ -111,27 +111,27 @@
 	l := Line{Raw: raw}
 	text, whole := bytes.CutSuffix(raw, []byte("\r\n"))
 	if !whole {
-		l.Bad = ErrBareLF
+		l.Err = ErrBareLF
 		return l
 	}
 	word, rest, _ := bytes.Cut(text, []byte(" "))
-	l.Kind = kinds[string(word)]
+	l.Kind = kindByWord[string(word)]
 	switch l.Kind {
-	case Open:
-		l.Ask, l.Bad = decodeAsk(raw, rest, len(word)+1)
-	case Load:
-		l.Figure, l.Bad = figure("LOAD", rest)
-	case Busy:
+	case KindOpen:
+		l.Request, l.Err = decodeRequest(raw, rest, len(word)+1)
+	case KindLoad:
+		l.Value, l.Err = parseValue("LOAD", rest)
+	case KindRejected:
 		if len(rest) > 0 {
-			l.Figure, l.Bad = figure("BUSY", rest)
+			l.Value, l.Err = parseValue("BUSY", rest)
 		}
-	case Pong:
-		l.Fields = report(rest)
+	case KindPong:
+		l.Fields = parseReport(rest)
 	}
 	return l
 }
 
-func figure(name string, text []byte) (float64, error) {
+func parseValue(name string, text []byte) (float64, error) {
 	f, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || !(f >= 0 && f < math.Inf(1)) {
 		return 0, fmt.Errorf("%s: %.40q is no figure", name, text)
@@ -139,35 +139,35 @@
 	return f, nil
 }
 
-// report reads the names and values of a load report; what is no figure is passed over.
-func report(text []byte) map[string]float64 {
+// parseReport reads the names and values of a load report; what is no figure is passed over.
+func parseReport(text []byte) map[string]float64 {
 	fields := map[string]float64{}
 	for _, part := range bytes.FieldsFunc(text, func(r rune) bool { return r == ' ' || r == ',' }) {
 		name, value, _ := bytes.Cut(part, []byte("="))
-		if f, err := figure("", value); err == nil {
+		if f, err := parseValue("", value); err == nil {
 			fields[string(name)] = f
 		}
 	}
 	return fields
 }
 
-// Report reads a line of a load report that stands on its own.
-func (l Line) Report() map[string]float64 { return report(bytes.TrimRight(l.Raw, "\r\n")) }
+// LoadReport reads a line of a load report that stands on its own.
+func (l Line) LoadReport() map[string]float64 { return parseReport(bytes.TrimRight(l.Raw, "\r\n")) }
 
-func decodeAsk(raw, rest []byte, at int) (*Ask, error) {
+func decodeRequest(raw, rest []byte, at int) (*SessionRequest, error) {
 	words := bytes.Split(rest, []byte(" "))
 	if len(words) < 2 || len(words) > 3 || len(words[0]) == 0 || len(words[1]) == 0 {
 		return nil, errors.New("OPEN: wants an id, a key and a list of names and values")
 	}
 	if bytes.ContainsFunc(rest, func(r rune) bool { return r <= ' ' && r != ' ' || r > '~' }) {
-		return nil, errSigns
+		return nil, errInvalidCharacter
 	}
-	a := &Ask{raw: raw}
+	a := &SessionRequest{raw: raw}
 	var err error
-	if a.ID, err = number("id", words[0]); err != nil {
+	if a.ID, err = parseHex("id", words[0]); err != nil {
 		return nil, err
 	}
-	if a.Key, err = number("key", words[1]); err != nil {
+	if a.Key, err = parseHex("key", words[1]); err != nil {
 		return nil, err
 	}
 	if len(words) == 2 || len(words[2]) == 0 {
@@ -186,26 +186,26 @@
 		seen[string(name)] = true
 		switch string(name) {
 		case "c":
-			if a.Grade = string(value); a.Grade == "" {
+			if a.Class = string(value); a.Class == "" {
 				err = errors.New("OPEN: c is empty")
 			}
 		case "t":
 			a.Tenant = string(value)
 		case "g":
-			if a.Group, err = number("g", value); err != nil { // a name, not a number, is as good a group
+			if a.Group, err = parseHex("g", value); err != nil { // a name, not a number, is as good a group
 				a.Group, err = Hash(string(value)), nil
 			}
 		case "at":
-			a.At = string(value)
+			a.StickyEndpoint = string(value)
 		case "h":
-			a.Hint, err = figure("OPEN: h", value)
+			a.LoadHint, err = parseValue("OPEN: h", value)
 		case "d":
 			var ms uint64
 			if ms, err = strconv.ParseUint(string(value), 10, 31); err != nil {
 				return nil, fmt.Errorf("OPEN: d: %.40q is no number of milliseconds", value)
 			}
-			a.Left, a.Limited = time.Duration(ms)*time.Millisecond, true
-			a.from, a.to = at+len("d="), at+len(part)
+			a.Timeout, a.HasTimeout = time.Duration(ms)*time.Millisecond, true
+			a.timeoutStart, a.timeoutEnd = at+len("d="), at+len(part)
 		}
 		if err != nil {
 			return nil, err
@@ -215,8 +215,8 @@
 	return a, nil
 }
 
-// number reads an id or a key, which are hexadecimal. Guards against serving what nobody can have meant.
-func number(name string, text []byte) (uint64, error) {
+// parseHex reads an id or a key, which are hexadecimal. Guards against serving what nobody can have meant.
+func parseHex(name string, text []byte) (uint64, error) {
 	n, err := strconv.ParseUint(string(text), 16, 64)
 	if err != nil {
 		return 0, fmt.Errorf("OPEN: %s: %.40q is no hexadecimal number", name, text)
@@ -232,31 +232,31 @@
 }
 
 // Raw is the line as it came.
-func (a *Ask) Raw() []byte { return a.raw }
+func (a *SessionRequest) Raw() []byte { return a.raw }
 
-// Onward writes the line for a server: unchanged, but for how long the balancer waits.
-func (a *Ask) Onward(left time.Duration) []byte {
-	if !a.Limited {
+// WithTimeout writes the line for a server: unchanged, but for how long the balancer waits.
+func (a *SessionRequest) WithTimeout(left time.Duration) []byte {
+	if !a.HasTimeout {
 		return a.raw
 	}
-	out := append(make([]byte, 0, len(a.raw)+8), a.raw[:a.from]...)
+	out := append(make([]byte, 0, len(a.raw)+8), a.raw[:a.timeoutStart]...)
 	out = strconv.AppendInt(out, int64(max(0, left)/time.Millisecond), 10)
-	return append(out, a.raw[a.to:]...)
+	return append(out, a.raw[a.timeoutEnd:]...)
 }
 
 // Lines of the balancer's own.
 var (
-	PongLine = []byte("PONG\r\n")
-	NoLine   = []byte("NO\r\n")
-	PingLine = []byte("PING\r\n")
-	AskLoad  = []byte("STATS\r\n")
-	MoveLine = []byte("MOVE\r\n")
-	ErrLine  = []byte("ERR\r\n")
-	BadLine  = []byte("ERR SYNTAX\r\n")
+	PongLine          = []byte("PONG\r\n")
+	NotReadyLine      = []byte("NO\r\n")
+	PingLine          = []byte("PING\r\n")
+	LoadReportRequest = []byte("STATS\r\n")
+	MigrateLine       = []byte("MOVE\r\n")
+	FailLine          = []byte("ERR\r\n")
+	SyntaxErrorLine   = []byte("ERR SYNTAX\r\n")
 )
 
-// Turned writes a nack, with advice when to come again if there is any.
-func Turned(wait time.Duration) []byte {
+// RejectLine writes a nack, with advice when to come again if there is any.
+func RejectLine(wait time.Duration) []byte {
 	if ms := int64(wait / time.Millisecond); ms > 0 {
 		return fmt.Appendf(nil, "BUSY %d\r\n", ms)
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -12,32 +12,32 @@
 
 func TestAnOpenLineIsReadAndGoesOnUnchangedButForD(t *testing.T) {
 	l := Decode([]byte(open))
-	a := l.Ask
-	if l.Bad != nil || l.Kind != Open || a.ID != 0x9b1f03aa5c7e2d41 || a.Key != 0x7f3a9c21e0b4d655 || a.Grade != "chat" ||
-		a.Tenant != "acme" || a.Left != 2*time.Second || !a.Limited || a.Group != 0x5c0f6e1a2b3d4c59 {
+	a := l.Request
+	if l.Err != nil || l.Kind != KindOpen || a.ID != 0x9b1f03aa5c7e2d41 || a.Key != 0x7f3a9c21e0b4d655 || a.Class != "chat" ||
+		a.Tenant != "acme" || a.Timeout != 2*time.Second || !a.HasTimeout || a.Group != 0x5c0f6e1a2b3d4c59 {
 		t.Fatalf("%+v, %+v", l, a)
 	}
 	for left, d := range map[time.Duration]string{1999*time.Millisecond + 999: "1999", 0: "0", -time.Second: "0", time.Hour: "3600000"} {
-		if got, want := string(a.Onward(left)), strings.Replace(open, "d=2000", "d="+d, 1); got != want {
+		if got, want := string(a.WithTimeout(left)), strings.Replace(open, "d=2000", "d="+d, 1); got != want {
 			t.Errorf("%q in place of %q", got, want)
 		}
 	}
-	if l = Decode([]byte("OPEN 1 2\r\n")); l.Bad != nil || string(l.Ask.Onward(time.Second)) != "OPEN 1 2\r\n" {
+	if l = Decode([]byte("OPEN 1 2\r\n")); l.Err != nil || string(l.Request.WithTimeout(time.Second)) != "OPEN 1 2\r\n" {
 		t.Errorf("%+v", l)
 	}
-	if l = Decode([]byte("OPEN 1 2 dd=7,d=5,h=1.5,at=s-1\r\n")); l.Bad != nil || l.Ask.Hint != 1.5 || l.Ask.At != "s-1" ||
-		string(l.Ask.Onward(3*time.Millisecond)) != "OPEN 1 2 dd=7,d=3,h=1.5,at=s-1\r\n" {
+	if l = Decode([]byte("OPEN 1 2 dd=7,d=5,h=1.5,at=s-1\r\n")); l.Err != nil || l.Request.LoadHint != 1.5 || l.Request.StickyEndpoint != "s-1" ||
+		string(l.Request.WithTimeout(3*time.Millisecond)) != "OPEN 1 2 dd=7,d=3,h=1.5,at=s-1\r\n" {
 		t.Errorf("%+v", l)
 	}
 }
 
 func TestLinesByTheirFirstWord(t *testing.T) {
 	for text, want := range map[string]Line{
-		"UP RECEIPT 1\r\n": {Kind: Up}, "UP\r\n": {Kind: Up}, "UPPER\r\n": {}, "BUSY\r\n": {Kind: Busy},
-		"BUSY 250\r\n": {Kind: Busy, Figure: 250}, "LOAD 18410.797\r\n": {Kind: Load, Figure: 18410.797}, "MOVE\r\n": {Kind: Move},
-		"BYE\r\n": {Kind: Bye}, "ERR x\r\n": {Kind: Err}, "PING\r\n": {Kind: Ping}, "\r\n": {}, "PONG\r\n": {Kind: Pong},
+		"UP RECEIPT 1\r\n": {Kind: KindEstablished}, "UP\r\n": {Kind: KindEstablished}, "UPPER\r\n": {}, "BUSY\r\n": {Kind: KindRejected},
+		"BUSY 250\r\n": {Kind: KindRejected, Value: 250}, "LOAD 18410.797\r\n": {Kind: KindLoad, Value: 18410.797}, "MOVE\r\n": {Kind: KindMigrate},
+		"BYE\r\n": {Kind: KindEnded}, "ERR x\r\n": {Kind: KindFailed}, "PING\r\n": {Kind: KindPing}, "\r\n": {}, "PONG\r\n": {Kind: KindPong},
 	} {
-		if l := Decode([]byte(text)); l.Kind != want.Kind || l.Figure != want.Figure || l.Bad != nil || string(l.Raw) != text {
+		if l := Decode([]byte(text)); l.Kind != want.Kind || l.Value != want.Value || l.Err != nil || string(l.Raw) != text {
 			t.Errorf("%q: %+v", text, l)
 		}
 	}
@@ -50,14 +50,14 @@
 		"OPEN 1 2 y=1,y=2\r\n", "OPEN x 2\r\n", "OPEN 1 -2\r\n", "OPEN 0x1 2\r\n", "OPEN 1 12345678123456789\r\n",
 		"OPEN 1 2 c=\r\n", "OPEN 1 2 c=a\x00\r\n", "OPEN 1 2 c=\xff\r\n", "OPEN 1 2 c=a\tb\r\n", "OPEN 1 2 h=-1\r\n", "OPEN 1 2 h=Inf\r\n",
 	} {
-		if l := Decode([]byte(text)); l.Bad == nil {
-			t.Errorf("%q is taken: %+v", text, l.Ask)
+		if l := Decode([]byte(text)); l.Err == nil {
+			t.Errorf("%q is taken: %+v", text, l.Request)
 		}
 	}
-	if got := string(Turned(1500 * time.Microsecond)); got != "BUSY 1\r\n" {
+	if got := string(RejectLine(1500 * time.Microsecond)); got != "BUSY 1\r\n" {
 		t.Error(got)
 	}
-	if got := string(Turned(0)); got != "BUSY\r\n" {
+	if got := string(RejectLine(0)); got != "BUSY\r\n" {
 		t.Error(got)
 	}
 }
@@ -67,7 +67,7 @@
 func FuzzSplit(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed, []byte(open+"M 1 abc\r\nbare\nLOAD 7\r\n\r\nhalf a li"))
-		f.Add(seed, []byte("M 1\r\n"+strings.Repeat("x", Longest-2)+"\r\n"+strings.Repeat("y", Longest-1)+"\r\nM 2\r\n"))
+		f.Add(seed, []byte("M 1\r\n"+strings.Repeat("x", MaxLineBytes-2)+"\r\n"+strings.Repeat("y", MaxLineBytes-1)+"\r\nM 2\r\n"))
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, stream []byte) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -81,7 +81,7 @@
 				l, ok, err := s.Next()
 				if err != nil {
 					tail := stream[len(got):]
-					if end := bytes.IndexByte(tail, '\n'); end >= 0 && end < Longest {
+					if end := bytes.IndexByte(tail, '\n'); end >= 0 && end < MaxLineBytes {
 						t.Fatalf("a line of %d bytes is too long", end+1)
 					}
 					return
@@ -89,11 +89,11 @@
 				if !ok {
 					break
 				}
-				if len(l.Raw) > Longest || bytes.IndexByte(l.Raw, '\n') != len(l.Raw)-1 {
+				if len(l.Raw) > MaxLineBytes || bytes.IndexByte(l.Raw, '\n') != len(l.Raw)-1 {
 					t.Fatalf("%q is no line", l.Raw)
 				}
-				if l.Ask != nil { // once in, once out
-					if again := Decode(l.Ask.Onward(l.Ask.Left)); again.Bad != nil || again.Ask.Left != l.Ask.Left || again.Ask.Key != l.Ask.Key {
+				if l.Request != nil { // once in, once out
+					if again := Decode(l.Request.WithTimeout(l.Request.Timeout)); again.Err != nil || again.Request.Timeout != l.Request.Timeout || again.Request.Key != l.Request.Key {
 						t.Fatalf("%q comes back as %q", l.Raw, again.Raw)
 					}
 				}
--- a/internal/relay/pair.go
+++ b/internal/relay/pair.go
@@ -48,7 +48,7 @@
 		err = server.joinPair(p)
 	}
 	if err != nil {
-		client.write(protocol.ErrLine)
+		client.write(protocol.FailLine)
 		client.Close()
 		return nil, err
 	}
--- a/internal/relay/read.go
+++ b/internal/relay/read.go
@@ -72,7 +72,7 @@
 	if raw != nil {
 		return raw, nil
 	}
-	if len(c.partial) >= protocol.Longest {
+	if len(c.partial) >= protocol.MaxLineBytes {
 		return nil, ErrLineTooLong
 	}
 	c.setInterestLocked(unix.EPOLLIN, true)
@@ -102,7 +102,7 @@
 		c.fail(err)
 		return
 	}
-	if len(rest) >= protocol.Longest {
+	if len(rest) >= protocol.MaxLineBytes {
 		c.fail(ErrLineTooLong)
 		return
 	}
@@ -133,9 +133,9 @@
 	case len(rest) > 0 && len(c.partial) > 0:
 		c.partial = append(c.partial[:0], rest...)
 	case len(rest) > 0:
-		c.partial = append(w.takeBuffer(&w.partialBuffers, protocol.Longest/4), rest...)
+		c.partial = append(w.takeBuffer(&w.partialBuffers, protocol.MaxLineBytes/4), rest...)
 	case c.partial != nil:
-		w.returnBuffer(&w.partialBuffers, c.partial, 2*protocol.Longest)
+		w.returnBuffer(&w.partialBuffers, c.partial, 2*protocol.MaxLineBytes)
 		c.partial = nil
 	}
 }
@@ -153,7 +153,7 @@
 		line := lines[:end]
 		lines = lines[end:]
 		count++
-		if len(line) > protocol.Longest {
+		if len(line) > protocol.MaxLineBytes {
 			return ErrLineTooLong
 		}
 		if c.side == Client {
@@ -172,11 +172,11 @@
 // inspectServerLine notes what a server's line says of the session.
 func (c *Conn) inspectServerLine(p *Pair, line []byte, now time.Duration) {
 	switch protocol.KindOf(line) {
-	case protocol.Load:
+	case protocol.KindLoad:
 		c.worker.addLoad(LoadLine{Pair: p, Raw: bytes.Clone(line)})
-	case protocol.Bye:
+	case protocol.KindEnded:
 		p.completed.Store(true)
-	case protocol.Move:
+	case protocol.KindMigrate:
 		p.moveRequested.Store(true)
 	default: // an answer
 		if requestedAt := time.Duration(p.requestedAt.Swap(0)); requestedAt > 0 {
