--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -9,17 +9,14 @@
 // A Balancer must not be used by several goroutines at once.
 package policy
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 const (
 	roundInterval = 250 * time.Millisecond // between two considerations of migrations and health checks
 	never         = time.Duration(1 << 62)
 )
 
-// Balancer holds the state of one balancer. Its methods are the inputs, Next and NextWakeup the outputs.
+// Balancer is the state of one balancer. Next and NextWakeup are its outputs, all other methods its inputs.
 type Balancer struct {
 	config   *Config
 	now      time.Duration
@@ -32,19 +29,19 @@
 	pools         []*pool // oldest first; the newest one places new sessions
 	maxPoolWeight float64 // largest total weight of any pool so far
 
-	sessions     map[SessionID]*session
-	queue        []*session // that need a decision
-	waiting      []*session // for a load report
-	sessionsHeld int        // attempts and established sessions
-	meanHeld     float64    // sessionsHeld averaged over recentWindow
-	heldByGroup  map[uint64]int
-	heldByTenant []int     // the last one counts sessions of unknown tenants
-	load         average   // of single sessions, in microseconds of work a second
-	loadByClass  []average // the last one is of classes that no longer exist
-	tenantQuota  float64   // connections of all tenants' quotas, over all balancers
-	rankBuffer   []rankedEndpoint
-	planned      []Decision // migrations and health checks of the newest round
-	nextRoundAt  time.Duration
+	sessions           map[SessionID]*session
+	queue              []*session // that need a decision
+	waiting            []*session // for a load report
+	activeSessions     int        // attempts and established sessions
+	meanActiveSessions float64    // activeSessions averaged over recentWindow
+	activeByGroup      map[uint64]int
+	activeByTenant     []int     // the last one counts sessions of unknown tenants
+	sessionLoad        average   // of single sessions, in microseconds of work a second
+	loadByClass        []average // the last one is of classes that no longer exist
+	tenantQuota        float64   // connections of all tenants' quotas, over all balancers
+	rankBuffer         []rankedEndpoint
+	planned            []Decision // migrations and health checks of the newest round
+	nextRoundAt        time.Duration
 
 	remoteZoneFactor float64       // multiplies the weight of an endpoint in another zone
 	messageObjective time.Duration // the shortest of all classes, never if there is none
@@ -56,27 +53,27 @@
 	pause            attemptPause
 	overloadFraction float64 // of the endpoints with sessions of this balancer
 
-	warmEndpoints         int     // ready endpoints that are not warming up
-	warmupWeight          float64 // weight that warming endpoints attract together
-	slowStartPausedUntil  time.Duration
-	observed              map[uint64]observedCapacity // by machine type
-	reportsDistrustedTill map[location]time.Duration  // absent if they were never distrusted
-	gossip                gossip
-	draining              drainWindow
+	warmEndpoints          int     // ready endpoints that are not warming up
+	warmupWeight           float64 // weight that warming endpoints attract together
+	slowStartPausedUntil   time.Duration
+	observed               map[uint64]observedCapacity // by machine type
+	reportsDistrustedUntil map[location]time.Duration  // absent if they were never distrusted
+	gossip                 gossip
+	draining               drainWindow
 }
 
 // New returns a Balancer that knows no endpoints yet. The seed fixes all its random choices.
 func New(config *Config, seed uint64) *Balancer {
 	b := &Balancer{
-		hashSeed:              seed,
-		random:                newRandomSource(seed),
-		endpointByID:          map[EndpointID]*endpoint{},
-		pools:                 []*pool{{}},
-		sessions:              map[SessionID]*session{},
-		heldByGroup:           map[uint64]int{},
-		observed:              map[uint64]observedCapacity{},
-		reportsDistrustedTill: map[location]time.Duration{},
-		draining:              drainWindow{until: never},
+		hashSeed:               seed,
+		random:                 newRandomSource(seed),
+		endpointByID:           map[EndpointID]*endpoint{},
+		pools:                  []*pool{{}},
+		sessions:               map[SessionID]*session{},
+		activeByGroup:          map[uint64]int{},
+		observed:               map[uint64]observedCapacity{},
+		reportsDistrustedUntil: map[location]time.Duration{},
+		draining:               drainWindow{until: never},
 	}
 	b.Reconfigure(config, nil, nil)
 	b.nextRoundAt = time.Duration(b.random.float64() * float64(roundInterval))
@@ -96,15 +93,15 @@
 	}
 	b.config = config
 	b.loadByClass = loadByClass
-	b.heldByTenant = make([]int, len(config.Tenants)+1)
+	b.activeByTenant = make([]int, len(config.Tenants)+1)
 	for _, s := range b.sessions {
 		s.classIndex = RemapIndex(classes, s.classIndex, len(config.Classes))
 		s.tenantIndex = RemapIndex(tenants, s.tenantIndex, len(config.Tenants))
 		if s.isActive() {
-			b.heldByTenant[s.tenantIndex]++
+			b.activeByTenant[s.tenantIndex]++
 		}
 	}
-	b.remoteZoneFactor = max(0.02, 1-12*config.CrossZoneCost)
+	b.remoteZoneFactor = max(minRemoteZoneFactor, 1-crossZoneCostFactor*config.CrossZoneCost)
 	b.messageObjective = never
 	for _, class := range config.Classes {
 		if class.MessageObjective > 0 {
@@ -162,7 +159,7 @@
 	b.planned = b.planned[:0]
 	b.sumGossip()
 	window := max(roundInterval, min(recentWindow, b.now))
-	b.meanHeld += (float64(b.sessionsHeld) - b.meanHeld) * float64(roundInterval) / float64(window)
+	b.meanActiveSessions += (float64(b.activeSessions) - b.meanActiveSessions) * float64(roundInterval) / float64(window)
 	b.warmupWeight = 0
 	if b.isDraining() {
 		b.migrateForDraining()
@@ -183,7 +180,4 @@
 }
 
 // meanLoad is the mean load of a session, at least 1 so that it can divide.
-func (b *Balancer) meanLoad() float64 { return max(b.load.mean, 1) }
-
-// isLoadValid reports whether a load is a finite number that is not negative.
-func isLoadValid(load float64) bool { return load >= 0 && load < math.Inf(1) }
+func (b *Balancer) meanLoad() float64 { return max(b.sessionLoad.mean, 1) }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// balancerHolding returns a balancer with sessions in groups at endpoints, and the bytes that it takes.
-func balancerHolding(endpoints, sessions, groups int) (*Balancer, uint64) {
+// balancerWithSessions returns a balancer with sessions in groups at endpoints, and the bytes that it takes.
+func balancerWithSessions(endpoints, sessions, groups int) (*Balancer, uint64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -72,7 +72,7 @@
 func BenchmarkBySessions(b *testing.B) {
 	for _, sessions := range []int{1000, 3000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprintf("endpoints=100/groups=1000/sessions=%d", sessions), func(b *testing.B) {
-			bal, held := balancerHolding(100, sessions, 1000)
+			bal, held := balancerWithSessions(100, sessions, 1000)
 			playSessions(b, bal, 1000)
 			b.ReportMetric(float64(held), "held-B")
 		})
@@ -82,7 +82,7 @@
 func BenchmarkByGroups(b *testing.B) {
 	for _, groups := range []int{100, 1000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprintf("endpoints=100/sessions=100000/groups=%d", groups), func(b *testing.B) {
-			bal, held := balancerHolding(100, 100000, groups)
+			bal, held := balancerWithSessions(100, 100000, groups)
 			playSessions(b, bal, groups)
 			b.ReportMetric(float64(held), "held-B")
 		})
@@ -92,7 +92,7 @@
 func BenchmarkByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{10, 100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("sessions=100000/groups=100000/endpoints=%d", endpoints), func(b *testing.B) {
-			bal, held := balancerHolding(endpoints, 100000, 100000)
+			bal, held := balancerWithSessions(endpoints, 100000, 100000)
 			playSessions(b, bal, 100000)
 			b.ReportMetric(float64(held), "held-B")
 		})
@@ -103,7 +103,7 @@
 func BenchmarkRejectByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("sessions=100000/groups=100000/endpoints=%d", endpoints), func(b *testing.B) {
-			bal, _ := balancerHolding(endpoints, 100000, 100000)
+			bal, _ := balancerWithSessions(endpoints, 100000, 100000)
 			bal.AdvanceClock(roundInterval)
 			allDecisions(bal)
 			for i := range endpoints {
@@ -128,7 +128,7 @@
 func BenchmarkRoundByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("sessions=100000/groups=100000/endpoints=%d", endpoints), func(b *testing.B) {
-			bal, _ := balancerHolding(endpoints, 100000, 100000)
+			bal, _ := balancerWithSessions(endpoints, 100000, 100000)
 			done := startMeter(b)
 			for i := range b.N {
 				bal.AdvanceClock(time.Duration(i+1) * roundInterval)
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -8,7 +8,7 @@
 	maxGossipBytesPerSession = 128             // sent for each session that arrives, over all receivers
 )
 
-// GossipMessage tells the other balancers the load that one holds. Loads and Overloaded have the same length and
+// GossipMessage tells the other balancers the loads of one balancer's sessions. Loads and Overloaded have the same length and
 // stand for the endpoints of the newest pool by ascending ID, from Offset on.
 type GossipMessage struct {
 	VersionHash uint32 // of the pool: the same at every balancer that has the same list
@@ -85,7 +85,7 @@
 	}
 }
 
-// sumGossip adds up the loads that the other balancers hold. While most are silent they are not relied upon.
+// sumGossip adds up the loads of the other balancers' sessions. While most are silent they are not relied upon.
 func (b *Balancer) sumGossip() {
 	for _, e := range b.endpoints {
 		e.peerLoad = 0
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -58,6 +58,6 @@
 // pollsRegularly reports whether this balancer polls an endpoint's load report regularly: with few sessions it
 // polls none, and none of a warming endpoint that the host would have to measure.
 func (b *Balancer) pollsRegularly(e *endpoint) bool {
-	hasEnoughSessions := endpointsPolledPer*b.sessionsHeld >= len(b.newestPool().endpoints)
+	hasEnoughSessions := maxPolledPerSession*b.activeSessions >= len(b.newestPool().endpoints)
 	return b.config.HasLoadReports && hasEnoughSessions && (b.config.HasEndpointReports || !b.isWarmingUp(e))
 }
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -11,11 +11,11 @@
 	reportInterval      = 700 * time.Millisecond // between two polls of an endpoint by all balancers together
 	firstReportInterval = 50 * time.Millisecond  // the same for the first poll
 	distrustTTL         = 10 * time.Second       // for which reports of spare capacity are ignored once refuted
-	endpointsPolledPer  = 4                      // session held, at most
+	maxPolledPerSession = 4                      // endpoints polled for each active session
 	maxPolls            = 3                      // load reports that one session waits for
 	pollTimeoutDivisor  = 4                      // of the setup objective: the longest wait for a report
 	targetDemand        = 0.85                   // over capacity: endpoints with load reports are filled up to it
-	provenLoadFactor    = 2.0                    // of the load held, that a report of spare capacity permits
+	provenLoadGrowth    = 2.0                    // of an endpoint's load, permitted by a report of spare capacity
 )
 
 // LoadReport is a load report of one endpoint. Negative figures are unknown.
@@ -41,7 +41,7 @@
 		e.demand = report.Utilization
 	}
 	e.reportedAt = b.now
-	e.capacity = max(e.capacity, e.load*provenLoadFactor)
+	e.capacity = max(e.capacity, e.load*provenLoadGrowth)
 	e.provenLoad = e.load
 	if e.demand > skipThreshold.demand/2 {
 		e.capacity = e.load * targetDemand / e.demand
@@ -53,13 +53,13 @@
 // endpoint has just sent one and is overloaded all the same. Without this each balancer would trust it once.
 func (b *Balancer) distrustReports(e *endpoint) {
 	if b.config.HasEndpointReports && b.now-e.reportedAt <= reportTTL && e.demand < skipThreshold.demand/2 {
-		b.reportsDistrustedTill[e.location()] = b.now + distrustTTL
+		b.reportsDistrustedUntil[e.location()] = b.now + distrustTTL
 	}
 }
 
 // reportsSpareCapacity reports whether a fresh and trusted load report has a demand below the given one.
 func (b *Balancer) reportsSpareCapacity(e *endpoint, demand float64) bool {
-	isTrusted := b.reportsDistrustedTill[e.location()] <= b.now
+	isTrusted := b.reportsDistrustedUntil[e.location()] <= b.now
 	return isTrusted && b.now-e.reportedAt <= freshReportTTL && e.demand < demand
 }
 
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -77,7 +77,7 @@
 				}
 			}
 		}
-		if held := b.sessionsHeld; held == 0 || (checks > 0) != own {
+		if held := b.activeSessions; held == 0 || (checks > 0) != own {
 			t.Errorf("endpoint reports %v: %d checks, %d held", own, checks, held)
 		}
 	}
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -22,7 +22,7 @@
 	for id := range b.sessions {
 		b.AttemptEnded(id, 0, true, Succeeded)
 	}
-	if len(b.pools) != 1 || b.sessionsHeld != 0 || len(b.heldByGroup) != 0 {
-		t.Fatalf("%d pools, %d sessions left", len(b.pools), b.sessionsHeld)
+	if len(b.pools) != 1 || b.activeSessions != 0 || len(b.activeByGroup) != 0 {
+		t.Fatalf("%d pools, %d sessions left", len(b.pools), b.activeSessions)
 	}
 }
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -9,7 +9,9 @@
 const (
 	affinitySpread           = 2.0  // endpoints in a group's affinity set, over its share of the sessions
 	affinityOverflow         = 2    // endpoints beyond its affinity set that a group may use
-	minRemoteFactor          = 0.25 // of the weight of an endpoint in another zone, for limits and shares
+	crossZoneCostFactor      = 12   // from CrossZoneCost to the reduction of a remote endpoint's weight
+	minRemoteZoneFactor      = 0.02 // of that weight
+	minRemoteFactor          = 0.25 // the same for limits and shares
 	minSessionsForZones      = 7    // of this balancer: with fewer, and
 	minFleetSessionsForZones = 500  // fewer at all balancers, groups are too small for an endpoint in each zone
 	minMembersPerGroup       = 1.7  // of this balancer: with fewer on average, warming endpoints split groups,
@@ -48,7 +50,7 @@
 	}
 	// With fewer sessions than endpoints the balancer can't see how many of a group an endpoint gets. Warming
 	// endpoints are then spread over clients, or one would get all of a large group.
-	isSparse := b.sessionsHeld < len(endpoints)
+	isSparse := b.activeSessions < len(endpoints)
 	totalWeight, maxWeight := 0.0, 0.0
 	for _, e := range endpoints {
 		weight := b.zoneWeight(e, r.remoteZoneFactor, 0)
@@ -62,7 +64,7 @@
 	}
 	b.rankBuffer = r.endpoints
 	slices.SortFunc(r.endpoints, byScore)
-	if hasGroup && b.sessionsHeld > 0 {
+	if hasGroup && b.activeSessions > 0 {
 		size := b.affinitySetSize(s.affinityKey, totalWeight, maxWeight)
 		r.reach = min(r.reach, size+affinityOverflow)
 		b.rankByClient(r.endpoints[:min(size, len(r.endpoints))], s.clientKey, r.remoteZoneFactor)
@@ -72,19 +74,19 @@
 
 // hasSmallGroups reports whether this balancer's groups are too small for an affinity set in each zone.
 func (b *Balancer) hasSmallGroups() bool {
-	if b.sessionsHeld < minSessionsForZones && b.sessionsHeld*b.config.Balancers < minFleetSessionsForZones {
+	if b.activeSessions < minSessionsForZones && b.activeSessions*b.config.Balancers < minFleetSessionsForZones {
 		return true
 	}
-	groups := float64(len(b.heldByGroup) + extraGroups)
-	return b.warmupWeight > 0 && float64(b.sessionsHeld) < minMembersPerGroup*groups
+	groups := float64(len(b.activeByGroup) + extraGroups)
+	return b.warmupWeight > 0 && float64(b.activeSessions) < minMembersPerGroup*groups
 }
 
 // affinitySetSize is the number of endpoints in a group's affinity set. Two standard deviations are taken off
 // the number of its members, so that chance alone does not enlarge the set.
 func (b *Balancer) affinitySetSize(affinityKey uint64, totalWeight, maxWeight float64) int {
-	members := float64(b.heldByGroup[affinityKey])
+	members := float64(b.activeByGroup[affinityKey])
 	members -= 2 * math.Sqrt(members)
-	size := affinitySpread * members / float64(b.sessionsHeld) * totalWeight / max(maxWeight, epsilon)
+	size := affinitySpread * members / float64(b.activeSessions) * totalWeight / max(maxWeight, epsilon)
 	return max(1, int(math.Ceil(size)))
 }
 
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -19,8 +19,8 @@
 			either.AttemptEnded(k, 0, true, Succeeded)
 		}
 	}
-	if len(b.rankBuffer) != 9 || b.sessionsHeld != 0 {
-		t.Fatalf("%d endpoints ranked, %d sessions left", len(b.rankBuffer), b.sessionsHeld)
+	if len(b.rankBuffer) != 9 || b.activeSessions != 0 {
+		t.Fatalf("%d endpoints ranked, %d sessions left", len(b.rankBuffer), b.activeSessions)
 	}
 }
 
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -8,9 +8,9 @@
 
 const (
 	migrationInterval     = time.Second     // between two away from an overloaded endpoint
-	overloadMigrationPart = 0.12            // of the load held at an overloaded endpoint, migrated at a time
+	overloadMigrationPart = 0.12            // of the load at an overloaded endpoint, migrated at a time
 	excessMigrationPart   = 0.8             // of the excess over targetDemand by a load report, if that is more
-	drainRoundsDivisor    = 8               // the part of a draining endpoint's load that migrates in a round
+	drainMigrationDivisor = 8               // the part of a draining endpoint's load that migrates in a round
 	refillInterval        = 4 * time.Second // between two considerations of a session for a warming endpoint
 	maxRefillsPerRound    = 16              // sessions considered
 	capacityGrowth        = 0.015           // by which a capacity grows in a round without overload,
@@ -30,7 +30,7 @@
 	if b.gossip.isCurrent {
 		sharing = 1
 	}
-	e.capacity += capacityGrowth*e.capacity + capacityStep*cmp.Or(b.load.mean, 1)/float64(sharing)
+	e.capacity += capacityGrowth*e.capacity + capacityStep*cmp.Or(b.sessionLoad.mean, 1)/float64(sharing)
 }
 
 // planMigrations plans to migrate sessions away from an endpoint that drains or is overloaded.
@@ -40,7 +40,7 @@
 	}
 	load := max(e.load, float64(len(e.sessions)))
 	if e.State == Draining {
-		b.migrateLoad(e, load/drainRoundsDivisor+b.meanLoad()/float64(b.config.Balancers), false)
+		b.migrateLoad(e, load/drainMigrationDivisor+b.meanLoad()/float64(b.config.Balancers), false)
 		return
 	}
 	if !b.exceeds(e, migrateThreshold) || e.migratedAt+migrationInterval > b.now {
@@ -124,8 +124,8 @@
 		return value
 	}
 	quota := b.config.Tenants[s.tenantIndex].ConnectionQuota
-	held := float64(b.heldByTenant[s.tenantIndex] * b.config.Balancers)
-	if quota > 0 && held > quota {
+	active := float64(b.activeByTenant[s.tenantIndex] * b.config.Balancers)
+	if quota > 0 && active > quota {
 		value *= b.config.OverQuotaFactor
 	}
 	return value
@@ -139,14 +139,14 @@
 	again.attempted = nil
 	again.mayHaveRunOn = nil
 	again.countedWarmup = false
-	again.polls = maxPolls // no migration relies on a report that has yet to come
+	again.polls = maxPolls // no migration waits for a report
 	return b.selectEndpoint(&again, relaxNone)
 }
 
 // refillWarmingEndpoints plans to migrate sessions to warming endpoints that they would be placed at now.
 // Without this, what had left an endpoint before it restarted would stay away.
 func (b *Balancer) refillWarmingEndpoints() {
-	expected := min(float64(b.sessionsHeld)*float64(roundInterval)/float64(refillInterval), maxRefillsPerRound)
+	expected := min(float64(b.activeSessions)*float64(roundInterval)/float64(refillInterval), maxRefillsPerRound)
 	for n := int(expected + b.random.float64()); n > 0 && b.canRefill(); n-- {
 		s := b.randomSession()
 		from := s.endpoint
@@ -163,14 +163,14 @@
 	return b.warmupWeight > 0 && b.recent.late+b.recent.failed < 1 && b.now >= b.pause.until
 }
 
-// randomSession returns a random session that is held; there must be one.
+// randomSession returns a random active session; there must be one.
 func (b *Balancer) randomSession() *session {
-	position := int(b.random.float64() * float64(b.sessionsHeld))
+	position := int(b.random.float64() * float64(b.activeSessions))
 	for _, e := range b.endpoints {
 		if position < len(e.sessions) {
 			return e.sessions[position]
 		}
 		position -= len(e.sessions)
 	}
-	panic("policy: fewer sessions at the endpoints than are held")
+	panic("policy: fewer sessions at the endpoints than are active")
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -3,14 +3,13 @@
 import "math"
 
 const (
-	maxMeanMultiple    = 2.0 // sessions at an endpoint, over the mean,
-	extraSessions      = 2   // and so many more
-	unprovenShare      = 2.0 // load at an endpoint over its fair share, while no report shows spare capacity
-	gossipShare        = 1.2 // the same where gossip tells what the other balancers hold
-	minFairSessions    = 4.0 // sessions at each endpoint that the fair share is computed for, at least
-	minGrowthShare     = 0.7 // factor on unprovenShare while this balancer holds many more sessions than on average
-	provenLoadMultiple = 2.0 // load over the one with which a report showed spare capacity
-	warmupShare        = 1.7 // part of its keys that a warming endpoint takes, over its slow-start factor
+	maxMeanMultiple = 2.0 // sessions at an endpoint, over the mean,
+	extraSessions   = 2   // and so many more
+	unprovenShare   = 2.0 // load at an endpoint over its fair share, while no report shows spare capacity
+	gossipShare     = 1.2 // the same where gossip brings the loads of the other balancers
+	minFairSessions = 4.0 // sessions at each endpoint that the fair share is computed for, at least
+	minGrowthShare  = 0.7 // factor on unprovenShare while this balancer has many more sessions than on average
+	warmupShare     = 1.7 // part of its keys that a warming endpoint takes, over its slow-start factor
 )
 
 // relaxation says how many reasons to skip an endpoint are dropped; each step drops one more.
@@ -70,7 +69,7 @@
 		return unprovenShare * load / weight
 	case b.config.HasLoadReports:
 		// A balancer that just took over another one's sessions would place them before any report can tell.
-		growth := max(minGrowthShare, min(1, b.meanHeld/float64(max(b.sessionsHeld, 1))))
+		growth := max(minGrowthShare, min(1, b.meanActiveSessions/float64(max(b.activeSessions, 1))))
 		return max(unprovenShare*growth*load, minFairSessions*b.meanLoad()*float64(endpoints)) / weight
 	default:
 		return math.Inf(1)
@@ -114,8 +113,8 @@
 func (search *selection) isBeyondLimits(e *endpoint) bool {
 	factor := search.slowStartFactor(e)
 	weight := search.zoneWeight(e, search.ranking.remoteZoneFactor, minRemoteFactor) * factor
-	maxSessions := maxMeanMultiple*float64(search.sessionsHeld)*weight/max(search.totalWeight, epsilon) + extraSessions
-	maxLoad := max(search.fairLoad*e.Weight*factor, provenLoadMultiple*e.provenLoad)
+	maxSessions := maxMeanMultiple*float64(search.activeSessions)*weight/max(search.totalWeight, epsilon) + extraSessions
+	maxLoad := max(search.fairLoad*e.Weight*factor, provenLoadGrowth*e.provenLoad)
 	load := e.knownLoad() + search.session.load
 	return search.avoidsWarmup(e) || float64(len(e.sessions)) > maxSessions || load > maxLoad
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -9,8 +9,8 @@
 	b, held := newBalancer(testConfig(), warmEndpointList(4)), map[EndpointID]int{}
 	for id := SessionID(1); id <= 40; id++ { // one key: one endpoint, unless it is skipped
 		d := addSession(t, b, SessionRequest{ID: id, Key: 5})
-		if most := 2*float64(b.sessionsHeld-1)/4 + 3; float64(held[d.Endpoint]+1) > most {
-			t.Fatalf("endpoint %d holds %d of %d", d.Endpoint, held[d.Endpoint]+1, b.sessionsHeld)
+		if most := 2*float64(b.activeSessions-1)/4 + 3; float64(held[d.Endpoint]+1) > most {
+			t.Fatalf("endpoint %d holds %d of %d", d.Endpoint, held[d.Endpoint]+1, b.activeSessions)
 		}
 		held[d.Endpoint]++
 		b.AttemptEstablished(id, 0, ms)
--- a/policy/session.go
+++ b/policy/session.go
@@ -2,6 +2,8 @@
 
 import (
 	"cmp"
+	"math"
+	"slices"
 	"time"
 )
 
@@ -86,7 +88,7 @@
 	mayHaveRunAt time.Duration // when that attempt began
 
 	polledEndpoint *endpoint     // whose load report was last waited for
-	reportDeadline time.Duration // until which a report is waited for, 0 if none is
+	reportDeadline time.Duration // until which a report is waited for, 0 before the first poll
 	polls          int           // load reports that were waited for
 	countedWarmup  bool          // counted in recentCounts.warmupDemand
 }
@@ -94,12 +96,7 @@
 func (s *session) isActive() bool { return s.state != stateIdle }
 
 func (s *session) hasAttempted(e *endpoint) bool {
-	for _, attempted := range s.attempted {
-		if attempted == e {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(s.attempted, e)
 }
 
 // AddSession takes a session, which is now owed one final answer.
@@ -151,9 +148,9 @@
 	s.pool.sessions++
 	e.sessions = append(e.sessions, s)
 	e.load += s.load
-	b.sessionsHeld++
-	b.heldByGroup[s.affinityKey]++
-	b.heldByTenant[s.tenantIndex]++
+	b.activeSessions++
+	b.activeByGroup[s.affinityKey]++
+	b.activeByTenant[s.tenantIndex]++
 }
 
 func (b *Balancer) unassign(s *session) {
@@ -164,11 +161,11 @@
 	e.sessions[len(e.sessions)-1] = nil
 	e.sessions = e.sessions[:len(e.sessions)-1]
 	e.load = max(0, e.load-s.load)
-	b.sessionsHeld--
-	b.heldByTenant[s.tenantIndex]--
-	b.heldByGroup[s.affinityKey]--
-	if b.heldByGroup[s.affinityKey] == 0 {
-		delete(b.heldByGroup, s.affinityKey)
+	b.activeSessions--
+	b.activeByTenant[s.tenantIndex]--
+	b.activeByGroup[s.affinityKey]--
+	if b.activeByGroup[s.affinityKey] == 0 {
+		delete(b.activeByGroup, s.affinityKey)
 	}
 	s.pool.sessions--
 	if s.pool.sessions == 0 && s.pool != b.newestPool() {
@@ -228,6 +225,9 @@
 	}
 }
 
+// isLoadValid reports whether a load is a finite number that is not negative.
+func isLoadValid(load float64) bool { return load >= 0 && load < math.Inf(1) }
+
 // RecordLoad records the present load of an established session, in microseconds of work a second.
 func (b *Balancer) RecordLoad(id SessionID, attempt int, load float64) {
 	s := b.activeSession(id, attempt)
@@ -236,6 +236,6 @@
 	}
 	s.endpoint.load = max(0, s.endpoint.load+load-s.load)
 	s.load = load
-	b.load.add(load)
+	b.sessionLoad.add(load)
 	b.loadByClass[s.classIndex].add(load)
 }
--- a/policy/session_test.go
+++ b/policy/session_test.go
@@ -5,7 +5,7 @@
 func TestAdoptedSessionAndLateEvents(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(2))
 	b.AdoptSession(SessionRequest{ID: 9, Key: 9}, 101)
-	if b.sessionsHeld != 1 || len(b.endpoints[1].sessions) != 1 || len(allDecisions(b)) != 0 {
+	if b.activeSessions != 1 || len(b.endpoints[1].sessions) != 1 || len(allDecisions(b)) != 0 {
 		t.Fatal("an established session was not adopted as it is")
 	}
 	b.AttemptEnded(9, 0, true, Succeeded)
@@ -16,7 +16,7 @@
 	b.HealthCheckEnded(555, Succeeded)
 	b.RecordLatency(555, ms)
 	b.RecordLoadReport(555, LoadReport{Demand: 1})
-	if b.sessionsHeld != 0 || len(b.sessions) != 0 || count(allDecisions(b), StartAttempt) != 0 {
+	if b.activeSessions != 0 || len(b.sessions) != 0 || count(allDecisions(b), StartAttempt) != 0 {
 		t.Fatal("late events had an effect")
 	}
 }
@@ -34,8 +34,8 @@
 	now := testConfig()
 	now.Classes = append(now.Classes, now.Classes[0])
 	b.Reconfigure(now, []int{-1}, []int{-1})
-	if b.heldByTenant[0] != 2 || b.sessionsHeld != 2 {
-		t.Fatalf("%d of the tenants that are gone, %d held", b.heldByTenant[0], b.sessionsHeld)
+	if b.activeByTenant[0] != 2 || b.activeSessions != 2 {
+		t.Fatalf("%d of the tenants that are gone, %d held", b.activeByTenant[0], b.activeSessions)
 	}
 	b.AttemptEnded(1, 0, false, Failed) // it may have run: no retry, by the class that it came with
 	if got := allDecisions(b); len(got) != 1 || got[0].Action != Fail {
@@ -43,7 +43,7 @@
 	}
 	b.Reconfigure(d, []int{0, -1}, nil)
 	b.AttemptEnded(2, 0, true, Succeeded)
-	if b.heldByTenant[0] != 0 || b.sessionsHeld != 0 || len(b.endpointByID[y.Endpoint].sessions) != 0 {
-		t.Fatalf("%v by tenant, %d held", b.heldByTenant, b.sessionsHeld)
+	if b.activeByTenant[0] != 0 || b.activeSessions != 0 || len(b.endpointByID[y.Endpoint].sessions) != 0 {
+		t.Fatalf("%v by tenant, %d held", b.activeByTenant, b.activeSessions)
 	}
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -14,7 +14,7 @@
 const (
 	coreCapacity       = 1e6 // microseconds of work a second that one core does; an endpoint has one at least
 	priorSamples       = 4.0 // load samples that weigh as much as no knowledge of the load
-	maxArrivalMultiple = 1.0 // of its fair share of the sessions held, comes to a warming endpoint in a window
+	maxArrivalMultiple = 1.0 // of its fair share of the active sessions, that a warming endpoint gets in a window
 	heavySessions      = 3.0 // sessions of a heavy class that a window has to bear
 	minClassSamples    = 3   // load samples below which a class may be heavy
 	minWindowCapacity  = 1.0 // sessions, where no endpoint is warm and nothing is known
@@ -30,7 +30,7 @@
 type observedCapacity struct {
 	load          float64 // of the endpoints that are not overloaded
 	weight        float64 // of all endpoints
-	loadPerWeight float64 // averaged over recentWindow: a load that has just come proves nothing
+	loadPerWeight float64 // averaged over recentWindow: a load that is new proves nothing
 }
 
 // slowStartFactor is the fraction of its full capacity that an endpoint has at least, by its age.
@@ -49,7 +49,7 @@
 // balancer may have used its part of their capacity.
 func (b *Balancer) PauseSlowStart() { b.slowStartPausedUntil = b.now + b.config.OverloadWindow }
 
-// observeCapacity adds up what warm endpoints hold.
+// observeCapacity updates the loads of warm endpoints by machine type.
 func (b *Balancer) observeCapacity() {
 	b.warmEndpoints = 0
 	for machineType, o := range b.observed {
@@ -89,17 +89,17 @@
 		return 0
 	}
 	// Sessions that have just come from another balancer count later: it may have used their part.
-	settled := min(1, b.meanHeld/float64(max(b.sessionsHeld, 1)))
+	settled := min(1, b.meanActiveSessions/float64(max(b.activeSessions, 1)))
 	return settled * min(o.load/o.weight, o.loadPerWeight) / b.meanLoad() * e.Weight
 }
 
 // coreSessions is the number of sessions that one core bears, less while their load is uncertain.
 func (b *Balancer) coreSessions() float64 {
-	if b.load.mean <= 0 {
+	if b.sessionLoad.mean <= 0 {
 		return 0
 	}
-	samples := float64(b.load.samples)
-	return coreCapacity / b.load.mean * samples / (samples + priorSamples)
+	samples := float64(b.sessionLoad.samples)
+	return coreCapacity / b.sessionLoad.mean * samples / (samples + priorSamples)
 }
 
 // relativeLoad is a session's load in sessions of mean load, 1 at least.
@@ -108,21 +108,24 @@
 // isTooHeavy reports whether a few sessions of a session's class are more than a warming endpoint bears in a
 // window of the given capacity. Where there are several classes, one of unknown load may be.
 func (b *Balancer) isTooHeavy(s *session, windowCapacity float64) bool {
-	if b.load.mean == 0 {
+	if b.sessionLoad.mean == 0 {
 		return false
 	}
 	if len(b.config.Classes) > 1 && b.loadByClass[s.classIndex].samples < minClassSamples {
 		return true
 	}
-	lightest := b.load.mean
+	lightest := b.sessionLoad.mean
 	for _, load := range b.loadByClass[:len(b.config.Classes)] {
 		lightest = min(lightest, cmp.Or(load.mean, lightest))
 	}
-	windowCapacity *= b.load.mean / max(lightest, 1)
-	limit := windowCapacity + 2*math.Sqrt(windowCapacity) + 2
-	return s.load > b.load.mean && heavySessions*s.load/max(lightest, 1) > limit
+	windowCapacity *= b.sessionLoad.mean / max(lightest, 1)
+	isHeavy := s.load > b.sessionLoad.mean
+	return isHeavy && heavySessions*s.load/max(lightest, 1) > overloadLimit(windowCapacity)
 }
 
+// overloadLimit is the number of sessions in a window beyond which an endpoint of the given capacity is overloaded.
+func overloadLimit(capacity float64) float64 { return capacity + 2*math.Sqrt(capacity) + 2 }
+
 // canWarmUp reports whether a session may go to a warming endpoint.
 func (b *Balancer) canWarmUp(s *session, e *endpoint) bool {
 	used := b.usedWarmup(e)
@@ -173,7 +176,7 @@
 // admits a session: the fewer sessions come to a warming endpoint, the higher.
 func (b *Balancer) warmupSelectivity(e *endpoint) float64 {
 	endpoints := float64(max(len(b.newestPool().endpoints), 1))
-	arrivals := maxArrivalMultiple * max(float64(b.sessionsHeld), b.meanHeld, 1) / endpoints
+	arrivals := maxArrivalMultiple * max(float64(b.activeSessions), b.meanActiveSessions, 1) / endpoints
 	attraction := b.warmupWeight / e.Weight / min(1, warmupShare*b.slowStartFactor(e))
 	return min(1/arrivals, attraction/max(b.recent.warmupDemand, 1))
 }
