--- a/internal/fleet/node/poll.go
+++ b/internal/fleet/node/poll.go
@@ -64,6 +64,16 @@
 	if len(ids) == 0 {
 		return
 	}
+	n.send(Packet{To: n.pickPollTarget(ids), PollRequest: &PollRequest{
+		Version:         n.agreed.state.Version,
+		Digest:          n.agreed.feed.Digest(),
+		ProtocolVersion: ProtocolVersion,
+		RequestNumber:   n.polling.nextNumber(n.now),
+	}})
+}
+
+// pickPollTarget picks one of the members that are alive. The leader is left out for a while once it has not responded.
+func (n *Node) pickPollTarget(ids []string) string {
 	p := &n.polling
 	to := ids[n.rng.IntN(len(ids))]
 	isLeaderSuspect := p.leaderUnansweredSince != 0 && n.now-p.leaderUnansweredSince > leaderResponseTimeout
@@ -76,12 +86,7 @@
 	if isLeaderSuspect && n.now-p.leaderUnansweredSince > leaderSuspicionTime {
 		p.leaderUnansweredSince = 0
 	}
-	n.send(Packet{To: to, PollRequest: &PollRequest{
-		Version:         n.agreed.state.Version,
-		Digest:          n.agreed.feed.Digest(),
-		ProtocolVersion: ProtocolVersion,
-		RequestNumber:   p.nextNumber(n.now),
-	}})
+	return to
 }
 
 // answerPoll sends what was agreed since the requester's version.
--- a/internal/fleet/node/voters.go
+++ b/internal/fleet/node/voters.go
@@ -73,8 +73,8 @@
 }
 
 // changeVoters makes members on other machines voters: as many as are missing, all at once, or one in place of a voter that is no member any
-// more or that a crowded site has too many of. Never is a number of voters of two made by steps: both would be needed then, and the second
-// one may have failed unnoticed.
+// more or that a crowded site has too many of. The log never goes through two voters: both would be needed then, and the second one
+// may have failed unnoticed.
 func (n *Node) changeVoters(members []placement.MemberStatus) {
 	e := newElectorate(n.log.Voters(), n.log.State().Members, members)
 	change, isNeeded := n.planVoterChange(e)
