--- /dev/null
+++ b/internal/protocol/request.go
@@ -0,0 +1,138 @@
+package protocol
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"strconv"
+	"time"
+)
+
+// SessionRequest is a client's first line.
+type SessionRequest struct {
+	ID             uint64
+	Key            uint64 // of the client
+	Class          string
+	Tenant         string
+	Group          uint64
+	Timeout        time.Duration // how long the client waits from when it sent the line
+	HasTimeout     bool
+	LoadHint       float64 // an estimate of the session's load, 0 if there is none
+	StickyEndpoint string  // the server that the session was at before, "" if none
+
+	raw          []byte
+	timeoutStart int // of the timeout's digits in raw
+	timeoutEnd   int
+}
+
+// decodeRequest decodes what follows the first word of a session request, from offset at of the line on.
+func decodeRequest(raw, rest []byte, at int) (*SessionRequest, error) {
+	words := bytes.Split(rest, []byte(" "))
+	if len(words) < 2 || len(words) > 3 || len(words[0]) == 0 || len(words[1]) == 0 {
+		return nil, errors.New("OPEN: wants an id, a key and a list of names and values")
+	}
+	if bytes.ContainsFunc(rest, isInvalidCharacter) {
+		return nil, errInvalidCharacter
+	}
+	r := &SessionRequest{raw: raw}
+	var err error
+	if r.ID, err = parseHex("id", words[0]); err != nil {
+		return nil, err
+	}
+	if r.Key, err = parseHex("key", words[1]); err != nil {
+		return nil, err
+	}
+	if len(words) == 2 || len(words[2]) == 0 {
+		return r, nil
+	}
+	at += len(words[0]) + len(words[1]) + 2
+	if err := r.decodeFields(words[2], at); err != nil {
+		return nil, err
+	}
+	return r, nil
+}
+
+func isInvalidCharacter(r rune) bool { return r <= ' ' && r != ' ' || r > '~' }
+
+// decodeFields decodes the list of names and values, which is at an offset of the line.
+func (r *SessionRequest) decodeFields(list []byte, at int) error {
+	seen := map[string]bool{}
+	for _, field := range bytes.Split(list, []byte(",")) {
+		name, value, hasValue := bytes.Cut(field, []byte("="))
+		if !hasValue || len(name) == 0 {
+			return fmt.Errorf("OPEN: %.40q is no name with a value", field)
+		}
+		if seen[string(name)] {
+			return fmt.Errorf("OPEN: %.40q stands twice", name)
+		}
+		seen[string(name)] = true
+		if err := r.decodeField(string(name), value, at); err != nil {
+			return err
+		}
+		at += len(field) + 1
+	}
+	return nil
+}
+
+// decodeField decodes one field, which is at an offset of the line. Unknown names are skipped.
+func (r *SessionRequest) decodeField(name string, value []byte, at int) error {
+	var err error
+	switch name {
+	case "c":
+		r.Class = string(value)
+		if r.Class == "" {
+			return errors.New("OPEN: c is empty")
+		}
+	case "t":
+		r.Tenant = string(value)
+	case "g":
+		if r.Group, err = parseHex("g", value); err != nil {
+			r.Group = Hash(string(value)) // a group may have a name instead of a number
+		}
+	case "at":
+		r.StickyEndpoint = string(value)
+	case "h":
+		r.LoadHint, err = parseValue("OPEN: h", value)
+		return err
+	case "d":
+		ms, err := strconv.ParseUint(string(value), 10, 31)
+		if err != nil {
+			return fmt.Errorf("OPEN: d: %.40q is no number of milliseconds", value)
+		}
+		r.Timeout = time.Duration(ms) * time.Millisecond
+		r.HasTimeout = true
+		r.timeoutStart = at + len("d=")
+		r.timeoutEnd = r.timeoutStart + len(value)
+	}
+	return nil
+}
+
+// parseHex reads an id or a key.
+func parseHex(name string, text []byte) (uint64, error) {
+	n, err := strconv.ParseUint(string(text), 16, 64)
+	if err != nil {
+		return 0, fmt.Errorf("OPEN: %s: %.40q is no hexadecimal number", name, text)
+	}
+	return n, nil
+}
+
+// Hash returns a number for a name, the same at every balancer.
+func Hash(name string) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(name))
+	return h.Sum64()
+}
+
+// Raw returns the line as it came.
+func (r *SessionRequest) Raw() []byte { return r.raw }
+
+// WithTimeout returns the line for a server: unchanged but for the timeout, if it has one.
+func (r *SessionRequest) WithTimeout(timeout time.Duration) []byte {
+	if !r.HasTimeout {
+		return r.raw
+	}
+	line := append(make([]byte, 0, len(r.raw)+8), r.raw[:r.timeoutStart]...)
+	line = strconv.AppendInt(line, int64(max(0, timeout)/time.Millisecond), 10)
+	return append(line, r.raw[r.timeoutEnd:]...)
+}
