--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,202 +1,118 @@
-// Package discovery follows the list of servers: one call for the whole list, then watches, over HTTP/1.1. It
-// owns the calls and the form of their answers, and hands each list on as soon as it has come. It must never
-// judge a server or drop what is known: an outage or a bad answer leaves the old list.
+// Package discovery follows the endpoint list: it requests the complete list, then watches for changes, over HTTP/1.1.
+// It owns the requests and the form of their responses, and delivers each list as soon as it has come. It must never
+// judge an endpoint or forget a list: an outage or a malformed response leaves the old one.
 package discovery
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"slices"
-	"strings"
 	"time"
-
-	"sabletally/policy"
 )
 
+// With an agent on the balancer's own machine, which answers at once and at no cost. What it has counts as known to the
+// balancer from the first moment of a process, and from the moment at which the agent can answer again.
 const (
-	maxResponseBytes = 16 << 20 // bytes of an answer
-
-	// At an agent on the balancer's own machine, which answers at once and at no cost, also where many ask theirs. What it has
-	// counts as told, watched or not, from the first moment of a process and from the moment at which it can speak again.
-	agentHold         = time.Second             // how long a watch may wait for news; by chance half as long
-	agentLateAfter    = 300 * time.Millisecond  // an answer that is so late is asked for beside the call,
-	agentRetryTimeout = 250 * time.Millisecond  // by calls that wait so long
-	agentRetryPause   = 50 * time.Millisecond   // and are so far apart, until one is answered
-	agentMinBackoff   = 20 * time.Millisecond   // pause after a first failed call; it doubles up to
-	agentMaxBackoff   = 250 * time.Millisecond  // this
-	responseTimeout   = 1500 * time.Millisecond // no call takes longer than this beyond its wait
+	agentHold         = time.Second            // longest wait of a watch for changes; by chance half as long
+	agentLateAfter    = 300 * time.Millisecond // beyond its wait, a watch without a response is repeated beside it,
+	agentRetryTimeout = 250 * time.Millisecond // by requests with this timeout,
+	agentRetryPause   = 50 * time.Millisecond  // this far apart, until one is answered
+	agentMinBackoff   = 20 * time.Millisecond  // after a failed request, doubled up to agentMaxBackoff
+	agentMaxBackoff   = 250 * time.Millisecond
+	responseTimeout   = 1500 * time.Millisecond // of any request, beyond its wait
+)
 
-	// At one service of little capacity, where each call is dear and waits for its turn. Told is what it has written, 2 s after a
-	// watch's wait, and 6 s after discovery had it and could be reached at the latest, whatever failed before; 4 s after a reload.
-	sharedMinHold         = 4 * time.Second         // how long a watch may wait, and
-	sharedHoldPerBalancer = 500 * time.Millisecond  // so much for each balancer that asks, where that is longer,
-	sharedMaxHold         = 60 * time.Second        // up to this; by chance half as long
-	sharedLateAfter       = 800 * time.Millisecond  // an answer that is so late beyond its wait is asked for once more, beside the call
-	sharedDialTimeout     = 2 * time.Second         // a dial that nobody answers ends
-	turnPerBalancer       = 400 * time.Millisecond  // calls of one that was not answered are so far apart for each balancer,
-	maxTurn               = 4800 * time.Millisecond // up to this, which leaves 1.2 s for the answer; by chance a sixth less
-	// A service made for so many answers a call of each in a round: so long for each, up to roundMost. A first call comes by chance
-	// within a round or a turn, or startMost after a reload. After busyFrom calls in a row that were turned away after a wait,
-	// more come than it can serve: one to three rounds go by. So they do after the first at the start, where a round
-	// is longer than a turn.
+// With one discovery service of limited capacity, shared by all balancers. A change has to be known 2 s after a watch's
+// wait, 6 s after discovery had it and could be reached, whatever failed before, and 4 s after a reload.
+const (
+	sharedMinHold         = 4 * time.Second // longest wait of a watch for changes; by chance half as long
+	sharedHoldPerBalancer = 500 * time.Millisecond
+	sharedMaxHold         = 60 * time.Second
+	sharedLateAfter       = 800 * time.Millisecond // beyond its wait, a watch without a response is repeated once beside it
+	sharedDialTimeout     = 2 * time.Second
+
+	// A turn is the time between two requests of a balancer until one is answered; by chance up to a sixth less.
+	turnPerBalancer = 400 * time.Millisecond
+	maxTurn         = 4800 * time.Millisecond // leaves 1.2 s of the 6 s for the response
+
+	// A round is the time that a service made for so many balancers needs for a request of each. A first request comes
+	// at a random time within a round, or within a turn.
 	roundPerBalancer = 100 * time.Millisecond
 	maxRound         = 10 * time.Second
-	maxReloadDelay   = 3200 * time.Millisecond
+	maxReloadDelay   = 3200 * time.Millisecond // of the first request after a reload
+	// overloadedAfter is the number of requests in a row that were rejected after a wait from which on the service is
+	// taken for overloaded, and the pauses are one to three rounds, doubled with each further rejection. It is 1 at the
+	// start where a round is longer than a turn.
 	overloadedAfter  = 3
+	maxRoundDoubling = 10
 )
 
-// Endpoint is one line of the list.
-type Endpoint struct {
-	UID           string
-	Address       string
-	Zone          string
-	FailureDomain int
-	MachineType   string // of the machine
-	State         policy.EndpointState
-	Weight        float64
-	StartedAt     time.Time // zero for long ago
-}
-
-// List is one answer: the whole list or what has changed.
-type List struct {
-	Revision  uint64
-	Complete  bool
-	Endpoints []Endpoint
-}
-
-var stateByName = map[string]policy.EndpointState{
-	"in_service": policy.Ready, "terminating": policy.Draining, "terminated": policy.Removed,
-}
-
-// listDocument is an answer as discovery writes it.
-type listDocument struct {
-	Revision  *uint64            `json:"rev"`
-	Complete  *bool              `json:"all"`
-	Endpoints []endpointDocument `json:"targets"`
-}
-
-type endpointDocument struct {
-	UID           string   `json:"uid"`
-	Address       string   `json:"endpoint"`
-	Zone          string   `json:"az"`
-	FailureDomain int      `json:"pod_group"`
-	MachineType   string   `json:"model,omitempty"`
-	State         string   `json:"state"`
-	Weight        *float64 `json:"capacity_hint"`
-	StartedMs     int64    `json:"boot_ms"`
-}
-
-// Encode writes a list as discovery does.
-func Encode(l List) []byte {
-	out := listDocument{Revision: &l.Revision, Complete: &l.Complete, Endpoints: []endpointDocument{}}
-	for _, s := range l.Endpoints {
-		t := endpointDocument{UID: s.UID, Address: s.Address, Zone: s.Zone, FailureDomain: s.FailureDomain, MachineType: s.MachineType, Weight: &s.Weight}
-		for name, state := range stateByName {
-			if state == s.State {
-				t.State = name
-			}
-		}
-		if !s.StartedAt.IsZero() {
-			t.StartedMs = s.StartedAt.UnixMilli()
-		}
-		out.Endpoints = append(out.Endpoints, t)
-	}
-	slices.SortFunc(out.Endpoints, func(a, b endpointDocument) int { return strings.Compare(a.UID, b.UID) })
-	text, err := json.Marshal(out)
-	if err != nil {
-		panic(err) // plain values
-	}
-	return text
-}
-
-// Decode reads one answer; one with any fault is taken for none.
-func Decode(text []byte) (List, error) {
-	var in listDocument
-	if err := json.Unmarshal(text, &in); err != nil {
-		return List{}, err
-	}
-	if in.Revision == nil || in.Complete == nil {
-		return List{}, errors.New("rev or all is missing")
-	}
-	l := List{Revision: *in.Revision, Complete: *in.Complete}
-	for i, t := range in.Endpoints {
-		s := Endpoint{UID: t.UID, Address: t.Address, Zone: t.Zone, FailureDomain: t.FailureDomain, MachineType: t.MachineType, Weight: 1}
-		state, known := stateByName[t.State]
-		switch {
-		case t.UID == "":
-			return List{}, fmt.Errorf("targets[%d].uid is missing", i)
-		case !known:
-			return List{}, fmt.Errorf("targets[%d].state %q is not known", i, t.State)
-		case t.Address == "" && state != policy.Removed:
-			return List{}, fmt.Errorf("targets[%d].endpoint is missing", i)
-		}
-		s.State = state
-		if t.Weight != nil && *t.Weight > 0 {
-			s.Weight = *t.Weight
-		}
-		if t.StartedMs != 0 {
-			s.StartedAt = time.UnixMilli(t.StartedMs)
-		}
-		l.Endpoints = append(l.Endpoints, s)
-	}
-	return l, nil
-}
-
-// Watch is one balancer's view of discovery.
+// Watch follows the endpoint list for one balancer.
 type Watch struct {
-	address       string
-	shared        bool          // discovery is one service of little capacity, no agent of the machine's own
-	hold          time.Duration // how long a watch may wait for news
-	lateAfter     time.Duration // an answer that is so late beyond that is asked for beside the call
-	maxStartDelay time.Duration // a first call comes within so long
-	turn          time.Duration // at a shared one: the longest from one call to the next until one is answered,
-	round         time.Duration // and what a service made for so many takes for a call of each
-	minBackoff    time.Duration // at an own agent: pause after a first failed call,
-	maxBackoff    time.Duration // and the longest
-	revision      uint64        // of the newest list,
-	hasList       bool          // and whether there is one that changes can be added to
-	lastRequestAt time.Time     // when the newest call was made
+	address   string
+	shared    bool          // discovery is one service, not an agent of the machine
+	hold      time.Duration // longest wait for changes
+	lateAfter time.Duration // beyond its wait, a watch without a response is repeated
+
+	// maxStartDelay bounds the random delay of the first request.
+	maxStartDelay time.Duration
+	turn          time.Duration // with a shared discovery
+	round         time.Duration // with a shared discovery
+	minBackoff    time.Duration // with an agent
+	maxBackoff    time.Duration // with an agent
+
+	revision      uint64 // of the newest list
+	hasList       bool   // there is a list that changes can be added to
+	lastRequestAt time.Time
 	client        *http.Client
-	refresh       chan struct{} // asks for what there is now
+	refresh       chan struct{}
 	onList        func(List)
 	onError       func(error)
 }
 
-// New prepares a watch, one of so many at the same discovery; shared: that answers only so many calls a second. news and
-// failed are called one at a time.
-func New(address string, among int, shared bool, news func(List), failed func(error)) *Watch {
-	each := func(d, most time.Duration) time.Duration { return min(time.Duration(max(among, 1))*d, most) }
+// New returns a watch, one of so many balancers' at the same discovery. shared says that this is one service of limited
+// capacity. onList and onError are called one at a time.
+func New(address string, balancers int, shared bool, onList func(List), onError func(error)) *Watch {
 	w := &Watch{
-		address: address, shared: shared, onList: news, onError: failed,
-		refresh: make(chan struct{}, 1),
-		hold:    agentHold, lateAfter: agentLateAfter, minBackoff: agentMinBackoff, maxBackoff: agentMaxBackoff,
-		client: &http.Client{Transport: &http.Transport{Proxy: nil, MaxIdleConns: 1, MaxConnsPerHost: 2,
-			// A dial outlives its call, and would hold one of the two places for minutes where nobody answers it.
-			DialContext: (&net.Dialer{Timeout: agentRetryTimeout}).DialContext}},
-	}
+		address:    address,
+		shared:     shared,
+		onList:     onList,
+		onError:    onError,
+		refresh:    make(chan struct{}, 1),
+		hold:       agentHold,
+		lateAfter:  agentLateAfter,
+		minBackoff: agentMinBackoff,
+		maxBackoff: agentMaxBackoff,
+	}
+	dialTimeout := agentRetryTimeout
 	if shared {
-		w.hold, w.lateAfter = max(sharedMinHold, each(sharedHoldPerBalancer, sharedMaxHold)), sharedLateAfter
-		w.turn, w.round = each(turnPerBalancer, maxTurn), each(roundPerBalancer, maxRound)
+		dialTimeout = sharedDialTimeout
+		perBalancer := func(each, maximum time.Duration) time.Duration {
+			return min(time.Duration(max(balancers, 1))*each, maximum)
+		}
+		w.hold = max(sharedMinHold, perBalancer(sharedHoldPerBalancer, sharedMaxHold))
+		w.lateAfter = sharedLateAfter
+		w.turn = perBalancer(turnPerBalancer, maxTurn)
+		w.round = perBalancer(roundPerBalancer, maxRound)
 		w.maxStartDelay = min(w.round, maxReloadDelay)
-		w.client.Transport.(*http.Transport).DialContext = (&net.Dialer{Timeout: sharedDialTimeout}).DialContext
 	}
+	// A dial goes on after its request: without a timeout it would hold one of the connections for minutes.
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	w.client = &http.Client{Transport: &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 2, DialContext: dialer.DialContext}}
 	return w
 }
 
-// StartFrom makes the watch the first of its process: it begins with the changes since a list that is known, in place of the whole
-// list, where calls are dear, and has more time for it than one after a reload.
+// StartFrom makes the watch the first one of its process. With a shared discovery it begins with the changes since a
+// known list instead of the complete list, and it has more time for that than a watch after a reload.
 func (w *Watch) StartFrom(known List) {
-	w.revision, w.hasList = known.Revision, w.shared && known.Complete && len(known.Endpoints) > 0
+	w.revision = known.Revision
+	w.hasList = w.shared && known.Complete && len(known.Endpoints) > 0
 	w.maxStartDelay = min(w.round, maxTurn)
 }
 
-// Refresh has discovery asked for what it has now, beside a watch that waits for news. It never waits itself.
+// Refresh requests the list as it is now, beside a watch that waits for changes. It does not wait.
 func (w *Watch) Refresh() {
 	select {
 	case w.refresh <- struct{}{}:
@@ -204,141 +120,110 @@
 	}
 }
 
+// pacing says when requests follow each other and how long they wait for changes.
+type pacing struct {
+	turn time.Duration // until the next request, while none is answered
+	hold time.Duration // of the next request
+
+	backoff     time.Duration // with an agent: the newest pause after a failed request
+	rejections  int           // in a row, after a wait
+	isConnected bool          // the newest request was answered
+	isServed    bool          // discovery has time for the requests of all balancers
+}
+
 // Run follows the list until the context ends.
 func (w *Watch) Run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	if w.maxStartDelay > 0 {
 		sleepRandom(ctx, w.maxStartDelay)
 	}
-	turn, wait := w.drawTurn()
-	pause, turned, sure, patient := time.Duration(0), 0, false, w.round <= maxTurn
-	if !w.shared || !patient { // a call that may be lost costs less than one more of each
-		wait = w.hold
+	p := pacing{isServed: w.round <= maxTurn}
+	p.turn, p.hold = w.drawTurn()
+	if !w.shared || !p.isServed { // a request that may be lost is cheaper than one more of each balancer
+		p.hold = w.hold
 	}
 	for ctx.Err() == nil {
-		asked := time.Now()
-		w.lastRequestAt = asked
-		list, err := w.next(ctx, wait, turn)
+		sentAt := time.Now()
+		w.lastRequestAt = sentAt
+		list, err := w.next(ctx, p.hold, p.turn)
 		if err == nil {
-			if w.hasList && list.Revision == w.revision && time.Since(asked) < agentMinBackoff { // guards against one that waits for no news
-				sleepFor(ctx, agentMinBackoff)
-			}
-			w.revision, w.hasList, pause, turned, sure = list.Revision, true, 0, 0, true
-			patient = patient || time.Since(asked) >= w.turn                   // a watch that was let wait
-			wait = time.Duration((0.5 + 0.5*rand.Float64()) * float64(w.hold)) // not all in step
-			w.onList(list)
+			w.handleList(ctx, &p, list, sentAt)
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		var unread *invalidResponseError
-		if errors.As(err, &unread) || !w.shared { // what is known may have a gap: the whole list closes it
+		var invalid *invalidResponseError
+		if errors.As(err, &invalid) || !w.shared { // changes may be missing: the complete list has them
 			w.hasList = false
 		}
 		w.onError(err)
-		if !w.shared {
-			pause = min(max(2*pause, w.minBackoff), w.maxBackoff)
-			sleepRandom(ctx, pause)
+		if w.shared {
+			w.pauseShared(ctx, &p, err, sentAt)
 			continue
 		}
-		broken, late := sure && w.lastRequestAt.Equal(asked), time.Since(asked)
-		queued := errors.Is(err, errOverloaded) && (!broken || late < w.turn/2) // else it had its turn, and was let wait
-		if turned++; !queued || broken && patient {
-			turned = 0
-		}
-		turn, wait = w.drawTurn()
-		switch {
-		case turned >= overloadedAfter || turned > 0 && !patient:
-			// Guards against calls that keep an overbooked discovery from answering any of them: the turns of those that nobody
-			// waits for any more come all the same.
-			patient, wait = false, w.hold // it speaks, so this one is not lost
-			round := min(w.round<<min(max(turned-overloadedAfter, 0), 10), maxRound)
-			sleepFor(ctx, round)
-			sleepRandom(ctx, 2*round)
-		case broken: // as all others' may have in the same moment
-			if !queued {
-				late = 0 // else it was no watch yet, and 6 s count from its call
-			}
-			sleepRandom(ctx, w.turn-late)
-		default: // the moment of the next call doesn't depend on how and when this one failed
-			sleepFor(ctx, turn-time.Since(w.lastRequestAt))
-		}
-		sure = false
+		p.backoff = min(max(2*p.backoff, w.minBackoff), w.maxBackoff)
+		sleepRandom(ctx, p.backoff)
 	}
 }
 
-// drawTurn says when a call of one that is not sure that discovery hears it is followed by the next, and how long it may wait itself:
-// a longer wait would hide that it was lost.
-func (w *Watch) drawTurn() (turn, wait time.Duration) {
-	turn = w.turn - time.Duration(rand.Float64()*float64(w.turn)/6)
-	return turn, max(0, turn-w.lateAfter)
+// handleList delivers a list and draws the wait of the next request.
+func (w *Watch) handleList(ctx context.Context, p *pacing, list List, sentAt time.Time) {
+	if w.hasList && list.Revision == w.revision && time.Since(sentAt) < agentMinBackoff {
+		sleepFor(ctx, agentMinBackoff) // a discovery that does not wait for changes would be asked without a pause
+	}
+	w.revision = list.Revision
+	w.hasList = true
+	p.backoff = 0
+	p.rejections = 0
+	p.isConnected = true
+	p.isServed = p.isServed || time.Since(sentAt) >= w.turn
+	p.hold = time.Duration((0.5 + 0.5*rand.Float64()) * float64(w.hold)) // random, or all balancers would ask in step
+	w.onList(list)
 }
 
-// next makes the next call: a watch that waits so long, or for the whole list. Guards against a watch that has fallen silent, and
-// against a discovery that speaks again while a call of before still waits for it: one that is late is asked anew beside
-// the first, at a shared discovery once and not sooner than a turn, and whichever is answered ends the other.
-func (w *Watch) next(ctx context.Context, wait, turn time.Duration) (List, error) {
-	const all = "/v1/endpoints"
-	path, beside := all, all
-	if w.hasList {
-		path = fmt.Sprintf("%s?from=%d&hold_ms=%d", all, w.revision, wait.Milliseconds())
-		if w.shared {
-			beside = fmt.Sprintf("%s?from=%d&hold_ms=0", all, w.revision)
-		}
+// pauseShared waits after a failed request to a shared discovery and draws the turn of the next one.
+func (w *Watch) pauseShared(ctx context.Context, p *pacing, err error, sentAt time.Time) {
+	isWatchBroken := p.isConnected && w.lastRequestAt.Equal(sentAt)
+	elapsed := time.Since(sentAt)
+	// A watch that was rejected late had its turn and waited for changes.
+	isRejected := errors.Is(err, errOverloaded) && (!isWatchBroken || elapsed < w.turn/2)
+	if isRejected && (!isWatchBroken || !p.isServed) {
+		p.rejections++
 	} else {
-		wait = 0
-	}
-	lateAt, within := wait+w.lateAfter, wait+responseTimeout
-	if w.shared {
-		if lateAt = max(lateAt, turn); w.turn < maxTurn { // few: they can ask sooner, but have to hear a slow one too
-			turn = maxTurn
-		}
-		within = lateAt + turn
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	type answer struct {
-		list List
-		err  error
-	}
-	answers := make(chan answer, 2)
-	go func() {
-		list, err := w.call(ctx, path, within)
-		answers <- answer{list, err}
-	}()
-	late := time.NewTimer(lateAt)
-	defer late.Stop()
-	select {
-	case a := <-answers:
-		return a.list, a.err
-	case <-late.C:
-	case <-w.refresh:
-	}
-	w.lastRequestAt = time.Now()
-	go func() {
-		if w.shared {
-			list, err := w.call(ctx, beside, turn)
-			answers <- answer{list, err}
-			return
-		}
-		for ; ctx.Err() == nil; sleepRandom(ctx, agentRetryPause) {
-			if list, err := w.call(ctx, beside, agentRetryTimeout); err == nil {
-				answers <- answer{list, nil}
-				return
-			}
-		}
-	}()
-	a := <-answers
-	if a.err != nil && w.shared { // as a call of before is reset when its network is back
-		a = <-answers
-	}
-	return a.list, a.err
+		p.rejections = 0
+	}
+	p.turn, p.hold = w.drawTurn()
+	p.isConnected = false
+	switch {
+	case p.rejections >= overloadedAfter || p.rejections > 0 && !p.isServed:
+		// An overloaded discovery still works on requests that nobody waits for any more: more requests would keep it
+		// from answering any.
+		p.isServed = false
+		p.hold = w.hold
+		round := min(w.round<<min(max(p.rejections-overloadedAfter, 0), maxRoundDoubling), maxRound)
+		sleepFor(ctx, round)
+		sleepRandom(ctx, 2*round)
+	case isWatchBroken: // all other balancers' may have broken in the same moment
+		if !isRejected {
+			elapsed = 0 // the 6 s count from the break, not from the request
+		}
+		sleepRandom(ctx, w.turn-elapsed)
+	default: // the time of the next request must not depend on how this one failed
+		sleepFor(ctx, p.turn-time.Since(w.lastRequestAt))
+	}
+}
+
+// drawTurn draws the time until the next request of a balancer that is not connected, and the wait of that request: a
+// longer one would hide that it was lost.
+func (w *Watch) drawTurn() (turn, hold time.Duration) {
+	turn = w.turn - time.Duration(rand.Float64()*float64(w.turn)/6)
+	return turn, max(0, turn-w.lateAfter)
 }
 
-// sleepRandom pauses by chance, up to so long.
-func sleepRandom(ctx context.Context, most time.Duration) {
-	sleepFor(ctx, time.Duration(rand.Int64N(int64(most))))
+// sleepRandom pauses for a random time below a maximum.
+func sleepRandom(ctx context.Context, maximum time.Duration) {
+	sleepFor(ctx, time.Duration(rand.Int64N(int64(maximum))))
 }
 
 func sleepFor(ctx context.Context, d time.Duration) {
@@ -347,42 +232,3 @@
 	case <-time.After(d):
 	}
 }
-
-// errOverloaded is a call that discovery turned away after a wait.
-var errOverloaded = errors.New("discovery has no time")
-
-// invalidResponseError is an answer that came but can't be read.
-type invalidResponseError struct{ error }
-
-func (w *Watch) call(ctx context.Context, path string, within time.Duration) (List, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.address+path, nil)
-	if err != nil {
-		return List{}, err
-	}
-	begun := time.Now()
-	res, err := w.client.Do(req)
-	if err != nil {
-		return List{}, err
-	}
-	defer func() { _ = res.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
-	if err != nil {
-		return List{}, err
-	}
-	if res.StatusCode >= 500 { // nothing is missed, the next call goes on from the same list
-		err := fmt.Errorf("discovery answers %s", res.Status)
-		if time.Since(begun) >= sharedLateAfter { // one that is turned away at once takes nobody's turn
-			err = fmt.Errorf("%w: %w", errOverloaded, err)
-		}
-		return List{}, err
-	} else if res.StatusCode != http.StatusOK {
-		return List{}, &invalidResponseError{fmt.Errorf("discovery answers %s", res.Status)}
-	}
-	list, err := Decode(text)
-	if err != nil {
-		return List{}, &invalidResponseError{fmt.Errorf("discovery: %w", err)}
-	}
-	return list, nil
-}
--- a/internal/discovery/reach_test.go
+++ b/internal/discovery/reach_test.go
@@ -81,7 +81,7 @@
 	ms, _ := strconv.Atoi(q.Get("hold_ms"))
 	over := at + time.Duration(ms)*time.Millisecond
 	if at >= a.from && (at < a.to || a.kind == ever) {
-		if res, err, told := a.fail(ctx, a.kind, over); told {
+		if res, failed, err := a.fail(ctx, a.kind, over); failed {
 			return res, err
 		}
 	}
@@ -104,7 +104,7 @@
 			case turned: // what waits for its turn, as those that have had it don't
 				kind = busy
 			}
-			if res, err, told := a.fail(ctx, kind, over); told {
+			if res, failed, err := a.fail(ctx, kind, over); failed {
 				return res, err
 			}
 			began = nil
@@ -132,35 +132,35 @@
 }
 
 // fail is what a call gets in the trouble; false: its answer, later.
-func (a *asker) fail(ctx context.Context, kind string, over time.Duration) (*http.Response, error, bool) {
+func (a *asker) fail(ctx context.Context, kind string, over time.Duration) (res *http.Response, failed bool, err error) {
 	const part = `{"rev":50,"all":true,"targets":[{"ui`
 	if kind == mixed {
 		kind = []string{refused, reset, silent, half, hangs, busy, slow}[rand.IntN(7)]
 	}
 	switch kind {
 	case refused:
-		return nil, errors.New("refused"), true
+		return nil, true, errors.New("refused")
 	case reset:
 		time.Sleep(30 * time.Millisecond)
-		return nil, errors.New("reset"), true
+		return nil, true, errors.New("reset")
 	case silent: // also where it may wait: the watch has fallen silent
 		a.lost = max(a.lost, over)
 		<-ctx.Done()
-		return nil, ctx.Err(), true
+		return nil, true, ctx.Err()
 	case half:
-		return reply(http.StatusOK, io.MultiReader(strings.NewReader(part), reader(func() error { return io.ErrUnexpectedEOF }))), nil, true
+		return reply(http.StatusOK, io.MultiReader(strings.NewReader(part), reader(func() error { return io.ErrUnexpectedEOF }))), true, nil
 	case hangs:
 		a.lost = max(a.lost, over)
-		return reply(http.StatusOK, io.MultiReader(strings.NewReader(part), reader(func() error { <-ctx.Done(); return ctx.Err() }))), nil, true
+		return reply(http.StatusOK, io.MultiReader(strings.NewReader(part), reader(func() error { <-ctx.Done(); return ctx.Err() }))), true, nil
 	case busy:
-		return reply(http.StatusServiceUnavailable, strings.NewReader("")), nil, true
+		return reply(http.StatusServiceUnavailable, strings.NewReader("")), true, nil
 	case turned:
 		time.Sleep(2 * time.Second)
-		return reply(http.StatusServiceUnavailable, strings.NewReader("")), nil, true
+		return reply(http.StatusServiceUnavailable, strings.NewReader("")), true, nil
 	case slow, ever:
 		time.Sleep(5 * time.Second)
 	}
-	return nil, nil, false
+	return nil, false, nil
 }
 
 func reply(status int, body io.Reader) *http.Response {
