--- a/cmd/sabletally/commands.go
+++ b/cmd/sabletally/commands.go
@@ -202,7 +202,7 @@
 		if m.ID == s.Self.ID {
 			state, since = "this one", "-"
 		}
-		if m.ReportedBy != "" {
+		if m.ReplacedBy != "" {
 			state += ", replaced"
 		}
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%.8s\n", m.Name, m.Machine, m.Zone, m.Site, m.Addr, m.Incarnation, state, since, m.ID)
--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -456,7 +456,7 @@
 	}
 	p := m.balancer("b", "here", false)
 	says(p, "yes")
-	tells(p, "/control/out-of-service", `"fleet: word is held"`)
+	tells(p, "/control/out-of-service", `"fleet: admin state stored"`)
 	p.Kill()
 	m.balancers = nil
 	p = m.balancer("b", "there", false)
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -240,7 +240,7 @@
 		t.Errorf("a member that lost its disk came back as itself: %+v", is)
 	}
 	m.want("the old one is known for lost for good", m.without(3), func(r fleet.Report) bool {
-		return slices.ContainsFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was && o.State == "gone" && o.ReportedBy != "" })
+		return slices.ContainsFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was && o.State == "gone" && o.ReplacedBy != "" })
 	})
 
 	m.Links.Set(func(from, to int, tie *emulator.MemberLink) { tie.Cut = from < 2 != (to < 2) })
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	say(3, "/control/out-of-service", `"fleet: word is held"`)
+	say(3, "/control/out-of-service", `"fleet: admin state stored"`)
 	for _, lost := range []int{3, 0, 4, 1} {
 		was := m.report(lost)
 		if err := m.LoseMachine(lost); err != nil {
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -56,7 +56,7 @@
 		}
 		turn := cir.generation
 		h.requesting = true
-		h.Begin(cir.upstream.listed.UID, min(maxWriteWait, (cir.deadline-l.now)/2), func(v fleet.Verdict) {
+		h.Begin(cir.upstream.listed.UID, min(maxWriteWait, (cir.deadline-l.now)/2), func(v fleet.IdempotencyDecision) {
 			l.post(event{session: cir, run: func() { l.writeDecided(cir, turn, v) }})
 		})
 	})
@@ -82,7 +82,7 @@
 }
 
 // writeDecided takes the end of one.
-func (l *Loop) writeDecided(cir *session, turn int, v fleet.Verdict) {
+func (l *Loop) writeDecided(cir *session, turn int, v fleet.IdempotencyDecision) {
 	h := cir.record
 	defer h.requestDone()
 	if l.sessions[cir.id] != cir {
@@ -93,7 +93,7 @@
 		if cir.generation != turn || !cir.attemptActive {
 			return
 		}
-		h.writeAllowed, h.writeDeadline = true, v.Until
+		h.writeAllowed, h.writeDeadline = true, v.WriteDeadline
 		if do := h.onWriteAllowed; do != nil {
 			h.onWriteAllowed = nil
 			do()
@@ -136,13 +136,13 @@
 	h.committing = true
 	h.whenIdle(func() {
 		h.requesting = true
-		h.Complete(ln.Raw, max(0, min(maxCommitWait, (cir.deadline-l.now)/2)), func(v fleet.Verdict) {
+		h.Complete(ln.Raw, max(0, min(maxCommitWait, (cir.deadline-l.now)/2)), func(v fleet.IdempotencyDecision) {
 			l.post(event{session: cir, run: func() { l.answerCommitted(cir, ln, v) }})
 		})
 	})
 }
 
-func (l *Loop) answerCommitted(cir *session, ln protocol.Line, v fleet.Verdict) {
+func (l *Loop) answerCommitted(cir *session, ln protocol.Line, v fleet.IdempotencyDecision) {
 	h := cir.record
 	defer h.requestDone()
 	if l.sessions[cir.id] != cir {
--- a/internal/balancer/planned_end_test.go
+++ b/internal/balancer/planned_end_test.go
@@ -394,7 +394,7 @@
 				t.Fatal("it does not wait")
 			}
 			y.leave()
-			y.l.writeDecided(cir, cir.generation, fleet.Verdict{Decision: idempotency.Proceed, Until: boottime.Now() + time.Hour})
+			y.l.writeDecided(cir, cir.generation, fleet.IdempotencyDecision{Decision: idempotency.Proceed, WriteDeadline: boottime.Now() + time.Hour})
 			y.nothing(1, 0)
 		}},
 		{"to go back to its server", func(t *testing.T, how string) {
--- a/internal/fleet/admin_state.go
+++ b/internal/fleet/admin_state.go
@@ -1,6 +1,3 @@
-// This file owns the first kind of holding: words, which is what operators said of a balancer. A word is one record under the
-// balancer's name; the last one said is the one that holds, in the order in which the holders took them.
-
 package fleet
 
 import (
@@ -13,125 +10,120 @@
 	"sabletally/internal/fleet/replication"
 )
 
-const (
-	wordTry   = 2 * time.Second // one try to have a word held, or to hear one
-	wordAgain = time.Second     // after a try that nobody answered
-	wordTries = 30
-)
-
-// AdminState is what operators said.
+// AdminState is what operators have set for a balancer. It is stored as a record under the balancer's name; of several, the one that the
+// replicas received last is in force.
 type AdminState struct {
-	OutOfService bool   `json:"out"` // of service
-	SetAt        int64  `json:"at"`  // Unix seconds, by the clock of the balancer that was told
-	SetBy        string `json:"by"`  // the member that was told
+	OutOfService bool   `json:"out"`
+	SetAt        int64  `json:"at"` // Unix seconds by the clock of the balancer that received it
+	SetBy        string `json:"by"` // ID of that balancer
 }
 
-func wordKey(name string) string { return "word/" + name }
+func adminStateKey(name string) string { return "word/" + name }
 
-// SetAdminState has the fleet hold a word about a balancer, beside the caller. It goes on trying until holders have it or a later word
-// is said; what came of it is logged.
-func (f *Fleet) SetAdminState(name string, out bool) {
+// SetAdminState stores the administrative state of a balancer in the background. It retries until the state is stored or a later call
+// supersedes it, for a limited time; the outcome is logged.
+func (f *Fleet) SetAdminState(name string, outOfService bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.said++
-	number := f.said
-	f.all.Add(1)
+	f.adminStateSequence++
+	sequence := f.adminStateSequence
+	state := AdminState{OutOfService: outOfService, SetAt: time.Now().Unix()}
+	f.goroutines.Add(1)
 	go func() {
-		defer f.all.Done()
-		f.say(name, number, AdminState{OutOfService: out, SetAt: time.Now().Unix()})
+		defer f.goroutines.Done()
+		f.storeAdminState(name, sequence, state)
 	}()
 }
 
-func (f *Fleet) say(name string, number int, w AdminState) {
-	key, version := wordKey(name), uint64(0)
-	for try := range wordTries {
-		if try > 0 && !f.rest(wordAgain) || f.overtaken(number) {
+func (f *Fleet) storeAdminState(name string, sequence int, state AdminState) {
+	expectedVersion := uint64(0)
+	for attempt := range maxRecordAttempts {
+		if attempt > 0 && !f.sleep(writeRetryDelay) || f.isSuperseded(sequence) {
 			return
 		}
-		h, self := f.holding()
-		if h == nil {
+		store, memberID := f.currentStore()
+		if store == nil {
 			continue
 		}
-		w.SetBy = self
-		text, err := json.Marshal(w)
-		if err != nil {
-			panic(err) // plain values
+		state.SetBy = memberID
+		isStored := false
+		expectedVersion, isStored = f.writeAdminState(store, name, sequence, state, expectedVersion)
+		if isStored {
+			return
 		}
-		op := replication.Operation{ID: rand.Text(), Key: key, ExpectedVersion: version, Value: text, CreatedAt: w.SetAt}
-		for range wordTries { // another word may come between
-			r := f.ask(op)
-			if r.Outcome == replication.OutcomeCommitted {
-				f.log.Info("fleet: word is held", zap.String("of", name), zap.Bool("out", w.OutOfService), zap.Uint64("version", r.Record.Version))
-				return
-			}
-			if r.Outcome != replication.OutcomeConflict || f.overtaken(number) {
-				break
-			}
-			if version = r.Record.Version; r.Record.Deleted {
-				version = 0
-			}
-			op.ID, op.ExpectedVersion = rand.Text(), version
+	}
+	f.log.Error("fleet: admin state not stored, it is lost when this process ends", zap.String("of", name), zap.Bool("out", state.OutOfService))
+}
+
+// writeAdminState writes the state over the version that is in force, which it learns from conflicts. It returns that version.
+func (f *Fleet) writeAdminState(store recordStore, name string, sequence int, state AdminState, expectedVersion uint64) (version uint64, isStored bool) {
+	value, err := json.Marshal(state)
+	if err != nil {
+		panic(err) // plain values
+	}
+	for range maxRecordAttempts { // other balancers may write in between
+		result := f.submitAndWait(store, replication.Operation{
+			ID:              rand.Text(),
+			Key:             adminStateKey(name),
+			ExpectedVersion: expectedVersion,
+			Value:           value,
+			CreatedAt:       state.SetAt,
+		})
+		if result.Outcome == replication.OutcomeCommitted {
+			f.log.Info("fleet: admin state stored", zap.String("of", name), zap.Bool("out", state.OutOfService), zap.Uint64("version", result.Record.Version))
+			return expectedVersion, true
+		}
+		if result.Outcome != replication.OutcomeConflict || f.isSuperseded(sequence) {
+			return expectedVersion, false
+		}
+		expectedVersion = result.Record.Version
+		if result.Record.Deleted {
+			expectedVersion = 0
 		}
 	}
-	f.log.Error("fleet: word is not held: it dies with this process", zap.String("of", name), zap.Bool("out", w.OutOfService))
+	return expectedVersion, false
+}
+
+// isSuperseded reports whether SetAdminState was called again.
+func (f *Fleet) isSuperseded(sequence int) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return sequence != f.adminStateSequence
 }
 
-// LoadAdminState asks for the last word about a balancer and hands it on, once: as soon as it is heard, and false where none was said.
-// Where nobody answers it goes on asking, and a word that is heard late is handed on late.
-func (f *Fleet) LoadAdminState(name string, within time.Duration, heard func(out bool)) {
-	f.all.Add(1)
+// LoadAdminState reads the administrative state of a balancer in the background, and calls onLoaded once it is known: with false where
+// none was set. It retries while no member answers, for a limited time. A state that took longer than the expected time is logged as
+// late.
+func (f *Fleet) LoadAdminState(name string, expected time.Duration, onLoaded func(outOfService bool)) {
+	f.goroutines.Add(1)
 	go func() {
-		defer f.all.Done()
+		defer f.goroutines.Done()
 		began := time.Now()
-		for range wordTries {
-			if h, _ := f.holding(); h != nil {
-				r := f.ask(replication.Operation{ID: rand.Text(), Key: wordKey(name), ReadOnly: true})
-				if r.Outcome == replication.OutcomeConflict {
-					var w AdminState
-					if len(r.Record.Value) > 0 && !r.Record.Deleted {
-						if err := json.Unmarshal(r.Record.Value, &w); err != nil {
-							f.log.Error("fleet: a word that can't be read", zap.String("of", name), zap.Error(err))
-						}
-					}
-					f.log.Info("fleet: word is heard", zap.String("of", name), zap.Bool("out", w.OutOfService), zap.Uint64("version", r.Record.Version),
-						zap.Duration("after", time.Since(began)), zap.Bool("late", time.Since(began) > within))
-					heard(w.OutOfService)
-					return
-				}
+		for range maxRecordAttempts {
+			if record, ok := f.readRecord(adminStateKey(name)); ok {
+				state := f.decodeAdminState(name, record)
+				took := time.Since(began)
+				f.log.Info("fleet: admin state loaded", zap.String("of", name), zap.Bool("out", state.OutOfService), zap.Uint64("version", record.Version),
+					zap.Duration("after", took), zap.Bool("late", took > expected))
+				onLoaded(state.OutOfService)
+				return
 			}
-			if !f.rest(wordAgain / 5) {
+			if !f.sleep(readRetryDelay) {
 				return
 			}
 		}
-		f.log.Error("fleet: no word is heard: nobody who holds it has answered", zap.String("of", name))
+		f.log.Error("fleet: admin state not loaded, no replica has answered", zap.String("of", name))
 	}()
 }
 
-// ask waits for one operation.
-func (f *Fleet) ask(op replication.Operation) replication.Result {
-	h, _ := f.holding()
-	out := make(chan replication.Result, 1)
-	h.Submit(op, wordTry, func(r replication.Result) { out <- r })
-	select {
-	case r := <-out:
-		return r
-	case <-f.over:
-		return replication.Result{Outcome: replication.OutcomeUnknown}
+// decodeAdminState returns the zero state for a record that does not exist or can't be decoded.
+func (f *Fleet) decodeAdminState(name string, record replication.Record) AdminState {
+	var state AdminState
+	if len(record.Value) == 0 || record.Deleted {
+		return state
 	}
-}
-
-// rest waits, false where this part has ended meanwhile.
-func (f *Fleet) rest(d time.Duration) bool {
-	select {
-	case <-f.over:
-		return false
-	case <-time.After(d):
-		return true
+	if err := json.Unmarshal(record.Value, &state); err != nil {
+		f.log.Error("fleet: malformed admin state", zap.String("of", name), zap.Error(err))
 	}
-}
-
-func (f *Fleet) overtaken(number int) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return number != f.said
+	return state
 }
--- a/internal/fleet/endpoint_list.go
+++ b/internal/fleet/endpoint_list.go
@@ -1,5 +1,3 @@
-// This file owns the third kind of holding: the newest list of servers, for a balancer that starts while discovery is silent.
-
 package fleet
 
 import (
@@ -9,107 +7,115 @@
 
 	"go.uber.org/zap"
 
-	"sabletally/internal/fleet/nodeserver"
 	"sabletally/internal/fleet/replication"
 )
 
 const (
-	listEach  = 2 * time.Second  // how often a changed list is written at most,
-	listAgain = 10 * time.Second // and one that has not changed, for its age
-	listMost  = 1 << 20          // bytes; a longer list is not held
+	endpointListInterval        = 2 * time.Second  // between writes of a changed list
+	endpointListRefreshInterval = 10 * time.Second // between writes of an unchanged list, for its age
+	maxEndpointListBytes        = 1 << 20          // a longer list is not stored
 )
 
-// EndpointList is a list as it is held.
+// EndpointList is the newest endpoint list as it is stored, for a balancer that starts while discovery is silent.
 type EndpointList struct {
 	Revision    uint64          `json:"rev"`
-	ConfirmedAt int64           `json:"at"` // Unix seconds at which discovery said last that it holds
+	ConfirmedAt int64           `json:"at"` // Unix seconds at which discovery confirmed it last
 	Endpoints   json.RawMessage `json:"known"`
 }
 
-// list is what this member knows of it, under the fleet's lock.
-type list struct {
-	newest  EndpointList
-	written time.Time
-	rev     uint64 // as it was written
-	version uint64 // of the record
-	out     bool   // a write is out
+// endpointListWriter is the state of writing the list. It is guarded by the fleet's lock.
+type endpointListWriter struct {
+	writtenAt       time.Time
+	writtenRevision uint64
+	recordVersion   uint64
+	isWriting       bool
 }
 
-func (f *Fleet) listKey() string { return "list/" + f.file.Site }
+func (f *Fleet) endpointListKey() string { return "list/" + f.config.Site }
 
-// SaveEndpointList has the newest list held, beside the caller: discovery has just said that it holds. Of all members that hear it the one
-// writes that orders the record's writes, so that a fleet of hundreds writes it once. A balancer that follows control processes
-// orders none, and keeps none.
-func (f *Fleet) SaveEndpointList(rev uint64, known []byte) {
-	h, op := f.listOp(rev, known)
-	if h == nil {
+// SaveEndpointList stores the list that discovery has just confirmed, in the background. Of all members that receive it only the primary
+// of the record writes it, so that a fleet of hundreds writes it once. A balancer that follows control processes stores none.
+func (f *Fleet) SaveEndpointList(revision uint64, endpoints []byte) {
+	store, op := f.endpointListWrite(revision, endpoints)
+	if store == nil {
 		return
 	}
-	h.Submit(op, wordTry, func(r replication.Result) {
+	store.Submit(op, operationTimeout, func(result replication.Result) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.list.out = false
-		if r.Outcome == replication.OutcomeCommitted || r.Outcome == replication.OutcomeConflict { // written by another before: over it the next time
-			f.list.version = r.Record.Version
-		}
-		if r.Outcome == replication.OutcomeCommitted {
-			f.list.rev = rev
+		writer := &f.endpointList
+		writer.isWriting = false
+		switch result.Outcome {
+		case replication.OutcomeCommitted:
+			writer.recordVersion = result.Record.Version
+			writer.writtenRevision = revision
+		case replication.OutcomeConflict: // another member was the primary before; the next write replaces its record
+			writer.recordVersion = result.Record.Version
 		}
 	})
 }
 
-// listOp is the write that is due, and where it is asked for: nil where none is.
-func (f *Fleet) listOp(rev uint64, known []byte) (*nodeserver.Server, replication.Operation) {
+// endpointListWrite returns the write that is due and where to submit it; nil where none is due.
+func (f *Fleet) endpointListWrite(revision uint64, endpoints []byte) (recordStore, replication.Operation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h := f.held
-	if h == nil || len(known) > listMost {
+	if f.member == nil || len(endpoints) > maxEndpointListBytes {
 		return nil, replication.Operation{}
 	}
-	l := &f.list
-	l.newest = EndpointList{Revision: rev, ConfirmedAt: time.Now().Unix(), Endpoints: known}
-	since := time.Since(l.written)
-	if l.out || since < listEach || since < listAgain && rev == l.rev {
+	writer := &f.endpointList
+	sinceWritten := time.Since(writer.writtenAt)
+	isUnchanged := revision == writer.writtenRevision
+	if writer.isWriting || sinceWritten < endpointListInterval || isUnchanged && sinceWritten < endpointListRefreshInterval {
 		return nil, replication.Operation{}
 	}
-	text, err := json.Marshal(l.newest)
+	value, err := json.Marshal(EndpointList{Revision: revision, ConfirmedAt: time.Now().Unix(), Endpoints: endpoints})
 	if err != nil {
-		f.log.Error("fleet: a list that can't be written", zap.Error(err))
+		f.log.Error("fleet: endpoint list cannot be encoded", zap.Error(err))
 		return nil, replication.Operation{}
 	}
-	l.out, l.written = true, time.Now()
-	return h, replication.Operation{ID: rand.Text(), Key: f.listKey(), ExpectedVersion: l.version, Value: text, LocalOnly: true}
+	writer.isWriting = true
+	writer.writtenAt = time.Now()
+	return f.member.node, replication.Operation{
+		ID:              rand.Text(),
+		Key:             f.endpointListKey(),
+		ExpectedVersion: writer.recordVersion,
+		Value:           value,
+		LocalOnly:       true,
+	}
 }
 
-// LoadEndpointList asks for the list that is held and hands it on with its age, once, if there is one; it goes on asking while
-// nobody answers, until stop says so.
-func (f *Fleet) LoadEndpointList(stop func() bool, heard func(l EndpointList, age time.Duration)) {
-	f.all.Add(1)
+// LoadEndpointList reads the stored list in the background and calls onLoaded with it and its age, once, if there is one. It retries
+// while no member answers, until stop returns true.
+func (f *Fleet) LoadEndpointList(stop func() bool, onLoaded func(list EndpointList, age time.Duration)) {
+	f.goroutines.Add(1)
 	go func() {
-		defer f.all.Done()
+		defer f.goroutines.Done()
 		for !stop() {
-			if h, _ := f.holding(); h != nil {
-				r := f.ask(replication.Operation{ID: rand.Text(), Key: f.listKey(), ReadOnly: true})
-				if r.Outcome == replication.OutcomeConflict {
-					var l EndpointList
-					if r.Record.Version == 0 {
-						f.log.Info("fleet: no list is held")
-					} else if err := json.Unmarshal(r.Record.Value, &l); err != nil {
-						f.log.Error("fleet: a list that can't be read", zap.Error(err))
-					} else {
-						heard(l, max(0, time.Since(time.Unix(l.ConfirmedAt, 0))))
-					}
-					return
-				}
+			if record, ok := f.readRecord(f.endpointListKey()); ok {
+				f.decodeEndpointList(record, onLoaded)
+				return
 			}
-			if !f.rest(wordAgain / 5) {
+			if !f.sleep(readRetryDelay) {
 				return
 			}
 		}
 	}()
 }
 
-// EndpointListAges are up to which age a list is used, and up to which its servers are candidates.
-func (f *Fleet) EndpointListAges() (young, old time.Duration) {
-	return f.file.ListFreshTTL, f.file.ListStaleTTL
+func (f *Fleet) decodeEndpointList(record replication.Record, onLoaded func(list EndpointList, age time.Duration)) {
+	if record.Version == 0 {
+		f.log.Info("fleet: no endpoint list is stored")
+		return
+	}
+	var list EndpointList
+	if err := json.Unmarshal(record.Value, &list); err != nil {
+		f.log.Error("fleet: malformed endpoint list", zap.Error(err))
+		return
+	}
+	onLoaded(list, max(0, time.Since(time.Unix(list.ConfirmedAt, 0))))
+}
+
+// EndpointListAges returns up to which age a stored list is used, and up to which its endpoints are candidates.
+func (f *Fleet) EndpointListAges() (maxUsedAge, maxCandidateAge time.Duration) {
+	return f.config.ListFreshTTL, f.config.ListStaleTTL
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -97,6 +97,6 @@
 func TestGoldenRecords(t *testing.T) {
 	holdGolden(t, "word.golden.json", AdminState{OutOfService: true, SetAt: 1700000000, SetBy: "id-1"})
 	holdGolden(t, "list.golden.json", EndpointList{Revision: 7, ConfirmedAt: 1700000000, Endpoints: json.RawMessage(`{"servers":["a","b"]}`)})
-	f := &Fleet{file: &config.File{Site: "site-1"}}
-	holdGolden(t, "keys.golden.json", []string{wordKey("b-1"), f.listKey()})
+	f := &Fleet{config: &config.File{Site: "site-1"}}
+	holdGolden(t, "keys.golden.json", []string{adminStateKey("b-1"), f.endpointListKey()})
 }
--- a/internal/fleet/idempotency.go
+++ b/internal/fleet/idempotency.go
@@ -1,5 +1,3 @@
-// This file owns the second kind of holding: intents, for circuits of the grades that the file names.
-
 package fleet
 
 import (
@@ -13,68 +11,73 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// goFor is how long the right to write a first byte holds from when it was asked for. Whoever was stopped meanwhile asks anew.
-const goFor = time.Second
+// writePermissionTTL is how long the permission to write a first byte is valid from the time of the request. A process that was
+// suspended meanwhile asks anew.
+const writePermissionTTL = time.Second
 
-// IsIdempotentClass tells whether circuits of a grade are held for others.
-func (f *Fleet) IsIdempotentClass(grade string) bool {
-	return slices.ContainsFunc(f.file.IdempotentClasses, func(g config.Class) bool { return g.Name == grade })
+// IsIdempotentClass reports whether the sessions of a service class are recorded in the fleet before they go to an upstream.
+func (f *Fleet) IsIdempotentClass(class string) bool {
+	return slices.ContainsFunc(f.config.IdempotentClasses, func(c config.Class) bool { return c.Name == class })
 }
 
-// IdempotentSession is one circuit's. Its methods are called by one goroutine, one at a time: none before the one before has called back.
-// What they call back comes from another goroutine, once, within the span or a little later, and must not wait.
+// IdempotentSession records one session in the fleet, so that it is executed once at most whichever balancer it reaches. Its methods are
+// called one at a time: none before the callback of the previous one. Callbacks are called once, by another goroutine, within the given
+// time or a little later; they must not wait.
 type IdempotentSession struct {
-	of     *Fleet
-	intent *idempotency.Claim
+	fleet *Fleet
+	claim *idempotency.Claim
 }
 
-// NewIdempotentSession begins for a circuit's id.
+// NewIdempotentSession returns the record of the session with an ID. Nothing is written yet.
 func (f *Fleet) NewIdempotentSession(id uint64) *IdempotentSession {
-	return &IdempotentSession{of: f, intent: idempotency.New(id, rand.Text(), time.Now().Unix())}
+	return &IdempotentSession{fleet: f, claim: idempotency.New(id, rand.Text(), time.Now().Unix())}
 }
 
-// Verdict of a question: with Go the first byte may go out until Until, by the clock of package boottime; with Same Answer
-// is the word.
-type Verdict struct {
+// IdempotencyDecision is the answer to a step of a session.
+type IdempotencyDecision struct {
 	idempotency.Decision
-	Answer []byte
-	Until  time.Duration
+	Answer        []byte        // with idempotency.Replay
+	WriteDeadline time.Duration // with idempotency.Proceed: when the permission to write ends, by the clock of package boottime
 }
 
-// Begin asks for the right to write to a server.
-func (h *IdempotentSession) Begin(server string, within time.Duration, done func(Verdict)) {
-	until := boottime.Now() + goFor
-	h.ask(h.intent.Begin(server), within, func(v Verdict) { v.Until = until; done(v) })
+// Begin asks for the permission to write to an endpoint.
+func (s *IdempotentSession) Begin(endpoint string, within time.Duration, done func(IdempotencyDecision)) {
+	deadline := boottime.Now() + writePermissionTTL
+	s.submit(s.claim.Begin(endpoint), within, func(decision IdempotencyDecision) {
+		decision.WriteDeadline = deadline
+		done(decision)
+	})
 }
 
-// Complete has the final answer held.
-func (h *IdempotentSession) Complete(answer []byte, within time.Duration, done func(Verdict)) {
-	h.ask(h.intent.RecordAnswer(answer), within, done)
+// Complete records the final answer.
+func (s *IdempotentSession) Complete(answer []byte, within time.Duration, done func(IdempotencyDecision)) {
+	s.submit(s.claim.RecordAnswer(answer), within, done)
 }
 
-// Withdraw says that it never ran, if it may have been held. It is the last call, and nobody waits for it.
-func (h *IdempotentSession) Withdraw() {
-	if h.intent.NeedsWithdrawal() {
-		h.ask(h.intent.Withdraw(), wordTry, func(Verdict) {})
+// Withdraw records that the session was never executed, if it may have been recorded. It is the last call, and has no callback.
+func (s *IdempotentSession) Withdraw() {
+	if s.claim.NeedsWithdrawal() {
+		s.submit(s.claim.Withdraw(), operationTimeout, func(IdempotencyDecision) {})
 	}
 }
 
-func (h *IdempotentSession) ask(op replication.Operation, within time.Duration, done func(Verdict)) {
-	hold, _ := h.of.holding()
-	if hold == nil {
-		done(Verdict{Decision: idempotency.Unavailable})
+func (s *IdempotentSession) submit(op replication.Operation, within time.Duration, done func(IdempotencyDecision)) {
+	store, _ := s.fleet.currentStore()
+	if store == nil {
+		done(IdempotencyDecision{Decision: idempotency.Unavailable})
 		return
 	}
-	h.step(hold, op, time.Now().Add(within), done)
+	s.submitUntilDecided(store, op, time.Now().Add(within), done)
 }
 
-func (h *IdempotentSession) step(hold asker, op replication.Operation, end time.Time, done func(Verdict)) {
-	hold.Submit(op, time.Until(end), func(r replication.Result) {
-		v, next := h.intent.HandleResult(r)
-		if v == idempotency.Wait {
-			h.step(hold, next, end, done)
+// submitUntilDecided submits an operation and those that follow from its result, until the claim has decided.
+func (s *IdempotentSession) submitUntilDecided(store recordStore, op replication.Operation, deadline time.Time, done func(IdempotencyDecision)) {
+	store.Submit(op, time.Until(deadline), func(result replication.Result) {
+		decision, next := s.claim.HandleResult(result)
+		if decision == idempotency.Wait {
+			s.submitUntilDecided(store, next, deadline, done)
 			return
 		}
-		done(Verdict{Decision: v, Answer: h.intent.Answer})
+		done(IdempotencyDecision{Decision: decision, Answer: s.claim.Answer})
 	})
 }
--- a/internal/lab/cluster/member_group.go
+++ b/internal/lab/cluster/member_group.go
@@ -156,7 +156,7 @@
 // MemberState is how a member sees another, by its name; empty where it knows none of that name.
 func MemberState(r fleet.Report, name string) (state string) {
 	for _, o := range r.Others {
-		if o.Name == name && o.ReportedBy == "" {
+		if o.Name == name && o.ReplacedBy == "" {
 			state = o.State
 		}
 	}
