--- a/internal/fleet/open.go
+++ b/internal/fleet/open.go
@@ -104,13 +104,13 @@
 	}
 	m := &member{transport: transport, agent: agent}
 	nodeOptions := nodeserver.Options{
-		Node:      f.nodeConfig(directory, self),
-		FleetName: f.config.FleetName,
-		Dir:       f.config.DataDir,
-		Transport: transport,
-		Gossip:    agent,
-		Now:       boottime.Now,
-		Log:       f.log,
+		NodeConfig: f.nodeConfig(directory, self),
+		FleetName:  f.config.FleetName,
+		DataDir:    f.config.DataDir,
+		Transport:  transport,
+		Gossip:     agent,
+		Now:        boottime.Now,
+		Log:        f.log,
 	}
 	if f.config.Role == config.RoleControl {
 		m.publisher = f.newPublisher(directory, transport)
--- a/internal/fleet/publisher/server.go
+++ b/internal/fleet/publisher/server.go
@@ -41,7 +41,7 @@
 
 // StreamSource delivers the streams of subscribers until it is done.
 type StreamSource interface {
-	Follows() <-chan net.Conn
+	SubscriberStreams() <-chan net.Conn
 	Done() <-chan struct{}
 }
 
@@ -137,15 +137,15 @@
 	go s.accept()
 }
 
-// Changed takes over changes of the agreed state, which replace it if a snapshot is given. It never waits. It returns false where too
+// StateChanged takes over changes of the agreed state, which replace it if a snapshot is given. It never waits. It returns false where too
 // many changes are pending: it then needs a snapshot.
-func (s *Server) Changed(snapshot *changefeed.Snapshot, changes []*changefeed.Change) bool {
+func (s *Server) StateChanged(snapshot *changefeed.Snapshot, changes []*changefeed.Change) bool {
 	return s.pending.add(snapshot, changes)
 }
 
-// Fresh takes over the time at which nothing newer than a version was agreed. It never waits. It takes effect once the version is
+// VersionConfirmed takes over the time at which nothing newer than a version was agreed. It never waits. It takes effect once the version is
 // published.
-func (s *Server) Fresh(at time.Duration, version uint64) {
+func (s *Server) VersionConfirmed(at time.Duration, version uint64) {
 	s.pending.confirm(at, version)
 }
 
@@ -209,7 +209,7 @@
 			return
 		case <-s.done:
 			return
-		case netConn := <-s.options.Streams.Follows():
+		case netConn := <-s.options.Streams.SubscriberStreams():
 			s.goroutines.Add(1)
 			go func() {
 				defer s.goroutines.Done()
--- a/internal/fleet/report_build.go
+++ b/internal/fleet/report_build.go
@@ -116,15 +116,15 @@
 	return &StoreReport{
 		ID:               status.FleetID,
 		Epoch:            status.Epoch,
-		Members:          status.Members,
-		Voters:           status.Voters,
+		Members:          status.MemberCount,
+		Voters:           status.VoterCount,
 		VoterSites:       status.VoterSites,
 		Version:          status.Version,
 		IsLeader:         status.IsLeader,
 		ShardsByReplicas: status.ReplicaCounts,
 		LocalShards:      status.LocalShards,
-		Records:          status.Keys,
-		Bytes:            status.Bytes,
+		Records:          status.RecordCount,
+		Bytes:            status.RecordBytes,
 		FileBytes:        status.FileBytes,
 		DiskError:        status.DiskError,
 		Rejections:       status.Rejections,
@@ -132,7 +132,7 @@
 		Received:         status.BytesReceived,
 		Dropped:          status.PacketsDropped,
 		Malformed:        status.Malformed,
-		Writes:           status.Writes,
+		Writes:           status.WriteCount,
 	}
 }
 
