--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -87,11 +87,18 @@
 		{"four of eighty balancers", 4, 24, 10, true, base(func(d *Config) { d.Balancers = 80 })},
 		{"four of eighty balancers that gossip", 4, 6, 10, true, base(func(d *Config) { d.Balancers, d.CanGossip = 80, true })},
 		{"four of eighty balancers with endpoint reports", 4, 24, 30, true, base(func(d *Config) {
-			d.Balancers, d.HasLoadReports, d.HasEndpointReports, d.CanSendRetryAfter = 80, true, true, false
+			d.Balancers = 80
+			d.HasLoadReports = true
+			d.HasEndpointReports = true
+			d.CanSendRetryAfter = false
 		})},
 		{"four of eighty balancers, load reports, one attempt", 4, 20, 3, false, base(func(d *Config) { d.Balancers, d.HasLoadReports, d.MaxAttempts = 80, true, 1 })},
 		{"slow warm-up", 2, 12, 6, true, base(func(d *Config) {
-			d.Balancers, d.SlowStartWindow, d.SlowStartFloor, d.OverloadWindow, d.OverloadMultiple = 2, 60*time.Second, 0.05, 500*ms, 2
+			d.Balancers = 2
+			d.SlowStartWindow = 60 * time.Second
+			d.SlowStartFloor = 0.05
+			d.OverloadWindow = 500 * ms
+			d.OverloadMultiple = 2
 		})},
 		{"no message objective", 2, 8, 6, true, base(func(d *Config) {
 			d.Balancers = 2
--- /dev/null
+++ b/policy/slow_start_run_test.go
@@ -0,0 +1,360 @@
+package policy
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+type modelClient struct {
+	key, group   uint64
+	class        int
+	load         float64 // of its class, over the mean: what the rule counts
+	recordedLoad float64 // of this client, over the mean: what is recorded
+	balancer     int     // that it is connected to, -1 for none
+	endpoint     int
+	session      SessionID
+	returnsAt    time.Duration // while it is not connected
+}
+
+type modelAttempt struct {
+	at       time.Duration
+	informed bool
+	load     float64
+}
+
+// slowStartRun is one run of a model.
+type slowStartRun struct {
+	slowStartModel
+	*rand.Rand
+	now       time.Duration
+	list      []Endpoint
+	balancers []*Balancer
+	startedAt []time.Duration
+	informed  []bool
+	clients   []*modelClient
+	clientsOf []map[SessionID]*modelClient
+	load      []float64 // at each endpoint
+	attempts  [][]modelAttempt
+	lastID    SessionID
+	meanLoad  float64 // in microseconds of work a second
+	restarted map[int]bool
+}
+
+const modelStep = 50 * ms
+
+func (x *slowStartRun) randomBalancer() int {
+	if x.uneven && x.IntN(10) < 7 {
+		return x.IntN(max(1, x.config.Balancers/10))
+	}
+	return x.IntN(x.config.Balancers)
+}
+
+func (x *slowStartRun) startBalancer(k int) {
+	own := x.config
+	own.Index = k
+	x.balancers[k] = New(&own, x.Uint64())
+	x.clientsOf[k] = map[SessionID]*modelClient{}
+	x.startedAt[k] = x.now
+	x.informed[k] = false
+}
+
+// sendList gives a balancer the endpoint list by its own clock; if not informed, it takes all endpoints for warm.
+func (x *slowStartRun) sendList(k int, informed bool) {
+	own := slices.Clone(x.list)
+	for i := range own {
+		if own[i].StartedAt == StartedLongAgo || !informed {
+			own[i].StartedAt = StartedLongAgo
+		} else {
+			own[i].StartedAt -= x.startedAt[k]
+		}
+	}
+	x.informed[k] = informed
+	x.balancers[k].UpdateEndpoints(own, true)
+}
+
+func newSlowStartRun(w slowStartModel, seed uint64) *slowStartRun {
+	x := &slowStartRun{slowStartModel: w, Rand: rand.New(rand.NewPCG(seed, 2)), restarted: map[int]bool{}}
+	balancers := w.config.Balancers
+	x.balancers = make([]*Balancer, balancers)
+	x.startedAt = make([]time.Duration, balancers)
+	x.informed = make([]bool, balancers)
+	x.clientsOf = make([]map[SessionID]*modelClient, balancers)
+	x.list = warmEndpointList(w.endpoints)
+	totalCapacity := 0.0
+	for i := range x.list {
+		if i%3 == 2 {
+			x.list[i].MachineType = 1
+		}
+		totalCapacity += w.warmCapacity(i)
+	}
+	x.load, x.attempts = make([]float64, w.endpoints), make([][]modelAttempt, w.endpoints)
+	x.meanLoad = modelCoreCapacity * w.cores / (w.capacity * w.smaller)
+	x.now = -time.Minute
+	for k := range x.balancers {
+		x.startBalancer(k)
+		x.sendList(k, true)
+	}
+	x.addClients(totalCapacity)
+	return x
+}
+
+// addClients adds the clients of groups of five to sixty members; a few groups have most.
+func (x *slowStartRun) addClients(totalCapacity float64) {
+	w := x.slowStartModel
+	groups := 1 + int(w.held*totalCapacity/25)
+	mean := 0.9 + 0.1*w.heavy
+	for range int(w.held * totalCapacity) {
+		c := &modelClient{key: x.Uint64(), group: 1 + uint64(float64(groups)*math.Pow(x.Float64(), 1.5)), balancer: -1, load: 1 / mean}
+		if x.IntN(10) == 0 {
+			c.class, c.load = 1, w.heavy/mean
+		}
+		c.recordedLoad = c.load * math.Exp(w.sigma*x.NormFloat64()-w.sigma*w.sigma/2)
+		x.clients = append(x.clients, c)
+	}
+}
+
+// placeAll connects all clients to the endpoints from an index on.
+func (x *slowStartRun) placeAll(firstWarm int) {
+	for n, c := range x.clients {
+		k, i := x.randomBalancer(), firstWarm+n%(x.endpoints-firstWarm)
+		x.lastID++
+		x.balancers[k].AdoptSession(SessionRequest{ID: x.lastID, Key: c.key, Group: c.group, Class: c.class}, x.list[i].ID)
+		x.balancers[k].RecordLoad(x.lastID, 0, c.recordedLoad*x.meanLoad)
+		x.established(c, k, i, x.lastID)
+	}
+	for _, b := range x.balancers { // rounds in which the balancers learn their sessions
+		for at := 40 * time.Second; at < time.Minute; at += 250 * ms {
+			b.AdvanceClock(at)
+			allDecisions(b)
+		}
+	}
+}
+
+func (x *slowStartRun) established(c *modelClient, k, i int, id SessionID) {
+	c.balancer = k
+	c.endpoint = i
+	c.session = id
+	x.clientsOf[k][id] = c
+	x.load[i] += c.load
+}
+
+// disconnect ends a client's session; it reconnects after a while.
+func (x *slowStartRun) disconnect(c *modelClient, after time.Duration) {
+	delete(x.clientsOf[c.balancer], c.session)
+	x.load[c.endpoint] -= c.load
+	c.balancer, c.returnsAt = -1, x.now+after
+}
+
+func (x *slowStartRun) randomWithin(within time.Duration) time.Duration {
+	return time.Duration(x.Float64() * float64(within))
+}
+
+func (x *slowStartRun) endSession(c *modelClient, how Outcome, after time.Duration) {
+	x.balancers[c.balancer].AttemptEnded(c.session, 0, true, how)
+	x.disconnect(c, after)
+}
+
+// restartEndpoint sets the start of an endpoint to an age.
+func (x *slowStartRun) restartEndpoint(i int, age time.Duration) {
+	x.list[i].StartedAt, x.restarted[i] = x.now-age, true
+}
+
+func (x *slowStartRun) sendLists() {
+	for k := range x.balancers {
+		x.sendList(k, x.fault != faultLateLists || k%10 >= 3 || x.now > 2*time.Second)
+	}
+}
+
+// play runs the model. It returns the first overload, "" if there was none, and the used part of the capacity.
+func (w slowStartModel) play(seed uint64) (overload string, used float64) {
+	x := newSlowStartRun(w, seed)
+	warming := max(1, x.endpoints/3)
+	if w.fault == faultEndpointsReplaced {
+		warming = 0
+	}
+	x.placeAll(warming)
+	x.now = 0
+	for i := range warming {
+		x.restartEndpoint(i, x.randomWithin(x.config.SlowStartWindow*3/4))
+	}
+	x.sendLists()
+	ends := max(4*time.Second, 2*x.config.OverloadWindow)
+	if w.fault == faultEndpointsReplaced {
+		ends = 12 * time.Second
+	}
+	replaced := 0
+	for ; x.now < ends; x.now += modelStep {
+		switch {
+		case w.fault == faultEndpointsReplaced:
+			due := min(x.endpoints*6/10, int(float64(x.endpoints*6/10)*x.now.Seconds()/7))
+			if due > replaced && x.now%(500*ms) == 0 {
+				x.replaceEndpoints(replaced, due)
+				replaced = due
+			}
+		case x.now == 500*ms:
+			x.injectFault()
+		}
+		if w.fault == faultLateLists && x.now == 2100*ms {
+			x.sendLists()
+		}
+		x.step()
+	}
+	return x.evaluate(ends)
+}
+
+// evaluate returns the first overload, "" if there was none, and the used part of the capacity of warming endpoints.
+func (x *slowStartRun) evaluate(ends time.Duration) (overload string, used float64) {
+	got, bears := 0.0, 0.0
+	for i, all := range x.attempts {
+		if !x.restarted[i] {
+			continue
+		}
+		if overload == "" {
+			overload = x.checkWindows(i, all)
+		}
+		for _, s := range all {
+			if x.isWarming(i, s.at) {
+				got += s.load
+			}
+		}
+		for at := max(0, x.list[i].StartedAt); at < ends && x.isWarming(i, at); at += modelStep {
+			bears += x.windowCapacity(i, at-x.list[i].StartedAt) * modelStep.Seconds() / x.config.OverloadWindow.Seconds()
+		}
+	}
+	return overload, got / max(bears, 1e-9)
+}
+
+// replaceEndpoints restarts endpoints and disconnects their clients.
+func (x *slowStartRun) replaceEndpoints(from, to int) {
+	for i := from; i < to; i++ {
+		for _, c := range x.clients {
+			if c.balancer >= 0 && c.endpoint == i {
+				x.endSession(c, Cancelled, x.randomWithin(2*time.Second))
+			}
+		}
+		x.restartEndpoint(i, 0)
+	}
+	x.sendLists()
+}
+
+func (x *slowStartRun) injectFault() {
+	if x.fault == faultBalancersKilled {
+		for k := range x.balancers {
+			if x.IntN(10) < 7 {
+				for _, c := range x.clients { // in their order: a random delay is drawn for each
+					if c.balancer != k {
+						continue
+					}
+					if c.endpoint >= 0 {
+						x.load[c.endpoint] -= c.load
+					}
+					c.balancer, c.returnsAt = -1, x.now+x.randomWithin(2*time.Second)
+				}
+				x.startBalancer(k)
+				x.sendList(k, true)
+			}
+		}
+		return
+	}
+	hit := map[uint64]bool{}
+	for range 3 {
+		hit[x.clients[x.IntN(len(x.clients))].group] = true
+	}
+	for n, c := range x.clients {
+		if c.balancer >= 0 && c.endpoint >= 0 && (x.fault == faultReconnectWave && n%3 == 0 || x.fault != faultReconnectWave && hit[c.group]) {
+			x.endSession(c, Cancelled, x.randomWithin(time.Second))
+		}
+	}
+}
+
+// step has clients reconnect and carries out what the balancers decide.
+func (x *slowStartRun) step() {
+	for _, c := range x.clients {
+		if c.balancer < 0 && c.returnsAt <= x.now {
+			k := x.randomBalancer()
+			x.lastID++
+			c.balancer = k
+			c.session = x.lastID
+			c.endpoint = -1
+			x.clientsOf[k][x.lastID] = c
+			x.balancers[k].AdvanceClock(x.now - x.startedAt[k])
+			x.balancers[k].AddSession(SessionRequest{ID: x.lastID, Key: c.key, Group: c.group, Class: c.class, Timeout: 1800 * ms})
+		}
+	}
+	for k, b := range x.balancers {
+		b.AdvanceClock(x.now - x.startedAt[k])
+		if x.now%time.Second == 0 {
+			x.recordLatencies(k)
+		}
+		for _, d := range allDecisions(b) {
+			x.carryOut(k, d)
+		}
+	}
+}
+
+func (x *slowStartRun) recordLatencies(k int) {
+	seen := map[int]bool{}
+	for _, c := range x.clientsOf[k] {
+		if c.endpoint >= 0 && !seen[c.endpoint] && x.load[c.endpoint] > 0.9*x.warmCapacity(c.endpoint) {
+			seen[c.endpoint] = true
+		}
+	}
+	for _, i := range slices.Sorted(maps.Keys(seen)) {
+		x.balancers[k].RecordLatency(x.list[i].ID, 60*ms)
+	}
+}
+
+func (x *slowStartRun) carryOut(k int, d Decision) {
+	c := x.clientsOf[k][d.Session]
+	switch d.Action {
+	case StartAttempt:
+		i := int(d.Endpoint - 100)
+		x.attempts[i] = append(x.attempts[i], modelAttempt{x.now, x.informed[k], c.load})
+		x.balancers[k].AttemptEstablished(d.Session, 0, ms)
+		x.balancers[k].RecordLoad(d.Session, 0, c.recordedLoad*x.meanLoad)
+		x.established(c, k, i, d.Session)
+	case Migrate:
+		x.endSession(c, Cancelled, x.randomWithin(time.Second))
+	case Reject, Fail:
+		delete(x.clientsOf[k], d.Session)
+		c.balancer, c.returnsAt = -1, x.now+500*ms
+	}
+}
+
+// isWarming reports whether the newest process of an endpoint runs and has not finished its slow start.
+func (x *slowStartRun) isWarming(i int, at time.Duration) bool {
+	return at >= x.list[i].StartedAt && at < x.list[i].StartedAt+x.config.SlowStartWindow
+}
+
+// checkWindows checks each window that ends with an attempt. Only the first overload counts, and only if over two thirds of the
+// load came from balancers that knew of the restart.
+func (x *slowStartRun) checkWindows(i int, all []modelAttempt) string {
+	slices.SortStableFunc(all, func(a, b modelAttempt) int { return cmp.Compare(a.at, b.at) })
+	all = slices.DeleteFunc(slices.Clone(all), func(s modelAttempt) bool { return !x.isWarming(i, s.at) })
+	from, got, gotInformed := 0, 0.0, 0.0
+	for n, s := range all {
+		got += s.load
+		if s.informed {
+			gotInformed += s.load
+		}
+		for ; s.at >= all[from].at+x.config.OverloadWindow; from++ {
+			got -= all[from].load
+			if all[from].informed {
+				gotInformed -= all[from].load
+			}
+		}
+		bears := x.windowCapacity(i, s.at-x.list[i].StartedAt)
+		if got > bears+2*math.Sqrt(bears)+2 {
+			if 3*gotInformed > 2*got {
+				return fmt.Sprintf("endpoint %d got %.1f of mean load in %d sessions within %v, it bears %.1f", i, got, n+1-from, x.config.OverloadWindow, bears)
+			}
+			return ""
+		}
+	}
+	return ""
+}
