--- a/internal/balancer/client_left_test.go
+++ b/internal/balancer/client_left_test.go
@@ -132,7 +132,7 @@
 				t.Fatal("it does not wait")
 			}
 			y.leave()
-			y.l.writeDecided(session, session.generation, fleet.Verdict{Decision: idempotency.Proceed, Until: boottime.Now() + time.Hour})
+			y.l.writeDecided(session, session.generation, fleet.IdempotencyDecision{Decision: idempotency.Proceed, WriteDeadline: boottime.Now() + time.Hour})
 			y.expectNothingMore(1, 0)
 		}},
 		{"to go back to its server", func(t *testing.T, how string) {
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -67,7 +67,7 @@
 		generation := session.generation
 		record.requesting = true
 		timeout := min(maxWriteWait, (session.deadline-l.now)/2)
-		record.Begin(session.upstream.listed.UID, timeout, func(verdict fleet.Verdict) {
+		record.Begin(session.upstream.listed.UID, timeout, func(verdict fleet.IdempotencyDecision) {
 			l.post(event{session: session, run: func() { l.writeDecided(session, generation, verdict) }})
 		})
 	})
@@ -93,7 +93,7 @@
 }
 
 // writeDecided handles the fleet's verdict on writing.
-func (l *Loop) writeDecided(session *session, generation int, verdict fleet.Verdict) {
+func (l *Loop) writeDecided(session *session, generation int, verdict fleet.IdempotencyDecision) {
 	record := session.record
 	defer record.requestDone()
 	if !l.isCurrent(session) {
@@ -102,7 +102,7 @@
 	switch verdict.Decision {
 	case idempotency.Proceed:
 		if session.isActive(generation) {
-			record.allowWrite(verdict.Until)
+			record.allowWrite(verdict.WriteDeadline)
 		}
 	case idempotency.Replay:
 		l.RepeatedAnswers.Add(1)
@@ -152,14 +152,14 @@
 	record.whenIdle(func() {
 		record.requesting = true
 		timeout := max(0, min(maxCommitWait, (session.deadline-l.now)/2))
-		record.Complete(line.Raw, timeout, func(verdict fleet.Verdict) {
+		record.Complete(line.Raw, timeout, func(verdict fleet.IdempotencyDecision) {
 			l.post(event{session: session, run: func() { l.answerCommitted(session, line, verdict) }})
 		})
 	})
 }
 
 // answerCommitted handles the fleet's verdict on a success.
-func (l *Loop) answerCommitted(session *session, line protocol.Line, verdict fleet.Verdict) {
+func (l *Loop) answerCommitted(session *session, line protocol.Line, verdict fleet.IdempotencyDecision) {
 	record := session.record
 	defer record.requestDone()
 	if !l.isCurrent(session) {
