--- a/cmd/sabletally/commands.go
+++ b/cmd/sabletally/commands.go
@@ -91,7 +91,7 @@
 		fmt.Printf("%s: fleet %q, a balancer that follows control processes; machine %s, zone %s, site %s\n", c.File, f.FleetName, f.Machine, f.Zone, f.Site)
 	case config.RoleControl:
 		fmt.Printf("%s: fleet %q, a control process for %d followers, %d voters, %d copies; machine %s, zone %s, site %s, reached at %v\n", c.File, f.FleetName,
-			f.MaxFollowers, f.Voters, f.ReplicationFactor, f.Machine, f.Zone, f.Site, f.Advertise)
+			f.MaxSubscribers, f.Voters, f.ReplicationFactor, f.Machine, f.Zone, f.Site, f.Advertise)
 	default:
 		fmt.Printf("%s: fleet %q, %d copies; this member: machine %s, zone %s, site %s, reached at %v\n", c.File, f.FleetName, f.ReplicationFactor, f.Machine, f.Zone,
 			f.Site, f.Advertise)
@@ -122,7 +122,7 @@
 			size += len(r.Key) + len(r.Value)
 		}
 	}
-	fmt.Printf("%s: member %s of fleet %q (%s), machine %s, life %d\n", c.Dir, card.MemberID, card.Fleet, saved.FleetID, card.Machine, card.Incarnation)
+	fmt.Printf("%s: member %s of fleet %q (%s), machine %s, life %d\n", c.Dir, card.MemberID, card.FleetName, saved.FleetID, card.Machine, card.Incarnation)
 	fmt.Printf("%d records of %d bytes in %d slots, %d entries of the log behind a snapshot of %d bytes: all checksums hold\n", all, size, len(saved.Shards),
 		len(saved.Log.Entries), len(saved.Log.Snapshot))
 	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
--- a/internal/fleet/config/config.go
+++ b/internal/fleet/config/config.go
@@ -50,9 +50,9 @@
 	ListFreshTTL time.Duration // a stored endpoint list is used up to this age
 	ListStaleTTL time.Duration // its endpoints are candidates for health checks up to this age
 
-	MaxRecords   int // stored by this member
-	MaxBytes     int // of keys and values together
-	MaxFollowers int // balancers that a control process serves; 0 for the other roles
+	MaxRecords     int // stored by this member
+	MaxBytes       int // of keys and values together
+	MaxSubscribers int // balancers that a control process serves; 0 for the other roles
 
 	IdempotentClasses []Class // service classes whose sessions are recorded in the fleet before they go to an upstream
 }
--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -52,9 +52,9 @@
 // TestRoles reads a file of each role, one without a role included.
 func TestRoles(t *testing.T) {
 	for _, c := range []struct {
-		old, replacement  string
-		role              Role
-		voters, followers int
+		old, replacement    string
+		role                Role
+		voters, subscribers int
 	}{
 		{"", "", RoleMember, 3, 0},
 		{`copies  = 3`, `role = "control"`, RoleControl, 5, 1000},
@@ -69,7 +69,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Role != c.role || f.Voters != c.voters || f.MaxFollowers != c.followers {
+		if f.Role != c.role || f.Voters != c.voters || f.MaxSubscribers != c.subscribers {
 			t.Errorf("%q: %+v", c.replacement, f)
 		}
 	}
--- a/internal/fleet/config/golden_test.go
+++ b/internal/fleet/config/golden_test.go
@@ -50,7 +50,7 @@
 			Voters:            7,
 			MaxRecords:        4321,
 			MaxBytes:          9 << 20,
-			MaxFollowers:      321,
+			MaxSubscribers:    321,
 		},
 		"balancer.hcl": {
 			Role:              "balancer",
--- a/internal/fleet/config/parse.go
+++ b/internal/fleet/config/parse.go
@@ -18,7 +18,7 @@
 	maxReplicationFactor = 7
 	maxVoters            = 7
 	maxNameBytes         = 64 // names are part of the gossiped metadata, whose size is bounded
-	maxFollowersLimit    = 10000
+	maxSubscribersLimit  = 10000
 	maxRecordsLimit      = 1000000
 	maxMegabytes         = 4096
 )
@@ -144,7 +144,7 @@
 	otherwise := defaultVoters
 	if f.Role == RoleControl {
 		otherwise = defaultControlVoters
-		f.MaxFollowers = p.Int("followers", 1000, 1, maxFollowersLimit)
+		f.MaxSubscribers = p.Int("followers", 1000, 1, maxSubscribersLimit)
 	}
 	f.Voters = p.Int("voters", otherwise, 1, maxVoters)
 	if f.Voters%2 == 0 {
--- a/internal/fleet/datadir/datadir.go
+++ b/internal/fleet/datadir/datadir.go
@@ -83,8 +83,8 @@
 	if err := d.loadOrCreate(fleet, machine); err != nil {
 		return err
 	}
-	if d.Fleet != fleet {
-		return fmt.Errorf("it is a directory of fleet %q, not of %q", d.Fleet, fleet)
+	if d.FleetName != fleet {
+		return fmt.Errorf("it is a directory of fleet %q, not of %q", d.FleetName, fleet)
 	}
 	if d.Machine != machine {
 		return fmt.Errorf("it is machine %q's directory, and this is %q: a member with a copy of it may still run; give this one an empty directory",
@@ -117,7 +117,7 @@
 	var id [memberIDBytes]byte
 	_, _ = rand.Read(id[:]) // never fails
 	d.IsNew = true
-	d.Identity = Identity{Format: FormatVersion, Fleet: fleet, Machine: machine, MemberID: hex.EncodeToString(id[:])}
+	d.Identity = Identity{Format: FormatVersion, FleetName: fleet, Machine: machine, MemberID: hex.EncodeToString(id[:])}
 	return nil
 }
 
--- a/internal/fleet/datadir/golden_test.go
+++ b/internal/fleet/datadir/golden_test.go
@@ -8,7 +8,7 @@
 
 // TestIdentityFileIsUnchanged reads the golden file of a directory, encodes it to the same bytes, and counts a start on a copy of it.
 func TestIdentityFileIsUnchanged(t *testing.T) {
-	want := Identity{Format: 1, Fleet: "istanbul", Machine: "m1", MemberID: "0123456789abcdef0123456789abcdef", Incarnation: 7}
+	want := Identity{Format: 1, FleetName: "istanbul", Machine: "m1", MemberID: "0123456789abcdef0123456789abcdef", Incarnation: 7}
 	text, err := os.ReadFile(filepath.Join("testdata", identityFile))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/datadir/identity.go
+++ b/internal/fleet/datadir/identity.go
@@ -22,7 +22,7 @@
 // Identity is what a directory says of its member. Its file is one line of JSON and one line with the checksum of the first.
 type Identity struct {
 	Format      int    `json:"format"`
-	Fleet       string `json:"fleet"` // name in the fleet file
+	FleetName   string `json:"fleet"` // in the fleet file
 	Machine     string `json:"machine"`
 	MemberID    string `json:"member"` // 32 hexadecimal digits
 	Incarnation uint64 `json:"life"`   // number of starts
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"hash"
 	"hash/fnv"
 	"math/rand/v2"
 	"net/netip"
@@ -27,80 +28,94 @@
 	}
 }
 
-// seededDecisions plays 6,000 heartbeats with random events among twelve members, some of which share an address or a machine.
+// decisionRun draws events for the table of member 0 among twelve members, some of which share an address or a machine.
+type decisionRun struct {
+	rng     *rand.Rand
+	table   *Table
+	now     time.Duration
+	digest  hash.Hash64
+	actions int
+}
+
+const decisionMembers = 12
+
+// seededDecisions runs 6,000 heartbeats.
 func seededDecisions(seed uint64) (digest uint64, actions int) {
-	const members, heartbeats = 12, 6000
-	rng := rand.New(rand.NewPCG(seed, 99))
-	sum := fnv.New64a()
-	member := func(i int) Member {
-		return Member{
-			ID:                 fmt.Sprintf("%032x", i+1),
-			Name:               fmt.Sprintf("b%02d", i),
-			Addr:               netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i % 9)}), 7001),
-			Machine:            fmt.Sprintf("m%d", i/2),
-			Zone:               "z",
-			Site:               "s",
-			Incarnation:        1 + uint64(rng.IntN(3)),
-			Leaving:            rng.IntN(8) == 0,
-			ProtocolVersion:    2,
-			MinProtocolVersion: 1,
-		}
-	}
-	self := member(0)
+	const heartbeats = 6000
+	run := &decisionRun{rng: rand.New(rand.NewPCG(seed, 99)), digest: fnv.New64a()}
+	self := run.member(0)
 	var seeds []netip.AddrPort
 	for i := range 4 {
-		seeds = append(seeds, member(i).Addr)
+		seeds = append(seeds, run.member(i).Addr)
 	}
-	now := time.Duration(0)
-	table := New(Config{
-		Self:              self,
-		Seeds:             seeds,
-		ReplicationFactor: 3,
-		ForgetAfter:       3 * time.Minute,
-		MaxMembers:        8,
-		Seed:              seed,
-	}, now)
+	run.table = New(Config{Self: self, Seeds: seeds, ReplicationFactor: 3, ForgetAfter: 3 * time.Minute, MaxMembers: 8, Seed: seed}, 0)
 	for range heartbeats {
-		now += HeartbeatInterval
-		if rng.IntN(400) == 0 {
-			now += StallThreshold + time.Duration(rng.IntN(5000))*time.Millisecond
-		}
-		other := member(1 + rng.IntN(members-1))
-		switch rng.IntN(40) {
-		case 0, 1, 2, 3:
-			table.HandleAlive(other)
-		case 4, 5:
-			table.HandleFailure(other.ID)
-		case 6:
-			_, _ = fmt.Fprintln(sum, table.HandleLeave(other.ID, other.Incarnation))
-		case 7:
-			table.HandleConflict(other.Addr)
-		}
-		table.Tick(now)
-		for {
-			action, more := table.NextAction()
-			if !more {
-				break
-			}
-			actions++
-			event := action.Event
-			_, _ = fmt.Fprintln(sum, now, uint8(action.Kind), action.Addr, action.ID, uint8(event.Kind), event.Member, event.Returns,
-				uint8(event.Standing), event.Duration, event.Alive, event.Total)
-			switch action.Kind {
-			case Join:
-				table.HandleJoinResult(action.Addr, rng.IntN(3) == 0)
-			case Ping:
-				table.HandlePingResult(action.ID, rng.IntN(3) > 0)
-			case ProbeDuplicate:
-				table.HandleProbeResult(action.Addr, rng.IntN(30) == 0)
-			}
-		}
-		_, _ = fmt.Fprintln(sum, uint8(table.Standing(now)), table.Rejected, table.Stalls)
-		if rng.IntN(50) == 0 {
-			for _, known := range table.Peers() {
-				_, _ = fmt.Fprintln(sum, known.Member, uint8(known.State), known.Since, known.Returns, known.ReplacedBy)
-			}
+		run.heartbeat()
+	}
+	return run.digest.Sum64(), run.actions
+}
+
+func (r *decisionRun) write(values ...any) { _, _ = fmt.Fprintln(r.digest, values...) }
+
+func (r *decisionRun) member(i int) Member {
+	return Member{
+		ID:                 fmt.Sprintf("%032x", i+1),
+		Name:               fmt.Sprintf("b%02d", i),
+		Addr:               netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i % 9)}), 7001),
+		Machine:            fmt.Sprintf("m%d", i/2),
+		Zone:               "z",
+		Site:               "s",
+		Incarnation:        1 + uint64(r.rng.IntN(3)),
+		Leaving:            r.rng.IntN(8) == 0,
+		ProtocolVersion:    2,
+		MinProtocolVersion: 1,
+	}
+}
+
+// heartbeat draws at most one event, ticks, and answers all actions.
+func (r *decisionRun) heartbeat() {
+	r.now += HeartbeatInterval
+	if r.rng.IntN(400) == 0 {
+		r.now += StallThreshold + time.Duration(r.rng.IntN(5000))*time.Millisecond
+	}
+	r.drawEvent()
+	r.table.Tick(r.now)
+	for action, more := r.table.NextAction(); more; action, more = r.table.NextAction() {
+		r.actions++
+		event := action.Event
+		r.write(r.now, uint8(action.Kind), action.Addr, action.ID, uint8(event.Kind), event.Member, event.Returns, uint8(event.Standing),
+			event.Duration, event.Alive, event.Total)
+		r.answer(action)
+	}
+	r.write(uint8(r.table.Standing(r.now)), r.table.Rejected, r.table.Stalls)
+	if r.rng.IntN(50) == 0 {
+		for _, peer := range r.table.Peers() {
+			r.write(peer.Member, uint8(peer.State), peer.Since, peer.Returns, peer.ReplacedBy)
 		}
 	}
-	return sum.Sum64(), actions
+}
+
+func (r *decisionRun) drawEvent() {
+	other := r.member(1 + r.rng.IntN(decisionMembers-1))
+	switch r.rng.IntN(40) {
+	case 0, 1, 2, 3:
+		r.table.HandleAlive(other)
+	case 4, 5:
+		r.table.HandleFailure(other.ID)
+	case 6:
+		r.write(r.table.HandleLeave(other.ID, other.Incarnation))
+	case 7:
+		r.table.HandleConflict(other.Addr)
+	}
+}
+
+func (r *decisionRun) answer(action Action) {
+	switch action.Kind {
+	case Join:
+		r.table.HandleJoinResult(action.Addr, r.rng.IntN(3) == 0)
+	case Ping:
+		r.table.HandlePingResult(action.ID, r.rng.IntN(3) > 0)
+	case ProbeDuplicate:
+		r.table.HandleProbeResult(action.Addr, r.rng.IntN(30) == 0)
+	}
 }
--- a/internal/fleet/nodeserver/datadir_golden_test.go
+++ b/internal/fleet/nodeserver/datadir_golden_test.go
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	identity, err := datadir.ReadIdentity(dir)
-	if err != nil || identity != (datadir.Identity{Format: 1, Fleet: "istanbul", Machine: "m1", MemberID: goldenMember, Incarnation: 3}) {
+	if err != nil || identity != (datadir.Identity{Format: 1, FleetName: "istanbul", Machine: "m1", MemberID: goldenMember, Incarnation: 3}) {
 		t.Fatalf("%v: %+v", err, identity)
 	}
 	if _, err := store.Inspect(dir); err != nil {
--- a/internal/fleet/open.go
+++ b/internal/fleet/open.go
@@ -79,7 +79,7 @@
 func (f *Fleet) openMember(directory *datadir.Directory) (*member, error) {
 	streams := 0
 	if f.config.Role == config.RoleControl {
-		streams = f.config.MaxFollowers + publisher.ExtraStreams
+		streams = f.config.MaxSubscribers + publisher.ExtraStreams
 	}
 	transport, err := gossip.Listen(f.config.Listen, f.config.Advertise, streams)
 	if err != nil {
@@ -168,7 +168,7 @@
 	return publisher.New(publisher.Options{
 		ID:             directory.MemberID,
 		Fleet:          f.config.FleetName,
-		MaxSubscribers: f.config.MaxFollowers,
+		MaxSubscribers: f.config.MaxSubscribers,
 		Seed:           f.seed ^ directory.Incarnation<<publisherSeedShift,
 		Streams:        transport,
 		Now:            boottime.Now,
--- a/internal/fleet/report_build.go
+++ b/internal/fleet/report_build.go
@@ -76,7 +76,7 @@
 	report.Received = m.transport.BytesReceived.Load()
 	report.Store = newStoreReport(m.node.Status())
 	if m.publisher != nil {
-		report.Publisher = newPublisherReport(m.publisher.Status(), f.config.MaxFollowers)
+		report.Publisher = newPublisherReport(m.publisher.Status(), f.config.MaxSubscribers)
 	}
 	report.Alive = 1
 	machines := map[string]bool{status.Self.Machine: true}
