--- a/cmd/sabletally/commands.go
+++ b/cmd/sabletally/commands.go
@@ -58,13 +58,13 @@
 	if _, is := errors.AsType[*roleError](err); is {
 		return true
 	}
-	_, is := errors.AsType[hclconfig.Faults](err)
+	_, is := errors.AsType[hclconfig.Diagnostics](err)
 	return is
 }
 
 // eachFault calls a function with each fault of a file, or with any other error itself.
 func eachFault(err error, report func(error)) {
-	faults, is := errors.AsType[hclconfig.Faults](err)
+	faults, is := errors.AsType[hclconfig.Diagnostics](err)
 	if !is {
 		report(err)
 	}
--- a/cmd/sabletally/control.go
+++ b/cmd/sabletally/control.go
@@ -47,7 +47,7 @@
 	}
 	defer member.Leave()
 	if c.Mgmt != "" {
-		server, err := admin.OpenWith(c.Mgmt, maxAdminConns, controlHandler(member), libraryLog{log, "mgmt"})
+		server, err := admin.OpenHandler(c.Mgmt, maxAdminConns, controlHandler(member), libraryLog{log, "mgmt"})
 		if err != nil {
 			return fmt.Errorf("mgmt: %w", err)
 		}
--- a/cmd/sabletally/start.go
+++ b/cmd/sabletally/start.go
@@ -107,7 +107,7 @@
 	}
 	adminDescriptors := 0
 	if p.config.Admin != "" {
-		adminDescriptors = admin.Conns(p.config.MaxSockets)
+		adminDescriptors = admin.MaxConns(p.config.MaxSockets)
 	}
 	maxDescriptors := p.config.MaxSockets - adminDescriptors
 	p.loop, err = balancer.New(p.log, p.config.Settings, p.config.Seed, p.config.InitialEndpoints, maxDescriptors)
--- a/cmd/sabletally/status.go
+++ b/cmd/sabletally/status.go
@@ -92,7 +92,7 @@
 			state = "this one"
 			since = "-"
 		}
-		if m.ReportedBy != "" {
+		if m.ReplacedBy != "" {
 			state += ", replaced"
 		}
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%.8s\n", // into memory
--- a/internal/balancer/client_left_test.go
+++ b/internal/balancer/client_left_test.go
@@ -132,7 +132,7 @@
 				t.Fatal("it does not wait")
 			}
 			y.leave()
-			y.l.writeDecided(session, session.generation, fleet.Verdict{Decision: idempotency.Proceed, Until: boottime.Now() + time.Hour})
+			y.l.writeDecided(session, session.generation, fleet.IdempotencyDecision{Decision: idempotency.Proceed, WriteDeadline: boottime.Now() + time.Hour})
 			y.expectNothingMore(1, 0)
 		}},
 		{"to go back to its server", func(t *testing.T, how string) {
@@ -167,7 +167,7 @@
 			y.l.takeOverClient(fd, fmt.Appendf(nil, openLine, 2))
 			y.l.mu.Lock()
 			y.l.inbox = y.l.inbox[:1]
-			if got := y.l.inbox[0].lines; len(got) != 1 || got[0].Kind != protocol.Open {
+			if got := y.l.inbox[0].lines; len(got) != 1 || got[0].Kind != protocol.KindOpen {
 				t.Errorf("%v", got)
 			}
 			y.l.mu.Unlock()
--- a/internal/balancer/descriptors.go
+++ b/internal/balancer/descriptors.go
@@ -7,7 +7,7 @@
 	runtimeDescriptors   = 4 // Go's poller and its wake-up, and the two files of the container's processor limit
 	pollerDescriptors    = 2 // of each of netpoll's pollers: its epoll set and its wake-up
 	relayDescriptors     = 2 // of each relay worker: the same
-	listenerDescriptors  = 2 // the clients' and the operators' listener; operators' connections are counted by admin.Conns
+	listenerDescriptors  = 2 // the clients' and the operators' listener; operators' connections are counted by admin.MaxConns
 	discoveryDescriptors = 4 // two requests at once, and two of the watch before, whose requests end a little after a reload
 	gossipDescriptors    = 2 // the transport, and the one before it during a reload
 	handoverDescriptors  = 3 // the listener for the next process, the link to it or to the one before, and a link that replaces it
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,344 +1,229 @@
-// Package discovery follows the list of servers: one call for the whole list, then watches, over HTTP/1.1. It
-// owns the calls and the form of their answers, and hands each list on as soon as it has come. It must never
-// judge a server or drop what is known: an outage or a bad answer leaves the old list.
+// Package discovery follows the endpoint list: it requests the complete list, then watches for changes, over HTTP/1.1.
+// It owns the requests and the form of their responses, and delivers each list as soon as it has come. It must never
+// judge an endpoint or forget a list: an outage or a malformed response leaves the old one.
 package discovery
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"slices"
-	"strings"
 	"time"
-
-	"sabletally/policy"
 )
 
+// With an agent on the balancer's own machine, which answers at once and at no cost. What it has counts as known to the
+// balancer from the first moment of a process, and from the moment at which the agent can answer again.
 const (
-	largest = 16 << 20 // bytes of an answer
-
-	// At an agent on the balancer's own machine, which answers at once and at no cost, also where many ask theirs. What it has
-	// counts as told, watched or not, from the first moment of a process and from the moment at which it can speak again.
-	ownHold  = time.Second             // how long a watch may wait for news; by chance half as long
-	ownLag   = 300 * time.Millisecond  // an answer that is so late is asked for beside the call,
-	ownEach  = 250 * time.Millisecond  // by calls that wait so long
-	ownPause = 50 * time.Millisecond   // and are so far apart, until one is answered
-	ownLow   = 20 * time.Millisecond   // pause after a first failed call; it doubles up to
-	ownMost  = 250 * time.Millisecond  // this
-	answerIn = 1500 * time.Millisecond // no call takes longer than this beyond its wait
-
-	// At one service of little capacity, where each call is dear and waits for its turn. Told is what it has written, 2 s after a
-	// watch's wait, and 6 s after discovery had it and could be reached at the latest, whatever failed before; 4 s after a reload.
-	shareHold = 4 * time.Second         // how long a watch may wait, and
-	shareEach = 500 * time.Millisecond  // so much for each balancer that asks, where that is longer,
-	shareMost = 60 * time.Second        // up to this; by chance half as long
-	shareLag  = 800 * time.Millisecond  // an answer that is so late beyond its wait is asked for once more, beside the call
-	shareDial = 2 * time.Second         // a dial that nobody answers ends
-	turnEach  = 400 * time.Millisecond  // calls of one that was not answered are so far apart for each balancer,
-	turnMost  = 4800 * time.Millisecond // up to this, which leaves 1.2 s for the answer; by chance a sixth less
-	// A service made for so many answers a call of each in a round: so long for each, up to roundMost. A first call comes by chance
-	// within a round or a turn, or startMost after a reload. After busyFrom calls in a row that were turned away after a wait,
-	// more come than it can serve: one to three rounds go by. So they do after the first at the start, where a round
-	// is longer than a turn.
-	roundEach = 100 * time.Millisecond
-	roundMost = 10 * time.Second
-	startMost = 3200 * time.Millisecond
-	busyFrom  = 3
+	agentHold         = time.Second            // longest wait of a watch for changes; by chance half as long
+	agentLateAfter    = 300 * time.Millisecond // beyond its wait, a watch without a response is repeated beside it,
+	agentRetryTimeout = 250 * time.Millisecond // by requests with this timeout,
+	agentRetryPause   = 50 * time.Millisecond  // this far apart, until one is answered
+	agentMinBackoff   = 20 * time.Millisecond  // after a failed request, doubled up to agentMaxBackoff
+	agentMaxBackoff   = 250 * time.Millisecond
+	responseTimeout   = 1500 * time.Millisecond // of any request, beyond its wait
 )
 
-// Server is one line of the list.
-type Server struct {
-	UID      string
-	Endpoint string
-	Zone     string
-	Cell     int
-	Model    string // of the machine
-	State    policy.EndpointState
-	Heft     float64
-	Boot     time.Time // zero for long ago
-}
-
-// List is one answer: the whole list or what has changed.
-type List struct {
-	Rev     uint64
-	Whole   bool
-	Servers []Server
-}
-
-var states = map[string]policy.EndpointState{
-	"in_service": policy.Ready, "terminating": policy.Draining, "terminated": policy.Removed,
-}
-
-// form is an answer as discovery writes it.
-type form struct {
-	Rev     *uint64  `json:"rev"`
-	All     *bool    `json:"all"`
-	Targets []target `json:"targets"`
-}
-
-type target struct {
-	UID      string   `json:"uid"`
-	Endpoint string   `json:"endpoint"`
-	Zone     string   `json:"az"`
-	Cell     int      `json:"pod_group"`
-	Model    string   `json:"model,omitempty"`
-	State    string   `json:"state"`
-	Heft     *float64 `json:"capacity_hint"`
-	BootMs   int64    `json:"boot_ms"`
-}
-
-// Encode writes a list as discovery does.
-func Encode(l List) []byte {
-	out := form{Rev: &l.Rev, All: &l.Whole, Targets: []target{}}
-	for _, s := range l.Servers {
-		t := target{UID: s.UID, Endpoint: s.Endpoint, Zone: s.Zone, Cell: s.Cell, Model: s.Model, Heft: &s.Heft}
-		for name, state := range states {
-			if state == s.State {
-				t.State = name
-			}
-		}
-		if !s.Boot.IsZero() {
-			t.BootMs = s.Boot.UnixMilli()
-		}
-		out.Targets = append(out.Targets, t)
-	}
-	slices.SortFunc(out.Targets, func(a, b target) int { return strings.Compare(a.UID, b.UID) })
-	text, err := json.Marshal(out)
-	if err != nil {
-		panic(err) // plain values
-	}
-	return text
-}
-
-// Decode reads one answer; one with any fault is taken for none.
-func Decode(text []byte) (List, error) {
-	var in form
-	if err := json.Unmarshal(text, &in); err != nil {
-		return List{}, err
-	}
-	if in.Rev == nil || in.All == nil {
-		return List{}, errors.New("rev or all is missing")
-	}
-	l := List{Rev: *in.Rev, Whole: *in.All}
-	for i, t := range in.Targets {
-		s := Server{UID: t.UID, Endpoint: t.Endpoint, Zone: t.Zone, Cell: t.Cell, Model: t.Model, Heft: 1}
-		state, known := states[t.State]
-		switch {
-		case t.UID == "":
-			return List{}, fmt.Errorf("targets[%d].uid is missing", i)
-		case !known:
-			return List{}, fmt.Errorf("targets[%d].state %q is not known", i, t.State)
-		case t.Endpoint == "" && state != policy.Removed:
-			return List{}, fmt.Errorf("targets[%d].endpoint is missing", i)
-		}
-		s.State = state
-		if t.Heft != nil && *t.Heft > 0 {
-			s.Heft = *t.Heft
-		}
-		if t.BootMs != 0 {
-			s.Boot = time.UnixMilli(t.BootMs)
-		}
-		l.Servers = append(l.Servers, s)
-	}
-	return l, nil
-}
+// With one discovery service of limited capacity, shared by all balancers. A change has to be known 2 s after a watch's
+// wait, 6 s after discovery had it and could be reached, whatever failed before, and 4 s after a reload.
+const (
+	sharedMinHold         = 4 * time.Second // longest wait of a watch for changes; by chance half as long
+	sharedHoldPerBalancer = 500 * time.Millisecond
+	sharedMaxHold         = 60 * time.Second
+	sharedLateAfter       = 800 * time.Millisecond // beyond its wait, a watch without a response is repeated once beside it
+	sharedDialTimeout     = 2 * time.Second
+
+	// A turn is the time between two requests of a balancer until one is answered; by chance up to a sixth less.
+	turnPerBalancer = 400 * time.Millisecond
+	maxTurn         = 4800 * time.Millisecond // leaves 1.2 s of the 6 s for the response
+
+	// A round is the time that a service made for so many balancers needs for a request of each. A first request comes
+	// at a random time within a round, or within a turn.
+	roundPerBalancer = 100 * time.Millisecond
+	maxRound         = 10 * time.Second
+	maxReloadDelay   = 3200 * time.Millisecond // of the first request after a reload
+	// overloadedAfter is the number of requests in a row that were rejected after a wait from which on the service is
+	// taken for overloaded, and the pauses are one to three rounds, doubled with each further rejection. It is 1 at the
+	// start where a round is longer than a turn.
+	overloadedAfter  = 3
+	maxRoundDoubling = 10
+)
 
-// Watch is one balancer's view of discovery.
+// Watch follows the endpoint list for one balancer.
 type Watch struct {
-	address string
-	shared  bool          // discovery is one service of little capacity, no agent of the machine's own
-	hold    time.Duration // how long a watch may wait for news
-	lag     time.Duration // an answer that is so late beyond that is asked for beside the call
-	start   time.Duration // a first call comes within so long
-	turn    time.Duration // at a shared one: the longest from one call to the next until one is answered,
-	round   time.Duration // and what a service made for so many takes for a call of each
-	low     time.Duration // at an own agent: pause after a first failed call,
-	most    time.Duration // and the longest
-	rev     uint64        // of the newest list,
-	whole   bool          // and whether there is one that changes can be added to
-	asked   time.Time     // when the newest call was made
-	client  *http.Client
-	again   chan struct{} // asks for what there is now
-	news    func(List)
-	failed  func(error)
-}
-
-// New prepares a watch, one of so many at the same discovery; shared: that answers only so many calls a second. news and
-// failed are called one at a time.
-func New(address string, among int, shared bool, news func(List), failed func(error)) *Watch {
-	each := func(d, most time.Duration) time.Duration { return min(time.Duration(max(among, 1))*d, most) }
+	address   string
+	shared    bool          // discovery is one service, not an agent of the machine
+	hold      time.Duration // longest wait for changes
+	lateAfter time.Duration // beyond its wait, a watch without a response is repeated
+
+	// maxStartDelay bounds the random delay of the first request.
+	maxStartDelay time.Duration
+	turn          time.Duration // with a shared discovery
+	round         time.Duration // with a shared discovery
+	minBackoff    time.Duration // with an agent
+	maxBackoff    time.Duration // with an agent
+
+	revision      uint64 // of the newest list
+	hasList       bool   // there is a list that changes can be added to
+	lastRequestAt time.Time
+	client        *http.Client
+	refresh       chan struct{}
+	onList        func(List)
+	onError       func(error)
+}
+
+// New returns a watch, one of so many balancers' at the same discovery. shared says that this is one service of limited
+// capacity. onList and onError are called one at a time.
+func New(address string, balancers int, shared bool, onList func(List), onError func(error)) *Watch {
 	w := &Watch{
-		address: address, shared: shared, news: news, failed: failed,
-		again: make(chan struct{}, 1),
-		hold:  ownHold, lag: ownLag, low: ownLow, most: ownMost,
-		client: &http.Client{Transport: &http.Transport{Proxy: nil, MaxIdleConns: 1, MaxConnsPerHost: 2,
-			// A dial outlives its call, and would hold one of the two places for minutes where nobody answers it.
-			DialContext: (&net.Dialer{Timeout: ownEach}).DialContext}},
-	}
+		address:    address,
+		shared:     shared,
+		onList:     onList,
+		onError:    onError,
+		refresh:    make(chan struct{}, 1),
+		hold:       agentHold,
+		lateAfter:  agentLateAfter,
+		minBackoff: agentMinBackoff,
+		maxBackoff: agentMaxBackoff,
+	}
+	dialTimeout := agentRetryTimeout
 	if shared {
-		w.hold, w.lag = max(shareHold, each(shareEach, shareMost)), shareLag
-		w.turn, w.round = each(turnEach, turnMost), each(roundEach, roundMost)
-		w.start = min(w.round, startMost)
-		w.client.Transport.(*http.Transport).DialContext = (&net.Dialer{Timeout: shareDial}).DialContext
-	}
+		dialTimeout = sharedDialTimeout
+		perBalancer := func(each, maximum time.Duration) time.Duration {
+			return min(time.Duration(max(balancers, 1))*each, maximum)
+		}
+		w.hold = max(sharedMinHold, perBalancer(sharedHoldPerBalancer, sharedMaxHold))
+		w.lateAfter = sharedLateAfter
+		w.turn = perBalancer(turnPerBalancer, maxTurn)
+		w.round = perBalancer(roundPerBalancer, maxRound)
+		w.maxStartDelay = min(w.round, maxReloadDelay)
+	}
+	// A dial goes on after its request: without a timeout it would hold one of the connections for minutes.
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	w.client = &http.Client{Transport: &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 2, DialContext: dialer.DialContext}}
 	return w
 }
 
-// From makes the watch the first of its process: it begins with the changes since a list that is known, in place of the whole
-// list, where calls are dear, and has more time for it than one after a reload.
-func (w *Watch) From(known List) {
-	w.rev, w.whole = known.Rev, w.shared && known.Whole && len(known.Servers) > 0
-	w.start = min(w.round, turnMost)
+// StartFrom makes the watch the first one of its process. With a shared discovery it begins with the changes since a
+// known list instead of the complete list, and it has more time for that than a watch after a reload.
+func (w *Watch) StartFrom(known List) {
+	w.revision = known.Revision
+	w.hasList = w.shared && known.Complete && len(known.Endpoints) > 0
+	w.maxStartDelay = min(w.round, maxTurn)
 }
 
-// Again has discovery asked for what it has now, beside a watch that waits for news. It never waits itself.
-func (w *Watch) Again() {
+// Refresh requests the list as it is now, beside a watch that waits for changes. It does not wait.
+func (w *Watch) Refresh() {
 	select {
-	case w.again <- struct{}{}:
+	case w.refresh <- struct{}{}:
 	default:
 	}
 }
 
+// pacing says when requests follow each other and how long they wait for changes.
+type pacing struct {
+	turn time.Duration // until the next request, while none is answered
+	hold time.Duration // of the next request
+
+	backoff     time.Duration // with an agent: the newest pause after a failed request
+	rejections  int           // in a row, after a wait
+	isConnected bool          // the newest request was answered
+	isServed    bool          // discovery has time for the requests of all balancers
+}
+
 // Run follows the list until the context ends.
 func (w *Watch) Run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
-	if w.start > 0 {
-		sleep(ctx, w.start)
+	if w.maxStartDelay > 0 {
+		sleepRandom(ctx, w.maxStartDelay)
 	}
-	turn, wait := w.draw()
-	pause, turned, sure, patient := time.Duration(0), 0, false, w.round <= turnMost
-	if !w.shared || !patient { // a call that may be lost costs less than one more of each
-		wait = w.hold
+	p := pacing{isServed: w.round <= maxTurn}
+	p.turn, p.hold = w.drawTurn()
+	if !w.shared || !p.isServed { // a request that may be lost is cheaper than one more of each balancer
+		p.hold = w.hold
 	}
 	for ctx.Err() == nil {
-		asked := time.Now()
-		w.asked = asked
-		list, err := w.next(ctx, wait, turn)
+		sentAt := time.Now()
+		w.lastRequestAt = sentAt
+		list, err := w.next(ctx, p.hold, p.turn)
 		if err == nil {
-			if w.whole && list.Rev == w.rev && time.Since(asked) < ownLow { // guards against one that waits for no news
-				sleepFor(ctx, ownLow)
-			}
-			w.rev, w.whole, pause, turned, sure = list.Rev, true, 0, 0, true
-			patient = patient || time.Since(asked) >= w.turn                   // a watch that was let wait
-			wait = time.Duration((0.5 + 0.5*rand.Float64()) * float64(w.hold)) // not all in step
-			w.news(list)
+			w.handleList(ctx, &p, list, sentAt)
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		var unread *unreadable
-		if errors.As(err, &unread) || !w.shared { // what is known may have a gap: the whole list closes it
-			w.whole = false
+		var invalid *invalidResponseError
+		if errors.As(err, &invalid) || !w.shared { // changes may be missing: the complete list has them
+			w.hasList = false
 		}
-		w.failed(err)
-		if !w.shared {
-			pause = min(max(2*pause, w.low), w.most)
-			sleep(ctx, pause)
+		w.onError(err)
+		if w.shared {
+			w.pauseShared(ctx, &p, err, sentAt)
 			continue
 		}
-		broken, late := sure && w.asked.Equal(asked), time.Since(asked)
-		queued := errors.Is(err, errTurned) && (!broken || late < w.turn/2) // else it had its turn, and was let wait
-		if turned++; !queued || broken && patient {
-			turned = 0
-		}
-		turn, wait = w.draw()
-		switch {
-		case turned >= busyFrom || turned > 0 && !patient:
-			// Guards against calls that keep an overbooked discovery from answering any of them: the turns of those that nobody
-			// waits for any more come all the same.
-			patient, wait = false, w.hold // it speaks, so this one is not lost
-			round := min(w.round<<min(max(turned-busyFrom, 0), 10), roundMost)
-			sleepFor(ctx, round)
-			sleep(ctx, 2*round)
-		case broken: // as all others' may have in the same moment
-			if !queued {
-				late = 0 // else it was no watch yet, and 6 s count from its call
-			}
-			sleep(ctx, w.turn-late)
-		default: // the moment of the next call doesn't depend on how and when this one failed
-			sleepFor(ctx, turn-time.Since(w.asked))
-		}
-		sure = false
+		p.backoff = min(max(2*p.backoff, w.minBackoff), w.maxBackoff)
+		sleepRandom(ctx, p.backoff)
 	}
 }
 
-// draw says when a call of one that is not sure that discovery hears it is followed by the next, and how long it may wait itself:
-// a longer wait would hide that it was lost.
-func (w *Watch) draw() (turn, wait time.Duration) {
-	turn = w.turn - time.Duration(rand.Float64()*float64(w.turn)/6)
-	return turn, max(0, turn-w.lag)
+// handleList delivers a list and draws the wait of the next request.
+func (w *Watch) handleList(ctx context.Context, p *pacing, list List, sentAt time.Time) {
+	if w.hasList && list.Revision == w.revision && time.Since(sentAt) < agentMinBackoff {
+		sleepFor(ctx, agentMinBackoff) // a discovery that does not wait for changes would be asked without a pause
+	}
+	w.revision = list.Revision
+	w.hasList = true
+	p.backoff = 0
+	p.rejections = 0
+	p.isConnected = true
+	p.isServed = p.isServed || time.Since(sentAt) >= w.turn
+	p.hold = time.Duration((0.5 + 0.5*rand.Float64()) * float64(w.hold)) // random, or all balancers would ask in step
+	w.onList(list)
 }
 
-// next makes the next call: a watch that waits so long, or for the whole list. Guards against a watch that has fallen silent, and
-// against a discovery that speaks again while a call of before still waits for it: one that is late is asked anew beside
-// the first, at a shared discovery once and not sooner than a turn, and whichever is answered ends the other.
-func (w *Watch) next(ctx context.Context, wait, turn time.Duration) (List, error) {
-	const all = "/v1/endpoints"
-	path, beside := all, all
-	if w.whole {
-		path = fmt.Sprintf("%s?from=%d&hold_ms=%d", all, w.rev, wait.Milliseconds())
-		if w.shared {
-			beside = fmt.Sprintf("%s?from=%d&hold_ms=0", all, w.rev)
-		}
+// pauseShared waits after a failed request to a shared discovery and draws the turn of the next one.
+func (w *Watch) pauseShared(ctx context.Context, p *pacing, err error, sentAt time.Time) {
+	isWatchBroken := p.isConnected && w.lastRequestAt.Equal(sentAt)
+	elapsed := time.Since(sentAt)
+	// A watch that was rejected late had its turn and waited for changes.
+	isRejected := errors.Is(err, errOverloaded) && (!isWatchBroken || elapsed < w.turn/2)
+	if isRejected && (!isWatchBroken || !p.isServed) {
+		p.rejections++
 	} else {
-		wait = 0
-	}
-	lateAt, within := wait+w.lag, wait+answerIn
-	if w.shared {
-		if lateAt = max(lateAt, turn); w.turn < turnMost { // few: they can ask sooner, but have to hear a slow one too
-			turn = turnMost
-		}
-		within = lateAt + turn
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	type answer struct {
-		list List
-		err  error
-	}
-	answers := make(chan answer, 2)
-	go func() {
-		list, err := w.call(ctx, path, within)
-		answers <- answer{list, err}
-	}()
-	late := time.NewTimer(lateAt)
-	defer late.Stop()
-	select {
-	case a := <-answers:
-		return a.list, a.err
-	case <-late.C:
-	case <-w.again:
-	}
-	w.asked = time.Now()
-	go func() {
-		if w.shared {
-			list, err := w.call(ctx, beside, turn)
-			answers <- answer{list, err}
-			return
-		}
-		for ; ctx.Err() == nil; sleep(ctx, ownPause) {
-			if list, err := w.call(ctx, beside, ownEach); err == nil {
-				answers <- answer{list, nil}
-				return
-			}
-		}
-	}()
-	a := <-answers
-	if a.err != nil && w.shared { // as a call of before is reset when its network is back
-		a = <-answers
-	}
-	return a.list, a.err
+		p.rejections = 0
+	}
+	p.turn, p.hold = w.drawTurn()
+	p.isConnected = false
+	switch {
+	case p.rejections >= overloadedAfter || p.rejections > 0 && !p.isServed:
+		// An overloaded discovery still works on requests that nobody waits for any more: more requests would keep it
+		// from answering any.
+		p.isServed = false
+		p.hold = w.hold
+		round := min(w.round<<min(max(p.rejections-overloadedAfter, 0), maxRoundDoubling), maxRound)
+		sleepFor(ctx, round)
+		sleepRandom(ctx, 2*round)
+	case isWatchBroken: // all other balancers' may have broken in the same moment
+		if !isRejected {
+			elapsed = 0 // the 6 s count from the break, not from the request
+		}
+		sleepRandom(ctx, w.turn-elapsed)
+	default: // the time of the next request must not depend on how this one failed
+		sleepFor(ctx, p.turn-time.Since(w.lastRequestAt))
+	}
+}
+
+// drawTurn draws the time until the next request of a balancer that is not connected, and the wait of that request: a
+// longer one would hide that it was lost.
+func (w *Watch) drawTurn() (turn, hold time.Duration) {
+	turn = w.turn - time.Duration(rand.Float64()*float64(w.turn)/6)
+	return turn, max(0, turn-w.lateAfter)
 }
 
-// sleep pauses by chance, up to so long.
-func sleep(ctx context.Context, most time.Duration) {
-	sleepFor(ctx, time.Duration(rand.Int64N(int64(most))))
+// sleepRandom pauses for a random time below a maximum.
+func sleepRandom(ctx context.Context, maximum time.Duration) {
+	sleepFor(ctx, time.Duration(rand.Int64N(int64(maximum))))
 }
 
 func sleepFor(ctx context.Context, d time.Duration) {
@@ -347,42 +232,3 @@
 	case <-time.After(d):
 	}
 }
-
-// errTurned is a call that discovery turned away after a wait.
-var errTurned = errors.New("discovery has no time")
-
-// unreadable is an answer that came but can't be read.
-type unreadable struct{ error }
-
-func (w *Watch) call(ctx context.Context, path string, within time.Duration) (List, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.address+path, nil)
-	if err != nil {
-		return List{}, err
-	}
-	begun := time.Now()
-	res, err := w.client.Do(req)
-	if err != nil {
-		return List{}, err
-	}
-	defer func() { _ = res.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(res.Body, largest))
-	if err != nil {
-		return List{}, err
-	}
-	if res.StatusCode >= 500 { // nothing is missed, the next call goes on from the same list
-		err := fmt.Errorf("discovery answers %s", res.Status)
-		if time.Since(begun) >= shareLag { // one that is turned away at once takes nobody's turn
-			err = fmt.Errorf("%w: %w", errTurned, err)
-		}
-		return List{}, err
-	} else if res.StatusCode != http.StatusOK {
-		return List{}, &unreadable{fmt.Errorf("discovery answers %s", res.Status)}
-	}
-	list, err := Decode(text)
-	if err != nil {
-		return List{}, &unreadable{fmt.Errorf("discovery: %w", err)}
-	}
-	return list, nil
-}
--- a/internal/fleet/framing/framing.go
+++ b/internal/fleet/framing/framing.go
@@ -1,4 +1,4 @@
-// Package framing encodes the frames of a stream between a control process and a balancer that follows it. It owns the form of a frame:
+// Package framing encodes the frames of streams between members, and between a control process and its followers. It owns the form of a frame:
 // the length and the checksum of its body, then the body. It must never hold more of a body than its reader allows.
 package framing
 
@@ -6,12 +6,12 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
 
+	"sabletally/internal/fleet/checksum"
 	"sabletally/internal/fleet/replication"
 )
 
@@ -30,12 +30,10 @@
 // ErrTooLarge reports a body that is longer than its reader allows.
 var ErrTooLarge = errors.New("frame too large")
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
 // Header returns the header of a body.
 func Header(body []byte) []byte {
 	header := binary.BigEndian.AppendUint32(make([]byte, 0, HeaderSize), uint32(len(body)))
-	return binary.BigEndian.AppendUint32(header, crc32.Checksum(body, castagnoli))
+	return binary.BigEndian.AppendUint32(header, checksum.Sum(body))
 }
 
 // Read reads one frame and returns its body of at most maxBytes. The error is ErrTooLarge, ErrChecksum, or the reader's.
@@ -57,7 +55,7 @@
 			return nil, err
 		}
 	}
-	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(header[4:]) {
+	if checksum.Sum(body) != binary.BigEndian.Uint32(header[4:]) {
 		return nil, ErrChecksum
 	}
 	return body, nil
