--- a/internal/fleet/changefeed/admission_test.go
+++ b/internal/fleet/changefeed/admission_test.go
@@ -11,16 +11,16 @@
 // TestRejectedHellos sends hellos that a publisher rejects: each is answered and reported, and leaves no session behind.
 func TestRejectedHellos(t *testing.T) {
 	for name, one := range map[string]struct {
-		hello     Hello
-		err       error
-		elsewhere bool
+		hello      Hello
+		err        error
+		wantReject bool
 	}{
-		"another fleet": {Hello{ProtocolVersion: ProtocolVersion, ID: "x", Fleet: "g"}, ErrForeignFleet, true},
-		"a newer form":  {Hello{ProtocolVersion: ProtocolVersion + 1, ID: "x"}, ErrMalformedMessage, true},
-		"no form":       {Hello{ID: "x"}, ErrMalformedMessage, false},
-		"no ID":         {Hello{ProtocolVersion: ProtocolVersion}, ErrMalformedMessage, false},
-		"a long name":   {Hello{ProtocolVersion: ProtocolVersion, ID: "x", Name: string(make([]byte, maxNameBytes+1))}, ErrMalformedMessage, false},
-		"an older life": {Hello{ProtocolVersion: ProtocolVersion, ID: "b0", Incarnation: 1}, ErrMalformedMessage, false},
+		"another fleet":        {Hello{ProtocolVersion: ProtocolVersion, ID: "x", Fleet: "g"}, ErrForeignFleet, true},
+		"a newer protocol":     {Hello{ProtocolVersion: ProtocolVersion + 1, ID: "x"}, ErrMalformedMessage, true},
+		"no protocol version":  {Hello{ID: "x"}, ErrMalformedMessage, false},
+		"no ID":                {Hello{ProtocolVersion: ProtocolVersion}, ErrMalformedMessage, false},
+		"a long name":          {Hello{ProtocolVersion: ProtocolVersion, ID: "x", Name: string(make([]byte, maxNameBytes+1))}, ErrMalformedMessage, false},
+		"an older incarnation": {Hello{ProtocolVersion: ProtocolVersion, ID: "b0", Incarnation: 1}, ErrMalformedMessage, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			log := NewLog(LogConfig{MaxChanges: 10, MaxBytes: 1000})
@@ -40,8 +40,8 @@
 			if !slices.Equal(out.Close, []uint64{2}) || len(out.Events) != 1 || len(publisher.sessions) != 1 || publisher.sessions[1] == nil {
 				t.Errorf("%+v, %d subscribers", out, len(publisher.sessions))
 			}
-			told := len(out.Sends) == 1 && out.Sends[0].Message.Content.Reject != nil && out.Sends[0].Message.Content.Reject.RetryAfter > 0
-			if told != one.elsewhere {
+			rejected := len(out.Sends) == 1 && out.Sends[0].Message.Content.Reject != nil && out.Sends[0].Message.Content.Reject.RetryAfter > 0
+			if rejected != one.wantReject {
 				t.Errorf("sent %+v", out.Sends)
 			}
 			if err := publisher.Step(0, 2, Message{RenewRequest: &RenewRequest{Sequence: 1}}); err != nil || len(publisher.Ready().Sends) != 0 {
@@ -66,16 +66,16 @@
 		}
 	}
 	full := h.publishers["r0"].core.Stats.RejectedFull
-	elsewhere := uint64(0)
+	rejections := uint64(0)
 	for _, sub := range h.subscribers {
 		h.requireUpToDate(sub)
 		if len(sub.core.Publishers()) != 2 {
 			t.Errorf("%s follows %v", sub.id, sub.core.Publishers())
 		}
-		elsewhere += sub.core.Stats.Rejections
+		rejections += sub.core.Stats.Rejections
 	}
-	if full == 0 || elsewhere != full {
-		t.Errorf("%d found no room, %d were sent elsewhere", full, elsewhere)
+	if full == 0 || rejections != full {
+		t.Errorf("%d rejected as full, %d rejections received", full, rejections)
 	}
 	if full > 20*4 {
 		t.Errorf("20 subscribers asked %d times in 30 s", full)
--- a/internal/fleet/changefeed/bench_test.go
+++ b/internal/fleet/changefeed/bench_test.go
@@ -84,11 +84,11 @@
 			now, sent, number := time.Duration(0), 0, uint64(0)
 			for b.Loop() {
 				number++
-				for beat := range 10 {
+				for tick := range 10 {
 					now += 100 * time.Millisecond
 					publisher.Tick(now)
 					publisher.ConfirmVersion(now, log.Version())
-					for i := beat; i < n; i += 10 {
+					for i := tick; i < n; i += 10 {
 						_ = publisher.Step(now, uint64(i+1), Message{RenewRequest: &RenewRequest{Sequence: number, LastResponse: number - 1, Version: log.Version(), Digest: log.Digest()}})
 					}
 					for _, s := range publisher.Ready().Sends {
@@ -218,7 +218,7 @@
 			}
 		}
 	})
-	b.Run("whole", func(b *testing.B) {
+	b.Run("complete", func(b *testing.B) {
 		items := log.state.Items("")
 		b.SetBytes(int64(log.state.Bytes()))
 		for b.Loop() {
--- a/internal/fleet/changefeed/conflict_test.go
+++ b/internal/fleet/changefeed/conflict_test.go
@@ -28,7 +28,7 @@
 				}
 			}
 			if sub.core.Stats.DigestMismatches == 0 || h.countEvents(EventDigestMismatch) != 1 || h.countEvents(EventHistoryConflict) != 0 {
-				t.Errorf("%d mismatches, told %d times, %d conflicts", sub.core.Stats.DigestMismatches, h.countEvents(EventDigestMismatch), h.countEvents(EventHistoryConflict))
+				t.Errorf("%d mismatches, reported %d times, %d conflicts", sub.core.Stats.DigestMismatches, h.countEvents(EventDigestMismatch), h.countEvents(EventHistoryConflict))
 			}
 			if n := h.sent["snapshot"] - snapshots; n < 1 || n > 2 {
 				t.Errorf("%d snapshots", n)
@@ -38,7 +38,7 @@
 			h.run(3 * time.Second)
 			h.requireUpToDate(sub)
 			if h.countEvents(EventDigestMismatch) != 2 {
-				t.Errorf("told %d times", h.countEvents(EventDigestMismatch))
+				t.Errorf("reported %d times", h.countEvents(EventDigestMismatch))
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 	h.drainPublisher(s)
 	h.run(3 * time.Second)
 	if h.countEvents(EventHistoryConflict) == 0 || sub.core.Stats.Conflicts == 0 {
-		t.Fatal("it is not told")
+		t.Fatal("the conflict is not reported")
 	}
 	if got := sub.core.Publishers(); !slices.Equal(got, []string{"r0"}) && !slices.Equal(got, []string{"r1"}) {
 		t.Errorf("it still follows %v", got)
@@ -78,7 +78,7 @@
 		t.Error("it has a state of neither")
 	}
 	if err := NewState().Install(Snapshot{Fleet: sub.core.State().Fleet(), Version: sub.core.State().Version(), Digest: sub.core.State().Digest(), Items: sub.core.State().Items("")}); err != nil {
-		t.Errorf("its state is not whole: %v", err)
+		t.Errorf("its state is not consistent: %v", err)
 	}
 }
 
@@ -149,6 +149,6 @@
 	}
 	h.requireUpToDate(sub)
 	if sub.core.Stats.DigestMismatches != 1 || h.countEvents(EventDigestMismatch) != 1 || sub.core.digestMismatch {
-		t.Errorf("%+v, told %d times", sub.core.Stats, h.countEvents(EventDigestMismatch))
+		t.Errorf("%+v, reported %d times", sub.core.Stats, h.countEvents(EventDigestMismatch))
 	}
 }
--- a/internal/fleet/changefeed/delivery_test.go
+++ b/internal/fleet/changefeed/delivery_test.go
@@ -127,7 +127,7 @@
 		t.Errorf("%v", err)
 	}
 	if err := sub.core.Step("nobody", Message{}); err != nil {
-		t.Errorf("a message from a connection that is gone: %v", err)
+		t.Errorf("a message from a closed connection: %v", err)
 	}
 	h.drainSubscriber(sub)
 	h.run(2 * time.Minute)
@@ -194,12 +194,12 @@
 	}
 	for _, sub := range h.subscribers { // and its subscribers cannot reach the others
 		sub := sub
-		hold := h.drop
+		previous := h.drop
 		h.drop = func(from, to string, m *Message) bool {
 			if from == sub.id && sub.core.config.Site == "s0" && h.publishers[to] != nil && !h.publishers[to].partitioned {
 				return true
 			}
-			return hold(from, to, m)
+			return previous(from, to, m)
 		}
 	}
 	for i := range 200 {
@@ -246,7 +246,7 @@
 		t.Errorf("after %v: %d subscribers, %+v", at, len(publisher.sessions), publisher.Stats)
 	}
 	if sends > maxUnreadResponses+20 {
-		t.Errorf("%d messages to somebody who reads none", sends)
+		t.Errorf("%d messages to a subscriber that reads none", sends)
 	}
 }
 
--- a/internal/fleet/changefeed/failover_test.go
+++ b/internal/fleet/changefeed/failover_test.go
@@ -56,7 +56,7 @@
 // evenly, and are current all the time where the loss is not silent.
 func TestFailoverToOtherPublishers(t *testing.T) {
 	const subscribers = 400
-	for name, gone := range map[string]func(i int) bool{
+	for name, isLost := range map[string]func(i int) bool{
 		"one":      func(i int) bool { return i == 4 },
 		"a region": func(i int) bool { return i%3 == 1 },
 	} {
@@ -69,7 +69,7 @@
 				h.run(90 * time.Second) // each with whom it ranks first
 				lost := map[string]bool{}
 				for i, a := range h.addresses {
-					if !gone(i) {
+					if !isLost(i) {
 						continue
 					}
 					lost[a] = true
--- a/internal/fleet/changefeed/harness_test.go
+++ b/internal/fleet/changefeed/harness_test.go
@@ -29,11 +29,11 @@
 	log         *Log
 	core        *Publisher
 	conns       map[uint64]*testSubscriber
-	down        bool // dials fail, connections are gone
-	blackholed  bool // dials and messages to it are swallowed
-	stopped     bool // nothing of it runs; what comes waits
+	down        bool // dials fail, connections are closed
+	blackholed  bool // dials and messages to it are dropped
+	stopped     bool // it is suspended; events wait
 	waiting     []func()
-	partitioned bool // it hears nothing of the log
+	partitioned bool // it receives nothing of the log
 }
 
 type testSubscriber struct {
@@ -95,10 +95,10 @@
 func (h *harness) kill(addr string) {
 	pub := h.publishers[addr]
 	pub.down = true
-	gone := pub.conns
+	closed := pub.conns
 	pub.conns = map[uint64]*testSubscriber{}
-	for _, num := range sortedConns(gone) {
-		sub := gone[num]
+	for _, num := range sortedConns(closed) {
+		sub := closed[num]
 		if sub.conns[addr] == num {
 			delete(sub.conns, addr)
 			sub.do(func() { sub.core.ConnectionClosed(addr) })
--- a/internal/fleet/changefeed/model_moves_test.go
+++ b/internal/fleet/changefeed/model_moves_test.go
@@ -19,15 +19,15 @@
 			if conn == nil {
 				continue
 			}
-			for way := range 2 {
-				if len(conn.inTransit[way]) == 0 || way == 0 && w.publishers[conn.publisher].stopped || way == 1 && sub.stopped {
+			for _, dir := range directions {
+				if len(conn.inTransit[dir]) == 0 || dir == toPublisher && w.publishers[conn.publisher].stopped || dir == toSubscriber && sub.stopped {
 					continue
 				}
-				m := conn.inTransit[way][0]
-				add(true, "deliver %d %s %d", i, a, way)
-				add(m != nil && w.remaining.losses > 0, "lose %d %s %d", i, a, way)
-				add(m != nil && w.remaining.duplicates > 0, "duplicate %d %s %d", i, a, way)
-				add(m != nil && m.Change != nil && w.remaining.corruptions > 0, "corrupt %d %s %d", i, a, way)
+				m := conn.inTransit[dir][0]
+				add(true, "deliver %d %s %d", i, a, dir)
+				add(m != nil && w.remaining.losses > 0, "lose %d %s %d", i, a, dir)
+				add(m != nil && w.remaining.duplicates > 0, "duplicate %d %s %d", i, a, dir)
+				add(m != nil && m.Change != nil && w.remaining.corruptions > 0, "corrupt %d %s %d", i, a, dir)
 			}
 		}
 		add(sub.stopped || w.remaining.suspensions > 0, "stop subscriber %d", i)
@@ -44,67 +44,27 @@
 	return all
 }
 
+// move makes a move that moves has returned.
 func (w *modelWorld) move(m string) {
-	var verb, what, addr string
-	var i, way int
-	switch verb, _, _ = strings.Cut(m, " "); verb {
+	verb, _, _ := strings.Cut(m, " ")
+	switch verb {
 	case "deliver", "lose", "duplicate", "corrupt":
-		_, _ = fmt.Sscanf(m, "%s %d %s %d", &verb, &i, &addr, &way)
-		sub := w.subscribers[i]
-		switch verb {
-		case "deliver":
-			w.deliverNext(sub, addr, way, false)
-		case "lose":
-			w.remaining.losses--
-			sub.conns[addr].inTransit[way] = sub.conns[addr].inTransit[way][1:]
-		case "duplicate":
-			w.remaining.duplicates-- // it comes once more, at once or later
-			conn := sub.conns[addr]
-			conn.inTransit[way] = slices.Insert(conn.inTransit[way], 0, conn.inTransit[way][0])
-			w.deliverNext(sub, addr, way, false)
-		case "corrupt":
-			w.remaining.corruptions--
-			w.deliverNext(sub, addr, way, true)
-		}
+		w.moveMessage(m)
 	case "stop":
-		_, _ = fmt.Sscanf(m, "%s %s %d", &verb, &what, &i)
-		at := &w.publishers[i%2].stopped
-		if what == "subscriber" {
-			at = &w.subscribers[i].stopped
-		}
-		if *at = !*at; *at {
-			w.remaining.suspensions--
-		}
+		w.toggleSuspension(m)
 	case "restart":
-		_, _ = fmt.Sscanf(m, "%s %s %d", &verb, &what, &i)
-		w.remaining.restarts--
-		if what == "publisher" {
-			w.startPublisher(i)
-			for _, sub := range w.subscribers {
-				if conn := sub.conns[w.publishers[i].address]; conn != nil {
-					conn.open = false
-					conn.inTransit = [2][]*Message{nil, {nil}}
-				}
-			}
-			return
-		}
-		sub := w.subscribers[i]
-		for _, a := range []string{"r0", "r1"} {
-			if conn := sub.conns[a]; conn != nil {
-				w.closeConn(sub, conn)
-			}
-		}
-		w.startSubscriber(i)
+		w.restart(m)
 	case "replicate":
-		_, _ = fmt.Sscanf(m, "%s %d", &verb, &i)
-		w.replicateTo(i)
+		var publisher int
+		_, _ = fmt.Sscanf(m, "replicate %d", &publisher)
+		w.replicateTo(publisher)
 	case "agree":
 		w.remaining.versions--
 		w.agree(configItem(len(w.agreedAt)))
 	case "tick":
 		w.remaining.ticks--
 		w.tick()
-	case "sleep": // more than a lease, in which nothing arrives
+	case "sleep": // longer than a lease, in which nothing arrives
 		w.remaining.sleeps--
 		for range 6 {
 			w.tick()
@@ -114,3 +74,65 @@
 		w.check(sub)
 	}
 }
+
+// moveMessage makes a move of the first message in one direction of a connection.
+func (w *modelWorld) moveMessage(m string) {
+	var verb, address string
+	var index int
+	var dir direction
+	_, _ = fmt.Sscanf(m, "%s %d %s %d", &verb, &index, &address, &dir)
+	sub := w.subscribers[index]
+	conn := sub.conns[address]
+	switch verb {
+	case "deliver":
+		w.deliverNext(sub, address, dir, false)
+	case "lose":
+		w.remaining.losses--
+		conn.inTransit[dir] = conn.inTransit[dir][1:]
+	case "duplicate": // it is delivered again, at once or later
+		w.remaining.duplicates--
+		conn.inTransit[dir] = slices.Insert(conn.inTransit[dir], 0, conn.inTransit[dir][0])
+		w.deliverNext(sub, address, dir, false)
+	case "corrupt":
+		w.remaining.corruptions--
+		w.deliverNext(sub, address, dir, true)
+	}
+}
+
+func (w *modelWorld) toggleSuspension(m string) {
+	var role string
+	var index int
+	_, _ = fmt.Sscanf(m, "stop %s %d", &role, &index)
+	stopped := &w.publishers[index%len(w.publishers)].stopped
+	if role == "subscriber" {
+		stopped = &w.subscribers[index].stopped
+	}
+	*stopped = !*stopped
+	if *stopped {
+		w.remaining.suspensions--
+	}
+}
+
+func (w *modelWorld) restart(m string) {
+	var role string
+	var index int
+	_, _ = fmt.Sscanf(m, "restart %s %d", &role, &index)
+	w.remaining.restarts--
+	if role == "publisher" {
+		w.startPublisher(index)
+		for _, sub := range w.subscribers {
+			if conn := sub.conns[w.publishers[index].address]; conn != nil {
+				conn.open = false
+				conn.inTransit = [2][]*Message{toSubscriber: {nil}}
+			}
+		}
+		return
+	}
+	sub := w.subscribers[index]
+	for _, address := range []string{"r0", "r1"} {
+		if conn := sub.conns[address]; conn != nil {
+			w.closeConn(sub, conn)
+		}
+	}
+	w.startSubscriber(index)
+}
--- a/internal/fleet/changefeed/model_state_test.go
+++ b/internal/fleet/changefeed/model_state_test.go
@@ -37,9 +37,9 @@
 					y.syncVersion, y.syncSnapshot, y.unackedBytes, y.failures, y.hasFailed, ago(y.avoidUntil), y.rejected)
 			}
 			if s := sub.conns[a]; s != nil {
-				for way := range s.inTransit {
-					_, _ = fmt.Fprint(&h, "/", s.open, len(s.inTransit[way]))
-					for _, m := range s.inTransit[way] {
+				for dir := range s.inTransit {
+					_, _ = fmt.Fprint(&h, "/", s.open, len(s.inTransit[dir]))
+					for _, m := range s.inTransit[dir] {
 						if m != nil {
 							switch {
 							case m.RenewRequest != nil:
--- a/internal/fleet/changefeed/model_world_test.go
+++ b/internal/fleet/changefeed/model_world_test.go
@@ -70,10 +70,20 @@
 	conns          map[string]*modelConn
 }
 
+// direction is a direction of a connection.
+type direction int
+
+const (
+	toPublisher direction = iota
+	toSubscriber
+)
+
+var directions = []direction{toPublisher, toSubscriber}
+
 type modelConn struct {
 	id        uint64
 	publisher int
-	inTransit [2][]*Message // to the publisher, to the subscriber; nil is the connection's end
+	inTransit [2][]*Message // by direction; nil is the connection's end
 	open      bool          // at the publisher
 }
 
@@ -90,7 +100,7 @@
 		w.subscribers = append(w.subscribers, f)
 		w.startSubscriber(i)
 	}
-	for range 12 { // all at the first version, nothing under way
+	for range 12 { // all at the first version, nothing in transit
 		w.tick()
 		w.replicateTo(0)
 		w.replicateTo(1)
@@ -188,13 +198,13 @@
 	out := w.publishers[i].core.Ready()
 	for _, s := range out.Sends {
 		if _, conn := w.findConn(s.Conn); conn != nil {
-			conn.inTransit[1] = append(conn.inTransit[1], &s.Message.Content)
+			conn.inTransit[toSubscriber] = append(conn.inTransit[toSubscriber], &s.Message.Content)
 		}
 	}
 	for _, num := range out.Close {
 		if _, conn := w.findConn(num); conn != nil {
 			conn.open = false
-			conn.inTransit[1] = append(conn.inTransit[1], nil)
+			conn.inTransit[toSubscriber] = append(conn.inTransit[toSubscriber], nil)
 		}
 	}
 }
@@ -211,7 +221,7 @@
 	}
 	for _, s := range out.Sends {
 		if conn := sub.conns[s.Addr]; conn != nil {
-			conn.inTransit[0] = append(conn.inTransit[0], &s.Message)
+			conn.inTransit[toPublisher] = append(conn.inTransit[toPublisher], &s.Message)
 		}
 	}
 	for _, a := range out.Close {
@@ -232,7 +242,7 @@
 	pub := w.publishers[conn.publisher]
 	delete(sub.conns, pub.address)
 	if conn.open {
-		for _, m := range conn.inTransit[0] {
+		for _, m := range conn.inTransit[toPublisher] {
 			w.deliverToPublisher(conn, m)
 		}
 		pub.core.ConnectionClosed(conn.id)
@@ -315,10 +325,10 @@
 }
 
 // deliverNext delivers the first message in one direction of a connection, corrupted if requested.
-func (w *modelWorld) deliverNext(sub *modelSubscriber, addr string, way int, corrupt bool) {
+func (w *modelWorld) deliverNext(sub *modelSubscriber, addr string, dir direction, corrupt bool) {
 	conn := sub.conns[addr]
-	m := conn.inTransit[way][0]
-	conn.inTransit[way] = conn.inTransit[way][1:]
+	m := conn.inTransit[dir][0]
+	conn.inTransit[dir] = conn.inTransit[dir][1:]
 	if corrupt {
 		h := *m.Change
 		h.Items = slices.Clone(h.Items)
@@ -326,7 +336,7 @@
 		m = &Message{Change: &h}
 	}
 	switch {
-	case way == 0:
+	case dir == toPublisher:
 		w.deliverToPublisher(conn, m)
 	case m == nil:
 		delete(sub.conns, addr)
@@ -344,10 +354,10 @@
 		some := false
 		for _, sub := range w.subscribers {
 			for _, a := range []string{"r0", "r1"} {
-				for way := range 2 {
-					if conn := sub.conns[a]; conn != nil && len(conn.inTransit[way]) > 0 {
+				for _, dir := range directions {
+					if conn := sub.conns[a]; conn != nil && len(conn.inTransit[dir]) > 0 {
 						some = true
-						w.deliverNext(sub, a, way, false)
+						w.deliverNext(sub, a, dir, false)
 					}
 				}
 			}
--- a/internal/fleet/changefeed/staleness_test.go
+++ b/internal/fleet/changefeed/staleness_test.go
@@ -15,18 +15,18 @@
 	h.requireUpToDate(sub)
 	s := h.publishers["r0"]
 	s.stopped = true
-	truth := h.now // what was agreed until then is all that this publisher knows
+	knownUntil := h.now // this publisher knows what was agreed until then
 	h.run(2 * time.Second)
 	h.put(configItem(1))
 	s.partitioned = true
 	s.stopped = false
 	for range 60 {
 		h.run(100 * time.Millisecond)
-		if age, _ := sub.core.Age(h.now); h.now-age > truth {
-			t.Fatalf("at %v it takes its knowledge for that of %v, the publisher's is of %v", h.now, h.now-age, truth)
+		if age, _ := sub.core.Age(h.now); h.now-age > knownUntil {
+			t.Fatalf("at %v its state counts as of %v, the publisher's is of %v", h.now, h.now-age, knownUntil)
 		}
-		if sub.core.IsCurrent(h.now) && h.now-truth > DefaultLease {
-			t.Fatalf("current at %v by knowledge of %v", h.now, truth)
+		if sub.core.IsCurrent(h.now) && h.now-knownUntil > DefaultLease {
+			t.Fatalf("current at %v by a state of %v", h.now, knownUntil)
 		}
 	}
 	if sub.core.Stats.LeaseExpiries != 1 || h.countEvents(EventStale) != 1 {
@@ -51,7 +51,7 @@
 	h.run(8 * time.Second)
 	h.now += 100 * time.Millisecond
 	if sub.core.IsCurrent(h.now) {
-		t.Fatal("current by the clock as it is, with no beat yet")
+		t.Fatal("current by the clock as it is, without a tick")
 	}
 	sub.stopped = false
 	for _, what := range late {
@@ -109,7 +109,7 @@
 	sub.stopped = false
 	fails := sub.core.Stats.DialFailures
 	if h.now += 3 * time.Second; sub.core.IsCurrent(h.now) {
-		t.Error("current after 7 s without a word")
+		t.Error("current after 7 s without a message")
 	}
 	h.run(time.Second)
 	h.requireUpToDate(sub)
@@ -134,7 +134,7 @@
 		publisher.Tick(at)
 	}
 	if len(publisher.sessions) != 0 || publisher.Stats.LeaseExpiries != 1 {
-		t.Error("kept after a lease of silence")
+		t.Error("its session is open after a lease of silence")
 	}
 }
 
--- a/internal/fleet/changefeed/state_test.go
+++ b/internal/fleet/changefeed/state_test.go
@@ -56,7 +56,7 @@
 		"a key that is no text":            {change: ptr(made(Item{Key: "a\xff"})), err: ErrInvalidItem},
 		"a key with a line's end":          {change: ptr(made(Item{Key: "a\n"})), err: ErrInvalidItem},
 		"a key twice":                      {change: ptr(made(Item{Key: "x"}, Item{Key: "x"})), err: ErrInvalidItem},
-		"gone with a value":                {change: ptr(made(Item{Key: "x", Value: []byte("y"), Deleted: true})), err: ErrInvalidItem},
+		"deleted with a value":             {change: ptr(made(Item{Key: "x", Value: []byte("y"), Deleted: true})), err: ErrInvalidItem},
 		"a long value":                     {change: ptr(made(Item{Key: "x", Value: make([]byte, MaxValueBytes+1)})), err: ErrFull},
 		"another fleet":                    {change: ptr(made(Item{Key: FleetKey, Value: []byte("g")})), err: ErrForeignFleet},
 		"no fleet any more":                {change: ptr(made(Item{Key: FleetKey, Deleted: true})), err: ErrForeignFleet},
@@ -64,7 +64,7 @@
 		"a snapshot, other content":        {snap: ptr(swith(snap, func(s *Snapshot) { s.Digest++ })), err: ErrConflict},
 		"a snapshot that is damaged":       {snap: ptr(swith(newer, func(s *Snapshot) { s.Items = s.Items[1:] })), err: ErrDigestMismatch},
 		"a snapshot of another fleet":      {snap: ptr(swith(newer, func(s *Snapshot) { s.Fleet = "g" })), err: ErrForeignFleet},
-		"a snapshot with a key gone":       {snap: ptr(swith(newer, func(s *Snapshot) { s.Items = append([]Item{{Key: "z", Deleted: true}}, s.Items...) })), err: ErrInvalidItem},
+		"a snapshot with a deleted key":    {snap: ptr(swith(newer, func(s *Snapshot) { s.Items = append([]Item{{Key: "z", Deleted: true}}, s.Items...) })), err: ErrInvalidItem},
 		"a snapshot with a key twice":      {snap: ptr(swith(newer, func(s *Snapshot) { s.Items = append([]Item{s.Items[0]}, s.Items...) })), err: ErrInvalidItem},
 		"a snapshot that is there already": {snap: &snap},
 	} {
@@ -111,7 +111,7 @@
 		t.Error("half of it was applied")
 	}
 	if _, err := l.Append([]Item{{Key: "0", Deleted: true}, {Key: "1", Value: make([]byte, MaxValueBytes)}}); err != nil {
-		t.Errorf("what makes room is refused: %v", err)
+		t.Errorf("a deletion is rejected: %v", err)
 	}
 	var items []Item
 	for i := range MaxKeys {
@@ -153,13 +153,13 @@
 	if a.Digest() != b.Digest() || a.Digest() != c.Digest() {
 		t.Errorf("%016x, %016x, %016x", a.Digest(), b.Digest(), c.Digest())
 	}
-	seen := map[uint64]string{a.Digest(): "the whole"}
+	seen := map[uint64]string{a.Digest(): "all items"}
 	for i := range items {
 		s := *a.Snapshot()
 		s.Items = append([]Item(nil), s.Items...)
 		s.Items[i].Value = append([]byte("x"), s.Items[i].Value...)
 		if err := NewState().Install(s); !errors.Is(err, ErrDigestMismatch) {
-			t.Errorf("a snapshot with another value of %s is taken: %v", s.Items[i].Key, err)
+			t.Errorf("a snapshot with another value of %s is installed: %v", s.Items[i].Key, err)
 		}
 	}
 	for v := range uint64(50) {
@@ -201,7 +201,7 @@
 		}
 	}
 	if _, err := l.Append([]Item{{Key: "large", Value: make([]byte, 5000)}}); err != nil || l.Changes() != 1 {
-		t.Errorf("a change over the bound: %v, %d kept", err, l.Changes())
+		t.Errorf("a change over the bound: %v, %d retained", err, l.Changes())
 	}
 	if a, b := l.Snapshot(), l.Snapshot(); a != b {
 		t.Error("the snapshot of one version is built twice")
@@ -231,8 +231,8 @@
 		"change":   {Change: &Change{Version: 1, DigestBefore: 2, DigestAfter: 1<<64 - 1, Items: []Item{{Key: "k", Value: []byte{0, 255}}, {Key: "g", Deleted: true}}}},
 		"snapshot": {Snapshot: &Snapshot{Fleet: "f", Version: 7, Digest: 8, Items: []Item{{Key: "k", Value: []byte("v")}}}},
 		"renew":    {RenewRequest: &RenewRequest{Sequence: 1, LastResponse: 2, Version: 3, Digest: 4}}, "renewed": {RenewResponse: &RenewResponse{Sequence: 1, Version: 2, Digest: 3, SentVersion: 4, Age: 5, AgeKnown: true, Standby: true}},
-		"ack": {Ack: &Ack{Version: 1, Digest: 2}}, "want": {SyncRequest: &SyncRequest{Version: 1, Digest: 2, ForceSnapshot: true, LastResponse: 4}},
-		"elsewhere": {Reject: &Reject{RetryAfter: 5, Reason: "w"}}, "bye": {Disconnect: &Disconnect{}},
+		"ack": {Ack: &Ack{Version: 1, Digest: 2}}, "sync request": {SyncRequest: &SyncRequest{Version: 1, Digest: 2, ForceSnapshot: true, LastResponse: 4}},
+		"reject": {Reject: &Reject{RetryAfter: 5, Reason: "w"}}, "disconnect": {Disconnect: &Disconnect{}},
 		"op": {Operation: &Payload{RequestID: 1, Body: []byte("b")}}, "result": {OperationResult: &Payload{RequestID: 1, Body: []byte("b")}},
 		"put": {PutRequest: &PutRequest{OperationID: "o", Key: "k", Value: []byte("v"), Delete: true, IfVersion: 4, Unconditional: true}}, "put done": {PutResponse: &PutResponse{OperationID: "o", Version: 3, RejectReason: "r"}},
 	} {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// holdGolden compares the JSON of a value with a golden file, and that it is decoded and encoded again to the same bytes.
-func holdGolden(t *testing.T, name string, value any) {
+// requireGolden compares the JSON of a value with a golden file, and that it is decoded and encoded again to the same bytes.
+func requireGolden(t *testing.T, name string, value any) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	got, err := json.MarshalIndent(value, "", "\t")
@@ -90,13 +90,13 @@
 	var report Report
 	next := 0
 	fill(t, reflect.ValueOf(&report).Elem(), &next)
-	holdGolden(t, "report.golden.json", report)
+	requireGolden(t, "report.golden.json", report)
 }
 
 // TestGoldenRecords holds what is stored for balancers: the keys and the values.
 func TestGoldenRecords(t *testing.T) {
-	holdGolden(t, "word.golden.json", AdminState{OutOfService: true, SetAt: 1700000000, SetBy: "id-1"})
-	holdGolden(t, "list.golden.json", EndpointList{Revision: 7, ConfirmedAt: 1700000000, Endpoints: json.RawMessage(`{"servers":["a","b"]}`)})
+	requireGolden(t, "admin_state.golden.json", AdminState{OutOfService: true, SetAt: 1700000000, SetBy: "id-1"})
+	requireGolden(t, "endpoint_list.golden.json", EndpointList{Revision: 7, ConfirmedAt: 1700000000, Endpoints: json.RawMessage(`{"servers":["a","b"]}`)})
 	f := &Fleet{config: &config.File{Site: "site-1"}}
-	holdGolden(t, "keys.golden.json", []string{adminStateKey("b-1"), f.endpointListKey()})
+	requireGolden(t, "keys.golden.json", []string{adminStateKey("b-1"), f.endpointListKey()})
 }
--- a/internal/fleet/publisher/filtered_state_test.go
+++ b/internal/fleet/publisher/filtered_state_test.go
@@ -24,15 +24,7 @@
 		for step := range 200 {
 			items := []changefeed.Item{{Key: changefeed.FleetKey, Value: []byte("f")}}
 			if step > 0 {
-				items = nil
-				for range 1 + rng.IntN(3) {
-					i := changefeed.Item{Key: fmt.Sprintf("%s%d", []string{"view/", "view/", "view/", shardmap.ConfigPrefix, changefeed.MemberPrefix}[rng.IntN(5)], len(items)*50+rng.IntN(50)),
-						Value: fmt.Appendf(nil, "%d", rng.IntN(5))}
-					if rng.IntN(4) == 0 {
-						i.Value, i.Deleted = nil, true
-					}
-					items = append(items, i)
-				}
+				items = randomItems(rng)
 			}
 			c, err := core.Append(items)
 			if err != nil {
@@ -75,46 +67,69 @@
 				t.Fatal(err)
 			}
 		}
+		checkRejectsOtherHistory(t, core, byChanges, bySnapshots)
+	}
+}
 
-		other := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20}) // another history, which differs in a shard configuration alone
-		snapshot := core.Snapshot()
-		next, err := core.Append([]changefeed.Item{{Key: "view/7", Value: []byte("a")}})
-		if err == nil {
-			err = byChanges.apply(&next)
-		}
-		if err == nil {
-			err = other.Install(*snapshot)
-		}
-		var conflicting, after changefeed.Change
-		if err == nil {
-			conflicting, err = other.Append([]changefeed.Item{{Key: "view/7", Value: []byte("b")}})
-		}
-		if err == nil {
-			after, err = other.Append([]changefeed.Item{{Key: shardmap.ConfigPrefix + "x", Value: []byte("b")}})
-		}
-		if err != nil {
-			t.Fatal(err)
+// randomItems returns one to three items, most of them shard configurations.
+func randomItems(rng *rand.Rand) []changefeed.Item {
+	prefixes := []string{"view/", "view/", "view/", shardmap.ConfigPrefix, changefeed.MemberPrefix}
+	var items []changefeed.Item
+	for range 1 + rng.IntN(3) {
+		item := changefeed.Item{
+			Key:   fmt.Sprintf("%s%d", prefixes[rng.IntN(len(prefixes))], len(items)*50+rng.IntN(50)),
+			Value: fmt.Appendf(nil, "%d", rng.IntN(5)),
 		}
-		before := byChanges.log.Digest()
-		if err := byChanges.apply(&conflicting); !errors.Is(err, changefeed.ErrConflict) {
-			t.Errorf("a change of another history: %v", err)
-		}
-		if err := byChanges.apply(&after); !errors.Is(err, changefeed.ErrDigestMismatch) {
-			t.Errorf("a change that is of another history: %v", err)
-		}
-		if err := bySnapshots.install(snapshot); err != nil {
-			t.Errorf("what is there already: %v", err)
-		}
-		if err := byChanges.install(snapshot); !errors.Is(err, changefeed.ErrOutOfOrder) {
-			t.Errorf("an older snapshot: %v", err)
-		}
-		unlike := *snapshot
-		unlike.Digest++
-		if err := bySnapshots.install(&unlike); !errors.Is(err, changefeed.ErrConflict) {
-			t.Errorf("a snapshot of another history: %v", err)
-		}
-		if byChanges.log.Digest() != before || byChanges.agreedDigest != next.DigestAfter {
-			t.Error("a rejected update has changed something")
+		if rng.IntN(4) == 0 {
+			item.Value = nil
+			item.Deleted = true
 		}
+		items = append(items, item)
+	}
+	return items
+}
+
+// checkRejectsOtherHistory verifies that updates of a history that differs in a shard configuration alone are rejected.
+func checkRejectsOtherHistory(t *testing.T, core *changefeed.Log, byChanges, bySnapshots *filteredState) {
+	t.Helper()
+	other := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
+	snapshot := core.Snapshot()
+	next, err := core.Append([]changefeed.Item{{Key: "view/7", Value: []byte("a")}})
+	if err == nil {
+		err = byChanges.apply(&next)
+	}
+	if err == nil {
+		err = other.Install(*snapshot)
+	}
+	var conflicting, after changefeed.Change
+	if err == nil {
+		conflicting, err = other.Append([]changefeed.Item{{Key: "view/7", Value: []byte("b")}})
+	}
+	if err == nil {
+		after, err = other.Append([]changefeed.Item{{Key: shardmap.ConfigPrefix + "x", Value: []byte("b")}})
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	before := byChanges.log.Digest()
+	if err := byChanges.apply(&conflicting); !errors.Is(err, changefeed.ErrConflict) {
+		t.Errorf("a change of another history: %v", err)
+	}
+	if err := byChanges.apply(&after); !errors.Is(err, changefeed.ErrDigestMismatch) {
+		t.Errorf("a change that is of another history: %v", err)
+	}
+	if err := bySnapshots.install(snapshot); err != nil {
+		t.Errorf("what is there already: %v", err)
+	}
+	if err := byChanges.install(snapshot); !errors.Is(err, changefeed.ErrOutOfOrder) {
+		t.Errorf("an older snapshot: %v", err)
+	}
+	unlike := *snapshot
+	unlike.Digest++
+	if err := bySnapshots.install(&unlike); !errors.Is(err, changefeed.ErrConflict) {
+		t.Errorf("a snapshot of another history: %v", err)
+	}
+	if byChanges.log.Digest() != before || byChanges.agreedDigest != next.DigestAfter {
+		t.Error("a rejected update has changed something")
 	}
 }
--- a/internal/fleet/publisher/server_test.go
+++ b/internal/fleet/publisher/server_test.go
@@ -235,7 +235,7 @@
 	waitFor(t, "the slow one is there", func() bool { return tier.servers[0].Status().Subscribers.Connected == 21 })
 
 	value := make([]byte, 8<<10)
-	for i := range 200 { // 1.6 MB: more than the window, and than the ring of the source
+	for i := range 200 { // 1.6 MB: more than the window, and than the source's log
 		value[0] = byte(i)
 		tier.publish(changefeed.Item{Key: fmt.Sprint("config/", i%7), Value: append([]byte(nil), value...)})
 	}
@@ -260,7 +260,7 @@
 			t.Errorf("config/last is %q", v)
 		}
 	}
-	tier.withoutLeader.Store(true) // nobody knows any more that nothing newer is agreed
+	tier.withoutLeader.Store(true) // there are no confirmations any more
 	waitFor(t, "none is current", allClients(all, func(s subscriber.Status) bool { return !s.Current }))
 }
 
@@ -297,7 +297,7 @@
 	if tier.backends[1].pausedCount() == most {
 		asked = 1
 	}
-	waitFor(t, "all are under way", func() bool { return tier.backends[asked].pausedCount() == most })
+	waitFor(t, "all are pending", func() bool { return tier.backends[asked].pausedCount() == most })
 	if got := <-ask(other, "c", 50*time.Millisecond); got.Outcome != replication.OutcomeUnknown {
 		t.Errorf("no answer in time: %+v", got)
 	}
@@ -309,10 +309,10 @@
 		select {
 		case got := <-o:
 			if got.Outcome != replication.OutcomeCommitted || got.OperationID != fmt.Sprint("b", i) {
-				t.Fatalf("asked again elsewhere: %+v", got)
+				t.Fatalf("submitted again to the other one: %+v", got)
 			}
 		case <-time.After(waitTimeout):
-			t.Fatalf("b%d was not asked again", i)
+			t.Fatalf("b%d was not submitted again", i)
 		}
 	}
 	done := make(chan changefeed.PutResponse, 1)
@@ -321,13 +321,13 @@
 		t.Errorf("%+v", d)
 	}
 	tier.closeServer(1 - asked)
-	waitFor(t, "nobody is left", func() bool { return len(client.Status().Publishers) == 0 })
+	waitFor(t, "no publisher is left", func() bool { return len(client.Status().Publishers) == 0 })
 	if got := <-ask(client, "d", 50*time.Millisecond); got.Outcome != replication.OutcomeRejected || got.Reason != replication.ReasonBusy {
-		t.Errorf("nobody was asked: %+v", got)
+		t.Errorf("it was not submitted: %+v", got)
 	}
 }
 
-// TestRejectedConnections connects subscribers that are too many, of another fleet and malformed: none is kept, and one that has to follow
+// TestRejectedConnections connects subscribers that are too many, of another fleet and malformed: none stays open, and one that has to follow
 // another publisher is answer when to retry.
 func TestRejectedConnections(t *testing.T) {
 	tier := newTestTier(t, 1, 3)
@@ -444,7 +444,7 @@
 		t.Errorf("%d writes of 200 changes to %d subscribers in %v; %d are allowed", n, len(all), took, most)
 	}
 	soonest := waitTimeout
-	for i := range 10 { // the machine may be busy: one of ten tells
+	for i := range 10 { // the machine may be busy: the fastest of ten counts
 		time.Sleep(250 * time.Millisecond) // idle for longer than a batch is gathered
 		began := time.Now()
 		last = tier.publish(changefeed.Item{Key: "config/a", Value: fmt.Append(nil, "idle ", i)})
