--- a/cmd/testbed/count.go
+++ b/cmd/testbed/count.go
@@ -85,7 +85,7 @@
 			for _, n := range row.Columns {
 				_, _ = fmt.Fprint(w, n, "\t")
 			}
-			_, _ = fmt.Fprintf(w, "%d\t%.2f\t%v\t%v\t", row.Held, row.Places, row.Middle.Round(time.Millisecond), row.Late.Round(time.Millisecond))
+			_, _ = fmt.Fprintf(w, "%d\t%.2f\t%v\t%v\t", row.Sessions, row.Places, row.Middle.Round(time.Millisecond), row.Late.Round(time.Millisecond))
 		}
 		_, _ = fmt.Fprintln(w)
 	}
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -25,76 +25,76 @@
 )
 
 const (
-	lateAnswer = 100 * time.Millisecond // a client waits so much longer than its limit, to see a late answer
-	afterEnd   = 300 * time.Millisecond // and so long after a final answer for the end, or for a second answer
+	answerGrace     = 100 * time.Millisecond // beyond the deadline, to see a late answer
+	readAfterAnswer = 300 * time.Millisecond // for the end, or a second answer
 )
 
-// Clients is all usual clients of a run.
+// Clients runs the well-behaved clients of a run.
 type Clients struct {
 	Clock            *Clock
 	Log              *history.Log
 	Meter            *report.Meter
-	PickBalancer     func(rng *rand.Rand) (balancer int, address string, ok bool) // the front
+	PickBalancer     func(rng *rand.Rand) (balancer int, address string, ok bool)
 	ClassNames       []string
-	Deadlines        []time.Duration // outer limits by grade
-	MessageInterval  time.Duration   // a line is sent so often
-	MessageObjective time.Duration   // and wants its answer within
+	Deadlines        []time.Duration // by class
+	MessageInterval  time.Duration   // between two lines of a session
+	MessageObjective time.Duration   // of the answer to a line
 	Retry            load.RetryPolicy
 	Seed             uint64
 
-	Pieces atomic.Bool // they write their first lines in pieces
+	Pieces atomic.Bool // first lines are written in pieces
 
-	ids  atomic.Uint64
-	late atomic.Int64 // the most that a client came after its time
-	mu   sync.Mutex
-	up   map[*person]bool
-	all  sync.WaitGroup
+	lastID      atomic.Uint64
+	late        atomic.Int64 // nanoseconds, the most that a client started late
+	mu          sync.Mutex
+	established map[*runningClient]bool
+	running     sync.WaitGroup
 }
 
-// person is one client while it wants its connection.
-type person struct {
+// runningClient is one client from its start to its end.
+type runningClient struct {
 	load.Client
-	c    *Clients
-	rng  *rand.Rand
-	due  time.Duration // the next line's time; it stands for the stretch before it
-	drop chan time.Duration
+	clients *Clients
+	rng     *rand.Rand
+	due     time.Duration // of the next line
+	drop    chan time.Duration
 }
 
-// Run has all come at their times; it answers when the last has left or the context is done.
+// Run starts the clients at their times and returns when the last one has ended or the context is done.
 func (c *Clients) Run(ctx context.Context, people []load.Client) {
 	c.mu.Lock()
-	c.up = map[*person]bool{}
+	c.established = map[*runningClient]bool{}
 	c.mu.Unlock()
 	for i, p := range people {
 		wait := time.NewTimer(time.Until(c.Clock.At(p.At)))
 		select {
 		case <-ctx.Done():
 			wait.Stop()
-			c.all.Wait()
+			c.running.Wait()
 			return
 		case <-wait.C:
 		}
 		if late := int64(c.Clock.Now() - p.At); late > c.late.Load() {
 			c.late.Store(late)
 		}
-		one := &person{Client: p, c: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), due: p.At + c.MessageInterval, drop: make(chan time.Duration, 1)}
-		c.all.Add(1)
+		one := &runningClient{Client: p, clients: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), due: p.At + c.MessageInterval, drop: make(chan time.Duration, 1)}
+		c.running.Add(1)
 		go func() {
-			defer c.all.Done()
-			one.live(ctx)
+			defer c.running.Done()
+			one.run(ctx)
 		}()
 	}
-	c.all.Wait()
+	c.running.Wait()
 }
 
-// Late is how late a client came at worst: how much of the load the lab itself did not bring in time.
+// Late returns how late a client was started at worst: by how much the lab itself fell behind.
 func (c *Clients) Late() time.Duration { return time.Duration(c.late.Load()) }
 
-// Drop has a share of the clients that stand drop their connections, each within a time, and come straight back.
+// Drop has a share of the established clients disconnect within a time and come straight back.
 func (c *Clients) Drop(share float64, within time.Duration, rng *rand.Rand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for p := range c.up {
+	for p := range c.established {
 		if rng.Float64() < share {
 			select {
 			case p.drop <- time.Duration(rng.Float64() * float64(within)):
@@ -104,9 +104,9 @@
 	}
 }
 
-// live is a client's whole time.
-func (p *person) live(ctx context.Context) {
-	c := p.c
+// run connects, and retries, until the client wants its session no more.
+func (p *runningClient) run(ctx context.Context) {
+	c := p.clients
 	since, failures := p.At, 0
 	for ctx.Err() == nil && c.Clock.Now() < p.Until {
 		how, advice, stood := p.connect(ctx, since)
@@ -123,19 +123,19 @@
 		}
 		wait.Stop()
 	}
-	p.missed(min(p.Until, c.Clock.Now()))
+	p.countMissed(min(p.Until, c.Clock.Now()))
 }
 
-// missed counts the lines that could not be sent up to a time.
-func (p *person) missed(up time.Duration) {
-	for ; p.due <= up; p.due += p.c.MessageInterval {
-		p.c.Meter.Message(p.due, 0, p.c.MessageInterval, false)
+// countMissed counts the lines that could not be sent up to a time.
+func (p *runningClient) countMissed(up time.Duration) {
+	for ; p.due <= up; p.due += p.clients.MessageInterval {
+		p.clients.Meter.Message(p.due, 0, p.clients.MessageInterval, false)
 	}
 }
 
-// connect asks once, and stays as long as it stands.
-func (p *person) connect(ctx context.Context, since time.Duration) (how load.Ending, advice time.Duration, stood bool) {
-	c := p.c
+// connect makes one session and runs it to its end.
+func (p *runningClient) connect(ctx context.Context, since time.Duration) (how load.Ending, advice time.Duration, stood bool) {
+	c := p.clients
 	balancer, address, ok := c.PickBalancer(p.rng)
 	if !ok {
 		return load.Failed, 0, false
@@ -146,7 +146,7 @@
 		return load.Failed, 0, false
 	}
 	defer func() { _ = nc.Close() }()
-	id := c.ids.Add(1)
+	id := c.lastID.Add(1)
 	note := func(w history.Kind, more history.Event) {
 		if more.At == 0 {
 			more.At = c.Clock.Now()
@@ -160,14 +160,14 @@
 	}
 	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", id, p.Key, c.ClassNames[p.Class], limit.Milliseconds(), group, p.Load)
 	if c.Pieces.Load() {
-		text = inPieces(nc, text)
+		text = writeInPieces(nc, text)
 	}
 	at := c.Clock.Now()
 	if _, err := nc.Write([]byte(text)); err != nil {
-		return load.Failed, 0, false // its last byte was not written: nothing was taken
+		return load.Failed, 0, false // no complete request was written
 	}
-	note(history.Taken, history.Event{At: max(at, 1), Duration: limit}) // from before the write: a server may be faster than this goroutine
-	_ = nc.SetReadDeadline(c.Clock.At(at + limit + lateAnswer))
+	note(history.Taken, history.Event{At: max(at, 1), Duration: limit}) // the time before the write, as a server may be faster than this goroutine
+	_ = nc.SetReadDeadline(c.Clock.At(at + limit + answerGrace))
 	r := bufio.NewReaderSize(nc, maxLine)
 	raw, err := r.ReadSlice('\n')
 	if err != nil {
@@ -181,7 +181,7 @@
 	ln := protocol.Decode(bytes.Clone(raw))
 	if ln.Kind != protocol.KindEstablished {
 		note(history.Answered, history.Event{Text: map[bool]string{true: "busy", false: "err"}[ln.Kind == protocol.KindRejected]})
-		p.rest(nc, r, note)
+		p.readSecondAnswers(nc, r, note)
 		if ln.Kind == protocol.KindRejected {
 			return load.Rejected, time.Duration(ln.Value) * time.Millisecond, false
 		}
@@ -193,34 +193,34 @@
 	c.Meter.Setup(now, now-since)
 	c.Meter.Open(1)
 	defer c.Meter.Open(-1)
-	p.missed(now)
+	p.countMissed(now)
 	c.mu.Lock()
-	c.up[p] = true
+	c.established[p] = true
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.up, p)
+		delete(c.established, p)
 		c.mu.Unlock()
 	}()
-	return p.stay(ctx, nc, r, note), 0, true
+	return p.runSession(ctx, nc, r, note), 0, true
 }
 
-// rest reads on after a final answer that is no UP: a second answer would be one too many.
-func (p *person) rest(nc net.Conn, r *bufio.Reader, note func(history.Kind, history.Event)) {
-	_ = nc.SetReadDeadline(time.Now().Add(afterEnd))
+// readSecondAnswers reads on after a rejection or failure: a second answer is recorded.
+func (p *runningClient) readSecondAnswers(nc net.Conn, r *bufio.Reader, note func(history.Kind, history.Event)) {
+	_ = nc.SetReadDeadline(time.Now().Add(readAfterAnswer))
 	for {
 		raw, err := r.ReadSlice('\n')
 		if err != nil {
 			return
 		}
-		if again, is := final(raw); is {
+		if again, is := finalAnswer(raw); is {
 			note(history.Answered, history.Event{Text: again})
 		}
 	}
 }
 
-// final tells whether a line would be a final answer.
-func final(raw []byte) (string, bool) {
+// finalAnswer reports whether a line is a final answer, and which.
+func finalAnswer(raw []byte) (string, bool) {
 	switch {
 	case bytes.HasPrefix(raw, []byte("UP ")):
 		return "up", true
@@ -232,12 +232,12 @@
 	return "", false
 }
 
-// stay sends a line at each of its times, whether or not the last was answered, until the connection is over.
-func (p *person) stay(ctx context.Context, nc net.Conn, r *bufio.Reader, note func(history.Kind, history.Event)) (how load.Ending) {
-	c := p.c
+// runSession sends a line at each of its times, whether or not the last one was answered, until the session ends.
+func (p *runningClient) runSession(ctx context.Context, nc net.Conn, r *bufio.Reader, note func(history.Kind, history.Event)) (how load.Ending) {
+	c := p.clients
 	_ = nc.SetReadDeadline(time.Time{})
 	var mu sync.Mutex
-	waits := map[time.Duration]bool{} // due times of lines without an answer
+	waits := map[time.Duration]bool{} // due times of unanswered lines
 	ended := make(chan load.Ending, 1)
 	go func() {
 		how := load.Broken
@@ -257,7 +257,7 @@
 			}
 			switch {
 			case bytes.HasPrefix(raw, []byte("M ")):
-				due, sent := echo(raw)
+				due, sent := parseEcho(raw)
 				if sent > 0 && now-sent > time.Second {
 					note(history.LineDelayed, history.Event{Duration: now - sent})
 				}
@@ -272,13 +272,13 @@
 				c.Meter.Move(now)
 				note(history.Moved, history.Event{})
 			default:
-				if again, is := final(raw); is {
+				if again, is := finalAnswer(raw); is {
 					note(history.Answered, history.Event{Text: again})
 				}
 			}
 		}
 	}()
-	defer func() { // what was never answered was not served; but for what a client that leaves has just sent
+	defer func() { // unanswered lines were not served, except those that a leaving client has just sent
 		mu.Lock()
 		defer mu.Unlock()
 		for due := range waits {
@@ -326,8 +326,8 @@
 	}
 }
 
-// echo reads what a server sends back: the line's due time, and when the server sent it.
-func echo(raw []byte) (due, sent time.Duration) {
+// parseEcho decodes a server's answer to a line: the line's due time and the time of the answer.
+func parseEcho(raw []byte) (due, sent time.Duration) {
 	for i, word := range bytes.Fields(raw) {
 		if i == 1 {
 			n, _ := strconv.ParseInt(string(word), 10, 64)
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	oldStays    = 1500 * time.Millisecond // a discovery that is replaced closes its connections after it
-	countsAfter = 6 * time.Second         // what an agent has counts as told by then, fetched or not
-	holdMost    = time.Minute
+	replacedLifetime = 1500 * time.Millisecond // of the connections to a discovery that was replaced
+	notifiedAfter    = 6 * time.Second         // what an agent has counts as known to its balancer by then
+	maxHold          = time.Minute
 )
 
 // Endpoint is one line of the list, in the wire's form.
@@ -42,9 +42,9 @@
 	Terminated  = "terminated"
 )
 
-var told = map[string]string{InService: "ready", Terminating: "draining", Terminated: "gone"}
+var stateTexts = map[string]string{InService: "ready", Terminating: "draining", Terminated: "gone"}
 
-// Fault is how an agent answers.
+// Fault is the way in which an agent misbehaves.
 type Fault uint8
 
 const (
@@ -56,7 +56,7 @@
 	Faulty
 )
 
-// Agent is what a balancer asks for the list.
+// Agent is the discovery agent of one balancer.
 type Agent struct {
 	balancer int32
 	clock    *Clock
@@ -112,7 +112,7 @@
 		return err
 	}
 	_ = ln.Close()
-	time.AfterFunc(oldStays, func() { _ = srv.Close() })
+	time.AfterFunc(replacedLifetime, func() { _ = srv.Close() })
 	return nil
 }
 
@@ -142,22 +142,22 @@
 	close(a.changed)
 	a.changed = make(chan struct{})
 	rev := a.rev
-	time.AfterFunc(countsAfter, func() { a.counts(e, rev) })
+	time.AfterFunc(notifiedAfter, func() { a.recordNotified(e, rev) })
 }
 
-// counts notes what the balancer should have fetched by now.
-func (a *Agent) counts(e Endpoint, rev int) {
+// recordNotified notes what the balancer should have fetched by now.
+func (a *Agent) recordNotified(e Endpoint, rev int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.fault == Healthy && a.said[e.UID] < rev {
-		a.say(e, rev)
+		a.recordState(e, rev)
 	}
 }
 
-// say notes that the balancer has been told; mu is held.
-func (a *Agent) say(e Endpoint, rev int) {
+// recordState notes that the balancer has been told; mu is held.
+func (a *Agent) recordState(e Endpoint, rev int) {
 	a.said[e.UID] = rev
-	a.log.Add(history.Event{At: a.clock.Now(), Kind: history.Notified, Balancer: a.balancer, Server: int32(a.number(e.UID)), Text: told[e.State]})
+	a.log.Add(history.Event{At: a.clock.Now(), Kind: history.Notified, Balancer: a.balancer, Server: int32(a.number(e.UID)), Text: stateTexts[e.State]})
 }
 
 // Misbehave changes how it answers.
@@ -188,11 +188,11 @@
 func (a *Agent) Known() json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.answer(true, 0)
+	return a.encodeList(true, 0)
 }
 
-// answer writes the whole list or what changed since a revision, and notes it as told; mu is held.
-func (a *Agent) answer(whole bool, from int) []byte {
+// encodeList writes the whole list or what changed since a revision, and notes it as told; mu is held.
+func (a *Agent) encodeList(whole bool, from int) []byte {
 	out := struct {
 		Rev     int        `json:"rev"`
 		All     bool       `json:"all"`
@@ -206,7 +206,7 @@
 	}
 	for i, e := range a.entries {
 		if (whole || a.revs[i] > from) && a.said[e.UID] < a.revs[i] {
-			a.say(e, a.revs[i])
+			a.recordState(e, a.revs[i])
 		}
 	}
 	text, _ := json.Marshal(out) // of plain fields
@@ -229,7 +229,7 @@
 		return
 	}
 	ms, _ := strconv.Atoi(q.Get("hold_ms"))
-	until := time.After(min(time.Duration(ms)*time.Millisecond, holdMost))
+	until := time.After(min(time.Duration(ms)*time.Millisecond, maxHold))
 	for {
 		a.mu.Lock()
 		fault, changed := a.fault, a.changed
@@ -240,7 +240,7 @@
 			return
 		}
 		if fault == Healthy && (!watch || a.rev > from) {
-			text := a.answer(!watch || from == 0, from)
+			text := a.encodeList(!watch || from == 0, from)
 			a.mu.Unlock()
 			_, _ = w.Write(text)
 			return
@@ -249,7 +249,7 @@
 			a.turns++
 			turn := a.turns
 			a.mu.Unlock()
-			a.odd(w, turn)
+			a.serveMalformed(w, turn)
 			return
 		}
 		a.mu.Unlock()
@@ -260,7 +260,7 @@
 		case <-changed:
 		case <-until:
 			a.mu.Lock()
-			text := a.answer(false, from)
+			text := a.encodeList(false, from)
 			a.mu.Unlock()
 			_, _ = w.Write(text)
 			return
@@ -270,8 +270,8 @@
 	}
 }
 
-// odd answers with a fault, one kind after the other.
-func (a *Agent) odd(w http.ResponseWriter, turn int) {
+// serveMalformed answers with a fault, one kind after the other.
+func (a *Agent) serveMalformed(w http.ResponseWriter, turn int) {
 	switch turn % 4 {
 	case 0: // half a list
 		w.Header().Set("Content-Length", "400")
@@ -327,7 +327,7 @@
 	l.mu.Lock()
 	l.entries[e.UID] = e
 	l.mu.Unlock()
-	l.spread(ctx, e, unannounced)
+	l.deliver(ctx, e, unannounced)
 }
 
 // SetState changes only the state, and the boot time where it is not 0.
@@ -342,7 +342,7 @@
 	l.Set(ctx, e, unannounced)
 }
 
-func (l *EndpointList) spread(ctx context.Context, e Endpoint, unannounced bool) {
+func (l *EndpointList) deliver(ctx context.Context, e Endpoint, unannounced bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.hidden[e.UID] {
@@ -376,7 +376,7 @@
 	l.hidden[uid] = hide
 	e := l.entries[uid]
 	l.mu.Unlock()
-	l.spread(ctx, e, false)
+	l.deliver(ctx, e, false)
 }
 
 // SetDelay has all words come later.
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -94,7 +94,7 @@
 	c.want("UP 2a\r\n")
 	c.want("LOAD ")
 	_, _ = io.WriteString(c, "M 77\r\n")
-	if due, sent := echo([]byte(c.want("M 77 t="))); due != 77 || sent == 0 {
+	if due, sent := parseEcho([]byte(c.want("M 77 t="))); due != 77 || sent == 0 {
 		t.Fatal(due, sent)
 	}
 	dial(t, s.Addr(), "OPEN 2b 2 c=feed,d=900\r\n").want("UP 2b")
--- a/internal/lab/emulator/forwarders.go
+++ b/internal/lab/emulator/forwarders.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	frontBuffer = 4096             // bytes, each direction of a connection
-	unanswered  = 10 * time.Second // who dials over a way that stays cut is reset after that, if it has not given up
+	forwardBufferSize = 4096             // bytes, for each direction of a connection
+	unansweredTimeout = 10 * time.Second // a dial over a link that stays cut is reset after it up
 )
 
 // Forwarders stand before the members whose index they were told. Who sends is told by its IP address; what is no member's is a stranger's,
 // and its way is never cut. It reads the other members' addresses alone.
 type Forwarders struct {
 	members []netip.AddrPort
-	own     map[int]*front
+	own     map[int]*memberFront
 
 	mu      sync.Mutex
 	cut     []bool        // by member: the group that is cut off
@@ -32,9 +32,9 @@
 
 // NewForwarders stands before some of the members. Close ends all.
 func NewForwarders(members []netip.AddrPort, before []int) (*Forwarders, error) {
-	f := &Forwarders{members: members, own: map[int]*front{}, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	f := &Forwarders{members: members, own: map[int]*memberFront{}, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	for _, m := range before {
-		own, err := listenBoth()
+		own, err := listenTCPAndUDP()
 		if err != nil {
 			f.Close()
 			return nil, err
@@ -43,7 +43,7 @@
 	}
 	for m, own := range f.own {
 		go f.accept(m, own)
-		go f.read(m, own)
+		go f.forwardDatagrams(m, own)
 	}
 	return f, nil
 }
@@ -81,8 +81,8 @@
 	}
 }
 
-// between tells whether the way between two members is cut, and a channel that is closed once that may have changed. A stranger is -1.
-func (f *Forwarders) between(a, b int) (bool, <-chan struct{}) {
+// isCut tells whether the way between two members is cut, and a channel that is closed once that may have changed. A stranger is -1.
+func (f *Forwarders) isCut(a, b int) (bool, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return a >= 0 && b >= 0 && f.cut != nil && f.cut[a] != f.cut[b] && !f.closed, f.changed
@@ -92,7 +92,7 @@
 	return slices.IndexFunc(f.members, func(m netip.AddrPort) bool { return m.Addr() == ip.Unmap() })
 }
 
-func (f *Forwarders) keep(c net.Conn) bool {
+func (f *Forwarders) track(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -102,14 +102,14 @@
 	return true
 }
 
-func (f *Forwarders) end(c net.Conn) {
+func (f *Forwarders) closeConn(c net.Conn) {
 	_ = c.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.conns, c)
 }
 
-func (f *Forwarders) accept(to int, own *front) {
+func (f *Forwarders) accept(to int, own *memberFront) {
 	for {
 		c, err := own.tcp.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
@@ -119,18 +119,18 @@
 			time.Sleep(10 * time.Millisecond) // no descriptor is free: guards against a loop that turns on it
 			continue
 		}
-		go f.carry(to, c)
+		go f.forwardStream(to, c)
 	}
 }
 
-func (f *Forwarders) carry(to int, near *net.TCPConn) {
-	defer f.end(near)
-	if !f.keep(near) {
+func (f *Forwarders) forwardStream(to int, near *net.TCPConn) {
+	defer f.closeConn(near)
+	if !f.track(near) {
 		return
 	}
 	from := f.sender(near.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
-	for late := time.After(unanswered); ; { // first packets that are lost are sent again, for a while
-		cut, changed := f.between(from, to)
+	for late := time.After(unansweredTimeout); ; { // first packets that are lost are sent again, for a while
+		cut, changed := f.isCut(from, to)
 		if !cut {
 			break
 		}
@@ -146,23 +146,23 @@
 		_ = near.SetLinger(0) // so that who dialed is reset, as by a port that nobody listens at
 		return
 	}
-	defer f.end(far)
-	if !f.keep(far) {
+	defer f.closeConn(far)
+	if !f.track(far) {
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { f.pass(from, to, near, far) })
-	both.Go(func() { f.pass(from, to, far, near) })
+	both.Go(func() { f.copyStream(from, to, near, far) })
+	both.Go(func() { f.copyStream(from, to, far, near) })
 	both.Wait()
 }
 
-// pass passes one direction on until it ends. An end or a failure of the one side is the other's.
-func (f *Forwarders) pass(from, to int, in, out net.Conn) {
-	buffer := make([]byte, frontBuffer)
+// copyStream passes one direction on until it ends. An end or a failure of the one side is the other's.
+func (f *Forwarders) copyStream(from, to int, in, out net.Conn) {
+	buffer := make([]byte, forwardBufferSize)
 	for {
 		n, err := in.Read(buffer)
 		for {
-			cut, changed := f.between(from, to)
+			cut, changed := f.isCut(from, to)
 			if !cut {
 				break
 			}
@@ -181,7 +181,7 @@
 	}
 }
 
-func (f *Forwarders) read(to int, own *front) {
+func (f *Forwarders) forwardDatagrams(to int, own *memberFront) {
 	buffer := make([]byte, 65536)
 	for {
 		n, sent, err := own.udp.ReadFromUDPAddrPort(buffer)
@@ -191,7 +191,7 @@
 		if err != nil {
 			continue
 		}
-		if cut, _ := f.between(f.sender(sent.Addr()), to); !cut {
+		if cut, _ := f.isCut(f.sender(sent.Addr()), to); !cut {
 			_, _ = own.udp.WriteToUDPAddrPort(buffer[:n], f.members[to])
 		}
 	}
--- a/internal/lab/emulator/link.go
+++ b/internal/lab/emulator/link.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	linkChunk = 4096
-	linkHolds = 64 // chunks on their way, each direction of a connection
+	linkChunk         = 4096
+	maxChunksInFlight = 64 // for each direction of a connection
 
-	resendAfter = 200 * time.Millisecond
+	retransmitDelay = 200 * time.Millisecond
 )
 
 // Condition is how a link is now.
 type Condition struct {
-	Delay   time.Duration // everything takes so much longer
+	Delay   time.Duration // added to everything
 	Jitter  time.Duration // and up to so much more; what was sent first still arrives first
 	Rate    float64       // bytes a second, each connection and direction; 0: no limit
 	LateIn  time.Duration // towards the listener's side so much longer still,
@@ -48,14 +48,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	l := newWay(to)
+	l := newLink(to)
 	l.ln = ln
 	go l.accept()
 	return l, nil
 }
 
-// newWay makes a link that listens nowhere: connections are handed to it.
-func newWay(to string) *Link {
+// newLink makes a link that listens nowhere: connections are handed to it.
+func newLink(to string) *Link {
 	return &Link{to: to, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 }
 
@@ -96,13 +96,13 @@
 	l.Set(func(*Condition) {})
 }
 
-func (l *Link) now() (Condition, <-chan struct{}, bool) {
+func (l *Link) condition() (Condition, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cond, l.changed, l.closed
 }
 
-func (l *Link) keep(c net.Conn, on bool) {
+func (l *Link) track(c net.Conn, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if on {
@@ -118,29 +118,29 @@
 		if err != nil {
 			return
 		}
-		go l.carry(near)
+		go l.forward(near)
 	}
 }
 
-// carry takes a connection to its far side and passes what comes, until both have ended.
-func (l *Link) carry(near net.Conn) {
+// forward takes a connection to its far side and passes what comes, until both have ended.
+func (l *Link) forward(near net.Conn) {
 	// Before the dial: the far side may have accepted, and a Reset come, before the dial is back.
-	l.keep(near, true)
-	defer l.keep(near, false)
+	l.track(near, true)
+	defer l.track(near, false)
 	far, err := net.Dial("tcp", l.to)
 	if err != nil {
 		reset(near)
 		return
 	}
-	l.keep(far, true)
+	l.track(far, true)
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); l.pass(near, far, true) }()
-	go func() { defer both.Done(); l.pass(far, near, false) }()
+	go func() { defer both.Done(); l.copyDelayed(near, far, true) }()
+	go func() { defer both.Done(); l.copyDelayed(far, near, false) }()
 	both.Wait()
 	_ = near.Close()
 	_ = far.Close()
-	l.keep(far, false)
+	l.track(far, false)
 }
 
 // chunk is a piece on its way; err is how the sender ended.
@@ -150,16 +150,16 @@
 	err  error
 }
 
-// pass carries one direction; an end goes on as an end, a reset as a reset.
-func (l *Link) pass(from, to net.Conn, in bool) {
-	way := make(chan chunk, linkHolds)
+// copyDelayed carries one direction; an end goes on as an end, a reset as a reset.
+func (l *Link) copyDelayed(from, to net.Conn, in bool) {
+	way := make(chan chunk, maxChunksInFlight)
 	go func() {
 		defer close(way)
 		var last time.Time
 		for {
 			text := make([]byte, linkChunk)
 			n, err := from.Read(text)
-			cond, _, _ := l.now()
+			cond, _, _ := l.condition()
 			due := time.Now().Add(cond.Delay)
 			if in {
 				due = due.Add(cond.LateIn)
@@ -167,7 +167,7 @@
 				due = due.Add(cond.LateOut)
 			}
 			for rand.Float64() < cond.Resent {
-				due = due.Add(resendAfter)
+				due = due.Add(retransmitDelay)
 			}
 			if cond.Jitter > 0 {
 				due = due.Add(time.Duration(rand.Float64() * float64(cond.Jitter)))
@@ -185,7 +185,7 @@
 	for c := range way {
 		time.Sleep(time.Until(c.due))
 		for {
-			cond, changed, closed := l.now()
+			cond, changed, closed := l.condition()
 			if closed || !cond.Stall && (!in || !cond.CutIn) && (in || !cond.CutOut) {
 				if cond.Rate > 0 {
 					time.Sleep(time.Duration(float64(len(c.text)) / cond.Rate * float64(time.Second)))
--- a/internal/lab/emulator/misbehaving_clients.go
+++ b/internal/lab/emulator/misbehaving_clients.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	rudeWithin = 3 * time.Second
-	longSize   = 8 << 20 // bytes of the longest line
+	misbehaviorTimeout = 3 * time.Second
+	longLineBytes      = 8 << 20 // bytes of the longest line
 )
 
 // MisbehavingClient is one kind of bad client.
@@ -38,7 +38,9 @@
 		}
 		return append(b, '\r', '\n')
 	}},
-	{"no-end", func(*rand.Rand) []byte { return append([]byte("OPEN 1 2 x="), bytes.Repeat([]byte("y"), longSize)...) }},
+	{"no-end", func(*rand.Rand) []byte {
+		return append([]byte("OPEN 1 2 x="), bytes.Repeat([]byte("y"), longLineBytes)...)
+	}},
 	{"no-id", func(*rand.Rand) []byte { return []byte("OPEN\r\n") }},
 	{"odd-grade", func(rng *rand.Rand) []byte { return fmt.Appendf(nil, "OPEN %x 2 c=nothing,d=900\r\n", rng.Uint64()) }},
 	{"odd-limit", func(rng *rand.Rand) []byte { return fmt.Appendf(nil, "OPEN %x 2 c=feed,d=-1\r\n", rng.Uint64()) }},
@@ -52,12 +54,12 @@
 
 // Run plays one bad client and tells whether it was left with neither an answer nor a close in time.
 func (k MisbehavingClient) Run(address string, rng *rand.Rand) bool {
-	c, err := net.DialTimeout("tcp", address, rudeWithin)
+	c, err := net.DialTimeout("tcp", address, misbehaviorTimeout)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(rudeWithin))
+	_ = c.SetDeadline(time.Now().Add(misbehaviorTimeout))
 	if text := k.Send(rng); len(text) > 0 {
 		go func() { _, _ = c.Write(text) }()
 	}
@@ -76,16 +78,16 @@
 }
 
 const (
-	pieceMost = 5                    // bytes of a piece
-	pieceEach = 3 * time.Millisecond // between two
+	maxPieceBytes = 5                    // bytes of a piece
+	pieceInterval = 3 * time.Millisecond // between two
 )
 
-// inPieces writes a line but for its last bytes, which it answers: the line counts from those. An error shows at them.
-func inPieces(nc net.Conn, text string) string {
-	for len(text) > pieceMost {
-		_, _ = io.WriteString(nc, text[:pieceMost])
-		text = text[pieceMost:]
-		time.Sleep(pieceEach)
+// writeInPieces writes a line but for its last bytes, which it answers: the line counts from those. An error shows at them.
+func writeInPieces(nc net.Conn, text string) string {
+	for len(text) > maxPieceBytes {
+		_, _ = io.WriteString(nc, text[:maxPieceBytes])
+		text = text[maxPieceBytes:]
+		time.Sleep(pieceInterval)
 	}
 	return text
 }
@@ -96,9 +98,9 @@
 	defer stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	come(ctx, rate, door, rand.New(rand.NewPCG(seed, 0x30b)), func(n int, address string) {
+	arrivals(ctx, rate, door, rand.New(rand.NewPCG(seed, 0x30b)), func(n int, address string) {
 		all.Go(func() {
-			c, err := net.DialTimeout("tcp", address, rudeWithin)
+			c, err := net.DialTimeout("tcp", address, misbehaviorTimeout)
 			if err != nil {
 				return
 			}
@@ -113,8 +115,8 @@
 	})
 }
 
-// come has so many clients a second arrive at the front, numbered, until the context is done.
-func come(ctx context.Context, rate float64, door func(*rand.Rand) (int, string, bool), rng *rand.Rand, do func(n int, address string)) {
+// arrivals has so many clients a second arrive at the front, numbered, until the context is done.
+func arrivals(ctx context.Context, rate float64, door func(*rand.Rand) (int, string, bool), rng *rand.Rand, do func(n int, address string)) {
 	each := time.NewTicker(max(time.Millisecond, time.Duration(float64(time.Second)/rate)))
 	defer each.Stop()
 	for n := 0; ; n++ {
@@ -131,7 +133,7 @@
 
 // RunMisbehavingClients sends so many bad clients a second, kind after kind, until the context is done.
 func RunMisbehavingClients(ctx context.Context, rate float64, door func(*rand.Rand) (int, string, bool), meter *report.Meter, seed uint64) {
-	come(ctx, rate, door, rand.New(rand.NewPCG(seed, 0xbad)), func(n int, address string) {
+	arrivals(ctx, rate, door, rand.New(rand.NewPCG(seed, 0xbad)), func(n int, address string) {
 		kind, own := Rudes[n%len(Rudes)], rand.New(rand.NewPCG(seed, uint64(n)))
 		go func() { meter.Bad(kind.Run(address, own)) }()
 	})
--- a/internal/lab/emulator/network_links.go
+++ b/internal/lab/emulator/network_links.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	disorder   = 80 * time.Millisecond // datagrams that are out of order come up to so much later
-	mostResent = 0.9                   // a connection over a way that loses all would hang for ever
+	reorderDelay  = 80 * time.Millisecond // most that a reordered datagram is delayed
+	maxStreamLoss = 0.9                   // a stream over a link that loses all would hang
 )
 
-// MemberLink is how the way from one member to another is.
+// MemberLink is the condition of the link from one member to another.
 type MemberLink struct {
 	Cut        bool          // nothing passes
-	Loss       float64       // share of datagrams that are lost; what is lost of a connection is sent again
-	Delay      time.Duration // everything takes so much longer
-	Duplicated float64       // share of datagrams that come twice, each at any moment of a short time
+	Loss       float64       // share of datagrams that are lost; a stream is retransmitted
+	Delay      time.Duration // added to everything
+	Duplicated float64       // share of datagrams that are duplicated and reordered
 }
 
 // MemberLinks are the ways between so many members. Each member listens at one address and is reached at another, where its front
 // stands; who sends is told by the address that it sends from, which is its own.
 type MemberLinks struct {
-	fronts []*front
-	real   []netip.AddrPort
-	guests []*Link // by member: for connections of strangers, where they are let in
+	fronts      []*memberFront
+	listenAddrs []netip.AddrPort
+	guests      []*Link // by member: for connections of strangers, where they are let in
 
 	mu    sync.Mutex
 	ties  [][]MemberLink // from, to
@@ -38,8 +38,8 @@
 	rng   *rand.Rand
 }
 
-// front is what stands before one member.
-type front struct {
+// memberFront is what stands before one member.
+type memberFront struct {
 	tcp  *net.TCPListener
 	udp  *net.UDPConn
 	addr netip.AddrPort
@@ -50,28 +50,28 @@
 	t := &MemberLinks{rng: rand.New(rand.NewPCG(seed, 0x7135))}
 	for range many {
 		// An address for both kinds that nobody else is given: listeners that are closed again before the member has it.
-		own, err := listenBoth()
+		own, err := listenTCPAndUDP()
 		for err == nil && t.sender(own.addr.Addr()) >= 0 { // its IP has to tell it from the others
 			own.close()
-			own, err = listenBoth()
+			own, err = listenTCPAndUDP()
 		}
 		if err != nil {
 			t.Close()
 			return nil, err
 		}
 		own.close()
-		f, err := listenBoth()
+		f, err := listenTCPAndUDP()
 		if err != nil {
 			t.Close()
 			return nil, err
 		}
-		t.real, t.fronts = append(t.real, own.addr), append(t.fronts, f)
+		t.listenAddrs, t.fronts = append(t.listenAddrs, own.addr), append(t.fronts, f)
 	}
 	for from := range many {
 		t.ties = append(t.ties, make([]MemberLink, many))
 		t.links = append(t.links, nil)
 		for to := range many {
-			t.links[from] = append(t.links[from], newWay(t.real[to].String()))
+			t.links[from] = append(t.links[from], newLink(t.listenAddrs[to].String()))
 		}
 	}
 	for to, f := range t.fronts {
@@ -85,20 +85,20 @@
 func (t *MemberLinks) Admit() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, addr := range t.real {
-		t.guests = append(t.guests, newWay(addr.String()))
+	for _, addr := range t.listenAddrs {
+		t.guests = append(t.guests, newLink(addr.String()))
 	}
 }
 
-// listenBoth takes one address for datagrams and connections.
-func listenBoth() (*front, error) {
+// listenTCPAndUDP takes one address for datagrams and connections.
+func listenTCPAndUDP() (*memberFront, error) {
 	var last error
 	for range 20 { // a port that is free for the one may be taken for the other
 		ln, err := net.Listen("tcp", Loopback())
 		if err != nil {
 			return nil, err
 		}
-		f := &front{tcp: ln.(*net.TCPListener), addr: ln.Addr().(*net.TCPAddr).AddrPort()}
+		f := &memberFront{tcp: ln.(*net.TCPListener), addr: ln.Addr().(*net.TCPAddr).AddrPort()}
 		if f.udp, last = net.ListenUDP("udp", net.UDPAddrFromAddrPort(f.addr)); last == nil {
 			return f, nil
 		}
@@ -107,13 +107,13 @@
 	return nil, fmt.Errorf("ties: %w", last)
 }
 
-func (f *front) close() {
+func (f *memberFront) close() {
 	_ = f.tcp.Close()
 	_ = f.udp.Close()
 }
 
 // Listen is the address that a member listens on.
-func (t *MemberLinks) Listen(member int) netip.AddrPort { return t.real[member] }
+func (t *MemberLinks) Listen(member int) netip.AddrPort { return t.listenAddrs[member] }
 
 // Advertised is the address that the other members reach a member by.
 func (t *MemberLinks) Advertised(member int) netip.AddrPort { return t.fronts[member].addr }
@@ -132,7 +132,7 @@
 			there, back := t.ties[from][to], t.ties[to][from]
 			t.links[from][to].Set(func(c *Condition) {
 				*c = Condition{CutIn: there.Cut, CutOut: back.Cut, LateIn: there.Delay, LateOut: back.Delay,
-					Resent: min(max(there.Loss, back.Loss), mostResent)}
+					Resent: min(max(there.Loss, back.Loss), maxStreamLoss)}
 			})
 		}
 	}
@@ -152,7 +152,7 @@
 
 // sender is the member that sends from an address, -1 for a stranger.
 func (t *MemberLinks) sender(ip netip.Addr) int {
-	for i, a := range t.real {
+	for i, a := range t.listenAddrs {
 		if a.Addr() == ip.Unmap() {
 			return i
 		}
@@ -160,7 +160,7 @@
 	return -1
 }
 
-func (t *MemberLinks) accept(to int, f *front) {
+func (t *MemberLinks) accept(to int, f *memberFront) {
 	for {
 		c, err := f.tcp.AcceptTCP()
 		if err != nil {
@@ -169,7 +169,7 @@
 		from := t.sender(c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
 		t.mu.Lock()
 		if from < 0 && t.guests != nil {
-			go t.guests[to].carry(c)
+			go t.guests[to].forward(c)
 			t.mu.Unlock()
 			continue
 		}
@@ -185,11 +185,11 @@
 			time.AfterFunc(10*time.Second, func() { reset(c) })
 			continue
 		}
-		go t.links[from][to].carry(c)
+		go t.links[from][to].forward(c)
 	}
 }
 
-func (t *MemberLinks) read(to int, f *front) {
+func (t *MemberLinks) read(to int, f *memberFront) {
 	buffer := make([]byte, 65536)
 	for {
 		n, sent, err := f.udp.ReadFromUDPAddrPort(buffer)
@@ -207,14 +207,14 @@
 		t.mu.Lock()
 		tie := t.ties[from][to]
 		lost, mixed := t.rng.Float64() < tie.Loss, t.rng.Float64() < tie.Duplicated
-		one, two := time.Duration(t.rng.Float64()*float64(disorder)), time.Duration(t.rng.Float64()*float64(disorder))
+		one, two := time.Duration(t.rng.Float64()*float64(reorderDelay)), time.Duration(t.rng.Float64()*float64(reorderDelay))
 		t.mu.Unlock()
 		pass := func(late time.Duration) {
 			if late == 0 {
-				_, _ = f.udp.WriteToUDPAddrPort(text, t.real[to])
+				_, _ = f.udp.WriteToUDPAddrPort(text, t.listenAddrs[to])
 				return
 			}
-			time.AfterFunc(late, func() { _, _ = f.udp.WriteToUDPAddrPort(text, t.real[to]) })
+			time.AfterFunc(late, func() { _, _ = f.udp.WriteToUDPAddrPort(text, t.listenAddrs[to]) })
 		}
 		switch {
 		case tie.Cut || lost:
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -47,13 +47,13 @@
 
 // Row is one step of time over all balancers.
 type Row struct {
-	At      time.Duration // from the first line of all on
-	Columns [columns]int
-	Held    int            // connections that stand at its end
-	Places  float64        // servers that a group stands at, on the mean; 0 where none carries a group
-	Middle  time.Duration  // half of the set-ups of this step took no longer,
-	Late    time.Duration  // and nine of ten
-	Servers map[string]int // connections at each at its end
+	At       time.Duration // from the first line of all on
+	Columns  [columns]int
+	Sessions int            // connections that stand at its end
+	Places   float64        // servers that a group stands at, on the mean; 0 where none carries a group
+	Middle   time.Duration  // half of the set-ups of this step took no longer,
+	Late     time.Duration  // and nine of ten
+	Servers  map[string]int // connections at each at its end
 }
 
 // Fleet is what the logs tell.
@@ -205,7 +205,7 @@
 	held, servers := 0, map[string]int{}
 	row := Row{}
 	end := func() {
-		row.Held, row.Servers = held, maps.Clone(servers)
+		row.Sessions, row.Servers = held, maps.Clone(servers)
 		if len(groups) > 0 {
 			places := 0
 			for _, n := range groups {
--- a/internal/lab/logstats/logstats_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -24,7 +24,7 @@
 	}
 	got := fmt.Sprintln(f.Logs, f.Unread, f.Names)
 	for _, row := range f.Rows {
-		got += fmt.Sprintln(row.Held, row.Places, row.Middle.Round(time.Millisecond), row.Columns)
+		got += fmt.Sprintln(row.Sessions, row.Places, row.Middle.Round(time.Millisecond), row.Columns)
 	}
 	if want := "2 1 [s-1 s-2]\n" + "3 1.5 20ms [2 3 0 0 0 0 0 0 0 0 0 0 0 0 0]\n" + "2 1 0s [0 0 1 1 0 0 0 1 1 0 0 0 0 0 0]\n" +
 		"1 1 0s [1 0 0 0 0 0 0 0 0 0 0 1 0 0 0]\n"; got != want {
