--- a/internal/fleet/gossip/bench_test.go
+++ b/internal/fleet/gossip/bench_test.go
@@ -119,35 +119,15 @@
 	for _, n := range []int{17, 100, 300, 1000, 2300, 4600} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			network := memnet.New(7, 0)
-			open := func(num int) (*memberlist.Memberlist, *countingPort) {
-				cfg := memberlist.DefaultLANConfig()
-				Tune(cfg)
-				cfg.ProbeInterval, cfg.GossipInterval, cfg.PushPullInterval = 0, 0, 0 // only what is measured
-				cfg.TCPTimeout = time.Minute
-				self := memberAt(num)
-				self.Addr = memnet.Addr(num)
-				at := &countingPort{Port: network.Port(num)}
-				cfg.Name, cfg.Transport = self.ID, at
-				cfg.BindAddr, cfg.BindPort = self.Addr.Addr().String(), int(self.Addr.Port())
-				cfg.AdvertiseAddr, cfg.AdvertisePort = cfg.BindAddr, cfg.BindPort
-				cfg.DNSConfigPath, cfg.Logger = "", log.New(io.Discard, "", 0)
-				cfg.Delegate = &metaDelegate{self}
-				ml, err := memberlist.Create(cfg)
-				if err != nil {
-					b.Fatal(err)
-				}
-				b.Cleanup(func() { _ = ml.Shutdown() })
-				return ml, at
-			}
-			knows := func(ml *memberlist.Memberlist, many int) {
-				for end := time.Now().Add(30 * time.Second); ml.NumMembers() < many; time.Sleep(time.Millisecond) {
+			knows := func(list *memberlist.Memberlist, many int) {
+				for end := time.Now().Add(30 * time.Second); list.NumMembers() < many; time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
-						b.Fatalf("%d of %d members are known", ml.NumMembers(), many)
+						b.Fatalf("%d of %d members are known", list.NumMembers(), many)
 					}
 				}
 			}
-			first, _ := open(0)
-			second, at := open(1)
+			first, _ := openList(b, network, 0)
+			second, at := openList(b, network, 1)
 			far := network.Port(2)
 			for i := 2; i < n; i++ {
 				if _, err := far.WriteTo(encodeAlive(memberAt(i)), memnet.Addr(0).String()); err != nil {
@@ -177,6 +157,34 @@
 	}
 }
 
+// openList opens the library at a port of the network, without any traffic of its own.
+func openList(b *testing.B, network *memnet.Network, num int) (*memberlist.Memberlist, *countingPort) {
+	self := memberAt(num)
+	self.Addr = memnet.Addr(num)
+	port := &countingPort{Port: network.Port(num)}
+	cfg := memberlist.DefaultLANConfig()
+	Tune(cfg)
+	cfg.ProbeInterval = 0
+	cfg.GossipInterval = 0
+	cfg.PushPullInterval = 0
+	cfg.TCPTimeout = time.Minute
+	cfg.Name = self.ID
+	cfg.Transport = port
+	cfg.BindAddr = self.Addr.Addr().String()
+	cfg.BindPort = int(self.Addr.Port())
+	cfg.AdvertiseAddr = cfg.BindAddr
+	cfg.AdvertisePort = cfg.BindPort
+	cfg.DNSConfigPath = ""
+	cfg.Logger = log.New(io.Discard, "", 0)
+	cfg.Delegate = &metaDelegate{self}
+	list, err := memberlist.Create(cfg)
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { _ = list.Shutdown() })
+	return list, port
+}
+
 // metaDelegate has the metadata of a member and does nothing else.
 type metaDelegate struct{ self membership.Member }
 
--- a/internal/fleet/gossip/compare_test.go
+++ b/internal/fleet/gossip/compare_test.go
@@ -72,72 +72,96 @@
 }
 
 // compareLibrary runs the agent that ships.
-func compareLibrary(t *testing.T, many int, loss float64, tune func(*memberlist.Config)) (f comparison) {
+func compareLibrary(t *testing.T, many int, loss float64, tune func(*memberlist.Config)) comparison {
 	fleet := newTunedFleet(t, many, tune)
 	defer fleet.close()
-	usual := func(int, int) memnet.Link { return memnet.Link{Loss: loss} }
-	fleet.waitFor("all see all", 5*time.Minute, fleet.allConnected(many))
-	fleet.network.Set(usual)
+	lossy := func(int, int) memnet.Link { return memnet.Link{Loss: loss} }
+	fleet.waitFor("all are connected", 5*time.Minute, fleet.allConnected(many))
+	fleet.network.Set(lossy)
 	time.Sleep(10 * time.Second)
-	failed := make([]map[string]membership.State, many)
-	falsely := func() (n int) {
-		for i, c := range fleet.agents {
-			now := map[string]membership.State{}
-			for _, k := range c.Status().Peers {
-				now[k.ID] = k.State
-				if k.State == membership.Failed && failed[i][k.ID] != membership.Failed {
-					n++
-				}
-			}
-			failed[i] = now
-		}
-		return n
-	}
-	falsely()
+
+	var result comparison
+	counter := newFailureCounter(fleet)
 	before, _ := fleet.network.Sum()
 	for range int(quietTime / time.Second) {
 		time.Sleep(time.Second)
-		f.falseFailures += falsely()
+		result.falseFailures += counter.count()
 	}
 	after, _ := fleet.network.Sum()
-	f.bytes = float64(after-before) / quietTime.Seconds() / float64(many)
-	half := func(num int) time.Duration { // until half of the others see it as failed
-		began := time.Now()
-		for time.Since(began) < maxWait {
-			n := 0
-			for i, c := range fleet.agents {
-				if i == num {
-					continue
-				}
-				for _, k := range c.Status().Peers {
-					if k.ID == memberID(num) && k.State == membership.Failed {
-						n++
-					}
-				}
-			}
-			if 2*n >= many-1 {
-				break
+	result.bytes = float64(after-before) / quietTime.Seconds() / float64(many)
+
+	paused, cut, ended := many-1, many-2, many-3
+	fleet.ports[paused].Pause()
+	result.stall = fleet.detectionTime(paused)
+	fleet.ports[paused].Resume()
+	time.Sleep(time.Minute)
+
+	fleet.network.Set(func(from, _ int) memnet.Link { return memnet.Link{Loss: loss, Cut: from == cut} })
+	result.partition = fleet.detectionTime(cut)
+	began := time.Now()
+	for fleet.agents[cut].Status().Standing != membership.NoQuorum && time.Since(began) < 5*time.Minute {
+		time.Sleep(100 * time.Millisecond)
+	}
+	result.noQuorum = result.partition + time.Since(began)
+	fleet.network.Set(lossy)
+	time.Sleep(time.Minute)
+
+	_ = fleet.ports[ended].Shutdown()
+	result.death = fleet.detectionTime(ended)
+	return result
+}
+
+// failureCounter counts how often members become failed in the view of others.
+type failureCounter struct {
+	fleet  *testFleet
+	states []map[string]membership.State // by observer, by member ID
+}
+
+func newFailureCounter(fleet *testFleet) *failureCounter {
+	c := &failureCounter{fleet: fleet, states: make([]map[string]membership.State, len(fleet.agents))}
+	c.count()
+	return c
+}
+
+// count returns how many members became failed since the last call, all pairs together.
+func (c *failureCounter) count() int {
+	n := 0
+	for i, agent := range c.fleet.agents {
+		states := map[string]membership.State{}
+		for _, peer := range agent.Status().Peers {
+			states[peer.ID] = peer.State
+			if peer.State == membership.Failed && c.states[i][peer.ID] != membership.Failed {
+				n++
 			}
-			time.Sleep(100 * time.Millisecond)
 		}
-		return time.Since(began)
+		c.states[i] = states
 	}
-	fleet.ports[many-1].Pause()
-	f.stall = half(many - 1)
-	fleet.ports[many-1].Resume()
-	time.Sleep(time.Minute)
-	fleet.network.Set(func(from, _ int) memnet.Link { return memnet.Link{Loss: loss, Cut: from == many-2} })
-	f.partition = half(many - 2)
+	return n
+}
+
+// detectionTime returns how long it takes until half of the others see a member as failed, maxWait at most.
+func (fleet *testFleet) detectionTime(member int) time.Duration {
 	began := time.Now()
-	for fleet.agents[many-2].Status().Standing != membership.NoQuorum && time.Since(began) < 5*time.Minute {
+	for time.Since(began) < maxWait && 2*fleet.observersOfFailure(member) < len(fleet.agents)-1 {
 		time.Sleep(100 * time.Millisecond)
 	}
-	f.noQuorum = f.partition + time.Since(began)
-	fleet.network.Set(usual)
-	time.Sleep(time.Minute)
-	_ = fleet.ports[many-3].Shutdown()
-	f.death = half(many - 3)
-	return f
+	return time.Since(began)
+}
+
+// observersOfFailure returns how many others see a member as failed.
+func (fleet *testFleet) observersOfFailure(member int) int {
+	n := 0
+	for i, agent := range fleet.agents {
+		if i == member {
+			continue
+		}
+		for _, peer := range agent.Status().Peers {
+			if peer.ID == memberID(member) && peer.State == membership.Failed {
+				n++
+			}
+		}
+	}
+	return n
 }
 
 // compareHeartbeats computes a detector by heartbeats: each member sends one to each other member four times a second, and is failed once so
