--- a/internal/fleet/changefeed/state_test.go
+++ b/internal/fleet/changefeed/state_test.go
@@ -227,14 +227,25 @@
 // TestMessagesRoundTrip encodes and decodes each kind of message; a truncated or extended one is rejected.
 func TestMessagesRoundTrip(t *testing.T) {
 	for name, m := range map[string]Message{
-		"hello":    {Hello: &Hello{Fleet: "f", ProtocolVersion: 1, ID: "i", Name: "n", Incarnation: 3, Machine: "m", Zone: "z", Site: "s", Version: 9, Digest: 1 << 63, Standby: true}},
-		"change":   {Change: &Change{Version: 1, DigestBefore: 2, DigestAfter: 1<<64 - 1, Items: []Item{{Key: "k", Value: []byte{0, 255}}, {Key: "g", Deleted: true}}}},
-		"snapshot": {Snapshot: &Snapshot{Fleet: "f", Version: 7, Digest: 8, Items: []Item{{Key: "k", Value: []byte("v")}}}},
-		"renew":    {RenewRequest: &RenewRequest{Sequence: 1, LastResponse: 2, Version: 3, Digest: 4}}, "renewed": {RenewResponse: &RenewResponse{Sequence: 1, Version: 2, Digest: 3, SentVersion: 4, Age: 5, AgeKnown: true, Standby: true}},
-		"ack": {Ack: &Ack{Version: 1, Digest: 2}}, "sync request": {SyncRequest: &SyncRequest{Version: 1, Digest: 2, ForceSnapshot: true, LastResponse: 4}},
-		"reject": {Reject: &Reject{RetryAfter: 5, Reason: "w"}}, "disconnect": {Disconnect: &Disconnect{}},
-		"op": {Operation: &Payload{RequestID: 1, Body: []byte("b")}}, "result": {OperationResult: &Payload{RequestID: 1, Body: []byte("b")}},
-		"put": {PutRequest: &PutRequest{OperationID: "o", Key: "k", Value: []byte("v"), Delete: true, IfVersion: 4, Unconditional: true}}, "put done": {PutResponse: &PutResponse{OperationID: "o", Version: 3, RejectReason: "r"}},
+		"hello": {Hello: &Hello{
+			Fleet: "f", ProtocolVersion: 1, ID: "i", Name: "n", Incarnation: 3, Machine: "m", Zone: "z", Site: "s",
+			Version: 9, Digest: 1 << 63, Standby: true,
+		}},
+		"change": {Change: &Change{
+			Version: 1, DigestBefore: 2, DigestAfter: 1<<64 - 1,
+			Items: []Item{{Key: "k", Value: []byte{0, 255}}, {Key: "g", Deleted: true}},
+		}},
+		"snapshot":         {Snapshot: &Snapshot{Fleet: "f", Version: 7, Digest: 8, Items: []Item{{Key: "k", Value: []byte("v")}}}},
+		"renew request":    {RenewRequest: &RenewRequest{Sequence: 1, LastResponse: 2, Version: 3, Digest: 4}},
+		"renew response":   {RenewResponse: &RenewResponse{Sequence: 1, Version: 2, Digest: 3, SentVersion: 4, Age: 5, AgeKnown: true, Standby: true}},
+		"ack":              {Ack: &Ack{Version: 1, Digest: 2}},
+		"sync request":     {SyncRequest: &SyncRequest{Version: 1, Digest: 2, ForceSnapshot: true, LastResponse: 4}},
+		"reject":           {Reject: &Reject{RetryAfter: 5, Reason: "w"}},
+		"disconnect":       {Disconnect: &Disconnect{}},
+		"operation":        {Operation: &Payload{RequestID: 1, Body: []byte("b")}},
+		"operation result": {OperationResult: &Payload{RequestID: 1, Body: []byte("b")}},
+		"put request":      {PutRequest: &PutRequest{OperationID: "o", Key: "k", Value: []byte("v"), Delete: true, IfVersion: 4, Unconditional: true}},
+		"put response":     {PutResponse: &PutResponse{OperationID: "o", Version: 3, RejectReason: "r"}},
 	} {
 		text := Encode(&m)
 		got, err := Decode(text)
