--- a/internal/fleet/publisher/serve.go
+++ b/internal/fleet/publisher/serve.go
@@ -70,22 +70,22 @@
 func (s *Server) readHello(netConn net.Conn, reader *messageReader) (changefeed.Hello, error) {
 	_ = netConn.SetReadDeadline(time.Now().Add(helloTimeout)) // fails on a closed connection alone, and so does the read
 	if _, err := reader.buffered.Discard(1); err != nil {
-		return changefeed.Hello{}, err
+		return changefeed.Hello{}, fmt.Errorf("read stream mark: %w", err)
 	}
 	body, err := reader.readBody(maxGreetingBytes)
 	if err != nil {
-		return changefeed.Hello{}, err
+		return changefeed.Hello{}, fmt.Errorf("read greeting: %w", err)
 	}
 	var greeting framing.Greeting
 	if err := framing.Decode(body, &greeting); err != nil {
-		return changefeed.Hello{}, err
+		return changefeed.Hello{}, fmt.Errorf("decode greeting: %w", err)
 	}
 	if greeting.Fleet != s.options.Fleet {
 		return changefeed.Hello{}, fmt.Errorf("a subscriber of fleet %q at %v", greeting.Fleet, netConn.RemoteAddr())
 	}
 	message, err := reader.readMessage()
 	if err != nil {
-		return changefeed.Hello{}, err
+		return changefeed.Hello{}, fmt.Errorf("read hello: %w", err)
 	}
 	if message.Hello == nil {
 		return changefeed.Hello{}, fmt.Errorf("%w: no hello", changefeed.ErrMalformedMessage)
@@ -106,7 +106,7 @@
 	case message.Operation != nil:
 		var request framing.OperationRequest
 		if err := framing.Decode(message.Operation.Body, &request); err != nil {
-			return err
+			return fmt.Errorf("decode operation %d: %w", message.Operation.RequestID, err)
 		}
 		s.submit(c, message.Operation.RequestID, request.Operation, min(request.Timeout, maxOperationTimeout))
 	case message.PutRequest != nil:
