--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -322,7 +322,7 @@
 
 	// One is stopped, sleeps over changes and its followers' leases, and wakes on old state.
 	stopped := (lost + 2) % 5
-	_ = m.control[stopped].Signal(syscall.SIGSTOP)
+	suspend(t, m.control[stopped])
 	asleep := m.Links.Advertised(stopped).String()
 	m.soon("its followers are elsewhere", changefeed.DefaultLease, m.each(func(s subscriber.Status) bool { return current(s) && !slices.Contains(s.Publishers, asleep) }))
 	m.everywhere((stopped+1)%5, "config/limits", "three")
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -218,7 +218,7 @@
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) {
 		*tie = emulator.MemberLink{Loss: 0.3, Duplicated: 0.3, Delay: 20 * time.Millisecond}
 	})
-	_ = m.procs[4].Signal(syscall.SIGSTOP)
+	suspend(t, m.procs[4])
 	m.want("the stopped one is missed, over bad ways", m.without(4), gone(4))
 	_ = m.procs[4].Signal(syscall.SIGCONT)
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -123,7 +123,7 @@
 	_, _ = io.WriteString(never, "UP 3\r\n")
 	late.want("UP 3\r\n")
 	// A first line that waits in the socket's buffer at a switch is answered by the old rules or the new ones.
-	_ = s.child.Signal(syscall.SIGSTOP)
+	suspend(t, s.child)
 	s.hand(strings.Replace(first, `"order"`, `"other"`, 1))
 	buffered := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(open))
 	_ = s.child.Signal(syscall.SIGCONT)
@@ -318,7 +318,7 @@
 		clients[a] = e
 	}
 	old := s.next()
-	_ = s.child.Signal(syscall.SIGSTOP)
+	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	gone(t, old)
 	_ = s.child.Signal(syscall.SIGCONT)
@@ -348,7 +348,7 @@
 		clients = append(clients, a)
 	}
 	old := s.next()
-	_ = s.child.Signal(syscall.SIGSTOP)
+	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	got := make(chan string, len(clients))
 	for _, a := range clients {
