--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -318,6 +318,7 @@
 		clients[a] = e
 	}
 	old := s.next()
+	s.waitLog("a new process is beside this one") // it says that it is ready to clients as well, perhaps earlier
 	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	gone(t, old)
@@ -348,6 +349,7 @@
 		clients = append(clients, a)
 	}
 	old := s.next()
+	s.waitLog("a new process is beside this one") // it says that it is ready to clients as well, perhaps earlier
 	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	got := make(chan string, len(clients))
