--- a/internal/fleet/changefeed/session.go
+++ b/internal/fleet/changefeed/session.go
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// admit decides whether a subscriber is accepted. An older session of the same subscriber is closed; a rejected subscriber is told why.
+// admit decides whether a subscriber is accepted. An older session of the same subscriber is closed; a rejected subscriber receives the
+// text of the error, which is part of the protocol.
 func (p *Publisher) admit(connID uint64, hello Hello) error {
 	if !isValidHello(hello) {
 		return p.rejectMalformed(connID, fmt.Errorf("%w: a hello without an ID or protocol version, or with a name over %d bytes", ErrMalformedMessage, maxNameBytes))
--- a/internal/fleet/framing/framing.go
+++ b/internal/fleet/framing/framing.go
@@ -1,4 +1,4 @@
-// Package framing encodes the frames of streams between members, and between a control process and its followers. It owns the form of a frame:
+// Package framing encodes the frames of streams between members, and between a control process and its subscribers. It owns the form of a frame:
 // the length and the checksum of its body, then the body. It must never hold more of a body than its reader allows.
 package framing
 
--- a/internal/fleet/publisher/operations.go
+++ b/internal/fleet/publisher/operations.go
@@ -15,6 +15,9 @@
 	putTimeout           = 5 * time.Second
 )
 
+// putBusy is sent to subscribers; its text is part of the protocol.
+const putBusy = "busy: too many changes of this follower wait"
+
 // pendingOperation is the connection that awaits the result of an operation, and its ID of the request.
 type pendingOperation struct {
 	conn      *conn
@@ -60,7 +63,7 @@
 	if c.operations.Add(1) > maxOperationsPerConn {
 		c.operations.Add(-1)
 		s.rejectedOperations.Add(1)
-		c.sendPutResponse(shardmap.PutResult{OperationID: request.OperationID, Rejection: "busy: too many changes of this follower wait"})
+		c.sendPutResponse(shardmap.PutResult{OperationID: request.OperationID, Rejection: putBusy})
 		return
 	}
 	put := shardmap.Put{
