--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -318,7 +318,7 @@
 		clients[a] = e
 	}
 	old := s.next()
-	s.waitLog("a new process is beside this one") // it says that it is ready to clients as well, perhaps earlier
+	s.waitLog("the new process is ready to take over") // which may come after the new one has told clients that it is ready
 	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	gone(t, old)
@@ -349,7 +349,7 @@
 		clients = append(clients, a)
 	}
 	old := s.next()
-	s.waitLog("a new process is beside this one") // it says that it is ready to clients as well, perhaps earlier
+	s.waitLog("the new process is ready to take over") // which may come after the new one has told clients that it is ready
 	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	got := make(chan string, len(clients))
--- a/internal/balancer/handover_successor.go
+++ b/internal/balancer/handover_successor.go
@@ -84,6 +84,7 @@
 	switch m.Kind {
 	case hotrestart.Ready:
 		h.successorReady = true
+		l.log.Info("the new process is ready to take over")
 		if l.isShuttingDown() { // the signal came before this message
 			l.handOverAll()
 		}
