--- a/internal/fleet/idempotency/golden_test.go
+++ b/internal/fleet/idempotency/golden_test.go
@@ -33,15 +33,15 @@
 	note("withdraw", c.Withdraw())
 	c = New(0xabc, "second", 1700000000)
 	c.Begin("10.0.0.2:80")
-	other, _ := json.Marshal(Record{State: meant, Owner: "owner", Endpoint: "10.0.0.1:80"})
+	other, _ := json.Marshal(Record{State: recordPending, Owner: "owner", Endpoint: "10.0.0.1:80"})
 	_, op := c.HandleResult(replication.Result{Outcome: replication.OutcomeConflict, Record: replication.Record{Version: 5, Value: other}})
 	note("take over", op)
 
 	values := []Record{
-		{State: meant, Owner: "o", Endpoint: "s"},
-		{State: answered, Owner: "o", Answer: []byte("UP")},
-		{State: broken, Owner: "o"},
-		{State: never, Owner: "o"},
+		{State: recordPending, Owner: "o", Endpoint: "s"},
+		{State: recordAnswered, Owner: "o", Answer: []byte("UP")},
+		{State: recordAbandoned, Owner: "o"},
+		{State: recordWithdrawn, Owner: "o"},
 	}
 	var texts []string
 	for _, v := range values {
--- a/internal/fleet/idempotency/idempotency.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -1,7 +1,8 @@
-// Package idempotency decides what a balancer may do with a circuit whose grade is held: before the first byte goes to a server the
-// fleet has to hold that it will, and before a success is told, that it was. It is pure: results of operations in, the next operation
-// or a word out. It must never let a byte out on an operation whose end is not known, and never let two owners take themselves for
-// the one: who takes over writes the old one's end first, in the one order that all holders have.
+// Package idempotency decides what a balancer may do with a session whose class is replicated: before the first byte
+// goes to a server, the fleet has to hold a record that it will; before a success is sent to the client, that it was
+// established. The package is pure: results of operations in, the next operation or a decision out. It must never allow
+// a byte on an operation whose outcome is unknown, and never let two balancers both own a session: a later one first
+// marks the record of the earlier one as abandoned, in the one order that all replicas have.
 package idempotency
 
 import (
@@ -12,162 +13,187 @@
 	"sabletally/internal/fleet/replication"
 )
 
-const (
-	stepsMost = 6                // operations for one question: each that conflicts tells what is there by now
-	RecordTTL = 10 * time.Minute // how long one is held from its first promise on
-)
+// RecordTTL is how long a record is kept, from its creation on.
+const RecordTTL = 10 * time.Minute
 
-// Key is where the intent of a circuit's id lies.
-func Key(id uint64) string { return fmt.Sprintf("intent/%016x", id) }
+// maxSteps bounds the operations of one request: each that conflicts shows the newer record.
+const maxSteps = 6
 
-// KeyPrefix is what all keys of intents begin with.
+// KeyPrefix begins the keys of all records.
 const KeyPrefix = "intent/"
 
-// state of an intent.
-type state string
+// Key returns the key of a session id's record.
+func Key(id uint64) string { return fmt.Sprintf("%s%016x", KeyPrefix, id) }
+
+// recordState is the state of a record as it is stored.
+type recordState string
 
 const (
-	meant    state = "meant"    // its owner may write to a server
-	answered state = "answered" // Answer is the final answer
-	broken   state = "broken"   // somebody asked again while nothing was answered: it may have run, and will not again
-	never    state = "never"    // it never ran: whoever asks next may
+	recordPending   recordState = "meant"    // its owner may write to a server
+	recordAnswered  recordState = "answered" // Answer is the final answer
+	recordAbandoned recordState = "broken"   // another balancer asked before an answer: it may have run and will not again
+	recordWithdrawn recordState = "never"    // it never ran: the next balancer that asks may run it
 )
 
-// Record is a record's value.
+// Record is the value of a stored record, as JSON.
 type Record struct {
-	State    state  `json:"state"`
-	Owner    string `json:"owner"`            // of a circuit, never of another one
-	Endpoint string `json:"server,omitempty"` // of the newest try
-	Answer   []byte `json:"answer,omitempty"`
+	State    recordState `json:"state"`
+	Owner    string      `json:"owner"`            // of one session at one balancer
+	Endpoint string      `json:"server,omitempty"` // of the newest attempt
+	Answer   []byte      `json:"answer,omitempty"`
 }
 
-// Decision on a question.
+// Decision is what a Claim decides on the result of an operation.
 type Decision uint8
 
+// The decisions.
 const (
-	Wait        Decision = iota // for an operation's end
-	Proceed                     // the owner may write
-	Replay                      // it was answered: Answer is the word
-	Abandoned                   // it is broken off
-	Unavailable                 // no promise in time: it never ran here
-	Recorded                    // the answer is held
+	Wait        Decision = iota // another operation is to be submitted
+	Proceed                     // the owner may write to the server
+	Replay                      // there is a final answer, Claim.Answer
+	Abandoned                   // the session may have run and must not run again
+	Unavailable                 // nothing was recorded in time: the session never ran here
+	Recorded                    // the answer is recorded
 )
 
-// Claim is one circuit's intent, from its first try to its answer.
+// Claim is one session's part in its record, from the first attempt to the answer. It is not safe for concurrent use.
 type Claim struct {
 	Key       string
 	Owner     string
-	CreatedAt int64
-	version   uint64 // of this owner's newest write
-	mine      bool
-	over      bool // another's word holds
-	goal      goal
-	next      Record
-	steps     int
-	ops       int
-
-	Answer []byte // with Same
+	CreatedAt int64 // Unix seconds
+	Answer    []byte
+
+	version    uint64 // of this owner's newest write
+	isOwner    bool   // a write of this owner is known to be committed
+	isLost     bool   // the record of another owner, or its answer, holds
+	goal       goal
+	next       Record // to be written
+	steps      int    // of the current request
+	operations int
 }
 
+// goal is what the current request of a Claim is for.
 type goal uint8
 
 const (
-	begin goal = iota
-	takeOver
-	tell
-	undo
+	goalBegin goal = iota
+	goalAbandon
+	goalAnswer
+	goalWithdraw
 )
 
-// New is a circuit for which nothing was asked yet.
-func New(id uint64, owner string, born int64) *Claim {
-	return &Claim{Key: Key(id), Owner: owner, CreatedAt: born}
+// New returns the claim of a session for which nothing was requested yet.
+func New(id uint64, owner string, createdAt int64) *Claim {
+	return &Claim{Key: Key(id), Owner: owner, CreatedAt: createdAt}
 }
 
-// NeedsWithdrawal tells whether an intent of this owner's may be held that nobody will act on: one that is, or one of which it was not heard
-// whether it is.
-func (c *Claim) NeedsWithdrawal() bool { return c.ops > 0 && !c.over }
+// NeedsWithdrawal reports whether a record of this owner may be stored on which nobody will act.
+func (c *Claim) NeedsWithdrawal() bool { return c.operations > 0 && !c.isLost }
 
-// Begin asks for the right to write to a server: the first operation of it.
-func (c *Claim) Begin(server string) replication.Operation {
-	c.goal, c.steps = begin, 0
-	c.next = Record{State: meant, Owner: c.Owner, Endpoint: server}
-	return c.op(c.version)
+// Begin requests the right to write to a server and returns the first operation for it.
+func (c *Claim) Begin(endpoint string) replication.Operation {
+	c.goal = goalBegin
+	c.steps = 0
+	c.next = Record{State: recordPending, Owner: c.Owner, Endpoint: endpoint}
+	return c.write(c.version)
 }
 
-// RecordAnswer has the final answer held.
+// RecordAnswer requests that the final answer is recorded and returns the first operation for it.
 func (c *Claim) RecordAnswer(answer []byte) replication.Operation {
-	c.goal, c.steps = tell, 0
-	c.next = Record{State: answered, Owner: c.Owner, Answer: answer}
-	return c.op(c.version)
+	c.goal = goalAnswer
+	c.steps = 0
+	c.next = Record{State: recordAnswered, Owner: c.Owner, Answer: answer}
+	return c.write(c.version)
 }
 
-// Withdraw says of an intent that is left that it never ran: the last thing that is asked for a circuit, and nobody waits for it.
-// Without it whoever asks again would be told that it may have run.
+// Withdraw records that a session which has ended never ran. It is the last request of a claim, and nobody waits for
+// it. Without it the next balancer that asks would learn that the session may have run.
 func (c *Claim) Withdraw() replication.Operation {
-	c.goal, c.steps = undo, 0
-	c.next = Record{State: never, Owner: c.Owner}
-	if c.mine {
-		return c.op(c.version)
+	c.goal = goalWithdraw
+	c.steps = 0
+	c.next = Record{State: recordWithdrawn, Owner: c.Owner}
+	if c.isOwner {
+		return c.write(c.version)
 	}
-	c.ops++ // not known whether it is there: look first
-	return replication.Operation{ID: fmt.Sprintf("%s.%d", c.Owner, c.ops), Key: c.Key, ReadOnly: true}
+	// It is unknown whether the record was stored: read it first.
+	return replication.Operation{ID: c.nextOperationID(), Key: c.Key, ReadOnly: true}
 }
 
-func (c *Claim) op(version uint64) replication.Operation {
-	text, err := json.Marshal(c.next)
+// write returns the operation that writes the next record over a version.
+func (c *Claim) write(version uint64) replication.Operation {
+	value, err := json.Marshal(c.next)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // it holds plain values only
 	}
-	c.ops++
-	return replication.Operation{ID: fmt.Sprintf("%s.%d", c.Owner, c.ops), Key: c.Key, ExpectedVersion: version, Value: text, CreatedAt: c.CreatedAt}
+	return replication.Operation{ID: c.nextOperationID(), Key: c.Key, ExpectedVersion: version, Value: value, CreatedAt: c.CreatedAt}
+}
+
+func (c *Claim) nextOperationID() string {
+	c.operations++
+	return fmt.Sprintf("%s.%d", c.Owner, c.operations)
 }
 
-// HandleResult takes an operation's end: a verdict, or Wait and the next operation.
-func (c *Claim) HandleResult(r replication.Result) (Decision, replication.Operation) {
-	switch r.Outcome {
+// HandleResult handles the result of the newest operation. It returns a decision; with Wait, the operation to submit
+// next.
+func (c *Claim) HandleResult(result replication.Result) (Decision, replication.Operation) {
+	switch result.Outcome {
 	case replication.OutcomeCommitted:
-		switch c.goal {
-		case takeOver:
-			c.over = true
-			return Abandoned, replication.Operation{}
-		case undo:
-			return Unavailable, replication.Operation{}
-		}
-		c.version, c.mine = r.Record.Version, true
-		if c.goal == tell {
-			return Recorded, replication.Operation{}
-		}
-		return Proceed, replication.Operation{}
+		return c.handleCommit(result.Record.Version), replication.Operation{}
 	case replication.OutcomeConflict:
+		return c.handleConflict(result.Record)
 	default:
 		return Unavailable, replication.Operation{}
 	}
+}
+
+func (c *Claim) handleCommit(version uint64) Decision {
+	switch c.goal {
+	case goalAbandon:
+		c.isLost = true
+		return Abandoned
+	case goalWithdraw:
+		return Unavailable
+	}
+	c.version = version
+	c.isOwner = true
+	if c.goal == goalAnswer {
+		return Recorded
+	}
+	return Proceed
+}
+
+// handleConflict decides by the record that is stored in place of the expected one.
+func (c *Claim) handleConflict(stored replication.Record) (Decision, replication.Operation) {
 	c.steps++
-	var there Record
-	if r.Record.Deleted || r.Record.Version == 0 { // it was held for its time and dropped
-		if c.mine || c.steps > stepsMost {
+	if c.steps > maxSteps {
+		return Unavailable, replication.Operation{}
+	}
+	if stored.Deleted || stored.Version == 0 { // the record has expired, or there never was one
+		if c.isOwner {
 			return Unavailable, replication.Operation{}
 		}
-		return Wait, c.op(0)
+		return Wait, c.write(0)
 	}
-	if err := json.Unmarshal(r.Record.Value, &there); err != nil || c.steps > stepsMost {
+	var record Record
+	if err := json.Unmarshal(stored.Value, &record); err != nil {
 		return Unavailable, replication.Operation{}
 	}
 	switch {
-	case c.goal == undo && there.Owner == c.Owner && there.State == meant:
-		return Wait, c.op(r.Record.Version)
-	case c.goal == undo:
+	case c.goal == goalWithdraw && record.Owner == c.Owner && record.State == recordPending:
+		return Wait, c.write(stored.Version)
+	case c.goal == goalWithdraw:
 		return Unavailable, replication.Operation{}
-	case there.State == answered:
-		c.Answer, c.over = there.Answer, true
+	case record.State == recordAnswered:
+		c.Answer = record.Answer
+		c.isLost = true
 		return Replay, replication.Operation{}
-	case there.State == broken, c.mine: // another one has taken over what this owner had
-		c.over = true
+	case record.State == recordAbandoned, c.isOwner: // another balancer has replaced this owner's record
+		c.isLost = true
 		return Abandoned, replication.Operation{}
-	case there.State == never:
-		return Wait, c.op(r.Record.Version)
+	case record.State == recordWithdrawn:
+		return Wait, c.write(stored.Version)
 	}
-	c.goal = takeOver
-	c.next = Record{State: broken, Owner: c.Owner}
-	return Wait, c.op(r.Record.Version)
+	c.goal = goalAbandon
+	c.next = Record{State: recordAbandoned, Owner: c.Owner}
+	return Wait, c.write(stored.Version)
 }
--- a/internal/fleet/idempotency/idempotency_test.go
+++ b/internal/fleet/idempotency/idempotency_test.go
@@ -29,7 +29,7 @@
 }
 
 func (w world) String() string {
-	return fmt.Sprint(w.op[0].ReadOnly, w.op[1].ReadOnly, w.own[0].over, w.own[1].over, w.own[0].mine, w.own[1].mine, string(w.rec.Value), w.rec.Version, w.phase, w.ran, w.word, w.own[0].goal, w.own[1].goal, w.own[0].version, w.own[1].version,
+	return fmt.Sprint(w.op[0].ReadOnly, w.op[1].ReadOnly, w.own[0].isLost, w.own[1].isLost, w.own[0].isOwner, w.own[1].isOwner, string(w.rec.Value), w.rec.Version, w.phase, w.ran, w.word, w.own[0].goal, w.own[1].goal, w.own[0].version, w.own[1].version,
 		w.own[0].steps, w.own[1].steps, w.op[0].ExpectedVersion, w.op[1].ExpectedVersion, string(w.op[0].Value), string(w.op[1].Value),
 		w.late[0].ID, w.late[1].ID, w.late[0].ExpectedVersion, w.late[1].ExpectedVersion)
 }
