--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -19,7 +19,7 @@
 	return replication.Record{Key: key, Version: version, Value: []byte("v"), OperationID: fmt.Sprint("o", version), PastOperationIDs: []string{"p"}}
 }
 
-// TestWhatIsWrittenIsRead writes slots and the log over each other and opens the file anew after each.
+// TestWhatIsWrittenIsRead writes shards and the log over each other and opens the file anew after each.
 func TestWhatIsWrittenIsRead(t *testing.T) {
 	dir := t.TempDir()
 	b1, b2 := replication.Ballot{Configuration: 1, Incarnation: 1}, replication.Ballot{Configuration: 2, Incarnation: 7}
@@ -57,13 +57,15 @@
 // TestFilesThatAreRefused spoils one record, and the format.
 func TestFilesThatAreRefused(t *testing.T) {
 	for want, spoil := range map[string]func(tx *bbolt.Tx) error{
-		"newer program": func(tx *bbolt.Tx) error { return tx.Bucket(meta).Put([]byte("format"), []byte{FormatVersion + 1}) },
-		`record "a" of slot 3: its checksum is wrong`: func(tx *bbolt.Tx) error {
-			v := tx.Bucket(records).Get([]byte("\x00\x03a"))
-			return tx.Bucket(records).Put([]byte("\x00\x03a"), append([]byte{v[0] + 1}, v[1:]...))
+		"newer program": func(tx *bbolt.Tx) error {
+			return tx.Bucket(metaBucket).Put([]byte("format"), []byte{FormatVersion + 1})
 		},
-		`record "x" of slot 3: it is another key's`: func(tx *bbolt.Tx) error {
-			return tx.Bucket(records).Put([]byte("\x00\x03x"), tx.Bucket(records).Get([]byte("\x00\x03a")))
+		`record "a" of shard 3: its checksum is wrong`: func(tx *bbolt.Tx) error {
+			v := tx.Bucket(recordBucket).Get([]byte("\x00\x03a"))
+			return tx.Bucket(recordBucket).Put([]byte("\x00\x03a"), append([]byte{v[0] + 1}, v[1:]...))
+		},
+		`record "x" of shard 3: it is another key's`: func(tx *bbolt.Tx) error {
+			return tx.Bucket(recordBucket).Put([]byte("\x00\x03x"), tx.Bucket(recordBucket).Get([]byte("\x00\x03a")))
 		},
 	} {
 		dir := t.TempDir()
@@ -85,7 +87,7 @@
 	}
 }
 
-// TestAfterAFailureNothingIsWritten closes the file under the store. Guards against a member that goes on promising once its disk
+// TestAfterAFailureNothingIsWritten closes the file under the store. A member must not go on confirming once its disk
 // has failed.
 func TestAfterAFailureNothingIsWritten(t *testing.T) {
 	dir := t.TempDir()
@@ -96,7 +98,7 @@
 	_ = s.db.Close()
 	one := node.Ready{ShardWrites: []replication.Write{{Shard: 3, Records: []replication.Record{record("a", 1)}}}}
 	first := s.Write(one)
-	if first == nil || s.Write(one) != first {
+	if first == nil || s.Write(one) != first { //nolint:errorlint // the same error, not one that wraps it
 		t.Error(first)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "holdings.db")); err != nil {
