--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	if err := plan.Needed(hosts).Check(files, total, available); err != nil {
+	if err := plan.Requirements(hosts).Check(files, total, available); err != nil {
 		return err
 	}
 	r := &scaleRun{scaleCmd: c, plan: plan, half: total / 2, ledger: scale.NewLedger(c.Balancers, len(plan.Changes))}
@@ -105,7 +105,7 @@
 	if c.Judge == "counts" {
 		targets = nil
 	}
-	not := r.f.Judge(targets)
+	not := r.f.Check(targets)
 	r.f.Verdict = scale.Verdict(not)
 	if r.f.Partial == "" { // a table of what wasn't measured would read as if nothing was missed
 		if err := r.f.Print(os.Stdout, &scale.DefaultTargets); err != nil {
@@ -333,7 +333,7 @@
 				version, err := t.put(ctx, try, settingKey(c.Key), settingValue(i, c), fmt.Sprintf("scale-%d-%d", r.Seed, i))
 				if err == nil {
 					r.world.mu.Lock()
-					r.ledger.Accepted(i, version)
+					r.ledger.SetVersion(i, version)
 					r.world.mu.Unlock()
 					r.mu.Lock()
 					r.newest, r.accepted = max(r.newest, version), r.accepted+1
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -159,7 +159,7 @@
 
 // measure takes all of an arm's figures once.
 func (c *throughputCmd) measure(l *lab, a *throughputArm) error {
-	s := bench.Setups(a.target, 64, c.Span)
+	s := bench.SetupRate(a.target, 64, c.Span)
 	paced := bench.PacedSetups(a.target, c.Setups, c.Span)
 	standing, err := bench.OpenConnections(a.target, c.Lines)
 	if err != nil {
@@ -167,7 +167,7 @@
 	}
 	lines := standing.Lines(l.ctx, c.Window, c.Span)
 	slow := standing.PacedLines(c.Rate, c.Span)
-	flood, err := bench.Flood(a.target)
+	flood, err := bench.StartFlood(a.target)
 	if err != nil {
 		return err
 	}
--- a/internal/balancer/cost_test.go
+++ b/internal/balancer/cost_test.go
@@ -46,7 +46,7 @@
 	target := bench.NewTarget(gate.Addr().String())
 	b.ReportAllocs()
 	b.ResetTimer()
-	if s := bench.SetupsOf(target, 64, b.N); s.Failed > 0 {
+	if s := bench.SetupBatch(target, 64, b.N); s.Failed > 0 {
 		b.Fatalf("%d failed", s.Failed)
 	}
 }
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,4 +1,4 @@
-// Package baseline owns policies to compare ours with: random choice, least connections and a plain consistent
+// Package baseline has policies to compare ours with: random choice, least connections and a plain consistent
 // hash, each without our departures. They keep the drains, the outer limit and the one try, as any balancer must,
 // and nothing else. They must never be linked into the balancer that ships.
 package baseline
@@ -95,7 +95,7 @@
 	ready     []bool
 	held      []int
 	leaveFrom time.Duration
-	draining  bool // newcomers are nacked, and at leaveFrom all is moved
+	draining  bool // new sessions are rejected, and at leaveFrom all are moved
 	moved     bool
 	due       []policy.Decision
 }
@@ -165,13 +165,13 @@
 func (p *simple) RecordLoadReport(policy.EndpointID, policy.LoadReport) {}
 func (p *simple) StartDraining(from, _ time.Duration)                   { p.draining, p.leaveFrom = true, from }
 
-// answer gives a circuit its final answer.
+// answer gives a session its final answer.
 func (p *simple) answer(c *session, do policy.Action) policy.Decision {
 	delete(p.sessions, c.id)
-	return policy.Decision{Action: do, Session: c.id, Duration: p.advice(do)}
+	return policy.Decision{Action: do, Session: c.id, Duration: p.retryAfter(do)}
 }
 
-func (p *simple) advice(do policy.Action) time.Duration {
+func (p *simple) retryAfter(do policy.Action) time.Duration {
 	if do != policy.Reject || !p.dep.CanSendRetryAfter {
 		return 0
 	}
@@ -208,7 +208,7 @@
 	return d, true
 }
 
-// decide decides on a circuit.
+// decide decides on a session.
 func (p *simple) decide(c *session) policy.Decision {
 	best, score := -1, 0.0
 	if !p.draining && c.attempts < p.dep.MaxAttempts && (c.nothing || c.repeat) && p.now < c.until {
--- a/internal/lab/bench/bench.go
+++ b/internal/lab/bench/bench.go
@@ -1,5 +1,5 @@
 // Package bench owns raw speed: bare servers and clients of the text protocol that do as little as can be, straight
-// to each other or through a balancer. It must never model anything, and never judge.
+// to each other or through a balancer. It must never model anything, and never check rules.
 package bench
 
 import (
@@ -25,7 +25,7 @@
 	spin     = 2 * time.Millisecond // before a thing is due its dispatcher waits awake: timers are late by half a millisecond
 )
 
-// Server echoes lines and takes every circuit.
+// Server echoes lines and accepts every session.
 type Server struct {
 	ln    net.Listener
 	mu    sync.Mutex
@@ -107,7 +107,7 @@
 // NewTarget makes one of addresses that are used in turn.
 func NewTarget(addrs ...string) *Target { return &Target{addrs, &atomic.Uint64{}} }
 
-// open sets up one circuit.
+// open sets up one session.
 func (t *Target) open(limit time.Duration) (net.Conn, *bufio.Reader, error) {
 	id := t.ids.Add(1)
 	c, err := net.Dial("tcp", t.Addrs[id%uint64(len(t.Addrs))])
@@ -144,14 +144,14 @@
 	Failed    int
 }
 
-// Setups has so many workers set up and drop circuits as fast as they can for a time.
-func Setups(t *Target, workers int, span time.Duration) Result {
+// SetupRate has so many workers set up and drop sessions as fast as they can for a time.
+func SetupRate(t *Target, workers int, span time.Duration) Result {
 	end := time.Now().Add(span)
 	return setups(t, workers, func() bool { return time.Now().Before(end) })
 }
 
-// SetupsOf has them set up so many circuits.
-func SetupsOf(t *Target, workers, many int) Result {
+// SetupBatch has so many workers set up a number of sessions.
+func SetupBatch(t *Target, workers, many int) Result {
 	var next atomic.Int64
 	return setups(t, workers, func() bool { return next.Add(1) <= int64(many) })
 }
@@ -214,7 +214,7 @@
 		P99: float64(h.ValueAtQuantile(99)), Failed: int(failed.Load())}
 }
 
-// PacedSetups sets up circuits at a rate, whether or not earlier ones are done.
+// PacedSetups sets up sessions at a rate, whether or not earlier ones are done.
 func PacedSetups(t *Target, rate float64, span time.Duration) Result {
 	return paced(rate, span, func(due time.Time, took func(time.Duration)) error {
 		c, _, err := t.open(time.Minute)
@@ -227,13 +227,13 @@
 	})
 }
 
-// Connections is a set of circuits that stand.
+// Connections is a set of established sessions.
 type Connections struct {
 	conns   []net.Conn
 	readers []*bufio.Reader
 }
 
-// OpenConnections sets up so many circuits, a few at a time.
+// OpenConnections sets up so many sessions, a few at a time.
 func OpenConnections(t *Target, many int) (*Connections, error) {
 	s := &Connections{conns: make([]net.Conn, many), readers: make([]*bufio.Reader, many)}
 	errs := make([]error, many)
@@ -253,7 +253,7 @@
 	all.Wait()
 	if err := errors.Join(errs...); err != nil {
 		s.Close()
-		return nil, fmt.Errorf("of %d circuits: %w", many, errs[firstBad(errs)])
+		return nil, fmt.Errorf("of %d sessions: %w", many, errs[firstBad(errs)])
 	}
 	return s, nil
 }
@@ -276,7 +276,7 @@
 	}
 }
 
-// Lines sends lines on all circuits, a window of them out on each, as fast as they come back.
+// Lines sends lines on all sessions, a window of them out on each, as fast as they come back.
 func (s *Connections) Lines(ctx context.Context, window int, span time.Duration) Result {
 	var n atomic.Int64
 	end := time.Now().Add(span)
@@ -305,7 +305,7 @@
 	return Result{PerSecond: float64(n.Load()) / span.Seconds()}
 }
 
-// PacedLines sends lines at a rate over all circuits in turn; each circuit answers one before its next.
+// PacedLines sends lines at a rate over all sessions in turn; each session answers one before its next.
 func (s *Connections) PacedLines(rate float64, span time.Duration) Result {
 	var next atomic.Int64
 	locks := make([]sync.Mutex, len(s.conns))
@@ -325,8 +325,8 @@
 	})
 }
 
-// Flood sends lines on one circuit at full speed, and reads what comes back, until it is ended by the function answered.
-func Flood(t *Target) (stop func(), err error) {
+// StartFlood sends lines on one session at full speed, and reads what comes back, until it is ended by the function answered.
+func StartFlood(t *Target) (stop func(), err error) {
 	c, r, err := t.open(time.Minute)
 	if err != nil {
 		return nil, err
--- a/internal/lab/cluster/member_group.go
+++ b/internal/lab/cluster/member_group.go
@@ -125,7 +125,7 @@
 	return r, err
 }
 
-// WaitUntil waits until every member told says of itself what is wanted, within a bound.
+// WaitUntil waits until the reports of the members given fulfil a condition, within a bound.
 func (b *MemberGroup) WaitUntil(what string, within time.Duration, members []int, is func(fleet.Report) bool) error {
 	for end := time.Now().Add(within); ; time.Sleep(pollInterval) {
 		var last string
--- a/internal/lab/cluster/operations.go
+++ b/internal/lab/cluster/operations.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// drainNoticeDelay is how long clients are still sent to a balancer that has been told to drain.
+	// drainNoticeDelay is how long clients are still sent to a balancer that has been asked to drain.
 	drainNoticeDelay = 300 * time.Millisecond
 	// deathNoticeDelay is how long clients are still sent to a balancer that has died or stalled.
 	deathNoticeDelay = time.Second
--- a/internal/lab/cluster/proc.go
+++ b/internal/lab/cluster/proc.go
@@ -1,5 +1,5 @@
-// Package cluster owns worlds on sockets: it sets up the stand-ins, starts balancers as processes of their own, carries
-// out the timetable, and gathers events and figures. It must never judge, and never steer a balancer but as an operator
+// Package cluster runs worlds on sockets: it sets up the emulators, starts balancers as processes of their own, carries
+// out the fault schedule, and collects events and figures. It must never check rules, and never control a balancer but as an operator
 // can: by its configuration and by signals.
 //
 // This file owns the balancers' processes.
@@ -55,12 +55,12 @@
 	cmd    *exec.Cmd
 	exited chan struct{}
 	tail   []byte
-	err    error // how the newest life ended
+	err    error // how the newest run ended
 	cpu    time.Duration
-	rss    int64 // KiB, the largest of all lives
+	rss    int64 // KiB, the largest of all runs
 }
 
-// NewProcess makes a balancer of a command; its configuration lies in dir, its log goes to out as well if it is told.
+// NewProcess makes a balancer of a command; its configuration lies in dir, its log also goes to out if that is not nil.
 func NewProcess(name string, command, env []string, dir string, out io.Writer) (*Process, error) {
 	// An address that nobody else is given: a listener that is closed again before the process has it.
 	ln, err := net.Listen("tcp", emulator.Loopback())
@@ -278,21 +278,21 @@
 	return nil
 }
 
-// Pid is the running life's number.
+// Pid returns the process id of the newest run.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// Exited is closed once the newest life is over.
+// Exited is closed once the newest run has ended.
 func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// Err is how the newest life ended, once it has: nil for an exit with 0.
+// Err returns how the newest run ended, once it has: nil for an exit with 0.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -307,14 +307,14 @@
 	}
 }
 
-// TotalUsage answers the CPU time of all lives that are over, and the most memory of one, in MiB.
+// TotalUsage returns the CPU time of all runs that have ended, and the most memory of one, in MiB.
 func (p *Process) TotalUsage() (cpu time.Duration, mb float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cpu, float64(p.rss) / 1024
 }
 
-// CPU is the time that the running life has used so far, of its own account.
+// CPU returns the processor time that the running process has used so far.
 func (p *Process) CPU() time.Duration {
 	p.mu.Lock()
 	cmd := p.cmd
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -45,11 +45,11 @@
 // Arm is one thing under test.
 type Arm struct {
 	Name   string
-	Policy string // a policy behind the lab's own host; empty where a program is told
+	Policy string // a policy behind the reference host; empty if the arm is a program
 	Binary string // a build of the balancer, on sockets; empty: the one beside the lab
 	Broken string // a fault of the lab's own balancer, on sockets
 	Env    []string
-	Limits topology.Limits // of its balancers; the world's where the arm tells none
+	Limits topology.Limits // of its balancers; the world's if the arm has none
 }
 
 // Experiment is what a file says.
@@ -196,7 +196,7 @@
 	}
 }
 
-// limits reads a block of limits, where there is one; what it does not tell stays as it is.
+// limits reads a block of limits if there is one; limits that it lacks stay as they are.
 func (r reader) limits(b *hclconfig.Block, l topology.Limits) topology.Limits {
 	in := b.Single("limits", false)
 	if in == nil {
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -1,4 +1,4 @@
-// Package faults owns the faults of a run: which there are, and the steps, each at its time and for one server
+// Package faults owns the faults of a run: their kinds, and the steps, each at its time and for one server
 // or balancer, that a fault turns into by a seed. Both kinds of world carry out the same steps. It must never
 // carry one out.
 package faults
@@ -23,7 +23,7 @@
 	Vanish          Kind = "vanish"           // machines go silent for For
 	Slow            Kind = "slow"             // Times slower for For
 	Errors          Kind = "errors"           // Rate of the set-ups fail for For
-	Full            Kind = "full"             // turn all newcomers away for For
+	Full            Kind = "full"             // reject all new sessions for For
 	Drip            Kind = "drip"             // answer a byte at a time for For; sockets only
 	TornLines       Kind = "torn-lines"       // break off in the middle of a line for For; sockets only
 	HalfOpen        Kind = "half-open"        // take connections and read nothing for For; sockets only
@@ -39,7 +39,7 @@
 	BadClients      Kind = "bad-clients"      // Rate of them a second for For; sockets only
 	Upgrade         Kind = "upgrade"          // Part get a new process beside the old one, one after the other within For; sockets only
 	BalancerDrain   Kind = "balancer-drain"   // an operator empties Part, one after the other, each for For; sockets only
-	Retune          Kind = "retune"           // a new configuration has a grade more and fewer tries, for For; sockets only
+	Retune          Kind = "retune"           // a new configuration has one class more and fewer attempts, for For; sockets only
 	Crowd           Kind = "crowd"            // Rate clients a second connect and never finish, for For; sockets only
 	Pieces          Kind = "pieces"           // clients write their first lines in pieces for For; sockets only
 	LinkSlow        Kind = "link-slow"        // the way to Part of the servers takes Late longer; sockets only
@@ -66,18 +66,18 @@
 	MembersReorder: {"part", "for", "rate"}, Stall: {"part", "for"}, MachineLost: {"part"},
 }
 
-// BetweenMembers tells whether a fault wants a world whose balancers are members of a fleet.
+// BetweenMembers reports whether a fault needs balancers that are members of a fleet.
 func BetweenMembers(k Kind) bool {
 	return slices.Contains([]Kind{MembersLossy, MembersSlow, MembersCut, MembersReorder, MachineLost}, k)
 }
 
-// SocketsOnly tells whether a fault has no meaning in virtual time.
+// SocketsOnly reports whether a fault has no meaning in virtual time.
 func SocketsOnly(k Kind) bool {
 	return slices.Contains([]Kind{Drip, TornLines, HalfOpen, DiscoveryFaulty, Reload, BadClients, LinkSlow, LinkCut,
 		Upgrade, BalancerDrain, Retune, Crowd, Pieces, Stall}, k) || BetweenMembers(k)
 }
 
-// Fault is one line of the timetable.
+// Fault is one line of the fault schedule.
 type Fault struct {
 	Kind    Kind
 	At, For time.Duration
@@ -161,7 +161,7 @@
 	return true
 }
 
-// OnServer tells whether a step is about server Who.
+// OnServer reports whether a step acts on server Target.
 func (s Step) OnServer() bool { return onServer(s.Action) }
 
 // Expand turns faults into steps for so many servers and balancers, in order of time. It also answers how many
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,5 +1,5 @@
-// Package history owns what the lab saw: events with their time, in order, bounded. Stand-ins and hosts write
-// them, judge and reports read them. It must never judge, and never ask a balancer for its view.
+// Package history owns what the lab observes: events with their time, in order, bounded. Emulators and hosts write
+// them, the checker and reports read them. It must never check rules, and never ask a balancer for its view.
 package history
 
 import (
@@ -23,8 +23,8 @@
 	Ended                       // a client has seen the end of its connection; Text: end or reset
 	Moved                       // a client has read MOVE
 	AttemptReceived             // a server has read a first line to its end; Len: since its first byte; Text: the key, on sockets
-	Ran                         // the effect of a circuit at its server; N: the receipt
-	AttemptEnded                // a try or open circuit is over at its server; Text: refused, server (ended there) or peer
+	Ran                         // the effect of a session at its server; Number: the receipt
+	AttemptEnded                // an attempt or session has ended at its server; Text: refused, server (ended there) or peer
 	Notified                    // the list with a server's state was written to a balancer; Text: ready, draining or gone
 	Started                     // a server's process; N: connections that fill it; Text: cold or warm
 	Stopped                     // it, or the way to it, answers nothing more; Text: crash, vanish, stop, link
@@ -53,7 +53,7 @@
 	Kind     Kind
 }
 
-// Log gathers events of many writers. Most bounds it: beyond it events are dropped, and Lost tells how many.
+// Log collects the events of many writers. It is bounded: beyond that events are dropped, and Dropped counts them.
 type Log struct {
 	mu     sync.Mutex
 	events []Event
@@ -84,7 +84,7 @@
 	return all
 }
 
-// Dropped is how many events found no room; a run with any can't be judged.
+// Dropped returns the number of events that found no room; a run with any can't be checked.
 func (l *Log) Dropped() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,5 @@
 // Package load owns who comes when: open-loop arrivals that never wait for an answer, what each client wants, and
-// when one comes again after a nack, a move or a break. All is drawn ahead from a seed. It must never dial, and
+// when one comes again after a rejection, a move or a break. All is drawn ahead from a seed. It must never dial, and
 // never hold a client back because another's answer is late.
 package load
 
@@ -108,22 +108,22 @@
 
 // RetryPolicy says how clients come again; they do so until what they want is over.
 type RetryPolicy struct {
-	Backoff    time.Duration // after a nack without advice, and after a failure; doubles with each in a row
+	Backoff    time.Duration // after a rejection without Retry-After, and after a failure; doubles with each in a row
 	MaxDelay   time.Duration // the longest wait
 	MoveDelay  time.Duration // after a move
 	BreakDelay time.Duration // after a break
 }
 
 // Delay is how long a client waits before it comes again, after so many failures in a row, with a draw from [0, 1).
-func (r RetryPolicy) Delay(how Ending, failures int, advice time.Duration, draw float64) time.Duration {
+func (r RetryPolicy) Delay(how Ending, failures int, retryAfter time.Duration, draw float64) time.Duration {
 	spread := func(d time.Duration) time.Duration { return time.Duration((0.5 + draw) * float64(d)) }
 	switch {
 	case how == Moved || how == Dropped:
 		return spread(r.MoveDelay)
 	case how == Broken && failures == 0:
 		return spread(r.BreakDelay)
-	case how == Rejected && advice > 0:
-		return advice
+	case how == Rejected && retryAfter > 0:
+		return retryAfter
 	}
 	return spread(min(r.MaxDelay, r.Backoff<<min(max(failures-1, 0), 16)))
 }
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -1,5 +1,5 @@
-// Package logstats adds up what the logs of many balancers tell: what one of them shows is chance, the fleet's sum is not.
-// It owns the reading of debug logs and the tables made of them. It must never judge, and never needs a world that runs.
+// Package logstats sums up the debug logs of many balancers: one balancer's log shows chance, their sum does not.
+// It owns the reading of these logs and the tables made of them. It must never check rules, and never need a running world.
 package logstats
 
 import (
@@ -23,21 +23,21 @@
 
 // The columns of a row, in their order: what the balancers' messages are counted as.
 const (
-	Ready       = iota // processes that welcome clients
-	Stands             // circuits that came to stand
-	Ended              // that stood, and ended or were moved
-	TimedOut           // setup tries that ended so
-	Failed             // or with an error
-	Unconnected        // or without a connection
-	Turned             // or turned away, reset, called off
-	Braked             // nacks without a try
-	Nacked             // nacks after tries
-	BrokenOff          // other final answers but UP
-	Lists              // that came
-	NoList             // calls to discovery that failed
-	Guesses            // probes that told of load
-	Paces              // steps of pace
-	Slow               // notes of slow messages
+	Ready                 = iota // processes that welcome clients
+	Established                  // sessions established
+	Ended                        // that stood, and ended or were moved
+	TimedOut                     // attempts that ended so
+	Failed                       // or with an error
+	Unconnected                  // or without a connection
+	Turned                       // or turned away, reset, called off
+	RejectedByBudget             // rejections without an attempt
+	RejectedAfterAttempts        // rejections after attempts
+	BrokenOff                    // other final answers but UP
+	Lists                        // that came
+	NoList                       // calls to discovery that failed
+	LoadEstimates                // probes that gave a load
+	Paces                        // steps of pace
+	Slow                         // notes of slow messages
 	columns
 )
 
@@ -56,7 +56,7 @@
 	Servers  map[string]int // connections at each at its end
 }
 
-// Fleet is what the logs tell.
+// Fleet is the sum of the logs.
 type Fleet struct {
 	Step   time.Duration
 	Rows   []Row
@@ -100,13 +100,13 @@
 	logs   int
 }
 
-// column tells what a message is counted as; -1: not at all.
+// column returns the column that a message counts in, -1 for none.
 func (e *entry) column() int {
 	switch e.Msg {
 	case "ready":
 		return Ready
 	case "stands":
-		return Stands
+		return Established
 	case "stood":
 		return Ended
 	case "list":
@@ -114,7 +114,7 @@
 	case "no list":
 		return NoList
 	case "guess":
-		return Guesses
+		return LoadEstimates
 	case "pace":
 		return Paces
 	case "slow messages":
@@ -134,9 +134,9 @@
 		case len(e.Answer) < 4 || e.Answer[:4] != "BUSY":
 			return BrokenOff
 		case e.Tries == 0:
-			return Braked
+			return RejectedByBudget
 		}
-		return Nacked
+		return RejectedAfterAttempts
 	}
 	return -1
 }
@@ -169,7 +169,7 @@
 				r.all = append(r.all, happening{at: e.Ts, column: -1, change: -1, place: p})
 			}
 			clear(open)
-		case Stands:
+		case Established:
 			h.took, h.change, h.place = time.Duration(e.After*float64(time.Second)), 1, place{e.Server, e.Group}
 			open[e.Circuit] = h.place
 		case Ended:
@@ -228,7 +228,7 @@
 		if h.column >= 0 {
 			row.Columns[h.column]++
 		}
-		if h.column == Stands {
+		if h.column == Established {
 			_ = took.RecordValue(min(max(h.took.Microseconds(), 1), slowest))
 		}
 		if h.change == 0 {
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,4 +1,4 @@
-// Package model owns what stand-in servers can do: how load, warmth, slowness and a shared store make set-ups and
+// Package model owns what emulated servers can do: how load, warm-up, slowness and a shared store make set-ups and
 // messages long, when a server is full and when it falls over. The same code answers on sockets and in virtual
 // time. It must never read a clock, draw chance by itself or open a socket: times and draws are handed in.
 package model
@@ -14,7 +14,7 @@
 	Cores           int
 	Speed           float64       // of a core; 1 is the yardstick
 	SessionsPerCore int           // usual connections that fill one core of speed 1
-	MaxSessions     int           // connections held at most; beyond it newcomers are turned away
+	MaxSessions     int           // beyond it new sessions are rejected
 	Setup           time.Duration // work of one set-up on a core of speed 1
 	Message         time.Duration // a message on an idle server of speed 1
 }
@@ -61,12 +61,12 @@
 	Overloaded // it was pushed over by this one, and stays down
 )
 
-// Server is one server's state. What is exported is set by the timetable of faults.
+// Server is one server's state. Its exported fields are set by the fault schedule.
 type Server struct {
 	Type       MachineType
 	SlowFactor float64 // times slower than its machine; 1 is sound
 	ErrorRate  float64 // share of set-ups that fail
-	Full       bool    // turns all newcomers away
+	Full       bool    // rejects all new sessions
 	Draining   bool
 	GroupCost  float64 // usual loads that each group costs once
 
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -1,5 +1,5 @@
 // Package report owns the figures of runs: what is counted while one goes on, ratios between arms and their spread
-// over seeds, and the JSON and the page that say so. It must never run anything, and never judge the rules.
+// over seeds, and the JSON and the page that show them. It must never run anything, and never check the rules.
 package report
 
 import (
@@ -36,7 +36,7 @@
 	Served                                  float64 // seconds served over seconds asked for
 	Worst                                   float64 // the same in the worst stretch of 10 s
 	Setups, Nacks, Moves, Tries, Probes     int
-	SetupP50, SetupP90, SetupP99, SetupMost float64 // from when a client first wanted it, waits and nacks included
+	SetupP50, SetupP90, SetupP99, SetupMost float64 // from when a client first wanted it, waits and rejections included
 	WorstLoad                               float64 // of a ready server, highest mean of a second
 	Spread                                  float64 // of load over ready servers: deviation over mean, mean of the run
 	Groups, GroupServers                    int     // groups, and on how many servers they are, together, at the end
@@ -52,14 +52,14 @@
 	Series                                  []Point
 }
 
-// Usage is what one balancer used, over all its lives.
+// Usage is what one balancer used, over all its processes.
 type Usage struct {
 	Name string
 	CPU  float64 // seconds
 	MB   float64 // at its largest
 }
 
-// SetVerdict takes the judge's word; the first few faults are kept.
+// SetVerdict enters the checker's verdict; the first few violations are kept.
 func (r *Run) SetVerdict(v checker.Verdict) {
 	r.Kept, r.Verdict = v.Passed(), v.String()
 	for _, b := range v.Violations[:min(len(v.Violations), brokenKept)] {
@@ -148,7 +148,7 @@
 	}
 }
 
-// Open changes how many circuits stand.
+// Open changes the number of established sessions.
 func (m *Meter) Open(by int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -25,10 +25,10 @@
 		}
 		return math.Min(1, p.Served/p.Asked)
 	}},
-	{"Circuits that stand", "circuits", func(p Point) float64 { return p.Open }},
+	{"Established sessions", "sessions", func(p Point) float64 { return p.Open }},
 	{"Load of the busiest ready server", "of its capacity", func(p Point) float64 { return p.Worst }},
 	{"Set-ups", "a second", func(p Point) float64 { return p.Setups }},
-	{"Nacks and moves", "a second", func(p Point) float64 { return p.Nacks + p.Moves }},
+	{"Rejections and moves", "a second", func(p Point) float64 { return p.Nacks + p.Moves }},
 }
 
 // line is the mean of an arm's runs at each second.
--- a/internal/lab/scale/ledger.go
+++ b/internal/lab/scale/ledger.go
@@ -15,26 +15,26 @@
 	precision = 3
 )
 
-// Ledger holds what was seen. Times are of one machine's clock. A balancer is reachable while it is up, and judged for that time alone:
-// a change that was due while it was away counts from its return. Lives and marks of one balancer are told in their order; those of
+// Ledger records what was observed. Times are of one machine's clock. A balancer is reachable while it is up, and checked for that time alone:
+// a change that was due while it was down counts from its return. The processes and marks of one balancer are added in their order; those of
 // different balancers, and what became of the changes, in any.
 type Ledger struct {
-	changes   []booked
-	balancers []seen
+	changes   []plannedChange
+	balancers []balancerRecord
 }
 
-type booked struct {
+type plannedChange struct {
 	due     time.Duration
 	version uint64 // 0: not accepted
 }
 
-type seen struct {
-	lives []life
-	final *Final
-	back  int
+type balancerRecord struct {
+	processes []process
+	final     *Final
+	back      int
 }
 
-type life struct {
+type process struct {
 	up, down time.Duration // down: 0 while it is up
 	marks    []mark
 }
@@ -53,14 +53,14 @@
 
 // NewLedger begins for so many balancers and changes.
 func NewLedger(balancers, changes int) *Ledger {
-	return &Ledger{balancers: make([]seen, balancers), changes: make([]booked, changes)}
+	return &Ledger{balancers: make([]balancerRecord, balancers), changes: make([]plannedChange, changes)}
 }
 
-// Due tells when a change should be put: once that is known, and before it is.
+// Due sets the time at which a change is to be put, before it is.
 func (l *Ledger) Due(change int, at time.Duration) { l.changes[change].due = at }
 
-// Accepted tells which version a change became.
-func (l *Ledger) Accepted(change int, version uint64) { l.changes[change].version = version }
+// SetVersion sets the version that a change became.
+func (l *Ledger) SetVersion(change int, version uint64) { l.changes[change].version = version }
 
 // NotAccepted counts the changes that became none.
 func (l *Ledger) NotAccepted() (n int) {
@@ -90,37 +90,37 @@
 	return version, byKey
 }
 
-// Up begins a balancer's life. One that is up is down first: whoever ended it had no time to say so.
+// Up records the start of a balancer's process. One that is up goes down first: whoever killed it may not have said so.
 func (l *Ledger) Up(balancer int, at time.Duration) {
 	l.Down(balancer, at)
 	s := &l.balancers[balancer]
-	s.lives = append(s.lives, life{up: at})
+	s.processes = append(s.processes, process{up: at})
 }
 
-// Down ends a balancer's life; what is down stays so.
+// Down records the end of a balancer's process, if one is up.
 func (l *Ledger) Down(balancer int, at time.Duration) {
 	s := &l.balancers[balancer]
-	if n := len(s.lives); n > 0 && s.lives[n-1].down == 0 {
-		s.lives[n-1].down = at
+	if n := len(s.processes); n > 0 && s.processes[n-1].down == 0 {
+		s.processes[n-1].down = at
 	}
 }
 
-// Applied tells that a balancer has all changes up to a version.
+// Applied records that a balancer has all changes up to a version.
 func (l *Ledger) Applied(balancer int, version uint64, at time.Duration) {
 	s := &l.balancers[balancer]
-	n := len(s.lives)
+	n := len(s.processes)
 	if n == 0 {
 		return
 	}
-	marks := s.lives[n-1].marks
+	marks := s.processes[n-1].marks
 	if len(marks) > 0 && version <= marks[len(marks)-1].version {
 		s.back++
 		return
 	}
-	s.lives[n-1].marks = append(marks, mark{version, at})
+	s.processes[n-1].marks = append(marks, mark{version, at})
 }
 
-// End tells what a balancer has in the end.
+// End records what a balancer has in the end.
 func (l *Ledger) End(balancer int, f Final) { l.balancers[balancer].final = &f }
 
 // Account is what the ledger comes to.
@@ -130,9 +130,9 @@
 	Missed      int                     // changes at a balancer each
 	Behind      int                     // balancers that lack one
 	Differ      int                     // balancers whose state is not the control processes'
-	Silent      int                     // reachable balancers that told nothing in the end
+	Silent      int                     // reachable balancers that reported nothing in the end
 	NotAccepted int                     // changes
-	Back        int                     // times that a balancer told an older version, or one twice
+	WentBack    int                     // times that a balancer reported an older version, or one twice
 	Slowest     int                     // the change that was in force last, for its time; -1 for none
 }
 
@@ -149,14 +149,14 @@
 		newest = max(newest, c.version)
 	}
 	worst := time.Duration(-1)
-	next := make([]int, 0, 8) // by life, the first mark that a change may be in
+	next := make([]int, 0, 8) // by process, the first mark that a change may be in
 	for b := range l.balancers {
 		s := &l.balancers[b]
-		a.Back += s.back
-		if len(s.lives) == 0 {
+		a.WentBack += s.back
+		if len(s.processes) == 0 {
 			continue // it was never reachable
 		}
-		up := s.lives[len(s.lives)-1].down == 0
+		up := s.processes[len(s.processes)-1].down == 0
 		differs := false // then none of what it has counts
 		if up {
 			switch {
@@ -168,7 +168,7 @@
 				differs = true
 			}
 		}
-		for _, v := range s.lives[1:] {
+		for _, v := range s.processes[1:] {
 			until := v.down
 			if len(v.marks) > 0 {
 				until = v.marks[0].at
@@ -179,7 +179,7 @@
 		}
 		missed := a.Missed
 		next = next[:0]
-		for range s.lives {
+		for range s.processes {
 			next = append(next, 0)
 		}
 		for _, i := range order {
@@ -207,9 +207,9 @@
 
 // waited is the longest that a balancer was reachable at a stretch without a change that should have been put, and whether it was so at
 // all. Changes come by version; next goes on from one to the next.
-func (s *seen) waited(c booked, next []int, end time.Duration) (most time.Duration, reachable bool) {
-	for i := range s.lives {
-		v := &s.lives[i]
+func (s *balancerRecord) waited(c plannedChange, next []int, end time.Duration) (most time.Duration, reachable bool) {
+	for i := range s.processes {
+		v := &s.processes[i]
 		down := v.down
 		if down == 0 {
 			down = end
@@ -229,7 +229,7 @@
 		}
 		most, reachable = max(most, until-from), true
 		if had {
-			break // later lives get it with all that there was
+			break // later processes get it in their first snapshot
 		}
 	}
 	return most, reachable
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -19,7 +19,7 @@
 	FaultsRegion = "region" // the control processes of a region are cut off from the others
 )
 
-// Faults are the kinds, as they are told.
+// The kinds of faults, as options name them.
 var Faults = []string{FaultsNone, FaultsDay, FaultsRack, FaultsZone, FaultsRegion}
 
 const (
@@ -54,7 +54,7 @@
 	mostFault  = 30 * time.Second
 )
 
-// Options are what a run is told.
+// Options are the options of a run.
 type Options struct {
 	Balancers, Control, Zones, Regions int
 	PerDay, Burst                      int // changes of configuration: a day, and in one second
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -205,8 +205,8 @@
 	l := NewLedger(1, 2)
 	l.Due(0, at(100))
 	l.Due(1, at(200))
-	l.Accepted(0, 11)
-	l.Accepted(1, 12)
+	l.SetVersion(0, 11)
+	l.SetVersion(1, 12)
 	l.Up(0, 0)
 	for _, f := range more {
 		f(l)
@@ -222,7 +222,7 @@
 		l.Applied(0, 12, at(260))
 		l.End(0, whole)
 	}).Close(at(1000), whole)
-	if a.Missed+a.Back+a.NotAccepted+a.Differ+a.Silent+a.Behind != 0 || a.InForce.TotalCount() != 2 || (a.InForce.Min()+500)/1000 != 50 || // as the histogram rounds
+	if a.Missed+a.WentBack+a.NotAccepted+a.Differ+a.Silent+a.Behind != 0 || a.InForce.TotalCount() != 2 || (a.InForce.Min()+500)/1000 != 50 || // as the histogram rounds
 		a.InForce.Max()/1000 != 60 || a.Slowest != 1 {
 		t.Errorf("%+v, %d to %d us", a, a.InForce.Min(), a.InForce.Max())
 	}
@@ -293,7 +293,7 @@
 		}, Account{Missed: 2, Differ: 1}},
 		"silent": {func(l *Ledger) { l.Applied(0, 12, at(150)) }, Account{Missed: 2, Silent: 1}},
 		"not accepted": {func(l *Ledger) {
-			l.Accepted(1, 0)
+			l.SetVersion(1, 0)
 			l.Applied(0, 12, at(150))
 			l.End(0, whole)
 		}, Account{Missed: 1, Behind: 1, NotAccepted: 1}},
@@ -301,12 +301,12 @@
 			l.Applied(0, 12, at(250))
 			l.Applied(0, 11, at(260))
 			l.End(0, whole)
-		}, Account{Back: 1}},
+		}, Account{WentBack: 1}},
 		"twice": {func(l *Ledger) {
 			l.Applied(0, 12, at(250))
 			l.Applied(0, 12, at(260))
 			l.End(0, whole)
-		}, Account{Back: 1}},
+		}, Account{WentBack: 1}},
 	} {
 		got := ledger(c.more).Close(at(1000), whole)
 		got.InForce, got.Returned, got.Slowest = nil, nil, 0
@@ -318,9 +318,9 @@
 
 func TestNewestByKey(t *testing.T) {
 	l := NewLedger(1, 4)
-	l.Accepted(0, 12) // put later than the next one of its key
-	l.Accepted(1, 11)
-	l.Accepted(2, 13)
+	l.SetVersion(0, 12) // put later than the next one of its key
+	l.SetVersion(1, 11)
+	l.SetVersion(2, 13)
 	version, byKey := l.Newest(func(i int) int { return i / 2 })
 	if version != 13 || byKey[0] != 0 || byKey[1] != 2 || byKey[2] != -1 {
 		t.Errorf("%d, %v", version, byKey[:3])
@@ -342,7 +342,7 @@
 // TestEachTargetIsJudged breaks one at a time; a run judged by counts alone knows no times.
 func TestEachTargetIsJudged(t *testing.T) {
 	kept := Figures{Samples: 1, Steady: true, InForceWorst: 7000, BalancerCore: 1.6, BalancerMB: 128, BalancerBytes: 3000, ControlCore: 100, ControlMB: 4096}
-	if not := kept.Judge(&DefaultTargets); len(not) != 0 || Verdict(not) != "verdict: kept" {
+	if not := kept.Check(&DefaultTargets); len(not) != 0 || Verdict(not) != "verdict: kept" {
 		t.Error(not)
 	}
 	for want, c := range map[string]struct {
@@ -368,10 +368,10 @@
 	} {
 		f := kept
 		c.change(&f)
-		if v := Verdict(f.Judge(&DefaultTargets)); !strings.HasPrefix(v, "verdict: not kept: "+want) {
+		if v := Verdict(f.Check(&DefaultTargets)); !strings.HasPrefix(v, "verdict: not kept: "+want) {
 			t.Errorf("%s, wanted %q", v, want)
 		}
-		if not := f.Judge(nil); (len(not) > 0) != c.counts {
+		if not := f.Check(nil); (len(not) > 0) != c.counts {
 			t.Errorf("%s: by counts %v", want, not)
 		}
 	}
@@ -379,15 +379,15 @@
 
 func TestWhatTheMachineDoesNotBear(t *testing.T) {
 	p := made(t, options())
-	n := p.Needed(p.Hosts(300))
+	n := p.Requirements(p.Hosts(300))
 	long := options()
 	long.For, long.Balancers = 24*time.Hour, 4600
-	if l := made(t, long); l.Needed(l.Hosts(300)).Check(20000, 16000, 16000) == nil {
+	if l := made(t, long); l.Requirements(l.Hosts(300)).Check(20000, 16000, 16000) == nil {
 		t.Error("what is booked in a day counts for nothing")
 	}
 	region := options()
 	region.Faults, region.Balancers = FaultsRegion, 5000
-	if r := made(t, region); r.Needed(r.Hosts(300)).Check(20000, 24000, 16000) == nil {
+	if r := made(t, region); r.Requirements(r.Hosts(300)).Check(20000, 24000, 16000) == nil {
 		t.Error("fronts need no descriptors")
 	}
 	if err := n.Check(20000, 24000, 16000); err != nil {
@@ -397,7 +397,7 @@
 		"--balancers: a process may need 1456 descriptors; this machine allows 1024":                                     n.Check(1024, 24000, 16000),
 		"--balancers: some 1435 MB in all, with what is booked of 122 changes; half of this machine's memory is 1000 MB": n.Check(20000, 2000, 16000),
 		"--balancers: some 1435 MB in all; 1400 MB are free":                                                             n.Check(20000, 24000, 1400),
-		"--control: 301 processes in all; 300 at the most":                                                               Needs{Processes: 301}.Check(20000, 24000, 16000),
+		"--control: 301 processes in all; 300 at the most":                                                               Requirements{Processes: 301}.Check(20000, 24000, 16000),
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, wanted %q", err, want)
--- a/internal/lab/scale/verdict.go
+++ b/internal/lab/scale/verdict.go
@@ -79,12 +79,12 @@
 	f.Samples = a.InForce.TotalCount()
 	f.InForceP50, f.InForceP99, f.InForceWorst = ms(a.InForce.ValueAtQuantile(50)), ms(a.InForce.ValueAtQuantile(99)), ms(a.InForce.Max())
 	f.Returned, f.ReturnedWorst = a.Returned.TotalCount(), ms(a.Returned.Max())
-	f.Missed, f.Behind, f.Differ, f.Silent, f.NotAccepted, f.Back = a.Missed, a.Behind, a.Differ, a.Silent, a.NotAccepted, a.Back
+	f.Missed, f.Behind, f.Differ, f.Silent, f.NotAccepted, f.Back = a.Missed, a.Behind, a.Differ, a.Silent, a.NotAccepted, a.WentBack
 }
 
-// Judge answers what was not kept; none: all was. Counts are always judged. Without targets, times and sizes, which are also the
+// Check returns what was not kept, nothing if all was. Counts are always checked. Without targets, times and sizes, which are also the
 // machine's, are not.
-func (f *Figures) Judge(t *Targets) (not []string) {
+func (f *Figures) Check(t *Targets) (not []string) {
 	say := func(is bool, format string, args ...any) {
 		if is {
 			not = append(not, fmt.Sprintf(format, args...))
@@ -170,15 +170,15 @@
 	return Spread{Least: slices.Min(connections), Most: slices.Max(connections), Mean: mean, Allowed: int(2*mean) + 10}
 }
 
-// Even tells whether none has too many.
+// Even reports whether no control process has too many connections.
 func (s Spread) Even() bool { return s.Most <= s.Allowed }
 
 func (s Spread) String() string {
 	return fmt.Sprintf("%d to %d connections at a control process, %.1f on the mean, %d allowed", s.Least, s.Most, s.Mean, s.Allowed)
 }
 
-// Needs is what a run will take of the machine.
-type Needs struct {
+// Requirements is what a run will take of the machine.
+type Requirements struct {
 	MemoryMB  float64 // of all processes together, roughly
 	Changes   int
 	Files     int // descriptors of the process that has most
@@ -195,9 +195,9 @@
 	ownFiles                        = 256     // of a process, beside its connections
 )
 
-// Needed reckons what a plan takes, with so many processes of balancers.
-func (p *Plan) Needed(hosts [][]int) Needs {
-	n := Needs{Changes: len(p.Changes), Processes: 1 + len(hosts) + p.Options.Control}
+// Requirements reckons what a plan takes, with so many processes of balancers.
+func (p *Plan) Requirements(hosts [][]int) Requirements {
+	n := Requirements{Changes: len(p.Changes), Processes: 1 + len(hosts) + p.Options.Control}
 	n.MemoryMB = 50 + float64(p.Options.Control)*controlMB + controlPerBalancerMB*2*float64(p.Balancers) +
 		float64(len(hosts))*hostMB + hostPerBalancerMB*float64(p.Balancers) +
 		markBytes*float64(len(p.Changes))*float64(p.Balancers)/1e6
@@ -215,7 +215,7 @@
 }
 
 // Check names what a machine doesn't bear: files is the most descriptors of a process, the memories are in MB.
-func (n Needs) Check(files int, total, available float64) error {
+func (n Requirements) Check(files int, total, available float64) error {
 	switch {
 	case n.Processes > mostProcesses:
 		return BadArgument{"control", fmt.Sprintf("%d processes in all; %d at the most", n.Processes, mostProcesses)}
--- a/internal/lab/topology/topology.go
+++ b/internal/lab/topology/topology.go
@@ -26,7 +26,7 @@
 	Store                                  model.Store
 	Deployment                             policy.Config // Zone and Peers are set by who runs it
 	ClassNames                             []string
-	Deadlines                              []time.Duration // by grade
+	Deadlines                              []time.Duration // by class
 	MessageObjective                       time.Duration
 	MessageInterval                        time.Duration // a client sends a line so often; sockets only
 	DrainGrace                             time.Duration
@@ -50,7 +50,7 @@
 	Sockets  int
 }
 
-// Rules are what a run is judged by; slack is what the stand-ins may see late.
+// Rules returns what a run is checked by; slack is what the emulators may see late.
 func (w *World) Rules(slack time.Duration, places []checker.Place) checker.Rules {
 	return checker.Rules{DrainGrace: w.DrainGrace, Slack: slack, MaxLineDelay: time.Second, CloseTimeout: time.Second,
 		Warmup: w.Warmup, Classes: w.Deployment.Classes, Places: places}
