--- a/cmd/sabletally/descriptors_test.go
+++ b/cmd/sabletally/descriptors_test.go
@@ -16,8 +16,8 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// crowd is clients that connect and say nothing, and come again a little after they are ended.
-type crowd struct {
+// silentCrowd is clients that connect and send nothing, and connect again a little after they are ended.
+type silentCrowd struct {
 	stop chan struct{}
 	over sync.WaitGroup
 	came atomic.Int64
@@ -25,8 +25,8 @@
 
 const comesAgain = time.Second
 
-func crowded(t *testing.T, addr string, many int) *crowd {
-	c := &crowd{stop: make(chan struct{})}
+func newSilentCrowd(t *testing.T, addr string, many int) *silentCrowd {
+	c := &silentCrowd{stop: make(chan struct{})}
 	for range many {
 		c.over.Add(1)
 		go func() {
@@ -54,7 +54,7 @@
 	return c
 }
 
-func (c *crowd) end() {
+func (c *silentCrowd) end() {
 	select {
 	case <-c.stop:
 	default:
@@ -63,8 +63,8 @@
 	c.over.Wait()
 }
 
-// descriptors is what a process holds now, each by what it is.
-func descriptors(t *testing.T, p *cluster.Process) []string {
+// openDescriptors returns what a process has open now.
+func openDescriptors(t *testing.T, p *cluster.Process) []string {
 	t.Helper()
 	dir := fmt.Sprintf("/proc/%d/fd", p.Pid())
 	all, err := os.ReadDir(dir)
@@ -80,13 +80,13 @@
 	return held
 }
 
-// besieged is a balancer of so many descriptors, by the kernel's limit too, that starts anew while discovery is down.
-type besieged struct {
+// overloadedSite is a balancer of so many descriptors, by the kernel's limit too, that is started again while discovery is down.
+type overloadedSite struct {
 	*site
-	files, most    int
-	back           func() // has discovery be there again
-	down           time.Time
-	served, nacked int
+	files, most      int
+	back             func() // has discovery be there again
+	down             time.Time
+	served, rejected int
 }
 
 const (
@@ -96,8 +96,8 @@
 	idlePart  = 10 // and once they have gone
 )
 
-// besiege begins with a discovery that refuses connections, or that takes them and says nothing.
-func besiege(t *testing.T, files int, refuses bool) *besieged {
+// newOverloadedSite starts with a discovery that refuses connections, or that accepts them and says nothing.
+func newOverloadedSite(t *testing.T, files int, refuses bool) *overloadedSite {
 	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
 		t.Fatal(err)
@@ -108,8 +108,8 @@
 		_ = ln.Close()
 		env = append(env, "EDGE_DISCOVERY="+addr)
 	}
-	s := &besieged{files: files, site: begin(t, env, "s-1")}
-	s.allUp()
+	s := &overloadedSite{files: files, site: startSite(t, env, "s-1")}
+	s.waitAllListed()
 	s.child.Kill()
 	if refuses {
 		s.back = func() {
@@ -118,7 +118,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = ln.Close() })
-			go pass(ln, s.agent.Addr())
+			go forwardConns(ln, s.agent.Addr())
 		}
 	} else {
 		s.agent.Misbehave(emulator.Mute)
@@ -131,8 +131,8 @@
 	return s
 }
 
-// pass passes what comes at a listener to an address.
-func pass(ln net.Listener, to string) {
+// forwardConns forwards connections from a listener to an address.
+func forwardConns(ln net.Listener, to string) {
 	for {
 		near, err := ln.Accept()
 		if err != nil {
@@ -151,8 +151,8 @@
 	}
 }
 
-// works calls as operators do, and as a client.
-func (s *besieged) works() {
+// checkAnswers makes a call as operators do, and a request as a client.
+func (s *overloadedSite) checkAnswers() {
 	s.t.Helper()
 	if code, says := s.call("GET", "/control/ready"); code != 200 {
 		s.t.Errorf("%d, %q", code, says)
@@ -163,20 +163,21 @@
 	case strings.HasPrefix(got, "UP"):
 		s.served++
 	case strings.HasPrefix(got, "BUSY"):
-		s.nacked++
+		s.rejected++
 	default:
 		s.t.Errorf("a client among the idle got %q", got)
 	}
-	s.most = max(s.most, len(descriptors(s.t, s.child)))
+	s.most = max(s.most, len(openDescriptors(s.t, s.child)))
 }
 
-// endure works until discovery is back, then wants it heard, an upgrade's link, and a quiet process once the crowd has gone.
-func (s *besieged) endure(many *crowd) {
+// checkThroughOutage checks answers until discovery is back, then that the list is applied, that a successor is linked, and that the process
+// is idle once the crowd has gone.
+func (s *overloadedSite) checkThroughOutage(many *silentCrowd) {
 	s.t.Helper()
 	s.serve("s-2") // discovery says so once it is back
 	began, used, came := time.Now(), s.child.CPU(), many.came.Load()
 	for time.Since(s.down) < downFor {
-		s.works()
+		s.checkAnswers()
 		time.Sleep(50 * time.Millisecond)
 	}
 	spent, over := s.child.CPU()-used, time.Since(began)
@@ -184,24 +185,24 @@
 	back := time.Now()
 	s.waitLog(`"server":"s-2"`)
 	heard := time.Since(back)
-	s.works()
-	s.t.Logf("%d served, %d nacked, %d descriptors at most, %d came, %v of processor time in %v; heard %v after its return",
-		s.served, s.nacked, s.most, many.came.Load()-came, spent, over, heard)
-	if s.served+s.nacked == 0 || s.most > s.files || spent > over/spentPart || heard > heardIn {
+	s.checkAnswers()
+	s.t.Logf("%d served, %d rejected, %d descriptors at most, %d came, %v of processor time in %v; heard %v after its return",
+		s.served, s.rejected, s.most, many.came.Load()-came, spent, over, heard)
+	if s.served+s.rejected == 0 || s.most > s.files || spent > over/spentPart || heard > heardIn {
 		s.t.Error("not as it must be")
 	}
 	began = time.Now()
-	old := s.beside()
+	old := s.startSuccessor()
 	s.waitLog("beside an old process")
 	linked := time.Since(began)
 	if err := s.child.WaitReady(); err != nil {
 		s.t.Error(err)
 	}
-	s.works()
-	s.t.Logf("linked %v after the next process began; the two hold %d", linked, len(descriptors(s.t, old))+len(descriptors(s.t, s.child)))
+	s.checkAnswers()
+	s.t.Logf("linked %v after the next process began; the two hold %d", linked, len(openDescriptors(s.t, old))+len(openDescriptors(s.t, s.child)))
 	_ = old.Signal(syscall.SIGTERM)
-	gone(s.t, old)
-	s.works()
+	waitForExit(s.t, old)
+	s.checkAnswers()
 	many.end()
 	s.mu.Lock()
 	text := s.log.String()
@@ -217,20 +218,20 @@
 	}
 }
 
-// TestSilentClientsLeaveEachUseItsDescriptors fills a balancer with silent clients while discovery refuses, at its start and for 8 s.
-// All the while operators are answered and a client is served by the list of before or told to come again; discovery is heard
-// soon after its return, and an upgrade's link comes up. Nothing spins.
-func TestSilentClientsLeaveEachUseItsDescriptors(t *testing.T) {
+// TestSilentClientsLeaveReservedDescriptors fills a balancer with silent clients while discovery refuses, at the start and for 8 s. Operators
+// are answered all the time, and a client is served by the earlier list or rejected; discovery is heard soon after its return, and a hot
+// restart's link is opened. Nothing spins.
+func TestSilentClientsLeaveReservedDescriptors(t *testing.T) {
 	for _, files := range []int{64, 1024} {
 		t.Run(fmt.Sprint(files), func(t *testing.T) {
-			s := besiege(t, files, true)
-			many := crowded(t, s.child.Addr, 3*files)
+			s := newOverloadedSite(t, files, true)
+			many := newSilentCrowd(t, s.child.Addr, 3*files)
 			for began := time.Now(); many.came.Load() < int64(3*files); time.Sleep(time.Millisecond) {
 				if time.Since(began) > bound {
 					t.Fatalf("%d have come", many.came.Load())
 				}
 			}
-			s.endure(many)
+			s.checkThroughOutage(many)
 			if s.served == 0 {
 				t.Error("nobody was served")
 			}
@@ -238,14 +239,14 @@
 	}
 }
 
-// TestIdleCircuitsLeaveEachUseItsDescriptors does so with circuits that come all at once and stand, as many as are taken, and with silent
-// clients behind them, while discovery says nothing.
-func TestIdleCircuitsLeaveEachUseItsDescriptors(t *testing.T) {
+// TestIdleSessionsLeaveReservedDescriptors does the same with sessions that arrive all at once, as many as are admitted, and with silent clients
+// behind them, while discovery says nothing.
+func TestIdleSessionsLeaveReservedDescriptors(t *testing.T) {
 	for _, files := range []int{64, 1024} {
 		t.Run(fmt.Sprint(files), func(t *testing.T) {
-			s := besiege(t, files, false)
+			s := newOverloadedSite(t, files, false)
 			up, busy := 0, 0
-			answered := func(a *ask, got string) {
+			answered := func(a *testClient, got string) {
 				switch {
 				case strings.HasPrefix(got, "UP"):
 					up++
@@ -255,10 +256,10 @@
 				default:
 					t.Errorf("%q", got)
 				}
-				s.most = max(s.most, len(descriptors(t, s.child)))
+				s.most = max(s.most, len(openDescriptors(t, s.child)))
 			}
 			type answer struct {
-				a   *ask
+				a   *testClient
 				got string
 			}
 			answers, long := make(chan answer, files), strings.Replace(open, "d=1500", "d=4000", 1)
@@ -280,7 +281,7 @@
 			if t.Logf("%d up, %d busy", up, busy); up < files/8 || busy == 0 {
 				t.Error("it is not full")
 			}
-			s.endure(crowded(t, s.child.Addr, files))
+			s.checkThroughOutage(newSilentCrowd(t, s.child.Addr, files))
 		})
 	}
 }
--- a/cmd/sabletally/fleet_cost_test.go
+++ b/cmd/sabletally/fleet_cost_test.go
@@ -16,32 +16,32 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// The cost of a held grade: go test ./cmd/sabletally -run TestCostOfHolding -cost -v
+// The cost of a held grade: go test ./cmd/sabletally -run TestReplicationCost -cost -v
 var cost = flag.Bool("cost", false, "measure what holding costs; takes a minute")
 
-// TestCostOfHolding sets circuits up at a rate, of a grade that is held and of one that is not, over ways of several lengths.
-func TestCostOfHolding(t *testing.T) {
+// TestReplicationCost establishes sessions at a rate, of a class that is replicated and of one that is not, over links of several latencies.
+func TestReplicationCost(t *testing.T) {
 	if !*cost {
 		t.Skip("by hand")
 	}
 	for _, many := range []int{3, 5} {
 		for _, late := range []time.Duration{0, 100 * time.Microsecond, time.Millisecond, 5 * time.Millisecond} {
-			t.Run(fmt.Sprintf("%d members, %v", many, late), func(t *testing.T) { costs(t, many, late) })
+			t.Run(fmt.Sprintf("%d members, %v", many, late), func(t *testing.T) { measureFleetCost(t, many, late) })
 		}
 	}
 }
 
-func costs(t *testing.T, many int, late time.Duration) {
+func measureFleetCost(t *testing.T, many int, late time.Duration) {
 	const rate, count = 100, 500
 	a := agent(t)
-	script := four(t, a, 100)
+	script := fourServers(t, a, 100)
 	go func() {
 		for e := range script.Sessions {
 			_, _ = io.WriteString(e, "UP 1\r\n")
 		}
 	}()
-	m := enlistNow(t, many, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
-	m.want("every slot has its holders", m.all, repaired)
+	m := newTestFleetAt(t, many, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
+	m.waitFor("every slot has its holders", m.all, repaired)
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Delay = late })
 	if err := m.procs[0].WaitReady(); err != nil {
 		t.Fatal(err)
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -23,192 +23,10 @@
 
 // These tests start several processes of the program as members of a fleet and put faults between them.
 
-// members is a fleet of the program.
-type members struct {
-	*cluster.MemberGroup
-	t     *testing.T
-	procs []*cluster.Process
-	all   []int
-}
-
-func enlist(t *testing.T, many int, shared bool) *members {
-	return enlistWith(t, many, shared, "", agent(t))
-}
-
-func enlistWith(t *testing.T, many int, shared bool, more string, a *emulator.Agent) *members {
-	t.Parallel()
-	return enlistNow(t, many, shared, more, a)
-}
-
-func enlistNow(t *testing.T, many int, shared bool, more string, a *emulator.Agent) *members {
-	return enlistAll(t, many, shared, "", more, a)
-}
-
-func enlistAll(t *testing.T, many int, shared bool, less, more string, a *emulator.Agent) *members {
-	dir := t.TempDir()
-	b, err := cluster.NewMemberGroup(many, dir, 11)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(b.Close)
-	b.ExtraSettings, b.ExtraBlocks = less, more
-	m := &members{MemberGroup: b, t: t}
-	for i := range many {
-		p, err := cluster.NewProcess(fmt.Sprintf("n%d", i), []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if shared {
-			if err := p.ShareListener(); err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(p.UnshareListener)
-		}
-		if err := b.Add(i, 3, 2, p); err != nil {
-			t.Fatal(err)
-		}
-		if err := p.WriteConfig(station(p.Name, p, a, 77+i)); err != nil {
-			t.Fatal(err)
-		}
-		if err := p.Launch(); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(p.Kill)
-		m.procs, m.all = append(m.procs, p), append(m.all, i)
-	}
-	t.Cleanup(func() {
-		for i := range m.procs {
-			if t.Failed() {
-				t.Logf("n%d: %s", i, m.procs[i].LogTail())
-			}
-		}
-	})
-	m.together()
-	return m
-}
-
-// anew kills all members at once and starts them again.
-func (m *members) anew() {
-	m.t.Helper()
-	for _, p := range m.procs {
-		_ = p.Signal(syscall.SIGKILL)
-	}
-	for _, p := range m.procs {
-		p.Kill()
-		if err := p.Launch(); err != nil {
-			m.t.Fatal(err)
-		}
-	}
-}
-
-// four are scripted servers that a discovery lists.
-func four(t *testing.T, a *emulator.Agent, most int) *emulator.Script {
-	script := emulator.NewScript(most, 4*bound)
-	t.Cleanup(script.Close)
-	for _, uid := range []string{"s-1", "s-2", "s-3", "s-4"} {
-		addr, err := script.Listen(uid)
-		if err != nil {
-			t.Fatal(err)
-		}
-		a.Set(entry(uid, addr, emulator.InService))
-	}
-	return script
-}
-
-// logsOf waits until a process's log has a word.
-func (m *members) logsOf(p *cluster.Process, word string) {
-	m.t.Helper()
-	for end := time.Now().Add(bound); !strings.Contains(p.LogTail(), word); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			m.t.Fatalf("%s does not log %s: %s", p.Name, word, p.LogTail())
-		}
-	}
-}
-
-// logs waits until a member's log has a word.
-func (m *members) logs(i int, word string) {
-	m.t.Helper()
-	for end := time.Now().Add(bound); !strings.Contains(m.procs[i].LogTail(), word); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			for j := range m.procs {
-				m.t.Logf("n%d: %+v", j, m.report(j).Store)
-			}
-			m.t.Fatalf("n%d does not log %s", i, word)
-		}
-	}
-}
-
-// single starts a balancer beside them that is no member.
-func (m *members) single() *cluster.Process {
-	m.t.Helper()
-	p := m.unstarted(agent(m.t))
-	if err := p.Start(); err != nil {
-		m.t.Fatal(err)
-	}
-	return p
-}
-
-// unstarted is one that is still to be started.
-func (m *members) unstarted(a *emulator.Agent) *cluster.Process {
-	m.t.Helper()
-	dir := m.t.TempDir()
-	p, err := cluster.NewProcess("single", []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
-	if err == nil {
-		err = p.EnableAdmin()
-	}
-	if err == nil {
-		err = p.WriteConfig(station("single", p, a, 7))
-	}
-	if err != nil {
-		m.t.Fatal(err)
-	}
-	m.t.Cleanup(p.Kill)
-	return p
-}
-
-// station is a balancer's configuration.
-func station(name string, p *cluster.Process, a *emulator.Agent, seed int) []byte {
-	return fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":2048},
-		"known":%s,"settings":%s}`, name, p.Addr, a.Addr(), seed, a.Known(), strings.Replace(settings, `[{"Name":"feed"`, `[`+grade("pay")+grade("order")+`{"Name":"feed"`, 1))
-}
-
-func grade(name string) string {
-	return fmt.Sprintf(`{"Name":%q,"Effect":"non_idempotent","Group":"all","LatencyGoalUs":300000,"OuterLimitUs":9000000,"Utility":1},`, name)
-}
-
-// want waits until members say of themselves what is wanted.
-func (m *members) want(what string, who []int, is func(fleet.Report) bool) {
-	m.t.Helper()
-	began := time.Now()
-	if err := m.WaitUntil(what, 2*bound, who, is); err != nil {
-		m.t.Fatal(err)
-	}
-	m.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
-}
-
-func (m *members) together() {
-	m.t.Helper()
-	m.want("all see all", m.all, cluster.SeesQuorumOf(len(m.all)))
-}
-
-func (m *members) without(i int) []int {
-	return slices.DeleteFunc(slices.Clone(m.all), func(j int) bool { return j == i })
-}
-
-func (m *members) report(i int) fleet.Report {
-	m.t.Helper()
-	r, err := m.procs[i].Fleet()
-	if err != nil {
-		m.t.Fatal(err)
-	}
-	return r
-}
-
-// TestAFleetThroughFaults stops, kills and cuts off members of five, loses a machine with its disk and starts the whole fleet
-// anew. Guards against members that stay apart, that take a lost disk's member for the old one, and a stopped one that goes on
-// as if nothing had been.
+// TestAFleetThroughFaults stops, kills and cuts off members of five, loses a machine with its disk and starts the whole fleet again. Members
+// must find each other again, a lost disk's member must not be taken for the old one, and a stopped one must not go on as if nothing had been.
 func TestAFleetThroughFaults(t *testing.T) {
-	m := enlist(t, 5, false)
+	m := newTestFleet(t, 5, false)
 	gone := func(i int) func(fleet.Report) bool {
 		return func(r fleet.Report) bool {
 			return cluster.MemberState(r, fmt.Sprintf("n%d", i)) == "gone" && r.Standing == "together"
@@ -219,10 +37,10 @@
 		*tie = emulator.MemberLink{Loss: 0.3, Duplicated: 0.3, Delay: 20 * time.Millisecond}
 	})
 	_ = m.procs[4].Signal(syscall.SIGSTOP)
-	m.want("the stopped one is missed, over bad ways", m.without(4), gone(4))
+	m.waitFor("the stopped one is missed, over bad ways", m.without(4), gone(4))
 	_ = m.procs[4].Signal(syscall.SIGCONT)
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
-	m.together()
+	m.waitForQuorum()
 	if r := m.report(4); r.Pauses == 0 || r.Self.Incarnation != 1 {
 		t.Errorf("the one that was stopped knows of no stall: %+v", r)
 	}
@@ -231,49 +49,45 @@
 	if err := m.LoseMachine(3); err != nil {
 		t.Fatal(err)
 	}
-	m.want("the lost one is missed", m.without(3), gone(3))
+	m.waitFor("the lost one is missed", m.without(3), gone(3))
 	if err := m.procs[3].Launch(); err != nil {
 		t.Fatal(err)
 	}
-	m.together()
+	m.waitForQuorum()
 	if is := m.report(3).Self; is.ID == was || is.Incarnation != 1 {
 		t.Errorf("a member that lost its disk came back as itself: %+v", is)
 	}
-	m.want("the old one is known for lost for good", m.without(3), func(r fleet.Report) bool {
+	m.waitFor("the old one is known for lost for good", m.without(3), func(r fleet.Report) bool {
 		return slices.ContainsFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was && o.State == "gone" && o.ReplacedBy != "" })
 	})
 
 	m.Links.Set(func(from, to int, tie *emulator.MemberLink) { tie.Cut = from < 2 != (to < 2) })
-	m.want("two stand apart", []int{0, 1}, func(r fleet.Report) bool { return r.Standing == "apart" && r.Alive == 2 })
-	m.want("three go on", []int{2, 3, 4}, cluster.SeesQuorumOf(3))
+	m.waitFor("two stand apart", []int{0, 1}, func(r fleet.Report) bool { return r.Standing == "apart" && r.Alive == 2 })
+	m.waitFor("three go on", []int{2, 3, 4}, cluster.SeesQuorumOf(3))
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
-	m.together()
+	m.waitForQuorum()
 
-	m.Links.Set(func(from, _ int, tie *emulator.MemberLink) { tie.Cut = from == 1 }) // what it says is lost, what it is told is not
-	m.want("one that nobody hears is missed", m.without(1), gone(1))
-	m.want("and knows that it is apart", []int{1}, func(r fleet.Report) bool { return r.Standing == "apart" })
+	m.Links.Set(func(from, _ int, tie *emulator.MemberLink) { tie.Cut = from == 1 }) // what it sends is lost, what it is sent is not
+	m.waitFor("one that nobody hears is missed", m.without(1), gone(1))
+	m.waitFor("and knows that it is apart", []int{1}, func(r fleet.Report) bool { return r.Standing == "apart" })
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
-	m.together()
+	m.waitForQuorum()
 
-	m.anew()
-	m.together()
+	m.startAgain()
+	m.waitForQuorum()
 	if is := m.report(0).Self; is.Incarnation != 2 {
 		t.Errorf("%+v", is)
 	}
 	_ = m.procs[2].Signal(syscall.SIGTERM)
-	m.want("one that leaves says so", m.without(2), func(r fleet.Report) bool { return cluster.MemberState(r, "n2") == "left" && r.Standing == "together" })
+	m.waitFor("one that leaves says so", m.without(2), func(r fleet.Report) bool { return cluster.MemberState(r, "n2") == "left" && r.Standing == "together" })
 	<-m.procs[2].Exited()
 }
 
-// repaired is that every slot has three holders, as this member knows.
-func repaired(r fleet.Report) bool { return r.Store != nil && r.Store.ShardsByReplicas[3] == 256 }
-
-// TestAWordOutlivesMachines has an operator take a balancer out of service, then loses machine after machine with its disk, that of
-// the balancer first, and kills the whole fleet at once. Guards against a balancer that starts and takes clients although it
-// was told not to, and against a record that is on fewer machines than it was promised on.
-func TestAWordOutlivesMachines(t *testing.T) {
-	m := enlist(t, 5, false)
-	m.want("every slot has its holders", m.all, repaired)
+// TestAdminStateOutlivesMachines takes a balancer out of service, then loses machine after machine with its disk, the balancer's first, and
+// kills the whole fleet at once. The balancer must not start and take clients, and no record may be on fewer machines than was promised.
+func TestAdminStateOutlivesMachines(t *testing.T) {
+	m := newTestFleet(t, 5, false)
+	m.waitFor("every slot has its holders", m.all, repaired)
 	say := func(i int, path, want string) {
 		t.Helper()
 		if code, text, err := m.procs[i].Call("PUT", path); code != 200 {
@@ -306,7 +120,7 @@
 			t.Fatal(err)
 		}
 		starts(lost, map[bool]string{true: "out of service", false: "yes"}[lost == 3])
-		m.want(fmt.Sprintf("what n%d held is copied anew", lost), m.all, func(r fleet.Report) bool {
+		m.waitFor(fmt.Sprintf("what n%d held is copied anew", lost), m.all, func(r fleet.Report) bool {
 			old := slices.IndexFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was.Self.ID && o.State == "here" })
 			return cluster.SeesQuorumOf(5)(r) && repaired(r) && r.Store.Epoch > was.Store.Epoch && r.Store.Members == 5 && old < 0
 		})
@@ -319,7 +133,7 @@
 	}
 	// A slot has four for as long as one that has joined is a holder and the one that leaves is not yet none; and a member hears of
 	// what is agreed a moment after the one that has left did. None may see one of fewer than three, or see four for good.
-	m.want("after one has left", m.without(2), func(r fleet.Report) bool {
+	m.waitFor("after one has left", m.without(2), func(r fleet.Report) bool {
 		if r.Store == nil {
 			return false
 		}
@@ -330,7 +144,7 @@
 		}
 		return repaired(r) && r.Store.Members == 4
 	})
-	m.anew()
+	m.startAgain()
 	starts(3, "out of service")
 	say(3, "/control/in-service", `"out":false,"version":2`)
 	m.procs[3].Kill()
@@ -351,26 +165,26 @@
 	}
 }
 
-// TestNothingRunsTwiceOverBalancers has 200 unrepeatable circuits out at servers when their balancer is lost with its disk, and asks
-// for each again elsewhere: of a grade that is held, and of one that is not, which shows that the count can be another than none.
-func TestNothingRunsTwiceOverBalancers(t *testing.T) {
+// TestNoRequestIsServedTwiceOverBalancers has 200 non-idempotent sessions in flight when their balancer is lost with its disk, and sends each
+// request again elsewhere: of a class that is replicated, and of one that is not, which shows that the count can be above 0.
+func TestNoRequestIsServedTwiceOverBalancers(t *testing.T) {
 	const many = 200
 	a := agent(t)
-	script := four(t, a, 4*many)
-	m := enlistWith(t, 5, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
-	m.want("every slot has its holders", m.all, repaired)
+	script := fourServers(t, a, 4*many)
+	m := newTestFleetWith(t, 5, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
+	m.waitFor("every slot has its holders", m.all, repaired)
 	for _, p := range m.procs {
 		if err := p.WaitReady(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	asks := func(i int, grade string, id int) *ask {
+	asks := func(i int, grade string, id int) *testClient {
 		c, err := net.Dial("tcp", m.procs[i].Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		script.Hold(c)
-		one := &ask{c, bufio.NewReader(c), t}
+		one := &testClient{c, bufio.NewReader(c), t}
 		one.write(fmt.Sprintf(openOf, id, grade, id))
 		return one
 	}
@@ -385,12 +199,12 @@
 			return nil
 		}
 	}
-	// What was answered is answered with the same word.
+	// A repeat gets the same answer.
 	for id := 1; id <= 5; id++ {
 		first := asks(1, "pay", id)
 		_, _ = io.WriteString(session(), fmt.Sprintf("UP %d\r\n", id))
-		first.want(fmt.Sprintf("UP %d\r\n", id))
-		asks(2, "pay", id).want(fmt.Sprintf("UP %d\r\n", id))
+		first.expectLine(fmt.Sprintf("UP %d\r\n", id))
+		asks(2, "pay", id).expectLine(fmt.Sprintf("UP %d\r\n", id))
 	}
 	for lost, grade := range []string{"pay", "order"} {
 		base := 1000 * (lost + 1)
@@ -404,7 +218,7 @@
 			t.Fatal(err)
 		}
 		began, slowest := time.Now(), time.Duration(0)
-		var again []*ask
+		var again []*testClient
 		for id := range many {
 			again = append(again, asks(2+id%3, grade, base+id))
 		}
@@ -414,10 +228,10 @@
 			var longest atomic.Int64
 			for id, one := range again {
 				all.Go(func() {
-					got := one.last()
+					got := one.lastLine()
 					for ; strings.HasPrefix(got, "BUSY ") && time.Since(began) < bound; nacked.Add(1) { // no promise in time: it comes again
 						time.Sleep(100 * time.Millisecond)
-						got = askOnce(m.procs[2+id%3].Addr, grade, base+id)
+						got = requestOnce(m.procs[2+id%3].Addr, grade, base+id)
 					}
 					if got != "ERR\r\n" {
 						wrong.Add(1)
@@ -452,31 +266,9 @@
 	}
 }
 
-// last is the line that a client gets, empty where there is none.
-func (a *ask) last() string {
-	text, _ := a.r.ReadString('\n')
-	return text
-}
-
-// askOnce asks for a circuit by a connection of its own and answers what it got.
-func askOnce(addr, grade string, id int) string {
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		return ""
-	}
-	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(bound))
-	_, _ = fmt.Fprintf(c, openOf, id, grade, id)
-	text, _ := bufio.NewReader(c).ReadString('\n')
-	return text
-}
-
-// openOf is the first line of a circuit with an id of a grade.
-const openOf = "OPEN %016x 7f3a9c21e0b4d655 c=%s,t=acme,d=8000,g=%x\r\n"
-
-// TestAStartWhileDiscoveryIsSilent starts a balancer that was told no list while discovery says nothing: by a young list, by an
-// old one of which most servers are gone, by one that is too old, and without a fleet. Guards against a start that waits for
-// discovery with servers at hand, and one that sends to what an old list names without a look.
+// TestAStartWhileDiscoveryIsSilent starts a balancer without a list while discovery says nothing: with a recent recovered list, with an old one
+// of which most servers are gone, with one that is too old, and without a fleet. It must not wait for discovery with servers at hand, nor send
+// to the servers of an old list unchecked.
 func TestAStartWhileDiscoveryIsSilent(t *testing.T) {
 	for _, c := range []struct {
 		name, less string
@@ -505,18 +297,18 @@
 			a.Set(entry("s-2", drains, emulator.Terminating))
 			if c.candidates { // a young list is as good as discovery's: these would be tried
 				for _, uid := range []string{"dead-1", "dead-2", "dead-3"} {
-					a.Set(entry(uid, refused(t), emulator.InService))
+					a.Set(entry(uid, closedAddress(t), emulator.InService))
 				}
 			}
-			m := enlistAll(t, 3, false, c.less, "", a)
-			m.want("the list is held", m.all, func(r fleet.Report) bool { return repaired(r) && r.Store.Records > 0 })
+			m := newTestFleetOf(t, 3, false, c.less, "", a)
+			m.waitFor("the list is held", m.all, func(r fleet.Report) bool { return repaired(r) && r.Store.Records > 0 })
 			a.Misbehave(emulator.Mute)
 			p := m.procs[2]
 			if c.name == "no fleet" {
 				p = m.unstarted(a)
 			}
 			p.Kill()
-			text := station(p.Name, p, a, 5)
+			text := nodeConfig(p.Name, p, a, 5)
 			from := strings.Index(string(text), `"known":`)
 			to := strings.Index(string(text), `,"settings"`)
 			if err := p.WriteConfig([]byte(string(text[:from]) + `"known":{"rev":0,"all":false,"targets":[]}` + string(text[to:]))); err != nil {
@@ -535,13 +327,13 @@
 				t.Fatal(err)
 			}
 			script.Hold(conn)
-			one := &ask{conn, bufio.NewReader(conn), t}
+			one := &testClient{conn, bufio.NewReader(conn), t}
 			one.write("OPEN 00000000000000a1 7f3a9c21e0b4d655 c=feed,t=acme,d=1500,g=1\r\n")
 			if !c.served {
 				if got := one.line(); !strings.HasPrefix(got, "BUSY") {
 					t.Errorf("served without a list: %q", got)
 				}
-				t.Logf("ready after %v, nacked", ready)
+				t.Logf("ready after %v, rejected", ready)
 				return
 			}
 			select {
@@ -553,7 +345,7 @@
 			case <-time.After(bound):
 				t.Fatal("no server was asked")
 			}
-			one.want("UP 1\r\n")
+			one.expectLine("UP 1\r\n")
 			t.Logf("ready after %v, served after %v", ready, time.Since(began))
 			_ = p.Signal(syscall.SIGUSR1)
 			m.logsOf(p, `"why":"asked"`)
@@ -566,10 +358,9 @@
 	}
 }
 
-// TestAnUpgradeIsOneMember starts a new process beside a member's. Guards against two members of one balancer, and a member
-// that is gone while its balancer is upgraded.
-func TestAnUpgradeIsOneMember(t *testing.T) {
-	m := enlist(t, 3, true)
+// TestAHotRestartIsOneMember starts a new process beside a member's. There must be one member of one balancer at all times.
+func TestAHotRestartIsOneMember(t *testing.T) {
+	m := newTestFleet(t, 3, true)
 	was := m.report(1).Self
 	young, err := m.procs[1].Successor()
 	if err != nil {
@@ -599,7 +390,7 @@
 			t.Fatal(young.LogTail())
 		}
 	}
-	m.want("the others know the new process", []int{0, 2}, func(r fleet.Report) bool {
+	m.waitFor("the others know the new process", []int{0, 2}, func(r fleet.Report) bool {
 		return slices.ContainsFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was.ID && o.Incarnation == was.Incarnation+1 })
 	})
 	for _, i := range []int{0, 2} {
@@ -609,10 +400,10 @@
 	}
 }
 
-// TestWithoutAFileThereIsNoFleet counts a process's descriptors and goroutines with the fleet's file and without.
+// TestWithoutAFileThereIsNoFleet counts a process's descriptors and goroutines with a fleet file and without.
 func TestWithoutAFileThereIsNoFleet(t *testing.T) {
-	m := enlist(t, 2, false)
-	off := m.single()
+	m := newTestFleet(t, 2, false)
+	off := m.startOutsider()
 	count := func(p *cluster.Process) (fds, fleet int) {
 		dir := fmt.Sprintf("/proc/%d/fd", p.Pid())
 		all, err := os.ReadDir(dir)
@@ -647,9 +438,9 @@
 	}
 }
 
-// TestABadFleetFileNamesItsPlace starts the program with files that are wrong, and with a directory that another process has.
+// TestABadFleetFileNamesItsPlace starts the program with faulty files, and with a directory that another process uses.
 func TestABadFleetFileNamesItsPlace(t *testing.T) {
-	m := enlist(t, 2, false)
+	m := newTestFleet(t, 2, false)
 	dir := t.TempDir()
 	text, err := os.ReadFile(filepath.Join(filepath.Dir(m.DataDir(0)), "fleet-0.hcl"))
 	if err != nil {
--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -25,41 +25,41 @@
 	return code, says
 }
 
-func (s *site) yes(method, path string) {
+func (s *site) expectYes(method, path string) {
 	s.t.Helper()
 	if code, says := s.call(method, path); code != 200 {
 		s.t.Fatalf("%s %s: %d, %q", method, path, code, says)
 	}
 }
 
-// TestADrainAndItsWayBack empties a balancer twice, once to the end and once given up half way. Guards against a balancer
-// that says yes while it is emptied, that holds a client at 4 s, or that has no way back.
-func TestADrainAndItsWayBack(t *testing.T) {
-	s := begin(t, []string{"MGMT"}, "s-1")
-	s.client("PING\r\n").want("PONG\r\n")
-	s.yes("GET", "/control/ready")
-	var clients []*ask
+// TestADrainAndBackIntoService drains a balancer twice, once to the end and once ended half way. It must not say that it is ready while it drains,
+// nor keep a client for 4 s, and there must be a way back.
+func TestADrainAndBackIntoService(t *testing.T) {
+	s := startSite(t, []string{"MGMT"}, "s-1")
+	s.client("PING\r\n").expectLine("PONG\r\n")
+	s.expectYes("GET", "/control/ready")
+	var clients []*testClient
 	for range 8 {
-		a, _ := s.up()
+		a, _ := s.establish()
 		clients = append(clients, a)
 	}
-	late := s.client(open) // its setup try is out at the call
+	late := s.client(open) // its attempt is active at the call
 	e := s.session()
 	began := time.Now()
-	s.yes("PUT", "/control/out-of-service")
-	s.yes("PUT", "/control/out-of-service")
-	s.client("PING\r\n").want("NO\r\n")
+	s.expectYes("PUT", "/control/out-of-service")
+	s.expectYes("PUT", "/control/out-of-service")
+	s.client("PING\r\n").expectLine("NO\r\n")
 	_ = s.child.Signal(syscall.SIGHUP) // which ends no drain
 	s.waitLog(`"reloaded"`)
-	s.client("PING\r\n").want("NO\r\n")
+	s.client("PING\r\n").expectLine("NO\r\n")
 	if code, says := s.call("GET", "/control/ready"); code != 503 || !strings.Contains(says, "out of service") {
 		t.Fatalf("%d, %q", code, says)
 	}
 	_, _ = io.WriteString(e, "UP 9\r\n")
-	late.want("UP 9\r\n")
+	late.expectLine("UP 9\r\n")
 	for _, a := range append(clients, late) {
-		a.want("MOVE\r\n")
-		ends(t, a.r, false)
+		a.expectLine("MOVE\r\n")
+		expectEnd(t, a.r, false)
 	}
 	if took := time.Since(began); took < 300*time.Millisecond || took > 5*time.Second {
 		t.Fatalf("emptied within %v", took)
@@ -67,14 +67,14 @@
 	if got := s.client(open).line(); !strings.HasPrefix(got, "BUSY ") {
 		t.Fatalf("a newcomer got %q", got)
 	}
-	s.yes("PUT", "/control/in-service")
-	s.client("PING\r\n").want("PONG\r\n")
-	s.yes("GET", "/control/ready")
-	a, _ := s.up()
-	s.yes("PUT", "/control/out-of-service")
-	s.yes("PUT", "/control/in-service") // before the first move
-	s.up()
-	if n := s.counted("drains"); n != 2 {
+	s.expectYes("PUT", "/control/in-service")
+	s.client("PING\r\n").expectLine("PONG\r\n")
+	s.expectYes("GET", "/control/ready")
+	a, _ := s.establish()
+	s.expectYes("PUT", "/control/out-of-service")
+	s.expectYes("PUT", "/control/in-service") // before the first move
+	s.establish()
+	if n := s.counter("drains"); n != 2 {
 		t.Fatal(n)
 	}
 	_ = s.child.Signal(syscall.SIGTERM)
@@ -86,45 +86,44 @@
 			t.Errorf("%s while it leaves: %d, %q", call, code, says)
 		}
 	}
-	a.want("MOVE\r\n")
+	a.expectLine("MOVE\r\n")
 }
 
-// TestARetuneUnderCircuits drops a grade under a circuit that stands and one whose try is out, and brings it back with
-// another effect and fewer tries. Guards against a circuit that is judged by rules that it was not taken under: an
-// unrepeatable one that runs twice, one that may no longer be tried.
-func TestARetuneUnderCircuits(t *testing.T) {
-	s := begin(t, nil, "s-1", "s-2", "s-3", "s-4")
+// TestAReloadDuringSessions drops a class during an established session and one whose attempt is active, and brings it back with another
+// idempotency and fewer attempts. A session must be judged by the rules that it was admitted under.
+func TestAReloadDuringSessions(t *testing.T) {
+	s := startSite(t, nil, "s-1", "s-2", "s-3", "s-4")
 	text, err := os.ReadFile(s.config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	grade := `"Name":"order","Effect":"non_idempotent","Group":"all","LatencyGoalUs":300000,"OuterLimitUs":9000000,"Utility":1`
 	first := strings.Replace(string(text), `[{"Name":"feed"`, `[{`+grade+`},{"Name":"feed"`, 1)
-	s.load(first, `"reloaded"`)
-	order := func() (*ask, *emulator.Session) {
+	s.reloadAndWait(first, `"reloaded"`)
+	order := func() (*testClient, *emulator.Session) {
 		a := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(open))
 		return a, s.session()
 	}
 	stands, at := order()
 	_, _ = io.WriteString(at, "UP 1\r\n")
-	stands.want("UP 1\r\n")
+	stands.expectLine("UP 1\r\n")
 	waits, out := order()
 	late, never := order()
-	s.load(string(text), `"reloaded"`)
+	s.reloadAndWait(string(text), `"reloaded"`)
 	unknown := s.client(strings.Replace(open, "c=feed", "c=order", 1))
-	unknown.want("ERR SYNTAX\r\n")
-	s.load(strings.NewReplacer("non_idempotent", "read_like", `"MostSetupTries":6`, `"MostSetupTries":2`).Replace(first), `"reloaded"`)
+	unknown.expectLine("ERR SYNTAX\r\n")
+	s.reloadAndWait(strings.NewReplacer("non_idempotent", "read_like", `"MostSetupTries":6`, `"MostSetupTries":2`).Replace(first), `"reloaded"`)
 	_, _ = io.WriteString(out, "ERR\r\n") // it may have run: never again
-	waits.want("ERR\r\n")
+	waits.expectLine("ERR\r\n")
 	for range 2 { // never ran: it goes on, as often as it was promised
 		_, _ = io.WriteString(never, "BUSY\r\n")
 		never = s.session()
 	}
 	_, _ = io.WriteString(never, "UP 3\r\n")
-	late.want("UP 3\r\n")
+	late.expectLine("UP 3\r\n")
 	// A first line that waits in the socket's buffer at a switch is answered by the old rules or the new ones.
 	_ = s.child.Signal(syscall.SIGSTOP)
-	s.hand(strings.Replace(first, `"order"`, `"other"`, 1))
+	s.reloadWith(strings.Replace(first, `"order"`, `"other"`, 1))
 	buffered := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(open))
 	_ = s.child.Signal(syscall.SIGCONT)
 	answered := make(chan bool)
@@ -132,7 +131,7 @@
 		for {
 			select {
 			case e := <-s.Sessions:
-				_, _ = io.WriteString(e, "UP 4\r\n") // a failure more, and the brake could nack what comes below
+				_, _ = io.WriteString(e, "UP 4\r\n") // one more failure, and the retry budget could reject what follows
 			case <-answered:
 				return
 			}
@@ -142,13 +141,13 @@
 		t.Fatalf("%q", got)
 	}
 	answered <- true        // once it is taken no session goes there any more
-	s.waitLog(`"reloaded"`) // else the next load could take this one's word for its own
-	s.load(strings.NewReplacer("non_idempotent", "read_like", `"MostSetupTries":6`, `"MostSetupTries":2`).Replace(first), `"reloaded"`)
+	s.waitLog(`"reloaded"`) // otherwise the next reload could take this line for its own
+	s.reloadAndWait(strings.NewReplacer("non_idempotent", "read_like", `"MostSetupTries":6`, `"MostSetupTries":2`).Replace(first), `"reloaded"`)
 	again, try := order() // by the new rules
 	_, _ = io.WriteString(try, "ERR\r\n")
 	_, _ = io.WriteString(s.session(), "ERR\r\n")
 	if got := again.line(); !strings.HasPrefix(got, "BUSY ") {
-		t.Fatalf("%q after two tries of two", got)
+		t.Fatalf("%q after two attempts of two", got)
 	}
 	stands.write("M 1\r\n")
 	if l, _ := at.R.ReadString('\n'); l != "M 1\r\n" {
@@ -156,9 +155,9 @@
 	}
 }
 
-// TestABrokenFileIsTakenNothingOf has files that a program that fails half way may leave. Each names other servers too.
-func TestABrokenFileIsTakenNothingOf(t *testing.T) {
-	s := begin(t, []string{"MGMT", "SABLETALLY_LOG=debug"}, "s-1") // else ten lines a second are logged
+// TestAFaultyFileIsNotApplied has files as a program that fails half way may leave them. Each names other servers too.
+func TestAFaultyFileIsNotApplied(t *testing.T) {
+	s := startSite(t, []string{"MGMT", "SABLETALLY_LOG=debug"}, "s-1") // else ten lines a second are logged
 	text, err := os.ReadFile(s.config)
 	if err != nil {
 		t.Fatal(err)
@@ -178,7 +177,7 @@
 		if x[0] == "}" {
 			bad = whole[:len(whole)-1]
 		}
-		s.load(bad, "can't reload")
+		s.reloadAndWait(bad, "can't reload")
 		n++
 		s.mu.Lock()
 		said := s.log.String()
@@ -187,24 +186,24 @@
 			t.Errorf("%v: %s", x, said)
 		}
 	}
-	s.list("s-2", "127.0.0.1:1", emulator.InService) // still the old discovery's word
+	s.listServer("s-2", "127.0.0.1:1", emulator.InService) // still from the old discovery
 	s.waitLog(`"server":"s-2"`)
-	if good, bad := s.counted("reloads"), s.counted("reload-errors"); good != 0 || bad != n {
+	if good, bad := s.counter("reloads"), s.counter("reload-errors"); good != 0 || bad != n {
 		t.Fatalf("%d reloads, %d refused", good, bad)
 	}
 }
 
-// next starts another process beside the site's and waits for its yes; beside does not wait.
-func (s *site) next() *cluster.Process {
+// newSuccessor starts another process beside the site's and waits until it is ready; startSuccessor does not wait.
+func (s *site) newSuccessor() *cluster.Process {
 	s.t.Helper()
-	old := s.beside()
+	old := s.startSuccessor()
 	if err := s.child.WaitReady(); err != nil {
 		s.t.Fatal(err)
 	}
 	return old
 }
 
-func (s *site) beside() *cluster.Process {
+func (s *site) startSuccessor() *cluster.Process {
 	s.t.Helper()
 	old := s.child
 	child, err := old.Successor()
@@ -219,7 +218,7 @@
 	return old
 }
 
-func gone(t *testing.T, p *cluster.Process) {
+func waitForExit(t *testing.T, p *cluster.Process) {
 	t.Helper()
 	select {
 	case <-p.Exited():
@@ -231,39 +230,39 @@
 	}
 }
 
-// TestUpgradesPassOnWhatIsHeld runs two upgrades in a row under circuits that stand, with half a line on its way either
-// side, a client that has sent half its first line, one that has sent nothing and one whose try is out. Guards against
-// lines that are lost or doubled at the passing, and against clients that nobody reads.
-func TestUpgradesPassOnWhatIsHeld(t *testing.T) {
-	s := begin(t, []string{"MGMT", "SHARED"}, "s-1")
-	var clients []*ask
+// TestHotRestartsHandOverSessions restarts twice in a row during established sessions, with half a line on its way on either side, a client
+// that has sent half its first line, one that has sent nothing and one whose attempt is active. No line may be lost or doubled, and every
+// client must be read by one process.
+func TestHotRestartsHandOverSessions(t *testing.T) {
+	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
+	var clients []*testClient
 	var ends []*emulator.Session
 	for range 20 {
-		a, e := s.up()
+		a, e := s.establish()
 		a.write("M 1 x\r\nM 2 ")
 		if l, _ := e.R.ReadString('\n'); l != "M 1 x\r\n" {
 			t.Fatalf("%q", l)
 		}
 		_, _ = io.WriteString(e, "M 1 x\r\nM 0 hal") // answered, or it would count as a server that says nothing
-		a.want("M 1 x\r\n")
+		a.expectLine("M 1 x\r\n")
 		clients, ends = append(clients, a), append(ends, e)
 	}
 	for round := range 2 {
 		half, silent := s.client("OPEN 77"), s.client("")
 		out := s.client(strings.Replace(open, "d=1500", "d=8000", 1))
 		at := s.session()
-		old := s.next()
+		old := s.newSuccessor()
 		_ = old.Signal(syscall.SIGTERM)
 		s.waitLog("leaving")
 		_, _ = io.WriteString(at, "UP 3\r\n")
-		out.want("UP 3\r\n")
+		out.expectLine("UP 3\r\n")
 		half.write(fmt.Sprint(round) + " 2 c=feed,d=5000\r\n")
 		_, _ = io.WriteString(s.session(), "UP 4\r\n")
-		half.want("UP 4\r\n")
+		half.expectLine("UP 4\r\n")
 		silent.write(fmt.Sprintf("OPEN 99%d 2 c=feed,d=5000\r\n", round))
 		_, _ = io.WriteString(s.session(), "UP 5\r\n")
-		silent.want("UP 5\r\n")
-		gone(t, old)
+		silent.expectLine("UP 5\r\n")
+		waitForExit(t, old)
 		out.write("M 9\r\n")
 		if l, _ := at.R.ReadString('\n'); l != "M 9\r\n" {
 			t.Fatalf("%q", l)
@@ -271,56 +270,55 @@
 		_, _ = io.WriteString(at, "M 9\r\n")
 		for n, a := range clients {
 			_, _ = io.WriteString(ends[n], "f\r\n")
-			a.want("M 0 half\r\n")
+			a.expectLine("M 0 half\r\n")
 			a.write("y\r\nM 2 ")
 			if l, _ := ends[n].R.ReadString('\n'); l != "M 2 y\r\n" {
 				t.Fatalf("%q", l)
 			}
 			_, _ = io.WriteString(ends[n], "M 2 y\r\nM 0 hal")
-			a.want("M 2 y\r\n")
+			a.expectLine("M 2 y\r\n")
 		}
-		if n, m := s.counted("inherited"), s.counted("open"); n != 23+3*round || m != 23+3*round {
+		if n, m := s.counter("inherited"), s.counter("open"); n != 23+3*round || m != 23+3*round {
 			t.Fatalf("%d inherited, %d open", n, m)
 		}
 	}
-	if n := s.counted("moves"); n != 0 {
+	if n := s.counter("moves"); n != 0 {
 		t.Fatalf("%d moves", n)
 	}
-	s.up()
+	s.establish()
 }
 
-// TestASignalThatOvertakesTheYes ends the old process while the new one is not ready. Guards against clients that are moved
-// though the new process takes them a moment later: seen once in a world under load, as the yes and the old process's word
-// of it go different ways.
-func TestASignalThatOvertakesTheYes(t *testing.T) {
-	s := begin(t, []string{"MGMT", "SHARED"}, "s-1")
-	a, e := s.up()
-	old := s.beside()
+// TestASignalBeforeTheSuccessorIsReady ends the old process before it knows that the new one is ready, which the platform and the old process
+// learn in different ways. Its clients must be handed over all the same.
+func TestASignalBeforeTheSuccessorIsReady(t *testing.T) {
+	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
+	a, e := s.establish()
+	old := s.startSuccessor()
 	s.waitLog("a new process is beside this one")
 	_ = old.Signal(syscall.SIGTERM)
-	gone(t, old)
+	waitForExit(t, old)
 	a.write("M 1\r\n")
 	if l, _ := e.R.ReadString('\n'); l != "M 1\r\n" {
 		t.Fatalf("%q", l)
 	}
-	if n := s.counted("inherited"); n != 1 {
+	if n := s.counter("inherited"); n != 1 {
 		t.Fatal(n)
 	}
 }
 
-// TestAnUpgradeThatHangs stops the new process before it takes anything. What it was sent goes on once it runs again, the
-// others are moved by the old one, and nobody is left waiting.
-func TestAnUpgradeThatHangs(t *testing.T) {
-	s := begin(t, []string{"MGMT", "SHARED"}, "s-1")
-	clients, ends := map[*ask]*emulator.Session{}, 24
+// TestASuccessorThatHangs stops the new process before it takes anything over. What it was sent goes on once it runs again, the others are
+// migrated by the old one, and no client is left waiting.
+func TestASuccessorThatHangs(t *testing.T) {
+	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
+	clients, ends := map[*testClient]*emulator.Session{}, 24
 	for range ends {
-		a, e := s.up()
+		a, e := s.establish()
 		clients[a] = e
 	}
-	old := s.next()
+	old := s.newSuccessor()
 	_ = s.child.Signal(syscall.SIGSTOP)
 	_ = old.Signal(syscall.SIGTERM)
-	gone(t, old)
+	waitForExit(t, old)
 	_ = s.child.Signal(syscall.SIGCONT)
 	moved := 0
 	for a, e := range clients {
@@ -333,21 +331,21 @@
 			t.Fatalf("%q", got)
 		}
 	}
-	if n := s.counted("inherited"); n+moved != ends || moved == 0 || n == 0 {
+	if n := s.counter("inherited"); n+moved != ends || moved == 0 || n == 0 {
 		t.Fatalf("%d of %d go on, %d were moved", n, ends, moved)
 	}
 }
 
-// TestAnUpgradeThatHangsAndIsKilled stops the new process before it takes anything and kills it once what it was not sent is moved.
-// Guards against clients that end without a word: what it had not confirmed is the old one's again, which moves all.
-func TestAnUpgradeThatHangsAndIsKilled(t *testing.T) {
-	s := begin(t, []string{"MGMT", "SHARED"}, "s-1")
-	var clients []*ask
+// TestASuccessorThatHangsAndIsKilled stops the new process before it takes anything over, and kills it once what it was not sent is migrated.
+// What it had not confirmed belongs to the old one again, which migrates all.
+func TestASuccessorThatHangsAndIsKilled(t *testing.T) {
+	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
+	var clients []*testClient
 	for range 24 {
-		a, _ := s.up()
+		a, _ := s.establish()
 		clients = append(clients, a)
 	}
-	old := s.next()
+	old := s.newSuccessor()
 	_ = s.child.Signal(syscall.SIGSTOP)
 	_ = old.Signal(syscall.SIGTERM)
 	got := make(chan string, len(clients))
@@ -365,26 +363,26 @@
 			s.child.Kill()
 		}
 	}
-	gone(t, old)
+	waitForExit(t, old)
 }
 
-// TestAnOldProcessThatIsKilled is taken over from by what there is: its clients come anew, and the next upgrade finds the new one.
+// TestAnOldProcessThatIsKilled kills the old process: its clients connect anew, and the next hot restart finds the new process.
 func TestAnOldProcessThatIsKilled(t *testing.T) {
-	s := begin(t, []string{"MGMT", "SHARED"}, "s-1")
-	a, _ := s.up()
-	old := s.next()
+	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
+	a, _ := s.establish()
+	old := s.newSuccessor()
 	old.Kill()
 	if _, err := a.r.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal(err)
 	}
 	s.waitLog("the old process has ended")
-	s.up()
-	old = s.next()
+	s.establish()
+	old = s.newSuccessor()
 	_ = old.Signal(syscall.SIGTERM)
-	gone(t, old)
+	waitForExit(t, old)
 	// The new process confirms before it takes, so the end of the old one does not tell that it has counted yet.
 	for end := time.Now().Add(bound); ; {
-		n := s.counted("inherited")
+		n := s.counter("inherited")
 		if n == 1 {
 			break
 		}
@@ -394,13 +392,13 @@
 	}
 }
 
-// TestAnUpgradeThatFails has a new process that dies before its time is up, and one whose directory is not the old one's: the
-// old process goes on, and then moves its clients.
-func TestAnUpgradeThatFails(t *testing.T) {
-	s := begin(t, []string{"MGMT", "SHARED"}, "s-1")
-	a, e := s.up()
+// TestASuccessorThatFails has a new process that dies early, and one whose directory is not the old one's: the old process goes on, and then
+// migrates its clients.
+func TestASuccessorThatFails(t *testing.T) {
+	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
+	a, e := s.establish()
 	first := s.child
-	s.next()
+	s.newSuccessor()
 	s.child.Kill()
 	s.waitLog("the new process has gone")
 	s.child = first
@@ -408,34 +406,34 @@
 	if l, _ := e.R.ReadString('\n'); l != "M 1\r\n" {
 		t.Fatalf("%q", l)
 	}
-	s.up() // the old one accepts
-	old := s.next()
+	s.establish() // the old one accepts
+	old := s.newSuccessor()
 	s.child.Kill()
 	s.waitLog("the new process has gone")
 	_ = old.Signal(syscall.SIGTERM)
-	a.want("MOVE\r\n")
-	ends(t, a.r, false)
-	gone(t, old)
+	a.expectLine("MOVE\r\n")
+	expectEnd(t, a.r, false)
+	waitForExit(t, old)
 }
 
-// TestADrainOutlivesAnUpgrade guards against a balancer that an operator has emptied and that an upgrade fills again.
-func TestADrainOutlivesAnUpgrade(t *testing.T) {
-	s := begin(t, []string{"MGMT", "SHARED"}, "s-1")
-	s.yes("PUT", "/control/out-of-service")
-	old := s.next() // it says yes: it may take over
+// TestADrainOutlivesAHotRestart drains a balancer and restarts it hot: the new process must not take clients.
+func TestADrainOutlivesAHotRestart(t *testing.T) {
+	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
+	s.expectYes("PUT", "/control/out-of-service")
+	old := s.newSuccessor() // it says yes: it may take over
 	_ = old.Signal(syscall.SIGTERM)
-	gone(t, old)
-	s.client("PING\r\n").want("NO\r\n")
-	s.yes("PUT", "/control/in-service")
-	s.client("PING\r\n").want("PONG\r\n")
-	s.up()
+	waitForExit(t, old)
+	s.client("PING\r\n").expectLine("NO\r\n")
+	s.expectYes("PUT", "/control/in-service")
+	s.client("PING\r\n").expectLine("PONG\r\n")
+	s.establish()
 }
 
-// TestTheOperatorsAddressBesideACrowd has more clients at the door than there are descriptors, half with half a line, and silent
-// callers past the address's bound. Guards against operators who are not answered when they most need to be.
-func TestTheOperatorsAddressBesideACrowd(t *testing.T) {
-	s := begin(t, []string{"MGMT", "SHARED"}, "s-1") // 512 descriptors
-	s.allUp()
+// TestTheAdminAddressBesideACrowd has more clients connect than there are descriptors, half of them with half a line, and more silent callers of
+// the operators' address than it admits. Operators must be answered.
+func TestTheAdminAddressBesideACrowd(t *testing.T) {
+	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1") // 512 descriptors
+	s.waitAllListed()
 	for n := range 1500 {
 		if n%10 == 0 {
 			c, err := net.Dial("tcp", s.child.AdminAddr)
@@ -448,7 +446,7 @@
 		s.client([]string{"", "OPEN 12"}[n%2])
 		if n%300 == 299 {
 			began := time.Now()
-			s.yes("GET", "/control/ready")
+			s.expectYes("GET", "/control/ready")
 			if took := time.Since(began); took > time.Second {
 				t.Fatalf("answered after %v", took)
 			}
@@ -457,7 +455,7 @@
 			}
 		}
 	}
-	if n := s.counted("shed"); n < 500 {
+	if n := s.counter("shed"); n < 500 {
 		t.Fatalf("%d shed", n)
 	}
 	if kb := s.child.RSS(); kb > 64<<10 {
@@ -465,9 +463,9 @@
 	}
 }
 
-// TestABadAcceptDescriptorNamesTheVariable guards against a new process that starts beside the old one and accepts nothing.
+// TestABadAcceptDescriptorNamesTheVariable checks that a new process does not start with a descriptor that it can't accept from.
 func TestABadAcceptDescriptorNamesTheVariable(t *testing.T) {
-	s := begin(t, nil)
+	s := startSite(t, nil)
 	for _, number := range []string{"x", "2", "77", "0", "4294967299"} {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "SABLETALLY_CHILD=1", "EDGE_CONFIG="+s.config, "EDGE_ACCEPT_FD="+number)
--- a/cmd/sabletally/ready_test.go
+++ b/cmd/sabletally/ready_test.go
@@ -19,9 +19,8 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// These tests restart many processes at once and measure each one's time from its start to its first PONG, as a client at the door
-// sees it. All of them have one of the machine's processors and share it with programs that never rest, so that each starts on a twentieth of
-// one or less.
+// These tests restart many processes at once and measure the time from each one's start to its first PONG, as a client sees it. All of them
+// share one of the machine's processors with programs that never rest, so that each starts on a twentieth of it or less.
 
 const (
 	readyBy  = 10 * time.Second // nine in ten are ready by then
@@ -31,7 +30,7 @@
 	listed   = 90 // servers in the list
 )
 
-// keepBusy has programs run on the processor that the balancers are bound to, until the test ends.
+// keepBusy runs programs on the processor that the balancers are bound to, until the test ends.
 func keepBusy(t *testing.T, programs int) {
 	dir := t.TempDir()
 	for i := range programs {
@@ -47,19 +46,19 @@
 	}
 }
 
-// spread is how long processes took, the shortest first.
-type spread []time.Duration
+// durations is how long processes took, in ascending order.
+type durations []time.Duration
 
-// at answers what so many in a hundred took at most.
-func (s spread) at(percent int) time.Duration {
+// percentile returns what so many in a hundred took at most.
+func (s durations) percentile(percent int) time.Duration {
 	return s[(len(s)*percent+99)/100-1].Round(time.Millisecond)
 }
 
-func (s spread) String() string {
-	return fmt.Sprintf("p50 %v, p90 %v, worst %v of %d", s.at(50), s.at(90), s.at(100), len(s))
+func (s durations) String() string {
+	return fmt.Sprintf("p50 %v, p90 %v, worst %v of %d", s.percentile(50), s.percentile(90), s.percentile(100), len(s))
 }
 
-// startAll starts processes at once and wants nine in ten of each kind to be ready within readyBy.
+// startAll starts processes at once and expects nine in ten of each kind to be ready within readyBy.
 func startAll(t *testing.T, procs []*cluster.Process, kind func(i int) string) {
 	t.Helper()
 	took, faults := make([]time.Duration, len(procs)), make([]error, len(procs))
@@ -78,7 +77,7 @@
 	if err := errors.Join(faults...); err != nil {
 		t.Fatal(err)
 	}
-	kinds := map[string]spread{}
+	kinds := map[string]durations{}
 	for i, d := range took {
 		kinds[kind(i)] = append(kinds[kind(i)], d)
 	}
@@ -86,13 +85,13 @@
 		s := kinds[name]
 		slices.Sort(s)
 		t.Logf("%s: first PONG after %v", name, s)
-		if s.at(90) > readyBy {
+		if s.percentile(90) > readyBy {
 			t.Errorf("%s: nine in ten are not ready within %v", name, readyBy)
 		}
 	}
 }
 
-// firstPong waits for it, as a client that comes again while it is refused or closed.
+// firstPong waits for the first PONG, as a client that connects again while it is refused or closed.
 func firstPong(p *cluster.Process) error {
 	for end := time.Now().Add(readyAll); time.Now().Before(end); time.Sleep(askEach) {
 		select {
@@ -115,8 +114,8 @@
 	return fmt.Errorf("%s is not ready within %v: %s", p.Name, readyAll, p.LogTail())
 }
 
-// TestManyRestartedAtOnceAreReady kills and restarts processes together for each way in which discovery can be slow, failing or away:
-// such as have an agent of their own and such as share one discovery, with a list known before and without.
+// TestManyRestartedAtOnceAreReady kills and restarts processes together for each way in which discovery can be slow, failing or down: with an
+// agent of their own and with one that all share, with a known list and without.
 func TestManyRestartedAtOnceAreReady(t *testing.T) {
 	const none = `{"rev":0,"all":true,"targets":[]}`
 	keepBusy(t, 8) // beside 32 balancers
@@ -156,7 +155,7 @@
 		{"no time", a.Addr(), emulator.Healthy, emulator.NewWatchHub(time.Hour, 0)},
 		{"silent", a.Addr(), emulator.Mute, nil},
 		{"faulty", a.Addr(), emulator.Faulty, nil},
-		{"refused", refused(t), emulator.Healthy, nil},
+		{"refused", closedAddress(t), emulator.Healthy, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a.Misbehave(c.fault)
@@ -177,13 +176,13 @@
 	}
 }
 
-// TestAFleetRestartedAtOnceIsReady kills all members together and lets them come back: with discovery, without it, and at last cut off from
-// each other, where nobody can tell what operators said last.
+// TestAFleetRestartedAtOnceIsReady kills all members together and restarts them: with discovery, without it, and cut off from each other, where
+// nobody knows the service state.
 func TestAFleetRestartedAtOnceIsReady(t *testing.T) {
 	a := agent(t)
-	four(t, a, 1)
-	m := enlistNow(t, 9, false, "", a)
-	m.want("every slot has its holders", m.all, repaired)
+	fourServers(t, a, 1)
+	m := newTestFleetAt(t, 9, false, "", a)
+	m.waitFor("every slot has its holders", m.all, repaired)
 	keepBusy(t, 12) // beside nine balancers
 	for _, c := range []struct {
 		name  string
@@ -209,9 +208,8 @@
 	}
 }
 
-// TestWhoAsksIsNotShedBeforeIdleClients fills the descriptors with clients that say nothing while somebody waits for the PONG. Guards against
-// a balancer that is ready and told from outside that it is not.
-func TestWhoAsksIsNotShedBeforeIdleClients(t *testing.T) {
+// TestClientsThatPingAreEvictedLast fills the descriptors with silent clients while a health checker waits for PONG, which it must get.
+func TestClientsThatPingAreEvictedLast(t *testing.T) {
 	t.Parallel()
 	a := agent(t)
 	a.Misbehave(emulator.Mute)
--- a/cmd/sabletally/world_test.go
+++ b/cmd/sabletally/world_test.go
@@ -133,26 +133,26 @@
 }
 `
 
-// TestAWorldOfFaultsKeepsTheRules plays the program through a timetable and has the lab's judge read what was seen.
-func TestAWorldOfFaultsKeepsTheRules(t *testing.T) {
+// TestFaultsKeepTheRules plays the program through a fault schedule and has the lab's checker read the history.
+func TestFaultsKeepTheRules(t *testing.T) {
 	t.Parallel()
-	v, run := judged(t, faults)
+	v, run := playWorld(t, faults)
 	if v.Sessions < 200 || run.Setups < 150 || run.BadClients < 50 || run.BadUnanswered > 0 {
-		t.Errorf("%d circuits, %d set-ups, %d bad clients, %d of them unanswered", v.Sessions, run.Setups, run.BadClients, run.BadUnanswered)
+		t.Errorf("%d sessions, %d set-ups, %d bad clients, %d of them unanswered", v.Sessions, run.Setups, run.BadClients, run.BadUnanswered)
 	}
 }
 
-// TestOperatorsWorkKeepsTheRules plays two upgrades of each balancer, a drain, a retune and a crowd.
+// TestOperatorsWorkKeepsTheRules plays two hot restarts of each balancer, a drain, reloads and a crowd.
 func TestOperatorsWorkKeepsTheRules(t *testing.T) {
 	t.Parallel()
-	v, run := judged(t, operators)
+	v, run := playWorld(t, operators)
 	if v.Sessions < 200 || run.Setups < 150 {
-		t.Errorf("%d circuits, %d set-ups", v.Sessions, run.Setups)
+		t.Errorf("%d sessions, %d set-ups", v.Sessions, run.Setups)
 	}
 }
 
-// judged plays the small world on sockets; a broken rule fails the test.
-func judged(t *testing.T, timetable string) (checker.Verdict, report.Run) {
+// playWorld plays the small world on sockets; a broken rule fails the test.
+func playWorld(t *testing.T, timetable string) (checker.Verdict, report.Run) {
 	x, err := experiment.Parse([]byte(small+timetable), "world.hcl")
 	if err != nil {
 		t.Fatal(err)
