--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -122,7 +122,7 @@
 	_, _ = io.WriteString(never, "UP 3\r\n")
 	late.expectLine("UP 3\r\n")
 	// A first line that waits in the socket's buffer at a switch is answered by the old rules or the new ones.
-	_ = s.child.Signal(syscall.SIGSTOP)
+	suspend(t, s.child)
 	s.reloadWith(strings.Replace(first, `"order"`, `"other"`, 1))
 	buffered := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(open))
 	_ = s.child.Signal(syscall.SIGCONT)
@@ -316,7 +316,7 @@
 		clients[a] = e
 	}
 	old := s.newSuccessor()
-	_ = s.child.Signal(syscall.SIGSTOP)
+	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	waitForExit(t, old)
 	_ = s.child.Signal(syscall.SIGCONT)
@@ -346,7 +346,7 @@
 		clients = append(clients, a)
 	}
 	old := s.newSuccessor()
-	_ = s.child.Signal(syscall.SIGSTOP)
+	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	got := make(chan string, len(clients))
 	for _, a := range clients {
