--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -316,6 +316,7 @@
 		clients[a] = e
 	}
 	old := s.newSuccessor()
+	s.waitLog("the new process is ready to take over") // which may come after the new one has told clients that it is ready
 	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	waitForExit(t, old)
@@ -346,6 +347,7 @@
 		clients = append(clients, a)
 	}
 	old := s.newSuccessor()
+	s.waitLog("the new process is ready to take over") // which may come after the new one has told clients that it is ready
 	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	got := make(chan string, len(clients))
