--- a/internal/balancer/cost_test.go
+++ b/internal/balancer/cost_test.go
@@ -13,8 +13,8 @@
 	"sabletally/policy"
 )
 
-// BenchmarkSetup is a circuit from its client's dial to its end, 64 at a time, balancer, clients and servers in one process: for
-// profiles and allocations. `testbed throughput` tells how many a second.
+// BenchmarkSetup is a session from its client's dial to its end, 64 at a time, with balancer, clients and servers in one process. `testbed
+// throughput` measures how many a second there can be.
 func BenchmarkSetup(b *testing.B) {
 	var known discovery.List
 	for i := range 8 {
@@ -23,9 +23,9 @@
 			b.Fatal(err)
 		}
 		defer s.Close()
-		known.Servers = append(known.Servers, discovery.Server{UID: string(rune('a' + i)), Endpoint: s.Addr(), Heft: 1})
+		known.Endpoints = append(known.Endpoints, discovery.Endpoint{UID: string(rune('a' + i)), Address: s.Addr(), Weight: 1})
 	}
-	known.Whole = true
+	known.Complete = true
 	dep := &deployment.Settings{
 		Policy: &policy.Config{Balancers: 1, MaxAttempts: 4, OverloadMultiple: 3, OverloadWindow: time.Second, SlowStartFloor: 1, SlowStartWindow: time.Second,
 			Classes: []policy.Class{{SetupObjective: 10 * time.Second, PriorityWeight: 1}}},
@@ -42,11 +42,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	go l.Serve(gate)
+	serve(l, gate)
 	target := bench.NewTarget(gate.Addr().String())
 	b.ReportAllocs()
 	b.ResetTimer()
-	if s := bench.SetupsOf(target, 64, b.N); s.Failed > 0 {
+	if s := bench.SetupBatch(target, 64, b.N); s.Failed > 0 {
 		b.Fatalf("%d failed", s.Failed)
 	}
 }
--- a/internal/lab/cluster/member_group.go
+++ b/internal/lab/cluster/member_group.go
@@ -91,7 +91,7 @@
 	b.Links.Set(func(from, to int, tie *emulator.MemberLink) {
 		out, in := band>>from&1 == 1, band>>to&1 == 1
 		if out != in && (out && as.Out || in && as.In) {
-			*tie = emulator.MemberLink{Cut: as.Cut, Loss: as.Loss, Late: as.Late, Mixed: as.Mixed}
+			*tie = emulator.MemberLink{Cut: as.Cut, Loss: as.Loss, Delay: as.Delay, Duplicated: as.Duplicated}
 		}
 	})
 }
@@ -125,7 +125,7 @@
 	return r, err
 }
 
-// WaitUntil waits until every member told says of itself what is wanted, within a bound.
+// WaitUntil waits until the reports of the members given fulfil a condition, within a bound.
 func (b *MemberGroup) WaitUntil(what string, within time.Duration, members []int, is func(fleet.Report) bool) error {
 	for end := time.Now().Add(within); ; time.Sleep(pollInterval) {
 		var last string
@@ -156,7 +156,7 @@
 // MemberState is how a member sees another, by its name; empty where it knows none of that name.
 func MemberState(r fleet.Report, name string) (state string) {
 	for _, o := range r.Others {
-		if o.Name == name && o.ReportedBy == "" {
+		if o.Name == name && o.ReplacedBy == "" {
 			state = o.State
 		}
 	}
--- a/internal/lab/emulator/standin_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -20,13 +20,13 @@
 
 const ms = time.Millisecond
 
-var kind = model.MachineType{Name: "std", Cores: 2, Speed: 1, Fills: 30, Most: 3, Setup: ms, Message: ms}
+var kind = model.MachineType{Name: "std", Cores: 2, Speed: 1, SessionsPerCore: 30, MaxSessions: 3, Setup: ms, Message: ms}
 
 func server(t *testing.T, k model.MachineType, started time.Duration) (*Server, *history.Log) {
 	t.Helper()
 	log, clock := history.New(1000), &Clock{}
 	clock.Begin()
-	s := NewServer(4, "s-4", k, model.Warmup{From: 0.1, For: 20 * time.Second, Multiple: 1, Within: time.Second}, 0, 0, started,
+	s := NewServer(4, "s-4", k, model.Warmup{Floor: 0.1, Window: 20 * time.Second, OverloadMultiple: 1, OverloadWindow: time.Second}, 0, 0, started,
 		NewStore(model.Store{}), clock, log, 1)
 	if err := s.Listen(); err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	c.want("UP 2a\r\n")
 	c.want("LOAD ")
 	_, _ = io.WriteString(c, "M 77\r\n")
-	if due, sent := echo([]byte(c.want("M 77 t="))); due != 77 || sent == 0 {
+	if due, sent := parseEcho([]byte(c.want("M 77 t="))); due != 77 || sent == 0 {
 		t.Fatal(due, sent)
 	}
 	dial(t, s.Addr(), "OPEN 2b 2 c=feed,d=900\r\n").want("UP 2b")
@@ -113,7 +113,7 @@
 	bad := dial(t, s.Addr(), "HELLO\r\n")
 	bad.want("SYNTAX\r\n")
 	bad.ends(false)
-	s.Set(func(m *model.Server) { m.ErrorRate = 1; m.Type.Most = 10 })
+	s.Set(func(m *model.Server) { m.ErrorRate = 1; m.Type.MaxSessions = 10 })
 	dial(t, s.Addr(), "OPEN 2e 2 c=feed,d=900\r\n").want("ERR\r\n")
 	s.Fail("crash")
 	if _, err := net.Dial("tcp", s.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -144,7 +144,7 @@
 	s.Misbehave(func(w *WireFaults) { *w = WireFaults{Drip: true} })
 	c = dial(t, s.Addr(), "PING\r\n")
 	began := time.Now()
-	if c.want("PONG\r\n"); time.Since(began) < 5*dripEach {
+	if c.want("PONG\r\n"); time.Since(began) < 5*dripInterval {
 		t.Fatal("it did not drip")
 	}
 	s.Misbehave(func(w *WireFaults) { *w = WireFaults{} })
@@ -160,7 +160,7 @@
 	c.ends(true)
 	s.Misbehave(func(w *WireFaults) { w.HalfOpen = true })
 	c = dial(t, s.Addr(), "PING\r\n")
-	for end := time.Now().Add(20 * time.Second); len(s.all()) == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(20 * time.Second); len(s.openSessions()) == 0 && time.Now().Before(end); {
 		time.Sleep(ms) // until it has taken the connection
 	}
 	s.Misbehave(func(w *WireFaults) { w.HalfOpen = false })
@@ -168,7 +168,7 @@
 }
 
 func TestAColdServerFallsOver(t *testing.T) {
-	s, log := server(t, model.MachineType{Cores: 1, Speed: 1, Fills: 2, Most: 100, Message: ms}, 0)
+	s, log := server(t, model.MachineType{Cores: 1, Speed: 1, SessionsPerCore: 2, MaxSessions: 100, Message: ms}, 0)
 	for id := 1; ; id++ {
 		c, err := net.Dial("tcp", s.Addr())
 		if err != nil {
@@ -213,12 +213,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go discovery.New(a.Addr(), 1, false, func(l discovery.List) { lists <- l }, func(err error) { errs <- err }).Run(ctx)
-	if l := <-lists; !l.Whole || len(l.Servers) != 1 || l.Servers[0].Heft != 2 {
+	if l := <-lists; !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Weight != 2 {
 		t.Fatal(l)
 	}
 	wait(t, log, history.Notified, "ready")
 	list.SetState(ctx, "s-9", Terminating, 0, false)
-	if l := <-lists; l.Whole || len(l.Servers) != 1 {
+	if l := <-lists; l.Complete || len(l.Endpoints) != 1 {
 		t.Fatal(l)
 	}
 	if e := wait(t, log, history.Notified, "draining"); e.Balancer != 2 || e.Server != 9 {
@@ -229,7 +229,7 @@
 		<-errs
 	}
 	a.Misbehave(Healthy)
-	if l := <-lists; !l.Whole {
+	if l := <-lists; !l.Complete {
 		t.Fatal(l)
 	}
 	a.UseHub(NewWatchHub(time.Hour, time.Millisecond))
@@ -274,7 +274,7 @@
 	_ = far.SetDeadline(time.Now().Add(20 * time.Second))
 	far.r = bufio.NewReader(far)
 	far.want("hello\n")
-	l.Set(func(c *Condition) { c.Late, c.Jitter = 100*ms, 50*ms })
+	l.Set(func(c *Condition) { c.Delay, c.Jitter = 100*ms, 50*ms })
 	began := time.Now()
 	for i := range 20 { // in order, whatever the jitter
 		_, _ = fmt.Fprintf(near, "%d\n", i)
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,5 +1,5 @@
-// Package history owns what the lab saw: events with their time, in order, bounded. Stand-ins and hosts write
-// them, judge and reports read them. It must never judge, and never ask a balancer for its view.
+// Package history owns what the lab observes: events with their time, in order, bounded. Emulators and hosts write
+// them, the checker and reports read them. It must never check rules, and never ask a balancer for its view.
 package history
 
 import (
@@ -23,8 +23,8 @@
 	Ended                       // a client has seen the end of its connection; Text: end or reset
 	Moved                       // a client has read MOVE
 	AttemptReceived             // a server has read a first line to its end; Len: since its first byte; Text: the key, on sockets
-	Ran                         // the effect of a circuit at its server; N: the receipt
-	AttemptEnded                // a try or open circuit is over at its server; Text: refused, server (ended there) or peer
+	Ran                         // the effect of a session at its server; Number: the receipt
+	AttemptEnded                // an attempt or session has ended at its server; Text: refused, server (ended there) or peer
 	Notified                    // the list with a server's state was written to a balancer; Text: ready, draining or gone
 	Started                     // a server's process; N: connections that fill it; Text: cold or warm
 	Stopped                     // it, or the way to it, answers nothing more; Text: crash, vanish, stop, link
@@ -43,17 +43,17 @@
 // Event is one of them. Balancer and Server are indices, -1 where none is meant; times count from the run's start.
 type Event struct {
 	At       time.Duration
-	Len      time.Duration
+	Duration time.Duration
 	Session  uint64
-	N        float64
+	Number   float64
 	Text     string
 	Balancer int32
 	Server   int32
-	Grade    int16
+	Class    int16
 	Kind     Kind
 }
 
-// Log gathers events of many writers. Most bounds it: beyond it events are dropped, and Lost tells how many.
+// Log collects the events of many writers. It is bounded: beyond that events are dropped, and Dropped counts them.
 type Log struct {
 	mu     sync.Mutex
 	events []Event
@@ -84,8 +84,8 @@
 	return all
 }
 
-// Lost is how many events found no room; a run with any can't be judged.
-func (l *Log) Lost() int {
+// Dropped returns the number of events that found no room; a run with any can't be checked.
+func (l *Log) Dropped() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lost
@@ -96,7 +96,7 @@
 	out := bufio.NewWriter(w)
 	for _, e := range events {
 		_, _ = fmt.Fprintf(out, "%d %s b%d s%d c%x g%d %d %g %s\n",
-			e.At.Nanoseconds(), e.Kind, e.Balancer, e.Server, e.Session, e.Grade, e.Len.Nanoseconds(), e.N, e.Text)
+			e.At.Nanoseconds(), e.Kind, e.Balancer, e.Server, e.Session, e.Class, e.Duration.Nanoseconds(), e.Number, e.Text)
 	}
 	return out.Flush()
 }
