--- a/internal/fleet/idempotency/golden_test.go
+++ b/internal/fleet/idempotency/golden_test.go
@@ -29,7 +29,7 @@
 	if v, _ := c.HandleResult(replication.Result{Outcome: replication.OutcomeCommitted, Record: replication.Record{Version: 4}}); v != Proceed {
 		t.Fatal(v)
 	}
-	note("tell", c.RecordAnswer([]byte("UP <1>")))
+	note("answer", c.RecordAnswer([]byte("UP <1>")))
 	note("withdraw", c.Withdraw())
 	c = New(0xabc, "second", 1700000000)
 	c.Begin("10.0.0.2:80")
--- a/internal/fleet/idempotency/idempotency_test.go
+++ b/internal/fleet/idempotency/idempotency_test.go
@@ -7,121 +7,177 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// world is one key in every state that two circuits and holders can bring about, walked whole.
+// phase is how far a session with a claim has come.
+type phase int
+
+const (
+	phaseNotBegun phase = iota
+	phaseRequesting
+	phaseMayWrite
+	phaseWritten
+	phaseRecording
+	phaseEnded
+	phaseWithdrawing
+)
+
+// world is one record with the two sessions that claim it; each is one state of the search.
 type world struct {
-	rec   replication.Record
-	own   [2]Claim
-	phase [2]int // 0 not begun, 1 asks, 2 may write, 3 wrote, 4 asks to tell, 5 ended
-	op    [2]replication.Operation
-	late  [2]replication.Operation // on its way yet, though nobody waits for it any more
-	ran   [2]bool
-	word  [2]string
+	record     replication.Record
+	claims     [2]Claim
+	phase      [2]phase
+	operations [2]replication.Operation
+	delayed    [2]replication.Operation // still on its way, though its session has given it up
+	ran        [2]bool
+	replies    [2]string
 }
 
-// apply is what the copies do with an operation, as one key's owner sees it.
-func apply(rec replication.Record, op replication.Operation) (replication.Record, replication.Result) {
-	there := rec.Version > 0 && !rec.Deleted
-	if there && op.ExpectedVersion != rec.Version || !there && op.ExpectedVersion != 0 {
-		return rec, replication.Result{OperationID: op.ID, Outcome: replication.OutcomeConflict, Record: rec}
+// apply is what the primary does with a write of the record.
+func apply(current replication.Record, op replication.Operation) (replication.Record, replication.Result) {
+	exists := current.Version > 0 && !current.Deleted
+	if exists && op.ExpectedVersion != current.Version || !exists && op.ExpectedVersion != 0 {
+		return current, replication.Result{OperationID: op.ID, Outcome: replication.OutcomeConflict, Record: current}
 	}
-	rec = replication.Record{Key: op.Key, Version: rec.Version + 1, Value: op.Value, OperationID: op.ID}
-	return rec, replication.Result{OperationID: op.ID, Outcome: replication.OutcomeCommitted, Record: rec}
+	next := replication.Record{Key: op.Key, Version: current.Version + 1, Value: op.Value, OperationID: op.ID}
+	return next, replication.Result{OperationID: op.ID, Outcome: replication.OutcomeCommitted, Record: next}
 }
 
+// String identifies a state of the search.
 func (w world) String() string {
-	return fmt.Sprint(w.op[0].ReadOnly, w.op[1].ReadOnly, w.own[0].isLost, w.own[1].isLost, w.own[0].isOwner, w.own[1].isOwner, string(w.rec.Value), w.rec.Version, w.phase, w.ran, w.word, w.own[0].goal, w.own[1].goal, w.own[0].version, w.own[1].version,
-		w.own[0].steps, w.own[1].steps, w.op[0].ExpectedVersion, w.op[1].ExpectedVersion, string(w.op[0].Value), string(w.op[1].Value),
-		w.late[0].ID, w.late[1].ID, w.late[0].ExpectedVersion, w.late[1].ExpectedVersion)
+	text := fmt.Sprint(string(w.record.Value), w.record.Version, w.phase, w.ran, w.replies)
+	for i := range 2 {
+		claim := w.claims[i]
+		text += fmt.Sprint(" claim ", claim.isLost, claim.isOwner, claim.goal, claim.version, claim.steps)
+		op := w.operations[i]
+		text += fmt.Sprint(" operation ", op.ReadOnly, op.ExpectedVersion, string(op.Value))
+		text += fmt.Sprint(" delayed ", w.delayed[i].ID, w.delayed[i].ExpectedVersion)
+	}
+	return text
 }
 
-// next are all worlds that one step leads to: an operation takes hold and is heard of, takes hold and is not, or does not; a
-// circuit that may write writes, or its process stalls for good.
-func (w world) next() (all []world) {
+// successors are all states that one step of either session leads to.
+func (w world) successors() []world {
+	var all []world
 	for i := range 2 {
-		if w.late[i].ID != "" {
-			n := w
-			n.rec, _ = apply(w.rec, w.late[i])
-			n.late[i] = replication.Operation{}
-			all = append(all, n)
-		}
-		switch w.phase[i] {
-		case 0:
-			n := w
-			n.op[i] = n.own[i].Begin("s")
-			n.phase[i] = 1
-			all = append(all, n)
-		case 1, 4:
-			rec, res := apply(w.rec, w.op[i])
-			heard := w
-			heard.rec = rec
-			heard.hear(i, res)
-			lost := w // done, and nobody hears
-			lost.rec = rec
-			lost.hear(i, replication.Result{Outcome: replication.OutcomeUnknown})
-			refused, delayed := w, w
-			refused.hear(i, replication.Result{Outcome: replication.OutcomeRejected})
-			delayed.hear(i, replication.Result{Outcome: replication.OutcomeUnknown})
-			delayed.late[i] = w.op[i]
-			all = append(all, heard, lost, refused, delayed)
-		case 2:
-			wrote, stalls := w, w
-			wrote.ran[i], wrote.phase[i] = true, 3
-			stalls.phase[i] = 5
-			all = append(all, wrote, stalls)
-		case 6: // nacked: it withdraws, heard of or not
-			rec, res := w.rec, replication.Result{Outcome: replication.OutcomeConflict, Record: w.rec}
-			if !w.op[i].ReadOnly {
-				rec, res = apply(w.rec, w.op[i])
-			}
-			heard, stops := w, w
-			heard.rec = rec
-			if v, op := heard.own[i].HandleResult(res); v == Wait {
-				heard.op[i] = op
-			} else {
-				heard.phase[i] = 5
-			}
-			stops.phase[i] = 5
-			all = append(all, heard, stops)
-		case 3: // the server says UP, or the process ends
-			up, ends := w, w
-			up.op[i] = up.own[i].RecordAnswer([]byte("UP"))
-			up.phase[i] = 4
-			ends.phase[i] = 5
-			all = append(all, up, ends)
+		if w.delayed[i].ID != "" {
+			arrived := w
+			arrived.record, _ = apply(w.record, w.delayed[i])
+			arrived.delayed[i] = replication.Operation{}
+			all = append(all, arrived)
 		}
+		all = append(all, w.sessionSteps(i)...)
 	}
 	return all
 }
 
-func (w *world) hear(i int, r replication.Result) {
-	v, op := w.own[i].HandleResult(r)
-	switch v {
+// sessionSteps are the states after one step of session i.
+func (w world) sessionSteps(i int) []world {
+	switch w.phase[i] {
+	case phaseNotBegun:
+		begun := w
+		begun.operations[i] = begun.claims[i].Begin("s")
+		begun.phase[i] = phaseRequesting
+		return []world{begun}
+	case phaseRequesting, phaseRecording:
+		return w.operationOutcomes(i)
+	case phaseMayWrite:
+		wrote := w
+		wrote.ran[i] = true
+		wrote.phase[i] = phaseWritten
+		return []world{wrote, w.stopped(i)}
+	case phaseWritten:
+		answered := w
+		answered.operations[i] = answered.claims[i].RecordAnswer([]byte("UP"))
+		answered.phase[i] = phaseRecording
+		return []world{answered, w.stopped(i)}
+	case phaseWithdrawing:
+		return []world{w.withdrawn(i), w.stopped(i)}
+	}
+	return nil
+}
+
+// stopped is the state after session i's process has stopped.
+func (w world) stopped(i int) world {
+	w.phase[i] = phaseEnded
+	return w
+}
+
+// operationOutcomes are the states after session i's operation: committed with and without its result, rejected, and delayed.
+func (w world) operationOutcomes(i int) []world {
+	record, result := apply(w.record, w.operations[i])
+	committed := w
+	committed.record = record
+	committed.handle(i, result)
+
+	resultLost := w
+	resultLost.record = record
+	resultLost.handle(i, replication.Result{Outcome: replication.OutcomeUnknown})
+
+	rejected := w
+	rejected.handle(i, replication.Result{Outcome: replication.OutcomeRejected})
+
+	delayed := w
+	delayed.handle(i, replication.Result{Outcome: replication.OutcomeUnknown})
+	delayed.delayed[i] = w.operations[i]
+	return []world{committed, resultLost, rejected, delayed}
+}
+
+// withdrawn is the state after session i's withdrawal, which nobody waits for.
+func (w world) withdrawn(i int) world {
+	record := w.record
+	result := replication.Result{Outcome: replication.OutcomeConflict, Record: w.record}
+	if !w.operations[i].ReadOnly {
+		record, result = apply(w.record, w.operations[i])
+	}
+	w.record = record
+	if decision, op := w.claims[i].HandleResult(result); decision == Wait {
+		w.operations[i] = op
+	} else {
+		w.phase[i] = phaseEnded
+	}
+	return w
+}
+
+// handle gives session i the result of its operation.
+func (w *world) handle(i int, r replication.Result) {
+	decision, op := w.claims[i].HandleResult(r)
+	switch decision {
 	case Wait:
-		w.op[i] = op
+		w.operations[i] = op
 	case Proceed:
-		w.phase[i] = 2
+		w.phase[i] = phaseMayWrite
 	case Recorded:
-		w.phase[i], w.word[i] = 5, "UP"
+		w.end(i, "UP")
 	case Unavailable:
-		if w.phase[i] == 4 { // it ran: what the server said is told
-			w.word[i] = "UP"
-			w.phase[i] = 5
-			return
-		}
-		w.word[i], w.phase[i] = "BUSY", 5
-		if w.own[i].NeedsWithdrawal() {
-			w.phase[i], w.op[i] = 6, w.own[i].Withdraw()
-		}
+		w.handleUnavailable(i)
 	default:
-		w.phase[i], w.word[i] = 5, map[Decision]string{Replay: "same", Abandoned: "ERR"}[v]
+		w.end(i, map[Decision]string{Replay: "same", Abandoned: "ERR"}[decision])
+	}
+}
+
+func (w *world) handleUnavailable(i int) {
+	if w.phase[i] == phaseRecording { // it ran: the client gets the answer even so
+		w.end(i, "UP")
+		return
 	}
+	w.end(i, "BUSY")
+	if w.claims[i].NeedsWithdrawal() {
+		w.phase[i] = phaseWithdrawing
+		w.operations[i] = w.claims[i].Withdraw()
+	}
+}
+
+func (w *world) end(i int, reply string) {
+	w.replies[i] = reply
+	w.phase[i] = phaseEnded
 }
 
-// TestNothingRunsTwice walks every state of two owners of one id. Guards against a second owner that runs what the first has run
-// or may run yet, and one that tells of an answer that there was none.
+// TestNothingRunsTwice visits every state of two sessions with the same idempotency key: at most one of them may write to an endpoint,
+// and none may replay an answer that never was given.
 func TestNothingRunsTwice(t *testing.T) {
-	begin := world{own: [2]Claim{*New(7, "a", 1), *New(7, "b", 1)}}
-	seen, queue, depth := map[string]bool{begin.String(): true}, []world{begin}, 0
+	begin := world{claims: [2]Claim{*New(7, "a", 1), *New(7, "b", 1)}}
+	seen := map[string]bool{begin.String(): true}
+	queue := []world{begin}
+	depth := 0
 	ran := 0
 	for len(queue) > 0 {
 		var more []world
@@ -130,14 +186,14 @@
 				t.Fatalf("both ran: %v", w)
 			}
 			for i := range 2 {
-				if w.word[i] == "same" && !w.ran[1-i] {
+				if w.replies[i] == "same" && !w.ran[1-i] {
 					t.Fatalf("an answer to what never ran: %v", w)
 				}
 				if w.ran[i] {
 					ran++
 				}
 			}
-			for _, n := range w.next() {
+			for _, n := range w.successors() {
 				if k := n.String(); !seen[k] {
 					seen[k] = true
 					more = append(more, n)
--- a/internal/fleet/store/look_test.go
+++ b/internal/fleet/store/inspect_test.go
@@ -10,8 +10,8 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// TestALookChangesNothing reads a directory that a process has, and one that nobody has.
-func TestALookChangesNothing(t *testing.T) {
+// TestInspectChangesNothing inspects a directory that a process uses, and one that nobody uses.
+func TestInspectChangesNothing(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Inspect(dir); err == nil {
 		t.Error("a directory without a file")
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Inspect(dir); err == nil {
-		t.Error("read while a process has it")
+		t.Error("inspected while a process uses it")
 	}
 	_ = s.Close()
 	before, _ := os.ReadFile(filepath.Join(dir, "holdings.db"))
@@ -33,6 +33,6 @@
 		t.Error(got, err)
 	}
 	if after, _ := os.ReadFile(filepath.Join(dir, "holdings.db")); string(after) != string(before) {
-		t.Error("it was changed")
+		t.Error("the file was changed")
 	}
 }
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -19,8 +19,8 @@
 	return replication.Record{Key: key, Version: version, Value: []byte("v"), OperationID: fmt.Sprint("o", version), PastOperationIDs: []string{"p"}}
 }
 
-// TestWhatIsWrittenIsRead writes shards and the log over each other and opens the file anew after each.
-func TestWhatIsWrittenIsRead(t *testing.T) {
+// TestReadAfterWrite writes shards and the log several times over, and opens the file again after each write.
+func TestReadAfterWrite(t *testing.T) {
 	dir := t.TempDir()
 	b1, b2 := replication.Ballot{Configuration: 1, Incarnation: 1}, replication.Ballot{Configuration: 2, Incarnation: 7}
 	for _, c := range []struct {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestFilesThatAreRefused spoils one record, and the format.
-func TestFilesThatAreRefused(t *testing.T) {
+// TestOpenRejectsDamagedFiles damages a record, moves one to another key, and sets a newer format.
+func TestOpenRejectsDamagedFiles(t *testing.T) {
 	for want, spoil := range map[string]func(tx *bbolt.Tx) error{
 		"newer program": func(tx *bbolt.Tx) error {
 			return tx.Bucket(metaBucket).Put([]byte("format"), []byte{FormatVersion + 1})
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestAfterAFailureNothingIsWritten closes the file under the store. A member must not go on confirming once its disk
-// has failed.
-func TestAfterAFailureNothingIsWritten(t *testing.T) {
+// TestWriteErrorIsFinal closes the file behind the store: after a failed write every later one fails, as what is on disk is not
+// known.
+func TestWriteErrorIsFinal(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir)
 	if err != nil {
