--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -131,8 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.descriptors.Add(1) > limit { // counted before it is opened, as dials run at the same time
-		r.descriptors.Add(-1)
+	if !r.reserveDescriptor(limit) {
 		return nil, ErrDescriptorLimit
 	}
 	c, err := r.connect(resolved, wanted, data)
@@ -143,6 +142,20 @@
 	return c, nil
 }
 
+// reserveDescriptor counts a descriptor before it is opened, as dials run at the same time. It reports false, and counts none, at the
+// limit.
+func (r *Relay) reserveDescriptor(limit int64) bool {
+	for {
+		count := r.descriptors.Load()
+		if count >= limit {
+			return false
+		}
+		if r.descriptors.CompareAndSwap(count, count+1) {
+			return true
+		}
+	}
+}
+
 // connect begins a connection whose descriptor is counted. After an error it still is.
 func (r *Relay) connect(to *net.TCPAddr, wanted func() bool, data any) (*Conn, error) {
 	family, address := socketAddress(to)
