--- a/cmd/testbed/balancer.go
+++ b/cmd/testbed/balancer.go
@@ -1,5 +1,3 @@
-// This file owns the lab's own balancer as a process: a baseline, or one broken on purpose.
-
 package main
 
 import (
@@ -15,38 +13,42 @@
 	"sabletally/internal/lab/reference"
 )
 
+// drainTime is the time between the signal to end and the end of the balancer, in which its sessions migrate.
+const drainTime = 5 * time.Second
+
+// balancerCmd runs the reference balancer: with a baseline policy, or with a fault that the checker must find.
 type balancerCmd struct {
-	Policy string `default:"random" help:"Policy behind it."`
-	Broken string `help:"How it is broken."`
+	Policy string `default:"random" help:"Policy of the balancer."`
+	Broken string `help:"Fault of the balancer."`
 }
 
 func (c *balancerCmd) Run(*lab) error {
-	s, err := deployment.ReadNodeConfig(os.Getenv, nil)
+	config, err := deployment.ReadNodeConfig(os.Getenv, nil)
 	if err != nil {
 		return err
 	}
 	if c.Broken != "" {
 		c.Policy = baseline.Random
 	}
-	h, err := reference.New(s, c.Policy, c.Broken)
+	balancer, err := reference.New(config, c.Policy, c.Broken)
 	if err != nil {
 		return err
 	}
-	ln, err := net.Listen("tcp", s.Listen)
+	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		return err
 	}
-	// The signal ends this process only once its clients are moved, not at once as it ends the other commands.
+	// A signal ends this command only after its sessions have migrated; it ends the other commands at once.
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	leave := make(chan os.Signal, 1)
-	signal.Notify(leave, syscall.SIGTERM, os.Interrupt)
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
 	signal.Ignore(syscall.SIGHUP)
 	go func() {
-		<-leave
-		h.StartDraining()
-		time.Sleep(5 * time.Second)
+		<-terminate
+		balancer.StartDraining()
+		time.Sleep(drainTime)
 		stop()
 	}()
-	return h.Run(ctx, ln, s.Discovery)
+	return balancer.Run(ctx, listener, config.Discovery)
 }
--- a/cmd/testbed/count.go
+++ b/cmd/testbed/count.go
@@ -1,5 +1,3 @@
-// This file owns the count over balancers' logs: which files are read, and the tables as they are printed.
-
 package main
 
 import (
@@ -15,80 +13,121 @@
 	"sabletally/internal/lab/logstats"
 )
 
+const rowsByServer = "servers" // the value of --by for a table of connections by server
+
+// countCmd prints statistics of the debug logs of many balancers.
 type countCmd struct {
-	Logs []string      `arg:"" help:"Files or folders of debug logs, a file a balancer." type:"existingfile|existingdir"`
+	Logs []string      `arg:"" help:"Files or folders of debug logs, one file for each balancer." type:"existingfile|existingdir"`
 	Step time.Duration `help:"Length of a row." default:"1s"`
-	By   string        `help:"What a row tells: what happened, or connections at each server." enum:"time,servers" default:"time"`
-	JSON bool          `help:"All that was counted, as JSON." name:"json"`
+	By   string        `help:"Content of a row: counts of events, or connections by server." enum:"time,servers" default:"time"`
+	JSON bool          `help:"Print all statistics as JSON." name:"json"`
 }
 
 func (c *countCmd) Run() error {
-	var r logstats.Reader
+	var reader logstats.Reader
 	for _, path := range c.Logs {
-		files := []string{path}
-		if info, err := os.Stat(path); err != nil {
+		files, err := logFiles(path)
+		if err != nil {
 			return err
-		} else if info.IsDir() {
-			if files, err = filepath.Glob(filepath.Join(path, "*.log")); err != nil {
-				return err
-			}
-			if len(files) == 0 {
-				return fmt.Errorf("%s holds no *.log", path)
-			}
 		}
 		for _, name := range files {
-			if err := readLog(&r, name); err != nil {
+			if err := readLog(&reader, name); err != nil {
 				return err
 			}
 		}
 	}
-	f, err := r.Sum(c.Step)
+	stats, err := reader.Sum(c.Step)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(f)
+		return json.NewEncoder(os.Stdout).Encode(stats)
 	}
-	if len(f.Rows) == 0 {
+	if len(stats.Rows) == 0 {
 		return errors.New("no log line of a balancer; were they started with SABLETALLY_LOG=debug?")
 	}
-	return printFleet(os.Stdout, f, c.By == "servers")
+	if c.By == rowsByServer {
+		return printServers(os.Stdout, stats)
+	}
+	return printEvents(os.Stdout, stats)
+}
+
+// logFiles returns the path itself, or the logs in it if it is a directory.
+func logFiles(path string) ([]string, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if !info.IsDir() {
+		return []string{path}, nil
+	}
+	files, err := filepath.Glob(filepath.Join(path, "*.log"))
+	if err != nil {
+		return nil, err
+	}
+	if len(files) == 0 {
+		return nil, fmt.Errorf("%s holds no *.log", path)
+	}
+	return files, nil
 }
 
-func readLog(r *logstats.Reader, name string) error {
+func readLog(reader *logstats.Reader, name string) error {
 	log, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }()
-	return r.Read(name, log)
+	defer func() { _ = log.Close() }() // nothing was written
+	return reader.Read(name, log)
 }
 
-func printFleet(to io.Writer, f *logstats.Fleet, servers bool) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
-	head := f.Names
-	if !servers {
-		head = append(logstats.Names[:], "held", "places", "half-within", "nine-in-ten")
+// logTable prints a table of log statistics. Write errors are reported when it is closed.
+type logTable struct{ *tabwriter.Writer }
+
+func newLogTable(to io.Writer, columns ...string) logTable {
+	t := logTable{tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)}
+	t.cell("at")
+	for _, name := range columns {
+		t.cell(name)
 	}
-	_, _ = fmt.Fprint(w, "at\t")
-	for _, name := range head {
-		_, _ = fmt.Fprint(w, name, "\t")
+	t.endRow()
+	return t
+}
+
+func (t logTable) cell(value any) { _, _ = fmt.Fprint(t, value, "\t") }
+
+func (t logTable) endRow() { _, _ = fmt.Fprintln(t) }
+
+func (t logTable) close(stats *logstats.Fleet) error {
+	_, _ = fmt.Fprintf(t, "%d logs, %d lines unread\n", stats.Logs, stats.Unread)
+	return t.Flush()
+}
+
+// printServers prints the connections of each server over time.
+func printServers(to io.Writer, stats *logstats.Fleet) error {
+	table := newLogTable(to, stats.Names...)
+	for _, row := range stats.Rows {
+		table.cell(row.At)
+		for _, name := range stats.Names {
+			table.cell(row.Servers[name])
+		}
+		table.endRow()
 	}
-	_, _ = fmt.Fprintln(w)
-	for _, row := range f.Rows {
-		_, _ = fmt.Fprint(w, row.At, "\t")
-		if servers {
-			for _, name := range f.Names {
-				_, _ = fmt.Fprint(w, row.Servers[name], "\t")
-			}
-		} else {
-			for _, n := range row.Columns {
-				_, _ = fmt.Fprint(w, n, "\t")
-			}
-			_, _ = fmt.Fprintf(w, "%d\t%.2f\t%v\t%v\t", row.Sessions, row.Places, row.Middle.Round(time.Millisecond), row.Late.Round(time.Millisecond))
+	return table.close(stats)
+}
+
+// printEvents prints the counts of events over time.
+func printEvents(to io.Writer, stats *logstats.Fleet) error {
+	table := newLogTable(to, append(logstats.Names[:], "held", "places", "half-within", "nine-in-ten")...)
+	for _, row := range stats.Rows {
+		table.cell(row.At)
+		for _, count := range row.Columns {
+			table.cell(count)
 		}
-		_, _ = fmt.Fprintln(w)
+		table.cell(row.Sessions)
+		table.cell(fmt.Sprintf("%.2f", row.Places))
+		table.cell(row.Middle.Round(time.Millisecond))
+		table.cell(row.Late.Round(time.Millisecond))
+		table.endRow()
 	}
-	_, _ = fmt.Fprintf(w, "%d logs, %d lines unread\n", f.Logs, f.Unread)
-	return w.Flush()
+	return table.close(stats)
 }
--- a/cmd/testbed/drawsite.go
+++ b/cmd/testbed/drawsite.go
@@ -1,5 +1,3 @@
-// This file owns the command that draws a deployment for the bench: which file is read, and where the drawn one is written.
-
 package main
 
 import (
@@ -8,8 +6,9 @@
 	"sabletally/internal/lab/sitefile"
 )
 
+// drawSiteCmd prints a deployment drawn at random.
 type drawSiteCmd struct {
-	Base string        `arg:"" help:"Site file whose other figures are kept." type:"existingfile"`
+	Base string        `arg:"" help:"Site file that provides all other figures." type:"existingfile"`
 	Seed uint64        `help:"The same seed draws the same deployment." default:"1"`
 	Size sitefile.Size `help:"Connections that fill a core: small is 2 to 16, large 16 to 400." enum:"any,small,large" default:"any"`
 }
@@ -19,11 +18,11 @@
 	if err != nil {
 		return err
 	}
-	d, err := sitefile.NewDrawer(c.Seed, c.Size)
+	drawer, err := sitefile.NewDrawer(c.Seed, c.Size)
 	if err != nil {
 		return err
 	}
-	drawn, err := d.Apply(base)
+	drawn, err := drawer.Apply(base)
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/cmd/testbed/feed_clients.go
@@ -0,0 +1,101 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"time"
+
+	"go.uber.org/zap"
+
+	"sabletally/internal/fleet"
+	"sabletally/internal/fleet/boottime"
+	"sabletally/internal/fleet/changefeed"
+	"sabletally/internal/fleet/subscriber"
+)
+
+type (
+	subscriberClient = subscriber.Client
+	subscriberStatus = subscriber.Status
+)
+
+var errNoResponse = errors.New("no response")
+
+// openFeedClient starts an incarnation of a hollow balancer. onApplied is called with each version that it has from then on; of a
+// snapshot, that is only the version at which it ends.
+func openFeedClient(config *hollowConfig, balancer hollowBalancer, onApplied func(version uint64)) feedClient {
+	return subscriber.Open(subscriber.Options{
+		Fleet:       config.Fleet,
+		Name:        balancer.Name,
+		ID:          balancer.Name,
+		Incarnation: balancer.Incarnation,
+		Machine:     balancer.Machine,
+		Zone:        balancer.Zone,
+		Site:        balancer.Site,
+		Seeds:       config.Seeds,
+		Seed:        config.Seed + uint64(balancer.Index)*7919 + balancer.Incarnation,
+		Now:         boottime.Now,
+		Log:         zap.NewNop(),
+		OnUpdate:    func(update changefeed.Update) { onApplied(update.Version) },
+	})
+}
+
+// operatorClients are the clients through which an operator would put settings. They have failure domains of their own.
+type operatorClients struct{ clients []*subscriberClient }
+
+const operatorClientCount = 2
+
+func openOperatorClients(seeds []netip.AddrPort, seed uint64) *operatorClients {
+	o := &operatorClients{}
+	for i := range operatorClientCount {
+		name := fmt.Sprintf("tool-%d", i)
+		o.clients = append(o.clients, subscriber.Open(subscriber.Options{
+			Fleet:       scaleFleet,
+			Name:        name,
+			ID:          name,
+			Incarnation: 1,
+			Machine:     "m-" + name,
+			Zone:        name,
+			Site:        name,
+			Seeds:       seeds,
+			Seed:        seed + uint64(i),
+			Now:         boottime.Now,
+			Log:         zap.NewNop(),
+		}))
+	}
+	return o
+}
+
+// put makes one attempt to put a value and returns the version that it got. Attempts with the same operationID take effect once.
+func (o *operatorClients) put(ctx context.Context, attempt int, key string, value []byte, operationID string) (version uint64, err error) {
+	responses := make(chan changefeed.PutResponse, 1)
+	client := o.clients[attempt%len(o.clients)]
+	request := changefeed.PutRequest{OperationID: operationID, Key: key, Value: value, Unconditional: true}
+	client.Put(request, putTimeout, func(response changefeed.PutResponse) { responses <- response })
+	select {
+	case response := <-responses:
+		if response.RejectReason != "" {
+			return 0, errors.New(response.RejectReason)
+		}
+		return response.Version, nil
+	case <-time.After(2 * putTimeout):
+		return 0, errNoResponse
+	case <-ctx.Done():
+		return 0, ctx.Err()
+	}
+}
+
+func (o *operatorClients) close() {
+	for _, client := range o.clients {
+		client.Close()
+	}
+}
+
+// publisherState is the state that a control process publishes, zero if it has no publisher.
+func publisherState(report *fleet.Report) feedState {
+	if report.Publisher == nil {
+		return feedState{}
+	}
+	return feedState{Version: report.Publisher.Version, Digest: report.Publisher.Digest}
+}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed is the lab: worlds of stand-ins, load and faults round balancers under test, judged from what the
-// stand-ins saw. It must never be needed to run a balancer.
+// Command testbed runs balancers under test among emulated clients and servers, with load and faults, and checks the rules from what
+// the emulators saw. It must never be needed to run a balancer.
 package main
 
 import (
@@ -20,48 +20,48 @@
 
 // Exit codes.
 const (
-	exitKept    = 0
-	exitFailure = 1 // the lab itself could not do it
-	exitBadFile = 2 // or a bad argument
-	exitBroken  = 3
+	exitPassed     = 0
+	exitFailure    = 1 // the testbed itself failed, or a target was missed
+	exitBadFile    = 2 // or a bad argument
+	exitRuleBroken = 3
 )
 
-// errBroken says that a run broke a rule.
-var errBroken = errors.New("a rule was broken")
+// errRuleBroken is returned if a run broke a rule; the verdict is printed before.
+var errRuleBroken = errors.New("a rule was broken")
 
-// lab is what the subcommands share.
+// lab is shared by the subcommands.
 type lab struct {
 	ctx  context.Context
-	self string // this binary, which is also the host of baselines
+	self string // this binary, which also runs the reference balancer
 }
 
-// beside finds a program next to this one.
-func (l *lab) beside(name string) string { return filepath.Join(filepath.Dir(l.self), name) }
+// siblingProgram is the path of a program in the directory of this one.
+func (l *lab) siblingProgram(name string) string { return filepath.Join(filepath.Dir(l.self), name) }
 
-// terminal tells whether standard error is one: only then is progress shown.
-func terminal() bool {
+// isTerminal reports whether standard error is a terminal: only then is progress shown.
+func isTerminal() bool {
 	_, err := unix.IoctlGetTermios(int(os.Stderr.Fd()), unix.TCGETS)
 	return err == nil
 }
 
-// progress shows a line that the next one replaces; "" clears it.
+// progress shows a line that replaces the one before; "" clears it.
 func progress(format string, args ...any) {
-	if terminal() {
+	if isTerminal() {
 		fmt.Fprintf(os.Stderr, "\r\x1b[K"+format, args...)
 	}
 }
 
 var cli struct {
-	Demo       demoCmd       `cmd:"" help:"Start a small world, one balancer and load, drain one server, crash another, and judge."`
-	Run        runCmd        `cmd:"" help:"Run an experiment and judge it. Exit code 3: a rule was broken; 2: a bad file."`
+	Demo       demoCmd       `cmd:"" help:"Run a small world with one balancer and load, drain one server, crash another, and check the rules."`
+	Run        runCmd        `cmd:"" help:"Run an experiment and check the rules. Exit code 3: a rule was broken; 2: a bad file."`
 	Check      checkCmd      `cmd:"" help:"Check experiment files."`
-	Count      countCmd      `cmd:"" help:"Add up the debug logs of many balancers, over time or by server."`
-	Throughput throughputCmd `cmd:"" help:"Set-ups and lines a second, latency and memory, by cores and against no balancer at all."`
-	Scale      scaleCmd      `cmd:"" help:"Real control processes and many hollow balancers that follow them: how late changes are in force, and what it costs. Exit code 1: not kept; 2: a bad argument."`
-	DrawSite   drawSiteCmd   `cmd:"" help:"Draw a deployment for the bench by a seed, from wider ranges than any one has; printed."`
-	Hollow     hollowCmd     `cmd:"" hidden:"" help:"Hollow balancers of a scale test, told by standard input."`
-	Fronts     frontsCmd     `cmd:"" hidden:"" help:"What stands before the control processes of one region of a scale test, told by standard input."`
-	Balancer   balancerCmd   `cmd:"" hidden:"" help:"The lab's own balancer: a baseline policy, or one broken on purpose."`
+	Count      countCmd      `cmd:"" help:"Sum up the debug logs of many balancers, over time or by server."`
+	Throughput throughputCmd `cmd:"" help:"Set-ups and lines per second, latency and memory, by number of cores and compared with no balancer."`
+	Scale      scaleCmd      `cmd:"" help:"Real control processes and many hollow balancers that subscribe to them: latency and cost of configuration changes. Exit code 1: a target was missed; 2: a bad argument."`
+	DrawSite   drawSiteCmd   `cmd:"" help:"Print a deployment drawn at random, from wider ranges than any real one has."`
+	Hollow     hollowCmd     `cmd:"" hidden:"" help:"Hollow balancers of a scale test, controlled by standard input."`
+	Fronts     forwardersCmd `cmd:"" hidden:"" help:"Forwarders before the control processes of one region of a scale test, controlled by standard input."`
+	Balancer   balancerCmd   `cmd:"" hidden:"" help:"The reference balancer: with a baseline policy, or with a deliberate fault."`
 }
 
 func main() {
@@ -72,26 +72,26 @@
 		fmt.Fprintln(os.Stderr, "testbed:", err)
 		os.Exit(exitFailure)
 	}
-	k := kong.Parse(&cli, kong.Name("testbed"), kong.UsageOnError(), kong.Exit(func(code int) {
+	command := kong.Parse(&cli, kong.Name("testbed"), kong.UsageOnError(), kong.Exit(func(code int) {
 		os.Exit(min(code, exitBadFile)) // kong's own code for a bad argument is 80
 	}), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
-		kong.Description("A world of stand-ins round balancers under test, on loopback or in virtual time, judged by the four rules."))
-	err = k.Run(&lab{ctx: ctx, self: self})
+		kong.Description("Balancers under test among emulated clients and servers, on loopback or in virtual time, checked against the four rules."))
+	err = command.Run(&lab{ctx: ctx, self: self})
 	progress("")
-	var faults hclconfig.Diagnostics
-	var bad scale.BadArgument
+	var diagnostics hclconfig.Diagnostics
+	var badArgument scale.BadArgument
 	switch {
 	case err == nil:
-		os.Exit(exitKept)
-	case errors.Is(err, errBroken):
-		os.Exit(exitBroken)
-	case errors.Is(err, errNotKept): // which is printed
+		os.Exit(exitPassed)
+	case errors.Is(err, errRuleBroken):
+		os.Exit(exitRuleBroken)
+	case errors.Is(err, errTargetMissed): // its verdict is printed
 		os.Exit(exitFailure)
-	case errors.As(err, &bad):
-		fmt.Fprintln(os.Stderr, "testbed:", bad)
+	case errors.As(err, &badArgument):
+		fmt.Fprintln(os.Stderr, "testbed:", badArgument)
 		os.Exit(exitBadFile)
-	case errors.As(err, &faults):
-		fmt.Fprintln(os.Stderr, faults)
+	case errors.As(err, &diagnostics):
+		fmt.Fprintln(os.Stderr, diagnostics)
 		os.Exit(exitBadFile)
 	default:
 		fmt.Fprintln(os.Stderr, "testbed:", err)
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -14,7 +14,7 @@
 	"sabletally/internal/lab/experiment"
 )
 
-// TestMain is the program itself where a test starts it.
+// TestMain runs the program itself in processes that a test starts.
 func TestMain(m *testing.M) {
 	if os.Getenv("SABLELAB_CHILD") == "" {
 		os.Exit(m.Run())
@@ -22,8 +22,8 @@
 	main()
 }
 
-// play runs the experiment of broken balancers with one balancer, for a shorter time.
-func play(t *testing.T, args ...string) checker.Verdict {
+// runBroken runs the experiment of broken balancers with one balancer, for a shorter time.
+func runBroken(t *testing.T, args ...string) checker.Verdict {
 	t.Helper()
 	x, err := experiment.Load("../../lab/experiments/broken.hcl")
 	if err != nil {
@@ -40,18 +40,18 @@
 		t.Fatal(err)
 	}
 	if v.Sessions < 50 {
-		t.Fatalf("%d circuits", v.Sessions)
+		t.Fatalf("%d sessions", v.Sessions)
 	}
 	return v
 }
 
-// TestBrokenBalancersAreCaught wants each found out by the right rule, and by no other.
-func TestBrokenBalancersAreCaught(t *testing.T) {
+// TestBrokenBalancersBreakTheirRule: each deliberate fault breaks its own rule, and no other.
+func TestBrokenBalancersBreakTheirRule(t *testing.T) {
 	for broken, rule := range map[string]checker.Rule{"answers-twice": checker.OneFinalAnswer, "never-answers": checker.OneFinalAnswer,
 		"two-tries": checker.NoDuplicateEffect, "sends-to-drained": checker.DrainRespected} {
 		t.Run(broken, func(t *testing.T) {
 			t.Parallel()
-			v := play(t, "--broken", broken)
+			v := runBroken(t, "--broken", broken)
 			if len(v.Violations) < 5 {
 				t.Fatal(v)
 			}
@@ -64,12 +64,12 @@
 	}
 }
 
-// TestTheLabsHostKeepsTheRules has what the broken ones are made of keep them, under each policy.
-func TestTheLabsHostKeepsTheRules(t *testing.T) {
+// TestBaselinesKeepTheRules runs the reference balancer without a fault, with each policy.
+func TestBaselinesKeepTheRules(t *testing.T) {
 	for _, name := range baseline.Names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if v := play(t, "--policy", name); !v.Passed() {
+			if v := runBroken(t, "--policy", name); !v.Passed() {
 				t.Fatal(v, v.Violations[0])
 			}
 		})
@@ -94,11 +94,11 @@
 		code int
 		want string
 	}{
-		{small, exitKept, "verdict ours seed 1: kept"},
+		{small, exitPassed, "verdict ours seed 1: kept"},
 		{strings.Replace(small, "count = 3", "count = -3", 1), exitBadFile, "x.hcl:6:26: count: -3 lies outside 1 to 5000"},
-		// A server that fills by four connections starts cold and gets all that come.
+		// The capacity of the server is four connections; it restarts cold and receives all clients.
 		{strings.NewReplacer("{ count = 3 }", "{\n count = 1\n cores = 1\n fills = 4\n }").Replace(small) +
-			"fault \"crash\" {\n at = \"1s\"\n for = \"500ms\"\n part = 1\n}\narm \"hash\" { policy = \"hash\" }\n", exitBroken, "4 cold servers are spared"},
+			"fault \"crash\" {\n at = \"1s\"\n for = \"500ms\"\n part = 1\n}\narm \"hash\" { policy = \"hash\" }\n", exitRuleBroken, "4 cold servers are spared"},
 	} {
 		dir := t.TempDir()
 		if err := os.WriteFile(dir+"/x.hcl", []byte(c.text), 0o600); err != nil {
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -1,20 +1,17 @@
-// This file owns experiments: arms and seeds interleaved, the report, and what they exit with.
-
 package main
 
 import (
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"strings"
 	"sync"
 	"time"
 
 	"sabletally/internal/hclconfig"
-	"sabletally/internal/lab/checker"
 	"sabletally/internal/lab/cluster"
 	"sabletally/internal/lab/experiment"
 	"sabletally/internal/lab/history"
@@ -22,6 +19,7 @@
 	"sabletally/internal/lab/simulation"
 )
 
+// runCmd runs an experiment: all arms with all seeds.
 type runCmd struct {
 	File   string   `arg:"" help:"Experiment file (.hcl)."`
 	Report string   `help:"Folder for report.json and report.html." type:"path" placeholder:"DIR"`
@@ -29,115 +27,135 @@
 	Arms   []string `name:"arm" help:"Only these arms." placeholder:"NAME"`
 	Events string   `help:"Folder for the events of each run, as text." type:"path" placeholder:"DIR"`
 	Logs   string   `help:"Folder for the balancers' logs." type:"path" placeholder:"DIR"`
-	Steps  bool     `help:"Print each step of the timetable as it is carried out (sockets)."`
+	Steps  bool     `help:"Print each step of the fault schedule as it is carried out (sockets)."`
 }
 
+// maxViolationsPrinted is the number of violations printed for each run; the report has more.
+const maxViolationsPrinted = 3
+
 func (c *runCmd) Run(l *lab) error {
-	x, err := experiment.Load(c.File)
+	x, err := c.load()
 	if err != nil {
 		return err
 	}
-	if len(c.Seeds) > 0 {
-		x.Seeds = c.Seeds
-	}
-	if x.Arms, err = chosen(x.Arms, c.Arms); err != nil {
-		return err
-	}
 	for _, dir := range []string{c.Events, c.Logs} {
-		if dir != "" {
-			if err := os.MkdirAll(dir, 0o755); err != nil {
-				return err
-			}
+		if dir == "" {
+			continue
 		}
+		if err := os.MkdirAll(dir, 0o755); err != nil {
+			return err
+		}
+	}
+	r := &report.Report{
+		Name:    x.Name,
+		Title:   x.Title,
+		Mode:    x.Mode,
+		Command: "testbed " + strings.Join(os.Args[1:], " "),
+		Made:    time.Now(),
+		Cores:   runtime.NumCPU(),
 	}
-	r := &report.Report{Name: x.Name, Title: x.Title, Mode: x.Mode, Command: "testbed " + strings.Join(os.Args[1:], " "), Made: time.Now(), Cores: runtime.NumCPU()}
 	if x.Mode == experiment.Virtual {
-		err = c.virtual(l, x, r)
+		err = c.runVirtual(l, x, r)
 	} else {
-		err = c.sockets(l, x, r)
+		err = c.runSockets(l, x, r)
 	}
 	progress("")
 	if err != nil {
 		return err
 	}
 	r.Summarize()
-	fmt.Print(r.Text())
-	for _, run := range r.Runs {
-		fmt.Printf("verdict %s seed %d: %s\n", run.Arm, run.Seed, run.Verdict)
-		for _, b := range run.Broken[:min(3, len(run.Broken))] {
-			fmt.Println("  ", b)
-		}
-	}
+	printReport(r)
 	if c.Report != "" {
 		if err := r.Write(c.Report); err != nil {
 			return err
 		}
 	}
 	if !r.Kept {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
 
-func chosen(all []experiment.Arm, names []string) ([]experiment.Arm, error) {
-	if len(names) == 0 {
-		return all, nil
-	}
-	var some []experiment.Arm
-	for _, n := range names {
-		found := false
-		for _, a := range all {
-			if a.Name == n {
-				some, found = append(some, a), true
-			}
-		}
-		if !found {
-			return nil, fmt.Errorf("the file has no arm %q", n)
+// load reads the experiment with the seeds and arms that the flags select.
+func (c *runCmd) load() (*experiment.Experiment, error) {
+	x, err := experiment.Load(c.File)
+	if err != nil {
+		return nil, err
+	}
+	if len(c.Seeds) > 0 {
+		x.Seeds = c.Seeds
+	}
+	x.Arms, err = selectArms(x.Arms, c.Arms)
+	return x, err
+}
+
+func printReport(r *report.Report) {
+	fmt.Print(r.Text())
+	for _, run := range r.Runs {
+		fmt.Printf("verdict %s seed %d: %s\n", run.Arm, run.Seed, run.Verdict)
+		for _, violation := range run.Broken[:min(maxViolationsPrinted, len(run.Broken))] {
+			fmt.Println("  ", violation)
 		}
 	}
-	return some, nil
 }
 
-// virtual runs all arms and seeds beside each other: each is one goroutine and has a seed of its own.
-func (c *runCmd) virtual(l *lab, x *experiment.Experiment, r *report.Report) error {
-	type job struct {
-		arm  experiment.Arm
-		seed uint64
+// selectArms returns the arms with the names, in the order of the names; without names, all arms.
+func selectArms(arms []experiment.Arm, names []string) ([]experiment.Arm, error) {
+	if len(names) == 0 {
+		return arms, nil
+	}
+	var selected []experiment.Arm
+	for _, name := range names {
+		index := slices.IndexFunc(arms, func(a experiment.Arm) bool { return a.Name == name })
+		if index < 0 {
+			return nil, fmt.Errorf("the file has no arm %q", name)
+		}
+		selected = append(selected, arms[index])
 	}
-	var jobs []job
+	return selected, nil
+}
+
+// job is one run of an experiment.
+type job struct {
+	arm  experiment.Arm
+	seed uint64
+}
+
+// jobs lists all runs of an experiment, seed by seed.
+func jobs(x *experiment.Experiment) []job {
+	var all []job
 	for _, seed := range x.Seeds {
-		for _, a := range x.Arms {
-			jobs = append(jobs, job{a, seed})
+		for _, arm := range x.Arms {
+			all = append(all, job{arm: arm, seed: seed})
 		}
 	}
-	r.Runs = make([]report.Run, len(jobs))
-	errs := make([]error, len(jobs))
-	room := make(chan struct{}, max(1, runtime.NumCPU()/2))
-	var all sync.WaitGroup
+	return all
+}
+
+// runVirtual runs the jobs concurrently: in virtual time they do not influence each other.
+func (c *runCmd) runVirtual(l *lab, x *experiment.Experiment, r *report.Report) error {
+	all := jobs(x)
+	r.Runs = make([]report.Run, len(all))
+	errs := make([]error, len(all))
+	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
+	var running sync.WaitGroup
 	var mu sync.Mutex
-	done := 0
-	for i, j := range jobs {
-		room <- struct{}{}
+	finished := 0
+	for i, j := range all {
+		slots <- struct{}{}
 		if l.ctx.Err() != nil {
 			return l.ctx.Err()
 		}
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			run, events, _, err := simulation.Run(x.World, j.arm.Policy, j.seed)
-			run.Arm, run.Seed = j.arm.Name, j.seed
-			if err == nil {
-				err = c.keep(run, events)
-			}
-			r.Runs[i], errs[i] = run, err
+		running.Go(func() {
+			r.Runs[i], errs[i] = c.simulate(x, j)
 			mu.Lock()
-			done++
-			progress("%s: %d of %d runs", x.Name, done, len(jobs))
+			finished++
+			progress("%s: %d of %d runs", x.Name, finished, len(all))
 			mu.Unlock()
-			<-room
-		}()
+			<-slots
+		})
 	}
-	all.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -146,47 +164,57 @@
 	return nil
 }
 
-// sockets runs arms one after the other, seed by seed: what the machine does meanwhile meets all arms alike.
-func (c *runCmd) sockets(l *lab, x *experiment.Experiment, r *report.Report) error {
-	n := 0
-	for _, seed := range x.Seeds {
-		for _, a := range x.Arms {
-			n++
-			progress("%s: run %d of %d, %s, %v", x.Name, n, len(x.Seeds)*len(x.Arms), a.Name, x.World.Load.Length)
-			run, events, _, err := c.one(l, x, a, seed)
-			if err != nil {
-				return fmt.Errorf("%s, seed %d: %w", a.Name, seed, err)
-			}
-			if err := c.keep(run, events); err != nil {
-				return err
-			}
-			r.Runs = append(r.Runs, run)
+// simulate runs one job in virtual time.
+func (c *runCmd) simulate(x *experiment.Experiment, j job) (report.Run, error) {
+	run, events, _, err := simulation.Run(x.World, j.arm.Policy, j.seed)
+	run.Arm = j.arm.Name
+	run.Seed = j.seed
+	if err != nil {
+		return run, err
+	}
+	return run, c.saveEvents(run, events)
+}
+
+// runSockets runs the jobs one after the other, seed by seed, so that changes of the machine's speed affect all arms alike.
+func (c *runCmd) runSockets(l *lab, x *experiment.Experiment, r *report.Report) error {
+	all := jobs(x)
+	for i, j := range all {
+		progress("%s: run %d of %d, %s, %v", x.Name, i+1, len(all), j.arm.Name, x.World.Load.Length)
+		run, events, err := c.runOnSockets(l, x, j)
+		if err != nil {
+			return fmt.Errorf("%s, seed %d: %w", j.arm.Name, j.seed, err)
 		}
+		if err := c.saveEvents(run, events); err != nil {
+			return err
+		}
+		r.Runs = append(r.Runs, run)
 	}
 	return nil
 }
 
-func (c *runCmd) one(l *lab, x *experiment.Experiment, a experiment.Arm, seed uint64) (report.Run, []history.Event, checker.Verdict, error) {
-	w := x.World
-	w.Limits = a.Limits
-	f, err := cluster.Start(w, cluster.Arm{Name: a.Name, Command: l.command(a), Env: a.Env, Logs: c.Logs}, seed)
+// runOnSockets runs one job with real processes.
+func (c *runCmd) runOnSockets(l *lab, x *experiment.Experiment, j job) (report.Run, []history.Event, error) {
+	world := x.World
+	world.Limits = j.arm.Limits
+	running, err := cluster.Start(world, cluster.Arm{Name: j.arm.Name, Command: l.command(j.arm), Env: j.arm.Env, Logs: c.Logs}, j.seed)
 	if err != nil {
-		return report.Run{}, nil, checker.Verdict{}, err
+		return report.Run{}, nil, err
 	}
-	defer f.Close()
-	var note func(time.Duration, string)
+	defer running.Close()
+	var onStep func(time.Duration, string)
 	if c.Steps {
-		note = func(at time.Duration, text string) { fmt.Printf("%7.2fs %s\n", at.Seconds(), text) }
+		onStep = func(at time.Duration, text string) { fmt.Printf("%7.2fs %s\n", at.Seconds(), text) }
 	}
-	run, events, v, err := f.Run(l.ctx, note)
-	run.Arm, run.Seed = a.Name, seed
+	run, events, _, err := running.Run(l.ctx, onStep)
+	run.Arm = j.arm.Name
+	run.Seed = j.seed
 	if err == nil {
 		err = l.ctx.Err()
 	}
-	return run, events, v, err
+	return run, events, err
 }
 
-// command is what starts an arm's balancer.
+// command is the command that starts an arm's balancer.
 func (l *lab) command(a experiment.Arm) []string {
 	switch {
 	case a.Policy != "":
@@ -196,11 +224,11 @@
 	case a.Binary != "":
 		return []string{a.Binary}
 	}
-	return []string{l.beside("sabletally")}
+	return []string{l.siblingProgram("sabletally")}
 }
 
-// keep writes a run's events where that is asked for.
-func (c *runCmd) keep(run report.Run, events []history.Event) error {
+// saveEvents writes the events of a run if a folder for them was given.
+func (c *runCmd) saveEvents(run report.Run, events []history.Event) error {
 	if c.Events == "" {
 		return nil
 	}
@@ -212,13 +240,10 @@
 	if err != nil {
 		return err
 	}
-	err = history.Write(io.Writer(file), events)
-	if again := file.Close(); err == nil {
-		err = again
-	}
-	return err
+	return errors.Join(history.Write(file, events), file.Close())
 }
 
+// checkCmd checks experiment files without running them.
 type checkCmd struct {
 	Files []string `arg:"" help:"Experiment files."`
 }
@@ -227,9 +252,9 @@
 	var all hclconfig.Diagnostics
 	for _, path := range c.Files {
 		x, err := experiment.Load(path)
-		var faults hclconfig.Diagnostics
-		if errors.As(err, &faults) {
-			all = append(all, faults...)
+		var diagnostics hclconfig.Diagnostics
+		if errors.As(err, &diagnostics) {
+			all = append(all, diagnostics...)
 			continue
 		}
 		if err != nil {
--- /dev/null
+++ b/cmd/testbed/scale_settings_test.go
@@ -0,0 +1,30 @@
+package main
+
+import (
+	"encoding/json"
+	"testing"
+
+	"sabletally/internal/lab/scale"
+)
+
+// TestHashValuesDetectsWrongValues: a missing value, another change's value and a truncated one change the hash.
+func TestHashValuesDetectsWrongValues(t *testing.T) {
+	values := map[string][]byte{settingKey(0): settingValue(3, scale.Change{Due: 5, Bytes: 100}), settingKey(1): settingValue(4, scale.Change{Due: 6, Bytes: 300})}
+	get := func(key string) ([]byte, bool) {
+		value, exists := values[key]
+		return value, exists
+	}
+	complete := hashValues(get)
+	if len(values[settingKey(0)]) != 100 || len(values[settingKey(1)]) != 300 || !json.Valid(values[settingKey(1)]) || complete != hashValues(get) {
+		t.Fatal(values)
+	}
+	original := values[settingKey(1)]
+	for _, other := range [][]byte{nil, original[:299], values[settingKey(0)], settingValue(5, scale.Change{Due: 6, Bytes: 300})} {
+		if values[settingKey(1)] = other; hashValues(get) == complete {
+			t.Errorf("%q passes for %q", other, original)
+		}
+	}
+	if delete(values, settingKey(1)); hashValues(get) == complete {
+		t.Error("a value that is missing passes")
+	}
+}
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -1,14 +1,14 @@
-// This file owns the throughput experiment: builds and cores as arms, and the same clients straight to the servers.
-
 package main
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
 	"runtime"
 	"slices"
+	"strconv"
 	"strings"
 	"time"
 
@@ -20,199 +20,298 @@
 	"sabletally/policy"
 )
 
+// throughputCmd measures the cost of a balancer: builds and numbers of cores are the arms, and the first arm is the same clients
+// connected to the servers directly.
 type throughputCmd struct {
-	Binary []string      `help:"Builds of the balancer (NAME=PATH); the one beside the lab if none is told." placeholder:"NAME=PATH"`
+	Binary []string      `help:"Balancer binaries (NAME=PATH); by default the one beside the testbed." placeholder:"NAME=PATH"`
 	Cores  []int         `default:"1,2,4" help:"Cores of the balancer."`
-	Rounds int           `default:"3" help:"Rounds; arms take turns in each, and the middle figure counts."`
+	Rounds int           `default:"3" help:"Rounds; all arms run in each, and the median counts."`
 	Span   time.Duration `default:"2s" help:"Length of one measurement."`
-	Lines  int           `default:"200" help:"Circuits that carry lines."`
-	Window int           `default:"1" help:"Lines that a circuit has out at a time."`
-	Idle   int           `default:"5000" help:"Circuits that stand idle while memory is taken; 0: none."`
-	Setups float64       `default:"1000" help:"Set-ups a second while their latency is taken."`
-	Rate   float64       `default:"5000" help:"Lines a second while their latency is taken."`
+	Lines  int           `default:"200" help:"Sessions that carry lines."`
+	Window int           `default:"1" help:"Lines in flight on a session."`
+	Idle   int           `default:"5000" help:"Idle sessions while memory is measured; 0: none."`
+	Setups float64       `default:"1000" help:"Set-ups per second while their latency is measured."`
+	Rate   float64       `default:"5000" help:"Lines per second while their latency is measured."`
 	Report string        `help:"File for the figures as JSON." type:"path" placeholder:"FILE"`
 }
 
-// throughput is one arm's figures: the middle of all rounds.
+// throughput is the figures of one arm: medians over all rounds. Latencies are microseconds.
 type throughput struct {
-	Arm                                       string
-	Cores                                     int
-	Setups, Lines                             float64 // a second
-	SetupP50, SetupP99                        float64 // microseconds, at the rate that was told
-	LineP50, LineP99                          float64
-	FloodP99                                  float64 // of a line at the same rate, beside one circuit that floods
-	IdleKiB                                   float64 // memory of an idle circuit
-	SetupsOfDirect, LinesOfDirect             float64
-	Failed                                    int
-	setups, lines                             []float64
-	setup50, setup99, line50, line99, flood99 []float64
-}
-
-// arm is one target with what starts it.
+	Arm            string
+	Cores          int
+	Setups         float64 // per second
+	Lines          float64 // per second
+	SetupP50       float64 // at the rate of --setups
+	SetupP99       float64
+	LineP50        float64 // at the rate of --rate
+	LineP99        float64
+	FloodP99       float64 // of a line at the same rate, while another session sends at full speed
+	IdleKiB        float64 // memory of an idle session
+	SetupsOfDirect float64 // ratio to the direct arm
+	LinesOfDirect  float64
+	Failed         int
+}
+
+// rounds are the figures of one arm, by round.
+type rounds struct {
+	setups   []float64
+	lines    []float64
+	setupP50 []float64
+	setupP99 []float64
+	lineP50  []float64
+	lineP99  []float64
+	floodP99 []float64
+}
+
+// throughputArm is one target, and the balancer there unless the target is the servers themselves.
 type throughputArm struct {
 	throughput
+	rounds  rounds
 	command []string
 	process *cluster.Process
 	agent   *emulator.Agent
 	target  *bench.Target
 }
 
-const benchServers = 8
+const (
+	benchServers   = 8
+	setupWorkers   = 64
+	idleSettleTime = 2 * time.Second // in which a balancer releases the memory that set-ups needed
+)
 
 func (c *throughputCmd) Run(l *lab) error {
 	if c.Rounds < 1 || c.Lines < 1 || c.Window < 1 {
-		return fmt.Errorf("rounds, lines and window: one at least")
+		return errors.New("rounds, lines and window: one at least")
 	}
 	var addrs []string
 	for range benchServers {
-		s, err := bench.NewServer()
+		server, err := bench.NewServer()
 		if err != nil {
 			return err
 		}
-		defer s.Close()
-		addrs = append(addrs, s.Addr())
+		defer server.Close()
+		addrs = append(addrs, server.Addr())
 	}
 	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	arms := []*throughputArm{{throughput: throughput{Arm: "direct"}, target: bench.NewTarget(addrs...)}}
-	binaries := c.Binary
-	if len(binaries) == 0 {
-		binaries = []string{"sabletally=" + l.beside("sabletally")}
+	balancers, err := c.balancerArms(l)
+	if err != nil {
+		return err
 	}
-	for _, b := range binaries {
-		name, path, told := strings.Cut(b, "=")
-		if !told {
-			return fmt.Errorf("binary %q: wants NAME=PATH", b)
-		}
-		for _, cores := range c.Cores {
-			arms = append(arms, &throughputArm{throughput: throughput{Arm: name, Cores: cores}, command: []string{path}})
+	for i, arm := range balancers {
+		if err := arm.startBalancer(i, dir, addrs, c.Idle); err != nil {
+			return err
 		}
+		defer arm.process.Kill()
+		defer arm.agent.Close()
+	}
+	direct := &throughputArm{throughput: throughput{Arm: "direct"}, target: bench.NewTarget(addrs...)}
+	arms := append([]*throughputArm{direct}, balancers...)
+	if err := c.measureRounds(l, arms); err != nil {
+		return err
 	}
-	for n, a := range arms[1:] {
-		if err := a.start(n, dir, addrs, c.Idle); err != nil {
+	if c.Idle > 0 {
+		if err := c.measureIdle(balancers); err != nil {
 			return err
 		}
-		defer a.process.Kill()
-		defer a.agent.Close()
 	}
-	for round := range c.Rounds {
-		for _, a := range arms {
-			if l.ctx.Err() != nil {
-				return l.ctx.Err()
-			}
-			progress("throughput: round %d of %d, %s %d", round+1, c.Rounds, a.Arm, a.Cores)
-			if err := c.measure(l, a); err != nil {
-				return fmt.Errorf("%s, %d cores: %w", a.Arm, a.Cores, err)
-			}
-		}
+	progress("")
+	for _, arm := range arms {
+		arm.summarize()
+		arm.compare(direct)
 	}
-	for _, a := range arms[1:] {
-		if c.Idle == 0 {
-			break
-		}
-		progress("throughput: %d idle circuits at %s %d", c.Idle, a.Arm, a.Cores)
-		a.process.Kill() // a fresh one: what the rounds left in its memory would hide what a circuit takes
-		if err := a.process.Start(); err != nil {
-			return err
+	c.printTable(arms)
+	return c.writeReport(arms)
+}
+
+// balancerArms are the arms with a balancer: all binaries with all numbers of cores.
+func (c *throughputCmd) balancerArms(l *lab) ([]*throughputArm, error) {
+	binaries := c.Binary
+	if len(binaries) == 0 {
+		binaries = []string{"sabletally=" + l.siblingProgram("sabletally")}
+	}
+	var arms []*throughputArm
+	for _, binary := range binaries {
+		name, path, found := strings.Cut(binary, "=")
+		if !found {
+			return nil, fmt.Errorf("binary %q: wants NAME=PATH", binary)
 		}
-		before := a.process.RSS()
-		s, err := bench.OpenConnections(a.target, c.Idle)
-		if err != nil {
-			return fmt.Errorf("%s, %d cores: %w", a.Arm, a.Cores, err)
+		for _, cores := range c.Cores {
+			arms = append(arms, &throughputArm{throughput: throughput{Arm: name, Cores: cores}, command: []string{path}})
 		}
-		time.Sleep(2 * time.Second) // what their set-up left over is given back by then, or counts
-		a.IdleKiB = float64(a.process.RSS()-before) / float64(c.Idle)
-		s.Close()
 	}
-	progress("")
-	return c.print(arms)
+	return arms, nil
 }
 
-// start starts an arm's balancer, with nothing in its way: no probes, many descriptors.
-func (a *throughputArm) start(num int, dir string, servers []string, idle int) error {
-	w := topology.World{Balancers: 1, Zones: 1, ClassNames: []string{"feed"}, Deadlines: []time.Duration{time.Minute},
-		MessageObjective: 10 * time.Second, DrainGrace: time.Second, ConnectTimeout: 10 * time.Second,
-		Deployment: policy.Config{Classes: []policy.Class{{SetupObjective: 10 * time.Second, MessageObjective: 10 * time.Second, PriorityWeight: 1}},
-			MaxAttempts: 3, OverloadMultiple: 3, OverloadWindow: time.Second, SlowStartFloor: 1, SlowStartWindow: time.Second},
-		Limits: topology.Limits{Cores: float64(a.Cores), MemoryMB: 4096, Sockets: 2*idle + 8192}}
-	agent, err := emulator.NewAgent(num, &emulator.Clock{}, history.New(1000), func(string) int { return 0 })
+// startBalancer starts an arm's balancer without health checks and with as many descriptors as it needs.
+func (a *throughputArm) startBalancer(index int, dir string, servers []string, idle int) error {
+	agent, err := emulator.NewAgent(index, &emulator.Clock{}, history.New(1000), func(string) int { return 0 })
 	if err != nil {
 		return err
 	}
-	for i, s := range servers {
-		agent.Set(emulator.Endpoint{UID: fmt.Sprintf("s-%d", i), Address: s, Zone: cluster.ZoneName(0), State: emulator.InService, Weight: 1})
+	for i, address := range servers {
+		agent.Set(emulator.Endpoint{UID: fmt.Sprintf("s-%d", i), Address: address, Zone: cluster.ZoneName(0), State: emulator.InService, Weight: 1})
 	}
 	a.agent = agent
 	if a.process, err = cluster.NewProcess(fmt.Sprintf("%s-%d", a.Arm, a.Cores), a.command, nil, dir, nil); err != nil {
 		return err
 	}
 	a.process.CPUs = a.Cores
-	if err := a.process.WriteConfig(cluster.BalancerConfig(&w, 0, a.process.Addr, agent.Addr(), 7, agent.Known())); err != nil {
+	world := throughputWorld(a.Cores, idle)
+	if err := a.process.WriteConfig(cluster.BalancerConfig(world, 0, a.process.Addr, agent.Addr(), 7, agent.Known())); err != nil {
 		return err
 	}
 	a.target = bench.NewTarget(a.process.Addr)
 	return a.process.Start()
 }
 
-// measure takes all of an arm's figures once.
-func (c *throughputCmd) measure(l *lab, a *throughputArm) error {
-	s := bench.SetupRate(a.target, 64, c.Span)
-	paced := bench.PacedSetups(a.target, c.Setups, c.Span)
-	standing, err := bench.OpenConnections(a.target, c.Lines)
+// throughputWorld is the deployment of an arm's balancer.
+func throughputWorld(cores, idle int) *topology.World {
+	return &topology.World{
+		Balancers:        1,
+		Zones:            1,
+		ClassNames:       []string{"feed"},
+		Deadlines:        []time.Duration{time.Minute},
+		MessageObjective: 10 * time.Second,
+		DrainGrace:       time.Second,
+		ConnectTimeout:   10 * time.Second,
+		Deployment: policy.Config{
+			Classes:          []policy.Class{{SetupObjective: 10 * time.Second, MessageObjective: 10 * time.Second, PriorityWeight: 1}},
+			MaxAttempts:      3,
+			OverloadMultiple: 3,
+			OverloadWindow:   time.Second,
+			SlowStartFloor:   1,
+			SlowStartWindow:  time.Second,
+		},
+		Limits: topology.Limits{Cores: float64(cores), MemoryMB: 4096, Sockets: 2*idle + 8192},
+	}
+}
+
+// measureRounds measures all arms in turn, in each round.
+func (c *throughputCmd) measureRounds(l *lab, arms []*throughputArm) error {
+	for round := range c.Rounds {
+		for _, arm := range arms {
+			if l.ctx.Err() != nil {
+				return l.ctx.Err()
+			}
+			progress("throughput: round %d of %d, %s %d", round+1, c.Rounds, arm.Arm, arm.Cores)
+			if err := c.measureRound(l, arm); err != nil {
+				return fmt.Errorf("%s, %d cores: %w", arm.Arm, arm.Cores, err)
+			}
+		}
+	}
+	return nil
+}
+
+// measureRound measures all of an arm's figures once, except for memory.
+func (c *throughputCmd) measureRound(l *lab, arm *throughputArm) error {
+	setups := bench.SetupRate(arm.target, setupWorkers, c.Span)
+	pacedSetups := bench.PacedSetups(arm.target, c.Setups, c.Span)
+	connections, err := bench.OpenConnections(arm.target, c.Lines)
 	if err != nil {
 		return err
 	}
-	lines := standing.Lines(l.ctx, c.Window, c.Span)
-	slow := standing.PacedLines(c.Rate, c.Span)
-	flood, err := bench.StartFlood(a.target)
+	lines := connections.Lines(l.ctx, c.Window, c.Span)
+	pacedLines := connections.PacedLines(c.Rate, c.Span)
+	stopFlood, err := bench.StartFlood(arm.target)
 	if err != nil {
 		return err
 	}
-	beside := standing.PacedLines(c.Rate, c.Span)
-	flood()
-	standing.Close()
-	a.flood99 = append(a.flood99, beside.P99)
-	a.setups, a.lines = append(a.setups, s.PerSecond), append(a.lines, lines.PerSecond)
-	a.setup50, a.setup99 = append(a.setup50, paced.P50), append(a.setup99, paced.P99)
-	a.line50, a.line99 = append(a.line50, slow.P50), append(a.line99, slow.P99)
-	a.Failed += s.Failed + paced.Failed + slow.Failed
+	besideFlood := connections.PacedLines(c.Rate, c.Span)
+	stopFlood()
+	connections.Close()
+	r := &arm.rounds
+	r.setups = append(r.setups, setups.PerSecond)
+	r.lines = append(r.lines, lines.PerSecond)
+	r.setupP50 = append(r.setupP50, pacedSetups.P50)
+	r.setupP99 = append(r.setupP99, pacedSetups.P99)
+	r.lineP50 = append(r.lineP50, pacedLines.P50)
+	r.lineP99 = append(r.lineP99, pacedLines.P99)
+	r.floodP99 = append(r.floodP99, besideFlood.P99)
+	arm.Failed += setups.Failed + pacedSetups.Failed + pacedLines.Failed
 	return nil
 }
 
-func middle(all []float64) float64 {
-	slices.Sort(all)
-	return all[len(all)/2]
+// measureIdle measures the memory of idle sessions, in a new process of each arm: the memory that the rounds left allocated would hide
+// that of the sessions.
+func (c *throughputCmd) measureIdle(balancers []*throughputArm) error {
+	for _, arm := range balancers {
+		progress("throughput: %d idle sessions at %s %d", c.Idle, arm.Arm, arm.Cores)
+		arm.process.Kill()
+		if err := arm.process.Start(); err != nil {
+			return err
+		}
+		before := arm.process.RSS()
+		connections, err := bench.OpenConnections(arm.target, c.Idle)
+		if err != nil {
+			return fmt.Errorf("%s, %d cores: %w", arm.Arm, arm.Cores, err)
+		}
+		time.Sleep(idleSettleTime)
+		arm.IdleKiB = float64(arm.process.RSS()-before) / float64(c.Idle)
+		connections.Close()
+	}
+	return nil
+}
+
+// median sorts values and returns the median; of an even number, the higher of the two.
+func median(values []float64) float64 {
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
-func (c *throughputCmd) print(arms []*throughputArm) error {
-	var all []throughput
-	fmt.Printf("%d rounds of %v, %d servers, %d circuits with lines, %d out on each, on a machine of %d cores\n\n", c.Rounds, c.Span, benchServers, c.Lines, c.Window, runtime.NumCPU())
-	fmt.Printf("| arm | cores | set-ups/s | of direct | set-up p50/p99 us at %.0f/s | lines/s | of direct | line p50/p99 us at %.0f/s | p99 beside a flood | KiB an idle circuit | failed |\n", c.Setups, c.Rate)
+// summarize sets the arm's figures from those of its rounds.
+func (a *throughputArm) summarize() {
+	a.Setups = median(a.rounds.setups)
+	a.Lines = median(a.rounds.lines)
+	a.SetupP50 = median(a.rounds.setupP50)
+	a.SetupP99 = median(a.rounds.setupP99)
+	a.LineP50 = median(a.rounds.lineP50)
+	a.LineP99 = median(a.rounds.lineP99)
+	a.FloodP99 = median(a.rounds.floodP99)
+}
+
+// compare sets the ratios to the direct arm.
+func (a *throughputArm) compare(direct *throughputArm) {
+	a.SetupsOfDirect = a.Setups / direct.Setups
+	a.LinesOfDirect = a.Lines / direct.Lines
+}
+
+func (c *throughputCmd) printTable(arms []*throughputArm) {
+	fmt.Printf("%d rounds of %v, %d servers, %d sessions with lines, %d in flight on each, on a machine of %d cores\n\n",
+		c.Rounds, c.Span, benchServers, c.Lines, c.Window, runtime.NumCPU())
+	fmt.Printf("| arm | cores | set-ups/s | of direct | set-up p50/p99 us at %.0f/s | lines/s | of direct | line p50/p99 us at %.0f/s | "+
+		"p99 beside a flood | KiB an idle circuit | failed |\n", c.Setups, c.Rate)
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-	for _, a := range arms {
-		t := &a.throughput
-		t.Setups, t.Lines = middle(t.setups), middle(t.lines)
-		t.SetupP50, t.SetupP99, t.LineP50, t.LineP99 = middle(t.setup50), middle(t.setup99), middle(t.line50), middle(t.line99)
-		t.FloodP99 = middle(t.flood99)
-		t.SetupsOfDirect, t.LinesOfDirect = t.Setups/arms[0].Setups, t.Lines/arms[0].Lines
-		idle := "-"
-		if t.IdleKiB > 0 {
-			idle = fmt.Sprintf("%.1f", t.IdleKiB)
+	for _, arm := range arms {
+		cores, idle := "-", "-"
+		if arm.Cores > 0 {
+			cores = strconv.Itoa(arm.Cores)
+		}
+		if arm.IdleKiB > 0 {
+			idle = fmt.Sprintf("%.1f", arm.IdleKiB)
 		}
-		fmt.Printf("| %s | %s | %.0f | %.2f | %.0f/%.0f | %.0f | %.2f | %.0f/%.0f | %.0f | %s | %d |\n", t.Arm, map[bool]string{true: "-", false: fmt.Sprint(t.Cores)}[t.Cores == 0],
-			t.Setups, t.SetupsOfDirect, t.SetupP50, t.SetupP99, t.Lines, t.LinesOfDirect, t.LineP50, t.LineP99, t.FloodP99, idle, t.Failed)
-		all = append(all, *t)
+		fmt.Printf("| %s | %s | %.0f | %.2f | %.0f/%.0f | %.0f | %.2f | %.0f/%.0f | %.0f | %s | %d |\n",
+			arm.Arm, cores, arm.Setups, arm.SetupsOfDirect, arm.SetupP50, arm.SetupP99,
+			arm.Lines, arm.LinesOfDirect, arm.LineP50, arm.LineP99, arm.FloodP99, idle, arm.Failed)
 	}
+}
+
+// writeReport writes the figures of all arms as JSON if a file for them was given.
+func (c *throughputCmd) writeReport(arms []*throughputArm) error {
 	if c.Report == "" {
 		return nil
 	}
+	var figures []throughput
+	for _, arm := range arms {
+		figures = append(figures, arm.throughput)
+	}
 	if err := os.MkdirAll(filepath.Dir(c.Report), 0o755); err != nil {
 		return err
 	}
-	text, err := json.MarshalIndent(all, "", " ")
+	text, err := json.MarshalIndent(figures, "", " ")
 	if err != nil {
 		return err
 	}
