--- /dev/null
+++ b/internal/lab/scale/figures.go
@@ -0,0 +1,175 @@
+package scale
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+	"time"
+)
+
+// Figures are the results of a run. Rates are over the length of the run, without what happened before and after it. Figures of a balancer
+// are of its subscription to the control tier only.
+type Figures struct {
+	Balancers     int     `json:"balancers"`
+	Control       int     `json:"control"`
+	Changes       int     `json:"changes"` // during the run, the burst included
+	InForceP50    float64 `json:"in_force_ms_p50"`
+	InForceP99    float64 `json:"in_force_ms_p99"`
+	InForceWorst  float64 `json:"in_force_ms_worst"`
+	Missed        int     `json:"missed"`                    // changes, counted for each balancer
+	BalancerCore  float64 `json:"balancer_core_percent"`     // user and system time, including the test's own part
+	BalancerMB    float64 `json:"balancer_memory_mb"`        // resident memory of their processes divided by their number, maximum
+	BalancerBytes float64 `json:"balancer_bytes_per_second"` // sent and received, without TCP and IP headers
+	ControlCore   float64 `json:"control_core_percent_worst"`
+	ControlMB     float64 `json:"control_memory_mb_worst"`
+	ControlBytes  float64 `json:"control_bytes_per_second_worst"` // read and written, disk included
+	SteadyAfter   float64 `json:"steady_after_ms"`                // after the last fault; 0 without faults
+
+	Zones         int     `json:"zones"`
+	Regions       int     `json:"regions"`
+	Voters        int     `json:"voters"`
+	Seconds       float64 `json:"seconds"`
+	Seed          uint64  `json:"seed"`
+	Faults        string  `json:"faults"`
+	FaultsSay     string  `json:"faults_in_words"`
+	Samples       int64   `json:"samples"` // changes that were timed, counted for each balancer
+	ReturnedWorst float64 `json:"returned_ms_worst"`
+	Returned      int64   `json:"returned"`
+	Behind        int     `json:"balancers_behind"`
+	Differ        int     `json:"balancers_that_differ"`
+	Silent        int     `json:"balancers_silent"`
+	NotAccepted   int     `json:"changes_not_accepted"`
+	Back          int     `json:"went_back"`
+	Snapshots     uint64  `json:"snapshots"`     // received by balancers during the run
+	Lapses        uint64  `json:"lapses"`        // leases that expired
+	Refused       uint64  `json:"refused"`       // messages that balancers rejected, and digests that did not match
+	Taken         uint64  `json:"changes_taken"` // applied by balancers
+	Had           uint64  `json:"changes_had"`   // duplicates: from the other control process, or sent again
+	Gaps          uint64  `json:"gaps"`          // changes that arrived before an earlier one
+	Wants         uint64  `json:"asked_again"`   // sync requests of balancers
+	Conflicts     uint64  `json:"conflicts"`
+	Steady        bool    `json:"steady"`      // all were current and evenly spread at the end
+	Even          string  `json:"even_spread"` // describes how many are current, and the spread of their connections
+	TogetherMs    float64 `json:"together_ms"` // from the start of the balancers until all were current
+	LateMs        float64 `json:"late_ms"`     // maximum delay with which the test itself put a change
+	Partial       string  `json:"partial,omitempty"`
+	MemoryMB      float64 `json:"memory_mb"` // all processes together, maximum
+	Verdict       string  `json:"verdict"`
+}
+
+// Targets are the limits of a run's figures.
+type Targets struct {
+	InForce       time.Duration
+	BalancerCore  float64 // percent
+	BalancerMB    float64
+	BalancerBytes float64 // per second
+	ControlCore   float64 // percent
+	ControlMB     float64
+}
+
+// DefaultTargets are the targets for the expected size of the deployment in two years.
+var DefaultTargets = Targets{
+	InForce:       7 * time.Second,
+	BalancerCore:  1.6,
+	BalancerMB:    128,
+	BalancerBytes: 3000,
+	ControlCore:   100,
+	ControlMB:     4096,
+}
+
+// AddAccount sets the figures of an account.
+func (f *Figures) AddAccount(a Account) {
+	milliseconds := func(microseconds int64) float64 { return float64(microseconds) / 1000 }
+	f.Samples = a.InForce.TotalCount()
+	f.InForceP50 = milliseconds(a.InForce.ValueAtQuantile(50))
+	f.InForceP99 = milliseconds(a.InForce.ValueAtQuantile(99))
+	f.InForceWorst = milliseconds(a.InForce.Max())
+	f.Returned = a.Returned.TotalCount()
+	f.ReturnedWorst = milliseconds(a.Returned.Max())
+	f.Missed = a.Missed
+	f.Behind = a.Behind
+	f.Differ = a.Differ
+	f.Silent = a.Silent
+	f.NotAccepted = a.NotAccepted
+	f.Back = a.WentBack
+}
+
+// Check returns a description of each target that was missed. Counts are always checked; times and sizes, which depend on the machine too,
+// only with targets.
+func (f *Figures) Check(targets *Targets) []string {
+	if f.Partial != "" { // figures that were not measured are neither kept nor missed
+		return []string{"partial: " + f.Partial}
+	}
+	missed := f.checkCounts()
+	if targets != nil {
+		missed = append(missed, f.checkTargets(targets)...)
+	}
+	return missed
+}
+
+func (f *Figures) checkCounts() (missed []string) {
+	check := func(isMissed bool, format string, args ...any) {
+		if isMissed {
+			missed = append(missed, fmt.Sprintf(format, args...))
+		}
+	}
+	check(f.Samples == 0, "no change was timed")
+	check(f.Missed > 0, "%d changes missed, at %d balancers that are behind, %d that differ and %d that are silent", f.Missed, f.Behind, f.Differ, f.Silent)
+	check(f.Differ > 0 && f.Missed == 0, "%d balancers differ", f.Differ)
+	check(f.Silent > 0 && f.Missed == 0, "%d balancers are silent", f.Silent)
+	check(f.NotAccepted > 0, "%d changes were not accepted", f.NotAccepted)
+	check(f.Back > 0, "%d times a balancer went back", f.Back)
+	check(f.Conflicts > 0, "%d conflicts", f.Conflicts)
+	check(!f.Steady, "not steady in the end: %s", f.Even)
+	return missed
+}
+
+func (f *Figures) checkTargets(targets *Targets) (missed []string) {
+	check := func(name string, value, limit float64, unit string) {
+		if value > limit {
+			missed = append(missed, fmt.Sprintf("%s %.4g %s, allowed %.4g", name, value, unit, limit))
+		}
+	}
+	inForce := float64(targets.InForce.Milliseconds())
+	check("in force", f.InForceWorst, inForce, "ms")
+	check("first state after a return", f.ReturnedWorst, inForce, "ms")
+	check("balancer", f.BalancerCore, targets.BalancerCore, "% of a core")
+	check("balancer", f.BalancerMB, targets.BalancerMB, "MB")
+	check("balancer", f.BalancerBytes, targets.BalancerBytes, "bytes a second")
+	check("control process", f.ControlCore, targets.ControlCore, "% of a core")
+	check("control process", f.ControlMB, targets.ControlMB, "MB")
+	return missed
+}
+
+// Verdict is the last line of the output, from the descriptions that Check returned.
+func Verdict(missed []string) string {
+	if len(missed) == 0 {
+		return "verdict: kept"
+	}
+	return "verdict: not kept: " + strings.Join(missed, "; ")
+}
+
+// Print writes a table of the figures and their targets.
+func (f *Figures) Print(to io.Writer, targets *Targets) error {
+	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+	balancers := float64(max(1, f.Balancers))
+	row := func(name, format string, args ...any) {
+		_, _ = fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...))
+	}
+	row("balancers, control, voters", "%d, %d, %d in %d zones of %d regions", f.Balancers, f.Control, f.Voters, f.Zones, f.Regions)
+	row("faults", "%s", f.FaultsSay)
+	row("changes", "%d in %.0f s; put %.1f ms late at worst by the test; %d not accepted", f.Changes, f.Seconds, f.LateMs, f.NotAccepted)
+	row("in force, p50, p99, worst", "%.1f, %.1f, %.1f ms, %d samples (allowed %.0f ms)", f.InForceP50, f.InForceP99, f.InForceWorst, f.Samples, float64(targets.InForce.Milliseconds()))
+	row("missed", "%d (%d balancers behind, %d differ, %d silent); %d went back, %d conflicts", f.Missed, f.Behind, f.Differ, f.Silent, f.Back, f.Conflicts)
+	row("returned balancers", "%d; first state within %.1f ms at worst", f.Returned, f.ReturnedWorst)
+	row("a balancer's control part", "%.3f%% of a core, %.2f MB, %.0f bytes a second (allowed %.4g%%, %.0f, %.0f)", f.BalancerCore, f.BalancerMB, f.BalancerBytes,
+		targets.BalancerCore, targets.BalancerMB, targets.BalancerBytes)
+	row("a control process, worst", "%.2f%% of a core, %.1f MB, %.0f bytes a second (allowed %.0f%%, %.0f MB)", f.ControlCore, f.ControlMB, f.ControlBytes, targets.ControlCore, targets.ControlMB)
+	row("snapshots taken, lapses, refused", "%d, %d, %d", f.Snapshots, f.Lapses, f.Refused)
+	row("changes at a balancer", "%.1f taken, %.1f had already, %.1f too early; asked again %.2f times", float64(f.Taken)/balancers, float64(f.Had)/balancers, float64(f.Gaps)/balancers, float64(f.Wants)/balancers)
+	row("together after the start", "%.0f ms", f.TogetherMs)
+	row("steady after the last fault", "%.0f ms; %s", f.SteadyAfter, f.Even)
+	row("memory of all processes", "%.0f MB", f.MemoryMB)
+	return w.Flush()
+}
--- /dev/null
+++ b/internal/lab/scale/options.go
@@ -0,0 +1,96 @@
+// Package scale owns the decisions of the scale test: the places of balancers and control processes, the changes and faults of a run
+// and their times, which balancer lacks a change and for how long, and the verdict. It is pure: the same options give the same plan, and
+// the same observations the same verdict. It must never start a process, open a socket or read a clock.
+package scale
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Kinds of faults that a run may have.
+const (
+	FaultsNone   = "none"
+	FaultsDay    = "day"    // restarts and losses at the rates of an ordinary day
+	FaultsRack   = "rack"   // all processes of a rack are killed and started again
+	FaultsZone   = "zone"   // all processes of a zone
+	FaultsRegion = "region" // the control processes of a region are cut off from the others
+)
+
+// Faults lists the kinds of faults, by the names that options use.
+var Faults = []string{FaultsNone, FaultsDay, FaultsRack, FaultsZone, FaultsRegion}
+
+// Bounds of options.
+const (
+	maxBalancers     = 10000 // subscribers that a control process may be configured for
+	maxControl       = 64
+	maxZones         = 64
+	maxChangesPerDay = 50_000_000
+	maxBurst         = 10000
+	minLength        = 10 * time.Second
+	maxLength        = 24 * time.Hour
+)
+
+// Options are the options of a run.
+type Options struct {
+	Balancers int
+	Control   int // control processes
+	Zones     int
+	Regions   int
+	PerDay    int           // configuration changes per day
+	Burst     int           // additional changes within one second
+	For       time.Duration // length of the run
+	Seed      uint64
+	Faults    string
+}
+
+// BadArgument is an invalid option.
+type BadArgument struct {
+	Flag string // without dashes
+	What string // what is wrong
+}
+
+func (b BadArgument) Error() string { return "--" + b.Flag + ": " + b.What }
+
+// Check returns a BadArgument for the first invalid option.
+func (o *Options) Check() error {
+	if err := o.checkNumbers(); err != nil {
+		return err
+	}
+	if o.For < minLength || o.For > maxLength {
+		return BadArgument{"for", fmt.Sprintf("%v lies outside %v to %v", o.For, minLength, maxLength)}
+	}
+	if !slices.Contains(Faults, o.Faults) {
+		return BadArgument{"faults", fmt.Sprintf("%q is none; there are %v", o.Faults, Faults)}
+	}
+	if o.Faults != FaultsNone && o.Control < 2 {
+		return BadArgument{"faults", fmt.Sprintf("%s wants 2 control processes at least", o.Faults)}
+	}
+	if o.Faults == FaultsZone && o.Zones < 2 {
+		return BadArgument{"faults", "zone wants 2 zones at least"}
+	}
+	if o.Faults == FaultsRegion && o.Regions < 2 {
+		return BadArgument{"faults", "region wants 2 regions at least"}
+	}
+	return nil
+}
+
+func (o *Options) checkNumbers() error {
+	for _, option := range []struct {
+		flag            string
+		value, min, max int
+	}{
+		{"balancers", o.Balancers, 1, maxBalancers},
+		{"control", o.Control, 1, maxControl},
+		{"zones", o.Zones, 1, maxZones},
+		{"regions", o.Regions, 1, max(1, o.Zones)},
+		{"changes-per-day", o.PerDay, 0, maxChangesPerDay},
+		{"burst", o.Burst, 0, maxBurst},
+	} {
+		if option.value < option.min || option.value > option.max {
+			return BadArgument{option.flag, fmt.Sprintf("%d lies outside %d to %d", option.value, option.min, option.max)}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/lab/scale/plan_golden_test.go
@@ -0,0 +1,28 @@
+package scale
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"testing"
+)
+
+// TestPlanOfASeedIsStable holds the plans that earlier builds drew for a seed: figures of runs can be compared only if the plans are the
+// same.
+func TestPlanOfASeedIsStable(t *testing.T) {
+	want := map[string]string{
+		FaultsNone:   "01939e82475334cf",
+		FaultsDay:    "ba51f04c895ef6ee",
+		FaultsRack:   "0ab2acc8d5e7abbe",
+		FaultsZone:   "13eef1f225ce743d",
+		FaultsRegion: "eaf3e0d9583b69d5",
+	}
+	for _, kind := range Faults {
+		o := testOptions()
+		o.Faults = kind
+		p := newTestPlan(t, o)
+		text := fmt.Sprintf("%v\n%v\n%v\n%v\n%v\n%v\n%v\n", p.Voters, p.Control, p.Balancer, p.Changes, p.Steps, p.Says, p.Hosts(30))
+		if got := fmt.Sprintf("%x", sha256.Sum256([]byte(text)))[:16]; got != want[kind] {
+			t.Errorf("%s: digest %s, want %s", kind, got, want[kind])
+		}
+	}
+}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-func options() Options {
+func testOptions() Options {
 	return Options{Balancers: 460, Control: 17, Zones: 11, Regions: 3, PerDay: 21000, Burst: 100, For: time.Minute, Seed: 3, Faults: FaultsNone}
 }
 
-func made(t *testing.T, o Options) *Plan {
+func newTestPlan(t *testing.T, o Options) *Plan {
 	t.Helper()
 	p, err := NewPlan(o)
 	if err != nil {
@@ -22,7 +22,7 @@
 	return p
 }
 
-func TestBadArgumentsAreNamed(t *testing.T) {
+func TestOptionsRejectBadArguments(t *testing.T) {
 	for _, c := range []struct {
 		change func(*Options)
 		want   string
@@ -39,7 +39,7 @@
 		{func(o *Options) { o.Faults, o.Zones, o.Regions = FaultsZone, 1, 1 }, "--faults: zone wants 2 zones"},
 		{func(o *Options) { o.Faults, o.Regions = FaultsRegion, 1 }, "--faults: region wants 2 regions"},
 	} {
-		o := options()
+		o := testOptions()
 		c.change(&o)
 		_, err := NewPlan(o)
 		var bad BadArgument
@@ -49,26 +49,26 @@
 	}
 }
 
-func TestAPlanIsItsSeed(t *testing.T) {
+func TestPlanDependsOnSeedOnly(t *testing.T) {
 	for _, kind := range Faults {
-		o := options()
+		o := testOptions()
 		o.Faults = kind
-		if !reflect.DeepEqual(made(t, o), made(t, o)) {
+		if !reflect.DeepEqual(newTestPlan(t, o), newTestPlan(t, o)) {
 			t.Errorf("%s: the same seed, another plan", kind)
 		}
-		p := made(t, o)
+		p := newTestPlan(t, o)
 		o.Seed++
-		if reflect.DeepEqual(p.Changes, made(t, o).Changes) {
+		if reflect.DeepEqual(p.Changes, newTestPlan(t, o).Changes) {
 			t.Errorf("%s: another seed, the same changes", kind)
 		}
 	}
 }
 
-// TestChangesComeAtTheRate wants a day's changes in a day, and a burst within one second.
-func TestChangesComeAtTheRate(t *testing.T) {
-	o := options()
+// TestChangesAtConfiguredRate checks the number of changes of a day, and that a burst takes less than a second.
+func TestChangesAtConfiguredRate(t *testing.T) {
+	o := testOptions()
 	o.For = 24 * time.Hour
-	p := made(t, o)
+	p := newTestPlan(t, o)
 	if n := len(p.Changes) - o.Burst; n < 20400 || n > 21600 { // four times the root of the mean
 		t.Errorf("%d changes in a day", n)
 	}
@@ -76,12 +76,12 @@
 		t.Error("not by time")
 	}
 	o.PerDay, o.For = 0, 10*time.Second
-	p = made(t, o)
+	p = newTestPlan(t, o)
 	if n := len(p.Changes); n != 100 || p.Changes[99].Due-p.Changes[0].Due >= time.Second || p.Changes[99].Due > o.For {
 		t.Errorf("a burst of %d from %v to %v", n, p.Changes[0].Due, p.Changes[n-1].Due)
 	}
 	for _, c := range p.Changes {
-		if c.Key < 0 || c.Key >= Keys || c.Bytes < leastValue || c.Bytes > mostValue {
+		if c.Key < 0 || c.Key >= Keys || c.Bytes < minValueBytes || c.Bytes > maxValueBytes {
 			t.Fatalf("%+v", c)
 		}
 	}
@@ -95,14 +95,14 @@
 	}
 }
 
-// TestEachFaultEndsWithinTheRun wants whatever goes to come back, at the earliest after it went, before the run ends.
+// TestEachFaultEndsWithinTheRun checks that each step that stops something is followed by the one that starts it again, within the run.
 func TestEachFaultEndsWithinTheRun(t *testing.T) {
 	off := map[Action]Action{Kill: Start, End: Start, Cut: Heal, Down: Up, ZoneOff: ZoneOn}
 	for _, kind := range Faults[1:] {
-		for _, long := range []time.Duration{leastFor, time.Minute, time.Hour} {
-			o := options()
+		for _, long := range []time.Duration{minLength, time.Minute, time.Hour} {
+			o := testOptions()
 			o.Faults, o.For = kind, long
-			p := made(t, o)
+			p := newTestPlan(t, o)
 			gone := map[string]bool{}
 			went := 0
 			for _, s := range p.Steps {
@@ -136,28 +136,28 @@
 	}
 }
 
-// TestTheBurstFallsIntoTheFault holds it to that: a burst in quiet times shows less.
-func TestTheBurstFallsIntoTheFault(t *testing.T) {
+// TestBurstDuringFault: a burst outside the fault would show less.
+func TestBurstDuringFault(t *testing.T) {
 	for _, kind := range []string{FaultsRack, FaultsZone, FaultsRegion} {
-		o := options()
+		o := testOptions()
 		o.Faults, o.PerDay = kind, 0
-		p := made(t, o)
+		p := newTestPlan(t, o)
 		if first, last := p.Changes[0].Due, p.Changes[len(p.Changes)-1].Due; first < p.Steps[0].At || last > p.LastFault() {
 			t.Errorf("%s from %v to %v, burst from %v to %v", kind, p.Steps[0].At, p.LastFault(), first, last)
 		}
 	}
 }
 
-func TestADayIsScaled(t *testing.T) {
+func TestDayIsScaledToRun(t *testing.T) {
 	count := func(o Options) (n int) {
-		for _, s := range made(t, o).Steps {
+		for _, s := range newTestPlan(t, o).Steps {
 			if s.Action == Down {
 				n += len(s.Who)
 			}
 		}
 		return n
 	}
-	o := options()
+	o := testOptions()
 	o.Faults, o.Balancers, o.For = FaultsDay, 4600, 24*time.Hour
 	if n := count(o); n != 1730 {
 		t.Errorf("%d go in a day", n)
@@ -172,11 +172,11 @@
 	}
 }
 
-func TestHostsHoldEachBalancerOnce(t *testing.T) {
+func TestHostsContainEachBalancerOnce(t *testing.T) {
 	for _, kind := range []string{FaultsNone, FaultsZone} {
-		o := options()
+		o := testOptions()
 		o.Faults = kind
-		p := made(t, o)
+		p := newTestPlan(t, o)
 		var all []int
 		for _, h := range p.Hosts(30) {
 			if len(h) == 0 || len(h) > 30 {
@@ -198,13 +198,13 @@
 
 const ms = time.Millisecond
 
-func at(n int) time.Duration { return time.Duration(n) * ms }
+func milliseconds(n int) time.Duration { return time.Duration(n) * ms }
 
-// ledger has two changes, due at 100 and 200, versions 11 and 12, and one balancer that is up from 0 on and has both at 150 and 260.
-func ledger(more ...func(*Ledger)) *Ledger {
+// newTestLedger has changes of versions 11 and 12, due at 100 and 200 ms, and one balancer that is up from 0 on.
+func newTestLedger(more ...func(*Ledger)) *Ledger {
 	l := NewLedger(1, 2)
-	l.Due(0, at(100))
-	l.Due(1, at(200))
+	l.Due(0, milliseconds(100))
+	l.Due(1, milliseconds(200))
 	l.SetVersion(0, 11)
 	l.SetVersion(1, 12)
 	l.Up(0, 0)
@@ -214,101 +214,101 @@
 	return l
 }
 
-var whole = Final{Version: 12, Digest: 7, Values: 9}
+var completeState = Final{Version: 12, Digest: 7, Values: 9}
 
-func TestInForceCountsFromWhenItWasDue(t *testing.T) {
-	a := ledger(func(l *Ledger) {
-		l.Applied(0, 11, at(150))
-		l.Applied(0, 12, at(260))
-		l.End(0, whole)
-	}).Close(at(1000), whole)
+func TestInForceIsMeasuredFromDueTime(t *testing.T) {
+	a := newTestLedger(func(l *Ledger) {
+		l.Applied(0, 11, milliseconds(150))
+		l.Applied(0, 12, milliseconds(260))
+		l.End(0, completeState)
+	}).Close(milliseconds(1000), completeState)
 	if a.Missed+a.WentBack+a.NotAccepted+a.Differ+a.Silent+a.Behind != 0 || a.InForce.TotalCount() != 2 || (a.InForce.Min()+500)/1000 != 50 || // as the histogram rounds
 		a.InForce.Max()/1000 != 60 || a.Slowest != 1 {
 		t.Errorf("%+v, %d to %d us", a, a.InForce.Min(), a.InForce.Max())
 	}
 }
 
-// TestASnapshotBringsAll has one mark for both.
-func TestASnapshotBringsAll(t *testing.T) {
-	a := ledger(func(l *Ledger) {
-		l.Applied(0, 12, at(300))
-		l.End(0, whole)
-	}).Close(at(1000), whole)
+// TestSnapshotAppliesAllChanges applies the version of the second change only.
+func TestSnapshotAppliesAllChanges(t *testing.T) {
+	a := newTestLedger(func(l *Ledger) {
+		l.Applied(0, 12, milliseconds(300))
+		l.End(0, completeState)
+	}).Close(milliseconds(1000), completeState)
 	if a.Missed != 0 || a.InForce.TotalCount() != 2 || a.InForce.Max()/1000 != 200 {
 		t.Errorf("%+v, %d us", a, a.InForce.Max())
 	}
 }
 
-// TestOnlyReachableTimeCounts has a balancer away from 120 to 400, and what was due meanwhile counted from its return.
-func TestOnlyReachableTimeCounts(t *testing.T) {
-	a := ledger(func(l *Ledger) {
-		l.Down(0, at(120))
-		l.Up(0, at(400))
-		l.Applied(0, 12, at(430))
-		l.End(0, whole)
-	}).Close(at(1000), whole)
+// TestUnreachableTimeIsNotCounted: for a balancer that is down from 120 to 400 ms, what was due meanwhile counts from its return.
+func TestUnreachableTimeIsNotCounted(t *testing.T) {
+	a := newTestLedger(func(l *Ledger) {
+		l.Down(0, milliseconds(120))
+		l.Up(0, milliseconds(400))
+		l.Applied(0, 12, milliseconds(430))
+		l.End(0, completeState)
+	}).Close(milliseconds(1000), completeState)
 	if a.Missed != 0 || a.InForce.TotalCount() != 2 || a.InForce.Max()/1000 != 30 || a.Returned.TotalCount() != 1 || a.Returned.Max()/1000 != 30 {
 		t.Errorf("%+v, %d us", a, a.InForce.Max())
 	}
 }
 
-// TestWaitingBeforeARestartCounts: a change that a balancer lacked for long isn't forgotten by the restart.
-func TestWaitingBeforeARestartCounts(t *testing.T) {
-	a := ledger(func(l *Ledger) {
-		l.Applied(0, 11, at(110))
-		l.Down(0, at(900))
-		l.Up(0, at(910))
-		l.Applied(0, 12, at(920))
-		l.End(0, whole)
-	}).Close(at(1000), whole)
+// TestStalenessBeforeRestartIsCounted: a restart does not hide that a balancer lacked a change for long.
+func TestStalenessBeforeRestartIsCounted(t *testing.T) {
+	a := newTestLedger(func(l *Ledger) {
+		l.Applied(0, 11, milliseconds(110))
+		l.Down(0, milliseconds(900))
+		l.Up(0, milliseconds(910))
+		l.Applied(0, 12, milliseconds(920))
+		l.End(0, completeState)
+	}).Close(milliseconds(1000), completeState)
 	if a.Missed != 0 || a.InForce.Max()/1000 != 700 {
 		t.Errorf("%+v, %d us", a, a.InForce.Max())
 	}
 }
 
-func TestWhatIsAwayInTheEndMissesNothing(t *testing.T) {
-	a := ledger(func(l *Ledger) { l.Down(0, at(50)) }).Close(at(1000), whole)
+func TestUnreachableAtEndMissesNothing(t *testing.T) {
+	a := newTestLedger(func(l *Ledger) { l.Down(0, milliseconds(50)) }).Close(milliseconds(1000), completeState)
 	if a.Missed != 0 || a.Silent != 0 || a.InForce.TotalCount() != 0 {
 		t.Errorf("%+v", a)
 	}
 }
 
-// TestWhatIsMissedIsCounted changes one thing at a time.
-func TestWhatIsMissedIsCounted(t *testing.T) {
+// TestMissedChangesAreCounted has one fault in each case.
+func TestMissedChangesAreCounted(t *testing.T) {
 	for name, c := range map[string]struct {
 		more func(*Ledger)
 		want Account
 	}{
 		"behind": {func(l *Ledger) {
-			l.Applied(0, 11, at(150))
+			l.Applied(0, 11, milliseconds(150))
 			l.End(0, Final{Version: 11, Digest: 6, Values: 5})
 		}, Account{Missed: 1, Behind: 1}},
 		"another digest": {func(l *Ledger) {
-			l.Applied(0, 12, at(150))
+			l.Applied(0, 12, milliseconds(150))
 			l.End(0, Final{Version: 12, Digest: 8, Values: 9})
 		}, Account{Missed: 2, Differ: 1}},
 		"other values": {func(l *Ledger) {
-			l.Applied(0, 13, at(150))
+			l.Applied(0, 13, milliseconds(150))
 			l.End(0, Final{Version: 13, Digest: 8, Values: 8})
 		}, Account{Missed: 2, Differ: 1}},
-		"silent": {func(l *Ledger) { l.Applied(0, 12, at(150)) }, Account{Missed: 2, Silent: 1}},
+		"silent": {func(l *Ledger) { l.Applied(0, 12, milliseconds(150)) }, Account{Missed: 2, Silent: 1}},
 		"not accepted": {func(l *Ledger) {
 			l.SetVersion(1, 0)
-			l.Applied(0, 12, at(150))
-			l.End(0, whole)
+			l.Applied(0, 12, milliseconds(150))
+			l.End(0, completeState)
 		}, Account{Missed: 1, Behind: 1, NotAccepted: 1}},
 		"back": {func(l *Ledger) {
-			l.Applied(0, 12, at(250))
-			l.Applied(0, 11, at(260))
-			l.End(0, whole)
+			l.Applied(0, 12, milliseconds(250))
+			l.Applied(0, 11, milliseconds(260))
+			l.End(0, completeState)
 		}, Account{WentBack: 1}},
 		"twice": {func(l *Ledger) {
-			l.Applied(0, 12, at(250))
-			l.Applied(0, 12, at(260))
-			l.End(0, whole)
+			l.Applied(0, 12, milliseconds(250))
+			l.Applied(0, 12, milliseconds(260))
+			l.End(0, completeState)
 		}, Account{WentBack: 1}},
 	} {
-		got := ledger(c.more).Close(at(1000), whole)
+		got := newTestLedger(c.more).Close(milliseconds(1000), completeState)
 		got.InForce, got.Returned, got.Slowest = nil, nil, 0
 		if got != c.want {
 			t.Errorf("%s: %+v, wanted %+v", name, got, c.want)
@@ -327,7 +327,7 @@
 	}
 }
 
-func TestEven(t *testing.T) {
+func TestSpreadIsEven(t *testing.T) {
 	if s := NewSpread([]int{10, 30, 0}); !s.Even() || s.Allowed != 36 {
 		t.Error(s)
 	}
@@ -339,8 +339,8 @@
 	}
 }
 
-// TestEachTargetIsJudged breaks one at a time; a run judged by counts alone knows no times.
-func TestEachTargetIsJudged(t *testing.T) {
+// TestEachTargetIsChecked misses one target at a time; without targets only counts are checked.
+func TestEachTargetIsChecked(t *testing.T) {
 	kept := Figures{Samples: 1, Steady: true, InForceWorst: 7000, BalancerCore: 1.6, BalancerMB: 128, BalancerBytes: 3000, ControlCore: 100, ControlMB: 4096}
 	if not := kept.Check(&DefaultTargets); len(not) != 0 || Verdict(not) != "verdict: kept" {
 		t.Error(not)
@@ -377,18 +377,18 @@
 	}
 }
 
-func TestWhatTheMachineDoesNotBear(t *testing.T) {
-	p := made(t, options())
+func TestRequirementsOfMachine(t *testing.T) {
+	p := newTestPlan(t, testOptions())
 	n := p.Requirements(p.Hosts(300))
-	long := options()
+	long := testOptions()
 	long.For, long.Balancers = 24*time.Hour, 4600
-	if l := made(t, long); l.Requirements(l.Hosts(300)).Check(20000, 16000, 16000) == nil {
-		t.Error("what is booked in a day counts for nothing")
+	if l := newTestPlan(t, long); l.Requirements(l.Hosts(300)).Check(20000, 16000, 16000) == nil {
+		t.Error("the ledger of a day takes no memory")
 	}
-	region := options()
+	region := testOptions()
 	region.Faults, region.Balancers = FaultsRegion, 5000
-	if r := made(t, region); r.Requirements(r.Hosts(300)).Check(20000, 24000, 16000) == nil {
-		t.Error("fronts need no descriptors")
+	if r := newTestPlan(t, region); r.Requirements(r.Hosts(300)).Check(20000, 24000, 16000) == nil {
+		t.Error("forwarders need no descriptors")
 	}
 	if err := n.Check(20000, 24000, 16000); err != nil {
 		t.Error(err)
