--- a/internal/fleet/replication/bench_test.go
+++ b/internal/fleet/replication/bench_test.go
@@ -46,42 +46,42 @@
 
 // newBenchCluster makes a number of nodes, of which minReplicas have to have a write.
 func newBenchCluster(count, minReplicas, maxKeys int) *benchCluster {
-	h := &benchCluster{nodes: map[string]*Node{}}
+	c := &benchCluster{nodes: map[string]*Node{}}
 	for i := range count {
 		id := fmt.Sprintf("%032x", i+1)
-		h.ids = append(h.ids, id)
-		h.nodes[id] = New(Config{ID: id, Incarnation: 1, MinReplicas: minReplicas, MaxKeys: maxKeys, MaxBytes: 1 << 30, MaxPendingOperations: 1000,
+		c.ids = append(c.ids, id)
+		c.nodes[id] = New(Config{ID: id, Incarnation: 1, MinReplicas: minReplicas, MaxKeys: maxKeys, MaxBytes: 1 << 30, MaxPendingOperations: 1000,
 			Retention: []RetentionRule{{"old/", 10 * time.Minute}}}, 0)
 	}
-	return h
+	return c
 }
 
 // configure gives all nodes the same configuration for every shard.
-func (h *benchCluster) configure(v shardmap.Configuration) {
-	for _, id := range h.ids {
+func (c *benchCluster) configure(v shardmap.Configuration) {
+	for _, id := range c.ids {
 		for num := range shardmap.ShardCount {
-			h.nodes[id].SetConfiguration(num, v)
+			c.nodes[id].SetConfiguration(num, v)
 		}
 	}
-	h.deliver()
+	c.deliver()
 }
 
-func (h *benchCluster) deliver() {
+func (c *benchCluster) deliver() {
 	for again := true; again; {
 		again = false
-		for _, id := range h.ids {
-			r := h.nodes[id].Ready()
+		for _, id := range c.ids {
+			r := c.nodes[id].Ready()
 			for _, m := range r.Messages {
-				if h.countsTraffic {
+				if c.countsTraffic {
 					text, _ := cbor.Marshal(m)
-					h.messages, h.bytes = h.messages+1, h.bytes+len(text)
+					c.messages, c.bytes = c.messages+1, c.bytes+len(text)
 				}
-				h.nodes[m.To].Step(m)
+				c.nodes[m.To].Step(m)
 				again = true
 			}
 			for _, one := range r.Results {
 				if one.Outcome == OutcomeCommitted {
-					h.committed++
+					c.committed++
 				}
 			}
 		}
@@ -89,18 +89,18 @@
 }
 
 // fill writes a number of records of 256 bytes, with the keys that key gives.
-func (h *benchCluster) fill(b *testing.B, records int, key func(n int) string) {
+func (c *benchCluster) fill(b *testing.B, records int, key func(n int) string) {
 	for n := range records {
-		h.nodes[h.ids[0]].Submit(Operation{ID: fmt.Sprint("o", n), Key: key(n), Value: make([]byte, 256)}, time.Second)
+		c.nodes[c.ids[0]].Submit(Operation{ID: fmt.Sprint("o", n), Key: key(n), Value: make([]byte, 256)}, time.Second)
 		if n%256 == 255 {
-			h.deliver()
+			c.deliver()
 		}
 	}
-	h.deliver()
-	if keys, _ := h.nodes[h.ids[len(h.ids)-1]].Usage(); keys != records {
+	c.deliver()
+	if keys, _ := c.nodes[c.ids[len(c.ids)-1]].Usage(); keys != records {
 		b.Fatalf("%d of %d records are stored", keys, records)
 	}
-	h.committed = 0
+	c.committed = 0
 }
 
 func spreadKey(n int) string { return fmt.Sprintf("k/%016x", n) }
--- a/internal/fleet/replication/replication_test.go
+++ b/internal/fleet/replication/replication_test.go
@@ -18,70 +18,70 @@
 }
 
 func newCluster(maxKeys, maxBytes int) *cluster {
-	b := &cluster{nodes: map[string]*Node{}, results: map[string]Result{}, isHeldBack: func(Message) bool { return false }}
+	c := &cluster{nodes: map[string]*Node{}, results: map[string]Result{}, isHeldBack: func(Message) bool { return false }}
 	for _, id := range []string{"a", "b", "c"} {
-		b.nodes[id] = New(Config{ID: id, Incarnation: 1, MinReplicas: 2, MaxKeys: maxKeys, MaxBytes: maxBytes, MaxPendingOperations: 100, Retention: []RetentionRule{{"old/", time.Minute}}}, 0)
+		c.nodes[id] = New(Config{ID: id, Incarnation: 1, MinReplicas: 2, MaxKeys: maxKeys, MaxBytes: maxBytes, MaxPendingOperations: 100, Retention: []RetentionRule{{"old/", time.Minute}}}, 0)
 	}
-	b.configure(shardmap.Configuration{Number: 1, InSync: []string{"a", "b", "c"}}, "a", "b", "c")
-	return b
+	c.configure(shardmap.Configuration{Number: 1, InSync: []string{"a", "b", "c"}}, "a", "b", "c")
+	return c
 }
 
 // configure gives some nodes the same configuration for every shard.
-func (b *cluster) configure(v shardmap.Configuration, to ...string) {
+func (c *cluster) configure(v shardmap.Configuration, to ...string) {
 	for _, id := range to {
 		for num := range shardmap.ShardCount {
-			b.nodes[id].SetConfiguration(num, v)
+			c.nodes[id].SetConfiguration(num, v)
 		}
 	}
-	b.deliver()
+	c.deliver()
 }
 
-func (b *cluster) deliver() {
+func (c *cluster) deliver() {
 	for again := true; again; {
 		again = false
 		for _, id := range []string{"a", "b", "c"} {
-			r := b.nodes[id].Ready()
+			r := c.nodes[id].Ready()
 			for _, m := range r.Messages {
-				if !b.isHeldBack(m) {
-					b.nodes[m.To].Step(m)
+				if !c.isHeldBack(m) {
+					c.nodes[m.To].Step(m)
 					again = true
 				}
 			}
 			for _, one := range r.Results {
-				b.results[one.OperationID] = one
+				c.results[one.OperationID] = one
 			}
 		}
 	}
 }
 
-func (b *cluster) advance(d time.Duration) {
-	for end := b.now + d; b.now < end; {
-		b.now += 50 * time.Millisecond
+func (c *cluster) advance(d time.Duration) {
+	for end := c.now + d; c.now < end; {
+		c.now += 50 * time.Millisecond
 		for _, id := range []string{"a", "b", "c"} {
-			b.nodes[id].Tick(b.now)
+			c.nodes[id].Tick(c.now)
 		}
-		b.deliver()
+		c.deliver()
 	}
 }
 
-func (b *cluster) submit(at string, op Operation) Result {
-	b.nodes[at].Submit(op, time.Second)
-	b.deliver()
-	return b.results[op.ID]
+func (c *cluster) submit(at string, op Operation) Result {
+	c.nodes[at].Submit(op, time.Second)
+	c.deliver()
+	return c.results[op.ID]
 }
 
 // TestCapacityIsBounded submits a million records to a capacity of 50,000: a full node rejects new keys and keeps what was
 // committed.
 func TestCapacityIsBounded(t *testing.T) {
 	const capacity, submitted = 50000, 1000000
-	b := newCluster(capacity, 64<<20)
+	c := newCluster(capacity, 64<<20)
 	committed, full := 0, 0
 	for i := range submitted {
 		op := Operation{ID: fmt.Sprint("o", i), Key: fmt.Sprint("k", i), Value: []byte("v")}
-		b.nodes["a"].Submit(op, time.Second)
+		c.nodes["a"].Submit(op, time.Second)
 		if i%64 == 63 || i == submitted-1 {
-			b.deliver()
-			for id, r := range b.results {
+			c.deliver()
+			for id, r := range c.results {
 				switch {
 				case r.Outcome == OutcomeCommitted:
 					committed++
@@ -91,21 +91,21 @@
 					t.Fatal(id, r)
 				}
 			}
-			clear(b.results)
+			clear(c.results)
 		}
 	}
 	if committed != capacity || full != submitted-capacity {
 		t.Errorf("%d committed, %d rejected", committed, full)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		if keys, _ := b.nodes[id].Usage(); keys != capacity || b.nodes[id].Record("k0").Version != 1 {
+		if keys, _ := c.nodes[id].Usage(); keys != capacity || c.nodes[id].Record("k0").Version != 1 {
 			t.Errorf("%s stores %d", id, keys)
 		}
 	}
-	if r := b.submit("b", Operation{ID: "update", Key: "k0", ExpectedVersion: 1, Value: []byte("w")}); r.Outcome != OutcomeCommitted { // a key that exists may change
+	if r := c.submit("b", Operation{ID: "update", Key: "k0", ExpectedVersion: 1, Value: []byte("w")}); r.Outcome != OutcomeCommitted { // a key that exists may change
 		t.Error(r)
 	}
-	if r := b.submit("c", Operation{ID: "drop", Key: "k1", ExpectedVersion: 1, Delete: true}); r.Outcome != OutcomeCommitted {
+	if r := c.submit("c", Operation{ID: "drop", Key: "k1", ExpectedVersion: 1, Delete: true}); r.Outcome != OutcomeCommitted {
 		t.Error(r)
 	}
 }
@@ -113,42 +113,42 @@
 // TestStalePrimaryCommitsNothing gives two of three nodes a new configuration and submits writes and reads to the old primary,
 // which does not know of it.
 func TestStalePrimaryCommitsNothing(t *testing.T) {
-	b := newCluster(100, 1<<20)
-	if r := b.submit("a", Operation{ID: "1", Key: "k", Value: []byte("1")}); r.Outcome != OutcomeCommitted {
+	c := newCluster(100, 1<<20)
+	if r := c.submit("a", Operation{ID: "1", Key: "k", Value: []byte("1")}); r.Outcome != OutcomeCommitted {
 		t.Fatal(r)
 	}
-	b.configure(shardmap.Configuration{Number: 2, InSync: []string{"b", "c"}}, "b", "c")
-	if r := b.submit("c", Operation{ID: "2", Key: "k", ExpectedVersion: 1, Value: []byte("2")}); r.Outcome != OutcomeCommitted {
+	c.configure(shardmap.Configuration{Number: 2, InSync: []string{"b", "c"}}, "b", "c")
+	if r := c.submit("c", Operation{ID: "2", Key: "k", ExpectedVersion: 1, Value: []byte("2")}); r.Outcome != OutcomeCommitted {
 		t.Fatal(r)
 	}
 	for _, op := range []Operation{{ID: "3", Key: "k", ExpectedVersion: 1, Value: []byte("3")}, {ID: "4", Key: "k", ReadOnly: true}, {ID: "5", Key: "new", Value: []byte("5")}} {
-		if r := b.submit("a", op); r.Outcome == OutcomeCommitted || r.Outcome == OutcomeConflict {
+		if r := c.submit("a", op); r.Outcome == OutcomeCommitted || r.Outcome == OutcomeConflict {
 			t.Errorf("%s: %v %s", op.ID, r.Outcome, r.Record.Value)
 		}
 	}
-	b.advance(2 * time.Second)
+	c.advance(2 * time.Second)
 	for _, id := range []string{"3", "4", "5"} {
-		if r := b.results[id]; r.Outcome == OutcomeCommitted || r.Outcome == OutcomeConflict {
+		if r := c.results[id]; r.Outcome == OutcomeCommitted || r.Outcome == OutcomeConflict {
 			t.Errorf("%s: %v", id, r.Outcome)
 		}
 	}
-	if r := b.submit("b", Operation{ID: "6", Key: "k", ReadOnly: true}); string(r.Record.Value) != "2" {
+	if r := c.submit("b", Operation{ID: "6", Key: "k", ReadOnly: true}); string(r.Record.Value) != "2" {
 		t.Errorf("%v %s", r.Outcome, r.Record.Value)
 	}
 }
 
 // TestWriteWaitsForEveryReplica loses one replica's acknowledgements, which must be reported, and then lets them through.
 func TestWriteWaitsForEveryReplica(t *testing.T) {
-	b := newCluster(100, 1<<20)
-	b.isHeldBack = func(m Message) bool { return m.From == "c" && m.Kind == MessageWriteAck }
-	if r := b.submit("a", Operation{ID: "1", Key: "k", Value: []byte("1")}); r.Outcome == OutcomeCommitted {
+	cluster := newCluster(100, 1<<20)
+	cluster.isHeldBack = func(m Message) bool { return m.From == "c" && m.Kind == MessageWriteAck }
+	if r := cluster.submit("a", Operation{ID: "1", Key: "k", Value: []byte("1")}); r.Outcome == OutcomeCommitted {
 		t.Fatal("committed without the third replica")
 	}
 	var suspected []string
 	for range 40 {
-		b.now += 50 * time.Millisecond
-		b.nodes["a"].Tick(b.now)
-		r := b.nodes["a"].Ready()
+		cluster.now += 50 * time.Millisecond
+		cluster.nodes["a"].Tick(cluster.now)
+		r := cluster.nodes["a"].Ready()
 		for _, c := range r.Reports {
 			if !slices.Contains(suspected, c.Subject) {
 				suspected = append(suspected, c.Subject)
@@ -158,36 +158,36 @@
 	if !slices.Equal(suspected, []string{"c"}) {
 		t.Errorf("suspected %v", suspected)
 	}
-	b.isHeldBack = func(Message) bool { return false }
-	b.advance(time.Second)
-	if r := b.submit("b", Operation{ID: "2", Key: "k", ReadOnly: true}); string(r.Record.Value) != "1" || b.results["1"].Outcome == OutcomeRejected {
-		t.Errorf("%v, %v", r, b.results["1"])
+	cluster.isHeldBack = func(Message) bool { return false }
+	cluster.advance(time.Second)
+	if r := cluster.submit("b", Operation{ID: "2", Key: "k", ReadOnly: true}); string(r.Record.Value) != "1" || cluster.results["1"].Outcome == OutcomeRejected {
+		t.Errorf("%v, %v", r, cluster.results["1"])
 	}
-	b.configure(shardmap.Configuration{Number: 2, InSync: []string{"a"}}, "a", "b", "c")
-	if r := b.submit("a", Operation{ID: "3", Key: "k", ExpectedVersion: 1, Value: []byte("3")}); r.Outcome == OutcomeCommitted {
+	cluster.configure(shardmap.Configuration{Number: 2, InSync: []string{"a"}}, "a", "b", "c")
+	if r := cluster.submit("a", Operation{ID: "3", Key: "k", ExpectedVersion: 1, Value: []byte("3")}); r.Outcome == OutcomeCommitted {
 		t.Error("committed on one replica")
 	}
 }
 
 // TestRecordsExpire lets two records grow old, one of which has no retention rule.
 func TestRecordsExpire(t *testing.T) {
-	b := newCluster(100, 1<<20)
-	b.submit("a", Operation{ID: "1", Key: "old/k", Value: []byte("1"), CreatedAt: 1000})
-	b.submit("a", Operation{ID: "2", Key: "word/k", Value: []byte("1"), CreatedAt: 1000})
+	c := newCluster(100, 1<<20)
+	c.submit("a", Operation{ID: "1", Key: "old/k", Value: []byte("1"), CreatedAt: 1000})
+	c.submit("a", Operation{ID: "2", Key: "word/k", Value: []byte("1"), CreatedAt: 1000})
 	for _, wall := range []int64{1059, 1061} {
-		b.advance(2 * time.Second)
+		c.advance(2 * time.Second)
 		for _, id := range []string{"a", "b", "c"} {
-			b.nodes[id].SetWallClock(wall)
+			c.nodes[id].SetWallClock(wall)
 		}
-		b.deliver()
+		c.deliver()
 		want := map[int64]int{1059: 2, 1061: 1}[wall]
 		for _, id := range []string{"a", "b", "c"} {
-			if keys, _ := b.nodes[id].Usage(); keys != want || b.nodes[id].Record("word/k").Version != 1 {
+			if keys, _ := c.nodes[id].Usage(); keys != want || c.nodes[id].Record("word/k").Version != 1 {
 				t.Errorf("at %d %s stores %d", wall, id, keys)
 			}
 		}
 	}
-	if r := b.submit("b", Operation{ID: "3", Key: "old/k", Value: []byte("2")}); r.Outcome != OutcomeCommitted || r.Record.Version != 1 {
+	if r := c.submit("b", Operation{ID: "3", Key: "old/k", Value: []byte("2")}); r.Outcome != OutcomeCommitted || r.Record.Version != 1 {
 		t.Errorf("%v", r)
 	}
 }
