--- a/internal/fleet/placement/shard_plan.go
+++ b/internal/fleet/placement/shard_plan.go
@@ -44,7 +44,7 @@
 		isPromoted := func(other string) bool { return other == id }
 		return p.change(append(slices.Clone(inSync), id), without(joining, isPromoted)), true
 	}
-	missing := without(p.target, func(id string) bool { return !p.alive[id] || slices.Contains(inSync, id) })
+	missing := p.missingReplicas(inSync)
 	if len(missing) > 0 && (len(joining) > 0 || p.mayStartJoining) {
 		return p.change(inSync, missing), !slices.Equal(missing, p.current.Joining)
 	}
@@ -127,6 +127,17 @@
 	return "", false
 }
 
+// missingReplicas are the target's members that are alive and not in sync. There are none in most calls, which then allocate nothing.
+func (p *shardPlan) missingReplicas(inSync []string) []string {
+	var missing []string
+	for _, id := range p.target {
+		if p.alive[id] && !slices.Contains(inSync, id) {
+			missing = append(missing, id)
+		}
+	}
+	return missing
+}
+
 func (p *shardPlan) allTargetsAlive() bool {
 	return !slices.ContainsFunc(p.target, func(id string) bool { return !p.alive[id] })
 }
