--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -19,7 +19,7 @@
 	FaultsRegion = "region" // the control processes of a region are cut off from the others
 )
 
-// The kinds of faults, as options name them.
+// Faults are the kinds of faults, as options name them.
 var Faults = []string{FaultsNone, FaultsDay, FaultsRack, FaultsZone, FaultsRegion}
 
 const (
