--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -20,8 +20,8 @@
 // connKey is the context key of a client's *conn.
 type connKey struct{}
 
-// Serve accepts clients until the listener fails. One that is shared with another process is served from when this one is ready
-// until Shutdown, which is no failure.
+// Serve accepts clients until the listener fails. A listener that is shared with another process is served only once this process is
+// ready; Serve returns nil after Shutdown.
 func (l *Loop) Serve(listener *Listener) error {
 	if listener.shared {
 		<-l.becameReady // until then the old process knows more
--- a/internal/balancer/counters.go
+++ b/internal/balancer/counters.go
@@ -22,7 +22,7 @@
 	Served      atomic.Int64
 	Rejected    atomic.Int64
 	Failed      atomic.Int64
-	ClientsLeft atomic.Int64 // clients that left before theirs
+	ClientsLeft atomic.Int64 // clients that disconnected before their final answer
 
 	Migrations     atomic.Int64
 	SilentServers  atomic.Int64 // sessions whose server said nothing for too long
@@ -49,7 +49,7 @@
 
 	// Clients that break the rules.
 	DuplicateIDs      atomic.Int64
-	UnexpectedLines   atomic.Int64 // more before the answer
+	UnexpectedLines   atomic.Int64 // lines that a client sent before its answer
 	FirstLineTimeouts atomic.Int64
 	Evicted           atomic.Int64 // to free descriptors
 
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -27,8 +27,8 @@
 	reportedSlow bool
 }
 
-// FollowDiscovery follows the endpoint list at an address, in place of the one before. What is still to arrive from that one is
-// ignored, or an old list could win over a new one's.
+// FollowDiscovery follows the endpoint list at an address, in place of the previous one. Lists that the previous watch still
+// delivers are ignored, so that none replaces a newer one.
 func (l *Loop) FollowDiscovery(ctx context.Context, address string) {
 	l.post(event{run: func() { l.watchDiscovery(ctx, address) }})
 }
--- a/internal/balancer/event.go
+++ b/internal/balancer/event.go
@@ -51,7 +51,7 @@
 	return "written"
 }
 
-// DisconnectError is the end of a connection that this balancer did not ask for.
+// DisconnectError reports a connection that was ended by the other side or by a failure.
 type DisconnectError struct {
 	Stage  Stage
 	Abrupt bool // by a reset
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -35,8 +35,8 @@
 
 // StartHandover connects to the old process of this balancer, which may hand over its sessions, and then waits for the next one.
 // The processes meet at a socket in dir under the balancer's name. memory is the limit of both processes in bytes, base the number
-// of descriptors that this process holds beside connections. From here on Shutdown closes the listener even if it comes before
-// Serve. After an error there is no handover, either way. It is called before Reconfigure.
+// of descriptors that this process holds beside connections. After the call Shutdown stops the listener, even before
+// Serve. After an error there is no handover, neither from the old process nor to a new one. It has to be called before Reconfigure.
 func (l *Loop) StartHandover(listener *Listener, dir, name string, memory int64, base int) error {
 	l.sharesListener = true
 	l.listener.Store(listener)
--- a/internal/balancer/lifecycle.go
+++ b/internal/balancer/lifecycle.go
@@ -22,7 +22,7 @@
 // OutOfService drains the balancer, which goes on running. Whatever is asked after it has returned finds it draining.
 func (l *Loop) OutOfService() error { return l.setOutOfService(true) }
 
-// InService has the balancer take clients again, whatever is left of a drain.
+// InService has the balancer accept clients again; it ends a drain, even an unfinished one.
 func (l *Loop) InService() error { return l.setOutOfService(false) }
 
 // setOutOfService posts under the lock, so that the loop sees the calls in their order.
--- a/internal/balancer/readiness.go
+++ b/internal/balancer/readiness.go
@@ -93,8 +93,8 @@
 	})
 }
 
-// RestoreServiceState restores what operators last wanted of this balancer, of whichever of its processes: out of service, or not.
-// What they have asked of this process itself wins over it.
+// RestoreServiceState restores the service state that operators last set at an earlier process of this balancer. One that they have set
+// at this process takes precedence.
 func (l *Loop) RestoreServiceState(outOfService bool) {
 	l.post(event{run: func() {
 		if outOfService && l.setInitialState(serviceState{outOfService: true}) {
--- a/internal/fleet/changefeed/event.go
+++ b/internal/fleet/changefeed/event.go
@@ -18,7 +18,7 @@
 	EventSlowSubscriber                    // a publisher closed the session of PeerID, which acknowledged nothing for Duration
 	EventForeignFleet                      // PeerID at Addr belongs to another fleet, Detail
 	EventNewerProtocol                     // PeerID speaks a newer version of the protocol, Detail
-	EventMalformedMessage                  // Detail
+	EventMalformedMessage                  // a message could not be decoded, Detail
 	EventSubscribed                        // a subscriber follows PeerID at Addr
 	EventUnsubscribed                      // a subscriber stopped following Addr, Detail is the reason
 	EventStale                             // a subscriber's state is no longer current; it is of Version and was confirmed Duration ago
--- a/internal/fleet/changefeed/item.go
+++ b/internal/fleet/changefeed/item.go
@@ -51,8 +51,8 @@
 	Items   []Item `cbor:"4,keyasint,omitempty"`
 }
 
-// NewSnapshot returns a state that was not built by a Log as a message. The items have to be ordered by key; their values are shared.
-// Items that no State accepts result in a snapshot that no State installs.
+// NewSnapshot returns a snapshot of a state that was not built by a Log. The items have to be ordered by key; their values are shared.
+// A State installs no snapshot with items that it would not accept.
 func NewSnapshot(fleet string, version uint64, items []Item) *Snapshot {
 	digest := uint64(0)
 	for _, item := range items {
--- a/internal/fleet/changefeed/message.go
+++ b/internal/fleet/changefeed/message.go
@@ -62,8 +62,8 @@
 	Sequence    uint64        `cbor:"1,keyasint"`
 	Version     uint64        `cbor:"2,keyasint,omitempty"` // of the publisher
 	Digest      uint64        `cbor:"3,keyasint,omitempty"`
-	SentVersion uint64        `cbor:"4,keyasint,omitempty"` // up to which this connection carried the changes, or which the subscriber reported
-	Age         time.Duration `cbor:"5,keyasint,omitempty"` // since Version was known to be the newest agreed version
+	SentVersion uint64        `cbor:"4,keyasint,omitempty"` // newest version that this connection carried, or that the subscriber reported
+	Age         time.Duration `cbor:"5,keyasint,omitempty"` // since Version was confirmed to be the newest agreed one
 	AgeKnown    bool          `cbor:"6,keyasint,omitempty"`
 	Standby     bool          `cbor:"7,keyasint,omitempty"` // nothing is sent before a SyncRequest
 }
--- a/internal/fleet/changefeed/publisher.go
+++ b/internal/fleet/changefeed/publisher.go
@@ -128,7 +128,7 @@
 	return ready
 }
 
-// Age is how long ago the log was known to be complete; false where that is not known.
+// Age returns how long ago the log was confirmed to be up to date; false if it never was.
 func (p *Publisher) Age(now time.Duration) (time.Duration, bool) {
 	return now - p.latest.at, p.confirmed
 }
@@ -185,8 +185,8 @@
 	p.sendSnapshots()
 }
 
-// ConfirmVersion reports that nothing newer than a version was agreed at a time of this clock, which was read before the question to the
-// log's leader was sent (a read index). It takes effect once the log has the version.
+// ConfirmVersion records that version was the newest agreed one at a time of this clock, which was read before the read-index request to
+// the log's leader was sent. It takes effect once the log has the version.
 func (p *Publisher) ConfirmVersion(at time.Duration, version uint64) {
 	if len(p.pendingConfirmations) < maxPublisherConfirmations {
 		p.pendingConfirmations = append(p.pendingConfirmations, confirmation{at: at, version: version})
--- a/internal/fleet/config/config.go
+++ b/internal/fleet/config/config.go
@@ -64,7 +64,7 @@
 	location hcl.Range
 }
 
-// CheckClasses returns a hclconfig.Faults that names the classes of the file that a deployment does not have, nil where there are none.
+// CheckClasses returns a hclconfig.Diagnostics that names the classes of the file that a deployment does not have, nil where there are none.
 func (f *File) CheckClasses(deployed map[string]int) error {
 	r := &hclconfig.Reader{}
 	for _, class := range f.IdempotentClasses {
@@ -75,7 +75,7 @@
 	return r.Err()
 }
 
-// Read reads a file. The error is a hclconfig.Faults where the content is wrong.
+// Read reads a file. The error is a hclconfig.Diagnostics where the content is wrong.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fleet/node/agreed.go
+++ b/internal/fleet/node/agreed.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// AsOf returns the time up to which this member knows that nothing newer was agreed than what it knows; false where there is none yet.
+// AsOf returns the latest time at which this member's state was confirmed to be the newest agreed one; false if it never was.
 func (n *Node) AsOf() (time.Duration, bool) {
 	asOf, known := n.log.AsOf()
 	if n.agreed.hasAsOf {
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -21,7 +21,7 @@
 	randomStream   = 0xc02e // keeps this package's random numbers apart from others of the same seed
 )
 
-// Config is what a node begins with.
+// Config configures a Node.
 type Config struct {
 	Self        shardmap.Member
 	Incarnation uint64
--- a/internal/fleet/node/packet.go
+++ b/internal/fleet/node/packet.go
@@ -8,8 +8,8 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// ProtocolVersion is the version of the protocol between members from which on they exchange the agreed state as changes and agree on
-// operators' items. An older program would count versions of the state differently.
+// ProtocolVersion is the version of the protocol between members. Since version 2 they exchange the agreed state as changes and agree on
+// operators' items; version 1 counts versions of the state differently.
 const ProtocolVersion = 2
 
 // Packet is a message from one member to another. At most one of the fields behind FleetID is set. The CBOR names are the wire form.
@@ -52,7 +52,7 @@
 	RequestNumber   uint64               `cbor:"Number"`
 	Digest          uint64               `cbor:"Digest"` // of Version
 	HasAge          bool                 `cbor:"Known"`  // Age is valid
-	Age             time.Duration        `cbor:"Age"`    // time since nothing newer than Version was agreed, when the response was made
+	Age             time.Duration        `cbor:"Age"`    // how long before the response Version was confirmed to be the newest
 	Changes         []*changefeed.Change `cbor:"Changes"`
 	Snapshot        *changefeed.Snapshot `cbor:"Snapshot"`
 }
--- a/internal/fleet/replication/config.go
+++ b/internal/fleet/replication/config.go
@@ -15,7 +15,7 @@
 	maxPastOperationIDs = 4   // of one record
 )
 
-// Config is what a Node begins with.
+// Config configures a Node.
 type Config struct {
 	// ID is this member's.
 	ID string
--- a/internal/fleet/replication/message.go
+++ b/internal/fleet/replication/message.go
@@ -64,8 +64,8 @@
 	Joining []string `cbor:"Joining"`
 }
 
-// ReplicaReport tells whoever decides on configurations about one replica of a shard: that From suspects Subject to have failed, or
-// that Subject, which is joining, has caught up.
+// ReplicaReport is sent to the log's leader, which decides on configurations: From suspects the replica Subject to have failed, or the
+// joining replica Subject has caught up.
 type ReplicaReport struct {
 	Shard         int    `cbor:"Slot"`
 	Configuration uint64 `cbor:"View"`
--- a/internal/fleet/replication/node.go
+++ b/internal/fleet/replication/node.go
@@ -3,7 +3,7 @@
 //
 // The package is the protocol alone, without I/O: messages, operations, configurations and the time go in; disk writes, messages and
 // results come out. It must never commit what fewer than the minimum number of replicas have, never accept a write of an older
-// ballot, and never decide on a configuration by itself: two members that did would both commit.
+// ballot, and never decide on a configuration by itself: two primaries could commit at once.
 package replication
 
 import (
--- a/internal/fleet/replication/operation.go
+++ b/internal/fleet/replication/operation.go
@@ -42,7 +42,7 @@
 
 // The outcomes of an operation.
 const (
-	// OutcomeUnknown says that no answer came in time: the operation may or may not have been committed.
+	// OutcomeUnknown says that the operation may or may not have been committed: no answer came in time, or a disk failed.
 	OutcomeUnknown Outcome = iota
 	// OutcomeCommitted says that every in-sync replica of the shard has the write.
 	OutcomeCommitted
@@ -54,8 +54,8 @@
 
 func (o Outcome) String() string { return [...]string{"unknown", "done", "conflict", "refused"}[o] }
 
-// RejectReason is why an operation was rejected. Its numbers are part of the wire format, and its strings of the report that
-// operators read.
+// RejectReason is why an operation was rejected. Its numbers are part of the wire format. Its strings appear in the
+// operators' report.
 type RejectReason uint8
 
 // The reasons of a rejection.
@@ -88,7 +88,7 @@
 type Result struct {
 	OperationID string  `cbor:"Op"`
 	Outcome     Outcome `cbor:"Outcome"`
-	// Reason is set with OutcomeRejected.
+	// Reason is set with OutcomeRejected, and with OutcomeUnknown after a disk has failed.
 	Reason RejectReason `cbor:"Why"`
 	// Record is the one in force, with OutcomeCommitted and OutcomeConflict.
 	Record Record `cbor:"Record"`
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -118,8 +118,8 @@
 	c.closeLocked()
 }
 
-// CloseWrite ends the sending once all is written. What still arrives is read and dropped, to the end, as a close with unread bytes is a
-// reset that overtakes the last line. The caller closes the connection a little later.
+// CloseWrite half-closes the connection after pending writes. Input is read and discarded: closing with unread bytes would send a reset,
+// and the last line could be lost. The caller closes the connection a little later.
 func (c *Conn) CloseWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -63,11 +63,11 @@
 type Handler interface {
 	// Connected reports how a dial ended.
 	Connected(c *Conn, err error)
-	// LineReceived reports one line of a connection that is no Pair's. The next is read after AwaitLine.
+	// LineReceived reports one line of an unpaired connection. The next one is read after AwaitLine.
 	LineReceived(c *Conn, raw []byte)
-	// Disconnected reports the end of a connection that is no Pair's; why is nil if the other side has ended it in order.
+	// Disconnected reports the end of an unpaired connection; why is nil if the other side has closed it in order.
 	Disconnected(c *Conn, abrupt bool, why error)
-	// PairEnded reports the end of a Pair whose both sides are ended, and the side at which it ended first.
+	// PairEnded reports that both sides of a Pair have ended, and which side ended first.
 	PairEnded(p *Pair, by Side, abrupt bool, why error)
 	// LoadsReported reports the load lines of one round of events.
 	LoadsReported(loads []LoadLine)
@@ -89,7 +89,7 @@
 	stallTimeout time.Duration // writeStallTimeout, but for tests
 }
 
-// New starts a relay with so many workers, at least one. descriptors counts the descriptors of its connections.
+// New starts a relay with a number of workers, at least one. descriptors counts the descriptors of its connections.
 func New(workers int, handler Handler, descriptors *atomic.Int64) (*Relay, error) {
 	r := &Relay{
 		handler:      handler,
--- a/internal/relay/response_times.go
+++ b/internal/relay/response_times.go
@@ -5,8 +5,8 @@
 // maxSamples is how many response times of one server a worker keeps between two collections.
 const maxSamples = 256
 
-// CollectResponseTimes returns how long servers took to answer clients' lines since the last call, by server; a sample where there were
-// many. A line without an answer counts with its age once that is above minAge, unless minAge is 0. It also ends connections that have
+// CollectResponseTimes returns how long servers took to answer clients' lines since the last call, by server; a sample of
+// maxSamples at most for each worker. A line without an answer counts with its age once that is above minAge, unless minAge is 0. It also ends connections that have
 // taken nothing for too long.
 func (r *Relay) CollectResponseTimes(minAge time.Duration) map[uint64][]time.Duration {
 	times := map[uint64][]time.Duration{}
--- a/policy/attempt_pause.go
+++ b/policy/attempt_pause.go
@@ -7,8 +7,8 @@
 	maxPauseUnits        = 10                    // longest pause
 )
 
-// attemptPause keeps a balancer of a large deployment from attempts after one has timed out: a store that is
-// overloaded would work only for sessions that have given up. The pause doubles with each further time-out.
+// attemptPause keeps a balancer of a large deployment from attempts after one has timed out: what is
+// overloaded behind the endpoints would otherwise work only for sessions that have given up. The pause doubles with each further time-out.
 type attemptPause struct {
 	unit   time.Duration // 0 in a small deployment, where the retry budget suffices
 	length time.Duration // of the newest pause
--- a/policy/config.go
+++ b/policy/config.go
@@ -67,8 +67,8 @@
 	CanSendRetryAfter  bool
 	MaxRetryAfter      time.Duration
 	MaxAttempts        int
-	OverloadMultiple   float64       // of the load that fills an endpoint evenly over SlowStartWindow: more overloads it
-	OverloadWindow     time.Duration // in which that load must not come
+	OverloadMultiple   float64       // a warming endpoint is overloaded by more than this multiple of the load that fills it evenly
+	OverloadWindow     time.Duration // the window in which OverloadMultiple is measured
 	SlowStartFloor     float64       // capacity of an endpoint at its start, as a fraction of its full one
 	SlowStartWindow    time.Duration // from the start of an endpoint to its full capacity
 	CrossZoneCost      float64       // of a connection to another zone, relative to its value
--- a/policy/draining.go
+++ b/policy/draining.go
@@ -14,7 +14,7 @@
 // StartDraining migrates all established sessions evenly between two times, and rejects new ones from now on.
 func (b *Balancer) StartDraining(from, until time.Duration) { b.draining = drainWindow{from, until} }
 
-// StopDraining takes back StartDraining.
+// StopDraining ends draining: new sessions are admitted again.
 func (b *Balancer) StopDraining() { b.draining.until = never }
 
 func (b *Balancer) isDraining() bool { return b.draining.until < never }
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RequestHealthCheck has an endpoint checked at once, as its newest load report may be an exception. It has no
+// RequestHealthCheck has an endpoint checked at once, as its newest load report may be an outlier. It has no
 // effect in large deployments, where other balancers check it anyway.
 func (b *Balancer) RequestHealthCheck(id EndpointID) {
 	if b.isSmallDeployment() {
--- a/policy/session.go
+++ b/policy/session.go
@@ -10,10 +10,10 @@
 // SessionID identifies a session.
 type SessionID uint64
 
-// SessionRequest describes a session when the balancer takes it.
+// SessionRequest describes a session as the host submits it.
 type SessionRequest struct {
 	ID      SessionID
-	Key     uint64 // of the client, 0 if unknown
+	Key     uint64 // hash key of the client, which orders its endpoints; 0 if unknown
 	Group   uint64 // sessions of one group share endpoints, 0 for none
 	Tenant  int    // index into Config.Tenants
 	Class   int    // index into Config.Classes
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -14,10 +14,10 @@
 const (
 	coreCapacity       = 1e6 // microseconds of work a second that one core does; an endpoint has one at least
 	priorSamples       = 4.0 // load samples that weigh as much as no knowledge of the load
-	maxArrivalMultiple = 1.0 // of its fair share of the active sessions, that a warming endpoint gets in a window
+	maxArrivalMultiple = 1.0 // sessions that come to a warming endpoint in a window, over its fair share of the active ones
 	heavySessions      = 3.0 // sessions of a heavy class that a window has to bear
 	minClassSamples    = 3   // load samples below which a class may be heavy
-	minWindowCapacity  = 1.0 // sessions, where no endpoint is warm and nothing is known
+	minWindowCapacity  = 1.0 // sessions in a window while no endpoint is warm and nothing is known
 )
 
 // warmupAttempt is one attempt at a warming endpoint.
