--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestEverythingEnds holds each fault to its end: what is set is taken back, and what stops was told to drain.
-func TestEverythingEnds(t *testing.T) {
+// TestFaultsEnd checks that each fault ends: each state that is set is reset, and each server that stops was drained.
+func TestFaultsEnd(t *testing.T) {
 	for kind := range Kinds {
 		f := Fault{Kind: kind, At: time.Second, For: 2 * time.Second, Part: 0.5, Batch: 0.2, Times: 4, Rate: 0.5, Late: time.Second}
 		steps, total, err := Expand([]Fault{f}, 10, 4, 3)
@@ -31,7 +31,7 @@
 				drained[s.Target] = true
 			case Stop:
 				if !drained[s.Target] {
-					t.Errorf("%s: server %d stops undrained", kind, s.Target)
+					t.Errorf("%s: server %d stops without drain", kind, s.Target)
 				}
 			case Die, Silence, Hide, KillBalancer:
 				on[[2]int{int(s.Action), s.Target}]++
@@ -53,7 +53,7 @@
 		}
 		for what, n := range on {
 			if n != 0 {
-				t.Errorf("%s: act %d on %d is left at %d", kind, what[0], what[1], n)
+				t.Errorf("%s: action %d on %d ends at %d", kind, what[0], what[1], n)
 			}
 		}
 		if total != 10+started {
@@ -61,6 +61,6 @@
 		}
 	}
 	if _, _, err := Expand([]Fault{{Kind: "nothing"}}, 1, 1, 1); err == nil {
-		t.Error("a fault that does not exist")
+		t.Error("an unknown kind of fault is accepted")
 	}
 }
