--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 	"sabletally/internal/hclconfig"
 )
 
-const whole = `experiment {
+const completeFile = `experiment {
   mode   = "sockets"
   length = "10s"
 }
@@ -24,7 +24,7 @@
 }
 `
 
-func TestTheExperimentsOfTheRepository(t *testing.T) {
+func TestLoadRepositoryExperiments(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/experiments/*.hcl")
 	if err != nil || len(files) < 11 {
 		t.Fatal(err, files)
@@ -36,8 +36,8 @@
 	}
 }
 
-func TestAFileIsReadWhole(t *testing.T) {
-	x, err := Parse([]byte(strings.Replace(whole, "rate = 5", "rate = 5\n  burst {\n at = \"1s\"\n for = \"2s\"\n times = 3\n}", 1)+
+func TestParseCompleteFile(t *testing.T) {
+	x, err := Parse([]byte(strings.Replace(completeFile, "rate = 5", "rate = 5\n  burst {\n at = \"1s\"\n for = \"2s\"\n times = 3\n}", 1)+
 		`fault "slow" {
   at    = "2s"
   for   = "1500ms"
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestBadFiles wants the place and the words of each fault.
-func TestBadFiles(t *testing.T) {
+// TestParseRejectsBadFiles checks the position and the text of each error.
+func TestParseRejectsBadFiles(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`length = "10s"`, `length = 10`, `f.hcl:3:12: length: 10 has no unit; wants a time such as "10ms" or "10s"`},
 		{`length = "10s"`, `length = "10"`, `f.hcl:3:12: length: "10" is no time; wants one such as "250ms"`},
@@ -96,7 +96,7 @@
 		{"server", "grade \"g\" { effect = \"idem\" }\n  server", `effect: "idem" is none of deduplicated, idempotent, unrepeatable`},
 		{"world {", "world", "f.hcl:5:1: Argument or block definition required"},
 	} {
-		x, err := Parse([]byte(strings.Replace(whole, c.old, c.new, 1)), "f.hcl")
+		x, err := Parse([]byte(strings.Replace(completeFile, c.old, c.new, 1)), "f.hcl")
 		if c.want == "" {
 			if err != nil {
 				t.Errorf("%q: %v", c.new, err)
@@ -107,8 +107,8 @@
 			t.Errorf("%q: got %v, wanted %q", c.new, err, c.want)
 		}
 	}
-	// All faults at once, in the order of the file.
-	_, err := Parse([]byte(strings.NewReplacer(`"10s"`, `10`, "count = 3", "count = 0", "rate = 5", "rate = -1").Replace(whole)), "f.hcl")
+	// All errors at once, in the order of the file.
+	_, err := Parse([]byte(strings.NewReplacer(`"10s"`, `10`, "count = 3", "count = 0", "rate = 5", "rate = -1").Replace(completeFile)), "f.hcl")
 	var faults hclconfig.Diagnostics
 	if !errors.As(err, &faults) || len(faults) < 4 || faults[0].Line != 3 || faults[len(faults)-1].Line < 9 {
 		t.Errorf("%v", err)
@@ -122,9 +122,9 @@
 	}
 }
 
-// FuzzParse feeds whatever to the reader: it answers an experiment or faults that have a place, and never panics.
+// FuzzParse: Parse returns an experiment or errors that have a position, and never panics.
 func FuzzParse(f *testing.F) {
-	f.Add(whole)
+	f.Add(completeFile)
 	for _, path := range []string{"release", "scale", "rough-servers"} {
 		text, err := os.ReadFile("../../../lab/experiments/" + path + ".hcl")
 		if err != nil {
@@ -132,8 +132,8 @@
 		}
 		f.Add(string(text))
 	}
-	f.Add(strings.Replace(whole, "3", "[]", 1))
-	f.Add(strings.Replace(whole, `"10s"`, "null", 1))
+	f.Add(strings.Replace(completeFile, "3", "[]", 1))
+	f.Add(strings.Replace(completeFile, `"10s"`, "null", 1))
 	f.Add("experiment {}\nworld {}\nload {}")
 	f.Fuzz(func(t *testing.T, text string) {
 		x, err := Parse([]byte(text), "f.hcl")
