--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// curves are what a page plots over time, each a line an arm, the mean of its seeds.
+// curves are the plots of a page: over time, with one line for each arm, the mean over its seeds.
 var curves = []struct {
 	title, unit string
 	of          func(Point) float64
@@ -31,9 +31,9 @@
 	{"Rejections and moves", "a second", func(p Point) float64 { return p.Nacks + p.Moves }},
 }
 
-// line is the mean of an arm's runs at each second.
+// line is the mean over an arm's runs, by second.
 func (r *Report) line(arm string, of func(Point) float64) plotter.XYs {
-	sum, n := map[int]float64{}, map[int]float64{}
+	sum, count := map[int]float64{}, map[int]float64{}
 	last := 0
 	for _, run := range r.Runs {
 		if run.Arm != arm {
@@ -42,15 +42,16 @@
 		for _, p := range run.Series {
 			at := int(math.Round(p.At))
 			if v := of(p); !math.IsNaN(v) && !math.IsInf(v, 0) {
-				sum[at], n[at] = sum[at]+v, n[at]+1
+				sum[at] += v
+				count[at]++
 				last = max(last, at)
 			}
 		}
 	}
 	var all plotter.XYs
 	for at := range last + 1 {
-		if n[at] > 0 {
-			all = append(all, plotter.XY{X: float64(at), Y: sum[at] / n[at]})
+		if count[at] > 0 {
+			all = append(all, plotter.XY{X: float64(at), Y: sum[at] / count[at]})
 		}
 	}
 	return all
@@ -58,24 +59,28 @@
 
 // plot draws one curve of all arms as SVG.
 func (r *Report) plot(i int) (template.HTML, error) {
-	c := curves[i]
+	curve := curves[i]
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.title, "seconds", c.unit
+	p.Title.Text = curve.title
+	p.X.Label.Text = "seconds"
+	p.Y.Label.Text = curve.unit
 	p.Y.Min = 0
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
-	for n, a := range r.Arms {
-		points := r.line(a.Name, c.of)
+	for i, arm := range r.Arms {
+		points := r.line(arm.Name, curve.of)
 		if len(points) == 0 {
 			continue
 		}
-		l, err := plotter.NewLine(points)
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return "", err
 		}
-		l.Color, l.Dashes, l.Width = plotutil.Color(n), plotutil.Dashes(n), vg.Points(1.5)
-		p.Add(l)
-		p.Legend.Add(a.Name, l)
+		line.Color = plotutil.Color(i)
+		line.Dashes = plotutil.Dashes(i)
+		line.Width = vg.Points(1.5)
+		p.Add(line)
+		p.Legend.Add(arm.Name, line)
 	}
 	canvas := vgsvg.New(7*vg.Inch, 2.8*vg.Inch)
 	p.Draw(draw.New(canvas))
@@ -84,13 +89,13 @@
 		return "", err
 	}
 	text := out.Bytes()
-	if at := bytes.Index(text, []byte("<svg")); at > 0 { // without the XML head, which has no place in a page
-		text = text[at:]
+	if start := bytes.Index(text, []byte("<svg")); start > 0 { // the XML declaration must not stand within a page
+		text = text[start:]
 	}
 	return template.HTML(text), nil
 }
 
-var pageForm = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.R.Name}}</title>
 <style>
 body { font-family: sans-serif; max-width: 60em; margin: 2em auto; padding: 0 1em; color: #222; }
@@ -111,41 +116,41 @@
 {{end}}</ul></body></html>
 `))
 
-// page is the report as one page that needs nothing else.
+// page is the report as an HTML page without external resources.
 func (r *Report) page() ([]byte, error) {
 	type row struct {
 		Name  string
 		Cells []string
 	}
-	in := struct {
+	data := struct {
 		R     *Report
 		Rows  []row
 		Plots []template.HTML
 	}{R: r}
 	for i, f := range figures {
-		one := row{Name: f.name}
-		told := false
+		line := row{Name: f.name}
+		hasValue := false
 		for _, a := range r.Arms {
-			told = told || a.Figures[i].Mean != 0
-			one.Cells = append(one.Cells, a.Figures[i].text())
+			hasValue = hasValue || a.Figures[i].Mean != 0
+			line.Cells = append(line.Cells, a.Figures[i].text())
 		}
-		if told {
-			in.Rows = append(in.Rows, one)
+		if hasValue {
+			data.Rows = append(data.Rows, line)
 		}
 	}
 	kept := row{Name: "rules kept"}
 	for _, a := range r.Arms {
 		kept.Cells = append(kept.Cells, fmt.Sprintf("%d of %d", a.Kept, a.Runs))
 	}
-	in.Rows = append(in.Rows, kept)
+	data.Rows = append(data.Rows, kept)
 	for i := range curves {
 		p, err := r.plot(i)
 		if err != nil {
 			return nil, err
 		}
-		in.Plots = append(in.Plots, p)
+		data.Plots = append(data.Plots, p)
 	}
 	var out bytes.Buffer
-	err := pageForm.Execute(&out, in)
+	err := pageTemplate.Execute(&out, data)
 	return out.Bytes(), err
 }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,3 +1,5 @@
+// Package report owns the figures of runs: their collection while a run goes on, ratios between arms and their range over seeds, and the
+// JSON and the page that show them. It must never run anything, and never check the rules.
 package report
 
 import (
@@ -11,15 +13,17 @@
 	"time"
 )
 
-// Report is an experiment's outcome.
+// Report is the result of an experiment.
 type Report struct {
-	Name, Title, Mode string
-	Command           string // that made it
-	Made              time.Time
-	Cores             int // of the machine that made it
-	Runs              []Run
-	Arms              []Arm
-	Kept              bool
+	Name    string
+	Title   string
+	Mode    string
+	Command string // that made it
+	Made    time.Time
+	Cores   int // of the machine that made it
+	Runs    []Run
+	Arms    []Arm
+	Kept    bool // all rules, in all runs
 }
 
 // Arm is one arm over all seeds.
@@ -30,14 +34,17 @@
 	Figures []Figure
 }
 
-// Figure is one figure of an arm: its mean over seeds and, seed by seed against the first arm, the ratio.
+// Figure is one figure of an arm: its mean over the seeds, and the ratio to the first arm at the same seed. Ratios are 0 for the first arm,
+// and for figures that are 0 there.
 type Figure struct {
-	Name               string
-	Mean               float64
-	Ratio, Least, Most float64 // 0 where there is none: the first arm, or a figure that is 0 there
+	Name  string
+	Mean  float64
+	Ratio float64 // mean
+	Least float64
+	Most  float64
 }
 
-// figures are what is compared, in the order of the tables.
+// figures are the figures that are compared, in the order of the tables.
 var figures = []struct {
 	name string
 	of   func(*Run) float64
@@ -59,51 +66,67 @@
 	{"balancer MB", func(r *Run) float64 { return r.BalancerMB }},
 }
 
-// Summarize fills in the arms from the runs.
+// Summarize sets the arms from the runs.
 func (r *Report) Summarize() {
-	r.Arms, r.Kept = nil, true
-	var order []string
-	by := map[string][]*Run{}
+	r.Arms = nil
+	r.Kept = true
+	var names []string
+	runsByArm := map[string][]*Run{}
 	for i := range r.Runs {
 		run := &r.Runs[i]
-		if by[run.Arm] == nil {
-			order = append(order, run.Arm)
+		if runsByArm[run.Arm] == nil {
+			names = append(names, run.Arm)
 		}
-		by[run.Arm] = append(by[run.Arm], run)
+		runsByArm[run.Arm] = append(runsByArm[run.Arm], run)
 		r.Kept = r.Kept && run.Kept
 	}
-	for n, name := range order {
-		a := Arm{Name: name, Runs: len(by[name])}
-		for _, run := range by[name] {
-			if run.Kept {
-				a.Kept++
-			}
+	for i, name := range names {
+		var reference []*Run
+		if i > 0 {
+			reference = runsByArm[names[0]]
 		}
-		for _, f := range figures {
-			one := Figure{Name: f.name}
-			var ratios []float64
-			for _, run := range by[name] {
-				v := f.of(run)
-				one.Mean += v / float64(a.Runs)
-				for _, first := range by[order[0]] {
-					if n > 0 && first.Seed == run.Seed && f.of(first) != 0 {
-						ratios = append(ratios, v/f.of(first))
-					}
-				}
-			}
-			if len(ratios) > 0 {
-				one.Least, one.Most = slices.Min(ratios), slices.Max(ratios)
-				for _, q := range ratios {
-					one.Ratio += q / float64(len(ratios))
-				}
+		r.Arms = append(r.Arms, newArm(name, runsByArm[name], reference))
+	}
+}
+
+// newArm sums up the runs of one arm, and compares them with the runs of a reference that have the same seed.
+func newArm(name string, runs, reference []*Run) Arm {
+	arm := Arm{Name: name, Runs: len(runs)}
+	for _, run := range runs {
+		if run.Kept {
+			arm.Kept++
+		}
+	}
+	for _, f := range figures {
+		arm.Figures = append(arm.Figures, newFigure(f.name, f.of, runs, reference))
+	}
+	return arm
+}
+
+func newFigure(name string, of func(*Run) float64, runs, reference []*Run) Figure {
+	figure := Figure{Name: name}
+	var ratios []float64
+	for _, run := range runs {
+		value := of(run)
+		figure.Mean += value / float64(len(runs))
+		for _, other := range reference {
+			if other.Seed == run.Seed && of(other) != 0 {
+				ratios = append(ratios, value/of(other))
 			}
-			a.Figures = append(a.Figures, one)
 		}
-		r.Arms = append(r.Arms, a)
 	}
+	if len(ratios) == 0 {
+		return figure
+	}
+	figure.Least = slices.Min(ratios)
+	figure.Most = slices.Max(ratios)
+	for _, ratio := range ratios {
+		figure.Ratio += ratio / float64(len(ratios))
+	}
+	return figure
 }
 
-// Text is the report as a table for a terminal or a page in Markdown.
+// Text is the report as a Markdown table.
 func (r *Report) Text() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s (%s): %s\n\n| figure |", r.Name, r.Mode, r.Title)
@@ -129,7 +152,7 @@
 	return out.String()
 }
 
-// text is a mean and, where there is one, the ratio to the first arm with its least and most over the seeds.
+// text formats the mean and, if there is one, the ratio with its range over the seeds.
 func (f Figure) text() string {
 	mean := fmt.Sprintf("%.3f", f.Mean)
 	if f.Mean >= 100 {
@@ -146,7 +169,7 @@
 	return fmt.Sprintf("%s (x%.2f, %.2f to %.2f)", mean, f.Ratio, f.Least, f.Most)
 }
 
-// Write writes report.json and report.html into a folder, which it makes.
+// Write writes report.json and report.html to a directory, which it creates if needed.
 func (r *Report) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
