--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -46,15 +46,15 @@
 	if name == Ours {
 		return policy.New(dep, seed), nil
 	}
-	p := &simple{dep: dep, rng: rand.New(rand.NewPCG(seed, 0xba5e)), sessions: map[policy.SessionID]*session{},
+	p := &baseline{config: dep, rng: rand.New(rand.NewPCG(seed, 0xba5e)), sessions: map[policy.SessionID]*session{},
 		index: map[policy.EndpointID]int{}}
 	switch name {
 	case Random:
-		p.prefer = func(*session, int) float64 { return p.rng.Float64() }
+		p.score = func(*session, int) float64 { return p.rng.Float64() }
 	case Least:
-		p.prefer = func(_ *session, i int) float64 { return -float64(p.held[i]) + 0.5*p.rng.Float64() }
+		p.score = func(_ *session, i int) float64 { return -float64(p.sessionCount[i]) + 0.5*p.rng.Float64() }
 	case Hash:
-		p.prefer = func(c *session, i int) float64 { return hash(c.place, uint64(p.id[i])) }
+		p.score = func(c *session, i int) float64 { return hash(c.affinityKey, uint64(p.endpoints[i])) }
 	default:
 		return nil, fmt.Errorf("policy %q is not known; there are %v", name, Names)
 	}
@@ -70,115 +70,115 @@
 
 // session is one that waits, is out or stands.
 type session struct {
-	id       policy.SessionID
-	place    uint64
-	until    time.Duration
-	goal     time.Duration
-	repeat   bool // a try that may have run may be repeated
-	attempts int
-	server   int
-	out      bool
-	tried    []int
-	nothing  bool // no try may have run
+	id          policy.SessionID
+	affinityKey uint64
+	deadline    time.Duration
+	objective   time.Duration
+	idempotent  bool // a try that may have run may be repeated
+	attempts    int
+	server      int
+	inAttempt   bool
+	tried       []int
+	neverSent   bool // no try may have run
 }
 
-// simple is any of the baselines: a preference over the ready servers that were not tried yet.
-type simple struct {
-	dep       *policy.Config
-	rng       *rand.Rand
-	now       time.Duration
-	prefer    func(c *session, server int) float64
-	sessions  map[policy.SessionID]*session
-	queue     []*session
-	id        []policy.EndpointID
-	index     map[policy.EndpointID]int
-	ready     []bool
-	held      []int
-	leaveFrom time.Duration
-	draining  bool // new sessions are rejected, and at leaveFrom all are moved
-	moved     bool
-	due       []policy.Decision
+// baseline is any of the baselines: a preference over the ready servers that were not tried yet.
+type baseline struct {
+	config       *policy.Config
+	rng          *rand.Rand
+	now          time.Duration
+	score        func(c *session, server int) float64
+	sessions     map[policy.SessionID]*session
+	queue        []*session
+	endpoints    []policy.EndpointID
+	index        map[policy.EndpointID]int
+	ready        []bool
+	sessionCount []int
+	migrateAt    time.Duration
+	draining     bool // new sessions are rejected, and at leaveFrom all are moved
+	migrated     bool
+	decisions    []policy.Decision
 }
 
-func (p *simple) AdvanceClock(now time.Duration) { p.now = now }
+func (p *baseline) AdvanceClock(now time.Duration) { p.now = now }
 
-func (p *simple) UpdateEndpoints(lines []policy.Endpoint, whole bool) {
+func (p *baseline) UpdateEndpoints(lines []policy.Endpoint, whole bool) {
 	if whole {
 		clear(p.ready)
 	}
 	for _, l := range lines {
 		i, known := p.index[l.ID]
 		if !known {
-			i = len(p.id)
+			i = len(p.endpoints)
 			p.index[l.ID] = i
-			p.id, p.ready, p.held = append(p.id, l.ID), append(p.ready, false), append(p.held, 0)
+			p.endpoints, p.ready, p.sessionCount = append(p.endpoints, l.ID), append(p.ready, false), append(p.sessionCount, 0)
 		}
 		p.ready[i] = l.State == policy.Ready
 	}
 }
 
-func (p *simple) AddSession(a policy.SessionRequest) {
-	g := p.dep.Classes[a.Class]
-	c := &session{id: a.ID, place: a.Group, until: p.now + a.Timeout, goal: g.SetupObjective, repeat: g.Idempotency == policy.Idempotent,
-		server: -1, nothing: true}
-	if c.place == 0 {
-		c.place = a.Key
+func (p *baseline) AddSession(a policy.SessionRequest) {
+	g := p.config.Classes[a.Class]
+	c := &session{id: a.ID, affinityKey: a.Group, deadline: p.now + a.Timeout, objective: g.SetupObjective, idempotent: g.Idempotency == policy.Idempotent,
+		server: -1, neverSent: true}
+	if c.affinityKey == 0 {
+		c.affinityKey = a.Key
 	}
 	p.sessions[a.ID] = c
 	p.queue = append(p.queue, c)
 }
 
-func (p *simple) AttemptEstablished(id policy.SessionID, _ int, _ time.Duration) {
+func (p *baseline) AttemptEstablished(id policy.SessionID, _ int, _ time.Duration) {
 	if c := p.sessions[id]; c != nil {
-		c.out = false
+		c.inAttempt = false
 	}
 }
 
-func (p *simple) AttemptEnded(id policy.SessionID, _ int, finished bool, how policy.Outcome) {
+func (p *baseline) AttemptEnded(id policy.SessionID, _ int, finished bool, how policy.Outcome) {
 	c := p.sessions[id]
 	if c == nil || c.server < 0 {
 		return
 	}
-	p.held[c.server]--
+	p.sessionCount[c.server]--
 	c.server = -1
 	if how != policy.Rejected && how != policy.ConnectFailed && how != policy.NeverSent {
-		c.nothing = false
+		c.neverSent = false
 	}
-	if finished || !c.out {
+	if finished || !c.inAttempt {
 		delete(p.sessions, id)
 		return
 	}
-	c.out = false
+	c.inAttempt = false
 	p.queue = append(p.queue, c)
 }
 
-func (p *simple) ClientDisconnected(id policy.SessionID) {
+func (p *baseline) ClientDisconnected(id policy.SessionID) {
 	if c := p.sessions[id]; c != nil && c.server < 0 {
 		delete(p.sessions, id)
 		p.queue = slices.DeleteFunc(p.queue, func(o *session) bool { return o == c })
 	}
 }
 
-func (p *simple) RecordLoad(policy.SessionID, int, float64)             {}
-func (p *simple) RecordLatency(policy.EndpointID, time.Duration)        {}
-func (p *simple) HealthCheckEnded(policy.EndpointID, policy.Outcome)    {}
-func (p *simple) RecordLoadReport(policy.EndpointID, policy.LoadReport) {}
-func (p *simple) StartDraining(from, _ time.Duration)                   { p.draining, p.leaveFrom = true, from }
+func (p *baseline) RecordLoad(policy.SessionID, int, float64)             {}
+func (p *baseline) RecordLatency(policy.EndpointID, time.Duration)        {}
+func (p *baseline) HealthCheckEnded(policy.EndpointID, policy.Outcome)    {}
+func (p *baseline) RecordLoadReport(policy.EndpointID, policy.LoadReport) {}
+func (p *baseline) StartDraining(from, _ time.Duration)                   { p.draining, p.migrateAt = true, from }
 
-// answer gives a session its final answer.
-func (p *simple) answer(c *session, do policy.Action) policy.Decision {
+// finish gives a session its final answer.
+func (p *baseline) finish(c *session, do policy.Action) policy.Decision {
 	delete(p.sessions, c.id)
 	return policy.Decision{Action: do, Session: c.id, Duration: p.retryAfter(do)}
 }
 
-func (p *simple) retryAfter(do policy.Action) time.Duration {
-	if do != policy.Reject || !p.dep.CanSendRetryAfter {
+func (p *baseline) retryAfter(do policy.Action) time.Duration {
+	if do != policy.Reject || !p.config.CanSendRetryAfter {
 		return 0
 	}
-	return time.Duration((0.5 + p.rng.Float64()/2) * float64(p.dep.MaxRetryAfter))
+	return time.Duration((0.5 + p.rng.Float64()/2) * float64(p.config.MaxRetryAfter))
 }
 
-func (p *simple) Next() (policy.Decision, bool) {
+func (p *baseline) Next() (policy.Decision, bool) {
 	for len(p.queue) > 0 {
 		c := p.queue[0]
 		p.queue = p.queue[1:]
@@ -187,57 +187,57 @@
 		}
 		return p.decide(c), true
 	}
-	if p.draining && !p.moved && p.now >= p.leaveFrom {
-		p.moved = true
+	if p.draining && !p.migrated && p.now >= p.migrateAt {
+		p.migrated = true
 		var ids []policy.SessionID
 		for id, c := range p.sessions {
-			if !c.out && c.server >= 0 {
+			if !c.inAttempt && c.server >= 0 {
 				ids = append(ids, id)
 			}
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			p.due = append(p.due, policy.Decision{Action: policy.Migrate, Session: id})
+			p.decisions = append(p.decisions, policy.Decision{Action: policy.Migrate, Session: id})
 		}
 	}
-	if len(p.due) == 0 {
+	if len(p.decisions) == 0 {
 		return policy.Decision{}, false
 	}
-	d := p.due[0]
-	p.due = p.due[1:]
+	d := p.decisions[0]
+	p.decisions = p.decisions[1:]
 	return d, true
 }
 
 // decide decides on a session.
-func (p *simple) decide(c *session) policy.Decision {
+func (p *baseline) decide(c *session) policy.Decision {
 	best, score := -1, 0.0
-	if !p.draining && c.attempts < p.dep.MaxAttempts && (c.nothing || c.repeat) && p.now < c.until {
+	if !p.draining && c.attempts < p.config.MaxAttempts && (c.neverSent || c.idempotent) && p.now < c.deadline {
 		for i, ready := range p.ready {
 			if !ready || slices.Contains(c.tried, i) {
 				continue
 			}
-			if s := p.prefer(c, i); best < 0 || s > score {
+			if s := p.score(c, i); best < 0 || s > score {
 				best, score = i, s
 			}
 		}
 	}
 	switch {
 	case best >= 0:
-	case c.nothing || c.repeat:
-		return p.answer(c, policy.Reject)
+	case c.neverSent || c.idempotent:
+		return p.finish(c, policy.Reject)
 	default:
-		return p.answer(c, policy.Fail)
+		return p.finish(c, policy.Fail)
 	}
-	left := c.until - p.now
+	left := c.deadline - p.now
 	c.attempts++
-	c.server, c.out, c.tried = best, true, append(c.tried, best)
-	p.held[best]++
-	return policy.Decision{Action: policy.StartAttempt, Session: c.id, Endpoint: p.id[best], Duration: max(left/2, min(left, c.goal))}
+	c.server, c.inAttempt, c.tried = best, true, append(c.tried, best)
+	p.sessionCount[best]++
+	return policy.Decision{Action: policy.StartAttempt, Session: c.id, Endpoint: p.endpoints[best], Duration: max(left/2, min(left, c.objective))}
 }
 
-func (p *simple) NextWakeup() (time.Duration, bool) {
-	if p.draining && !p.moved {
-		return p.leaveFrom, true
+func (p *baseline) NextWakeup() (time.Duration, bool) {
+	if p.draining && !p.migrated {
+		return p.migrateAt, true
 	}
 	return 0, false
 }
--- a/internal/lab/bench/bench.go
+++ b/internal/lab/bench/bench.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	buffer   = 16 << 10
-	longest  = int64(30 * time.Second / time.Microsecond)
-	answerIn = 20 * time.Second
-	lineText = "M 123456789 0123456789abcdef0123456789abcdef\r\n"
-	spin     = 2 * time.Millisecond // before a thing is due its dispatcher waits awake: timers are late by half a millisecond
+	maxBufferedBytes  = 16 << 10
+	maxRecordedMicros = int64(30 * time.Second / time.Microsecond)
+	responseTimeout   = 20 * time.Second
+	lineText          = "M 123456789 0123456789abcdef0123456789abcdef\r\n"
+	spinTime          = 2 * time.Millisecond // before a thing is due its dispatcher waits awake: timers are late by half a millisecond
 )
 
 // Server echoes lines and accepts every session.
 type Server struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	conns map[net.Conn]bool
+	listener net.Listener
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
 }
 
 // NewServer starts one.
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{ln: ln, conns: map[net.Conn]bool{}}
+	s := &Server{listener: ln, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -55,11 +55,11 @@
 }
 
 // Addr is where it listens.
-func (s *Server) Addr() string { return s.ln.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Close ends it and all that it holds.
 func (s *Server) Close() {
-	_ = s.ln.Close()
+	_ = s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -89,7 +89,7 @@
 		default:
 			out = append(out, raw...)
 		}
-		if r.Buffered() == 0 || len(out) > buffer {
+		if r.Buffered() == 0 || len(out) > maxBufferedBytes {
 			if _, err := c.Write(out); err != nil {
 				return
 			}
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	_ = c.SetDeadline(time.Now().Add(answerIn))
+	_ = c.SetDeadline(time.Now().Add(responseTimeout))
 	if _, err = fmt.Fprintf(c, "OPEN %x %x c=feed,d=%d\r\n", id, id*0x9e3779b97f4a7c15, limit.Milliseconds()); err != nil {
 		_ = c.Close()
 		return nil, nil, err
@@ -131,8 +131,8 @@
 	return c, r, nil
 }
 
-// drop ends a connection by a reset: none of thousands of ports is left waiting.
-func drop(c net.Conn) {
+// reset ends a connection by a reset: none of thousands of ports is left waiting.
+func reset(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
@@ -147,16 +147,16 @@
 // SetupRate has so many workers set up and drop sessions as fast as they can for a time.
 func SetupRate(t *Target, workers int, span time.Duration) Result {
 	end := time.Now().Add(span)
-	return setups(t, workers, func() bool { return time.Now().Before(end) })
+	return runSetups(t, workers, func() bool { return time.Now().Before(end) })
 }
 
 // SetupBatch has so many workers set up a number of sessions.
 func SetupBatch(t *Target, workers, many int) Result {
 	var next atomic.Int64
-	return setups(t, workers, func() bool { return next.Add(1) <= int64(many) })
+	return runSetups(t, workers, func() bool { return next.Add(1) <= int64(many) })
 }
 
-func setups(t *Target, workers int, more func() bool) Result {
+func runSetups(t *Target, workers int, more func() bool) Result {
 	var n, failed atomic.Int64
 	start := time.Now()
 	var all sync.WaitGroup
@@ -171,7 +171,7 @@
 					continue
 				}
 				n.Add(1)
-				drop(c)
+				reset(c)
 			}
 		}()
 	}
@@ -179,9 +179,9 @@
 	return Result{PerSecond: float64(n.Load()) / time.Since(start).Seconds(), Failed: int(failed.Load())}
 }
 
-// paced runs do at a rate for a time, in an open loop, and gathers what each took from when it was due.
-func paced(rate float64, span time.Duration, do func(due time.Time, took func(time.Duration)) error) Result {
-	h := hdrhistogram.New(1, longest, 3)
+// runPaced runs do at a rate for a time, in an open loop, and gathers what each took from when it was due.
+func runPaced(rate float64, span time.Duration, do func(due time.Time, took func(time.Duration)) error) Result {
+	h := hdrhistogram.New(1, maxRecordedMicros, 3)
 	var mu sync.Mutex
 	var failed, n atomic.Int64
 	var all sync.WaitGroup
@@ -189,8 +189,8 @@
 	total := int(rate * span.Seconds())
 	for i := range total {
 		due := start.Add(time.Duration(float64(i) / rate * float64(time.Second)))
-		if wait := time.Until(due); wait > spin {
-			time.Sleep(wait - spin)
+		if wait := time.Until(due); wait > spinTime {
+			time.Sleep(wait - spinTime)
 		}
 		for time.Now().Before(due) {
 			runtime.Gosched()
@@ -200,7 +200,7 @@
 			defer all.Done()
 			if err := do(due, func(d time.Duration) {
 				mu.Lock()
-				_ = h.RecordValue(min(max(1, d.Microseconds()), longest))
+				_ = h.RecordValue(min(max(1, d.Microseconds()), maxRecordedMicros))
 				mu.Unlock()
 			}); err != nil {
 				failed.Add(1)
@@ -216,13 +216,13 @@
 
 // PacedSetups sets up sessions at a rate, whether or not earlier ones are done.
 func PacedSetups(t *Target, rate float64, span time.Duration) Result {
-	return paced(rate, span, func(due time.Time, took func(time.Duration)) error {
+	return runPaced(rate, span, func(due time.Time, took func(time.Duration)) error {
 		c, _, err := t.open(time.Minute)
 		if err != nil {
 			return err
 		}
 		took(time.Since(due))
-		drop(c)
+		reset(c)
 		return nil
 	})
 }
@@ -253,12 +253,12 @@
 	all.Wait()
 	if err := errors.Join(errs...); err != nil {
 		s.Close()
-		return nil, fmt.Errorf("of %d sessions: %w", many, errs[firstBad(errs)])
+		return nil, fmt.Errorf("of %d sessions: %w", many, errs[firstError(errs)])
 	}
 	return s, nil
 }
 
-func firstBad(errs []error) int {
+func firstError(errs []error) int {
 	for i, err := range errs {
 		if err != nil {
 			return i
@@ -271,7 +271,7 @@
 func (s *Connections) Close() {
 	for _, c := range s.conns {
 		if c != nil {
-			drop(c)
+			reset(c)
 		}
 	}
 }
@@ -287,7 +287,7 @@
 		go func() {
 			defer all.Done()
 			c, r := s.conns[i], s.readers[i]
-			_ = c.SetDeadline(end.Add(answerIn))
+			_ = c.SetDeadline(end.Add(responseTimeout))
 			for ctx.Err() == nil && time.Now().Before(end) {
 				if _, err := c.Write(text); err != nil {
 					return
@@ -309,11 +309,11 @@
 func (s *Connections) PacedLines(rate float64, span time.Duration) Result {
 	var next atomic.Int64
 	locks := make([]sync.Mutex, len(s.conns))
-	return paced(rate, span, func(due time.Time, took func(time.Duration)) error {
+	return runPaced(rate, span, func(due time.Time, took func(time.Duration)) error {
 		i := int(next.Add(1)) % len(s.conns)
 		locks[i].Lock()
 		defer locks[i].Unlock()
-		_ = s.conns[i].SetDeadline(time.Now().Add(answerIn))
+		_ = s.conns[i].SetDeadline(time.Now().Add(responseTimeout))
 		if _, err := s.conns[i].Write([]byte(lineText)); err != nil {
 			return err
 		}
@@ -351,5 +351,5 @@
 			}
 		}
 	}()
-	return func() { drop(c); both.Wait() }, nil
+	return func() { reset(c); both.Wait() }, nil
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load owns who comes when: open-loop arrivals that never wait for an answer, what each client wants, and
-// when one comes again after a rejection, a move or a break. All is drawn ahead from a seed. It must never dial, and
-// never hold a client back because another's answer is late.
+// Package load owns the clients of a run: open-loop arrivals, what each client requests, and its delays after a rejection, a migration or a
+// broken connection. All clients are drawn in advance from a seed. It must never dial, and never delay a client because the response to
+// another one is late.
 package load
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Shape is how arrivals follow each other.
+// Shape is the distribution of the times between arrivals.
 type Shape string
 
 // The shapes of arrivals.
@@ -19,111 +19,125 @@
 	Constant Shape = "constant"
 )
 
-// Burst multiplies the rate for a while.
+// Burst multiplies the rate for some time.
 type Burst struct {
-	At, For time.Duration
-	Factor  float64
+	At     time.Duration // since the start of the run
+	For    time.Duration
+	Factor float64
 }
 
-// Plan says who comes.
+// Plan describes the clients of a run.
 type Plan struct {
 	Shape        Shape
-	Rate         float64       // new clients a second, beside those that stand
-	Standing     int           // clients that come first, spread evenly over Fill
-	WarmupTime   time.Duration // from then on the rest comes, and figures are taken
-	Length       time.Duration // nobody comes after it
-	MeanLifetime time.Duration // mean of how long a client wants its connection
+	Rate         float64       // new clients per second, beside the standing ones
+	Standing     int           // clients that arrive first, evenly over WarmupTime
+	WarmupTime   time.Duration // from then on the others arrive, and figures are collected
+	Length       time.Duration // no client arrives after it
+	MeanLifetime time.Duration // of the time for which a client wants its connection
 	Groups       int           // 0: no groups
-	Loads        float64       // spread of the clients' loads: sigma of a log-normal of mean 1; 0: all alike
+	Loads        float64       // sigma of the clients' loads, a log-normal distribution with mean 1; 0: all have load 1
 	Classes      int
 	Tenants      int
 	Bursts       []Burst
 }
 
-// Client is one client: what it wants from when on.
+// Client is one client, which wants a connection for some time.
 type Client struct {
-	At, Until time.Duration
-	Load      float64
-	Key       uint64
-	Group     uint64 // 0: none
-	Class     int
-	Tenant    int
+	At     time.Duration // since the start of the run
+	Until  time.Duration
+	Load   float64
+	Key    uint64
+	Group  uint64 // 0: none
+	Class  int
+	Tenant int
 }
 
-// Generate draws all clients of a run, in order of their coming.
+// groupExponent skews the sizes of groups: a few are large, many are small.
+const groupExponent = 1.5
+
+// Generate draws all clients of a run, in order of their arrival.
 func Generate(p Plan, seed uint64) []Client {
 	rng := rand.New(rand.NewPCG(seed, 0x10ad))
-	var all []Client
-	come := func(at time.Duration) {
-		c := Client{At: at, Load: 1, Key: rng.Uint64() | 1, Until: at + time.Duration(rng.ExpFloat64()*float64(p.MeanLifetime))}
-		if p.Groups > 0 {
-			// A few large groups, many small ones.
-			c.Group = 1 + uint64(float64(p.Groups)*math.Pow(rng.Float64(), 1.5))
-		}
-		if p.Loads > 0 {
-			c.Load = math.Exp(rng.NormFloat64()*p.Loads - p.Loads*p.Loads/2)
-		}
-		if p.Classes > 1 {
-			c.Class = rng.IntN(p.Classes)
-		}
-		if p.Tenants > 1 {
-			c.Tenant = rng.IntN(p.Tenants)
-		}
-		all = append(all, c)
-	}
-	for n := range p.Standing {
-		come(time.Duration(float64(p.WarmupTime) * float64(n) / float64(p.Standing)))
+	var clients []Client
+	for i := range p.Standing {
+		at := time.Duration(float64(p.WarmupTime) * float64(i) / float64(p.Standing))
+		clients = append(clients, p.draw(rng, at))
 	}
 	for at := p.WarmupTime; p.Rate > 0; {
-		rate := p.Rate
-		for _, b := range p.Bursts {
-			if at >= b.At && at < b.At+b.For {
-				rate *= b.Factor
-			}
-		}
-		gap := 1 / rate
-		if p.Shape == Poisson {
-			gap *= rng.ExpFloat64()
-		}
-		if at += time.Duration(gap * float64(time.Second)); at >= p.Length {
+		at += p.drawGap(rng, at)
+		if at >= p.Length {
 			break
 		}
-		come(at)
+		clients = append(clients, p.draw(rng, at))
+	}
+	slices.SortStableFunc(clients, func(a, b Client) int { return int(a.At - b.At) })
+	return clients
+}
+
+// draw draws a client that arrives at a time.
+func (p *Plan) draw(rng *rand.Rand, at time.Duration) Client {
+	client := Client{At: at, Load: 1, Key: rng.Uint64() | 1}
+	client.Until = at + time.Duration(rng.ExpFloat64()*float64(p.MeanLifetime))
+	if p.Groups > 0 {
+		client.Group = 1 + uint64(float64(p.Groups)*math.Pow(rng.Float64(), groupExponent))
+	}
+	if p.Loads > 0 {
+		client.Load = math.Exp(rng.NormFloat64()*p.Loads - p.Loads*p.Loads/2)
+	}
+	if p.Classes > 1 {
+		client.Class = rng.IntN(p.Classes)
+	}
+	if p.Tenants > 1 {
+		client.Tenant = rng.IntN(p.Tenants)
+	}
+	return client
+}
+
+// drawGap draws the time from an arrival to the next one.
+func (p *Plan) drawGap(rng *rand.Rand, at time.Duration) time.Duration {
+	rate := p.Rate
+	for _, burst := range p.Bursts {
+		if at >= burst.At && at < burst.At+burst.For {
+			rate *= burst.Factor
+		}
+	}
+	seconds := 1 / rate
+	if p.Shape == Poisson {
+		seconds *= rng.ExpFloat64()
 	}
-	slices.SortStableFunc(all, func(a, b Client) int { return int(a.At - b.At) })
-	return all
+	return time.Duration(seconds * float64(time.Second))
 }
 
-// Ending a client's connection or question ended.
+// Ending is how a client's connection or request ended.
 type Ending uint8
 
-// The ends of a client's connection or question.
+// The ways in which a client's connection or request ends.
 const (
 	Rejected Ending = iota
-	Failed          // any other answer, or none in time
-	Broken          // it stood and broke
-	Moved           // it stood and was moved
-	Dropped         // the client dropped it and comes straight back
+	Failed          // any other response, or none in time
+	Broken          // it was established and broke
+	Moved           // it was established and migrated
+	Dropped         // the client closed it and reconnects at once
 )
 
-// RetryPolicy says how clients come again; they do so until what they want is over.
+// RetryPolicy is the delays of clients before they retry. They retry as long as they want a connection.
 type RetryPolicy struct {
-	Backoff    time.Duration // after a rejection without Retry-After, and after a failure; doubles with each in a row
-	MaxDelay   time.Duration // the longest wait
-	MoveDelay  time.Duration // after a move
-	BreakDelay time.Duration // after a break
+	Backoff    time.Duration // after a rejection without Retry-After or a failure; doubles with each in a row
+	MaxDelay   time.Duration // of Backoff
+	MoveDelay  time.Duration // after a migration
+	BreakDelay time.Duration // after a broken connection
 }
 
-// Delay is how long a client waits before it comes again, after so many failures in a row, with a draw from [0, 1).
+// Delay is the time until a client retries, after a number of failures in a row, with a draw from [0, 1) for jitter.
 func (r RetryPolicy) Delay(how Ending, failures int, retryAfter time.Duration, draw float64) time.Duration {
-	spread := func(d time.Duration) time.Duration { return time.Duration((0.5 + draw) * float64(d)) }
+	jitter := func(d time.Duration) time.Duration { return time.Duration((0.5 + draw) * float64(d)) }
 	switch {
 	case how == Moved || how == Dropped:
-		return spread(r.MoveDelay)
+		return jitter(r.MoveDelay)
 	case how == Broken && failures == 0:
-		return spread(r.BreakDelay)
+		return jitter(r.BreakDelay)
 	case how == Rejected && retryAfter > 0:
 		return retryAfter
 	}
-	return spread(min(r.MaxDelay, r.Backoff<<min(max(failures-1, 0), 16)))
+	return jitter(min(r.MaxDelay, r.Backoff<<min(max(failures-1, 0), 16)))
 }
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -1,5 +1,5 @@
-// Package logstats sums up the debug logs of many balancers: one balancer's log shows chance, their sum does not.
-// It owns the reading of these logs and the tables made of them. It must never check rules, and never need a running world.
+// Package logstats sums up the debug logs of many balancers: random variation of one balancer averages out over all of them. It owns the
+// number of logsing of these logs and the tables made of them. It must never check rules, and never need a running balancer.
 package logstats
 
 import (
@@ -16,44 +16,44 @@
 )
 
 const (
-	longest  = 1 << 20    // bytes of a line
-	mostRows = 100_000    // steps of time from the first line to the last
-	slowest  = 60_000_000 // microseconds that a set-up is counted for
+	maxLineBytes   = 1 << 20    // of a log line
+	maxRows        = 100_000    // from the first line to the last
+	maxSetupMicros = 60_000_000 // longer set-ups count as this
 )
 
-// The columns of a row, in their order: what the balancers' messages are counted as.
+// The columns of a row, in their order: the events that log lines are counted as.
 const (
-	Ready                 = iota // processes that welcome clients
-	Established                  // sessions established
-	Ended                        // that stood, and ended or were moved
-	TimedOut                     // attempts that ended so
-	Failed                       // or with an error
-	Unconnected                  // or without a connection
-	Turned                       // or turned away, reset, called off
-	RejectedByBudget             // rejections without an attempt
-	RejectedAfterAttempts        // rejections after attempts
-	BrokenOff                    // other final answers but UP
-	Lists                        // that came
-	NoList                       // calls to discovery that failed
-	LoadEstimates                // probes that gave a load
-	Paces                        // steps of pace
-	Slow                         // notes of slow messages
+	Ready                 = iota // processes that have become ready
+	Established                  // established sessions
+	Ended                        // established sessions that ended or migrated
+	TimedOut                     // attempts that timed out
+	Failed                       // attempts that failed with an error
+	Unconnected                  // attempts without a connection
+	Turned                       // attempts that were rejected, reset or canceled
+	RejectedByBudget             // sessions rejected without an attempt
+	RejectedAfterAttempts        // sessions rejected after attempts
+	BrokenOff                    // sessions that failed otherwise
+	Lists                        // endpoint lists received
+	NoList                       // requests to discovery that failed
+	LoadEstimates                // health checks that gave a load
+	Paces                        // changes of pace
+	Slow                         // reports of slow messages
 	columns
 )
 
-// Names of the columns.
+// Names are the names of the columns, as tables print them.
 var Names = [columns]string{"ready", "stands", "ended", "timed-out", "failed", "no-conn", "turned", "braked", "nacked",
 	"broken-off", "lists", "no-list", "guesses", "paces", "slow"}
 
-// Row is one step of time over all balancers.
+// Row is one step of time, over all balancers.
 type Row struct {
-	At       time.Duration // from the first line of all on
+	At       time.Duration // since the first line of all logs
 	Columns  [columns]int
-	Sessions int            // connections that stand at its end
-	Places   float64        // servers that a group stands at, on the mean; 0 where none carries a group
-	Middle   time.Duration  // half of the set-ups of this step took no longer,
-	Late     time.Duration  // and nine of ten
-	Servers  map[string]int // connections at each at its end
+	Sessions int            // established at its end
+	Places   float64        // servers of a group, mean; 0 without groups
+	Middle   time.Duration  // median of the set-up times
+	Late     time.Duration  // 90th percentile of the set-up times
+	Servers  map[string]int // sessions by server, at its end
 }
 
 // Fleet is the sum of the logs.
@@ -61,11 +61,11 @@
 	Step   time.Duration
 	Rows   []Row
 	Names  []string // of the servers, sorted
-	Unread int      // lines that are no log lines of a balancer
-	Logs   int      // read
+	Unread int      // lines that are not log lines of a balancer
+	Logs   int      // number of logs
 }
 
-// entry is a log line, as far as it is counted.
+// entry is the part of a log line that is counted. The names of its fields are those of the log.
 type entry struct {
 	Ts      time.Time
 	Msg     string
@@ -78,29 +78,31 @@
 	Group   uint64
 }
 
-// place is a server where a group stands.
-type place struct {
+// groupServer is a server of a group.
+type groupServer struct {
 	server string
-	group  uint64
+	group  uint64 // 0: none
 }
 
-// happening is one line, kept until the first line of all is known.
-type happening struct {
-	at     time.Time
-	column int
-	took   time.Duration
-	change int // of the connections at a place
-	place  place
+// event is one counted log line; noColumn if it only changes the number of sessions.
+type event struct {
+	at          time.Time
+	column      int
+	setupTime   time.Duration
+	change      int // of the number of sessions of groupServer
+	groupServer groupServer
 }
 
-// Reader takes logs, one balancer's after the other, and adds them up.
+const noColumn = -1
+
+// Reader reads logs, one balancer's after the other, and sums them up.
 type Reader struct {
-	all    []happening
+	events []event
 	unread int
 	logs   int
 }
 
-// column returns the column that a message counts in, -1 for none.
+// column returns the column that the entry counts in, or noColumn.
 func (e *entry) column() int {
 	switch e.Msg {
 	case "ready":
@@ -138,113 +140,159 @@
 		}
 		return RejectedAfterAttempts
 	}
-	return -1
+	return noColumn
 }
 
-// Read takes one balancer's log, its restarts one after the other. What stands before a line's object is passed by, as a
-// collector may put its own time there. An error names the line.
+// Read reads the log of one balancer, with its restarts one after the other. Text before the JSON object of a line is skipped: a collector
+// may have put its own time there. An error names the line.
 func (r *Reader) Read(name string, log io.Reader) error {
 	r.logs++
-	open := map[string]place{} // of this process
-	in := bufio.NewScanner(log)
-	in.Buffer(nil, longest)
-	row := 0
-	for in.Scan() {
-		row++
-		text := in.Bytes()
-		e := entry{}
-		at := bytes.IndexByte(text, '{')
-		if at < 0 || json.Unmarshal(text[at:], &e) != nil || e.Ts.IsZero() {
+	sessions := map[string]groupServer{} // established sessions of the current process
+	scanner := bufio.NewScanner(log)
+	scanner.Buffer(nil, maxLineBytes)
+	line := 0
+	for scanner.Scan() {
+		line++
+		entry, ok := parseEntry(scanner.Bytes())
+		if !ok {
 			r.unread++
 			continue
 		}
-		column := e.column()
-		if column < 0 {
-			continue
-		}
-		h := happening{at: e.Ts, column: column}
-		switch column {
-		case Ready: // what an earlier process held went with it; the moment of its end is in no log
-			for _, p := range open {
-				r.all = append(r.all, happening{at: e.Ts, column: -1, change: -1, place: p})
-			}
-			clear(open)
-		case Established:
-			h.took, h.change, h.place = time.Duration(e.After*float64(time.Second)), 1, place{e.Server, e.Group}
-			open[e.Circuit] = h.place
-		case Ended:
-			if p, stood := open[e.Circuit]; stood {
-				h.change, h.place = -1, p
-				delete(open, e.Circuit)
-			}
-		}
-		r.all = append(r.all, h)
+		r.add(&entry, sessions)
 	}
-	if err := in.Err(); err != nil {
-		return fmt.Errorf("%s:%d: %w", name, row+1, err)
+	if err := scanner.Err(); err != nil {
+		return fmt.Errorf("%s:%d: %w", name, line+1, err)
 	}
 	return nil
 }
 
-// Sum adds up what was read, in steps of time.
+// parseEntry parses a log line, and reports whether it is one of a balancer.
+func parseEntry(line []byte) (entry, bool) {
+	var e entry
+	start := bytes.IndexByte(line, '{')
+	if start < 0 || json.Unmarshal(line[start:], &e) != nil || e.Ts.IsZero() {
+		return entry{}, false
+	}
+	return e, true
+}
+
+// add adds the events of an entry and updates the sessions of its process.
+func (r *Reader) add(e *entry, sessions map[string]groupServer) {
+	column := e.column()
+	if column == noColumn {
+		return
+	}
+	counted := event{at: e.Ts, column: column}
+	switch column {
+	case Ready: // the sessions of an earlier process ended with it, at a time that is in no log
+		for _, s := range sessions {
+			r.events = append(r.events, event{at: e.Ts, column: noColumn, change: -1, groupServer: s})
+		}
+		clear(sessions)
+	case Established:
+		counted.setupTime = time.Duration(e.After * float64(time.Second))
+		counted.change = 1
+		counted.groupServer = groupServer{server: e.Server, group: e.Group}
+		sessions[e.Circuit] = counted.groupServer
+	case Ended:
+		if s, established := sessions[e.Circuit]; established {
+			counted.change = -1
+			counted.groupServer = s
+			delete(sessions, e.Circuit)
+		}
+	}
+	r.events = append(r.events, counted)
+}
+
+// Sum sums up what was read, in steps of time.
 func (r *Reader) Sum(step time.Duration) (*Fleet, error) {
 	if step <= 0 {
-		return nil, fmt.Errorf("a step of %v is none", step)
+		return nil, fmt.Errorf("a step of %v is not positive", step)
 	}
 	f := &Fleet{Step: step, Unread: r.unread, Logs: r.logs}
-	if len(r.all) == 0 {
+	if len(r.events) == 0 {
 		return f, nil
 	}
-	slices.SortStableFunc(r.all, func(x, y happening) int { return x.at.Compare(y.at) })
-	first := r.all[0].at
-	if last := r.all[len(r.all)-1].at.Sub(first); last/step >= mostRows {
-		return nil, fmt.Errorf("%v in steps of %v are over %d rows", last, step, mostRows)
-	}
-	took := hdrhistogram.New(1, slowest, 3)
-	at, groups := map[place]int{}, map[uint64]int{} // connections at a place; places of a group
-	held, servers := 0, map[string]int{}
-	row := Row{}
-	end := func() {
-		row.Sessions, row.Servers = held, maps.Clone(servers)
-		if len(groups) > 0 {
-			places := 0
-			for _, n := range groups {
-				places += n
-			}
-			row.Places = float64(places) / float64(len(groups))
-		}
-		if took.TotalCount() > 0 {
-			row.Middle = time.Duration(took.ValueAtQuantile(50)) * time.Microsecond
-			row.Late = time.Duration(took.ValueAtQuantile(90)) * time.Microsecond
-		}
-		took.Reset()
-		f.Rows = append(f.Rows, row)
-		row = Row{At: row.At + step}
+	slices.SortStableFunc(r.events, func(a, b event) int { return a.at.Compare(b.at) })
+	first := r.events[0].at
+	length := r.events[len(r.events)-1].at.Sub(first)
+	if length/step >= maxRows {
+		return nil, fmt.Errorf("%v in steps of %v are over %d rows", length, step, maxRows)
 	}
-	for _, h := range r.all {
-		for h.at.Sub(first) >= row.At+step {
-			end()
-		}
-		if h.column >= 0 {
-			row.Columns[h.column]++
-		}
-		if h.column == Established {
-			_ = took.RecordValue(min(max(h.took.Microseconds(), 1), slowest))
-		}
-		if h.change == 0 {
-			continue
-		}
-		was := at[h.place]
-		at[h.place] += h.change
-		held, servers[h.place.server] = held+h.change, servers[h.place.server]+h.change
-		if now := at[h.place]; h.place.group != 0 && (was == 0 || now == 0) {
-			groups[h.place.group] += h.change
-			if groups[h.place.group] == 0 {
-				delete(groups, h.place.group)
-			}
+	s := newSummer()
+	for i := range r.events {
+		e := &r.events[i]
+		for e.at.Sub(first) >= s.row.At+step {
+			f.Rows = append(f.Rows, s.endRow(step))
 		}
+		s.add(e)
 	}
-	end()
-	f.Names = slices.Sorted(maps.Keys(servers))
+	f.Rows = append(f.Rows, s.endRow(step))
+	f.Names = slices.Sorted(maps.Keys(s.sessionsByServer))
 	return f, nil
 }
+
+// summer sums up events in order of time.
+type summer struct {
+	row              Row // the current one
+	setupTimes       *hdrhistogram.Histogram
+	sessions         int
+	sessionsByServer map[string]int
+	sessionsByGroup  map[groupServer]int
+	serversByGroup   map[uint64]int
+}
+
+func newSummer() *summer {
+	return &summer{
+		setupTimes:       hdrhistogram.New(1, maxSetupMicros, 3),
+		sessionsByServer: map[string]int{},
+		sessionsByGroup:  map[groupServer]int{},
+		serversByGroup:   map[uint64]int{},
+	}
+}
+
+func (s *summer) add(e *event) {
+	if e.column != noColumn {
+		s.row.Columns[e.column]++
+	}
+	if e.column == Established {
+		_ = s.setupTimes.RecordValue(min(max(e.setupTime.Microseconds(), 1), maxSetupMicros)) // within its bounds: no error
+	}
+	if e.change == 0 {
+		return
+	}
+	s.sessions += e.change
+	s.sessionsByServer[e.groupServer.server] += e.change
+	before := s.sessionsByGroup[e.groupServer]
+	after := before + e.change
+	s.sessionsByGroup[e.groupServer] = after
+	group := e.groupServer.group
+	if group == 0 || before != 0 && after != 0 {
+		return
+	}
+	s.serversByGroup[group] += e.change
+	if s.serversByGroup[group] == 0 {
+		delete(s.serversByGroup, group)
+	}
+}
+
+// endRow completes the current row and starts the next one.
+func (s *summer) endRow(step time.Duration) Row {
+	row := s.row
+	row.Sessions = s.sessions
+	row.Servers = maps.Clone(s.sessionsByServer)
+	if len(s.serversByGroup) > 0 {
+		servers := 0
+		for _, count := range s.serversByGroup {
+			servers += count
+		}
+		row.Places = float64(servers) / float64(len(s.serversByGroup))
+	}
+	if s.setupTimes.TotalCount() > 0 {
+		row.Middle = time.Duration(s.setupTimes.ValueAtQuantile(50)) * time.Microsecond
+		row.Late = time.Duration(s.setupTimes.ValueAtQuantile(90)) * time.Microsecond
+	}
+	s.setupTimes.Reset()
+	s.row = Row{At: row.At + step}
+	return row
+}
--- a/internal/lab/logstats/logstats_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -30,7 +30,7 @@
 		"1 1 0s [1 0 0 0 0 0 0 0 0 0 0 1 0 0 0]\n"; got != want {
 		t.Errorf("%s, not %s", got, want)
 	}
-	if err := r.Read("c", strings.NewReader("{}\n"+strings.Repeat("x", longest+1))); err == nil || !strings.Contains(err.Error(), "c:2:") {
+	if err := r.Read("c", strings.NewReader("{}\n"+strings.Repeat("x", maxLineBytes+1))); err == nil || !strings.Contains(err.Error(), "c:2:") {
 		t.Errorf("a line without an end: %v", err)
 	}
 	if _, err := r.Sum(time.Microsecond); err == nil {
--- a/internal/lab/memnet/memnet.go
+++ b/internal/lab/memnet/memnet.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	packetsMost = 512 // datagrams that wait at a member
-	resendEach  = 200 * time.Millisecond
-	resendMost  = 8
+	maxQueuedPackets   = 512 // datagrams that wait at a member
+	minRetransmitDelay = 200 * time.Millisecond
+	maxRetransmits     = 8
 )
 
 // Link is how one ordered pair is: what goes from the one to the other.
@@ -30,26 +30,26 @@
 
 // Network is one network.
 type Network struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	at    map[netip.AddrPort]*Port
-	way   func(from, to int) Link
-	usual time.Duration
+	mu      sync.Mutex
+	rng     *rand.Rand
+	ports   map[netip.AddrPort]*Port
+	link    func(from, to int) Link
+	latency time.Duration
 
 	Bytes, Packets int64 // sent, datagrams alone
 }
 
 // New makes a network in which everything takes so long and nothing is lost.
 func New(seed uint64, usual time.Duration) *Network {
-	return &Network{rng: rand.New(rand.NewPCG(seed, 0x6e37)), at: map[netip.AddrPort]*Port{}, usual: usual,
-		way: func(int, int) Link { return Link{} }}
+	return &Network{rng: rand.New(rand.NewPCG(seed, 0x6e37)), ports: map[netip.AddrPort]*Port{}, latency: usual,
+		link: func(int, int) Link { return Link{} }}
 }
 
 // Set says from now on how each ordered pair is.
 func (n *Network) Set(way func(from, to int) Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.way = way
+	n.link = way
 }
 
 // Sum answers what was sent so far.
@@ -61,14 +61,14 @@
 
 // Port is one member's place in it.
 type Port struct {
-	net     *Network
-	num     int
+	network *Network
+	number  int
 	addr    netip.AddrPort
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	stopped bool
-	held    []func() // what came while it was stopped
-	shut    bool
+	paused  bool
+	queued  []func() // what came while it was stopped
+	closed  bool
 }
 
 // Addr is the address of a number.
@@ -78,43 +78,43 @@
 
 // Port makes a member's place, in place of an earlier one of that number.
 func (n *Network) Port(num int) *Port {
-	p := &Port{net: n, num: num, addr: Addr(num), packets: make(chan *memberlist.Packet, packetsMost), streams: make(chan net.Conn, 64)}
+	p := &Port{network: n, number: num, addr: Addr(num), packets: make(chan *memberlist.Packet, maxQueuedPackets), streams: make(chan net.Conn, 64)}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.at[p.addr] = p
+	n.ports[p.addr] = p
 	return p
 }
 
 // Pause holds all that comes to a member, as at a process that is stopped, and loses what it sends; Go hands over what a
 // kernel's buffers would have held.
 func (p *Port) Pause() {
-	p.net.mu.Lock()
-	defer p.net.mu.Unlock()
-	p.stopped = true
+	p.network.mu.Lock()
+	defer p.network.mu.Unlock()
+	p.paused = true
 }
 
 // Resume ends a Stop.
 func (p *Port) Resume() {
-	p.net.mu.Lock()
-	held := p.held
-	p.stopped, p.held = false, nil
-	p.net.mu.Unlock()
+	p.network.mu.Lock()
+	held := p.queued
+	p.paused, p.queued = false, nil
+	p.network.mu.Unlock()
 	for _, do := range held {
 		do()
 	}
 }
 
-// pass runs what arrives at a member, later where it is stopped.
-func (p *Port) pass(do func()) {
-	p.net.mu.Lock()
-	if p.stopped {
-		if len(p.held) < packetsMost {
-			p.held = append(p.held, do)
+// deliver runs what arrives at a member, later where it is stopped.
+func (p *Port) deliver(do func()) {
+	p.network.mu.Lock()
+	if p.paused {
+		if len(p.queued) < maxQueuedPackets {
+			p.queued = append(p.queued, do)
 		}
-		p.net.mu.Unlock()
+		p.network.mu.Unlock()
 		return
 	}
-	p.net.mu.Unlock()
+	p.network.mu.Unlock()
 	do()
 }
 
@@ -129,27 +129,27 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	n := p.net
+	n := p.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	far := n.at[addr]
-	if p.shut || p.stopped {
+	far := n.ports[addr]
+	if p.closed || p.paused {
 		return now, nil
 	}
 	n.Bytes += int64(len(b))
 	n.Packets++
-	if far == nil || far.shut {
+	if far == nil || far.closed {
 		return now, nil
 	}
-	w := n.way(p.num, far.num)
+	w := n.link(p.number, far.number)
 	if w.Cut || n.rng.Float64() < w.Loss {
 		return now, nil
 	}
 	text := append([]byte(nil), b...)
 	arrive := func(late time.Duration) {
 		time.AfterFunc(late, func() {
-			far.pass(func() {
+			far.deliver(func() {
 				select {
 				case far.packets <- &memberlist.Packet{Buf: append([]byte(nil), text...), From: net.UDPAddrFromAddrPort(p.addr), Timestamp: time.Now()}:
 				default:
@@ -157,24 +157,24 @@
 			})
 		})
 	}
-	arrive(n.usual + w.Delay)
+	arrive(n.latency + w.Delay)
 	if n.rng.Float64() < w.Duplicated {
-		arrive(n.usual + w.Delay + time.Duration(n.rng.Float64()*float64(w.Delay+50*time.Millisecond)))
+		arrive(n.latency + w.Delay + time.Duration(n.rng.Float64()*float64(w.Delay+50*time.Millisecond)))
 	}
 	return now, nil
 }
 
-// after is what one write, or the opening, of a stream takes between two members; false where nothing passes.
-func (n *Network) after(from, to *Port) (time.Duration, bool) {
+// streamDelay is what one write, or the opening, of a stream takes between two members; false where nothing passes.
+func (n *Network) streamDelay(from, to *Port) (time.Duration, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w := n.way(from.num, to.num)
-	if w.Cut || from.shut || to.shut || from.stopped || to.stopped {
+	w := n.link(from.number, to.number)
+	if w.Cut || from.closed || to.closed || from.paused || to.paused {
 		return 0, false
 	}
-	took := n.usual + w.Delay
-	for wait, i := resendEach, 0; n.rng.Float64() < w.Loss; i++ {
-		if i == resendMost {
+	took := n.latency + w.Delay
+	for wait, i := minRetransmitDelay, 0; n.rng.Float64() < w.Loss; i++ {
+		if i == maxRetransmits {
 			return 0, false
 		}
 		took += wait
@@ -189,15 +189,15 @@
 	if err != nil {
 		return nil, err
 	}
-	n := p.net
+	n := p.network
 	n.mu.Lock()
-	far := n.at[addr]
+	far := n.ports[addr]
 	n.mu.Unlock()
-	if far == nil || far.shut {
+	if far == nil || far.closed {
 		return nil, errors.New("refused")
 	}
-	there, is := n.after(p, far)
-	back, was := n.after(far, p)
+	there, is := n.streamDelay(p, far)
+	back, was := n.streamDelay(far, p)
 	if !is || !was || there+back > timeout {
 		time.Sleep(timeout)
 		return nil, os.ErrDeadlineExceeded
@@ -217,13 +217,13 @@
 	net.Conn
 	from, to *Port
 
-	mu  sync.Mutex
-	end time.Time
+	mu       sync.Mutex
+	deadline time.Time
 }
 
 func (s *stream) SetDeadline(t time.Time) error {
 	s.mu.Lock()
-	s.end = t
+	s.deadline = t
 	s.mu.Unlock()
 	return s.Conn.SetDeadline(t)
 }
@@ -232,10 +232,10 @@
 func (s *stream) RemoteAddr() net.Addr { return net.TCPAddrFromAddrPort(s.to.addr) }
 
 func (s *stream) Write(b []byte) (int, error) {
-	took, passes := s.from.net.after(s.from, s.to)
+	took, passes := s.from.network.streamDelay(s.from, s.to)
 	if !passes {
 		s.mu.Lock()
-		end := s.end
+		end := s.deadline
 		s.mu.Unlock()
 		if end.IsZero() {
 			_ = s.Close()
@@ -255,8 +255,8 @@
 
 // Shutdown takes the member off the network.
 func (p *Port) Shutdown() error {
-	p.net.mu.Lock()
-	defer p.net.mu.Unlock()
-	p.shut = true
+	p.network.mu.Lock()
+	defer p.network.mu.Unlock()
+	p.closed = true
 	return nil
 }
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,6 +1,6 @@
-// Package model owns what emulated servers can do: how load, warm-up, slowness and a shared store make set-ups and
-// messages long, when a server is full and when it falls over. The same code answers on sockets and in virtual
-// time. It must never read a clock, draw chance by itself or open a socket: times and draws are handed in.
+// Package model owns the behavior of emulated servers: how load, warm-up, slowness and a shared store delay set-ups and messages, and when
+// a server is full or overloaded. The same code runs on sockets and in virtual time. It must never read a clock, draw random numbers or
+// open a socket: times and draws are arguments.
 package model
 
 import (
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// MachineType is one kind of machine.
+// MachineType is the capacity of a type of machine.
 type MachineType struct {
 	Name            string
 	Cores           int
-	Speed           float64       // of a core; 1 is the yardstick
-	SessionsPerCore int           // usual connections that fill one core of speed 1
-	MaxSessions     int           // beyond it new sessions are rejected
+	Speed           float64       // of a core; 1 is the reference
+	SessionsPerCore int           // connections of load 1 that fill a core of speed 1
+	MaxSessions     int           // new sessions beyond it are rejected
 	Setup           time.Duration // work of one set-up on a core of speed 1
-	Message         time.Duration // a message on an idle server of speed 1
+	Message         time.Duration // time of a message on an idle server of speed 1
 }
 
-// Warmup says how servers start and what pushes a cold one over: more than Multiple of what it can take within
-// any time of Within. It can take what fills it over a third of For, cut to its warmth.
+// Warmup is how servers warm up, and what overloads a cold one: more new sessions within OverloadWindow than OverloadMultiple times what
+// it can accept. It can accept what would fill it in a third of Window, times its warmth.
 type Warmup struct {
-	Floor            float64 // share of the capacity at the start
+	Floor            float64 // share of the capacity at the start of the process
 	Window           time.Duration
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
 }
 
 const (
-	pushSlack = 3    // sends more than the budget, for chance
-	fillPart  = 3    // so-many-th of the warm-up in which a server may fill
-	busiest   = 0.97 // load over capacity beyond which only the pile grows
+	budgetSlack    = 3    // sessions beyond the budget, for random arrivals
+	fillDivisor    = 3    // a cold server may fill in this part of the warm-up
+	maxUtilization = 0.97 // beyond it only the backlog grows
 )
 
-// Budget is how many connections within the window a cold server bears at a warmth.
-func (w Warmup) Budget(fills, warmth float64) float64 {
+// Budget is the number of new sessions within OverloadWindow that a cold server of a capacity accepts at a warmth.
+func (w Warmup) Budget(capacity, warmth float64) float64 {
 	if w.Window <= 0 {
 		return math.Inf(1)
 	}
-	return w.OverloadMultiple*fills*warmth*float64(w.OverloadWindow)/(float64(w.Window)/fillPart) + pushSlack
+	return w.OverloadMultiple*capacity*warmth*float64(w.OverloadWindow)/(float64(w.Window)/fillDivisor) + budgetSlack
 }
 
-// Warmth of a process so long after its start.
+// Warmth is the share of its capacity that a process has at an age.
 func (w Warmup) Warmth(age time.Duration) float64 {
 	if age >= w.Window {
 		return 1
@@ -50,7 +50,7 @@
 	return w.Floor + (1-w.Floor)*max(0, float64(age)/float64(w.Window))
 }
 
-// Answer is what a server says to a first line.
+// Answer is a server's response to the first line of a session.
 type Answer uint8
 
 // The answers to a first line.
@@ -58,139 +58,147 @@
 	Up Answer = iota
 	Busy
 	Err
-	Overloaded // it was pushed over by this one, and stays down
+	Overloaded // this session overloaded it, and it stays down
 )
 
-// Server is one server's state. Its exported fields are set by the fault schedule.
+// Server is the state of one server. The fault schedule sets its exported fields.
 type Server struct {
 	Type       MachineType
-	SlowFactor float64 // times slower than its machine; 1 is sound
+	SlowFactor float64 // times slower than its machine; 1 without a fault
 	ErrorRate  float64 // share of set-ups that fail
 	Full       bool    // rejects all new sessions
 	Draining   bool
-	GroupCost  float64 // usual loads that each group costs once
+	GroupCost  float64 // load of each group, in addition to that of its sessions
 
-	warm    Warmup
-	started time.Duration
-	at      time.Duration // up to here all is accounted for
-	load    float64       // of the connections held, groups included
-	held    int
-	groups  map[uint64]int
-	piled   time.Duration // work that waits
-	joins   []time.Duration
-	fallen  bool
+	warmup         Warmup
+	started        time.Duration
+	advancedTo     time.Duration // the time of the last Advance
+	load           float64       // of the sessions and groups
+	sessions       int
+	groups         map[uint64]int
+	backlog        time.Duration // waiting work
+	recentSessions []time.Duration
+	overloaded     bool
 }
 
-// New makes a server whose process started at a time; long before the run for one that is warm.
-func New(k MachineType, w Warmup, started time.Duration) *Server {
-	return &Server{Type: k, SlowFactor: 1, warm: w, started: started, groups: map[uint64]int{}}
+// New returns a server whose process started at a time; for a warm server, long before the run.
+func New(machineType MachineType, warmup Warmup, started time.Duration) *Server {
+	return &Server{Type: machineType, SlowFactor: 1, warmup: warmup, started: started, groups: map[uint64]int{}}
 }
 
-// Capacity is how many usual connections fill it once it is warm and sound.
+// Capacity is the number of connections of load 1 that fill the server when it is warm and without fault.
 func (s *Server) Capacity() float64 {
 	return float64(s.Type.Cores*s.Type.SessionsPerCore) * s.Type.Speed
 }
 
-// Warmth at a time.
-func (s *Server) Warmth(now time.Duration) float64 { return s.warm.Warmth(now - s.started) }
+// Warmth is the share of its capacity that the server has at a time.
+func (s *Server) Warmth(now time.Duration) float64 { return s.warmup.Warmth(now - s.started) }
 
-// Sessions is how many connections it holds.
-func (s *Server) Sessions() int { return s.held }
+// Sessions is the number of established sessions.
+func (s *Server) Sessions() int { return s.sessions }
 
-// Utilization is the load asked of it over what it can do now.
+// Utilization is the load over the capacity at a time.
 func (s *Server) Utilization(now time.Duration) float64 {
 	return s.load / (s.Capacity() * s.Warmth(now) / s.SlowFactor)
 }
 
-// Backlog is how much work waits, in time, as of the newest account.
-func (s *Server) Backlog() time.Duration { return s.piled }
+// Backlog is the time that the waiting work takes, at the last Advance.
+func (s *Server) Backlog() time.Duration { return s.backlog }
 
-// Advance accounts for the time up to now: work piles up over capacity and is worked off under it.
+// Advance advances the server to a time: the backlog grows while the load is above the capacity, and shrinks below it.
 func (s *Server) Advance(now time.Duration) {
-	if dt := now - s.at; dt > 0 {
-		s.piled = max(0, s.piled+time.Duration((s.Utilization(now)-1)*float64(dt)))
-		s.at = now
+	if elapsed := now - s.advancedTo; elapsed > 0 {
+		s.backlog = max(0, s.backlog+time.Duration((s.Utilization(now)-1)*float64(elapsed)))
+		s.advancedTo = now
 	}
 }
 
-// pace is how much longer work takes now than on an idle server of speed 1.
-func (s *Server) pace(now time.Duration) float64 {
-	return s.SlowFactor / s.Type.Speed / (1 - min(s.Utilization(now), busiest))
+// slowdown is how many times longer work takes than on an idle server of speed 1.
+func (s *Server) slowdown(now time.Duration) float64 {
+	return s.SlowFactor / s.Type.Speed / (1 - min(s.Utilization(now), maxUtilization))
 }
 
-// Admit hands it a first line of a connection of a load and group, with a draw from [0, 1). It answers the verdict
-// and how long until it says so, the store not counted. An Up counts as held from now on.
+// Admit handles the first line of a session of a load and a group, with a draw from [0, 1). It returns the answer and the time until it is
+// sent, without that of the store. Up establishes the session.
 func (s *Server) Admit(now time.Duration, load float64, group uint64, draw float64) (Answer, time.Duration) {
 	s.Advance(now)
-	if s.fallen {
+	if s.overloaded {
 		return Overloaded, 0
 	}
-	if now-s.started < s.warm.Window && !s.Draining {
-		for len(s.joins) > 0 && s.joins[0] <= now-s.warm.OverloadWindow {
-			s.joins = s.joins[1:]
-		}
-		if s.joins = append(s.joins, now); float64(len(s.joins)) > s.warm.Budget(s.Capacity(), s.Warmth(now)) {
-			s.fallen = true
+	if now-s.started < s.warmup.Window && !s.Draining {
+		s.addRecentSession(now)
+		if float64(len(s.recentSessions)) > s.warmup.Budget(s.Capacity(), s.Warmth(now)) {
+			s.overloaded = true
 			return Overloaded, 0
 		}
 	}
 	switch {
-	case s.Draining || s.Full || s.held >= s.Type.MaxSessions:
+	case s.Draining || s.Full || s.sessions >= s.Type.MaxSessions:
 		return Busy, 0
 	case draw < s.ErrorRate:
 		return Err, 0
 	}
-	took := time.Duration(float64(s.Type.Setup)*s.pace(now)) + s.piled
-	s.piled += time.Duration(float64(s.Type.Setup) * s.SlowFactor / s.Type.Speed / float64(s.Type.Cores) / s.Warmth(now))
+	delay := time.Duration(float64(s.Type.Setup)*s.slowdown(now)) + s.backlog
+	s.backlog += time.Duration(float64(s.Type.Setup) * s.SlowFactor / s.Type.Speed / float64(s.Type.Cores) / s.Warmth(now))
 	s.Join(load, group)
-	return Up, took
+	return Up, delay
+}
+
+// addRecentSession adds a new session to those within the overload window.
+func (s *Server) addRecentSession(now time.Duration) {
+	for len(s.recentSessions) > 0 && s.recentSessions[0] <= now-s.warmup.OverloadWindow {
+		s.recentSessions = s.recentSessions[1:]
+	}
+	s.recentSessions = append(s.recentSessions, now)
 }
 
-// Join holds a connection that was open before the run.
+// Join establishes a session without the work of a set-up, as if it was open before the run.
 func (s *Server) Join(load float64, group uint64) {
-	if s.groups[group]++; s.groups[group] == 1 {
+	s.groups[group]++
+	if s.groups[group] == 1 {
 		s.load += s.GroupCost
 	}
 	s.load += load
-	s.held++
+	s.sessions++
 }
 
-// Leave ends a connection.
+// Leave ends a session.
 func (s *Server) Leave(now time.Duration, load float64, group uint64) {
 	s.Advance(now)
-	if s.groups[group]--; s.groups[group] <= 0 {
+	s.groups[group]--
+	if s.groups[group] <= 0 {
 		delete(s.groups, group)
 		s.load -= s.GroupCost
 	}
 	s.load = max(0, s.load-load)
-	s.held--
+	s.sessions--
 }
 
-// Message is how long a message takes now.
+// Message is the time that a message takes.
 func (s *Server) Message(now time.Duration) time.Duration {
 	s.Advance(now)
-	return time.Duration(float64(s.Type.Message)*s.pace(now)) + s.piled
+	return time.Duration(float64(s.Type.Message)*s.slowdown(now)) + s.backlog
 }
 
-// Served is the share of messages answered within a goal now.
-func (s *Server) Served(now, goal time.Duration) float64 {
+// Served is the share of messages with a response within an objective.
+func (s *Server) Served(now, objective time.Duration) float64 {
 	s.Advance(now)
-	if s.fallen || s.piled >= goal {
+	if s.overloaded || s.backlog >= objective {
 		return 0
 	}
-	return 1 - math.Exp(-float64(goal-s.piled)/(float64(s.Type.Message)*s.pace(now)))
+	return 1 - math.Exp(-float64(objective-s.backlog)/(float64(s.Type.Message)*s.slowdown(now)))
 }
 
-// Store is the one store that each set-up calls.
+// Store is the store that each set-up calls.
 type Store struct {
-	Rate   float64       // calls a second it can take; 0: there is no store
+	Rate   float64       // calls per second; 0: there is no store
 	Time   time.Duration // of one call
-	Slow   float64       // times slower than usual
-	Wait   time.Duration // the longest a call waits; then it fails
+	Slow   float64       // times slower; less than 1 counts as 1
+	Wait   time.Duration // timeout of a call in the queue; 0: none
 	freeAt time.Duration
 }
 
-// Call answers how long a call made now takes, and false when it fails, which takes as long as it waits.
+// Call returns the time that a call takes, and whether it succeeds.
 func (s *Store) Call(now time.Duration) (time.Duration, bool) {
 	if s == nil || s.Rate <= 0 {
 		return 0, true
