--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -192,52 +192,61 @@
 	return c
 }
 
+// apply takes one event in.
 func (run *checkRun) apply(e *history.Event) {
+	switch e.Kind {
+	case history.Started, history.Stopped, history.Overloaded:
+		run.applyServerEvent(e)
+	case history.BalancerStarted, history.BalancerKilled, history.Notified:
+		run.applyBalancerEvent(e)
+	case history.Noted:
+	default:
+		run.applySessionEvent(e, run.session(e.Session))
+	}
+}
+
+func (run *checkRun) applySessionEvent(e *history.Event, s *session) {
 	switch e.Kind {
 	case history.Taken:
-		c := run.session(e.Session)
-		c.balancer, c.class, c.takenAt, c.deadline = e.Balancer, e.Class, e.At, e.Duration
-		c.balancerKilled = run.killed[e.Balancer]
+		s.balancer = e.Balancer
+		s.class = e.Class
+		s.takenAt = e.At
+		s.deadline = e.Duration
+		s.balancerKilled = run.killed[e.Balancer]
 		run.verdict.Sessions++
 	case history.Answered:
-		run.applyAnswer(e, run.session(e.Session))
+		run.applyAnswer(e, s)
 	case history.Left:
-		c := run.session(e.Session)
-		c.left, c.leftAt = true, e.At
+		s.left, s.leftAt = true, e.At
 	case history.Moved:
-		run.session(e.Session).moved = true
+		s.moved = true
 	case history.Ended:
-		c := run.session(e.Session)
-		c.ended, c.endedAt = true, e.At
+		s.ended, s.endedAt = true, e.At
 	case history.LineDelayed:
-		at := run.session(e.Session).newestAttempt()
-		if e.Duration > run.rules.MaxLineDelay+run.rules.Slack && (at == nil || !run.wasOut(at.server, e.At-e.Duration, e.At)) {
+		a := s.newestAttempt()
+		if e.Duration > run.rules.MaxLineDelay+run.rules.Slack && (a == nil || !run.wasOut(a.server, e.At-e.Duration, e.At)) {
 			run.report(e.At, LineDelayed, e.Session, fmt.Sprintf("for %v", e.Duration))
 		}
 	case history.AttemptReceived:
-		run.applyAttempt(e, run.session(e.Session))
+		run.applyAttempt(e, s)
 	case history.Ran:
-		c := run.session(e.Session)
-		for n := range c.attempts {
-			if t := &c.attempts[n]; t.server == e.Server && !t.ended {
-				t.ran, t.receipt = true, e.Number
+		for n := range s.attempts {
+			if a := &s.attempts[n]; a.server == e.Server && !a.ended {
+				a.ran, a.receipt = true, e.Number
 			}
 		}
 	case history.AttemptEnded:
-		c := run.session(e.Session)
-		for n := range c.attempts {
-			if t := &c.attempts[n]; t.server == e.Server && !t.ended {
-				t.ended, t.endedAt, t.endedBy = true, e.At, e.Text
+		for n := range s.attempts {
+			if a := &s.attempts[n]; a.server == e.Server && !a.ended {
+				a.ended, a.endedAt, a.endedBy = true, e.At, e.Text
 				break
 			}
 		}
-	case history.Notified:
-		p := balancerServer{e.Balancer, e.Server}
-		if e.Text == "ready" {
-			delete(run.drainedSince, p)
-		} else if _, already := run.drainedSince[p]; !already {
-			run.drainedSince[p] = e.At
-		}
+	}
+}
+
+func (run *checkRun) applyServerEvent(e *history.Event) {
+	switch e.Kind {
 	case history.Started:
 		if all := run.outages[e.Server]; len(all) > 0 && all[len(all)-1].to == stillOut {
 			all[len(all)-1].to = e.At
@@ -248,6 +257,18 @@
 	case history.Overloaded:
 		run.outages[e.Server] = append(run.outages[e.Server], outage{e.At, stillOut})
 		run.report(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d was overloaded", e.Server))
+	}
+}
+
+func (run *checkRun) applyBalancerEvent(e *history.Event) {
+	switch e.Kind {
+	case history.Notified:
+		p := balancerServer{e.Balancer, e.Server}
+		if e.Text == "ready" {
+			delete(run.drainedSince, p)
+		} else if _, already := run.drainedSince[p]; !already {
+			run.drainedSince[p] = e.At
+		}
 	case history.BalancerStarted:
 		delete(run.killed, e.Balancer)
 		for p := range run.drainedSince { // it starts with a new list
@@ -260,9 +281,9 @@
 		if e.Text == "planned" { // what it still holds is a loss
 			return
 		}
-		for _, c := range run.sessions {
-			if c.balancer == e.Balancer && !c.ended && !c.left {
-				c.balancerKilled = true
+		for _, s := range run.sessions {
+			if s.balancer == e.Balancer && !s.ended && !s.left {
+				s.balancerKilled = true
 			}
 		}
 	}
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -67,74 +67,99 @@
 
 // Start sets a world up and starts its balancers; Close ends all of it.
 func Start(w topology.World, arm Arm, seed uint64) (*Cluster, error) {
-	c := &Cluster{World: w, Clock: &emulator.Clock{}, Log: history.New(maxEvents), rng: rand.New(rand.NewPCG(seed, 0xf1e1d)), seed: seed,
-		receiving: make([]bool, w.Balancers), incarnations: make([]int, w.Balancers), store: emulator.NewStore(w.Store),
-		Meter: report.NewMeter(w.Load.WarmupTime, w.Load.Length)}
-	c.endpoints = emulator.NewEndpointList(c.Clock, w.ListDelay, w.DetectionDelay, seed)
-	for _, fault := range w.Faults {
-		c.hasLinks = c.hasLinks || fault.Kind == faults.LinkSlow || fault.Kind == faults.LinkCut
-	}
-	operated := slices.ContainsFunc(w.Faults, func(x faults.Fault) bool {
-		return x.Kind == faults.Upgrade || x.Kind == faults.BalancerDrain
-	})
-
 	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
 		return nil, err
 	}
-	c.dir = dir
-	fail := func(err error) (*Cluster, error) { c.Close(); return nil, err }
+	c := &Cluster{
+		World:        w,
+		Clock:        &emulator.Clock{},
+		Log:          history.New(maxEvents),
+		Meter:        report.NewMeter(w.Load.WarmupTime, w.Load.Length),
+		store:        emulator.NewStore(w.Store),
+		rng:          rand.New(rand.NewPCG(seed, 0xf1e1d)),
+		seed:         seed,
+		dir:          dir,
+		receiving:    make([]bool, w.Balancers),
+		incarnations: make([]int, w.Balancers),
+		hasLinks:     hasFault(w, faults.LinkSlow, faults.LinkCut),
+	}
+	c.endpoints = emulator.NewEndpointList(c.Clock, w.ListDelay, w.DetectionDelay, seed)
+	if err := c.startAll(arm); err != nil {
+		c.Close()
+		return nil, err
+	}
+	return c, nil
+}
+
+// hasFault reports whether a world has a fault of one of the kinds.
+func hasFault(w topology.World, kinds ...faults.Kind) bool {
+	return slices.ContainsFunc(w.Faults, func(f faults.Fault) bool { return slices.Contains(kinds, f.Kind) })
+}
+
+// startAll starts discovery, servers and balancers.
+func (c *Cluster) startAll(arm Arm) error {
+	w := &c.World
 	for b := range w.Balancers {
-		a, err := emulator.NewAgent(b, c.Clock, c.Log, serverIndex)
+		agent, err := emulator.NewAgent(b, c.Clock, c.Log, serverIndex)
 		if err != nil {
-			return fail(err)
+			return err
 		}
-		c.agents = append(c.agents, a)
-		c.endpoints.AddAgent(a)
+		c.agents = append(c.agents, agent)
+		c.endpoints.AddAgent(agent)
 	}
-	for _, m := range w.Machines {
-		if err := c.addServer(m, warmSince, true); err != nil {
-			return fail(err)
+	for _, machine := range w.Machines {
+		if err := c.addServer(machine, warmSince, true); err != nil {
+			return err
 		}
 	}
 	if w.ReplicationFactor > 0 {
-		if c.members, err = NewMemberGroup(w.Balancers, dir, seed); err != nil {
-			return fail(err)
+		members, err := NewMemberGroup(w.Balancers, c.dir, c.seed)
+		if err != nil {
+			return err
 		}
+		c.members = members
 	}
+	isOperated := hasFault(*w, faults.Upgrade, faults.BalancerDrain)
 	for b := range w.Balancers {
-		var out io.Writer
-		if arm.Logs != "" {
-			file, err := os.OpenFile(filepath.Join(arm.Logs, fmt.Sprintf("%s-%d-n%d.log", arm.Name, seed, b)), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
-			if err != nil {
-				return fail(err)
-			}
-			c.closers = append(c.closers, file)
-			out = file
+		if err := c.addBalancer(b, arm, isOperated); err != nil {
+			return err
 		}
-		p, err := NewProcess(fmt.Sprintf("n%d", b), arm.Command, arm.Env, dir, out)
+	}
+	return nil
+}
+
+// addBalancer makes a balancer's process and starts it. An operated one has an admin address and a shared listener.
+func (c *Cluster) addBalancer(b int, arm Arm, isOperated bool) error {
+	var out io.Writer
+	if arm.Logs != "" {
+		path := filepath.Join(arm.Logs, fmt.Sprintf("%s-%d-n%d.log", arm.Name, c.seed, b))
+		file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 		if err != nil {
-			return fail(err)
+			return err
 		}
-		c.Processes = append(c.Processes, p)
-		if operated {
-			if err := p.EnableAdmin(); err != nil {
-				return fail(err)
-			}
-			if err := p.ShareListener(); err != nil {
-				return fail(err)
-			}
+		c.closers = append(c.closers, file)
+		out = file
+	}
+	p, err := NewProcess(fmt.Sprintf("n%d", b), arm.Command, arm.Env, c.dir, out)
+	if err != nil {
+		return err
+	}
+	c.Processes = append(c.Processes, p)
+	if isOperated {
+		if err := p.EnableAdmin(); err != nil {
+			return err
 		}
-		if c.members != nil {
-			if err := c.members.Add(b, w.ReplicationFactor, w.Zones, p); err != nil {
-				return fail(err)
-			}
+		if err := p.ShareListener(); err != nil {
+			return err
 		}
-		if err := c.startBalancer(b); err != nil {
-			return fail(err)
+	}
+	if c.members != nil {
+		if err := c.members.Add(b, c.World.ReplicationFactor, c.World.Zones, p); err != nil {
+			return err
 		}
 	}
-	return c, nil
+	return c.startBalancer(b)
 }
 
 // Uid names a server; number reads the name.
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -4,11 +4,9 @@
 package emulator
 
 import (
-	"bufio"
 	"bytes"
 	"context"
 	"errors"
-	"fmt"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -133,210 +131,67 @@
 	}
 }
 
-// connect makes one session and runs it to its end.
-func (p *runningClient) connect(ctx context.Context, since time.Duration) (how load.Ending, advice time.Duration, stood bool) {
+// connect makes one session and runs it to its end. retryAfter is that of a rejection.
+func (p *runningClient) connect(ctx context.Context, since time.Duration) (how load.Ending, retryAfter time.Duration, established bool) {
 	c := p.clients
 	balancer, address, ok := c.PickBalancer(p.rng)
 	if !ok {
 		return load.Failed, 0, false
 	}
-	limit := c.Deadlines[p.Class]
-	nc, err := net.DialTimeout("tcp", address, limit)
+	deadline := c.Deadlines[p.Class]
+	conn, err := net.DialTimeout("tcp", address, deadline)
 	if err != nil {
 		return load.Failed, 0, false
 	}
-	defer func() { _ = nc.Close() }()
-	id := c.lastID.Add(1)
-	note := func(w history.Kind, more history.Event) {
-		if more.At == 0 {
-			more.At = c.Clock.Now()
-		}
-		more.Kind, more.Session, more.Balancer, more.Class, more.Server = w, id, int32(balancer), int16(p.Class), -1
-		c.Log.Add(more)
-	}
-	group := ""
-	if p.Group > 0 {
-		group = fmt.Sprintf(",g=%x", p.Group)
-	}
-	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", id, p.Key, c.ClassNames[p.Class], limit.Milliseconds(), group, p.Load)
-	if c.Pieces.Load() {
-		text = writeInPieces(nc, text)
-	}
+	defer func() { _ = conn.Close() }()
+	s := newClientSession(p, conn, balancer)
 	at := c.Clock.Now()
-	if _, err := nc.Write([]byte(text)); err != nil {
+	if err := s.sendRequest(deadline); err != nil {
 		return load.Failed, 0, false // no complete request was written
 	}
-	note(history.Taken, history.Event{At: max(at, 1), Duration: limit}) // the time before the write, as a server may be faster than this goroutine
-	_ = nc.SetReadDeadline(c.Clock.At(at + limit + answerGrace))
-	r := bufio.NewReaderSize(nc, maxLine)
-	raw, err := r.ReadSlice('\n')
+	// The time is that before the write, as a server may be faster than this goroutine.
+	s.record(history.Taken, history.Event{At: max(at, 1), Duration: deadline})
+	_ = conn.SetReadDeadline(c.Clock.At(at + deadline + answerGrace))
+	answer, err := s.reader.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			note(history.Left, history.Event{})
+			s.record(history.Left, history.Event{})
 		} else {
-			note(history.Ended, history.Event{Text: "end"})
+			s.record(history.Ended, history.Event{Text: "end"})
 		}
 		return load.Failed, 0, false
 	}
-	ln := protocol.Decode(bytes.Clone(raw))
-	if ln.Kind != protocol.KindEstablished {
-		note(history.Answered, history.Event{Text: map[bool]string{true: "busy", false: "err"}[ln.Kind == protocol.KindRejected]})
-		p.readSecondAnswers(nc, r, note)
-		if ln.Kind == protocol.KindRejected {
-			return load.Rejected, time.Duration(ln.Value) * time.Millisecond, false
-		}
+	line := protocol.Decode(bytes.Clone(answer))
+	switch line.Kind {
+	case protocol.KindEstablished:
+	case protocol.KindRejected:
+		s.record(history.Answered, history.Event{Text: "busy"})
+		s.readSecondAnswers()
+		return load.Rejected, time.Duration(line.Value) * time.Millisecond, false
+	default:
+		s.record(history.Answered, history.Event{Text: "err"})
+		s.readSecondAnswers()
 		return load.Failed, 0, false
 	}
-	receipt, _ := strconv.ParseUint(strings.TrimSpace(string(bytes.TrimPrefix(ln.Raw, []byte("UP ")))), 16, 64)
-	note(history.Answered, history.Event{Text: "up", Number: float64(receipt)})
+	receipt, _ := strconv.ParseUint(strings.TrimSpace(string(bytes.TrimPrefix(line.Raw, []byte("UP ")))), 16, 64)
+	s.record(history.Answered, history.Event{Text: "up", Number: float64(receipt)})
 	now := c.Clock.Now()
 	c.Meter.Setup(now, now-since)
 	c.Meter.Open(1)
 	defer c.Meter.Open(-1)
 	p.countMissed(now)
-	c.mu.Lock()
-	c.established[p] = true
-	c.mu.Unlock()
-	defer func() {
-		c.mu.Lock()
-		delete(c.established, p)
-		c.mu.Unlock()
-	}()
-	return p.runSession(ctx, nc, r, note), 0, true
+	c.setEstablished(p, true)
+	defer c.setEstablished(p, false)
+	return s.run(ctx), 0, true
 }
 
-// readSecondAnswers reads on after a rejection or failure: a second answer is recorded.
-func (p *runningClient) readSecondAnswers(nc net.Conn, r *bufio.Reader, note func(history.Kind, history.Event)) {
-	_ = nc.SetReadDeadline(time.Now().Add(readAfterAnswer))
-	for {
-		raw, err := r.ReadSlice('\n')
-		if err != nil {
-			return
-		}
-		if again, is := finalAnswer(raw); is {
-			note(history.Answered, history.Event{Text: again})
-		}
-	}
-}
-
-// finalAnswer reports whether a line is a final answer, and which.
-func finalAnswer(raw []byte) (string, bool) {
-	switch {
-	case bytes.HasPrefix(raw, []byte("UP ")):
-		return "up", true
-	case bytes.HasPrefix(raw, []byte("BUSY")):
-		return "busy", true
-	case bytes.HasPrefix(raw, []byte("ERR")):
-		return "err", true
-	}
-	return "", false
-}
-
-// runSession sends a line at each of its times, whether or not the last one was answered, until the session ends.
-func (p *runningClient) runSession(ctx context.Context, nc net.Conn, r *bufio.Reader, note func(history.Kind, history.Event)) (how load.Ending) {
-	c := p.clients
-	_ = nc.SetReadDeadline(time.Time{})
-	var mu sync.Mutex
-	waits := map[time.Duration]bool{} // due times of unanswered lines
-	ended := make(chan load.Ending, 1)
-	go func() {
-		how := load.Broken
-		for {
-			raw, err := r.ReadSlice('\n')
-			now := c.Clock.Now()
-			if err != nil {
-				text := "end"
-				if IsAbruptClose(err) {
-					text = "reset"
-				}
-				if !errors.Is(err, net.ErrClosed) {
-					note(history.Ended, history.Event{Text: text})
-				}
-				ended <- how
-				return
-			}
-			switch {
-			case bytes.HasPrefix(raw, []byte("M ")):
-				due, sent := parseEcho(raw)
-				if sent > 0 && now-sent > time.Second {
-					note(history.LineDelayed, history.Event{Duration: now - sent})
-				}
-				mu.Lock()
-				if waits[due] {
-					delete(waits, due)
-					c.Meter.Message(due, now-due, c.MessageInterval, now-due <= c.MessageObjective)
-				}
-				mu.Unlock()
-			case bytes.HasPrefix(raw, protocol.MigrateLine):
-				how = load.Moved
-				c.Meter.Move(now)
-				note(history.Moved, history.Event{})
-			default:
-				if again, is := finalAnswer(raw); is {
-					note(history.Answered, history.Event{Text: again})
-				}
-			}
-		}
-	}()
-	defer func() { // unanswered lines were not served, except those that a leaving client has just sent
-		mu.Lock()
-		defer mu.Unlock()
-		for due := range waits {
-			if how != load.Dropped || c.Clock.Now()-due > c.MessageObjective {
-				c.Meter.Message(due, 0, c.MessageInterval, false)
-			}
-		}
-		clear(waits)
-	}()
-	next := time.NewTimer(0)
-	defer next.Stop()
-	until := time.NewTimer(time.Until(c.Clock.At(p.Until)))
-	defer until.Stop()
-	var dropped <-chan time.Time
-	leave := func(how load.Ending) load.Ending {
-		note(history.Left, history.Event{})
-		_ = nc.Close()
-		<-ended
-		return how
-	}
-	for {
-		next.Reset(max(0, time.Until(c.Clock.At(p.due))))
-		select {
-		case how := <-ended:
-			return how
-		case <-ctx.Done():
-			return leave(load.Dropped)
-		case <-until.C:
-			return leave(load.Dropped)
-		case in := <-p.drop:
-			dropped = time.After(in)
-		case <-dropped:
-			return leave(load.Dropped)
-		case <-next.C:
-			due := p.due
-			p.due += c.MessageInterval
-			if due >= p.Until {
-				continue
-			}
-			mu.Lock()
-			waits[due] = true
-			mu.Unlock()
-			_, _ = nc.Write(fmt.Appendf(nil, "M %d\r\n", int64(due))) // an error shows as the connection's end
-		}
-	}
-}
-
-// parseEcho decodes a server's answer to a line: the line's due time and the time of the answer.
-func parseEcho(raw []byte) (due, sent time.Duration) {
-	for i, word := range bytes.Fields(raw) {
-		if i == 1 {
-			n, _ := strconv.ParseInt(string(word), 10, 64)
-			due = time.Duration(n)
-		}
-		if at, is := bytes.CutPrefix(word, []byte("t=")); is {
-			n, _ := strconv.ParseInt(string(at), 10, 64)
-			sent = time.Duration(n)
-		}
+// setEstablished enters a client among those that Drop chooses from, or removes it.
+func (c *Clients) setEstablished(p *runningClient, established bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if established {
+		c.established[p] = true
+	} else {
+		delete(c.established, p)
 	}
-	return due, sent
 }
--- /dev/null
+++ b/internal/lab/emulator/client_session.go
@@ -0,0 +1,234 @@
+package emulator
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+	"sync"
+	"time"
+
+	"sabletally/internal/lab/history"
+	"sabletally/internal/lab/load"
+	"sabletally/internal/protocol"
+)
+
+// clientSession is one connection of a client.
+type clientSession struct {
+	client   *runningClient
+	conn     net.Conn
+	reader   *bufio.Reader
+	id       uint64
+	balancer int
+
+	mu         sync.Mutex
+	unanswered map[time.Duration]bool // due times of lines without an answer
+	ended      chan load.Ending       // receives how the other side ended the session
+}
+
+func newClientSession(p *runningClient, conn net.Conn, balancer int) *clientSession {
+	return &clientSession{
+		client:     p,
+		conn:       conn,
+		reader:     bufio.NewReaderSize(conn, maxLine),
+		id:         p.clients.lastID.Add(1),
+		balancer:   balancer,
+		unanswered: map[time.Duration]bool{},
+		ended:      make(chan load.Ending, 1),
+	}
+}
+
+// record adds an event of the session, at the present time if it has none.
+func (s *clientSession) record(kind history.Kind, event history.Event) {
+	c := s.client.clients
+	if event.At == 0 {
+		event.At = c.Clock.Now()
+	}
+	event.Kind = kind
+	event.Session = s.id
+	event.Balancer = int32(s.balancer)
+	event.Class = int16(s.client.Class)
+	event.Server = -1
+	c.Log.Add(event)
+}
+
+// sendRequest writes the first line.
+func (s *clientSession) sendRequest(deadline time.Duration) error {
+	p := s.client
+	group := ""
+	if p.Group > 0 {
+		group = fmt.Sprintf(",g=%x", p.Group)
+	}
+	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", s.id, p.Key, p.clients.ClassNames[p.Class], deadline.Milliseconds(), group, p.Load)
+	if p.clients.Pieces.Load() {
+		text = writeInPieces(s.conn, text)
+	}
+	_, err := s.conn.Write([]byte(text))
+	return err
+}
+
+// readSecondAnswers reads on after a rejection or failure: a second answer is recorded.
+func (s *clientSession) readSecondAnswers() {
+	_ = s.conn.SetReadDeadline(time.Now().Add(readAfterAnswer))
+	for {
+		line, err := s.reader.ReadSlice('\n')
+		if err != nil {
+			return
+		}
+		s.recordSecondAnswer(line)
+	}
+}
+
+func (s *clientSession) recordSecondAnswer(line []byte) {
+	if answer, isAnswer := finalAnswer(line); isAnswer {
+		s.record(history.Answered, history.Event{Text: answer})
+	}
+}
+
+// finalAnswer reports whether a line is a final answer, and which.
+func finalAnswer(line []byte) (string, bool) {
+	switch {
+	case bytes.HasPrefix(line, []byte("UP ")):
+		return "up", true
+	case bytes.HasPrefix(line, []byte("BUSY")):
+		return "busy", true
+	case bytes.HasPrefix(line, []byte("ERR")):
+		return "err", true
+	}
+	return "", false
+}
+
+// run sends a line at each of the client's times, whether or not the last one was answered, until the session ends.
+func (s *clientSession) run(ctx context.Context) (how load.Ending) {
+	p := s.client
+	clock := p.clients.Clock
+	_ = s.conn.SetReadDeadline(time.Time{})
+	go s.read()
+	defer func() { s.countUnanswered(how) }()
+	next := time.NewTimer(0)
+	defer next.Stop()
+	until := time.NewTimer(time.Until(clock.At(p.Until)))
+	defer until.Stop()
+	var dropped <-chan time.Time
+	for {
+		next.Reset(max(0, time.Until(clock.At(p.due))))
+		select {
+		case how := <-s.ended:
+			return how
+		case <-ctx.Done():
+			return s.leave()
+		case <-until.C:
+			return s.leave()
+		case delay := <-p.drop:
+			dropped = time.After(delay)
+		case <-dropped:
+			return s.leave()
+		case <-next.C:
+			s.sendLine()
+		}
+	}
+}
+
+// sendLine sends the line that is due now, unless the client's time is up by then.
+func (s *clientSession) sendLine() {
+	p := s.client
+	due := p.due
+	p.due += p.clients.MessageInterval
+	if due >= p.Until {
+		return
+	}
+	s.mu.Lock()
+	s.unanswered[due] = true
+	s.mu.Unlock()
+	_, _ = s.conn.Write(fmt.Appendf(nil, "M %d\r\n", int64(due))) // an error shows as the connection's end
+}
+
+// leave ends the session from the client's side.
+func (s *clientSession) leave() load.Ending {
+	s.record(history.Left, history.Event{})
+	_ = s.conn.Close()
+	<-s.ended
+	return load.Dropped
+}
+
+// read handles what comes until the other side ends the session.
+func (s *clientSession) read() {
+	c := s.client.clients
+	how := load.Broken
+	for {
+		line, err := s.reader.ReadSlice('\n')
+		now := c.Clock.Now()
+		if err != nil {
+			s.recordEnd(err)
+			s.ended <- how
+			return
+		}
+		switch {
+		case bytes.HasPrefix(line, []byte("M ")):
+			s.handleEcho(line, now)
+		case bytes.HasPrefix(line, protocol.MigrateLine):
+			how = load.Moved
+			c.Meter.Move(now)
+			s.record(history.Moved, history.Event{})
+		default:
+			s.recordSecondAnswer(line)
+		}
+	}
+}
+
+// recordEnd records how a read ended, unless the client has closed the connection itself.
+func (s *clientSession) recordEnd(err error) {
+	text := "end"
+	if IsAbruptClose(err) {
+		text = "reset"
+	}
+	if !errors.Is(err, net.ErrClosed) {
+		s.record(history.Ended, history.Event{Text: text})
+	}
+}
+
+// handleEcho counts the answer to a line, and records one that was delayed on its way.
+func (s *clientSession) handleEcho(line []byte, now time.Duration) {
+	c := s.client.clients
+	due, sent := parseEcho(line)
+	if sent > 0 && now-sent > time.Second {
+		s.record(history.LineDelayed, history.Event{Duration: now - sent})
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unanswered[due] {
+		delete(s.unanswered, due)
+		c.Meter.Message(due, now-due, c.MessageInterval, now-due <= c.MessageObjective)
+	}
+}
+
+// countUnanswered counts lines without an answer as not served, except those that a leaving client has just sent.
+func (s *clientSession) countUnanswered(how load.Ending) {
+	c := s.client.clients
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for due := range s.unanswered {
+		if how != load.Dropped || c.Clock.Now()-due > c.MessageObjective {
+			c.Meter.Message(due, 0, c.MessageInterval, false)
+		}
+	}
+	clear(s.unanswered)
+}
+
+// parseEcho decodes a server's answer to a line: the line's due time and the time of the answer.
+func parseEcho(raw []byte) (due, sent time.Duration) {
+	for i, word := range bytes.Fields(raw) {
+		if i == 1 {
+			n, _ := strconv.ParseInt(string(word), 10, 64)
+			due = time.Duration(n)
+		}
+		if at, is := bytes.CutPrefix(word, []byte("t=")); is {
+			n, _ := strconv.ParseInt(string(at), 10, 64)
+			sent = time.Duration(n)
+		}
+	}
+	return due, sent
+}
