--- a/cmd/sabletally/world_test.go
+++ b/cmd/sabletally/world_test.go
@@ -137,8 +137,8 @@
 func TestFaultsKeepTheRules(t *testing.T) {
 	t.Parallel()
 	v, run := playWorld(t, faults)
-	if v.Sessions < 200 || run.Setups < 150 || run.BadClients < 50 || run.BadUnanswered > 0 {
-		t.Errorf("%d sessions, %d set-ups, %d bad clients, %d of them unanswered", v.Sessions, run.Setups, run.BadClients, run.BadUnanswered)
+	if v.Sessions < 200 || run.Setups < 150 || run.MisbehavingClients < 50 || run.UnansweredClients > 0 {
+		t.Errorf("%d sessions, %d set-ups, %d bad clients, %d of them unanswered", v.Sessions, run.Setups, run.MisbehavingClients, run.UnansweredClients)
 	}
 }
 
--- a/cmd/testbed/count.go
+++ b/cmd/testbed/count.go
@@ -97,13 +97,13 @@
 
 func (t logTable) endRow() { _, _ = fmt.Fprintln(t) }
 
-func (t logTable) close(stats *logstats.Fleet) error {
+func (t logTable) close(stats *logstats.Statistics) error {
 	_, _ = fmt.Fprintf(t, "%d logs, %d lines unread\n", stats.Logs, stats.Unread)
 	return t.Flush()
 }
 
 // printServers prints the connections of each server over time.
-func printServers(to io.Writer, stats *logstats.Fleet) error {
+func printServers(to io.Writer, stats *logstats.Statistics) error {
 	table := newLogTable(to, stats.Names...)
 	for _, row := range stats.Rows {
 		table.cell(row.At)
@@ -116,7 +116,7 @@
 }
 
 // printEvents prints the counts of events over time.
-func printEvents(to io.Writer, stats *logstats.Fleet) error {
+func printEvents(to io.Writer, stats *logstats.Statistics) error {
 	table := newLogTable(to, append(logstats.Names[:], "held", "places", "half-within", "nine-in-ten")...)
 	for _, row := range stats.Rows {
 		table.cell(row.At)
@@ -124,9 +124,9 @@
 			table.cell(count)
 		}
 		table.cell(row.Sessions)
-		table.cell(fmt.Sprintf("%.2f", row.Places))
-		table.cell(row.Middle.Round(time.Millisecond))
-		table.cell(row.Late.Round(time.Millisecond))
+		table.cell(fmt.Sprintf("%.2f", row.ServersPerGroup))
+		table.cell(row.SetupP50.Round(time.Millisecond))
+		table.cell(row.SetupP90.Round(time.Millisecond))
 		table.endRow()
 	}
 	return table.close(stats)
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	fmt.Printf("\n%d sessions were set up (median %.0f ms, p99 %.0f ms), %d rejected, %d migrated; %.1f%% of the requested time was served\n",
-		run.Setups, run.SetupP50, run.SetupP99, run.Nacks, run.Moves, 100*run.Served)
+		run.Setups, run.SetupP50, run.SetupP99, run.Rejections, run.Migrations, 100*run.Served)
 	for _, violation := range run.Broken {
 		fmt.Println("  ", violation)
 	}
--- a/cmd/testbed/scale_faults.go
+++ b/cmd/testbed/scale_faults.go
@@ -13,27 +13,27 @@
 func (w *scaleCluster) applyStep(step scale.Step) error {
 	switch step.Action {
 	case scale.Kill:
-		return w.eachControl(step.Who, func(c *controlProcess) error {
+		return w.eachControl(step.Targets, func(c *controlProcess) error {
 			c.kill()
 			return nil
 		})
 	case scale.End:
-		return w.eachControl(step.Who, func(c *controlProcess) error {
+		return w.eachControl(step.Targets, func(c *controlProcess) error {
 			c.shutDown()
 			return nil
 		})
 	case scale.Start:
-		return w.eachControl(step.Who, (*controlProcess).restart)
+		return w.eachControl(step.Targets, (*controlProcess).restart)
 	case scale.Cut:
-		return w.cutOff(step.Who)
+		return w.cutOff(step.Targets)
 	case scale.Heal:
 		return w.cutOff(nil)
 	case scale.Down, scale.Up:
-		return w.setBalancers(step.Who, step.Action == scale.Up)
+		return w.setBalancers(step.Targets, step.Action == scale.Up)
 	case scale.ZoneOff:
-		return w.eachHostOf(step.Who[0], w.killHost)
+		return w.eachHostOf(step.Targets[0], w.killHost)
 	case scale.ZoneOn:
-		return w.eachHostOf(step.Who[0], w.restartHost)
+		return w.eachHostOf(step.Targets[0], w.restartHost)
 	default:
 		return fmt.Errorf("unknown action %q", step.Action)
 	}
--- a/cmd/testbed/scale_measurement.go
+++ b/cmd/testbed/scale_measurement.go
@@ -139,7 +139,7 @@
 	steady, spread := r.isSteady(status, requiredVersion)
 	summary := r.summary(status, spread)
 	progress("scale: %v of %v, %d of %d changes accepted, %s", max(0, now-r.startTime).Round(time.Second), r.For, accepted, len(r.plan.Changes), summary)
-	r.figures.Even = summary
+	r.figures.SpreadDescription = summary
 	// Control processes are queried only when it matters: it costs them processor time.
 	if steady && (m.isRecovering() || now >= m.endTime) {
 		steady = m.checkControls(requiredVersion)
@@ -158,7 +158,7 @@
 // checkControls reports whether all control processes are ready too, and notes the first time that they are after the faults.
 func (m *measurement) checkControls(version uint64) bool {
 	if unready := m.run.cluster.unreadyControls(version); unready != "" {
-		m.run.figures.Even += "; " + unready
+		m.run.figures.SpreadDescription += "; " + unready
 		return false
 	}
 	if m.isRecovering() {
@@ -190,12 +190,12 @@
 	figures.BalancerCore = 100 * (atEnd.CPU - before.CPU).Seconds() / seconds / balancers
 	figures.BalancerBytes = float64(atEnd.Sent+atEnd.Received-before.Sent-before.Received) / seconds / balancers
 	figures.Snapshots = atEnd.Snapshots - before.Snapshots
-	figures.Lapses = last.LeaseExpiries - before.LeaseExpiries
-	figures.Taken = atEnd.Changes - before.Changes
-	figures.Had = atEnd.Duplicates - before.Duplicates
+	figures.LeaseExpiries = last.LeaseExpiries - before.LeaseExpiries
+	figures.Applied = atEnd.Changes - before.Changes
+	figures.Duplicates = atEnd.Duplicates - before.Duplicates
 	figures.Gaps = atEnd.Gaps - before.Gaps
-	figures.Wants = atEnd.SyncRequests - before.SyncRequests
-	figures.Refused = last.Rejected - before.Rejected
+	figures.SyncRequests = atEnd.SyncRequests - before.SyncRequests
+	figures.Rejected = last.Rejected - before.Rejected
 	figures.Conflicts = last.Conflicts
 	if len(m.run.plan.Steps) == 0 {
 		return
--- a/cmd/testbed/scale_run.go
+++ b/cmd/testbed/scale_run.go
@@ -80,7 +80,7 @@
 	if err := r.waitUntilSteady(ctx, time.Now().Add(convergenceTimeout)); err != nil {
 		return err
 	}
-	r.figures.TogetherMs = float64(time.Since(started).Milliseconds())
+	r.figures.ConvergenceMs = float64(time.Since(started).Milliseconds())
 	clients := openOperatorClients(cluster.seeds(), r.Seed)
 	defer clients.close()
 	if err := sleep(ctx, settleTime); err != nil {
@@ -267,7 +267,7 @@
 func (r *scaleRun) recordMaxima() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.figures.LateMs = float64(r.maxPutDelay.Microseconds()) / 1000
+	r.figures.MaxPutDelayMs = float64(r.maxPutDelay.Microseconds()) / 1000
 	r.figures.BalancerMB = r.maxBalancersMB / float64(r.Balancers)
 	for _, megabytes := range r.maxControlMB {
 		r.figures.ControlMB = max(r.figures.ControlMB, megabytes)
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,6 +1,5 @@
-// Package baseline has policies to compare ours with: random choice, least connections and a plain consistent
-// hash, each without our departures. They keep the drains, the outer limit and the one try, as any balancer must,
-// and nothing else. They must never be linked into the balancer that ships.
+// Package baseline has policies to compare the shipped one with: random choice, least connections and a plain consistent hash. They respect
+// drains, deadlines and idempotency, as any balancer must, and do nothing else. They must never be linked into the balancer that ships.
 package baseline
 
 import (
@@ -13,24 +12,24 @@
 	"sabletally/policy"
 )
 
-// Decider is what a host needs of a policy; *policy.Balancer is one.
+// Decider is a policy as its host uses it; *policy.Balancer is one.
 type Decider interface {
 	AdvanceClock(now time.Duration)
-	UpdateEndpoints(lines []policy.Endpoint, whole bool)
-	AddSession(a policy.SessionRequest)
-	AttemptEstablished(id policy.SessionID, try int, took time.Duration)
-	AttemptEnded(id policy.SessionID, try int, finished bool, how policy.Outcome)
+	UpdateEndpoints(endpoints []policy.Endpoint, complete bool)
+	AddSession(request policy.SessionRequest)
+	AttemptEstablished(id policy.SessionID, attempt int, took time.Duration)
+	AttemptEnded(id policy.SessionID, attempt int, finished bool, outcome policy.Outcome)
 	ClientDisconnected(id policy.SessionID)
-	RecordLoad(id policy.SessionID, try int, load float64)
+	RecordLoad(id policy.SessionID, attempt int, load float64)
 	RecordLatency(server policy.EndpointID, delay time.Duration)
-	HealthCheckEnded(server policy.EndpointID, how policy.Outcome)
-	RecordLoadReport(server policy.EndpointID, r policy.LoadReport)
-	StartDraining(from, by time.Duration)
+	HealthCheckEnded(server policy.EndpointID, outcome policy.Outcome)
+	RecordLoadReport(server policy.EndpointID, report policy.LoadReport)
+	StartDraining(migrateAt, endBy time.Duration)
 	Next() (policy.Decision, bool)
 	NextWakeup() (time.Duration, bool)
 }
 
-// Names are the policies that New knows; Ours is the module that ships.
+// The policies that New knows; Ours is the one that ships.
 const (
 	Ours   = "ours"
 	Random = "random"
@@ -38,206 +37,250 @@
 	Hash   = "hash"
 )
 
-// Names lists them.
+// Names lists the policies.
 var Names = []string{Ours, Random, Least, Hash}
 
-// New makes a policy by its name.
-func New(name string, dep *policy.Config, seed uint64) (Decider, error) {
+// New returns a policy by its name.
+func New(name string, config *policy.Config, seed uint64) (Decider, error) {
 	if name == Ours {
-		return policy.New(dep, seed), nil
+		return policy.New(config, seed), nil
+	}
+	b := &baseline{
+		config:   config,
+		rng:      rand.New(rand.NewPCG(seed, 0xba5e)),
+		sessions: map[policy.SessionID]*session{},
+		index:    map[policy.EndpointID]int{},
 	}
-	p := &baseline{config: dep, rng: rand.New(rand.NewPCG(seed, 0xba5e)), sessions: map[policy.SessionID]*session{},
-		index: map[policy.EndpointID]int{}}
 	switch name {
 	case Random:
-		p.score = func(*session, int) float64 { return p.rng.Float64() }
+		b.score = func(*session, int) float64 { return b.rng.Float64() }
 	case Least:
-		p.score = func(_ *session, i int) float64 { return -float64(p.sessionCount[i]) + 0.5*p.rng.Float64() }
+		b.score = func(_ *session, server int) float64 { return -float64(b.sessionCount[server]) + 0.5*b.rng.Float64() }
 	case Hash:
-		p.score = func(c *session, i int) float64 { return hash(c.affinityKey, uint64(p.endpoints[i])) }
+		b.score = func(s *session, server int) float64 { return hash(s.affinityKey, uint64(b.endpoints[server])) }
 	default:
 		return nil, fmt.Errorf("policy %q is not known; there are %v", name, Names)
 	}
-	return p, nil
+	return b, nil
 }
 
-// hash is rendezvous hashing's score.
+// hash is the score of rendezvous hashing.
 func hash(a, b uint64) float64 {
 	x := (a ^ b*0x9e3779b97f4a7c15) * 0xd6e8feb86659fd93
 	x = (x ^ x>>32) * 0xd6e8feb86659fd93
 	return float64(x^x>>32) / math.MaxUint64
 }
 
-// session is one that waits, is out or stands.
+// noServer is the server of a session that has none.
+const noServer = -1
+
+// session is a session that waits, is in an attempt or is established.
 type session struct {
 	id          policy.SessionID
 	affinityKey uint64
 	deadline    time.Duration
 	objective   time.Duration
-	idempotent  bool // a try that may have run may be repeated
+	idempotent  bool // an attempt that may have had an effect may be retried
 	attempts    int
 	server      int
 	inAttempt   bool
 	tried       []int
-	neverSent   bool // no try may have run
+	neverSent   bool // no attempt may have had an effect
 }
 
-// baseline is any of the baselines: a preference over the ready servers that were not tried yet.
+// canRetry reports whether a further attempt is safe.
+func (s *session) canRetry() bool { return s.neverSent || s.idempotent }
+
+// baseline ranks the ready servers that a session has not tried yet by a score.
 type baseline struct {
 	config       *policy.Config
 	rng          *rand.Rand
 	now          time.Duration
-	score        func(c *session, server int) float64
+	score        func(s *session, server int) float64
 	sessions     map[policy.SessionID]*session
 	queue        []*session
 	endpoints    []policy.EndpointID
 	index        map[policy.EndpointID]int
 	ready        []bool
 	sessionCount []int
+	draining     bool // new sessions are rejected, and at migrateAt all others migrate
 	migrateAt    time.Duration
-	draining     bool // new sessions are rejected, and at leaveFrom all are moved
 	migrated     bool
 	decisions    []policy.Decision
 }
 
-func (p *baseline) AdvanceClock(now time.Duration) { p.now = now }
+func (b *baseline) AdvanceClock(now time.Duration) { b.now = now }
 
-func (p *baseline) UpdateEndpoints(lines []policy.Endpoint, whole bool) {
-	if whole {
-		clear(p.ready)
+func (b *baseline) UpdateEndpoints(endpoints []policy.Endpoint, complete bool) {
+	if complete {
+		clear(b.ready)
 	}
-	for _, l := range lines {
-		i, known := p.index[l.ID]
+	for _, endpoint := range endpoints {
+		i, known := b.index[endpoint.ID]
 		if !known {
-			i = len(p.endpoints)
-			p.index[l.ID] = i
-			p.endpoints, p.ready, p.sessionCount = append(p.endpoints, l.ID), append(p.ready, false), append(p.sessionCount, 0)
+			i = len(b.endpoints)
+			b.index[endpoint.ID] = i
+			b.endpoints = append(b.endpoints, endpoint.ID)
+			b.ready = append(b.ready, false)
+			b.sessionCount = append(b.sessionCount, 0)
 		}
-		p.ready[i] = l.State == policy.Ready
+		b.ready[i] = endpoint.State == policy.Ready
 	}
 }
 
-func (p *baseline) AddSession(a policy.SessionRequest) {
-	g := p.config.Classes[a.Class]
-	c := &session{id: a.ID, affinityKey: a.Group, deadline: p.now + a.Timeout, objective: g.SetupObjective, idempotent: g.Idempotency == policy.Idempotent,
-		server: -1, neverSent: true}
-	if c.affinityKey == 0 {
-		c.affinityKey = a.Key
+func (b *baseline) AddSession(request policy.SessionRequest) {
+	class := b.config.Classes[request.Class]
+	s := &session{
+		id:          request.ID,
+		affinityKey: request.Group,
+		deadline:    b.now + request.Timeout,
+		objective:   class.SetupObjective,
+		idempotent:  class.Idempotency == policy.Idempotent,
+		server:      noServer,
+		neverSent:   true,
+	}
+	if s.affinityKey == 0 {
+		s.affinityKey = request.Key
 	}
-	p.sessions[a.ID] = c
-	p.queue = append(p.queue, c)
+	b.sessions[request.ID] = s
+	b.queue = append(b.queue, s)
 }
 
-func (p *baseline) AttemptEstablished(id policy.SessionID, _ int, _ time.Duration) {
-	if c := p.sessions[id]; c != nil {
-		c.inAttempt = false
+func (b *baseline) AttemptEstablished(id policy.SessionID, _ int, _ time.Duration) {
+	if s := b.sessions[id]; s != nil {
+		s.inAttempt = false
 	}
 }
 
-func (p *baseline) AttemptEnded(id policy.SessionID, _ int, finished bool, how policy.Outcome) {
-	c := p.sessions[id]
-	if c == nil || c.server < 0 {
+func (b *baseline) AttemptEnded(id policy.SessionID, _ int, finished bool, outcome policy.Outcome) {
+	s := b.sessions[id]
+	if s == nil || s.server == noServer {
 		return
 	}
-	p.sessionCount[c.server]--
-	c.server = -1
-	if how != policy.Rejected && how != policy.ConnectFailed && how != policy.NeverSent {
-		c.neverSent = false
+	b.sessionCount[s.server]--
+	s.server = noServer
+	if outcome != policy.Rejected && outcome != policy.ConnectFailed && outcome != policy.NeverSent {
+		s.neverSent = false
 	}
-	if finished || !c.inAttempt {
-		delete(p.sessions, id)
+	if finished || !s.inAttempt {
+		delete(b.sessions, id)
 		return
 	}
-	c.inAttempt = false
-	p.queue = append(p.queue, c)
+	s.inAttempt = false
+	b.queue = append(b.queue, s)
 }
 
-func (p *baseline) ClientDisconnected(id policy.SessionID) {
-	if c := p.sessions[id]; c != nil && c.server < 0 {
-		delete(p.sessions, id)
-		p.queue = slices.DeleteFunc(p.queue, func(o *session) bool { return o == c })
+func (b *baseline) ClientDisconnected(id policy.SessionID) {
+	if s := b.sessions[id]; s != nil && s.server == noServer {
+		delete(b.sessions, id)
+		b.queue = slices.DeleteFunc(b.queue, func(other *session) bool { return other == s })
 	}
 }
 
-func (p *baseline) RecordLoad(policy.SessionID, int, float64)             {}
-func (p *baseline) RecordLatency(policy.EndpointID, time.Duration)        {}
-func (p *baseline) HealthCheckEnded(policy.EndpointID, policy.Outcome)    {}
-func (p *baseline) RecordLoadReport(policy.EndpointID, policy.LoadReport) {}
-func (p *baseline) StartDraining(from, _ time.Duration)                   { p.draining, p.migrateAt = true, from }
+func (b *baseline) RecordLoad(policy.SessionID, int, float64) {}
+
+func (b *baseline) RecordLatency(policy.EndpointID, time.Duration) {}
+
+func (b *baseline) HealthCheckEnded(policy.EndpointID, policy.Outcome) {}
+
+func (b *baseline) RecordLoadReport(policy.EndpointID, policy.LoadReport) {}
+
+func (b *baseline) StartDraining(migrateAt, _ time.Duration) {
+	b.draining = true
+	b.migrateAt = migrateAt
+}
 
 // finish gives a session its final answer.
-func (p *baseline) finish(c *session, do policy.Action) policy.Decision {
-	delete(p.sessions, c.id)
-	return policy.Decision{Action: do, Session: c.id, Duration: p.retryAfter(do)}
+func (b *baseline) finish(s *session, action policy.Action) policy.Decision {
+	delete(b.sessions, s.id)
+	return policy.Decision{Action: action, Session: s.id, Duration: b.retryAfter(action)}
 }
 
-func (p *baseline) retryAfter(do policy.Action) time.Duration {
-	if do != policy.Reject || !p.config.CanSendRetryAfter {
+func (b *baseline) retryAfter(action policy.Action) time.Duration {
+	if action != policy.Reject || !b.config.CanSendRetryAfter {
 		return 0
 	}
-	return time.Duration((0.5 + p.rng.Float64()/2) * float64(p.config.MaxRetryAfter))
+	return time.Duration((0.5 + b.rng.Float64()/2) * float64(b.config.MaxRetryAfter))
 }
 
-func (p *baseline) Next() (policy.Decision, bool) {
-	for len(p.queue) > 0 {
-		c := p.queue[0]
-		p.queue = p.queue[1:]
-		if p.sessions[c.id] != c {
-			continue
-		}
-		return p.decide(c), true
-	}
-	if p.draining && !p.migrated && p.now >= p.migrateAt {
-		p.migrated = true
-		var ids []policy.SessionID
-		for id, c := range p.sessions {
-			if !c.inAttempt && c.server >= 0 {
-				ids = append(ids, id)
-			}
-		}
-		slices.Sort(ids)
-		for _, id := range ids {
-			p.decisions = append(p.decisions, policy.Decision{Action: policy.Migrate, Session: id})
+func (b *baseline) Next() (policy.Decision, bool) {
+	for len(b.queue) > 0 {
+		s := b.queue[0]
+		b.queue = b.queue[1:]
+		if b.sessions[s.id] == s {
+			return b.decide(s), true
 		}
 	}
-	if len(p.decisions) == 0 {
+	if b.draining && !b.migrated && b.now >= b.migrateAt {
+		b.migrateAll()
+	}
+	if len(b.decisions) == 0 {
 		return policy.Decision{}, false
 	}
-	d := p.decisions[0]
-	p.decisions = p.decisions[1:]
-	return d, true
-}
-
-// decide decides on a session.
-func (p *baseline) decide(c *session) policy.Decision {
-	best, score := -1, 0.0
-	if !p.draining && c.attempts < p.config.MaxAttempts && (c.neverSent || c.idempotent) && p.now < c.deadline {
-		for i, ready := range p.ready {
-			if !ready || slices.Contains(c.tried, i) {
-				continue
-			}
-			if s := p.score(c, i); best < 0 || s > score {
-				best, score = i, s
-			}
+	decision := b.decisions[0]
+	b.decisions = b.decisions[1:]
+	return decision, true
+}
+
+// migrateAll decides that all established sessions migrate, in the order of their IDs.
+func (b *baseline) migrateAll() {
+	b.migrated = true
+	var ids []policy.SessionID
+	for id, s := range b.sessions {
+		if !s.inAttempt && s.server != noServer {
+			ids = append(ids, id)
 		}
 	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		b.decisions = append(b.decisions, policy.Decision{Action: policy.Migrate, Session: id})
+	}
+}
+
+// decide starts an attempt at the best server, or gives the session its final answer.
+func (b *baseline) decide(s *session) policy.Decision {
+	server := noServer
+	if !b.draining && s.attempts < b.config.MaxAttempts && s.canRetry() && b.now < s.deadline {
+		server = b.bestServer(s)
+	}
 	switch {
-	case best >= 0:
-	case c.neverSent || c.idempotent:
-		return p.finish(c, policy.Reject)
+	case server != noServer:
+		return b.startAttempt(s, server)
+	case s.canRetry():
+		return b.finish(s, policy.Reject)
 	default:
-		return p.finish(c, policy.Fail)
+		return b.finish(s, policy.Fail)
 	}
-	left := c.deadline - p.now
-	c.attempts++
-	c.server, c.inAttempt, c.tried = best, true, append(c.tried, best)
-	p.sessionCount[best]++
-	return policy.Decision{Action: policy.StartAttempt, Session: c.id, Endpoint: p.endpoints[best], Duration: max(left/2, min(left, c.objective))}
 }
 
-func (p *baseline) NextWakeup() (time.Duration, bool) {
-	if p.draining && !p.migrated {
-		return p.migrateAt, true
+// bestServer is the ready server with the highest score that the session has not tried, noServer if there is none.
+func (b *baseline) bestServer(s *session) int {
+	best, bestScore := noServer, 0.0
+	for i, ready := range b.ready {
+		if !ready || slices.Contains(s.tried, i) {
+			continue
+		}
+		if score := b.score(s, i); best == noServer || score > bestScore {
+			best, bestScore = i, score
+		}
+	}
+	return best
+}
+
+func (b *baseline) startAttempt(s *session, server int) policy.Decision {
+	s.attempts++
+	s.server = server
+	s.inAttempt = true
+	s.tried = append(s.tried, server)
+	b.sessionCount[server]++
+	remaining := s.deadline - b.now
+	timeout := max(remaining/2, min(remaining, s.objective))
+	return policy.Decision{Action: policy.StartAttempt, Session: s.id, Endpoint: b.endpoints[server], Duration: timeout}
+}
+
+func (b *baseline) NextWakeup() (time.Duration, bool) {
+	if b.draining && !b.migrated {
+		return b.migrateAt, true
 	}
 	return 0, false
 }
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -111,9 +111,9 @@
 		events = append(events, e)
 		switch {
 		case e.Kind == history.AttemptReceived:
-			run.Tries++
+			run.Attempts++
 		case e.Kind == history.Answered && e.Text == "busy" && e.At >= c.World.Load.WarmupTime:
-			run.Nacks++
+			run.Rejections++
 		}
 	}
 	return events
--- a/internal/lab/emulator/client_session.go
+++ b/internal/lab/emulator/client_session.go
@@ -171,7 +171,7 @@
 			s.handleEcho(line, now)
 		case bytes.HasPrefix(line, protocol.MigrateLine):
 			how = load.Moved
-			c.Meter.Move(now)
+			c.Meter.Migrate(now)
 			s.record(history.Moved, history.Event{})
 		default:
 			s.recordSecondAnswer(line)
--- a/internal/lab/emulator/misbehaving_clients.go
+++ b/internal/lab/emulator/misbehaving_clients.go
@@ -135,6 +135,6 @@
 func RunMisbehavingClients(ctx context.Context, rate float64, door func(*rand.Rand) (int, string, bool), meter *report.Meter, seed uint64) {
 	arrivals(ctx, rate, door, rand.New(rand.NewPCG(seed, 0xbad)), func(n int, address string) {
 		kind, own := Rudes[n%len(Rudes)], rand.New(rand.NewPCG(seed, uint64(n)))
-		go func() { meter.Bad(kind.Run(address, own)) }()
+		go func() { meter.MisbehavingClient(kind.Run(address, own)) }()
 	})
 }
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -29,10 +29,10 @@
 	TimedOut                     // attempts that timed out
 	Failed                       // attempts that failed with an error
 	Unconnected                  // attempts without a connection
-	Turned                       // attempts that were rejected, reset or canceled
+	Rejected                     // attempts that were rejected, reset or canceled
 	RejectedByBudget             // sessions rejected without an attempt
 	RejectedAfterAttempts        // sessions rejected after attempts
-	BrokenOff                    // sessions that failed otherwise
+	SessionFailed                // sessions that failed otherwise
 	Lists                        // endpoint lists received
 	NoList                       // requests to discovery that failed
 	LoadEstimates                // health checks that gave a load
@@ -47,17 +47,17 @@
 
 // Row is one step of time, over all balancers.
 type Row struct {
-	At       time.Duration // since the first line of all logs
-	Columns  [columns]int
-	Sessions int            // established at its end
-	Places   float64        // servers of a group, mean; 0 without groups
-	Middle   time.Duration  // median of the set-up times
-	Late     time.Duration  // 90th percentile of the set-up times
-	Servers  map[string]int // sessions by server, at its end
+	At              time.Duration // since the first line of all logs
+	Columns         [columns]int
+	Sessions        int            // established at its end
+	ServersPerGroup float64        `json:"Places"` // servers of a group, mean; 0 without groups
+	SetupP50        time.Duration  `json:"Middle"` // median of the set-up times
+	SetupP90        time.Duration  `json:"Late"`   // 90th percentile of the set-up times
+	Servers         map[string]int // sessions by server, at its end
 }
 
-// Fleet is the sum of the logs.
-type Fleet struct {
+// Statistics is the sum of the logs.
+type Statistics struct {
 	Step   time.Duration
 	Rows   []Row
 	Names  []string // of the servers, sorted
@@ -67,15 +67,15 @@
 
 // entry is the part of a log line that is counted. The names of its fields are those of the log.
 type entry struct {
-	Ts      time.Time
-	Msg     string
-	How     string
-	Answer  string
-	Tries   int
-	Server  string
-	Circuit string
-	After   float64 // seconds
-	Group   uint64
+	Time     time.Time `json:"ts"`
+	Message  string    `json:"msg"`
+	Outcome  string    `json:"how"`
+	Answer   string
+	Attempts int `json:"tries"`
+	Server   string
+	Session  string  `json:"circuit"`
+	After    float64 // seconds
+	Group    uint64
 }
 
 // groupServer is a server of a group.
@@ -104,7 +104,7 @@
 
 // column returns the column that the entry counts in, or noColumn.
 func (e *entry) column() int {
-	switch e.Msg {
+	switch e.Message {
 	case "ready":
 		return Ready
 	case "stands":
@@ -122,7 +122,7 @@
 	case "slow messages":
 		return Slow
 	case "try ended":
-		switch e.How {
+		switch e.Outcome {
 		case "timed-out":
 			return TimedOut
 		case "failed":
@@ -130,12 +130,12 @@
 		case "connect-failed":
 			return Unconnected
 		}
-		return Turned
+		return Rejected
 	case "not served":
 		switch {
 		case len(e.Answer) < 4 || e.Answer[:4] != "BUSY":
-			return BrokenOff
-		case e.Tries == 0:
+			return SessionFailed
+		case e.Attempts == 0:
 			return RejectedByBudget
 		}
 		return RejectedAfterAttempts
@@ -170,7 +170,7 @@
 func parseEntry(line []byte) (entry, bool) {
 	var e entry
 	start := bytes.IndexByte(line, '{')
-	if start < 0 || json.Unmarshal(line[start:], &e) != nil || e.Ts.IsZero() {
+	if start < 0 || json.Unmarshal(line[start:], &e) != nil || e.Time.IsZero() {
 		return entry{}, false
 	}
 	return e, true
@@ -182,34 +182,34 @@
 	if column == noColumn {
 		return
 	}
-	counted := event{at: e.Ts, column: column}
+	counted := event{at: e.Time, column: column}
 	switch column {
 	case Ready: // the sessions of an earlier process ended with it, at a time that is in no log
 		for _, s := range sessions {
-			r.events = append(r.events, event{at: e.Ts, column: noColumn, change: -1, groupServer: s})
+			r.events = append(r.events, event{at: e.Time, column: noColumn, change: -1, groupServer: s})
 		}
 		clear(sessions)
 	case Established:
 		counted.setupTime = time.Duration(e.After * float64(time.Second))
 		counted.change = 1
 		counted.groupServer = groupServer{server: e.Server, group: e.Group}
-		sessions[e.Circuit] = counted.groupServer
+		sessions[e.Session] = counted.groupServer
 	case Ended:
-		if s, established := sessions[e.Circuit]; established {
+		if s, established := sessions[e.Session]; established {
 			counted.change = -1
 			counted.groupServer = s
-			delete(sessions, e.Circuit)
+			delete(sessions, e.Session)
 		}
 	}
 	r.events = append(r.events, counted)
 }
 
 // Sum sums up what was read, in steps of time.
-func (r *Reader) Sum(step time.Duration) (*Fleet, error) {
+func (r *Reader) Sum(step time.Duration) (*Statistics, error) {
 	if step <= 0 {
 		return nil, fmt.Errorf("a step of %v is not positive", step)
 	}
-	f := &Fleet{Step: step, Unread: r.unread, Logs: r.logs}
+	f := &Statistics{Step: step, Unread: r.unread, Logs: r.logs}
 	if len(r.events) == 0 {
 		return f, nil
 	}
@@ -286,11 +286,11 @@
 		for _, count := range s.serversByGroup {
 			servers += count
 		}
-		row.Places = float64(servers) / float64(len(s.serversByGroup))
+		row.ServersPerGroup = float64(servers) / float64(len(s.serversByGroup))
 	}
 	if s.setupTimes.TotalCount() > 0 {
-		row.Middle = time.Duration(s.setupTimes.ValueAtQuantile(50)) * time.Microsecond
-		row.Late = time.Duration(s.setupTimes.ValueAtQuantile(90)) * time.Microsecond
+		row.SetupP50 = time.Duration(s.setupTimes.ValueAtQuantile(50)) * time.Microsecond
+		row.SetupP90 = time.Duration(s.setupTimes.ValueAtQuantile(90)) * time.Microsecond
 	}
 	s.setupTimes.Reset()
 	s.row = Row{At: row.At + step}
--- a/internal/lab/logstats/logstats_test.go
+++ b/internal/lab/logstats/logstats_test.go
@@ -1,6 +1,7 @@
 package logstats
 
 import (
+	"encoding/json"
 	"fmt"
 	"os"
 	"strings"
@@ -8,8 +9,8 @@
 	"time"
 )
 
-// Two balancers; the second is killed with a connection open and starts again.
-func TestLogsOfAFleetAddUp(t *testing.T) {
+// TestSumOfTwoLogs: the second of two balancers is killed with an established session and starts again.
+func TestSumOfTwoLogs(t *testing.T) {
 	r := &Reader{}
 	for _, name := range []string{"a", "b"} {
 		log, err := os.Open("testdata/" + name + ".log")
@@ -24,16 +25,20 @@
 	}
 	got := fmt.Sprintln(f.Logs, f.Unread, f.Names)
 	for _, row := range f.Rows {
-		got += fmt.Sprintln(row.Sessions, row.Places, row.Middle.Round(time.Millisecond), row.Columns)
+		got += fmt.Sprintln(row.Sessions, row.ServersPerGroup, row.SetupP50.Round(time.Millisecond), row.Columns)
 	}
 	if want := "2 1 [s-1 s-2]\n" + "3 1.5 20ms [2 3 0 0 0 0 0 0 0 0 0 0 0 0 0]\n" + "2 1 0s [0 0 1 1 0 0 0 1 1 0 0 0 0 0 0]\n" +
 		"1 1 0s [1 0 0 0 0 0 0 0 0 0 0 1 0 0 0]\n"; got != want {
 		t.Errorf("%s, not %s", got, want)
 	}
+	text, err := json.Marshal(f.Rows[2])
+	if want := `{"At":2000000000,"Columns":[1,0,0,0,0,0,0,0,0,0,0,1,0,0,0],"Sessions":1,"Places":1,"Middle":0,"Late":0,"Servers":{"s-1":1,"s-2":0}}`; err != nil || string(text) != want {
+		t.Errorf("%s, not %s; %v", text, want, err)
+	}
 	if err := r.Read("c", strings.NewReader("{}\n"+strings.Repeat("x", maxLineBytes+1))); err == nil || !strings.Contains(err.Error(), "c:2:") {
-		t.Errorf("a line without an end: %v", err)
+		t.Errorf("a line that is too long: %v", err)
 	}
 	if _, err := r.Sum(time.Microsecond); err == nil {
-		t.Error("millions of rows")
+		t.Error("millions of rows are accepted")
 	}
 }
--- a/internal/lab/memnet/memnet.go
+++ b/internal/lab/memnet/memnet.go
@@ -1,9 +1,10 @@
-// Package memnet is a network in memory between members of a fleet, with faults on each ordered pair of them: for worlds in
-// virtual time, where the very code that ships runs on it. It owns what passes and what is lost. It must never open a socket.
+// Package memnet is an in-memory network between members of a fleet, with faults on each ordered pair of them, for simulations in virtual
+// time that run the code that ships. It owns the delivery and the loss of messages. It must never open a socket.
 package memnet
 
 import (
 	"errors"
+	"fmt"
 	"math/rand/v2"
 	"net"
 	"net/netip"
@@ -15,20 +16,25 @@
 )
 
 const (
-	maxQueuedPackets   = 512 // datagrams that wait at a member
+	maxQueuedPackets   = 512 // datagrams, and deliveries to a paused member
+	maxQueuedStreams   = 64
+	maxReorderDelay    = 50 * time.Millisecond // of a duplicated datagram, beside the delay of the link
 	minRetransmitDelay = 200 * time.Millisecond
 	maxRetransmits     = 8
+	memberPort         = 7000
 )
 
-// Link is how one ordered pair is: what goes from the one to the other.
+var errRefused = errors.New("connection refused")
+
+// Link is the state of the link from one member to another.
 type Link struct {
-	Loss       float64 // share of datagrams that are lost; a stream's are sent again, which takes time
+	Loss       float64 // share of datagrams; in a stream, of writes that are retransmitted after a delay
 	Delay      time.Duration
-	Duplicated float64 // share of datagrams that come twice, the second one late by up to Late and 50 ms
+	Duplicated float64 // share of datagrams that arrive twice, the second time up to Delay and 50 ms later
 	Cut        bool
 }
 
-// Network is one network.
+// Network is a network between members, which have numbers.
 type Network struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -36,30 +42,35 @@
 	link    func(from, to int) Link
 	latency time.Duration
 
-	Bytes, Packets int64 // sent, datagrams alone
+	Bytes   int64 // sent as datagrams; read it with Sum
+	Packets int64 // datagrams sent; read it with Sum
 }
 
-// New makes a network in which everything takes so long and nothing is lost.
-func New(seed uint64, usual time.Duration) *Network {
-	return &Network{rng: rand.New(rand.NewPCG(seed, 0x6e37)), ports: map[netip.AddrPort]*Port{}, latency: usual,
-		link: func(int, int) Link { return Link{} }}
+// New returns a network with a latency for each direction and without faults.
+func New(seed uint64, latency time.Duration) *Network {
+	return &Network{
+		rng:     rand.New(rand.NewPCG(seed, 0x6e37)),
+		ports:   map[netip.AddrPort]*Port{},
+		link:    func(int, int) Link { return Link{} },
+		latency: latency,
+	}
 }
 
-// Set says from now on how each ordered pair is.
-func (n *Network) Set(way func(from, to int) Link) {
+// Set sets the function that returns the state of links.
+func (n *Network) Set(link func(from, to int) Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.link = way
+	n.link = link
 }
 
-// Sum answers what was sent so far.
+// Sum returns the number of bytes and datagrams sent so far.
 func (n *Network) Sum() (bytes, packets int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.Bytes, n.Packets
 }
 
-// Port is one member's place in it.
+// Port is the endpoint of one member. It is a memberlist.Transport.
 type Port struct {
 	network *Network
 	number  int
@@ -67,63 +78,69 @@
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 	paused  bool
-	queued  []func() // what came while it was stopped
+	queued  []func() // deliveries while it is paused
 	closed  bool
 }
 
-// Addr is the address of a number.
-func Addr(num int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(num >> 8), byte(num)}), 7000)
+// Addr is the address of the member with a number.
+func Addr(number int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), memberPort)
 }
 
-// Port makes a member's place, in place of an earlier one of that number.
-func (n *Network) Port(num int) *Port {
-	p := &Port{network: n, number: num, addr: Addr(num), packets: make(chan *memberlist.Packet, maxQueuedPackets), streams: make(chan net.Conn, 64)}
+// Port returns a new port for a member. It replaces an earlier one of that number.
+func (n *Network) Port(number int) *Port {
+	p := &Port{
+		network: n,
+		number:  number,
+		addr:    Addr(number),
+		packets: make(chan *memberlist.Packet, maxQueuedPackets),
+		streams: make(chan net.Conn, maxQueuedStreams),
+	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ports[p.addr] = p
 	return p
 }
 
-// Pause holds all that comes to a member, as at a process that is stopped, and loses what it sends; Go hands over what a
-// kernel's buffers would have held.
+// Pause queues deliveries to a member, like the kernel's buffers of a stopped process, and drops what it sends.
 func (p *Port) Pause() {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
 	p.paused = true
 }
 
-// Resume ends a Stop.
+// Resume ends a pause and makes the queued deliveries.
 func (p *Port) Resume() {
 	p.network.mu.Lock()
-	held := p.queued
-	p.paused, p.queued = false, nil
+	queued := p.queued
+	p.paused = false
+	p.queued = nil
 	p.network.mu.Unlock()
-	for _, do := range held {
-		do()
+	for _, deliver := range queued {
+		deliver()
 	}
 }
 
-// deliver runs what arrives at a member, later where it is stopped.
-func (p *Port) deliver(do func()) {
+// deliver makes a delivery, or queues it while the member is paused.
+func (p *Port) deliver(delivery func()) {
 	p.network.mu.Lock()
 	if p.paused {
 		if len(p.queued) < maxQueuedPackets {
-			p.queued = append(p.queued, do)
+			p.queued = append(p.queued, delivery)
 		}
 		p.network.mu.Unlock()
 		return
 	}
 	p.network.mu.Unlock()
-	do()
+	delivery()
 }
 
-// FinalAdvertiseAddr is this member's address.
+// FinalAdvertiseAddr returns the member's address.
 func (p *Port) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return p.addr.Addr().AsSlice(), int(p.addr.Port()), nil
 }
 
-// WriteTo sends a datagram.
+// WriteTo sends a datagram. As on a real network, a loss is no error.
 func (p *Port) WriteTo(b []byte, to string) (time.Time, error) {
 	addr, err := netip.ParseAddrPort(to)
 	if err != nil {
@@ -133,54 +150,60 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	far := n.ports[addr]
+	receiver := n.ports[addr]
 	if p.closed || p.paused {
 		return now, nil
 	}
 	n.Bytes += int64(len(b))
 	n.Packets++
-	if far == nil || far.closed {
+	if receiver == nil || receiver.closed {
 		return now, nil
 	}
-	w := n.link(p.number, far.number)
-	if w.Cut || n.rng.Float64() < w.Loss {
+	link := n.link(p.number, receiver.number)
+	if link.Cut || n.rng.Float64() < link.Loss {
 		return now, nil
 	}
-	text := append([]byte(nil), b...)
-	arrive := func(late time.Duration) {
-		time.AfterFunc(late, func() {
-			far.deliver(func() {
-				select {
-				case far.packets <- &memberlist.Packet{Buf: append([]byte(nil), text...), From: net.UDPAddrFromAddrPort(p.addr), Timestamp: time.Now()}:
-				default:
-				}
-			})
-		})
-	}
-	arrive(n.latency + w.Delay)
-	if n.rng.Float64() < w.Duplicated {
-		arrive(n.latency + w.Delay + time.Duration(n.rng.Float64()*float64(w.Delay+50*time.Millisecond)))
+	datagram := append([]byte(nil), b...)
+	delay := n.latency + link.Delay
+	p.sendAfter(delay, receiver, datagram)
+	if n.rng.Float64() < link.Duplicated {
+		extra := time.Duration(n.rng.Float64() * float64(link.Delay+maxReorderDelay))
+		p.sendAfter(delay+extra, receiver, datagram)
 	}
 	return now, nil
 }
 
-// streamDelay is what one write, or the opening, of a stream takes between two members; false where nothing passes.
+// sendAfter delivers a copy of a datagram after a delay. A full queue of the receiver drops it.
+func (p *Port) sendAfter(delay time.Duration, receiver *Port, datagram []byte) {
+	time.AfterFunc(delay, func() {
+		receiver.deliver(func() {
+			packet := &memberlist.Packet{Buf: append([]byte(nil), datagram...), From: net.UDPAddrFromAddrPort(p.addr), Timestamp: time.Now()}
+			select {
+			case receiver.packets <- packet:
+			default:
+			}
+		})
+	})
+}
+
+// streamDelay is the time that one write to, or the opening of, a stream takes in one direction; false if nothing gets through.
 func (n *Network) streamDelay(from, to *Port) (time.Duration, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w := n.link(from.number, to.number)
-	if w.Cut || from.closed || to.closed || from.paused || to.paused {
+	link := n.link(from.number, to.number)
+	if link.Cut || from.closed || to.closed || from.paused || to.paused {
 		return 0, false
 	}
-	took := n.latency + w.Delay
-	for wait, i := minRetransmitDelay, 0; n.rng.Float64() < w.Loss; i++ {
+	delay := n.latency + link.Delay
+	retransmitDelay := minRetransmitDelay
+	for i := 0; n.rng.Float64() < link.Loss; i++ {
 		if i == maxRetransmits {
 			return 0, false
 		}
-		took += wait
-		wait *= 2
+		delay += retransmitDelay
+		retransmitDelay *= 2
 	}
-	return took, true
+	return delay, true
 }
 
 // DialTimeout opens a stream.
@@ -191,28 +214,28 @@
 	}
 	n := p.network
 	n.mu.Lock()
-	far := n.ports[addr]
+	receiver := n.ports[addr]
 	n.mu.Unlock()
-	if far == nil || far.closed {
-		return nil, errors.New("refused")
+	if receiver == nil || receiver.closed {
+		return nil, errRefused
 	}
-	there, is := n.streamDelay(p, far)
-	back, was := n.streamDelay(far, p)
-	if !is || !was || there+back > timeout {
+	forth, reaches := n.streamDelay(p, receiver)
+	back, returns := n.streamDelay(receiver, p)
+	if !reaches || !returns || forth+back > timeout {
 		time.Sleep(timeout)
 		return nil, os.ErrDeadlineExceeded
 	}
-	time.Sleep(there + back)
-	a, b := net.Pipe()
+	time.Sleep(forth + back)
+	local, remote := net.Pipe()
 	select {
-	case far.streams <- &stream{Conn: b, from: far, to: p}:
+	case receiver.streams <- &stream{Conn: remote, from: receiver, to: p}:
 	default:
-		return nil, errors.New("refused: too many wait")
+		return nil, fmt.Errorf("%w: too many streams wait", errRefused)
 	}
-	return &stream{Conn: a, from: p, to: far}, nil
+	return &stream{Conn: local, from: p, to: receiver}, nil
 }
 
-// stream is one end of a connection.
+// stream is one end of a connection. Writes take the delay of the link.
 type stream struct {
 	net.Conn
 	from, to *Port
@@ -232,18 +255,18 @@
 func (s *stream) RemoteAddr() net.Addr { return net.TCPAddrFromAddrPort(s.to.addr) }
 
 func (s *stream) Write(b []byte) (int, error) {
-	took, passes := s.from.network.streamDelay(s.from, s.to)
+	delay, passes := s.from.network.streamDelay(s.from, s.to)
 	if !passes {
 		s.mu.Lock()
-		end := s.deadline
+		deadline := s.deadline
 		s.mu.Unlock()
-		if end.IsZero() {
-			_ = s.Close()
+		if deadline.IsZero() {
+			_ = s.Close() // the write fails at once, below
 		}
-		time.Sleep(time.Until(end))
+		time.Sleep(time.Until(deadline))
 		return 0, os.ErrDeadlineExceeded
 	}
-	time.Sleep(took)
+	time.Sleep(delay)
 	return s.Conn.Write(b)
 }
 
@@ -253,7 +276,7 @@
 // StreamCh delivers the streams that other members open to this one.
 func (p *Port) StreamCh() <-chan net.Conn { return p.streams }
 
-// Shutdown takes the member off the network.
+// Shutdown removes the member from the network.
 func (p *Port) Shutdown() error {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -59,7 +59,7 @@
 	if !m.isCollecting(now) {
 		return
 	}
-	m.current.Asked += interval.Seconds()
+	m.current.Requested += interval.Seconds()
 	if inTime {
 		m.current.Served += interval.Seconds()
 	}
@@ -69,22 +69,22 @@
 }
 
 // Reject counts a rejected session.
-func (m *Meter) Reject(now time.Duration) { m.count(now, &m.run.Nacks, &m.current.Nacks) }
+func (m *Meter) Reject(now time.Duration) { m.count(now, &m.run.Rejections, &m.current.Rejections) }
 
-// Move counts a session that migrated.
-func (m *Meter) Move(now time.Duration) { m.count(now, &m.run.Moves, &m.current.Moves) }
+// Migrate counts a session that migrated.
+func (m *Meter) Migrate(now time.Duration) { m.count(now, &m.run.Migrations, &m.current.Migrations) }
 
 // Attempt counts an attempt to set up a session.
-func (m *Meter) Attempt() { m.count(m.from, &m.run.Tries, nil) }
+func (m *Meter) Attempt() { m.count(m.from, &m.run.Attempts, nil) }
 
-// Probe counts a health check.
-func (m *Meter) Probe() { m.count(m.from, &m.run.Probes, nil) }
+// HealthCheck counts a health check.
+func (m *Meter) HealthCheck() { m.count(m.from, &m.run.HealthChecks, nil) }
 
-// Bad counts a misbehaving client, and whether it got neither a response nor a close.
-func (m *Meter) Bad(unanswered bool) {
-	m.count(m.from, &m.run.BadClients, nil)
+// MisbehavingClient counts a misbehaving client, and whether it got neither a response nor a close.
+func (m *Meter) MisbehavingClient(unanswered bool) {
+	m.count(m.from, &m.run.MisbehavingClients, nil)
 	if unanswered {
-		m.count(m.from, &m.run.BadUnanswered, nil)
+		m.count(m.from, &m.run.UnansweredClients, nil)
 	}
 }
 
@@ -115,7 +115,7 @@
 	defer m.mu.Unlock()
 	seconds := interval.Seconds()
 	m.current.Served += served * seconds
-	m.current.Asked += requested * seconds
+	m.current.Requested += requested * seconds
 	m.current.Worst += worst * seconds
 	m.current.Mean += mean * seconds
 	if m.isCollecting(now) {
@@ -170,7 +170,7 @@
 func servedShare(points []Point) float64 {
 	requested, served := 0.0, 0.0
 	for _, p := range points {
-		requested += p.Asked
+		requested += p.Requested
 		served += p.Served
 	}
 	if requested <= 0 {
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -20,15 +20,15 @@
 	of          func(Point) float64
 }{
 	{"Served, of what was asked for", "part", func(p Point) float64 {
-		if p.Asked == 0 {
+		if p.Requested == 0 {
 			return math.NaN()
 		}
-		return math.Min(1, p.Served/p.Asked)
+		return math.Min(1, p.Served/p.Requested)
 	}},
 	{"Established sessions", "sessions", func(p Point) float64 { return p.Open }},
 	{"Load of the busiest ready server", "of its capacity", func(p Point) float64 { return p.Worst }},
 	{"Set-ups", "a second", func(p Point) float64 { return p.Setups }},
-	{"Rejections and moves", "a second", func(p Point) float64 { return p.Nacks + p.Moves }},
+	{"Rejections and moves", "a second", func(p Point) float64 { return p.Rejections + p.Migrations }},
 }
 
 // line is the mean over an arm's runs, by second.
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -16,14 +16,14 @@
 		for at := 500 * time.Millisecond; at <= 42*time.Second; at += 500 * time.Millisecond {
 			n := int(at/(500*time.Millisecond)) + i
 			m.Attempt()
-			m.Probe()
+			m.HealthCheck()
 			m.Open(n % 3)
 			m.Setup(at, time.Duration(n*n)*time.Millisecond)
 			m.Message(at, time.Duration(n)*time.Millisecond, 100*time.Millisecond, n%5 != 0)
 			if n%4 == 0 {
 				m.Reject(at)
-				m.Move(at)
-				m.Bad(n%8 == 0)
+				m.Migrate(at)
+				m.MisbehavingClient(n%8 == 0)
 			}
 			worst, mean, spread := Loads([]float64{0.1, float64(n%7) / 7, 0.5})
 			m.Tick(at, 500*time.Millisecond, float64(n%9), 9, worst, mean, spread)
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -10,48 +10,48 @@
 
 // Point is one second of a run.
 type Point struct {
-	At     float64 // seconds since the start of the run, at the end of this one
-	Asked  float64 // seconds of connections requested
-	Served float64 // and of those that were well served
-	Open   float64 // established sessions
-	Worst  float64 // utilization of the ready server that has most
-	Mean   float64 // utilization of the ready servers
-	Setups float64
-	Nacks  float64 // rejections
-	Moves  float64 // sessions that migrated
+	At         float64 // seconds since the start of the run, at the end of this one
+	Requested  float64 `json:"Asked"` // seconds of connections requested
+	Served     float64 // and of those that were well served
+	Open       float64 // established sessions
+	Worst      float64 // utilization of the ready server that has most
+	Mean       float64 // utilization of the ready servers
+	Setups     float64
+	Rejections float64 `json:"Nacks"` // rejections
+	Migrations float64 `json:"Moves"` // sessions that migrated
 }
 
 // Run is the figures of one arm at one seed. Times are milliseconds unless it is said otherwise.
 type Run struct {
-	Arm           string
-	Seed          uint64
-	Served        float64 // seconds of connections served over seconds requested
-	Worst         float64 // the same in the worst 10 seconds
-	Setups        int
-	Nacks         int     // rejections
-	Moves         int     // sessions that migrated
-	Tries         int     // attempts
-	Probes        int     // health checks
-	SetupP50      float64 // of set-up times, from a client's first request, with rejections and waits in between
-	SetupP90      float64
-	SetupP99      float64
-	SetupMost     float64
-	WorstLoad     float64 // utilization of a ready server, highest mean of a second
-	Spread        float64 // of the utilization of ready servers: standard deviation over mean, mean of the run
-	Groups        int     // at the end
-	GroupServers  int     // servers of each group, summed up over the groups
-	MessageP50    float64 `json:",omitempty"` // sockets only
-	MessageP99    float64 `json:",omitempty"` // sockets only
-	BalancerCPU   float64 `json:",omitempty"` // seconds, of all balancers
-	BalancerMB    float64 `json:",omitempty"` // maximum of the largest balancer
-	Balancers     []Usage `json:",omitempty"`
-	BadClients    int     `json:",omitempty"` // misbehaving clients
-	BadUnanswered int     `json:",omitempty"` // and those that got neither a response nor a close
-	Late          float64 `json:",omitempty"` // maximum delay of the load itself
-	Kept          bool    // all rules
-	Verdict       string
-	Broken        []string `json:",omitempty"` // the first violations
-	Series        []Point
+	Arm                string
+	Seed               uint64
+	Served             float64 // seconds of connections served over seconds requested
+	Worst              float64 // the same in the worst 10 seconds
+	Setups             int
+	Rejections         int     `json:"Nacks"`  // rejections
+	Migrations         int     `json:"Moves"`  // sessions that migrated
+	Attempts           int     `json:"Tries"`  // attempts
+	HealthChecks       int     `json:"Probes"` // health checks
+	SetupP50           float64 // of set-up times, from a client's first request, with rejections and waits in between
+	SetupP90           float64
+	SetupP99           float64
+	SetupMost          float64
+	WorstLoad          float64 // utilization of a ready server, highest mean of a second
+	Spread             float64 // of the utilization of ready servers: standard deviation over mean, mean of the run
+	Groups             int     // at the end
+	GroupServers       int     // servers of each group, summed up over the groups
+	MessageP50         float64 `json:",omitempty"` // sockets only
+	MessageP99         float64 `json:",omitempty"` // sockets only
+	BalancerCPU        float64 `json:",omitempty"` // seconds, of all balancers
+	BalancerMB         float64 `json:",omitempty"` // maximum of the largest balancer
+	Balancers          []Usage `json:",omitempty"`
+	MisbehavingClients int     `json:"BadClients,omitempty"`    // misbehaving clients
+	UnansweredClients  int     `json:"BadUnanswered,omitempty"` // and those that got neither a response nor a close
+	Late               float64 `json:",omitempty"`              // maximum delay of the load itself
+	Kept               bool    // all rules
+	Verdict            string
+	Broken             []string `json:",omitempty"` // the first violations
+	Series             []Point
 }
 
 // Usage is what one balancer used, in all of its processes.
--- a/internal/lab/scale/account.go
+++ b/internal/lab/scale/account.go
@@ -22,7 +22,7 @@
 	Differ      int                     // balancers whose state differs from that of the control processes
 	Silent      int                     // reachable balancers that did not report their final state
 	NotAccepted int                     // changes
-	WentBack    int                     // times that a balancer reported an older version, or one twice
+	Regressions int                     // times that a balancer reported an older version, or one twice
 	Slowest     int                     // the change that took longest to be in force; -1 for none
 }
 
@@ -65,7 +65,7 @@
 }
 
 func (a *accounting) addBalancer(b *balancerRecord) {
-	a.account.WentBack += b.regressions
+	a.account.Regressions += b.regressions
 	if len(b.processes) == 0 {
 		return // it was never reachable
 	}
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -26,36 +26,36 @@
 	ControlBytes  float64 `json:"control_bytes_per_second_worst"` // read and written, disk included
 	SteadyAfter   float64 `json:"steady_after_ms"`                // after the last fault; 0 without faults
 
-	Zones         int     `json:"zones"`
-	Regions       int     `json:"regions"`
-	Voters        int     `json:"voters"`
-	Seconds       float64 `json:"seconds"`
-	Seed          uint64  `json:"seed"`
-	Faults        string  `json:"faults"`
-	FaultsSay     string  `json:"faults_in_words"`
-	Samples       int64   `json:"samples"` // changes that were timed, counted for each balancer
-	ReturnedWorst float64 `json:"returned_ms_worst"`
-	Returned      int64   `json:"returned"`
-	Behind        int     `json:"balancers_behind"`
-	Differ        int     `json:"balancers_that_differ"`
-	Silent        int     `json:"balancers_silent"`
-	NotAccepted   int     `json:"changes_not_accepted"`
-	Back          int     `json:"went_back"`
-	Snapshots     uint64  `json:"snapshots"`     // received by balancers during the run
-	Lapses        uint64  `json:"lapses"`        // leases that expired
-	Refused       uint64  `json:"refused"`       // messages that balancers rejected, and digests that did not match
-	Taken         uint64  `json:"changes_taken"` // applied by balancers
-	Had           uint64  `json:"changes_had"`   // duplicates: from the other control process, or sent again
-	Gaps          uint64  `json:"gaps"`          // changes that arrived before an earlier one
-	Wants         uint64  `json:"asked_again"`   // sync requests of balancers
-	Conflicts     uint64  `json:"conflicts"`
-	Steady        bool    `json:"steady"`      // all were current and evenly spread at the end
-	Even          string  `json:"even_spread"` // describes how many are current, and the spread of their connections
-	TogetherMs    float64 `json:"together_ms"` // from the start of the balancers until all were current
-	LateMs        float64 `json:"late_ms"`     // maximum delay with which the test itself put a change
-	Partial       string  `json:"partial,omitempty"`
-	MemoryMB      float64 `json:"memory_mb"` // all processes together, maximum
-	Verdict       string  `json:"verdict"`
+	Zones             int     `json:"zones"`
+	Regions           int     `json:"regions"`
+	Voters            int     `json:"voters"`
+	Seconds           float64 `json:"seconds"`
+	Seed              uint64  `json:"seed"`
+	Faults            string  `json:"faults"`
+	FaultDescription  string  `json:"faults_in_words"`
+	Samples           int64   `json:"samples"` // changes that were timed, counted for each balancer
+	ReturnedWorst     float64 `json:"returned_ms_worst"`
+	Returned          int64   `json:"returned"`
+	Behind            int     `json:"balancers_behind"`
+	Differ            int     `json:"balancers_that_differ"`
+	Silent            int     `json:"balancers_silent"`
+	NotAccepted       int     `json:"changes_not_accepted"`
+	Regressions       int     `json:"went_back"`
+	Snapshots         uint64  `json:"snapshots"`     // received by balancers during the run
+	LeaseExpiries     uint64  `json:"lapses"`        // leases that expired
+	Rejected          uint64  `json:"refused"`       // messages that balancers rejected, and digests that did not match
+	Applied           uint64  `json:"changes_taken"` // applied by balancers
+	Duplicates        uint64  `json:"changes_had"`   // duplicates: from the other control process, or sent again
+	Gaps              uint64  `json:"gaps"`          // changes that arrived before an earlier one
+	SyncRequests      uint64  `json:"asked_again"`   // sync requests of balancers
+	Conflicts         uint64  `json:"conflicts"`
+	Steady            bool    `json:"steady"`      // all were current and evenly spread at the end
+	SpreadDescription string  `json:"even_spread"` // describes how many are current, and the spread of their connections
+	ConvergenceMs     float64 `json:"together_ms"` // from the start of the balancers until all were current
+	MaxPutDelayMs     float64 `json:"late_ms"`     // maximum delay with which the test itself put a change
+	Partial           string  `json:"partial,omitempty"`
+	MemoryMB          float64 `json:"memory_mb"` // all processes together, maximum
+	Verdict           string  `json:"verdict"`
 }
 
 // Targets are the limits of a run's figures.
@@ -92,7 +92,7 @@
 	f.Differ = a.Differ
 	f.Silent = a.Silent
 	f.NotAccepted = a.NotAccepted
-	f.Back = a.WentBack
+	f.Regressions = a.Regressions
 }
 
 // Check returns a description of each target that was missed. Counts are always checked; times and sizes, which depend on the machine too,
@@ -119,9 +119,9 @@
 	check(f.Differ > 0 && f.Missed == 0, "%d balancers differ", f.Differ)
 	check(f.Silent > 0 && f.Missed == 0, "%d balancers are silent", f.Silent)
 	check(f.NotAccepted > 0, "%d changes were not accepted", f.NotAccepted)
-	check(f.Back > 0, "%d times a balancer went back", f.Back)
+	check(f.Regressions > 0, "%d times a balancer went back", f.Regressions)
 	check(f.Conflicts > 0, "%d conflicts", f.Conflicts)
-	check(!f.Steady, "not steady in the end: %s", f.Even)
+	check(!f.Steady, "not steady in the end: %s", f.SpreadDescription)
 	return missed
 }
 
@@ -158,18 +158,18 @@
 		_, _ = fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...))
 	}
 	row("balancers, control, voters", "%d, %d, %d in %d zones of %d regions", f.Balancers, f.Control, f.Voters, f.Zones, f.Regions)
-	row("faults", "%s", f.FaultsSay)
-	row("changes", "%d in %.0f s; put %.1f ms late at worst by the test; %d not accepted", f.Changes, f.Seconds, f.LateMs, f.NotAccepted)
+	row("faults", "%s", f.FaultDescription)
+	row("changes", "%d in %.0f s; put %.1f ms late at worst by the test; %d not accepted", f.Changes, f.Seconds, f.MaxPutDelayMs, f.NotAccepted)
 	row("in force, p50, p99, worst", "%.1f, %.1f, %.1f ms, %d samples (allowed %.0f ms)", f.InForceP50, f.InForceP99, f.InForceWorst, f.Samples, float64(targets.InForce.Milliseconds()))
-	row("missed", "%d (%d balancers behind, %d differ, %d silent); %d went back, %d conflicts", f.Missed, f.Behind, f.Differ, f.Silent, f.Back, f.Conflicts)
+	row("missed", "%d (%d balancers behind, %d differ, %d silent); %d went back, %d conflicts", f.Missed, f.Behind, f.Differ, f.Silent, f.Regressions, f.Conflicts)
 	row("returned balancers", "%d; first state within %.1f ms at worst", f.Returned, f.ReturnedWorst)
 	row("a balancer's control part", "%.3f%% of a core, %.2f MB, %.0f bytes a second (allowed %.4g%%, %.0f, %.0f)", f.BalancerCore, f.BalancerMB, f.BalancerBytes,
 		targets.BalancerCore, targets.BalancerMB, targets.BalancerBytes)
 	row("a control process, worst", "%.2f%% of a core, %.1f MB, %.0f bytes a second (allowed %.0f%%, %.0f MB)", f.ControlCore, f.ControlMB, f.ControlBytes, targets.ControlCore, targets.ControlMB)
-	row("snapshots taken, lapses, refused", "%d, %d, %d", f.Snapshots, f.Lapses, f.Refused)
-	row("changes at a balancer", "%.1f taken, %.1f had already, %.1f too early; asked again %.2f times", float64(f.Taken)/balancers, float64(f.Had)/balancers, float64(f.Gaps)/balancers, float64(f.Wants)/balancers)
-	row("together after the start", "%.0f ms", f.TogetherMs)
-	row("steady after the last fault", "%.0f ms; %s", f.SteadyAfter, f.Even)
+	row("snapshots taken, lapses, refused", "%d, %d, %d", f.Snapshots, f.LeaseExpiries, f.Rejected)
+	row("changes at a balancer", "%.1f taken, %.1f had already, %.1f too early; asked again %.2f times", float64(f.Applied)/balancers, float64(f.Duplicates)/balancers, float64(f.Gaps)/balancers, float64(f.SyncRequests)/balancers)
+	row("together after the start", "%.0f ms", f.ConvergenceMs)
+	row("steady after the last fault", "%.0f ms; %s", f.SteadyAfter, f.SpreadDescription)
 	row("memory of all processes", "%.0f MB", f.MemoryMB)
 	return w.Flush()
 }
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -50,20 +50,20 @@
 
 // Step is one step of the fault schedule.
 type Step struct {
-	At     time.Duration // since the start of the run
-	Action Action
-	Who    []int // indices of control processes or balancers; of a zone its number
+	At      time.Duration // since the start of the run
+	Action  Action
+	Targets []int // indices of control processes or balancers; of a zone its number
 }
 
 // Plan is everything that a run will do.
 type Plan struct {
 	Options
-	Voters   int
-	Control  []Place
-	Balancer []Place
-	Changes  []Change // by time
-	Steps    []Step   // by time
-	Says     string   // describes the faults
+	Voters           int
+	Control          []Place
+	Balancer         []Place
+	Changes          []Change // by time
+	Steps            []Step   // by time
+	FaultDescription string   // describes the faults
 }
 
 // Voters is the number of voters among control processes: odd, and not more than five.
--- a/internal/lab/scale/plan_faults.go
+++ b/internal/lab/scale/plan_faults.go
@@ -27,7 +27,7 @@
 func (p *Plan) drawFaults(rng *rand.Rand) {
 	switch p.Faults {
 	case FaultsNone:
-		p.Says = "none"
+		p.FaultDescription = "none"
 	case FaultsDay:
 		p.drawDay(rng)
 	case FaultsRack:
@@ -48,8 +48,8 @@
 		return
 	}
 	p.Steps = append(p.Steps,
-		Step{At: at, Action: begin, Who: who},
-		Step{At: at + length, Action: end, Who: who})
+		Step{At: at, Action: begin, Targets: who},
+		Step{At: at + length, Action: end, Targets: who})
 }
 
 // drawControlPlace draws the place of a control process.
@@ -89,7 +89,7 @@
 		at := p.faultStart() + time.Duration(i)*p.For/4
 		p.addFault(endings[i%len(endings)], Start, at, controlRestartTime, []int{control})
 	}
-	p.Says = fmt.Sprintf("day: %d balancers restart (away %v), %d are lost (away %v), one control process is killed and one ended as planned (away %v each); "+
+	p.FaultDescription = fmt.Sprintf("day: %d balancers restart (away %v), %d are lost (away %v), one control process is killed and one ended as planned (away %v each); "+
 		"a day's 1,700 and 30 of 4,600 scaled to %v, but %d and %d at least",
 		restarts, restartTime, losses, replacementTime, controlRestartTime, p.For, min(p.Balancers, leastRestarts), minLosses)
 }
@@ -102,7 +102,7 @@
 	length := p.faultLength()
 	p.addFault(Kill, Start, p.faultStart(), length, control)
 	p.addFault(Down, Up, p.faultStart(), length, balancers)
-	p.Says = fmt.Sprintf("rack: %d control processes and %d balancers of zone %d, rack %d, are gone for %v",
+	p.FaultDescription = fmt.Sprintf("rack: %d control processes and %d balancers of zone %d, rack %d, are gone for %v",
 		len(control), len(balancers), rack.Zone, rack.Rack, length)
 }
 
@@ -114,7 +114,7 @@
 	length := p.faultLength()
 	p.addFault(Kill, Start, p.faultStart(), length, control)
 	p.addFault(ZoneOff, ZoneOn, p.faultStart(), length, []int{zone})
-	p.Says = fmt.Sprintf("zone: %d control processes and %d balancers of zone %d are killed, and back after %v",
+	p.FaultDescription = fmt.Sprintf("zone: %d control processes and %d balancers of zone %d are killed, and back after %v",
 		len(control), len(balancers), zone, length)
 }
 
@@ -125,6 +125,6 @@
 	voters := matching(p.Control[:p.Voters], isInRegion)
 	length := p.faultLength()
 	p.addFault(Cut, Heal, p.faultStart(), length, control)
-	p.Says = fmt.Sprintf("region: the %d control processes of region %d (%d of them vote) are cut off from the others for %v; balancers reach both sides",
+	p.FaultDescription = fmt.Sprintf("region: the %d control processes of region %d (%d of them vote) are cut off from the others for %v; balancers reach both sides",
 		len(control), region, len(voters), length)
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -109,7 +109,7 @@
 				if s.At < 0 || s.At > o.For {
 					t.Errorf("%s, %v: %+v", kind, long, s)
 				}
-				for _, who := range s.Who {
+				for _, who := range s.Targets {
 					of := string(s.Action) // what brings it back
 					if back, is := off[s.Action]; is {
 						of = string(back)
@@ -129,7 +129,7 @@
 					t.Errorf("%s, %v: %q does not come back", kind, long, name)
 				}
 			}
-			if went == 0 || p.LastFault() == 0 || p.Says == "" {
+			if went == 0 || p.LastFault() == 0 || p.FaultDescription == "" {
 				t.Errorf("%s, %v: nothing goes", kind, long)
 			}
 		}
@@ -152,7 +152,7 @@
 	count := func(o Options) (n int) {
 		for _, s := range newTestPlan(t, o).Steps {
 			if s.Action == Down {
-				n += len(s.Who)
+				n += len(s.Targets)
 			}
 		}
 		return n
@@ -222,7 +222,7 @@
 		l.Applied(0, 12, milliseconds(260))
 		l.End(0, completeState)
 	}).Close(milliseconds(1000), completeState)
-	if a.Missed+a.WentBack+a.NotAccepted+a.Differ+a.Silent+a.Behind != 0 || a.InForce.TotalCount() != 2 || (a.InForce.Min()+500)/1000 != 50 || // as the histogram rounds
+	if a.Missed+a.Regressions+a.NotAccepted+a.Differ+a.Silent+a.Behind != 0 || a.InForce.TotalCount() != 2 || (a.InForce.Min()+500)/1000 != 50 || // as the histogram rounds
 		a.InForce.Max()/1000 != 60 || a.Slowest != 1 {
 		t.Errorf("%+v, %d to %d us", a, a.InForce.Min(), a.InForce.Max())
 	}
@@ -301,12 +301,12 @@
 			l.Applied(0, 12, milliseconds(250))
 			l.Applied(0, 11, milliseconds(260))
 			l.End(0, completeState)
-		}, Account{WentBack: 1}},
+		}, Account{Regressions: 1}},
 		"twice": {func(l *Ledger) {
 			l.Applied(0, 12, milliseconds(250))
 			l.Applied(0, 12, milliseconds(260))
 			l.End(0, completeState)
-		}, Account{WentBack: 1}},
+		}, Account{Regressions: 1}},
 	} {
 		got := newTestLedger(c.more).Close(milliseconds(1000), completeState)
 		got.InForce, got.Returned, got.Slowest = nil, nil, 0
@@ -360,9 +360,9 @@
 		"1 balancers differ":                                                    {func(f *Figures) { f.Differ = 1 }, true},
 		"2 balancers are silent":                                                {func(f *Figures) { f.Silent = 2 }, true},
 		"1 changes were not accepted":                                           {func(f *Figures) { f.NotAccepted = 1 }, true},
-		"1 times a balancer went back":                                          {func(f *Figures) { f.Back = 1 }, true},
+		"1 times a balancer went back":                                          {func(f *Figures) { f.Regressions = 1 }, true},
 		"1 conflicts":                                                           {func(f *Figures) { f.Conflicts = 1 }, true},
-		"not steady in the end: all at one":                                     {func(f *Figures) { f.Steady, f.Even = false, "all at one" }, true},
+		"not steady in the end: all at one":                                     {func(f *Figures) { f.Steady, f.SpreadDescription = false, "all at one" }, true},
 		"no change was timed":                                                   {func(f *Figures) { f.Samples = 0 }, true},
 		"partial: memory":                                                       {func(f *Figures) { f.Partial = "memory" }, true},
 	} {
--- a/internal/lab/simulation/sessions.go
+++ b/internal/lab/simulation/sessions.go
@@ -86,7 +86,7 @@
 
 // moveSession has a client move to another balancer or server.
 func (w *world) moveSession(s *session, how policy.Outcome) {
-	w.meter.Move(w.now)
+	w.meter.Migrate(w.now)
 	id, attempt, b := s.id, s.attempts-1, s.balancer
 	w.endSession(s)
 	w.releaseUpstream(s)
@@ -298,7 +298,7 @@
 
 // checkHealth probes a server and reports the outcome and its load.
 func (w *world) checkHealth(b *balancer, srv *server) {
-	w.meter.Probe()
+	w.meter.HealthCheck()
 	way := w.networkDelay(b, srv)
 	tell := func(how policy.Outcome, r policy.LoadReport) {
 		if b.alive {
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -118,8 +118,8 @@
 			t.Fatalf("%v\n%v", v, v.Violations[:min(5, len(v.Violations))])
 		}
 		for _, c := range r.Series {
-			if c.Served > 1.01*c.Asked+1 || c.Open < 0 {
-				t.Fatalf("%v open, %v served of %v asked for at %v s", c.Open, c.Served, c.Asked, c.At)
+			if c.Served > 1.01*c.Requested+1 || c.Open < 0 {
+				t.Fatalf("%v open, %v served of %v asked for at %v s", c.Open, c.Served, c.Requested, c.At)
 			}
 		}
 	})
