--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -34,7 +34,7 @@
 	}
 	world := &x.World
 	plan := &world.Load
-	clients := float64(plan.Standing) + plan.Rate*(plan.Length-plan.WarmupTime).Seconds()
+	clients := float64(plan.InitialClients) + plan.Rate*(plan.Length-plan.WarmupTime).Seconds()
 	fmt.Printf("%d emulated servers, %d balancers (%s) and about %.0f clients, for %v.\n",
 		len(world.Machines), world.Balancers, filepath.Base(binary), clients, plan.Length)
 	running, err := cluster.Start(x.World, cluster.Arm{Name: "demo", Command: []string{binary}}, x.Seeds[0])
--- a/cmd/testbed/hollow_test.go
+++ b/cmd/testbed/hollow_test.go
@@ -30,8 +30,8 @@
 }
 
 func eventsOf(messages []hollowMessage) (events []hollowEvent) {
-	for _, t := range messages {
-		events = append(events, t.Events...)
+	for _, message := range messages {
+		events = append(events, message.Events...)
 	}
 	return events
 }
@@ -42,19 +42,23 @@
 	messageReader, messageWriter := io.Pipe()
 	defer func() { _ = requestWriter.Close() }()
 	opened := make(chan *fakeFeedClient, 10)
-	h := &hollowHost{out: gob.NewEncoder(messageWriter), open: func(_ *hollowConfig, one hollowBalancer, applied func(uint64)) feedClient {
-		f := &fakeFeedClient{balancer: one, onApplied: applied}
-		f.status.Current, f.status.Publishers, f.status.Sent, f.status.Stats.Snapshots = true, []string{"a", "b"}, 10, 1
+	open := func(_ *hollowConfig, balancer hollowBalancer, onApplied func(uint64)) feedClient {
+		f := &fakeFeedClient{balancer: balancer, onApplied: onApplied}
+		f.status.Current = true
+		f.status.Publishers = []string{"a", "b"}
+		f.status.Sent = 10
+		f.status.Stats.Snapshots = 1
 		opened <- f
 		return f
-	}}
+	}
+	h := &hollowHost{out: gob.NewEncoder(messageWriter), open: open}
 	ended := make(chan error, 1)
 	go func() { ended <- h.run(gob.NewDecoder(requestReader)) }()
 	requests, decoder := gob.NewEncoder(requestWriter), gob.NewDecoder(messageReader)
 	var messages []hollowMessage
-	send := func(o hollowRequest) {
+	send := func(request hollowRequest) {
 		t.Helper()
-		if err := requests.Encode(o); err != nil {
+		if err := requests.Encode(request); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -62,16 +66,16 @@
 		t.Helper()
 		send(hollowRequest{StatusNumber: number, WithFinal: true})
 		for {
-			var one hollowMessage
-			if err := decoder.Decode(&one); err != nil {
+			var message hollowMessage
+			if err := decoder.Decode(&message); err != nil {
 				t.Fatal(err)
 			}
-			messages = append(messages, one)
-			if one.Status != nil {
-				if one.Status.Number != number {
-					t.Fatalf("status %d has number %d", number, one.Status.Number)
+			messages = append(messages, message)
+			if message.Status != nil {
+				if message.Status.Number != number {
+					t.Fatalf("status %d has number %d", number, message.Status.Number)
 				}
-				return one.Status
+				return message.Status
 			}
 		}
 	}
@@ -108,8 +112,16 @@
 		m.At = 0
 		got = append(got, m)
 	}
-	want := []hollowEvent{{Balancer: 4, Kind: eventStarted}, {Balancer: 7, Kind: eventStarted}, {Balancer: 4, Kind: eventApplied, Version: 5}, {Balancer: 7, Kind: eventApplied, Version: 5},
-		{Balancer: 7, Kind: eventApplied, Version: 6}, {Balancer: 7, Kind: eventStopped}, {Balancer: 7, Kind: eventStarted}, {Balancer: 7, Kind: eventApplied, Version: 7}}
+	want := []hollowEvent{
+		{Balancer: 4, Kind: eventStarted},
+		{Balancer: 7, Kind: eventStarted},
+		{Balancer: 4, Kind: eventApplied, Version: 5},
+		{Balancer: 7, Kind: eventApplied, Version: 5},
+		{Balancer: 7, Kind: eventApplied, Version: 6},
+		{Balancer: 7, Kind: eventStopped},
+		{Balancer: 7, Kind: eventStarted},
+		{Balancer: 7, Kind: eventApplied, Version: 7},
+	}
 	if !slices.Equal(got, want) {
 		t.Errorf("got %v\nwant %v", got, want)
 	}
--- a/internal/lab/cluster/describe.go
+++ b/internal/lab/cluster/describe.go
@@ -32,8 +32,8 @@
 	case step.Action == faults.StallBalancer || step.Action == faults.LoseBalancer || step.Action == faults.KillBalancer || step.Action == faults.StartBalancer || step.Action == faults.RestartBalancer:
 		text = fmt.Sprintf("balancer n%d %s", step.Target, text)
 	}
-	if step.Figure != 0 {
-		text += fmt.Sprintf(" %g", step.Figure)
+	if step.Value != 0 {
+		text += fmt.Sprintf(" %g", step.Value)
 	}
 	if step.For != 0 {
 		text += fmt.Sprintf(" %v", step.For)
--- a/internal/lab/cluster/fault_steps.go
+++ b/internal/lab/cluster/fault_steps.go
@@ -16,7 +16,7 @@
 	switch {
 	case step.Action == faults.Start:
 		c.mu.Lock()
-		err := c.addServer(c.World.Machines[step.Of], c.Clock.Now(), false)
+		err := c.addServer(c.World.Machines[step.Machine], c.Clock.Now(), false)
 		c.mu.Unlock()
 		c.recordError(err)
 	case step.OnServer():
@@ -34,7 +34,7 @@
 // applyServerStep carries out a step on a server itself or on the link to it.
 func (c *Cluster) applyServerStep(ctx context.Context, step faults.Step, running *sync.WaitGroup) {
 	server := c.Servers[step.Target]
-	on := step.Figure > 0
+	on := step.Value > 0
 	switch step.Action {
 	case faults.BeginDrain:
 		c.endpoints.SetState(ctx, serverName(step.Target), emulator.Terminating, 0, false)
@@ -54,9 +54,9 @@
 	case faults.Speak:
 		server.Misbehave(func(w *emulator.WireFaults) { w.Silent = false })
 	case faults.SetSlow:
-		server.Set(func(m *model.Server) { m.SlowFactor = step.Figure })
+		server.Set(func(m *model.Server) { m.SlowFactor = step.Value })
 	case faults.SetErrors:
-		server.Set(func(m *model.Server) { m.ErrorRate = step.Figure })
+		server.Set(func(m *model.Server) { m.ErrorRate = step.Value })
 	case faults.SetFull:
 		server.Set(func(m *model.Server) { m.Full = on })
 	case faults.SetDrip:
@@ -96,10 +96,10 @@
 
 // applyDiscoveryStep carries out a step on discovery or on the servers' shared store.
 func (c *Cluster) applyDiscoveryStep(step faults.Step) {
-	on := step.Figure > 0
+	on := step.Value > 0
 	switch step.Action {
 	case faults.SetStore:
-		c.store.Slow(step.Figure)
+		c.store.Slow(step.Value)
 	case faults.SetDiscovery:
 		fault := emulator.Mute
 		if on {
@@ -119,12 +119,12 @@
 
 // applyClientStep carries out a step on the clients.
 func (c *Cluster) applyClientStep(ctx context.Context, step faults.Step, clients *emulator.Clients, running *sync.WaitGroup) {
-	on := step.Figure > 0
+	on := step.Value > 0
 	switch step.Action {
 	case faults.DropClients:
-		clients.Drop(step.Figure, step.For, c.rng)
+		clients.Drop(step.Value, step.For, c.rng)
 	case faults.SetSilentClients:
-		running.Go(func() { emulator.RunSilentClients(ctx, step.Figure, step.For, c.PickBalancer, c.seed) })
+		running.Go(func() { emulator.RunSilentClients(ctx, step.Value, step.For, c.PickBalancer, c.seed) })
 	case faults.SetPieces:
 		clients.Pieces.Store(on)
 	case faults.SetMisbehavingClients:
@@ -135,7 +135,7 @@
 		misbehaving, c.stopMisbehaving = context.WithCancel(ctx)
 		if on {
 			running.Go(func() {
-				emulator.RunMisbehavingClients(misbehaving, step.Figure, c.PickBalancer, c.Meter, c.seed)
+				emulator.RunMisbehavingClients(misbehaving, step.Value, c.PickBalancer, c.Meter, c.seed)
 			})
 		}
 	}
@@ -160,7 +160,7 @@
 		c.reload(&c.World)
 	case faults.SetMoreClasses:
 		w := c.World
-		if step.Figure > 0 {
+		if step.Value > 0 {
 			w = withMoreClasses(w)
 		}
 		c.reload(&w)
--- a/internal/lab/experiment/arm.go
+++ b/internal/lab/experiment/arm.go
@@ -16,7 +16,7 @@
 		Name:   in.Labels[0],
 		Policy: b.String("policy", "", baseline.Names...),
 		Binary: b.String("binary", ""),
-		Broken: b.String("broken", "", Breaks...),
+		Broken: b.String("broken", "", BrokenModes...),
 		Env:    strings.Fields(b.String("env", "")),
 		Limits: r.readLimits(b, x.World.Limits),
 	}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -32,8 +32,8 @@
 	maxSeeds            = 100
 )
 
-// Breaks are the deliberate faults of the reference balancer.
-var Breaks = []string{"answers-twice", "sends-to-drained", "two-tries", "never-answers"}
+// BrokenModes are the deliberate faults of the reference balancer.
+var BrokenModes = []string{"answers-twice", "sends-to-drained", "two-tries", "never-answers"}
 
 // Arm is one thing under test.
 type Arm struct {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	f := x.World.Faults[0]
-	if x.Name != "some" || len(x.World.Machines) != 3 || f.Part != 0.3 || f.For != 1500*time.Millisecond || f.Times != 4 ||
+	if x.Name != "some" || len(x.World.Machines) != 3 || f.Share != 0.3 || f.For != 1500*time.Millisecond || f.Factor != 4 ||
 		x.Arms[0].Policy != "least" || x.Arms[0].Limits.Cores != 0.5 || x.Arms[0].Limits.Sockets != 1024 || len(x.World.Load.Bursts) != 1 || x.World.Load.Length != 10*time.Second || x.World.ClassNames[0] != "feed" {
 		t.Fatalf("%+v", x)
 	}
--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -24,16 +24,16 @@
 	b := r.Block(fmt.Sprintf("fault %q", kind), in.Body, in.DefRange, "at for part batch drain times rate late ways")
 	b.Require(append([]string{"at"}, required...)...)
 	fault := faults.Fault{
-		Kind:  kind,
-		At:    b.Duration("at", 0, 0, r.length),
-		For:   b.Duration("for", 0, 0, maxLength),
-		Part:  b.Fraction("part", 0),
-		Batch: b.Fraction("batch", 0.2),
-		Drain: b.Duration("drain", 4*time.Second, 0, time.Minute),
-		Times: b.Number("times", 1, 1, 10000),
-		Rate:  b.Number("rate", 0, 0, 10000),
-		Late:  b.Duration("late", 0, 0, time.Minute),
-		Ways:  b.String("ways", "both", "both", "in", "out"),
+		Kind:       kind,
+		At:         b.Duration("at", 0, 0, r.length),
+		For:        b.Duration("for", 0, 0, maxLength),
+		Share:      b.Fraction("part", 0),
+		BatchShare: b.Fraction("batch", 0.2),
+		Drain:      b.Duration("drain", 4*time.Second, 0, time.Minute),
+		Factor:     b.Number("times", 1, 1, 10000),
+		Rate:       b.Number("rate", 0, 0, 10000),
+		Delay:      b.Duration("late", 0, 0, time.Minute),
+		Direction:  b.String("ways", "both", "both", "in", "out"),
 	}
 	r.checkRate(in, &fault)
 	r.experiment.World.Faults = append(r.experiment.World.Faults, fault)
@@ -51,10 +51,10 @@
 
 // checkKind checks that a kind of fault has a meaning in the experiment.
 func (r *reader) checkKind(in *hcl.Block, kind faults.Kind) {
-	if r.isVirtual() && faults.SocketsOnly(kind) {
+	if r.isVirtual() && faults.IsSocketsOnly(kind) {
 		r.Errorf(in.LabelRanges[0], "fault %q has no meaning in virtual time", kind)
 	}
-	if faults.BetweenMembers(kind) && r.experiment.World.ReplicationFactor == 0 {
+	if faults.IsBetweenMembers(kind) && r.experiment.World.ReplicationFactor == 0 {
 		r.Errorf(in.LabelRanges[0], "fault %q wants a fleet: a block \"fleet\" in the world", kind)
 	}
 }
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -16,15 +16,15 @@
 	w := &r.experiment.World
 	maxClients := r.bound(maxSocketClients, maxVirtualClients)
 	w.Load = load.Plan{
-		Shape:        load.Shape(b.String("shape", string(load.Poisson), string(load.Poisson), string(load.Constant))),
-		Rate:         b.Number("rate", 0, 0, 1e6),
-		Standing:     b.Int("standing", 0, 0, maxClients),
-		WarmupTime:   b.Duration("fill", 0, 0, maxLength),
-		MeanLifetime: b.Duration("life", 20*s, ms, 24*time.Hour),
-		Groups:       b.Int("groups", 0, 0, 10000000),
-		Loads:        b.Number("spread", 0, 0, 3),
-		Classes:      len(w.ClassNames),
-		Length:       r.length,
+		Shape:          load.Shape(b.String("shape", string(load.Poisson), string(load.Poisson), string(load.Constant))),
+		Rate:           b.Number("rate", 0, 0, 1e6),
+		InitialClients: b.Int("standing", 0, 0, maxClients),
+		WarmupTime:     b.Duration("fill", 0, 0, maxLength),
+		MeanLifetime:   b.Duration("life", 20*s, ms, 24*time.Hour),
+		Groups:         b.Int("groups", 0, 0, 10000000),
+		LoadSigma:      b.Number("spread", 0, 0, 3),
+		Classes:        len(w.ClassNames),
+		Length:         r.length,
 	}
 	for _, burst := range b.Blocks["burst"] {
 		w.Load.Bursts = append(w.Load.Bursts, r.readBurst(burst))
@@ -53,10 +53,10 @@
 	if plan.WarmupTime >= r.length {
 		r.Errorf(in.DefRange, "load: nothing is left to measure: fill %v of a length of %v", plan.WarmupTime, r.length)
 	}
-	if plan.Standing > 0 && plan.WarmupTime == 0 {
+	if plan.InitialClients > 0 && plan.WarmupTime == 0 {
 		r.Errorf(in.DefRange, "load: standing clients want a time to come in: fill")
 	}
-	if plan.Standing == 0 && plan.Rate == 0 {
+	if plan.InitialClients == 0 && plan.Rate == 0 {
 		r.Errorf(in.DefRange, "load: nobody comes: neither standing nor rate")
 	}
 	if clients := plan.Rate * (r.length - plan.WarmupTime).Seconds(); clients > float64(maxClients) {
--- a/internal/lab/faults/expand.go
+++ b/internal/lab/faults/expand.go
@@ -56,23 +56,23 @@
 func (e *expander) expand(f Fault) {
 	switch f.Kind {
 	case Drain:
-		for _, machine := range e.draw(f.Part, e.servers) {
+		for _, machine := range e.draw(f.Share, e.servers) {
 			e.drain(f.At, e.current[machine], f.Drain)
 		}
 	case Release:
 		e.release(f)
-	case Crash, Vanish, Slow, Errors, Full, Drip, TornLines, HalfOpen, LinkSlow, LinkCut, ListMisses:
+	case Crash, Vanish, Slow, Errors, Full, Drip, TornLines, HalfOpen, LinkSlow, LinkCut, ListIncomplete:
 		begin, end := serverSteps(f)
-		for _, machine := range e.draw(f.Part, e.servers) {
+		for _, machine := range e.draw(f.Share, e.servers) {
 			e.addPair(f, begin, end, e.current[machine])
 		}
-	case StoreSlow, DiscoveryOut, DiscoveryLate, DiscoveryFaulty, BadClients, Pieces, Retune:
+	case StoreSlow, DiscoveryOut, DiscoveryLate, DiscoveryFaulty, MisbehavingClients, FragmentedLines, ChangeClasses:
 		begin, end := worldSteps(f)
 		e.addPair(f, begin, end, 0)
 	case Reconnect:
-		e.add(Step{At: f.At, Action: DropClients, Figure: f.Part, For: f.For})
-	case Crowd:
-		e.add(Step{At: f.At, Action: SetSilentClients, Figure: f.Rate, For: f.For})
+		e.add(Step{At: f.At, Action: DropClients, Value: f.Share, For: f.For})
+	case SilentClients:
+		e.add(Step{At: f.At, Action: SetSilentClients, Value: f.Rate, For: f.For})
 	case Reload:
 		e.add(Step{At: f.At, Action: ReloadAll})
 	case MembersLossy, MembersSlow, MembersCut, MembersReorder:
@@ -84,7 +84,7 @@
 
 // expandBalancers expands faults of single balancers.
 func (e *expander) expandBalancers(f Fault) {
-	balancers := e.draw(f.Part, e.balancers)
+	balancers := e.draw(f.Share, e.balancers)
 	for i, balancer := range balancers {
 		staggered := f.At + time.Duration(float64(f.For)*float64(i)/float64(len(balancers)))
 		switch f.Kind {
@@ -114,24 +114,24 @@
 		return Step{Action: Die}, Step{Action: Revive}
 	case Vanish:
 		return Step{Action: Silence}, Step{Action: Speak}
-	case ListMisses:
+	case ListIncomplete:
 		return Step{Action: Hide}, Step{Action: Show}
 	case Slow:
-		return Step{Action: SetSlow, Figure: f.Times}, Step{Action: SetSlow, Figure: 1}
+		return Step{Action: SetSlow, Value: f.Factor}, Step{Action: SetSlow, Value: 1}
 	case Errors:
-		return Step{Action: SetErrors, Figure: f.Rate}, Step{Action: SetErrors}
+		return Step{Action: SetErrors, Value: f.Rate}, Step{Action: SetErrors}
 	case Full:
-		return Step{Action: SetFull, Figure: 1}, Step{Action: SetFull}
+		return Step{Action: SetFull, Value: 1}, Step{Action: SetFull}
 	case Drip:
-		return Step{Action: SetDrip, Figure: 1}, Step{Action: SetDrip}
+		return Step{Action: SetDrip, Value: 1}, Step{Action: SetDrip}
 	case TornLines:
-		return Step{Action: SetTorn, Figure: 1}, Step{Action: SetTorn}
+		return Step{Action: SetTorn, Value: 1}, Step{Action: SetTorn}
 	case HalfOpen:
-		return Step{Action: SetHalfOpen, Figure: 1}, Step{Action: SetHalfOpen}
+		return Step{Action: SetHalfOpen, Value: 1}, Step{Action: SetHalfOpen}
 	case LinkSlow:
-		return Step{Action: SetLinkLate, For: f.Late}, Step{Action: SetLinkLate}
+		return Step{Action: SetLinkLate, For: f.Delay}, Step{Action: SetLinkLate}
 	default: // LinkCut
-		return Step{Action: SetLinkCut, Figure: 1}, Step{Action: SetLinkCut}
+		return Step{Action: SetLinkCut, Value: 1}, Step{Action: SetLinkCut}
 	}
 }
 
@@ -139,19 +139,19 @@
 func worldSteps(f Fault) (begin, end Step) {
 	switch f.Kind {
 	case StoreSlow:
-		return Step{Action: SetStore, Figure: f.Times}, Step{Action: SetStore, Figure: 1}
+		return Step{Action: SetStore, Value: f.Factor}, Step{Action: SetStore, Value: 1}
 	case DiscoveryOut:
-		return Step{Action: SetDiscovery}, Step{Action: SetDiscovery, Figure: 1}
+		return Step{Action: SetDiscovery}, Step{Action: SetDiscovery, Value: 1}
 	case DiscoveryLate:
-		return Step{Action: SetLate, For: f.Late}, Step{Action: SetLate}
+		return Step{Action: SetLate, For: f.Delay}, Step{Action: SetLate}
 	case DiscoveryFaulty:
-		return Step{Action: SetFaulty, Figure: 1}, Step{Action: SetFaulty}
-	case BadClients:
-		return Step{Action: SetMisbehavingClients, Figure: f.Rate}, Step{Action: SetMisbehavingClients}
-	case Pieces:
-		return Step{Action: SetPieces, Figure: 1}, Step{Action: SetPieces}
+		return Step{Action: SetFaulty, Value: 1}, Step{Action: SetFaulty}
+	case MisbehavingClients:
+		return Step{Action: SetMisbehavingClients, Value: f.Rate}, Step{Action: SetMisbehavingClients}
+	case FragmentedLines:
+		return Step{Action: SetPieces, Value: 1}, Step{Action: SetPieces}
 	default: // Retune
-		return Step{Action: SetMoreClasses, Figure: 1}, Step{Action: SetMoreClasses}
+		return Step{Action: SetMoreClasses, Value: 1}, Step{Action: SetMoreClasses}
 	}
 }
 
@@ -180,13 +180,13 @@
 
 // release replaces servers in batches.
 func (e *expander) release(f Fault) {
-	machines := e.draw(f.Part, e.servers)
-	size := max(1, int(math.Round(f.Batch*float64(e.servers))))
+	machines := e.draw(f.Share, e.servers)
+	size := max(1, int(math.Round(f.BatchShare*float64(e.servers))))
 	batches := (len(machines) + size - 1) / size
 	for i := range batches {
 		at := f.At + time.Duration(float64(f.For)*float64(i)/float64(batches))
 		for _, machine := range machines[i*size : min(len(machines), (i+1)*size)] {
-			e.add(Step{At: at, Action: Start, Target: e.total, Of: machine})
+			e.add(Step{At: at, Action: Start, Target: e.total, Machine: machine})
 			e.drain(at, e.current[machine], f.Drain)
 			e.current[machine] = e.total
 			e.total++
@@ -196,20 +196,20 @@
 
 // changeMemberLinks changes the links of some members, and restores them.
 func (e *expander) changeMemberLinks(f Fault) {
-	restored := MemberLink{In: f.Ways != waysOut, Out: f.Ways != waysIn}
+	restored := MemberLink{In: f.Direction != directionOut, Out: f.Direction != directionIn}
 	faulty := restored
 	switch f.Kind {
 	case MembersLossy:
 		faulty.Loss = f.Rate
 	case MembersSlow:
-		faulty.Delay = f.Late
+		faulty.Delay = f.Delay
 	case MembersReorder:
 		faulty.Duplicated = f.Rate
 	case MembersCut:
 		faulty.Cut = true
 	}
 	members := uint64(0)
-	for _, member := range e.draw(f.Part, min(e.balancers, maxMembers)) {
+	for _, member := range e.draw(f.Share, min(e.balancers, maxMembers)) {
 		members |= 1 << member
 	}
 	e.add(Step{At: f.At, Action: SetMemberLinks, Members: members, Link: faulty})
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -14,51 +14,51 @@
 const (
 	// Faults of servers.
 
-	Drain     Kind = "drain"      // Part of the servers drain, and stop after Drain
-	Release   Kind = "release"    // Part is replaced within For, Batch at a time; successors start cold
+	Drain     Kind = "drain"      // Share of the servers drain, and stop after Drain
+	Release   Kind = "release"    // Share is replaced within For, BatchShare at a time; successors start cold
 	Crash     Kind = "crash"      // processes die, and start again cold after For
 	Vanish    Kind = "vanish"     // machines are silent for For
-	Slow      Kind = "slow"       // Times slower for For
+	Slow      Kind = "slow"       // Factor times slower for For
 	Errors    Kind = "errors"     // Rate of the set-ups fail for For
 	Full      Kind = "full"       // reject all new sessions for For
 	Drip      Kind = "drip"       // answer one byte at a time for For; sockets only
 	TornLines Kind = "torn-lines" // close connections in the middle of a line for For; sockets only
 	HalfOpen  Kind = "half-open"  // accept connections and read nothing for For; sockets only
-	LinkSlow  Kind = "link-slow"  // links to Part of the servers are Late slower for For; sockets only
-	LinkCut   Kind = "link-cut"   // links from Part of the servers carry nothing for For; sockets only
-	StoreSlow Kind = "store-slow" // the store is Times slower for For
+	LinkSlow  Kind = "link-slow"  // links to Share of the servers are Delay slower for For; sockets only
+	LinkCut   Kind = "link-cut"   // links from Share of the servers carry nothing for For; sockets only
+	StoreSlow Kind = "store-slow" // the store is Factor times slower for For
 
 	// Faults of discovery.
 
 	DiscoveryOut    Kind = "discovery-outage" // the endpoint list is unreachable for For
-	DiscoveryLate   Kind = "discovery-late"   // it arrives Late later for For
+	DiscoveryLate   Kind = "discovery-late"   // it arrives Delay later for For
 	DiscoveryFaulty Kind = "discovery-faulty" // truncated and malformed responses for For; sockets only
-	ListMisses      Kind = "list-misses"      // the endpoint list lacks Part of the servers for For
+	ListIncomplete  Kind = "list-misses"      // the endpoint list lacks Share of the servers for For
 
 	// Faults of clients.
 
-	Reconnect  Kind = "reconnect"   // Part of the clients disconnect and reconnect within For
-	BadClients Kind = "bad-clients" // Rate misbehaving clients per second for For; sockets only
-	Crowd      Kind = "crowd"       // Rate clients per second connect and never finish, for For; sockets only
-	Pieces     Kind = "pieces"      // clients write their first lines in pieces for For; sockets only
+	Reconnect          Kind = "reconnect"   // Share of the clients disconnect and reconnect within For
+	MisbehavingClients Kind = "bad-clients" // Rate misbehaving clients per second for For; sockets only
+	SilentClients      Kind = "crowd"       // Rate clients per second connect and never finish, for For; sockets only
+	FragmentedLines    Kind = "pieces"      // clients write their first lines in pieces for For; sockets only
 
 	// Faults and maintenance of balancers.
 
-	BalancerCrash   Kind = "balancer-crash"   // Part of the balancers are killed, and start again after For
-	BalancerRestart Kind = "balancer-restart" // Part restart gracefully, one after the other within For
-	BalancerDrain   Kind = "balancer-drain"   // an operator drains Part, one after the other, each for For; sockets only
-	Upgrade         Kind = "upgrade"          // Part are replaced by hot restart, one after the other within For; sockets only
+	BalancerCrash   Kind = "balancer-crash"   // Share of the balancers are killed, and start again after For
+	BalancerRestart Kind = "balancer-restart" // Share restart gracefully, one after the other within For
+	BalancerDrain   Kind = "balancer-drain"   // an operator drains Share, one after the other, each for For; sockets only
+	Upgrade         Kind = "upgrade"          // Share are replaced by hot restart, one after the other within For; sockets only
 	Reload          Kind = "reload"           // a new configuration names the other discovery; sockets only
-	Retune          Kind = "retune"           // a new configuration has one more class and fewer attempts, for For; sockets only
-	Stall           Kind = "stall"            // the processes of Part of the balancers are stopped for For; sockets only
+	ChangeClasses   Kind = "retune"           // a new configuration has one more class and fewer attempts, for For; sockets only
+	Stall           Kind = "stall"            // the processes of Share of the balancers are stopped for For; sockets only
 
 	// Faults between the members of a fleet; sockets only.
 
-	MembersLossy   Kind = "members-lossy"   // links between Part of the members and the others lose Rate of the messages for For
-	MembersSlow    Kind = "members-slow"    // these links are Late slower for For; Ways "out": only what Part sends, like slow responses
-	MembersCut     Kind = "members-cut"     // Part is cut off from the others for For; Ways "in" or "out": in that direction only
+	MembersLossy   Kind = "members-lossy"   // links between Share of the members and the others lose Rate of the messages for For
+	MembersSlow    Kind = "members-slow"    // these links are Delay slower for For; Direction "out": only what Share sends, like slow responses
+	MembersCut     Kind = "members-cut"     // Share is cut off from the others for For; Direction "in" or "out": in that direction only
 	MembersReorder Kind = "members-reorder" // Rate of their datagrams are duplicated and reordered for For
-	MachineLost    Kind = "machine-lost"    // Part are killed and their directories deleted; they start empty after For, or never
+	MachineLost    Kind = "machine-lost"    // Share are killed and their directories deleted; they start empty after For, or never
 )
 
 // Kinds lists all kinds of fault with the keys that an experiment file must set.
@@ -80,19 +80,19 @@
 	DiscoveryOut:    {"for"},
 	DiscoveryLate:   {"for", "late"},
 	DiscoveryFaulty: {"for"},
-	ListMisses:      {"part", "for"},
+	ListIncomplete:  {"part", "for"},
 
-	Reconnect:  {"part", "for"},
-	BadClients: {"for", "rate"},
-	Crowd:      {"for", "rate"},
-	Pieces:     {"for"},
+	Reconnect:          {"part", "for"},
+	MisbehavingClients: {"for", "rate"},
+	SilentClients:      {"for", "rate"},
+	FragmentedLines:    {"for"},
 
 	BalancerCrash:   {"part", "for"},
 	BalancerRestart: {"part", "for"},
 	BalancerDrain:   {"part", "for"},
 	Upgrade:         {"part", "for"},
 	Reload:          {},
-	Retune:          {"for"},
+	ChangeClasses:   {"for"},
 	Stall:           {"part", "for"},
 
 	MembersLossy:   {"part", "for", "rate"},
@@ -107,34 +107,34 @@
 var socketsOnly = []Kind{
 	Drip, TornLines, HalfOpen, LinkSlow, LinkCut,
 	DiscoveryFaulty,
-	BadClients, Crowd, Pieces,
-	BalancerDrain, Upgrade, Reload, Retune, Stall,
+	MisbehavingClients, SilentClients, FragmentedLines,
+	BalancerDrain, Upgrade, Reload, ChangeClasses, Stall,
 }
 
-// BetweenMembers reports whether a fault needs balancers that are members of a fleet.
-func BetweenMembers(kind Kind) bool { return slices.Contains(betweenMembers, kind) }
+// IsBetweenMembers reports whether a fault needs balancers that are members of a fleet.
+func IsBetweenMembers(kind Kind) bool { return slices.Contains(betweenMembers, kind) }
 
-// SocketsOnly reports whether a fault has no meaning in virtual time.
-func SocketsOnly(kind Kind) bool {
-	return slices.Contains(socketsOnly, kind) || BetweenMembers(kind)
+// IsSocketsOnly reports whether a fault has no meaning in virtual time.
+func IsSocketsOnly(kind Kind) bool {
+	return slices.Contains(socketsOnly, kind) || IsBetweenMembers(kind)
 }
 
-// Values of Fault.Ways.
+// Values of Fault.Direction, beside "both".
 const (
-	waysIn  = "in"
-	waysOut = "out"
+	directionIn  = "in"
+	directionOut = "out"
 )
 
 // Fault is one entry of the fault schedule.
 type Fault struct {
-	Kind  Kind
-	At    time.Duration // since the start of the run
-	For   time.Duration
-	Part  float64       // share of the servers, balancers or clients
-	Batch float64       // of a release: share of the servers replaced at a time
-	Drain time.Duration // time between drain and stop of a server; 0: the default
-	Times float64
-	Rate  float64
-	Late  time.Duration
-	Ways  string // directions of a fault between members, from the point of view of Part: "both", "in" or "out"
+	Kind       Kind
+	At         time.Duration // since the start of the run
+	For        time.Duration
+	Share      float64       // share of the servers, balancers or clients
+	BatchShare float64       // of a release: share of the servers replaced at a time
+	Drain      time.Duration // time between drain and stop of a server; 0: the default
+	Factor     float64
+	Rate       float64
+	Delay      time.Duration
+	Direction  string // of a fault between members, from the point of view of Share: "both", "in" or "out"
 }
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -9,7 +9,7 @@
 // TestFaultsEnd checks that each fault ends: each state that is set is reset, and each server that stops was drained.
 func TestFaultsEnd(t *testing.T) {
 	for kind := range Kinds {
-		f := Fault{Kind: kind, At: time.Second, For: 2 * time.Second, Part: 0.5, Batch: 0.2, Times: 4, Rate: 0.5, Late: time.Second}
+		f := Fault{Kind: kind, At: time.Second, For: 2 * time.Second, Share: 0.5, BatchShare: 0.2, Factor: 4, Rate: 0.5, Delay: time.Second}
 		steps, total, err := Expand([]Fault{f}, 10, 4, 3)
 		if err != nil || len(steps) == 0 {
 			t.Fatalf("%s: %v, %d steps", kind, err, len(steps))
@@ -42,11 +42,11 @@
 			case Revive, Speak, Show, StartBalancer:
 				on[[2]int{int(s.Action) - 1, s.Target}]--
 			case SetSlow, SetStore:
-				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Figure > 1]
+				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Value > 1]
 			case SetDiscovery:
-				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Figure == 0]
+				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Value == 0]
 			case SetErrors, SetFull, SetDrip, SetTorn, SetHalfOpen, SetFaulty, SetMisbehavingClients, SetLinkCut:
-				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Figure > 0]
+				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Value > 0]
 			case SetLate, SetLinkLate:
 				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.For > 0]
 			}
--- a/internal/lab/faults/golden_test.go
+++ b/internal/lab/faults/golden_test.go
@@ -15,8 +15,8 @@
 func TestStepsOfASeedAreStable(t *testing.T) {
 	var all []Fault
 	for i, kind := range slices.SortedFunc(maps.Keys(Kinds), cmp.Compare[Kind]) {
-		all = append(all, Fault{Kind: kind, At: time.Duration(60-i) * time.Second, For: 7 * time.Second, Part: 0.3, Batch: 0.1,
-			Times: 3, Rate: 0.4, Late: 250 * time.Millisecond, Ways: []string{"both", "in", "out"}[i%3]})
+		all = append(all, Fault{Kind: kind, At: time.Duration(60-i) * time.Second, For: 7 * time.Second, Share: 0.3, BatchShare: 0.1,
+			Factor: 3, Rate: 0.4, Delay: 250 * time.Millisecond, Direction: []string{"both", "in", "out"}[i%3]})
 	}
 	want := map[string]string{
 		"bad-clients":      "7f7b96dd729904a7",
@@ -62,7 +62,7 @@
 		digest := sha256.New()
 		_, _ = fmt.Fprintln(digest, total)
 		for _, s := range steps {
-			_, _ = fmt.Fprintln(digest, s.At, uint8(s.Action), s.Target, s.Of, s.Figure, s.For, s.Members, s.Link)
+			_, _ = fmt.Fprintln(digest, s.At, uint8(s.Action), s.Target, s.Machine, s.Value, s.For, s.Members, s.Link)
 		}
 		if got := fmt.Sprintf("%x", digest.Sum(nil))[:16]; got != want[name] {
 			t.Errorf("%s: digest %s, want %s", name, got, want[name])
--- a/internal/lab/faults/step.go
+++ b/internal/lab/faults/step.go
@@ -5,37 +5,37 @@
 // Action is what a step does.
 type Action uint8
 
-// The actions. Capitalized words in the comments are fields of Step. Unless it is said otherwise, Figure is 1 to begin and 0 to end.
+// The actions. Capitalized words in the comments are fields of Step. Unless it is said otherwise, Value is 1 to begin and 0 to end.
 const (
-	Start      Action = iota // server Target starts cold, in place of machine Of
+	Start      Action = iota // server Target starts cold, in place of Machine
 	BeginDrain               // the endpoint list says that the server drains, and it migrates its clients; For: until it stops
 	Stop                     // the server ends its connections and is gone
 	Die                      // the server's process dies; the endpoint list notices late
 	Revive                   // it starts again, cold
 	Silence                  // the server's machine sends nothing any more
 	Speak                    // it sends again
-	SetSlow                  // Figure: times slower
-	SetErrors                // Figure: share of set-ups that fail
+	SetSlow                  // Value: times slower
+	SetErrors                // Value: share of set-ups that fail
 	SetFull
 	SetDrip
 	SetTorn
 	SetHalfOpen
-	SetStore     // Figure: times slower
-	SetDiscovery // Figure: 1 reachable, 0 not
+	SetStore     // Value: times slower
+	SetDiscovery // Value: 1 reachable, 0 not
 	SetLate      // For: additional delay of the endpoint list
 	SetFaulty
 	Hide                  // the endpoint list lacks the server
 	Show                  // it has the server again
-	DropClients           // Figure: share of the clients; For: within this time
+	DropClients           // Value: share of the clients; For: within this time
 	KillBalancer          // without warning
 	StartBalancer         // again
 	RestartBalancer       // gracefully; it starts again once it has ended
 	ReloadAll             // all balancers read a new configuration
-	SetMisbehavingClients // Figure: clients per second
+	SetMisbehavingClients // Value: clients per second
 	UpgradeBalancer       // by hot restart
 	DrainBalancer         // For: until it is in service again
-	SetMoreClasses        // Figure: 1 with the additional class, 0 without
-	SetSilentClients      // Figure: clients per second
+	SetMoreClasses        // Value: 1 with the additional class, 0 without
+	SetSilentClients      // Value: clients per second
 	SetPieces
 	SetLinkLate // For: additional delay
 	SetLinkCut
@@ -59,8 +59,8 @@
 	At      time.Duration // since the start of the run
 	Action  Action
 	Target  int // a server, or a balancer for actions on balancers
-	Of      int // the machine whose place a started server takes
-	Figure  float64
+	Machine int // the machine whose place a started server takes
+	Value   float64
 	For     time.Duration
 	Members uint64 // of SetMemberLinks: a bit for each member
 	Link    MemberLink
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -28,17 +28,17 @@
 
 // Plan describes the clients of a run.
 type Plan struct {
-	Shape        Shape
-	Rate         float64       // new clients per second, beside the standing ones
-	Standing     int           // clients that arrive first, evenly over WarmupTime
-	WarmupTime   time.Duration // from then on the others arrive, and figures are collected
-	Length       time.Duration // no client arrives after it
-	MeanLifetime time.Duration // of the time for which a client wants its connection
-	Groups       int           // 0: no groups
-	Loads        float64       // sigma of the clients' loads, a log-normal distribution with mean 1; 0: all have load 1
-	Classes      int
-	Tenants      int
-	Bursts       []Burst
+	Shape          Shape
+	Rate           float64       // new clients per second, beside the standing ones
+	InitialClients int           // clients that arrive first, evenly over WarmupTime
+	WarmupTime     time.Duration // from then on the others arrive, and figures are collected
+	Length         time.Duration // no client arrives after it
+	MeanLifetime   time.Duration // of the time for which a client wants its connection
+	Groups         int           // 0: no groups
+	LoadSigma      float64       // sigma of the clients' loads, a log-normal distribution with mean 1; 0: all have load 1
+	Classes        int
+	Tenants        int
+	Bursts         []Burst
 }
 
 // Client is one client, which wants a connection for some time.
@@ -59,8 +59,8 @@
 func Generate(p Plan, seed uint64) []Client {
 	rng := rand.New(rand.NewPCG(seed, 0x10ad))
 	var clients []Client
-	for i := range p.Standing {
-		at := time.Duration(float64(p.WarmupTime) * float64(i) / float64(p.Standing))
+	for i := range p.InitialClients {
+		at := time.Duration(float64(p.WarmupTime) * float64(i) / float64(p.InitialClients))
 		clients = append(clients, p.draw(rng, at))
 	}
 	for at := p.WarmupTime; p.Rate > 0; {
@@ -81,8 +81,8 @@
 	if p.Groups > 0 {
 		client.Group = 1 + uint64(float64(p.Groups)*math.Pow(rng.Float64(), groupExponent))
 	}
-	if p.Loads > 0 {
-		client.Load = math.Exp(rng.NormFloat64()*p.Loads - p.Loads*p.Loads/2)
+	if p.LoadSigma > 0 {
+		client.Load = math.Exp(rng.NormFloat64()*p.LoadSigma - p.LoadSigma*p.LoadSigma/2)
 	}
 	if p.Classes > 1 {
 		client.Class = rng.IntN(p.Classes)
--- a/internal/lab/simulation/digest_test.go
+++ b/internal/lab/simulation/digest_test.go
@@ -23,10 +23,10 @@
 	for _, name := range baseline.Names {
 		for seed := uint64(1); seed <= 3; seed++ {
 			w := small(
-				faults.Fault{Kind: faults.Drain, At: 6 * time.Second, For: 3 * time.Second, Part: 0.2, Batch: 0.2},
-				faults.Fault{Kind: faults.Slow, At: 8 * time.Second, For: 5 * time.Second, Part: 0.3, Times: 6},
-				faults.Fault{Kind: faults.Crash, At: 10 * time.Second, For: 5 * time.Second, Part: 0.3},
-				faults.Fault{Kind: faults.BalancerRestart, At: 12 * time.Second, For: 3 * time.Second, Part: 1})
+				faults.Fault{Kind: faults.Drain, At: 6 * time.Second, For: 3 * time.Second, Share: 0.2, BatchShare: 0.2},
+				faults.Fault{Kind: faults.Slow, At: 8 * time.Second, For: 5 * time.Second, Share: 0.3, Factor: 6},
+				faults.Fault{Kind: faults.Crash, At: 10 * time.Second, For: 5 * time.Second, Share: 0.3},
+				faults.Fault{Kind: faults.BalancerRestart, At: 12 * time.Second, For: 3 * time.Second, Share: 1})
 			_, events, _ := run(t, w, name, seed)
 			sum := sha256.New()
 			if err := history.Write(sum, events); err != nil {
--- a/internal/lab/simulation/fault_steps.go
+++ b/internal/lab/simulation/fault_steps.go
@@ -18,15 +18,15 @@
 func (w *world) applyStep(step faults.Step) {
 	switch step.Action {
 	case faults.Start:
-		w.startReplacement(step.Of)
+		w.startReplacement(step.Machine)
 	case faults.SetStore:
-		w.Store.Slow = step.Figure
+		w.Store.Slow = step.Value
 	case faults.SetDiscovery:
-		w.setDiscovery(step.Figure > 0)
+		w.setDiscovery(step.Value > 0)
 	case faults.SetLate:
 		w.discoveryDelay = step.For
 	case faults.DropClients:
-		w.dropClients(step.Figure, step.For)
+		w.dropClients(step.Value, step.For)
 	case faults.KillBalancer:
 		w.killBalancer(w.balancers[step.Target], "outright")
 	case faults.StartBalancer:
@@ -69,11 +69,11 @@
 		w.record(history.Event{Kind: history.Started, Server: int32(srv.index), Balancer: -1, Number: srv.Capacity(), Text: "warm"})
 	case faults.SetSlow:
 		srv.Advance(w.now)
-		srv.SlowFactor = step.Figure
+		srv.SlowFactor = step.Value
 	case faults.SetErrors:
-		srv.ErrorRate = step.Figure
+		srv.ErrorRate = step.Value
 	case faults.SetFull:
-		srv.Full = step.Figure > 0
+		srv.Full = step.Value > 0
 	case faults.Hide:
 		srv.listed = false
 		w.announce(srv, w.ListDelay)
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -36,8 +36,8 @@
 		Deadlines: []time.Duration{1800 * ms, 1800 * ms}, MessageObjective: 250 * ms, DrainGrace: 750 * ms, ConnectTimeout: 200 * ms,
 		GroupCost: 0.5, ShedBacklog: 2 * time.Second, MovesClients: true,
 		ClientDelay: ms, ZoneDelay: ms / 2, CrossZoneDelay: 2 * ms, ListDelay: [2]time.Duration{200 * ms, time.Second}, DetectionDelay: [2]time.Duration{time.Second, 3 * time.Second},
-		Load: load.Plan{Shape: load.Poisson, Rate: 10, Standing: 200, WarmupTime: 5 * time.Second, Length: 25 * time.Second, MeanLifetime: 20 * time.Second,
-			Groups: 30, Loads: 0.5, Classes: 2},
+		Load: load.Plan{Shape: load.Poisson, Rate: 10, InitialClients: 200, WarmupTime: 5 * time.Second, Length: 25 * time.Second, MeanLifetime: 20 * time.Second,
+			Groups: 30, LoadSigma: 0.5, Classes: 2},
 		Retry:  load.RetryPolicy{Backoff: 100 * ms, MaxDelay: 2 * time.Second, MoveDelay: 100 * ms, BreakDelay: 300 * ms},
 		Faults: faults,
 	}
@@ -66,8 +66,8 @@
 
 func TestTheSameSeedGivesTheSameLog(t *testing.T) {
 	log := func(seed uint64) string {
-		w := small(faults.Fault{Kind: faults.Crash, At: 10 * time.Second, For: 5 * time.Second, Part: 0.3},
-			faults.Fault{Kind: faults.BalancerRestart, At: 12 * time.Second, For: 3 * time.Second, Part: 1})
+		w := small(faults.Fault{Kind: faults.Crash, At: 10 * time.Second, For: 5 * time.Second, Share: 0.3},
+			faults.Fault{Kind: faults.BalancerRestart, At: 12 * time.Second, For: 3 * time.Second, Share: 1})
 		_, events, _ := run(t, w, baseline.Ours, seed)
 		var out bytes.Buffer
 		_ = history.Write(&out, events)
@@ -98,16 +98,16 @@
 // books: what is asked for is answered, and nobody is served who does not want it.
 func TestRandomTimetables(t *testing.T) {
 	kinds := []faults.Kind{faults.Drain, faults.Release, faults.Crash, faults.Vanish, faults.Slow, faults.Errors,
-		faults.Full, faults.StoreSlow, faults.DiscoveryOut, faults.DiscoveryLate, faults.ListMisses,
+		faults.Full, faults.StoreSlow, faults.DiscoveryOut, faults.DiscoveryLate, faults.ListIncomplete,
 		faults.Reconnect, faults.BalancerCrash, faults.BalancerRestart}
 	rapid.Check(t, func(t *rapid.T) {
 		var drawn []faults.Fault
 		for range rapid.IntRange(1, 4).Draw(t, "faults") {
 			drawn = append(drawn, faults.Fault{
 				Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), At: time.Duration(rapid.IntRange(1000, 20000).Draw(t, "at")) * ms,
-				For: time.Duration(rapid.IntRange(500, 10000).Draw(t, "for")) * ms, Part: rapid.Float64Range(0.05, 0.9).Draw(t, "part"),
-				Batch: 0.2, Times: rapid.Float64Range(2, 10).Draw(t, "times"), Rate: rapid.Float64Range(0.1, 1).Draw(t, "rate"),
-				Late: time.Duration(rapid.IntRange(500, 5000).Draw(t, "late")) * ms,
+				For: time.Duration(rapid.IntRange(500, 10000).Draw(t, "for")) * ms, Share: rapid.Float64Range(0.05, 0.9).Draw(t, "part"),
+				BatchShare: 0.2, Factor: rapid.Float64Range(2, 10).Draw(t, "times"), Rate: rapid.Float64Range(0.1, 1).Draw(t, "rate"),
+				Delay: time.Duration(rapid.IntRange(500, 5000).Draw(t, "late")) * ms,
 			})
 		}
 		r, _, v, err := Run(small(drawn...), baseline.Ours, rapid.Uint64().Draw(t, "seed"))
