--- a/internal/balancer/conn_write.go
+++ b/internal/balancer/conn_write.go
@@ -72,10 +72,9 @@
 // writeNow writes and keeps the stage: if the first write fails, its last byte was not written.
 func (c *conn) writeNow(b []byte) error {
 	isFirst := c.stage.CompareAndSwap(int32(StageConnected), int32(StageWritten))
-	writer := c.netConn.Writer()
-	_, err := writer.WriteBinary(b)
+	err := c.fillWriteBuffer(b)
 	if err == nil {
-		err = writer.Flush()
+		err = c.netConn.Writer().Flush()
 	}
 	if err != nil && isFirst {
 		c.stage.Store(int32(StageConnected))
@@ -83,6 +82,17 @@
 	return err
 }
 
+// fillWriteBuffer appends to netpoll's write buffer. netpoll frees the buffer, without a lock of its own, once onClosed has returned.
+func (c *conn) fillWriteBuffer(b []byte) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return errPeerClosed
+	}
+	_, err := c.netConn.Writer().WriteBinary(b)
+	return err
+}
+
 // hasSentFinalLine reports whether the last line is written: a reset before that would lose it.
 func (c *conn) hasSentFinalLine() bool {
 	c.mu.Lock()
--- a/internal/balancer/race_test.go
+++ b/internal/balancer/race_test.go
@@ -56,6 +56,24 @@
 	}
 }
 
+// TestAWriteAfterTheCloseFails has netpoll close a client's connection between the writer's check and its write, and free its buffers at any
+// moment after: each write fails and none panics.
+func TestAWriteAfterTheCloseFails(t *testing.T) {
+	x := newSteppedLoop(t, policy.Idempotent)
+	c := x.session.client
+	_ = x.client.(*net.TCPConn).SetLinger(0)
+	_ = x.client.Close()
+	x.waitUntil("its end is here", func() bool { return x.hasEvent(func(ev event) bool { return ev.conn == c && ev.disconnect != nil }) })
+	for end := time.Now().Add(50 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if err := c.writeNow([]byte("ERR\r\n")); err == nil {
+			t.Fatal("a write succeeds")
+		}
+	}
+	if stage := c.currentStage(); stage != StageConnected {
+		t.Errorf("its stage is %v", stage)
+	}
+}
+
 // TestATimedOutAttemptIsNotSent has the process stopped while a connection comes up, until after the attempt's deadline. The loop handles the
 // connection first.
 func TestATimedOutAttemptIsNotSent(t *testing.T) {
