--- a/internal/fleet/consensus/bench_test.go
+++ b/internal/fleet/consensus/bench_test.go
@@ -9,8 +9,8 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// measureCPU starts a measurement. The function that it returns ends it, and reports and returns the CPU time of one operation in ns, garbage
-// collection included: on a shared machine the wall clock says less.
+// measureCPU starts a benchmark's measured part. The returned function ends it, and reports and returns the CPU time of one operation in
+// nanoseconds, including garbage collection. On a shared machine CPU time is more stable than elapsed time.
 func measureCPU(b *testing.B) func() float64 {
 	cpuTime := func() time.Duration {
 		var u syscall.Rusage
@@ -30,14 +30,14 @@
 	}
 }
 
-// cluster is voters in memory, without a disk; the first one is the leader.
+// cluster is a Raft group in memory, without disks. The first node is the leader.
 type cluster struct {
 	b     testing.TB
 	nodes map[uint64]*Node
 	order []uint64
 	now   time.Duration
 
-	messages, bytes, written int
+	messages, wireBytes, diskBytes int // sent and written so far by all nodes
 }
 
 func member(i int) shardmap.Member {
@@ -50,9 +50,9 @@
 	}
 }
 
-func newCluster(b testing.TB, many int) *cluster {
+func newCluster(b testing.TB, voters int) *cluster {
 	v := &cluster{b: b, nodes: map[uint64]*Node{}}
-	for i := range many {
+	for i := range voters {
 		n, err := New(member(i).ID, PersistentState{}, uint64(i), 0)
 		if err != nil {
 			b.Fatal(err)
@@ -64,17 +64,17 @@
 		b.Fatal(err)
 	}
 	v.deliverAll()
-	if many > 1 {
+	if voters > 1 {
 		if err := v.leader().ChangeVoters(v.order[1:], 0); err != nil {
 			b.Fatal(err)
 		}
 	}
 	for range 50 {
-		v.tick()
+		v.advanceTick()
 	}
 	for _, n := range v.nodes {
-		if len(n.Voters()) != many || n.State().FleetID != "f" {
-			b.Fatalf("%d of %d vote", len(n.Voters()), many)
+		if len(n.Voters()) != voters || n.State().FleetID != "f" {
+			b.Fatalf("a node knows %d of %d voters, or not the fleet ID", len(n.Voters()), voters)
 		}
 	}
 	return v
@@ -82,7 +82,7 @@
 
 func (v *cluster) leader() *Node { return v.nodes[v.order[0]] }
 
-// deliverAll delivers all messages in order until there is none.
+// deliverAll delivers messages in order until no node sends any more.
 func (v *cluster) deliverAll() {
 	for again := true; again; {
 		again = false
@@ -92,12 +92,12 @@
 				v.b.Fatal(err)
 			}
 			for _, e := range r.Write.Entries {
-				v.written += len(e)
+				v.diskBytes += len(e)
 			}
-			v.written += len(r.Write.HardState) + len(r.Write.Snapshot)
+			v.diskBytes += len(r.Write.HardState) + len(r.Write.Snapshot)
 			for _, m := range r.Messages {
 				v.messages++
-				v.bytes += len(m.Data)
+				v.wireBytes += len(m.Data)
 				again = true
 				if err := v.nodes[m.To].Step(m.Data); err != nil {
 					v.b.Fatal(err)
@@ -107,8 +107,8 @@
 	}
 }
 
-// tick is one tick of all voters.
-func (v *cluster) tick() {
+// advanceTick advances the time by one tick at every node and delivers the messages.
+func (v *cluster) advanceTick() {
 	v.now += tickInterval
 	for _, id := range v.order {
 		v.nodes[id].Tick(v.now)
@@ -116,24 +116,25 @@
 	v.deliverAll()
 }
 
-// propose has an entry committed, and checks that all voters applied it.
+// propose proposes an entry and checks that every voter applies it.
 func (v *cluster) propose(e shardmap.Entry) {
 	before := v.leader().State().Version
 	if err := v.leader().Propose(e); err != nil {
 		v.b.Fatal(err)
 	}
 	v.deliverAll()
-	for range 3 { // followers learn with the next heartbeat that it is committed
+	for range 3 { // followers learn the commit index with the next heartbeat
 		if v.allAt(before + 1) {
 			return
 		}
-		v.tick()
+		v.advanceTick()
 	}
 	if !v.allAt(before + 1) {
-		v.b.Fatal("not committed everywhere")
+		v.b.Fatal("the entry is not applied at every voter")
 	}
 }
 
+// allAt reports whether every node's state has this version.
 func (v *cluster) allAt(version uint64) bool {
 	for _, n := range v.nodes {
 		if n.State().Version != version {
@@ -145,21 +146,22 @@
 
 func (v *cluster) reportTraffic(b *testing.B) {
 	b.ReportMetric(float64(v.messages)/float64(b.N), "msgs/op")
-	b.ReportMetric(float64(v.bytes)/float64(b.N), "wire-B/op")
-	b.ReportMetric(float64(v.written)/float64(b.N), "disk-B/op")
+	b.ReportMetric(float64(v.wireBytes)/float64(b.N), "wire-B/op")
+	b.ReportMetric(float64(v.diskBytes)/float64(b.N), "disk-B/op")
 }
 
-// BenchmarkPropose is a change of one shard's configuration until all voters have it, the CPU time of all together, with the log's compactions.
+// BenchmarkPropose measures the CPU time of all voters together from the proposal of a shard's new configuration until all of them have
+// applied it, including the log's compactions.
 func BenchmarkPropose(b *testing.B) {
 	for _, many := range []int{1, 3, 5, 7} {
 		b.Run(fmt.Sprintf("voters=%d", many), func(b *testing.B) {
 			v := newCluster(b, many)
-			full := []string{member(0).ID, member(1).ID, member(2).ID}
-			v.messages, v.bytes, v.written = 0, 0, 0
+			inSync := []string{member(0).ID, member(1).ID, member(2).ID}
+			v.messages, v.wireBytes, v.diskBytes = 0, 0, 0
 			done := measureCPU(b)
 			for i := range b.N {
-				num := i % shardmap.ShardCount
-				v.propose(shardmap.Entry{ShardChanges: []shardmap.ShardChange{{Shard: num, BaseNumber: v.leader().State().Configurations[num].Number, InSync: full}}})
+				shard := i % shardmap.ShardCount
+				v.propose(shardmap.Entry{ShardChanges: []shardmap.ShardChange{{Shard: shard, BaseNumber: v.leader().State().Configurations[shard].Number, InSync: inSync}}})
 			}
 			done()
 			v.reportTraffic(b)
@@ -167,7 +169,7 @@
 	}
 }
 
-// BenchmarkProposeEpoch is a change of the list of members until five voters have it, by the list's length.
+// BenchmarkProposeEpoch measures a change of the member list until five voters have applied it, for lists of different lengths.
 func BenchmarkProposeEpoch(b *testing.B) {
 	for _, n := range []int{17, 100, 300, 1000, 2300, 4600} {
 		b.Run(fmt.Sprintf("voters=5/members=%d", n), func(b *testing.B) {
@@ -177,7 +179,7 @@
 				all = append(all, member(i))
 			}
 			v.propose(shardmap.Entry{BaseEpoch: v.leader().State().Epoch, Members: all})
-			v.messages, v.bytes, v.written = 0, 0, 0
+			v.messages, v.wireBytes, v.diskBytes = 0, 0, 0
 			done := measureCPU(b)
 			for range b.N {
 				v.propose(shardmap.Entry{BaseEpoch: v.leader().State().Epoch, Members: all})
@@ -188,16 +190,16 @@
 	}
 }
 
-// BenchmarkIdle is a second in which nothing is proposed, all voters together.
+// BenchmarkIdle measures one second of all voters together in which nothing is proposed.
 func BenchmarkIdle(b *testing.B) {
 	for _, many := range []int{1, 3, 5, 7} {
 		b.Run(fmt.Sprintf("voters=%d", many), func(b *testing.B) {
 			v := newCluster(b, many)
-			v.messages, v.bytes, v.written = 0, 0, 0
+			v.messages, v.wireBytes, v.diskBytes = 0, 0, 0
 			done := measureCPU(b)
 			for range b.N {
 				for range time.Second / tickInterval {
-					v.tick()
+					v.advanceTick()
 				}
 			}
 			done()
--- a/internal/fleet/consensus/confirmation.go
+++ b/internal/fleet/consensus/confirmation.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	confirmInterval  = 500 * time.Millisecond
-	maxConfirmations = 4 // pending; the library keeps each until it is answered
-	contextBytes     = 8 // of a read index request: the confirmation's number
+	confirmInterval  = 500 * time.Millisecond // between two requests
+	maxConfirmations = 4                      // pending requests; the library stores each until it is answered
+	contextBytes     = 8                      // length of a read index request's context, which is the confirmation's number
 )
 
-// confirmations are the requests of a leader to a majority whether it leads yet, by Raft's read index, which depends on nobody's clock.
+// confirmations tracks a leader's requests to the other voters to confirm that it still leads. They use Raft's read index, which does not
+// depend on any clock.
 type confirmations struct {
 	nextAt     time.Duration
-	pending    []confirmation // the oldest first
-	term       uint64         // of the pending ones
+	pending    []confirmation // oldest first
+	term       uint64         // the term in which the pending requests were sent
 	lastNumber uint64
 
-	asOf    time.Duration
-	hasAsOf bool
+	confirmedAt   time.Duration // when the newest confirmed request was sent
+	everConfirmed bool          // confirmedAt is valid
 }
 
-// confirmation is one request. Once a majority has answered it and the log is applied up to its index, nothing newer than the state had
-// been agreed when it was sent.
+// confirmation is one request. Once a majority has answered it and the log is applied up to its index, the state contains everything that
+// was agreed before the request was sent.
 type confirmation struct {
 	number   uint64
 	sentAt   time.Duration
@@ -34,13 +35,16 @@
 	index    uint64
 }
 
-// AsOf returns the time up to which this member knows that its state is all that was agreed. It is false at a member that has never led.
-func (n *Node) AsOf() (time.Duration, bool) { return n.confirmations.asOf, n.confirmations.hasAsOf }
+// AsOf returns the latest time at which this member's state is known to have contained everything that was agreed. It returns false if the
+// member was never confirmed as the leader.
+func (n *Node) AsOf() (time.Duration, bool) {
+	return n.confirmations.confirmedAt, n.confirmations.everConfirmed
+}
 
-// requestConfirmation sends the next request when it is due.
+// requestConfirmation sends the next request if it is due, and forgets those of an earlier term.
 func (n *Node) requestConfirmation() {
 	c := &n.confirmations
-	if term := n.Term(); term != c.term || !n.IsLeader() { // the library drops them with the term
+	if term := n.Term(); term != c.term || !n.IsLeader() { // the library drops pending requests when the term changes
 		c.pending = nil
 		c.term = term
 	}
@@ -53,8 +57,8 @@
 	n.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, c.lastNumber))
 }
 
-// answer takes a majority's answer.
-func (c *confirmations) answer(read raft.ReadState) {
+// recordAnswer records that a majority has answered a request.
+func (c *confirmations) recordAnswer(read raft.ReadState) {
 	if len(read.RequestCtx) != contextBytes {
 		return
 	}
@@ -67,12 +71,12 @@
 	}
 }
 
-// complete takes the newest confirmation whose index is applied, which includes those before it.
-func (c *confirmations) complete(appliedIndex uint64) {
+// completeUpTo completes the newest answered request whose index is applied. That also covers the older requests, which are dropped.
+func (c *confirmations) completeUpTo(appliedIndex uint64) {
 	for i, one := range slices.Backward(c.pending) {
 		if one.answered && one.index <= appliedIndex {
-			c.asOf = max(c.asOf, one.sentAt)
-			c.hasAsOf = true
+			c.confirmedAt = max(c.confirmedAt, one.sentAt)
+			c.everConfirmed = true
 			c.pending = slices.Delete(c.pending, 0, i+1)
 			return
 		}
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -8,12 +8,12 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// testLog is three nodes whose messages are delivered when a test says so.
+// testLog is a Raft group of three nodes. Messages stay in transit until the test delivers them.
 type testLog struct {
 	t         *testing.T
 	now       time.Duration
 	nodes     map[uint64]*Node
-	leader    *Node
+	leader    *Node // the node that bootstrapped the log
 	inTransit []Message
 }
 
@@ -42,12 +42,12 @@
 	}
 	l.advance(time.Second)
 	if n := len(l.leader.Voters()); n != 3 || !l.leader.IsLeader() {
-		t.Fatalf("%d voters, leader %v", n, l.leader.IsLeader())
+		t.Fatalf("%d voters, first node is leader: %v", n, l.leader.IsLeader())
 	}
 	return l
 }
 
-// collect takes the messages that nodes send.
+// collect moves the messages that the nodes send into transit.
 func (l *testLog) collect() {
 	l.t.Helper()
 	for id := uint64(1); id <= 3; id++ {
@@ -59,7 +59,7 @@
 	}
 }
 
-// deliver delivers the messages to the nodes that are selected.
+// deliver delivers the messages in transit to the nodes that the function selects.
 func (l *testLog) deliver(to func(uint64) bool) {
 	messages := l.inTransit
 	l.inTransit = nil
@@ -72,9 +72,9 @@
 	}
 }
 
-func everybody(uint64) bool { return true }
+func toAll(uint64) bool { return true }
 
-// advance lets time pass with all messages delivered.
+// advance advances the time in steps of 50 ms and delivers all messages.
 func (l *testLog) advance(span time.Duration) {
 	l.t.Helper()
 	for end := l.now + span; l.now < end; {
@@ -83,19 +83,19 @@
 			l.nodes[id].Tick(l.now)
 		}
 		l.collect()
-		l.deliver(everybody)
+		l.deliver(toAll)
 		l.collect()
-		l.deliver(everybody)
+		l.deliver(toAll)
 	}
 }
 
-// TestConfirmationHasTheAgeOfItsRequest holds responses back while the leader is paused: what it reads from its buffers when it resumes is as
-// old as the request.
+// TestConfirmationHasTheAgeOfItsRequest guards against a leader that takes its state for newer than it is after a pause. The responses to
+// its request wait in its buffers meanwhile: when it resumes and reads them, they confirm the state only as of the request.
 func TestConfirmationHasTheAgeOfItsRequest(t *testing.T) {
 	l := newTestLog(t)
 	l.advance(2 * time.Second)
 	if at, known := l.leader.AsOf(); !known || l.now-at > time.Second {
-		t.Fatalf("confirmed up to %v at %v, %v", at, l.now, known)
+		t.Fatalf("before the pause: confirmed up to %v at %v, ever confirmed: %v", at, l.now, known)
 	}
 	requestedAt := l.now + confirmInterval
 	l.leader.Tick(requestedAt)
@@ -103,24 +103,25 @@
 	l.deliver(func(to uint64) bool { return to != 1 })
 	l.collect()
 	resumedAt := requestedAt + 5*time.Second
-	l.deliver(everybody)
+	l.deliver(toAll)
 	l.leader.Tick(resumedAt)
 	l.collect()
 	at, _ := l.leader.AsOf()
 	if at > requestedAt {
-		t.Errorf("requested at %v, confirmed up to %v after it resumed at %v", requestedAt, at, resumedAt)
+		t.Errorf("requested at %v, but confirmed up to %v after the leader resumed at %v", requestedAt, at, resumedAt)
 	}
 	if at < requestedAt {
-		t.Errorf("the responses are ignored: confirmed up to %v, requested at %v", at, requestedAt)
+		t.Errorf("the responses were ignored: confirmed up to %v, requested at %v", at, requestedAt)
 	}
 	l.now = resumedAt
 	l.advance(time.Second)
 	if at, _ := l.leader.AsOf(); at < resumedAt {
-		t.Errorf("confirmed up to %v a second after it resumed at %v", at, resumedAt)
+		t.Errorf("confirmed up to %v only, a second after the leader resumed at %v", at, resumedAt)
 	}
 }
 
-// TestNoConfirmationWithoutMajority cuts a leader off from the majority: its requests are bounded and none is confirmed by a minority.
+// TestNoConfirmationWithoutMajority cuts a leader off from the majority. It must not confirm its state by itself, and the number of its
+// pending requests must stay bounded.
 func TestNoConfirmationWithoutMajority(t *testing.T) {
 	l := newTestLog(t)
 	l.advance(2 * time.Second)
@@ -133,24 +134,25 @@
 		}
 	}
 	if at, _ := l.leader.AsOf(); at > last {
-		t.Errorf("confirmed up to %v, nobody responded since %v", at, last)
+		t.Errorf("confirmed up to %v, but no other voter has responded since %v", at, last)
 	}
 	if n := len(l.leader.confirmations.pending); n > maxConfirmations {
-		t.Errorf("%d requests are pending", n)
+		t.Errorf("%d requests are pending, more than the limit", n)
 	}
 	l.advance(3 * time.Second)
 	for _, n := range l.nodes {
 		if n.IsLeader() {
 			if at, known := n.AsOf(); !known || l.now-at > time.Second {
-				t.Errorf("with all connected the leader is confirmed up to %v at %v", at, l.now)
+				t.Errorf("with all voters connected again, the leader is confirmed up to %v only at %v", at, l.now)
 			}
 			return
 		}
 	}
-	t.Error("there is no leader")
+	t.Error("no leader was elected after the voters were connected again")
 }
 
-// TestRestoredSnapshotPrecedesChanges starts a node on a disk with a snapshot and entries behind it: none of their changes is skipped.
+// TestRestoredSnapshotPrecedesChanges restarts a node with a snapshot and later entries on disk. The first Ready must return the snapshot
+// and then the change of every later entry.
 func TestRestoredSnapshotPrecedesChanges(t *testing.T) {
 	n, err := New(fmt.Sprintf("%016x%016x", 1, 1), PersistentState{}, 1, 0)
 	if err != nil {
@@ -190,6 +192,6 @@
 		t.Fatal(err)
 	}
 	if r.Snapshot == nil || r.Snapshot.Version != 1 || len(r.Changes) != 3 || r.Changes[0].Version != 2 {
-		t.Errorf("%+v, then %+v", r.Snapshot, r.Changes)
+		t.Errorf("restored snapshot %+v, changes %+v; want version 1, then three changes from version 2 on", r.Snapshot, r.Changes)
 	}
 }
--- a/internal/fleet/consensus/logger.go
+++ b/internal/fleet/consensus/logger.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// discardLogger drops the library's log: decisions are logged by who takes them. It panics where the library wants the process to end.
+// discardLogger discards the Raft library's log, as the packages that make decisions log them. It panics where the library expects the
+// process to be terminated.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)                   {}
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	snapshotEntries = 512 // the log is compacted once it has so many entries behind the snapshot
-	trailingEntries = 64  // kept behind the compaction, for voters that are slightly behind
+	snapshotEntries = 512 // number of entries applied since the last snapshot that triggers the next one
+	trailingEntries = 64  // number of applied entries that a compaction keeps for voters that lag slightly
 )
 
-// Ready is what has to be done, in this order: Write has to be on disk before Messages are sent.
+// Ready is the work that a Node hands to its caller. Write must be on disk before Messages are sent.
 type Ready struct {
 	Write      Write
 	Messages   []Message
-	Snapshot   *changefeed.Snapshot // the state was replaced by this; nil where it was not
-	Changes    []Change             // of the state, in order, after Snapshot
-	PutResults []shardmap.PutResult // of the puts in entries that were committed
+	Snapshot   *changefeed.Snapshot // replaces the whole state; nil if the state was not replaced
+	Changes    []Change             // changes of the state since Snapshot, in order
+	PutResults []shardmap.PutResult // results of the puts in committed entries
 }
 
-// Write is what has to be written. An empty field is unchanged on disk.
+// Write is the part of the Raft state that has to be written to disk. A field that is empty is unchanged on disk.
 type Write struct {
 	HardState     []byte
 	Snapshot      []byte
-	SnapshotIndex uint64   // entries up to this index may be removed once Snapshot is written
-	Entries       [][]byte // they replace all entries from FirstIndex on
-	FirstIndex    uint64
+	SnapshotIndex uint64   // entries up to and including this index may be removed once Snapshot is written
+	Entries       [][]byte // replace all entries from FirstIndex on
+	FirstIndex    uint64   // index of the first of Entries
 }
 
-// Change is what one entry did to the state.
+// Change is the effect of one entry on the state, as changefeed items.
 type Change struct {
 	Version uint64
 	Items   []changefeed.Item
@@ -46,20 +46,20 @@
 	Data []byte
 }
 
-// Ready returns what has to be done; each thing once.
+// Ready returns the work that has accumulated since the last call.
 func (n *Node) Ready() (Ready, error) {
 	var messages []*pb.Message
 	for n.rawNode.HasReady() {
 		ready := n.rawNode.Ready()
-		if err := n.process(ready); err != nil {
-			return Ready{}, fmt.Errorf("consensus: %w", err)
+		if err := n.processBatch(ready); err != nil {
+			return Ready{}, fmt.Errorf("consensus: process the Raft library's updates: %w", err)
 		}
 		messages = append(messages, ready.Messages...)
 		n.rawNode.Advance(ready)
 	}
-	n.confirmations.complete(n.appliedIndex)
-	if err := n.compact(); err != nil {
-		return Ready{}, fmt.Errorf("consensus: %w", err)
+	n.confirmations.completeUpTo(n.appliedIndex)
+	if err := n.compactLog(); err != nil {
+		return Ready{}, fmt.Errorf("consensus: compact the log: %w", err)
 	}
 	result := n.pending
 	n.pending = Ready{}
@@ -67,8 +67,8 @@
 	return result, nil
 }
 
-// process takes one batch of the library's into the storage and the state.
-func (n *Node) process(ready raft.Ready) error {
+// processBatch applies one batch of updates from the Raft library to the storage and the state.
+func (n *Node) processBatch(ready raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := n.installSnapshot(ready.Snapshot); err != nil {
 			return err
@@ -81,26 +81,27 @@
 		n.pending.Write.appendEntries(ready.Entries)
 	}
 	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
-		_ = n.storage.SetHardState(ready.HardState) // memory: never fails
+		_ = n.storage.SetHardState(ready.HardState) // a MemoryStorage never fails here
 		n.pending.Write.HardState = marshal(ready.HardState)
 	}
 	for _, entry := range ready.CommittedEntries {
-		if err := n.apply(entry); err != nil {
-			return fmt.Errorf("entry %d: %w", entry.GetIndex(), err)
+		if err := n.applyEntry(entry); err != nil {
+			return fmt.Errorf("apply entry %d: %w", entry.GetIndex(), err)
 		}
 	}
 	for _, read := range ready.ReadStates {
-		n.confirmations.answer(read)
+		n.confirmations.recordAnswer(read)
 	}
 	return nil
 }
 
+// installSnapshot replaces the log and the state by a snapshot that the leader has sent.
 func (n *Node) installSnapshot(snapshot *pb.Snapshot) error {
 	if err := n.storage.ApplySnapshot(snapshot); err != nil {
 		return err
 	}
-	if err := n.restore(snapshot); err != nil {
-		return fmt.Errorf("the snapshot: %w", err)
+	if err := n.restoreSnapshot(snapshot); err != nil {
+		return fmt.Errorf("restore a snapshot: %w", err)
 	}
 	write := &n.pending.Write
 	write.Snapshot = marshal(snapshot)
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// restore replaces the state by a snapshot's.
-func (n *Node) restore(snapshot *pb.Snapshot) error {
+// restoreSnapshot replaces the state, the set of voters and the applied index by those of a snapshot.
+func (n *Node) restoreSnapshot(snapshot *pb.Snapshot) error {
 	state, err := shardmap.Restore(snapshot.GetData())
 	if err != nil {
 		return err
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// appendEntries adds entries to a write; they replace those from their first index on.
+// appendEntries adds entries to the write. They replace any entries of the write with the same or a higher index.
 func (w *Write) appendEntries(entries []*pb.Entry) {
 	first := entries[0].GetIndex()
 	kept := int(first) - int(w.FirstIndex)
@@ -143,21 +144,21 @@
 	}
 }
 
-// apply applies a committed entry.
-func (n *Node) apply(entry *pb.Entry) error {
+// applyEntry applies a committed entry to the set of voters or to the state.
+func (n *Node) applyEntry(entry *pb.Entry) error {
 	n.appliedIndex = entry.GetIndex()
 	switch entry.GetType() {
-	case pb.EntryConfChange: // the library writes a change of one voter in this older form
+	case pb.EntryConfChange: // the library encodes a change of a single voter in this older format
 		return n.applyVoterChange(entry, &pb.ConfChange{})
 	case pb.EntryConfChangeV2:
 		return n.applyVoterChange(entry, &pb.ConfChangeV2{})
 	case pb.EntryNormal:
-		return n.applyToState(entry)
+		return n.applyStateEntry(entry)
 	}
 	return nil
 }
 
-// voterChangeMessage is one of the two forms of a change of voters.
+// voterChangeMessage is either of the two formats of a change of voters: pb.ConfChange or pb.ConfChangeV2.
 type voterChangeMessage interface {
 	proto.Message
 	pb.ConfChangeI
@@ -172,9 +173,9 @@
 	return nil
 }
 
-func (n *Node) applyToState(entry *pb.Entry) error {
+func (n *Node) applyStateEntry(entry *pb.Entry) error {
 	if len(entry.GetData()) == 0 {
-		return nil // each leader's first entry
+		return nil // a new leader commits an empty entry first
 	}
 	decoded, err := shardmap.DecodeEntry(entry.GetData())
 	if err != nil {
@@ -189,8 +190,9 @@
 	return nil
 }
 
-// compact replaces the log's beginning by a snapshot once it has grown, or the voters have changed.
-func (n *Node) compact() error {
+// compactLog takes a snapshot once the log has grown enough or the voters have changed, and drops all but the last trailingEntries of the
+// entries that the snapshot covers.
+func (n *Node) compactLog() error {
 	if n.appliedIndex-n.snapshotIndex < snapshotEntries && !n.votersChanged {
 		return nil
 	}
@@ -215,7 +217,7 @@
 	var encoded []Message
 	for _, message := range messages {
 		encoded = append(encoded, Message{To: message.GetTo(), Data: marshal(message)})
-		if message.GetType() == pb.MsgSnap { // its loss shows by the voter's next response
+		if message.GetType() == pb.MsgSnap { // if the snapshot is lost, the voter's next response shows it
 			n.rawNode.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 		}
 	}
@@ -223,9 +225,9 @@
 }
 
 func marshal(message proto.Message) []byte {
-	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		panic(err) // messages of the library's own types are always valid
+		panic(err) // the library's own message types can always be encoded
 	}
-	return text
+	return data
 }
