--- a/internal/fleet/replication/client.go
+++ b/internal/fleet/replication/client.go
@@ -7,43 +7,44 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// pendingOperation is an operation that was submitted at this member and has no result yet.
+// pendingOperation is an operation that was submitted at this member and does not have its result yet.
 type pendingOperation struct {
-	operation   Operation
-	deadline    time.Duration
-	nextAttempt time.Duration
-	mayBeDone   bool // a primary may have committed it
-	sentCount   int  // to other members
+	operation      Operation
+	deadline       time.Duration // when the operation ends without a result
+	nextAttempt    time.Duration // when it is passed to the primary again
+	mayBeCommitted bool          // a primary may have committed it already
+	sentCount      int           // how often it was sent to another member
 }
 
-// checkPendingOperations retries the operations that are due, and ends those whose deadline is over.
+// checkPendingOperations retries the operations that are due and ends those past their deadline.
 func (n *Node) checkPendingOperations() {
 	for _, id := range slices.Clone(n.pendingOrder) {
 		p := n.pending[id]
 		switch {
-		case p == nil: // finished by an attempt before it
+		case p == nil: // an earlier attempt in this loop has ended it
 		case n.now >= p.deadline:
 			n.expirePending(p)
 		case n.now >= p.nextAttempt:
-			n.attempt(p)
+			n.attemptOperation(p)
 		}
 	}
 }
 
+// expirePending ends an operation past its deadline: rejected if it was certainly not committed, otherwise with an unknown outcome.
 func (n *Node) expirePending(p *pendingOperation) {
 	outcome := OutcomeRejected
-	if p.mayBeDone {
+	if p.mayBeCommitted {
 		outcome = OutcomeUnknown
 	}
-	n.finish(Result{OperationID: p.operation.ID, Outcome: outcome, Reason: ReasonReconfiguring})
+	n.deliverResult(Result{OperationID: p.operation.ID, Outcome: outcome, Reason: ReasonReconfiguring})
 }
 
-// attempt passes an operation to its shard's primary, if there is one.
-func (n *Node) attempt(p *pendingOperation) {
+// attemptOperation passes an operation to its shard's primary. Without a known primary it does nothing until the next attempt.
+func (n *Node) attemptOperation(p *pendingOperation) {
 	s := &n.shards[shardmap.ShardOf(p.operation.Key)]
 	p.nextAttempt = n.now + retryInterval
 	if p.operation.LocalOnly && !s.isPrimary() {
-		n.finish(Result{OperationID: p.operation.ID, Outcome: OutcomeRejected, Reason: ReasonNotPrimary})
+		n.deliverResult(Result{OperationID: p.operation.ID, Outcome: OutcomeRejected, Reason: ReasonNotPrimary})
 		return
 	}
 	if len(s.inSync) == 0 {
@@ -51,30 +52,30 @@
 	}
 	primary := s.inSync[0]
 	if primary == n.cfg.ID {
-		n.serve(s, p.operation, n.cfg.ID)
+		n.serveOperation(s, p.operation, n.cfg.ID)
 		return
 	}
-	p.mayBeDone = true
+	p.mayBeCommitted = true
 	p.sentCount++
 	p.nextAttempt = n.now + resendInterval
 	n.send(Message{Kind: MessageOperation, To: primary, Shard: s.number, Operation: p.operation})
 }
 
-// handleResult takes a primary's result. A transient rejection is retried when the next attempt is due.
+// handleResult handles a primary's result. A transient rejection is ignored: the operation is retried when its next attempt is due.
 func (n *Node) handleResult(r Result) {
 	p := n.pending[r.OperationID]
 	if p == nil || r.isTransientRejection() {
 		return
 	}
-	// An earlier attempt may have been committed and overwritten so often since that the record has forgotten it.
+	// An earlier attempt may have been committed and then overwritten so often that the record no longer lists its ID.
 	if r.Outcome == OutcomeConflict && !p.operation.ReadOnly && p.sentCount > 1 && len(r.Record.PastOperationIDs) >= maxPastOperationIDs {
 		r.Outcome = OutcomeUnknown
 	}
-	n.finish(r)
+	n.deliverResult(r)
 }
 
-// finish hands out the result of an operation that was submitted here.
-func (n *Node) finish(r Result) {
+// deliverResult ends an operation that was submitted at this member and queues its result for the next Ready.
+func (n *Node) deliverResult(r Result) {
 	if n.pending[r.OperationID] == nil {
 		return
 	}
@@ -86,20 +87,21 @@
 	n.ready.Results = append(n.ready.Results, r)
 }
 
-// reply sends a result to the member that submitted the operation.
-func (n *Node) reply(s *shard, client string, r Result) {
+// replyToClient passes a primary's result to the member that submitted the operation, which may be this one.
+func (n *Node) replyToClient(s *shard, client string, r Result) {
 	if client != n.cfg.ID {
 		n.send(Message{Kind: MessageResult, To: client, Shard: s.number, Result: r})
 		return
 	}
 	if !r.isTransientRejection() {
-		n.finish(r)
+		n.deliverResult(r)
 	}
 }
 
-// markMayBeDone notes of an operation, if it was submitted here, that it can't be rejected any more.
-func (n *Node) markMayBeDone(id, client string) {
+// markMayBeCommitted records that an operation may be committed from now on. If it was submitted here, its deadline then ends it with an
+// unknown outcome and no longer with a rejection.
+func (n *Node) markMayBeCommitted(id, client string) {
 	if p := n.pending[id]; p != nil && client == n.cfg.ID {
-		p.mayBeDone = true
+		p.mayBeCommitted = true
 	}
 }
--- a/internal/fleet/replication/config.go
+++ b/internal/fleet/replication/config.go
@@ -3,37 +3,38 @@
 import "time"
 
 const (
-	resendInterval      = 200 * time.Millisecond
-	retryInterval       = 150 * time.Millisecond // of an operation that the primary could not serve yet
-	heartbeatInterval   = 250 * time.Millisecond
-	replicaTimeout      = 800 * time.Millisecond  // without an answer that a replica owes, until it is reported
-	primaryTimeout      = 1500 * time.Millisecond // without any message of the primary, until it is reported
-	memberTTL           = time.Minute             // for which it is remembered when a member was last heard of
-	expiryInterval      = time.Second
-	maxExpiredPerShard  = 64  // records in one expiryInterval
-	maxRecentWrites     = 128 // that are sent one by one to a replica that lacks them; a snapshot replaces more
-	maxPastOperationIDs = 4   // of one record
+	resendInterval      = 200 * time.Millisecond  // after which an unanswered message is sent again
+	retryInterval       = 150 * time.Millisecond  // after which an operation is tried again that no primary could serve yet
+	heartbeatInterval   = 250 * time.Millisecond  // between a primary's heartbeats to its replicas
+	replicaTimeout      = 800 * time.Millisecond  // how long an answer of a replica may be overdue before the replica is reported
+	primaryTimeout      = 1500 * time.Millisecond // how long a primary may be silent before it is reported
+	memberTTL           = time.Minute             // how long the time of a member's last message is stored
+	expiryInterval      = time.Second             // between two searches for expired records
+	maxExpiredPerShard  = 64                      // largest number of records that one search deletes from a shard
+	maxRecentWrites     = 128                     // number of writes kept for replicas that lack them; one that lacks more gets a snapshot
+	maxPastOperationIDs = 4                       // largest number of earlier operation IDs in one record
 )
 
 // Config configures a Node.
 type Config struct {
-	// ID is this member's.
+	// ID is this member's ID.
 	ID string
-	// Incarnation of this member's process; each start has a higher one.
+	// Incarnation is the incarnation of this member's process. It increases with each start.
 	Incarnation uint64
-	// MinReplicas is how many in-sync replicas, the primary among them, a shard needs to accept writes. A write goes to all.
+	// MinReplicas is the number of in-sync replicas, including the primary, that a shard needs to accept operations. A write needs the
+	// acknowledgement of every in-sync replica, however many there are.
 	MinReplicas int
-	// MaxKeys and MaxBytes bound the records that this member stores; MaxBytes counts keys and values.
+	// MaxKeys and MaxBytes bound the records that this member stores. MaxBytes limits the total size of keys and values.
 	MaxKeys  int
 	MaxBytes int
-	// MaxPendingOperations bounds the operations that wait at this member.
+	// MaxPendingOperations bounds the operations submitted at this member without a result, and those queued in a shard that it leads.
 	MaxPendingOperations int
-	// Retention lists the records that expire; all others are stored until they are deleted.
+	// Retention selects the records that expire. All others are stored until an operation deletes them.
 	Retention []RetentionRule
 }
 
-// RetentionRule deletes records whose keys begin with Prefix once they are older than TTL, which counts in whole seconds from the
-// record's CreatedAt on.
+// RetentionRule deletes records whose keys begin with Prefix once they are older than TTL. The age is measured in whole seconds from the
+// record's CreatedAt.
 type RetentionRule struct {
 	Prefix string
 	TTL    time.Duration
--- a/internal/fleet/replication/node.go
+++ b/internal/fleet/replication/node.go
@@ -1,9 +1,10 @@
-// Package replication keeps records on several members. Each shard of the key space has a configuration, agreed by package consensus,
-// whose primary orders the shard's writes; a write is committed once every in-sync replica has it on disk.
+// Package replication stores records on several members. Each shard of the key space has a configuration, which the members agree on by
+// package consensus. The configuration's primary orders the shard's writes; a write is committed once every in-sync replica has it on
+// disk.
 //
-// The package is the protocol alone, without I/O: messages, operations, configurations and the time go in; disk writes, messages and
-// results come out. It must never commit what fewer than the minimum number of replicas have, never accept a write of an older
-// ballot, and never decide on a configuration by itself: two primaries could commit at once.
+// The package implements the protocol without I/O: messages, operations, configurations and the time go in; disk writes, messages and
+// results come out. It must never commit a write that fewer than the minimum number of replicas have, never accept a write of an older
+// ballot, and never decide on a configuration by itself, as two primaries could then commit at the same time.
 package replication
 
 import (
@@ -14,33 +15,33 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// Node is one member's part in the replication: primary of some shards, replica of others, and client of all. It is not safe for
-// concurrent use.
+// Node is one member of the replication protocol. It is the primary of some shards, a replica of others, and a client of any shard for the
+// operations submitted at it. It is not safe for concurrent use.
 type Node struct {
 	cfg Config
 	now time.Duration
-	// unixTime is the time of day, in seconds.
+	// unixTime is the wall clock time in Unix seconds.
 	unixTime int64
 
-	shards []shard
-	keys   int
-	bytes  int
+	shards []shard // by shard number
+	keys   int     // number of records stored, of all shards
+	bytes  int     // total size of their keys and values
 
 	pending      map[string]*pendingOperation // by operation ID
-	pendingOrder []string                     // in the order of submission
+	pendingOrder []string                     // operation IDs in the order of submission
 
-	lastHeard     map[string]time.Duration // by member
+	lastHeard     map[string]time.Duration // when the last message of a member arrived, by member ID
 	lastHeartbeat time.Duration
 	lastExpiry    time.Duration
 
 	diskFailed bool
 	ready      Ready
 
-	// Rejections counts the operations submitted here that were rejected, by reason.
+	// Rejections counts the rejected operations of those submitted at this member, by reason.
 	Rejections [ReasonDiskFailed + 1]int
 }
 
-// New makes a node that stores nothing. The time counts from any fixed moment on.
+// New returns a node without records. Times are durations since an arbitrary fixed point in time.
 func New(cfg Config, now time.Duration) *Node {
 	n := &Node{
 		cfg:           cfg,
@@ -57,7 +58,7 @@
 	return n
 }
 
-// Load sets what is on disk of a shard. It comes before all other calls.
+// Load sets a shard's ballot and records to those on disk. It must be called before all other methods.
 func (n *Node) Load(number int, ballot Ballot, records []Record) {
 	s := &n.shards[number]
 	s.ballot = ballot
@@ -66,7 +67,7 @@
 	}
 }
 
-// Tick advances the time, which must not go back.
+// Tick advances the time, which must never decrease.
 func (n *Node) Tick(now time.Duration) {
 	n.now = now
 	n.checkPendingOperations()
@@ -80,8 +81,9 @@
 	}
 }
 
-// SetWallClock sets the time of day in Unix seconds, by which records expire. It orders nothing: with a wrong clock records are
-// stored shorter or longer.
+// SetWallClock sets the wall clock time in Unix seconds. At most once in expiryInterval it also deletes the expired records of the shards
+// that this member leads. The order of writes does not depend on this clock: if it is wrong, records are stored for a shorter or longer
+// time.
 func (n *Node) SetWallClock(unixTime int64) {
 	n.unixTime = unixTime
 	if n.now-n.lastExpiry < expiryInterval {
@@ -91,7 +93,7 @@
 	n.expireRecords()
 }
 
-// SetConfiguration sets a shard's newest configuration. One that is not newer than the known one changes nothing.
+// SetConfiguration sets a shard's newest configuration. A configuration that is not newer than the known one is ignored.
 func (n *Node) SetConfiguration(number int, c shardmap.Configuration) {
 	s := &n.shards[number]
 	if c.Number < s.ballot.Configuration || c.Number == s.ballot.Configuration && s.inSync != nil {
@@ -115,8 +117,8 @@
 	}
 }
 
-// Submit starts an operation, here or wherever its shard's primary is. Its result comes with a Ready, within the timeout and the next
-// Tick.
+// Submit starts an operation and passes it to its shard's primary, at this or another member. A later Ready returns the result, at the
+// latest after the first Tick past the timeout.
 func (n *Node) Submit(op Operation, timeout time.Duration) {
 	if len(n.pending) >= n.cfg.MaxPendingOperations {
 		n.ready.Results = append(n.ready.Results, Result{OperationID: op.ID, Outcome: OutcomeRejected, Reason: ReasonBusy})
@@ -126,10 +128,11 @@
 	p := &pendingOperation{operation: op, deadline: n.now + timeout}
 	n.pending[op.ID] = p
 	n.pendingOrder = append(n.pendingOrder, op.ID)
-	n.attempt(p)
+	n.attemptOperation(p)
 }
 
-// Step handles a message. One that does not fit the state here is ignored: the sender may have other configurations, and be late.
+// Step handles a message. A message that does not fit this member's state is ignored: it may be late, or its sender may have another
+// configuration.
 func (n *Node) Step(m Message) {
 	if m.To != n.cfg.ID || m.Shard < 0 || m.Shard >= len(n.shards) || n.diskFailed {
 		return
@@ -138,7 +141,7 @@
 	s := &n.shards[m.Shard]
 	switch m.Kind {
 	case MessageOperation:
-		n.serve(s, m.Operation, m.From)
+		n.serveOperation(s, m.Operation, m.From)
 	case MessageResult:
 		n.handleResult(m.Result)
 	case MessageBallot, MessageSnapshot, MessageWrite:
@@ -149,15 +152,15 @@
 		}
 	case MessageStaleBallot:
 		if s.isPrimary() && s.ballot.Less(m.Ballot) {
-			s.resign() // a configuration that is still on its way names the new primary
+			s.resign() // a configuration that has not arrived here yet names another primary
 		}
 	}
 }
 
-// MarkDiskFailed says that the disk can't be written: from now on nothing is committed or acknowledged here.
+// MarkDiskFailed records that the disk can't be written. From then on this member commits and acknowledges nothing.
 func (n *Node) MarkDiskFailed() { n.diskFailed = true }
 
-// Ready returns what is to be done since the last call.
+// Ready returns the work that has accumulated since the last call.
 func (n *Node) Ready() Ready {
 	r := n.ready
 	n.ready = Ready{}
@@ -169,13 +172,13 @@
 	return r
 }
 
-// Record returns this member's newest record of a key, committed or not; its version is 0 where there is none.
+// Record returns this member's newest record of a key, committed or not. Its version is 0 if there is none.
 func (n *Node) Record(key string) Record { return n.shards[shardmap.ShardOf(key)].records[key] }
 
-// Usage returns how many records this member stores, and the bytes of their keys and values.
+// Usage returns the number of records that this member stores and the total size of their keys and values.
 func (n *Node) Usage() (keys, bytes int) { return n.keys, n.bytes }
 
-// Keys returns all keys with a prefix that exist at this member, sorted.
+// Keys returns the keys with a prefix whose records at this member are not deleted, sorted.
 func (n *Node) Keys(prefix string) []string {
 	var all []string
 	for i := range n.shards {
--- a/internal/fleet/replication/operation.go
+++ b/internal/fleet/replication/operation.go
@@ -1,77 +1,77 @@
 package replication
 
-// Record is one replicated key with its value. The field names on the wire and on disk are fixed by the tags.
+// Record is a replicated key with its value. The tags fix the field names on the wire and on disk.
 type Record struct {
 	Key string `cbor:"Key"`
-	// Version counts the writes of the key from 1; 0 stands for no record.
+	// Version is the number of writes of the key so far; 0 means that there is no record.
 	Version uint64 `cbor:"Version"`
 	Value   []byte `cbor:"Value"`
-	// OperationID is the operation that wrote this version: the same operation asked for again is committed without a new version.
+	// OperationID is the operation that wrote this version. A retry of that operation succeeds without writing a new version.
 	OperationID string `cbor:"Op"`
-	// CreatedAt is in Unix seconds by the clock of whoever submitted the write. Retention goes by it; it orders nothing.
+	// CreatedAt is when the write was submitted, in Unix seconds by the submitter's clock. It is used for retention only, not for ordering.
 	CreatedAt int64 `cbor:"Born"`
 	// Deleted marks the key as deleted by an operation.
 	Deleted bool `cbor:"Gone"`
-	// PastOperationIDs are the operations that wrote the versions before, newest first, at most maxPastOperationIDs.
+	// PastOperationIDs are the operations that wrote the previous versions, newest first, at most maxPastOperationIDs.
 	PastOperationIDs []string `cbor:"Past"`
 }
 
-// exists reports whether the record has a value.
+// exists reports whether there is a record and it is not deleted.
 func (r Record) exists() bool { return r.Version > 0 && !r.Deleted }
 
 // Operation is a conditional write or a read of one key.
 type Operation struct {
-	// ID is unique among all operations. An operation that is sent again keeps it.
+	// ID is unique among all operations. A retry has the ID of the first attempt.
 	ID  string `cbor:"ID"`
 	Key string `cbor:"Key"`
-	// ExpectedVersion is the version that has to be in force; 0 requires that the key does not exist.
+	// ExpectedVersion is the version that the record must have; 0 requires that the key does not exist.
 	ExpectedVersion uint64 `cbor:"If"`
 	Value           []byte `cbor:"Value"`
-	// CreatedAt becomes the record's, in Unix seconds.
+	// CreatedAt becomes the record's CreatedAt, in Unix seconds.
 	CreatedAt int64 `cbor:"Born"`
-	// Delete deletes the key in place of writing Value.
+	// Delete deletes the key instead of writing Value.
 	Delete bool `cbor:"Drop"`
-	// LocalOnly rejects the operation at once if this member is not the primary.
+	// LocalOnly rejects the operation at once if the member where it is submitted is not the primary.
 	LocalOnly bool `cbor:"Here"`
-	// ReadOnly changes nothing: the outcome is OutcomeConflict with the record in force.
+	// ReadOnly makes the operation a read: it changes nothing and ends as OutcomeConflict with the current record.
 	ReadOnly bool `cbor:"Read"`
 }
 
-// Outcome is how an operation ended. Its numbers are part of the wire format.
+// Outcome is how an operation ended. The numeric values are part of the wire format.
 type Outcome uint8
 
 // The outcomes of an operation.
 const (
-	// OutcomeUnknown says that the operation may or may not have been committed: no answer came in time, or a disk failed.
+	// OutcomeUnknown means that the operation may or may not have been committed: no answer arrived in time, or a disk failed.
 	OutcomeUnknown Outcome = iota
-	// OutcomeCommitted says that every in-sync replica of the shard has the write.
+	// OutcomeCommitted means that every in-sync replica of the shard has the write on disk.
 	OutcomeCommitted
-	// OutcomeConflict says that another version is in force, which the result carries.
+	// OutcomeConflict means that the record has another version than expected. The result contains the record.
 	OutcomeConflict
-	// OutcomeRejected says that nothing was written, for the result's Reason.
+	// OutcomeRejected means that nothing was written. The result's Reason says why.
 	OutcomeRejected
 )
 
 func (o Outcome) String() string { return [...]string{"unknown", "done", "conflict", "refused"}[o] }
 
-// RejectReason is why an operation was rejected. Its numbers are part of the wire format. Its strings appear in the
-// operators' report.
+// RejectReason is why an operation was rejected. The numeric values are part of the wire format. The strings appear in the operators'
+// report.
 type RejectReason uint8
 
-// The reasons of a rejection.
+// The reasons for a rejection.
 const (
 	ReasonNone RejectReason = iota
-	// ReasonNotPrimary says that another member is the shard's primary.
+	// ReasonNotPrimary means that another member is the shard's primary.
 	ReasonNotPrimary
-	// ReasonTooFewReplicas says that the shard has fewer in-sync replicas than Config.MinReplicas.
+	// ReasonTooFewReplicas means that the shard has fewer in-sync replicas than Config.MinReplicas.
 	ReasonTooFewReplicas
-	// ReasonFull says that there is no capacity for another key.
+	// ReasonFull means that there is no capacity for another key.
 	ReasonFull
-	// ReasonBusy says that too many operations are pending.
+	// ReasonBusy means that too many operations are pending.
 	ReasonBusy
-	// ReasonReconfiguring says that not all replicas have adopted the shard's newest ballot yet.
+	// ReasonReconfiguring means that not all in-sync replicas have adopted the shard's newest ballot yet.
 	ReasonReconfiguring
-	// ReasonDiskFailed says that this member can't write to its disk.
+	// ReasonDiskFailed means that the member can't write to its disk.
 	ReasonDiskFailed
 )
 
@@ -79,22 +79,22 @@
 	return [...]string{"", "not the primary", "too few holders", "full", "busy", "settling", "disk"}[r]
 }
 
-// isTransient reports whether a retry may soon succeed.
+// isTransient reports whether a retry may succeed soon.
 func (r RejectReason) isTransient() bool {
 	return r == ReasonNotPrimary || r == ReasonReconfiguring || r == ReasonTooFewReplicas
 }
 
-// Result is how an operation ended.
+// Result is the result of an operation.
 type Result struct {
 	OperationID string  `cbor:"Op"`
 	Outcome     Outcome `cbor:"Outcome"`
 	// Reason is set with OutcomeRejected, and with OutcomeUnknown after a disk has failed.
 	Reason RejectReason `cbor:"Why"`
-	// Record is the one in force, with OutcomeCommitted and OutcomeConflict.
+	// Record is the current record of the key, with OutcomeCommitted and OutcomeConflict.
 	Record Record `cbor:"Record"`
 }
 
-// isTransientRejection reports whether the operation was rejected for a reason that may soon be over.
+// isTransientRejection reports whether the operation was rejected for a transient reason.
 func (r Result) isTransientRejection() bool {
 	return r.Outcome == OutcomeRejected && r.Reason.isTransient()
 }
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -7,58 +7,59 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// noAnswerOutstanding stands in replicaProgress.waitingSince for a replica that has answered everything.
-const noAnswerOutstanding time.Duration = -1
+// notWaiting is the value of replicaProgress.waitingSince for a replica that has answered everything.
+const notWaiting time.Duration = -1
 
-// primaryState is what the primary of a shard knows besides the records.
+// primaryState is the state of a shard's primary, apart from the records.
 type primaryState struct {
-	sequence uint64 // of the newest write of this ballot
-	replicas map[string]*replicaProgress
-	inFlight []*inFlightWrite // not acknowledged by all required replicas yet, in order
-	recent   []*inFlightWrite // the newest writes of this ballot in order, after the state that it began with
+	sequence     uint64                      // sequence number of the newest write of this ballot
+	replicas     map[string]*replicaProgress // by member ID
+	inFlight     []*inFlightWrite            // writes that not all required replicas have acknowledged, in order
+	recentWrites []*inFlightWrite            // newest writes of this ballot in order, preceded by one for the ballot's initial state while there are few
 
-	queued      map[string][]queuedOperation // by key: behind an in-flight write of it
-	queuedCount int
+	queuedByKey map[string][]queuedOperation // operations that wait for an in-flight write of the same key, by key
+	queuedCount int                          // number of operations in queuedByKey
 }
 
-// replicaProgress is another replica as the primary knows it.
+// replicaProgress is what the primary knows about another replica.
 type replicaProgress struct {
-	adopted      bool // it has adopted the ballot
-	joining      bool
-	acknowledged uint64 // all writes up to here are on its disk
-	incarnation  uint64 // of its process; 0: not known yet
-	lastSent     time.Duration
-	waitingSince time.Duration // an answer is outstanding since then, or noAnswerOutstanding
-
-	caughtUp           bool // it was reported to have caught up, in this ballot
+	ballotAdopted        bool // the replica has adopted this ballot
+	joining              bool
+	acknowledgedSequence uint64        // all writes up to this one are on the replica's disk
+	incarnation          uint64        // of the replica's process; 0 if not known yet
+	lastSent             time.Duration // when the last ballot, snapshot or resent writes were sent
+	waitingSince         time.Duration // since when an answer of the replica is outstanding; notWaiting if none is
+
+	caughtUp           bool // it was reported in this ballot to have caught up
 	caughtUpReportedAt time.Duration
 }
 
-// isRequired reports whether a write needs this replica's acknowledgement. A joining one is required from the moment on at which it
-// is reported to have caught up: it may be among the in-sync replicas, and lead, at any time after that.
+// isRequired reports whether a write needs this replica's acknowledgement. A joining replica is required as soon as it is reported to have
+// caught up: from then on, a configuration may make it an in-sync replica, or even the primary, at any time.
 func (p *replicaProgress) isRequired() bool { return !p.joining || p.caughtUp }
 
-// inFlightWrite is a write on its way to the replicas, or a read, which takes the same way.
+// inFlightWrite is a write that the replicas have to acknowledge. Operations that write nothing, such as reads, are sent the same way.
 type inFlightWrite struct {
 	sequence  uint64
-	digest    uint64 // of the shard with this write
-	record    Record // the zero Record where nothing is written
+	digest    uint64 // the shard's digest after this write
+	record    Record // the record as written; the zero Record if nothing is written
 	operation Operation
 	client    string
-	result    Result // for the client, once all required replicas have the write
-	expires   bool   // the record is deleted by a retention rule: there is no client
+	result    Result // sent to the client once all required replicas have acknowledged the write
+	isExpiry  bool   // a retention rule deletes the record; there is no client
 }
 
-// changesKey reports whether the write changes its record's key.
-func (w *inFlightWrite) changesKey() bool { return w.record.Version > 0 || w.expires }
+// changesKey reports whether the write changes a record.
+func (w *inFlightWrite) changesKey() bool { return w.record.Version > 0 || w.isExpiry }
 
+// queuedOperation is an operation that waits for an in-flight write of the same key.
 type queuedOperation struct {
 	operation Operation
 	client    string
 }
 
-// becomePrimary begins a configuration as its primary, with the records that this member has: whatever was committed is on each
-// in-sync replica of the configuration before. It serves once all in-sync replicas have adopted the ballot.
+// becomePrimary makes this member the primary of a new configuration. It starts with the records that it has: every committed write is on
+// each in-sync replica of the previous configuration. It serves operations once all in-sync replicas have adopted its ballot.
 func (n *Node) becomePrimary(s *shard, c shardmap.Configuration) {
 	s.ballot = Ballot{Configuration: c.Number, Incarnation: n.cfg.Incarnation}
 	s.inSync = c.InSync
@@ -66,9 +67,9 @@
 	s.ballotAdopted = true
 	s.ballotSince = n.now
 	s.primary = &primaryState{
-		replicas: map[string]*replicaProgress{},
-		queued:   map[string][]queuedOperation{},
-		recent:   []*inFlightWrite{{digest: s.digest}},
+		replicas:     map[string]*replicaProgress{},
+		queuedByKey:  map[string][]queuedOperation{},
+		recentWrites: []*inFlightWrite{{digest: s.digest}},
 	}
 	n.persist(s, nil, false)
 	for _, id := range s.followers() {
@@ -77,10 +78,11 @@
 	}
 }
 
-// resign ends this member's part as primary. In-flight writes are neither committed nor undone: their clients get no result, and ask
+// resign makes this member stop being the primary. In-flight writes are neither committed nor undone. Their clients get no result and ask
 // the next primary.
 func (s *shard) resign() { s.primary = nil }
 
+// announceBallot sends a replica this primary's ballot, with the digest of the current records.
 func (n *Node) announceBallot(s *shard, id string) {
 	s.primary.replicas[id].lastSent = n.now
 	n.send(Message{
@@ -95,58 +97,58 @@
 	})
 }
 
-// isAdopted reports whether all in-sync replicas have adopted the ballot.
-func (p *primaryState) isAdopted() bool {
+// isBallotAdopted reports whether all in-sync replicas have adopted the ballot.
+func (p *primaryState) isBallotAdopted() bool {
 	for _, replica := range p.replicas {
-		if !replica.joining && !replica.adopted {
+		if !replica.joining && !replica.ballotAdopted {
 			return false
 		}
 	}
 	return true
 }
 
-// hasOperation reports whether an operation is in flight or queued.
+// hasOperation reports whether an operation is already in flight or queued.
 func (p *primaryState) hasOperation(op Operation) bool {
 	return slices.ContainsFunc(p.inFlight, func(w *inFlightWrite) bool { return w.operation.ID == op.ID }) ||
-		slices.ContainsFunc(p.queued[op.Key], func(q queuedOperation) bool { return q.operation.ID == op.ID })
+		slices.ContainsFunc(p.queuedByKey[op.Key], func(q queuedOperation) bool { return q.operation.ID == op.ID })
 }
 
-// hasInFlight reports whether a write of a key is in flight.
+// hasInFlight reports whether a write of the key is in flight.
 func (p *primaryState) hasInFlight(key string) bool {
 	return slices.ContainsFunc(p.inFlight, func(w *inFlightWrite) bool { return w.record.Key == key })
 }
 
-// serve executes an operation as the shard's primary, queues it behind an in-flight write of the same key, or rejects it.
-func (n *Node) serve(s *shard, op Operation, client string) {
+// serveOperation executes an operation as the shard's primary, queues it behind an in-flight write of the same key, or rejects it.
+func (n *Node) serveOperation(s *shard, op Operation, client string) {
 	if reason := n.rejectReason(s); reason != ReasonNone {
-		n.reply(s, client, Result{OperationID: op.ID, Outcome: OutcomeRejected, Reason: reason})
+		n.replyToClient(s, client, Result{OperationID: op.ID, Outcome: OutcomeRejected, Reason: reason})
 		return
 	}
 	p := s.primary
 	if p.hasOperation(op) {
-		return // a retry of it
+		return // a retry: the first attempt is still in progress
 	}
 	if !p.hasInFlight(op.Key) {
-		n.execute(s, op, client)
+		n.executeOperation(s, op, client)
 		return
 	}
 	if p.queuedCount >= n.cfg.MaxPendingOperations {
-		n.reply(s, client, Result{OperationID: op.ID, Outcome: OutcomeRejected, Reason: ReasonBusy})
+		n.replyToClient(s, client, Result{OperationID: op.ID, Outcome: OutcomeRejected, Reason: ReasonBusy})
 		return
 	}
-	n.markMayBeDone(op.ID, client)
+	n.markMayBeCommitted(op.ID, client)
 	p.queuedCount++
-	p.queued[op.Key] = append(p.queued[op.Key], queuedOperation{op, client})
+	p.queuedByKey[op.Key] = append(p.queuedByKey[op.Key], queuedOperation{op, client})
 }
 
-// rejectReason is why a shard can't serve any operation now; ReasonNone if it can.
+// rejectReason returns why this member can't serve any operation on the shard now, ReasonNone if it can.
 func (n *Node) rejectReason(s *shard) RejectReason {
 	switch {
 	case n.diskFailed:
 		return ReasonDiskFailed
 	case !s.isPrimary():
 		return ReasonNotPrimary
-	case !s.primary.isAdopted():
+	case !s.primary.isBallotAdopted():
 		return ReasonReconfiguring
 	case len(s.inSync) < n.cfg.MinReplicas:
 		return ReasonTooFewReplicas
@@ -154,9 +156,9 @@
 	return ReasonNone
 }
 
-// execute decides on an operation on whose key nothing is in flight. Results that write nothing go to the replicas as well: a primary
-// that was replaced without knowing it would answer with old records.
-func (n *Node) execute(s *shard, op Operation, client string) {
+// executeOperation executes an operation on a key without in-flight writes. An operation that writes nothing is sent to the replicas as
+// well and needs their acknowledgements: otherwise a primary that was replaced without knowing it would answer with outdated records.
+func (n *Node) executeOperation(s *shard, op Operation, client string) {
 	current := s.records[op.Key]
 	w := &inFlightWrite{
 		operation: op,
@@ -164,15 +166,15 @@
 		result:    Result{OperationID: op.ID, Outcome: OutcomeCommitted, Record: current},
 	}
 	switch {
-	case !op.ReadOnly && wroteRecord(op, current): // committed by an earlier attempt
-	case op.ReadOnly || !expectsRecord(op, current):
+	case !op.ReadOnly && wroteRecord(op, current): // an earlier attempt has written it
+	case op.ReadOnly || !conditionHolds(op, current):
 		w.result.Outcome = OutcomeConflict
 	case !op.Delete && !current.exists() && !n.hasCapacity(op):
-		n.reply(s, client, Result{OperationID: op.ID, Outcome: OutcomeRejected, Reason: ReasonFull})
+		n.replyToClient(s, client, Result{OperationID: op.ID, Outcome: OutcomeRejected, Reason: ReasonFull})
 		return
 	default:
 		next := nextRecord(op, current)
-		n.markMayBeDone(op.ID, client)
+		n.markMayBeCommitted(op.ID, client)
 		n.setRecord(s, next)
 		n.persist(s, []Record{next}, false)
 		w.record = next
@@ -186,20 +188,20 @@
 	return r.OperationID == op.ID || slices.Contains(r.PastOperationIDs, op.ID)
 }
 
-// expectsRecord reports whether the operation's condition holds for the record in force.
-func expectsRecord(op Operation, current Record) bool {
+// conditionHolds reports whether the current record has the version that the operation expects.
+func conditionHolds(op Operation, current Record) bool {
 	if !current.exists() {
 		return op.ExpectedVersion == 0
 	}
 	return op.ExpectedVersion == current.Version
 }
 
-// hasCapacity reports whether the operation may add its key.
+// hasCapacity reports whether this member can store another key, with the operation's value.
 func (n *Node) hasCapacity(op Operation) bool {
 	return n.keys < n.cfg.MaxKeys && n.bytes+len(op.Key)+len(op.Value) <= n.cfg.MaxBytes
 }
 
-// nextRecord is the record that a write makes of the one in force.
+// nextRecord returns the record that a write replaces the current one with.
 func nextRecord(op Operation, current Record) Record {
 	next := Record{
 		Key:         op.Key,
@@ -217,25 +219,26 @@
 	return next
 }
 
-// replicate gives a write its place in the order and sends it to all replicas that have adopted the ballot.
+// replicate assigns a write its sequence number and sends it to all replicas that have adopted the ballot.
 func (n *Node) replicate(s *shard, w *inFlightWrite) {
 	p := s.primary
 	p.sequence++
 	w.sequence = p.sequence
 	w.digest = s.digest
 	p.inFlight = append(p.inFlight, w)
-	p.recent = append(p.recent, w)
-	if len(p.recent) > maxRecentWrites {
-		p.recent = p.recent[1:]
+	p.recentWrites = append(p.recentWrites, w)
+	if len(p.recentWrites) > maxRecentWrites {
+		p.recentWrites = p.recentWrites[1:]
 	}
 	for _, id := range s.followers() {
-		if p.replicas[id].adopted {
+		if p.replicas[id].ballotAdopted {
 			n.sendWrite(s, id, w)
 		}
 	}
 	n.commitAcknowledged(s)
 }
 
+// sendWrite sends a write to a replica and starts waiting for its acknowledgement.
 func (n *Node) sendWrite(s *shard, id string, w *inFlightWrite) {
 	if replica := s.primary.replicas[id]; replica.waitingSince < 0 {
 		replica.waitingSince = n.now
@@ -247,7 +250,7 @@
 	n.send(m)
 }
 
-// handleReplicaMessage takes a replica's answer to this ballot.
+// handleReplicaMessage handles a replica's answer in this member's ballot.
 func (n *Node) handleReplicaMessage(s *shard, m Message) {
 	replica := s.primary.replicas[m.From]
 	if replica == nil {
@@ -258,19 +261,20 @@
 	case MessageSnapshotRequest:
 		n.sendSnapshot(s, m.From)
 	case MessageBallotAck:
-		if !replica.adopted && !n.startReplica(s, m) {
+		if !replica.ballotAdopted && !n.startReplica(s, m) {
 			return
 		}
-		n.acknowledge(s, m)
+		n.handleAcknowledgement(s, m)
 	case MessageWriteAck:
-		n.acknowledge(s, m)
+		n.handleAcknowledgement(s, m)
 	}
 	n.commitAcknowledged(s)
 }
 
+// sendSnapshot sends a replica all records of the shard. The replica has to adopt the ballot again with them.
 func (n *Node) sendSnapshot(s *shard, id string) {
 	replica := s.primary.replicas[id]
-	replica.adopted = false
+	replica.ballotAdopted = false
 	replica.lastSent = n.now
 	n.send(Message{
 		Kind:              MessageSnapshot,
@@ -284,67 +288,69 @@
 	})
 }
 
-// startReplica sends a replica that has adopted the ballot the writes since. It returns false for one whose records are of no state
-// that this ballot had, after announcing the ballot again.
+// startReplica marks a replica as having adopted the ballot and sends it the writes since the state that it has. If the replica's records
+// match no recent state of this ballot, it announces the ballot again and returns false.
 func (n *Node) startReplica(s *shard, m Message) bool {
 	if w := s.primary.writeAt(m.Sequence); w == nil || w.digest != m.Digest {
 		n.announceBallot(s, m.From)
 		return false
 	}
 	replica := s.primary.replicas[m.From]
-	replica.adopted = true
-	replica.acknowledged = max(replica.acknowledged, m.Sequence)
+	replica.ballotAdopted = true
+	replica.acknowledgedSequence = max(replica.acknowledgedSequence, m.Sequence)
 	n.sendMissingWrites(s, m.From)
 	return true
 }
 
-// acknowledge notes which writes a replica has, and reports one that is joining and has all.
-func (n *Node) acknowledge(s *shard, m Message) {
+// handleAcknowledgement records which writes a replica has, and reports a joining replica that has all of them.
+func (n *Node) handleAcknowledgement(s *shard, m Message) {
 	replica := s.primary.replicas[m.From]
-	replica.acknowledged = max(replica.acknowledged, m.Sequence)
-	replica.waitingSince = noAnswerOutstanding
-	if replica.acknowledged < s.primary.sequence {
+	replica.acknowledgedSequence = max(replica.acknowledgedSequence, m.Sequence)
+	replica.waitingSince = notWaiting
+	if replica.acknowledgedSequence < s.primary.sequence {
 		replica.waitingSince = n.now
 	}
-	if replica.joining && replica.adopted && !replica.caughtUp && replica.acknowledged == s.primary.sequence {
+	if replica.joining && replica.ballotAdopted && !replica.caughtUp && replica.acknowledgedSequence == s.primary.sequence {
 		replica.caughtUp = true
 		n.reportCaughtUp(s, m.From)
 	}
 }
 
-// writeAt is a write of this ballot, nil where it is not among the recent ones.
+// writeAt returns the write of this ballot with a sequence number, nil if it is not among the recent writes.
 func (p *primaryState) writeAt(sequence uint64) *inFlightWrite {
-	i := int(sequence) - int(p.recent[0].sequence)
-	if i < 0 || i >= len(p.recent) {
+	i := int(sequence) - int(p.recentWrites[0].sequence)
+	if i < 0 || i >= len(p.recentWrites) {
 		return nil
 	}
-	return p.recent[i]
+	return p.recentWrites[i]
 }
 
-// sendMissingWrites sends a replica the writes that it lacks, or begins its ballot anew where these are not among the recent ones.
+// sendMissingWrites sends a replica the writes that it lacks. If they are no longer among the recent writes, the replica has to adopt the
+// ballot again.
 func (n *Node) sendMissingWrites(s *shard, id string) {
 	replica := s.primary.replicas[id]
 	replica.lastSent = n.now
-	if s.primary.writeAt(replica.acknowledged) == nil {
-		replica.adopted = false
+	if s.primary.writeAt(replica.acknowledgedSequence) == nil {
+		replica.ballotAdopted = false
 		n.announceBallot(s, id)
 		return
 	}
-	for sequence := replica.acknowledged + 1; sequence <= s.primary.sequence; sequence++ {
+	for sequence := replica.acknowledgedSequence + 1; sequence <= s.primary.sequence; sequence++ {
 		n.sendWrite(s, id, s.primary.writeAt(sequence))
 	}
 }
 
-// commitAcknowledged answers, in order, the writes that all required replicas have, and serves the operations queued behind them.
+// commitAcknowledged commits, in order, the writes that all required replicas have acknowledged: it replies to their clients and serves the
+// operations queued behind them.
 func (n *Node) commitAcknowledged(s *shard) {
 	for s.isPrimary() && len(s.primary.inFlight) > 0 {
 		w := s.primary.inFlight[0]
-		if !s.primary.hasAllAcknowledgements(w) {
+		if !s.primary.isAcknowledged(w) {
 			return
 		}
 		s.primary.inFlight = s.primary.inFlight[1:]
-		if !w.expires {
-			n.reply(s, w.client, w.result)
+		if !w.isExpiry {
+			n.replyToClient(s, w.client, w.result)
 		}
 		if w.changesKey() && !s.primary.hasInFlight(w.record.Key) {
 			n.serveQueued(s, w.record.Key)
@@ -352,21 +358,22 @@
 	}
 }
 
-func (p *primaryState) hasAllAcknowledgements(w *inFlightWrite) bool {
+// isAcknowledged reports whether all required replicas have acknowledged a write.
+func (p *primaryState) isAcknowledged(w *inFlightWrite) bool {
 	for _, replica := range p.replicas {
-		if replica.isRequired() && replica.acknowledged < w.sequence {
+		if replica.isRequired() && replica.acknowledgedSequence < w.sequence {
 			return false
 		}
 	}
 	return true
 }
 
-// serveQueued serves the operations that waited for a key.
+// serveQueued serves the operations that were queued for a key.
 func (n *Node) serveQueued(s *shard, key string) {
-	waiting := s.primary.queued[key]
-	delete(s.primary.queued, key)
+	waiting := s.primary.queuedByKey[key]
+	delete(s.primary.queuedByKey, key)
 	s.primary.queuedCount -= len(waiting)
 	for _, q := range waiting {
-		n.serve(s, q.operation, q.client)
+		n.serveOperation(s, q.operation, q.client)
 	}
 }
--- a/internal/fleet/replication/ready.go
+++ b/internal/fleet/replication/ready.go
@@ -1,20 +1,20 @@
 package replication
 
-// Write is a change of one shard on disk.
+// Write is a change of one shard that has to be written to disk.
 type Write struct {
 	Shard  int
 	Ballot Ballot
 	// ReplaceAll deletes all records of the shard before Records are written.
 	ReplaceAll bool
-	// Records are to be written; one with version 0 is to be deleted.
+	// Records are the records to write. A record with version 0 is deleted.
 	Records []Record
 }
 
-// Ready is what the caller has to do. Writes come first: Messages and Results may go out only once these are on disk.
+// Ready is the work that a Node hands to its caller. Messages and Results may be sent only once Writes are on disk.
 type Ready struct {
 	Writes   []Write
 	Messages []Message
-	// Results are those of operations that were submitted at this member.
+	// Results are the results of operations that were submitted at this member.
 	Results []Result
 	Reports []ReplicaReport
 }
--- a/internal/fleet/replication/replica.go
+++ b/internal/fleet/replication/replica.go
@@ -1,10 +1,10 @@
 package replication
 
-// becomeReplica begins a ballot in which another member leads.
+// becomeReplica starts a ballot of which another member is the primary.
 func (n *Node) becomeReplica(s *shard, ballot Ballot, inSync, joining []string) {
 	s.resign()
 	samePrimary := len(s.inSync) > 0 && len(inSync) > 0 && s.inSync[0] == inSync[0]
-	if !samePrimary { // the silence of one that leads on counts from its last message
+	if !samePrimary { // if the primary stays the same, its silence still counts from its last message
 		s.ballotSince = n.now
 	}
 	s.ballot = ballot
@@ -14,7 +14,8 @@
 	s.appliedSequence = 0
 }
 
-// handlePrimaryMessage takes a message of a shard's primary. One of an older ballot is rejected: its writes must not take hold.
+// handlePrimaryMessage handles a message from a shard's primary. A message of an older ballot is rejected, as its writes must not be
+// applied.
 func (n *Node) handlePrimaryMessage(s *shard, m Message) {
 	if m.Ballot.Less(s.ballot) {
 		n.answerPrimary(s, m.From, MessageStaleBallot)
@@ -30,10 +31,12 @@
 	}
 }
 
+// answerPrimary sends a primary an answer with this replica's ballot, sequence number and digest.
 func (n *Node) answerPrimary(s *shard, primary string, kind MessageKind) {
 	n.send(Message{Kind: kind, To: primary, Shard: s.number, Ballot: s.ballot, Sequence: s.appliedSequence, Digest: s.digest})
 }
 
+// handleBallot adopts the primary's ballot if the records here equal the primary's, and requests a snapshot otherwise.
 func (n *Node) handleBallot(s *shard, m Message) {
 	if len(m.InSync) == 0 || m.InSync[0] != m.From {
 		return
@@ -43,7 +46,7 @@
 		n.persist(s, nil, false)
 	}
 	switch {
-	case s.ballotAdopted: // sent twice: the records here may be newer by now
+	case s.ballotAdopted: // a repeated message: the records here may be newer by now
 		n.answerPrimary(s, m.From, MessageBallotAck)
 	case m.Digest == s.digest:
 		s.ballotAdopted = true
@@ -54,11 +57,12 @@
 	}
 }
 
+// handleSnapshot replaces the shard's records by the primary's.
 func (n *Node) handleSnapshot(s *shard, m Message) {
 	if m.Ballot != s.ballot || m.TargetIncarnation != n.cfg.Incarnation {
-		return // one for an earlier incarnation lacks what was acknowledged since
+		return // a snapshot for an earlier incarnation lacks writes acknowledged since
 	}
-	if s.ballotAdopted && m.Sequence <= s.appliedSequence { // late: it would undo what was acknowledged since
+	if s.ballotAdopted && m.Sequence <= s.appliedSequence { // a late snapshot would undo writes acknowledged since
 		n.answerPrimary(s, m.From, MessageBallotAck)
 		return
 	}
@@ -72,9 +76,10 @@
 	n.answerPrimary(s, m.From, MessageBallotAck)
 }
 
+// handleWrite applies a write if it is the next one, and acknowledges all writes applied so far.
 func (n *Node) handleWrite(s *shard, m Message) {
 	if m.Ballot != s.ballot {
-		return // its MessageBallot is on its way, or is sent again
+		return // the primary's MessageBallot has not arrived yet; a lost one is sent again
 	}
 	if !s.ballotAdopted {
 		n.answerPrimary(s, m.From, MessageSnapshotRequest)
@@ -89,10 +94,10 @@
 			n.persist(s, m.Records, false)
 		}
 	}
-	n.answerPrimary(s, m.From, MessageWriteAck) // where a write was lost, of those before it
+	n.answerPrimary(s, m.From, MessageWriteAck) // if a write was lost, this acknowledges only those before it
 }
 
-// dropShard removes the records of a shard of which this member is no replica any more.
+// dropShard removes the records of a shard of which this member is no longer a replica.
 func (n *Node) dropShard(s *shard) {
 	if len(s.records) == 0 {
 		return
--- a/internal/fleet/replication/shard.go
+++ b/internal/fleet/replication/shard.go
@@ -8,28 +8,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// shard is one shard as this member knows it.
+// shard is this member's state of one shard.
 type shard struct {
 	number  int
 	ballot  Ballot
-	inSync  []string // as in the configuration: the first is the primary
-	joining []string
-	records map[string]Record
-	digest  uint64 // of all records: the exclusive or of their digests
+	inSync  []string          // the configuration's in-sync replicas, the primary first
+	joining []string          // the configuration's joining replicas
+	records map[string]Record // by key
+	digest  uint64            // exclusive or of the digests of all records
 
-	// primary is nil while another member leads the shard.
+	// primary is the primary's state, nil if this member is not the shard's primary.
 	primary *primaryState
 
-	// As a replica of another member's ballot.
-	ballotAdopted   bool          // the records are those of the primary at appliedSequence
-	appliedSequence uint64        // of the newest write of this ballot that was applied
-	ballotSince     time.Duration // a primary that was not heard of yet is missed from here on
+	// The remaining fields are used by replicas.
+	ballotAdopted   bool          // the records equal those of the primary as of appliedSequence
+	appliedSequence uint64        // sequence number of the newest applied write of this ballot
+	ballotSince     time.Duration // since when a primary without any message counts as silent
 }
 
 // isPrimary reports whether this member leads the shard.
 func (s *shard) isPrimary() bool { return s.primary != nil }
 
-// followers are all replicas of a shard but its primary.
+// followers returns all replicas of the shard except its primary.
 func (s *shard) followers() []string {
 	all := slices.Concat(s.inSync, s.joining)
 	if len(all) == 0 {
@@ -38,7 +38,7 @@
 	return all[1:]
 }
 
-// sortedRecords are the shard's records by key.
+// sortedRecords returns the shard's records, sorted by key.
 func (s *shard) sortedRecords() []Record {
 	all := make([]Record, 0, len(s.records))
 	for _, r := range s.records {
@@ -48,7 +48,7 @@
 	return all
 }
 
-// setRecord stores a record in memory; one with version 0 is removed.
+// setRecord stores a record in memory. A record with version 0 is removed.
 func (n *Node) setRecord(s *shard, r Record) {
 	if old, exists := s.records[r.Key]; exists {
 		s.digest ^= recordDigest(old)
@@ -75,14 +75,14 @@
 	s.digest = 0
 }
 
-// recordDigest is compared between members: it must not change.
+// recordDigest hashes a record. Members compare the digests of their shards, so the hash must not change.
 func recordDigest(r Record) uint64 {
 	var deleted byte
 	if r.Deleted {
 		deleted = 1
 	}
 	d := xxhash.New()
-	_, _ = d.WriteString(r.Key) // a hash's writes never fail
+	_, _ = d.WriteString(r.Key) // writing to a hash never fails
 	_, _ = d.Write([]byte{0, byte(r.Version), byte(r.Version >> 8), byte(r.Version >> 16), byte(r.Version >> 24), deleted})
 	_, _ = d.Write(r.Value)
 	_, _ = d.WriteString(r.OperationID)
--- a/internal/fleet/replication/timeouts.go
+++ b/internal/fleet/replication/timeouts.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// checkTimeouts resends what was not answered, and reports members that are silent for too long.
+// checkTimeouts resends unanswered messages of a shard and reports members that have been silent for too long.
 func (n *Node) checkTimeouts(s *shard) {
 	if !s.isPrimary() {
 		n.checkPrimary(s)
@@ -13,7 +13,7 @@
 	}
 }
 
-// checkPrimary reports a primary that is silent for too long.
+// checkPrimary reports the shard's primary if this member is an in-sync replica and has not heard from the primary for too long.
 func (n *Node) checkPrimary(s *shard) {
 	if !slices.Contains(s.inSync, n.cfg.ID) {
 		return
@@ -26,13 +26,14 @@
 	}
 }
 
-// checkReplica resends to a replica, and reports it where it has caught up or owes an answer for too long.
+// checkReplica resends a replica what it has not acknowledged. It also reports a replica that has caught up, again if need be, or whose
+// answer is overdue.
 func (n *Node) checkReplica(s *shard, id string) {
 	replica := s.primary.replicas[id]
 	if n.now-replica.lastSent >= resendInterval {
-		if !replica.adopted {
+		if !replica.ballotAdopted {
 			n.announceBallot(s, id)
-		} else if replica.acknowledged < s.primary.sequence {
+		} else if replica.acknowledgedSequence < s.primary.sequence {
 			n.sendMissingWrites(s, id)
 		}
 	}
@@ -45,19 +46,20 @@
 	}
 }
 
-// reportCaughtUp reports that a joining replica has all writes. It is repeated, as a report may be lost.
+// reportCaughtUp reports that a joining replica has all writes. The report is repeated, as it may be lost.
 func (n *Node) reportCaughtUp(s *shard, id string) {
 	s.primary.replicas[id].caughtUpReportedAt = n.now
-	n.report(ReplicaReport{Shard: s.number, Configuration: s.ballot.Configuration, From: n.cfg.ID, Subject: id, CaughtUp: true})
+	n.queueReport(ReplicaReport{Shard: s.number, Configuration: s.ballot.Configuration, From: n.cfg.ID, Subject: id, CaughtUp: true})
 }
 
+// reportSuspicion reports that a replica may have failed.
 func (n *Node) reportSuspicion(s *shard, id string) {
-	n.report(ReplicaReport{Shard: s.number, Configuration: s.ballot.Configuration, From: n.cfg.ID, Subject: id})
+	n.queueReport(ReplicaReport{Shard: s.number, Configuration: s.ballot.Configuration, From: n.cfg.ID, Subject: id})
 }
 
-func (n *Node) report(r ReplicaReport) { n.ready.Reports = append(n.ready.Reports, r) }
+func (n *Node) queueReport(r ReplicaReport) { n.ready.Reports = append(n.ready.Reports, r) }
 
-// forgetSilentMembers bounds lastHeard.
+// forgetSilentMembers removes members not heard from for memberTTL from lastHeard, so that it does not grow without bound.
 func (n *Node) forgetSilentMembers() {
 	for id, at := range n.lastHeard {
 		if n.now-at > memberTTL {
@@ -66,7 +68,7 @@
 	}
 }
 
-// sendHeartbeats sends one to each other replica of the shards that this member leads.
+// sendHeartbeats sends a heartbeat to every member that is another replica of a shard that this member leads.
 func (n *Node) sendHeartbeats() {
 	followers := map[string]bool{}
 	for i := range n.shards {
