--- a/internal/fleet/idempotency/golden_test.go
+++ b/internal/fleet/idempotency/golden_test.go
@@ -15,7 +15,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestRecordFormat holds the bytes of each state of a record, and the operations that ask for them, against those of an earlier program.
+// TestRecordFormat compares the encoded record of each state, and the operations that write them, with those of an earlier version of the
+// program, so that the two can read each other's records.
 func TestRecordFormat(t *testing.T) {
 	var out strings.Builder
 	note := func(name string, op replication.Operation) {
@@ -63,7 +64,7 @@
 		t.Fatal(err)
 	}
 	if out.String() != string(want) {
-		t.Errorf("got\n%swant\n%s", out.String(), want)
+		t.Errorf("records or operations differ from the golden file: got\n%swant\n%s", out.String(), want)
 	}
 	for i, v := range values {
 		var got Record
--- a/internal/fleet/idempotency/idempotency.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -1,8 +1,10 @@
-// Package idempotency decides what a balancer may do with a session whose class is replicated: before the first byte
-// goes to a server, the fleet has to hold a record that it will; before a success is sent to the client, that it was
-// established. The package is pure: results of operations in, the next operation or a decision out. It must never allow
-// a byte on an operation whose outcome is unknown, and never let two balancers both own a session: a later one first
-// marks the record of the earlier one as abandoned, in the one order that all replicas have.
+// Package idempotency decides what a balancer may do with a session whose class is replicated. Before the balancer sends
+// the first byte to a server, the fleet must have stored a record of the attempt; before it reports success to the client,
+// the fleet must have stored the answer.
+//
+// The package does no I/O: results of operations go in, the next operation or a decision comes out. It must never permit a
+// write to a server while the outcome of an operation is unknown, and never let two balancers own the same session: the
+// later one first marks the earlier one's record as abandoned, and all replicas apply these writes in the same order.
 package idempotency
 
 import (
@@ -13,66 +15,66 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// RecordTTL is how long a record is kept, from its creation on.
+// RecordTTL is how long a record is stored after its creation.
 const RecordTTL = 10 * time.Minute
 
-// maxSteps bounds the operations of one request: each that conflicts shows the newer record.
-const maxSteps = 6
+// maxConflictsPerRequest bounds the operations of one request: each conflict returns the newer record and may need one more operation.
+const maxConflictsPerRequest = 6
 
-// KeyPrefix begins the keys of all records.
+// KeyPrefix is the common prefix of the keys of all records.
 const KeyPrefix = "intent/"
 
-// Key returns the key of a session id's record.
+// Key returns the key of the record of the session with this ID.
 func Key(id uint64) string { return fmt.Sprintf("%s%016x", KeyPrefix, id) }
 
-// recordState is the state of a record as it is stored.
+// recordState is the state of a stored record. The strings are part of the storage format.
 type recordState string
 
 const (
-	recordPending   recordState = "meant"    // its owner may write to a server
-	recordAnswered  recordState = "answered" // Answer is the final answer
-	recordAbandoned recordState = "broken"   // another balancer asked before an answer: it may have run and will not again
-	recordWithdrawn recordState = "never"    // it never ran: the next balancer that asks may run it
+	recordPending   recordState = "meant"    // the owner may write to a server
+	recordAnswered  recordState = "answered" // Record.Answer is the final answer
+	recordAbandoned recordState = "broken"   // another balancer asked before there was an answer: the session may have run and must not run again
+	recordWithdrawn recordState = "never"    // the session never ran: the next balancer that asks may run it
 )
 
-// Record is the value of a stored record, as JSON.
+// Record is the value of a stored record. It is encoded as JSON.
 type Record struct {
 	State    recordState `json:"state"`
-	Owner    string      `json:"owner"`            // of one session at one balancer
-	Endpoint string      `json:"server,omitempty"` // of the newest attempt
+	Owner    string      `json:"owner"`            // identifies one session at one balancer
+	Endpoint string      `json:"server,omitempty"` // the server of the newest attempt
 	Answer   []byte      `json:"answer,omitempty"`
 }
 
-// Decision is what a Claim decides on the result of an operation.
+// Decision is a Claim's decision after the result of an operation.
 type Decision uint8
 
-// The decisions.
+// The decisions that a Claim makes.
 const (
-	Wait        Decision = iota // another operation is to be submitted
+	Wait        Decision = iota // the caller has to submit another operation
 	Proceed                     // the owner may write to the server
-	Replay                      // there is a final answer, Claim.Answer
+	Replay                      // the session has a final answer, Claim.Answer
 	Abandoned                   // the session may have run and must not run again
-	Unavailable                 // nothing was recorded in time: the session never ran here
+	Unavailable                 // nothing was recorded in time: after Begin, the session has not run here
 	Recorded                    // the answer is recorded
 )
 
-// Claim is one session's part in its record, from the first attempt to the answer. It is not safe for concurrent use.
+// Claim tracks one session's claim to its record, from the first attempt to the answer. It is not safe for concurrent use.
 type Claim struct {
 	Key       string
 	Owner     string
 	CreatedAt int64 // Unix seconds
 	Answer    []byte
 
-	version    uint64 // of this owner's newest write
-	isOwner    bool   // a write of this owner is known to be committed
-	isLost     bool   // the record of another owner, or its answer, holds
-	goal       goal
-	next       Record // to be written
-	steps      int    // of the current request
-	operations int
+	version            uint64 // version of the record that this owner wrote last
+	isOwner            bool   // a write of this owner is known to be committed
+	mustNotRun         bool   // the record shows another owner's attempt or answer, so this owner must not run the session
+	goal               goal
+	nextRecord         Record // the record to write
+	conflictsInRequest int    // number of conflicts in the current request
+	operations         int    // number of all operations so far, for their IDs
 }
 
-// goal is what the current request of a Claim is for.
+// goal is the purpose of a Claim's current request.
 type goal uint8
 
 const (
@@ -82,59 +84,60 @@
 	goalWithdraw
 )
 
-// New returns the claim of a session for which nothing was requested yet.
+// New returns the claim of a session before its first request.
 func New(id uint64, owner string, createdAt int64) *Claim {
 	return &Claim{Key: Key(id), Owner: owner, CreatedAt: createdAt}
 }
 
-// NeedsWithdrawal reports whether a record of this owner may be stored on which nobody will act.
-func (c *Claim) NeedsWithdrawal() bool { return c.operations > 0 && !c.isLost }
+// NeedsWithdrawal reports whether a record of this owner may be stored that has to be withdrawn if the session ends now.
+func (c *Claim) NeedsWithdrawal() bool { return c.operations > 0 && !c.mustNotRun }
 
-// Begin requests the right to write to a server and returns the first operation for it.
+// Begin requests permission to write to a server. It returns the request's first operation.
 func (c *Claim) Begin(endpoint string) replication.Operation {
 	c.goal = goalBegin
-	c.steps = 0
-	c.next = Record{State: recordPending, Owner: c.Owner, Endpoint: endpoint}
-	return c.write(c.version)
+	c.conflictsInRequest = 0
+	c.nextRecord = Record{State: recordPending, Owner: c.Owner, Endpoint: endpoint}
+	return c.writeOperation(c.version)
 }
 
-// RecordAnswer requests that the final answer is recorded and returns the first operation for it.
+// RecordAnswer requests that the final answer is recorded. It returns the request's first operation.
 func (c *Claim) RecordAnswer(answer []byte) replication.Operation {
 	c.goal = goalAnswer
-	c.steps = 0
-	c.next = Record{State: recordAnswered, Owner: c.Owner, Answer: answer}
-	return c.write(c.version)
+	c.conflictsInRequest = 0
+	c.nextRecord = Record{State: recordAnswered, Owner: c.Owner, Answer: answer}
+	return c.writeOperation(c.version)
 }
 
-// Withdraw records that a session which has ended never ran. It is the last request of a claim, and nobody waits for
-// it. Without it the next balancer that asks would learn that the session may have run.
+// Withdraw requests that an ended session is recorded as never having run. It is a claim's last request, and nobody waits
+// for its result. Without it, the next balancer that asks would have to assume that the session may have run.
 func (c *Claim) Withdraw() replication.Operation {
 	c.goal = goalWithdraw
-	c.steps = 0
-	c.next = Record{State: recordWithdrawn, Owner: c.Owner}
+	c.conflictsInRequest = 0
+	c.nextRecord = Record{State: recordWithdrawn, Owner: c.Owner}
 	if c.isOwner {
-		return c.write(c.version)
+		return c.writeOperation(c.version)
 	}
-	// It is unknown whether the record was stored: read it first.
+	// It is unknown whether the record was stored, so read it first.
 	return replication.Operation{ID: c.nextOperationID(), Key: c.Key, ReadOnly: true}
 }
 
-// write returns the operation that writes the next record over a version.
-func (c *Claim) write(version uint64) replication.Operation {
-	value, err := json.Marshal(c.next)
+// writeOperation returns the operation that replaces a version of the record by nextRecord.
+func (c *Claim) writeOperation(version uint64) replication.Operation {
+	value, err := json.Marshal(c.nextRecord)
 	if err != nil {
-		panic(err) // it holds plain values only
+		panic(err) // a Record contains only values that can be encoded
 	}
 	return replication.Operation{ID: c.nextOperationID(), Key: c.Key, ExpectedVersion: version, Value: value, CreatedAt: c.CreatedAt}
 }
 
+// nextOperationID returns a new ID, unique among all operations of all owners.
 func (c *Claim) nextOperationID() string {
 	c.operations++
 	return fmt.Sprintf("%s.%d", c.Owner, c.operations)
 }
 
-// HandleResult handles the result of the newest operation. It returns a decision; with Wait, the operation to submit
-// next.
+// HandleResult handles the result of the newest operation and returns a decision. With Wait it also returns the operation to
+// submit next.
 func (c *Claim) HandleResult(result replication.Result) (Decision, replication.Operation) {
 	switch result.Outcome {
 	case replication.OutcomeCommitted:
@@ -146,10 +149,11 @@
 	}
 }
 
+// handleCommit decides after the request's write has been committed.
 func (c *Claim) handleCommit(version uint64) Decision {
 	switch c.goal {
 	case goalAbandon:
-		c.isLost = true
+		c.mustNotRun = true
 		return Abandoned
 	case goalWithdraw:
 		return Unavailable
@@ -162,17 +166,17 @@
 	return Proceed
 }
 
-// handleConflict decides by the record that is stored in place of the expected one.
+// handleConflict decides by the stored record, which is not the one that the operation expected.
 func (c *Claim) handleConflict(stored replication.Record) (Decision, replication.Operation) {
-	c.steps++
-	if c.steps > maxSteps {
+	c.conflictsInRequest++
+	if c.conflictsInRequest > maxConflictsPerRequest {
 		return Unavailable, replication.Operation{}
 	}
-	if stored.Deleted || stored.Version == 0 { // the record has expired, or there never was one
+	if stored.Deleted || stored.Version == 0 { // the record has expired or never existed
 		if c.isOwner {
 			return Unavailable, replication.Operation{}
 		}
-		return Wait, c.write(0)
+		return Wait, c.writeOperation(0)
 	}
 	var record Record
 	if err := json.Unmarshal(stored.Value, &record); err != nil {
@@ -180,20 +184,20 @@
 	}
 	switch {
 	case c.goal == goalWithdraw && record.Owner == c.Owner && record.State == recordPending:
-		return Wait, c.write(stored.Version)
+		return Wait, c.writeOperation(stored.Version)
 	case c.goal == goalWithdraw:
 		return Unavailable, replication.Operation{}
 	case record.State == recordAnswered:
 		c.Answer = record.Answer
-		c.isLost = true
+		c.mustNotRun = true
 		return Replay, replication.Operation{}
-	case record.State == recordAbandoned, c.isOwner: // another balancer has replaced this owner's record
-		c.isLost = true
+	case record.State == recordAbandoned, c.isOwner: // the session was abandoned, or another balancer has replaced this owner's record
+		c.mustNotRun = true
 		return Abandoned, replication.Operation{}
 	case record.State == recordWithdrawn:
-		return Wait, c.write(stored.Version)
+		return Wait, c.writeOperation(stored.Version)
 	}
 	c.goal = goalAbandon
-	c.next = Record{State: recordAbandoned, Owner: c.Owner}
-	return Wait, c.write(stored.Version)
+	c.nextRecord = Record{State: recordAbandoned, Owner: c.Owner}
+	return Wait, c.writeOperation(stored.Version)
 }
--- a/internal/fleet/idempotency/idempotency_test.go
+++ b/internal/fleet/idempotency/idempotency_test.go
@@ -7,7 +7,7 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// phase is how far a session with a claim has come.
+// phase is how far a session with a claim has progressed.
 type phase int
 
 const (
@@ -20,19 +20,19 @@
 	phaseWithdrawing
 )
 
-// world is one record with the two sessions that claim it; each is one state of the search.
-type world struct {
-	record     replication.Record
-	claims     [2]Claim
-	phase      [2]phase
-	operations [2]replication.Operation
-	delayed    [2]replication.Operation // still on its way, though its session has given it up
-	ran        [2]bool
-	replies    [2]string
+// searchState is one state of the search: a record and the two sessions that claim it.
+type searchState struct {
+	record            replication.Record
+	claims            [2]Claim
+	phase             [2]phase
+	operations        [2]replication.Operation
+	delayedOperations [2]replication.Operation // still in transit, after their sessions have stopped waiting for them
+	ran               [2]bool                  // whether the session wrote to a server
+	replies           [2]string                // what the session sent to its client
 }
 
-// apply is what the primary does with a write of the record.
-func apply(current replication.Record, op replication.Operation) (replication.Record, replication.Result) {
+// applyWrite executes a write of the record as the primary does.
+func applyWrite(current replication.Record, op replication.Operation) (replication.Record, replication.Result) {
 	exists := current.Version > 0 && !current.Deleted
 	if exists && op.ExpectedVersion != current.Version || !exists && op.ExpectedVersion != 0 {
 		return current, replication.Result{OperationID: op.ID, Outcome: replication.OutcomeConflict, Record: current}
@@ -41,159 +41,160 @@
 	return next, replication.Result{OperationID: op.ID, Outcome: replication.OutcomeCommitted, Record: next}
 }
 
-// String identifies a state of the search.
-func (w world) String() string {
-	text := fmt.Sprint(string(w.record.Value), w.record.Version, w.phase, w.ran, w.replies)
+// String returns a text that identifies a state of the search.
+func (s searchState) String() string {
+	text := fmt.Sprint(string(s.record.Value), s.record.Version, s.phase, s.ran, s.replies)
 	for i := range 2 {
-		claim := w.claims[i]
-		text += fmt.Sprint(" claim ", claim.isLost, claim.isOwner, claim.goal, claim.version, claim.steps)
-		op := w.operations[i]
+		claim := s.claims[i]
+		text += fmt.Sprint(" claim ", claim.mustNotRun, claim.isOwner, claim.goal, claim.version, claim.conflictsInRequest)
+		op := s.operations[i]
 		text += fmt.Sprint(" operation ", op.ReadOnly, op.ExpectedVersion, string(op.Value))
-		text += fmt.Sprint(" delayed ", w.delayed[i].ID, w.delayed[i].ExpectedVersion)
+		text += fmt.Sprint(" delayed ", s.delayedOperations[i].ID, s.delayedOperations[i].ExpectedVersion)
 	}
 	return text
 }
 
-// successors are all states that one step of either session leads to.
-func (w world) successors() []world {
-	var all []world
+// successors returns all states that are one step away: a step of either session, or the arrival of a delayed operation.
+func (s searchState) successors() []searchState {
+	var all []searchState
 	for i := range 2 {
-		if w.delayed[i].ID != "" {
-			arrived := w
-			arrived.record, _ = apply(w.record, w.delayed[i])
-			arrived.delayed[i] = replication.Operation{}
+		if s.delayedOperations[i].ID != "" {
+			arrived := s
+			arrived.record, _ = applyWrite(s.record, s.delayedOperations[i])
+			arrived.delayedOperations[i] = replication.Operation{}
 			all = append(all, arrived)
 		}
-		all = append(all, w.sessionSteps(i)...)
+		all = append(all, s.afterSessionStep(i)...)
 	}
 	return all
 }
 
-// sessionSteps are the states after one step of session i.
-func (w world) sessionSteps(i int) []world {
-	switch w.phase[i] {
+// afterSessionStep returns the states after one step of session i.
+func (s searchState) afterSessionStep(i int) []searchState {
+	switch s.phase[i] {
 	case phaseNotBegun:
-		begun := w
+		begun := s
 		begun.operations[i] = begun.claims[i].Begin("s")
 		begun.phase[i] = phaseRequesting
-		return []world{begun}
+		return []searchState{begun}
 	case phaseRequesting, phaseRecording:
-		return w.operationOutcomes(i)
+		return s.afterOperation(i)
 	case phaseMayWrite:
-		wrote := w
+		wrote := s
 		wrote.ran[i] = true
 		wrote.phase[i] = phaseWritten
-		return []world{wrote, w.stopped(i)}
+		return []searchState{wrote, s.afterStop(i)}
 	case phaseWritten:
-		answered := w
+		answered := s
 		answered.operations[i] = answered.claims[i].RecordAnswer([]byte("UP"))
 		answered.phase[i] = phaseRecording
-		return []world{answered, w.stopped(i)}
+		return []searchState{answered, s.afterStop(i)}
 	case phaseWithdrawing:
-		return []world{w.withdrawn(i), w.stopped(i)}
+		return []searchState{s.afterWithdrawal(i), s.afterStop(i)}
 	}
 	return nil
 }
 
-// stopped is the state after session i's process has stopped.
-func (w world) stopped(i int) world {
-	w.phase[i] = phaseEnded
-	return w
+// afterStop returns the state after session i's process has stopped.
+func (s searchState) afterStop(i int) searchState {
+	s.phase[i] = phaseEnded
+	return s
 }
 
-// operationOutcomes are the states after session i's operation: committed with and without its result, rejected, and delayed.
-func (w world) operationOutcomes(i int) []world {
-	record, result := apply(w.record, w.operations[i])
-	committed := w
+// afterOperation returns the states after session i's operation: committed, committed with its result lost, rejected, and delayed.
+func (s searchState) afterOperation(i int) []searchState {
+	record, result := applyWrite(s.record, s.operations[i])
+	committed := s
 	committed.record = record
-	committed.handle(i, result)
+	committed.handleResult(i, result)
 
-	resultLost := w
+	resultLost := s
 	resultLost.record = record
-	resultLost.handle(i, replication.Result{Outcome: replication.OutcomeUnknown})
+	resultLost.handleResult(i, replication.Result{Outcome: replication.OutcomeUnknown})
 
-	rejected := w
-	rejected.handle(i, replication.Result{Outcome: replication.OutcomeRejected})
+	rejected := s
+	rejected.handleResult(i, replication.Result{Outcome: replication.OutcomeRejected})
 
-	delayed := w
-	delayed.handle(i, replication.Result{Outcome: replication.OutcomeUnknown})
-	delayed.delayed[i] = w.operations[i]
-	return []world{committed, resultLost, rejected, delayed}
+	delayed := s
+	delayed.handleResult(i, replication.Result{Outcome: replication.OutcomeUnknown})
+	delayed.delayedOperations[i] = s.operations[i]
+	return []searchState{committed, resultLost, rejected, delayed}
 }
 
-// withdrawn is the state after session i's withdrawal, which nobody waits for.
-func (w world) withdrawn(i int) world {
-	record := w.record
-	result := replication.Result{Outcome: replication.OutcomeConflict, Record: w.record}
-	if !w.operations[i].ReadOnly {
-		record, result = apply(w.record, w.operations[i])
+// afterWithdrawal returns the state after the next operation of session i's withdrawal.
+func (s searchState) afterWithdrawal(i int) searchState {
+	record := s.record
+	result := replication.Result{Outcome: replication.OutcomeConflict, Record: s.record}
+	if !s.operations[i].ReadOnly {
+		record, result = applyWrite(s.record, s.operations[i])
 	}
-	w.record = record
-	if decision, op := w.claims[i].HandleResult(result); decision == Wait {
-		w.operations[i] = op
+	s.record = record
+	if decision, op := s.claims[i].HandleResult(result); decision == Wait {
+		s.operations[i] = op
 	} else {
-		w.phase[i] = phaseEnded
+		s.phase[i] = phaseEnded
 	}
-	return w
+	return s
 }
 
-// handle gives session i the result of its operation.
-func (w *world) handle(i int, r replication.Result) {
-	decision, op := w.claims[i].HandleResult(r)
+// handleResult passes session i the result of its operation and follows its decision.
+func (s *searchState) handleResult(i int, r replication.Result) {
+	decision, op := s.claims[i].HandleResult(r)
 	switch decision {
 	case Wait:
-		w.operations[i] = op
+		s.operations[i] = op
 	case Proceed:
-		w.phase[i] = phaseMayWrite
+		s.phase[i] = phaseMayWrite
 	case Recorded:
-		w.end(i, "UP")
+		s.endSession(i, "UP")
 	case Unavailable:
-		w.handleUnavailable(i)
+		s.handleUnavailable(i)
 	default:
-		w.end(i, map[Decision]string{Replay: "same", Abandoned: "ERR"}[decision])
+		s.endSession(i, map[Decision]string{Replay: "same", Abandoned: "ERR"}[decision])
 	}
 }
 
-func (w *world) handleUnavailable(i int) {
-	if w.phase[i] == phaseRecording { // it ran: the client gets the answer even so
-		w.end(i, "UP")
+// handleUnavailable ends session i after a request without effect, and withdraws its record if need be.
+func (s *searchState) handleUnavailable(i int) {
+	if s.phase[i] == phaseRecording { // the session ran, so the client still gets the answer
+		s.endSession(i, "UP")
 		return
 	}
-	w.end(i, "BUSY")
-	if w.claims[i].NeedsWithdrawal() {
-		w.phase[i] = phaseWithdrawing
-		w.operations[i] = w.claims[i].Withdraw()
+	s.endSession(i, "BUSY")
+	if s.claims[i].NeedsWithdrawal() {
+		s.phase[i] = phaseWithdrawing
+		s.operations[i] = s.claims[i].Withdraw()
 	}
 }
 
-func (w *world) end(i int, reply string) {
-	w.replies[i] = reply
-	w.phase[i] = phaseEnded
+func (s *searchState) endSession(i int, reply string) {
+	s.replies[i] = reply
+	s.phase[i] = phaseEnded
 }
 
-// TestNothingRunsTwice visits every state of two sessions with the same idempotency key: at most one of them may write to an endpoint,
-// and none may replay an answer that never was given.
+// TestNothingRunsTwice visits every reachable state of two sessions with the same idempotency key. At most one of them may write to an
+// endpoint, and none may replay an answer that was never given.
 func TestNothingRunsTwice(t *testing.T) {
-	begin := world{claims: [2]Claim{*New(7, "a", 1), *New(7, "b", 1)}}
+	begin := searchState{claims: [2]Claim{*New(7, "a", 1), *New(7, "b", 1)}}
 	seen := map[string]bool{begin.String(): true}
-	queue := []world{begin}
+	queue := []searchState{begin}
 	depth := 0
 	ran := 0
 	for len(queue) > 0 {
-		var more []world
-		for _, w := range queue {
-			if w.ran[0] && w.ran[1] {
-				t.Fatalf("both ran: %v", w)
+		var more []searchState
+		for _, s := range queue {
+			if s.ran[0] && s.ran[1] {
+				t.Fatalf("both sessions ran: %v", s)
 			}
 			for i := range 2 {
-				if w.replies[i] == "same" && !w.ran[1-i] {
-					t.Fatalf("an answer to what never ran: %v", w)
+				if s.replies[i] == "same" && !s.ran[1-i] {
+					t.Fatalf("replayed the answer of a session that never ran: %v", s)
 				}
-				if w.ran[i] {
+				if s.ran[i] {
 					ran++
 				}
 			}
-			for _, n := range w.successors() {
+			for _, n := range s.successors() {
 				if k := n.String(); !seen[k] {
 					seen[k] = true
 					more = append(more, n)
@@ -205,6 +206,6 @@
 	}
 	t.Logf("%d states, depth %d", len(seen), depth)
 	if len(seen) < 1000 || ran == 0 {
-		t.Errorf("only %d states, %d of them after a run", len(seen), ran)
+		t.Errorf("only %d states visited, %d of them after a run; want at least 1000, some of them after a run", len(seen), ran)
 	}
 }
