--- a/internal/fleet/shardmap/bench_test.go
+++ b/internal/fleet/shardmap/bench_test.go
@@ -10,7 +10,7 @@
 // startCPUMeter starts a benchmark's measured part. The returned function ends it, and reports and returns the processor time of one
 // operation in ns, garbage collection included: it depends less on the machine's other load than elapsed time.
 func startCPUMeter(b *testing.B) func() float64 {
-	processor := func() time.Duration {
+	cpuTime := func() time.Duration {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 			b.Fatal(err)
@@ -18,11 +18,11 @@
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
 	b.ReportAllocs()
-	from := processor()
+	from := cpuTime()
 	b.ResetTimer()
 	return func() float64 {
 		b.StopTimer()
-		each := float64(processor()-from) / float64(b.N)
+		each := float64(cpuTime()-from) / float64(b.N)
 		b.ReportMetric(each, "cpu-ns/op")
 		return each
 	}
--- a/internal/fleet/shardmap/configuration.go
+++ b/internal/fleet/shardmap/configuration.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// Configuration names the replicas of a shard. Each change of it has the next number, and each number exists once.
+// Configuration names the replicas of a shard. Each change increments the number, and no two configurations of a shard have the same one.
 type Configuration struct {
 	// Number is 0 before the first configuration.
 	Number uint64 `json:"n"`
-	// InSync replicas have every committed write; the first is the primary.
+	// InSync are the replicas that have every committed write. The first one is the primary.
 	InSync []string `json:"f"`
-	// Joining replicas are copying the shard's records.
+	// Joining are the replicas that are still copying the shard's records.
 	Joining []string `json:"j,omitempty"`
-	// DataLosses counts how often the shard began empty again, as all replicas with its records were lost.
+	// DataLosses counts how often the shard was restarted empty because all replicas with its records were lost.
 	DataLosses int `json:"l,omitempty"`
 }
 
-// Primary is the member that orders the shard's writes; empty before the first configuration.
+// Primary returns the ID of the member that orders the shard's writes, empty before the first configuration.
 func (c Configuration) Primary() string {
 	if len(c.InSync) == 0 {
 		return ""
@@ -25,16 +25,16 @@
 // ShardChange replaces the configuration of one shard.
 type ShardChange struct {
 	Shard int `json:"s"`
-	// BaseNumber is the configuration that the change was made from.
+	// BaseNumber is the number of the configuration that the change was made from.
 	BaseNumber uint64   `json:"o"`
 	InSync     []string `json:"f"`
 	Joining    []string `json:"j,omitempty"`
-	// Reset gives up the shard's records: no replica of the configuration before needs to be among the new ones.
+	// Reset gives up the shard's records: the new replicas need not include any replica of the previous configuration.
 	Reset bool `json:"a,omitempty"`
 }
 
-// next is the configuration that the change makes of the one in force.
-func (c ShardChange) next(current Configuration) Configuration {
+// nextConfiguration returns the configuration that the change replaces the current one with.
+func (c ShardChange) nextConfiguration(current Configuration) Configuration {
 	next := Configuration{
 		Number:     c.BaseNumber + 1,
 		InSync:     slices.Clone(c.InSync),
@@ -47,9 +47,10 @@
 	return next
 }
 
-// canFollow reports whether the change keeps every committed write. Each in-sync replica has all of them, so one of these has to be
-// the new primary; any other new in-sync replica must have been joining, and was reported by the primary to have caught up.
-func (c ShardChange) canFollow(current Configuration) bool {
+// keepsCommittedWrites reports whether the change preserves every committed write. The new primary must be a current in-sync replica, as
+// each of these has all committed writes. Any other new in-sync replica must at least have been joining; the primary has then reported that
+// it has caught up.
+func (c ShardChange) keepsCommittedWrites(current Configuration) bool {
 	if len(c.InSync) == 0 || hasDuplicate(slices.Concat(c.InSync, c.Joining)) {
 		return false
 	}
--- a/internal/fleet/shardmap/encoding.go
+++ b/internal/fleet/shardmap/encoding.go
@@ -5,32 +5,32 @@
 	"fmt"
 )
 
-// Encode returns the entry in the form that the log has.
+// Encode encodes the entry for the log.
 func (e Entry) Encode() []byte { return marshal(e) }
 
-// DecodeEntry reads the form that Encode returns.
+// DecodeEntry decodes an entry that Encode has encoded.
 func DecodeEntry(encoded []byte) (Entry, error) {
 	var e Entry
 	err := json.Unmarshal(encoded, &e)
 	return e, err
 }
 
-// Snapshot returns the whole state in the form that Restore reads.
+// Snapshot encodes the whole state for Restore.
 func (s *State) Snapshot() []byte { return marshal(s) }
 
-// Restore reads a snapshot. One with another number of shards is an error.
+// Restore decodes a snapshot. A snapshot with another number of shards is an error.
 func Restore(snapshot []byte) (*State, error) {
 	s := New()
 	if err := json.Unmarshal(snapshot, s); err != nil {
 		return nil, err
 	}
 	if len(s.Configurations) != ShardCount {
-		return nil, fmt.Errorf("a state of %d shards, this program has %d", len(s.Configurations), ShardCount)
+		return nil, fmt.Errorf("wrong number of shards: %d, this program requires %d", len(s.Configurations), ShardCount)
 	}
 	return s, nil
 }
 
-// marshal encodes a value of this package's types, which can't fail.
+// marshal encodes a value of this package's types, all of which can be encoded.
 func marshal(v any) []byte {
 	encoded, err := json.Marshal(v)
 	if err != nil {
--- a/internal/fleet/shardmap/golden_test.go
+++ b/internal/fleet/shardmap/golden_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// golden compares a text with a file of testdata.
-func golden(t *testing.T, name string, got []byte) {
+// compareGolden compares a text with a file of testdata.
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -60,10 +60,10 @@
 		value, is := st.Value(key)
 		fmt.Fprintf(&values, "%s %v %s\n", key, is, value)
 	}
-	golden(t, "entries.golden", log.Bytes())
-	golden(t, "applied.golden", applied.Bytes())
-	golden(t, "snapshot.golden", st.Snapshot())
-	golden(t, "values.golden", values.Bytes())
+	compareGolden(t, "entries.golden", log.Bytes())
+	compareGolden(t, "applied.golden", applied.Bytes())
+	compareGolden(t, "snapshot.golden", st.Snapshot())
+	compareGolden(t, "values.golden", values.Bytes())
 
 	file, err := os.ReadFile(filepath.Join("testdata", "entries.golden"))
 	if err != nil {
@@ -98,7 +98,7 @@
 	for num := range ShardCount {
 		fmt.Fprintf(&out, "%d %v\n", num, PickReplicas(num, members, 3))
 	}
-	golden(t, "placement.golden", out.Bytes())
+	compareGolden(t, "placement.golden", out.Bytes())
 }
 
 // TestRejections compares the texts by which a put is rejected with those that operators know.
@@ -128,5 +128,5 @@
 	st.Apply(Entry{BootstrapID: "f"})
 	put(Put{Key: "config/a", OperationID: "o", Conditional: true, ExpectedVersion: 7})
 	put(Put{Key: "config/a", OperationID: "o", Delete: true})
-	golden(t, "rejections.golden", out.Bytes())
+	compareGolden(t, "rejections.golden", out.Bytes())
 }
--- a/internal/fleet/shardmap/keyvalue.go
+++ b/internal/fleet/shardmap/keyvalue.go
@@ -8,18 +8,18 @@
 	"strings"
 )
 
-// The state as a map from keys to bytes is what package changefeed sends to balancers. These are its keys.
+// Keys of the state's key-value form, which package changefeed sends to balancers.
 const (
 	FleetKey = "fleet"
 	EpochKey = "epoch"
-	// ConfigPrefix begins the keys of operators' items.
+	// ConfigPrefix is the prefix of the keys of the operators' items.
 	ConfigPrefix = itemKind + "/"
 
 	memberPrefix        = memberKind + "/"
 	configurationPrefix = configurationKind + "/"
 )
 
-// The part of a key before its first slash.
+// Kinds of keys. A key's kind is its part before the first slash.
 const (
 	itemKind          = "config"
 	memberKind        = "member"
@@ -28,17 +28,17 @@
 
 func configurationKey(shard int) string { return configurationPrefix + strconv.Itoa(shard) }
 
-// ShardFromKey is the shard whose configuration is stored under a key; false for other keys.
+// ShardFromKey returns the shard whose configuration a key stands for; false for other keys.
 func ShardFromKey(key string) (int, bool) {
 	digits, hasPrefix := strings.CutPrefix(key, configurationPrefix)
 	shard, err := strconv.Atoi(digits)
 	return shard, hasPrefix && err == nil && isShard(shard)
 }
 
-// MemberKey is the key of a member.
+// MemberKey returns a member's key.
 func MemberKey(id string) string { return memberPrefix + id }
 
-// Keys are all keys of the state as a map, sorted.
+// Keys returns all keys of the state's key-value form, sorted.
 func (s *State) Keys() []string {
 	var keys []string
 	if s.FleetID != "" {
@@ -62,7 +62,7 @@
 	return keys
 }
 
-// Value is what is stored under a key of the state as a map; false where nothing is. Equal states have equal bytes.
+// Value returns the value of a key of the state's key-value form, false if it has none. Equal states have the same bytes as values.
 func (s *State) Value(key string) ([]byte, bool) {
 	kind, name, _ := strings.Cut(key, "/")
 	switch kind {
@@ -89,8 +89,8 @@
 	return nil, false
 }
 
-// SetValue sets what is stored under a key of the state as a map, or removes it. Operators' items and unknown keys are ignored. A key
-// or value that can't be read is an error, and changes nothing.
+// SetValue sets or deletes the value of a key of the state's key-value form. Operators' items and unknown keys are ignored. It returns an
+// error and changes nothing if the key or the value can't be decoded.
 func (s *State) SetValue(key string, value []byte, deleted bool) error {
 	kind, name, _ := strings.Cut(key, "/")
 	switch kind {
@@ -99,7 +99,7 @@
 	case EpochKey:
 		epoch, err := strconv.ParseUint(string(value), 10, 64)
 		if err != nil {
-			return fmt.Errorf("%s: %w", key, err)
+			return fmt.Errorf("decode the epoch under key %q: %w", key, err)
 		}
 		s.Epoch = epoch
 	case memberKind:
@@ -114,6 +114,7 @@
 	return nil
 }
 
+// memberIndex returns a member's index in Members, or the index to insert it at and false.
 func (s *State) memberIndex(id string) (int, bool) {
 	return slices.BinarySearchFunc(s.Members, id, func(m Member, id string) int { return strings.Compare(m.ID, id) })
 }
@@ -127,13 +128,13 @@
 func (s *State) setMember(key, id string, value []byte) error {
 	var m Member
 	if err := json.Unmarshal(value, &m); err != nil {
-		return fmt.Errorf("%s: %w", key, err)
+		return fmt.Errorf("decode the member under key %q: %w", key, err)
 	}
 	if m.ID != id {
-		return fmt.Errorf("%s: it is member %q", key, m.ID)
+		return fmt.Errorf("key %q has a value of another member, %q", key, m.ID)
 	}
 	i, found := s.memberIndex(id)
-	s.Members = slices.Clone(s.Members) // others may have the old list
+	s.Members = slices.Clone(s.Members) // the old list may be in use elsewhere
 	if found {
 		s.Members[i] = m
 	} else {
@@ -145,12 +146,12 @@
 func (s *State) setConfiguration(key, name string, value []byte, deleted bool) error {
 	shard, err := strconv.Atoi(name)
 	if err != nil || !isShard(shard) {
-		return fmt.Errorf("%s: there is no such shard", key)
+		return fmt.Errorf("key %q does not name a shard", key)
 	}
 	var c Configuration
 	if !deleted {
 		if err := json.Unmarshal(value, &c); err != nil {
-			return fmt.Errorf("%s: %w", key, err)
+			return fmt.Errorf("decode the configuration under key %q: %w", key, err)
 		}
 	}
 	s.Configurations[shard] = c
--- a/internal/fleet/shardmap/pick.go
+++ b/internal/fleet/shardmap/pick.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PickReplicas ranks the members that should be a shard's replicas, at most count of them: by rendezvous hashing, never two on one
-// machine; of the members left, one in a further zone comes before one in a further site, and that before any other. It depends on
-// nothing but its arguments.
+// PickReplicas returns the IDs of the members that should be a shard's replicas, at most count of them, best first. Members are ranked by
+// rendezvous hashing. No two replicas are on the same machine. Each further replica is preferably in a zone that has none yet, and among
+// those in a site that has none yet. The result depends only on the arguments.
 func PickReplicas(shard int, members []Member, count int) []string {
 	ranked := rankMembers(shard, members)
 	used := newFailureDomains()
@@ -22,7 +22,7 @@
 			if used.machines[m.Machine] {
 				continue
 			}
-			if spread := used.spreadOf(m.Member); spread > bestSpread {
+			if spread := used.spreadGain(m.Member); spread > bestSpread {
 				best = i
 				bestSpread = spread
 			}
@@ -30,19 +30,19 @@
 		if best < 0 {
 			break
 		}
-		used.add(ranked[best].Member)
+		used.addMember(ranked[best].Member)
 		picked = append(picked, ranked[best].ID)
 	}
 	return picked
 }
 
-// scoredMember is a member with its hash for a shard.
+// scoredMember is a member with its rendezvous hash for a shard.
 type scoredMember struct {
 	Member
 	score uint64
 }
 
-// rankMembers sorts members by their hash for a shard, the highest first.
+// rankMembers sorts members by their rendezvous hash for a shard, highest first.
 func rankMembers(shard int, members []Member) []scoredMember {
 	scored := make([]scoredMember, 0, len(members))
 	for _, m := range members {
@@ -54,7 +54,7 @@
 	return scored
 }
 
-// failureDomains are those that the replicas picked so far are in.
+// failureDomains are the failure domains of the replicas picked so far.
 type failureDomains struct {
 	machines map[string]bool
 	zones    map[string]bool
@@ -65,14 +65,14 @@
 	return failureDomains{machines: map[string]bool{}, zones: map[string]bool{}, sites: map[string]bool{}}
 }
 
-func (d failureDomains) add(m Member) {
+func (d failureDomains) addMember(m Member) {
 	d.machines[m.Machine] = true
 	d.zones[zoneOf(m)] = true
 	d.sites[m.Site] = true
 }
 
-// spreadOf is higher the more a member adds to the failure domains: a further zone counts more than a further site.
-func (d failureDomains) spreadOf(m Member) int {
+// spreadGain rates how much a member would spread the replicas: a new zone counts more than a new site.
+func (d failureDomains) spreadGain(m Member) int {
 	spread := 0
 	if !d.zones[zoneOf(m)] {
 		spread += 2
@@ -83,5 +83,5 @@
 	return spread
 }
 
-// zoneOf is a zone's name among all sites.
+// zoneOf returns a name of the member's zone that is unique among all sites.
 func zoneOf(m Member) string { return m.Site + "/" + m.Zone }
--- a/internal/fleet/shardmap/put.go
+++ b/internal/fleet/shardmap/put.go
@@ -8,55 +8,56 @@
 	"unicode/utf8"
 )
 
-// Bounds of what operators put. The state as a map also has keys for members and configurations; package changefeed bounds the sum.
+// Limits of the operators' items. The state's key-value form also has keys for members and configurations; package changefeed limits the
+// total.
 const (
 	MaxKeyBytes   = 256
 	MaxValueBytes = 256 << 10
 	MaxItems      = 14 << 10
-	MaxItemsBytes = 7 << 20 // of all keys and values together
+	MaxItemsBytes = 7 << 20 // total size of all keys and values
 
 	maxOperationIDBytes = 64
-	maxRecentPuts       = 1024 // that are known by their operation after their keys were put again
+	maxRecentPuts       = 1024 // number of puts whose results stay known after their keys were put again
 )
 
-// Put is a change of one of operators' items.
+// Put is a change of one operators' item.
 type Put struct {
 	Key   string `json:"k"`
 	Value []byte `json:"v,omitempty"`
-	// Delete deletes the item in place of setting Value.
+	// Delete deletes the item instead of setting Value.
 	Delete bool `json:"g,omitempty"`
-	// OperationID is unique among all puts. A put that is asked for again keeps it, and gets the first one's result.
+	// OperationID is unique among all puts. A retry of a put has the same ID and gets the first attempt's result.
 	OperationID string `json:"o"`
-	// Conditional rejects the put unless ExpectedVersion is the version that put the item; 0 requires that there is none.
+	// Conditional rejects the put unless the item's version is ExpectedVersion; 0 requires that the item does not exist.
 	Conditional     bool   `json:"y,omitempty"`
 	ExpectedVersion uint64 `json:"i,omitempty"`
 }
 
-// Item is one of operators' items.
+// Item is one operators' item.
 type Item struct {
 	Value       []byte `json:"v"`
 	OperationID string `json:"o"`
-	// Version is the state's that put the item.
+	// Version is the version of the state in which the item was put.
 	Version uint64 `json:"n"`
 }
 
-// PutResult is how a put ended.
+// PutResult is the result of a put.
 type PutResult struct {
 	OperationID string `json:"o"`
-	// Version is the state's since which the put is in force; 0 where it was rejected.
+	// Version is the first version of the state that includes the put; 0 if the put was rejected.
 	Version uint64 `json:"n"`
-	// Rejection says, for operators, why nothing of the put was applied; empty where it was applied.
+	// Rejection tells operators why the put was not applied; empty if it was.
 	Rejection string `json:"r,omitempty"`
 }
 
-// Validate checks a put by itself, whatever the state is.
+// Validate checks a put independently of the state.
 func (p Put) Validate() error {
 	switch {
 	case !strings.HasPrefix(p.Key, ConfigPrefix) || len(p.Key) == len(ConfigPrefix):
 		return fmt.Errorf("key %q is none of operators': it has to begin with %q and to go on", p.Key, ConfigPrefix)
 	case len(p.Key) > MaxKeyBytes:
 		return fmt.Errorf("a key of %d bytes; %d are the most", len(p.Key), MaxKeyBytes)
-	case strings.ContainsFunc(p.Key, isForbiddenInKey):
+	case strings.ContainsFunc(p.Key, isForbiddenKeyRune):
 		return fmt.Errorf("key %q holds spaces or what is no text", p.Key)
 	case len(p.Value) > MaxValueBytes:
 		return fmt.Errorf("a value of %d bytes; %d are the most", len(p.Value), MaxValueBytes)
@@ -68,13 +69,13 @@
 	return nil
 }
 
-// isForbiddenInKey reports control characters, spaces and what is not UTF-8.
-func isForbiddenInKey(r rune) bool {
+// isForbiddenKeyRune reports whether a character is a control character, a space or the result of invalid UTF-8.
+func isForbiddenKeyRune(r rune) bool {
 	const deleteCharacter = 0x7f
 	return r <= ' ' || r == deleteCharacter || r == utf8.RuneError
 }
 
-// PutResult returns the result of a put that was applied, as long as it is known.
+// PutResult returns the result of an applied put. It returns false if the put was not applied, or so long ago that its result is forgotten.
 func (s *State) PutResult(operationID string) (PutResult, bool) {
 	for _, result := range slices.Backward(s.RecentPuts) {
 		if result.OperationID == operationID {
@@ -89,7 +90,8 @@
 	return PutResult{}, false
 }
 
-// applyPut applies a put as part of a version, or rejects it. It also reports whether the state has changed.
+// applyPut applies or rejects a put; version is the version of the state that the put becomes part of. It also returns whether the state
+// has changed.
 func (s *State) applyPut(p Put, version uint64) (result PutResult, changed bool) {
 	if err := p.Validate(); err != nil {
 		return PutResult{OperationID: p.OperationID, Rejection: err.Error()}, false
@@ -113,7 +115,7 @@
 	return result, true
 }
 
-// checkPut checks a put against the state in force.
+// checkPut checks a put against the current state.
 func (s *State) checkPut(p Put) error {
 	if s.FleetID == "" {
 		return errors.New("the fleet is not founded")
@@ -128,14 +130,14 @@
 		}
 		return nil
 	}
-	if size := s.itemsBytesWith(p); !exists && len(s.Items) >= MaxItems || size > MaxItemsBytes {
+	if size := s.itemsBytesAfter(p); !exists && len(s.Items) >= MaxItems || size > MaxItemsBytes {
 		return fmt.Errorf("full: %d items of %d bytes; the most are %d and %d", len(s.Items), size, MaxItems, MaxItemsBytes)
 	}
 	return nil
 }
 
-// itemsBytesWith is the size of all items' keys and values once a put is applied.
-func (s *State) itemsBytesWith(p Put) int {
+// itemsBytesAfter returns the total size of all items' keys and values after a put.
+func (s *State) itemsBytesAfter(p Put) int {
 	size := len(p.Key) + len(p.Value)
 	for key, item := range s.Items {
 		if key != p.Key {
--- a/internal/fleet/shardmap/state.go
+++ b/internal/fleet/shardmap/state.go
@@ -5,31 +5,32 @@
 	"slices"
 )
 
-// State is what is agreed.
+// State is the state that the members agree on.
 type State struct {
-	// FleetID is empty before the fleet is bootstrapped.
+	// FleetID is the fleet's ID, empty before the fleet is bootstrapped.
 	FleetID string `json:"fleet"`
-	Epoch   uint64 `json:"epoch"`
-	// Members are those of the epoch, sorted by ID.
+	// Epoch numbers the lists of members; 0 before the first list.
+	Epoch uint64 `json:"epoch"`
+	// Members are the members of the epoch, sorted by ID.
 	Members []Member `json:"members"`
-	// Configurations has one element for each shard.
+	// Configurations has one element for each shard, by shard number.
 	Configurations []Configuration `json:"views"`
-	// Version counts the entries that changed something.
+	// Version is the number of entries so far that changed the state.
 	Version uint64 `json:"version"`
-	// Items are operators', by key.
+	// Items are the operators' items by key.
 	Items map[string]Item `json:"items,omitempty"`
-	// RecentPuts are the newest puts that changed something, the newest last, at most maxRecentPuts.
+	// RecentPuts are the results of the last puts that changed the state, newest last, at most maxRecentPuts.
 	RecentPuts []PutResult `json:"ops,omitempty"`
 }
 
-// New is the state before anything is agreed.
+// New returns the initial state, before any entry.
 func New() *State {
 	return &State{Configurations: make([]Configuration, ShardCount)}
 }
 
-// Entry is one proposed change. Each of its parts is applied or rejected by itself.
+// Entry is a proposed change of the state. Its parts are applied or rejected independently of each other.
 type Entry struct {
-	// BootstrapID begins the fleet under this ID.
+	// BootstrapID bootstraps the fleet with this ID.
 	BootstrapID string `json:"found,omitempty"`
 	// BaseEpoch is the epoch that Members was made from.
 	BaseEpoch    uint64        `json:"epoch,omitempty"`
@@ -38,21 +39,21 @@
 	Puts         []Put         `json:"put,omitempty"`
 }
 
-// Applied is what an entry did.
-type Applied struct {
-	// Shards have another configuration.
+// ApplyResult is the effect of an entry on the state.
+type ApplyResult struct {
+	// Shards are the shards whose configuration has changed.
 	Shards []int
-	// EpochChanged is also set where the fleet's ID has changed.
+	// EpochChanged is set if the epoch or the fleet's ID has changed.
 	EpochChanged bool
-	// ChangedKeys are the keys of the state as a map whose values have changed or are gone; none where the entry changed nothing.
+	// ChangedKeys are the keys of the state's key-value form that were set or deleted; empty if the entry changed nothing.
 	ChangedKeys []string
-	// PutResults has one element for each of the entry's puts.
+	// PutResults has one element for each of the entry's puts, in order.
 	PutResults []PutResult
 }
 
-// Apply applies an entry. A part of it that was made from another state than the one in force changes nothing.
-func (s *State) Apply(e Entry) Applied {
-	var applied Applied
+// Apply applies an entry. A part that was made from another state than the current one is ignored.
+func (s *State) Apply(e Entry) ApplyResult {
+	var applied ApplyResult
 	version := s.Version + 1
 	s.applyBootstrap(e, &applied)
 	s.applyMembers(e, &applied)
@@ -72,7 +73,7 @@
 	return applied
 }
 
-func (s *State) applyBootstrap(e Entry, applied *Applied) {
+func (s *State) applyBootstrap(e Entry, applied *ApplyResult) {
 	if e.BootstrapID == "" || s.FleetID != "" {
 		return
 	}
@@ -81,7 +82,7 @@
 	applied.ChangedKeys = append(applied.ChangedKeys, FleetKey)
 }
 
-func (s *State) applyMembers(e Entry, applied *Applied) {
+func (s *State) applyMembers(e Entry, applied *ApplyResult) {
 	if len(e.Members) == 0 || e.BaseEpoch != s.Epoch || s.FleetID == "" {
 		return
 	}
@@ -94,22 +95,22 @@
 	applied.ChangedKeys = append(applied.ChangedKeys, changedMemberKeys(before, s.Members)...)
 }
 
-func (s *State) applyShardChange(change ShardChange, applied *Applied) {
+func (s *State) applyShardChange(change ShardChange, applied *ApplyResult) {
 	if !isShard(change.Shard) {
 		return
 	}
 	current := s.Configurations[change.Shard]
-	if current.Number != change.BaseNumber || !change.canFollow(current) {
+	if current.Number != change.BaseNumber || !change.keepsCommittedWrites(current) {
 		return
 	}
-	s.Configurations[change.Shard] = change.next(current)
+	s.Configurations[change.Shard] = change.nextConfiguration(current)
 	applied.Shards = append(applied.Shards, change.Shard)
 	applied.ChangedKeys = append(applied.ChangedKeys, configurationKey(change.Shard))
 }
 
 func isShard(number int) bool { return number >= 0 && number < ShardCount }
 
-// changedMemberKeys are the keys of members that are in one of two lists only, or differ between them.
+// changedMemberKeys returns the keys of members that are in only one of two lists, or that differ between them.
 func changedMemberKeys(before, after []Member) []string {
 	var keys []string
 	removed := make(map[string]Member, len(before))
