--- a/internal/fleet/replication/digest_test.go
+++ b/internal/fleet/replication/digest_test.go
@@ -18,9 +18,9 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// digestRun is a seeded run of several nodes with delayed, lost and repeated messages, restarts, new configurations and records that expire.
-// All that the nodes' Ready returns is hashed.
-type digestRun struct {
+// randomRun is a seeded random run of several nodes with delayed, lost and repeated messages, restarts, new configurations and expiring
+// records. It hashes everything that the nodes return from Ready.
+type randomRun struct {
 	t              *testing.T
 	rng            *rand.Rand
 	hash           hash.Hash
@@ -28,59 +28,60 @@
 	ids            []string
 	nodes          map[string]*Node
 	incarnations   map[string]uint64
-	disks          map[string]map[int]*digestDisk
+	disks          map[string]map[int]*simulatedDisk
 	configurations []shardmap.Configuration
 	inTransit      []Message
-	opCount        int
-	counts         map[string]int
+	opCount        int            // number of operations submitted so far
+	counts         map[string]int // number of hashed events by kind
 }
 
-// digestDisk is what one node has on disk of one shard.
-type digestDisk struct {
+// simulatedDisk is one node's data of one shard on disk.
+type simulatedDisk struct {
 	ballot  Ballot
 	records map[string]Record
 }
 
-func newDigestRun(t *testing.T, seed uint64) *digestRun {
-	r := &digestRun{t: t, rng: rand.New(rand.NewPCG(seed, 1)), hash: sha256.New(), nodes: map[string]*Node{}, incarnations: map[string]uint64{},
-		disks: map[string]map[int]*digestDisk{}, configurations: make([]shardmap.Configuration, shardmap.ShardCount), counts: map[string]int{}}
+func newRandomRun(t *testing.T, seed uint64) *randomRun {
+	r := &randomRun{t: t, rng: rand.New(rand.NewPCG(seed, 1)), hash: sha256.New(), nodes: map[string]*Node{}, incarnations: map[string]uint64{},
+		disks: map[string]map[int]*simulatedDisk{}, configurations: make([]shardmap.Configuration, shardmap.ShardCount), counts: map[string]int{}}
 	for i := range 5 {
 		id := string(rune('a' + i))
 		r.ids = append(r.ids, id)
-		r.disks[id] = map[int]*digestDisk{}
+		r.disks[id] = map[int]*simulatedDisk{}
 		r.startNode(id)
 	}
 	return r
 }
 
-// startNode makes a node of what is on its disk, with a new incarnation.
-func (r *digestRun) startNode(id string) {
+// startNode starts or restarts a node with the data on its disk and a new incarnation.
+func (r *randomRun) startNode(id string) {
 	r.incarnations[id]++
 	n := New(Config{ID: id, Incarnation: r.incarnations[id], MinReplicas: 2, MaxKeys: 60, MaxBytes: 1 << 14, MaxPendingOperations: 8,
 		Retention: []RetentionRule{{Prefix: "old/", TTL: 2 * time.Second}}}, r.now)
-	nums := make([]int, 0, len(r.disks[id]))
-	for num := range r.disks[id] {
-		nums = append(nums, num)
+	shards := make([]int, 0, len(r.disks[id]))
+	for shard := range r.disks[id] {
+		shards = append(shards, shard)
 	}
-	slices.Sort(nums)
-	for _, num := range nums {
-		disk := r.disks[id][num]
+	slices.Sort(shards)
+	for _, shard := range shards {
+		disk := r.disks[id][shard]
 		var records []Record
 		for _, rec := range disk.records {
 			records = append(records, rec)
 		}
 		slices.SortFunc(records, func(a, b Record) int { return strings.Compare(a.Key, b.Key) })
-		n.Load(num, disk.ballot, records)
+		n.Load(shard, disk.ballot, records)
 	}
 	r.nodes[id] = n
-	for num, v := range r.configurations {
+	for shard, v := range r.configurations {
 		if v.Number > 0 {
-			n.SetConfiguration(num, v)
+			n.SetConfiguration(shard, v)
 		}
 	}
 }
 
-func (r *digestRun) note(kind string, parts ...any) {
+// hashEvent adds an event to the hash and counts it. The kinds are part of the hash.
+func (r *randomRun) hashEvent(kind string, parts ...any) {
 	r.counts[kind]++
 	encoded, err := cbor.Marshal(parts)
 	if err != nil {
@@ -89,17 +90,17 @@
 	_, _ = fmt.Fprintf(r.hash, "%s %x\n", kind, encoded)
 }
 
-// handleReady carries out what the nodes ask for: disks are written before messages are sent.
-func (r *digestRun) handleReady() {
+// handleReady does the work that the nodes hand out. Disks are written before messages are sent.
+func (r *randomRun) handleReady() {
 	for _, id := range r.ids {
 		ready := r.nodes[id].Ready()
 		for _, w := range ready.Writes {
-			r.note("write", id, w.Shard, w.Ballot, w.ReplaceAll, w.Records)
+			r.hashEvent("write", id, w.Shard, w.Ballot, w.ReplaceAll, w.Records)
 			r.write(id, w)
 		}
 		for _, m := range ready.Messages {
-			r.note("message", m)
-			r.note(fmt.Sprint("message ", m.Kind))
+			r.hashEvent("message", m)
+			r.hashEvent(fmt.Sprint("message ", m.Kind))
 			switch r.rng.IntN(20) {
 			case 0: // lost
 			case 1: // sent twice
@@ -109,22 +110,23 @@
 			}
 		}
 		for _, one := range ready.Results {
-			r.note("result", id, one)
-			r.note("result " + one.Outcome.String() + " " + one.Reason.String())
+			r.hashEvent("result", id, one)
+			r.hashEvent("result " + one.Outcome.String() + " " + one.Reason.String())
 		}
 		for _, c := range ready.Reports {
-			r.note("complaint", c)
+			r.hashEvent("complaint", c)
 			if c.CaughtUp {
-				r.note("caught up")
+				r.hashEvent("caught up")
 			}
 		}
 	}
 }
 
-func (r *digestRun) write(id string, w Write) {
+// write writes one change to a node's disk.
+func (r *randomRun) write(id string, w Write) {
 	disk := r.disks[id][w.Shard]
 	if disk == nil || w.ReplaceAll {
-		disk = &digestDisk{records: map[string]Record{}}
+		disk = &simulatedDisk{records: map[string]Record{}}
 		r.disks[id][w.Shard] = disk
 	}
 	disk.ballot = w.Ballot
@@ -137,8 +139,8 @@
 	}
 }
 
-// deliver hands over some of the messages that are on their way, in any order.
-func (r *digestRun) deliver() {
+// deliver delivers some of the messages in transit, partly out of order.
+func (r *randomRun) deliver() {
 	for range r.rng.IntN(2 + 2*len(r.inTransit)) {
 		if len(r.inTransit) == 0 {
 			return
@@ -154,9 +156,9 @@
 	}
 }
 
-// reconfigure gives a shard a new configuration, which some nodes do not learn.
-func (r *digestRun) reconfigure(num int) {
-	old := r.configurations[num]
+// reconfigure gives a shard a random new configuration, which each node learns with a probability of 7/8.
+func (r *randomRun) reconfigure(shard int) {
+	old := r.configurations[shard]
 	v := shardmap.Configuration{Number: old.Number + 1}
 	order := r.rng.Perm(len(r.ids))
 	if old.Number > 0 {
@@ -174,16 +176,17 @@
 			}
 		}
 	}
-	r.configurations[num] = v
+	r.configurations[shard] = v
 	for _, id := range r.ids {
 		if r.rng.IntN(8) > 0 {
-			r.nodes[id].SetConfiguration(num, v)
+			r.nodes[id].SetConfiguration(shard, v)
 		}
 	}
 	r.handleReady()
 }
 
-func (r *digestRun) operation(keys []string) {
+// operation submits a random operation on one of the keys at a random node.
+func (r *randomRun) operation(keys []string) {
 	key := keys[r.rng.IntN(len(keys))]
 	id := r.ids[r.rng.IntN(len(r.ids))]
 	r.opCount++
@@ -207,18 +210,19 @@
 	r.handleReady()
 }
 
-func (r *digestRun) step(keys []string, nums []int) {
+// step takes one random step of the run.
+func (r *randomRun) step(keys []string, shards []int) {
 	switch n := r.rng.IntN(200); {
 	case n < 2:
-		r.reconfigure(nums[r.rng.IntN(len(nums))])
+		r.reconfigure(shards[r.rng.IntN(len(shards))])
 	case n == 2:
 		id := r.ids[r.rng.IntN(len(r.ids))]
 		r.startNode(id)
 		r.handleReady()
 	case n == 3:
-		num := nums[r.rng.IntN(len(nums))]
+		shard := shards[r.rng.IntN(len(shards))]
 		for _, id := range r.ids {
-			r.nodes[id].SetConfiguration(num, r.configurations[num])
+			r.nodes[id].SetConfiguration(shard, r.configurations[shard])
 		}
 		r.handleReady()
 	case n < 60:
@@ -235,40 +239,41 @@
 	}
 }
 
-// TestBehaviourDigest holds all that the nodes of seeded runs hand out against what an earlier program's handed out.
+// TestBehaviourDigest guards against unintended changes of the protocol: everything that the nodes of seeded random runs return must hash to
+// the same digests as in an earlier version of the program.
 func TestBehaviourDigest(t *testing.T) {
 	var out strings.Builder
 	for seed := range uint64(4) {
-		r := newDigestRun(t, seed+1)
+		r := newRandomRun(t, seed+1)
 		var keys []string
-		var nums []int
+		var shards []int
 		for _, prefix := range []string{"word/", "old/"} {
 			for i := range 5 {
 				key := fmt.Sprint(prefix, i)
 				keys = append(keys, key)
-				nums = append(nums, shardmap.ShardOf(key))
+				shards = append(shards, shardmap.ShardOf(key))
 			}
 		}
-		for i := range 300 { // keys that make a node full
+		for i := range 300 { // enough keys to fill a node
 			keys = append(keys, fmt.Sprint(keys[0][:1], i))
 		}
 		for _, key := range keys[10:] {
-			nums = append(nums, shardmap.ShardOf(key))
+			shards = append(shards, shardmap.ShardOf(key))
 		}
-		slices.Sort(nums)
-		nums = slices.Compact(nums)
-		for _, num := range nums {
-			r.reconfigure(num)
+		slices.Sort(shards)
+		shards = slices.Compact(shards)
+		for _, shard := range shards {
+			r.reconfigure(shard)
 		}
 		keys = slices.Concat(keys[:10], keys[:10], keys[:10], keys)
-		hot := nums
+		weightedShards := shards
 		for range 4 {
 			for _, key := range keys[:10] {
-				hot = append(hot, shardmap.ShardOf(key))
+				weightedShards = append(weightedShards, shardmap.ShardOf(key))
 			}
 		}
 		for range 4000 {
-			r.step(keys, hot)
+			r.step(keys, weightedShards)
 		}
 		fmt.Fprintf(&out, "%d %s\n", seed+1, hex.EncodeToString(r.hash.Sum(nil)))
 		t.Log(seed+1, r.counts)
--- a/internal/fleet/replication/golden_test.go
+++ b/internal/fleet/replication/golden_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// goldenValues are one message of each kind and the other values that are encoded by themselves, with every field set where the kind uses it.
+// goldenValues returns a message of each kind and the other values that are encoded on their own. Every field that a kind uses is set.
 func goldenValues() (names []string, values []any) {
 	add := func(name string, v any) {
 		names = append(names, name)
@@ -64,7 +64,7 @@
 	return names, values
 }
 
-// TestWireFormat holds the bytes of each message against those of an earlier program, both ways.
+// TestWireFormat compares the encoding of each message with that of an earlier version of the program, and decodes that version's messages.
 func TestWireFormat(t *testing.T) {
 	path := filepath.Join("testdata", "wire.golden")
 	names, values := goldenValues()
@@ -92,7 +92,7 @@
 	for ; lines.Scan(); number++ {
 		name, digits, _ := strings.Cut(lines.Text(), ": ")
 		if number >= len(names) || name != names[number] {
-			t.Fatalf("line %d is %q", number, name)
+			t.Fatalf("line %d of the golden file has an unexpected name %q", number, name)
 		}
 		encoded, err := hex.DecodeString(digits)
 		if err != nil {
@@ -107,11 +107,11 @@
 		}
 	}
 	if err := lines.Err(); err != nil || number != len(names) {
-		t.Errorf("%d of %d values in the file, %v", number, len(names), err)
+		t.Errorf("golden file has %d values, want %d; read error: %v", number, len(names), err)
 	}
 }
 
-// TestReasonNames holds the names that operators read in reports.
+// TestReasonNames guards the names of outcomes and reasons, which operators read in reports.
 func TestReasonNames(t *testing.T) {
 	for w, want := range []string{"", "not the primary", "too few holders", "full", "busy", "settling", "disk"} {
 		if got := RejectReason(w).String(); got != want {
--- a/internal/fleet/replication/replication_test.go
+++ b/internal/fleet/replication/replication_test.go
@@ -9,16 +9,16 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// cluster is three nodes whose messages are delivered at once, except those that a test holds back.
+// cluster is a set of three nodes whose messages are delivered at once, except those that a test drops.
 type cluster struct {
-	nodes      map[string]*Node
-	results    map[string]Result
-	now        time.Duration
-	isHeldBack func(Message) bool
+	nodes     map[string]*Node
+	results   map[string]Result // by operation ID
+	now       time.Duration
+	isDropped func(Message) bool
 }
 
 func newCluster(maxKeys, maxBytes int) *cluster {
-	c := &cluster{nodes: map[string]*Node{}, results: map[string]Result{}, isHeldBack: func(Message) bool { return false }}
+	c := &cluster{nodes: map[string]*Node{}, results: map[string]Result{}, isDropped: func(Message) bool { return false }}
 	for _, id := range []string{"a", "b", "c"} {
 		c.nodes[id] = New(Config{ID: id, Incarnation: 1, MinReplicas: 2, MaxKeys: maxKeys, MaxBytes: maxBytes, MaxPendingOperations: 100, Retention: []RetentionRule{{"old/", time.Minute}}}, 0)
 	}
@@ -26,23 +26,24 @@
 	return c
 }
 
-// configure gives some nodes the same configuration for every shard.
+// configure sets the same configuration for every shard at some nodes.
 func (c *cluster) configure(v shardmap.Configuration, to ...string) {
 	for _, id := range to {
-		for num := range shardmap.ShardCount {
-			c.nodes[id].SetConfiguration(num, v)
+		for shard := range shardmap.ShardCount {
+			c.nodes[id].SetConfiguration(shard, v)
 		}
 	}
 	c.deliver()
 }
 
+// deliver delivers messages until no node sends any more.
 func (c *cluster) deliver() {
 	for again := true; again; {
 		again = false
 		for _, id := range []string{"a", "b", "c"} {
 			r := c.nodes[id].Ready()
 			for _, m := range r.Messages {
-				if !c.isHeldBack(m) {
+				if !c.isDropped(m) {
 					c.nodes[m.To].Step(m)
 					again = true
 				}
@@ -54,6 +55,7 @@
 	}
 }
 
+// advance advances the time in steps of 50 ms and delivers all messages.
 func (c *cluster) advance(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.now += 50 * time.Millisecond
@@ -64,14 +66,15 @@
 	}
 }
 
+// submit submits an operation at a node, delivers all messages and returns the result, if there is one by then.
 func (c *cluster) submit(at string, op Operation) Result {
 	c.nodes[at].Submit(op, time.Second)
 	c.deliver()
 	return c.results[op.ID]
 }
 
-// TestCapacityIsBounded submits a million records to a capacity of 50,000: a full node rejects new keys and keeps what was
-// committed.
+// TestCapacityIsBounded submits a million records to nodes with a capacity of 50,000 records. Full nodes must reject new keys and keep
+// the committed records.
 func TestCapacityIsBounded(t *testing.T) {
 	const capacity, submitted = 50000, 1000000
 	c := newCluster(capacity, 64<<20)
@@ -95,14 +98,14 @@
 		}
 	}
 	if committed != capacity || full != submitted-capacity {
-		t.Errorf("%d committed, %d rejected", committed, full)
+		t.Errorf("%d operations committed, %d rejected as full", committed, full)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		if keys, _ := c.nodes[id].Usage(); keys != capacity || c.nodes[id].Record("k0").Version != 1 {
-			t.Errorf("%s stores %d", id, keys)
+			t.Errorf("node %s stores %d records, or has lost the first one", id, keys)
 		}
 	}
-	if r := c.submit("b", Operation{ID: "update", Key: "k0", ExpectedVersion: 1, Value: []byte("w")}); r.Outcome != OutcomeCommitted { // a key that exists may change
+	if r := c.submit("b", Operation{ID: "update", Key: "k0", ExpectedVersion: 1, Value: []byte("w")}); r.Outcome != OutcomeCommitted { // an existing key may still be updated
 		t.Error(r)
 	}
 	if r := c.submit("c", Operation{ID: "drop", Key: "k1", ExpectedVersion: 1, Delete: true}); r.Outcome != OutcomeCommitted {
@@ -110,8 +113,8 @@
 	}
 }
 
-// TestStalePrimaryCommitsNothing gives two of three nodes a new configuration and submits writes and reads to the old primary,
-// which does not know of it.
+// TestStalePrimaryCommitsNothing guards against two primaries at once: two of three nodes learn a new configuration, and writes and reads go
+// to the old primary, which has not learned it. None of them may succeed.
 func TestStalePrimaryCommitsNothing(t *testing.T) {
 	c := newCluster(100, 1<<20)
 	if r := c.submit("a", Operation{ID: "1", Key: "k", Value: []byte("1")}); r.Outcome != OutcomeCommitted {
@@ -123,26 +126,27 @@
 	}
 	for _, op := range []Operation{{ID: "3", Key: "k", ExpectedVersion: 1, Value: []byte("3")}, {ID: "4", Key: "k", ReadOnly: true}, {ID: "5", Key: "new", Value: []byte("5")}} {
 		if r := c.submit("a", op); r.Outcome == OutcomeCommitted || r.Outcome == OutcomeConflict {
-			t.Errorf("%s: %v %s", op.ID, r.Outcome, r.Record.Value)
+			t.Errorf("operation %s at the old primary: %v, value %q", op.ID, r.Outcome, r.Record.Value)
 		}
 	}
 	c.advance(2 * time.Second)
 	for _, id := range []string{"3", "4", "5"} {
 		if r := c.results[id]; r.Outcome == OutcomeCommitted || r.Outcome == OutcomeConflict {
-			t.Errorf("%s: %v", id, r.Outcome)
+			t.Errorf("operation %s at the old primary, 2s later: %v", id, r.Outcome)
 		}
 	}
 	if r := c.submit("b", Operation{ID: "6", Key: "k", ReadOnly: true}); string(r.Record.Value) != "2" {
-		t.Errorf("%v %s", r.Outcome, r.Record.Value)
+		t.Errorf("read at the new primary: %v, value %q; want value \"2\"", r.Outcome, r.Record.Value)
 	}
 }
 
-// TestWriteWaitsForEveryReplica loses one replica's acknowledgements, which must be reported, and then lets them through.
+// TestWriteWaitsForEveryReplica drops one replica's acknowledgements for a while. Meanwhile the write must not be committed, and the replica
+// must be reported. A shard with fewer in-sync replicas than required must commit nothing.
 func TestWriteWaitsForEveryReplica(t *testing.T) {
 	cluster := newCluster(100, 1<<20)
-	cluster.isHeldBack = func(m Message) bool { return m.From == "c" && m.Kind == MessageWriteAck }
+	cluster.isDropped = func(m Message) bool { return m.From == "c" && m.Kind == MessageWriteAck }
 	if r := cluster.submit("a", Operation{ID: "1", Key: "k", Value: []byte("1")}); r.Outcome == OutcomeCommitted {
-		t.Fatal("committed without the third replica")
+		t.Fatal("the write was committed without the third replica's acknowledgement")
 	}
 	var suspected []string
 	for range 40 {
@@ -156,20 +160,20 @@
 		}
 	}
 	if !slices.Equal(suspected, []string{"c"}) {
-		t.Errorf("suspected %v", suspected)
+		t.Errorf("reported replicas %v, want only c", suspected)
 	}
-	cluster.isHeldBack = func(Message) bool { return false }
+	cluster.isDropped = func(Message) bool { return false }
 	cluster.advance(time.Second)
 	if r := cluster.submit("b", Operation{ID: "2", Key: "k", ReadOnly: true}); string(r.Record.Value) != "1" || cluster.results["1"].Outcome == OutcomeRejected {
-		t.Errorf("%v, %v", r, cluster.results["1"])
+		t.Errorf("read after the acknowledgements: %+v, result of the write: %+v", r, cluster.results["1"])
 	}
 	cluster.configure(shardmap.Configuration{Number: 2, InSync: []string{"a"}}, "a", "b", "c")
 	if r := cluster.submit("a", Operation{ID: "3", Key: "k", ExpectedVersion: 1, Value: []byte("3")}); r.Outcome == OutcomeCommitted {
-		t.Error("committed on one replica")
+		t.Error("a write was committed on a single replica")
 	}
 }
 
-// TestRecordsExpire lets two records grow old, one of which has no retention rule.
+// TestRecordsExpire checks that only a record under a retention rule expires, only after its TTL, and that its key can be written anew.
 func TestRecordsExpire(t *testing.T) {
 	c := newCluster(100, 1<<20)
 	c.submit("a", Operation{ID: "1", Key: "old/k", Value: []byte("1"), CreatedAt: 1000})
@@ -183,11 +187,11 @@
 		want := map[int64]int{1059: 2, 1061: 1}[wall]
 		for _, id := range []string{"a", "b", "c"} {
 			if keys, _ := c.nodes[id].Usage(); keys != want || c.nodes[id].Record("word/k").Version != 1 {
-				t.Errorf("at %d %s stores %d", wall, id, keys)
+				t.Errorf("at Unix time %d, node %s stores %d records, or has lost the one without a retention rule", wall, id, keys)
 			}
 		}
 	}
 	if r := c.submit("b", Operation{ID: "3", Key: "old/k", Value: []byte("2")}); r.Outcome != OutcomeCommitted || r.Record.Version != 1 {
-		t.Errorf("%v", r)
+		t.Errorf("write of an expired key: %+v", r)
 	}
 }
--- a/internal/fleet/shardmap/bench_test.go
+++ b/internal/fleet/shardmap/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// startCPUMeter starts a benchmark's measured part. The returned function ends it, and reports and returns the processor time of one
-// operation in ns, garbage collection included: it depends less on the machine's other load than elapsed time.
+// startCPUMeter starts a benchmark's measured part. The returned function ends it, and reports and returns the CPU time of one operation in
+// nanoseconds, including garbage collection. On a shared machine CPU time is more stable than elapsed time.
 func startCPUMeter(b *testing.B) func() float64 {
 	cpuTime := func() time.Duration {
 		var u syscall.Rusage
@@ -40,19 +40,19 @@
 	return all
 }
 
-// populatedState is a state with n members and a configuration of each shard.
+// populatedState returns a state with n members and a configuration for each shard.
 func populatedState(b *testing.B, n int) *State {
 	st := New()
 	st.Apply(Entry{BootstrapID: "f", Members: makeMembers(n)})
 	for num := range ShardCount {
 		if got := st.Apply(Entry{ShardChanges: []ShardChange{{Shard: num, InSync: PickReplicas(num, st.Members, 3)}}}); len(got.Shards) != 1 {
-			b.Fatalf("shard %d has no configuration", num)
+			b.Fatalf("the configuration of shard %d was not applied", num)
 		}
 	}
 	return st
 }
 
-// BenchmarkPickReplicas picks one shard's replicas.
+// BenchmarkPickReplicas measures the choice of one shard's replicas.
 func BenchmarkPickReplicas(b *testing.B) {
 	for _, n := range scales {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
@@ -60,7 +60,7 @@
 			done := startCPUMeter(b)
 			for i := range b.N {
 				if len(PickReplicas(i%ShardCount, all, 3)) != 3 {
-					b.Fatal("too few are picked")
+					b.Fatal("too few replicas are picked")
 				}
 			}
 			done()
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkEpoch is one change of the list of members, encoded, decoded and applied, as each voter does.
+// BenchmarkEpoch measures a change of the member list: encoding, decoding and applying it, as every voter does.
 func BenchmarkEpoch(b *testing.B) {
 	for _, n := range scales {
 		st := populatedState(b, n)
@@ -82,7 +82,7 @@
 					b.Fatal(err)
 				}
 				if !st.Apply(e).EpochChanged {
-					b.Fatal("rejected")
+					b.Fatal("the new member list was not applied")
 				}
 				size = len(text)
 			}
@@ -92,7 +92,7 @@
 	}
 }
 
-// BenchmarkSnapshot encodes the whole state and decodes it.
+// BenchmarkSnapshot measures encoding and decoding the whole state.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range scales {
 		st := populatedState(b, n)
--- a/internal/fleet/shardmap/golden_test.go
+++ b/internal/fleet/shardmap/golden_test.go
@@ -14,6 +14,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
+// goldenEntries returns entries that use every field, some of them with parts that are not applied.
 func goldenEntries() []Entry {
 	return []Entry{
 		{BootstrapID: "fleet-1"},
@@ -27,7 +28,7 @@
 	}
 }
 
-// compareGolden compares a text with a file of testdata.
+// compareGolden compares an output with a file in testdata.
 func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -45,8 +46,8 @@
 	}
 }
 
-// TestLogFormat holds the bytes of entries, of what each did, of the state's snapshot and of its values by key against those of an
-// earlier program, and decodes them again.
+// TestLogFormat compares encoded entries, the effect of each, the state's snapshot and its key-value form with those of an earlier version of
+// the program. It also decodes that version's entries and snapshot.
 func TestLogFormat(t *testing.T) {
 	st := New()
 	var log, applied, values bytes.Buffer
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestPlacementDigest holds the shards of keys and the ranking of members against those of an earlier program: another hash moves
-// every record.
+// TestPlacementDigest compares the shards of keys and the choice of replicas with those of an earlier version of the program: with another
+// hash, every record would move.
 func TestPlacementDigest(t *testing.T) {
 	var out bytes.Buffer
 	for i := range 20 {
@@ -101,7 +102,7 @@
 	compareGolden(t, "placement.golden", out.Bytes())
 }
 
-// TestRejections compares the texts by which a put is rejected with those that operators know.
+// TestRejections compares the texts of rejected puts, which operators read, with those of an earlier version of the program.
 func TestRejections(t *testing.T) {
 	long := strings.Repeat("x", 1000)
 	var out bytes.Buffer
--- a/internal/fleet/shardmap/keyvalue_test.go
+++ b/internal/fleet/shardmap/keyvalue_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestStateAsKeyValues copies each change of a state by keys and values, and compares the copy with the state.
+// TestStateAsKeyValues replicates each change of a state by its changed keys and values. The replica must end up with the same values, except
+// for operators' items, and must reject malformed keys and values.
 func TestStateAsKeyValues(t *testing.T) {
 	s, replica := New(), New()
 	for _, e := range []Entry{
@@ -24,7 +25,7 @@
 		}
 	}
 	if len(s.Keys()) != 2+2+2+1 {
-		t.Errorf("%q", s.Keys())
+		t.Errorf("keys %q, want 7", s.Keys())
 	}
 	for _, k := range s.Keys() {
 		if strings.HasPrefix(k, ConfigPrefix) {
@@ -32,15 +33,15 @@
 		}
 		want, _ := s.Value(k)
 		if got, is := replica.Value(k); !is || !bytes.Equal(got, want) {
-			t.Errorf("%s: %q, wanted %q", k, got, want)
+			t.Errorf("%s: the replica has %q, want %q", k, got, want)
 		}
 	}
 	if len(replica.Members) != 2 || replica.Epoch != 2 {
-		t.Errorf("%+v", replica.Members)
+		t.Errorf("the replica has members %+v, want two, or is not in epoch 2", replica.Members)
 	}
 	for _, k := range []string{"view/256", "view/x", "epoch", "member/z"} {
 		if err := replica.SetValue(k, []byte("x"), false); err == nil {
-			t.Errorf("%s is accepted", k)
+			t.Errorf("malformed value for key %s was accepted", k)
 		}
 	}
 }
