--- a/internal/fleet/replication/client.go
+++ b/internal/fleet/replication/client.go
@@ -10,7 +10,7 @@
 // pendingOperation is an operation that was submitted at this member and does not have its result yet.
 type pendingOperation struct {
 	operation      Operation
-	deadline       time.Duration // when the operation ends without a result
+	deadline       time.Duration // when the operation is given up, as rejected or with an unknown outcome
 	nextAttempt    time.Duration // when it is passed to the primary again
 	mayBeCommitted bool          // a primary may have committed it already
 	sentCount      int           // how often it was sent to another member
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -15,7 +15,7 @@
 	sequence     uint64                      // sequence number of the newest write of this ballot
 	replicas     map[string]*replicaProgress // by member ID
 	inFlight     []*inFlightWrite            // writes that not all required replicas have acknowledged, in order
-	recentWrites []*inFlightWrite            // newest writes of this ballot in order, preceded by one for the ballot's initial state while there are few
+	recentWrites []*inFlightWrite            // newest writes of this ballot in order; the oldest element stands for its initial state until dropped
 
 	queuedByKey map[string][]queuedOperation // operations that wait for an in-flight write of the same key, by key
 	queuedCount int                          // number of operations in queuedByKey
@@ -26,7 +26,7 @@
 	ballotAdopted        bool // the replica has adopted this ballot
 	joining              bool
 	acknowledgedSequence uint64        // all writes up to this one are on the replica's disk
-	incarnation          uint64        // of the replica's process; 0 if not known yet
+	incarnation          uint64        // incarnation of the replica's process; 0 if not known yet
 	lastSent             time.Duration // when the last ballot, snapshot or resent writes were sent
 	waitingSince         time.Duration // since when an answer of the replica is outstanding; notWaiting if none is
 
@@ -250,7 +250,7 @@
 	n.send(m)
 }
 
-// handleReplicaMessage handles a replica's answer in this member's ballot.
+// handleReplicaMessage handles a replica's answer to this member's ballot.
 func (n *Node) handleReplicaMessage(s *shard, m Message) {
 	replica := s.primary.replicas[m.From]
 	if replica == nil {
--- a/internal/fleet/replication/timeouts.go
+++ b/internal/fleet/replication/timeouts.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// checkReplica resends a replica what it has not acknowledged. It also reports a replica that has caught up, again if need be, or whose
-// answer is overdue.
+// checkReplica resends the ballot or the writes that a replica has not acknowledged. It repeats the report of a joining replica that has
+// caught up, and reports a replica whose answer is overdue.
 func (n *Node) checkReplica(s *shard, id string) {
 	replica := s.primary.replicas[id]
 	if n.now-replica.lastSent >= resendInterval {
--- a/internal/fleet/shardmap/put.go
+++ b/internal/fleet/shardmap/put.go
@@ -20,7 +20,7 @@
 	maxRecentPuts       = 1024 // number of puts whose results stay known after their keys were put again
 )
 
-// Put is a change of one operators' item.
+// Put sets or deletes an item on behalf of an operator.
 type Put struct {
 	Key   string `json:"k"`
 	Value []byte `json:"v,omitempty"`
@@ -33,7 +33,7 @@
 	ExpectedVersion uint64 `json:"i,omitempty"`
 }
 
-// Item is one operators' item.
+// Item is a value that an operator has put under a key.
 type Item struct {
 	Value       []byte `json:"v"`
 	OperationID string `json:"o"`
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// isForbiddenKeyRune reports whether a character is a control character, a space or the result of invalid UTF-8.
+// isForbiddenKeyRune reports whether a character is a control character, a space or the replacement for invalid UTF-8.
 func isForbiddenKeyRune(r rune) bool {
 	const deleteCharacter = 0x7f
 	return r <= ' ' || r == deleteCharacter || r == utf8.RuneError
