--- a/internal/fleet/shardmap/golden_test.go
+++ b/internal/fleet/shardmap/golden_test.go
@@ -14,6 +14,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
+// goldenEntries returns entries that use every field, some of them with parts that are not applied.
 func goldenEntries() []Entry {
 	return []Entry{
 		{BootstrapID: "fleet-1"},
@@ -27,8 +28,8 @@
 	}
 }
 
-// golden compares a text with a file of testdata.
-func golden(t *testing.T, name string, got []byte) {
+// compareGolden compares an output with a file in testdata.
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -45,8 +46,8 @@
 	}
 }
 
-// TestLogFormat holds the bytes of entries, of what each did, of the state's snapshot and of its values by key against those of an
-// earlier program, and decodes them again.
+// TestLogFormat compares encoded entries, the effect of each, the state's snapshot and its key-value form with those of an earlier version of
+// the program. It also decodes that version's entries and snapshot.
 func TestLogFormat(t *testing.T) {
 	st := New()
 	var log, applied, values bytes.Buffer
@@ -60,10 +61,10 @@
 		value, is := st.Value(key)
 		fmt.Fprintf(&values, "%s %v %s\n", key, is, value)
 	}
-	golden(t, "entries.golden", log.Bytes())
-	golden(t, "applied.golden", applied.Bytes())
-	golden(t, "snapshot.golden", st.Snapshot())
-	golden(t, "values.golden", values.Bytes())
+	compareGolden(t, "entries.golden", log.Bytes())
+	compareGolden(t, "applied.golden", applied.Bytes())
+	compareGolden(t, "snapshot.golden", st.Snapshot())
+	compareGolden(t, "values.golden", values.Bytes())
 
 	file, err := os.ReadFile(filepath.Join("testdata", "entries.golden"))
 	if err != nil {
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestPlacementDigest holds the shards of keys and the ranking of members against those of an earlier program: another hash moves
-// every record.
+// TestPlacementDigest compares the shards of keys and the choice of replicas with those of an earlier version of the program: with another
+// hash, every record would move.
 func TestPlacementDigest(t *testing.T) {
 	var out bytes.Buffer
 	for i := range 20 {
@@ -98,10 +99,10 @@
 	for num := range ShardCount {
 		fmt.Fprintf(&out, "%d %v\n", num, PickReplicas(num, members, 3))
 	}
-	golden(t, "placement.golden", out.Bytes())
+	compareGolden(t, "placement.golden", out.Bytes())
 }
 
-// TestRejections compares the texts by which a put is rejected with those that operators know.
+// TestRejections compares the texts of rejected puts, which operators read, with those of an earlier version of the program.
 func TestRejections(t *testing.T) {
 	long := strings.Repeat("x", 1000)
 	var out bytes.Buffer
@@ -128,5 +129,5 @@
 	st.Apply(Entry{BootstrapID: "f"})
 	put(Put{Key: "config/a", OperationID: "o", Conditional: true, ExpectedVersion: 7})
 	put(Put{Key: "config/a", OperationID: "o", Delete: true})
-	golden(t, "rejections.golden", out.Bytes())
+	compareGolden(t, "rejections.golden", out.Bytes())
 }
