--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		oldest, silent := l.idle.evict(c)
-		if oldest == nil && l.relay.CloseSending() {
+		if oldest == nil && l.relay.CloseHalfClosed() {
 			continue
 		}
 		if oldest == nil {
--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -109,7 +109,7 @@
 // hasRoomForUpstream reports whether there is a descriptor for a server's side, if need be that of a session that has ended.
 func (l *Loop) hasRoomForUpstream() bool {
 	for l.descriptors.Load() >= l.availableDescriptors()-l.descriptorLimit/rejectReserve {
-		if !l.relay.CloseLingering() && !l.relay.CloseSending() {
+		if !l.relay.CloseLingering() && !l.relay.CloseHalfClosed() {
 			return false
 		}
 	}
--- a/internal/balancer/conn.go
+++ b/internal/balancer/conn.go
@@ -68,7 +68,7 @@
 	// netpoll reads whatever has arrived, however late its handler is: a small buffer bounds that. Without it the connection works too. The
 	// relay, which reads no more than it can write, has it grow again.
 	_ = unix.SetsockoptInt(c.fd(), unix.SOL_SOCKET, unix.SO_RCVBUF, maxQueuedInput/2)
-	relay.SendAtOnce(c.fd())
+	relay.DisableNagle(c.fd())
 	_ = netConn.AddCloseCallback(func(netpoll.Connection) error { // fails only on nil
 		c.onClosed()
 		return nil
--- a/internal/balancer/counters.go
+++ b/internal/balancer/counters.go
@@ -82,8 +82,8 @@
 	fields = append(fields,
 		zap.Int64("descriptors", l.descriptors.Load()),
 		zap.Int64("unsent-bytes", l.relay.UnsentBytes.Load()),
-		zap.Int64("short-writes", l.relay.ShortWrites.Load()),
-		zap.Int64("short-reads", l.relay.ShortReads.Load()))
+		zap.Int64("short-writes", l.relay.WriteRetries.Load()),
+		zap.Int64("short-reads", l.relay.ReadRetries.Load()))
 	log.Info("counters", fields...)
 }
 
--- a/internal/balancer/established.go
+++ b/internal/balancer/established.go
@@ -127,7 +127,7 @@
 	l.logRelayEnd(session, end)
 	outcome := policy.Reset
 	switch {
-	case end.By == relay.Client:
+	case end.EndedBy == relay.Client:
 		outcome = policy.Cancelled
 	case end.Pair.Completed():
 		outcome = policy.Succeeded
@@ -142,7 +142,7 @@
 	fields := []zap.Field{
 		zap.Stringer("circuit", session),
 		zap.String("server", session.upstream.listed.UID),
-		zap.Stringer("by", end.By),
+		zap.Stringer("by", end.EndedBy),
 		zap.Bool("abrupt", end.Abrupt),
 		zap.NamedError("cause", end.Cause),
 		zap.Int("client-buffered", end.Pending[relay.Client].Buffered),
--- a/internal/balancer/lifecycle.go
+++ b/internal/balancer/lifecycle.go
@@ -101,7 +101,7 @@
 		l.handOverAll()
 	}
 	l.drain(delay, max(delay, timeout-lastMigrationLead))
-	l.relay.EndMigrations(timeout)
+	l.relay.SetMigrationDeadline(timeout)
 	l.after(timeout, l.endWaiting)
 	if sharesListener {
 		l.after(timeout, l.rejectSilent)
--- a/internal/balancer/listener.go
+++ b/internal/balancer/listener.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	relay.LimitSegments(listener.fd)
+	relay.LimitSegmentSize(listener.fd)
 	return listener, nil
 }
 
@@ -68,7 +68,7 @@
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
 	unix.CloseOnExec(fd)
-	relay.LimitSegments(fd)
+	relay.LimitSegmentSize(fd)
 	listener := &Listener{fd: fd, addr: tcpAddr(address), shared: true}
 	if listener.addr == nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, errNotTCP)
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -187,7 +187,7 @@
 			return os.NewSyscallError("write", err)
 		}
 		line = line[n:]
-		c.worker.relay.ShortWrites.Add(1)
+		c.worker.relay.WriteRetries.Add(1)
 		time.Sleep(shortageRetryDelay)
 	}
 }
@@ -274,7 +274,7 @@
 		other.finish(false)
 		c.finishInOrder()
 	}
-	p.relay.handler.PairEnded(PairEnd{Pair: p, By: c.side, Abrupt: abrupt, Cause: err, Pending: pending})
+	p.relay.handler.PairEnded(PairEnd{Pair: p, EndedBy: c.side, Abrupt: abrupt, Cause: err, Pending: pending})
 }
 
 // brokenBy returns the error of a write that failed for good.
@@ -303,5 +303,5 @@
 	} else {
 		c.finish(true)
 	}
-	p.relay.handler.PairEnded(PairEnd{Pair: p, By: c.side, Abrupt: true, Fault: why, Pending: pending})
+	p.relay.handler.PairEnded(PairEnd{Pair: p, EndedBy: c.side, Abrupt: true, Fault: why, Pending: pending})
 }
--- a/internal/relay/linger.go
+++ b/internal/relay/linger.go
@@ -94,8 +94,8 @@
 // if there is none.
 func (r *Relay) CloseLingering() bool { return closeAtOnce(r.lingering.firstEnded()) }
 
-// CloseSending does the same to one whose client has ended its sending, and whose server may still say something.
-func (r *Relay) CloseSending() bool { return closeAtOnce(r.lingering.firstSending()) }
+// CloseHalfClosed does the same to one whose client has ended its sending, and whose server may still say something.
+func (r *Relay) CloseHalfClosed() bool { return closeAtOnce(r.lingering.firstSending()) }
 
 func closeAtOnce(c *Conn) bool {
 	if c == nil {
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -93,9 +93,9 @@
 	return c.worker.relay.now() < min(until, startedAt+maxDrainTime)
 }
 
-// EndMigrations bounds the time of the last migrations of a process that shuts down: they are done this long from now, but for those that
+// SetMigrationDeadline bounds the time of the last migrations of a process that shuts down: they are done this long from now, but for those that
 // begin even later. Servers that go on sending after their clients' end are given no longer either.
-func (r *Relay) EndMigrations(within time.Duration) { r.migrateUntil.Store(int64(r.now() + within)) }
+func (r *Relay) SetMigrationDeadline(within time.Duration) { r.migrateUntil.Store(int64(r.now() + within)) }
 
 // migrationDeadline returns until when a server's own end is waited for.
 func (r *Relay) migrationDeadline(from time.Duration) time.Duration {
--- a/internal/relay/pair_end.go
+++ b/internal/relay/pair_end.go
@@ -5,7 +5,7 @@
 // PairEnd tells how a pair ended.
 type PairEnd struct {
 	Pair   *Pair
-	By     Side // that ended first
+	EndedBy     Side // that ended first
 	Abrupt bool
 	Cause  error // of the first side's end, nil if it was ended in order
 	Fault  error // why the relay itself ended the pair, nil otherwise
--- a/internal/relay/read.go
+++ b/internal/relay/read.go
@@ -78,7 +78,7 @@
 
 // readLaterLocked reads again a little later, as the kernel has no memory for it now.
 func (c *Conn) readLaterLocked() {
-	c.worker.relay.ShortReads.Add(1)
+	c.worker.relay.ReadRetries.Add(1)
 	if !c.oneShot { // otherwise it is not armed until then
 		c.setInterestLocked(unix.EPOLLIN, false)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -82,9 +82,9 @@
 	ForwardedLines atomic.Int64
 	// UnsentBytes counts bytes of forwarded lines that were dropped unsent when their connection was closed.
 	UnsentBytes atomic.Int64
-	// ShortWrites and ShortReads count calls that the kernel had no memory for. They are made again.
-	ShortWrites atomic.Int64
-	ShortReads  atomic.Int64
+	// WriteRetries and ShortReads count calls that the kernel had no memory for. They are made again.
+	WriteRetries atomic.Int64
+	ReadRetries  atomic.Int64
 
 	handler      Handler
 	lingering    lingering
@@ -140,7 +140,7 @@
 		return nil, err
 	}
 	for !r.reserveDescriptor(limit) {
-		if !r.CloseLingering() && !r.CloseSending() {
+		if !r.CloseLingering() && !r.CloseHalfClosed() {
 			return nil, ErrDescriptorLimit
 		}
 	}
@@ -173,8 +173,8 @@
 	if err != nil {
 		return nil, os.NewSyscallError("socket", err)
 	}
-	SendAtOnce(fd)
-	LimitSegments(fd)
+	DisableNagle(fd)
+	LimitSegmentSize(fd)
 	if !wanted() {
 		closeDescriptor(fd)
 		return nil, ErrDialCancelled
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -182,7 +182,7 @@
 	_ = server.Close()
 	client.expectText("BYE\r\n")
 	client.expectEnd(false)
-	if e := get(t, b.ended); e.By != Server || e.Abrupt || e.Fault != nil || !e.Pair.Completed() || e.Pair.MoveRequested() {
+	if e := get(t, b.ended); e.EndedBy != Server || e.Abrupt || e.Fault != nil || !e.Pair.Completed() || e.Pair.MoveRequested() {
 		t.Fatal(e)
 	}
 	_ = client.Close()
@@ -190,28 +190,28 @@
 	_, client, server = b.pair()
 	_ = client.Close()
 	server.expectEnd(false)
-	if e := get(t, b.ended); e.By != Client || e.Abrupt {
+	if e := get(t, b.ended); e.EndedBy != Client || e.Abrupt {
 		t.Fatal(e)
 	}
 	_, client, server = b.pair()
 	_ = client.Conn.(*net.TCPConn).SetLinger(0)
 	_ = client.Close()
 	server.expectEnd(true)
-	if e := get(t, b.ended); e.By != Client || !e.Abrupt {
+	if e := get(t, b.ended); e.EndedBy != Client || !e.Abrupt {
 		t.Fatal(e)
 	}
 	_, client, server = b.pair()
 	_ = server.Conn.(*net.TCPConn).SetLinger(0)
 	_ = server.Close()
 	client.expectEnd(true)
-	if e := get(t, b.ended); e.By != Server || !e.Abrupt {
+	if e := get(t, b.ended); e.EndedBy != Server || !e.Abrupt {
 		t.Fatal(e)
 	}
 	for _, bad := range []string{"M 1\n", strings.Repeat("x", 5000), strings.Repeat("x", 4095) + "\r\n"} {
 		_, client, server = b.pair()
 		_, _ = io.WriteString(client, bad)
 		server.expectEnd(true)
-		if e := get(t, b.ended); e.By != Client || !e.Abrupt || e.Fault == nil {
+		if e := get(t, b.ended); e.EndedBy != Client || !e.Abrupt || e.Fault == nil {
 			t.Fatal(e)
 		}
 	}
@@ -336,7 +336,7 @@
 		t.Fatal("it was detached")
 	}
 	_, _ = io.Copy(io.Discard, client.r)
-	if e := get(t, b.ended); e.By != Server || !e.Abrupt {
+	if e := get(t, b.ended); e.EndedBy != Server || !e.Abrupt {
 		t.Fatal(e)
 	}
 }
--- a/internal/relay/socket_options.go
+++ b/internal/relay/socket_options.go
@@ -2,9 +2,9 @@
 
 import "golang.org/x/sys/unix"
 
-// SendAtOnce has the kernel send small writes at once. Without it a line may wait for the acknowledgement of the one before, and a
+// DisableNagle has the kernel send small writes at once. Without it a line may wait for the acknowledgement of the one before, and a
 // reset meanwhile discards it. Accepted sockets and those of another process need it too: it is not the default of a socket.
-func SendAtOnce(fd int) {
+func DisableNagle(fd int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // fails only on a descriptor that is no TCP socket
 }
 
@@ -17,9 +17,9 @@
 // maxSegmentBytes is what an Ethernet frame carries.
 const maxSegmentBytes = 1460
 
-// LimitSegments has the connections of a socket that listens, or is not connected yet, send no larger segments than a network's. On
+// LimitSegmentSize has the connections of a socket that listens, or is not connected yet, send no larger segments than a network's. On
 // loopback one is up to half of the largest window a reader has had: where the window is smaller by then, the kernel sends nothing until a
 // timeout, for each window anew.
-func LimitSegments(fd int) {
+func LimitSegmentSize(fd int) {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_MAXSEG, maxSegmentBytes) // fails only on a descriptor that is no TCP socket
 }
--- a/internal/relay/unread.go
+++ b/internal/relay/unread.go
@@ -44,7 +44,7 @@
 		n, err := c.readUnread()
 		switch {
 		case socket.IsTemporary(err):
-			c.worker.relay.ShortReads.Add(1)
+			c.worker.relay.ReadRetries.Add(1)
 			return unreadUnknown
 		case n <= 0:
 			return unreadNone
--- a/internal/relay/worker.go
+++ b/internal/relay/worker.go
@@ -214,7 +214,7 @@
 // adopt makes a connection of a descriptor that is not counted yet.
 func (w *worker) adopt(fd int) *Conn {
 	w.relay.descriptors.Add(1)
-	SendAtOnce(fd)
+	DisableNagle(fd)
 	growReceiveBuffer(fd)
 	return w.newConn(fd, stateParked, nil)
 }
--- a/internal/relay/write.go
+++ b/internal/relay/write.go
@@ -75,7 +75,7 @@
 	case errors.Is(err, unix.EAGAIN):
 		c.setInterestLocked(unix.EPOLLOUT, true)
 	case socket.IsTemporary(err):
-		c.worker.relay.ShortWrites.Add(1)
+		c.worker.relay.WriteRetries.Add(1)
 		c.setInterestLocked(unix.EPOLLOUT, false) // it would be reported at once, again and again
 		time.AfterFunc(shortageRetryDelay, func() { c.worker.submit(c.onWritable) })
 	default:
