--- a/cmd/sabletally/faulty_kernel_test.go
+++ b/cmd/sabletally/faulty_kernel_test.go
@@ -86,7 +86,7 @@
 		return err
 	}
 	k.rng = rand.New(rand.NewPCG(k.plan.Seed, 1))
-	socket.Use(k)
+	socket.SetKernel(k)
 	return nil
 }
 
--- a/internal/balancer/handover_predecessor.go
+++ b/internal/balancer/handover_predecessor.go
@@ -88,13 +88,13 @@
 	if server == nil || bootMillis(server) != times.BootMillis {
 		return
 	}
-	if len(times.Shortest) == 0 || len(server.probeTimes.shortest) > 0 {
+	if len(times.ShortestDurations) == 0 || len(server.probeTimes.shortest) > 0 {
 		return
 	}
-	shortest := times.Shortest[:min(len(times.Shortest), keptShortestTimes)]
+	shortest := times.ShortestDurations[:min(len(times.ShortestDurations), keptShortestTimes)]
 	server.probeTimes = probeTimes{
-		last:     times.Last,
-		previous: times.Previous,
+		last:     times.LastDuration,
+		previous: times.PreviousDuration,
 		shortest: slices.Sorted(slices.Values(shortest)),
 	}
 	server.speedStep = max(-maxSpeedStep, min(times.SpeedStep, maxSpeedStep))
--- a/internal/balancer/handover_successor.go
+++ b/internal/balancer/handover_successor.go
@@ -66,9 +66,9 @@
 		state.Servers = append(state.Servers, hotrestart.ProbeTimes{
 			UID:        server.listed.UID,
 			BootMillis: bootMillis(server),
-			Last:       times.last,
-			Previous:   times.previous,
-			Shortest:   times.shortest,
+			LastDuration:       times.last,
+			PreviousDuration:   times.previous,
+			ShortestDurations:   times.shortest,
 			SpeedStep:  server.speedStep,
 		})
 	}
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -18,8 +18,8 @@
 		{Version: protocolVersion, Kind: Hello, State: &State{
 			OutOfService: true,
 			Servers: []ProbeTimes{
-				{UID: "s-1", BootMillis: 1700000000123, Last: 3 * time.Millisecond, Previous: 5 * time.Millisecond,
-					Shortest: []time.Duration{time.Millisecond, 2 * time.Millisecond, 3 * time.Millisecond}, SpeedStep: -2},
+				{UID: "s-1", BootMillis: 1700000000123, LastDuration: 3 * time.Millisecond, PreviousDuration: 5 * time.Millisecond,
+					ShortestDurations: []time.Duration{time.Millisecond, 2 * time.Millisecond, 3 * time.Millisecond}, SpeedStep: -2},
 				{UID: "s-2"},
 			},
 		}},
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -20,10 +20,10 @@
 
 var kernel Kernel = linux{}
 
-// Use replaces the kernel. It has to be called before any connection is opened.
-func Use(k Kernel) { kernel = k }
+// SetKernel replaces the kernel. It has to be called before any connection is opened.
+func SetKernel(k Kernel) { kernel = k }
 
-// Linux returns the kernel that is in use without a call of Use.
+// Linux returns the kernel that is in use without a call of SetKernel.
 func Linux() Kernel { return linux{} }
 
 // Accept takes a connection off a listening socket's queue, as a non-blocking descriptor.
