--- a/internal/balancer/handover_successor.go
+++ b/internal/balancer/handover_successor.go
@@ -64,12 +64,12 @@
 			continue
 		}
 		state.Servers = append(state.Servers, hotrestart.ProbeTimes{
-			UID:        server.listed.UID,
-			BootMillis: bootMillis(server),
-			LastDuration:       times.last,
-			PreviousDuration:   times.previous,
-			ShortestDurations:   times.shortest,
-			SpeedStep:  server.speedStep,
+			UID:               server.listed.UID,
+			BootMillis:        bootMillis(server),
+			LastDuration:      times.last,
+			PreviousDuration:  times.previous,
+			ShortestDurations: times.shortest,
+			SpeedStep:         server.speedStep,
 		})
 	}
 	return state
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -31,9 +31,9 @@
 	conn    *net.UnixConn
 	handler Handler
 
-	mu      sync.Mutex
-	changed *sync.Cond // any of the fields below has changed
-	queue   []outbound
+	mu           sync.Mutex
+	stateChanged *sync.Cond // any of the fields below has changed
+	queue        []outbound
 	// unconfirmed were sent, oldest first. Their descriptors stay open here until the other process has confirmed them.
 	unconfirmed []outbound
 	sendClosed  bool
@@ -47,7 +47,7 @@
 
 // outbound is a message that is queued or sent.
 type outbound struct {
-	text        []byte
+	payload     []byte
 	descriptors []int
 	done        func(Outcome)
 }
@@ -55,7 +55,7 @@
 // settle reports the outcome, after it has closed the descriptors that do not return to the caller.
 func (o outbound) settle(outcome Outcome) {
 	if outcome != Returned {
-		closeAll(o.descriptors)
+		closeDescriptors(o.descriptors)
 	}
 	if o.done != nil {
 		o.done(outcome)
@@ -64,8 +64,8 @@
 
 func newLink(conn *net.UnixConn, handler Handler) *Link {
 	l := &Link{conn: conn, handler: handler, finalOutcome: Unconfirmed}
-	l.changed = sync.NewCond(&l.mu)
-	l.confirmTimer = time.AfterFunc(confirmTimeout, l.confirmTimedOut)
+	l.stateChanged = sync.NewCond(&l.mu)
+	l.confirmTimer = time.AfterFunc(confirmTimeout, l.onConfirmTimeout)
 	l.confirmTimer.Stop()
 	return l
 }
@@ -74,13 +74,13 @@
 // possibly before Send returns.
 func (l *Link) Send(m Message, done func(Outcome), descriptors ...int) {
 	m.Version = protocolVersion
-	text, err := json.Marshal(m)
-	out := outbound{text: text, descriptors: descriptors, done: done}
+	payload, err := json.Marshal(m)
+	out := outbound{payload: payload, descriptors: descriptors, done: done}
 	l.mu.Lock()
-	refused := l.sendClosed || err != nil || len(text) > maxMessageSize
+	refused := l.sendClosed || err != nil || len(payload) > maxMessageSize
 	if !refused {
 		l.queue = append(l.queue, out)
-		l.changed.Broadcast()
+		l.stateChanged.Broadcast()
 	}
 	l.mu.Unlock()
 	if refused {
@@ -89,10 +89,10 @@
 }
 
 // Close closes the link.
-func (l *Link) Close() { l.closeWith(errClosedLocally) }
+func (l *Link) Close() { l.closeWithReason(errClosedLocally) }
 
-// closeWith closes the link and reports why, once.
-func (l *Link) closeWith(why error) {
+// closeWithReason closes the link and reports why, once.
+func (l *Link) closeWithReason(why error) {
 	l.closeOnce.Do(func() {
 		l.closeSend()
 		_ = l.conn.Close() // nothing is left to be done with the connection
@@ -105,7 +105,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sendClosed = true
-	l.changed.Broadcast()
+	l.stateChanged.Broadcast()
 }
 
 // isClosedByPeer reports whether an error means that the other process has closed its end.
@@ -113,7 +113,7 @@
 	return errors.Is(err, unix.EPIPE) || errors.Is(err, unix.ECONNRESET)
 }
 
-func closeAll(descriptors []int) {
+func closeDescriptors(descriptors []int) {
 	for _, fd := range descriptors {
 		_ = unix.Close(fd) // the descriptor is gone whatever close returns
 	}
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -60,9 +60,9 @@
 type ProbeTimes struct {
 	UID string `json:"UID"`
 	// BootMillis is when the server's process started, in milliseconds since 1970; 0 for one that started long ago.
-	BootMillis int64         `json:"Boot"`
-	LastDuration       time.Duration `json:"Last"`
-	PreviousDuration   time.Duration `json:"Before"`
+	BootMillis       int64         `json:"Boot"`
+	LastDuration     time.Duration `json:"Last"`
+	PreviousDuration time.Duration `json:"Before"`
 	// ShortestDurations are the shortest times, in ascending order.
 	ShortestDurations []time.Duration `json:"Low"`
 	// SpeedStep is the speed of the server's machine, in steps above the median machine.
--- a/internal/hotrestart/receiver.go
+++ b/internal/hotrestart/receiver.go
@@ -17,16 +17,16 @@
 
 // receiver reads the messages of one link.
 type receiver struct {
-	link   *Link
-	text   []byte
-	rights []byte
+	link        *Link
+	readBuffer  []byte
+	controlData []byte
 	// peerConfirms is set once the other process has said that it confirms messages.
 	peerConfirms bool
 }
 
 // packet is one message as it was read, with its descriptors.
 type packet struct {
-	text        []byte
+	payload     []byte
 	descriptors []int
 	flags       int
 }
@@ -34,17 +34,17 @@
 // readLoop receives messages until the link ends, and then says what becomes of those that the other process has not confirmed.
 func (l *Link) readLoop() {
 	r := &receiver{
-		link:   l,
-		text:   make([]byte, maxMessageSize+1),
-		rights: make([]byte, unix.CmsgSpace(maxDescriptors*4)),
+		link:        l,
+		readBuffer:  make([]byte, maxMessageSize+1),
+		controlData: make([]byte, unix.CmsgSpace(maxDescriptors*4)),
 	}
 	outcome, err := r.run()
-	l.closeWith(err)
+	l.closeWithReason(err)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.readDone = true
 	l.finalOutcome = outcome
-	l.changed.Broadcast()
+	l.stateChanged.Broadcast()
 }
 
 // run delivers messages until one fails. It returns the outcome of what is unconfirmed by then.
@@ -52,7 +52,7 @@
 	for {
 		p, err := r.read()
 		if errors.Is(err, io.EOF) {
-			closeAll(p.descriptors)
+			closeDescriptors(p.descriptors)
 			outcome := Unconfirmed
 			if r.peerConfirms && r.link.isPeerClosed() {
 				outcome = Returned
@@ -67,7 +67,7 @@
 			err = r.link.sendConfirmation()
 		}
 		if err != nil {
-			closeAll(p.descriptors)
+			closeDescriptors(p.descriptors)
 			return Unconfirmed, err
 		}
 		r.deliver(m, p.descriptors)
@@ -76,21 +76,21 @@
 
 // read reads one packet; io.EOF at the end of the connection.
 func (r *receiver) read() (packet, error) {
-	n, rightsLen, flags, _, err := r.link.conn.ReadMsgUnix(r.text, r.rights)
+	n, rightsLen, flags, _, err := r.link.conn.ReadMsgUnix(r.readBuffer, r.controlData)
 	if errors.Is(err, unix.ECONNRESET) {
 		// The other process ended before it had read everything. That is reported once; what it sent can still be read.
-		n, rightsLen, flags, _, err = r.link.conn.ReadMsgUnix(r.text, r.rights)
+		n, rightsLen, flags, _, err = r.link.conn.ReadMsgUnix(r.readBuffer, r.controlData)
 	}
 	if n == 0 && err == nil {
 		err = io.EOF
 	}
-	return packet{text: r.text[:max(n, 0)], descriptors: parseDescriptors(r.rights[:rightsLen]), flags: flags}, err
+	return packet{payload: r.readBuffer[:max(n, 0)], descriptors: parseDescriptors(r.controlData[:rightsLen]), flags: flags}, err
 }
 
 // decode checks the packet's form and reads its message.
 func (p packet) decode() (Message, error) {
 	var m Message
-	if err := json.Unmarshal(p.text, &m); err != nil {
+	if err := json.Unmarshal(p.payload, &m); err != nil {
 		return m, err
 	}
 	if m.Version != protocolVersion {
@@ -119,12 +119,12 @@
 // sendConfirmation confirms a message before it is delivered. On an error the other process may take the descriptors back, so the
 // message must not be delivered. A process that has closed its end can't do that any more.
 func (l *Link) sendConfirmation() error {
-	text, err := json.Marshal(Message{Version: protocolVersion, Kind: confirmation})
+	payload, err := json.Marshal(Message{Version: protocolVersion, Kind: confirmation})
 	if err != nil {
 		return err
 	}
 	_ = l.conn.SetWriteDeadline(time.Now().Add(confirmTimeout)) // the write reports a closed connection
-	if _, _, err := l.conn.WriteMsgUnix(text, nil, nil); err != nil && !isClosedByPeer(err) {
+	if _, _, err := l.conn.WriteMsgUnix(payload, nil, nil); err != nil && !isClosedByPeer(err) {
 		return fmt.Errorf("confirming: %w", err)
 	}
 	return nil
@@ -147,8 +147,8 @@
 }
 
 // parseDescriptors returns the descriptors in a packet's control data.
-func parseDescriptors(rights []byte) []int {
-	messages, err := unix.ParseSocketControlMessage(rights)
+func parseDescriptors(controlData []byte) []int {
+	messages, err := unix.ParseSocketControlMessage(controlData)
 	if err != nil {
 		return nil
 	}
--- a/internal/hotrestart/sender.go
+++ b/internal/hotrestart/sender.go
@@ -29,7 +29,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for !l.sendClosed && !l.canSendLocked() {
-		l.changed.Wait()
+		l.stateChanged.Wait()
 	}
 	if l.sendClosed {
 		return outbound{}, false
@@ -59,7 +59,7 @@
 		rights = unix.UnixRights(out.descriptors...)
 	}
 	_ = l.conn.SetWriteDeadline(time.Now().Add(confirmTimeout)) // the write reports a closed connection
-	_, _, err := l.conn.WriteMsgUnix(out.text, rights, nil)
+	_, _, err := l.conn.WriteMsgUnix(out.payload, rights, nil)
 	if err == nil {
 		return
 	}
@@ -90,7 +90,7 @@
 func (l *Link) settleUnconfirmed() {
 	l.mu.Lock()
 	for !l.readDone {
-		l.changed.Wait()
+		l.stateChanged.Wait()
 	}
 	unconfirmed, outcome := l.unconfirmed, l.finalOutcome
 	l.unconfirmed = nil
@@ -101,8 +101,8 @@
 	}
 }
 
-// confirmTimedOut runs when the oldest unconfirmed message was not confirmed in time: the other process hangs.
-func (l *Link) confirmTimedOut() {
+// onConfirmTimeout runs when the oldest unconfirmed message was not confirmed in time: the other process hangs.
+func (l *Link) onConfirmTimeout() {
 	if l.hasUnconfirmed() {
 		l.giveUpSending(errNoConfirmation)
 	}
@@ -120,11 +120,11 @@
 	l.closeSend()
 	if !l.hasUnconfirmed() {
 		// No half-close here: a process that is sent something and can't confirm it must be seen to have ended.
-		l.closeWith(why)
+		l.closeWithReason(why)
 		return
 	}
 	_ = l.conn.CloseWrite() // fails only on a connection that has ended, which the reader sees
-	time.AfterFunc(silentPeerTimeout, func() { l.closeWith(why) })
+	time.AfterFunc(silentPeerTimeout, func() { l.closeWithReason(why) })
 }
 
 // handleConfirmation settles the oldest unconfirmed message.
@@ -141,7 +141,7 @@
 	} else {
 		l.confirmTimer.Stop()
 	}
-	l.changed.Broadcast()
+	l.stateChanged.Broadcast()
 	l.mu.Unlock()
 	out.settle(Confirmed)
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -85,7 +85,7 @@
 			l.Value, l.Err = parseValue("BUSY", rest)
 		}
 	case KindPong:
-		l.Fields = parseReport(rest)
+		l.Fields = parseLoadReport(rest)
 	}
 	return l
 }
@@ -99,8 +99,8 @@
 	return f, nil
 }
 
-// parseReport reads the names and values of a load report and skips what is no value.
-func parseReport(text []byte) map[string]float64 {
+// parseLoadReport reads the names and values of a load report and skips what is no value.
+func parseLoadReport(text []byte) map[string]float64 {
 	fields := map[string]float64{}
 	for _, part := range bytes.FieldsFunc(text, func(r rune) bool { return r == ' ' || r == ',' }) {
 		name, value, _ := bytes.Cut(part, []byte("="))
@@ -112,4 +112,4 @@
 }
 
 // LoadReport reads the names and values of a line that has no first word.
-func (l Line) LoadReport() map[string]float64 { return parseReport(bytes.TrimRight(l.Raw, "\r\n")) }
+func (l Line) LoadReport() map[string]float64 { return parseLoadReport(bytes.TrimRight(l.Raw, "\r\n")) }
--- a/internal/relay/coalesce.go
+++ b/internal/relay/coalesce.go
@@ -51,9 +51,9 @@
 		return
 	}
 	c.coalesceUntil = 0
-	n, err := socket.WriteAvailable(c.fd, c.writeBuffer[c.written:])
-	c.written += n
-	if c.written == len(c.writeBuffer) {
+	n, err := socket.WriteAvailable(c.fd, c.writeBuffer[c.writeOffset:])
+	c.writeOffset += n
+	if c.writeOffset == len(c.writeBuffer) {
 		c.releaseWriteBufferLocked()
 		return
 	}
@@ -71,7 +71,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.coalesced = append(w.coalesced, coalescedWrite{c, until})
-	if !w.awake.Load() && !w.closed { // otherwise it looks at them before it waits
+	if !w.isAwake.Load() && !w.closed { // otherwise it looks at them before it waits
 		w.wakeLocked()
 	}
 }
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -13,8 +13,8 @@
 	"sabletally/internal/socket"
 )
 
-// maxFirstWrites bounds the writes of a connection's first line while the kernel has no memory for it.
-const maxFirstWrites = 10
+// maxFirstWriteTries bounds the writes of a connection's first line while the kernel has no memory for it.
+const maxFirstWriteTries = 10
 
 // state is the state of a connection.
 type state uint8
@@ -22,7 +22,7 @@
 const (
 	stateDialing  state = iota
 	stateUnpaired       // connected; its lines go to the handler, one at a time
-	stateParked         // is being made one of a pair: not read
+	stateJoining        // is being made one of a pair: not read
 	statePaired
 	stateDraining // read to its end, and nothing of it is forwarded
 )
@@ -45,12 +45,12 @@
 	// partial is input that makes no complete line yet, or that the handler has not asked for.
 	partial     []byte
 	writeBuffer []byte // waits to be written, from written on
-	written     int
+	writeOffset int
 	peerEnded   bool       // the peer has ended its sending: nothing more is read
 	migration   *migration // not nil while what it sends until its own end is still forwarded
 	closed      bool
 	drain       *drain // nil until the end is begun; nothing more is written then
-	broken      error  // of a write that failed for good: a read may only see an orderly end after it
+	writeErr    error  // of a write that failed for good: a read may only see an orderly end after it
 	// firstWrittenAt is when WriteFirst wrote, responseTime how long after that the newest line was read.
 	firstWrittenAt time.Duration
 	responseTime   time.Duration
@@ -111,7 +111,7 @@
 // closeLocked closes the descriptor.
 func (c *Conn) closeLocked() {
 	if !c.closed {
-		c.worker.relay.UnsentBytes.Add(int64(len(c.writeBuffer) - c.written))
+		c.worker.relay.UnsentBytes.Add(int64(len(c.writeBuffer) - c.writeOffset))
 		c.detachLocked()
 		closeDescriptor(c.fd)
 	}
@@ -131,7 +131,7 @@
 	c.worker.remove(c)
 	c.worker.relay.descriptors.Add(-1)
 	c.writeBuffer = nil
-	c.written = 0
+	c.writeOffset = 0
 	c.coalesceUntil = 0
 }
 
@@ -179,11 +179,11 @@
 // WriteFirst writes a connection's first line. After an error its last byte was not written. AwaitLine then has the answer read.
 func (c *Conn) WriteFirst(line []byte) error {
 	for tries := 1; ; tries++ {
-		n, err := c.writeFirstPart(line)
+		n, err := c.writeFirstAvailable(line)
 		switch {
 		case err == nil:
 			return nil
-		case !socket.IsTemporary(err) || tries == maxFirstWrites: // a new connection takes one line at once, or nothing
+		case !socket.IsTemporary(err) || tries == maxFirstWriteTries: // a new connection takes one line at once, or nothing
 			return os.NewSyscallError("write", err)
 		}
 		line = line[n:]
@@ -192,8 +192,8 @@
 	}
 }
 
-// writeFirstPart writes as much of the first line as is taken.
-func (c *Conn) writeFirstPart(line []byte) (written int, err error) {
+// writeFirstAvailable writes as much of the first line as is taken.
+func (c *Conn) writeFirstAvailable(line []byte) (written int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -249,7 +249,7 @@
 // onEnded handles the end of a connection by the other side; err is nil if it was ended in order, and whatever else broke it otherwise.
 func (c *Conn) onEnded(err error) {
 	if err == nil {
-		err = c.brokenBy()
+		err = c.writeError()
 	}
 	abrupt := err != nil
 	p := c.pair.Load()
@@ -258,7 +258,7 @@
 		return
 	}
 	if !p.end(nil) {
-		c.peerEndedAgain(abrupt)
+		c.onEndedAfterPair(abrupt)
 		return
 	}
 	pending := p.pending()
@@ -272,16 +272,16 @@
 		other.finishSending()
 	default:
 		other.finish(false)
-		c.finishInOrder()
+		c.finishGracefully()
 	}
 	p.relay.handler.PairEnded(PairEnd{Pair: p, EndedBy: c.side, Abrupt: abrupt, Cause: err, Pending: pending})
 }
 
-// brokenBy returns the error of a write that failed for good.
-func (c *Conn) brokenBy() error {
+// writeError returns the error of a write that failed for good.
+func (c *Conn) writeError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.broken
+	return c.writeErr
 }
 
 // fail ends a connection for a fault of its own, and its pair.
@@ -294,7 +294,7 @@
 	pending := p.pending()
 	if !p.end(nil) {
 		p.resetOther(c)
-		c.change(c.abortLocked)
+		c.withLock(c.abortLocked)
 		return
 	}
 	p.conns[c.side.other()].finish(true)
--- a/internal/relay/detach.go
+++ b/internal/relay/detach.go
@@ -41,7 +41,7 @@
 
 // isBroken reports whether a write has found a side broken, whose end is on its way.
 func (p *Pair) isBroken() bool {
-	return p.conns[Client].brokenBy() != nil || p.conns[Server].brokenBy() != nil
+	return p.conns[Client].writeError() != nil || p.conns[Server].writeError() != nil
 }
 
 func (p *Pair) detachState() PairState {
@@ -66,7 +66,7 @@
 	state := ConnState{
 		FD:        c.fd,
 		Partial:   c.partial,
-		Unwritten: c.writeBuffer[c.written:],
+		Unwritten: c.writeBuffer[c.writeOffset:],
 	}
 	c.detachLocked()
 	c.partial = nil
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -19,29 +19,29 @@
 
 // drain is how far the end of a connection has come: written, then received by its peer, then waiting for the peer's own end.
 type drain struct {
-	reset      bool        // it ends with a reset, once its peer has received everything; in order otherwise
-	timer      *time.Timer // nil until there is something to wait for
-	interval   time.Duration
-	startedAt  time.Duration
-	left       int           // bytes that the peer had not received at the last check
-	progressAt time.Duration // when left was last seen to fall
-	doneAt     time.Duration // since when nothing is left, 0 before that
+	reset          bool        // it ends with a reset, once its peer has received everything; in order otherwise
+	timer          *time.Timer // nil until there is something to wait for
+	interval       time.Duration
+	startedAt      time.Duration
+	unreceived     int           // bytes that the peer had not received at the last check
+	lastProgressAt time.Duration // when left was last seen to fall
+	receivedAt     time.Duration // since when nothing is left, 0 before that
 }
 
 // finish ends the connection once its peer has received everything, with a reset if abrupt and otherwise in order. What the peer still
 // sends is discarded.
 func (c *Conn) finish(abrupt bool) {
-	c.change(func() { c.finishLocked(abrupt) })
+	c.withLock(func() { c.finishLocked(abrupt) })
 }
 
 // finishSending is finish in order, but what the peer still sends is forwarded until it ends.
 func (c *Conn) finishSending() {
-	c.change(func() { c.startDrainLocked(false) })
+	c.withLock(func() { c.startDrainLocked(false) })
 }
 
-// change runs a step under the lock. If it closes the connection, the other side of its pair, which has ended, has nothing more to wait
+// withLock runs a step under the lock. If it closes the connection, the other side of its pair, which has ended, has nothing more to wait
 // for.
-func (c *Conn) change(step func()) {
+func (c *Conn) withLock(step func()) {
 	c.mu.Lock()
 	wasClosed := c.closed
 	step()
@@ -55,7 +55,7 @@
 // finishOther is finishLast for the other side than c, if that became one of the pair.
 func (p *Pair) finishOther(c *Conn, abrupt bool) {
 	if other := p.conns[c.side.other()]; other.pair.Load() == p {
-		other.finishLast(abrupt)
+		other.finishWithLastLine(abrupt)
 	}
 }
 
@@ -67,13 +67,13 @@
 	}
 }
 
-// finishLast is finish for the side of a pair that is left. A client receives the pair's last line first.
-func (c *Conn) finishLast(abrupt bool) {
+// finishWithLastLine is finish for the side of a pair that is left. A client receives the pair's last line first.
+func (c *Conn) finishWithLastLine(abrupt bool) {
 	var lastLine []byte
 	if ending := c.pair.Load().ended.Load(); ending != nil && c.side == Client {
 		lastLine = ending.lastLine
 	}
-	c.change(func() {
+	c.withLock(func() {
 		c.writeLocked(lastLine)
 		c.finishLocked(abrupt)
 	})
@@ -98,7 +98,7 @@
 	}
 	c.flushCoalescedLocked()
 	now := c.worker.relay.now()
-	c.drain = &drain{reset: abrupt, interval: minDrainCheckInterval, startedAt: now, progressAt: now}
+	c.drain = &drain{reset: abrupt, interval: minDrainCheckInterval, startedAt: now, lastProgressAt: now}
 	if len(c.writeBuffer) == 0 {
 		c.endSendingLocked()
 	}
@@ -114,7 +114,7 @@
 
 // checkDrained closes the connection if its peer has received everything, and checks again later otherwise.
 func (c *Conn) checkDrained() {
-	c.change(func() {
+	c.withLock(func() {
 		if !c.closed {
 			c.checkDrainedLocked()
 		}
@@ -125,14 +125,14 @@
 	now := c.worker.relay.now()
 	c.updateDrainLocked(now)
 	switch {
-	case c.drain.left > 0 && c.isStalledLocked(now):
+	case c.drain.unreceived > 0 && c.isStalledLocked(now):
 		c.giveUpDrainLocked()
-	case c.drain.left > 0:
+	case c.drain.unreceived > 0:
 		c.scheduleDrainCheckLocked(c.drain.interval)
 		c.drain.interval = min(2*c.drain.interval, maxDrainCheckInterval)
 	case c.drain.reset:
 		c.abortLocked()
-	case c.peerEnded, c.broken != nil && !c.forwardsInputLocked():
+	case c.peerEnded, c.writeErr != nil && !c.forwardsInputLocked():
 		c.closeLocked()
 	case c.migration != nil:
 		c.scheduleDrainCheckLocked(maxDrainCheckInterval)
@@ -147,13 +147,13 @@
 // lingerUntilLocked returns when the connection is closed if its peer does not end it. A peer whose lines are still forwarded is given that
 // long from the last of them, and from when the other side last kept them from being read.
 func (c *Conn) lingerUntilLocked() time.Duration {
-	shortest := c.drain.doneAt + lingerTimeout
+	shortest := c.drain.receivedAt + lingerTimeout
 	if !c.forwardsInputLocked() {
 		return shortest
 	}
 	from := max(c.otherBlockedAt(), time.Duration(c.pair.Load().lastLineAt.Load()))
 	longest := c.drain.startedAt + maxDrainTime
-	if end := time.Duration(c.worker.relay.migrateUntil.Load()); end > 0 {
+	if end := time.Duration(c.worker.relay.shutdownDeadline.Load()); end > 0 {
 		longest = end
 	}
 	return max(shortest, min(from+lingerTimeout, longest))
@@ -179,24 +179,24 @@
 	case !c.peerEnded:
 		left += pending.Unacknowledged
 	}
-	if left < c.drain.left {
-		c.drain.progressAt = now
+	if left < c.drain.unreceived {
+		c.drain.lastProgressAt = now
 	}
-	c.drain.left = left
-	if left == 0 && c.drain.doneAt == 0 {
-		c.drain.doneAt = now
+	c.drain.unreceived = left
+	if left == 0 && c.drain.receivedAt == 0 {
+		c.drain.receivedAt = now
 	}
 }
 
 // isStalledLocked reports whether the peer takes nothing any more, or takes too long.
 func (c *Conn) isStalledLocked(now time.Duration) bool {
-	return now-c.drain.progressAt >= c.worker.relay.stallTimeout || now-c.drain.startedAt >= maxDrainTime
+	return now-c.drain.lastProgressAt >= c.worker.relay.stallTimeout || now-c.drain.startedAt >= maxDrainTime
 }
 
 // giveUpDrainLocked closes a connection whose peer does not take everything in time. Lines that are cut are shown by a reset; those that
 // the kernel holds already, it goes on delivering.
 func (c *Conn) giveUpDrainLocked() {
-	if c.drain.reset || c.written < len(c.writeBuffer) {
+	if c.drain.reset || c.writeOffset < len(c.writeBuffer) {
 		c.abortLocked()
 	} else {
 		c.closeLocked()
@@ -211,20 +211,20 @@
 	c.drain.timer.Reset(wait)
 }
 
-// finishInOrder ends a connection whose peer has ended it in order: the peer receives what waits for it all the same.
-func (c *Conn) finishInOrder() {
-	c.change(func() {
+// finishGracefully ends a connection whose peer has ended it in order: the peer receives what waits for it all the same.
+func (c *Conn) finishGracefully() {
+	c.withLock(func() {
 		c.endReadingLocked()
 		c.finishLocked(false)
 	})
 }
 
-// peerEndedAgain handles the end by its peer of a connection whose pair has ended.
-func (c *Conn) peerEndedAgain(abrupt bool) {
+// onEndedAfterPair handles the end by its peer of a connection whose pair has ended.
+func (c *Conn) onEndedAfterPair(abrupt bool) {
 	if abrupt {
 		c.pair.Load().resetOther(c)
 	}
-	c.change(func() {
+	c.withLock(func() {
 		switch {
 		case c.closed:
 		case abrupt:
--- a/internal/relay/linger.go
+++ b/internal/relay/linger.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// lingering keeps the connections that were ended here, whose peers have received everything and have not ended them yet. They can be
+// lingerSet keeps the connections that were ended here, whose peers have received everything and have not ended them yet. They can be
 // closed when descriptors run short. Its methods are safe for concurrent use.
-type lingering struct {
-	mu       sync.Mutex
-	ended    list.List // of *Conn: nothing of them is forwarded any more
-	sending  list.List // of *Conn: what they still send is; those that may bring an answer last
-	elements map[*Conn]lingeringElement
+type lingerSet struct {
+	mu         sync.Mutex
+	ended      list.List // of *Conn: nothing of them is forwarded any more
+	halfClosed list.List // of *Conn: what they still send is; those that may bring an answer last
+	elements   map[*Conn]lingeringElement
 }
 
 // lingeringElement is where a connection is kept.
@@ -21,7 +21,7 @@
 }
 
 // add keeps a connection. The caller holds its lock.
-func (l *lingering) add(c *Conn) {
+func (l *lingerSet) add(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.elements == nil {
@@ -29,7 +29,7 @@
 	}
 	to := &l.ended
 	if c.forwardsInputLocked() {
-		to = &l.sending
+		to = &l.halfClosed
 	}
 	if l.elements[c].list == to {
 		return
@@ -43,13 +43,13 @@
 }
 
 // remove forgets a connection. The caller holds its lock.
-func (l *lingering) remove(c *Conn) {
+func (l *lingerSet) remove(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.removeLocked(c)
 }
 
-func (l *lingering) removeLocked(c *Conn) {
+func (l *lingerSet) removeLocked(c *Conn) {
 	if kept, found := l.elements[c]; found {
 		kept.list.Remove(kept.element)
 		delete(l.elements, c)
@@ -57,7 +57,7 @@
 }
 
 // firstEnded returns a connection of which nothing is forwarded any more, nil where there is none.
-func (l *lingering) firstEnded() *Conn {
+func (l *lingerSet) firstEnded() *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if front := l.ended.Front(); front != nil {
@@ -66,20 +66,20 @@
 	return nil
 }
 
-// firstSending returns the connection to close first of those that may still send something, nil where there is none.
-func (l *lingering) firstSending() *Conn {
+// firstHalfClosed returns the connection to close first of those that may still send something, nil where there is none.
+func (l *lingerSet) firstHalfClosed() *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for element := l.sending.Front(); element != nil; element = element.Next() {
-		if c := element.Value.(*Conn); !c.isReadLater() {
+	for element := l.halfClosed.Front(); element != nil; element = element.Next() {
+		if c := element.Value.(*Conn); !c.isReadingSuspended() {
 			return c
 		}
 	}
 	return nil
 }
 
-// isReadLater reports whether the connection is not read because the other side of its pair takes nothing more now.
-func (c *Conn) isReadLater() bool {
+// isReadingSuspended reports whether the connection is not read because the other side of its pair takes nothing more now.
+func (c *Conn) isReadingSuspended() bool {
 	p := c.pair.Load()
 	return p != nil && c.side == Server && p.conns[Client].writeBlocked.Load()
 }
@@ -95,12 +95,12 @@
 func (r *Relay) CloseLingering() bool { return closeAtOnce(r.lingering.firstEnded()) }
 
 // CloseHalfClosed does the same to one whose client has ended its sending, and whose server may still say something.
-func (r *Relay) CloseHalfClosed() bool { return closeAtOnce(r.lingering.firstSending()) }
+func (r *Relay) CloseHalfClosed() bool { return closeAtOnce(r.lingering.firstHalfClosed()) }
 
 func closeAtOnce(c *Conn) bool {
 	if c == nil {
 		return false
 	}
-	c.change(c.closeLocked)
+	c.withLock(c.closeLocked)
 	return true
 }
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -35,8 +35,8 @@
 
 // closeAbruptly ends a pair whose server is taken for gone. It runs on the worker's goroutine.
 func (p *Pair) closeAbruptly() {
-	p.conns[Server].forwardRest(p.relay.now(), func() {
-		p.conns[Client].finishLast(false)
+	p.conns[Server].forwardRemaining(p.relay.now(), func() {
+		p.conns[Client].finishWithLastLine(false)
 		p.conns[Server].Abort()
 	})
 }
@@ -67,7 +67,7 @@
 	}
 	server.forwardUnread()
 	server.endMigration()
-	client.finishLast(false)
+	client.finishWithLastLine(false)
 }
 
 // beginMigration keeps the connection open, whatever becomes of the rest of its end, until endMigration or its peer's own end.
@@ -95,12 +95,14 @@
 
 // SetMigrationDeadline bounds the time of the last migrations of a process that shuts down: they are done this long from now, but for those that
 // begin even later. Servers that go on sending after their clients' end are given no longer either.
-func (r *Relay) SetMigrationDeadline(within time.Duration) { r.migrateUntil.Store(int64(r.now() + within)) }
+func (r *Relay) SetMigrationDeadline(within time.Duration) {
+	r.shutdownDeadline.Store(int64(r.now() + within))
+}
 
 // migrationDeadline returns until when a server's own end is waited for.
 func (r *Relay) migrationDeadline(from time.Duration) time.Duration {
 	until := from + migrationTimeout
-	if end := time.Duration(r.migrateUntil.Load()); end > 0 {
+	if end := time.Duration(r.shutdownDeadline.Load()); end > 0 {
 		until = min(until, max(end, from+lastMigrationTimeout))
 	}
 	return until
@@ -114,10 +116,10 @@
 }
 
 func (c *Conn) endMigration() {
-	c.change(func() {
+	c.withLock(func() {
 		c.migration = nil
-		if !c.closed && c.drain != nil && c.drain.doneAt > 0 {
-			c.drain.doneAt = c.worker.relay.now()
+		if !c.closed && c.drain != nil && c.drain.receivedAt > 0 {
+			c.drain.receivedAt = c.worker.relay.now()
 			c.checkDrainedLocked()
 		}
 	})
--- a/internal/relay/pair.go
+++ b/internal/relay/pair.go
@@ -61,7 +61,7 @@
 	client.write(firstLine)
 	server.forward(nil) // what it has said since
 	client.startForwarding()
-	server.waitForMore(client)
+	server.startReading(client)
 	server.worker.flushLoads()
 	return p, nil
 }
@@ -89,8 +89,8 @@
 	c.setInterestLocked(unix.EPOLLIN, true)
 }
 
-// waitForMore reads a server's connection from here on, unless the client does not take what it has said.
-func (c *Conn) waitForMore(client *Conn) {
+// startReading reads a server's connection from here on, unless the client does not take what it has said.
+func (c *Conn) startReading(client *Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.oneShot = false
--- a/internal/relay/pair_end.go
+++ b/internal/relay/pair_end.go
@@ -4,11 +4,11 @@
 
 // PairEnd tells how a pair ended.
 type PairEnd struct {
-	Pair   *Pair
-	EndedBy     Side // that ended first
-	Abrupt bool
-	Cause  error // of the first side's end, nil if it was ended in order
-	Fault  error // why the relay itself ended the pair, nil otherwise
+	Pair    *Pair
+	EndedBy Side // that ended first
+	Abrupt  bool
+	Cause   error // of the first side's end, nil if it was ended in order
+	Fault   error // why the relay itself ended the pair, nil otherwise
 	// Pending is what each side was still owed at that moment.
 	Pending [2]Pending
 }
@@ -24,7 +24,7 @@
 	if c.closed {
 		return Pending{}
 	}
-	pending := Pending{Buffered: len(c.writeBuffer) - c.written}
+	pending := Pending{Buffered: len(c.writeBuffer) - c.writeOffset}
 	if n, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ); err == nil {
 		pending.Unacknowledged = n
 	}
@@ -43,7 +43,7 @@
 
 // countUnsentLocked counts what a reset now would discard.
 func (c *Conn) countUnsentLocked() {
-	unsent := len(c.writeBuffer) - c.written
+	unsent := len(c.writeBuffer) - c.writeOffset
 	if n, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQNSD); err == nil {
 		unsent += n
 	}
--- a/internal/relay/read.go
+++ b/internal/relay/read.go
@@ -27,7 +27,7 @@
 func (c *Conn) onReadable() {
 	c.mu.Lock()
 	switch {
-	case c.closed || c.state == stateParked: // a parked connection's event comes again once it is paired
+	case c.closed || c.state == stateJoining: // a parked connection's event comes again once it is paired
 		c.mu.Unlock()
 		return
 	case c.state == statePaired && c.interest&unix.EPOLLIN == 0 && !c.peerEnded: // its end; what it has sent waits until the other side takes more
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -86,15 +86,15 @@
 	WriteRetries atomic.Int64
 	ReadRetries  atomic.Int64
 
-	handler      Handler
-	lingering    lingering
-	descriptors  *atomic.Int64 // of connections; others count theirs there too
-	workers      []*worker
-	next         atomic.Uint32 // round robin over workers
-	start        time.Time
-	closeOnce    sync.Once
-	stallTimeout time.Duration // writeStallTimeout, but for tests
-	migrateUntil atomic.Int64  // when the last migrations end, on the relay's clock; 0 but in a shutdown
+	handler          Handler
+	lingering        lingerSet
+	descriptors      *atomic.Int64 // of connections; others count theirs there too
+	workers          []*worker
+	workerCounter    atomic.Uint32 // round robin over workers
+	clockStart       time.Time
+	closeOnce        sync.Once
+	stallTimeout     time.Duration // writeStallTimeout, but for tests
+	shutdownDeadline atomic.Int64  // when the last migrations end, on the relay's clock; 0 but in a shutdown
 }
 
 // New starts a relay with a number of workers, at least one. descriptors counts the descriptors of its connections.
@@ -102,7 +102,7 @@
 	r := &Relay{
 		handler:      handler,
 		descriptors:  descriptors,
-		start:        time.Now().Add(-maxDetachedAge),
+		clockStart:   time.Now().Add(-maxDetachedAge),
 		stallTimeout: writeStallTimeout,
 	}
 	for range max(1, workers) {
@@ -127,9 +127,9 @@
 }
 
 // now returns the time on the relay's clock, which is above 0 for everything that is relayed.
-func (r *Relay) now() time.Duration { return time.Since(r.start) }
+func (r *Relay) now() time.Duration { return time.Since(r.clockStart) }
 
-func (r *Relay) nextWorker() *worker { return r.workers[int(r.next.Add(1))%len(r.workers)] }
+func (r *Relay) nextWorker() *worker { return r.workers[int(r.workerCounter.Add(1))%len(r.workers)] }
 
 // Dial starts one connection to an address. The handler is notified how it ended, unless the connection is closed before. data is the
 // caller's. Dial may take as long as it takes to look up a name; wanted is called after that, just before the connection is begun, and
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -324,7 +324,7 @@
 	}
 	_ = server.Conn.(*net.TCPConn).SetLinger(0)
 	_ = server.Close()
-	for end := time.Now().Add(testTimeout); p.conns[Server].brokenBy() == nil; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); p.conns[Server].writeError() == nil; time.Sleep(time.Millisecond) {
 		_, _ = io.WriteString(client, "M 1\r\n")
 		if time.Now().After(end) {
 			t.Fatal("no write has met the reset")
--- a/internal/relay/unread.go
+++ b/internal/relay/unread.go
@@ -14,23 +14,23 @@
 // maxUnreadInput bounds what is read at once of a connection that is ended.
 const maxUnreadInput = 16 * readBufferSize
 
-// unread is what is left after a round of reading.
-type unread uint8
+// readProgress is what is left after a round of reading.
+type readProgress uint8
 
 const (
-	unreadNone    unread = iota // until more arrives, if it does
-	unreadMore                  // the round's bound was reached
-	unreadUnknown               // the kernel has no memory for the call
+	progressDrained    readProgress = iota // until more arrives, if it does
+	progressLimited                        // the round's bound was reached
+	progressRetryLater                     // the kernel has no memory for the call
 )
 
-// forwardRest forwards what has arrived, as far as the other side takes it, and calls done then, or once that takes too long. It runs on
+// forwardRemaining forwards what has arrived, as far as the other side takes it, and calls done then, or once that takes too long. It runs on
 // the worker's goroutine, and so does done.
-func (c *Conn) forwardRest(startedAt time.Duration, done func()) {
+func (c *Conn) forwardRemaining(startedAt time.Duration, done func()) {
 	other := c.pair.Load().conns[c.side.other()]
 	isLate := other.isStalled() || c.worker.relay.now()-startedAt >= maxDrainTime
-	if !isLate && (other.writeBlocked.Load() || c.forwardUnread() != unreadNone) {
+	if !isLate && (other.writeBlocked.Load() || c.forwardUnread() != progressDrained) {
 		time.AfterFunc(shortageRetryDelay, func() {
-			c.worker.submit(func() { c.forwardRest(startedAt, done) })
+			c.worker.submit(func() { c.forwardRemaining(startedAt, done) })
 		})
 		return
 	}
@@ -39,20 +39,20 @@
 
 // forwardUnread forwards what has arrived and was not read yet, within a bound. It runs on the goroutine that forwards the connection's
 // lines.
-func (c *Conn) forwardUnread() unread {
+func (c *Conn) forwardUnread() readProgress {
 	for total := 0; total < maxUnreadInput; {
 		n, err := c.readUnread()
 		switch {
 		case socket.IsTemporary(err):
 			c.worker.relay.ReadRetries.Add(1)
-			return unreadUnknown
+			return progressRetryLater
 		case n <= 0:
-			return unreadNone
+			return progressDrained
 		}
 		c.forward(c.worker.readBuffer[:n])
 		total += n
 	}
-	return unreadMore
+	return progressLimited
 }
 
 // readUnread reads into the worker's buffer; 0 or less if there is nothing to forward. An end is left for its own event.
--- a/internal/relay/worker.go
+++ b/internal/relay/worker.go
@@ -27,7 +27,7 @@
 	wakeFD     int // an eventfd in the set
 	readBuffer []byte
 	hasLoads   atomic.Bool
-	awake      atomic.Bool // it looks at coalesced before it waits
+	isAwake    atomic.Bool // it looks at coalesced before it waits
 
 	mu     sync.Mutex // guards what follows
 	tasks  []func()   // for the worker's goroutine, between two events
@@ -150,8 +150,8 @@
 
 // wait waits for events. If it was busy just now it only looks for more.
 func (w *worker) wait(events []unix.EpollEvent, isBusy bool) (n int, err error) {
-	w.awake.Store(false)
-	defer w.awake.Store(true)
+	w.isAwake.Store(false)
+	defer w.isAwake.Store(true)
 	timeout := 0
 	if !isBusy {
 		timeout = w.waitMillis()
@@ -169,14 +169,14 @@
 			continue
 		}
 		if c := w.lookup(event.Fd, event.Pad); c != nil {
-			w.handle(c, event.Events)
+			w.handleEvent(c, event.Events)
 		}
 	}
 	return true
 }
 
-// handle handles one event. A panic costs this connection, and its pair, alone.
-func (w *worker) handle(c *Conn, events uint32) {
+// handleEvent handles one event. A panic costs this connection, and its pair, alone.
+func (w *worker) handleEvent(c *Conn, events uint32) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.relay.handler.Panicked("a relay", p, debug.Stack())
@@ -216,7 +216,7 @@
 	w.relay.descriptors.Add(1)
 	DisableNagle(fd)
 	growReceiveBuffer(fd)
-	return w.newConn(fd, stateParked, nil)
+	return w.newConn(fd, stateJoining, nil)
 }
 
 // newConn makes a connection of a descriptor that is counted.
--- a/internal/relay/write.go
+++ b/internal/relay/write.go
@@ -22,7 +22,7 @@
 }
 
 func (c *Conn) writeLocked(text []byte) bool {
-	if c.closed || c.drain != nil || c.broken != nil {
+	if c.closed || c.drain != nil || c.writeErr != nil {
 		return false
 	}
 	if len(text) > 0 && !c.coalesceLocked(text) {
@@ -79,8 +79,8 @@
 		c.setInterestLocked(unix.EPOLLOUT, false) // it would be reported at once, again and again
 		time.AfterFunc(shortageRetryDelay, func() { c.worker.submit(c.onWritable) })
 	default:
-		c.broken = os.NewSyscallError("write", err)
-		c.worker.relay.UnsentBytes.Add(int64(len(c.writeBuffer) - c.written))
+		c.writeErr = os.NewSyscallError("write", err)
+		c.worker.relay.UnsentBytes.Add(int64(len(c.writeBuffer) - c.writeOffset))
 		c.clearWriteBufferLocked()
 		c.worker.submit(c.onBroken)
 	}
@@ -88,7 +88,7 @@
 
 // onBroken handles a connection that can't be written to any more. What its peer has said before is forwarded.
 func (c *Conn) onBroken() {
-	c.forwardRest(c.worker.relay.now(), func() { c.onEnded(nil) })
+	c.forwardRemaining(c.worker.relay.now(), func() { c.onEnded(nil) })
 }
 
 // onWritable writes what waits, or finds that a dial has ended.
@@ -101,12 +101,12 @@
 	}
 	c.mu.Unlock()
 	flushed := false
-	c.change(func() {
+	c.withLock(func() {
 		if c.closed {
 			return
 		}
 		c.flushLocked()
-		flushed = c.written == len(c.writeBuffer)
+		flushed = c.writeOffset == len(c.writeBuffer)
 		if flushed {
 			c.markFlushedLocked()
 		}
@@ -118,8 +118,8 @@
 
 // flushLocked writes as much of what waits as is taken.
 func (c *Conn) flushLocked() {
-	n, err := socket.WriteAvailable(c.fd, c.writeBuffer[c.written:])
-	c.written += n
+	n, err := socket.WriteAvailable(c.fd, c.writeBuffer[c.writeOffset:])
+	c.writeOffset += n
 	if n > 0 {
 		c.noteProgressLocked()
 	}
@@ -162,7 +162,7 @@
 		c.worker.returnBuffer(&c.worker.writeBuffers, c.writeBuffer, 4*readBufferSize)
 	}
 	c.writeBuffer = nil
-	c.written = 0
+	c.writeOffset = 0
 	c.coalesceUntil = 0
 }
 
