--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -12,7 +12,7 @@
 	"sabletally/internal/relay"
 )
 
-// goldenMessages has one message of each kind, with every field set, in the order of testdata/messages.jsonl.
+// goldenMessages returns messages of each kind, with all fields set and with none, in the order of testdata/messages.jsonl.
 func goldenMessages() []Message {
 	return []Message{
 		{Version: protocolVersion, Kind: Hello, State: &State{
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestMessagesKeepTheirWireForm compares each kind of message with the bytes that earlier releases send, both ways.
+// Guards against an incompatible change of a message: encoding and decoding must match the bytes that earlier releases exchange.
 func TestMessagesKeepTheirWireForm(t *testing.T) {
 	golden, err := os.ReadFile("testdata/messages.jsonl")
 	if err != nil {
@@ -51,12 +51,12 @@
 	lines := strings.Split(strings.TrimSuffix(string(golden), "\n"), "\n")
 	messages := goldenMessages()
 	if len(lines) != len(messages) {
-		t.Fatalf("%d lines for %d messages", len(lines), len(messages))
+		t.Fatalf("testdata has %d lines for %d messages", len(lines), len(messages))
 	}
 	for n, want := range messages {
 		encoded, err := json.Marshal(want)
 		if err != nil || string(encoded) != lines[n] {
-			t.Errorf("message %d encodes to\n%s, not\n%s (%v)", n, encoded, lines[n], err)
+			t.Errorf("message %d encodes to\n%s, want\n%s (%v)", n, encoded, lines[n], err)
 		}
 		var decoded Message
 		decoder := json.NewDecoder(strings.NewReader(lines[n]))
@@ -65,14 +65,14 @@
 			t.Errorf("message %d: %v", n, err)
 			continue
 		}
-		if want.Pair != nil { // descriptors go beside the text
+		if want.Pair != nil { // descriptors are not part of the encoded message
 			want.Pair.Client.FD, want.Pair.Server.FD = 0, 0
 		}
 		if !reflect.DeepEqual(decoded, want) {
-			t.Errorf("message %d decodes to %+v, not %+v", n, decoded, want)
+			t.Errorf("message %d decodes to %+v, want %+v", n, decoded, want)
 		}
-		if again, err := json.Marshal(decoded); err != nil || !bytes.Equal(again, encoded) {
-			t.Errorf("message %d encodes again to %s (%v)", n, again, err)
+		if reencoded, err := json.Marshal(decoded); err != nil || !bytes.Equal(reencoded, encoded) {
+			t.Errorf("message %d re-encodes to %s (%v)", n, reencoded, err)
 		}
 	}
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -16,7 +16,7 @@
 
 const testTimeout = 20 * time.Second
 
-// recorder is a Handler that keeps what it is notified of.
+// recorder is a Handler that records the events in channels.
 type recorder struct {
 	opened      chan *Link
 	messages    chan Message
@@ -44,7 +44,8 @@
 
 func (r *recorder) Closed(_ *Link, reason error) { r.closed <- reason }
 
-func get[T any](t *testing.T, from chan T) T {
+// receive returns the next value from a channel and fails the test if none arrives in time.
+func receive[T any](t *testing.T, from chan T) T {
 	t.Helper()
 	select {
 	case got := <-from:
@@ -55,7 +56,7 @@
 	}
 }
 
-// openPair opens a link between two recorders.
+// openPair opens a link between two recorders, which stand for the old and the new process.
 func openPair(t *testing.T) (path string, oldSide, newSide *recorder, oldLink, newLink *Link) {
 	path, err := SocketPath(t.TempDir(), "n0")
 	if err != nil {
@@ -69,10 +70,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(newLink.Close)
-	return path, oldSide, newSide, get(t, oldSide.opened), newLink
+	return path, oldSide, newSide, receive(t, oldSide.opened), newLink
 }
 
-// pipe returns a descriptor to send, and the file that proves that another one is its duplicate.
+// pipe returns the write end of a pipe as a descriptor to send, and its read end, which shows what is written to a duplicate of the
+// descriptor.
 func pipe(t *testing.T) (int, *os.File) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -87,249 +89,256 @@
 	return fd, r
 }
 
-// TestDescriptorsAccompanyMessages sends more messages with descriptors than may be unconfirmed at once, in order.
+// Guards against descriptors that are lost, mixed up or left open: sends more messages with descriptors than may be unconfirmed at once,
+// and checks their order.
 func TestDescriptorsAccompanyMessages(t *testing.T) {
-	_, _, newSide, from, _ := openPair(t)
-	var ends []*os.File
+	_, _, newSide, oldLink, _ := openPair(t)
+	var readers []*os.File
 	outcomes := make(chan Outcome, 3*maxUnconfirmed)
 	for n := range 3 * maxUnconfirmed {
 		fd, r := pipe(t)
-		ends = append(ends, r)
-		from.Send(Message{Kind: Client, Input: []byte{byte(n)}}, func(o Outcome) { outcomes <- o }, fd)
+		readers = append(readers, r)
+		oldLink.Send(Message{Kind: Client, Input: []byte{byte(n)}}, func(o Outcome) { outcomes <- o }, fd)
 	}
-	for n, r := range ends {
-		m, fd := get(t, newSide.messages), get(t, newSide.descriptors)
+	for n, r := range readers {
+		m, fd := receive(t, newSide.messages), receive(t, newSide.descriptors)
 		if m.Kind != Client || len(m.Input) != 1 || m.Input[0] != byte(n) {
-			t.Fatalf("%d: %+v", n, m)
+			t.Fatalf("message %d is %+v", n, m)
 		}
 		_, _ = unix.Write(fd, []byte("x"))
 		_ = unix.Close(fd)
-		if text, err := io.ReadAll(r); string(text) != "x" || err != nil { // nobody else holds it any more
-			t.Fatalf("%q, %v", text, err)
+		if text, err := io.ReadAll(r); string(text) != "x" || err != nil { // io.EOF shows that no other duplicate is open
+			t.Fatalf("the pipe holds %q (%v)", text, err)
 		}
-		if o := get(t, outcomes); o != Confirmed {
-			t.Fatalf("%d: outcome %v", n, o)
+		if o := receive(t, outcomes); o != Confirmed {
+			t.Fatalf("message %d has outcome %v, want confirmed", n, o)
 		}
 	}
 	pair := &relay.PairState{Client: relay.ConnState{Partial: []byte("half")}, RequestAge: time.Second}
 	a, _ := pipe(t)
 	b, _ := pipe(t)
-	from.Send(Message{Kind: Session, ServerUID: "s-1", Load: 7, Pair: pair}, nil, a, b)
-	if m := get(t, newSide.messages); m.ServerUID != "s-1" || m.Load != 7 || string(m.Pair.Client.Partial) != "half" || m.Pair.RequestAge != time.Second {
+	oldLink.Send(Message{Kind: Session, ServerUID: "s-1", Load: 7, Pair: pair}, nil, a, b)
+	if m := receive(t, newSide.messages); m.ServerUID != "s-1" || m.Load != 7 || string(m.Pair.Client.Partial) != "half" || m.Pair.RequestAge != time.Second {
 		t.Fatalf("%+v", m)
 	}
 }
 
-// TestUnsentDescriptorsReturnToTheCaller closes a link and then sends: the caller keeps the descriptors.
+// Guards against descriptors that are closed although they were never sent: the caller still owns those that are sent after the link has
+// closed.
 func TestUnsentDescriptorsReturnToTheCaller(t *testing.T) {
-	_, oldSide, _, from, to := openPair(t)
-	to.Close()
-	_ = get(t, oldSide.closed)
-	lost := make(chan Outcome, 1)
+	_, oldSide, _, oldLink, newLink := openPair(t)
+	newLink.Close()
+	_ = receive(t, oldSide.closed)
+	outcomes := make(chan Outcome, 1)
 	fd, r := pipe(t)
-	from.Send(Message{Kind: Client}, func(o Outcome) { lost <- o }, fd)
-	if o := get(t, lost); o != Returned {
-		t.Fatalf("outcome %v", o)
+	oldLink.Send(Message{Kind: Client}, func(o Outcome) { outcomes <- o }, fd)
+	if o := receive(t, outcomes); o != Returned {
+		t.Fatalf("outcome is %v, want returned", o)
 	}
 	_, _ = unix.Write(fd, []byte("mine"))
 	_ = unix.Close(fd)
 	if text, err := io.ReadAll(r); string(text) != "mine" || err != nil {
-		t.Fatalf("%q, %v", text, err)
+		t.Fatalf("the pipe holds %q (%v)", text, err)
 	}
 }
 
-// hangingPeer is another process that has said that it is ready and reads nothing. It is sent twice as much as may be unconfirmed.
-func hangingPeer(t *testing.T) (from *Link, gone chan error, c *net.UnixConn, outcomes []chan Outcome, fds []int, ends []*os.File) {
+// hangingPeer opens a link to a peer that has announced that it is ready and then reads nothing. It sends the peer twice as many messages
+// as may be unconfirmed.
+func hangingPeer(t *testing.T) (link *Link, closed chan error, peer *net.UnixConn, outcomes []chan Outcome, fds []int, readers []*os.File) {
 	path, oldSide, _, _, _ := openPair(t)
-	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
+	peer, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() })
-	from = get(t, oldSide.opened)
-	if _, err := c.Write([]byte(`{"V":1,"Kind":2,"Confirms":true}`)); err != nil {
+	t.Cleanup(func() { _ = peer.Close() })
+	link = receive(t, oldSide.opened)
+	if _, err := peer.Write([]byte(`{"V":1,"Kind":2,"Confirms":true}`)); err != nil {
 		t.Fatal(err)
 	}
-	if m := get(t, oldSide.messages); m.Kind != Ready {
+	if m := receive(t, oldSide.messages); m.Kind != Ready {
 		t.Fatalf("%+v", m)
 	}
 	for range 2 * maxUnconfirmed {
 		fd, r := pipe(t)
 		outcome := make(chan Outcome, 2)
-		outcomes, fds, ends = append(outcomes, outcome), append(fds, fd), append(ends, r)
-		from.Send(Message{Kind: Client}, func(o Outcome) { outcome <- o }, fd)
+		outcomes, fds, readers = append(outcomes, outcome), append(fds, fd), append(readers, r)
+		link.Send(Message{Kind: Client}, func(o Outcome) { outcome <- o }, fd)
 	}
-	return from, oldSide.closed, c, outcomes, fds, ends
+	return link, oldSide.closed, peer, outcomes, fds, readers
 }
 
-// TestAHangingProcessEndsTheLink has another process that reads nothing: what it was not sent returns, what it was sent stays its own.
+// Guards against a handover that waits forever for a hanging process: messages that were not sent return, and descriptors that were sent
+// remain with the other process.
 func TestAHangingProcessEndsTheLink(t *testing.T) {
-	_, gone, c, outcomes, fds, ends := hangingPeer(t)
+	_, closed, peer, outcomes, fds, readers := hangingPeer(t)
 	for n := maxUnconfirmed; n < 2*maxUnconfirmed; n++ {
-		if o := get(t, outcomes[n]); o != Returned {
-			t.Fatalf("%d, never sent: outcome %v", n, o)
+		if o := receive(t, outcomes[n]); o != Returned {
+			t.Fatalf("message %d, which was never sent, has outcome %v, want returned", n, o)
 		}
 		_ = unix.Close(fds[n])
 	}
-	_ = get(t, gone)
-	text, rights := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(maxDescriptors*4))
+	_ = receive(t, closed)
+	buffer, controlData := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(maxDescriptors*4))
 	for n := range maxUnconfirmed {
-		if o := get(t, outcomes[n]); o != Unconfirmed {
-			t.Fatalf("%d, unread: outcome %v", n, o)
+		if o := receive(t, outcomes[n]); o != Unconfirmed {
+			t.Fatalf("message %d, which was not read, has outcome %v, want unconfirmed", n, o)
 		}
-		_, m, _, _, err := c.ReadMsgUnix(text, rights) // it runs again
-		its := parseDescriptors(rights[:m])
-		if err != nil || len(its) != 1 {
-			t.Fatalf("%d: %v, %v", n, its, err)
+		_, controlLen, _, _, err := peer.ReadMsgUnix(buffer, controlData) // the other process continues
+		received := parseDescriptors(controlData[:controlLen])
+		if err != nil || len(received) != 1 {
+			t.Fatalf("message %d has descriptors %v (%v), want one", n, received, err)
 		}
-		_, _ = unix.Write(its[0], []byte("its"))
-		_ = unix.Close(its[0])
-		if got, err := io.ReadAll(ends[n]); string(got) != "its" || err != nil { // nobody else holds it
-			t.Fatalf("%d: %q, %v", n, got, err)
+		_, _ = unix.Write(received[0], []byte("its"))
+		_ = unix.Close(received[0])
+		if got, err := io.ReadAll(readers[n]); string(got) != "its" || err != nil { // io.EOF shows that no other duplicate is open
+			t.Fatalf("message %d: the pipe holds %q (%v)", n, got, err)
 		}
 	}
 }
 
-// TestUnreadDescriptorsReturnWhenTheProcessDies ends the other process after it was sent all that may be unconfirmed, at once and after
-// it was found to hang. It has confirmed two messages; the rest returns.
+// Guards against descriptors that are lost when the other process ends before it has confirmed them, either immediately or after it was
+// found to hang. The process has confirmed two messages; the others return.
 func TestUnreadDescriptorsReturnWhenTheProcessDies(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
-		_, gone, c, outcomes, fds, ends := hangingPeer(t)
-		text := make([]byte, maxMessageSize)
+		_, closed, peer, outcomes, fds, readers := hangingPeer(t)
+		buffer := make([]byte, maxMessageSize)
 		for range 2 {
-			if _, _, _, _, err := c.ReadMsgUnix(text, nil); err != nil { // its descriptor is dropped by the kernel
+			if _, _, _, _, err := peer.ReadMsgUnix(buffer, nil); err != nil { // without a buffer for it the kernel closes the descriptor
 				t.Fatal(err)
 			}
-			if _, err := c.Write([]byte(`{"V":1,"Kind":6}`)); err != nil {
+			if _, err := peer.Write([]byte(`{"V":1,"Kind":6}`)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for n := range 2 {
-			if o := get(t, outcomes[n]); o != Confirmed {
-				t.Fatalf("%d: outcome %v", n, o)
+			if o := receive(t, outcomes[n]); o != Confirmed {
+				t.Fatalf("message %d has outcome %v, want confirmed", n, o)
 			}
 		}
 		if hangs {
-			if o := get(t, outcomes[2*maxUnconfirmed-1]); o != Returned {
-				t.Fatalf("outcome %v", o)
+			if o := receive(t, outcomes[2*maxUnconfirmed-1]); o != Returned {
+				t.Fatalf("outcome is %v, want returned", o)
 			}
 			outcomes[2*maxUnconfirmed-1] <- Returned
 		}
-		_ = c.Close()
+		_ = peer.Close()
 		for n := 2; n < 2*maxUnconfirmed; n++ {
-			if o := get(t, outcomes[n]); o != Returned {
-				t.Fatalf("hangs %v, %d: outcome %v", hangs, n, o)
+			if o := receive(t, outcomes[n]); o != Returned {
+				t.Fatalf("hangs %v: message %d has outcome %v, want returned", hangs, n, o)
 			}
 			_, _ = unix.Write(fds[n], []byte("mine"))
 			_ = unix.Close(fds[n])
-			if got, err := io.ReadAll(ends[n]); string(got) != "mine" || err != nil {
-				t.Fatalf("%d: %q, %v", n, got, err)
+			if got, err := io.ReadAll(readers[n]); string(got) != "mine" || err != nil {
+				t.Fatalf("message %d: the pipe holds %q (%v)", n, got, err)
 			}
 		}
-		_ = get(t, gone)
+		_ = receive(t, closed)
 	}
 }
 
-// TestAHalfCloseIsNotAnExit has another process close only its sending side: it may read on, so nothing of what it was sent returns, and
-// all else does. How much was sent by then is up to the link: the other process finds exactly what was left unconfirmed.
+// Guards against descriptors that are used by both processes: another process that closes only its sending side may still read, so no
+// message that was sent to it returns, and all others do. How many were sent by then depends on timing; the other process must find
+// exactly those that were left unconfirmed.
 func TestAHalfCloseIsNotAnExit(t *testing.T) {
-	_, gone, c, outcomes, fds, _ := hangingPeer(t)
-	raw, err := c.SyscallConn()
+	_, closed, peer, outcomes, fds, _ := hangingPeer(t)
+	raw, err := peer.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
-	if err := raw.Read(func(fd uintptr) bool { // the first is on the way
+	_ = peer.SetReadDeadline(time.Now().Add(testTimeout))
+	if err := raw.Read(func(fd uintptr) bool { // waits until the first message has arrived
 		_, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		return err != unix.EAGAIN
 	}); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.CloseWrite()
-	left := 0
+	_ = peer.CloseWrite()
+	unconfirmed := 0
 	for n := range 2 * maxUnconfirmed {
-		switch o := get(t, outcomes[n]); {
-		case o == Unconfirmed && left == n:
-			left++
+		switch o := receive(t, outcomes[n]); {
+		case o == Unconfirmed && unconfirmed == n:
+			unconfirmed++
 		case o == Returned:
 			_ = unix.Close(fds[n])
 		default:
-			t.Fatalf("%d: outcome %v, %d were left before", n, o, left)
+			t.Fatalf("message %d has outcome %v, %d before it are unconfirmed", n, o, unconfirmed)
 		}
 	}
-	if left == 0 || left > maxUnconfirmed {
-		t.Fatalf("%d are left", left)
+	if unconfirmed == 0 || unconfirmed > maxUnconfirmed {
+		t.Fatalf("%d messages are unconfirmed", unconfirmed)
 	}
-	_ = get(t, gone)
-	text, rights := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(maxDescriptors*4))
-	for n := range left {
-		_, m, _, _, err := c.ReadMsgUnix(text, rights)
-		its := parseDescriptors(rights[:m])
-		if err != nil || len(its) != 1 {
-			t.Fatalf("%d of %d that are left: %v, %v", n, left, its, err)
+	_ = receive(t, closed)
+	buffer, controlData := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(maxDescriptors*4))
+	for n := range unconfirmed {
+		_, controlLen, _, _, err := peer.ReadMsgUnix(buffer, controlData)
+		received := parseDescriptors(controlData[:controlLen])
+		if err != nil || len(received) != 1 {
+			t.Fatalf("message %d of %d unconfirmed ones has descriptors %v (%v), want one", n, unconfirmed, received, err)
 		}
-		_ = unix.Close(its[0])
+		_ = unix.Close(received[0])
 	}
-	if n, _, _, _, err := c.ReadMsgUnix(text, rights); n != 0 {
-		t.Fatalf("one more than the %d that are left: %q, %v", left, text[:n], err)
+	if n, _, _, _, err := peer.ReadMsgUnix(buffer, controlData); n != 0 {
+		t.Fatalf("received another message than the %d unconfirmed ones: %q (%v)", unconfirmed, buffer[:n], err)
 	}
 }
 
-// TestMalformedMessagesEndTheLink sends another version, text that is no message, one without its descriptors, and one that is too long.
+// Guards against delivering invalid messages: sends another version, text that is not JSON, a message without its descriptors, and one
+// that is too long.
 func TestMalformedMessagesEndTheLink(t *testing.T) {
 	for _, text := range []string{`{"V":2,"Kind":2}`, "hello", `{"V":1,"Kind":4}`, `{"V":1,"Kind":2` + strings.Repeat(" ", maxMessageSize) + "}"} {
 		path, oldSide, _, _, _ := openPair(t)
-		c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
+		conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		get(t, oldSide.opened)
-		_ = c.SetWriteBuffer(sendBufferSize)
-		if _, err := c.Write([]byte(text)); err != nil {
+		receive(t, oldSide.opened)
+		_ = conn.SetWriteBuffer(sendBufferSize)
+		if _, err := conn.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		_ = get(t, oldSide.closed)
-		_ = c.Close()
+		_ = receive(t, oldSide.closed)
+		_ = conn.Close()
 		select {
 		case m := <-oldSide.messages:
-			t.Errorf("%.20s: %+v", text, m)
+			t.Errorf("%.20s was delivered as %+v", text, m)
 		default:
 		}
 	}
 }
 
-// TestSocketsLeftBehind dials where there is no process, or only the socket of one that was killed, and names that make no path.
+// Guards against a failed start because of a leftover socket file: dials without another process, with the socket of a killed one and
+// with a regular file in its place, and checks that invalid names yield no path.
 func TestSocketsLeftBehind(t *testing.T) {
-	s := newRecorder()
+	handler := newRecorder()
 	path, _ := SocketPath(t.TempDir(), "n0")
-	if l, err := Dial(path, s); l != nil || err != nil {
+	if l, err := Dial(path, handler); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
-	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.SetUnlinkOnClose(false)
-	_ = ln.Close() // as a process that was killed leaves it
-	if l, err := Dial(path, s); l != nil || err != nil {
+	listener.SetUnlinkOnClose(false)
+	_ = listener.Close() // leaves the socket file, like a process that was killed
+	if l, err := Dial(path, handler); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
-	if err := Listen(path, s); err != nil {
+	if err := Listen(path, handler); err != nil {
 		t.Fatal(err)
 	}
 	_ = os.Remove(path)
-	_ = os.WriteFile(path, nil, 0o600) // no socket
-	if l, err := Dial(path, s); l != nil || err != nil {
+	_ = os.WriteFile(path, nil, 0o600) // a file that is not a socket
+	if l, err := Dial(path, handler); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
-	for _, bad := range [][2]string{{"", "n0"}, {"/tmp", "../n0"}, {"/tmp", "a/b"}, {filepath.Join("/tmp", strings.Repeat("x", 100)), "n0"}} {
-		if path, err := SocketPath(bad[0], bad[1]); err == nil {
+	for _, invalid := range [][2]string{{"", "n0"}, {"/tmp", "../n0"}, {"/tmp", "a/b"}, {filepath.Join("/tmp", strings.Repeat("x", 100)), "n0"}} {
+		if path, err := SocketPath(invalid[0], invalid[1]); err == nil {
 			t.Error(path)
 		}
 	}
 }
 
-// TestALinkOpensOnceADescriptorIsFree has the next process connect while this one is out of descriptors.
+// Guards against a listener that stops accepting: the next process connects while this one is out of descriptors, and is accepted later.
 func TestALinkOpensOnceADescriptorIsFree(t *testing.T) {
 	path, err := SocketPath(t.TempDir(), "n0")
 	if err != nil {
@@ -339,39 +348,39 @@
 	if err := Listen(path, oldSide); err != nil {
 		t.Fatal(err)
 	}
-	next, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
+	peer, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = unix.Close(next) }()
-	var was unix.Rlimit
-	if err := unix.Prlimit(0, unix.RLIMIT_NOFILE, nil, &was); err != nil {
+	defer func() { _ = unix.Close(peer) }()
+	var oldLimit unix.Rlimit
+	if err := unix.Prlimit(0, unix.RLIMIT_NOFILE, nil, &oldLimit); err != nil {
 		t.Fatal(err)
 	}
-	none := was
-	none.Cur = 3 // input, output and errors have these: what others close meanwhile makes no room
-	if err := unix.Prlimit(0, unix.RLIMIT_NOFILE, &none, nil); err != nil {
+	newLimit := oldLimit
+	newLimit.Cur = 3 // only the standard streams fit, so a descriptor that is closed meanwhile can't be reused
+	if err := unix.Prlimit(0, unix.RLIMIT_NOFILE, &newLimit, nil); err != nil {
 		t.Fatal(err)
 	}
-	free := func() { _ = unix.Prlimit(0, unix.RLIMIT_NOFILE, &was, nil) }
-	defer free()
-	if fd, err := unix.Dup(next); err != unix.EMFILE {
+	restoreLimit := func() { _ = unix.Prlimit(0, unix.RLIMIT_NOFILE, &oldLimit, nil) }
+	defer restoreLimit()
+	if fd, err := unix.Dup(peer); err != unix.EMFILE {
 		_ = unix.Close(fd)
-		t.Fatalf("%d, %v: a descriptor is left", fd, err)
+		t.Fatalf("Dup returned %d (%v), want EMFILE", fd, err)
 	}
-	if err := unix.Connect(next, &unix.SockaddrUnix{Name: path}); err != nil {
+	if err := unix.Connect(peer, &unix.SockaddrUnix{Name: path}); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-oldSide.opened:
-		t.Fatal("taken without a descriptor")
-	case <-time.After(3 * acceptRetryDelay): // tried, and tried again
+		t.Fatal("a link was opened without a free descriptor")
+	case <-time.After(3 * acceptRetryDelay): // enough for several attempts to accept
 	}
-	free()
-	get(t, oldSide.opened).Close()
+	restoreLimit()
+	receive(t, oldSide.opened).Close()
 }
 
-// slowHandler is a Handler that takes long to accept a link, and keeps the order of what it is notified of.
+// slowHandler is a Handler whose Opened takes long, and that records the order of its events.
 type slowHandler struct{ events chan string }
 
 func (h slowHandler) Opened(*Link) {
@@ -383,28 +392,28 @@
 
 func (h slowHandler) Closed(*Link, error) { h.events <- "closed" }
 
-// TestALinkIsAnnouncedBeforeItsMessages has the other process send its first message at once, while the handler takes long to accept the
-// link: the message must come after it. One that comes before belongs to no link that the handler knows, and is lost.
+// Guards against losing the first message of a link: the other process sends it immediately, while Opened is still running. A message
+// that was delivered before would belong to a link that the handler does not know, and would be lost.
 func TestALinkIsAnnouncedBeforeItsMessages(t *testing.T) {
 	path, err := SocketPath(t.TempDir(), "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := slowHandler{events: make(chan string, 10)}
-	if err := Listen(path, h); err != nil {
+	handler := slowHandler{events: make(chan string, 10)}
+	if err := Listen(path, handler); err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
+	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Write([]byte(`{"V":1,"Kind":2,"Confirms":true}`)); err != nil {
+	if _, err := conn.Write([]byte(`{"V":1,"Kind":2,"Confirms":true}`)); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.Close()
+	_ = conn.Close()
 	for n, want := range []string{"opened", "received", "closed"} {
-		if got := get(t, h.events); got != want {
-			t.Fatalf("event %d is %q, not %q", n, got, want)
+		if got := receive(t, handler.events); got != want {
+			t.Fatalf("event %d is %q, want %q", n, got, want)
 		}
 	}
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -12,26 +12,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// bareConns is a pair whose peers are two descriptors, so that they take none of the program's memory.
-type bareConns struct {
+// rawPair is a pair whose peers are bare descriptors, so that the peers take no memory from the Go heap.
+type rawPair struct {
 	pair           *Pair
 	client, server int
 }
 
-func (b *testbed) bare() bareConns {
+// newRawPair creates a pair with bare descriptors as its peers.
+func (b *testbed) newRawPair() rawPair {
 	b.t.Helper()
-	c, err := b.Dial(b.ln.Addr().String(), 1<<20, func() bool { return true }, nil)
+	c, err := b.Dial(b.listener.Addr().String(), 1<<20, func() bool { return true }, nil)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	if err := get(b.t, b.connected); err != nil {
+	if err := receive(b.t, b.connected); err != nil {
 		b.t.Fatal(err)
 	}
-	far := get(b.t, b.taken)
-	_, _ = io.WriteString(far, "UP 1\r\n")
+	serverConn := receive(b.t, b.accepted)
+	_, _ = io.WriteString(serverConn, "UP 1\r\n")
 	c.AwaitLine()
-	get(b.t, b.lines)
-	near, err := net.Dial("tcp", b.ln.Addr().String())
+	receive(b.t, b.lines)
+	clientConn, err := net.Dial("tcp", b.listener.Addr().String())
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -39,15 +40,15 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	_ = near.SetDeadline(time.Now().Add(testTimeout))
-	if _, err := io.ReadFull(near, make([]byte, 6)); err != nil {
+	_ = clientConn.SetDeadline(time.Now().Add(testTimeout))
+	if _, err := io.ReadFull(clientConn, make([]byte, 6)); err != nil {
 		b.t.Fatal(err)
 	}
-	return bareConns{p, b.descriptor(near), b.descriptor(far)}
+	return rawPair{p, b.detachDescriptor(clientConn), b.detachDescriptor(serverConn)}
 }
 
-// descriptor returns a descriptor of a connection, blocking for a bounded time, and closes the connection.
-func (b *testbed) descriptor(c net.Conn) int {
+// detachDescriptor returns a duplicate descriptor of a connection, in blocking mode with a read timeout, and closes the connection.
+func (b *testbed) detachDescriptor(c net.Conn) int {
 	b.t.Helper()
 	file, err := c.(*net.TCPConn).File()
 	if err != nil {
@@ -68,8 +69,8 @@
 	return fd
 }
 
-// processor returns the processor time that the process has used so far, user and system together.
-func processor(t testing.TB) time.Duration {
+// processCPUTime returns the CPU time that the process has used so far, user and system together.
+func processCPUTime(t testing.TB) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		t.Fatal(err)
@@ -77,49 +78,49 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkDelivery sends one line from a server to its client, to one pair after the other of so many. cpu-ns/op is the processor time of
-// the whole process, both peers included; held-B/pair is the heap that a pair takes, without the kernel's buffers.
+// BenchmarkDelivery sends one line at a time from a server to its client, in turn over a number of pairs. cpu-ns/op is the CPU time of
+// the whole process, including both peers; held-B/pair is the heap memory per pair, without the kernel's buffers.
 func BenchmarkDelivery(b *testing.B) {
 	r := newTestbed(b, 2)
-	all := []bareConns{r.bare()}
+	rawPairs := []rawPair{r.newRawPair()}
 	b.Cleanup(func() {
-		for _, one := range all {
-			one.pair.Abort()
-			_ = unix.Close(one.client)
-			_ = unix.Close(one.server)
+		for _, p := range rawPairs {
+			p.pair.Abort()
+			_ = unix.Close(p.client)
+			_ = unix.Close(p.server)
 		}
-		for end := time.Now().Add(testTimeout); r.descriptors.Load() > 0; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				b.Fatalf("%d descriptors are left", r.descriptors.Load())
+		for deadline := time.Now().Add(testTimeout); r.descriptors.Load() > 0; time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				b.Fatalf("%d descriptors are still open after the pairs were aborted", r.descriptors.Load())
 			}
 		}
 	})
-	heap := func() uint64 {
+	measureHeap := func() uint64 {
 		var m runtime.MemStats
-		for range 2 { // connections of package net have finalizers
+		for range 2 { // twice, because connections of package net have finalizers
 			runtime.GC()
 		}
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	before := heap()
+	before := measureHeap()
 	for _, pairs := range []int{1, 10, 100, 1000, 2000, 4000} {
-		for len(all) <= pairs {
-			all = append(all, r.bare())
+		for len(rawPairs) <= pairs {
+			rawPairs = append(rawPairs, r.newRawPair())
 		}
-		held := heap() - before
+		heapSize := measureHeap() - before
 		b.Run(fmt.Sprintf("pairs=%d", pairs), func(b *testing.B) {
 			text := []byte("M 123456789 0123456789abcdef\r\n")
 			buf := make([]byte, len(text))
 			b.ReportAllocs()
-			used := processor(b)
+			used := processCPUTime(b)
 			b.ResetTimer()
 			for i := range b.N {
-				if _, err := unix.Write(all[i%pairs].server, text); err != nil {
+				if _, err := unix.Write(rawPairs[i%pairs].server, text); err != nil {
 					b.Fatal(err)
 				}
 				for got := 0; got < len(text); {
-					n, err := unix.Read(all[i%pairs].client, buf[got:])
+					n, err := unix.Read(rawPairs[i%pairs].client, buf[got:])
 					if err == unix.EINTR {
 						continue
 					}
@@ -130,10 +131,10 @@
 				}
 			}
 			b.StopTimer()
-			b.ReportMetric(float64(processor(b)-used)/float64(b.N), "cpu-ns/op")
-			b.ReportMetric(float64(held)/float64(pairs), "held-B/pair")
+			b.ReportMetric(float64(processCPUTime(b)-used)/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64(heapSize)/float64(pairs), "held-B/pair")
 			if n := r.descriptors.Load(); n != int64(2*pairs+2) {
-				b.Fatalf("%d descriptors for %d pairs", n, pairs+1)
+				b.Fatalf("%d descriptors are open with %d pairs", n, pairs+1)
 			}
 		})
 	}
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -186,7 +186,8 @@
 		switch {
 		case err == nil:
 			return nil
-		case !socket.IsTemporary(err) || tries == maxFirstWriteTries: // a full buffer is an error too: a new connection's send buffer accepts a whole line
+		// A full buffer is an error too: the send buffer of a new connection accepts a whole line.
+		case !socket.IsTemporary(err) || tries == maxFirstWriteTries:
 			return os.NewSyscallError("write", err)
 		}
 		line = line[n:]
--- a/internal/relay/dial_test.go
+++ b/internal/relay/dial_test.go
@@ -9,101 +9,102 @@
 	"time"
 )
 
-// fakeNameServer answers look-ups of IPv4 addresses with 127.0.0.1, once the test lets it.
-func fakeNameServer(t *testing.T) (asked, may chan bool) {
+// fakeNameServer starts a name server that answers IPv4 queries with 127.0.0.1, and makes it the default resolver. It sends to queried
+// when a query arrives, and answers once it receives from release or release is closed.
+func fakeNameServer(t *testing.T) (queried, release chan bool) {
 	t.Helper()
-	asked, may = make(chan bool, 10), make(chan bool)
-	at, err := net.ListenPacket("udp", "127.0.0.1:0")
+	queried, release = make(chan bool, 10), make(chan bool)
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = at.Close() })
+	t.Cleanup(func() { _ = conn.Close() })
 	go func() {
 		for {
 			text := make([]byte, 512)
-			n, from, err := at.ReadFrom(text)
+			n, from, err := conn.ReadFrom(text)
 			if err != nil {
 				return
 			}
-			asked <- true
-			<-may
-			end := 12 // of the question: a name of labels, its type and class
+			queried <- true
+			<-release
+			end := 12 // end of the name in the question section, which its type and class follow
 			for end < n && text[end] != 0 {
 				end += int(text[end]) + 1
 			}
 			isA := text[end+2] == 1
 			answer := append([]byte(nil), text[:end+5]...)
 			answer[2] |= 0x80
-			answer[10], answer[11] = 0, 0 // no more records, of those that it came with
+			answer[10], answer[11] = 0, 0 // no additional records, unlike the query
 			if isA {
 				answer[7] = 1
 				answer = append(answer, 0xc0, 12, 0, 1, 0, 1, 0, 0, 0, 0, 0, 4, 127, 0, 0, 1)
 			}
-			_, _ = at.WriteTo(answer, from)
+			_, _ = conn.WriteTo(answer, from)
 		}
 	}()
-	was := net.DefaultResolver
-	t.Cleanup(func() { net.DefaultResolver = was })
+	previousResolver := net.DefaultResolver
+	t.Cleanup(func() { net.DefaultResolver = previousResolver })
 	net.DefaultResolver = &net.Resolver{PreferGo: true, Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return new(net.Dialer).DialContext(ctx, "udp", at.LocalAddr().String())
+		return new(net.Dialer).DialContext(ctx, "udp", conn.LocalAddr().String())
 	}}
-	return asked, may
+	return queried, release
 }
 
-// TestADialCanBeCancelledDuringTheLookUp cancels a dial while its name is looked up: no connection is begun. One that is still wanted then
-// goes on, and one beyond the limit of descriptors does not.
+// Guards against connecting after a dial was cancelled during its name look-up. A dial that is still wanted continues after the look-up,
+// and one that would exceed the descriptor limit does not.
 func TestADialCanBeCancelledDuringTheLookUp(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		most   int64
-		wanted bool
-		why    error
+		name    string
+		limit   int64
+		wanted  bool
+		wantErr error
 	}{{"unwanted", 1, false, ErrDialCancelled}, {"wanted", 1, true, nil}, {"no room", 0, true, ErrDescriptorLimit}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestbed(t, 1)
-			asked, may := fakeNameServer(t)
-			_, port, _ := net.SplitHostPort(b.ln.Addr().String())
-			over, early := make(chan error, 1), make(chan bool, 1)
+			queried, release := fakeNameServer(t)
+			_, port, _ := net.SplitHostPort(b.listener.Addr().String())
+			result, returnedEarly := make(chan error, 1), make(chan bool, 1)
 			var unwanted atomic.Bool
 			go func() {
-				conn, err := b.Dial("server.test.:"+port, c.most, func() bool { return !unwanted.Load() }, nil)
+				conn, err := b.Dial("server.test.:"+port, c.limit, func() bool { return !unwanted.Load() }, nil)
 				if conn != nil {
-					if err := get(t, b.connected); err != nil {
+					if err := receive(t, b.connected); err != nil {
 						t.Error(err)
 					}
 					conn.Close()
 				}
-				over <- err
+				result <- err
 			}()
-			get(t, asked)
+			receive(t, queried)
 			select {
-			case <-over:
-				early <- true
+			case <-result:
+				returnedEarly <- true
 			default:
 			}
-			unwanted.Store(!c.wanted) // before the answer, which the look-up waits for
-			close(may)
-			err := get(t, over)
-			if len(early) > 0 || !errors.Is(err, c.why) {
-				t.Fatalf("%v, in place of %v", err, c.why)
+			unwanted.Store(!c.wanted) // before the look-up is answered
+			close(release)
+			err := receive(t, result)
+			if len(returnedEarly) > 0 || !errors.Is(err, c.wantErr) {
+				t.Fatalf("Dial returned %v, want %v", err, c.wantErr)
 			}
 			if n := b.descriptors.Load(); n != 0 {
-				t.Errorf("%d descriptors are counted", n)
+				t.Errorf("%d descriptors are counted after the dial, want 0", n)
 			}
-			// One of the test's own stands behind it in the queue.
-			mine, err := net.Dial("tcp", b.ln.Addr().String())
+			// The test's own connection marks the end of the listener's queue.
+			marker, err := net.Dial("tcp", b.listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = mine.Close() }()
+			defer func() { _ = marker.Close() }()
 			for n := 0; ; n++ {
-				got := get(t, b.taken)
-				_ = got.Close()
-				if got.RemoteAddr().String() != mine.LocalAddr().String() {
+				accepted := receive(t, b.accepted)
+				_ = accepted.Close()
+				if accepted.RemoteAddr().String() != marker.LocalAddr().String() {
 					continue
 				}
-				if c.why == nil && n != 1 || c.why != nil && n != 0 {
-					t.Errorf("%d connections were begun", n)
+				if c.wantErr == nil && n != 1 || c.wantErr != nil && n != 0 {
+					t.Errorf("%d connections were started", n)
 				}
 				break
 			}
@@ -111,33 +112,33 @@
 	}
 }
 
-// TestConcurrentDialsKeepTheDescriptorLimit starts many dials at once, with descriptors for few.
+// Guards against concurrent dials exceeding the descriptor limit: starts many dials at once, with descriptors for only a few.
 func TestConcurrentDialsKeepTheDescriptorLimit(t *testing.T) {
-	const many, room = 64, 5
+	const dials, limit = 64, 5
 	b := newTestbed(t, 2)
-	errs, start := make(chan error, many), make(chan bool)
-	for range many {
+	errs, start := make(chan error, dials), make(chan bool)
+	for range dials {
 		go func() {
 			<-start
-			_, err := b.Dial(b.ln.Addr().String(), room, func() bool { return true }, nil)
+			_, err := b.Dial(b.listener.Addr().String(), limit, func() bool { return true }, nil)
 			errs <- err
 		}()
 	}
 	close(start)
-	none := 0
-	for range many {
-		if err := get(t, errs); errors.Is(err, ErrDescriptorLimit) {
-			none++
+	refused := 0
+	for range dials {
+		if err := receive(t, errs); errors.Is(err, ErrDescriptorLimit) {
+			refused++
 		} else if err != nil {
 			t.Error(err)
 		}
 	}
-	for end := time.Now().Add(testTimeout); len(b.connected) < many-none; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%d are up", len(b.connected))
+	for deadline := time.Now().Add(testTimeout); len(b.connected) < dials-refused; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("only %d dials have connected", len(b.connected))
 		}
 	}
-	if n := b.descriptors.Load(); n != room || none != many-room {
-		t.Errorf("%d dialed of room for %d, %d refused", n, room, none)
+	if n := b.descriptors.Load(); n != limit || refused != dials-limit {
+		t.Errorf("%d descriptors are open with a limit of %d, %d dials were refused", n, limit, refused)
 	}
 }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestAPairKeepsItsWireForm compares a pair on its way to another process with the bytes that earlier releases send.
+// Guards against an incompatible change of PairState: its JSON must match the bytes that earlier releases exchange.
 func TestAPairKeepsItsWireForm(t *testing.T) {
 	golden, err := os.ReadFile("testdata/pair.json")
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	encoded, err := json.Marshal(want)
 	if err != nil || !bytes.Equal(encoded, golden) {
-		t.Errorf("encodes to\n%s, not\n%s (%v)", encoded, golden, err)
+		t.Errorf("encodes to\n%s, want\n%s (%v)", encoded, golden, err)
 	}
 	var decoded PairState
 	decoder := json.NewDecoder(strings.NewReader(string(golden)))
@@ -36,9 +36,9 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(decoded, want) {
-		t.Errorf("decodes to %+v, not %+v", decoded, want)
+		t.Errorf("decodes to %+v, want %+v", decoded, want)
 	}
-	if again, err := json.Marshal(decoded); err != nil || !bytes.Equal(again, golden) {
-		t.Errorf("encodes again to %s (%v)", again, err)
+	if reencoded, err := json.Marshal(decoded); err != nil || !bytes.Equal(reencoded, golden) {
+		t.Errorf("re-encodes to %s (%v)", reencoded, err)
 	}
 }
--- a/internal/relay/socket_test.go
+++ b/internal/relay/socket_test.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// sendsAtOnce reports whether a connection's socket has TCP_NODELAY.
+// sendsAtOnce reports whether TCP_NODELAY is set on a connection's socket.
 func sendsAtOnce(t *testing.T, c *Conn) bool {
 	t.Helper()
 	value, err := unix.GetsockoptInt(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY)
@@ -16,19 +16,19 @@
 	return value != 0
 }
 
-// Guards against incident 0fd2d2: sockets that were accepted, or came from another process, held small lines back in the kernel.
+// Guards against incident 0fd2d2: without TCP_NODELAY, sockets that were accepted or received from another process delayed small lines.
 func TestSocketsOfAPairSendAtOnce(t *testing.T) {
 	b := newTestbed(t, 1)
 	p, _, _ := b.pair()
 	for _, c := range p.conns {
 		if !sendsAtOnce(t, c) {
-			t.Errorf("the joined %v's socket holds small lines back", c.side)
+			t.Errorf("the socket of the joined %v has no TCP_NODELAY", c.side)
 		}
 	}
 	done := make(chan PairState, 1)
 	p.Detach(func(state PairState, _ bool) { done <- state })
-	state := get(t, done)
-	for _, fd := range []int{state.Client.FD, state.Server.FD} { // as an earlier release leaves it
+	state := receive(t, done)
+	for _, fd := range []int{state.Client.FD, state.Server.FD} { // earlier releases leave it off
 		if err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 0); err != nil {
 			t.Fatal(err)
 		}
@@ -39,19 +39,20 @@
 	}
 	for _, c := range p.conns {
 		if !sendsAtOnce(t, c) {
-			t.Errorf("the attached %v's socket holds small lines back", c.side)
+			t.Errorf("the socket of the attached %v has no TCP_NODELAY", c.side)
 		}
 	}
 }
 
-// Guards against incident 0fd2d2's rule, lines held back: a receive buffer of fixed size dropped acknowledgements along with small lines.
+// Guards against the failure of incident 0fd2d2, delayed lines, by another cause: a receive buffer of fixed size overflowed, and the
+// kernel dropped acknowledgements along with small lines.
 func TestSocketsOfAPairHaveNoReceiveBufferOfFixedSize(t *testing.T) {
 	b := newTestbed(t, 1)
 	p, _, _ := b.pair()
 	done := make(chan PairState, 1)
 	p.Detach(func(state PairState, _ bool) { done <- state })
-	state := get(t, done)
-	if err := unix.SetsockoptInt(state.Client.FD, unix.SOL_SOCKET, unix.SO_RCVBUF, 32<<10); err != nil { // as before the relay has it
+	state := receive(t, done)
+	if err := unix.SetsockoptInt(state.Client.FD, unix.SOL_SOCKET, unix.SO_RCVBUF, 32<<10); err != nil { // fixes the size, as may have happened before the relay gets the socket
 		t.Fatal(err)
 	}
 	p, err := b.Attach(state, 1, nil)
@@ -60,6 +61,6 @@
 	}
 	locks, err := unix.GetsockoptInt(p.conns[Client].fd, unix.SOL_SOCKET, unix.SO_BUF_LOCK)
 	if err != nil || locks != 0 {
-		t.Fatalf("locks %d, %v", locks, err)
+		t.Fatalf("SO_BUF_LOCK is %d (%v), want 0", locks, err)
 	}
 }
