--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	maxSocketPath    = 107                   // bytes; a limit of the kernel
-	acceptRetryDelay = 50 * time.Millisecond // time between attempts to accept a link after a failure
+	maxSocketPath    = 107                   // longest path of a Unix socket that the kernel accepts, in bytes
+	acceptRetryDelay = 50 * time.Millisecond // time between two attempts to accept a link
 )
 
 // Handler is notified of the events of links. It must not block.
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	listener.SetUnlinkOnClose(false) // by then the file may be the socket of another process
+	listener.SetUnlinkOnClose(false) // the file may be the socket of another process by the time this one closes it
 	go acceptLinks(listener, handler)
 	return nil
 }
@@ -78,11 +78,11 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // usually out of descriptors: the next process must still be accepted later
+		if err != nil { // the process is usually out of descriptors: the next process must still be accepted later
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		_, _ = openLink(conn, handler) // fails for a process of another user, whose connection is closed
+		_, _ = openLink(conn, handler) // the call fails for a process of another user, whose connection is closed
 	}
 }
 
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -183,7 +183,7 @@
 		if o := receive(t, outcomes[n]); o != Unconfirmed {
 			t.Fatalf("message %d, which was not read, has outcome %v, want unconfirmed", n, o)
 		}
-		_, controlLen, _, _, err := peer.ReadMsgUnix(buffer, controlData) // the other process continues
+		_, controlLen, _, _, err := peer.ReadMsgUnix(buffer, controlData) // the other process continues after the link has closed
 		received := parseDescriptors(controlData[:controlLen])
 		if err != nil || len(received) != 1 {
 			t.Fatalf("message %d has descriptors %v (%v), want one", n, received, err)
@@ -246,7 +246,7 @@
 		t.Fatal(err)
 	}
 	_ = peer.SetReadDeadline(time.Now().Add(testTimeout))
-	if err := raw.Read(func(fd uintptr) bool { // waits until the first message has arrived
+	if err := raw.Read(func(fd uintptr) bool { // the function returns true once the first message has arrived
 		_, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		return err != unix.EAGAIN
 	}); err != nil {
@@ -319,7 +319,7 @@
 		t.Fatal(err)
 	}
 	listener.SetUnlinkOnClose(false)
-	_ = listener.Close() // leaves the socket file, like a process that was killed
+	_ = listener.Close() // the socket file is left behind, as by a process that was killed
 	if l, err := Dial(path, handler); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
@@ -327,7 +327,7 @@
 		t.Fatal(err)
 	}
 	_ = os.Remove(path)
-	_ = os.WriteFile(path, nil, 0o600) // a file that is not a socket
+	_ = os.WriteFile(path, nil, 0o600) // the path is a file that is not a socket
 	if l, err := Dial(path, handler); l != nil || err != nil {
 		t.Fatal(l, err)
 	}
@@ -374,7 +374,7 @@
 	select {
 	case <-oldSide.opened:
 		t.Fatal("a link was opened without a free descriptor")
-	case <-time.After(3 * acceptRetryDelay): // enough for several attempts to accept
+	case <-time.After(3 * acceptRetryDelay): // the delay covers several attempts to accept
 	}
 	restoreLimit()
 	receive(t, oldSide.opened).Close()
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	maxMessageSize = 160 << 10 // bytes; mostly the unwritten lines of a session
-	sendBufferSize = 512 << 10 // bytes
-	maxDescriptors = 2         // descriptors of one message
+	maxMessageSize = 160 << 10 // largest message in bytes; most of it is for the unwritten lines of a session
+	sendBufferSize = 512 << 10 // send buffer of the socket in bytes
+	maxDescriptors = 2         // most descriptors that accompany one message
 
 	// maxUnconfirmed bounds the messages with descriptors that are sent and not confirmed. The kernel limits the number of descriptors in
 	// flight.
@@ -38,12 +38,12 @@
 	// unconfirmed are the messages with descriptors that were sent and not confirmed, oldest first. Their descriptors stay open in this
 	// process until the other one confirms them.
 	unconfirmed []outbound
-	sendClosed  bool // nothing more is sent
-	readDone    bool // no further confirmation can arrive
+	sendClosed  bool // whether sending has stopped
+	readDone    bool // whether reading has ended, so that no further confirmation can arrive
 	// finalOutcome is the outcome of the messages that are unconfirmed when readDone is set.
 	finalOutcome Outcome
 
-	confirmTimer *time.Timer // runs while a message is unconfirmed
+	confirmTimer *time.Timer // timer of the oldest unconfirmed message; stopped while there is none
 	closeOnce    sync.Once
 }
 
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -35,7 +35,7 @@
 type Message struct {
 	Version int    `json:"V"`
 	Kind    Kind   `json:"Kind"`
-	State   *State `json:"Known,omitempty"` // set in Hello
+	State   *State `json:"Known,omitempty"` // state that a Hello message carries
 	// DescriptorCount is the number of descriptors that the sender holds open.
 	DescriptorCount int64 `json:"Descriptors,omitempty"`
 	// Confirms is set in Ready if the sender confirms each message with descriptors before it uses them.
--- a/internal/hotrestart/receiver.go
+++ b/internal/hotrestart/receiver.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	_ = l.conn.SetWriteDeadline(time.Now().Add(confirmTimeout)) // fails only on a closed connection, which the write reports
+	_ = l.conn.SetWriteDeadline(time.Now().Add(confirmTimeout)) // the call fails only on a closed connection, which the write reports
 	if _, _, err := l.conn.WriteMsgUnix(payload, nil, nil); err != nil && !isClosedByPeer(err) {
 		return fmt.Errorf("write confirmation: %w", err)
 	}
@@ -139,7 +139,7 @@
 		return false
 	}
 	closed := false
-	_ = raw.Control(func(fd uintptr) { // fails only on a link that this process has closed
+	_ = raw.Control(func(fd uintptr) { // the call fails only on a link that this process has closed
 		poll := []unix.PollFd{{Fd: int32(fd)}}
 		_, err := unix.Poll(poll, 0)
 		closed = err == nil && poll[0].Revents&unix.POLLHUP != 0
--- a/internal/hotrestart/sender.go
+++ b/internal/hotrestart/sender.go
@@ -58,7 +58,7 @@
 	if len(out.descriptors) > 0 {
 		controlData = unix.UnixRights(out.descriptors...)
 	}
-	_ = l.conn.SetWriteDeadline(time.Now().Add(confirmTimeout)) // fails only on a closed connection, which the write reports
+	_ = l.conn.SetWriteDeadline(time.Now().Add(confirmTimeout)) // the call fails only on a closed connection, which the write reports
 	_, _, err := l.conn.WriteMsgUnix(out.payload, controlData, nil)
 	if err == nil {
 		return
@@ -70,7 +70,7 @@
 	}
 	l.closeSend()
 	out.settle(Returned)
-	if !isClosedByPeer(err) { // otherwise the receiver still reads, to their end, the messages that the other process sent before
+	if !isClosedByPeer(err) { // after a close by the peer, the receiver still reads the messages that the peer sent before
 		l.giveUpSending(fmt.Errorf("write message: %w", err))
 	}
 }
@@ -124,14 +124,14 @@
 		l.closeWithReason(reason)
 		return
 	}
-	_ = l.conn.CloseWrite() // fails only on a connection that has ended, which the receiver reports
+	_ = l.conn.CloseWrite() // the call fails only on a connection that has ended, which the receiver reports
 	time.AfterFunc(silentPeerTimeout, func() { l.closeWithReason(reason) })
 }
 
 // handleConfirmation settles the oldest unconfirmed message.
 func (l *Link) handleConfirmation() {
 	l.mu.Lock()
-	if len(l.unconfirmed) == 0 { // nothing awaits a confirmation: ignore it
+	if len(l.unconfirmed) == 0 { // a confirmation that no message awaits is ignored
 		l.mu.Unlock()
 		return
 	}
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -28,17 +28,17 @@
 
 // Kinds of lines.
 const (
-	KindOther       Kind = iota // any other line, such as one that is part of a session's data
-	KindOpen                    // a session request
-	KindPing                    // a readiness probe
-	KindPong                    // the answer to a readiness probe, or a load report
-	KindEstablished             // the session is established
-	KindRejected                // the session was rejected and never ran
-	KindFailed                  // the session failed and may have run
-	KindEnded                   // the session is complete
-	KindMigrate                 // the client is to reconnect and will be placed elsewhere
-	KindLoad                    // the load of a session
-	KindNotReady                // the answer to a readiness probe while not ready
+	KindOther       Kind = iota // any other line, such as application data of a session
+	KindOpen                    // OPEN: a session request
+	KindPing                    // PING: a readiness probe
+	KindPong                    // PONG: the answer to a readiness probe, or a load report
+	KindEstablished             // UP: the session is established
+	KindRejected                // BUSY: the session was rejected and never ran
+	KindFailed                  // ERR: the session failed and may have run
+	KindEnded                   // BYE: the session is complete
+	KindMigrate                 // MOVE: the client is to reconnect and will be placed elsewhere
+	KindLoad                    // LOAD: the load of a session
+	KindNotReady                // NO: the answer to a readiness probe while not ready
 )
 
 var kindByWord = map[string]Kind{
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -23,7 +23,7 @@
 
 	raw          []byte
 	timeoutStart int // offset in raw of the timeout's first digit
-	timeoutEnd   int // offset in raw after the timeout's last digit
+	timeoutEnd   int // offset in raw behind the timeout's last digit
 }
 
 // decodeRequest decodes rest, which follows the first word of a session request and starts at the given offset of the line.
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -97,7 +97,7 @@
 	})
 	measureHeap := func() uint64 {
 		var m runtime.MemStats
-		for range 2 { // twice, because connections of package net have finalizers
+		for range 2 { // two collections, because connections of package net have finalizers
 			runtime.GC()
 		}
 		runtime.ReadMemStats(&m)
--- a/internal/relay/coalesce.go
+++ b/internal/relay/coalesce.go
@@ -108,5 +108,5 @@
 		return -1
 	}
 	wait := w.coalesced[0].until - w.relay.now()
-	return int(max(0, wait+time.Millisecond-1) / time.Millisecond) // rounded up: epoll_wait counts whole milliseconds
+	return int(max(0, wait+time.Millisecond-1) / time.Millisecond) // epoll_wait counts whole milliseconds, so the time is rounded up
 }
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -20,26 +20,26 @@
 type state uint8
 
 const (
-	stateDialing  state = iota // waiting for the connect to finish
-	stateUnpaired              // connected; lines are reported to the handler one at a time
-	stateJoining               // being made part of a pair; not read
-	statePaired                // lines are forwarded to the other side
-	stateDraining              // read until its end, with the input discarded
+	stateDialing  state = iota // the connect has not finished yet
+	stateUnpaired              // the connection is established and its lines are reported to the handler one at a time
+	stateJoining               // the connection is being made part of a pair and is not read
+	statePaired                // lines of the connection are forwarded to the other side
+	stateDraining              // the connection is read until its end and the input is discarded
 )
 
 // Conn is one connection. Its methods are safe for concurrent use.
 type Conn struct {
-	Data any // opaque value of the relay's user
+	Data any // opaque value that belongs to the relay's user
 
 	worker     *worker
 	slot       int32
 	generation int32
 
-	mu       sync.Mutex // guards the fields below, up to pair
+	mu       sync.Mutex // mu guards the fields below, up to pair
 	fd       int
 	state    state
 	interest uint32 // epoll events that are waited for
-	oneShot  bool   // events are disabled after each one until setInterestLocked arms them again
+	oneShot  bool   // whether each event disables further ones until setInterestLocked arms them again
 	// edgeTriggered makes epoll report an event once per change. Hang-ups are reported whatever the interest is, repeatedly unless the
 	// connection is edge-triggered.
 	edgeTriggered bool
@@ -47,10 +47,10 @@
 	partial     []byte
 	writeBuffer []byte // data to write, starting at writeOffset
 	writeOffset int
-	peerEnded   bool       // the peer has ended its sending, so nothing more is read
-	migration   *migration // not nil while a migrated server's input is forwarded until its own end
+	peerEnded   bool       // whether the peer has ended its sending, so that nothing more is read
+	migration   *migration // state of a migration; nil unless a migrated server's input is forwarded until its own end
 	closed      bool
-	drain       *drain // nil until the end of the connection has begun; no new data is accepted for writing afterwards
+	drain       *drain // state of the connection's end; nil before that, and once it is set no new data is accepted for writing
 	writeErr    error  // error of a write that failed permanently; a read may report only an orderly end after it
 	// firstWrittenAt is when WriteFirst wrote its line, responseTime the time from then until the newest line was read.
 	firstWrittenAt time.Duration
@@ -62,7 +62,7 @@
 	nextSmallWriteAt time.Duration
 
 	pair atomic.Pointer[Pair]
-	side Side // set before pair
+	side Side // side of the pair; set before pair
 
 	// writeBlocked is set while data is waiting because the peer does not accept it; the other side is not read meanwhile. blockedSince
 	// is the time since which the peer has accepted nothing, 0 if no data is waiting. flushedAt is when the write buffer last became
@@ -101,7 +101,7 @@
 	}
 	c.interest = interest
 	event := unix.EpollEvent{Events: interest, Fd: c.slot, Pad: c.generation}
-	_ = unix.EpollCtl(c.worker.epfd, unix.EPOLL_CTL_MOD, c.fd, &event) // cannot fail: the descriptor is open and in the set
+	_ = unix.EpollCtl(c.worker.epfd, unix.EPOLL_CTL_MOD, c.fd, &event) // the call can't fail: the descriptor is open and in the set
 }
 
 // setEdgeTriggeredLocked sets whether events are reported once per change.
@@ -129,7 +129,7 @@
 		c.worker.relay.lingering.remove(c)
 	}
 	// Another descriptor of the same socket may stay open for a moment, and the epoll set would continue to report its events.
-	_ = unix.EpollCtl(c.worker.epfd, unix.EPOLL_CTL_DEL, c.fd, nil) // fails only if the descriptor was never in the set
+	_ = unix.EpollCtl(c.worker.epfd, unix.EPOLL_CTL_DEL, c.fd, nil) // the call fails only if the descriptor was never in the set
 	c.worker.remove(c)
 	c.worker.relay.descriptors.Add(-1)
 	c.writeBuffer = nil
@@ -155,7 +155,7 @@
 	if !c.closed {
 		c.countUnsentLocked()
 		reset := unix.Linger{Onoff: 1}
-		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &reset) // if this fails, the close is an orderly one
+		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &reset) // without this option the close is an orderly one
 	}
 	c.closeLocked()
 }
@@ -186,7 +186,7 @@
 		switch {
 		case err == nil:
 			return nil
-		// A full buffer is an error too: the send buffer of a new connection accepts a whole line.
+		// A full buffer is a permanent error too: the send buffer of a new connection accepts the whole line or nothing.
 		case !socket.IsTemporary(err) || tries == maxFirstWriteTries:
 			return os.NewSyscallError("write", err)
 		}
--- a/internal/relay/detach.go
+++ b/internal/relay/detach.go
@@ -87,7 +87,7 @@
 	}
 	states := [2]ConnState{Client: state.Client, Server: state.Server}
 	for side, connState := range states {
-		_ = unix.SetNonblock(connState.FD, true) // fails only on a closed descriptor, which register reports
+		_ = unix.SetNonblock(connState.FD, true) // the call fails only on a closed descriptor, which register reports
 		c := w.adopt(connState.FD)
 		c.side = Side(side)
 		c.partial = connState.Partial
--- a/internal/relay/dial_test.go
+++ b/internal/relay/dial_test.go
@@ -28,14 +28,14 @@
 			}
 			queried <- true
 			<-release
-			end := 12 // end of the name in the question section, which its type and class follow
+			end := 12 // offset of the end of the name in the question section; the type and class of the question follow it
 			for end < n && text[end] != 0 {
 				end += int(text[end]) + 1
 			}
 			isA := text[end+2] == 1
 			answer := append([]byte(nil), text[:end+5]...)
 			answer[2] |= 0x80
-			answer[10], answer[11] = 0, 0 // no additional records, unlike the query
+			answer[10], answer[11] = 0, 0 // the answer has no additional records, unlike the query
 			if isA {
 				answer[7] = 1
 				answer = append(answer, 0xc0, 12, 0, 1, 0, 1, 0, 0, 0, 0, 0, 4, 127, 0, 0, 1)
@@ -82,7 +82,7 @@
 				returnedEarly <- true
 			default:
 			}
-			unwanted.Store(!c.wanted) // before the look-up is answered
+			unwanted.Store(!c.wanted) // the dial is cancelled before the look-up is answered
 			close(release)
 			err := receive(t, result)
 			if len(returnedEarly) > 0 || !errors.Is(err, c.wantErr) {
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -19,13 +19,13 @@
 
 // drain is the progress of a connection's end. First all data is written, then received by the peer, then the peer's own end is awaited.
 type drain struct {
-	reset          bool          // end with a reset once the peer has received everything; with an orderly close otherwise
-	timer          *time.Timer   // runs the next check; nil until the first one is scheduled
-	interval       time.Duration // time until the next check while data is unreceived
-	startedAt      time.Duration // when the drain began, on the relay's clock
-	unreceived     int           // bytes that the peer had not received at the last check
-	lastProgressAt time.Duration // when unreceived last decreased
-	receivedAt     time.Duration // when the peer had received everything, 0 before that
+	reset          bool          // whether the connection ends with a reset, rather than an orderly close, once the peer has received everything
+	timer          *time.Timer   // timer of the next check; nil until the first one is scheduled
+	interval       time.Duration // time until the next check while the peer has not received everything
+	startedAt      time.Duration // time on the relay's clock at which the drain began
+	unreceived     int           // number of bytes that the peer had not received at the last check
+	lastProgressAt time.Duration // time at which unreceived last decreased
+	receivedAt     time.Duration // time at which the peer had received everything, 0 before that
 }
 
 // finish ends the connection once its peer has received everything, with a reset if abrupt is set and with an orderly close otherwise.
@@ -108,7 +108,7 @@
 // endSendingLocked shuts down sending, after the data in the kernel's send queue. A connection that ends with a reset is not shut down.
 func (c *Conn) endSendingLocked() {
 	if !c.drain.reset {
-		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only if the peer has already ended the connection
+		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // the call fails only if the peer has already ended the connection
 	}
 }
 
--- a/internal/relay/linger.go
+++ b/internal/relay/linger.go
@@ -9,8 +9,8 @@
 // closed when descriptors run short. Its methods are safe for concurrent use.
 type lingerSet struct {
 	mu         sync.Mutex
-	ended      list.List                  // of *Conn whose input is no longer forwarded
-	halfClosed list.List                  // of *Conn whose input is still forwarded; those that may carry an answer are at the back
+	ended      list.List                  // connections (*Conn) whose input is no longer forwarded
+	halfClosed list.List                  // connections (*Conn) whose input is still forwarded; those that may carry an answer are at the back
 	elements   map[*Conn]lingeringElement // position of each connection
 }
 
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -53,9 +53,9 @@
 
 // migration is the progress of the server's connection in a pair that is being migrated.
 type migration struct {
-	startedAt time.Duration // when the migration began, on the relay's clock
-	received  int           // bytes read since startedAt
-	maxInput  int           // bytes that both kernels can hold; anything beyond was written after the end of sending
+	startedAt time.Duration // time on the relay's clock at which the migration began
+	received  int           // number of bytes read since startedAt
+	maxInput  int           // number of bytes that both kernels can hold; anything beyond was written after the server saw the end
 }
 
 // checkMigration ends the client's connection once waiting for the server's end is no longer useful, and schedules another check
@@ -71,14 +71,14 @@
 	client.finishWithLastLine(false)
 }
 
-// beginMigration keeps the connection open, even if it is drained, until endMigration is called or its peer ends it.
+// beginMigration keeps the connection open, even once it has been drained, until endMigration is called or its peer ends it.
 func (c *Conn) beginMigration() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
-	receiveBuffer, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF) // fails only on a closed descriptor
+	receiveBuffer, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF) // the call fails only on a closed descriptor
 	c.migration = &migration{startedAt: c.worker.relay.now(), maxInput: receiveBuffer + maxPeerSendBuffer}
 }
 
@@ -95,9 +95,9 @@
 	return c.worker.relay.now() < min(until, startedAt+maxDrainTime)
 }
 
-// SetMigrationDeadline makes the migrations of a process that shuts down finish within the given time from now. Migrations that start
-// later than lastMigrationTimeout before that still take up to lastMigrationTimeout. The deadline also applies to servers that keep
-// sending after their clients have ended their sending.
+// SetMigrationDeadline makes the migrations of a process that shuts down finish within the given time from now. A migration that starts
+// too late for that still gets lastMigrationTimeout. The deadline also applies to servers that keep sending after their clients have
+// ended their sending.
 func (r *Relay) SetMigrationDeadline(within time.Duration) {
 	r.shutdownDeadline.Store(int64(r.now() + within))
 }
--- a/internal/relay/pair.go
+++ b/internal/relay/pair.go
@@ -11,12 +11,12 @@
 
 // Pair is the two connections of an established session.
 type Pair struct {
-	Data any // opaque value of the relay's user
+	Data any // opaque value that belongs to the relay's user
 
 	relay         *Relay
 	serverID      uint64 // key under which response times are collected
 	conns         [2]*Conn
-	ended         atomic.Pointer[ending] // nil while the pair is active
+	ended         atomic.Pointer[ending] // what remains to be done at the pair's end; nil while the pair is active
 	completed     atomic.Bool
 	moveRequested atomic.Bool
 	// requestedAt is when the client's oldest unanswered line was forwarded, 0 if every line is answered. lastLineAt is when the server's
@@ -27,7 +27,7 @@
 
 // ending is what remains to be done when a pair has ended.
 type ending struct {
-	lastLine []byte // written to the client after all other lines; empty if there is none
+	lastLine []byte // line that the client receives after all others; empty if there is none
 }
 
 // Completed reports whether the server has announced that the session is complete.
@@ -40,7 +40,7 @@
 // firstLine is written to the client before anything else. The pair's response times are collected under serverID. The caller must not
 // write to the server's connection afterwards. If Join fails, it sends the client an error line and ends the client's connection.
 func (r *Relay) Join(clientFD int, server *Conn, firstLine []byte, serverID uint64, data any) (*Pair, error) {
-	_ = unix.SetNonblock(clientFD, true) // fails only on a closed descriptor, which register reports
+	_ = unix.SetNonblock(clientFD, true) // the call fails only on a closed descriptor, which register reports
 	client := server.worker.adopt(clientFD)
 	p := &Pair{relay: r, serverID: serverID, Data: data}
 	p.conns[Client] = client
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	client.write(firstLine)
-	server.forward(nil) // forwards input that was buffered before the pair existed
+	server.forward(nil) // forwards the input that was buffered before the pair existed
 	client.startForwarding()
 	server.startReading(client)
 	server.worker.flushLoads()
--- a/internal/relay/pair_end.go
+++ b/internal/relay/pair_end.go
@@ -6,7 +6,7 @@
 type PairEnd struct {
 	Pair    *Pair
 	EndedBy Side  // side whose connection ended first
-	Abrupt  bool  // whether that connection ended with a reset or an error
+	Abrupt  bool  // whether that side's connection ended with a reset or an error
 	Cause   error // error that ended the first side's connection, nil if its peer closed it in an orderly way
 	Fault   error // reason why the relay itself ended the pair, nil if a peer ended it
 	// Pending is the data that each side's peer had not received at that moment.
--- a/internal/relay/read.go
+++ b/internal/relay/read.go
@@ -157,7 +157,7 @@
 	c.mu.Lock()
 	c.setInterestLocked(unix.EPOLLIN, false)
 	c.mu.Unlock()
-	if !other.writeBlocked.Load() { // the lines were flushed in the meantime
+	if !other.writeBlocked.Load() { // the lines were flushed in the meantime, so no event will resume the reading
 		c.resumeReading()
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -94,7 +94,7 @@
 	workerCounter    atomic.Uint32 // selects the worker of the next connection, round robin
 	clockStart       time.Time     // zero of the relay's clock
 	closeOnce        sync.Once
-	stallTimeout     time.Duration // writeStallTimeout, except in tests
+	stallTimeout     time.Duration // time after which a stalled peer is ended: writeStallTimeout, except in tests
 	shutdownDeadline atomic.Int64  // time on the relay's clock by which the last migrations of a shutdown end; 0 while not shutting down
 }
 
@@ -188,7 +188,7 @@
 	c := r.nextWorker().newConn(fd, stateDialing, data)
 	if err := c.register(unix.EPOLLOUT | unix.EPOLLONESHOT); err != nil {
 		c.Close()
-		r.descriptors.Add(1) // offsets the decrement made by Close
+		r.descriptors.Add(1) // Close has subtracted the descriptor, but the caller still counts it
 		return nil, err
 	}
 	return c, nil
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -86,7 +86,7 @@
 	b := newTestbed(t, 1)
 	for range 50 {
 		c, server := b.dial()
-		hasUnread := func(count int) bool { // whether at least count bytes are unread in the kernel
+		hasUnread := func(count int) bool { // reports whether at least count bytes are unread in the kernel
 			n, err := unix.IoctlGetInt(c.fd, unix.TIOCINQ)
 			return err == nil && n >= count
 		}
@@ -237,7 +237,7 @@
 				rng := rand.New(rand.NewPCG(1, 2))
 				text := []byte(strings.Repeat("M 12345678\r\n", 100))
 				for {
-					n := 1 + rng.IntN(len(text)-1) // split at an arbitrary byte
+					n := 1 + rng.IntN(len(text)-1) // the text is split at an arbitrary byte
 					if _, err := sender.Write(text[:n]); err != nil {
 						return
 					}
@@ -306,7 +306,7 @@
 	for lines := n / len(text); lines > 0; lines-- {
 		client.expectText(string(text))
 	}
-	c.blockedSince.Store(1) // as if the client had accepted nothing since the start
+	c.blockedSince.Store(1) // simulates that the client has accepted nothing since the start
 	b.stallTimeout = 0
 	b.CollectResponseTimes(0) // the client has read since it was blocked, which counts as progress
 	b.CollectResponseTimes(0)
@@ -324,7 +324,7 @@
 	b := newTestbed(t, 1)
 	p, client, server := b.pair()
 	_ = server.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
-	for err := error(nil); err == nil; { // until the client's side accepts no more
+	for err := error(nil); err == nil; { // writes until the client's side accepts no more
 		_, err = io.WriteString(server, strings.Repeat("x", 1000)+"\r\n")
 	}
 	_ = server.Conn.(*net.TCPConn).SetLinger(0)
--- a/internal/relay/socket_test.go
+++ b/internal/relay/socket_test.go
@@ -28,7 +28,7 @@
 	done := make(chan PairState, 1)
 	p.Detach(func(state PairState, _ bool) { done <- state })
 	state := receive(t, done)
-	for _, fd := range []int{state.Client.FD, state.Server.FD} { // earlier releases leave it off
+	for _, fd := range []int{state.Client.FD, state.Server.FD} { // earlier releases hand over sockets without TCP_NODELAY
 		if err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 0); err != nil {
 			t.Fatal(err)
 		}
@@ -52,7 +52,8 @@
 	done := make(chan PairState, 1)
 	p.Detach(func(state PairState, _ bool) { done <- state })
 	state := receive(t, done)
-	if err := unix.SetsockoptInt(state.Client.FD, unix.SOL_SOCKET, unix.SO_RCVBUF, 32<<10); err != nil { // fixes the size, as may have happened before the relay gets the socket
+	// SO_RCVBUF fixes the buffer's size, as may have happened before the relay receives a socket.
+	if err := unix.SetsockoptInt(state.Client.FD, unix.SOL_SOCKET, unix.SO_RCVBUF, 32<<10); err != nil {
 		t.Fatal(err)
 	}
 	p, err := b.Attach(state, 1, nil)
--- a/internal/relay/testbed_test.go
+++ b/internal/relay/testbed_test.go
@@ -162,7 +162,8 @@
 	}
 	_ = file.Close()
 	_ = conn.Close()
-	if err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 0); err != nil { // as on a socket accepted by the kernel: package net has set it
+	// Package net has set TCP_NODELAY. The kernel accepts sockets without it.
+	if err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 0); err != nil {
 		b.t.Fatal(err)
 	}
 	return fd
--- a/internal/relay/worker.go
+++ b/internal/relay/worker.go
@@ -26,10 +26,10 @@
 	epfd       int
 	wakeFD     int // eventfd in the epoll set, written to wake the goroutine
 	readBuffer []byte
-	hasLoads   atomic.Bool // loads is not empty
-	isAwake    atomic.Bool // the goroutine is not waiting, and checks the coalesced queue before it does
+	hasLoads   atomic.Bool // whether loads holds any lines
+	isAwake    atomic.Bool // whether the goroutine is running, and so checks the coalesced queue before it waits
 
-	mu     sync.Mutex // guards the fields below
+	mu     sync.Mutex // mu guards the fields below
 	tasks  []func()   // functions to run on the worker's goroutine between two events
 	closed bool
 	loads  []LoadLine
@@ -88,7 +88,7 @@
 // wakeLocked wakes the worker's goroutine, which must not have ended.
 func (w *worker) wakeLocked() {
 	one := [8]byte{7: 1}
-	_, _ = unix.Write(w.wakeFD, one[:]) // fails only if the counter is full, and then the goroutine is woken already
+	_, _ = unix.Write(w.wakeFD, one[:]) // the write fails only if the counter is full, and then the goroutine is woken already
 }
 
 // submit queues a task for the worker's goroutine. It runs between two events, when no event of a connection is being handled.
@@ -104,7 +104,7 @@
 // runTasks runs the submitted tasks. It returns false once the worker is closed.
 func (w *worker) runTasks() bool {
 	var counter [8]byte
-	_, _ = unix.Read(w.wakeFD, counter[:]) // resets the counter; fails only if it is zero already
+	_, _ = unix.Read(w.wakeFD, counter[:]) // the read resets the counter, and fails only if it is zero already
 	w.mu.Lock()
 	tasks, closed := w.tasks, w.closed
 	w.tasks = nil
@@ -138,7 +138,7 @@
 		}
 		w.flushDue()
 		isBusy = n > 0
-		if !isBusy { // let other goroutines run before the thread blocks
+		if !isBusy { // other goroutines run before the thread blocks
 			runtime.Gosched()
 			continue
 		}
--- a/internal/relay/write.go
+++ b/internal/relay/write.go
@@ -153,7 +153,7 @@
 func (c *Conn) clearWriteBufferLocked() {
 	c.releaseWriteBufferLocked()
 	c.blockedSince.Store(0)
-	c.flushedAt.Store(int64(c.worker.relay.now())) // before writeBlocked is reset: both are read without the lock
+	c.flushedAt.Store(int64(c.worker.relay.now())) // flushedAt is set before writeBlocked is reset, as both are read without the lock
 	c.writeBlocked.Store(false)
 	c.setInterestLocked(unix.EPOLLOUT, false)
 }
