--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -16,10 +16,10 @@
 	maxPeerSendBuffer = 8 << 20
 )
 
-// CloseWithLine ends a pair: the client receives last, after everything that its server has sent, and then the end of its connection. The
-// server's connection is ended first, with a reset if abrupt is set and with an orderly close otherwise. In the orderly case the server's
-// lines are forwarded for a bounded time, until it ends the connection itself. CloseWithLine returns false if the pair had already ended;
-// the handler's PairEnded has then been or will be called.
+// CloseWithLine ends a pair: the client receives last, after everything that was forwarded from its server, and then the end of its
+// connection. If abrupt is set, the server's connection is reset after the input that has arrived was forwarded. Otherwise sending to the
+// server is ended in an orderly way, and the server's lines are forwarded for a bounded time, until it ends the connection itself.
+// CloseWithLine returns false if the pair had already ended; the handler's PairEnded has then been or will be called.
 func (p *Pair) CloseWithLine(last []byte, abrupt bool) bool {
 	if !p.end(last) {
 		return false
