--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -6,42 +6,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is the end of a connection here: its peer first receives everything that was taken over for it. A reset discards what the
-// kernel has not delivered, and so does a close once the peer sends again.
+// This file ends connections without losing data: the peer first receives everything that was accepted for it. A reset discards data that
+// the kernel has not delivered, and so does a close as soon as the peer sends again.
 
 const (
-	lingerTimeout = time.Second // for the peer's own end, once it has received everything
-	maxDrainTime  = 20 * time.Second
+	lingerTimeout = time.Second      // time for the peer to end the connection, after it has received everything
+	maxDrainTime  = 20 * time.Second // longest duration of a drain
 
 	minDrainCheckInterval = time.Millisecond
 	maxDrainCheckInterval = 20 * time.Millisecond
 )
 
-// drain is how far the end of a connection has come: written, then received by its peer, then waiting for the peer's own end.
+// drain is the progress of a connection's end. First all data is written, then received by the peer, then the peer's own end is awaited.
 type drain struct {
-	reset      bool        // it ends with a reset, once its peer has received everything; in order otherwise
-	timer      *time.Timer // nil until there is something to wait for
-	interval   time.Duration
-	startedAt  time.Duration
-	left       int           // bytes that the peer had not received at the last check
-	progressAt time.Duration // when left was last seen to fall
-	doneAt     time.Duration // since when nothing is left, 0 before that
+	reset          bool          // whether the connection ends with a reset, rather than an orderly close, once the peer has received everything
+	timer          *time.Timer   // timer of the next check; nil until the first one is scheduled
+	interval       time.Duration // time until the next check while the peer has not received everything
+	startedAt      time.Duration // time on the relay's clock at which the drain began
+	unreceived     int           // number of bytes that the peer had not received at the last check
+	lastProgressAt time.Duration // time at which unreceived last decreased
+	receivedAt     time.Duration // time at which the peer had received everything, 0 before that
 }
 
-// finish ends the connection once its peer has received everything, with a reset if abrupt and otherwise in order. What the peer still
-// sends is discarded.
+// finish ends the connection once its peer has received everything, with a reset if abrupt is set and with an orderly close otherwise.
+// Further input from the peer is discarded.
 func (c *Conn) finish(abrupt bool) {
-	c.change(func() { c.finishLocked(abrupt) })
+	c.withLock(func() { c.finishLocked(abrupt) })
 }
 
-// finishSending is finish in order, but what the peer still sends is forwarded until it ends.
+// finishSending is finish with an orderly close, except that input from the peer is still forwarded until the peer ends the connection.
 func (c *Conn) finishSending() {
-	c.change(func() { c.startDrainLocked(false) })
+	c.withLock(func() { c.startDrainLocked(false) })
 }
 
-// change runs a step under the lock. If it closes the connection, the other side of its pair, which has ended, has nothing more to wait
-// for.
-func (c *Conn) change(step func()) {
+// withLock runs step under the connection's lock. If step closes the connection, withLock also finishes the other side of its pair, which
+// has ended.
+func (c *Conn) withLock(step func()) {
 	c.mu.Lock()
 	wasClosed := c.closed
 	step()
@@ -52,34 +52,34 @@
 	}
 }
 
-// finishOther is finishLast for the other side than c, if that became one of the pair.
+// finishOther calls finishWithLastLine for the side opposite to c, if that side has joined the pair.
 func (p *Pair) finishOther(c *Conn, abrupt bool) {
 	if other := p.conns[c.side.other()]; other.pair.Load() == p {
-		other.finishLast(abrupt)
+		other.finishWithLastLine(abrupt)
 	}
 }
 
-// resetOther ends the other side than c with a reset, as c has broken while its lines were still forwarded there, unless the pair's last
-// line follows these.
+// resetOther ends the side opposite to c with a reset, because c broke while its lines were still being forwarded. If the pair has a last
+// line, the other side is left to receive it.
 func (p *Pair) resetOther(c *Conn) {
 	if len(p.ended.Load().lastLine) == 0 {
 		p.finishOther(c, true)
 	}
 }
 
-// finishLast is finish for the side of a pair that is left. A client receives the pair's last line first.
-func (c *Conn) finishLast(abrupt bool) {
+// finishWithLastLine is finish for the remaining side of an ended pair. A client receives the pair's last line first.
+func (c *Conn) finishWithLastLine(abrupt bool) {
 	var lastLine []byte
 	if ending := c.pair.Load().ended.Load(); ending != nil && c.side == Client {
 		lastLine = ending.lastLine
 	}
-	c.change(func() {
+	c.withLock(func() {
 		c.writeLocked(lastLine)
 		c.finishLocked(abrupt)
 	})
 }
 
-// endsByResetLocked reports whether the connection's end is begun, and will be a reset.
+// endsByResetLocked reports whether the connection is being ended with a reset.
 func (c *Conn) endsByResetLocked() bool { return c.drain != nil && c.drain.reset }
 
 func (c *Conn) finishLocked(abrupt bool) {
@@ -91,30 +91,30 @@
 	c.startDrainLocked(abrupt)
 }
 
-// startDrainLocked ends the sending, and closes the connection once its peer has received everything.
+// startDrainLocked shuts down sending, and closes the connection once its peer has received everything.
 func (c *Conn) startDrainLocked(abrupt bool) {
 	if c.closed || c.drain != nil {
 		return
 	}
 	c.flushCoalescedLocked()
 	now := c.worker.relay.now()
-	c.drain = &drain{reset: abrupt, interval: minDrainCheckInterval, startedAt: now, progressAt: now}
+	c.drain = &drain{reset: abrupt, interval: minDrainCheckInterval, startedAt: now, lastProgressAt: now}
 	if len(c.writeBuffer) == 0 {
 		c.endSendingLocked()
 	}
 	c.checkDrainedLocked()
 }
 
-// endSendingLocked ends the sending in order, behind what the kernel holds.
+// endSendingLocked shuts down sending, after the data in the kernel's send queue. A connection that ends with a reset is not shut down.
 func (c *Conn) endSendingLocked() {
 	if !c.drain.reset {
-		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // fails only if the other side has ended it
+		_ = unix.Shutdown(c.fd, unix.SHUT_WR) // the call fails only if the peer has already ended the connection
 	}
 }
 
-// checkDrained closes the connection if its peer has received everything, and checks again later otherwise.
+// checkDrained closes the connection if its peer has received everything, and schedules another check otherwise.
 func (c *Conn) checkDrained() {
-	c.change(func() {
+	c.withLock(func() {
 		if !c.closed {
 			c.checkDrainedLocked()
 		}
@@ -125,14 +125,14 @@
 	now := c.worker.relay.now()
 	c.updateDrainLocked(now)
 	switch {
-	case c.drain.left > 0 && c.isStalledLocked(now):
+	case c.drain.unreceived > 0 && c.isStalledLocked(now):
 		c.giveUpDrainLocked()
-	case c.drain.left > 0:
+	case c.drain.unreceived > 0:
 		c.scheduleDrainCheckLocked(c.drain.interval)
 		c.drain.interval = min(2*c.drain.interval, maxDrainCheckInterval)
 	case c.drain.reset:
 		c.abortLocked()
-	case c.peerEnded, c.broken != nil && !c.forwardsInputLocked():
+	case c.peerEnded, c.writeErr != nil && !c.forwardsInputLocked():
 		c.closeLocked()
 	case c.migration != nil:
 		c.scheduleDrainCheckLocked(maxDrainCheckInterval)
@@ -144,59 +144,60 @@
 	}
 }
 
-// lingerUntilLocked returns when the connection is closed if its peer does not end it. A peer whose lines are still forwarded is given that
-// long from the last of them, and from when the other side last kept them from being read.
+// lingerUntilLocked returns when the connection is closed if its peer does not end it. While the peer's lines are still forwarded, the
+// time counts from the last of them, or from when the other side last kept this one from being read.
 func (c *Conn) lingerUntilLocked() time.Duration {
-	shortest := c.drain.doneAt + lingerTimeout
+	shortest := c.drain.receivedAt + lingerTimeout
 	if !c.forwardsInputLocked() {
 		return shortest
 	}
 	from := max(c.otherBlockedAt(), time.Duration(c.pair.Load().lastLineAt.Load()))
 	longest := c.drain.startedAt + maxDrainTime
-	if end := time.Duration(c.worker.relay.migrateUntil.Load()); end > 0 {
+	if end := time.Duration(c.worker.relay.shutdownDeadline.Load()); end > 0 {
 		longest = end
 	}
 	return max(shortest, min(from+lingerTimeout, longest))
 }
 
-// forwardsInputLocked reports whether what the peer still sends is forwarded.
+// forwardsInputLocked reports whether further input from the peer is forwarded.
 func (c *Conn) forwardsInputLocked() bool { return c.state == statePaired && c.pair.Load() != nil }
 
-// otherBlockedAt returns when something last waited to be written to the other side of the pair.
+// otherBlockedAt returns when data was last waiting to be written to the other side of the pair.
 func (c *Conn) otherBlockedAt() time.Duration {
 	return c.pair.Load().conns[c.side.other()].lastBlockedAt()
 }
 
-// updateDrainLocked notes what is left. Once the peer has ended its sending a close loses nothing that the kernel holds.
+// updateDrainLocked updates the number of unreceived bytes. Once the peer has ended its sending, a close loses nothing that is in the
+// kernel's send queue, so only buffered bytes count.
 func (c *Conn) updateDrainLocked(now time.Duration) {
 	pending := c.pendingLocked()
-	left := pending.Buffered
+	unreceived := pending.Buffered
 	switch {
 	case c.drain.reset:
-		left += pending.Unacknowledged
-	case !c.peerEnded && left == 0:
-		left = max(0, pending.Unacknowledged-1) // the end itself counts as one
+		unreceived += pending.Unacknowledged
+	case !c.peerEnded && unreceived == 0:
+		unreceived = max(0, pending.Unacknowledged-1) // the FIN counts as one byte
 	case !c.peerEnded:
-		left += pending.Unacknowledged
+		unreceived += pending.Unacknowledged
 	}
-	if left < c.drain.left {
-		c.drain.progressAt = now
+	if unreceived < c.drain.unreceived {
+		c.drain.lastProgressAt = now
 	}
-	c.drain.left = left
-	if left == 0 && c.drain.doneAt == 0 {
-		c.drain.doneAt = now
+	c.drain.unreceived = unreceived
+	if unreceived == 0 && c.drain.receivedAt == 0 {
+		c.drain.receivedAt = now
 	}
 }
 
-// isStalledLocked reports whether the peer takes nothing any more, or takes too long.
+// isStalledLocked reports whether the peer has stopped accepting data, or the drain takes too long.
 func (c *Conn) isStalledLocked(now time.Duration) bool {
-	return now-c.drain.progressAt >= c.worker.relay.stallTimeout || now-c.drain.startedAt >= maxDrainTime
+	return now-c.drain.lastProgressAt >= c.worker.relay.stallTimeout || now-c.drain.startedAt >= maxDrainTime
 }
 
-// giveUpDrainLocked closes a connection whose peer does not take everything in time. Lines that are cut are shown by a reset; those that
-// the kernel holds already, it goes on delivering.
+// giveUpDrainLocked closes a connection whose peer does not receive everything in time. If a line would be cut, the close is a reset,
+// which shows the peer that data is missing. Otherwise the kernel goes on delivering its send queue.
 func (c *Conn) giveUpDrainLocked() {
-	if c.drain.reset || c.written < len(c.writeBuffer) {
+	if c.drain.reset || c.writeOffset < len(c.writeBuffer) {
 		c.abortLocked()
 	} else {
 		c.closeLocked()
@@ -211,20 +212,20 @@
 	c.drain.timer.Reset(wait)
 }
 
-// finishInOrder ends a connection whose peer has ended it in order: the peer receives what waits for it all the same.
-func (c *Conn) finishInOrder() {
-	c.change(func() {
+// finishGracefully ends a connection that its peer has ended in an orderly way. The peer still receives the data that is waiting for it.
+func (c *Conn) finishGracefully() {
+	c.withLock(func() {
 		c.endReadingLocked()
 		c.finishLocked(false)
 	})
 }
 
-// peerEndedAgain handles the end by its peer of a connection whose pair has ended.
-func (c *Conn) peerEndedAgain(abrupt bool) {
+// onEndedAfterPair handles the end of a connection by its peer after its pair has ended.
+func (c *Conn) onEndedAfterPair(abrupt bool) {
 	if abrupt {
 		c.pair.Load().resetOther(c)
 	}
-	c.change(func() {
+	c.withLock(func() {
 		switch {
 		case c.closed:
 		case abrupt:
@@ -238,14 +239,15 @@
 	})
 }
 
-// endReading notes that the peer has ended its sending, and may still read.
+// endReading records that the peer has ended its sending. The peer may still read.
 func (c *Conn) endReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endReadingLocked()
 }
 
-// endReadingLocked notes that the peer has ended its sending. From here on events arrive once for each change, as the end stays readable.
+// endReadingLocked is endReading with the lock held. The connection becomes edge-triggered, because its end would otherwise be reported
+// continuously.
 func (c *Conn) endReadingLocked() {
 	c.peerEnded = true
 	c.setEdgeTriggeredLocked(true)
--- a/internal/relay/linger.go
+++ b/internal/relay/linger.go
@@ -5,23 +5,23 @@
 	"sync"
 )
 
-// lingering keeps the connections that were ended here, whose peers have received everything and have not ended them yet. They can be
+// lingerSet holds the connections that the relay has ended, whose peers have received everything and have not ended them yet. They can be
 // closed when descriptors run short. Its methods are safe for concurrent use.
-type lingering struct {
-	mu       sync.Mutex
-	ended    list.List // of *Conn: nothing of them is forwarded any more
-	sending  list.List // of *Conn: what they still send is; those that may bring an answer last
-	elements map[*Conn]lingeringElement
+type lingerSet struct {
+	mu         sync.Mutex
+	ended      list.List                  // connections (*Conn) whose input is no longer forwarded
+	halfClosed list.List                  // connections (*Conn) whose input is still forwarded; those that may carry an answer are at the back
+	elements   map[*Conn]lingeringElement // position of each connection
 }
 
-// lingeringElement is where a connection is kept.
+// lingeringElement is the position of a connection in one of the lists.
 type lingeringElement struct {
 	list    *list.List
 	element *list.Element
 }
 
-// add keeps a connection. The caller holds its lock.
-func (l *lingering) add(c *Conn) {
+// add adds a connection or moves it to the list that it now belongs to. The caller holds the connection's lock.
+func (l *lingerSet) add(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.elements == nil {
@@ -29,7 +29,7 @@
 	}
 	to := &l.ended
 	if c.forwardsInputLocked() {
-		to = &l.sending
+		to = &l.halfClosed
 	}
 	if l.elements[c].list == to {
 		return
@@ -42,22 +42,22 @@
 	}
 }
 
-// remove forgets a connection. The caller holds its lock.
-func (l *lingering) remove(c *Conn) {
+// remove removes a connection. The caller holds the connection's lock.
+func (l *lingerSet) remove(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.removeLocked(c)
 }
 
-func (l *lingering) removeLocked(c *Conn) {
+func (l *lingerSet) removeLocked(c *Conn) {
 	if kept, found := l.elements[c]; found {
 		kept.list.Remove(kept.element)
 		delete(l.elements, c)
 	}
 }
 
-// firstEnded returns a connection of which nothing is forwarded any more, nil where there is none.
-func (l *lingering) firstEnded() *Conn {
+// firstEnded returns a connection whose input is no longer forwarded, nil if there is none.
+func (l *lingerSet) firstEnded() *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if front := l.ended.Front(); front != nil {
@@ -66,20 +66,20 @@
 	return nil
 }
 
-// firstSending returns the connection to close first of those that may still send something, nil where there is none.
-func (l *lingering) firstSending() *Conn {
+// firstHalfClosed returns the connection to close first among those whose input is still forwarded, nil if there is none.
+func (l *lingerSet) firstHalfClosed() *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for element := l.sending.Front(); element != nil; element = element.Next() {
-		if c := element.Value.(*Conn); !c.isReadLater() {
+	for element := l.halfClosed.Front(); element != nil; element = element.Next() {
+		if c := element.Value.(*Conn); !c.isReadingSuspended() {
 			return c
 		}
 	}
 	return nil
 }
 
-// isReadLater reports whether the connection is not read because the other side of its pair takes nothing more now.
-func (c *Conn) isReadLater() bool {
+// isReadingSuspended reports whether the connection is not read because the client of its pair does not accept more.
+func (c *Conn) isReadingSuspended() bool {
 	p := c.pair.Load()
 	return p != nil && c.side == Server && p.conns[Client].writeBlocked.Load()
 }
@@ -90,17 +90,18 @@
 	return c.side == Server && p != nil && p.requestedAt.Load() > 0
 }
 
-// CloseLingering closes one connection, and with it the other one of its pair, that waits only for its peer's own end. It reports false
-// if there is none.
+// CloseLingering closes one connection that waits only for its peer to end it, and with it the other connection of its pair. It returns
+// false if there is none.
 func (r *Relay) CloseLingering() bool { return closeAtOnce(r.lingering.firstEnded()) }
 
-// CloseSending does the same to one whose client has ended its sending, and whose server may still say something.
-func (r *Relay) CloseSending() bool { return closeAtOnce(r.lingering.firstSending()) }
+// CloseHalfClosed closes one connection to a server that may still send lines after its client has ended its sending, and with it the
+// other connection of the pair. It returns false if there is none.
+func (r *Relay) CloseHalfClosed() bool { return closeAtOnce(r.lingering.firstHalfClosed()) }
 
 func closeAtOnce(c *Conn) bool {
 	if c == nil {
 		return false
 	}
-	c.change(c.closeLocked)
+	c.withLock(c.closeLocked)
 	return true
 }
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// migrationTimeout bounds the wait for a server's own end, after which nothing more of it can be on its way. Time for which the client
-	// takes nothing does not count. lastMigrationTimeout is what it is at the end of a shutdown.
+	// migrationTimeout bounds the wait for the server to end its connection, after which no line of it can be in flight. Time during
+	// which the client accepts nothing does not count. lastMigrationTimeout applies instead at the end of a shutdown.
 	migrationTimeout       = 500 * time.Millisecond
 	lastMigrationTimeout   = 150 * time.Millisecond
 	migrationCheckInterval = 10 * time.Millisecond
-	// maxPeerSendBuffer is above what a server's kernel holds that was not sent yet.
+	// maxPeerSendBuffer is an upper bound of the unsent bytes in the send buffer of a server's kernel.
 	maxPeerSendBuffer = 8 << 20
 )
 
-// CloseWithLine ends a pair: the client gets a last line, behind all that its server has sent, and the end of the connection. The server's
-// side is ended first, in order unless abrupt, and what it sends until its own end is forwarded, for a bounded time. False means that the
-// pair had ended already, and that the handler has been or will be notified.
+// CloseWithLine ends a pair: the client receives last, after everything that was forwarded from its server, and then the end of its
+// connection. If abrupt is set, the server's connection is reset after the input that has arrived was forwarded. Otherwise sending to the
+// server is ended in an orderly way, and the server's lines are forwarded for a bounded time, until it ends the connection itself.
+// CloseWithLine returns false if the pair had already ended; the handler's PairEnded has then been or will be called.
 func (p *Pair) CloseWithLine(last []byte, abrupt bool) bool {
 	if !p.end(last) {
 		return false
@@ -33,15 +34,15 @@
 	return true
 }
 
-// closeAbruptly ends a pair whose server is taken for gone. It runs on the worker's goroutine.
+// closeAbruptly ends a pair whose server is considered dead. It runs on the worker's goroutine.
 func (p *Pair) closeAbruptly() {
-	p.conns[Server].forwardRest(p.relay.now(), func() {
-		p.conns[Client].finishLast(false)
+	p.conns[Server].forwardRemaining(p.relay.now(), func() {
+		p.conns[Client].finishWithLastLine(false)
 		p.conns[Server].Abort()
 	})
 }
 
-// startMigration ends the server's side behind what the client has sent. It runs on the worker's goroutine.
+// startMigration ends sending to the server, after the lines that the client has sent. It runs on the worker's goroutine.
 func (p *Pair) startMigration() {
 	p.conns[Client].forwardUnread()
 	p.conns[Client].discardInput()
@@ -50,14 +51,14 @@
 	p.checkMigration()
 }
 
-// migration is how far a server's connection has come whose pair is migrated.
+// migration is the progress of the server's connection in a pair that is being migrated.
 type migration struct {
-	startedAt time.Duration
-	received  int // bytes since then
-	maxInput  int // bytes that both kernels can hold: more was written after the end
+	startedAt time.Duration // time on the relay's clock at which the migration began
+	received  int           // number of bytes read since startedAt
+	maxInput  int           // number of bytes that both kernels can hold; anything beyond was written after the server saw the end
 }
 
-// checkMigration ends the client's side once there is no use in waiting for the server's own end any longer, and checks again later
+// checkMigration ends the client's connection once waiting for the server's end is no longer useful, and schedules another check
 // otherwise. It runs on the worker's goroutine.
 func (p *Pair) checkMigration() {
 	client, server := p.conns[Client], p.conns[Server]
@@ -67,21 +68,22 @@
 	}
 	server.forwardUnread()
 	server.endMigration()
-	client.finishLast(false)
+	client.finishWithLastLine(false)
 }
 
-// beginMigration keeps the connection open, whatever becomes of the rest of its end, until endMigration or its peer's own end.
+// beginMigration keeps the connection open, even once it has been drained, until endMigration is called or its peer ends it.
 func (c *Conn) beginMigration() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
-	receiveBuffer, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF) // fails only on a closed descriptor
+	receiveBuffer, _ := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF) // the call fails only on a closed descriptor
 	c.migration = &migration{startedAt: c.worker.relay.now(), maxInput: receiveBuffer + maxPeerSendBuffer}
 }
 
-// isMigrating reports whether a line that the server wrote before its end may still be on its way. The client was last blocked at a time.
+// isMigrating reports whether a line that the server wrote before its end may still be in flight. blockedAt is when the client last did
+// not accept data.
 func (c *Conn) isMigrating(blockedAt time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,20 +95,23 @@
 	return c.worker.relay.now() < min(until, startedAt+maxDrainTime)
 }
 
-// EndMigrations bounds the time of the last migrations of a process that shuts down: they are done this long from now, but for those that
-// begin even later. Servers that go on sending after their clients' end are given no longer either.
-func (r *Relay) EndMigrations(within time.Duration) { r.migrateUntil.Store(int64(r.now() + within)) }
+// SetMigrationDeadline makes the migrations of a process that shuts down finish within the given time from now. A migration that starts
+// too late for that still gets lastMigrationTimeout. The deadline also applies to servers that keep sending after their clients have
+// ended their sending.
+func (r *Relay) SetMigrationDeadline(within time.Duration) {
+	r.shutdownDeadline.Store(int64(r.now() + within))
+}
 
-// migrationDeadline returns until when a server's own end is waited for.
+// migrationDeadline returns the time until which the server's end is awaited, counted from the given time.
 func (r *Relay) migrationDeadline(from time.Duration) time.Duration {
 	until := from + migrationTimeout
-	if end := time.Duration(r.migrateUntil.Load()); end > 0 {
+	if end := time.Duration(r.shutdownDeadline.Load()); end > 0 {
 		until = min(until, max(end, from+lastMigrationTimeout))
 	}
 	return until
 }
 
-// countMigratedLocked counts what was read; n may be an error's.
+// countMigratedLocked counts n bytes that were read during a migration. n is negative after a failed read, which counts as 0.
 func (c *Conn) countMigratedLocked(n int) {
 	if c.migration != nil {
 		c.migration.received += max(0, n)
@@ -114,16 +119,16 @@
 }
 
 func (c *Conn) endMigration() {
-	c.change(func() {
+	c.withLock(func() {
 		c.migration = nil
-		if !c.closed && c.drain != nil && c.drain.doneAt > 0 {
-			c.drain.doneAt = c.worker.relay.now()
+		if !c.closed && c.drain != nil && c.drain.receivedAt > 0 {
+			c.drain.receivedAt = c.worker.relay.now()
 			c.checkDrainedLocked()
 		}
 	})
 }
 
-// lastBlockedAt returns when something last waited to be written to the connection, now if something does.
+// lastBlockedAt returns when data was last waiting to be written to the connection: the current time if data is waiting now.
 func (c *Conn) lastBlockedAt() time.Duration {
 	if c.writeBlocked.Load() {
 		return c.worker.relay.now()
