--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,25 +5,25 @@
 // minAttemptTimeout keeps timeouts above 0.
 const minAttemptTimeout = time.Microsecond
 
-// decide decides on a queued session: an attempt, a final answer, or a poll of the endpoint's load report
+// decideSession decides on a queued session: an attempt, a final answer, or a poll of the endpoint's load report
 // before. It reports false if there is nothing for the host to do.
-func (b *Balancer) decide(s *session) (Decision, bool) {
+func (b *Balancer) decideSession(s *session) (Decision, bool) {
 	if s.hasAnswer {
 		return Decision{}, false
 	}
-	b.recent.decay(b.now)
+	b.recentCounts.decay(b.now)
 	hasWaited := s.reportDeadline > 0
-	s.countedWarmup = s.countedWarmup && hasWaited
+	s.countedInWarmupDemand = s.countedInWarmupDemand && hasWaited
 	s.reportDeadline = 0
 	e := b.admit(s)
 	if e == nil {
-		return b.answer(s), true
+		return b.finalAnswer(s), true
 	}
 	if b.canPoll(s, e) {
-		isPolled := e.checkPending
+		wasPending := e.checkPending
 		if b.waitForReport(s, e) {
 			e.checkPending = true
-			return Decision{Action: HealthCheck, Endpoint: e.ID}, !isPolled
+			return Decision{Action: HealthCheck, Endpoint: e.ID}, !wasPending
 		}
 	}
 	return b.startAttempt(s, e), true
@@ -41,8 +41,8 @@
 	return b.selectEndpoint(s, relaxEjection)
 }
 
-// answer gives a session its final answer.
-func (b *Balancer) answer(s *session) Decision {
+// finalAnswer gives a session its final finalAnswer.
+func (b *Balancer) finalAnswer(s *session) Decision {
 	s.hasAnswer = true
 	b.rejectsInARow++
 	delete(b.sessions, s.id)
@@ -77,10 +77,10 @@
 func (b *Balancer) attemptTimeout(s *session) time.Duration {
 	timeout := s.deadline - b.now
 	if s.attempts < s.maxAttempts && s.class.Idempotency != NonIdempotent && !b.areRetriesFutile() {
-		half := max(timeout/2, min(timeout, s.class.SetupObjective))
+		halfRemaining := max(timeout/2, min(timeout, s.class.SetupObjective))
 		timeout -= s.class.SetupObjective
-		if timeout < half || b.isSmallDeployment() {
-			timeout = half
+		if timeout < halfRemaining || b.isSmallDeployment() {
+			timeout = halfRemaining
 		}
 	}
 	return max(timeout, minAttemptTimeout)
--- a/policy/attempt_rules.go
+++ b/policy/attempt_rules.go
@@ -7,14 +7,14 @@
 	if s.hasAnswer || s.isActive() || s.deadline <= b.now || s.attempts >= s.maxAttempts {
 		return false
 	}
-	if !b.canRepeatAt(s, e) || e.State != Ready {
+	if !b.isRepeatSafeAt(s, e) || e.State != Ready {
 		return false
 	}
-	return !b.isWarmingUp(e) || b.canWarmUp(s, e)
+	return !b.isWarmingUp(e) || b.canAttemptWarming(s, e)
 }
 
-// canRepeatAt reports whether an attempt at an endpoint can't cause an effect twice.
-func (b *Balancer) canRepeatAt(s *session, e *endpoint) bool {
+// isRepeatSafeAt reports whether an attempt at an endpoint can't cause an effect twice.
+func (b *Balancer) isRepeatSafeAt(s *session, e *endpoint) bool {
 	first := s.mayHaveRunOn
 	if first == nil || s.class.Idempotency == Idempotent {
 		return true
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -31,7 +31,7 @@
 
 	sessions           map[SessionID]*session
 	queue              []*session // that need a decision
-	waiting            []*session // for a load report
+	waitingSessions    []*session // for a load report
 	activeSessions     int        // attempts and established sessions
 	meanActiveSessions float64    // activeSessions averaged over recentWindow
 	activeByGroup      map[uint64]int
@@ -40,13 +40,13 @@
 	loadByClass        []average // the last one is of classes that no longer exist
 	tenantQuota        float64   // connections of all tenants' quotas, over all balancers
 	rankBuffer         []rankedEndpoint
-	planned            []Decision // migrations and health checks of the newest round
+	plannedDecisions   []Decision // migrations and health checks of the newest round
 	nextRoundAt        time.Duration
 
 	remoteZoneFactor float64       // multiplies the weight of an endpoint in another zone
 	messageObjective time.Duration // the shortest of all classes, never if there is none
 
-	recent           recentCounts
+	recentCounts     recentCounts
 	pendingAttempts  int
 	lastAttemptAt    time.Duration
 	rejectsInARow    int // since the newest attempt
@@ -56,7 +56,7 @@
 	warmEndpoints          int     // ready endpoints that are not warming up
 	warmupWeight           float64 // weight that warming endpoints attract together
 	slowStartPausedUntil   time.Duration
-	observed               map[uint64]observedCapacity // by machine type
+	observedByMachineType  map[uint64]observedCapacity // by machine type
 	reportsDistrustedUntil map[location]time.Duration  // absent if they were never distrusted
 	gossip                 gossip
 	draining               drainWindow
@@ -71,7 +71,7 @@
 		pools:                  []*pool{{}},
 		sessions:               map[SessionID]*session{},
 		activeByGroup:          map[uint64]int{},
-		observed:               map[uint64]observedCapacity{},
+		observedByMachineType:  map[uint64]observedCapacity{},
 		reportsDistrustedUntil: map[location]time.Duration{},
 		draining:               drainWindow{until: never},
 	}
@@ -86,9 +86,9 @@
 // number of attempts with which they came.
 func (b *Balancer) Reconfigure(config *Config, classes, tenants []int) {
 	loadByClass := make([]average, len(config.Classes)+1)
-	for was, is := range classes {
-		if is >= 0 {
-			loadByClass[is] = b.loadByClass[was]
+	for oldIndex, newIndex := range classes {
+		if newIndex >= 0 {
+			loadByClass[newIndex] = b.loadByClass[oldIndex]
 		}
 	}
 	b.config = config
@@ -108,7 +108,7 @@
 			b.messageObjective = min(b.messageObjective, class.MessageObjective)
 		}
 	}
-	b.pause.unit = pauseUnit(config)
+	b.pause.minLength = minPauseLength(config)
 	b.tenantQuota = 0
 	for _, tenant := range config.Tenants {
 		b.tenantQuota += tenant.ConnectionQuota
@@ -128,35 +128,35 @@
 	for len(b.queue) > 0 {
 		s := b.queue[0]
 		b.queue = b.queue[1:]
-		if decision, ok := b.decide(s); ok {
+		if decision, ok := b.decideSession(s); ok {
 			return decision, true
 		}
 	}
 	b.queue = nil
 	if b.nextRoundAt <= b.now {
 		b.nextRoundAt = b.now + roundInterval
-		b.round()
+		b.runRound()
 	}
-	if len(b.planned) == 0 {
+	if len(b.plannedDecisions) == 0 {
 		return Decision{}, false
 	}
-	decision := b.planned[0]
-	b.planned = b.planned[1:]
+	decision := b.plannedDecisions[0]
+	b.plannedDecisions = b.plannedDecisions[1:]
 	return decision, true
 }
 
 // NextWakeup returns the time at which Next has to be called again at the latest. It always reports true.
 func (b *Balancer) NextWakeup() (at time.Duration, ok bool) {
 	at = min(b.nextRoundAt, b.gossip.nextAt)
-	for _, s := range b.waiting {
+	for _, s := range b.waitingSessions {
 		at = min(at, s.reportDeadline)
 	}
 	return at, true
 }
 
-// round plans migrations and health checks.
-func (b *Balancer) round() {
-	b.planned = b.planned[:0]
+// runRound plans migrations and health checks.
+func (b *Balancer) runRound() {
+	b.plannedDecisions = b.plannedDecisions[:0]
 	b.sumGossip()
 	window := max(roundInterval, min(recentWindow, b.now))
 	b.meanActiveSessions += (float64(b.activeSessions) - b.meanActiveSessions) * float64(roundInterval) / float64(window)
@@ -167,7 +167,7 @@
 	}
 	b.observeCapacity()
 	b.observeOverload()
-	b.recent.decay(b.now)
+	b.recentCounts.decay(b.now)
 	b.refillWarmingEndpoints()
 	for _, e := range b.endpoints {
 		if e.State == Removed {
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -39,8 +39,8 @@
 // endpoint is an Endpoint with what this balancer has learned of it.
 type endpoint struct {
 	Endpoint
-	index      int // in Balancer.endpoints
-	listUpdate int // that named it last
+	index          int // in Balancer.endpoints
+	lastListUpdate int // that named it last
 
 	sessions []*session // attempts and established sessions
 	load     float64    // sum of their loads
@@ -69,14 +69,14 @@
 	b.listUpdates++
 	for _, entry := range entries {
 		e := b.endpointFor(entry.ID)
-		e.listUpdate = b.listUpdates
+		e.lastListUpdate = b.listUpdates
 		if entry.StartedAt != e.StartedAt {
-			e.forget()
+			e.resetLearnedState()
 		}
 		e.Endpoint = entry
 	}
 	for _, e := range b.endpoints {
-		if complete && e.listUpdate != b.listUpdates {
+		if complete && e.lastListUpdate != b.listUpdates {
 			e.State = Removed
 		}
 	}
@@ -100,7 +100,7 @@
 		migratedAt:  -never,
 		attemptedAt: -never,
 	}
-	e.forget()
+	e.resetLearnedState()
 	delay := b.random.float64() * float64(b.config.Balancers) * float64(firstReportInterval)
 	e.nextCheckAt = b.now + time.Duration(delay)
 	b.endpoints = append(b.endpoints, e)
@@ -108,8 +108,8 @@
 	return e
 }
 
-// forget drops what was learned of the endpoint's previous process.
-func (e *endpoint) forget() {
+// resetLearnedState drops what was learned of the endpoint's previous process.
+func (e *endpoint) resetLearnedState() {
 	e.failures = 0
 	e.ejected = false
 	e.ejectionTime = minEjectionTime
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -30,7 +30,7 @@
 		e.nextCheckAt = b.now + roundInterval
 		e.passedChecks++
 		if e.passedChecks >= healthyThreshold {
-			e.readmit()
+			e.endEjection()
 		}
 	}
 }
@@ -42,14 +42,14 @@
 	}
 	if !b.config.CanHealthCheck {
 		if e.ejected {
-			e.readmit()
+			e.endEjection()
 		}
 		return
 	}
 	if !e.ejected && !b.pollsRegularly(e) {
 		return
 	}
-	b.planned = append(b.planned, Decision{Action: HealthCheck, Endpoint: e.ID})
+	b.plannedDecisions = append(b.plannedDecisions, Decision{Action: HealthCheck, Endpoint: e.ID})
 	e.checkPending = true
 	interval := time.Duration(b.config.Balancers) * reportInterval
 	e.nextCheckAt = b.now + b.random.jitter(interval)
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -78,13 +78,13 @@
 	if s.reportDeadline+s.class.SetupObjective >= s.deadline {
 		return false
 	}
-	b.waiting = append(b.waiting, s)
+	b.waitingSessions = append(b.waitingSessions, s)
 	return true
 }
 
 // resumeWaiting queues the sessions that waited for an endpoint's report, and those that waited long enough.
 func (b *Balancer) resumeWaiting(reported *endpoint) {
-	b.waiting = slices.DeleteFunc(b.waiting, func(s *session) bool {
+	b.waitingSessions = slices.DeleteFunc(b.waitingSessions, func(s *session) bool {
 		isDue := s.polledEndpoint == reported || s.reportDeadline <= b.now
 		if isDue {
 			b.queue = append(b.queue, s)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -28,8 +28,8 @@
 		b.distrustReports(e)
 	}
 	hasCapacity := b.reportsSpareCapacity(e, skipThreshold.demand/2)
-	isShed := outcome == Reset && wasEstablished && !hasCapacity
-	if outcome == Rejected || outcome == ConnectFailed || isShed {
+	hasShedLoad := outcome == Reset && wasEstablished && !hasCapacity
+	if outcome == Rejected || outcome == ConnectFailed || hasShedLoad {
 		b.markOverloaded(e, s.load)
 	}
 	b.ejectIfOutlier(e)
@@ -57,8 +57,8 @@
 	e.ejectionTime = min(2*e.ejectionTime, maxEjectionTime)
 }
 
-// readmit ends an ejection on probation: one failure ejects the endpoint again, for longer.
-func (e *endpoint) readmit() {
+// endEjection ends an ejection on probation: one failure ejects the endpoint again, for longer.
+func (e *endpoint) endEjection() {
 	e.ejected = false
 	e.failures = ejectionThreshold / 2
 }
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -68,7 +68,7 @@
 			}
 		}
 		if factor := b.slowStartFactor(e); factor < 1 {
-			b.warmupWeight += b.zoneWeight(e, b.remoteZoneFactor, 3*minRemoteFactor) * min(1, warmupShare*factor)
+			b.warmupWeight += b.zoneWeight(e, b.remoteZoneFactor, 3*minRemoteFactor) * min(1, warmupKeyFactor*factor)
 		}
 	}
 	b.overloadFraction = float64(overloaded) / float64(max(used, 1))
--- a/policy/pool.go
+++ b/policy/pool.go
@@ -31,7 +31,7 @@
 	for _, e := range p.endpoints {
 		p.weights = append(p.weights, e.Weight)
 		p.totalWeight += e.Weight
-		p.versionHash = uint32(mix(uint64(p.versionHash), uint64(e.ID)))
+		p.versionHash = uint32(hashPair(uint64(p.versionHash), uint64(e.ID)))
 	}
 	newest := b.newestPool()
 	if !slices.Equal(newest.endpoints, p.endpoints) || !slices.Equal(newest.weights, p.weights) {
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -21,7 +21,7 @@
 // ranking is a session's order of preference over the endpoints of the newest pool.
 type ranking struct {
 	endpoints        []rankedEndpoint
-	reach            int     // endpoints from the first on, without warming ones, that the session may use
+	maxCandidates    int     // endpoints from the first on, without warming ones, that the session may use
 	remoteZoneFactor float64 // multiplies the weight of endpoints in another zone
 }
 
@@ -34,14 +34,14 @@
 	return cmp.Or(cmp.Compare(y.score, x.score), x.index-y.index)
 }
 
-// rank orders the endpoints by weighted rendezvous hashing of a session's group. The first ones, as many as the
+// rankEndpoints orders the endpoints by weighted rendezvous hashing of a session's group. The first ones, as many as the
 // group's share of the sessions asks for, are its affinity set, in which the client's key decides the order.
 // The result is valid until the next call.
-func (b *Balancer) rank(s *session) ranking {
+func (b *Balancer) rankEndpoints(s *session) ranking {
 	endpoints := b.newestPool().endpoints
 	r := ranking{
 		endpoints:        b.rankBuffer[:0],
-		reach:            len(endpoints),
+		maxCandidates:    len(endpoints),
 		remoteZoneFactor: b.remoteZoneFactor,
 	}
 	hasGroup := s.affinityKey != s.clientKey
@@ -66,7 +66,7 @@
 	slices.SortFunc(r.endpoints, byScore)
 	if hasGroup && b.activeSessions > 0 {
 		size := b.affinitySetSize(s.affinityKey, totalWeight, maxWeight)
-		r.reach = min(r.reach, size+affinityOverflow)
+		r.maxCandidates = min(r.maxCandidates, size+affinityOverflow)
 		b.rankByClient(r.endpoints[:min(size, len(r.endpoints))], s.clientKey, r.remoteZoneFactor)
 	}
 	return r
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -94,7 +94,7 @@
 			b := newBalancer(d, inZones(warmEndpointList(12), 3))
 			for n := range each {
 				c := each*k + n + 1
-				group := mix(uint64(c), 1) % uint64(groups)
+				group := hashPair(uint64(c), 1) % uint64(groups)
 				got := addSession(t, b, SessionRequest{ID: SessionID(c), Key: uint64(c) + 1000, Group: group + 50})
 				b.AttemptEstablished(SessionID(c), 0, ms)
 				if at[[2]uint64{group, uint64(got.Endpoint)}] = true; n >= 50 && b.endpointByID[got.Endpoint].Zone != d.Zone {
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	migrationInterval     = time.Second     // between two away from an overloaded endpoint
-	overloadMigrationPart = 0.12            // of the load at an overloaded endpoint, migrated at a time
-	excessMigrationPart   = 0.8             // of the excess over targetDemand by a load report, if that is more
-	drainMigrationDivisor = 8               // the part of a draining endpoint's load that migrates in a round
-	refillInterval        = 4 * time.Second // between two considerations of a session for a warming endpoint
-	maxRefillsPerRound    = 16              // sessions considered
-	capacityGrowth        = 0.015           // by which a capacity grows in a round without overload,
-	capacityStep          = 0.3             // and this of the mean load, so that it grows from near 0 too
+	migrationInterval         = time.Second     // between two away from an overloaded endpoint
+	overloadMigrationFraction = 0.12            // of the load at an overloaded endpoint, migrated at a time
+	excessMigrationFraction   = 0.8             // of the excess over targetDemand by a load report, if that is more
+	drainMigrationDivisor     = 8               // the part of a draining endpoint's load that migrates in a round
+	refillInterval            = 4 * time.Second // between two considerations of a session for a warming endpoint
+	maxRefillsPerRound        = 16              // sessions considered
+	capacityGrowth            = 0.015           // by which a capacity grows in a round without overload,
+	capacityStep              = 0.3             // and this of the mean load, so that it grows from near 0 too
 )
 
 // growCapacity raises the assumed capacity of an endpoint that is not overloaded.
@@ -26,11 +26,11 @@
 		growth := (1 - b.config.SlowStartFloor) * float64(roundInterval) / float64(b.config.SlowStartWindow)
 		e.capacity *= 1 + growth/factor
 	}
-	sharing := b.config.Balancers // that know nothing of each other's sessions
+	independentBalancers := b.config.Balancers // that know nothing of each other's sessions
 	if b.gossip.isCurrent {
-		sharing = 1
+		independentBalancers = 1
 	}
-	e.capacity += capacityGrowth*e.capacity + capacityStep*cmp.Or(b.sessionLoad.mean, 1)/float64(sharing)
+	e.capacity += capacityGrowth*e.capacity + capacityStep*cmp.Or(b.sessionLoad.mean, 1)/float64(independentBalancers)
 }
 
 // planMigrations plans to migrate sessions away from an endpoint that drains or is overloaded.
@@ -46,16 +46,16 @@
 	if !b.exceeds(e, migrateThreshold) || e.migratedAt+migrationInterval > b.now {
 		return
 	}
-	part := overloadMigrationPart
+	fraction := overloadMigrationFraction
 	if b.exceeds(e, fastMigrateThreshold) {
-		part *= 2
+		fraction *= 2
 	}
 	// Each report is used once. In a large deployment all balancers would act on it and overshoot.
 	if b.isSmallDeployment() && e.reportedAt > e.migratedAt {
-		part = max(part, excessMigrationPart*(1-targetDemand/e.demand))
+		fraction = max(fraction, excessMigrationFraction*(1-targetDemand/e.demand))
 	}
 	e.migratedAt = b.now
-	b.migrateLoad(e, part*load, b.exceeds(e, terminateThreshold))
+	b.migrateLoad(e, fraction*load, b.exceeds(e, terminateThreshold))
 }
 
 // migrateLoad plans to migrate so much load off an endpoint, of sessions that would be placed elsewhere now:
@@ -70,20 +70,20 @@
 		return cmp.Or(members[x.affinityKey]-members[y.affinityKey], cmp.Compare(y.load, x.load), x.position-y.position)
 	}
 	for _, s := range migratableSessions(e, byGroupAndLoad) {
-		target := b.replacement(s)
+		target := b.replacementEndpoint(s)
 		if target == nil || target == e {
 			continue
 		}
-		if !b.migrateWithin(s, &load) {
+		if !b.migrateWithinLoad(s, &load) {
 			return
 		}
 	}
 	if !terminate {
 		return
 	}
-	byValue := func(x, y *session) int { return cmp.Compare(b.value(x), b.value(y)) }
+	byValue := func(x, y *session) int { return cmp.Compare(b.sessionValue(x), b.sessionValue(y)) }
 	for _, s := range migratableSessions(e, byValue) {
-		if !b.migrateWithin(s, &load) {
+		if !b.migrateWithinLoad(s, &load) {
 			return
 		}
 	}
@@ -99,9 +99,9 @@
 	return sessions
 }
 
-// migrateWithin plans to migrate a session if its load is within the remaining load, else by chance. It
+// migrateWithinLoad plans to migrate a session if its load is within the remaining load, else by chance. It
 // reports whether load remains.
-func (b *Balancer) migrateWithin(s *session, remaining *float64) bool {
+func (b *Balancer) migrateWithinLoad(s *session, remaining *float64) bool {
 	load := max(s.load, 1) // where no loads are known each session counts the same
 	left := *remaining - load
 	if left >= 0 || b.random.float64()*load < *remaining {
@@ -113,12 +113,12 @@
 
 func (b *Balancer) migrate(s *session) {
 	s.migrating = true
-	b.planned = append(b.planned, Decision{Action: Migrate, Session: s.id})
+	b.plannedDecisions = append(b.plannedDecisions, Decision{Action: Migrate, Session: s.id})
 }
 
-// value is a session's priority weight for its load, reduced beyond its tenant's quota as far as this
+// sessionValue is a session's priority weight for its load, reduced beyond its tenant's quota as far as this
 // balancer can tell.
-func (b *Balancer) value(s *session) float64 {
+func (b *Balancer) sessionValue(s *session) float64 {
 	value := s.class.PriorityWeight / max(s.load, 1)
 	if s.tenantIndex >= len(b.config.Tenants) {
 		return value
@@ -131,14 +131,14 @@
 	return value
 }
 
-// replacement returns the endpoint at which an established session would be placed if it came now, or nil.
-func (b *Balancer) replacement(s *session) *endpoint {
+// replacementEndpoint returns the endpoint at which an established session would be placed if it came now, or nil.
+func (b *Balancer) replacementEndpoint(s *session) *endpoint {
 	again := *s
 	again.state = stateIdle
 	again.attempts = 0
 	again.attempted = nil
 	again.mayHaveRunOn = nil
-	again.countedWarmup = false
+	again.countedInWarmupDemand = false
 	again.polls = maxPolls // no migration waits for a report
 	return b.selectEndpoint(&again, relaxNone)
 }
@@ -153,14 +153,14 @@
 		if s.state != stateEstablished || s.migrating || from.State != Ready || b.isWarmingUp(from) {
 			continue
 		}
-		if target := b.replacement(s); target != nil && b.isWarmingUp(target) {
+		if target := b.replacementEndpoint(s); target != nil && b.isWarmingUp(target) {
 			b.migrate(s)
 		}
 	}
 }
 
 func (b *Balancer) canRefill() bool {
-	return b.warmupWeight > 0 && b.recent.late+b.recent.failed < 1 && b.now >= b.pause.until
+	return b.warmupWeight > 0 && b.recentCounts.late+b.recentCounts.failed < 1 && b.now >= b.pause.until
 }
 
 // randomSession returns a random active session; there must be one.
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -32,11 +32,11 @@
 }
 
 func (b *Balancer) recordEstablished(class *Class, took time.Duration) {
-	b.recent.decay(b.now)
-	b.recent.established++
+	b.recentCounts.decay(b.now)
+	b.recentCounts.established++
 	b.pause.end(b.now)
 	if took > class.SetupObjective/lateDivisor {
-		b.recent.late++
+		b.recentCounts.late++
 	} else {
 		b.pause.shorten()
 	}
@@ -47,8 +47,8 @@
 
 func (b *Balancer) recordAttemptFailure(outcome Outcome) {
 	if outcome == Failed || outcome == TimedOut {
-		b.recent.decay(b.now)
-		b.recent.failed++
+		b.recentCounts.decay(b.now)
+		b.recentCounts.failed++
 	}
 	if outcome == TimedOut {
 		b.pauseAttempts()
@@ -59,8 +59,8 @@
 // Beyond the budget, or during a pause, none is made; below it they are rejected with the probability of
 // failure.
 func (b *Balancer) isRetryBudgetSpent(s *session) bool {
-	established := b.recent.established
-	failed := b.recent.failed + b.recent.late
+	established := b.recentCounts.established
+	failed := b.recentCounts.failed + b.recentCounts.late
 	base := baseAttempts * (established + 1) / (established + failed + 1) / float64(b.config.Balancers)
 	expected := established * s.class.SetupObjective.Seconds() / recentWindow.Seconds()
 	budget := math.Floor(base + expected + b.random.float64())
@@ -78,9 +78,9 @@
 
 // areRetriesFutile reports whether attempts fail so often that another endpoint is no remedy.
 func (b *Balancer) areRetriesFutile() bool {
-	failed := b.recent.failed
+	failed := b.recentCounts.failed
 	if b.overloadFraction < minOverloadedForRetries {
-		failed += b.recent.late
+		failed += b.recentCounts.late
 	}
-	return 2*failed > b.recent.established+4
+	return 2*failed > b.recentCounts.established+4
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -3,13 +3,13 @@
 import "math"
 
 const (
-	maxMeanMultiple = 2.0 // sessions at an endpoint, over the mean,
-	extraSessions   = 2   // and so many more
-	unprovenShare   = 2.0 // load at an endpoint over its fair share, while no report shows spare capacity
-	gossipShare     = 1.2 // the same where gossip brings the loads of the other balancers
-	minFairSessions = 4.0 // sessions at each endpoint that the fair share is computed for, at least
-	minGrowthShare  = 0.7 // factor on unprovenShare while this balancer has many more sessions than on average
-	warmupShare     = 1.7 // part of its keys that a warming endpoint takes, over its slow-start factor
+	maxSessionsOverMean   = 2.0 // sessions at an endpoint, over the mean,
+	extraSessions         = 2   // and so many more
+	maxUnprovenLoadFactor = 2.0 // load at an endpoint over its fair share, while no report shows spare capacity
+	maxGossipLoadFactor   = 1.2 // the same where gossip brings the loads of the other balancers
+	minFairSessions       = 4.0 // sessions at each endpoint that the fair share is computed for, at least
+	minTakeoverFactor     = 0.7 // factor on unprovenShare while this balancer has many more sessions than on average
+	warmupKeyFactor       = 1.7 // part of its keys that a warming endpoint takes, over its slow-start factor
 )
 
 // relaxation says how many reasons to skip an endpoint are dropped; each step drops one more.
@@ -36,7 +36,7 @@
 func (b *Balancer) selectEndpoint(s *session, maxRelaxation relaxation) *endpoint {
 	search := b.newSelection(s)
 	for relaxed := relaxNone; relaxed <= maxRelaxation; relaxed++ {
-		if e := search.first(relaxed); e != nil {
+		if e := search.firstEligible(relaxed); e != nil {
 			return e
 		}
 	}
@@ -44,7 +44,7 @@
 }
 
 func (b *Balancer) newSelection(s *session) selection {
-	search := selection{Balancer: b, session: s, ranking: b.rank(s)}
+	search := selection{Balancer: b, session: s, ranking: b.rankEndpoints(s)}
 	load := s.load
 	weight := epsilon
 	for _, e := range b.newestPool().endpoints {
@@ -64,21 +64,21 @@
 func (b *Balancer) fairLoad(load, weight float64, endpoints int) float64 {
 	switch {
 	case b.gossip.isCurrent:
-		return gossipShare * load / weight
+		return maxGossipLoadFactor * load / weight
 	case b.config.HasExactWeights:
-		return unprovenShare * load / weight
+		return maxUnprovenLoadFactor * load / weight
 	case b.config.HasLoadReports:
 		// A balancer that just took over another one's sessions would place them before any report can tell.
-		growth := max(minGrowthShare, min(1, b.meanActiveSessions/float64(max(b.activeSessions, 1))))
-		return max(unprovenShare*growth*load, minFairSessions*b.meanLoad()*float64(endpoints)) / weight
+		growth := max(minTakeoverFactor, min(1, b.meanActiveSessions/float64(max(b.activeSessions, 1))))
+		return max(maxUnprovenLoadFactor*growth*load, minFairSessions*b.meanLoad()*float64(endpoints)) / weight
 	default:
 		return math.Inf(1)
 	}
 }
 
-// first returns the first endpoint within the session's reach that is not skipped, or nil.
-func (search *selection) first(relaxed relaxation) *endpoint {
-	remaining := search.ranking.reach
+// firstEligible returns the firstEligible endpoint within the session's reach that is not skipped, or nil.
+func (search *selection) firstEligible(relaxed relaxation) *endpoint {
+	remaining := search.ranking.maxCandidates
 	for _, ranked := range search.ranking.endpoints {
 		e := ranked.endpoint
 		if !search.skips(e, relaxed) && search.canAttempt(search.session, e) {
@@ -113,19 +113,19 @@
 func (search *selection) isBeyondLimits(e *endpoint) bool {
 	factor := search.slowStartFactor(e)
 	weight := search.zoneWeight(e, search.ranking.remoteZoneFactor, minRemoteFactor) * factor
-	maxSessions := maxMeanMultiple*float64(search.activeSessions)*weight/max(search.totalWeight, epsilon) + extraSessions
+	maxSessions := maxSessionsOverMean*float64(search.activeSessions)*weight/max(search.totalWeight, epsilon) + extraSessions
 	maxLoad := max(search.fairLoad*e.Weight*factor, provenLoadGrowth*e.provenLoad)
 	load := e.knownLoad() + search.session.load
-	return search.avoidsWarmup(e) || float64(len(e.sessions)) > maxSessions || load > maxLoad
+	return search.isOutsideWarmupShare(e) || float64(len(e.sessions)) > maxSessions || load > maxLoad
 }
 
-// avoidsWarmup reports whether the client's key is among those that a warming endpoint does not take yet. In
+// isOutsideWarmupShare reports whether the client's key is among those that a warming endpoint does not take yet. In
 // large deployments canWarmUp bounds them by chance instead.
-func (search *selection) avoidsWarmup(e *endpoint) bool {
+func (search *selection) isOutsideWarmupShare(e *endpoint) bool {
 	if !search.isSmallDeployment() || search.gossip.isCurrent {
 		return false
 	}
-	return unit(mix(search.session.clientKey, ^uint64(e.ID))) >= warmupShare*search.slowStartFactor(e)
+	return unitInterval(hashPair(search.session.clientKey, ^uint64(e.ID))) >= warmupKeyFactor*search.slowStartFactor(e)
 }
 
 // lacksCapacity reports whether an endpoint is overloaded, or would be by this session, or must be assumed to
@@ -153,5 +153,5 @@
 // each latencyTTL.
 func (search *selection) assumesOverload(e *endpoint) bool {
 	window := search.hashSeed + uint64(search.now/latencyTTL)
-	return unit(mix(uint64(e.ID), window)) < search.overloadFraction
+	return unitInterval(hashPair(uint64(e.ID), window)) < search.overloadFraction
 }
--- a/policy/session.go
+++ b/policy/session.go
@@ -87,10 +87,10 @@
 	mayHaveRunOn *endpoint     // the first endpoint at which the request may have run, nil while there is none
 	mayHaveRunAt time.Duration // when that attempt began
 
-	polledEndpoint *endpoint     // whose load report was last waited for
-	reportDeadline time.Duration // until which a report is waited for, 0 before the first poll
-	polls          int           // load reports that were waited for
-	countedWarmup  bool          // counted in recentCounts.warmupDemand
+	polledEndpoint        *endpoint     // whose load report was last waited for
+	reportDeadline        time.Duration // until which a report is waited for, 0 before the first poll
+	polls                 int           // load reports that were waited for
+	countedInWarmupDemand bool          // counted in recentCounts.warmupDemand
 }
 
 func (s *session) isActive() bool { return s.state != stateIdle }
@@ -174,7 +174,7 @@
 }
 
 // AttemptEstablished reports that an attempt, counted from 0, has established its session after a time.
-func (b *Balancer) AttemptEstablished(id SessionID, attempt int, took time.Duration) {
+func (b *Balancer) AttemptEstablished(id SessionID, attempt int, setupTime time.Duration) {
 	s := b.activeSession(id, attempt)
 	if s == nil || s.state != stateAttempting {
 		return
@@ -183,7 +183,7 @@
 	s.state = stateEstablished
 	s.deadline = never
 	s.endpoint.failures *= establishedFailureFactor
-	b.recordEstablished(s.class, took)
+	b.recordEstablished(s.class, setupTime)
 }
 
 // AttemptEnded reports the end of an attempt, or of the session that it established. If final, the client has
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -15,7 +15,7 @@
 	coreCapacity       = 1e6 // microseconds of work a second that one core does; an endpoint has one at least
 	priorSamples       = 4.0 // load samples that weigh as much as no knowledge of the load
 	maxArrivalMultiple = 1.0 // sessions that come to a warming endpoint in a window, over its fair share of the active ones
-	heavySessions      = 3.0 // sessions of a heavy class that a window has to bear
+	minHeavySessions   = 3.0 // sessions of a heavy class that a window has to bear
 	minClassSamples    = 3   // load samples below which a class may be heavy
 	minWindowCapacity  = 1.0 // sessions in a window while no endpoint is warm and nothing is known
 )
@@ -52,11 +52,11 @@
 // observeCapacity updates the loads of warm endpoints by machine type.
 func (b *Balancer) observeCapacity() {
 	b.warmEndpoints = 0
-	for machineType, o := range b.observed {
-		b.observed[machineType] = observedCapacity{loadPerWeight: o.loadPerWeight}
+	for machineType, o := range b.observedByMachineType {
+		b.observedByMachineType[machineType] = observedCapacity{loadPerWeight: o.loadPerWeight}
 	}
 	for _, e := range b.newestPool().endpoints {
-		o := b.observed[e.MachineType]
+		o := b.observedByMachineType[e.MachineType]
 		if !b.isWarmingUp(e) {
 			b.warmEndpoints++
 			o.weight += e.Weight
@@ -64,12 +64,12 @@
 				o.load += e.load
 			}
 		}
-		b.observed[e.MachineType] = o
+		b.observedByMachineType[e.MachineType] = o
 	}
-	for machineType, o := range b.observed {
+	for machineType, o := range b.observedByMachineType {
 		change := o.load/max(o.weight, epsilon) - o.loadPerWeight
 		o.loadPerWeight += change * float64(roundInterval) / float64(recentWindow)
-		b.observed[machineType] = o
+		b.observedByMachineType[machineType] = o
 	}
 }
 
@@ -84,7 +84,7 @@
 
 // observedSessions is what warm endpoints of the same machine type bear of this balancer's sessions.
 func (b *Balancer) observedSessions(e *endpoint) float64 {
-	o := b.observed[e.MachineType]
+	o := b.observedByMachineType[e.MachineType]
 	if o.weight <= 0 {
 		return 0
 	}
@@ -105,9 +105,9 @@
 // relativeLoad is a session's load in sessions of mean load, 1 at least.
 func (b *Balancer) relativeLoad(s *session) float64 { return max(1, s.load/b.meanLoad()) }
 
-// isTooHeavy reports whether a few sessions of a session's class are more than a warming endpoint bears in a
+// isTooHeavyForWarmup reports whether a few sessions of a session's class are more than a warming endpoint bears in a
 // window of the given capacity. Where there are several classes, one of unknown load may be.
-func (b *Balancer) isTooHeavy(s *session, windowCapacity float64) bool {
+func (b *Balancer) isTooHeavyForWarmup(s *session, windowCapacity float64) bool {
 	if b.sessionLoad.mean == 0 {
 		return false
 	}
@@ -120,21 +120,21 @@
 	}
 	windowCapacity *= b.sessionLoad.mean / max(lightest, 1)
 	isHeavy := s.load > b.sessionLoad.mean
-	return isHeavy && heavySessions*s.load/max(lightest, 1) > overloadLimit(windowCapacity)
+	return isHeavy && minHeavySessions*s.load/max(lightest, 1) > overloadLimit(windowCapacity)
 }
 
 // overloadLimit is the number of sessions in a window beyond which an endpoint of the given capacity is overloaded.
 func overloadLimit(capacity float64) float64 { return capacity + 2*math.Sqrt(capacity) + 2 }
 
-// canWarmUp reports whether a session may go to a warming endpoint.
-func (b *Balancer) canWarmUp(s *session, e *endpoint) bool {
-	used := b.usedWarmup(e)
-	if !s.countedWarmup {
-		s.countedWarmup = true
-		b.recent.warmupDemand++
+// canAttemptWarming reports whether a session may go to a warming endpoint.
+func (b *Balancer) canAttemptWarming(s *session, e *endpoint) bool {
+	used := b.warmupLoadInWindow(e)
+	if !s.countedInWarmupDemand {
+		s.countedInWarmupDemand = true
+		b.recentCounts.warmupDemand++
 	}
 	capacity := b.windowCapacity(e)
-	if b.now < b.slowStartPausedUntil || b.isTooHeavy(s, capacity) {
+	if b.now < b.slowStartPausedUntil || b.isTooHeavyForWarmup(s, capacity) {
 		return false
 	}
 	balancers := float64(b.config.Balancers)
@@ -145,11 +145,11 @@
 		return used+load <= math.Floor(own+2*deviation/balancers+b.roundingOffset(e))
 	}
 	own *= min(1+1/deviation, deviation/2) // less where the capacity is so small that a few heavy sessions exceed it
-	return used < math.Ceil(own*b.warmupSelectivity(e)/load-b.warmupDraw(s, e))
+	return used < math.Ceil(own*b.warmupAdmissionFactor(e)/load-b.warmupThreshold(s, e))
 }
 
-// usedWarmup is the load that this balancer sent to a warming endpoint within the overload window.
-func (b *Balancer) usedWarmup(e *endpoint) float64 {
+// warmupLoadInWindow is the load that this balancer sent to a warming endpoint within the overload window.
+func (b *Balancer) warmupLoadInWindow(e *endpoint) float64 {
 	e.warmupAttempts = slices.DeleteFunc(e.warmupAttempts, func(a warmupAttempt) bool {
 		return a.at <= b.now-b.config.OverloadWindow
 	})
@@ -172,25 +172,25 @@
 	return capacity
 }
 
-// warmupSelectivity is the factor from a balancer's part of the capacity to the probability with which it
+// warmupAdmissionFactor is the factor from a balancer's part of the capacity to the probability with which it
 // admits a session: the fewer sessions come to a warming endpoint, the higher.
-func (b *Balancer) warmupSelectivity(e *endpoint) float64 {
+func (b *Balancer) warmupAdmissionFactor(e *endpoint) float64 {
 	endpoints := float64(max(len(b.newestPool().endpoints), 1))
 	arrivals := maxArrivalMultiple * max(float64(b.activeSessions), b.meanActiveSessions, 1) / endpoints
-	attraction := b.warmupWeight / e.Weight / min(1, warmupShare*b.slowStartFactor(e))
-	return min(1/arrivals, attraction/max(b.recent.warmupDemand, 1))
+	inverseShare := b.warmupWeight / e.Weight / min(1, warmupKeyFactor*b.slowStartFactor(e))
+	return min(1/arrivals, inverseShare/max(b.recentCounts.warmupDemand, 1))
 }
 
 // roundingOffset is what this balancer adds to a fraction before it rounds down, in [0, 1). The offsets of
 // all balancers are spread evenly, by the golden ratio, and stay the same after a restart.
 func (b *Balancer) roundingOffset(e *endpoint) float64 {
-	return math.Mod(unit(mix(uint64(e.ID), 0))+float64(b.config.Index)*(math.Phi-1), 1)
+	return math.Mod(unitInterval(hashPair(uint64(e.ID), 0))+float64(b.config.Index)*(math.Phi-1), 1)
 }
 
-// warmupDraw is the number in (0, 1) that the probability of admitting a client to a warming endpoint has to
+// warmupThreshold is the number in (0, 1) that the probability of admitting a client to a warming endpoint has to
 // exceed. It is the same at every balancer, and for a while: one drawn for each attempt would be exceeded
 // sooner or later.
-func (b *Balancer) warmupDraw(s *session, e *endpoint) float64 {
+func (b *Balancer) warmupThreshold(s *session, e *endpoint) float64 {
 	window := uint64((b.now - e.StartedAt) / max(refillInterval, b.config.OverloadWindow))
-	return unit(mix(mix(s.clientKey, uint64(e.ID)), window))
+	return unitInterval(hashPair(hashPair(s.clientKey, uint64(e.ID)), window))
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -98,7 +98,7 @@
 			for ; ; key++ { // whose first endpoint is 100
 				c := b.newSession(SessionRequest{ID: 1 << 30, Key: key, Group: 1, Timeout: time.Second})
 				delete(b.sessions, c.id)
-				if b.rank(c).endpoints[0].ID == 100 {
+				if b.rankEndpoints(c).endpoints[0].ID == 100 {
 					break
 				}
 			}
@@ -162,8 +162,8 @@
 	for ; b.now < 4*time.Second; b.AdvanceClock(b.now + 250*ms) {
 		allDecisions(b)
 	}
-	if b.recent.warmupDemand < 1 {
-		t.Fatalf("of 15 sessions, half of which prefer warming endpoints, %.1f count", b.recent.warmupDemand)
+	if b.recentCounts.warmupDemand < 1 {
+		t.Fatalf("of 15 sessions, half of which prefer warming endpoints, %.1f count", b.recentCounts.warmupDemand)
 	}
 }
 
