--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// minAttemptTimeout keeps timeouts above 0.
+// minAttemptTimeout is the lower bound of an attempt timeout, so that it is never 0.
 const minAttemptTimeout = time.Microsecond
 
-// decideSession decides on a queued session: an attempt, a final answer, or a poll of the endpoint's load report
-// before. It reports false if there is nothing for the host to do.
+// decideSession returns the decision on a queued session: start an attempt, give the final answer, or first
+// check the health of the selected endpoint to get a newer load report. It reports false if the host has nothing
+// to do, because the session has its answer or waits for a health check that is already pending.
 func (b *Balancer) decideSession(s *session) (Decision, bool) {
 	if s.hasAnswer {
 		return Decision{}, false
@@ -29,8 +30,8 @@
 	return b.startAttempt(s, e), true
 }
 
-// admit returns the endpoint for a session's next attempt, nil if it gets none. A session that finds only
-// overloaded endpoints gets none, or they would stay overloaded.
+// admit returns the endpoint for the next attempt of a session, or nil if the session gets no further attempt. A
+// session that finds only overloaded endpoints gets none, because admitting it would keep them overloaded.
 func (b *Balancer) admit(s *session) *endpoint {
 	if b.isDraining() {
 		return nil
@@ -41,7 +42,8 @@
 	return b.selectEndpoint(s, relaxEjection)
 }
 
-// finalAnswer gives a session its final finalAnswer.
+// finalAnswer returns the final answer to a session and forgets the session. The answer is Fail if a retry by
+// the client could repeat an effect, and Reject otherwise.
 func (b *Balancer) finalAnswer(s *session) Decision {
 	s.hasAnswer = true
 	b.rejectsInARow++
@@ -51,11 +53,13 @@
 	}
 	decision := Decision{Action: Reject, Session: s.id}
 	if b.config.CanSendRetryAfter {
+		// Jitter adds up to one half, so two thirds of the maximum keep Retry-After below it.
 		decision.Duration = b.random.jitter(b.config.MaxRetryAfter * 2 / 3)
 	}
 	return decision
 }
 
+// startAttempt assigns a session to an endpoint and returns the decision to start an attempt there.
 func (b *Balancer) startAttempt(s *session, e *endpoint) Decision {
 	b.assign(s, e)
 	if b.isWarmingUp(e) {
@@ -72,8 +76,9 @@
 	return Decision{Action: StartAttempt, Session: s.id, Endpoint: e.ID, Duration: b.attemptTimeout(s)}
 }
 
-// attemptTimeout is the time that an attempt gets. While another attempt is possible, time is left for it:
-// half of what remains, or in large deployments, where each attempt is expensive, only the setup objective.
+// attemptTimeout returns the timeout of the next attempt. While a further attempt is possible, time is reserved
+// for it: half of the remaining time, or only one setup objective in large deployments, where each attempt is
+// expensive.
 func (b *Balancer) attemptTimeout(s *session) time.Duration {
 	timeout := s.deadline - b.now
 	if s.attempts < s.maxAttempts && s.class.Idempotency != NonIdempotent && !b.areRetriesFutile() {
--- a/policy/attempt_rules.go
+++ b/policy/attempt_rules.go
@@ -1,7 +1,8 @@
 package policy
 
-// canAttempt reports whether a session's next attempt may go to an endpoint, under all four rules: a session
-// gets one final answer, no effect happens twice, a draining endpoint gets nothing new, a warming one is not
+// canAttempt reports whether the next attempt of a session may go to an endpoint. It enforces the four rules
+// that hold for every attempt: a session gets exactly one final answer, a request takes effect at most once
+// unless it is idempotent, an endpoint that is not ready gets no new sessions, and a warming endpoint is not
 // overloaded.
 func (b *Balancer) canAttempt(s *session, e *endpoint) bool {
 	if s.hasAnswer || s.isActive() || s.deadline <= b.now || s.attempts >= s.maxAttempts {
@@ -13,7 +14,8 @@
 	return !b.isWarmingUp(e) || b.canAttemptWarming(s, e)
 }
 
-// isRepeatSafeAt reports whether an attempt at an endpoint can't cause an effect twice.
+// isRepeatSafeAt reports whether an attempt at an endpoint cannot make the request of a session take effect
+// twice.
 func (b *Balancer) isRepeatSafeAt(s *session, e *endpoint) bool {
 	first := s.mayHaveRunOn
 	if first == nil || s.class.Idempotency == Idempotent {
@@ -32,7 +34,8 @@
 	}
 }
 
-// isRetrySafe reports whether a client may repeat a rejected session anywhere without causing an effect twice.
+// isRetrySafe reports whether the client of a rejected session may retry at any endpoint without the request
+// taking effect twice.
 func (b *Balancer) isRetrySafe(s *session) bool {
 	if s.mayHaveRunOn == nil || s.class.Idempotency == Idempotent {
 		return true
--- a/policy/average.go
+++ b/policy/average.go
@@ -1,15 +1,16 @@
 package policy
 
-// epsilon keeps divisors above 0.
+// epsilon is the lower bound of divisors that could be 0.
 const epsilon = 1e-9
 
-// averageWindow is the number of samples over which an average is taken.
+// averageWindow is the number of samples after which an average starts to forget the oldest ones.
 const averageWindow = 128
 
-// average is an exponential moving average; the first averageWindow samples count equally.
+// average is a mean of samples. The first averageWindow samples count equally; after that it is an exponential
+// moving average.
 type average struct {
 	mean    float64
-	samples int // averageWindow at most
+	samples int // number of samples so far, at most averageWindow
 }
 
 func (a *average) add(sample float64) {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,68 +1,69 @@
-// Package policy decides for one balancer which endpoint serves a session, when an attempt is repeated, which
-// sessions are rejected, and which established sessions migrate. It owns everything that these decisions need
-// to remember. It must never do input or output, read a clock, start a goroutine or depend on a wire format:
-// the same inputs in the same order give the same decisions.
+// Package policy implements the load-balancing decisions of one balancer: which endpoint serves a session, when
+// an attempt is retried, which sessions are rejected, and which established sessions migrate. It holds all the
+// state that these decisions depend on. The package must not do input or output, read a clock, start a goroutine
+// or depend on a wire format, so that the same inputs in the same order always give the same decisions.
 //
-// The host calls AdvanceClock with the time since the start, then one method for each event that came in
-// (UpdateEndpoints, AttemptEstablished and so on). These only update the state. It then calls Next until that
-// reports false, carries out each Decision, and calls again at the time that NextWakeup returns at the latest.
-// A Balancer must not be used by several goroutines at once.
+// The host calls AdvanceClock with the time since the start, then one method for each event that has occurred
+// (UpdateEndpoints, AttemptEstablished and so on). These methods only update the state. The host then calls Next
+// until it reports false, carries out each Decision, and calls Next again no later than NextWakeup says. A
+// Balancer is not safe for concurrent use.
 package policy
 
 import "time"
 
 const (
-	roundInterval = 250 * time.Millisecond // between two considerations of migrations and health checks
-	never         = time.Duration(1 << 62)
+	roundInterval = 250 * time.Millisecond // time between two rounds, which plan migrations and health checks
+	never         = time.Duration(1 << 62) // a time that is never reached
 )
 
-// Balancer is the state of one balancer. Next and NextWakeup are its outputs, all other methods its inputs.
+// Balancer holds the state of one balancer. Next and NextWakeup return its decisions; the other methods are its
+// inputs.
 type Balancer struct {
 	config   *Config
-	now      time.Duration
-	hashSeed uint64
+	now      time.Duration // time since the start, set by AdvanceClock
+	hashSeed uint64        // varies the hashes that must differ between balancers
 	random   randomSource
 
-	endpoints     []*endpoint // in the order in which they became known
+	endpoints     []*endpoint // all endpoints ever listed, in the order of their first appearance
 	endpointByID  map[EndpointID]*endpoint
-	listUpdates   int     // calls of UpdateEndpoints
-	pools         []*pool // oldest first; the newest one places new sessions
+	listUpdates   int     // number of calls of UpdateEndpoints
+	pools         []*pool // pools in use, oldest first; new sessions are placed by the last one
 	maxPoolWeight float64 // largest total weight of any pool so far
 
 	sessions           map[SessionID]*session
-	queue              []*session // that need a decision
-	waitingSessions    []*session // for a load report
-	activeSessions     int        // attempts and established sessions
-	meanActiveSessions float64    // activeSessions averaged over recentWindow
-	activeByGroup      map[uint64]int
-	activeByTenant     []int     // the last one counts sessions of unknown tenants
-	sessionLoad        average   // of single sessions, in microseconds of work a second
-	loadByClass        []average // the last one is of classes that no longer exist
-	tenantQuota        float64   // connections of all tenants' quotas, over all balancers
-	rankBuffer         []rankedEndpoint
-	plannedDecisions   []Decision // migrations and health checks of the newest round
+	queue              []*session       // sessions that need a decision
+	waitingSessions    []*session       // sessions that wait for a load report
+	activeSessions     int              // number of pending attempts and established sessions
+	meanActiveSessions float64          // activeSessions averaged over recentWindow
+	activeByGroup      map[uint64]int   // activeSessions by affinity key
+	activeByTenant     []int            // activeSessions by tenant index; the last element counts those of unknown tenants
+	sessionLoad        average          // load of one session, in microseconds of work per second
+	loadByClass        []average        // sessionLoad by class index; the last element is for classes that no longer exist
+	tenantQuota        float64          // sum of the connection quotas of all tenants, for all balancers together
+	rankBuffer         []rankedEndpoint // reused by rankEndpoints
+	plannedDecisions   []Decision       // migrations and health checks planned by the newest round
 	nextRoundAt        time.Duration
 
-	remoteZoneFactor float64       // multiplies the weight of an endpoint in another zone
-	messageObjective time.Duration // the shortest of all classes, never if there is none
+	remoteZoneFactor float64       // factor on the weight of an endpoint in another zone
+	messageObjective time.Duration // shortest message objective of all classes, never if there is none
 
 	recentCounts     recentCounts
-	pendingAttempts  int
-	lastAttemptAt    time.Duration
-	rejectsInARow    int // since the newest attempt
+	pendingAttempts  int           // number of attempts that have neither established a session nor ended
+	lastAttemptAt    time.Duration // start of the newest attempt
+	rejectsInARow    int           // number of final answers since the newest attempt
 	pause            attemptPause
-	overloadFraction float64 // of the endpoints with sessions of this balancer
+	overloadFraction float64 // overloaded part of the endpoints that have sessions of this balancer
 
-	warmEndpoints          int     // ready endpoints that are not warming up
-	warmupWeight           float64 // weight that warming endpoints attract together
-	slowStartPausedUntil   time.Duration
-	observedByMachineType  map[uint64]observedCapacity // by machine type
-	reportsDistrustedUntil map[location]time.Duration  // absent if they were never distrusted
+	warmEndpoints          int                         // number of ready endpoints that are not warming up
+	warmupWeight           float64                     // total weight of the warming endpoints, reduced by their zone and slow-start factors
+	slowStartPausedUntil   time.Duration               // time before which warming endpoints get no sessions
+	observedByMachineType  map[uint64]observedCapacity // capacity of warm endpoints by machine type
+	reportsDistrustedUntil map[location]time.Duration  // absent for failure domains that were never distrusted
 	gossip                 gossip
 	draining               drainWindow
 }
 
-// New returns a Balancer that knows no endpoints yet. The seed fixes all its random choices.
+// New returns a Balancer that knows no endpoints yet. The seed determines all of its random choices.
 func New(config *Config, seed uint64) *Balancer {
 	b := &Balancer{
 		hashSeed:               seed,
@@ -81,9 +82,9 @@
 	return b
 }
 
-// Reconfigure replaces the configuration. The class at index i of the previous configuration is now at
-// classes[i], -1 if it is gone; tenants does the same for tenants. Sessions keep the class and the maximum
-// number of attempts with which they came.
+// Reconfigure replaces the configuration. The class at index i of the previous configuration is now at index
+// classes[i], or is gone if that is -1; tenants maps the tenants in the same way. Sessions keep the class and
+// the maximum number of attempts that they had on arrival.
 func (b *Balancer) Reconfigure(config *Config, classes, tenants []int) {
 	loadByClass := make([]average, len(config.Classes)+1)
 	for oldIndex, newIndex := range classes {
@@ -116,10 +117,10 @@
 	b.resetGossip()
 }
 
-// AdvanceClock sets the time since the start. Time never goes back: an earlier time has no effect.
+// AdvanceClock sets the time since the start. Time never goes back: an earlier time is ignored.
 func (b *Balancer) AdvanceClock(now time.Duration) { b.now = max(b.now, now) }
 
-// Next returns the next decision, or false if there is none at the present time.
+// Next returns the next decision, or false if there is none at the current time.
 func (b *Balancer) Next() (Decision, bool) {
 	if message, isDue := b.dueGossip(); isDue {
 		return Decision{Action: SendGossip, Gossip: message}, true
@@ -145,7 +146,7 @@
 	return decision, true
 }
 
-// NextWakeup returns the time at which Next has to be called again at the latest. It always reports true.
+// NextWakeup returns the time by which Next must be called again. It always reports true.
 func (b *Balancer) NextWakeup() (at time.Duration, ok bool) {
 	at = min(b.nextRoundAt, b.gossip.nextAt)
 	for _, s := range b.waitingSessions {
@@ -154,7 +155,8 @@
 	return at, true
 }
 
-// runRound plans migrations and health checks.
+// runRound updates the averages and estimates that change over time, then plans migrations and health checks. It
+// runs every roundInterval.
 func (b *Balancer) runRound() {
 	b.plannedDecisions = b.plannedDecisions[:0]
 	b.sumGossip()
@@ -179,5 +181,5 @@
 	}
 }
 
-// meanLoad is the mean load of a session, at least 1 so that it can divide.
+// meanLoad returns the mean load of a session, at least 1 so that it can be used as a divisor.
 func (b *Balancer) meanLoad() float64 { return max(b.sessionLoad.mean, 1) }
--- a/policy/config.go
+++ b/policy/config.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Idempotency says what repeating a session's request may do.
+// Idempotency tells whether the request of a session may be repeated.
 type Idempotency uint8
 
-// The values are also written as numbers by hosts: their order is fixed.
+// Hosts write these values as numbers, so their order must not change.
 const (
-	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // a repeat within KeyTTL is dropped by the endpoints of its KeyScope
-	NonIdempotent                        // must never run twice
+	Idempotent        Idempotency = iota // the request may run any number of times
+	IdempotentWithKey                    // repeats within KeyTTL are dropped by the endpoints of the KeyScope
+	NonIdempotent                        // the request must not run twice
 )
 
 var idempotencyNames = [...]string{
@@ -20,14 +20,14 @@
 
 func (i Idempotency) String() string { return idempotencyNames[i] }
 
-// KeyScope is the set of endpoints that share their record of idempotency keys.
+// KeyScope is the set of endpoints that share a record of idempotency keys.
 type KeyScope uint8
 
-// The scopes, seen from the endpoint that a first attempt went to.
+// The scopes, relative to the endpoint of the first attempt.
 const (
 	KeyScopeAll           KeyScope = iota // all endpoints
-	KeyScopeZone                          // endpoints of the same zone
-	KeyScopeFailureDomain                 // endpoints of the same zone and failure domain
+	KeyScopeZone                          // endpoints in the same zone
+	KeyScopeFailureDomain                 // endpoints in the same zone and failure domain
 )
 
 var keyScopeNames = [...]string{
@@ -38,47 +38,47 @@
 
 func (s KeyScope) String() string { return keyScopeNames[s] }
 
-// Class is one service class.
+// Class describes the sessions of one service class.
 type Class struct {
 	Idempotency      Idempotency
 	KeyScope         KeyScope
-	KeyTTL           time.Duration // how long idempotency keys are remembered, from the attempt on
+	KeyTTL           time.Duration // how long endpoints remember an idempotency key, counted from the attempt
 	SetupObjective   time.Duration // latency objective of establishing a session
-	MessageObjective time.Duration // latency objective of a message, 0 if there is none
-	PriorityWeight   float64       // value of serving one session
+	MessageObjective time.Duration // latency objective of one message, 0 if there is none
+	PriorityWeight   float64       // relative value of serving one session
 }
 
-// Tenant is one customer.
+// Tenant describes one customer.
 type Tenant struct {
-	ConnectionQuota float64 // connections over all balancers, 0 if there is no quota
+	ConnectionQuota float64 // maximum number of connections over all balancers, 0 if there is no quota
 }
 
-// Config is the configuration of a Balancer. It must not change while a Balancer uses it.
+// Config is the configuration of a Balancer. It must not be modified while a Balancer uses it.
 type Config struct {
-	Balancers          int // of the deployment, this one included
-	Index              int // of this balancer among them, the same after a restart
-	Zone               int // of this balancer
+	Balancers          int // number of balancers in the deployment, including this one
+	Index              int // index of this balancer among them, unchanged by a restart
+	Zone               int // zone of this balancer
 	Classes            []Class
 	Tenants            []Tenant
-	OverQuotaFactor    float64 // multiplies the priority weight of sessions beyond their tenant's quota
-	CanHealthCheck     bool
-	CanGossip          bool // balancers exchange short messages, which may come late or never
-	HasExactWeights    bool // weights are the registered capacities, not estimates
-	CanSendRetryAfter  bool
-	MaxRetryAfter      time.Duration
-	MaxAttempts        int
-	OverloadMultiple   float64       // a warming endpoint is overloaded by more than this multiple of the load that fills it evenly
-	OverloadWindow     time.Duration // the window in which OverloadMultiple is measured
-	SlowStartFloor     float64       // capacity of an endpoint at its start, as a fraction of its full one
-	SlowStartWindow    time.Duration // from the start of an endpoint to its full capacity
-	CrossZoneCost      float64       // of a connection to another zone, relative to its value
-	NinesWeight        float64       // of availability in the objective; no decision uses it
-	TargetNines        float64       // of availability; no decision uses it
+	OverQuotaFactor    float64       // factor on the priority weight of sessions that exceed the quota of their tenant
+	CanHealthCheck     bool          // the host can carry out health checks
+	CanGossip          bool          // balancers exchange short messages, which may be delayed or lost
+	HasExactWeights    bool          // endpoint weights are registered capacities rather than estimates
+	CanSendRetryAfter  bool          // clients can be told when to retry
+	MaxRetryAfter      time.Duration // upper bound of Retry-After
+	MaxAttempts        int           // maximum number of attempts for one session
+	OverloadMultiple   float64       // a load above this multiple of the one that fills a warming endpoint evenly overloads it
+	OverloadWindow     time.Duration // time over which the load of a warming endpoint is measured for OverloadMultiple
+	SlowStartFloor     float64       // capacity of an endpoint at its start, as a fraction of its full capacity
+	SlowStartWindow    time.Duration // time from the start of an endpoint to its full capacity
+	CrossZoneCost      float64       // cost of a connection to another zone, relative to the value of the connection
+	NinesWeight        float64       // weight of availability in the objective of the deployment; no decision uses it
+	TargetNines        float64       // target availability; no decision uses it
 	HasLoadReports     bool          // health checks return load reports
-	HasEndpointReports bool          // these are the endpoints' own statements, not measurements of the host
+	HasEndpointReports bool          // the endpoints send these load reports themselves; otherwise the host measures them
 }
 
-// RemapIndex returns the new index of an old one, or last if remap has none for it.
+// RemapIndex returns the new index of an old one, or last if remap has no new index for it.
 func RemapIndex(remap []int, index, last int) int {
 	if index < len(remap) && remap[index] >= 0 {
 		return remap[index]
--- a/policy/decision.go
+++ b/policy/decision.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Action is what a Decision asks the host to do.
+// Action is what a Decision tells the host to do.
 type Action uint8
 
 // The actions.
 const (
-	StartAttempt Action = iota // dial Endpoint for Session, with Duration as the timeout
-	Reject                     // final answer: a retry after Duration is safe
-	Fail                       // final answer: a retry may not be safe
-	Migrate                    // end an established session so that its client connects again
-	HealthCheck                // check Endpoint
+	StartAttempt Action = iota // connect to Endpoint for Session, with Duration as the timeout
+	Reject                     // final answer; the client may retry after Duration
+	Fail                       // final answer; a retry by the client may not be safe
+	Migrate                    // close an established session so that its client reconnects
+	HealthCheck                // check the health of Endpoint
 	SendGossip                 // send Gossip to every other balancer
 )
 
@@ -26,11 +26,11 @@
 
 func (a Action) String() string { return actionNames[a] }
 
-// Decision is one thing for the host to do. Fields that the action does not name are zero.
+// Decision is one operation for the host to carry out. Fields that its Action does not use are zero.
 type Decision struct {
 	Action   Action
 	Session  SessionID
 	Endpoint EndpointID
-	Duration time.Duration // timeout of an attempt, Retry-After of a reject (0: none)
+	Duration time.Duration // timeout of an attempt, or Retry-After of a reject (0 if there is none)
 	Gossip   GossipMessage
 }
--- a/policy/draining.go
+++ b/policy/draining.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// drainWindow is the time in which this balancer migrates all its sessions.
+// drainWindow is the time in which a draining balancer migrates all of its sessions.
 type drainWindow struct {
-	from  time.Duration
-	until time.Duration // never unless the balancer drains
+	from  time.Duration // start of the migrations
+	until time.Duration // end of the migrations; never unless the balancer drains
 }
 
-// StartDraining migrates all established sessions evenly between two times, and rejects new ones from now on.
+// StartDraining migrates all established sessions evenly between two times. New sessions are rejected from now
+// on.
 func (b *Balancer) StartDraining(from, until time.Duration) { b.draining = drainWindow{from, until} }
 
-// StopDraining ends draining: new sessions are admitted again.
+// StopDraining ends draining, so that new sessions are admitted again.
 func (b *Balancer) StopDraining() { b.draining.until = never }
 
 func (b *Balancer) isDraining() bool { return b.draining.until < never }
 
-// migrateForDraining plans to migrate an even part of the sessions, taken from all endpoints alike, so that
-// the other balancers do not get all of them at once.
+// migrateForDraining plans to migrate an even part of the sessions in each round, so that the other balancers do
+// not get all of them at once. The sessions are taken from all endpoints alike.
 func (b *Balancer) migrateForDraining() {
 	if b.now < b.draining.from {
 		return
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -8,7 +8,7 @@
 // EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState uint8
 
-// The states. Only ready endpoints get attempts.
+// The states. Only endpoints that are Ready get attempts.
 const (
 	Ready EndpointState = iota
 	Draining
@@ -19,52 +19,52 @@
 
 func (s EndpointState) String() string { return endpointStateNames[s] }
 
-// StartedLongAgo is the start of an endpoint that has surely finished its slow start.
+// StartedLongAgo is the start of an endpoint that is known to have finished its slow start.
 const StartedLongAgo = -time.Duration(1 << 62)
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID            EndpointID
 	Zone          int
-	FailureDomain int    // within the zone
-	MachineType   uint64 // endpoints of one type have comparable capacity
+	FailureDomain int    // failure domain within the zone
+	MachineType   uint64 // endpoints of the same machine type have comparable capacity
 	State         EndpointState
-	Weight        float64       // relative capacity
-	StartedAt     time.Duration // on the Balancer's clock; may be negative
+	Weight        float64       // capacity relative to other endpoints
+	StartedAt     time.Duration // start of the process, on the clock of the Balancer; may be negative
 }
 
-// location is a failure domain of a zone.
+// location identifies a failure domain across zones.
 type location struct{ zone, failureDomain int }
 
-// endpoint is an Endpoint with what this balancer has learned of it.
+// endpoint is an Endpoint with what this balancer has learned about it.
 type endpoint struct {
 	Endpoint
-	index          int // in Balancer.endpoints
-	lastListUpdate int // that named it last
+	index          int // index in Balancer.endpoints
+	lastListUpdate int // value of Balancer.listUpdates when the endpoint was last listed
 
-	sessions []*session // attempts and established sessions
-	load     float64    // sum of their loads
-	peerLoad float64    // of the other balancers' sessions, by their gossip
+	sessions []*session // pending attempts and established sessions of this balancer
+	load     float64    // total load of these sessions
+	peerLoad float64    // load of the other balancers' sessions, from gossip
 
-	failures       float64 // score of failed attempts, reduced by successes
+	failures       float64 // score that failed attempts raise and successful ones reduce
 	ejected        bool
-	ejectionTime   time.Duration // of the next ejection
-	checkPending   bool
-	passedChecks   int // in a row
+	ejectionTime   time.Duration // duration of the next ejection
+	checkPending   bool          // a health check is planned or in progress
+	passedChecks   int           // number of successful health checks in a row while ejected
 	nextCheckAt    time.Duration
-	latency        time.Duration // of a message, as last recorded
-	latencyAt      time.Duration
-	demand         float64 // by the newest load report, over capacity
-	reportedAt     time.Duration
-	capacity       float64 // load of own sessions that the endpoint bears without overload
-	provenLoad     float64 // load of own sessions with which a report showed spare capacity
-	migratedAt     time.Duration
-	attemptedAt    time.Duration
-	warmupAttempts []warmupAttempt // within one overload window
+	latency        time.Duration   // last recorded latency of messages
+	latencyAt      time.Duration   // when latency was recorded
+	demand         float64         // demand in the newest load report, relative to the capacity
+	reportedAt     time.Duration   // when the newest load report came
+	capacity       float64         // load of own sessions that the endpoint is assumed to handle without overload
+	provenLoad     float64         // load of own sessions at which a load report showed spare capacity
+	migratedAt     time.Duration   // when sessions last migrated away because of overload
+	attemptedAt    time.Duration   // start of the newest attempt
+	warmupAttempts []warmupAttempt // attempts within the last overload window of the slow start
 }
 
-// UpdateEndpoints applies entries of the endpoint list. If complete, endpoints that are not among them are
-// removed.
+// UpdateEndpoints applies entries of the endpoint list. If complete is set, endpoints that are not among the
+// entries are removed.
 func (b *Balancer) UpdateEndpoints(entries []Endpoint, complete bool) {
 	b.listUpdates++
 	for _, entry := range entries {
@@ -83,13 +83,13 @@
 	b.updatePool()
 }
 
-// SetWeight replaces the weight of an endpoint until the next list entry for it.
+// SetWeight replaces the weight of an endpoint until the next list entry for that endpoint.
 func (b *Balancer) SetWeight(id EndpointID, weight float64) {
 	b.endpointFor(id).Weight = weight
 	b.updatePool()
 }
 
-// endpointFor returns the endpoint with an ID, which it adds if there is none.
+// endpointFor returns the endpoint with the given ID and adds it first if it is not known.
 func (b *Balancer) endpointFor(id EndpointID) *endpoint {
 	if e, isKnown := b.endpointByID[id]; isKnown {
 		return e
@@ -108,7 +108,7 @@
 	return e
 }
 
-// resetLearnedState drops what was learned of the endpoint's previous process.
+// resetLearnedState discards what was learned about the previous process of the endpoint.
 func (e *endpoint) resetLearnedState() {
 	e.failures = 0
 	e.ejected = false
@@ -122,5 +122,5 @@
 
 func (e *endpoint) location() location { return location{e.Zone, e.FailureDomain} }
 
-// knownLoad is the load of all sessions at the endpoint that this balancer knows of.
+// knownLoad returns the load of all sessions at the endpoint that this balancer knows about.
 func (e *endpoint) knownLoad() float64 { return e.load + e.peerLoad }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -3,34 +3,36 @@
 import "time"
 
 const (
-	gossipInterval           = 2 * time.Second
-	gossipTTL                = 7 * time.Second // longer than three intervals: messages get lost
-	maxGossipBytesPerSession = 128             // sent for each session that arrives, over all receivers
+	gossipInterval           = 2 * time.Second // time between two messages of one balancer
+	gossipTTL                = 7 * time.Second // time for which a message counts; more than three intervals because messages can be lost
+	maxGossipBytesPerSession = 128             // bytes sent to all receivers together, for each new session
 )
 
-// GossipMessage tells the other balancers the loads of one balancer's sessions. Loads and Overloaded have the same length and
-// stand for the endpoints of the newest pool by ascending ID, from Offset on.
+// GossipMessage tells the other balancers the load of one balancer's sessions at each endpoint. Loads and
+// Overloaded have the same length. They are for the endpoints of the newest pool in ascending order of ID,
+// starting at index Offset.
 type GossipMessage struct {
-	VersionHash uint32 // of the pool: the same at every balancer that has the same list
+	VersionHash uint32 // hash of the pool, equal at all balancers that have the same endpoint list
 	Offset      int
 	Loads       []float64
 	Overloaded  []bool
 }
 
-// gossip is what this balancer sends and has received.
+// gossip is the state of the exchange of messages with the other balancers.
 type gossip struct {
-	nextAt      time.Duration // never if gossip is off
-	newSessions int           // since the newest message
-	peers       []peerGossip  // by index of the balancer, nil if gossip is off
-	isCurrent   bool          // most balancers were heard of within gossipTTL
+	nextAt      time.Duration // time of the next message, never if gossip is disabled
+	newSessions int           // number of sessions that arrived since the last message
+	peers       []peerGossip  // received loads by balancer index, nil if gossip is disabled
+	isCurrent   bool          // messages of most balancers have come within gossipTTL
 }
 
-// peerGossip is what another balancer has sent.
+// peerGossip holds the loads received from one other balancer.
 type peerGossip struct {
-	loads      []float64 // by endpoint.index, nil before the first message
-	receivedAt time.Duration
+	loads      []float64     // load by endpoint.index, nil before the first message
+	receivedAt time.Duration // when the newest message came
 }
 
+// resetGossip discards the received loads and schedules the first message if gossip is enabled.
 func (b *Balancer) resetGossip() {
 	b.gossip.nextAt = never
 	b.gossip.peers = nil
@@ -41,14 +43,14 @@
 	}
 }
 
-// dueGossip returns the message that is due. Where messages to all balancers would cost more than their
-// sessions justify, none is sent.
+// dueGossip returns the next message if it is due. No message is sent while messages to all balancers would cost
+// more bytes than the number of new sessions justifies.
 func (b *Balancer) dueGossip() (message GossipMessage, isDue bool) {
 	if b.gossip.nextAt > b.now {
 		return GossipMessage{}, false
 	}
 	b.gossip.nextAt = b.now + gossipInterval
-	size := len(b.newestPool().endpoints) * (b.config.Balancers - 1) // one byte for each endpoint
+	size := len(b.newestPool().endpoints) * (b.config.Balancers - 1) // one byte for each endpoint in each message
 	if size <= 0 || size > maxGossipBytesPerSession*b.gossip.newSessions {
 		return GossipMessage{}, false
 	}
@@ -56,6 +58,7 @@
 	return b.gossipMessage(), true
 }
 
+// gossipMessage returns a message with the current loads at all endpoints of the newest pool.
 func (b *Balancer) gossipMessage() GossipMessage {
 	message := GossipMessage{VersionHash: b.newestPool().versionHash}
 	for _, e := range b.newestPool().endpoints {
@@ -66,8 +69,8 @@
 	return message
 }
 
-// ReceiveGossip records a message of the balancer with the given index. Messages of unknown balancers and of
-// other versions of the endpoint list are ignored.
+// ReceiveGossip records a message from the balancer with the given index. Messages from unknown balancers and
+// for other versions of the endpoint list are ignored.
 func (b *Balancer) ReceiveGossip(from int, message GossipMessage) {
 	newest := b.newestPool()
 	if from < 0 || from >= len(b.gossip.peers) || message.VersionHash != newest.versionHash {
@@ -85,7 +88,8 @@
 	}
 }
 
-// sumGossip adds up the loads of the other balancers' sessions. While most are silent they are not relied upon.
+// sumGossip updates the load of the other balancers' sessions at each endpoint. The sums are not relied on while
+// most balancers are silent.
 func (b *Balancer) sumGossip() {
 	for _, e := range b.endpoints {
 		e.peerLoad = 0
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// RequestHealthCheck has an endpoint checked at once, as its newest load report may be an outlier. It has no
-// effect in large deployments, where other balancers check it anyway.
+// RequestHealthCheck schedules an immediate health check of an endpoint whose newest load report may be an
+// outlier. It has no effect in large deployments, where other balancers check the endpoint anyway.
 func (b *Balancer) RequestHealthCheck(id EndpointID) {
 	if b.isSmallDeployment() {
 		b.endpointFor(id).nextCheckAt = b.now
 	}
 }
 
-// HealthCheckEnded reports how a health check ended. Load reports that it brought are recorded before.
+// HealthCheckEnded records the outcome of a health check. A load report that came with the check must be
+// recorded before.
 func (b *Balancer) HealthCheckEnded(id EndpointID, outcome Outcome) {
 	e, isKnown := b.endpointByID[id]
 	if !isKnown || !e.checkPending {
@@ -35,7 +36,8 @@
 	}
 }
 
-// planHealthCheck plans a check of an endpoint if one is due, and ends an ejection where checks are impossible.
+// planHealthCheck plans a health check of an endpoint if one is due. If health checks are not possible, it ends
+// a due ejection instead.
 func (b *Balancer) planHealthCheck(e *endpoint) {
 	if e.State != Ready || e.checkPending || e.nextCheckAt > b.now {
 		return
@@ -55,8 +57,8 @@
 	e.nextCheckAt = b.now + b.random.jitter(interval)
 }
 
-// pollsRegularly reports whether this balancer polls an endpoint's load report regularly: with few sessions it
-// polls none, and none of a warming endpoint that the host would have to measure.
+// pollsRegularly reports whether this balancer regularly polls the load report of an endpoint. It polls none
+// while it has few sessions, and not that of a warming endpoint if the host would have to measure the load.
 func (b *Balancer) pollsRegularly(e *endpoint) bool {
 	hasEnoughSessions := maxPolledPerSession*b.activeSessions >= len(b.newestPool().endpoints)
 	return b.config.HasLoadReports && hasEnoughSessions && (b.config.HasEndpointReports || !b.isWarmingUp(e))
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -6,29 +6,30 @@
 )
 
 const (
-	reportTTL           = 4 * time.Second        // load reports that are older are ignored
-	freshReportTTL      = 2 * time.Second        // older ones are polled again before an attempt
-	reportInterval      = 700 * time.Millisecond // between two polls of an endpoint by all balancers together
-	firstReportInterval = 50 * time.Millisecond  // the same for the first poll
-	distrustTTL         = 10 * time.Second       // for which reports of spare capacity are ignored once refuted
-	maxPolledPerSession = 4                      // endpoints polled for each active session
-	maxPolls            = 3                      // load reports that one session waits for
-	pollTimeoutDivisor  = 4                      // of the setup objective: the longest wait for a report
-	targetDemand        = 0.85                   // over capacity: endpoints with load reports are filled up to it
-	provenLoadGrowth    = 2.0                    // of an endpoint's load, permitted by a report of spare capacity
+	reportTTL           = 4 * time.Second        // age beyond which a load report is ignored
+	freshReportTTL      = 2 * time.Second        // age beyond which a load report is polled again before an attempt
+	reportInterval      = 700 * time.Millisecond // time between two polls of an endpoint by all balancers together
+	firstReportInterval = 50 * time.Millisecond  // the same as reportInterval, for the first poll of an endpoint
+	distrustTTL         = 10 * time.Second       // time for which reports of spare capacity are ignored after one was wrong
+	maxPolledPerSession = 4                      // endpoints in the pool for each active session, above which none is polled regularly
+	maxPolls            = 3                      // number of load reports that one session waits for
+	pollTimeoutDivisor  = 4                      // divides the setup objective into the longest wait of a session for one load report
+	targetDemand        = 0.85                   // demand up to which endpoints with load reports are filled, relative to their capacity
+	provenLoadGrowth    = 2.0                    // factor by which an endpoint's load may grow after a report of spare capacity
 )
 
-// LoadReport is a load report of one endpoint. Negative figures are unknown.
+// LoadReport is a load report of one endpoint. A negative field is unknown.
 type LoadReport struct {
-	Demand      float64 // load asked for over capacity; above 1 work piles up
-	Backlog     float64 // seconds of work that wait
-	Utilization float64 // of the processor, 1 for all of it
+	Demand      float64 // requested load relative to the capacity; above 1 the backlog grows
+	Backlog     float64 // queued work in seconds
+	Utilization float64 // utilization of the processor, where 1 is all of it
 }
 
-// NoLoadReport is a report in which nothing is known.
+// NoLoadReport is a load report in which every field is unknown.
 var NoLoadReport = LoadReport{-1, -1, -1}
 
-// RecordLoadReport records a load report of an endpoint.
+// RecordLoadReport records a load report of an endpoint and adjusts the capacity that the endpoint is assumed to
+// have. A report without demand and utilization is ignored.
 func (b *Balancer) RecordLoadReport(id EndpointID, report LoadReport) {
 	e, isKnown := b.endpointByID[id]
 	hasDemand := report.Demand >= 0
@@ -49,28 +50,31 @@
 	}
 }
 
-// distrustReports ignores reports of spare capacity from an endpoint's failure domain for a while, if the
-// endpoint has just sent one and is overloaded all the same. Without this each balancer would trust it once.
+// distrustReports makes the balancer ignore reports of spare capacity from an endpoint's failure domain for
+// distrustTTL, if the endpoint is overloaded although it has just reported spare capacity. Without this, each
+// balancer would trust such a report once.
 func (b *Balancer) distrustReports(e *endpoint) {
 	if b.config.HasEndpointReports && b.now-e.reportedAt <= reportTTL && e.demand < skipThreshold.demand/2 {
 		b.reportsDistrustedUntil[e.location()] = b.now + distrustTTL
 	}
 }
 
-// reportsSpareCapacity reports whether a fresh and trusted load report has a demand below the given one.
+// reportsSpareCapacity reports whether the newest load report of an endpoint is fresh and trusted and has a
+// demand below the given one.
 func (b *Balancer) reportsSpareCapacity(e *endpoint, demand float64) bool {
 	isTrusted := b.reportsDistrustedUntil[e.location()] <= b.now
 	return isTrusted && b.now-e.reportedAt <= freshReportTTL && e.demand < demand
 }
 
-// canPoll reports whether an endpoint's load report is old and a session may still wait for a new one. Reports
-// of warming endpoints that the host would have to measure are not worth a poll.
+// canPoll reports whether the load report of an endpoint is so old that a session should wait for a new one, and
+// the session may still wait. Warming endpoints are not polled if the host would have to measure their load.
 func (b *Balancer) canPoll(s *session, e *endpoint) bool {
 	isOld := b.now-e.reportedAt > freshReportTTL && (b.config.HasEndpointReports || !b.isWarmingUp(e))
 	return b.config.CanHealthCheck && b.config.HasLoadReports && isOld && s.polls < maxPolls && s.polledEndpoint != e
 }
 
-// waitForReport has a session wait for an endpoint's load report, unless its deadline is too near.
+// waitForReport makes a session wait for the load report of an endpoint. It reports false if the deadline of the
+// session is too near for that.
 func (b *Balancer) waitForReport(s *session, e *endpoint) bool {
 	s.polls++
 	s.polledEndpoint = e
@@ -82,7 +86,8 @@
 	return true
 }
 
-// resumeWaiting queues the sessions that waited for an endpoint's report, and those that waited long enough.
+// resumeWaiting queues the sessions that waited for the load report of the given endpoint, and those whose wait
+// has timed out.
 func (b *Balancer) resumeWaiting(reported *endpoint) {
 	b.waitingSessions = slices.DeleteFunc(b.waitingSessions, func(s *session) bool {
 		isDue := s.polledEndpoint == reported || s.reportDeadline <= b.now
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	ejectionThreshold        = 2.0 // score of failures
-	minEjectionTime          = time.Second
-	maxEjectionTime          = 8 * time.Second
-	readyPerEjected          = 3 // at most one in so many ready endpoints is ejected
-	healthyThreshold         = 2 // passed checks in a row that end an ejection
-	successFailureFactor     = 0.5
-	establishedFailureFactor = 0.3
+	ejectionThreshold        = 2.0             // failure score from which an endpoint is ejected
+	minEjectionTime          = time.Second     // duration of the first ejection; each further one lasts twice as long
+	maxEjectionTime          = 8 * time.Second // duration of the longest ejection
+	readyPerEjected          = 3               // at most one of this many ready endpoints is ejected at a time
+	healthyThreshold         = 2               // number of successful health checks in a row that end an ejection
+	successFailureFactor     = 0.5             // factor on the failure score when a session succeeds
+	establishedFailureFactor = 0.3             // factor on the failure score when an attempt establishes its session
 )
 
-// failureScores is what an attempt that ended so adds to the score of its endpoint.
+// failureScores are added to the failure score of an endpoint when an attempt ends there, by outcome.
 var failureScores = [...]float64{Failed: 1, TimedOut: 0.5, ConnectFailed: 2, Reset: 1, NeverSent: 0}
 
-// recordOutcome updates what is known of an endpoint by how an attempt or a session ended there.
+// recordOutcome updates the failure score and the assumed capacity of an endpoint when an attempt or a session
+// has ended there.
 func (b *Balancer) recordOutcome(s *session, outcome Outcome) {
 	e := s.endpoint
 	wasEstablished := s.state == stateEstablished
@@ -24,7 +25,7 @@
 		e.failures *= successFailureFactor
 	case !wasEstablished:
 		e.failures += failureScores[outcome]
-	case outcome == Reset: // a sign of overload, not of a fault
+	case outcome == Reset: // indicates overload rather than a fault
 		b.distrustReports(e)
 	}
 	hasCapacity := b.reportsSpareCapacity(e, skipThreshold.demand/2)
@@ -35,7 +36,8 @@
 	b.ejectIfOutlier(e)
 }
 
-// ejectIfOutlier ejects an endpoint whose attempts fail, unless too many are ejected already.
+// ejectIfOutlier ejects an endpoint whose failure score is too high, unless too many endpoints are ejected
+// already.
 func (b *Balancer) ejectIfOutlier(e *endpoint) {
 	isOutlier := e.failures >= ejectionThreshold && !e.ejected && e.State == Ready
 	if !isOutlier {
@@ -57,7 +59,8 @@
 	e.ejectionTime = min(2*e.ejectionTime, maxEjectionTime)
 }
 
-// endEjection ends an ejection on probation: one failure ejects the endpoint again, for longer.
+// endEjection ends an ejection and leaves the endpoint on probation: a single further failure ejects it again,
+// for a longer time.
 func (e *endpoint) endEjection() {
 	e.ejected = false
 	e.failures = ejectionThreshold / 2
--- a/policy/pool.go
+++ b/policy/pool.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// maxPools bounds the pools that are kept; beyond it the oldest one is dropped.
+// maxPools is the maximum number of pools. If there are more, the oldest are dropped.
 const maxPools = 64
 
-// pool is one frozen set of ready endpoints. A new one is made when the set or its weights change.
+// pool is an immutable set of ready endpoints. A new pool is made when the set or a weight changes.
 type pool struct {
-	endpoints   []*endpoint // by ID
-	weights     []float64   // of the endpoints, when the pool was made
+	endpoints   []*endpoint // sorted by ID
+	weights     []float64   // weights of the endpoints at the time when the pool was made
 	totalWeight float64
-	versionHash uint32 // the same at every balancer that has the same list
-	sessions    int    // that were placed by this pool
+	versionHash uint32 // equal at all balancers that have the same endpoint list
+	sessions    int    // number of active sessions that were placed by this pool
 }
 
 func (b *Balancer) newestPool() *pool { return b.pools[len(b.pools)-1] }
@@ -41,8 +41,8 @@
 	b.maxPoolWeight = max(b.maxPoolWeight, p.totalWeight)
 }
 
-// dropPools drops pools without sessions, and the oldest ones beyond maxPools. Their sessions keep their
-// endpoint.
+// dropPools drops the pools that have no sessions, and the oldest ones if there are more than maxPools. The
+// sessions of a dropped pool keep their endpoint.
 func (b *Balancer) dropPools() {
 	newest := b.newestPool()
 	excess := len(b.pools) - maxPools
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -7,36 +7,43 @@
 )
 
 const (
-	affinitySpread           = 2.0  // endpoints in a group's affinity set, over its share of the sessions
-	affinityOverflow         = 2    // endpoints beyond its affinity set that a group may use
-	crossZoneCostFactor      = 12   // from CrossZoneCost to the reduction of a remote endpoint's weight
-	minRemoteZoneFactor      = 0.02 // of that weight
-	minRemoteFactor          = 0.25 // the same for limits and shares
-	minSessionsForZones      = 7    // of this balancer: with fewer, and
-	minFleetSessionsForZones = 500  // fewer at all balancers, groups are too small for an endpoint in each zone
-	minMembersPerGroup       = 1.7  // of this balancer: with fewer on average, warming endpoints split groups,
-	extraGroups              = 5    // counting so many groups more
+	affinitySpread      = 2.0  // size of an affinity set, relative to the group's share of the sessions
+	affinityOverflow    = 2    // number of endpoints outside its affinity set that a group may use
+	crossZoneCostFactor = 12   // ratio of the weight reduction of a remote endpoint to CrossZoneCost
+	minRemoteZoneFactor = 0.02 // lower bound of the factor on the weight of a remote endpoint
+	minRemoteFactor     = 0.25 // the same bound where the weight determines limits and shares
+
+	// With fewer sessions than both limits, groups are too small for an affinity set in each zone.
+	minSessionsForZones      = 7   // sessions of this balancer
+	minFleetSessionsForZones = 500 // estimated sessions of all balancers
+
+	// While endpoints warm up, groups with fewer members on average are too small for that as well, because the
+	// warming endpoints split them.
+	minMembersPerGroup = 1.7 // mean number of members of a group at this balancer
+	extraGroups        = 5   // added to the number of groups when the mean is computed
 )
 
-// ranking is a session's order of preference over the endpoints of the newest pool.
+// ranking is the order in which a session prefers the endpoints of the newest pool.
 type ranking struct {
-	endpoints        []rankedEndpoint
-	maxCandidates    int     // endpoints from the first on, without warming ones, that the session may use
-	remoteZoneFactor float64 // multiplies the weight of endpoints in another zone
+	endpoints        []rankedEndpoint // most preferred first
+	maxCandidates    int              // number of endpoints that the session may use, from the first on, not counting warming ones
+	remoteZoneFactor float64          // factor on the weight of endpoints in another zone
 }
 
+// rankedEndpoint is an endpoint with its rendezvous score for one session.
 type rankedEndpoint struct {
 	*endpoint
 	score float64
 }
 
+// byScore sorts by descending score, then by the order in which the endpoints became known.
 func byScore(x, y rankedEndpoint) int {
 	return cmp.Or(cmp.Compare(y.score, x.score), x.index-y.index)
 }
 
-// rankEndpoints orders the endpoints by weighted rendezvous hashing of a session's group. The first ones, as many as the
-// group's share of the sessions asks for, are its affinity set, in which the client's key decides the order.
-// The result is valid until the next call.
+// rankEndpoints orders the endpoints by weighted rendezvous hashing of the session's group. The first endpoints
+// are the affinity set of the group, whose size depends on the group's share of the sessions. Within the
+// affinity set the client's key determines the order. The result is valid until the next call.
 func (b *Balancer) rankEndpoints(s *session) ranking {
 	endpoints := b.newestPool().endpoints
 	r := ranking{
@@ -48,8 +55,9 @@
 	if hasGroup && b.hasSmallGroups() {
 		r.remoteZoneFactor = 1 // an affinity set in each zone would split the group
 	}
-	// With fewer sessions than endpoints the balancer can't see how many of a group an endpoint gets. Warming
-	// endpoints are then spread over clients, or one would get all of a large group.
+	// With fewer sessions than endpoints, this balancer cannot tell how many members of a group an endpoint gets
+	// from all balancers. It then ranks warming endpoints by client, since otherwise a single one would get all
+	// members of a large group.
 	isSparse := b.activeSessions < len(endpoints)
 	totalWeight, maxWeight := 0.0, 0.0
 	for _, e := range endpoints {
@@ -72,7 +80,7 @@
 	return r
 }
 
-// hasSmallGroups reports whether this balancer's groups are too small for an affinity set in each zone.
+// hasSmallGroups reports whether the groups at this balancer are too small for an affinity set in each zone.
 func (b *Balancer) hasSmallGroups() bool {
 	if b.activeSessions < minSessionsForZones && b.activeSessions*b.config.Balancers < minFleetSessionsForZones {
 		return true
@@ -81,8 +89,8 @@
 	return b.warmupWeight > 0 && float64(b.activeSessions) < minMembersPerGroup*groups
 }
 
-// affinitySetSize is the number of endpoints in a group's affinity set. Two standard deviations are taken off
-// the number of its members, so that chance alone does not enlarge the set.
+// affinitySetSize returns the number of endpoints in the affinity set of a group. The number of members is
+// reduced by two standard deviations, so that random variation alone does not enlarge the set.
 func (b *Balancer) affinitySetSize(affinityKey uint64, totalWeight, maxWeight float64) int {
 	members := float64(b.activeByGroup[affinityKey])
 	members -= 2 * math.Sqrt(members)
@@ -90,7 +98,7 @@
 	return max(1, int(math.Ceil(size)))
 }
 
-// rankByClient orders the endpoints of an affinity set by a client's key.
+// rankByClient sorts the endpoints of an affinity set by their scores for the client's key.
 func (b *Balancer) rankByClient(endpoints []rankedEndpoint, clientKey uint64, remoteZoneFactor float64) {
 	for i := range endpoints {
 		e := &endpoints[i]
@@ -99,7 +107,8 @@
 	slices.SortFunc(endpoints, byScore)
 }
 
-// zoneWeight is the weight of an endpoint, reduced in another zone by a factor that is minFactor at least.
+// zoneWeight returns the weight of an endpoint. In another zone it is multiplied by remoteZoneFactor, or by
+// minFactor if that is larger.
 func (b *Balancer) zoneWeight(e *endpoint, remoteZoneFactor, minFactor float64) float64 {
 	if e.Zone != b.config.Zone {
 		return e.Weight * max(remoteZoneFactor, minFactor)
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	migrationInterval         = time.Second     // between two away from an overloaded endpoint
-	overloadMigrationFraction = 0.12            // of the load at an overloaded endpoint, migrated at a time
-	excessMigrationFraction   = 0.8             // of the excess over targetDemand by a load report, if that is more
-	drainMigrationDivisor     = 8               // the part of a draining endpoint's load that migrates in a round
-	refillInterval            = 4 * time.Second // between two considerations of a session for a warming endpoint
-	maxRefillsPerRound        = 16              // sessions considered
-	capacityGrowth            = 0.015           // by which a capacity grows in a round without overload,
-	capacityStep              = 0.3             // and this of the mean load, so that it grows from near 0 too
+	migrationInterval         = time.Second     // time between two migrations away from an overloaded endpoint
+	overloadMigrationFraction = 0.12            // fraction of the load that migrates away from an overloaded endpoint at a time
+	excessMigrationFraction   = 0.8             // fraction of the load that a load report shows above targetDemand, which migrates if it is more
+	drainMigrationDivisor     = 8               // divides the load of a draining endpoint into the part that migrates in a round
+	refillInterval            = 4 * time.Second // mean time between two checks whether a session should move to a warming endpoint
+	maxRefillsPerRound        = 16              // maximum number of sessions that are checked for such a move in a round
+	capacityGrowth            = 0.015           // relative growth of an assumed capacity in a round without overload
+	capacityStep              = 0.3             // additional growth, as a fraction of the mean session load, so that it grows from near 0 too
 )
 
 // growCapacity raises the assumed capacity of an endpoint that is not overloaded.
@@ -26,17 +26,17 @@
 		growth := (1 - b.config.SlowStartFloor) * float64(roundInterval) / float64(b.config.SlowStartWindow)
 		e.capacity *= 1 + growth/factor
 	}
-	independentBalancers := b.config.Balancers // that know nothing of each other's sessions
+	independentBalancers := b.config.Balancers // balancers that grow their capacities without knowing each other's sessions
 	if b.gossip.isCurrent {
 		independentBalancers = 1
 	}
 	e.capacity += capacityGrowth*e.capacity + capacityStep*cmp.Or(b.sessionLoad.mean, 1)/float64(independentBalancers)
 }
 
-// planMigrations plans to migrate sessions away from an endpoint that drains or is overloaded.
+// planMigrations plans to migrate sessions away from an endpoint that is draining or overloaded.
 func (b *Balancer) planMigrations(e *endpoint) {
 	if b.areRetriesFutile() {
-		return // a session that migrates now may not be established again
+		return // a session that migrates now might not be established again
 	}
 	load := max(e.load, float64(len(e.sessions)))
 	if e.State == Draining {
@@ -50,7 +50,8 @@
 	if b.exceeds(e, fastMigrateThreshold) {
 		fraction *= 2
 	}
-	// Each report is used once. In a large deployment all balancers would act on it and overshoot.
+	// Each load report is used once. In a large deployment it is not used, because all balancers together would
+	// migrate too much.
 	if b.isSmallDeployment() && e.reportedAt > e.migratedAt {
 		fraction = max(fraction, excessMigrationFraction*(1-targetDemand/e.demand))
 	}
@@ -58,9 +59,10 @@
 	b.migrateLoad(e, fraction*load, b.exceeds(e, terminateThreshold))
 }
 
-// migrateLoad plans to migrate so much load off an endpoint, of sessions that would be placed elsewhere now:
-// lone members of a group first, then the heaviest ones. If terminate is set, sessions that find no other
-// endpoint end as well, those of the least value first.
+// migrateLoad plans to migrate the given load away from an endpoint, choosing only sessions that would now be
+// placed at another endpoint: members of the smallest groups first, and the sessions of highest load first among
+// these. If that is not enough and terminate is set, it also ends sessions that find no other endpoint, starting
+// with the least valuable.
 func (b *Balancer) migrateLoad(e *endpoint, load float64, terminate bool) {
 	members := map[uint64]int{}
 	for _, s := range e.sessions {
@@ -89,8 +91,8 @@
 	}
 }
 
-// migratableSessions returns the established sessions of an endpoint that do not migrate yet, in the given
-// order.
+// migratableSessions returns the established sessions of an endpoint for which no migration is planned, sorted
+// by the given comparison.
 func migratableSessions(e *endpoint, compare func(x, y *session) int) []*session {
 	sessions := slices.DeleteFunc(slices.Clone(e.sessions), func(s *session) bool {
 		return s.state != stateEstablished || s.migrating
@@ -99,10 +101,10 @@
 	return sessions
 }
 
-// migrateWithinLoad plans to migrate a session if its load is within the remaining load, else by chance. It
-// reports whether load remains.
+// migrateWithinLoad plans to migrate a session if its load fits into the remaining load, and at random with a
+// probability in proportion if it does not. It subtracts the load and reports whether any remains.
 func (b *Balancer) migrateWithinLoad(s *session, remaining *float64) bool {
-	load := max(s.load, 1) // where no loads are known each session counts the same
+	load := max(s.load, 1) // if no loads are known, each session counts the same
 	left := *remaining - load
 	if left >= 0 || b.random.float64()*load < *remaining {
 		b.migrate(s)
@@ -111,13 +113,14 @@
 	return left > 0
 }
 
+// migrate plans to migrate a session.
 func (b *Balancer) migrate(s *session) {
 	s.migrating = true
 	b.plannedDecisions = append(b.plannedDecisions, Decision{Action: Migrate, Session: s.id})
 }
 
-// sessionValue is a session's priority weight for its load, reduced beyond its tenant's quota as far as this
-// balancer can tell.
+// sessionValue returns the priority weight of a session relative to its load. It is reduced if the tenant
+// exceeds its quota, as estimated from the sessions of this balancer.
 func (b *Balancer) sessionValue(s *session) float64 {
 	value := s.class.PriorityWeight / max(s.load, 1)
 	if s.tenantIndex >= len(b.config.Tenants) {
@@ -131,7 +134,8 @@
 	return value
 }
 
-// replacementEndpoint returns the endpoint at which an established session would be placed if it came now, or nil.
+// replacementEndpoint returns the endpoint at which an established session would be placed if it arrived now, or
+// nil if there is none.
 func (b *Balancer) replacementEndpoint(s *session) *endpoint {
 	again := *s
 	again.state = stateIdle
@@ -139,12 +143,12 @@
 	again.attempted = nil
 	again.mayHaveRunOn = nil
 	again.countedInWarmupDemand = false
-	again.polls = maxPolls // no migration waits for a report
+	again.polls = maxPolls // a migration does not wait for a load report
 	return b.selectEndpoint(&again, relaxNone)
 }
 
-// refillWarmingEndpoints plans to migrate sessions to warming endpoints that they would be placed at now.
-// Without this, what had left an endpoint before it restarted would stay away.
+// refillWarmingEndpoints plans to migrate sessions to warming endpoints at which they would be placed now.
+// Without it, sessions that left an endpoint before its restart would not return.
 func (b *Balancer) refillWarmingEndpoints() {
 	expected := min(float64(b.activeSessions)*float64(roundInterval)/float64(refillInterval), maxRefillsPerRound)
 	for n := int(expected + b.random.float64()); n > 0 && b.canRefill(); n-- {
@@ -159,11 +163,12 @@
 	}
 }
 
+// canRefill reports whether endpoints are warming up and recent attempts have been neither late nor failing.
 func (b *Balancer) canRefill() bool {
 	return b.warmupWeight > 0 && b.recentCounts.late+b.recentCounts.failed < 1 && b.now >= b.pause.until
 }
 
-// randomSession returns a random active session; there must be one.
+// randomSession returns a random active session. It panics if there is none.
 func (b *Balancer) randomSession() *session {
 	position := int(b.random.float64() * float64(b.activeSessions))
 	for _, e := range b.endpoints {
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	recentWindow            = 3 * time.Second // time constant with which recent counts decay
-	baseAttempts            = 9.0             // attempts of all balancers together while some fail
-	lateDivisor             = 3               // of the setup objective: a slower setup is late and indicates a queue
-	maxRejectsInARow        = 12              // so that a recovery is noticed
-	minOverloadedForRetries = 0.2             // fraction of overloaded endpoints from which late setups don't count
+	recentWindow            = 3 * time.Second // time constant of the decay of recent counts
+	baseAttempts            = 9.0             // pending attempts that all balancers together may have while some attempts fail
+	lateDivisor             = 3               // an attempt that takes longer than this part of the setup objective is late, which indicates a queue
+	maxRejectsInARow        = 12              // number of rejects in a row after which an attempt is made, so that a recovery is noticed
+	minOverloadedForRetries = 0.2             // fraction of overloaded endpoints from which late attempts do not count as failures
 )
 
-// recentCounts are counts that decay exponentially with recentWindow.
+// recentCounts are counts of events that decay exponentially with the time constant recentWindow.
 type recentCounts struct {
-	established  float64 // attempts
-	failed       float64 // attempts, in a way that does not indicate one faulty endpoint
-	late         float64 // established attempts that took long
-	warmupDemand float64 // sessions that came to a warming endpoint
-	decayedAt    time.Duration
+	established  float64       // attempts that established their session
+	failed       float64       // attempts that failed in a way that does not indicate a single faulty endpoint
+	late         float64       // established attempts that took long enough to indicate a queue
+	warmupDemand float64       // sessions for which a warming endpoint was considered
+	decayedAt    time.Duration // time up to which the counts have decayed
 }
 
+// decay reduces the counts for the time that has passed since the last call.
 func (c *recentCounts) decay(now time.Duration) {
 	factor := math.Exp(-float64(now-c.decayedAt) / float64(recentWindow))
 	c.established *= factor
@@ -31,6 +32,7 @@
 	c.decayedAt = now
 }
 
+// recordEstablished counts an attempt that has established its session and updates the pause of attempts.
 func (b *Balancer) recordEstablished(class *Class, took time.Duration) {
 	b.recentCounts.decay(b.now)
 	b.recentCounts.established++
@@ -45,6 +47,8 @@
 	}
 }
 
+// recordAttemptFailure counts a failed attempt, unless its outcome indicates a single faulty endpoint, and
+// pauses attempts after a timeout.
 func (b *Balancer) recordAttemptFailure(outcome Outcome) {
 	if outcome == Failed || outcome == TimedOut {
 		b.recentCounts.decay(b.now)
@@ -55,9 +59,10 @@
 	}
 }
 
-// isRetryBudgetSpent reports whether a session gets no attempt because attempts fail at all endpoints alike.
-// Beyond the budget, or during a pause, none is made; below it they are rejected with the probability of
-// failure.
+// isRetryBudgetSpent reports whether a session gets no attempt because attempts fail at all endpoints alike. No
+// attempt is made during a pause or while the pending attempts use up the budget; otherwise sessions are denied
+// an attempt at random, with the probability of failure. After many rejects in a row an attempt is made in any
+// case, so that a recovery is noticed.
 func (b *Balancer) isRetryBudgetSpent(s *session) bool {
 	established := b.recentCounts.established
 	failed := b.recentCounts.failed + b.recentCounts.late
@@ -76,7 +81,7 @@
 	return b.random.float64() < (failed-established-1)/(failed+established+1)
 }
 
-// areRetriesFutile reports whether attempts fail so often that another endpoint is no remedy.
+// areRetriesFutile reports whether so many attempts fail that a retry at another endpoint is unlikely to help.
 func (b *Balancer) areRetriesFutile() bool {
 	failed := b.recentCounts.failed
 	if b.overloadFraction < minOverloadedForRetries {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -3,36 +3,36 @@
 import "math"
 
 const (
-	maxSessionsOverMean   = 2.0 // sessions at an endpoint, over the mean,
-	extraSessions         = 2   // and so many more
-	maxUnprovenLoadFactor = 2.0 // load at an endpoint over its fair share, while no report shows spare capacity
-	maxGossipLoadFactor   = 1.2 // the same where gossip brings the loads of the other balancers
-	minFairSessions       = 4.0 // sessions at each endpoint that the fair share is computed for, at least
-	minTakeoverFactor     = 0.7 // factor on unprovenShare while this balancer has many more sessions than on average
-	warmupKeyFactor       = 1.7 // part of its keys that a warming endpoint takes, over its slow-start factor
+	maxSessionsOverMean   = 2.0 // maximum number of sessions at an endpoint, as a multiple of its share of the sessions
+	extraSessions         = 2   // added to that maximum
+	maxUnprovenLoadFactor = 2.0 // maximum load at an endpoint relative to its fair share, while no report shows spare capacity
+	maxGossipLoadFactor   = 1.2 // the same if gossip provides the loads of the other balancers
+	minFairSessions       = 4.0 // number of sessions per endpoint for which the fair share is computed if there are fewer
+	minTakeoverFactor     = 0.7 // lower bound of the factor on maxUnprovenLoadFactor after a sudden growth of active sessions
+	warmupKeyFactor       = 1.7 // ratio of the fraction of its keys that a warming endpoint accepts to its slow-start factor
 )
 
-// relaxation says how many reasons to skip an endpoint are dropped; each step drops one more.
+// relaxation tells how many of the reasons to skip an endpoint are ignored. Each step ignores one more.
 type relaxation int
 
 const (
-	relaxNone     relaxation = iota
-	relaxLimits              // session limits, fair shares and warm-up shares no longer count
-	relaxSkipping            // skipThreshold no longer counts
-	relaxEjection            // ejections and earlier attempts no longer count: only overload does
+	relaxNone     relaxation = iota // all reasons count
+	relaxLimits                     // ignores limits on sessions, fair shares of the load and the accepted keys of warming endpoints
+	relaxSkipping                   // also ignores skipThreshold
+	relaxEjection                   // also ignores ejections and earlier attempts, so that only overload counts
 )
 
-// selection is the search for one session's endpoint.
+// selection is the search for the endpoint of one session.
 type selection struct {
 	*Balancer
 	session     *session
 	ranking     ranking
-	totalWeight float64 // of the endpoints that are not ejected, warming ones by their slow-start factor
-	fairLoad    float64 // load for each unit of weight that an endpoint takes, +Inf if unlimited
+	totalWeight float64 // total weight of the endpoints that are not ejected, multiplied by their slow-start factors
+	fairLoad    float64 // maximum load per unit of weight, +Inf if unlimited
 }
 
-// selectEndpoint returns the first endpoint in a session's order that has no reason to be skipped, nil if
-// there is none. Reasons are dropped one by one up to maxRelaxation.
+// selectEndpoint returns the first endpoint in the ranking of a session for which there is no reason to skip it,
+// or nil if there is none. It ignores one reason after the other, up to maxRelaxation.
 func (b *Balancer) selectEndpoint(s *session, maxRelaxation relaxation) *endpoint {
 	search := b.newSelection(s)
 	for relaxed := relaxNone; relaxed <= maxRelaxation; relaxed++ {
@@ -43,6 +43,7 @@
 	return nil
 }
 
+// newSelection prepares the search for the endpoint of a session.
 func (b *Balancer) newSelection(s *session) selection {
 	search := selection{Balancer: b, session: s, ranking: b.rankEndpoints(s)}
 	load := s.load
@@ -59,8 +60,8 @@
 	return search
 }
 
-// fairLoad is the load for each unit of weight that an endpoint takes while nothing shows that it can bear
-// more. It is unlimited where weights are estimates and no load reports come.
+// fairLoad returns the maximum load per unit of weight for an endpoint that has not shown that it can handle
+// more. It is unlimited if the weights are estimates and there are no load reports.
 func (b *Balancer) fairLoad(load, weight float64, endpoints int) float64 {
 	switch {
 	case b.gossip.isCurrent:
@@ -68,7 +69,8 @@
 	case b.config.HasExactWeights:
 		return maxUnprovenLoadFactor * load / weight
 	case b.config.HasLoadReports:
-		// A balancer that just took over another one's sessions would place them before any report can tell.
+		// A balancer that has just taken over the sessions of another one would place them all before a load
+		// report can show their effect.
 		growth := max(minTakeoverFactor, min(1, b.meanActiveSessions/float64(max(b.activeSessions, 1))))
 		return max(maxUnprovenLoadFactor*growth*load, minFairSessions*b.meanLoad()*float64(endpoints)) / weight
 	default:
@@ -76,7 +78,8 @@
 	}
 }
 
-// firstEligible returns the firstEligible endpoint within the session's reach that is not skipped, or nil.
+// firstEligible returns the first of the candidates that is not skipped and can be attempted, or nil if there is
+// none.
 func (search *selection) firstEligible(relaxed relaxation) *endpoint {
 	remaining := search.ranking.maxCandidates
 	for _, ranked := range search.ranking.endpoints {
@@ -85,7 +88,7 @@
 			return e
 		}
 		if search.isWarmingUp(e) {
-			continue // else a group whose first endpoints have all restarted would be rejected
+			continue // otherwise a group whose first endpoints have all restarted would be rejected
 		}
 		remaining--
 		if remaining == 0 {
@@ -95,7 +98,7 @@
 	return nil
 }
 
-// skips reports whether there is a reason for the session not to use an endpoint.
+// skips reports whether the session has a reason to skip an endpoint.
 func (search *selection) skips(e *endpoint, relaxed relaxation) bool {
 	if relaxed < relaxEjection && (e.ejected || search.session.hasAttempted(e)) {
 		return true
@@ -109,7 +112,8 @@
 	return search.lacksCapacity(e)
 }
 
-// isBeyondLimits reports whether an endpoint has its share of the sessions, of the load or of the keys.
+// isBeyondLimits reports whether an endpoint has reached its share of the sessions or of the load, or does not
+// accept the client's key yet.
 func (search *selection) isBeyondLimits(e *endpoint) bool {
 	factor := search.slowStartFactor(e)
 	weight := search.zoneWeight(e, search.ranking.remoteZoneFactor, minRemoteFactor) * factor
@@ -119,8 +123,8 @@
 	return search.isOutsideWarmupShare(e) || float64(len(e.sessions)) > maxSessions || load > maxLoad
 }
 
-// isOutsideWarmupShare reports whether the client's key is among those that a warming endpoint does not take yet. In
-// large deployments canWarmUp bounds them by chance instead.
+// isOutsideWarmupShare reports whether a warming endpoint does not accept the client's key yet. In large
+// deployments every key is accepted, because canAttemptWarming limits the sessions at random instead.
 func (search *selection) isOutsideWarmupShare(e *endpoint) bool {
 	if !search.isSmallDeployment() || search.gossip.isCurrent {
 		return false
@@ -128,8 +132,8 @@
 	return unitInterval(hashPair(search.session.clientKey, ^uint64(e.ID))) >= warmupKeyFactor*search.slowStartFactor(e)
 }
 
-// lacksCapacity reports whether an endpoint is overloaded, or would be by this session, or must be assumed to
-// be.
+// lacksCapacity reports whether an endpoint is overloaded, would be overloaded by this session, or is assumed to
+// be overloaded.
 func (search *selection) lacksCapacity(e *endpoint) bool {
 	if search.exceeds(e, migrateThreshold) {
 		return true
@@ -139,8 +143,8 @@
 	return (isAssumedOverloaded || isFull) && !search.mayHaveSpareCapacity(e)
 }
 
-// mayHaveSpareCapacity reports whether a fresh load report, used only once, tells of spare capacity, or
-// whether a poll for a new report comes before the attempt. An old report rejects nobody.
+// mayHaveSpareCapacity reports whether a fresh load report, used only once, shows spare capacity, or the
+// endpoint will be polled for a new report before the attempt. An old report does not cause a reject.
 func (search *selection) mayHaveSpareCapacity(e *endpoint) bool {
 	if search.config.HasEndpointReports && search.canPoll(search.session, e) {
 		return true
@@ -148,9 +152,9 @@
 	return search.reportsSpareCapacity(e, skipThreshold.demand) && e.attemptedAt < e.reportedAt
 }
 
-// assumesOverload reports whether an endpoint without sessions of this balancer, whose latency is thus
-// unknown, is taken for overloaded: as often, by chance, as those with sessions are. The chance is drawn anew
-// each latencyTTL.
+// assumesOverload reports whether an endpoint is assumed to be overloaded because this balancer has no sessions
+// there and thus does not know the latency. The probability equals the overloaded fraction of the endpoints that
+// have sessions. The random choice is renewed each latencyTTL.
 func (search *selection) assumesOverload(e *endpoint) bool {
 	window := search.hashSeed + uint64(search.now/latencyTTL)
 	return unitInterval(hashPair(uint64(e.ID), window)) < search.overloadFraction
--- a/policy/session.go
+++ b/policy/session.go
@@ -10,30 +10,30 @@
 // SessionID identifies a session.
 type SessionID uint64
 
-// SessionRequest describes a session as the host submits it.
+// SessionRequest describes a session that the host adds to the Balancer.
 type SessionRequest struct {
 	ID      SessionID
-	Key     uint64 // hash key of the client, which orders its endpoints; 0 if unknown
-	Group   uint64 // sessions of one group share endpoints, 0 for none
-	Tenant  int    // index into Config.Tenants
-	Class   int    // index into Config.Classes
-	Timeout time.Duration
-	Load    float64 // usual load in microseconds of work a second, 0 if unknown
+	Key     uint64        // hash key of the client, which determines the ranking of endpoints; 0 if unknown
+	Group   uint64        // sessions of the same group share endpoints; 0 for no group
+	Tenant  int           // index into Config.Tenants
+	Class   int           // index into Config.Classes
+	Timeout time.Duration // time until the deadline by which the session must be established
+	Load    float64       // usual load in microseconds of work per second, 0 if unknown
 }
 
-// Outcome is how an attempt, a session or a health check ended.
+// Outcome tells how an attempt, a session or a health check ended.
 type Outcome uint8
 
-// The outcomes. Hosts use their order in tables.
+// The outcomes. Hosts index tables by these values, so their order must not change.
 const (
-	Succeeded     Outcome = iota
-	Failed                // the endpoint returned an error; the request may have run
-	Rejected              // the endpoint is full or draining; the request has not run
-	TimedOut              // the request may have run or still be running
-	ConnectFailed         // the request has not run
-	Reset                 // the connection was reset; the request may have run
-	Cancelled             // by the client; the request may have run
-	NeverSent             // the request has not run
+	Succeeded     Outcome = iota // the session or the health check ended normally
+	Failed                       // the endpoint returned an error; the request may have run
+	Rejected                     // the endpoint is full or draining; the request has not run
+	TimedOut                     // the timeout has passed; the request may have run or may still be running
+	ConnectFailed                // the endpoint could not be reached; the request has not run
+	Reset                        // the connection was reset; the request may have run
+	Cancelled                    // the client cancelled; the request may have run
+	NeverSent                    // the request was not sent and has not run
 )
 
 var outcomeNames = [...]string{
@@ -49,63 +49,64 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// mayHaveRun reports whether the request may have had an effect at the endpoint.
+// mayHaveRun reports whether the request may have taken effect at the endpoint.
 func (o Outcome) mayHaveRun() bool {
 	return o != Rejected && o != ConnectFailed && o != NeverSent
 }
 
-// sessionState is the state of a session's newest attempt.
+// sessionState is the state of the newest attempt of a session.
 type sessionState uint8
 
 const (
-	stateIdle        sessionState = iota // no attempt is under way
-	stateAttempting                      // an attempt is under way
-	stateEstablished                     // an attempt has established the session
+	stateIdle        sessionState = iota // no attempt is in progress
+	stateAttempting                      // an attempt is in progress
+	stateEstablished                     // the attempt has established the session
 )
 
-// session is one session from its arrival to its end.
+// session is the state of one session from its arrival to its end.
 type session struct {
 	id          SessionID
 	clientKey   uint64
-	affinityKey uint64 // the group, or the client's key where there is none
+	affinityKey uint64 // hash key of the group, or clientKey if there is no group
 	class       *Class
 	classIndex  int
 	tenantIndex int
-	deadline    time.Duration // never once established
-	load        float64
+	deadline    time.Duration // time by which the session must be established; never once it is
+	load        float64       // in microseconds of work per second
 
 	state        sessionState
-	hasAnswer    bool // the final answer has been given
+	hasAnswer    bool // the final answer has been given or is no longer wanted
 	migrating    bool // a migration is planned
 	attempts     int
 	maxAttempts  int
-	attempted    []*endpoint
-	attemptedAt  time.Duration // the newest attempt
-	endpoint     *endpoint     // of the newest attempt, nil before the first
-	position     int           // in endpoint.sessions
-	pool         *pool         // that the newest attempt was placed by
-	mayHaveRunOn *endpoint     // the first endpoint at which the request may have run, nil while there is none
-	mayHaveRunAt time.Duration // when that attempt began
-
-	polledEndpoint        *endpoint     // whose load report was last waited for
-	reportDeadline        time.Duration // until which a report is waited for, 0 before the first poll
-	polls                 int           // load reports that were waited for
-	countedInWarmupDemand bool          // counted in recentCounts.warmupDemand
+	attempted    []*endpoint   // endpoints of all attempts, in order
+	attemptedAt  time.Duration // start of the newest attempt
+	endpoint     *endpoint     // endpoint of the newest attempt, nil before the first one
+	position     int           // index in endpoint.sessions
+	pool         *pool         // pool that placed the newest attempt
+	mayHaveRunOn *endpoint     // first endpoint at which the request may have run, nil if there is none
+	mayHaveRunAt time.Duration // start of the attempt there
+
+	polledEndpoint        *endpoint     // endpoint whose load report the session last waited for
+	reportDeadline        time.Duration // end of the wait for that report, reset to 0 by the next decision
+	polls                 int           // number of load reports that the session has waited for
+	countedInWarmupDemand bool          // the session is counted in recentCounts.warmupDemand
 }
 
+// isActive reports whether the session is established or has an attempt in progress.
 func (s *session) isActive() bool { return s.state != stateIdle }
 
 func (s *session) hasAttempted(e *endpoint) bool {
 	return slices.Contains(s.attempted, e)
 }
 
-// AddSession takes a session, which is now owed one final answer.
+// AddSession adds a new session, which will get exactly one final answer.
 func (b *Balancer) AddSession(request SessionRequest) {
 	b.queue = append(b.queue, b.newSession(request))
 	b.gossip.newSessions++
 }
 
-// AdoptSession takes a session that is established already. Its first attempt counts as made.
+// AdoptSession adds a session that is already established at an endpoint. Its first attempt counts as made.
 func (b *Balancer) AdoptSession(request SessionRequest, id EndpointID) {
 	s := b.newSession(request)
 	s.deadline = never
@@ -131,7 +132,7 @@
 	return s
 }
 
-// activeSession returns a session if the attempt is its newest one and has not ended, else nil.
+// activeSession returns the session if the given attempt is its newest one and has not ended, or nil.
 func (b *Balancer) activeSession(id SessionID, attempt int) *session {
 	s := b.sessions[id]
 	if s == nil || !s.isActive() || attempt != s.attempts-1 {
@@ -140,7 +141,7 @@
 	return s
 }
 
-// assign adds a session to an endpoint; unassign takes it away.
+// assign adds a session to an endpoint and to the counts of active sessions.
 func (b *Balancer) assign(s *session, e *endpoint) {
 	s.endpoint = e
 	s.position = len(e.sessions)
@@ -153,6 +154,7 @@
 	b.activeByTenant[s.tenantIndex]++
 }
 
+// unassign removes a session from its endpoint and from the counts of active sessions.
 func (b *Balancer) unassign(s *session) {
 	e := s.endpoint
 	last := e.sessions[len(e.sessions)-1]
@@ -173,7 +175,8 @@
 	}
 }
 
-// AttemptEstablished reports that an attempt, counted from 0, has established its session after a time.
+// AttemptEstablished records that an attempt, counted from 0, has established its session, and how long the
+// setup took.
 func (b *Balancer) AttemptEstablished(id SessionID, attempt int, setupTime time.Duration) {
 	s := b.activeSession(id, attempt)
 	if s == nil || s.state != stateAttempting {
@@ -186,8 +189,8 @@
 	b.recordEstablished(s.class, setupTime)
 }
 
-// AttemptEnded reports the end of an attempt, or of the session that it established. If final, the client has
-// its answer and no further attempt is wanted.
+// AttemptEnded records the end of an attempt, or of the session that it established. If final is set, the client
+// has its answer and no further attempt is needed.
 func (b *Balancer) AttemptEnded(id SessionID, attempt int, final bool, outcome Outcome) {
 	s := b.activeSession(id, attempt)
 	if s == nil {
@@ -213,22 +216,22 @@
 	b.queue = append(b.queue, s)
 }
 
-// ClientDisconnected reports that a session's client is gone, so that it is owed no answer.
+// ClientDisconnected records that the client of a session has disconnected, so that it gets no answer.
 func (b *Balancer) ClientDisconnected(id SessionID) {
 	s := b.sessions[id]
 	if s == nil {
 		return
 	}
-	s.hasAnswer = true // an active attempt still gets its AttemptEnded; decide skips what is queued
+	s.hasAnswer = true // a pending attempt still gets its AttemptEnded; decideSession ignores a queued session
 	if !s.isActive() {
 		delete(b.sessions, id)
 	}
 }
 
-// isLoadValid reports whether a load is a finite number that is not negative.
+// isLoadValid reports whether a load is finite and not negative.
 func isLoadValid(load float64) bool { return load >= 0 && load < math.Inf(1) }
 
-// RecordLoad records the present load of an established session, in microseconds of work a second.
+// RecordLoad records the current load of an established session, in microseconds of work per second.
 func (b *Balancer) RecordLoad(id SessionID, attempt int, load float64) {
 	s := b.activeSession(id, attempt)
 	if s == nil || !isLoadValid(load) {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// An endpoint that warms up is overloaded when all balancers together send it, in one OverloadWindow, more than
-// N sessions of mean load and 2*sqrt(N)+2 more. N is OverloadMultiple times its slow-start factor times the load
-// that fills it evenly over SlowStartWindow. Balancers do not coordinate here: each takes its part of a lower
-// bound of N.
+// A warming endpoint is overloaded if all balancers together send it more than N + 2*sqrt(N) + 2 sessions of mean
+// load within one OverloadWindow. N is OverloadMultiple times the slow-start factor of the endpoint times the
+// load in that window if the endpoint is filled evenly over SlowStartWindow. The balancers do not coordinate:
+// each one uses its own share of a lower bound of N.
 const (
-	coreCapacity       = 1e6 // microseconds of work a second that one core does; an endpoint has one at least
-	priorSamples       = 4.0 // load samples that weigh as much as no knowledge of the load
-	maxArrivalMultiple = 1.0 // sessions that come to a warming endpoint in a window, over its fair share of the active ones
-	minHeavySessions   = 3.0 // sessions of a heavy class that a window has to bear
-	minClassSamples    = 3   // load samples below which a class may be heavy
-	minWindowCapacity  = 1.0 // sessions in a window while no endpoint is warm and nothing is known
+	coreCapacity       = 1e6 // work of one core in microseconds per second; an endpoint has at least one core
+	priorSamples       = 4.0 // weight of the prior assumption that the load is unknown, in load samples
+	maxArrivalMultiple = 1.0 // sessions assumed to reach a warming endpoint in a window, relative to its fair share of the active ones
+	minHeavySessions   = 3.0 // number of sessions of a heavy class that a window must be able to admit
+	minClassSamples    = 3   // number of load samples below which a class is taken for heavy if there are several classes
+	minWindowCapacity  = 1.0 // sessions admitted in a window while no endpoint is warm and no load is known
 )
 
-// warmupAttempt is one attempt at a warming endpoint.
+// warmupAttempt is an attempt at a warming endpoint.
 type warmupAttempt struct {
-	at   time.Duration
-	load float64 // in sessions of mean load
+	at   time.Duration // start of the attempt
+	load float64       // load of the session relative to the mean load
 }
 
-// observedCapacity is what warm endpoints of one machine type are seen to bear.
+// observedCapacity is the load that the warm endpoints of one machine type are seen to handle.
 type observedCapacity struct {
-	load          float64 // of the endpoints that are not overloaded
-	weight        float64 // of all endpoints
-	loadPerWeight float64 // averaged over recentWindow: a load that is new proves nothing
+	load          float64 // total load of those that are not overloaded
+	weight        float64 // total weight of all of them
+	loadPerWeight float64 // averaged over recentWindow, because a load that is new does not show that it can be handled
 }
 
-// slowStartFactor is the fraction of its full capacity that an endpoint has at least, by its age.
+// slowStartFactor returns the fraction of its full capacity that an endpoint has at least, according to its age.
 func (b *Balancer) slowStartFactor(e *endpoint) float64 {
 	age := b.now - e.StartedAt
 	if e.StartedAt == StartedLongAgo || age >= b.config.SlowStartWindow {
@@ -45,11 +45,11 @@
 
 func (b *Balancer) isWarmingUp(e *endpoint) bool { return b.slowStartFactor(e) < 1 }
 
-// PauseSlowStart keeps sessions from warming endpoints for one overload window: an earlier process of this
-// balancer may have used its part of their capacity.
+// PauseSlowStart keeps sessions away from warming endpoints for one overload window, because an earlier process
+// of this balancer may already have used its share of their capacity.
 func (b *Balancer) PauseSlowStart() { b.slowStartPausedUntil = b.now + b.config.OverloadWindow }
 
-// observeCapacity updates the loads of warm endpoints by machine type.
+// observeCapacity updates warmEndpoints and the loads of the warm endpoints by machine type.
 func (b *Balancer) observeCapacity() {
 	b.warmEndpoints = 0
 	for machineType, o := range b.observedByMachineType {
@@ -73,27 +73,31 @@
 	}
 }
 
-// warmCapacity is a lower bound of the sessions of mean load that an endpoint bears once it is warm, divided
-// by the number of balancers: by what warm endpoints of its machine type bear, by one core, or by the
-// tenants' quotas.
+// warmCapacity returns a lower bound of the number of sessions of mean load that an endpoint can handle once it
+// is warm, divided by the number of balancers. It is the largest of three estimates: the load at warm endpoints
+// of the same machine type, the capacity of one core, and the endpoint's share of the connection quotas of the
+// tenants.
 func (b *Balancer) warmCapacity(e *endpoint) float64 {
 	balancers := float64(b.config.Balancers)
 	byQuota := b.tenantQuota / balancers * e.Weight / max(b.maxPoolWeight, e.Weight)
 	return max(b.observedSessions(e), b.coreSessions()/balancers, byQuota)
 }
 
-// observedSessions is what warm endpoints of the same machine type bear of this balancer's sessions.
+// observedSessions returns the number of sessions of this balancer that an endpoint can handle, judging by the
+// warm endpoints of the same machine type.
 func (b *Balancer) observedSessions(e *endpoint) float64 {
 	o := b.observedByMachineType[e.MachineType]
 	if o.weight <= 0 {
 		return 0
 	}
-	// Sessions that have just come from another balancer count later: it may have used their part.
+	// Sessions that have just moved here from another balancer count only later, because that balancer may
+	// already have used the share that comes with them.
 	settled := min(1, b.meanActiveSessions/float64(max(b.activeSessions, 1)))
 	return settled * min(o.load/o.weight, o.loadPerWeight) / b.meanLoad() * e.Weight
 }
 
-// coreSessions is the number of sessions that one core bears, less while their load is uncertain.
+// coreSessions returns the number of sessions that one core can handle, reduced while few load samples are
+// known.
 func (b *Balancer) coreSessions() float64 {
 	if b.sessionLoad.mean <= 0 {
 		return 0
@@ -102,11 +106,12 @@
 	return coreCapacity / b.sessionLoad.mean * samples / (samples + priorSamples)
 }
 
-// relativeLoad is a session's load in sessions of mean load, 1 at least.
+// relativeLoad returns the load of a session relative to the mean load, at least 1.
 func (b *Balancer) relativeLoad(s *session) float64 { return max(1, s.load/b.meanLoad()) }
 
-// isTooHeavyForWarmup reports whether a few sessions of a session's class are more than a warming endpoint bears in a
-// window of the given capacity. Where there are several classes, one of unknown load may be.
+// isTooHeavyForWarmup reports whether a few sessions of the same class would exceed what a warming endpoint can
+// handle in a window of the given capacity. If there are several classes, this is assumed for a class of unknown
+// load.
 func (b *Balancer) isTooHeavyForWarmup(s *session, windowCapacity float64) bool {
 	if b.sessionLoad.mean == 0 {
 		return false
@@ -123,10 +128,11 @@
 	return isHeavy && minHeavySessions*s.load/max(lightest, 1) > overloadLimit(windowCapacity)
 }
 
-// overloadLimit is the number of sessions in a window beyond which an endpoint of the given capacity is overloaded.
+// overloadLimit returns the number of sessions in a window above which an endpoint of the given capacity is
+// overloaded.
 func overloadLimit(capacity float64) float64 { return capacity + 2*math.Sqrt(capacity) + 2 }
 
-// canAttemptWarming reports whether a session may go to a warming endpoint.
+// canAttemptWarming reports whether an attempt for a session may be made at a warming endpoint.
 func (b *Balancer) canAttemptWarming(s *session, e *endpoint) bool {
 	used := b.warmupLoadInWindow(e)
 	if !s.countedInWarmupDemand {
@@ -141,14 +147,15 @@
 	load := b.relativeLoad(s)
 	own := capacity / balancers
 	deviation := math.Sqrt(capacity)
-	if own >= 1 { // the parts of all balancers, rounded, add up to the capacity
+	if own >= 1 { // the rounded shares of all balancers add up to the capacity
 		return used+load <= math.Floor(own+2*deviation/balancers+b.roundingOffset(e))
 	}
-	own *= min(1+1/deviation, deviation/2) // less where the capacity is so small that a few heavy sessions exceed it
+	own *= min(1+1/deviation, deviation/2) // less if the capacity is so small that a few heavy sessions exceed it
 	return used < math.Ceil(own*b.warmupAdmissionFactor(e)/load-b.warmupThreshold(s, e))
 }
 
-// warmupLoadInWindow is the load that this balancer sent to a warming endpoint within the overload window.
+// warmupLoadInWindow returns the load that this balancer has sent to a warming endpoint within the overload
+// window, relative to the mean load of a session.
 func (b *Balancer) warmupLoadInWindow(e *endpoint) float64 {
 	e.warmupAttempts = slices.DeleteFunc(e.warmupAttempts, func(a warmupAttempt) bool {
 		return a.at <= b.now-b.config.OverloadWindow
@@ -160,8 +167,8 @@
 	return used
 }
 
-// windowCapacity is the number of sessions of mean load that a warming endpoint bears in one overload window,
-// from all balancers together.
+// windowCapacity returns the number of sessions of mean load that a warming endpoint can get from all balancers
+// together in one overload window.
 func (b *Balancer) windowCapacity(e *endpoint) float64 {
 	balancers := float64(b.config.Balancers)
 	capacity := b.config.OverloadMultiple * b.slowStartFactor(e) * b.warmCapacity(e) * balancers *
@@ -172,8 +179,9 @@
 	return capacity
 }
 
-// warmupAdmissionFactor is the factor from a balancer's part of the capacity to the probability with which it
-// admits a session: the fewer sessions come to a warming endpoint, the higher.
+// warmupAdmissionFactor returns the factor by which this balancer's share of a warming endpoint's capacity is
+// multiplied to get the probability of admitting a session there. The fewer sessions reach the endpoint, the
+// higher it is.
 func (b *Balancer) warmupAdmissionFactor(e *endpoint) float64 {
 	endpoints := float64(max(len(b.newestPool().endpoints), 1))
 	arrivals := maxArrivalMultiple * max(float64(b.activeSessions), b.meanActiveSessions, 1) / endpoints
@@ -181,15 +189,15 @@
 	return min(1/arrivals, inverseShare/max(b.recentCounts.warmupDemand, 1))
 }
 
-// roundingOffset is what this balancer adds to a fraction before it rounds down, in [0, 1). The offsets of
-// all balancers are spread evenly, by the golden ratio, and stay the same after a restart.
+// roundingOffset returns what this balancer adds to its share of an endpoint's capacity before rounding down, in
+// [0, 1). The golden ratio spreads the offsets of all balancers evenly. They do not change with a restart.
 func (b *Balancer) roundingOffset(e *endpoint) float64 {
 	return math.Mod(unitInterval(hashPair(uint64(e.ID), 0))+float64(b.config.Index)*(math.Phi-1), 1)
 }
 
-// warmupThreshold is the number in (0, 1) that the probability of admitting a client to a warming endpoint has to
-// exceed. It is the same at every balancer, and for a while: one drawn for each attempt would be exceeded
-// sooner or later.
+// warmupThreshold returns the number in (0, 1) that the probability of admitting a client to a warming endpoint
+// must exceed. It is the same at every balancer and constant for a while, because a new random number for each
+// attempt would admit a client that retries sooner or later.
 func (b *Balancer) warmupThreshold(s *session, e *endpoint) float64 {
 	window := uint64((b.now - e.StartedAt) / max(refillInterval, b.config.OverloadWindow))
 	return unitInterval(hashPair(hashPair(s.clientKey, uint64(e.ID)), window))
