--- a/policy/admission.go
+++ b/policy/admission.go
@@ -66,7 +66,7 @@
 		e.warmupAttempts = append(e.warmupAttempts, warmupAttempt{b.now, b.relativeLoad(s)})
 	}
 	s.state = stateAttempting
-	s.attempted = append(s.attempted, e)
+	s.attemptedEndpoints = append(s.attemptedEndpoints, e)
 	s.attemptedAt = b.now
 	s.attempts++
 	e.attemptedAt = b.now
--- a/policy/attempt_rules.go
+++ b/policy/attempt_rules.go
@@ -17,8 +17,8 @@
 // isRepeatSafeAt reports whether an attempt at an endpoint cannot make the request of a session take effect
 // twice.
 func (b *Balancer) isRepeatSafeAt(s *session, e *endpoint) bool {
-	first := s.mayHaveRunOn
-	if first == nil || s.class.Idempotency == Idempotent {
+	firstEndpoint := s.mayHaveRunOn
+	if firstEndpoint == nil || s.class.Idempotency == Idempotent {
 		return true
 	}
 	if s.class.Idempotency == NonIdempotent || b.now >= s.mayHaveRunAt+s.class.KeyTTL {
@@ -26,9 +26,9 @@
 	}
 	switch s.class.KeyScope {
 	case KeyScopeZone:
-		return e.Zone == first.Zone
+		return e.Zone == firstEndpoint.Zone
 	case KeyScopeFailureDomain:
-		return e.location() == first.location()
+		return e.location() == firstEndpoint.location()
 	default:
 		return true
 	}
--- a/policy/attempt_rules_test.go
+++ b/policy/attempt_rules_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// TestIdempotency guards against a request taking effect twice: after a first attempt that may have run, the
+// next decision must respect the idempotency, the scope of the key and its TTL.
 func TestIdempotency(t *testing.T) {
 	list := warmEndpointList(4)
 	for i := range list {
@@ -39,17 +41,19 @@
 	}
 }
 
+// TestAttemptTimeoutLeavesTimeForRetry guards against a first attempt that uses up the time for a further one,
+// and against attempts after the deadline.
 func TestAttemptTimeoutLeavesTimeForRetry(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(3))
 	if d := addSession(t, b, SessionRequest{ID: 1, Key: 1, Timeout: 2 * time.Second}); d.Duration != time.Second {
-		t.Fatalf("%v of 2 s", d.Duration)
+		t.Fatalf("timeout %v of 2 s with one balancer", d.Duration)
 	}
 	d := testConfig()
-	d.Balancers = 80 // all of the time but one setup objective
+	d.Balancers = 80 // a large deployment reserves only one setup objective
 	if d := addSession(t, newBalancer(d, warmEndpointList(3)), SessionRequest{ID: 1, Key: 1, Timeout: 2 * time.Second}); d.Duration != 1700*ms {
-		t.Fatalf("%v of 2 s, of eighty", d.Duration)
+		t.Fatalf("timeout %v of 2 s with 80 balancers", d.Duration)
 	}
-	b.AdvanceClock(2 * time.Second) // the deadline: a final answer, though attempts are left
+	b.AdvanceClock(2 * time.Second) // at the deadline there is a final answer, although attempts are left
 	if d := endAttempt(t, b, 1, 0, TimedOut); d.Action != Reject {
 		t.Fatalf("%+v", d)
 	}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -60,7 +60,7 @@
 	observedByMachineType  map[uint64]observedCapacity // capacity of warm endpoints by machine type
 	reportsDistrustedUntil map[location]time.Duration  // absent for failure domains that were never distrusted
 	gossip                 gossip
-	draining               drainWindow
+	drainWindow            drainWindow
 }
 
 // New returns a Balancer that knows no endpoints yet. The seed determines all of its random choices.
@@ -74,7 +74,7 @@
 		activeByGroup:          map[uint64]int{},
 		observedByMachineType:  map[uint64]observedCapacity{},
 		reportsDistrustedUntil: map[location]time.Duration{},
-		draining:               drainWindow{until: never},
+		drainWindow:            drainWindow{until: never},
 	}
 	b.Reconfigure(config, nil, nil)
 	b.nextRoundAt = time.Duration(b.random.float64() * float64(roundInterval))
--- a/policy/draining.go
+++ b/policy/draining.go
@@ -13,17 +13,17 @@
 
 // StartDraining migrates all established sessions evenly between two times. New sessions are rejected from now
 // on.
-func (b *Balancer) StartDraining(from, until time.Duration) { b.draining = drainWindow{from, until} }
+func (b *Balancer) StartDraining(from, until time.Duration) { b.drainWindow = drainWindow{from, until} }
 
 // StopDraining ends draining, so that new sessions are admitted again.
-func (b *Balancer) StopDraining() { b.draining.until = never }
+func (b *Balancer) StopDraining() { b.drainWindow.until = never }
 
-func (b *Balancer) isDraining() bool { return b.draining.until < never }
+func (b *Balancer) isDraining() bool { return b.drainWindow.until < never }
 
 // migrateForDraining plans to migrate an even part of the sessions in each round, so that the other balancers do
 // not get all of them at once. The sessions are taken from all endpoints alike.
 func (b *Balancer) migrateForDraining() {
-	if b.now < b.draining.from {
+	if b.now < b.drainWindow.from {
 		return
 	}
 	inOrder := func(_, _ *session) int { return 0 }
@@ -32,7 +32,7 @@
 		sessions = append(sessions, migratableSessions(e, inOrder)...)
 	}
 	slices.SortStableFunc(sessions, func(x, y *session) int { return x.position - y.position })
-	rounds := max(1, int((b.draining.until-b.now)/roundInterval))
+	rounds := max(1, int((b.drainWindow.until-b.now)/roundInterval))
 	for _, s := range sessions[:(len(sessions)+rounds-1)/rounds] {
 		b.migrate(s)
 	}
--- a/policy/draining_test.go
+++ b/policy/draining_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// TestDrainingEndpointGetsNothingAndIsEmptied guards against attempts at a draining endpoint, and against
+// sessions that stay there.
 func TestDrainingEndpointGetsNothingAndIsEmptied(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(3))
 	held := establish(t, b, 1, 30)
@@ -22,10 +24,12 @@
 		migrated += count(allDecisions(b), Migrate)
 	}
 	if migrated < held[100] {
-		t.Fatalf("%d of %d migrated", migrated, held[100])
+		t.Fatalf("%d of %d sessions migrated from the draining endpoint", migrated, held[100])
 	}
 }
 
+// TestDrainingMigratesInEvenParts guards against a draining balancer that admits sessions or migrates before the
+// drain window, a session twice, or too many at a time.
 func TestDrainingMigratesInEvenParts(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(4))
 	establish(t, b, 1, 40)
@@ -51,11 +55,12 @@
 		}
 	}
 	if len(migrated) != 40 || most > 14 || first < 400*ms {
-		t.Fatalf("%d migrated, %d at a time, first at %v", len(migrated), most, first)
+		t.Fatalf("%d sessions migrated, up to %d at a time, the first at %v", len(migrated), most, first)
 	}
 }
 
-// TestStopDrainingEndsMigrations has a balancer serve again.
+// TestStopDrainingEndsMigrations guards against a balancer that goes on migrating sessions, or rejects new ones,
+// after it has stopped draining.
 func TestStopDrainingEndsMigrations(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(4))
 	establish(t, b, 1, 40)
@@ -69,16 +74,17 @@
 		}
 		migrated += count(allDecisions(b), Migrate)
 		if step == 11 && (migrated < 10 || migrated == 40) {
-			t.Fatalf("%d migrated half way", migrated)
+			t.Fatalf("%d of 40 sessions migrated before draining was stopped", migrated)
 		}
 	}
 	if migrated > 0 {
-		t.Fatalf("%d migrated afterwards", migrated)
+		t.Fatalf("%d sessions migrated after draining was stopped", migrated)
 	}
 	establish(t, b, 1000, 4)
 }
 
-// TestDrainingGoesEvenly has so few sessions at each endpoint that a part of each, rounded up, would end the draining early.
+// TestDrainingGoesEvenly guards against draining that ends early: if a part of the sessions of each endpoint
+// migrated per round, rounding up would migrate too many where each endpoint has few.
 func TestDrainingGoesEvenly(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(20))
 	establish(t, b, 1, 60)
@@ -89,6 +95,6 @@
 		migrated += count(allDecisions(b), Migrate)
 	}
 	if migrated < 20 || migrated > 40 {
-		t.Fatalf("%d of 60 migrated within two of 3.5 seconds", migrated)
+		t.Fatalf("%d of 60 sessions migrated within 2 of 3.5 s", migrated)
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -20,30 +20,31 @@
 	goldenSteps = 1200
 )
 
-// goldenScenario is one deployment under a fixed seed; every input method is called at random.
+// goldenScenario is one deployment. All input methods of its balancers are called at random, under a fixed seed.
 type goldenScenario struct {
 	name      string
-	balancers int // that are played; the deployment may name more
+	balancers int // number of balancers in the test; the configuration may state more
 	endpoints int
-	groups    int
+	groups    int  // number of groups from which sessions are drawn
 	warming   bool // a third of the endpoints are warming up at the start
 	config    Config
 }
 
-// goldenSession is what the driver knows of a session that has no final answer yet.
+// goldenSession is what the test knows about a session that has no final answer yet.
 type goldenSession struct {
 	attempts                int
 	attempting, established bool
 	endpoint                EndpointID
 }
 
+// goldenMessage is a gossip message that is delivered at a time.
 type goldenMessage struct {
 	at       time.Duration
 	from, to int
 	message  GossipMessage
 }
 
-// goldenRun plays one scenario and hashes what the balancers answer.
+// goldenRun simulates one scenario and hashes the decisions of the balancers.
 type goldenRun struct {
 	goldenScenario
 	*rand.Rand
@@ -51,8 +52,8 @@
 	list     []Endpoint
 	players  []*Balancer
 	sessions []map[SessionID]*goldenSession
-	order    [][]SessionID  // of sessions, as they came
-	checks   [][]EndpointID // under way
+	order    [][]SessionID  // session IDs of each balancer, in the order of their arrival
+	checks   [][]EndpointID // health checks in progress at each balancer
 	messages []goldenMessage
 	lastID   SessionID
 	sum      hash.Hash
@@ -173,7 +174,7 @@
 	}
 }
 
-// goldenPhase is 0 while the deployment is healthy, 1 while attempts fail, 2 while endpoints are slow.
+// goldenPhase returns 0 while the deployment is healthy, 1 while attempts fail, and 2 while endpoints are slow.
 func goldenPhase(step int) int { return step / 150 % 3 }
 
 func (r *goldenRun) changeList(step int) {
@@ -200,7 +201,8 @@
 	}
 }
 
-// rareEvent plays what happens seldom: a new configuration, draining, weights and requested health checks.
+// rareEvent simulates events that are rare: a new configuration, draining, new weights, requested health checks
+// and adopted sessions.
 func (r *goldenRun) rareEvent(k int, b *Balancer, step int) {
 	id := r.list[r.IntN(len(r.list))].ID
 	switch {
@@ -297,7 +299,7 @@
 
 func (r *goldenRun) sessionEvent(k int, b *Balancer, id SessionID, c *goldenSession, step int) {
 	attempt := c.attempts - 1
-	failures, slowest := 80, 60 // one attempt in so many fails in a step; ms of a setup
+	failures, slowest := 80, 60 // one attempt in so many fails in a step; longest setup in ms
 	if goldenPhase(step) > 0 {
 		failures, slowest = 16, 250
 	}
@@ -365,8 +367,9 @@
 	}
 }
 
-// TestDecisionsAreAsBefore compares a digest of all decisions under fixed seeds with the digests in testdata. A change that
-// is meant to decide otherwise writes them anew with -update.
+// TestDecisionsAreAsBefore guards against unintended changes of any decision: it compares a digest of all
+// decisions under fixed seeds with the digests in testdata. After an intended change, write them anew with
+// -update.
 func TestDecisionsAreAsBefore(t *testing.T) {
 	var got []string
 	for n, g := range goldenScenarios() {
@@ -386,11 +389,11 @@
 	}
 	lines := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
 	if len(lines) != len(got) {
-		t.Fatalf("%d scenarios, %d in %s", len(got), len(lines), goldenFile)
+		t.Fatalf("there are %d scenarios, but %d lines in %s", len(got), len(lines), goldenFile)
 	}
 	for n, line := range got {
 		if line != lines[n] {
-			t.Errorf("is  %s\nwas %s", line, lines[n])
+			t.Errorf("got  %s\nwant %s", line, lines[n])
 		}
 	}
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -71,12 +71,12 @@
 
 // ReceiveGossip records a message from the balancer with the given index. Messages from unknown balancers and
 // for other versions of the endpoint list are ignored.
-func (b *Balancer) ReceiveGossip(from int, message GossipMessage) {
+func (b *Balancer) ReceiveGossip(sender int, message GossipMessage) {
 	newest := b.newestPool()
-	if from < 0 || from >= len(b.gossip.peers) || message.VersionHash != newest.versionHash {
+	if sender < 0 || sender >= len(b.gossip.peers) || message.VersionHash != newest.versionHash {
 		return
 	}
-	peer := &b.gossip.peers[from]
+	peer := &b.gossip.peers[sender]
 	peer.loads = append(peer.loads, make([]float64, len(b.endpoints)-len(peer.loads))...)
 	peer.receivedAt = b.now
 	for n := 0; n < len(message.Loads) && message.Offset+n < len(newest.endpoints); n++ {
@@ -94,15 +94,15 @@
 	for _, e := range b.endpoints {
 		e.peerLoad = 0
 	}
-	current := 0
+	currentPeers := 0
 	for _, peer := range b.gossip.peers {
 		if len(peer.loads) == 0 || b.now-peer.receivedAt > gossipTTL {
 			continue
 		}
-		current++
+		currentPeers++
 		for index, load := range peer.loads {
 			b.endpoints[index].peerLoad += load
 		}
 	}
-	b.gossip.isCurrent = 2*current >= b.config.Balancers-1 && current > 0
+	b.gossip.isCurrent = 2*currentPeers >= b.config.Balancers-1 && currentPeers > 0
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -2,13 +2,14 @@
 
 import "testing"
 
-// TestGossipedLoadFillsEndpoint has the load of other balancers count, unless the message is of another endpoint list or old.
+// TestGossipedLoadFillsEndpoint guards against gossip that is ignored or misused: the load of other balancers
+// must count once, but not if the message is for another endpoint list or has expired.
 func TestGossipedLoadFillsEndpoint(t *testing.T) {
 	d := testConfig()
 	d.Balancers, d.CanGossip, d.HasExactWeights = 3, true, true
 	b, other := newBalancer(d, warmEndpointList(4)), newBalancer(d, warmEndpointList(4))
 	key := uint64(0)
-	for id := SessionID(1); key == 0; id++ { // a key whose first endpoint is 100
+	for id := SessionID(1); key == 0; id++ { // find a key whose first endpoint is 100
 		if addSession(t, b, SessionRequest{ID: id, Key: uint64(id)}).Endpoint == 100 {
 			key = uint64(id)
 		}
@@ -27,22 +28,22 @@
 		b.AdvanceClock(b.now + roundInterval)
 		allDecisions(b)
 		if got := first(SessionID(1000 + n)); (got == 100) != (n == 0) {
-			t.Fatalf("message %d: a session went to %d", n, got)
+			t.Fatalf("after message %d a session went to endpoint %d", n, got)
 		}
 	}
 	b.AdvanceClock(b.now + gossipTTL + roundInterval)
 	allDecisions(b)
 	if b.endpointByID[100].peerLoad != 0 || b.gossip.isCurrent {
-		t.Fatalf("%v still counts", b.endpointByID[100].peerLoad)
+		t.Fatalf("peer load %v still counts after the TTL", b.endpointByID[100].peerLoad)
 	}
-	b.ReceiveGossip(2, message) // twice: it counts once
+	b.ReceiveGossip(2, message) // received twice, but counted once
 	b.ReceiveGossip(2, message)
 	b.AdvanceClock(b.now + roundInterval)
 	allDecisions(b)
 	if b.endpointByID[100].peerLoad != 500 {
-		t.Fatalf("%v after one message that came twice", b.endpointByID[100].peerLoad)
+		t.Fatalf("peer load is %v after a message that came twice, want 500", b.endpointByID[100].peerLoad)
 	}
 	if n := count(allDecisions(other), SendGossip); n > 1 {
-		t.Fatalf("%d messages at once", n)
+		t.Fatalf("%d gossip messages are due at once", n)
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// testConfig is a configuration with one idempotent class. Tests change what they need.
+// testConfig returns a configuration with one idempotent class, which tests adapt.
 func testConfig() *Config {
 	return &Config{
 		Balancers: 1, Classes: []Class{{SetupObjective: 300 * ms, MessageObjective: 100 * ms, KeyTTL: 5 * time.Second, PriorityWeight: 1}},
@@ -16,7 +16,7 @@
 	}
 }
 
-// warmEndpointList returns n ready endpoints that have finished their slow start; the first ID is 100.
+// warmEndpointList returns n ready endpoints that have finished their slow start, with IDs from 100 on.
 func warmEndpointList(n int) []Endpoint {
 	var l []Endpoint
 	for i := range n {
@@ -25,7 +25,7 @@
 	return l
 }
 
-// startingAt sets the start of the entries list[from:to].
+// startingAt sets the start of the entries list[from:to] and returns the list.
 func startingAt(list []Endpoint, from, to int, at time.Duration) []Endpoint {
 	for i := range list[from:to] {
 		list[from+i].StartedAt = at
@@ -33,7 +33,7 @@
 	return list
 }
 
-// inZones distributes the entries of a list over zones in turn.
+// inZones assigns the entries of a list to zones in turn and returns the list.
 func inZones(list []Endpoint, zones int) []Endpoint {
 	for i := range list {
 		list[i].Zone = i % zones
@@ -41,13 +41,14 @@
 	return list
 }
 
+// newBalancer returns a balancer with a fixed seed and the given complete endpoint list.
 func newBalancer(d *Config, list []Endpoint) *Balancer {
 	b := New(d, 7)
 	b.UpdateEndpoints(list, true)
 	return b
 }
 
-// allDecisions calls Next until there is no decision left.
+// allDecisions calls Next until it returns no decision.
 func allDecisions(b *Balancer) []Decision {
 	var all []Decision
 	for d, ok := b.Next(); ok; d, ok = b.Next() {
@@ -56,6 +57,7 @@
 	return all
 }
 
+// count returns the number of decisions with the given action.
 func count(all []Decision, do Action) int {
 	n := 0
 	for _, d := range all {
@@ -81,6 +83,8 @@
 	return decisionFor(t, b, id)
 }
 
+// decisionFor takes all decisions and returns the one for a session, ignoring migrations. The test fails if
+// there is none.
 func decisionFor(t *testing.T, b *Balancer, id SessionID) Decision {
 	for _, d := range allDecisions(b) {
 		if d.Session == id && d.Action != Migrate {
@@ -91,10 +95,10 @@
 	return Decision{}
 }
 
-// sessionsPerCore is the number of sessions of establish that one core bears.
+// sessionsPerCore is the number of sessions, with the load that establish records, that one core can handle.
 const sessionsPerCore = 80
 
-// establish adds n sessions from an ID on and returns how many each endpoint got.
+// establish adds n sessions with ascending IDs, establishes them, and returns how many each endpoint got.
 func establish(t *testing.T, b *Balancer, id SessionID, n int) map[EndpointID]int {
 	held := map[EndpointID]int{}
 	for range n {
@@ -110,7 +114,7 @@
 	return held
 }
 
-// maxWithin returns the largest number of the ascending times that lie within one span.
+// maxWithin returns the largest number of the given ascending times that lie within one span.
 func maxWithin(at []time.Duration, span time.Duration) (most int) {
 	from := 0
 	for n := range at {
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -88,9 +88,9 @@
 
 // resumeWaiting queues the sessions that waited for the load report of the given endpoint, and those whose wait
 // has timed out.
-func (b *Balancer) resumeWaiting(reported *endpoint) {
+func (b *Balancer) resumeWaiting(polled *endpoint) {
 	b.waitingSessions = slices.DeleteFunc(b.waitingSessions, func(s *session) bool {
-		isDue := s.polledEndpoint == reported || s.reportDeadline <= b.now
+		isDue := s.polledEndpoint == polled || s.reportDeadline <= b.now
 		if isDue {
 			b.queue = append(b.queue, s)
 		}
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
+// TestCapacityIsKeptWhenLowLoadReportFollows guards against an assumed capacity that grows by a low demand,
+// reported only because the sessions have left.
 func TestCapacityIsKeptWhenLowLoadReportFollows(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(2))
 	establish(t, b, 1, 20)
 	b.RecordLoadReport(100, LoadReport{Demand: 2, Backlog: -1, Utilization: -1})
 	full := b.endpoints[0].capacity
 	if full >= b.endpoints[0].load {
-		t.Fatalf("capacity %v for a load of %v at twice the capacity", full, b.endpoints[0].load)
+		t.Fatalf("capacity is %v although a load of %v is twice the capacity", full, b.endpoints[0].load)
 	}
 	for id := SessionID(1); id <= 20; id++ {
 		if b.sessions[id].endpoint.index == 0 {
@@ -20,17 +22,18 @@
 	}
 	b.RecordLoadReport(100, LoadReport{Demand: 0.1, Backlog: -1, Utilization: -1})
 	if b.endpoints[0].capacity > full {
-		t.Fatalf("capacity grew from %v to %v on an empty endpoint", full, b.endpoints[0].capacity)
+		t.Fatalf("capacity grew from %v to %v at an empty endpoint", full, b.endpoints[0].capacity)
 	}
 }
 
-// TestManyBalancersPollLittleAfterCommonStart bounds the health checks of all balancers together.
+// TestManyBalancersPollLittleAfterCommonStart guards against too many health checks by many balancers that start
+// at the same time, and against any by those without sessions.
 func TestManyBalancersPollLittleAfterCommonStart(t *testing.T) {
 	d := testConfig()
 	d.HasLoadReports = true
 	checks := 0
 	all := newBalancers(t, 200, 0, d, warmEndpointList(20))
-	for _, b := range all[100:] { // the others hold no sessions and poll nothing
+	for _, b := range all[100:] { // the first 100 have no sessions and must not poll
 		for n := range 5 {
 			b.AdoptSession(SessionRequest{ID: SessionID(n + 1), Key: uint64(n + 1)}, EndpointID(100+n))
 		}
@@ -42,19 +45,20 @@
 			for _, dec := range allDecisions(b) {
 				if dec.Action == HealthCheck {
 					if checks++; k < 100 {
-						t.Fatal("a balancer without sessions polls")
+						t.Fatal("a balancer without sessions polls an endpoint")
 					}
 					b.HealthCheckEnded(dec.Endpoint, TimedOut)
 				}
 			}
 		}
 	}
-	if checks > 20*(20+2)*5 { // each endpoint 20 times a second at first, then less often
-		t.Fatalf("%d checks", checks)
+	if checks > 20*(20+2)*5 { // 20 per second for each endpoint at first, then fewer
+		t.Fatalf("%d health checks within 5 s", checks)
 	}
 }
 
-// TestWarmingEndpointIsPolledOnlyForItsOwnReports has no poll of a warming endpoint whose load the host would have to measure.
+// TestWarmingEndpointIsPolledOnlyForItsOwnReports guards against polls of a warming endpoint whose load the host
+// would have to measure, and against none if the endpoint reports its load itself.
 func TestWarmingEndpointIsPolledOnlyForItsOwnReports(t *testing.T) {
 	for _, own := range []bool{false, true} {
 		d := testConfig()
@@ -78,11 +82,13 @@
 			}
 		}
 		if held := b.activeSessions; held == 0 || (checks > 0) != own {
-			t.Errorf("endpoint reports %v: %d checks, %d held", own, checks, held)
+			t.Errorf("endpoint reports %v: %d health checks, %d active sessions", own, checks, held)
 		}
 	}
 }
 
+// TestSessionWaitsForLoadReportUntilTimeout guards against an attempt before the load report of its endpoint has
+// come, and against a session that waits too long for a report that does not come.
 func TestSessionWaitsForLoadReportUntilTimeout(t *testing.T) {
 	d := testConfig()
 	d.HasLoadReports = true
@@ -97,24 +103,26 @@
 			b.RecordLoadReport(all[0].Endpoint, LoadReport{Demand: 0.5, Backlog: -1, Utilization: -1})
 			b.HealthCheckEnded(all[0].Endpoint, Succeeded)
 		}
-		for n := 0; n < 9 && count(all, StartAttempt) == 0; n++ { // no report comes: the host calls at NextWakeup
+		for n := 0; n < 9 && count(all, StartAttempt) == 0; n++ { // without a report the host calls Next at NextWakeup
 			if all = allDecisions(b); count(all, StartAttempt) == 0 {
 				at, _ := b.NextWakeup()
 				b.AdvanceClock(at)
 			}
 		}
-		if count(all, StartAttempt) != 1 || answered && b.now > 0 || b.now > 225*ms { // three endpoints
-			t.Fatalf("answered %v: %+v at %v", answered, all, b.now)
+		if count(all, StartAttempt) != 1 || answered && b.now > 0 || b.now > 225*ms { // three waits of 75 ms, one for each endpoint
+			t.Fatalf("report sent is %v: decisions %+v at %v", answered, all, b.now)
 		}
 	}
 }
 
+// TestFreshLoadReportAdmitsOneSession guards against many sessions that are admitted by a single report of spare
+// capacity.
 func TestFreshLoadReportAdmitsOneSession(t *testing.T) {
 	d := testConfig()
 	d.HasLoadReports = true
 	b := newBalancer(d, warmEndpointList(1))
 	b.AdvanceClock(time.Second)
-	b.RecordLoadReport(100, LoadReport{Demand: 0.5, Backlog: -1, Utilization: -1}) // no session is held here: no capacity by the own load
+	b.RecordLoadReport(100, LoadReport{Demand: 0.5, Backlog: -1, Utilization: -1}) // without own sessions, this sets the assumed capacity to 0
 	for id, want := range []Action{StartAttempt, Reject} {
 		b.AdvanceClock(b.now + ms)
 		if got := addSession(t, b, SessionRequest{ID: SessionID(id + 1), Key: 1, Load: 500}); got.Action != want {
@@ -123,11 +131,12 @@
 	}
 }
 
-// TestOldLoadReportRejectsNobody has a new report of the endpoint polled before a session is rejected by an old one.
+// TestOldLoadReportRejectsNobody guards against rejecting a session by an old load report: an endpoint that
+// reports its load itself must be polled first.
 func TestOldLoadReportRejectsNobody(t *testing.T) {
 	for _, x := range []struct {
-		own  bool    // reports of the endpoints, not measurements
-		now  float64 // demand
+		own  bool    // reports come from the endpoints instead of measurements by the host
+		now  float64 // demand in the new report
 		want Action
 	}{{true, 0.5, StartAttempt}, {true, 0.8, Reject}, {false, 0.5, Reject}} {
 		d := testConfig()
@@ -148,8 +157,9 @@
 	}
 }
 
-// TestRefutedLoadReportsAreDistrustedInFailureDomain has one endpoint be slow, or reset a session, while it reports that it is
-// idle. The reports of its failure domain are then distrusted for a while.
+// TestRefutedLoadReportsAreDistrustedInFailureDomain guards against sessions that follow wrong reports of spare
+// capacity. If an endpoint is slow, or resets a session, while it reports that it is idle, the reports of its
+// failure domain are distrusted for a while.
 func TestRefutedLoadReportsAreDistrustedInFailureDomain(t *testing.T) {
 	for n := range 4 {
 		d := testConfig()
@@ -158,7 +168,7 @@
 		list[2].FailureDomain = 1
 		b := newBalancer(d, list)
 		b.AdoptSession(SessionRequest{ID: 1, Load: 1}, 100)
-		reportIdle := func() { // and nothing else shows spare capacity
+		reportIdle := func() { // a capacity of 0 makes the reports the only sign of spare capacity
 			for i, l := range list {
 				b.RecordLoadReport(l.ID, LoadReport{Demand: 0.1, Backlog: -1, Utilization: -1})
 				b.endpoints[i].capacity = 0
@@ -172,11 +182,11 @@
 		s := &session{class: &d.Classes[0], load: 1, polls: maxPolls}
 		search := selection{Balancer: b, session: s, totalWeight: 3, fairLoad: 100}
 		if same, other := search.skips(b.endpoints[1], relaxEjection), search.skips(b.endpoints[2], relaxEjection); same != d.HasEndpointReports || other {
-			t.Errorf("%d: the same failure domain is skipped: %v, another: %v", n, same, other)
+			t.Errorf("case %d: skipped in the same failure domain: %v, in another: %v", n, same, other)
 		}
 		b.AdvanceClock(distrustTTL + ms)
 		if reportIdle(); search.skips(b.endpoints[1], relaxEjection) {
-			t.Error("distrusted for good")
+			t.Error("reports are still distrusted after the TTL")
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// TestOutlierIsEjectedAndReadmittedAfterHealthChecks guards against a faulty endpoint that is not ejected, that
+// makes sessions fail, or that stays ejected although its health checks succeed.
 func TestOutlierIsEjectedAndReadmittedAfterHealthChecks(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(6))
 	for id := SessionID(1); id <= 60; id++ {
@@ -34,26 +36,30 @@
 		}
 	}
 	if b.endpoints[3].ejected || checks != healthyThreshold {
-		t.Fatalf("ejected %v after %d checks", b.endpoints[3].ejected, checks)
+		t.Fatalf("ejected is %v after %d health checks", b.endpoints[3].ejected, checks)
 	}
 }
 
+// TestDeadEndpointsGetNoMoreAttempts guards against repeated attempts at unreachable endpoints while there are
+// more of them than may be ejected.
 func TestDeadEndpointsGetNoMoreAttempts(t *testing.T) {
 	b, failed := newBalancer(testConfig(), warmEndpointList(9)), 0
-	for id := SessionID(1); id <= 60; id++ { // six of nine are dead, twice as many as may be ejected
+	for id := SessionID(1); id <= 60; id++ { // six of nine endpoints are dead, twice as many as may be ejected
 		b.AdvanceClock(b.now + 5*ms)
 		d := addSession(t, b, SessionRequest{ID: id, Key: uint64(id)})
 		for attempt := 0; d.Action == StartAttempt && d.Endpoint >= 103; attempt++ {
 			failed++
 			d = endAttempt(t, b, id, attempt, ConnectFailed)
 		}
-		b.AttemptEstablished(id, len(b.sessions[id].attempted)-1, ms)
+		b.AttemptEstablished(id, len(b.sessions[id].attemptedEndpoints)-1, ms)
 	}
 	if failed != 6 {
 		t.Fatalf("%d attempts at six dead endpoints", failed)
 	}
 }
 
+// TestEndpointThatShedLoadGetsFewAttempts guards against sessions that soon return to an endpoint that has just
+// reset its sessions because it is full.
 func TestEndpointThatShedLoadGetsFewAttempts(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(3))
 	establish(t, b, 1, 12)
@@ -74,11 +80,12 @@
 		}
 	}
 	if len(b.endpoints[1].sessions) > 0 || again > 3 {
-		t.Fatalf("attempted %d times in four seconds", again)
+		t.Fatalf("%d attempts at the full endpoint within 4 s", again)
 	}
 }
 
-// TestResetsWithSpareCapacityAreNoOverload has every endpoint reset some sessions: only those with a high demand are overloaded.
+// TestResetsWithSpareCapacityAreNoOverload guards against resets that count as overload although load reports
+// show spare capacity. All endpoints reset some sessions; only those with a high demand are overloaded.
 func TestResetsWithSpareCapacityAreNoOverload(t *testing.T) {
 	for demand, want := range map[float64]Action{0.1: StartAttempt, 0.6: Reject} {
 		b := newBalancer(testConfig(), warmEndpointList(3))
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -62,10 +62,10 @@
 
 // observeOverload updates overloadFraction and warmupWeight from the endpoints of the newest pool.
 func (b *Balancer) observeOverload() {
-	used, overloaded := 0, 0
+	usedEndpoints, overloaded := 0, 0
 	for _, e := range b.newestPool().endpoints {
 		if len(e.sessions) > 0 {
-			used++
+			usedEndpoints++
 			if b.exceeds(e, migrateThreshold) {
 				overloaded++
 			}
@@ -74,5 +74,5 @@
 			b.warmupWeight += b.zoneWeight(e, b.remoteZoneFactor, 3*minRemoteFactor) * min(1, warmupKeyFactor*factor)
 		}
 	}
-	b.overloadFraction = float64(overloaded) / float64(max(used, 1))
+	b.overloadFraction = float64(overloaded) / float64(max(usedEndpoints, 1))
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -6,11 +6,13 @@
 	"time"
 )
 
+// TestOverloadedEndpointGetsNoSessionsAndLosesFew guards against new sessions at an overloaded endpoint, and
+// against migrating none or more than its sessions.
 func TestOverloadedEndpointGetsNoSessionsAndLosesFew(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(5))
 	held, migrations := establish(t, b, 1, 50), 0
 	if len(held) != 5 {
-		t.Fatalf("only %d endpoints used", len(held))
+		t.Fatalf("only %d of 5 endpoints have sessions", len(held))
 	}
 	for s := range 8 {
 		b.AdvanceClock(time.Duration(s) * time.Second)
@@ -26,13 +28,15 @@
 		}
 	}
 	if migrations == 0 || migrations > held[102] {
-		t.Fatalf("%d of %d migrated", migrations, held[102])
+		t.Fatalf("%d of %d sessions migrated", migrations, held[102])
 	}
 }
 
+// TestManyBalancersDoNotEmptyOverloadedEndpoint guards against many balancers, each with few sessions at an
+// overloaded endpoint, that together migrate most of them.
 func TestManyBalancersDoNotEmptyOverloadedEndpoint(t *testing.T) {
 	migrations := 0
-	for seed := range uint64(200) { // each of them holds one or two of its sessions
+	for seed := range uint64(200) { // each has one or two sessions at the endpoint
 		b := New(testConfig(), seed*7919)
 		b.UpdateEndpoints(warmEndpointList(5), true)
 		establish(t, b, 1, 8)
@@ -45,6 +49,8 @@
 	}
 }
 
+// TestAllOverloadedRejectsAtOnce guards against attempts while all endpoints are overloaded, and against rejects
+// after the recorded latencies have expired.
 func TestAllOverloadedRejectsAtOnce(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(3))
 	for s := range EndpointID(3) {
@@ -53,20 +59,23 @@
 	if d := addSession(t, b, SessionRequest{ID: 1, Key: 1}); d.Action != Reject || d.Duration <= 0 {
 		t.Fatalf("%+v", d)
 	}
-	b.AdvanceClock(latencyTTL + time.Second) // latencies that are not recorded again expire
+	b.AdvanceClock(latencyTTL + time.Second) // recorded latencies expire
 	if d := addSession(t, b, SessionRequest{ID: 2, Key: 1}); d.Action != StartAttempt {
 		t.Fatalf("%+v", d)
 	}
 }
 
-// TestOverloadMigrationFollowsLoadReport has a small deployment migrate the excess that a load report shows, once for each
-// report, and a large one only a small part, as each balancer gets its own report.
+// TestOverloadMigrationFollowsLoadReport guards against migrating too little or too much of an overload that a
+// load report shows. A small deployment migrates the excess, once for each report. A large one migrates only a
+// small part, because each balancer gets its own report.
 func TestOverloadMigrationFollowsLoadReport(t *testing.T) {
 	for _, balancers := range []int{1, 80} {
 		t.Run(fmt.Sprint(balancers), func(t *testing.T) { checkOverloadMigration(t, balancers) })
 	}
 }
 
+// checkOverloadMigration overloads one of four endpoints by a load report and checks the migrated part of its
+// sessions.
 func checkOverloadMigration(t *testing.T, balancers int) {
 	d := testConfig()
 	d.HasLoadReports, d.Balancers = true, balancers
@@ -74,7 +83,7 @@
 	report := func(first float64) {
 		for _, l := range warmEndpointList(4) {
 			b.RecordLoadReport(l.ID, LoadReport{Demand: first, Backlog: -1, Utilization: -1})
-			first = 0.1 // of the other endpoints
+			first = 0.1 // at the other endpoints
 		}
 	}
 	report(0.1)
@@ -85,11 +94,12 @@
 		b.AdvanceClock(b.now + 100*ms)
 		migrated[step/10] += count(allDecisions(b), Migrate)
 	}
-	// 0.8 of the excess of 1.6 over 0.85; then an eighth, as the report has been used.
+	// A small deployment migrates 0.8 of the excess of 1.6 over 0.85 at first, and then an eighth of the
+	// sessions, because the report has been used.
 	if balancers > 1 && migrated[0] > held[100]/4 {
-		t.Fatalf("of %d %v were migrated", held[100], migrated)
+		t.Fatalf("of %d sessions %v migrated, by second", held[100], migrated)
 	}
 	if part := float64(migrated[0]) / float64(held[100]); balancers == 1 && (part < 0.25 || part > 0.5 || migrated[1]*2 > migrated[0]) {
-		t.Fatalf("of %d %v were migrated", held[100], migrated)
+		t.Fatalf("of %d sessions %v migrated, by second", held[100], migrated)
 	}
 }
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestPoolsAreFrozenCountedAndCapped guards against pools that change while they have sessions, pile up, or are
+// kept without sessions, and against sessions that lose their endpoint with their pool.
 func TestPoolsAreFrozenCountedAndCapped(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(3))
 	establish(t, b, 1, 1)
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestBalancersAgreeOnKey guards against balancers that choose different endpoints for the same key, because
+// their lists have another order.
 func TestBalancersAgreeOnKey(t *testing.T) {
 	back := warmEndpointList(9)
 	slices.Reverse(back)
@@ -12,7 +14,7 @@
 	for k := SessionID(1); k <= 40; k++ {
 		x, y := addSession(t, b, SessionRequest{ID: k, Key: uint64(k)}), addSession(t, c, SessionRequest{ID: k, Key: uint64(k)})
 		if x.Endpoint != y.Endpoint {
-			t.Fatalf("key %d: %d and %d", k, x.Endpoint, y.Endpoint)
+			t.Fatalf("key %d: endpoints %d and %d", k, x.Endpoint, y.Endpoint)
 		}
 		for _, either := range []*Balancer{b, c} {
 			either.AttemptEstablished(k, 0, ms)
@@ -20,10 +22,12 @@
 		}
 	}
 	if len(b.rankBuffer) != 9 || b.activeSessions != 0 {
-		t.Fatalf("%d endpoints ranked, %d sessions left", len(b.rankBuffer), b.activeSessions)
+		t.Fatalf("%d endpoints were ranked, %d sessions are left", len(b.rankBuffer), b.activeSessions)
 	}
 }
 
+// TestLargeGroupsSpreadAndSmallOnesStayTogether guards against a large group that stays at few endpoints, and a
+// small one that spreads over many.
 func TestLargeGroupsSpreadAndSmallOnesStayTogether(t *testing.T) {
 	place := func(groups uint64) int {
 		b, on := newBalancer(testConfig(), warmEndpointList(10)), map[EndpointID]bool{}
@@ -37,10 +41,11 @@
 		return len(on)
 	}
 	if big, small := place(2), place(30); big < 5 || small > 2 {
-		t.Fatalf("a group of half the sessions lies on %d endpoints, one of a thirtieth on %d", big, small)
+		t.Fatalf("a group of 1/2 of the sessions is at %d endpoints, one of 1/30 at %d", big, small)
 	}
 }
 
+// TestOwnZoneIsPreferredByCrossZoneCost guards against a cost of connections to another zone that has no effect.
 func TestOwnZoneIsPreferredByCrossZoneCost(t *testing.T) {
 	d := testConfig()
 	d.CrossZoneCost = 0.1
@@ -51,12 +56,12 @@
 		}
 	}
 	if own < 35 {
-		t.Fatalf("%d of 40 in the own zone", own)
+		t.Fatalf("%d of 40 sessions are in the balancer's own zone", own)
 	}
 }
 
-// TestManyBalancersShareVersionAndAffinitySet has each balancer hold so few sessions that chance alone could enlarge a group's
-// affinity set.
+// TestManyBalancersShareVersionAndAffinitySet guards against many balancers with few sessions each that spread a
+// group over too many endpoints: there, random variation alone could enlarge the affinity set.
 func TestManyBalancersShareVersionAndAffinitySet(t *testing.T) {
 	on, first := map[EndpointID]int{}, []*endpoint(nil)
 	for k, b := range newBalancers(t, 200, 0, testConfig(), warmEndpointList(40)) {
@@ -79,12 +84,12 @@
 		most = max(most, n)
 	}
 	if 2*most < 4*200 {
-		t.Fatalf("%d of 800 sessions of a group on one endpoint, the others on %d", most, len(on)-1)
+		t.Fatalf("%d of 800 sessions of a group are at one endpoint, the others at %d endpoints", most, len(on)-1)
 	}
 }
 
-// TestManyBalancersInThreeZonesKeepGroupTogether has small groups share one affinity set over all zones, while a balancer
-// that holds many sessions of each group keeps them in its zone.
+// TestManyBalancersInThreeZonesKeepGroupTogether guards against small groups that get an affinity set in each
+// zone, and against a balancer with many sessions of each group that uses other zones.
 func TestManyBalancersInThreeZonesKeepGroupTogether(t *testing.T) {
 	places := func(balancers, each, groups int) (all, crossed int) {
 		at := map[[2]uint64]bool{}
@@ -106,11 +111,12 @@
 	}
 	all, _ := places(80, 5, 30)
 	if _, crossed := places(1, 300, 5); all > 45 || crossed > 0 {
-		t.Errorf("30 groups at %d endpoints; %d of a large balancer's sessions cross zones", all, crossed)
+		t.Errorf("30 groups have %d endpoints in total; %d sessions of a large balancer are in another zone", all, crossed)
 	}
 }
 
-// TestWarmingEndpointsDoNotCountInReach has a group whose first endpoints all warm up reach the warm ones after them.
+// TestWarmingEndpointsDoNotCountInReach guards against rejecting a group whose first endpoints are all warming
+// up while endpoints after them are warm and empty.
 func TestWarmingEndpointsDoNotCountInReach(t *testing.T) {
 	d := testConfig()
 	d.Balancers, d.CanHealthCheck = 1000, false
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -95,7 +95,7 @@
 // by the given comparison.
 func migratableSessions(e *endpoint, compare func(x, y *session) int) []*session {
 	sessions := slices.DeleteFunc(slices.Clone(e.sessions), func(s *session) bool {
-		return s.state != stateEstablished || s.migrating
+		return s.state != stateEstablished || s.migrationPlanned
 	})
 	slices.SortStableFunc(sessions, compare)
 	return sessions
@@ -115,7 +115,7 @@
 
 // migrate plans to migrate a session.
 func (b *Balancer) migrate(s *session) {
-	s.migrating = true
+	s.migrationPlanned = true
 	b.plannedDecisions = append(b.plannedDecisions, Decision{Action: Migrate, Session: s.id})
 }
 
@@ -137,14 +137,14 @@
 // replacementEndpoint returns the endpoint at which an established session would be placed if it arrived now, or
 // nil if there is none.
 func (b *Balancer) replacementEndpoint(s *session) *endpoint {
-	again := *s
-	again.state = stateIdle
-	again.attempts = 0
-	again.attempted = nil
-	again.mayHaveRunOn = nil
-	again.countedInWarmupDemand = false
-	again.polls = maxPolls // a migration does not wait for a load report
-	return b.selectEndpoint(&again, relaxNone)
+	candidate := *s
+	candidate.state = stateIdle
+	candidate.attempts = 0
+	candidate.attemptedEndpoints = nil
+	candidate.mayHaveRunOn = nil
+	candidate.countedInWarmupDemand = false
+	candidate.polls = maxPolls // a migration does not wait for a load report
+	return b.selectEndpoint(&candidate, relaxNone)
 }
 
 // refillWarmingEndpoints plans to migrate sessions to warming endpoints at which they would be placed now.
@@ -154,7 +154,7 @@
 	for n := int(expected + b.random.float64()); n > 0 && b.canRefill(); n-- {
 		s := b.randomSession()
 		from := s.endpoint
-		if s.state != stateEstablished || s.migrating || from.State != Ready || b.isWarmingUp(from) {
+		if s.state != stateEstablished || s.migrationPlanned || from.State != Ready || b.isWarmingUp(from) {
 			continue
 		}
 		if target := b.replacementEndpoint(s); target != nil && b.isWarmingUp(target) {
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -66,9 +66,9 @@
 func (b *Balancer) isRetryBudgetSpent(s *session) bool {
 	established := b.recentCounts.established
 	failed := b.recentCounts.failed + b.recentCounts.late
-	base := baseAttempts * (established + 1) / (established + failed + 1) / float64(b.config.Balancers)
-	expected := established * s.class.SetupObjective.Seconds() / recentWindow.Seconds()
-	budget := math.Floor(base + expected + b.random.float64())
+	baseBudget := baseAttempts * (established + 1) / (established + failed + 1) / float64(b.config.Balancers)
+	expectedPending := established * s.class.SetupObjective.Seconds() / recentWindow.Seconds()
+	budget := math.Floor(baseBudget + expectedPending + b.random.float64())
 	if b.rejectsInARow >= maxRejectsInARow && b.now-b.lastAttemptAt >= recentWindow {
 		return false
 	}
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestRetryBudgetDoesNotRejectAllForLong has all attempts fail at one of 300 balancers. It may reject most sessions, but not all
-// for four seconds, or it would not notice a recovery; and it makes few attempts, as all balancers together would overload
-// what has failed.
+// TestRetryBudgetDoesNotRejectAllForLong guards against two failures of a balancer, one of 300, at which all
+// attempts fail. If it rejected every session for four seconds, it would not notice a recovery. If it made many
+// attempts, all balancers together would overload what has failed.
 func TestRetryBudgetDoesNotRejectAllForLong(t *testing.T) {
 	type pendingAttempt struct {
 		Decision
@@ -60,17 +60,19 @@
 			}
 		}
 		if worst > 0 {
-			t.Errorf("%s: rejected 15 or more, all of them, for %d ms", c.name, worst)
+			t.Errorf("%s: every session (at least 15) was rejected for %d ms", c.name, worst)
 		}
-		// Once the budget is spent, one attempt a second at most.
+		// Once the budget is spent, at most one attempt per second is allowed.
 		const spentAfter = 10 * time.Second
 		from, _ := slices.BinarySearch(attempts, spentAfter)
 		if n, most := len(attempts)-from, int((lasts-spentAfter)/time.Second); n > most {
-			t.Errorf("%s: %d attempts in %v while all fail, at most %d are wanted", c.name, n, lasts-spentAfter, most)
+			t.Errorf("%s: %d attempts within %v while all fail, want at most %d", c.name, n, lasts-spentAfter, most)
 		}
 	}
 }
 
+// TestSharedFailureSpendsRetryBudgetAndEjectsFew guards against retries and ejections that do not help when
+// attempts fail at all endpoints alike, and against rejects that go on after the failure.
 func TestSharedFailureSpendsRetryBudgetAndEjectsFew(t *testing.T) {
 	b, attempts := newBalancer(testConfig(), warmEndpointList(9)), 0
 	for id := SessionID(1); id <= 1000; id++ {
@@ -81,7 +83,7 @@
 			d = endAttempt(t, b, id, attempt, Failed)
 		}
 		if d.Action != Reject || d.Duration <= 0 || d.Duration > time.Second {
-			t.Fatalf("no reject with Retry-After: %+v", d)
+			t.Fatalf("want a reject with Retry-After, got %+v", d)
 		}
 	}
 	ejected := 0
@@ -93,20 +95,22 @@
 	if attempts > 150 || ejected > 3 {
 		t.Fatalf("%d attempts for 1000 sessions, %d endpoints ejected", attempts, ejected)
 	}
-	for id := SessionID(2001); b.now < 5*time.Second; id++ { // and sessions are admitted soon after the failure ends
+	for id := SessionID(2001); b.now < 5*time.Second; id++ { // the failure is over: sessions must soon be admitted
 		b.AdvanceClock(b.now + 10*ms)
 		if d := addSession(t, b, SessionRequest{ID: id, Key: uint64(id)}); d.Action == StartAttempt {
 			b.AttemptEstablished(id, 0, ms)
 		} else if b.now > 4*time.Second {
-			t.Fatal("still rejecting long after the failure")
+			t.Fatal("sessions are still rejected long after the failure")
 		}
 	}
 }
 
+// TestLateSetupsBoundPendingAttempts guards against a growing number of pending attempts while every setup
+// succeeds late, which indicates a queue.
 func TestLateSetupsBoundPendingAttempts(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(6))
 	most := 0
-	for id := SessionID(1); id < 200; id++ { // each setup succeeds, but late
+	for id := SessionID(1); id < 200; id++ { // each setup succeeds, but takes 500 ms
 		b.AdvanceClock(b.now + 20*ms)
 		addSession(t, b, SessionRequest{ID: id, Key: uint64(id)})
 		if late := id - 25; late > 0 {
@@ -121,7 +125,8 @@
 	}
 }
 
-// TestLateSetupsStopNoMigrationsUnderOverload has late setups count as failures only while few endpoints are overloaded.
+// TestLateSetupsStopNoMigrationsUnderOverload guards against late setups that stop the migrations away from
+// overloaded endpoints: they count as failures only while few endpoints are overloaded.
 func TestLateSetupsStopNoMigrationsUnderOverload(t *testing.T) {
 	for _, overloaded := range []int{0, 4} {
 		b := newBalancer(testConfig(), warmEndpointList(4))
@@ -135,7 +140,7 @@
 		b.AdvanceClock(b.now + roundInterval)
 		allDecisions(b)
 		if got := b.areRetriesFutile(); got != (overloaded == 0) {
-			t.Errorf("%d overloaded: futile %v", overloaded, got)
+			t.Errorf("%d endpoints overloaded: areRetriesFutile is %v", overloaded, got)
 		}
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -5,12 +5,14 @@
 	"time"
 )
 
+// TestEndpointIsSkippedAtTwiceTheMeanPlusTwo guards against a single key that loads its first endpoint with more
+// than twice the mean plus two sessions.
 func TestEndpointIsSkippedAtTwiceTheMeanPlusTwo(t *testing.T) {
 	b, held := newBalancer(testConfig(), warmEndpointList(4)), map[EndpointID]int{}
-	for id := SessionID(1); id <= 40; id++ { // one key: one endpoint, unless it is skipped
+	for id := SessionID(1); id <= 40; id++ { // a single key uses a single endpoint unless that is skipped
 		d := addSession(t, b, SessionRequest{ID: id, Key: 5})
 		if most := 2*float64(b.activeSessions-1)/4 + 3; float64(held[d.Endpoint]+1) > most {
-			t.Fatalf("endpoint %d holds %d of %d", d.Endpoint, held[d.Endpoint]+1, b.activeSessions)
+			t.Fatalf("endpoint %d has %d of %d sessions", d.Endpoint, held[d.Endpoint]+1, b.activeSessions)
 		}
 		held[d.Endpoint]++
 		b.AttemptEstablished(id, 0, ms)
@@ -20,8 +22,8 @@
 	}
 }
 
-// TestBeyondFairShareSpareCapacityIsProven has all sessions come to one balancer with one of five endpoints in its zone. That
-// one gets more than its fair share only after a load report has shown spare capacity.
+// TestBeyondFairShareSpareCapacityIsProven guards against an endpoint, the only one in the zone of a balancer
+// that gets all sessions, that gets more than its fair share before a load report has shown spare capacity.
 func TestBeyondFairShareSpareCapacityIsProven(t *testing.T) {
 	d := testConfig()
 	d.HasLoadReports, d.CrossZoneCost = true, 0.08
@@ -38,22 +40,23 @@
 	}
 	report(0)
 	if held := establish(t, b, 1, 100); held[100] > 33 || held[100] < 22 {
-		t.Errorf("without a load report it got %v", held)
+		t.Errorf("before a report of spare capacity the endpoints got %v", held)
 	}
 	report(0)
 	if held := establish(t, b, 201, 40); held[100] < 25 {
-		t.Errorf("with spare capacity it got %v", held)
+		t.Errorf("after a report of spare capacity the endpoints got %v", held)
 	}
-	b = newBalancer(d, warmEndpointList(5)) // an endpoint of four times the weight gets as much more
+	b = newBalancer(d, warmEndpointList(5)) // an endpoint with four times the weight gets more in proportion
 	report(0)
 	b.SetWeight(104, 4)
 	if held := establish(t, b, 1, 80); held[104] < 30 {
-		t.Errorf("by its weight it got %v", held)
+		t.Errorf("with weight 4 at endpoint 104 the endpoints got %v", held)
 	}
 }
 
-// TestEndpointsWithoutSessionsAreAssumedOverloaded has a balancer assume overload where it holds no session as often as it
-// sees overload where it does.
+// TestEndpointsWithoutSessionsAreAssumedOverloaded guards against sessions that move on to endpoints of unknown
+// load while all known ones are overloaded. A balancer must assume overload where it has no sessions as often as
+// it sees overload where it has some.
 func TestEndpointsWithoutSessionsAreAssumedOverloaded(t *testing.T) {
 	rejected := map[bool]int{}
 	for _, overloaded := range []bool{false, true} {
@@ -76,12 +79,13 @@
 		}
 	}
 	if rejected[false] > 0 || rejected[true] < 600 {
-		t.Fatalf("%v of 800 rejected", rejected)
+		t.Fatalf("rejected sessions of 800, by whether endpoints are overloaded: %v", rejected)
 	}
 }
 
-// TestWarmupKeyShareIsForSmallDeployments has warming endpoints refuse a part of the keys only in small deployments: in large
-// ones each balancer admits sessions by chance already.
+// TestWarmupKeyShareIsForSmallDeployments guards against a double limit on warming endpoints: only in small
+// deployments do they refuse a part of the keys, because in large ones each balancer already admits sessions at
+// random.
 func TestWarmupKeyShareIsForSmallDeployments(t *testing.T) {
 	for balancers, want := range map[int]int{2: 33, 100: 0} { // percent of the keys, at a slow-start factor of 0.4
 		d := testConfig()
@@ -96,11 +100,12 @@
 			}
 		}
 		if refused /= 10; refused < want-4 || refused > want+4 {
-			t.Errorf("%d balancers: %d of a hundred keys are refused", balancers, refused)
+			t.Errorf("%d balancers: %d%% of the keys are refused", balancers, refused)
 		}
 	}
 }
 
+// TestNoReadyEndpoint guards against sessions without an answer while no endpoint is ready.
 func TestNoReadyEndpoint(t *testing.T) {
 	for _, list := range [][]Endpoint{nil, {{ID: 1, State: Draining}, {ID: 2, State: Removed}}} {
 		if d := addSession(t, newBalancer(testConfig(), list), SessionRequest{ID: 1, Key: 1}); d.Action != Reject || d.Duration <= 0 {
@@ -109,10 +114,12 @@
 	}
 }
 
+// TestThousandsOfEndpointsAndBalancers guards against too many attempts at warming endpoints in an extremely
+// large deployment that has nothing else.
 func TestThousandsOfEndpointsAndBalancers(t *testing.T) {
 	list := warmEndpointList(4000)
 	for i := range list {
-		list[i].StartedAt, list[i].Zone = 0, 1+i%2 // all warming up, none in the own zone
+		list[i].StartedAt, list[i].Zone = 0, 1+i%2 // all are warming up, and none is in the balancer's zone
 	}
 	d := testConfig()
 	d.Balancers, d.CrossZoneCost = 1<<20, 0.1
--- a/policy/session.go
+++ b/policy/session.go
@@ -74,18 +74,18 @@
 	deadline    time.Duration // time by which the session must be established; never once it is
 	load        float64       // in microseconds of work per second
 
-	state        sessionState
-	hasAnswer    bool // the final answer has been given or is no longer wanted
-	migrating    bool // a migration is planned
-	attempts     int
-	maxAttempts  int
-	attempted    []*endpoint   // endpoints of all attempts, in order
-	attemptedAt  time.Duration // start of the newest attempt
-	endpoint     *endpoint     // endpoint of the newest attempt, nil before the first one
-	position     int           // index in endpoint.sessions
-	pool         *pool         // pool that placed the newest attempt
-	mayHaveRunOn *endpoint     // first endpoint at which the request may have run, nil if there is none
-	mayHaveRunAt time.Duration // start of the attempt there
+	state              sessionState
+	hasAnswer          bool // the final answer has been given or is no longer wanted
+	migrationPlanned   bool
+	attempts           int
+	maxAttempts        int
+	attemptedEndpoints []*endpoint   // endpoints of all attempts, in order
+	attemptedAt        time.Duration // start of the newest attempt
+	endpoint           *endpoint     // endpoint of the newest attempt, nil before the first one
+	position           int           // index in endpoint.sessions
+	pool               *pool         // pool that placed the newest attempt
+	mayHaveRunOn       *endpoint     // first endpoint at which the request may have run, nil if there is none
+	mayHaveRunAt       time.Duration // start of the attempt there
 
 	polledEndpoint        *endpoint     // endpoint whose load report the session last waited for
 	reportDeadline        time.Duration // end of the wait for that report, reset to 0 by the next decision
@@ -97,7 +97,7 @@
 func (s *session) isActive() bool { return s.state != stateIdle }
 
 func (s *session) hasAttempted(e *endpoint) bool {
-	return slices.Contains(s.attempted, e)
+	return slices.Contains(s.attemptedEndpoints, e)
 }
 
 // AddSession adds a new session, which will get exactly one final answer.
--- a/policy/session_test.go
+++ b/policy/session_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestAdoptedSessionAndLateEvents guards against an adopted session that gets a new attempt, and against effects
+// of events for sessions that have ended and endpoints that are unknown.
 func TestAdoptedSessionAndLateEvents(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(2))
 	b.AdoptSession(SessionRequest{ID: 9, Key: 9}, 101)
@@ -21,8 +23,8 @@
 	}
 }
 
-// TestReconfigureKeepsSessions replaces the classes and tenants: sessions keep the class that they came with, their endpoint
-// and their place in their tenant's count.
+// TestReconfigureKeepsSessions guards against sessions that change their class, endpoint or place in their
+// tenant's count when the classes and tenants are replaced.
 func TestReconfigureKeepsSessions(t *testing.T) {
 	d := testConfig()
 	d.Classes[0].Idempotency = NonIdempotent
@@ -35,15 +37,15 @@
 	now.Classes = append(now.Classes, now.Classes[0])
 	b.Reconfigure(now, []int{-1}, []int{-1})
 	if b.activeByTenant[0] != 2 || b.activeSessions != 2 {
-		t.Fatalf("%d of the tenants that are gone, %d held", b.activeByTenant[0], b.activeSessions)
+		t.Fatalf("%d active sessions of unknown tenants, %d in all", b.activeByTenant[0], b.activeSessions)
 	}
-	b.AttemptEnded(1, 0, false, Failed) // it may have run: no retry, by the class that it came with
+	b.AttemptEnded(1, 0, false, Failed) // the request may have run, and the class on arrival forbids a retry
 	if got := allDecisions(b); len(got) != 1 || got[0].Action != Fail {
-		t.Fatalf("%+v at %d", got, x.Endpoint)
+		t.Fatalf("decisions %+v after an attempt at endpoint %d", got, x.Endpoint)
 	}
 	b.Reconfigure(d, []int{0, -1}, nil)
 	b.AttemptEnded(2, 0, true, Succeeded)
 	if b.activeByTenant[0] != 0 || b.activeSessions != 0 || len(b.endpointByID[y.Endpoint].sessions) != 0 {
-		t.Fatalf("%v by tenant, %d held", b.activeByTenant, b.activeSessions)
+		t.Fatalf("active sessions by tenant %v, %d in all", b.activeByTenant, b.activeSessions)
 	}
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -134,7 +134,7 @@
 
 // canAttemptWarming reports whether an attempt for a session may be made at a warming endpoint.
 func (b *Balancer) canAttemptWarming(s *session, e *endpoint) bool {
-	used := b.warmupLoadInWindow(e)
+	usedLoad := b.warmupLoadInWindow(e)
 	if !s.countedInWarmupDemand {
 		s.countedInWarmupDemand = true
 		b.recentCounts.warmupDemand++
@@ -145,13 +145,13 @@
 	}
 	balancers := float64(b.config.Balancers)
 	load := b.relativeLoad(s)
-	own := capacity / balancers
+	ownShare := capacity / balancers
 	deviation := math.Sqrt(capacity)
-	if own >= 1 { // the rounded shares of all balancers add up to the capacity
-		return used+load <= math.Floor(own+2*deviation/balancers+b.roundingOffset(e))
+	if ownShare >= 1 { // the rounded shares of all balancers add up to the capacity
+		return usedLoad+load <= math.Floor(ownShare+2*deviation/balancers+b.roundingOffset(e))
 	}
-	own *= min(1+1/deviation, deviation/2) // less if the capacity is so small that a few heavy sessions exceed it
-	return used < math.Ceil(own*b.warmupAdmissionFactor(e)/load-b.warmupThreshold(s, e))
+	ownShare *= min(1+1/deviation, deviation/2) // less if the capacity is so small that a few heavy sessions exceed it
+	return usedLoad < math.Ceil(ownShare*b.warmupAdmissionFactor(e)/load-b.warmupThreshold(s, e))
 }
 
 // warmupLoadInWindow returns the load that this balancer has sent to a warming endpoint within the overload
