--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// startMeter begins a measurement. The result ends it and returns the processor time of one operation in ns, with garbage
-// collection, which a busy machine distorts less than wall-clock time.
+// startMeter starts a measurement. The returned function ends it and returns the processor time of one operation
+// in ns, including garbage collection. A busy machine distorts this less than wall-clock time.
 func startMeter(b *testing.B) func() float64 {
 	processor := func() time.Duration {
 		var u syscall.Rusage
@@ -29,7 +29,8 @@
 	}
 }
 
-// balancerWithSessions returns a balancer with sessions in groups at endpoints, and the bytes that it takes.
+// balancerWithSessions returns a balancer with established sessions, evenly distributed over groups and
+// endpoints, and the memory that it takes in bytes.
 func balancerWithSessions(endpoints, sessions, groups int) (*Balancer, uint64) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -46,7 +47,7 @@
 	return b, after.HeapAlloc - min(before.HeapAlloc, after.HeapAlloc)
 }
 
-// playSessions plays one session at a time from its arrival to its end, with a round each 250 sessions.
+// playSessions measures sessions one at a time, from arrival to end, with a round every 250 sessions.
 func playSessions(b *testing.B, bal *Balancer, groups int) {
 	established := 0
 	done := startMeter(b)
@@ -68,7 +69,7 @@
 	b.ReportMetric(1e9/done(), "sessions/core-s")
 }
 
-// BenchmarkBySessions, BenchmarkByGroups and BenchmarkByEndpoints play a session, by what is held meanwhile.
+// BenchmarkBySessions measures one session from arrival to end, by the number of sessions that the balancer has.
 func BenchmarkBySessions(b *testing.B) {
 	for _, sessions := range []int{1000, 3000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprintf("endpoints=100/groups=1000/sessions=%d", sessions), func(b *testing.B) {
@@ -79,6 +80,7 @@
 	}
 }
 
+// BenchmarkByGroups measures the same by the number of groups.
 func BenchmarkByGroups(b *testing.B) {
 	for _, groups := range []int{100, 1000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprintf("endpoints=100/sessions=100000/groups=%d", groups), func(b *testing.B) {
@@ -89,6 +91,7 @@
 	}
 }
 
+// BenchmarkByEndpoints measures the same by the number of endpoints.
 func BenchmarkByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{10, 100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("sessions=100000/groups=100000/endpoints=%d", endpoints), func(b *testing.B) {
@@ -99,7 +102,7 @@
 	}
 }
 
-// BenchmarkRejectByEndpoints rejects a session, as every endpoint is overloaded.
+// BenchmarkRejectByEndpoints measures the reject of a session while every endpoint is overloaded.
 func BenchmarkRejectByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("sessions=100000/groups=100000/endpoints=%d", endpoints), func(b *testing.B) {
@@ -124,7 +127,7 @@
 	}
 }
 
-// BenchmarkRoundByEndpoints runs a round, which is due four times a second.
+// BenchmarkRoundByEndpoints measures a round, which runs four times a second.
 func BenchmarkRoundByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("sessions=100000/groups=100000/endpoints=%d", endpoints), func(b *testing.B) {
@@ -139,7 +142,8 @@
 	}
 }
 
-// BenchmarkListByEndpoints applies a complete list that changes one endpoint's state, which makes a pool.
+// BenchmarkListByEndpoints measures a complete endpoint list in which the state of one endpoint has changed, so
+// that a new pool is made.
 func BenchmarkListByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
@@ -155,8 +159,9 @@
 	}
 }
 
-// BenchmarkLargestGroup has some of 4,600 balancers place 24 members each of a group of 110,000 beside 100,000 sessions of other
-// groups, and reports at how many endpoints the members are, and which part of them at the fullest.
+// BenchmarkLargestGroup lets 20 of 4,600 balancers each place 24 members of a group of 110,000, beside 100,000
+// sessions of other groups. It reports how many endpoints the members use, and the fraction of members at the
+// endpoint with the most.
 func BenchmarkLargestGroup(b *testing.B) {
 	const balancers, members, others = 20, 24, 100000
 	for _, endpoints := range []int{100, 1000, 5000} {
@@ -202,7 +207,7 @@
 	}
 }
 
-// newSettledBalancer returns a balancer with sessions in groups of twenty.
+// newSettledBalancer returns a balancer with established sessions in groups of about twenty.
 func newSettledBalancer(endpoints, sessions int) *Balancer {
 	d := testConfig()
 	d.Classes[0].SetupObjective = time.Minute
@@ -214,7 +219,7 @@
 	return b
 }
 
-// BenchmarkDecision plays a session from its arrival to its end, with a round each 250 sessions.
+// BenchmarkDecision measures one session from arrival to end, with a round every 250 sessions.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range [][2]int{{10, 1000}, {100, 1000}, {1000, 1000}, {100, 10000}, {100, 100000}, {1000, 100000}} {
 		b.Run(fmt.Sprintf("endpoints=%d/sessions=%d", size[0], size[1]), func(b *testing.B) {
@@ -236,7 +241,7 @@
 	}
 }
 
-// BenchmarkRound runs a round.
+// BenchmarkRound measures a round.
 func BenchmarkRound(b *testing.B) {
 	for _, size := range [][2]int{{10, 1000}, {100, 10000}, {1000, 100000}} {
 		b.Run(fmt.Sprintf("endpoints=%d/sessions=%d", size[0], size[1]), func(b *testing.B) {
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -9,13 +9,14 @@
 
 const (
 	fuzzSteps       = 1500
-	fuzzDrainAt     = 1300            // step from which some runs drain the balancer
-	fuzzWindow      = 2 * time.Second // of overload
-	sessionsPerFuzz = 4               // sessions that one core bears here
-	watchedSessions = 40              // the newest ones, which get events
+	fuzzDrainAt     = 1300            // step at which a third of the runs start draining the balancer
+	fuzzWindow      = 2 * time.Second // overload window, as in testConfig
+	sessionsPerFuzz = 4               // number of sessions that one core can handle in this test
+	watchedSessions = 40              // number of sessions that get events; they are the newest ones
 )
 
-// FuzzRules plays random events to a balancer and checks the four rules after each decision.
+// FuzzRules guards against any breach of the four rules of canAttempt: it sends random events to a balancer and
+// checks each decision.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(60) {
 		f.Add(seed)
@@ -28,7 +29,7 @@
 	})
 }
 
-// expectedSession is what the checker knows of a session, from the events and decisions alone.
+// expectedSession is what the checker knows about a session, derived only from events and decisions.
 type expectedSession struct {
 	class           Class
 	answers         int
@@ -39,11 +40,11 @@
 	deadline        time.Duration
 	attemptedAt     time.Duration
 	attemptDeadline time.Duration
-	mayHaveRunOn    int // the first endpoint at which it may have run, -1 for none
+	mayHaveRunOn    int // index of the first endpoint at which the request may have run, -1 for none
 	mayHaveRunAt    time.Duration
 }
 
-// ruleChecker plays events to one balancer and checks its decisions.
+// ruleChecker sends events to one balancer and checks its decisions.
 type ruleChecker struct {
 	*testing.T
 	*rand.Rand
@@ -51,11 +52,11 @@
 	step      int
 	config    *Config
 	list      []Endpoint
-	startedAt []time.Duration // by the clock of the test; 0 for endpoints that were never restarted
+	startedAt []time.Duration // start of each endpoint on the test's clock, 0 if it was never restarted
 	balancer  *Balancer
 	sessions  map[SessionID]*expectedSession
 	ids       []SessionID
-	warmups   [][]time.Duration // attempts at each endpoint while it warms up
+	warmups   [][]time.Duration // times of the attempts at each endpoint while it is warming up
 }
 
 func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
@@ -97,16 +98,16 @@
 
 func (r *ruleChecker) drawEndpoints() {
 	r.list = warmEndpointList(1 + r.IntN(8))
-	if r.seed%5 == 1 { // one ready endpoint
+	if r.seed%5 == 1 { // a single ready endpoint
 		r.list = r.list[:1]
 	}
 	for i := range r.list {
 		r.list[i].Zone = r.IntN(2)
 		r.list[i].FailureDomain = r.IntN(3)
 		switch r.seed % 5 {
-		case 2: // no endpoint in the own zone
+		case 2: // no endpoint in the zone of the balancer
 			r.list[i].Zone = 1
-		case 3: // all warm up
+		case 3: // all endpoints are warming up
 			r.list[i].StartedAt = 0
 		}
 	}
@@ -128,10 +129,10 @@
 	r.checkNoneIsHeldBack()
 }
 
-// playEvent plays one random event, where it names an endpoint for the one at index k.
+// playEvent simulates one random event. Events of a single endpoint happen at the endpoint with index k.
 func (r *ruleChecker) playEvent(k int) {
 	b := r.balancer
-	if r.seed%5 == 4 { // all are overloaded, all the time
+	if r.seed%5 == 4 { // all endpoints are always overloaded
 		b.RecordLatency(r.list[r.step%len(r.list)].ID, time.Second)
 	}
 	switch r.IntN(12) {
@@ -155,7 +156,7 @@
 			b.UpdateEndpoints(r.list, true)
 			return
 		}
-		message := b.gossipMessage() // of another balancer, right or damaged
+		message := b.gossipMessage() // a message from another balancer, valid or not
 		message.Offset = r.IntN(3)
 		message.VersionHash ^= uint32(r.IntN(2))
 		b.ReceiveGossip(r.IntN(6)-1, message)
@@ -195,7 +196,7 @@
 	}
 }
 
-// endAttempt has an attempt establish its session or fail.
+// endAttempt makes an attempt either establish its session or fail.
 func (r *ruleChecker) endAttempt(id SessionID, s *expectedSession) {
 	b := r.balancer
 	outcome := Outcome(1 + r.IntN(7))
@@ -224,14 +225,14 @@
 	case Reject, Fail:
 		s.answers++
 		if s.answers > 1 || s.attempting || s.established {
-			r.Fatalf("step %d: one final answer: %+v for %+v", r.step, decision, s)
+			r.Fatalf("step %d: more than one final answer: %+v for %+v", r.step, decision, s)
 		}
 		if decision.Action == Reject && !r.isRetrySafe(s) {
-			r.Fatalf("step %d: no effect happens twice: rejected %+v", r.step, s)
+			r.Fatalf("step %d: a retry of a rejected session could repeat its effect: %+v", r.step, s)
 		}
 	case Migrate:
 		if !s.established {
-			r.Fatalf("step %d: migrated %+v", r.step, s)
+			r.Fatalf("step %d: migrated a session that is not established: %+v", r.step, s)
 		}
 	}
 }
@@ -247,17 +248,17 @@
 func (r *ruleChecker) checkAttempt(decision Decision, s *expectedSession) {
 	b := r.balancer
 	if b.isDraining() {
-		r.Fatalf("step %d: attempted while draining: %+v", r.step, decision)
+		r.Fatalf("step %d: attempt while the balancer is draining: %+v", r.step, decision)
 	}
 	isOwed := s.answers == 0 && !s.attempting && !s.established
 	isInTime := b.now < s.deadline && b.now+decision.Duration <= s.deadline
 	if !isOwed || !isInTime || s.attempts >= r.config.MaxAttempts {
-		r.Fatalf("step %d: no session is lost: %+v for %+v", r.step, decision, s)
+		r.Fatalf("step %d: attempt that is not allowed any more: %+v for %+v", r.step, decision, s)
 	}
 	k := int(decision.Endpoint - 100)
 	r.checkIdempotency(s, k)
 	if r.list[k].State != Ready {
-		r.Fatalf("step %d: draining endpoints get nothing: %+v", r.step, decision)
+		r.Fatalf("step %d: attempt at an endpoint that is not ready: %+v", r.step, decision)
 	}
 	if r.isWarming(k) {
 		r.checkWarmup(k)
@@ -277,7 +278,7 @@
 	inScope := s.class.KeyScope == KeyScopeAll ||
 		is.Zone == was.Zone && (s.class.KeyScope == KeyScopeZone || is.FailureDomain == was.FailureDomain)
 	if s.class.Idempotency == NonIdempotent || !inScope || r.balancer.now >= s.mayHaveRunAt+s.class.KeyTTL {
-		r.Fatalf("step %d: no effect happens twice: attempted again %+v", r.step, s)
+		r.Fatalf("step %d: an attempt could repeat an effect: %+v", r.step, s)
 	}
 }
 
@@ -285,7 +286,8 @@
 	return r.list[k].StartedAt != StartedLongAgo && r.balancer.now-r.startedAt[k] < r.config.SlowStartWindow
 }
 
-// checkWarmup checks the attempts at a warming endpoint, with one more, against what it bears in a window by the rule.
+// checkWarmup checks that the attempts at a warming endpoint, including the new one, do not overload it in a
+// window.
 func (r *ruleChecker) checkWarmup(k int) {
 	b := r.balancer
 	attempts := 1
@@ -295,7 +297,7 @@
 		}
 	}
 	r.warmups[k] = append(r.warmups[k], b.now)
-	warm := float64(sessionsPerFuzz) // or what a warm endpoint is seen to hold
+	warm := float64(sessionsPerFuzz) // capacity of a warm endpoint: of one core, or what a warm endpoint is seen to have
 	for j, entry := range r.list {
 		if !r.isWarming(j) {
 			warm = max(warm, float64(len(b.endpointByID[entry.ID].sessions)+1))
@@ -304,7 +306,7 @@
 	share := fuzzWindow.Seconds() / r.config.SlowStartWindow.Seconds()
 	bears := warm * r.config.OverloadMultiple * share * float64(r.config.Balancers)
 	if limit := bears + 2*math.Sqrt(bears) + 2; float64(attempts) > limit {
-		r.Fatalf("step %d: a warming endpoint is not overloaded: %d attempts in a window, %v at most", r.step, attempts, limit)
+		r.Fatalf("step %d: a warming endpoint is overloaded: %d attempts in a window, want at most %v", r.step, attempts, limit)
 	}
 }
 
@@ -315,7 +317,7 @@
 			continue
 		}
 		if held := r.balancer.sessions[id]; held == nil || held.reportDeadline <= r.balancer.now {
-			r.Fatalf("step %d: session %d is held back", r.step, id)
+			r.Fatalf("step %d: session %d has no answer, no attempt, and no load report to wait for", r.step, id)
 		}
 	}
 }
--- a/policy/slow_start_model_test.go
+++ b/policy/slow_start_model_test.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
+// slowStartDeployments is the number of random deployments of TestSlowStartOverloadsNoEndpoint.
 var slowStartDeployments = flag.Int("cold", 120, "deployments drawn for TestSlowStartOverloadsNoEndpoint; 5000 take two minutes")
 
-// fault is what sends sessions to the warming endpoints.
+// fault is the event that sends sessions to the warming endpoints.
 type fault int
 
 const (
 	faultGroupsReturn      fault = iota // the members of a few groups reconnect within a second
 	faultReconnectWave                  // a third of all clients reconnect within a second
-	faultBalancersKilled                // 70% of the balancers are killed, their clients reconnect within two seconds
+	faultBalancersKilled                // 70% of the balancers are killed, and their clients reconnect within two seconds
 	faultEndpointsReplaced              // 60% of the endpoints are replaced within seven seconds
-	faultLateLists                      // as faultGroupsReturn, and 30% of the balancers learn of the starts two seconds late
+	faultLateLists                      // like faultGroupsReturn, but 30% of the balancers learn two seconds late that endpoints have started
 	faultCount
 )
 
@@ -27,19 +28,19 @@
 	return [...]string{"groups return", "reconnect wave", "balancers killed", "endpoints replaced", "late lists"}[x]
 }
 
-// slowStartModel is a deployment with simulated endpoints. Their capacity is drawn here and unknown to the balancers; what they
-// bear is computed without constants of the package under test.
+// slowStartModel is a deployment with simulated endpoints. Their capacity is random and not known to the
+// balancers. What they can handle is computed without constants of the package under test.
 type slowStartModel struct {
 	fault     fault
 	uneven    bool // a tenth of the balancers get 70% of the clients
 	config    Config
 	endpoints int
-	capacity  float64 // sessions of mean load that fill the larger machine type once it is warm
-	smaller   float64 // capacity of the other machine type, as a part of it
-	held      float64 // part of the total capacity, while all endpoints are warm
-	cores     float64 // of the smaller machine type
-	heavy     float64 // load of one session in ten, over that of the others
-	sigma     float64 // of the lognormal load within a class
+	capacity  float64 // capacity of the larger machine type once it is warm, in sessions of mean load
+	smaller   float64 // capacity of the other machine type relative to it
+	held      float64 // used fraction of the total capacity while all endpoints are warm
+	cores     float64 // number of cores of the smaller machine type
+	heavy     float64 // load of one session in ten, relative to that of the others
+	sigma     float64 // standard deviation of the logarithm of the load within a class
 }
 
 func (w slowStartModel) String() string {
@@ -48,7 +49,8 @@
 		w.sigma, w.config.SlowStartFloor, w.config.SlowStartWindow, w.config.OverloadWindow, w.config.OverloadMultiple)
 }
 
-// drawSlowStartModel draws a deployment; the number of sessions is bounded to bound the time of the test.
+// drawSlowStartModel returns a random deployment. The number of sessions is limited to limit the duration of the
+// test.
 func drawSlowStartModel(seed uint64) slowStartModel {
 	const maxSessions = 6000
 	r := rand.New(rand.NewPCG(seed, 1))
@@ -60,7 +62,7 @@
 			sigma: r.Float64(),
 		}
 		w.config.Balancers, w.config.CanHealthCheck = int(between(2, 350)), false
-		w.config.Classes = append(w.config.Classes, w.config.Classes[0]) // the class of heavy sessions
+		w.config.Classes = append(w.config.Classes, w.config.Classes[0]) // class 1 is that of heavy sessions
 		w.config.SlowStartFloor, w.config.OverloadMultiple = between(0.05, 0.4), between(1.5, 4)
 		w.config.SlowStartWindow = time.Duration(between(5, 60) * float64(time.Second))
 		w.config.OverloadWindow = time.Duration(between(0.5, 6) * float64(time.Second))
@@ -72,7 +74,8 @@
 	}
 }
 
-// warmCapacity is what an endpoint bears once it is warm, in sessions of mean load. Every third one is of the smaller type.
+// warmCapacity returns the number of sessions of mean load that an endpoint can handle once it is warm. Every
+// third endpoint is of the smaller machine type.
 func (w slowStartModel) warmCapacity(endpoint int) float64 {
 	if endpoint%3 == 2 {
 		return w.capacity * w.smaller
@@ -80,17 +83,18 @@
 	return w.capacity
 }
 
-// windowCapacity is N of the rule at an age: OverloadMultiple times the slow-start factor times the load that comes in a window
-// if it fills the endpoint evenly over the slow start.
+// windowCapacity returns N of the overload rule for an endpoint at an age: OverloadMultiple times the slow-start
+// factor times the load in a window if the endpoint is filled evenly over the slow start.
 func (w slowStartModel) windowCapacity(endpoint int, age time.Duration) float64 {
 	factor := min(1, w.config.SlowStartFloor+(1-w.config.SlowStartFloor)*float64(age)/float64(w.config.SlowStartWindow))
 	return w.config.OverloadMultiple * factor * w.warmCapacity(endpoint) * w.config.OverloadWindow.Seconds() / w.config.SlowStartWindow.Seconds()
 }
 
-// TestSlowStartOverloadsNoEndpoint has balancers that do not coordinate send, all together, no warming endpoint more in any window
-// than N + 2*sqrt(N) + 2 of the rule, whatever the fault and the deployment.
+// TestSlowStartOverloadsNoEndpoint guards against balancers that do not coordinate and together overload a
+// warming endpoint: none may get more than N + 2*sqrt(N) + 2 in any window, whatever the fault and the
+// deployment. It also guards against balancers that keep this limit by sending hardly anything.
 func TestSlowStartOverloadsNoEndpoint(t *testing.T) {
-	used := make([]float64, *slowStartDeployments) // part of the capacity, by deployment
+	used := make([]float64, *slowStartDeployments) // used fraction of the capacity, by deployment
 	t.Run("points", func(t *testing.T) {
 		for n := range *slowStartDeployments {
 			w := drawSlowStartModel(uint64(n))
@@ -109,14 +113,15 @@
 		sum += part
 	}
 	mean := sum / float64(*slowStartDeployments)
-	t.Logf("warming endpoints got %.3f of what they bear", mean)
+	t.Logf("warming endpoints got %.3f of their capacity", mean)
 	if mean < minUsedCapacity {
-		t.Errorf("warming endpoints got %.3f of what they bear: too little to prove anything", mean)
+		t.Errorf("warming endpoints got %.3f of their capacity: too little to test the limit", mean)
 	}
 }
 
-// minUsedCapacity is the part of their capacity that warming endpoints have to get, on the mean of all deployments.
+// minUsedCapacity is the fraction of their capacity that warming endpoints must get, averaged over all
+// deployments.
 const minUsedCapacity = 0.05
 
-// modelCoreCapacity is the work of one core, in microseconds a second.
+// modelCoreCapacity is the work of one core in microseconds per second.
 const modelCoreCapacity = 1e6
--- a/policy/slow_start_run_test.go
+++ b/policy/slow_start_run_test.go
@@ -10,41 +10,44 @@
 	"time"
 )
 
+// modelClient is a client, which reconnects after each end of its session.
 type modelClient struct {
 	key, group   uint64
 	class        int
-	load         float64 // of its class, over the mean: what the rule counts
-	recordedLoad float64 // of this client, over the mean: what is recorded
-	balancer     int     // that it is connected to, -1 for none
-	endpoint     int
+	load         float64 // mean load of the class relative to the overall mean, which counts for the overload rule
+	recordedLoad float64 // load of this client relative to the overall mean, which the balancers see
+	balancer     int     // index of the balancer to which the client is connected, -1 for none
+	endpoint     int     // index of its endpoint, -1 before an attempt
 	session      SessionID
-	returnsAt    time.Duration // while it is not connected
+	returnsAt    time.Duration // when the client reconnects
 }
 
+// modelAttempt is an attempt at an endpoint.
 type modelAttempt struct {
 	at       time.Duration
-	informed bool
+	informed bool // whether the balancer knew the start of the endpoint
 	load     float64
 }
 
-// slowStartRun is one run of a model.
+// slowStartRun is one simulation of a slowStartModel.
 type slowStartRun struct {
 	slowStartModel
 	*rand.Rand
 	now       time.Duration
 	list      []Endpoint
 	balancers []*Balancer
-	startedAt []time.Duration
-	informed  []bool
+	startedAt []time.Duration // start of each balancer
+	informed  []bool          // whether each balancer knows the starts of the endpoints
 	clients   []*modelClient
-	clientsOf []map[SessionID]*modelClient
-	load      []float64 // at each endpoint
-	attempts  [][]modelAttempt
+	clientsOf []map[SessionID]*modelClient // connected clients of each balancer
+	load      []float64                    // load at each endpoint, relative to the overall mean of a session
+	attempts  [][]modelAttempt             // attempts at each endpoint
 	lastID    SessionID
-	meanLoad  float64 // in microseconds of work a second
-	restarted map[int]bool
+	meanLoad  float64      // mean load of a session in microseconds of work per second
+	restarted map[int]bool // endpoints that have restarted
 }
 
+// modelStep is the simulated time of one step.
 const modelStep = 50 * ms
 
 func (x *slowStartRun) randomBalancer() int {
@@ -63,7 +66,8 @@
 	x.informed[k] = false
 }
 
-// sendList gives a balancer the endpoint list by its own clock; if not informed, it takes all endpoints for warm.
+// sendList gives a balancer the endpoint list with times on its own clock. If it is not informed, all endpoints
+// appear to be warm.
 func (x *slowStartRun) sendList(k int, informed bool) {
 	own := slices.Clone(x.list)
 	for i := range own {
@@ -103,7 +107,7 @@
 	return x
 }
 
-// addClients adds the clients of groups of five to sixty members; a few groups have most.
+// addClients adds the clients. They are in groups of 25 on average, and groups with a low number are larger.
 func (x *slowStartRun) addClients(totalCapacity float64) {
 	w := x.slowStartModel
 	groups := 1 + int(w.held*totalCapacity/25)
@@ -118,7 +122,7 @@
 	}
 }
 
-// placeAll connects all clients to the endpoints from an index on.
+// placeAll connects all clients to the endpoints from index firstWarm on.
 func (x *slowStartRun) placeAll(firstWarm int) {
 	for n, c := range x.clients {
 		k, i := x.randomBalancer(), firstWarm+n%(x.endpoints-firstWarm)
@@ -127,7 +131,7 @@
 		x.balancers[k].RecordLoad(x.lastID, 0, c.recordedLoad*x.meanLoad)
 		x.established(c, k, i, x.lastID)
 	}
-	for _, b := range x.balancers { // rounds in which the balancers learn their sessions
+	for _, b := range x.balancers { // run rounds, in which the balancers learn about their sessions
 		for at := 40 * time.Second; at < time.Minute; at += 250 * ms {
 			b.AdvanceClock(at)
 			allDecisions(b)
@@ -135,6 +139,7 @@
 	}
 }
 
+// established records that a client has a session at endpoint i by balancer k.
 func (x *slowStartRun) established(c *modelClient, k, i int, id SessionID) {
 	c.balancer = k
 	c.endpoint = i
@@ -143,7 +148,7 @@
 	x.load[i] += c.load
 }
 
-// disconnect ends a client's session; it reconnects after a while.
+// disconnect records the end of a client's session. The client reconnects after the given time.
 func (x *slowStartRun) disconnect(c *modelClient, after time.Duration) {
 	delete(x.clientsOf[c.balancer], c.session)
 	x.load[c.endpoint] -= c.load
@@ -154,23 +159,26 @@
 	return time.Duration(x.Float64() * float64(within))
 }
 
+// endSession ends a client's session at the balancer, too.
 func (x *slowStartRun) endSession(c *modelClient, how Outcome, after time.Duration) {
 	x.balancers[c.balancer].AttemptEnded(c.session, 0, true, how)
 	x.disconnect(c, after)
 }
 
-// restartEndpoint sets the start of an endpoint to an age.
+// restartEndpoint restarts an endpoint so that it has the given age now.
 func (x *slowStartRun) restartEndpoint(i int, age time.Duration) {
 	x.list[i].StartedAt, x.restarted[i] = x.now-age, true
 }
 
+// sendLists gives all balancers the endpoint list.
 func (x *slowStartRun) sendLists() {
 	for k := range x.balancers {
 		x.sendList(k, x.fault != faultLateLists || k%10 >= 3 || x.now > 2*time.Second)
 	}
 }
 
-// play runs the model. It returns the first overload, "" if there was none, and the used part of the capacity.
+// play simulates the model. It returns a description of the first overload, "" if there was none, and the used
+// fraction of the capacity of warming endpoints.
 func (w slowStartModel) play(seed uint64) (overload string, used float64) {
 	x := newSlowStartRun(w, seed)
 	warming := max(1, x.endpoints/3)
@@ -207,7 +215,8 @@
 	return x.evaluate(ends)
 }
 
-// evaluate returns the first overload, "" if there was none, and the used part of the capacity of warming endpoints.
+// evaluate returns a description of the first overload, "" if there was none, and the used fraction of the
+// capacity of warming endpoints.
 func (x *slowStartRun) evaluate(ends time.Duration) (overload string, used float64) {
 	got, bears := 0.0, 0.0
 	for i, all := range x.attempts {
@@ -229,7 +238,7 @@
 	return overload, got / max(bears, 1e-9)
 }
 
-// replaceEndpoints restarts endpoints and disconnects their clients.
+// replaceEndpoints restarts the endpoints with the given indices and disconnects their clients.
 func (x *slowStartRun) replaceEndpoints(from, to int) {
 	for i := from; i < to; i++ {
 		for _, c := range x.clients {
@@ -242,11 +251,12 @@
 	x.sendLists()
 }
 
+// injectFault applies the fault of the model, unless it is one that lasts for some time.
 func (x *slowStartRun) injectFault() {
 	if x.fault == faultBalancersKilled {
 		for k := range x.balancers {
 			if x.IntN(10) < 7 {
-				for _, c := range x.clients { // in their order: a random delay is drawn for each
+				for _, c := range x.clients { // in a fixed order, because a random delay is drawn for each
 					if c.balancer != k {
 						continue
 					}
@@ -272,7 +282,7 @@
 	}
 }
 
-// step has clients reconnect and carries out what the balancers decide.
+// step lets clients reconnect and carries out the decisions of the balancers.
 func (x *slowStartRun) step() {
 	for _, c := range x.clients {
 		if c.balancer < 0 && c.returnsAt <= x.now {
@@ -297,6 +307,7 @@
 	}
 }
 
+// recordLatencies reports a high latency to a balancer for each of its endpoints that is almost full.
 func (x *slowStartRun) recordLatencies(k int) {
 	seen := map[int]bool{}
 	for _, c := range x.clientsOf[k] {
@@ -326,13 +337,13 @@
 	}
 }
 
-// isWarming reports whether the newest process of an endpoint runs and has not finished its slow start.
+// isWarming reports whether the newest process of an endpoint is running and has not finished its slow start.
 func (x *slowStartRun) isWarming(i int, at time.Duration) bool {
 	return at >= x.list[i].StartedAt && at < x.list[i].StartedAt+x.config.SlowStartWindow
 }
 
-// checkWindows checks each window that ends with an attempt. Only the first overload counts, and only if over two thirds of the
-// load came from balancers that knew of the restart.
+// checkWindows checks the load in each window that ends with an attempt, and describes the first overload. That
+// counts only if more than two thirds of the load came from balancers that knew of the restart.
 func (x *slowStartRun) checkWindows(i int, all []modelAttempt) string {
 	slices.SortStableFunc(all, func(a, b modelAttempt) int { return cmp.Compare(a.at, b.at) })
 	all = slices.DeleteFunc(slices.Clone(all), func(s modelAttempt) bool { return !x.isWarming(i, s.at) })
@@ -351,7 +362,7 @@
 		bears := x.windowCapacity(i, s.at-x.list[i].StartedAt)
 		if got > bears+2*math.Sqrt(bears)+2 {
 			if 3*gotInformed > 2*got {
-				return fmt.Sprintf("endpoint %d got %.1f of mean load in %d sessions within %v, it bears %.1f", i, got, n+1-from, x.config.OverloadWindow, bears)
+				return fmt.Sprintf("endpoint %d got %.1f times the mean load in %d sessions within %v, its N is %.1f", i, got, n+1-from, x.config.OverloadWindow, bears)
 			}
 			return ""
 		}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newBalancers returns n balancers with the same endpoint list, each with its part of the sessions.
+// newBalancers returns n balancers with the same endpoint list, each with its share of the established sessions.
 func newBalancers(t *testing.T, n, connections int, d *Config, list []Endpoint) []*Balancer {
 	var all []*Balancer
 	for k := range n {
@@ -20,6 +20,8 @@
 	return all
 }
 
+// TestWarmingEndpointsKeepLimitInStorm guards against too many attempts at warming endpoints during a storm of
+// new sessions while no endpoint is warm, and against none at all.
 func TestWarmingEndpointsKeepLimitInStorm(t *testing.T) {
 	list, attempts := warmEndpointList(4), 0
 	for i := range list {
@@ -41,7 +43,8 @@
 	}
 }
 
-// TestManyBalancersTogetherKeepSlowStartLimit counts the attempts of all balancers at each warming endpoint.
+// TestManyBalancersTogetherKeepSlowStartLimit guards against balancers that each keep the slow-start limit but
+// together overload a warming endpoint.
 func TestManyBalancersTogetherKeepSlowStartLimit(t *testing.T) {
 	for _, n := range []int{1, 3, 40, 200} {
 		list := warmEndpointList(10)
@@ -51,7 +54,7 @@
 		}
 		var sent [4][]time.Duration
 		worst := 0
-		for step := range 80 { // each balancer gets a session every quarter of a second
+		for step := range 80 { // each balancer gets a session every 250 ms
 			now := time.Second + time.Duration(step)*50*ms
 			for k, b := range all {
 				b.AdvanceClock(now)
@@ -74,16 +77,17 @@
 		for _, at := range sent {
 			worst = max(worst, maxWithin(at, 2*time.Second))
 		}
-		if worst == 0 || worst > 3*20 { // OverloadMultiple times what an endpoint holds
+		if worst == 0 || worst > 3*20 { // OverloadMultiple times the sessions of a full endpoint
 			t.Errorf("%d balancers: %d attempts at one warming endpoint in two seconds", n, worst)
 		}
 	}
 }
 
-// TestManyBalancersDoNotReturnGroupsAtOnce has all clients whose first endpoint has just started come within a second, each to
-// another balancer, which knows of no other client.
+// TestManyBalancersDoNotReturnGroupsAtOnce guards against overloading an endpoint that has just started and is
+// the first choice of a whole group. The clients of the group come within a second, each to another balancer,
+// which does not know of the others.
 func TestManyBalancersDoNotReturnGroupsAtOnce(t *testing.T) {
-	for _, members := range []int{38, 60} { // what one endpoint holds, and more
+	for _, members := range []int{38, 60} { // as many as one endpoint has when full, and more
 		list := startingAt(warmEndpointList(80), 0, 20, time.Second)
 		all := newBalancers(t, 300, 3000, testConfig(), list[20:])
 		began := 5 * time.Second
@@ -92,10 +96,10 @@
 			b.AdvanceClock(began - 2*roundInterval)
 			b.UpdateEndpoints(list, true)
 			allDecisions(b)
-			b.AdvanceClock(began + time.Duration(k)*time.Second/time.Duration(members)) // a round: the warming endpoints are known
+			b.AdvanceClock(began + time.Duration(k)*time.Second/time.Duration(members)) // in this round the balancer learns the warming endpoints
 			allDecisions(b)
 			key := uint64(k)<<20 + 1
-			for ; ; key++ { // whose first endpoint is 100
+			for ; ; key++ { // find a key whose first endpoint is 100
 				c := b.newSession(SessionRequest{ID: 1 << 30, Key: key, Group: 1, Timeout: time.Second})
 				delete(b.sessions, c.id)
 				if b.rankEndpoints(c).endpoints[0].ID == 100 {
@@ -106,16 +110,17 @@
 				sent++
 			}
 		}
-		// By the rule: the endpoint is filled by sessionsPerCore, warms up in 20 s, and is overloaded within 2 s.
+		// N of the overload rule: sessionsPerCore fill the endpoint, the slow start takes 20 s, the window 2 s.
 		bears := 3 * (0.15 + 0.85*4/20) * sessionsPerCore * 2 / 20
 		if most := bears + 2*math.Sqrt(bears) + 2; float64(sent) > most || sent == 0 {
-			t.Errorf("%d of %d members at once, at most %.0f", sent, members, most)
+			t.Errorf("%d of %d group members got the warming endpoint at once, want at most %.0f", sent, members, most)
 		}
 	}
 }
 
-// TestManyBalancersRefillWarmingEndpoints has six of ten endpoints restart and no new client come: sessions of the other four
-// migrate back as the six warm up, never more in a window than these bear.
+// TestManyBalancersRefillWarmingEndpoints guards against restarted endpoints that stay empty because no new
+// client comes, and against refilling them too fast. Six of ten endpoints restart; sessions of the other four
+// must migrate back while the six warm up, within their limit in each window.
 func TestManyBalancersRefillWarmingEndpoints(t *testing.T) {
 	d, list := testConfig(), startingAt(warmEndpointList(10), 4, 10, time.Second)
 	all, next := newBalancers(t, 80, 0, d, list[:4]), SessionID(1)
@@ -133,7 +138,7 @@
 				if dec.Action != Migrate {
 					continue
 				}
-				key, to := b.sessions[dec.Session].clientKey, all[(k*7+step)%80] // the client reconnects to any balancer
+				key, to := b.sessions[dec.Session].clientKey, all[(k*7+step)%80] // the client reconnects to another balancer
 				b.AttemptEnded(dec.Session, 0, true, Cancelled)
 				next++
 				to.AdvanceClock(now)
@@ -148,12 +153,13 @@
 	for _, at := range sent {
 		worst = max(worst, maxWithin(at, d.OverloadWindow))
 	}
-	if bears := 3 * 40 * d.SlowStartFloor; held < 40 || len(sent) < 6 || float64(worst) > bears { // by the slow-start factor at the start
-		t.Errorf("%d went to %d warming endpoints, %d in a window at one that bears %v", held, len(sent), worst, bears)
+	if bears := 3 * 40 * d.SlowStartFloor; held < 40 || len(sent) < 6 || float64(worst) > bears { // N at the slow-start factor of the start
+		t.Errorf("%d sessions went to %d warming endpoints, up to %d in a window, want at most %v", held, len(sent), worst, bears)
 	}
 }
 
-// TestRefillCountsAsWarmupDemand has migrations to warming endpoints count like new sessions.
+// TestRefillCountsAsWarmupDemand guards against migrations to warming endpoints that are not counted like new
+// sessions.
 func TestRefillCountsAsWarmupDemand(t *testing.T) {
 	list := startingAt(warmEndpointList(10), 5, 10, -12*time.Second)
 	b := newBalancers(t, 170, 0, testConfig(), list[:5])[0]
@@ -163,13 +169,14 @@
 		allDecisions(b)
 	}
 	if b.recentCounts.warmupDemand < 1 {
-		t.Fatalf("of 15 sessions, half of which prefer warming endpoints, %.1f count", b.recentCounts.warmupDemand)
+		t.Fatalf("warm-up demand is %.1f although half of 15 sessions prefer warming endpoints", b.recentCounts.warmupDemand)
 	}
 }
 
-// TestRefillOfAllBalancersIsBounded bounds the migrations of all balancers together to each warming endpoint.
+// TestRefillOfAllBalancersIsBounded guards against balancers that together migrate too many sessions to one
+// warming endpoint, and against none that do.
 func TestRefillOfAllBalancersIsBounded(t *testing.T) {
-	const balancers, each, fills = 170, 15, 600 // sessions that fill an endpoint
+	const balancers, each, fills = 170, 15, 600 // fills is the number of sessions that fill an endpoint
 	list := startingAt(warmEndpointList(10), 5, 10, -12*time.Second)
 	all := newBalancers(t, balancers, 0, testConfig(), list[:5])
 	for _, b := range all {
@@ -200,9 +207,9 @@
 		t.Fatal("no session migrates to a warming endpoint")
 	}
 	for endpoint, at := range sent {
-		bears := 3 * (0.15 + 0.85*19/20) * fills * 2 / 20 // by the rule, at the slow-start factor at the end
+		bears := 3 * (0.15 + 0.85*19/20) * fills * 2 / 20 // N of the overload rule, at the slow-start factor of the end
 		if worst := float64(maxWithin(at, 2*time.Second)); endpoint >= 105 && worst > bears+2*math.Sqrt(bears)+2 {
-			t.Errorf("%v got %v in a window, it bears %.0f", endpoint, worst, bears)
+			t.Errorf("endpoint %v got %v sessions in a window, its N is %.0f", endpoint, worst, bears)
 		}
 	}
 }
