--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// startMeter starts a measurement. The returned function ends it and returns the processor time of one operation
+// startCPUMeasurement starts a measurement. The returned function ends it and returns the processor time of one operation
 // in ns, including garbage collection. A busy machine distorts this less than wall-clock time.
-func startMeter(b *testing.B) func() float64 {
-	processor := func() time.Duration {
+func startCPUMeasurement(b *testing.B) func() float64 {
+	processorTime := func() time.Duration {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 			b.Fatal(err)
@@ -19,11 +19,11 @@
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
 	b.ReportAllocs()
-	from := processor()
+	from := processorTime()
 	b.ResetTimer()
 	return func() float64 {
 		b.StopTimer()
-		each := float64(processor()-from) / float64(b.N)
+		each := float64(processorTime()-from) / float64(b.N)
 		b.ReportMetric(each, "cpu-ns/op")
 		return each
 	}
@@ -47,10 +47,10 @@
 	return b, after.HeapAlloc - min(before.HeapAlloc, after.HeapAlloc)
 }
 
-// playSessions measures sessions one at a time, from arrival to end, with a round every 250 sessions.
-func playSessions(b *testing.B, bal *Balancer, groups int) {
+// measureSessions measures sessions one at a time, from arrival to end, with a round every 250 sessions.
+func measureSessions(b *testing.B, bal *Balancer, groups int) {
 	established := 0
-	done := startMeter(b)
+	done := startCPUMeasurement(b)
 	for i := range b.N {
 		id := SessionID(1<<40 + i)
 		bal.AdvanceClock(time.Duration(i) * ms)
@@ -74,7 +74,7 @@
 	for _, sessions := range []int{1000, 3000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprintf("endpoints=100/groups=1000/sessions=%d", sessions), func(b *testing.B) {
 			bal, held := balancerWithSessions(100, sessions, 1000)
-			playSessions(b, bal, 1000)
+			measureSessions(b, bal, 1000)
 			b.ReportMetric(float64(held), "held-B")
 		})
 	}
@@ -85,7 +85,7 @@
 	for _, groups := range []int{100, 1000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprintf("endpoints=100/sessions=100000/groups=%d", groups), func(b *testing.B) {
 			bal, held := balancerWithSessions(100, 100000, groups)
-			playSessions(b, bal, groups)
+			measureSessions(b, bal, groups)
 			b.ReportMetric(float64(held), "held-B")
 		})
 	}
@@ -96,7 +96,7 @@
 	for _, endpoints := range []int{10, 100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("sessions=100000/groups=100000/endpoints=%d", endpoints), func(b *testing.B) {
 			bal, held := balancerWithSessions(endpoints, 100000, 100000)
-			playSessions(b, bal, 100000)
+			measureSessions(b, bal, 100000)
 			b.ReportMetric(float64(held), "held-B")
 		})
 	}
@@ -113,7 +113,7 @@
 				bal.RecordLatency(EndpointID(100+i), time.Second)
 			}
 			rejects := 0
-			done := startMeter(b)
+			done := startCPUMeasurement(b)
 			for i := range b.N {
 				id := SessionID(1<<40 + i)
 				bal.AddSession(SessionRequest{ID: id, Key: uint64(id), Group: uint64(1 + i%100000), Timeout: 2 * time.Second, Load: 1000})
@@ -132,7 +132,7 @@
 	for _, endpoints := range []int{100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("sessions=100000/groups=100000/endpoints=%d", endpoints), func(b *testing.B) {
 			bal, _ := balancerWithSessions(endpoints, 100000, 100000)
-			done := startMeter(b)
+			done := startCPUMeasurement(b)
 			for i := range b.N {
 				bal.AdvanceClock(time.Duration(i+1) * roundInterval)
 				allDecisions(bal)
@@ -148,7 +148,7 @@
 	for _, endpoints := range []int{100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
 			bal, list := newBalancer(testConfig(), warmEndpointList(endpoints)), warmEndpointList(endpoints)
-			done := startMeter(b)
+			done := startCPUMeasurement(b)
 			for i := range b.N {
 				at := i / 2 % endpoints
 				list[at].State = EndpointState(1 - i%2)
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	fuzzSteps       = 1500
-	fuzzDrainAt     = 1300            // step at which a third of the runs start draining the balancer
-	fuzzWindow      = 2 * time.Second // overload window, as in testConfig
-	sessionsPerFuzz = 4               // number of sessions that one core can handle in this test
-	watchedSessions = 40              // number of sessions that get events; they are the newest ones
+	fuzzSteps           = 1500
+	fuzzDrainAt         = 1300            // step at which a third of the runs start draining the balancer
+	fuzzWindow          = 2 * time.Second // overload window, as in testConfig
+	sessionsPerFuzzCore = 4               // number of sessions that one core can handle in this test
+	watchedSessions     = 40              // number of sessions that get events; they are the newest ones
 )
 
 // FuzzRules guards against any breach of the four rules of canAttempt: it sends random events to a balancer and
@@ -24,7 +24,7 @@
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		r := newRuleChecker(t, seed)
 		for r.step = range fuzzSteps {
-			r.playStep()
+			r.simulateStep()
 		}
 	})
 }
@@ -48,15 +48,15 @@
 type ruleChecker struct {
 	*testing.T
 	*rand.Rand
-	seed      uint64
-	step      int
-	config    *Config
-	list      []Endpoint
-	startedAt []time.Duration // start of each endpoint on the test's clock, 0 if it was never restarted
-	balancer  *Balancer
-	sessions  map[SessionID]*expectedSession
-	ids       []SessionID
-	warmups   [][]time.Duration // times of the attempts at each endpoint while it is warming up
+	seed           uint64
+	step           int
+	config         *Config
+	list           []Endpoint
+	startedAt      []time.Duration // start of each endpoint on the test's clock, 0 if it was never restarted
+	balancer       *Balancer
+	sessions       map[SessionID]*expectedSession
+	ids            []SessionID
+	warmupAttempts [][]time.Duration // times of the attempts at each endpoint while it is warming up
 }
 
 func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
@@ -64,16 +64,16 @@
 		T: t, Rand: rand.New(rand.NewPCG(seed, 11)), seed: seed,
 		config: testConfig(), sessions: map[SessionID]*expectedSession{},
 	}
-	r.drawConfig()
-	r.drawEndpoints()
+	r.randomizeConfig()
+	r.randomizeEndpoints()
 	r.startedAt = make([]time.Duration, len(r.list))
-	r.warmups = make([][]time.Duration, len(r.list))
+	r.warmupAttempts = make([][]time.Duration, len(r.list))
 	r.balancer = New(r.config, seed)
 	r.balancer.UpdateEndpoints(r.list, true)
 	return r
 }
 
-func (r *ruleChecker) drawConfig() {
+func (r *ruleChecker) randomizeConfig() {
 	d := r.config
 	d.CanGossip = r.IntN(2) == 0
 	d.HasExactWeights = r.IntN(2) == 0
@@ -96,7 +96,7 @@
 	}
 }
 
-func (r *ruleChecker) drawEndpoints() {
+func (r *ruleChecker) randomizeEndpoints() {
 	r.list = warmEndpointList(1 + r.IntN(8))
 	if r.seed%5 == 1 { // a single ready endpoint
 		r.list = r.list[:1]
@@ -113,12 +113,12 @@
 	}
 }
 
-func (r *ruleChecker) playStep() {
+func (r *ruleChecker) simulateStep() {
 	b := r.balancer
 	b.AdvanceClock(b.now + time.Duration(r.IntN(40))*ms)
-	r.playEvent(r.IntN(len(r.list)))
+	r.simulateEvent(r.IntN(len(r.list)))
 	for _, id := range r.ids[max(0, len(r.ids)-watchedSessions):] {
-		r.playSessionEvent(id, r.sessions[id])
+		r.simulateSessionEvent(id, r.sessions[id])
 	}
 	if r.seed%3 == 0 && r.step == fuzzDrainAt {
 		b.StartDraining(b.now+400*ms, b.now+2200*ms)
@@ -126,25 +126,25 @@
 	for _, decision := range allDecisions(b) {
 		r.checkDecision(decision)
 	}
-	r.checkNoneIsHeldBack()
+	r.checkNoSessionIsForgotten()
 }
 
-// playEvent simulates one random event. Events of a single endpoint happen at the endpoint with index k.
-func (r *ruleChecker) playEvent(k int) {
+// simulateEvent simulates one random event. Events of a single endpoint happen at the endpoint with index k.
+func (r *ruleChecker) simulateEvent(k int) {
 	b := r.balancer
 	if r.seed%5 == 4 { // all endpoints are always overloaded
 		b.RecordLatency(r.list[r.step%len(r.list)].ID, time.Second)
 	}
 	switch r.IntN(12) {
 	case 0, 1, 2, 3:
-		r.playArrival()
+		r.simulateArrival()
 	case 4:
 		r.list[k].State = EndpointState(r.IntN(3))
 		if r.IntN(2) == 0 {
 			r.list[k].StartedAt = b.now
 			r.list[k].State = Ready
 			r.startedAt[k] = b.now
-			r.warmups[k] = nil
+			r.warmupAttempts[k] = nil
 		}
 		b.UpdateEndpoints(r.list[k:k+1], false)
 	case 5:
@@ -163,7 +163,7 @@
 	}
 }
 
-func (r *ruleChecker) playArrival() {
+func (r *ruleChecker) simulateArrival() {
 	id := SessionID(1 + len(r.ids))
 	request := SessionRequest{
 		ID:      id,
@@ -181,7 +181,7 @@
 	r.balancer.AddSession(request)
 }
 
-func (r *ruleChecker) playSessionEvent(id SessionID, s *expectedSession) {
+func (r *ruleChecker) simulateSessionEvent(id SessionID, s *expectedSession) {
 	b := r.balancer
 	switch {
 	case s.attempting && (b.now >= s.attemptDeadline || r.IntN(6) == 0):
@@ -206,7 +206,7 @@
 		s.attempting = false
 		s.established = true
 		b.AttemptEstablished(id, s.attempts-1, ms)
-		b.RecordLoad(id, s.attempts-1, float64(modelCoreCapacity/sessionsPerFuzz)*(0.6+0.8*r.Float64()))
+		b.RecordLoad(id, s.attempts-1, float64(modelCoreCapacity/sessionsPerFuzzCore)*(0.6+0.8*r.Float64()))
 		return
 	}
 	s.attempting = false
@@ -274,9 +274,9 @@
 	if s.mayHaveRunOn < 0 || s.class.Idempotency == Idempotent {
 		return
 	}
-	was, is := r.list[s.mayHaveRunOn], r.list[k]
+	firstEntry, entry := r.list[s.mayHaveRunOn], r.list[k]
 	inScope := s.class.KeyScope == KeyScopeAll ||
-		is.Zone == was.Zone && (s.class.KeyScope == KeyScopeZone || is.FailureDomain == was.FailureDomain)
+		entry.Zone == firstEntry.Zone && (s.class.KeyScope == KeyScopeZone || entry.FailureDomain == firstEntry.FailureDomain)
 	if s.class.Idempotency == NonIdempotent || !inScope || r.balancer.now >= s.mayHaveRunAt+s.class.KeyTTL {
 		r.Fatalf("step %d: an attempt could repeat an effect: %+v", r.step, s)
 	}
@@ -291,27 +291,27 @@
 func (r *ruleChecker) checkWarmup(k int) {
 	b := r.balancer
 	attempts := 1
-	for _, at := range r.warmups[k] {
+	for _, at := range r.warmupAttempts[k] {
 		if at > b.now-fuzzWindow {
 			attempts++
 		}
 	}
-	r.warmups[k] = append(r.warmups[k], b.now)
-	warm := float64(sessionsPerFuzz) // capacity of a warm endpoint: of one core, or what a warm endpoint is seen to have
+	r.warmupAttempts[k] = append(r.warmupAttempts[k], b.now)
+	warmCapacity := float64(sessionsPerFuzzCore) // capacity of a warm endpoint: of one core, or what a warm endpoint is seen to have
 	for j, entry := range r.list {
 		if !r.isWarming(j) {
-			warm = max(warm, float64(len(b.endpointByID[entry.ID].sessions)+1))
+			warmCapacity = max(warmCapacity, float64(len(b.endpointByID[entry.ID].sessions)+1))
 		}
 	}
 	share := fuzzWindow.Seconds() / r.config.SlowStartWindow.Seconds()
-	bears := warm * r.config.OverloadMultiple * share * float64(r.config.Balancers)
-	if limit := bears + 2*math.Sqrt(bears) + 2; float64(attempts) > limit {
+	windowCapacity := warmCapacity * r.config.OverloadMultiple * share * float64(r.config.Balancers)
+	if limit := windowCapacity + 2*math.Sqrt(windowCapacity) + 2; float64(attempts) > limit {
 		r.Fatalf("step %d: a warming endpoint is overloaded: %d attempts in a window, want at most %v", r.step, attempts, limit)
 	}
 }
 
-// checkNoneIsHeldBack checks that each session without a final answer has an attempt or waits for a load report.
-func (r *ruleChecker) checkNoneIsHeldBack() {
+// checkNoSessionIsForgotten checks that each session without a final answer has an attempt or waits for a load report.
+func (r *ruleChecker) checkNoSessionIsForgotten() {
 	for id, s := range r.sessions {
 		if s.answers > 0 || s.attempting || s.established {
 			continue
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -48,16 +48,16 @@
 type goldenRun struct {
 	goldenScenario
 	*rand.Rand
-	now      time.Duration
-	list     []Endpoint
-	players  []*Balancer
-	sessions []map[SessionID]*goldenSession
-	order    [][]SessionID  // session IDs of each balancer, in the order of their arrival
-	checks   [][]EndpointID // health checks in progress at each balancer
-	messages []goldenMessage
-	lastID   SessionID
-	sum      hash.Hash
-	counts   [SendGossip + 1]int
+	now           time.Duration
+	list          []Endpoint
+	instances     []*Balancer
+	sessions      []map[SessionID]*goldenSession
+	sessionOrder  [][]SessionID  // session IDs of each balancer, in the order of their arrival
+	pendingChecks [][]EndpointID // health checks in progress at each balancer
+	messages      []goldenMessage
+	lastID        SessionID
+	digest        hash.Hash
+	counts        [SendGossip + 1]int
 }
 
 func goldenScenarios() []goldenScenario {
@@ -113,7 +113,7 @@
 }
 
 func (g goldenScenario) run(seed uint64) *goldenRun {
-	r := &goldenRun{goldenScenario: g, Rand: rand.New(rand.NewPCG(seed, 29)), sum: sha256.New()}
+	r := &goldenRun{goldenScenario: g, Rand: rand.New(rand.NewPCG(seed, 29)), digest: sha256.New()}
 	for i := range g.endpoints {
 		l := Endpoint{ID: EndpointID(1000 + 7*i), Zone: i % 3, FailureDomain: i % 2, MachineType: uint64(i % 4), Weight: 1 + float64(i%5)/2, StartedAt: StartedLongAgo}
 		if g.warming && i%3 == 0 {
@@ -122,13 +122,13 @@
 		r.list = append(r.list, l)
 	}
 	for k := range g.balancers {
-		r.players = append(r.players, New(r.settings(k), seed+uint64(k)*7919))
-		r.players[k].UpdateEndpoints(r.list, true)
+		r.instances = append(r.instances, New(r.settings(k), seed+uint64(k)*7919))
+		r.instances[k].UpdateEndpoints(r.list, true)
 		r.sessions = append(r.sessions, map[SessionID]*goldenSession{})
 	}
-	r.order, r.checks = make([][]SessionID, g.balancers), make([][]EndpointID, g.balancers)
+	r.sessionOrder, r.pendingChecks = make([][]SessionID, g.balancers), make([][]EndpointID, g.balancers)
 	for step := range goldenSteps {
-		r.step(step)
+		r.simulateStep(step)
 	}
 	return r
 }
@@ -139,36 +139,36 @@
 	return &d
 }
 
-func (r *goldenRun) step(step int) {
+func (r *goldenRun) simulateStep(step int) {
 	r.now += time.Duration(r.IntN(60)) * ms
-	var late []goldenMessage
+	var undelivered []goldenMessage
 	for _, m := range r.messages {
 		if m.at > r.now {
-			late = append(late, m)
+			undelivered = append(undelivered, m)
 			continue
 		}
-		r.players[m.to].AdvanceClock(r.now)
-		r.players[m.to].ReceiveGossip(m.from, m.message)
+		r.instances[m.to].AdvanceClock(r.now)
+		r.instances[m.to].ReceiveGossip(m.from, m.message)
 	}
-	r.messages = late
+	r.messages = undelivered
 	if step%40 == 7 {
-		r.changeList(step)
+		r.changeEndpointList(step)
 	}
-	for k, b := range r.players {
+	for k, b := range r.instances {
 		b.AdvanceClock(r.now)
-		r.rareEvent(k, b, step)
+		r.simulateRareEvent(k, b, step)
 		for range r.IntN(3) {
 			r.addSession(k, b)
 		}
 		r.recordLatencies(b, step)
-		r.endChecks(k, b)
-		for _, id := range r.order[k] {
+		r.endHealthChecks(k, b)
+		for _, id := range r.sessionOrder[k] {
 			if c := r.sessions[k][id]; c != nil {
-				r.sessionEvent(k, b, id, c, step)
+				r.simulateSessionEvent(k, b, id, c, step)
 			}
 		}
-		if len(r.order[k]) > 300 {
-			r.order[k] = r.order[k][1:]
+		if len(r.sessionOrder[k]) > 300 {
+			r.sessionOrder[k] = r.sessionOrder[k][1:]
 		}
 		r.decide(k, b)
 	}
@@ -177,7 +177,7 @@
 // goldenPhase returns 0 while the deployment is healthy, 1 while attempts fail, and 2 while endpoints are slow.
 func goldenPhase(step int) int { return step / 150 % 3 }
 
-func (r *goldenRun) changeList(step int) {
+func (r *goldenRun) changeEndpointList(step int) {
 	i := r.IntN(len(r.list))
 	switch l := &r.list[i]; r.IntN(5) {
 	case 0:
@@ -191,7 +191,7 @@
 	case 4:
 		l.State = Ready
 	}
-	for _, b := range r.players {
+	for _, b := range r.instances {
 		b.AdvanceClock(r.now)
 		if step%3 == 0 {
 			b.UpdateEndpoints(r.list, true)
@@ -201,9 +201,9 @@
 	}
 }
 
-// rareEvent simulates events that are rare: a new configuration, draining, new weights, requested health checks
+// simulateRareEvent simulates events that are rare: a new configuration, draining, new weights, requested health checks
 // and adopted sessions.
-func (r *goldenRun) rareEvent(k int, b *Balancer, step int) {
+func (r *goldenRun) simulateRareEvent(k int, b *Balancer, step int) {
 	id := r.list[r.IntN(len(r.list))].ID
 	switch {
 	case step == 500:
@@ -228,7 +228,7 @@
 		r.lastID++
 		b.AdoptSession(r.request(), id)
 		r.sessions[k][r.lastID] = &goldenSession{attempts: 1, established: true, endpoint: id}
-		r.order[k] = append(r.order[k], r.lastID)
+		r.sessionOrder[k] = append(r.sessionOrder[k], r.lastID)
 	}
 }
 
@@ -250,7 +250,7 @@
 	r.lastID++
 	b.AddSession(r.request())
 	r.sessions[k][r.lastID] = &goldenSession{}
-	r.order[k] = append(r.order[k], r.lastID)
+	r.sessionOrder[k] = append(r.sessionOrder[k], r.lastID)
 }
 
 func (r *goldenRun) recordLatencies(b *Balancer, step int) {
@@ -281,12 +281,12 @@
 	}
 }
 
-func (r *goldenRun) endChecks(k int, b *Balancer) {
-	var out []EndpointID
-	for _, id := range r.checks[k] {
+func (r *goldenRun) endHealthChecks(k int, b *Balancer) {
+	var stillPending []EndpointID
+	for _, id := range r.pendingChecks[k] {
 		switch r.IntN(4) {
 		case 0:
-			out = append(out, id)
+			stillPending = append(stillPending, id)
 		case 1:
 			b.HealthCheckEnded(id, Outcome(r.IntN(int(NeverSent)+1)))
 		default:
@@ -294,10 +294,10 @@
 			b.HealthCheckEnded(id, Succeeded)
 		}
 	}
-	r.checks[k] = out
+	r.pendingChecks[k] = stillPending
 }
 
-func (r *goldenRun) sessionEvent(k int, b *Balancer, id SessionID, c *goldenSession, step int) {
+func (r *goldenRun) simulateSessionEvent(k int, b *Balancer, id SessionID, c *goldenSession, step int) {
 	attempt := c.attempts - 1
 	failures, slowest := 80, 60 // one attempt in so many fails in a step; longest setup in ms
 	if goldenPhase(step) > 0 {
@@ -308,9 +308,9 @@
 		b.AttemptEstablished(id, attempt, time.Duration(r.IntN(slowest))*ms)
 		c.attempting, c.established = false, true
 	case c.attempting && r.IntN(failures) == 0:
-		how := Outcome(1 + r.IntN(int(NeverSent)))
+		outcome := Outcome(1 + r.IntN(int(NeverSent)))
 		finished := r.IntN(9) == 0
-		b.AttemptEnded(id, attempt, finished, how)
+		b.AttemptEnded(id, attempt, finished, outcome)
 		if c.attempting = false; finished {
 			delete(r.sessions[k], id)
 		}
@@ -334,15 +334,15 @@
 func (r *goldenRun) decide(k int, b *Balancer) {
 	for d, ok := b.Next(); ok; d, ok = b.Next() {
 		r.counts[d.Action]++
-		_, _ = fmt.Fprintf(r.sum, "%d %d %d %d %d %d %d %d", r.now, k, d.Action, d.Session, d.Endpoint, d.Duration, d.Gossip.VersionHash, d.Gossip.Offset)
+		_, _ = fmt.Fprintf(r.digest, "%d %d %d %d %d %d %d %d", r.now, k, d.Action, d.Session, d.Endpoint, d.Duration, d.Gossip.VersionHash, d.Gossip.Offset)
 		for n, load := range d.Gossip.Loads {
-			_, _ = fmt.Fprintf(r.sum, " %x %v", math.Float64bits(load), d.Gossip.Overloaded[n])
+			_, _ = fmt.Fprintf(r.digest, " %x %v", math.Float64bits(load), d.Gossip.Overloaded[n])
 		}
-		_, _ = fmt.Fprintln(r.sum)
+		_, _ = fmt.Fprintln(r.digest)
 		r.carryOut(k, b, d)
 	}
 	at, ok := b.NextWakeup()
-	_, _ = fmt.Fprintln(r.sum, "wake", at, ok)
+	_, _ = fmt.Fprintln(r.digest, "wake", at, ok)
 }
 
 func (r *goldenRun) carryOut(k int, b *Balancer, d Decision) {
@@ -357,9 +357,9 @@
 		b.AttemptEnded(d.Session, c.attempts-1, true, Cancelled)
 		delete(r.sessions[k], d.Session)
 	case HealthCheck:
-		r.checks[k] = append(r.checks[k], d.Endpoint)
+		r.pendingChecks[k] = append(r.pendingChecks[k], d.Endpoint)
 	case SendGossip:
-		for to := range r.players {
+		for to := range r.instances {
 			if to != k && r.IntN(5) > 0 {
 				r.messages = append(r.messages, goldenMessage{r.now + time.Duration(r.IntN(3000))*ms, k, to, d.Gossip})
 			}
@@ -375,7 +375,7 @@
 	for n, g := range goldenScenarios() {
 		r := g.run(uint64(n) + 1)
 		got = append(got, fmt.Sprintf("%s: attempts %d, rejects %d, fails %d, migrations %d, health checks %d, messages %d, sha256 %x",
-			g.name, r.counts[StartAttempt], r.counts[Reject], r.counts[Fail], r.counts[Migrate], r.counts[HealthCheck], r.counts[SendGossip], r.sum.Sum(nil)))
+			g.name, r.counts[StartAttempt], r.counts[Reject], r.counts[Fail], r.counts[Migrate], r.counts[HealthCheck], r.counts[SendGossip], r.digest.Sum(nil)))
 	}
 	text := strings.Join(got, "\n") + "\n"
 	if *updateGolden {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -58,10 +58,10 @@
 }
 
 // count returns the number of decisions with the given action.
-func count(all []Decision, do Action) int {
+func count(all []Decision, action Action) int {
 	n := 0
 	for _, d := range all {
-		if d.Action == do {
+		if d.Action == action {
 			n++
 		}
 	}
@@ -78,8 +78,8 @@
 }
 
 // endAttempt ends an attempt and returns the next decision for its session.
-func endAttempt(t *testing.T, b *Balancer, id SessionID, attempt int, how Outcome) Decision {
-	b.AttemptEnded(id, attempt, false, how)
+func endAttempt(t *testing.T, b *Balancer, id SessionID, attempt int, outcome Outcome) Decision {
+	b.AttemptEnded(id, attempt, false, outcome)
 	return decisionFor(t, b, id)
 }
 
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -60,9 +60,9 @@
 // TestWarmingEndpointIsPolledOnlyForItsOwnReports guards against polls of a warming endpoint whose load the host
 // would have to measure, and against none if the endpoint reports its load itself.
 func TestWarmingEndpointIsPolledOnlyForItsOwnReports(t *testing.T) {
-	for _, own := range []bool{false, true} {
+	for _, fromEndpoints := range []bool{false, true} {
 		d := testConfig()
-		d.HasLoadReports, d.HasEndpointReports = true, own
+		d.HasLoadReports, d.HasEndpointReports = true, fromEndpoints
 		b := newBalancer(d, startingAt(warmEndpointList(3), 0, 3, 0))
 		checks := 0
 		for step := range 200 {
@@ -81,8 +81,8 @@
 				}
 			}
 		}
-		if held := b.activeSessions; held == 0 || (checks > 0) != own {
-			t.Errorf("endpoint reports %v: %d health checks, %d active sessions", own, checks, held)
+		if held := b.activeSessions; held == 0 || (checks > 0) != fromEndpoints {
+			t.Errorf("endpoint reports %v: %d health checks, %d active sessions", fromEndpoints, checks, held)
 		}
 	}
 }
@@ -135,19 +135,19 @@
 // reports its load itself must be polled first.
 func TestOldLoadReportRejectsNobody(t *testing.T) {
 	for _, x := range []struct {
-		own  bool    // reports come from the endpoints instead of measurements by the host
-		now  float64 // demand in the new report
-		want Action
+		fromEndpoints bool    // reports come from the endpoints instead of measurements by the host
+		newDemand     float64 // demand in the new report
+		want          Action
 	}{{true, 0.5, StartAttempt}, {true, 0.8, Reject}, {false, 0.5, Reject}} {
 		d := testConfig()
-		d.HasLoadReports, d.HasEndpointReports = true, x.own
+		d.HasLoadReports, d.HasEndpointReports = true, x.fromEndpoints
 		b := newBalancer(d, warmEndpointList(1))
 		b.RecordLoadReport(100, LoadReport{Demand: 0.8, Backlog: -1, Utilization: -1})
 		b.AdvanceClock(freshReportTTL + ms)
 		b.AddSession(SessionRequest{ID: 1, Key: 1, Load: 500, Timeout: 2 * time.Second})
 		all := allDecisions(b)
 		if isPolled := count(all, HealthCheck) == 1; isPolled {
-			b.RecordLoadReport(100, LoadReport{Demand: x.now, Backlog: -1, Utilization: -1})
+			b.RecordLoadReport(100, LoadReport{Demand: x.newDemand, Backlog: -1, Utilization: -1})
 			b.HealthCheckEnded(100, Succeeded)
 			all = allDecisions(b)
 		}
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -16,9 +16,9 @@
 		at      time.Duration
 	}
 	for _, c := range []struct {
-		name  string
-		every time.Duration
-		how   Outcome
+		name     string
+		interval time.Duration
+		outcome  Outcome
 	}{
 		{"eight a second, timeouts", 125 * ms, TimedOut},
 		{"eight a second, failures", 125 * ms, Failed},
@@ -30,18 +30,18 @@
 		var pending []pendingAttempt
 		attempted := map[SessionID]int{}
 		var attempts []time.Duration
-		rejects, worst, since := 0, 0, time.Duration(0)
+		rejects, longestRejection, since := 0, 0, time.Duration(0)
 		const lasts = 60 * time.Second
 		id := SessionID(1)
 		for now := time.Duration(0); now < lasts; now += 5 * ms {
 			b.AdvanceClock(now)
 			pending = slices.DeleteFunc(pending, func(o pendingAttempt) bool {
 				if o.at <= now {
-					b.AttemptEnded(o.Session, o.attempt, false, c.how)
+					b.AttemptEnded(o.Session, o.attempt, false, c.outcome)
 				}
 				return o.at <= now
 			})
-			if now%c.every == 0 {
+			if now%c.interval == 0 {
 				b.AddSession(SessionRequest{ID: id, Key: uint64(id), Timeout: 2 * time.Second})
 				id++
 			}
@@ -54,13 +54,13 @@
 					rejects, since = 0, now
 				case Reject:
 					if rejects++; rejects >= 15 && now-since >= 4*time.Second {
-						worst = max(worst, int((now-since)/time.Millisecond))
+						longestRejection = max(longestRejection, int((now-since)/time.Millisecond))
 					}
 				}
 			}
 		}
-		if worst > 0 {
-			t.Errorf("%s: every session (at least 15) was rejected for %d ms", c.name, worst)
+		if longestRejection > 0 {
+			t.Errorf("%s: every session (at least 15) was rejected for %d ms", c.name, longestRejection)
 		}
 		// Once the budget is spent, at most one attempt per second is allowed.
 		const spentAfter = 10 * time.Second
--- a/policy/slow_start_model_test.go
+++ b/policy/slow_start_model_test.go
@@ -31,34 +31,34 @@
 // slowStartModel is a deployment with simulated endpoints. Their capacity is random and not known to the
 // balancers. What they can handle is computed without constants of the package under test.
 type slowStartModel struct {
-	fault     fault
-	uneven    bool // a tenth of the balancers get 70% of the clients
-	config    Config
-	endpoints int
-	capacity  float64 // capacity of the larger machine type once it is warm, in sessions of mean load
-	smaller   float64 // capacity of the other machine type relative to it
-	held      float64 // used fraction of the total capacity while all endpoints are warm
-	cores     float64 // number of cores of the smaller machine type
-	heavy     float64 // load of one session in ten, relative to that of the others
-	sigma     float64 // standard deviation of the logarithm of the load within a class
+	fault        fault
+	uneven       bool // a tenth of the balancers get 70% of the clients
+	config       Config
+	endpoints    int
+	capacity     float64 // capacity of the larger machine type once it is warm, in sessions of mean load
+	smallerRatio float64 // capacity of the other machine type relative to it
+	usedFraction float64 // used fraction of the total capacity while all endpoints are warm
+	cores        float64 // number of cores of the smaller machine type
+	heavyRatio   float64 // load of one session in ten, relative to that of the others
+	sigma        float64 // standard deviation of the logarithm of the load within a class
 }
 
 func (w slowStartModel) String() string {
 	return fmt.Sprintf("%v: %d balancers (uneven %v), %d endpoints of %.1f connections and %.2f times that, %.2f full, %.1f cores, heavy %.1f, sigma %.2f, "+
-		"slow start from %.2f for %v, window %v, multiple %.2f", w.fault, w.config.Balancers, w.uneven, w.endpoints, w.capacity, w.smaller, w.held, w.cores, w.heavy,
+		"slow start from %.2f for %v, window %v, multiple %.2f", w.fault, w.config.Balancers, w.uneven, w.endpoints, w.capacity, w.smallerRatio, w.usedFraction, w.cores, w.heavyRatio,
 		w.sigma, w.config.SlowStartFloor, w.config.SlowStartWindow, w.config.OverloadWindow, w.config.OverloadMultiple)
 }
 
-// drawSlowStartModel returns a random deployment. The number of sessions is limited to limit the duration of the
+// randomSlowStartModel returns a random deployment. The number of sessions is limited to limit the duration of the
 // test.
-func drawSlowStartModel(seed uint64) slowStartModel {
+func randomSlowStartModel(seed uint64) slowStartModel {
 	const maxSessions = 6000
 	r := rand.New(rand.NewPCG(seed, 1))
 	between := func(least, most float64) float64 { return least * math.Pow(most/least, r.Float64()) }
 	for {
 		w := slowStartModel{
 			fault: fault(seed % uint64(faultCount)), uneven: r.IntN(3) == 0, config: *testConfig(), endpoints: int(between(9, 500)),
-			capacity: between(4, 800), smaller: between(0.25, 1), held: between(0.1, 0.8), cores: between(1, 4), heavy: between(1, 30),
+			capacity: between(4, 800), smallerRatio: between(0.25, 1), usedFraction: between(0.1, 0.8), cores: between(1, 4), heavyRatio: between(1, 30),
 			sigma: r.Float64(),
 		}
 		w.config.Balancers, w.config.CanHealthCheck = int(between(2, 350)), false
@@ -66,9 +66,9 @@
 		w.config.SlowStartFloor, w.config.OverloadMultiple = between(0.05, 0.4), between(1.5, 4)
 		w.config.SlowStartWindow = time.Duration(between(5, 60) * float64(time.Second))
 		w.config.OverloadWindow = time.Duration(between(0.5, 6) * float64(time.Second))
-		connections := w.held * w.capacity * float64(w.endpoints)
-		bears := w.windowCapacity(0, w.config.SlowStartWindow/2)
-		if connections <= maxSessions && 3 <= w.held*w.capacity && 1 <= bears && bears <= 200 {
+		connections := w.usedFraction * w.capacity * float64(w.endpoints)
+		windowCapacity := w.windowCapacity(0, w.config.SlowStartWindow/2)
+		if connections <= maxSessions && 3 <= w.usedFraction*w.capacity && 1 <= windowCapacity && windowCapacity <= 200 {
 			return w
 		}
 	}
@@ -78,7 +78,7 @@
 // third endpoint is of the smaller machine type.
 func (w slowStartModel) warmCapacity(endpoint int) float64 {
 	if endpoint%3 == 2 {
-		return w.capacity * w.smaller
+		return w.capacity * w.smallerRatio
 	}
 	return w.capacity
 }
@@ -97,10 +97,10 @@
 	used := make([]float64, *slowStartDeployments) // used fraction of the capacity, by deployment
 	t.Run("points", func(t *testing.T) {
 		for n := range *slowStartDeployments {
-			w := drawSlowStartModel(uint64(n))
+			w := randomSlowStartModel(uint64(n))
 			t.Run(fmt.Sprint(n), func(t *testing.T) {
 				t.Parallel()
-				overload, part := w.play(uint64(n))
+				overload, part := w.run(uint64(n))
 				used[n] = part
 				if overload != "" {
 					t.Errorf("%v: %s", w, overload)
--- a/policy/slow_start_run_test.go
+++ b/policy/slow_start_run_test.go
@@ -97,7 +97,7 @@
 		totalCapacity += w.warmCapacity(i)
 	}
 	x.load, x.attempts = make([]float64, w.endpoints), make([][]modelAttempt, w.endpoints)
-	x.meanLoad = modelCoreCapacity * w.cores / (w.capacity * w.smaller)
+	x.meanLoad = modelCoreCapacity * w.cores / (w.capacity * w.smallerRatio)
 	x.now = -time.Minute
 	for k := range x.balancers {
 		x.startBalancer(k)
@@ -110,12 +110,12 @@
 // addClients adds the clients. They are in groups of 25 on average, and groups with a low number are larger.
 func (x *slowStartRun) addClients(totalCapacity float64) {
 	w := x.slowStartModel
-	groups := 1 + int(w.held*totalCapacity/25)
-	mean := 0.9 + 0.1*w.heavy
-	for range int(w.held * totalCapacity) {
+	groups := 1 + int(w.usedFraction*totalCapacity/25)
+	mean := 0.9 + 0.1*w.heavyRatio
+	for range int(w.usedFraction * totalCapacity) {
 		c := &modelClient{key: x.Uint64(), group: 1 + uint64(float64(groups)*math.Pow(x.Float64(), 1.5)), balancer: -1, load: 1 / mean}
 		if x.IntN(10) == 0 {
-			c.class, c.load = 1, w.heavy/mean
+			c.class, c.load = 1, w.heavyRatio/mean
 		}
 		c.recordedLoad = c.load * math.Exp(w.sigma*x.NormFloat64()-w.sigma*w.sigma/2)
 		x.clients = append(x.clients, c)
@@ -160,8 +160,8 @@
 }
 
 // endSession ends a client's session at the balancer, too.
-func (x *slowStartRun) endSession(c *modelClient, how Outcome, after time.Duration) {
-	x.balancers[c.balancer].AttemptEnded(c.session, 0, true, how)
+func (x *slowStartRun) endSession(c *modelClient, outcome Outcome, after time.Duration) {
+	x.balancers[c.balancer].AttemptEnded(c.session, 0, true, outcome)
 	x.disconnect(c, after)
 }
 
@@ -177,9 +177,9 @@
 	}
 }
 
-// play simulates the model. It returns a description of the first overload, "" if there was none, and the used
+// run simulates the model. It returns a description of the first overload, "" if there was none, and the used
 // fraction of the capacity of warming endpoints.
-func (w slowStartModel) play(seed uint64) (overload string, used float64) {
+func (w slowStartModel) run(seed uint64) (overload string, used float64) {
 	x := newSlowStartRun(w, seed)
 	warming := max(1, x.endpoints/3)
 	if w.fault == faultEndpointsReplaced {
@@ -191,12 +191,12 @@
 		x.restartEndpoint(i, x.randomWithin(x.config.SlowStartWindow*3/4))
 	}
 	x.sendLists()
-	ends := max(4*time.Second, 2*x.config.OverloadWindow)
+	end := max(4*time.Second, 2*x.config.OverloadWindow)
 	if w.fault == faultEndpointsReplaced {
-		ends = 12 * time.Second
+		end = 12 * time.Second
 	}
 	replaced := 0
-	for ; x.now < ends; x.now += modelStep {
+	for ; x.now < end; x.now += modelStep {
 		switch {
 		case w.fault == faultEndpointsReplaced:
 			due := min(x.endpoints*6/10, int(float64(x.endpoints*6/10)*x.now.Seconds()/7))
@@ -212,13 +212,13 @@
 		}
 		x.step()
 	}
-	return x.evaluate(ends)
+	return x.evaluate(end)
 }
 
 // evaluate returns a description of the first overload, "" if there was none, and the used fraction of the
 // capacity of warming endpoints.
 func (x *slowStartRun) evaluate(ends time.Duration) (overload string, used float64) {
-	got, bears := 0.0, 0.0
+	got, totalCapacity := 0.0, 0.0
 	for i, all := range x.attempts {
 		if !x.restarted[i] {
 			continue
@@ -232,10 +232,10 @@
 			}
 		}
 		for at := max(0, x.list[i].StartedAt); at < ends && x.isWarming(i, at); at += modelStep {
-			bears += x.windowCapacity(i, at-x.list[i].StartedAt) * modelStep.Seconds() / x.config.OverloadWindow.Seconds()
+			totalCapacity += x.windowCapacity(i, at-x.list[i].StartedAt) * modelStep.Seconds() / x.config.OverloadWindow.Seconds()
 		}
 	}
-	return overload, got / max(bears, 1e-9)
+	return overload, got / max(totalCapacity, 1e-9)
 }
 
 // replaceEndpoints restarts the endpoints with the given indices and disconnects their clients.
@@ -359,10 +359,10 @@
 				gotInformed -= all[from].load
 			}
 		}
-		bears := x.windowCapacity(i, s.at-x.list[i].StartedAt)
-		if got > bears+2*math.Sqrt(bears)+2 {
+		windowCapacity := x.windowCapacity(i, s.at-x.list[i].StartedAt)
+		if got > windowCapacity+2*math.Sqrt(windowCapacity)+2 {
 			if 3*gotInformed > 2*got {
-				return fmt.Sprintf("endpoint %d got %.1f times the mean load in %d sessions within %v, its N is %.1f", i, got, n+1-from, x.config.OverloadWindow, bears)
+				return fmt.Sprintf("endpoint %d got %.1f times the mean load in %d sessions within %v, its N is %.1f", i, got, n+1-from, x.config.OverloadWindow, windowCapacity)
 			}
 			return ""
 		}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -111,8 +111,8 @@
 			}
 		}
 		// N of the overload rule: sessionsPerCore fill the endpoint, the slow start takes 20 s, the window 2 s.
-		bears := 3 * (0.15 + 0.85*4/20) * sessionsPerCore * 2 / 20
-		if most := bears + 2*math.Sqrt(bears) + 2; float64(sent) > most || sent == 0 {
+		windowCapacity := 3 * (0.15 + 0.85*4/20) * sessionsPerCore * 2 / 20
+		if most := windowCapacity + 2*math.Sqrt(windowCapacity) + 2; float64(sent) > most || sent == 0 {
 			t.Errorf("%d of %d group members got the warming endpoint at once, want at most %.0f", sent, members, most)
 		}
 	}
@@ -153,8 +153,8 @@
 	for _, at := range sent {
 		worst = max(worst, maxWithin(at, d.OverloadWindow))
 	}
-	if bears := 3 * 40 * d.SlowStartFloor; held < 40 || len(sent) < 6 || float64(worst) > bears { // N at the slow-start factor of the start
-		t.Errorf("%d sessions went to %d warming endpoints, up to %d in a window, want at most %v", held, len(sent), worst, bears)
+	if windowCapacity := 3 * 40 * d.SlowStartFloor; held < 40 || len(sent) < 6 || float64(worst) > windowCapacity { // N at the slow-start factor of the start
+		t.Errorf("%d sessions went to %d warming endpoints, up to %d in a window, want at most %v", held, len(sent), worst, windowCapacity)
 	}
 }
 
@@ -176,7 +176,7 @@
 // TestRefillOfAllBalancersIsBounded guards against balancers that together migrate too many sessions to one
 // warming endpoint, and against none that do.
 func TestRefillOfAllBalancersIsBounded(t *testing.T) {
-	const balancers, each, fills = 170, 15, 600 // fills is the number of sessions that fill an endpoint
+	const balancers, each, sessionsPerEndpoint = 170, 15, 600 // each endpoint is full with 600 sessions
 	list := startingAt(warmEndpointList(10), 5, 10, -12*time.Second)
 	all := newBalancers(t, balancers, 0, testConfig(), list[:5])
 	for _, b := range all {
@@ -207,9 +207,9 @@
 		t.Fatal("no session migrates to a warming endpoint")
 	}
 	for endpoint, at := range sent {
-		bears := 3 * (0.15 + 0.85*19/20) * fills * 2 / 20 // N of the overload rule, at the slow-start factor of the end
-		if worst := float64(maxWithin(at, 2*time.Second)); endpoint >= 105 && worst > bears+2*math.Sqrt(bears)+2 {
-			t.Errorf("endpoint %v got %v sessions in a window, its N is %.0f", endpoint, worst, bears)
+		windowCapacity := 3 * (0.15 + 0.85*19/20) * sessionsPerEndpoint * 2 / 20 // N of the overload rule, at the slow-start factor of the end
+		if worst := float64(maxWithin(at, 2*time.Second)); endpoint >= 105 && worst > windowCapacity+2*math.Sqrt(windowCapacity)+2 {
+			t.Errorf("endpoint %v got %v sessions in a window, its N is %.0f", endpoint, worst, windowCapacity)
 		}
 	}
 }
