--- a/policy/attempt_rules_test.go
+++ b/policy/attempt_rules_test.go
@@ -36,7 +36,7 @@
 		near := c.scope == KeyScopeAll || c.first == Rejected ||
 			c.scope == KeyScopeZone && then.Endpoint%2 == first.Endpoint%2 || then.Endpoint == first.Endpoint
 		if then.Action != c.want || then.Action == StartAttempt && !near {
-			t.Errorf("%+v: %+v after %+v", c, then, first)
+			t.Errorf("%+v: got %+v after %+v", c, then, first)
 		}
 	}
 }
@@ -55,6 +55,6 @@
 	}
 	b.AdvanceClock(2 * time.Second) // at the deadline there is a final answer, although attempts are left
 	if d := endAttempt(t, b, 1, 0, TimedOut); d.Action != Reject {
-		t.Fatalf("%+v", d)
+		t.Fatalf("want a reject at the deadline, got %+v", d)
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -21,7 +21,7 @@
 type Balancer struct {
 	config   *Config
 	now      time.Duration // time since the start, set by AdvanceClock
-	hashSeed uint64        // varies the hashes that must differ between balancers
+	hashSeed uint64        // makes the random choices of assumesOverload differ between balancers
 	random   randomSource
 
 	endpoints     []*endpoint // all endpoints ever listed, in the order of their first appearance
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// startCPUMeasurement starts a measurement. The returned function ends it and returns the processor time of one operation
-// in ns, including garbage collection. A busy machine distorts this less than wall-clock time.
+// startCPUMeasurement starts a measurement. The returned function ends it and returns the processor time of one
+// operation in ns, including garbage collection. A busy machine distorts this less than wall-clock time.
 func startCPUMeasurement(b *testing.B) func() float64 {
 	processorTime := func() time.Duration {
 		var u syscall.Rusage
--- a/policy/draining_test.go
+++ b/policy/draining_test.go
@@ -15,7 +15,7 @@
 	b.UpdateEndpoints(list[:1], false)
 	for id := SessionID(100); id < 130; id++ {
 		if d := addSession(t, b, SessionRequest{ID: id, Key: uint64(id)}); d.Endpoint == 100 {
-			t.Fatal("an attempt went to a draining endpoint")
+			t.Fatal("an attempt was made at a draining endpoint")
 		}
 	}
 	migrated := 0
@@ -41,7 +41,7 @@
 		all := allDecisions(b)
 		for _, d := range all {
 			if d.Action != Migrate || migrated[d.Session] {
-				t.Fatalf("%+v", d)
+				t.Fatalf("unexpected decision while draining: %+v", d)
 			}
 			migrated[d.Session] = true
 			b.AttemptEnded(d.Session, 0, true, Cancelled)
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -310,7 +310,8 @@
 	}
 }
 
-// checkNoSessionIsForgotten checks that each session without a final answer has an attempt or waits for a load report.
+// checkNoSessionIsForgotten checks that each session without a final answer has an attempt or waits for a load
+// report.
 func (r *ruleChecker) checkNoSessionIsForgotten() {
 	for id, s := range r.sessions {
 		if s.answers > 0 || s.attempting || s.established {
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// simulateRareEvent simulates events that are rare: a new configuration, draining, new weights, requested health checks
-// and adopted sessions.
+// simulateRareEvent simulates events that are rare: a new configuration, draining, new weights, requested health
+// checks and adopted sessions.
 func (r *goldenRun) simulateRareEvent(k int, b *Balancer, step int) {
 	id := r.list[r.IntN(len(r.list))].ID
 	switch {
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -97,7 +97,7 @@
 		b.AddSession(SessionRequest{ID: 1, Key: 1, Timeout: 2 * time.Second})
 		all := allDecisions(b)
 		if count(all, HealthCheck) != 1 || count(all, StartAttempt) != 0 {
-			t.Fatalf("%+v", all)
+			t.Fatalf("want only a health check before the attempt, got %+v", all)
 		}
 		if answered {
 			b.RecordLoadReport(all[0].Endpoint, LoadReport{Demand: 0.5, Backlog: -1, Utilization: -1})
@@ -126,7 +126,7 @@
 	for id, want := range []Action{StartAttempt, Reject} {
 		b.AdvanceClock(b.now + ms)
 		if got := addSession(t, b, SessionRequest{ID: SessionID(id + 1), Key: 1, Load: 500}); got.Action != want {
-			t.Fatalf("session %d: %+v", id+1, got)
+			t.Fatalf("session %d: got %+v", id+1, got)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 			all = allDecisions(b)
 		}
 		if count(all, x.want) != 1 {
-			t.Errorf("%+v: %+v", x, all)
+			t.Errorf("%+v: got decisions %+v", x, all)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -19,7 +19,7 @@
 			d = endAttempt(t, b, id, attempt, Failed)
 		}
 		if d.Action != StartAttempt {
-			t.Fatalf("session %d: %+v", id, d)
+			t.Fatalf("session %d was not attempted: %+v", id, d)
 		}
 	}
 	if !b.endpoints[3].ejected {
@@ -97,7 +97,7 @@
 			b.AttemptEnded(id, 0, true, Reset)
 		}
 		if d := addSession(t, b, SessionRequest{ID: 99, Key: 99}); d.Action != want {
-			t.Errorf("demand %v: %+v", demand, d)
+			t.Errorf("demand %v: got %+v", demand, d)
 		}
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -45,7 +45,7 @@
 		migrations += count(allDecisions(b), Migrate)
 	}
 	if migrations == 0 || migrations > 100 {
-		t.Fatalf("%d migrations by 200 balancers", migrations)
+		t.Fatalf("200 balancers migrated %d sessions, want 1 to 100", migrations)
 	}
 }
 
@@ -57,11 +57,11 @@
 		b.RecordLatency(100+s, 500*ms)
 	}
 	if d := addSession(t, b, SessionRequest{ID: 1, Key: 1}); d.Action != Reject || d.Duration <= 0 {
-		t.Fatalf("%+v", d)
+		t.Fatalf("want a reject while all endpoints are overloaded, got %+v", d)
 	}
 	b.AdvanceClock(latencyTTL + time.Second) // recorded latencies expire
 	if d := addSession(t, b, SessionRequest{ID: 2, Key: 1}); d.Action != StartAttempt {
-		t.Fatalf("%+v", d)
+		t.Fatalf("want an attempt after the latencies have expired, got %+v", d)
 	}
 }
 
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -16,7 +16,7 @@
 		}
 	}
 	if len(b.pools) != maxPools || b.pools[0] == first {
-		t.Fatalf("%d pools kept", len(b.pools))
+		t.Fatalf("%d pools are kept, or the oldest one is not dropped", len(b.pools))
 	}
 	if c := b.sessions[1]; c.state != stateEstablished || c.endpoint == nil {
 		t.Fatal("a session of a dropped pool lost its endpoint")
@@ -25,6 +25,6 @@
 		b.AttemptEnded(id, 0, true, Succeeded)
 	}
 	if len(b.pools) != 1 || b.activeSessions != 0 || len(b.activeByGroup) != 0 {
-		t.Fatalf("%d pools, %d sessions left", len(b.pools), b.activeSessions)
+		t.Fatalf("%d pools and %d sessions are left", len(b.pools), b.activeSessions)
 	}
 }
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -9,7 +9,7 @@
 const (
 	migrationInterval         = time.Second     // time between two migrations away from an overloaded endpoint
 	overloadMigrationFraction = 0.12            // fraction of the load that migrates away from an overloaded endpoint at a time
-	excessMigrationFraction   = 0.8             // fraction of the load that a load report shows above targetDemand, which migrates if it is more
+	excessMigrationFraction   = 0.8             // fraction of the load above targetDemand in a load report, which migrates instead if it is more
 	drainMigrationDivisor     = 8               // divides the load of a draining endpoint into the part that migrates in a round
 	refillInterval            = 4 * time.Second // mean time between two checks whether a session should move to a warming endpoint
 	maxRefillsPerRound        = 16              // maximum number of sessions that are checked for such a move in a round
@@ -60,9 +60,9 @@
 }
 
 // migrateLoad plans to migrate the given load away from an endpoint, choosing only sessions that would now be
-// placed at another endpoint: members of the smallest groups first, and the sessions of highest load first among
-// these. If that is not enough and terminate is set, it also ends sessions that find no other endpoint, starting
-// with the least valuable.
+// placed at another endpoint: members of the groups with the fewest sessions at the endpoint first, and among
+// these the sessions with the highest load. If that is not enough and terminate is set, it also ends sessions
+// that find no other endpoint, starting with the least valuable.
 func (b *Balancer) migrateLoad(e *endpoint, load float64, terminate bool) {
 	members := map[uint64]int{}
 	for _, s := range e.sessions {
@@ -163,7 +163,8 @@
 	}
 }
 
-// canRefill reports whether endpoints are warming up and recent attempts have been neither late nor failing.
+// canRefill reports whether endpoints are warming up, hardly any recent attempt was late or failed, and attempts
+// are not paused.
 func (b *Balancer) canRefill() bool {
 	return b.warmupWeight > 0 && b.recentCounts.late+b.recentCounts.failed < 1 && b.now >= b.pause.until
 }
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -121,7 +121,7 @@
 		}
 	}
 	if most == 0 || most > 9 {
-		t.Fatalf("%d pending attempts", most)
+		t.Fatalf("up to %d pending attempts, want 1 to 9", most)
 	}
 }
 
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -109,7 +109,7 @@
 func TestNoReadyEndpoint(t *testing.T) {
 	for _, list := range [][]Endpoint{nil, {{ID: 1, State: Draining}, {ID: 2, State: Removed}}} {
 		if d := addSession(t, newBalancer(testConfig(), list), SessionRequest{ID: 1, Key: 1}); d.Action != Reject || d.Duration <= 0 {
-			t.Fatalf("%+v", d)
+			t.Fatalf("want a reject without ready endpoints, got %+v", d)
 		}
 	}
 }
--- a/policy/session_test.go
+++ b/policy/session_test.go
@@ -8,7 +8,7 @@
 	b := newBalancer(testConfig(), warmEndpointList(2))
 	b.AdoptSession(SessionRequest{ID: 9, Key: 9}, 101)
 	if b.activeSessions != 1 || len(b.endpoints[1].sessions) != 1 || len(allDecisions(b)) != 0 {
-		t.Fatal("an established session was not adopted as it is")
+		t.Fatal("the adopted session is not established at its endpoint")
 	}
 	b.AttemptEnded(9, 0, true, Succeeded)
 	b.AttemptEnded(9, 0, true, Succeeded)
--- a/policy/slow_start_model_test.go
+++ b/policy/slow_start_model_test.go
@@ -49,8 +49,8 @@
 		w.sigma, w.config.SlowStartFloor, w.config.SlowStartWindow, w.config.OverloadWindow, w.config.OverloadMultiple)
 }
 
-// randomSlowStartModel returns a random deployment. The number of sessions is limited to limit the duration of the
-// test.
+// randomSlowStartModel returns a random deployment. The number of sessions is limited to limit the duration of
+// the test.
 func randomSlowStartModel(seed uint64) slowStartModel {
 	const maxSessions = 6000
 	r := rand.New(rand.NewPCG(seed, 1))
