--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -55,7 +55,7 @@
 	overloadFraction float64 // overloaded part of the endpoints that have sessions of this balancer
 
 	warmEndpoints          int                         // number of ready endpoints that are not warming up
-	warmupWeight           float64                     // total weight of the warming endpoints, reduced by their zone and slow-start factors
+	warmupWeight           float64                     // total weight of warming endpoints, reduced by zone and slow-start factors
 	slowStartPausedUntil   time.Duration               // time before which warming endpoints get no sessions
 	observedByMachineType  map[uint64]observedCapacity // capacity of warm endpoints by machine type
 	reportsDistrustedUntil map[location]time.Duration  // absent for failure domains that were never distrusted
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -225,7 +225,7 @@
 	case Reject, Fail:
 		s.answers++
 		if s.answers > 1 || s.attempting || s.established {
-			r.Fatalf("step %d: more than one final answer: %+v for %+v", r.step, decision, s)
+			r.Fatalf("step %d: final answer to a session that is active or has one already: %+v for %+v", r.step, decision, s)
 		}
 		if decision.Action == Reject && !r.isRetrySafe(s) {
 			r.Fatalf("step %d: a retry of a rejected session could repeat its effect: %+v", r.step, s)
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -4,7 +4,7 @@
 
 const (
 	gossipInterval           = 2 * time.Second // time between two messages of one balancer
-	gossipTTL                = 7 * time.Second // time for which a message counts; more than three intervals because messages can be lost
+	gossipTTL                = 7 * time.Second // time for which a message counts; over three intervals because messages can be lost
 	maxGossipBytesPerSession = 128             // bytes sent to all receivers together, for each new session
 )
 
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -14,7 +14,7 @@
 	maxPolledPerSession = 4                      // endpoints in the pool for each active session, above which none is polled regularly
 	maxPolls            = 3                      // number of load reports that one session waits for
 	pollTimeoutDivisor  = 4                      // divides the setup objective into the longest wait of a session for one load report
-	targetDemand        = 0.85                   // demand up to which endpoints with load reports are filled, relative to their capacity
+	targetDemand        = 0.85                   // demand relative to the capacity up to which endpoints with load reports are filled
 	provenLoadGrowth    = 2.0                    // factor by which an endpoint's load may grow after a report of spare capacity
 )
 
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -122,7 +122,8 @@
 	d.HasLoadReports = true
 	b := newBalancer(d, warmEndpointList(1))
 	b.AdvanceClock(time.Second)
-	b.RecordLoadReport(100, LoadReport{Demand: 0.5, Backlog: -1, Utilization: -1}) // without own sessions, this sets the assumed capacity to 0
+	// Without own sessions, this report sets the assumed capacity to 0.
+	b.RecordLoadReport(100, LoadReport{Demand: 0.5, Backlog: -1, Utilization: -1})
 	for id, want := range []Action{StartAttempt, Reject} {
 		b.AdvanceClock(b.now + ms)
 		if got := addSession(t, b, SessionRequest{ID: SessionID(id + 1), Key: 1, Load: 500}); got.Action != want {
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -9,12 +9,12 @@
 const (
 	migrationInterval         = time.Second     // time between two migrations away from an overloaded endpoint
 	overloadMigrationFraction = 0.12            // fraction of the load that migrates away from an overloaded endpoint at a time
-	excessMigrationFraction   = 0.8             // fraction of the load above targetDemand in a load report, which migrates instead if it is more
+	excessMigrationFraction   = 0.8             // fraction of the load above targetDemand in a load report; migrates instead if it is more
 	drainMigrationDivisor     = 8               // divides the load of a draining endpoint into the part that migrates in a round
 	refillInterval            = 4 * time.Second // mean time between two checks whether a session should move to a warming endpoint
 	maxRefillsPerRound        = 16              // maximum number of sessions that are checked for such a move in a round
 	capacityGrowth            = 0.015           // relative growth of an assumed capacity in a round without overload
-	capacityStep              = 0.3             // additional growth, as a fraction of the mean session load, so that it grows from near 0 too
+	capacityStep              = 0.3             // further growth as a fraction of the mean session load, so that it also grows from near 0
 )
 
 // growCapacity raises the assumed capacity of an endpoint that is not overloaded.
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	recentWindow            = 3 * time.Second // time constant of the decay of recent counts
-	baseAttempts            = 9.0             // pending attempts that all balancers together may have while some attempts fail
-	lateDivisor             = 3               // an attempt that takes longer than this part of the setup objective is late, which indicates a queue
-	maxRejectsInARow        = 12              // number of rejects in a row after which an attempt is made, so that a recovery is noticed
-	minOverloadedForRetries = 0.2             // fraction of overloaded endpoints from which late attempts do not count as failures
+	recentWindow               = 3 * time.Second // time constant of the decay of recent counts
+	baseAttempts               = 9.0             // pending attempts that all balancers together may have while some fail
+	lateDivisor                = 3               // divides the setup objective into the time beyond which a setup is late, which indicates a queue
+	maxRejectsInARow           = 12              // rejects in a row after which an attempt is made, so that a recovery is noticed
+	minOverloadFractionForLate = 0.2             // fraction of overloaded endpoints from which late setups do not count as failures
 )
 
 // recentCounts are counts of events that decay exponentially with the time constant recentWindow.
@@ -61,8 +61,8 @@
 
 // isRetryBudgetSpent reports whether a session gets no attempt because attempts fail at all endpoints alike. No
 // attempt is made during a pause or while the pending attempts use up the budget; otherwise sessions are denied
-// an attempt at random, with the probability of failure. After many rejects in a row an attempt is made in any
-// case, so that a recovery is noticed.
+// an attempt at random, with the probability of failure. After many rejects in a row and no attempt for
+// recentWindow, one is made in any case, so that a recovery is noticed.
 func (b *Balancer) isRetryBudgetSpent(s *session) bool {
 	established := b.recentCounts.established
 	failed := b.recentCounts.failed + b.recentCounts.late
@@ -84,7 +84,7 @@
 // areRetriesFutile reports whether so many attempts fail that a retry at another endpoint is unlikely to help.
 func (b *Balancer) areRetriesFutile() bool {
 	failed := b.recentCounts.failed
-	if b.overloadFraction < minOverloadedForRetries {
+	if b.overloadFraction < minOverloadFractionForLate {
 		failed += b.recentCounts.late
 	}
 	return 2*failed > b.recentCounts.established+4
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -96,7 +96,8 @@
 			b.AdvanceClock(began - 2*roundInterval)
 			b.UpdateEndpoints(list, true)
 			allDecisions(b)
-			b.AdvanceClock(began + time.Duration(k)*time.Second/time.Duration(members)) // in this round the balancer learns the warming endpoints
+			// In this round the balancer learns the warming endpoints.
+			b.AdvanceClock(began + time.Duration(k)*time.Second/time.Duration(members))
 			allDecisions(b)
 			key := uint64(k)<<20 + 1
 			for ; ; key++ { // find a key whose first endpoint is 100
@@ -153,7 +154,8 @@
 	for _, at := range sent {
 		worst = max(worst, maxWithin(at, d.OverloadWindow))
 	}
-	if windowCapacity := 3 * 40 * d.SlowStartFloor; held < 40 || len(sent) < 6 || float64(worst) > windowCapacity { // N at the slow-start factor of the start
+	// N of the overload rule, at the slow-start factor of the start.
+	if windowCapacity := 3 * 40 * d.SlowStartFloor; held < 40 || len(sent) < 6 || float64(worst) > windowCapacity {
 		t.Errorf("%d sessions went to %d warming endpoints, up to %d in a window, want at most %v", held, len(sent), worst, windowCapacity)
 	}
 }
@@ -207,7 +209,8 @@
 		t.Fatal("no session migrates to a warming endpoint")
 	}
 	for endpoint, at := range sent {
-		windowCapacity := 3 * (0.15 + 0.85*19/20) * sessionsPerEndpoint * 2 / 20 // N of the overload rule, at the slow-start factor of the end
+		// N of the overload rule, at the slow-start factor of the end.
+		windowCapacity := 3 * (0.15 + 0.85*19/20) * sessionsPerEndpoint * 2 / 20
 		if worst := float64(maxWithin(at, 2*time.Second)); endpoint >= 105 && worst > windowCapacity+2*math.Sqrt(windowCapacity)+2 {
 			t.Errorf("endpoint %v got %v sessions in a window, its N is %.0f", endpoint, worst, windowCapacity)
 		}
