--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -33,16 +33,16 @@
 }
 
 // recordEstablished counts an attempt that has established its session and updates the pause of attempts.
-func (b *Balancer) recordEstablished(class *Class, took time.Duration) {
+func (b *Balancer) recordEstablished(class *Class, setupTime time.Duration) {
 	b.recentCounts.decay(b.now)
 	b.recentCounts.established++
 	b.pause.end(b.now)
-	if took > class.SetupObjective/lateDivisor {
+	if setupTime > class.SetupObjective/lateDivisor {
 		b.recentCounts.late++
 	} else {
 		b.pause.shorten()
 	}
-	if took > class.SetupObjective {
+	if setupTime > class.SetupObjective {
 		b.pauseAttempts() // the next attempt would wait in the same queue
 	}
 }
