--- a/policy/attempt_rules.go
+++ b/policy/attempt_rules.go
@@ -1,22 +1,24 @@
 package policy
 
-// canAttempt reports whether a session's next attempt may go to an endpoint, under all four rules: a session
-// gets one final answer, no effect happens twice, a draining endpoint gets nothing new, a warming one is not
+// canAttempt reports whether the next attempt of a session may go to an endpoint. It enforces the four rules
+// that hold for every attempt: a session gets exactly one final answer, a request takes effect at most once
+// unless it is idempotent, an endpoint that is not ready gets no new sessions, and a warming endpoint is not
 // overloaded.
 func (b *Balancer) canAttempt(s *session, e *endpoint) bool {
 	if s.hasAnswer || s.isActive() || s.deadline <= b.now || s.attempts >= s.maxAttempts {
 		return false
 	}
-	if !b.canRepeatAt(s, e) || e.State != Ready {
+	if !b.isRepeatSafeAt(s, e) || e.State != Ready {
 		return false
 	}
-	return !b.isWarmingUp(e) || b.canWarmUp(s, e)
+	return !b.isWarmingUp(e) || b.canAttemptWarming(s, e)
 }
 
-// canRepeatAt reports whether an attempt at an endpoint can't cause an effect twice.
-func (b *Balancer) canRepeatAt(s *session, e *endpoint) bool {
-	first := s.mayHaveRunOn
-	if first == nil || s.class.Idempotency == Idempotent {
+// isRepeatSafeAt reports whether an attempt at an endpoint cannot make the request of a session take effect
+// twice.
+func (b *Balancer) isRepeatSafeAt(s *session, e *endpoint) bool {
+	firstEndpoint := s.mayHaveRunOn
+	if firstEndpoint == nil || s.class.Idempotency == Idempotent {
 		return true
 	}
 	if s.class.Idempotency == NonIdempotent || b.now >= s.mayHaveRunAt+s.class.KeyTTL {
@@ -24,15 +26,16 @@
 	}
 	switch s.class.KeyScope {
 	case KeyScopeZone:
-		return e.Zone == first.Zone
+		return e.Zone == firstEndpoint.Zone
 	case KeyScopeFailureDomain:
-		return e.location() == first.location()
+		return e.location() == firstEndpoint.location()
 	default:
 		return true
 	}
 }
 
-// isRetrySafe reports whether a client may repeat a rejected session anywhere without causing an effect twice.
+// isRetrySafe reports whether the client of a rejected session may retry at any endpoint without the request
+// taking effect twice.
 func (b *Balancer) isRetrySafe(s *session) bool {
 	if s.mayHaveRunOn == nil || s.class.Idempotency == Idempotent {
 		return true
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,68 +1,69 @@
-// Package policy decides for one balancer which endpoint serves a session, when an attempt is repeated, which
-// sessions are rejected, and which established sessions migrate. It owns everything that these decisions need
-// to remember. It must never do input or output, read a clock, start a goroutine or depend on a wire format:
-// the same inputs in the same order give the same decisions.
+// Package policy implements the load-balancing decisions of one balancer: which endpoint serves a session, when
+// an attempt is retried, which sessions are rejected, and which established sessions migrate. It holds all the
+// state that these decisions depend on. The package must not do input or output, read a clock, start a goroutine
+// or depend on a wire format, so that the same inputs in the same order always give the same decisions.
 //
-// The host calls AdvanceClock with the time since the start, then one method for each event that came in
-// (UpdateEndpoints, AttemptEstablished and so on). These only update the state. It then calls Next until that
-// reports false, carries out each Decision, and calls again at the time that NextWakeup returns at the latest.
-// A Balancer must not be used by several goroutines at once.
+// The host calls AdvanceClock with the time since the start, then one method for each event that has occurred
+// (UpdateEndpoints, AttemptEstablished and so on). These methods only update the state. The host then calls Next
+// until it reports false, carries out each Decision, and calls Next again no later than NextWakeup says. A
+// Balancer is not safe for concurrent use.
 package policy
 
 import "time"
 
 const (
-	roundInterval = 250 * time.Millisecond // between two considerations of migrations and health checks
-	never         = time.Duration(1 << 62)
+	roundInterval = 250 * time.Millisecond // time between two rounds, which plan migrations and health checks
+	never         = time.Duration(1 << 62) // a time that is never reached
 )
 
-// Balancer is the state of one balancer. Next and NextWakeup are its outputs, all other methods its inputs.
+// Balancer holds the state of one balancer. Next and NextWakeup return its decisions; the other methods are its
+// inputs.
 type Balancer struct {
 	config   *Config
-	now      time.Duration
-	hashSeed uint64
+	now      time.Duration // time since the start, set by AdvanceClock
+	hashSeed uint64        // makes the random choices of assumesOverload differ between balancers
 	random   randomSource
 
-	endpoints     []*endpoint // in the order in which they became known
+	endpoints     []*endpoint // all endpoints ever listed, in the order of their first appearance
 	endpointByID  map[EndpointID]*endpoint
-	listUpdates   int     // calls of UpdateEndpoints
-	pools         []*pool // oldest first; the newest one places new sessions
+	listUpdates   int     // number of calls of UpdateEndpoints
+	pools         []*pool // pools in use, oldest first; new sessions are placed by the last one
 	maxPoolWeight float64 // largest total weight of any pool so far
 
 	sessions           map[SessionID]*session
-	queue              []*session // that need a decision
-	waiting            []*session // for a load report
-	activeSessions     int        // attempts and established sessions
-	meanActiveSessions float64    // activeSessions averaged over recentWindow
-	activeByGroup      map[uint64]int
-	activeByTenant     []int     // the last one counts sessions of unknown tenants
-	sessionLoad        average   // of single sessions, in microseconds of work a second
-	loadByClass        []average // the last one is of classes that no longer exist
-	tenantQuota        float64   // connections of all tenants' quotas, over all balancers
-	rankBuffer         []rankedEndpoint
-	planned            []Decision // migrations and health checks of the newest round
+	queue              []*session       // sessions that need a decision
+	waitingSessions    []*session       // sessions that wait for a load report
+	activeSessions     int              // number of pending attempts and established sessions
+	meanActiveSessions float64          // activeSessions averaged over recentWindow
+	activeByGroup      map[uint64]int   // activeSessions by affinity key
+	activeByTenant     []int            // activeSessions by tenant index; the last element counts those of unknown tenants
+	sessionLoad        average          // load of one session, in microseconds of work per second
+	loadByClass        []average        // sessionLoad by class index; the last element is for classes that no longer exist
+	tenantQuota        float64          // sum of the connection quotas of all tenants, for all balancers together
+	rankBuffer         []rankedEndpoint // reused by rankEndpoints
+	plannedDecisions   []Decision       // migrations and health checks planned by the newest round
 	nextRoundAt        time.Duration
 
-	remoteZoneFactor float64       // multiplies the weight of an endpoint in another zone
-	messageObjective time.Duration // the shortest of all classes, never if there is none
+	remoteZoneFactor float64       // factor on the weight of an endpoint in another zone
+	messageObjective time.Duration // shortest message objective of all classes, never if there is none
 
-	recent           recentCounts
-	pendingAttempts  int
-	lastAttemptAt    time.Duration
-	rejectsInARow    int // since the newest attempt
+	recentCounts     recentCounts
+	pendingAttempts  int           // number of attempts that have neither established a session nor ended
+	lastAttemptAt    time.Duration // start of the newest attempt
+	rejectsInARow    int           // number of final answers since the newest attempt
 	pause            attemptPause
-	overloadFraction float64 // of the endpoints with sessions of this balancer
+	overloadFraction float64 // overloaded part of the endpoints that have sessions of this balancer
 
-	warmEndpoints          int     // ready endpoints that are not warming up
-	warmupWeight           float64 // weight that warming endpoints attract together
-	slowStartPausedUntil   time.Duration
-	observed               map[uint64]observedCapacity // by machine type
-	reportsDistrustedUntil map[location]time.Duration  // absent if they were never distrusted
+	warmEndpoints          int                         // number of ready endpoints that are not warming up
+	warmupWeight           float64                     // total weight of warming endpoints, reduced by zone and slow-start factors
+	slowStartPausedUntil   time.Duration               // time before which warming endpoints get no sessions
+	observedByMachineType  map[uint64]observedCapacity // capacity of warm endpoints by machine type
+	reportsDistrustedUntil map[location]time.Duration  // absent for failure domains that were never distrusted
 	gossip                 gossip
-	draining               drainWindow
+	drainWindow            drainWindow
 }
 
-// New returns a Balancer that knows no endpoints yet. The seed fixes all its random choices.
+// New returns a Balancer that knows no endpoints yet. The seed determines all of its random choices.
 func New(config *Config, seed uint64) *Balancer {
 	b := &Balancer{
 		hashSeed:               seed,
@@ -71,9 +72,9 @@
 		pools:                  []*pool{{}},
 		sessions:               map[SessionID]*session{},
 		activeByGroup:          map[uint64]int{},
-		observed:               map[uint64]observedCapacity{},
+		observedByMachineType:  map[uint64]observedCapacity{},
 		reportsDistrustedUntil: map[location]time.Duration{},
-		draining:               drainWindow{until: never},
+		drainWindow:            drainWindow{until: never},
 	}
 	b.Reconfigure(config, nil, nil)
 	b.nextRoundAt = time.Duration(b.random.float64() * float64(roundInterval))
@@ -81,14 +82,14 @@
 	return b
 }
 
-// Reconfigure replaces the configuration. The class at index i of the previous configuration is now at
-// classes[i], -1 if it is gone; tenants does the same for tenants. Sessions keep the class and the maximum
-// number of attempts with which they came.
+// Reconfigure replaces the configuration. The class at index i of the previous configuration is now at index
+// classes[i], or is gone if that is -1; tenants maps the tenants in the same way. Sessions keep the class and
+// the maximum number of attempts that they had on arrival.
 func (b *Balancer) Reconfigure(config *Config, classes, tenants []int) {
 	loadByClass := make([]average, len(config.Classes)+1)
-	for was, is := range classes {
-		if is >= 0 {
-			loadByClass[is] = b.loadByClass[was]
+	for oldIndex, newIndex := range classes {
+		if newIndex >= 0 {
+			loadByClass[newIndex] = b.loadByClass[oldIndex]
 		}
 	}
 	b.config = config
@@ -108,7 +109,7 @@
 			b.messageObjective = min(b.messageObjective, class.MessageObjective)
 		}
 	}
-	b.pause.unit = pauseUnit(config)
+	b.pause.minLength = minPauseLength(config)
 	b.tenantQuota = 0
 	for _, tenant := range config.Tenants {
 		b.tenantQuota += tenant.ConnectionQuota
@@ -116,10 +117,10 @@
 	b.resetGossip()
 }
 
-// AdvanceClock sets the time since the start. Time never goes back: an earlier time has no effect.
+// AdvanceClock sets the time since the start. Time never goes back: an earlier time is ignored.
 func (b *Balancer) AdvanceClock(now time.Duration) { b.now = max(b.now, now) }
 
-// Next returns the next decision, or false if there is none at the present time.
+// Next returns the next decision, or false if there is none at the current time.
 func (b *Balancer) Next() (Decision, bool) {
 	if message, isDue := b.dueGossip(); isDue {
 		return Decision{Action: SendGossip, Gossip: message}, true
@@ -128,35 +129,36 @@
 	for len(b.queue) > 0 {
 		s := b.queue[0]
 		b.queue = b.queue[1:]
-		if decision, ok := b.decide(s); ok {
+		if decision, ok := b.decideSession(s); ok {
 			return decision, true
 		}
 	}
 	b.queue = nil
 	if b.nextRoundAt <= b.now {
 		b.nextRoundAt = b.now + roundInterval
-		b.round()
+		b.runRound()
 	}
-	if len(b.planned) == 0 {
+	if len(b.plannedDecisions) == 0 {
 		return Decision{}, false
 	}
-	decision := b.planned[0]
-	b.planned = b.planned[1:]
+	decision := b.plannedDecisions[0]
+	b.plannedDecisions = b.plannedDecisions[1:]
 	return decision, true
 }
 
-// NextWakeup returns the time at which Next has to be called again at the latest. It always reports true.
+// NextWakeup returns the time by which Next must be called again. It always reports true.
 func (b *Balancer) NextWakeup() (at time.Duration, ok bool) {
 	at = min(b.nextRoundAt, b.gossip.nextAt)
-	for _, s := range b.waiting {
+	for _, s := range b.waitingSessions {
 		at = min(at, s.reportDeadline)
 	}
 	return at, true
 }
 
-// round plans migrations and health checks.
-func (b *Balancer) round() {
-	b.planned = b.planned[:0]
+// runRound updates the averages and estimates that change over time, then plans migrations and health checks. It
+// runs every roundInterval.
+func (b *Balancer) runRound() {
+	b.plannedDecisions = b.plannedDecisions[:0]
 	b.sumGossip()
 	window := max(roundInterval, min(recentWindow, b.now))
 	b.meanActiveSessions += (float64(b.activeSessions) - b.meanActiveSessions) * float64(roundInterval) / float64(window)
@@ -167,7 +169,7 @@
 	}
 	b.observeCapacity()
 	b.observeOverload()
-	b.recent.decay(b.now)
+	b.recentCounts.decay(b.now)
 	b.refillWarmingEndpoints()
 	for _, e := range b.endpoints {
 		if e.State == Removed {
@@ -179,5 +181,5 @@
 	}
 }
 
-// meanLoad is the mean load of a session, at least 1 so that it can divide.
+// meanLoad returns the mean load of a session, at least 1 so that it can be used as a divisor.
 func (b *Balancer) meanLoad() float64 { return max(b.sessionLoad.mean, 1) }
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestRetryBudgetDoesNotRejectAllForLong has all attempts fail at one of 300 balancers. It may reject most sessions, but not all
-// for four seconds, or it would not notice a recovery; and it makes few attempts, as all balancers together would overload
-// what has failed.
+// TestRetryBudgetDoesNotRejectAllForLong guards against two failures of a balancer, one of 300, at which all
+// attempts fail. If it rejected every session for four seconds, it would not notice a recovery. If it made many
+// attempts, all balancers together would overload what has failed.
 func TestRetryBudgetDoesNotRejectAllForLong(t *testing.T) {
 	type pendingAttempt struct {
 		Decision
@@ -16,9 +16,9 @@
 		at      time.Duration
 	}
 	for _, c := range []struct {
-		name  string
-		every time.Duration
-		how   Outcome
+		name     string
+		interval time.Duration
+		outcome  Outcome
 	}{
 		{"eight a second, timeouts", 125 * ms, TimedOut},
 		{"eight a second, failures", 125 * ms, Failed},
@@ -30,18 +30,18 @@
 		var pending []pendingAttempt
 		attempted := map[SessionID]int{}
 		var attempts []time.Duration
-		rejects, worst, since := 0, 0, time.Duration(0)
+		rejects, longestRejection, since := 0, 0, time.Duration(0)
 		const lasts = 60 * time.Second
 		id := SessionID(1)
 		for now := time.Duration(0); now < lasts; now += 5 * ms {
 			b.AdvanceClock(now)
 			pending = slices.DeleteFunc(pending, func(o pendingAttempt) bool {
 				if o.at <= now {
-					b.AttemptEnded(o.Session, o.attempt, false, c.how)
+					b.AttemptEnded(o.Session, o.attempt, false, c.outcome)
 				}
 				return o.at <= now
 			})
-			if now%c.every == 0 {
+			if now%c.interval == 0 {
 				b.AddSession(SessionRequest{ID: id, Key: uint64(id), Timeout: 2 * time.Second})
 				id++
 			}
@@ -54,23 +54,25 @@
 					rejects, since = 0, now
 				case Reject:
 					if rejects++; rejects >= 15 && now-since >= 4*time.Second {
-						worst = max(worst, int((now-since)/time.Millisecond))
+						longestRejection = max(longestRejection, int((now-since)/time.Millisecond))
 					}
 				}
 			}
 		}
-		if worst > 0 {
-			t.Errorf("%s: rejected 15 or more, all of them, for %d ms", c.name, worst)
+		if longestRejection > 0 {
+			t.Errorf("%s: every session (at least 15) was rejected for %d ms", c.name, longestRejection)
 		}
-		// Once the budget is spent, one attempt a second at most.
+		// Once the budget is spent, at most one attempt per second is allowed.
 		const spentAfter = 10 * time.Second
 		from, _ := slices.BinarySearch(attempts, spentAfter)
 		if n, most := len(attempts)-from, int((lasts-spentAfter)/time.Second); n > most {
-			t.Errorf("%s: %d attempts in %v while all fail, at most %d are wanted", c.name, n, lasts-spentAfter, most)
+			t.Errorf("%s: %d attempts within %v while all fail, want at most %d", c.name, n, lasts-spentAfter, most)
 		}
 	}
 }
 
+// TestSharedFailureSpendsRetryBudgetAndEjectsFew guards against retries and ejections that do not help when
+// attempts fail at all endpoints alike, and against rejects that go on after the failure.
 func TestSharedFailureSpendsRetryBudgetAndEjectsFew(t *testing.T) {
 	b, attempts := newBalancer(testConfig(), warmEndpointList(9)), 0
 	for id := SessionID(1); id <= 1000; id++ {
@@ -81,7 +83,7 @@
 			d = endAttempt(t, b, id, attempt, Failed)
 		}
 		if d.Action != Reject || d.Duration <= 0 || d.Duration > time.Second {
-			t.Fatalf("no reject with Retry-After: %+v", d)
+			t.Fatalf("want a reject with Retry-After, got %+v", d)
 		}
 	}
 	ejected := 0
@@ -93,20 +95,22 @@
 	if attempts > 150 || ejected > 3 {
 		t.Fatalf("%d attempts for 1000 sessions, %d endpoints ejected", attempts, ejected)
 	}
-	for id := SessionID(2001); b.now < 5*time.Second; id++ { // and sessions are admitted soon after the failure ends
+	for id := SessionID(2001); b.now < 5*time.Second; id++ { // the failure is over: sessions must soon be admitted
 		b.AdvanceClock(b.now + 10*ms)
 		if d := addSession(t, b, SessionRequest{ID: id, Key: uint64(id)}); d.Action == StartAttempt {
 			b.AttemptEstablished(id, 0, ms)
 		} else if b.now > 4*time.Second {
-			t.Fatal("still rejecting long after the failure")
+			t.Fatal("sessions are still rejected long after the failure")
 		}
 	}
 }
 
+// TestLateSetupsBoundPendingAttempts guards against a growing number of pending attempts while every setup
+// succeeds late, which indicates a queue.
 func TestLateSetupsBoundPendingAttempts(t *testing.T) {
 	b := newBalancer(testConfig(), warmEndpointList(6))
 	most := 0
-	for id := SessionID(1); id < 200; id++ { // each setup succeeds, but late
+	for id := SessionID(1); id < 200; id++ { // each setup succeeds, but takes 500 ms
 		b.AdvanceClock(b.now + 20*ms)
 		addSession(t, b, SessionRequest{ID: id, Key: uint64(id)})
 		if late := id - 25; late > 0 {
@@ -117,11 +121,12 @@
 		}
 	}
 	if most == 0 || most > 9 {
-		t.Fatalf("%d pending attempts", most)
+		t.Fatalf("up to %d pending attempts, want 1 to 9", most)
 	}
 }
 
-// TestLateSetupsStopNoMigrationsUnderOverload has late setups count as failures only while few endpoints are overloaded.
+// TestLateSetupsStopNoMigrationsUnderOverload guards against late setups that stop the migrations away from
+// overloaded endpoints: they count as failures only while few endpoints are overloaded.
 func TestLateSetupsStopNoMigrationsUnderOverload(t *testing.T) {
 	for _, overloaded := range []int{0, 4} {
 		b := newBalancer(testConfig(), warmEndpointList(4))
@@ -135,7 +140,7 @@
 		b.AdvanceClock(b.now + roundInterval)
 		allDecisions(b)
 		if got := b.areRetriesFutile(); got != (overloaded == 0) {
-			t.Errorf("%d overloaded: futile %v", overloaded, got)
+			t.Errorf("%d endpoints overloaded: areRetriesFutile is %v", overloaded, got)
 		}
 	}
 }
