--- a/internal/fleet/changefeed/admission_test.go
+++ b/internal/fleet/changefeed/admission_test.go
@@ -81,7 +81,7 @@
 		t.Errorf("20 subscribers asked %d times in 30 s", full)
 	}
 	publisher := h.publishers["r0"].core
-	first := publisher.order.Front().Value.(*session)
+	first := publisher.sessionOrder.Front().Value.(*session)
 	if err := publisher.Connected(h.now, 999, Hello{ProtocolVersion: ProtocolVersion, ID: first.hello.ID, Incarnation: 2, Fleet: "f"}); err != nil || publisher.sessionsByID[first.hello.ID].connID != 999 || len(publisher.sessions) != 5 {
 		t.Errorf("who came anew: %v", err)
 	}
--- a/internal/fleet/changefeed/bench_test.go
+++ b/internal/fleet/changefeed/bench_test.go
@@ -213,7 +213,7 @@
 		items := []Item{{Key: ConfigPrefix + "name", Value: make([]byte, 100)}}
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, _, err := log.state.evaluate(items); err != nil {
+			if _, _, err := log.state.evaluateItems(items); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -222,7 +222,7 @@
 		items := log.state.Items("")
 		b.SetBytes(int64(log.state.Bytes()))
 		for b.Loop() {
-			if _, _, err := NewState().evaluate(items); err != nil {
+			if _, _, err := NewState().evaluateItems(items); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/fleet/changefeed/confirmation.go
+++ b/internal/fleet/changefeed/confirmation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// confirmation states that at a time nothing newer than a version was agreed.
+// confirmation records that a version, with its digest, was the newest agreed version at a given time.
 type confirmation struct {
 	at      time.Duration
 	version uint64
--- a/internal/fleet/changefeed/delivery.go
+++ b/internal/fleet/changefeed/delivery.go
@@ -2,31 +2,31 @@
 
 import "slices"
 
-// acknowledge records what a subscriber has, and continues with what it lacks.
+// acknowledge records the version that a subscriber has, and continues to send the changes that it lacks.
 func (p *Publisher) acknowledge(s *session, version, digest uint64) {
 	if version < s.ackedVersion {
-		return // out of date
+		return // an older acknowledgement, overtaken by a newer one
 	}
 	s.ackedVersion = version
 	s.ackedDigest = digest
 	acked := 0
 	for acked < len(s.inFlight) && s.inFlight[acked].version <= version {
-		p.release(s, s.inFlight[acked])
+		p.releaseInFlight(s, s.inFlight[acked])
 		acked++
 	}
 	s.inFlight = slices.Delete(s.inFlight, 0, acked)
 	if acked > 0 || len(s.inFlight) == 0 {
 		s.lastProgress = p.now
 	}
-	if version > s.sentVersion { // received from another publisher
+	if version > s.sentVersion { // the subscriber received this version from another publisher
 		s.sentVersion = version
 		s.sentDigest = digest
 	}
-	p.resume(s)
+	p.resumeSession(s)
 }
 
-// release returns the window and the reference to a snapshot that an in-flight message holds.
-func (p *Publisher) release(s *session, message inFlightMessage) {
+// releaseInFlight frees the part of the window that a message in flight occupies, and its reference to a snapshot.
+func (p *Publisher) releaseInFlight(s *session, message inFlightMessage) {
 	s.inFlightBytes -= message.size
 	if !message.isSnapshot || p.snapshotsInFlight[message.version] == 0 {
 		return
@@ -37,17 +37,19 @@
 	}
 }
 
-func (p *Publisher) releaseAll(s *session) {
+// releaseAllInFlight frees the whole window of a session, because the messages in flight are superseded or the session
+// ends.
+func (p *Publisher) releaseAllInFlight(s *session) {
 	for _, message := range s.inFlight {
-		p.release(s, message)
+		p.releaseInFlight(s, message)
 	}
 	s.inFlight = s.inFlight[:0]
 	s.lastProgress = p.now
 }
 
-// resume continues with a subscriber that has just reported its version. Where the log does not reach back to it, it is queued for a
-// snapshot, once it has acknowledged what is in flight.
-func (p *Publisher) resume(s *session) {
+// resumeSession continues to send to a subscriber that has just reported its version. A subscriber to whose version the log does not reach
+// back is queued for a snapshot once it has acknowledged all messages in flight.
+func (p *Publisher) resumeSession(s *session) {
 	if !s.awaitingResume {
 		p.sendChanges(s)
 		return
@@ -56,7 +58,7 @@
 		return
 	}
 	s.awaitingResume = false
-	if s.standby {
+	if s.isStandby {
 		return
 	}
 	if s.forceSnapshot || !p.log.canReplayFrom(s.sentVersion, s.sentDigest) {
@@ -69,9 +71,9 @@
 	p.sendChanges(s)
 }
 
-// sendChanges sends the changes that a subscriber lacks, as far as its window allows.
+// sendChanges sends the changes that a subscriber lacks, as many as its window permits.
 func (p *Publisher) sendChanges(s *session) {
-	if s.standby || s.awaitingSnapshot || s.awaitingResume {
+	if s.isStandby || s.awaitingSnapshot || s.awaitingResume {
 		return
 	}
 	for s.sentVersion < p.log.Version() {
@@ -83,12 +85,13 @@
 		if !p.hasWindow(s, next.size) {
 			return
 		}
-		p.deliver(s, next.message, next.change.DigestAfter, inFlightMessage{version: next.change.Version, size: next.size})
+		p.deliverStateMessage(s, next.message, next.change.DigestAfter, inFlightMessage{version: next.change.Version, size: next.size})
 		p.Stats.Changes++
 	}
 }
 
-// hasWindow reports whether a message of a size may be sent now. A message that exceeds the window is sent alone.
+// hasWindow reports whether the window has room for a message of a size. A message larger than the window is sent when nothing else is in
+// flight.
 func (p *Publisher) hasWindow(s *session, size int) bool {
 	if len(s.inFlight) == 0 {
 		return true
@@ -96,8 +99,8 @@
 	return s.inFlightBytes+size <= p.config.WindowBytes && len(s.inFlight) < maxUnackedMessages
 }
 
-// deliver sends a change or snapshot, after which the subscriber's state has the digest.
-func (p *Publisher) deliver(s *session, message *SharedMessage, digest uint64, sent inFlightMessage) {
+// deliverStateMessage sends a change or snapshot and records it as in flight. The digest is that of the subscriber's state after it.
+func (p *Publisher) deliverStateMessage(s *session, message *SharedMessage, digest uint64, sent inFlightMessage) {
 	if len(s.inFlight) == 0 {
 		s.lastProgress = p.now
 	}
@@ -109,17 +112,17 @@
 	p.ready.Sends = append(p.ready.Sends, PublisherSend{Conn: s.connID, Message: message})
 }
 
-// sendSnapshots sends snapshots to queued subscribers, first come, first served, within the budget.
+// sendSnapshots sends snapshots to queued subscribers in the order of the queue, while the budget lasts.
 func (p *Publisher) sendSnapshots() {
 	served := 0
 	for ; served < len(p.snapshotQueue) && p.snapshotBudget > 0; served++ {
 		s := p.snapshotQueue[served]
 		s.awaitingSnapshot = false
-		if !s.forceSnapshot && p.log.canReplayFrom(s.sentVersion, s.sentDigest) { // brought up to date by another publisher
+		if !s.forceSnapshot && p.log.canReplayFrom(s.sentVersion, s.sentDigest) { // another publisher has brought it up to date
 			p.sendChanges(s)
 			continue
 		}
-		if s.sentVersion >= p.log.Version() { // nothing newer; the subscriber finds a conflict at the same version by its next renewal
+		if s.sentVersion >= p.log.Version() { // there is no newer snapshot; the subscriber detects a conflict at the same version by its next renewal
 			s.forceSnapshot = false
 			continue
 		}
@@ -131,7 +134,8 @@
 	p.snapshotQueue = slices.Delete(p.snapshotQueue, 0, served)
 }
 
-// sendSnapshot sends a snapshot and the changes after it. It returns false where too many different snapshots are in flight.
+// sendSnapshot sends a snapshot and the changes after it. It returns false, and sends nothing, while too many different snapshots are in
+// flight.
 func (p *Publisher) sendSnapshot(s *session) bool {
 	message := p.log.snapshotNewerThan(s.sentVersion)
 	snapshot := message.Content.Snapshot
@@ -142,8 +146,8 @@
 	size := snapshot.Size()
 	p.snapshotBudget -= float64(size)
 	s.forceSnapshot = false
-	p.releaseAll(s)
-	p.deliver(s, message, snapshot.Digest, inFlightMessage{version: snapshot.Version, size: size, isSnapshot: true})
+	p.releaseAllInFlight(s)
+	p.deliverStateMessage(s, message, snapshot.Digest, inFlightMessage{version: snapshot.Version, size: size, isSnapshot: true})
 	p.Stats.Snapshots++
 	p.sendChanges(s)
 	return true
--- a/internal/fleet/changefeed/event.go
+++ b/internal/fleet/changefeed/event.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// maxEvents bounds the events of one Ready. Further ones are dropped; the statistics count them.
+// maxEvents limits the events that one call of Ready returns. Further events are dropped; the statistics still count what they report.
 const maxEvents = 64
 
-// EventKind is the kind of an Event.
+// EventKind says what an Event reports.
 type EventKind uint8
 
-// The kinds of events, with the fields of Event that they use.
+// The kinds of events, each with the fields of Event that it uses.
 const (
-	EventResumed          EventKind = iota // this process was suspended for Duration
-	EventLeaseExpired                      // a publisher closed the session of PeerID, which was silent for Duration
-	EventSlowSubscriber                    // a publisher closed the session of PeerID, which acknowledged nothing for Duration
-	EventForeignFleet                      // PeerID at Addr belongs to another fleet, Detail
-	EventNewerProtocol                     // PeerID speaks a newer version of the protocol, Detail
-	EventMalformedMessage                  // a message could not be decoded, Detail
-	EventSubscribed                        // a subscriber follows PeerID at Addr
-	EventUnsubscribed                      // a subscriber stopped following Addr, Detail is the reason
-	EventStale                             // a subscriber's state is no longer current; it is of Version and was confirmed Duration ago
-	EventCurrent                           // it is current again, after Duration
-	EventDigestMismatch                    // a change from Addr applies to another state than Version here; reported once until a snapshot repairs it
-	EventHistoryConflict                   // Addr has other content at the same Version: two histories exist. It needs an operator
-	EventMessageRejected                   // what Addr sent is invalid, Detail
+	EventResumed          EventKind = iota // This process was suspended for Duration.
+	EventLeaseExpired                      // The publisher closed the session of PeerID, which was silent for Duration.
+	EventSlowSubscriber                    // The publisher closed the session of PeerID, which acknowledged nothing for Duration.
+	EventForeignFleet                      // PeerID at Addr belongs to another fleet, which Detail describes.
+	EventNewerProtocol                     // PeerID speaks a newer version of the protocol, given by Detail.
+	EventMalformedMessage                  // A message from a subscriber is malformed; Detail is the error.
+	EventSubscribed                        // The subscriber follows PeerID at Addr.
+	EventUnsubscribed                      // The subscriber stopped following Addr; Detail is the reason.
+	EventStale                             // The subscriber's state, at Version, is no longer current; it was last confirmed Duration ago.
+	EventCurrent                           // The subscriber's state, at Version, is current again after Duration.
+	EventDigestMismatch                    // A change from Addr was made for another state than the subscriber has at Version. Reported once until an update succeeds.
+	EventHistoryConflict                   // Addr has different content at Version: two histories exist, and an operator has to intervene.
+	EventMessageRejected                   // A message from Addr, or the member item with the key Addr, is invalid; Detail is the error.
 )
 
-// Event is something that operators are told.
+// Event is an occurrence that is logged for operators. Its Kind determines which of the other fields are set.
 type Event struct {
 	Kind     EventKind
 	PeerID   string
@@ -38,10 +38,10 @@
 	Detail   string
 }
 
-// IsAlert reports whether an event needs an operator at once.
+// IsAlert reports whether an operator has to act on the event at once.
 func (e Event) IsAlert() bool { return e.Kind == EventHistoryConflict }
 
-// String describes the event.
+// String returns the text of the event for a log.
 func (e Event) String() string {
 	switch e.Kind {
 	case EventResumed:
@@ -51,7 +51,7 @@
 	case EventSlowSubscriber:
 		return fmt.Sprintf("subscriber %s acknowledged nothing for %v", e.PeerID, e.Duration)
 	case EventForeignFleet:
-		return fmt.Sprintf("%s%s is of another fleet: %s", e.PeerID, e.Addr, e.Detail)
+		return fmt.Sprintf("%s%s belongs to another fleet: %s", e.PeerID, e.Addr, e.Detail)
 	case EventNewerProtocol:
 		return fmt.Sprintf("subscriber %s speaks a newer protocol version: %s", e.PeerID, e.Detail)
 	case EventMalformedMessage:
@@ -61,13 +61,13 @@
 	case EventUnsubscribed:
 		return fmt.Sprintf("unsubscribed from %s: %s", e.Addr, e.Detail)
 	case EventStale:
-		return fmt.Sprintf("stale: version %d was confirmed %v ago", e.Version, e.Duration)
+		return fmt.Sprintf("state is stale: version %d was last confirmed %v ago", e.Version, e.Duration)
 	case EventCurrent:
-		return fmt.Sprintf("current again, at version %d, after %v", e.Version, e.Duration)
+		return fmt.Sprintf("state is current again at version %d, after %v", e.Version, e.Duration)
 	case EventDigestMismatch:
-		return fmt.Sprintf("a change from %s is of another state than version %d here, requesting a snapshot: %s", e.Addr, e.Version, e.Detail)
+		return fmt.Sprintf("change from %s does not apply to the state at version %d, requesting a snapshot: %s", e.Addr, e.Version, e.Detail)
 	case EventHistoryConflict:
-		return fmt.Sprintf("%s has other content at version %d, two histories exist: %s", e.Addr, e.Version, e.Detail)
+		return fmt.Sprintf("%s has different content at version %d, two histories exist: %s", e.Addr, e.Version, e.Detail)
 	}
 	return fmt.Sprintf("message from %s rejected: %s", e.Addr, e.Detail)
 }
--- a/internal/fleet/changefeed/expiry_queue.go
+++ b/internal/fleet/changefeed/expiry_queue.go
@@ -1,6 +1,7 @@
 package changefeed
 
-// expiryQueue is a heap of all sessions, ordered by the time of their next expiry check. It implements heap.Interface.
+// expiryQueue is a min-heap of a publisher's sessions by the time of their next expiry check, and by connection ID where the times are
+// equal. It implements heap.Interface and keeps each session's heapIndex up to date.
 type expiryQueue []*session
 
 func (q expiryQueue) Len() int { return len(q) }
--- a/internal/fleet/changefeed/item.go
+++ b/internal/fleet/changefeed/item.go
@@ -7,43 +7,44 @@
 	"unicode/utf8"
 )
 
-// Bounds of a state. A change that would exceed them is rejected with ErrFull where it is made.
+// Size limits of a state. A key without a valid length is rejected with ErrInvalidItem; a change that would exceed another limit is
+// rejected with ErrFull.
 const (
-	MaxKeyBytes   = 256       // of one key; a key has at least one byte
-	MaxValueBytes = 256 << 10 // of one value
-	MaxStateBytes = 8 << 20   // of all keys and values together
-	MaxKeys       = 16384
+	MaxKeyBytes   = 256       // maximum length of a key; the minimum is one byte
+	MaxValueBytes = 256 << 10 // maximum length of a value
+	MaxStateBytes = 8 << 20   // maximum total length of all keys and values
+	MaxKeys       = 16384     // maximum number of keys
 )
 
-// Keys that the changefeed itself reads. Operators' keys begin with ConfigPrefix.
+// Keys and key prefixes with a meaning. The changefeed itself reads the fleet's ID and the members.
 const (
-	FleetKey     = "fleet"   // the fleet's ID as plain bytes; once set it never changes
-	MemberPrefix = "member/" // followed by the ID of a control process; the value is the JSON of a shardmap.Member
-	ConfigPrefix = "config/"
+	FleetKey     = "fleet"   // key of the fleet's ID, stored as plain bytes; once set, it never changes
+	MemberPrefix = "member/" // prefix of a member's key, followed by the ID of a control process; the value is a shardmap.Member as JSON
+	ConfigPrefix = "config/" // prefix of the keys that operators set
 )
 
-// Encoding overhead that sizes account for, in bytes.
+// Estimated encoding overhead in bytes, which Size adds to the length of keys and values.
 const (
-	messageOverhead = 40
-	itemOverhead    = 10
+	messageOverhead = 40 // for each message
+	itemOverhead    = 10 // for each item
 )
 
-// Item is the value of one key. Values are shared between all holders and never modified.
+// Item is a key with its value, or a deletion of the key. Values are shared between states and messages, so they are never modified.
 type Item struct {
 	Key     string `cbor:"1,keyasint"`
 	Value   []byte `cbor:"2,keyasint,omitempty"`
-	Deleted bool   `cbor:"3,keyasint,omitempty"` // only in a change: the key is removed
+	Deleted bool   `cbor:"3,keyasint,omitempty"` // the key is removed; only in a Change
 }
 
-// Change leads from the version before it to its own.
+// Change is the set of items that leads from version Version-1 of a state to Version.
 type Change struct {
 	Version      uint64 `cbor:"1,keyasint"`
-	DigestBefore uint64 `cbor:"2,keyasint"`           // of the whole state, before the change
-	DigestAfter  uint64 `cbor:"3,keyasint"`           // of the whole state, after the change
-	Items        []Item `cbor:"4,keyasint,omitempty"` // at most one for each key
+	DigestBefore uint64 `cbor:"2,keyasint"`           // digest of the whole state before the change
+	DigestAfter  uint64 `cbor:"3,keyasint"`           // digest of the whole state after the change
+	Items        []Item `cbor:"4,keyasint,omitempty"` // at most one item for each key
 }
 
-// Snapshot is a complete state, its items ordered by key.
+// Snapshot is the complete state at one version, with its items ordered by key.
 type Snapshot struct {
 	Fleet   string `cbor:"1,keyasint,omitempty"`
 	Version uint64 `cbor:"2,keyasint"`
@@ -51,8 +52,8 @@
 	Items   []Item `cbor:"4,keyasint,omitempty"`
 }
 
-// NewSnapshot returns a snapshot of a state that was not built by a Log. The items have to be ordered by key; their values are shared.
-// A State installs no snapshot with items that it would not accept.
+// NewSnapshot returns a snapshot of items that do not come from a Log. The items have to be ordered by key; their values are shared, not
+// copied. The items are not validated here but when a State installs the snapshot.
 func NewSnapshot(fleet string, version uint64, items []Item) *Snapshot {
 	digest := uint64(0)
 	for _, item := range items {
@@ -61,10 +62,10 @@
 	return &Snapshot{Fleet: fleet, Version: version, Digest: digest + mixBits(version), Items: items}
 }
 
-// Size is the number of bytes that the change counts for where bytes are bounded: keys, values and encoding overhead.
+// Size returns the estimated encoded size of the change in bytes: keys, values and encoding overhead. Windows and rate limits count it.
 func (c *Change) Size() int { return itemsSize(c.Items) }
 
-// Size is the number of bytes that the snapshot counts for where bytes are bounded: keys, values and encoding overhead.
+// Size returns the estimated encoded size of the snapshot in bytes: keys, values and encoding overhead. Windows and rate limits count it.
 func (s *Snapshot) Size() int { return itemsSize(s.Items) }
 
 func itemsSize(items []Item) int {
@@ -75,7 +76,7 @@
 	return size
 }
 
-// CheckItem validates an item. The error is ErrInvalidItem or ErrFull and names the key.
+// CheckItem validates an item. The error wraps ErrInvalidItem or ErrFull.
 func CheckItem(item Item) error {
 	switch {
 	case item.Key == "" || len(item.Key) > MaxKeyBytes:
--- a/internal/fleet/changefeed/log.go
+++ b/internal/fleet/changefeed/log.go
@@ -2,59 +2,59 @@
 
 import "fmt"
 
-// maxSnapshotLag is the largest size of the changes after a cached snapshot, as a fraction 1/maxSnapshotLag of the snapshot, up to which
-// the snapshot is sent again.
-const maxSnapshotLag = 4
+// snapshotLagDivisor limits the reuse of a cached snapshot: it is sent again while the changes after it have at most 1/snapshotLagDivisor
+// of its size.
+const snapshotLagDivisor = 4
 
-// LogConfig bounds the newest changes that a Log retains. Older ones can only be replaced by a snapshot.
+// LogConfig limits the newest changes that a Log retains. A peer that lacks older changes needs a snapshot.
 type LogConfig struct {
 	MaxChanges int
-	MaxBytes   int // by Change.Size; the newest change is retained whatever its size
+	MaxBytes   int // limit of the sum of Change.Size; the newest change is retained whatever its size
 }
 
-// Log is a state with the newest changes that led to it.
+// Log is a state together with the newest changes that led to it, from which lagging peers are brought up to date.
 type Log struct {
 	config         LogConfig
 	state          *State
-	entries        []entry // the newest changes in order, without a gap, up to the state's version
-	bytes          int     // of the entries
+	entries        []logEntry // the newest changes in order of their versions, without gaps, up to the state's version
+	retainedBytes  int        // sum of the entries' sizes
 	latestSnapshot *SharedMessage
 }
 
-// entry is a retained change.
-type entry struct {
+// logEntry is a retained change with its shared message and its size.
+type logEntry struct {
 	change  *Change
 	message *SharedMessage
 	size    int
 }
 
-// NewLog returns an empty log.
+// NewLog returns a log with an empty state. It retains at least one change, whatever the configuration.
 func NewLog(config LogConfig) *Log {
 	config.MaxChanges = max(1, config.MaxChanges)
 	config.MaxBytes = max(1, config.MaxBytes)
 	return &Log{config: config, state: NewState()}
 }
 
-// State returns the newest state, which must only be modified by the log.
+// State returns the newest state. Only the log may modify it.
 func (l *Log) State() *State { return l.state }
 
-// Fleet is the ID of the state's fleet, empty before it is known.
+// Fleet returns the ID of the state's fleet, empty until it is known.
 func (l *Log) Fleet() string { return l.state.Fleet() }
 
-// Version is the state's version.
+// Version returns the state's version.
 func (l *Log) Version() uint64 { return l.state.Version() }
 
-// Digest is the state's digest.
+// Digest returns the state's digest.
 func (l *Log) Digest() uint64 { return l.state.Digest() }
 
-// Changes is the number of retained changes.
+// Changes returns the number of retained changes.
 func (l *Log) Changes() int { return len(l.entries) }
 
-// Bytes is the size of the retained changes.
-func (l *Log) Bytes() int { return l.bytes }
+// Bytes returns the sum of the sizes of the retained changes.
+func (l *Log) Bytes() int { return l.retainedBytes }
 
-// Append creates the next version: it applies and retains the change, and returns it for replication. The items are retained, not
-// copied. ErrInvalidItem, ErrFull and ErrForeignFleet leave the log as it was.
+// Append creates the next version from items: it applies and retains the change and returns it for replication. The items are retained,
+// not copied. After an error, which wraps ErrInvalidItem, ErrFull or ErrForeignFleet, the log is unchanged.
 func (l *Log) Append(items []Item) (Change, error) {
 	change, err := l.state.nextChange(items)
 	if err != nil {
@@ -63,7 +63,8 @@
 	return change, l.Apply(change)
 }
 
-// Apply applies the next change. An old change whose content differs from the retained one is ErrConflict.
+// Apply applies and retains the next change. It returns ErrConflict for an older change whose result differs from the digest that the log
+// retains for that version. After an error the log is unchanged.
 func (l *Log) Apply(change Change) error {
 	if change.Version < l.Version() {
 		if digest, ok := l.digestAt(change.Version); ok && digest != change.DigestAfter {
@@ -73,26 +74,26 @@
 	if err := l.state.Apply(change); err != nil {
 		return err
 	}
-	applied := entry{change: &change, size: change.Size()}
+	applied := logEntry{change: &change, size: change.Size()}
 	applied.message = &SharedMessage{Content: Message{Change: applied.change}}
 	l.entries = append(l.entries, applied)
-	l.bytes += applied.size
+	l.retainedBytes += applied.size
 	l.truncate()
 	return nil
 }
 
-// truncate drops the oldest changes until the rest is within the bounds; the newest one is kept in any case.
+// truncate drops the oldest changes until the rest is within the limits of the configuration. It always keeps the newest change.
 func (l *Log) truncate() {
 	dropped := 0
-	for len(l.entries)-dropped > 1 && (len(l.entries)-dropped > l.config.MaxChanges || l.bytes > l.config.MaxBytes) {
-		l.bytes -= l.entries[dropped].size
-		l.entries[dropped] = entry{}
+	for len(l.entries)-dropped > 1 && (len(l.entries)-dropped > l.config.MaxChanges || l.retainedBytes > l.config.MaxBytes) {
+		l.retainedBytes -= l.entries[dropped].size
+		l.entries[dropped] = logEntry{}
 		dropped++
 	}
 	l.entries = l.entries[dropped:]
 }
 
-// Install replaces the state by a snapshot and drops all retained changes, unless the log has that version already.
+// Install replaces the state by a newer snapshot and drops all retained changes. A snapshot of the state's own version changes nothing.
 func (l *Log) Install(snapshot Snapshot) error {
 	before := l.Version()
 	if err := l.state.Install(snapshot); err != nil {
@@ -100,18 +101,18 @@
 	}
 	if l.Version() != before {
 		l.entries = nil
-		l.bytes = 0
+		l.retainedBytes = 0
 		l.latestSnapshot = nil
 	}
 	return nil
 }
 
-// firstVersion is the oldest version from which the retained changes lead to the newest one.
-func (l *Log) firstVersion() uint64 { return l.Version() - uint64(len(l.entries)) }
+// oldestReplayableVersion returns the oldest version from which the retained changes lead to the newest version.
+func (l *Log) oldestReplayableVersion() uint64 { return l.Version() - uint64(len(l.entries)) }
 
-// digestAt is the digest of the state at a version, if the retained changes reach back to it.
+// digestAt returns the digest of the state at a version; false if the retained changes do not reach back to it.
 func (l *Log) digestAt(version uint64) (uint64, bool) {
-	first := l.firstVersion()
+	first := l.oldestReplayableVersion()
 	switch {
 	case version == l.Version():
 		return l.Digest(), true
@@ -123,8 +124,8 @@
 	return l.entries[version-first-1].change.DigestAfter, true
 }
 
-// canReplayFrom reports whether a peer with this version and digest can be brought up to date by changes alone. A peer that is ahead
-// can: it lacks nothing yet.
+// canReplayFrom reports whether a peer with this version and digest can be brought up to date by changes alone. That holds for a peer
+// ahead of the log, too: it needs nothing yet.
 func (l *Log) canReplayFrom(version, digest uint64) bool {
 	if version > l.Version() {
 		return true
@@ -133,8 +134,8 @@
 	return ok && known == digest
 }
 
-// ChangesSince returns the changes after a version, in order, for a peer with that version and digest; none for a peer that is ahead.
-// It returns false where a snapshot is needed.
+// ChangesSince returns the changes after a version, in order, for a peer with that version and digest; for a peer ahead of the log it
+// returns none. It returns false if the peer needs a snapshot.
 func (l *Log) ChangesSince(version, digest uint64) ([]*Change, bool) {
 	if !l.canReplayFrom(version, digest) {
 		return nil, false
@@ -149,15 +150,21 @@
 	return changes, true
 }
 
-// entriesAfter returns the changes after a version that the log reaches back to.
-func (l *Log) entriesAfter(version uint64) []entry { return l.entries[version-l.firstVersion():] }
+// entriesAfter returns the retained changes after a version, which must not be older than oldestReplayableVersion.
+func (l *Log) entriesAfter(version uint64) []logEntry {
+	return l.entries[version-l.oldestReplayableVersion():]
+}
 
-// entryAfter returns the change that follows a version, which the log reaches back to and which is not the newest.
-func (l *Log) entryAfter(version uint64) entry { return l.entries[version-l.firstVersion()] }
+// entryAfter returns the change that follows a version, which must be older than the newest version but not older than
+// oldestReplayableVersion.
+func (l *Log) entryAfter(version uint64) logEntry {
+	return l.entries[version-l.oldestReplayableVersion()]
+}
 
-// Snapshot returns the state as a message. It is built at most once for each version.
+// Snapshot returns a snapshot of the state. It is built at most once for each version.
 func (l *Log) Snapshot() *Snapshot { return l.sharedSnapshot().Content.Snapshot }
 
+// sharedSnapshot returns a snapshot of the newest version as a message, from the cache if it is still that version.
 func (l *Log) sharedSnapshot() *SharedMessage {
 	if l.latestSnapshot == nil || l.latestSnapshot.Content.Snapshot.Version != l.Version() {
 		snapshot := &Snapshot{Fleet: l.Fleet(), Version: l.Version(), Digest: l.Digest(), Items: l.state.Items("")}
@@ -166,8 +173,8 @@
 	return l.latestSnapshot
 }
 
-// snapshotNewerThan returns a snapshot that is newer than a version. The cached one is returned while the changes after it are small
-// compared with it, so that many subscribers that start at once do not cause a new snapshot for each change.
+// snapshotNewerThan returns a snapshot that is newer than a version. It reuses the cached snapshot while the changes after it are small in
+// comparison, so that many subscribers that start at once do not cause a new snapshot for each change.
 func (l *Log) snapshotNewerThan(version uint64) *SharedMessage {
 	if l.latestSnapshot == nil {
 		return l.sharedSnapshot()
@@ -180,7 +187,7 @@
 	for _, e := range l.entriesAfter(cached.Version) {
 		lag += e.size
 	}
-	if lag*maxSnapshotLag <= cached.Size() {
+	if lag*snapshotLagDivisor <= cached.Size() {
 		return l.latestSnapshot
 	}
 	return l.sharedSnapshot()
--- a/internal/fleet/changefeed/model_clone_test.go
+++ b/internal/fleet/changefeed/model_clone_test.go
@@ -64,14 +64,14 @@
 	copied.pendingConfirmations = slices.Clone(p.pendingConfirmations)
 	copied.sessions = map[uint64]*session{}
 	copied.sessionsByID = map[string]*session{}
-	copied.order = list.New()
+	copied.sessionOrder = list.New()
 	copied.snapshotsInFlight = maps.Clone(p.snapshotsInFlight)
 	copies := map[*session]*session{}
-	for e := p.order.Front(); e != nil; e = e.Next() {
+	for e := p.sessionOrder.Front(); e != nil; e = e.Next() {
 		original := e.Value.(*session)
 		s := *original
 		s.inFlight = slices.Clone(original.inFlight)
-		s.position = copied.order.PushBack(&s)
+		s.orderElement = copied.sessionOrder.PushBack(&s)
 		copied.sessions[s.connID] = &s
 		copied.sessionsByID[s.hello.ID] = &s
 		copies[original] = &s
@@ -99,13 +99,13 @@
 		copiedCandidate.pendingConfirmations = slices.Clone(c.pendingConfirmations)
 		copied.candidates[address] = &copiedCandidate
 	}
-	copied.active = nil
-	for _, c := range s.active {
-		copied.active = append(copied.active, copied.candidates[c.address])
+	copied.activeCandidates = nil
+	for _, c := range s.activeCandidates {
+		copied.activeCandidates = append(copied.activeCandidates, copied.candidates[c.address])
 	}
-	copied.ranked = nil
-	for _, c := range s.ranked {
-		copied.ranked = append(copied.ranked, copied.candidates[c.address])
+	copied.rankedCandidates = nil
+	for _, c := range s.rankedCandidates {
+		copied.rankedCandidates = append(copied.rankedCandidates, copied.candidates[c.address])
 	}
 	return &copied
 }
--- a/internal/fleet/changefeed/model_fingerprint_test.go
+++ b/internal/fleet/changefeed/model_fingerprint_test.go
@@ -47,20 +47,20 @@
 }
 
 func (f *fingerprinter) addPublisher(p *Publisher) {
-	f.add(p.confirmed, f.ago(p.latest.at), f.ago(p.now), len(p.pendingConfirmations), len(p.snapshotQueue))
-	for e := p.order.Front(); e != nil; e = e.Next() {
+	f.add(p.hasConfirmation, f.ago(p.latestConfirmation.at), f.ago(p.now), len(p.pendingConfirmations), len(p.snapshotQueue))
+	for e := p.sessionOrder.Front(); e != nil; e = e.Next() {
 		s := e.Value.(*session)
 		f.add("session", s.hello.ID, s.hello.Incarnation, f.ago(s.lastReceived))
 		f.add(s.ackedVersion, s.sentVersion)
-		f.add(s.standby, s.awaitingResume, s.forceSnapshot, s.awaitingSnapshot)
+		f.add(s.isStandby, s.awaitingResume, s.forceSnapshot, s.awaitingSnapshot)
 		f.add(len(s.inFlight), s.inFlightBytes)
 		f.add(s.lastAnswered, s.lastResponse, s.syncPending)
 	}
 }
 
 func (f *fingerprinter) addSubscriber(s *Subscriber) {
-	f.add(s.state.Version(), s.confirmed, f.ago(s.confirmedAt), s.stale, f.ago(s.now))
-	f.add(s.digestMismatch, f.ago(s.replaceAt), s.replaceSoon)
+	f.add(s.state.Version(), s.hasConfirmation, f.ago(s.confirmedAt), s.isStale, f.ago(s.now))
+	f.add(s.digestMismatch, f.ago(s.replacementDueAt), s.replacementIsUrgent)
 }
 
 func (f *fingerprinter) addCandidate(c *candidate) {
@@ -68,10 +68,10 @@
 		return
 	}
 	f.add("candidate", c.state, f.ago(c.stateSince), f.ago(c.lastReceived), f.ago(c.lastAnswered))
-	f.add(c.healthy, c.synced, c.standby)
+	f.add(c.isHealthy, c.isSynced, c.isStandby)
 	f.add(c.lastSequence, c.lastResponse, len(c.pendingRenewals), c.pendingConfirmations, f.ago(c.nextRenewAt))
-	f.add(c.syncPending, c.syncSequence, c.syncVersion, c.syncSnapshot, c.unackedBytes)
-	f.add(c.failures, c.hasFailed, f.ago(c.avoidUntil), c.rejected)
+	f.add(c.syncPending, c.syncSequence, c.syncVersion, c.syncForcesSnapshot, c.unackedBytes)
+	f.add(c.consecutiveFailures, c.hasFailed, f.ago(c.avoidUntil), c.hasRejected)
 }
 
 func (f *fingerprinter) addConn(conn *modelConn) {
--- a/internal/fleet/changefeed/model_world_test.go
+++ b/internal/fleet/changefeed/model_world_test.go
@@ -264,17 +264,17 @@
 func (w *modelWorld) check(sub *modelSubscriber) {
 	st := sub.core.State()
 	fresh := NewState() // by what is there, not by the digest that was carried forward
-	if _, _, err := fresh.evaluate(st.Items("")); err != nil {
+	if _, _, err := fresh.evaluateItems(st.Items("")); err != nil {
 		w.fail(violationMixedState, "%s: %v", sub.id, err)
 	}
-	sum, _, _ := fresh.evaluate(st.Items(""))
+	sum, _, _ := fresh.evaluateItems(st.Items(""))
 	if got := sum + mixBits(st.Version()); st.Version() >= uint64(len(w.digests)) || got != w.digests[st.Version()] {
 		w.fail(violationMixedState, "%s at version %d", sub.id, st.Version())
 		return
 	}
 	current := sub.core.IsCurrent(w.now)
 	if w.fault == faultLeaseIgnored {
-		current = sub.core.confirmed
+		current = sub.core.hasConfirmation
 	}
 	if current && w.versionAt(w.now-DefaultLease) > st.Version() {
 		w.fail(violationFalselyCurrent, "%s at version %d, %d was agreed a lease ago", sub.id, st.Version(), w.versionAt(w.now-DefaultLease))
--- a/internal/fleet/changefeed/publisher.go
+++ b/internal/fleet/changefeed/publisher.go
@@ -9,100 +9,105 @@
 	"time"
 )
 
-// Durations that publishers and subscribers share.
+// Durations that publishers and subscribers have in common.
 const (
-	// DefaultLease is how long a session lives without a message of the subscriber, and how long a confirmed state counts as current.
+	// DefaultLease is how long a session stays open without a message from the subscriber, and how long a confirmed state counts as
+	// current.
 	DefaultLease = 5 * time.Second
-	// RenewInterval is the mean interval of a subscriber's renewals at each publisher; each is jittered by a quarter.
+	// RenewInterval is the mean interval between a subscriber's renewals at each publisher; each interval is jittered by up to a
+	// quarter.
 	RenewInterval = time.Second
 
-	pauseThreshold = time.Second // a tick that comes later than this shows that the process was suspended
+	pauseThreshold = time.Second // a longer interval between two ticks means that the process was suspended
 )
 
-// Bounds and timeouts of a publisher.
+// Limits and timeouts of a publisher.
 const (
-	ackTimeout         = 30 * time.Second // a session with unacknowledged messages ends after this time without an acknowledgement
-	fullRetryAfter     = 15 * time.Second // for a subscriber beyond MaxSubscribers; like the next two, jittered up to twice as long
-	drainRetryAfter    = 30 * time.Second // for the subscribers of a publisher that drains
-	protocolRetryAfter = 60 * time.Second // for a subscriber of another fleet or a newer protocol
+	ackTimeout         = 30 * time.Second // a session with messages in flight is closed after this time without an acknowledgement
+	fullRetryAfter     = 15 * time.Second // in a Reject beyond MaxSubscribers; like the next two, jittered to between one and two times this
+	drainRetryAfter    = 30 * time.Second // in a Reject by a draining publisher
+	protocolRetryAfter = 60 * time.Second // in a Reject of a subscriber of another fleet or with a newer protocol
 
-	maxUnreadResponses        = 16   // renew responses that one subscriber has not confirmed to have read
-	maxUnackedMessages        = 1024 // to one subscriber
-	maxDistinctSnapshots      = 4    // different snapshots in flight
-	maxPublisherConfirmations = 8    // of versions that the log does not have yet
-	maxNameBytes              = 256  // of each name in a Hello
+	maxUnreadResponses        = 16   // renew responses that a subscriber has not confirmed to have read, for each session
+	maxUnackedMessages        = 1024 // messages in flight, for each session
+	maxDistinctSnapshots      = 4    // different snapshots in flight to all sessions
+	maxPublisherConfirmations = 8    // pending confirmations of versions that the log does not have yet
+	maxNameBytes              = 256  // length of the ID and of each name in a Hello
 )
 
-// publisherSeedStream distinguishes a publisher's random numbers from those of other users of the same seed.
+// publisherSeedStream separates a publisher's random number sequence from others with the same seed.
 const publisherSeedStream = 0xfeed
 
-// PublisherConfig configures a Publisher. MaxSubscribers and WindowBytes bound its memory.
+// PublisherConfig configures a Publisher. MaxSubscribers and WindowBytes limit its memory.
 type PublisherConfig struct {
 	ID                     string
-	Fleet                  string        // empty: the fleet of the log
-	MaxSubscribers         int           // at once; further ones are rejected
-	WindowBytes            int           // in flight to one subscriber; a larger message is sent alone
-	SnapshotBytesPerSecond int           // to all subscribers together
+	Fleet                  string        // ID of the fleet; empty: the fleet of the log
+	MaxSubscribers         int           // number of sessions at a time; further subscribers are rejected
+	WindowBytes            int           // bytes in flight to one subscriber; a larger message is sent alone
+	SnapshotBytesPerSecond int           // rate limit of snapshots to all subscribers together
 	Lease                  time.Duration // zero: DefaultLease
-	Seed                   uint64
+	Seed                   uint64        // of the random numbers that jitter retry times
 }
 
-// PublisherSend is a message to one connection. Messages to one connection are sent in the order in which they are returned.
+// PublisherSend is a message to be sent on one connection. The messages to a connection have to be sent in the order in which Ready returns
+// them.
 type PublisherSend struct {
 	Conn    uint64
 	Message *SharedMessage
 }
 
-// PublisherReady contains the actions to be taken, in this order: the messages, then the connections to be closed after their messages.
+// PublisherReady contains the actions that the caller has to take: send the messages, then close the connections once their messages have
+// been sent.
 type PublisherReady struct {
 	Sends  []PublisherSend
-	Close  []uint64
+	Close  []uint64 // IDs of connections
 	Events []Event
 }
 
-// PublisherStats counts what a publisher did.
+// PublisherStats counts a publisher's actions since its start.
 type PublisherStats struct {
-	Changes           uint64 // sent
-	Snapshots         uint64 // sent
-	Bytes             uint64 // of changes and snapshots, by their Size
-	Accepted          uint64 // sessions
-	LeaseExpiries     uint64
-	SlowSubscribers   uint64 // sessions closed as they acknowledged nothing
-	RejectedFull      uint64 // beyond MaxSubscribers
-	RejectedForeign   uint64 // of another fleet
-	RejectedNewer     uint64 // of a newer protocol version
-	MalformedMessages uint64
+	Changes           uint64 // changes sent
+	Snapshots         uint64 // snapshots sent
+	Bytes             uint64 // sum of the Size of the changes and snapshots sent
+	Accepted          uint64 // sessions opened
+	LeaseExpiries     uint64 // sessions closed because the subscriber was silent for a lease
+	SlowSubscribers   uint64 // sessions closed because the subscriber acknowledged nothing for ackTimeout
+	RejectedFull      uint64 // subscribers rejected because MaxSubscribers was reached
+	RejectedForeign   uint64 // subscribers of another fleet that were rejected
+	RejectedNewer     uint64 // subscribers with a newer protocol version that were rejected
+	MalformedMessages uint64 // malformed messages received; each closes its connection
 }
 
-// Publisher is the core of a control process's side of the changefeed. It decides which messages go to which subscriber. It belongs to
-// one goroutine, which also owns the log.
+// Publisher is the changefeed core of a control process. It decides which messages are sent to which subscriber. It belongs to one
+// goroutine, which also owns the log.
 //
-// A tick costs what is due in it; a change costs each of the publisher's own subscribers once.
+// The cost of a tick is proportional to the expiry checks and snapshots that are due; the cost of a change is proportional to the number of
+// the publisher's own subscribers.
 type Publisher struct {
 	config    PublisherConfig
 	log       *Log
 	rng       *rand.Rand
 	now       time.Duration
-	resumedAt time.Duration // end of the last suspension of this process; silence before it does not count against a subscriber
+	resumedAt time.Duration // end of this process's last suspension; a subscriber's silence before it is ignored
 
-	latest               confirmation   // the newest one whose version the log has
-	confirmed            bool           // latest is set
-	pendingConfirmations []confirmation // of versions that the log does not have yet
+	latestConfirmation   confirmation   // the newest confirmation of a version that the log has
+	hasConfirmation      bool           // latestConfirmation is set
+	pendingConfirmations []confirmation // confirmations of versions that the log does not have yet
 
 	sessions          map[uint64]*session
 	sessionsByID      map[string]*session
-	order             *list.List // of all sessions, in the order in which they were accepted
+	sessionOrder      *list.List // all sessions, in the order in which they were accepted
 	expiries          expiryQueue
 	snapshotQueue     []*session
-	snapshotBudget    float64        // bytes of snapshots that may be sent now
-	snapshotsInFlight map[uint64]int // number of unacknowledged messages by the snapshot's version
-	draining          bool
+	snapshotBudget    float64        // bytes of snapshots that may be sent now; negative after a snapshot larger than the budget
+	snapshotsInFlight map[uint64]int // number of unacknowledged snapshot messages, by version
+	isDraining        bool
 
 	ready PublisherReady
 	Stats PublisherStats
 }
 
-// NewPublisher returns a publisher without subscribers, of a state whose age is unknown.
+// NewPublisher returns a publisher of the log's state, without subscribers and without a confirmation of the state's age.
 func NewPublisher(config PublisherConfig, log *Log, now time.Duration) *Publisher {
 	if config.Lease <= 0 {
 		config.Lease = DefaultLease
@@ -115,7 +120,7 @@
 		resumedAt:         now,
 		sessions:          map[uint64]*session{},
 		sessionsByID:      map[string]*session{},
-		order:             list.New(),
+		sessionOrder:      list.New(),
 		snapshotBudget:    float64(config.SnapshotBytesPerSecond),
 		snapshotsInFlight: map[uint64]int{},
 	}
@@ -128,25 +133,25 @@
 	return ready
 }
 
-// Age returns how long ago the log was confirmed to be up to date; false if it never was.
+// Age returns how long ago the log was last confirmed to be up to date; false if it never was.
 func (p *Publisher) Age(now time.Duration) (time.Duration, bool) {
-	return now - p.latest.at, p.confirmed
+	return now - p.latestConfirmation.at, p.hasConfirmation
 }
 
-// Tick advances the time, closes expired sessions and sends snapshots that are due. It is called about ten times a second.
+// Tick advances the time, closes expired sessions and sends snapshots within the budget. It has to be called about ten times a second.
 func (p *Publisher) Tick(now time.Duration) {
 	if now-p.now > pauseThreshold {
 		p.resumedAt = now
 		p.emit(Event{Kind: EventResumed, Duration: now - p.now})
 	}
-	p.advance(now)
+	p.advanceTime(now)
 	for len(p.expiries) > 0 && p.expiries[0].nextExpiryCheck <= now {
 		p.checkExpiry(p.expiries[0], now)
 	}
 	p.sendSnapshots()
 }
 
-// checkExpiry closes a session that is silent or acknowledges nothing, or schedules the next check.
+// checkExpiry closes a session that is silent or acknowledges nothing; otherwise it schedules the session's next check.
 func (p *Publisher) checkExpiry(s *session, now time.Duration) {
 	leaseEnd := max(s.lastReceived, p.resumedAt) + p.config.Lease
 	ackDeadline := max(s.lastProgress, p.resumedAt) + ackTimeout
@@ -165,9 +170,9 @@
 	}
 }
 
-// advance sets the time and refills the budget for snapshots. The time of an event has to be read after the event: an answer that is
-// computed with an earlier time would make old knowledge look newer than it is.
-func (p *Publisher) advance(now time.Duration) {
+// advanceTime sets the time and refills the budget for snapshots. The caller has to read the clock after it has received a message: a
+// response that is computed with an earlier time would make the state look newer than it is.
+func (p *Publisher) advanceTime(now time.Duration) {
 	if now <= p.now {
 		return
 	}
@@ -176,42 +181,42 @@
 	p.now = now
 }
 
-// LogChanged has the publisher send what was added to the log.
+// LogChanged sends the changes that were added to the log. It has to be called after each change of the log.
 func (p *Publisher) LogChanged() {
-	p.confirm()
-	for e := p.order.Front(); e != nil; e = e.Next() {
+	p.applyConfirmations()
+	for e := p.sessionOrder.Front(); e != nil; e = e.Next() {
 		p.sendChanges(e.Value.(*session))
 	}
 	p.sendSnapshots()
 }
 
-// ConfirmVersion records that version was the newest agreed one at a time of this clock, which was read before the read-index request to
-// the log's leader was sent. It takes effect once the log has the version.
+// ConfirmVersion records that version was the newest agreed version at a time, which has to be read from this process's clock before the
+// read-index request is sent to the log's leader. It takes effect once the log has the version.
 func (p *Publisher) ConfirmVersion(at time.Duration, version uint64) {
 	if len(p.pendingConfirmations) < maxPublisherConfirmations {
 		p.pendingConfirmations = append(p.pendingConfirmations, confirmation{at: at, version: version})
 	}
-	p.confirm()
+	p.applyConfirmations()
 }
 
-// confirm applies the pending confirmations whose version the log has, and drops those that are too old to be of use.
-func (p *Publisher) confirm() {
+// applyConfirmations applies the pending confirmations of versions that the log has, and drops those that are older than a lease.
+func (p *Publisher) applyConfirmations() {
 	p.pendingConfirmations = slices.DeleteFunc(p.pendingConfirmations, func(c confirmation) bool {
 		if c.version > p.log.Version() {
 			return p.now-c.at > p.config.Lease
 		}
-		if !p.confirmed || c.at > p.latest.at {
-			p.confirmed = true
-			p.latest = c
+		if !p.hasConfirmation || c.at > p.latestConfirmation.at {
+			p.hasConfirmation = true
+			p.latestConfirmation = c
 		}
 		return true
 	})
 }
 
-// Drain ends all sessions and accepts no further ones, as this process will end. The subscribers follow other publishers.
+// Drain rejects all subscribers, present and future, because this process is about to end. They follow other publishers.
 func (p *Publisher) Drain() {
-	p.draining = true
-	for e := p.order.Front(); e != nil; {
+	p.isDraining = true
+	for e := p.sessionOrder.Front(); e != nil; {
 		s := e.Value.(*session)
 		e = e.Next()
 		p.sendReject(s.connID, drainRetryAfter, errDraining)
@@ -219,20 +224,21 @@
 	}
 }
 
-// SubscriberCounts is the number of a publisher's subscribers by state.
+// SubscriberCounts contains the numbers of a publisher's subscribers by their progress. A subscriber that fits several of Current,
+// AwaitingSnapshot, Standby and Blocked counts for the first of them.
 type SubscriberCounts struct {
-	Connected        int
-	Current          int    // acknowledged the newest version
-	AwaitingSnapshot int    // queued for a snapshot
-	Standby          int    // brought up to date by another publisher
-	Blocked          int    // their window is full
-	LowestVersion    uint64 // acknowledged by any of them; the log's version where there is none
+	Connected        int    // open sessions
+	Current          int    // sessions that acknowledged the newest version
+	AwaitingSnapshot int    // sessions that are queued for a snapshot
+	Standby          int    // sessions that another publisher brings up to date
+	Blocked          int    // sessions that lack a change which was not sent yet, usually because their window is full
+	LowestVersion    uint64 // lowest version that a session acknowledged, at most the log's version
 }
 
-// SubscriberCounts counts all subscribers. It visits each of them, so it is meant for operators, not for each tick.
+// SubscriberCounts counts all subscribers. It visits every session, so it is meant for reports to operators, not for each tick.
 func (p *Publisher) SubscriberCounts() SubscriberCounts {
 	counts := SubscriberCounts{Connected: len(p.sessions), LowestVersion: p.log.Version()}
-	for e := p.order.Front(); e != nil; e = e.Next() {
+	for e := p.sessionOrder.Front(); e != nil; e = e.Next() {
 		s := e.Value.(*session)
 		counts.LowestVersion = min(counts.LowestVersion, s.ackedVersion)
 		switch {
@@ -240,7 +246,7 @@
 			counts.Current++
 		case s.awaitingSnapshot:
 			counts.AwaitingSnapshot++
-		case s.standby:
+		case s.isStandby:
 			counts.Standby++
 		case s.sentVersion < p.log.Version():
 			counts.Blocked++
@@ -249,19 +255,22 @@
 	return counts
 }
 
-func (p *Publisher) fleet() string { return cmp.Or(p.config.Fleet, p.log.Fleet()) }
+// fleetID returns the configured ID of the fleet, or that of the log.
+func (p *Publisher) fleetID() string { return cmp.Or(p.config.Fleet, p.log.Fleet()) }
 
+// send sends a message to one connection.
 func (p *Publisher) send(connID uint64, message Message) {
 	p.ready.Sends = append(p.ready.Sends, PublisherSend{Conn: connID, Message: &SharedMessage{Content: message}})
 }
 
+// emit adds an event to the pending actions, unless there are maxEvents already.
 func (p *Publisher) emit(event Event) {
 	if len(p.ready.Events) < maxEvents {
 		p.ready.Events = append(p.ready.Events, event)
 	}
 }
 
-// jitter returns a random duration below a bound.
+// jitter returns a random duration between zero and a bound.
 func (p *Publisher) jitter(bound time.Duration) time.Duration {
 	return time.Duration(p.rng.Float64() * float64(bound))
 }
--- a/internal/fleet/changefeed/ranking.go
+++ b/internal/fleet/changefeed/ranking.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	siteFailureWindow = 10 * time.Second // a site where publishers of two zones failed within it is avoided
-	maxFailedSites    = 16               // that are looked at
+	siteFailureWindow = 10 * time.Second // a site is suspect if publishers of two of its zones failed within this time
+	maxFailedSites    = 16               // sites with failures that suspectSites considers
 )
 
-// localityTier is the first criterion by which a subscriber ranks publishers; lower is better.
+// localityTier is a publisher's distance class, the first criterion by which a subscriber ranks publishers. A lower tier ranks first.
 type localityTier int
 
 const (
-	tierOwnSite localityTier = iota
-	tierOtherSite
-	tierSeed // its site is unknown
+	tierOwnSite   localityTier = iota // the publisher is in the subscriber's site
+	tierOtherSite                     // the publisher is in another site
+	tierSeed                          // the publisher is known only as a seed, without its site
 )
 
-// updateMembers takes over the publishers that the items of an update name.
+// updateMembers updates the list of publishers from the member items of an update, and ranks them anew.
 func (s *Subscriber) updateMembers(update Update) {
 	if update.Complete {
 		clear(s.members)
@@ -40,7 +40,7 @@
 		}
 		var member shardmap.Member
 		if err := json.Unmarshal(item.Value, &member); err != nil || member.ID != id || member.Addr == "" {
-			s.emit(Event{Kind: EventMessageRejected, Addr: item.Key, Detail: "it names no publisher"})
+			s.emit(Event{Kind: EventMessageRejected, Addr: item.Key, Detail: "invalid member item"})
 			continue
 		}
 		s.members[id] = member
@@ -48,19 +48,20 @@
 	s.rankCandidates()
 }
 
-// rankCandidates sorts the publishers for this subscriber: those of its own site first, then by rendezvous hash, unknown seeds last.
+// rankCandidates ranks the publishers for this subscriber by locality tier and then by rendezvous score, the highest first. It forgets idle
+// candidates that neither the state nor the seeds name.
 func (s *Subscriber) rankCandidates() {
 	for _, c := range s.candidates {
 		c.isListed = false
 	}
-	s.ranked = s.ranked[:0]
+	s.rankedCandidates = s.rankedCandidates[:0]
 	for _, id := range s.memberIDsByScore() {
 		s.listCandidate(s.members[id], id)
 	}
 	for _, seed := range s.config.Seeds {
 		s.listCandidate(shardmap.Member{Addr: seed}, seed)
 	}
-	slices.SortStableFunc(s.ranked, func(a, b *candidate) int {
+	slices.SortStableFunc(s.rankedCandidates, func(a, b *candidate) int {
 		return cmp.Or(cmp.Compare(s.localityTier(a), s.localityTier(b)), -cmp.Compare(a.score, b.score), cmp.Compare(a.address, b.address))
 	})
 	for address, c := range s.candidates {
@@ -70,7 +71,7 @@
 	}
 }
 
-// memberIDsByScore returns the IDs of all members, the best score first.
+// memberIDsByScore returns the IDs of all members, the highest rendezvous score first.
 func (s *Subscriber) memberIDsByScore() []string {
 	ids := make([]string, 0, len(s.members))
 	for id := range s.members {
@@ -82,14 +83,15 @@
 	return ids
 }
 
-// listCandidate adds a publisher to the ranked ones, unless its address is listed already. The key is what its score is computed from.
+// listCandidate adds a publisher to the ranked candidates, unless its address is listed already or there are maxCandidates. Its score is
+// computed from the key.
 func (s *Subscriber) listCandidate(member shardmap.Member, key string) {
 	c := s.candidates[member.Addr]
 	if c == nil {
 		c = &candidate{address: member.Addr}
 		s.candidates[member.Addr] = c
 	}
-	if c.isListed || len(s.ranked) >= maxCandidates {
+	if c.isListed || len(s.rankedCandidates) >= maxCandidates {
 		return
 	}
 	c.isListed = true
@@ -97,9 +99,10 @@
 	c.zone = member.Zone
 	c.site = member.Site
 	c.score = rendezvousScore(s.config.ID, key)
-	s.ranked = append(s.ranked, c)
+	s.rankedCandidates = append(s.rankedCandidates, c)
 }
 
+// localityTier returns the locality tier of a candidate for this subscriber.
 func (s *Subscriber) localityTier(c *candidate) localityTier {
 	switch {
 	case c.id == "":
@@ -110,14 +113,14 @@
 	return tierOwnSite
 }
 
-// choose returns the publishers to follow now: the best ranked eligible one, and the next one of another zone; where there is no other
-// zone, the next one. Publishers of suspect sites come after all others. isolated: no connection is open.
-func (s *Subscriber) choose(isolated bool) []*candidate {
+// choosePublishers returns the publishers to follow now: the best ranked eligible one and the next one in another zone, or in the same zone
+// if no other zone has one. Publishers of suspect sites rank after all others. isolated means that no connection is open.
+func (s *Subscriber) choosePublishers(isolated bool) []*candidate {
 	suspectSites := s.suspectSites()
 	var chosen []*candidate
 	for _, requireOtherZone := range []bool{true, false} {
 		for _, wantSuspect := range []bool{false, true} {
-			for _, c := range s.ranked {
+			for _, c := range s.rankedCandidates {
 				if len(chosen) == targetPublishers {
 					return chosen
 				}
@@ -135,50 +138,50 @@
 	return chosen
 }
 
-// isInZoneOf reports whether two publishers share a failure domain. The zone of a seed is unknown.
+// isInZoneOf reports whether two publishers are known to be in the same zone of the same site. The zone of a seed is unknown.
 func (c *candidate) isInZoneOf(other *candidate) bool {
 	return c.id != "" && c.zone == other.zone && c.site == other.site
 }
 
-// failedSite is a site where publishers failed lately.
+// failedSite is a site where publishers failed within siteFailureWindow.
 type failedSite struct {
-	name          string
-	zone          string // of one of them
-	multipleZones bool   // others were in another zone
+	name             string
+	zone             string // zone of one of the failed publishers
+	hasMultipleZones bool   // publishers of at least one other zone failed, too
 }
 
-// suspectSites returns the sites where publishers of two or more zones failed lately.
+// suspectSites returns the sites where publishers of two or more zones failed within siteFailureWindow.
 func (s *Subscriber) suspectSites() []string {
 	var failed []failedSite
-	for _, c := range s.ranked {
+	for _, c := range s.rankedCandidates {
 		if !c.hasFailed || s.now-c.failedAt > siteFailureWindow || c.id == "" {
 			continue
 		}
 		index := slices.IndexFunc(failed, func(site failedSite) bool { return site.name == c.site })
 		switch {
 		case index >= 0:
-			failed[index].multipleZones = failed[index].multipleZones || failed[index].zone != c.zone
+			failed[index].hasMultipleZones = failed[index].hasMultipleZones || failed[index].zone != c.zone
 		case len(failed) < maxFailedSites:
 			failed = append(failed, failedSite{name: c.site, zone: c.zone})
 		}
 	}
 	var suspects []string
 	for _, site := range failed {
-		if site.multipleZones {
+		if site.hasMultipleZones {
 			suspects = append(suspects, site.name)
 		}
 	}
 	return suspects
 }
 
-// isEligible reports whether a candidate may be dialed. While no connection is open, candidates that failed or rejected this subscriber
-// are tried again earlier: all publishers may have been restarted, or full, at once.
+// isEligible reports whether a candidate may be chosen. While no connection is open, candidates that failed or rejected this subscriber
+// are eligible again earlier, because all publishers may have been restarted or full at once.
 func (s *Subscriber) isEligible(c *candidate, isolated bool) bool {
-	if !isolated || !c.rejected && !c.hasFailed {
+	if !isolated || !c.hasRejected && !c.hasFailed {
 		return s.now >= c.avoidUntil
 	}
 	backoff := isolatedBackoff
-	if c.rejected {
+	if c.hasRejected {
 		backoff = isolatedRejectBackoff
 	}
 	retryAt := c.failedAt + backoff/2 + time.Duration(c.score%uint64(backoff))
--- a/internal/fleet/changefeed/ranking_test.go
+++ b/internal/fleet/changefeed/ranking_test.go
@@ -26,7 +26,7 @@
 		f := NewSubscriber(SubscriberConfig{ID: fmt.Sprintf("b%d", i), Zone: "z0", Site: fmt.Sprintf("s%d", i%3)}, 0)
 		pick := func(without int) (all []string) {
 			f.updateMembers(Update{Complete: true, Items: list(without)})
-			got := f.choose(false)
+			got := f.choosePublishers(false)
 			if len(got) != 2 || got[0].zone == got[1].zone || got[0].site != f.config.Site || got[1].site != f.config.Site {
 				t.Fatalf("%s of %s: %+v", f.config.ID, f.config.Site, got)
 			}
@@ -72,7 +72,7 @@
 	}
 	f := NewSubscriber(SubscriberConfig{ID: "b", Zone: "z0", Site: "s"}, 0)
 	f.updateMembers(Update{Complete: true, Items: all})
-	if len(f.ranked) != publishers {
-		t.Errorf("%d of %d are ranked", len(f.ranked), publishers)
+	if len(f.rankedCandidates) != publishers {
+		t.Errorf("%d of %d are ranked", len(f.rankedCandidates), publishers)
 	}
 }
--- a/internal/fleet/changefeed/reconcile.go
+++ b/internal/fleet/changefeed/reconcile.go
@@ -6,45 +6,46 @@
 )
 
 const (
-	minReplaceDelay      = 20 * time.Second       // before a better ranked publisher replaces a worse one; jittered up to three times as long
-	seedReplaceDelay     = 2 * time.Second        // the same for one that was dialed as a seed
-	isolatedDialInterval = 200 * time.Millisecond // mean interval of dials to failed candidates while no connection is open
+	minReplaceDelay      = 20 * time.Second       // minimum delay before a better ranked publisher replaces a worse one; jittered up to three times as long
+	seedReplaceDelay     = 2 * time.Second        // mean delay before the replacement of a publisher that was dialed as a seed
+	isolatedDialInterval = 200 * time.Millisecond // mean interval between dials to failed candidates while no connection is open
 )
 
-// activeSummary is what reconcile needs to know of the active candidates together.
+// activeSummary aggregates the states of the active candidates for reconcile.
 type activeSummary struct {
-	open      int
-	isFailing bool // one of them is to be avoided
-	isPending bool // one of them has yet to show whether it is healthy
-	hasSeed   bool // one of them was dialed as a seed
+	openConnections int  // number of open connections
+	hasFailing      bool // an active candidate is to be avoided because it failed
+	hasUnproven     bool // an active candidate is being dialed, or has not shown yet whether it is healthy
+	hasSeed         bool // an active candidate was dialed as a seed
 }
 
+// summarizeActive returns a summary of the active candidates, without hasSeed.
 func (s *Subscriber) summarizeActive() activeSummary {
 	var summary activeSummary
-	for _, c := range s.active {
+	for _, c := range s.activeCandidates {
 		if c.state == stateOpen {
-			summary.open++
+			summary.openConnections++
 		}
 		if c.avoidUntil > s.now {
-			summary.isFailing = true
+			summary.hasFailing = true
 		}
-		if c.state == stateDialing || !c.healthy && c.avoidUntil <= s.now {
-			summary.isPending = true
+		if c.state == stateDialing || !c.isHealthy && c.avoidUntil <= s.now {
+			summary.hasUnproven = true
 		}
 	}
 	return summary
 }
 
-// reconcile dials and closes connections so that the active candidates become the chosen ones.
+// reconcile dials candidates and closes connections so that the active candidates become the chosen ones.
 func (s *Subscriber) reconcile() {
 	summary := s.summarizeActive()
-	chosen := s.choose(summary.open == 0)
+	chosen := s.choosePublishers(summary.openConnections == 0)
 	for _, c := range chosen {
 		c.dialedAsSeed = false
 	}
-	summary.hasSeed = slices.ContainsFunc(s.active, func(c *candidate) bool { return c.dialedAsSeed })
-	if len(s.active) > targetPublishers {
-		if !summary.isPending {
+	summary.hasSeed = slices.ContainsFunc(s.activeCandidates, func(c *candidate) bool { return c.dialedAsSeed })
+	if len(s.activeCandidates) > targetPublishers {
+		if !summary.hasUnproven {
 			s.dropWorst(chosen)
 		}
 		return
@@ -53,11 +54,11 @@
 		if c.state != stateIdle {
 			continue
 		}
-		if len(s.active) >= targetPublishers {
+		if len(s.activeCandidates) >= targetPublishers {
 			s.scheduleReplacement(c, summary)
 			return
 		}
-		if summary.open == 0 && (c.hasFailed || c.rejected) {
+		if summary.openConnections == 0 && (c.hasFailed || c.hasRejected) {
 			if s.now < s.nextDialAt {
 				return
 			}
@@ -65,41 +66,42 @@
 		}
 		s.dial(c)
 	}
-	s.replaceAt = 0
-	if !summary.isFailing && !summary.isPending {
-		s.replaceAttempts = 0
+	s.replacementDueAt = 0
+	if !summary.hasFailing && !summary.hasUnproven {
+		s.urgentReplacements = 0
 	}
 }
 
-// scheduleReplacement dials a better candidate after a random delay, one at a time. The delay is short where an active publisher is
-// failing, but grows with each attempt that did not lead to a healthy one.
+// scheduleReplacement dials a better candidate after a random delay, one candidate at a time. The delay is short while an active publisher
+// is failing, but grows with each consecutive replacement of a failing one.
 func (s *Subscriber) scheduleReplacement(c *candidate, summary activeSummary) {
 	switch {
-	case summary.isPending:
-	case s.replaceAt != 0 && s.now >= s.replaceAt:
-		s.replaceAt = 0
-		if summary.isFailing {
-			s.replaceAttempts++
+	case summary.hasUnproven:
+	case s.replacementDueAt != 0 && s.now >= s.replacementDueAt:
+		s.replacementDueAt = 0
+		if summary.hasFailing {
+			s.urgentReplacements++
 		}
 		s.dial(c)
-	case summary.isFailing && !s.replaceSoon:
-		s.replaceAt = s.now + s.backoff(s.replaceAttempts)
-		s.replaceSoon = true
+	case summary.hasFailing && !s.replacementIsUrgent:
+		s.replacementDueAt = s.now + s.backoff(s.urgentReplacements)
+		s.replacementIsUrgent = true
 		return
-	case s.replaceAt != 0:
+	case s.replacementDueAt != 0:
 		return
 	case summary.hasSeed:
-		s.replaceAt = s.now + s.jitter(seedReplaceDelay)
+		s.replacementDueAt = s.now + s.jitter(seedReplaceDelay)
 	default:
-		s.replaceAt = s.now + minReplaceDelay + time.Duration(s.rng.Float64()*float64(2*minReplaceDelay))
+		s.replacementDueAt = s.now + minReplaceDelay + time.Duration(s.rng.Float64()*float64(2*minReplaceDelay))
 	}
-	s.replaceSoon = false
+	s.replacementIsUrgent = false
 }
 
-// dropWorst closes the connection to the worst of the active candidates. Of equal ones it drops the first, or the last that is failing.
+// dropWorst closes the connection to the active candidate with the lowest retention rank. Of several with that rank it closes the last one
+// that is to be avoided, or else the first one.
 func (s *Subscriber) dropWorst(chosen []*candidate) {
-	worst := s.active[0]
-	for _, c := range s.active[1:] {
+	worst := s.activeCandidates[0]
+	for _, c := range s.activeCandidates[1:] {
 		rank, worstRank := s.retentionRank(c, chosen), s.retentionRank(worst, chosen)
 		if rank < worstRank || rank == worstRank && c.avoidUntil > s.now {
 			worst = c
@@ -112,7 +114,8 @@
 	s.closeConnection(worst)
 }
 
-// retentionRank orders active candidates by whether they are healthy, chosen and listed, in this order of importance.
+// retentionRank returns how much an active candidate is worth keeping: candidates are compared by whether they are healthy, then by
+// whether they are chosen, then by whether they are listed.
 func (s *Subscriber) retentionRank(c *candidate, chosen []*candidate) int {
 	const (
 		listedRank  = 1
@@ -120,7 +123,7 @@
 		healthyRank = 4
 	)
 	rank := 0
-	if c.healthy && c.avoidUntil <= s.now {
+	if c.isHealthy && c.avoidUntil <= s.now {
 		rank += healthyRank
 	}
 	if slices.Contains(chosen, c) {
--- a/internal/fleet/changefeed/subscriber.go
+++ b/internal/fleet/changefeed/subscriber.go
@@ -8,98 +8,98 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// Bounds of a subscriber.
+// Limits of a subscriber.
 const (
-	targetPublishers           = 2
-	maxCandidates              = 4096 // further publishers and seeds are ignored
-	maxPendingRenewals         = 8    // the oldest is dropped first
-	maxConnectionConfirmations = 4    // of versions that the state does not have yet, for each connection
-	recentDigestCount          = 64   // versions whose digests are remembered to detect a conflicting history of a publisher that lags
-	ackThresholdBytes          = 64 << 10
+	targetPublishers           = 2        // publishers that a subscriber follows; one more while it replaces one
+	maxCandidates              = 4096     // ranked publishers and seeds; further ones are ignored
+	maxPendingRenewals         = 8        // unanswered renewals for each connection; the oldest one is dropped first
+	maxConnectionConfirmations = 4        // pending confirmations for each connection, of versions that the state does not have yet
+	recentDigestCount          = 64       // newest versions whose digests are kept, to detect a conflicting history of a publisher that lags
+	ackThresholdBytes          = 64 << 10 // size of the changes from one publisher after which an Ack is sent before the next renewal
 )
 
-// subscriberSeedStream distinguishes a subscriber's random numbers from those of other users of the same seed.
+// subscriberSeedStream separates a subscriber's random number sequence from others with the same seed.
 const subscriberSeedStream = 0xf0110
 
-// SubscriberConfig configures a Subscriber.
+// SubscriberConfig identifies a subscriber, its place and its publishers.
 type SubscriberConfig struct {
 	ID          string
 	Name        string
-	Incarnation uint64 // grows with each start
+	Incarnation uint64 // increases with each start of the process
 	Machine     string
 	Zone        string
 	Site        string
-	Fleet       string        // empty where it is not known yet
-	Seeds       []string      // addresses of publishers, ranked after those that the state names
+	Fleet       string        // ID of the fleet; empty: the fleet of the first state that is received
+	Seeds       []string      // addresses of publishers, ranked after the publishers that the state names
 	Lease       time.Duration // zero: DefaultLease
-	Seed        uint64
+	Seed        uint64        // of the random numbers that jitter intervals and delays
 }
 
-// SubscriberSend is a message to one publisher.
+// SubscriberSend is a message to be sent to one publisher.
 type SubscriberSend struct {
 	Addr    string
 	Message Message
 }
 
-// Update is one step of the state: the items that changed or, if Complete, all items.
+// Update describes one applied change or snapshot: it has the items that changed or, if Complete is set, all items of the state.
 type Update struct {
 	Version  uint64
 	Items    []Item
 	Complete bool
 }
 
-// SubscriberReady contains the actions to be taken, in this order.
+// SubscriberReady contains the actions that the caller has to take, in the order of the fields.
 type SubscriberReady struct {
 	Updates []Update
 	Sends   []SubscriberSend
-	Close   []string // addresses of connections, or dials, to be ended after their messages; their end is not reported back
-	Dial    []string // addresses; each dial ends with Connected, DialFailed, or by Close
+	Close   []string // addresses of connections or dials to be ended after their messages; their end is not reported back
+	Dial    []string // addresses to be dialed; the result is reported by Connected or DialFailed, unless Close ends the dial
 	Events  []Event
 }
 
-// SubscriberStats counts what a subscriber did.
+// SubscriberStats counts a subscriber's actions since its start.
 type SubscriberStats struct {
-	Changes          uint64 // applied
-	Snapshots        uint64 // installed
+	Changes          uint64 // changes applied
+	Snapshots        uint64 // snapshots installed
 	Duplicates       uint64 // changes and snapshots that were not newer than the state
-	Gaps             uint64
-	DigestMismatches uint64
-	Conflicts        uint64
-	InvalidMessages  uint64
+	Gaps             uint64 // times that a message was found missing
+	DigestMismatches uint64 // changes and snapshots with a digest that does not match
+	Conflicts        uint64 // messages that showed a conflicting history
+	InvalidMessages  uint64 // invalid messages, and messages of another fleet
 	LeaseExpiries    uint64 // times that the state became stale
-	SyncRequests     uint64
-	Dials            uint64
-	DialFailures     uint64
-	Rejections       uint64 // by publishers
+	SyncRequests     uint64 // SyncRequests sent
+	Dials            uint64 // dials started
+	DialFailures     uint64 // dials reported as failed
+	Rejections       uint64 // Rejects received
 }
 
-// Subscriber is the core of a balancer's side of the changefeed. It decides which publishers to follow and applies what they send. It
-// belongs to one goroutine.
+// Subscriber is the changefeed core of a balancer. It decides which publishers to follow and applies the changes and snapshots that they
+// send. It belongs to one goroutine.
 //
-// The cost of a tick or a message does not depend on the size of the fleet, except for a pass over the list of publishers.
+// The cost of a tick or a message does not depend on the size of the fleet, except for one pass over the list of publishers.
 type Subscriber struct {
 	config SubscriberConfig
 	rng    *rand.Rand
 	now    time.Duration
 
 	state          *State
-	recentDigests  [recentDigestCount]versionDigest // of the newest versions, indexed by version modulo the length
-	digestMismatch bool                             // the last change did not fit the state; a snapshot is awaited
+	recentDigests  [recentDigestCount]versionDigest // digests of the newest versions, indexed by version modulo the length
+	digestMismatch bool                             // a change did not match the state's digest, and no update has been applied since
 
-	confirmed   bool          // confirmedAt is set
-	confirmedAt time.Duration // the latest time at which nothing newer than the state was agreed
-	stale       bool          // EventStale was emitted after the last EventCurrent
-	staleSince  time.Duration
+	hasConfirmation bool          // confirmedAt is set
+	confirmedAt     time.Duration // latest time at which the state is known to have been the newest agreed one
+	isStale         bool          // the state was not current at the last check; initially true
+	staleSince      time.Duration // time since which the state is stale, or was last stale
 
-	members    map[string]shardmap.Member // publishers that the state names, by ID
-	candidates map[string]*candidate      // by address
-	ranked     []*candidate               // the listed ones, best first
-	active     []*candidate               // dialing or open, in the order in which they were dialed; at most targetPublishers+1
+	members          map[string]shardmap.Member // publishers that the state names, by ID
+	candidates       map[string]*candidate      // known publishers by address
+	rankedCandidates []*candidate               // listed candidates, best first
+	activeCandidates []*candidate               // candidates that are dialing or open, in the order in which they were dialed; at most targetPublishers+1
 
-	replaceAt       time.Duration // when a better candidate is dialed; zero: no replacement is scheduled
-	replaceSoon     bool          // the replacement was scheduled because an active publisher is failing
-	replaceAttempts int           // consecutive replacements of failing publishers
-	nextDialAt      time.Duration // earliest dial of a failed candidate while no connection is open
+	replacementDueAt    time.Duration // time at which a better candidate is dialed; zero: no replacement is scheduled
+	replacementIsUrgent bool          // the replacement was scheduled because an active publisher is failing
+	urgentReplacements  int           // consecutive replacements of failing publishers, which determine the backoff
+	nextDialAt          time.Duration // earliest time to dial a failed candidate while no connection is open
 
 	ready SubscriberReady
 	Stats SubscriberStats
@@ -111,7 +111,7 @@
 	digest  uint64
 }
 
-// NewSubscriber returns a subscriber with an empty state, which knows its seeds.
+// NewSubscriber returns a subscriber with an empty state. Its first publishers are the configured seeds.
 func NewSubscriber(config SubscriberConfig, now time.Duration) *Subscriber {
 	if config.Lease <= 0 {
 		config.Lease = DefaultLease
@@ -121,7 +121,7 @@
 		rng:        rand.New(rand.NewPCG(config.Seed, subscriberSeedStream)),
 		now:        now,
 		state:      NewState(),
-		stale:      true,
+		isStale:    true,
 		staleSince: now,
 		members:    map[string]shardmap.Member{},
 		candidates: map[string]*candidate{},
@@ -131,23 +131,24 @@
 	return s
 }
 
-// State returns the newest known state, which must not be modified.
+// State returns the newest known state. The caller must not modify it.
 func (s *Subscriber) State() *State { return s.state }
 
-// Age is how long ago the state was known to be the newest; false where it never was.
+// Age returns how long ago the state was last known to be the newest agreed one; false if it never was.
 func (s *Subscriber) Age(now time.Duration) (time.Duration, bool) {
-	return now - s.confirmedAt, s.confirmed
+	return now - s.confirmedAt, s.hasConfirmation
 }
 
-// IsCurrent reports whether the state was confirmed within the lease. It has to be evaluated anew for each use.
+// IsCurrent reports whether the state was confirmed within the lease. The result expires with time, so it has to be evaluated for each
+// use.
 func (s *Subscriber) IsCurrent(now time.Duration) bool {
-	return s.confirmed && now-s.confirmedAt <= s.config.Lease
+	return s.hasConfirmation && now-s.confirmedAt <= s.config.Lease
 }
 
 // Publishers returns the addresses of the open connections, in the order in which they were dialed.
 func (s *Subscriber) Publishers() []string {
 	var addresses []string
-	for _, c := range s.active {
+	for _, c := range s.activeCandidates {
 		if c.state == stateOpen {
 			addresses = append(addresses, c.address)
 		}
@@ -162,12 +163,12 @@
 	return ready
 }
 
-// Tick advances the time, renews leases and replaces publishers that fail. It is called about ten times a second. Messages are sent at
-// the time of the newest Tick or later, never before it.
+// Tick advances the time, renews leases and replaces publishers that fail. It has to be called about ten times a second. The messages that
+// Ready returns must not be sent before the time of the newest Tick.
 func (s *Subscriber) Tick(now time.Duration) {
 	sinceLastTick := now - s.now
 	s.now = max(s.now, now)
-	active := slices.Clone(s.active)
+	active := slices.Clone(s.activeCandidates)
 	if sinceLastTick > pauseThreshold {
 		s.resetTimeouts(sinceLastTick)
 	}
@@ -179,7 +180,7 @@
 		if c.state == stateOpen && c.nextRenewAt <= s.now {
 			s.sendRenewal(c)
 		}
-		if c.state == stateOpen && c.standby && s.now-c.stateSince > s.config.Lease { // the synchronizing publisher is slow
+		if c.state == stateOpen && c.isStandby && s.now-c.stateSince > s.config.Lease { // the publisher that brings the state up to date is slow
 			s.requestSync(c, false)
 		}
 	}
@@ -187,10 +188,11 @@
 	s.reconcile()
 }
 
-// resetTimeouts restarts all timeouts after a suspension of this process: the publishers' messages may wait in socket buffers.
+// resetTimeouts restarts all timeouts after a suspension of this process, because messages from the publishers may still be in socket
+// buffers.
 func (s *Subscriber) resetTimeouts(suspended time.Duration) {
 	s.emit(Event{Kind: EventResumed, Duration: suspended})
-	for _, c := range s.active {
+	for _, c := range s.activeCandidates {
 		c.lastReceived = s.now
 		c.lastAnswered = s.now
 		c.nextRenewAt = s.now
@@ -200,13 +202,13 @@
 	}
 }
 
-// updateStaleness reports once when the state becomes stale, and when it is current again.
+// updateStaleness emits an event when the state becomes stale, and when it becomes current again.
 func (s *Subscriber) updateStaleness() {
 	current := s.IsCurrent(s.now)
-	if current != s.stale {
+	if current != s.isStale {
 		return
 	}
-	s.stale = !current
+	s.isStale = !current
 	if current {
 		s.emit(Event{Kind: EventCurrent, Version: s.state.Version(), Duration: s.now - s.staleSince})
 		return
@@ -216,17 +218,19 @@
 	s.emit(Event{Kind: EventStale, Version: s.state.Version(), Duration: s.now - s.confirmedAt})
 }
 
+// send sends a message to a publisher.
 func (s *Subscriber) send(c *candidate, message Message) {
 	s.ready.Sends = append(s.ready.Sends, SubscriberSend{Addr: c.address, Message: message})
 }
 
+// emit adds an event to the pending actions, unless there are maxEvents already.
 func (s *Subscriber) emit(event Event) {
 	if len(s.ready.Events) < maxEvents {
 		s.ready.Events = append(s.ready.Events, event)
 	}
 }
 
-// jitter returns a random duration between a half and one and a half of a mean, so that subscribers do not act in step.
+// jitter returns a random duration between half and one and a half times a mean, so that subscribers do not act simultaneously.
 func (s *Subscriber) jitter(mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(s.rng.Float64()*float64(mean))
 }
--- a/internal/fleet/changefeed/subscription.go
+++ b/internal/fleet/changefeed/subscription.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Connected reports that a dial has succeeded.
+// Connected handles a dial that has succeeded: it sends a Hello and the first renewal.
 func (s *Subscriber) Connected(address string) {
 	c := s.candidates[address]
 	if c == nil || c.state != stateDialing {
@@ -19,19 +19,20 @@
 	c.state = stateOpen
 	c.stateSince = s.now
 	c.connection = connection{lastReceived: s.now, lastAnswered: s.now}
-	c.standby = s.isSyncing(c)
+	c.isStandby = s.isSyncing(c)
 	s.send(c, Message{Hello: s.hello(c)})
 	s.emit(Event{Kind: EventSubscribed, PeerID: c.id, Addr: address})
 	s.sendRenewal(c)
 }
 
-// isSyncing reports whether another publisher than c is bringing the subscriber up to date.
+// isSyncing reports whether a publisher other than c is bringing the subscriber up to date.
 func (s *Subscriber) isSyncing(c *candidate) bool {
-	return slices.ContainsFunc(s.active, func(other *candidate) bool {
-		return other != c && other.state == stateOpen && !other.synced && !other.standby
+	return slices.ContainsFunc(s.activeCandidates, func(other *candidate) bool {
+		return other != c && other.state == stateOpen && !other.isSynced && !other.isStandby
 	})
 }
 
+// hello returns the Hello for a new connection.
 func (s *Subscriber) hello(c *candidate) *Hello {
 	return &Hello{
 		Fleet:           cmp.Or(s.state.Fleet(), s.config.Fleet),
@@ -44,11 +45,11 @@
 		Site:            s.config.Site,
 		Version:         s.state.Version(),
 		Digest:          s.state.Digest(),
-		Standby:         c.standby,
+		Standby:         c.isStandby,
 	}
 }
 
-// DialFailed reports that a dial has failed.
+// DialFailed handles a dial that has failed.
 func (s *Subscriber) DialFailed(address string) {
 	c := s.candidates[address]
 	if c == nil || c.state != stateDialing {
@@ -58,7 +59,7 @@
 	s.connectionLost(c)
 }
 
-// ConnectionClosed reports the end of a connection that the subscriber did not close itself.
+// ConnectionClosed handles the end of a connection that the subscriber did not close itself.
 func (s *Subscriber) ConnectionClosed(address string) {
 	c := s.candidates[address]
 	if c == nil || c.state != stateOpen {
@@ -68,32 +69,33 @@
 	s.connectionLost(c)
 }
 
-// Progress reports that bytes of an incomplete message have arrived: a publisher that sends a large message slowly is not silent.
+// Progress handles the arrival of bytes of an incomplete message, so that a publisher that sends a large message slowly does not count as
+// silent.
 func (s *Subscriber) Progress(address string) {
 	if c := s.candidates[address]; c != nil && c.state == stateOpen {
 		c.lastReceived = s.now
-		c.receiving = true
+		c.isReceiving = true
 	}
 }
 
-// Disconnect tells all publishers that this process ends.
+// Disconnect tells all connected publishers that this process ends.
 func (s *Subscriber) Disconnect() {
-	for _, c := range s.active {
+	for _, c := range s.activeCandidates {
 		if c.state == stateOpen {
 			s.send(c, Message{Disconnect: &Disconnect{}})
 		}
 	}
 }
 
-// Step handles a message of a publisher. An error describes what was wrong with it; it has been dealt with already. Messages of a
-// connection that is not open are ignored.
+// Step handles a message from a publisher. An error describes a message that was not applied; the caller needs to do no more than log it.
+// Messages on a connection that is not open are ignored.
 func (s *Subscriber) Step(address string, message Message) error {
 	c := s.candidates[address]
 	if c == nil || c.state != stateOpen {
 		return nil
 	}
 	c.lastReceived = s.now
-	c.receiving = false
+	c.isReceiving = false
 	switch {
 	case message.Change != nil:
 		return s.handleChange(c, message.Change)
@@ -106,13 +108,14 @@
 	case message.Operation != nil, message.OperationResult != nil, message.PutRequest != nil, message.PutResponse != nil:
 	default:
 		s.Stats.InvalidMessages++
-		err := fmt.Errorf("%w: nothing in it that this process knows", ErrMalformedMessage)
+		err := fmt.Errorf("%w: no known content", ErrMalformedMessage)
 		s.dropInvalid(c, EventMessageRejected, err)
 		return err
 	}
 	return nil
 }
 
+// handleChange applies a change, and acknowledges it once enough bytes are unacknowledged.
 func (s *Subscriber) handleChange(c *candidate, change *Change) error {
 	if err := s.state.Apply(*change); err != nil {
 		return s.handleApplyError(c, change.Version, err)
@@ -127,6 +130,7 @@
 	return nil
 }
 
+// handleSnapshot installs a snapshot and acknowledges it.
 func (s *Subscriber) handleSnapshot(c *candidate, snapshot *Snapshot) error {
 	before := s.state.Version()
 	if s.config.Fleet != "" && snapshot.Fleet != "" && snapshot.Fleet != s.config.Fleet {
@@ -146,8 +150,8 @@
 	return nil
 }
 
-// handleApplyError decides what follows from a change or snapshot that was not applied. It returns nil for one that is not newer than
-// the state.
+// handleApplyError reacts to a change or snapshot that was not applied: it requests what is missing, or drops the publisher. It returns nil
+// for a duplicate, which is not newer than the state.
 func (s *Subscriber) handleApplyError(c *candidate, version uint64, err error) error {
 	switch {
 	case errors.Is(err, ErrOutOfOrder) && version <= s.state.Version():
@@ -175,27 +179,28 @@
 	return err
 }
 
-// recordUpdate hands an applied update out, and evaluates what it means for the publishers and for the age of the state.
+// recordUpdate adds an applied update to the pending actions, and updates the list of publishers and the age of the state.
 func (s *Subscriber) recordUpdate(update Update) {
 	s.ready.Updates = append(s.ready.Updates, update)
 	s.recentDigests[update.Version%recentDigestCount] = versionDigest{version: update.Version, digest: s.state.Digest()}
 	if update.Complete || slices.ContainsFunc(update.Items, isMemberItem) {
 		s.updateMembers(update)
 	}
-	for _, c := range s.active {
-		s.confirm(c)
+	for _, c := range s.activeCandidates {
+		s.applyConfirmations(c)
 	}
 	s.updateStaleness()
 }
 
+// isMemberItem reports whether an item names a member, or deletes one.
 func isMemberItem(item Item) bool { return strings.HasPrefix(item.Key, MemberPrefix) }
 
-// handleRenewResponse takes over what a publisher knows: what it knew at the time of the request, less the age that it reports, is true
-// for this subscriber once it has that version.
+// handleRenewResponse processes a publisher's confirmation: its version was the newest agreed one at the time of the request minus the age
+// that it reports. This confirms the subscriber's state, too, once it has that version.
 func (s *Subscriber) handleRenewResponse(c *candidate, response *RenewResponse) error {
 	index := slices.IndexFunc(c.pendingRenewals, func(r pendingRenewal) bool { return r.sequence == response.Sequence })
 	if index < 0 {
-		return nil // never requested, answered before, or dropped
+		return nil // the renewal was never sent, is already answered, or was dropped
 	}
 	requestedAt := c.pendingRenewals[index].sentAt
 	c.pendingRenewals = slices.Delete(c.pendingRenewals, 0, index+1)
@@ -206,13 +211,13 @@
 		return err
 	}
 	s.recordHealth(c, requestedAt, response)
-	s.confirm(c)
+	s.applyConfirmations(c)
 	version := s.state.Version()
 	if response.Version <= version {
 		s.markSynced(c)
 	}
 	c.syncPending = c.syncPending && response.Sequence <= c.syncSequence
-	if (response.SentVersion > version || response.Standby) && !c.syncPending && !c.standby { // something that was sent did not arrive
+	if (response.SentVersion > version || response.Standby) && !c.syncPending && !c.isStandby { // the publisher sent something that did not arrive
 		s.Stats.Gaps++
 		s.requestSync(c, s.digestMismatch)
 	}
@@ -221,7 +226,7 @@
 	return nil
 }
 
-// checkHistory returns ErrConflict if a publisher's version had another digest here.
+// checkHistory returns ErrConflict if the subscriber's state had another digest at the publisher's version.
 func (s *Subscriber) checkHistory(response *RenewResponse) error {
 	recent := s.recentDigests[response.Version%recentDigestCount]
 	if recent.version != response.Version || recent.digest == response.Digest {
@@ -230,7 +235,8 @@
 	return fmt.Errorf("%w: version %d with digest %016x, here %016x", ErrConflict, response.Version, response.Digest, recent.digest)
 }
 
-// recordHealth notes whether a publisher's knowledge is within the lease. One that is not stays until another one is healthy.
+// recordHealth records whether the age that a publisher reports is within the lease. A publisher that exceeds it stays connected until
+// another one is healthy.
 func (s *Subscriber) recordHealth(c *candidate, requestedAt time.Duration, response *RenewResponse) {
 	if !response.AgeKnown || response.Age > s.config.Lease || response.Age < 0 {
 		if c.avoidUntil <= s.now {
@@ -238,10 +244,10 @@
 		}
 		return
 	}
-	c.healthy = true
+	c.isHealthy = true
 	c.avoidUntil = 0
 	if s.now-c.stateSince >= failureResetAfter {
-		c.failures = 0
+		c.consecutiveFailures = 0
 		c.hasFailed = false
 	}
 	if len(c.pendingConfirmations) < maxConnectionConfirmations {
@@ -249,44 +255,45 @@
 	}
 }
 
-// confirm applies the pending confirmations whose version the state has, and drops those that are too old to be of use.
-func (s *Subscriber) confirm(c *candidate) {
+// applyConfirmations applies the pending confirmations of versions that the state has, and drops those that are older than a lease.
+func (s *Subscriber) applyConfirmations(c *candidate) {
 	c.pendingConfirmations = slices.DeleteFunc(c.pendingConfirmations, func(pending confirmation) bool {
 		if pending.version > s.state.Version() {
 			return s.now-pending.at > s.config.Lease
 		}
-		if !s.confirmed || pending.at > s.confirmedAt {
-			s.confirmed = true
+		if !s.hasConfirmation || pending.at > s.confirmedAt {
+			s.hasConfirmation = true
 			s.confirmedAt = pending.at
 		}
 		return true
 	})
 }
 
-// markSynced notes that a publisher has nothing newer; the standby connections continue from here.
+// markSynced records that a publisher has nothing newer than the state. It ends the standby of the other connections.
 func (s *Subscriber) markSynced(c *candidate) {
-	if c.synced {
+	if c.isSynced {
 		return
 	}
-	c.synced = true
-	for _, other := range s.active {
-		if other.state == stateOpen && other.standby {
+	c.isSynced = true
+	for _, other := range s.activeCandidates {
+		if other.state == stateOpen && other.isStandby {
 			s.requestSync(other, false)
 		}
 	}
 }
 
-// requestSync asks a publisher for everything after the state's version, unless the same request is pending.
+// requestSync asks a publisher for everything after the state's version, by a snapshot if forceSnapshot is set, unless the same request is
+// pending.
 func (s *Subscriber) requestSync(c *candidate, forceSnapshot bool) {
-	if c.syncPending && c.syncVersion == s.state.Version() && (c.syncSnapshot || !forceSnapshot) {
+	if c.syncPending && c.syncVersion == s.state.Version() && (c.syncForcesSnapshot || !forceSnapshot) {
 		return
 	}
 	s.Stats.SyncRequests++
-	c.standby = false
+	c.isStandby = false
 	c.syncPending = true
 	c.syncSequence = c.lastSequence
 	c.syncVersion = s.state.Version()
-	c.syncSnapshot = forceSnapshot
+	c.syncForcesSnapshot = forceSnapshot
 	c.unackedBytes = 0
 	s.send(c, Message{SyncRequest: &SyncRequest{
 		Version:       s.state.Version(),
@@ -296,11 +303,13 @@
 	}})
 }
 
+// acknowledge sends an Ack of the state's version to a publisher.
 func (s *Subscriber) acknowledge(c *candidate) {
 	c.unackedBytes = 0
 	s.send(c, Message{Ack: &Ack{Version: s.state.Version(), Digest: s.state.Digest()}})
 }
 
+// sendRenewal sends a RenewRequest to a publisher and schedules the next one.
 func (s *Subscriber) sendRenewal(c *candidate) {
 	c.lastSequence++
 	c.nextRenewAt = s.now + RenewInterval*3/4 + time.Duration(s.rng.Float64()*float64(RenewInterval)/2)
