--- a/internal/fleet/changefeed/admission_test.go
+++ b/internal/fleet/changefeed/admission_test.go
@@ -37,7 +37,7 @@
 				t.Fatalf("%v", err)
 			}
 			out := publisher.Ready()
-			if !slices.Equal(out.Close, []uint64{2}) || len(out.Events) != 1 || len(publisher.sessions) != 1 || publisher.sessions[1] == nil {
+			if !slices.Equal(out.CloseConns, []uint64{2}) || len(out.Events) != 1 || len(publisher.sessions) != 1 || publisher.sessions[1] == nil {
 				t.Errorf("%+v, %d subscribers", out, len(publisher.sessions))
 			}
 			rejected := len(out.Sends) == 1 && out.Sends[0].Message.Content.Reject != nil && out.Sends[0].Message.Content.Reject.RetryAfter > 0
--- a/internal/fleet/changefeed/bench_test.go
+++ b/internal/fleet/changefeed/bench_test.go
@@ -133,8 +133,8 @@
 			do := func() {
 				for again := true; again; {
 					out := f.Ready()
-					again = len(out.Dial)+len(out.Sends) > 0
-					for _, a := range out.Dial {
+					again = len(out.DialAddrs)+len(out.Sends) > 0
+					for _, a := range out.DialAddrs {
 						f.Connected(a)
 						hear(a, &Message{Snapshot: log.Snapshot()})
 					}
--- a/internal/fleet/changefeed/candidate.go
+++ b/internal/fleet/changefeed/candidate.go
@@ -115,7 +115,7 @@
 	c.isHealthy = false
 	c.avoidUntil = 0
 	s.activeCandidates = append(s.activeCandidates, c)
-	s.ready.Dial = append(s.ready.Dial, c.address)
+	s.ready.DialAddrs = append(s.ready.DialAddrs, c.address)
 }
 
 // dropFailed closes the connection to a publisher that failed, and avoids it until its backoff has passed.
@@ -162,7 +162,7 @@
 
 // closeConnection closes a candidate's connection, or ends its dial.
 func (s *Subscriber) closeConnection(c *candidate) {
-	s.ready.Close = append(s.ready.Close, c.address)
+	s.ready.CloseAddrs = append(s.ready.CloseAddrs, c.address)
 	s.deactivate(c)
 }
 
--- a/internal/fleet/changefeed/conflict_test.go
+++ b/internal/fleet/changefeed/conflict_test.go
@@ -105,7 +105,7 @@
 			t.Errorf("%v", err)
 		}
 		out := f.Ready()
-		if f.State().Version() != version || !slices.Contains(out.Close, "r0") || len(out.Updates) > 0 || f.Stats.InvalidMessages != 1 {
+		if f.State().Version() != version || !slices.Contains(out.CloseAddrs, "r0") || len(out.Updates) > 0 || f.Stats.InvalidMessages != 1 {
 			t.Errorf("%+v", out)
 		}
 	}
--- a/internal/fleet/changefeed/harness_test.go
+++ b/internal/fleet/changefeed/harness_test.go
@@ -219,7 +219,7 @@
 			h.drainSubscriber(sub)
 		}
 	}
-	for _, num := range out.Close {
+	for _, num := range out.CloseConns {
 		sub := pub.conns[num]
 		delete(pub.conns, num)
 		if sub != nil && sub.conns[pub.address] == num {
@@ -260,7 +260,7 @@
 			h.drainPublisher(pub)
 		}
 	}
-	for _, a := range out.Close {
+	for _, a := range out.CloseAddrs {
 		pub, num := h.publishers[a], sub.conns[a]
 		delete(sub.conns, a)
 		if num != 0 && !pub.blackholed {
@@ -268,7 +268,7 @@
 			pub.do(func() { pub.core.ConnectionClosed(num) })
 		}
 	}
-	for _, a := range out.Dial {
+	for _, a := range out.DialAddrs {
 		pub := h.publishers[a]
 		switch {
 		case pub == nil || pub.down:
--- a/internal/fleet/changefeed/model_world_test.go
+++ b/internal/fleet/changefeed/model_world_test.go
@@ -201,7 +201,7 @@
 			conn.inTransit[toSubscriber] = append(conn.inTransit[toSubscriber], &s.Message.Content)
 		}
 	}
-	for _, num := range out.Close {
+	for _, num := range out.CloseConns {
 		if _, conn := w.findConn(num); conn != nil {
 			conn.open = false
 			conn.inTransit[toSubscriber] = append(conn.inTransit[toSubscriber], nil)
@@ -224,12 +224,12 @@
 			conn.inTransit[toPublisher] = append(conn.inTransit[toPublisher], &s.Message)
 		}
 	}
-	for _, a := range out.Close {
+	for _, a := range out.CloseAddrs {
 		if conn := sub.conns[a]; conn != nil {
 			w.closeConn(sub, conn)
 		}
 	}
-	for _, a := range out.Dial {
+	for _, a := range out.DialAddrs {
 		w.lastConn++
 		sub.conns[a] = &modelConn{id: w.lastConn, publisher: int(a[1] - '0'), open: true}
 		sub.core.Connected(a)
--- a/internal/fleet/changefeed/publisher.go
+++ b/internal/fleet/changefeed/publisher.go
@@ -59,9 +59,9 @@
 // PublisherReady contains the actions that the caller has to take: send the messages, then close the connections once their messages have
 // been sent.
 type PublisherReady struct {
-	Sends  []PublisherSend
-	Close  []uint64 // IDs of connections
-	Events []Event
+	Sends      []PublisherSend
+	CloseConns []uint64 // IDs of connections
+	Events     []Event
 }
 
 // PublisherStats counts a publisher's actions since its start.
--- a/internal/fleet/changefeed/session.go
+++ b/internal/fleet/changefeed/session.go
@@ -134,7 +134,7 @@
 // reject sends a Reject to a subscriber that has no session, closes its connection and returns the reason.
 func (p *Publisher) reject(connID uint64, retryAfter time.Duration, reason error) error {
 	p.sendReject(connID, retryAfter, reason)
-	p.ready.Close = append(p.ready.Close, connID)
+	p.ready.CloseConns = append(p.ready.CloseConns, connID)
 	return reason
 }
 
@@ -150,7 +150,7 @@
 	if s := p.sessions[connID]; s != nil {
 		p.closeSession(s)
 	} else {
-		p.ready.Close = append(p.ready.Close, connID)
+		p.ready.CloseConns = append(p.ready.CloseConns, connID)
 	}
 	return reason
 }
@@ -235,7 +235,7 @@
 
 // closeSession closes a session and its connection.
 func (p *Publisher) closeSession(s *session) {
-	p.ready.Close = append(p.ready.Close, s.connID)
+	p.ready.CloseConns = append(p.ready.CloseConns, s.connID)
 	p.removeSession(s)
 }
 
--- a/internal/fleet/changefeed/subscriber.go
+++ b/internal/fleet/changefeed/subscriber.go
@@ -50,11 +50,11 @@
 
 // SubscriberReady contains the actions that the caller has to take, in the order of the fields.
 type SubscriberReady struct {
-	Updates []Update
-	Sends   []SubscriberSend
-	Close   []string // addresses of connections or dials to be ended after their messages; their end is not reported back
-	Dial    []string // addresses to be dialed; the result is reported by Connected or DialFailed, unless Close ends the dial
-	Events  []Event
+	Updates    []Update
+	Sends      []SubscriberSend
+	CloseAddrs []string // addresses of connections or dials to be ended after their messages; their end is not reported back
+	DialAddrs  []string // addresses to be dialed; the result is reported by Connected or DialFailed, unless CloseAddrs ends the dial
+	Events     []Event
 }
 
 // SubscriberStats counts a subscriber's actions since its start.
--- a/internal/fleet/changefeed/subscription.go
+++ b/internal/fleet/changefeed/subscription.go
@@ -13,7 +13,7 @@
 func (s *Subscriber) Connected(address string) {
 	c := s.candidates[address]
 	if c == nil || c.state != stateDialing {
-		s.ready.Close = append(s.ready.Close, address)
+		s.ready.CloseAddrs = append(s.ready.CloseAddrs, address)
 		return
 	}
 	c.state = stateOpen
--- a/internal/fleet/publisher/publish.go
+++ b/internal/fleet/publisher/publish.go
@@ -93,7 +93,7 @@
 func (s *Server) carryOut() {
 	ready := s.core.Ready()
 	s.enqueue(ready.Sends)
-	for _, id := range ready.Close {
+	for _, id := range ready.CloseConns {
 		if c := s.conns[id]; c != nil {
 			c.closeAfterQueue()
 		}
--- a/internal/fleet/subscriber/client.go
+++ b/internal/fleet/subscriber/client.go
@@ -220,7 +220,7 @@
 			open.enqueue(changefeed.Encode(&send.Message))
 		}
 	}
-	for _, address := range ready.Close {
+	for _, address := range ready.CloseAddrs {
 		if closing := c.conns[address]; closing != nil {
 			delete(c.conns, address)
 			closing.closeAfterQueue()
@@ -228,7 +228,7 @@
 		}
 	}
 	if !c.isClosed {
-		for _, address := range ready.Dial {
+		for _, address := range ready.DialAddrs {
 			c.dial(address)
 		}
 	}
--- a/internal/lab/feedsim/processes.go
+++ b/internal/lab/feedsim/processes.go
@@ -98,7 +98,7 @@
 			w.send(c, toSubscriber, &s.Message.Content)
 		}
 	}
-	for _, num := range out.Close {
+	for _, num := range out.CloseConns {
 		if c := pub.conns[num]; c != nil {
 			delete(pub.conns, num)
 			c.publisherOpen = false
@@ -122,14 +122,14 @@
 			w.send(c, toPublisher, &s.Message)
 		}
 	}
-	for _, addr := range out.Close {
+	for _, addr := range out.CloseAddrs {
 		if c := sub.conns[addr]; c != nil {
 			delete(sub.conns, addr)
 			c.subscriberOpen = false
 			w.send(c, toPublisher, nil)
 		}
 	}
-	for _, addr := range out.Dial {
+	for _, addr := range out.DialAddrs {
 		w.dial(sub, addr)
 	}
 }
