--- a/internal/fleet/changefeed/candidate.go
+++ b/internal/fleet/changefeed/candidate.go
@@ -44,11 +44,11 @@
 	isListed     bool   // the state or the configured seeds name it
 	dialedAsSeed bool   // it was dialed while its ID was unknown, and has not been chosen since
 
-	consecutiveFailures int // consecutive failures, which determine the backoff
-	hasFailed           bool
-	failedAt            time.Duration
-	avoidUntil          time.Duration
-	hasRejected         bool // its last connection ended with a Reject, which set avoidUntil
+	consecutiveFailures int           // consecutive failures, which determine the backoff
+	hasFailed           bool          // it has failed and has not served for failureResetAfter since
+	failedAt            time.Duration // time of the last failure
+	avoidUntil          time.Duration // time before which it is not chosen
+	hasRejected         bool          // its last connection ended with a Reject, which set avoidUntil
 
 	state      connectionState
 	stateSince time.Duration // time at which the dial or the open connection began
@@ -74,7 +74,7 @@
 	syncSequence       uint64 // newest RenewRequest sent before the SyncRequest: responses up to it do not reflect the SyncRequest
 	syncVersion        uint64 // version of the state in the SyncRequest
 	syncForcesSnapshot bool   // the SyncRequest asked for a snapshot
-	unackedBytes       int
+	unackedBytes       int    // size of the changes applied since the last acknowledgement
 }
 
 // pendingRenewal is a RenewRequest that has not been answered, with the time at which it was sent.
@@ -142,7 +142,8 @@
 	s.reconcile()
 }
 
-// dropRejecting drops a publisher that sent a Reject, and avoids it for the time that the Reject asks for. It does not count as a failure.
+// dropRejecting drops a publisher that sent a Reject, and avoids it for the time that the Reject asks for. A Reject
+// does not count as a failure.
 func (s *Subscriber) dropRejecting(c *candidate, reject *Reject) {
 	s.Stats.Rejections++
 	s.dropFailed(c, "rejected: "+reject.Reason)
--- a/internal/fleet/changefeed/event.go
+++ b/internal/fleet/changefeed/event.go
@@ -23,7 +23,7 @@
 	EventUnsubscribed                      // The subscriber stopped following Addr; Detail is the reason.
 	EventStale                             // The subscriber's state, at Version, is no longer current; it was last confirmed Duration ago.
 	EventCurrent                           // The subscriber's state, at Version, is current again after Duration.
-	EventDigestMismatch                    // A change from Addr was made for another state than the subscriber has at Version. Reported once until an update succeeds.
+	EventDigestMismatch                    // A change from Addr does not apply to the state at Version. Reported once until an update succeeds.
 	EventHistoryConflict                   // Addr has different content at Version: two histories exist, and an operator has to intervene.
 	EventMessageRejected                   // A message from Addr, or the member item with the key Addr, is invalid; Detail is the error.
 )
--- a/internal/fleet/changefeed/publisher.go
+++ b/internal/fleet/changefeed/publisher.go
@@ -60,7 +60,7 @@
 // been sent.
 type PublisherReady struct {
 	Sends      []PublisherSend
-	CloseConns []uint64 // IDs of connections
+	CloseConns []uint64 // IDs of the connections
 	Events     []Event
 }
 
@@ -73,8 +73,8 @@
 	LeaseExpiries     uint64 // sessions closed because the subscriber was silent for a lease
 	SlowSubscribers   uint64 // sessions closed because the subscriber acknowledged nothing for ackTimeout
 	RejectedFull      uint64 // subscribers rejected because MaxSubscribers was reached
-	RejectedForeign   uint64 // subscribers of another fleet that were rejected
-	RejectedNewer     uint64 // subscribers with a newer protocol version that were rejected
+	RejectedForeign   uint64 // subscribers rejected because they are of another fleet
+	RejectedNewer     uint64 // subscribers rejected because of a newer protocol version
 	MalformedMessages uint64 // malformed messages received; each closes its connection
 }
 
@@ -101,7 +101,7 @@
 	snapshotQueue     []*session
 	snapshotBudget    float64        // bytes of snapshots that may be sent now; negative after a snapshot larger than the budget
 	snapshotsInFlight map[uint64]int // number of unacknowledged snapshot messages, by version
-	isDraining        bool
+	isDraining        bool           // Drain was called: subscribers are rejected
 
 	ready PublisherReady
 	Stats PublisherStats
