--- a/internal/fleet/changefeed/item.go
+++ b/internal/fleet/changefeed/item.go
@@ -80,13 +80,13 @@
 func CheckItem(item Item) error {
 	switch {
 	case item.Key == "" || len(item.Key) > MaxKeyBytes:
-		return fmt.Errorf("%w: a key of %d bytes, 1 to %d are allowed", ErrInvalidItem, len(item.Key), MaxKeyBytes)
+		return fmt.Errorf("%w: key of %d bytes, 1 to %d are allowed", ErrInvalidItem, len(item.Key), MaxKeyBytes)
 	case !utf8.ValidString(item.Key) || strings.ContainsFunc(item.Key, unicode.IsControl):
 		return fmt.Errorf("%w: key %q is not plain text", ErrInvalidItem, item.Key)
 	case item.Deleted && len(item.Value) > 0:
-		return fmt.Errorf("%w: key %q is gone and has a value", ErrInvalidItem, item.Key)
+		return fmt.Errorf("%w: deleted key %q has a value", ErrInvalidItem, item.Key)
 	case len(item.Value) > MaxValueBytes:
-		return fmt.Errorf("%w: key %q has %d bytes, at most %d are allowed", ErrFull, item.Key, len(item.Value), MaxValueBytes)
+		return fmt.Errorf("%w: value of key %q has %d bytes, at most %d are allowed", ErrFull, item.Key, len(item.Value), MaxValueBytes)
 	}
 	return nil
 }
--- a/internal/fleet/changefeed/log.go
+++ b/internal/fleet/changefeed/log.go
@@ -68,7 +68,7 @@
 func (l *Log) Apply(change Change) error {
 	if change.Version < l.Version() {
 		if digest, ok := l.digestAt(change.Version); ok && digest != change.DigestAfter {
-			return fmt.Errorf("%w: version %d with digest %016x, here %016x", ErrConflict, change.Version, change.DigestAfter, digest)
+			return fmt.Errorf("%w: change to version %d with digest %016x, here %016x", ErrConflict, change.Version, change.DigestAfter, digest)
 		}
 	}
 	if err := l.state.Apply(change); err != nil {
--- a/internal/fleet/changefeed/subscriber.go
+++ b/internal/fleet/changefeed/subscriber.go
@@ -89,7 +89,7 @@
 	hasConfirmation bool          // confirmedAt is set
 	confirmedAt     time.Duration // latest time at which the state is known to have been the newest agreed one
 	isStale         bool          // the state was not current at the last check; initially true
-	staleSince      time.Duration // time since which the state is stale, or was last stale
+	staleSince      time.Duration // start of the current or last period of staleness
 
 	members          map[string]shardmap.Member // publishers that the state names, by ID
 	candidates       map[string]*candidate      // known publishers by address
--- a/internal/fleet/changefeed/subscription.go
+++ b/internal/fleet/changefeed/subscription.go
@@ -232,7 +232,7 @@
 	if recent.version != response.Version || recent.digest == response.Digest {
 		return nil
 	}
-	return fmt.Errorf("%w: version %d with digest %016x, here %016x", ErrConflict, response.Version, response.Digest, recent.digest)
+	return fmt.Errorf("%w: publisher at version %d with digest %016x, here %016x", ErrConflict, response.Version, response.Digest, recent.digest)
 }
 
 // recordHealth records whether the age that a publisher reports is within the lease. A publisher that exceeds it stays connected until
