--- a/internal/fleet/changefeed/admission_test.go
+++ b/internal/fleet/changefeed/admission_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// TestRejectedHellos sends hellos that a publisher rejects: each is answered and reported, and leaves no session behind.
+// TestRejectedHellos guards against an invalid hello that opens a session or is not reported. A hello that is well-formed but not accepted
+// has to be answered with a Reject.
 func TestRejectedHellos(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, tc := range map[string]struct {
 		hello      Hello
 		err        error
 		wantReject bool
@@ -32,37 +33,37 @@
 				t.Fatal(err)
 			}
 			publisher.Ready()
-			err := publisher.Connected(0, 2, one.hello)
-			if !errors.Is(err, one.err) {
-				t.Fatalf("%v", err)
+			err := publisher.Connected(0, 2, tc.hello)
+			if !errors.Is(err, tc.err) {
+				t.Fatalf("Connected returned %v", err)
 			}
 			out := publisher.Ready()
 			if !slices.Equal(out.CloseConns, []uint64{2}) || len(out.Events) != 1 || len(publisher.sessions) != 1 || publisher.sessions[1] == nil {
-				t.Errorf("%+v, %d subscribers", out, len(publisher.sessions))
+				t.Errorf("actions %+v, %d sessions", out, len(publisher.sessions))
 			}
 			rejected := len(out.Sends) == 1 && out.Sends[0].Message.Content.Reject != nil && out.Sends[0].Message.Content.Reject.RetryAfter > 0
-			if rejected != one.wantReject {
-				t.Errorf("sent %+v", out.Sends)
+			if rejected != tc.wantReject {
+				t.Errorf("wrong answer to the hello: %+v", out.Sends)
 			}
 			if err := publisher.Step(0, 2, Message{RenewRequest: &RenewRequest{Sequence: 1}}); err != nil || len(publisher.Ready().Sends) != 0 {
-				t.Error("it is answered all the same")
+				t.Error("a renewal on the closed connection is answered")
 			}
 		})
 	}
 }
 
-// TestFullPublisherRejects verifies that a subscriber beyond the maximum is rejected with a retry time and accepted once there is capacity,
-// and that a reconnecting subscriber replaces its own session.
+// TestFullPublisherRejects guards against a publisher that exceeds MaxSubscribers, against rejected subscribers that retry too often, and
+// against a full publisher that rejects a subscriber whose older session it could replace.
 func TestFullPublisherRejects(t *testing.T) {
 	h := newHarness(t, "s", "s", "s")
-	h.start("r0", PublisherConfig{MaxSubscribers: 5})
+	h.startPublisher("r0", PublisherConfig{MaxSubscribers: 5})
 	for i := range 20 {
 		h.newSubscriber(fmt.Sprintf("b%d", i), "s")
 	}
 	for range 300 {
 		h.run(100 * time.Millisecond)
 		if n := len(h.publishers["r0"].core.sessions); n > 5 {
-			t.Fatalf("%d subscribers", n)
+			t.Fatalf("%d sessions, at most 5 are allowed", n)
 		}
 	}
 	full := h.publishers["r0"].core.Stats.RejectedFull
@@ -75,14 +76,14 @@
 		rejections += sub.core.Stats.Rejections
 	}
 	if full == 0 || rejections != full {
-		t.Errorf("%d rejected as full, %d rejections received", full, rejections)
+		t.Errorf("the publisher rejected %d subscribers as full, the subscribers received %d rejections", full, rejections)
 	}
 	if full > 20*4 {
-		t.Errorf("20 subscribers asked %d times in 30 s", full)
+		t.Errorf("20 subscribers were rejected %d times in 30 s", full)
 	}
 	publisher := h.publishers["r0"].core
 	first := publisher.sessionOrder.Front().Value.(*session)
 	if err := publisher.Connected(h.now, 999, Hello{ProtocolVersion: ProtocolVersion, ID: first.hello.ID, Incarnation: 2, Fleet: "f"}); err != nil || publisher.sessionsByID[first.hello.ID].connID != 999 || len(publisher.sessions) != 5 {
-		t.Errorf("who came anew: %v", err)
+		t.Errorf("a reconnecting subscriber did not replace its session: %v", err)
 	}
 }
--- a/internal/fleet/changefeed/bench_test.go
+++ b/internal/fleet/changefeed/bench_test.go
@@ -29,8 +29,8 @@
 	return l
 }
 
-// BenchmarkChangeDelivery measures a change of 100 bytes that a publisher sends to all its subscribers; the message is encoded once.
-// Acknowledgements are not measured.
+// BenchmarkChangeDelivery measures the delivery of a change of 100 bytes from a publisher to all its subscribers; the message is encoded
+// once. Acknowledgements are not measured.
 func BenchmarkChangeDelivery(b *testing.B) {
 	for _, n := range []int{270, 541, 1840} {
 		b.Run(fmt.Sprintf("subscribers=%d", n), func(b *testing.B) {
@@ -44,7 +44,7 @@
 			publisher.Ready()
 			value := make([]byte, 100)
 			b.ReportAllocs()
-			sent, at := 0, uint64(0)
+			sent, ticks := 0, uint64(0)
 			for b.Loop() {
 				if _, err := log.Append([]Item{{Key: ConfigPrefix + "name1", Value: value}}); err != nil {
 					b.Fatal(err)
@@ -54,10 +54,10 @@
 				for _, s := range out.Sends {
 					sent += len(s.Message.Encoded())
 				}
-				b.StopTimer() // acknowledged, so that no window fills
-				at++
+				b.StopTimer() // all subscribers acknowledge the change, so that no window fills
+				ticks++
 				for i := range n {
-					_ = publisher.Step(time.Duration(at)*time.Millisecond, uint64(i+1), Message{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}})
+					_ = publisher.Step(time.Duration(ticks)*time.Millisecond, uint64(i+1), Message{Ack: &Ack{Version: log.Version(), Digest: log.Digest()}})
 				}
 				publisher.Ready()
 				b.StartTimer()
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkPublisherSecond measures a second of a publisher without changes: ten ticks, and a renewal of each subscriber.
+// BenchmarkPublisherSecond measures one second of a publisher without changes: ten ticks, and one renewal of each subscriber.
 func BenchmarkPublisherSecond(b *testing.B) {
 	for _, n := range []int{270, 541, 1840} {
 		b.Run(fmt.Sprintf("subscribers=%d", n), func(b *testing.B) {
@@ -81,15 +81,15 @@
 			}
 			publisher.Ready()
 			b.ReportAllocs()
-			now, sent, number := time.Duration(0), 0, uint64(0)
+			now, sent, sequence := time.Duration(0), 0, uint64(0)
 			for b.Loop() {
-				number++
+				sequence++
 				for tick := range 10 {
 					now += 100 * time.Millisecond
 					publisher.Tick(now)
 					publisher.ConfirmVersion(now, log.Version())
 					for i := tick; i < n; i += 10 {
-						_ = publisher.Step(now, uint64(i+1), Message{RenewRequest: &RenewRequest{Sequence: number, LastResponse: number - 1, Version: log.Version(), Digest: log.Digest()}})
+						_ = publisher.Step(now, uint64(i+1), Message{RenewRequest: &RenewRequest{Sequence: sequence, LastResponse: sequence - 1, Version: log.Version(), Digest: log.Digest()}})
 					}
 					for _, s := range publisher.Ready().Sends {
 						sent += len(s.Message.Encoded())
@@ -104,8 +104,8 @@
 	}
 }
 
-// BenchmarkSubscriberSecond measures a second of a subscriber: ten ticks, two renewals with their responses, and a quarter of a change from
-// each of two publishers (21,000 changes a day are one in 4.1 s). Messages are encoded and decoded as on the wire.
+// BenchmarkSubscriberSecond measures one second of a subscriber: ten ticks, two renewals with their responses, and on average a quarter of a
+// change from each of two publishers (21,000 changes a day are one every 4.1 s). Messages are encoded and decoded as on the wire.
 func BenchmarkSubscriberSecond(b *testing.B) {
 	for _, publishers := range []int{3, 17, 100} {
 		b.Run(fmt.Sprintf("publishers=%d", publishers), func(b *testing.B) {
@@ -117,70 +117,70 @@
 				items = append(items, memberItem(b, shardmap.Member{ID: addrs[i], Addr: addrs[i], Zone: fmt.Sprintf("z%d", i%11), Site: fmt.Sprintf("s%d", i%11%3)}))
 			}
 			_, _ = log.Append(items)
-			f := NewSubscriber(SubscriberConfig{ID: "b0", Site: "s0", Seeds: addrs}, 0)
+			subscriber := NewSubscriber(SubscriberConfig{ID: "b0", Site: "s0", Seeds: addrs}, 0)
 			now, bytes, n := time.Duration(0), 0, 0
-			hear := func(addr string, m *Message) {
-				text := Encode(m)
-				bytes += len(text)
-				got, err := Decode(text)
+			receive := func(addr string, m *Message) {
+				encoded := Encode(m)
+				bytes += len(encoded)
+				got, err := Decode(encoded)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if err := f.Step(addr, got); err != nil {
+				if err := subscriber.Step(addr, got); err != nil {
 					b.Fatal(err)
 				}
 			}
-			do := func() {
-				for again := true; again; {
-					out := f.Ready()
-					again = len(out.DialAddrs)+len(out.Sends) > 0
-					for _, a := range out.DialAddrs {
-						f.Connected(a)
-						hear(a, &Message{Snapshot: log.Snapshot()})
+			processActions := func() {
+				for hasActions := true; hasActions; {
+					out := subscriber.Ready()
+					hasActions = len(out.DialAddrs)+len(out.Sends) > 0
+					for _, addr := range out.DialAddrs {
+						subscriber.Connected(addr)
+						receive(addr, &Message{Snapshot: log.Snapshot()})
 					}
 					for _, s := range out.Sends {
-						text := Encode(&s.Message)
-						bytes += len(text)
-						if r := s.Message.RenewRequest; r != nil {
-							hear(s.Addr, &Message{RenewResponse: &RenewResponse{Sequence: r.Sequence, Version: log.Version(), Digest: log.Digest(), SentVersion: log.Version(), Age: 50 * time.Millisecond, AgeKnown: true}})
+						encoded := Encode(&s.Message)
+						bytes += len(encoded)
+						if request := s.Message.RenewRequest; request != nil {
+							receive(s.Addr, &Message{RenewResponse: &RenewResponse{Sequence: request.Sequence, Version: log.Version(), Digest: log.Digest(), SentVersion: log.Version(), Age: 50 * time.Millisecond, AgeKnown: true}})
 						}
 					}
 				}
 			}
-			second := func() {
+			runSecond := func() {
 				for range 10 {
 					now += 100 * time.Millisecond
-					f.Tick(now)
-					do()
+					subscriber.Tick(now)
+					processActions()
 				}
 				if n++; n%4 == 0 {
-					c, err := log.Append([]Item{{Key: ConfigPrefix + "name", Value: fmt.Appendf(nil, "%0100d", n)}})
+					change, err := log.Append([]Item{{Key: ConfigPrefix + "name", Value: fmt.Appendf(nil, "%0100d", n)}})
 					if err != nil {
 						b.Fatal(err)
 					}
-					for _, a := range f.Publishers() {
-						hear(a, &Message{Change: &c})
+					for _, addr := range subscriber.Publishers() {
+						receive(addr, &Message{Change: &change})
 					}
 				}
 			}
 			for range 10 {
-				second()
+				runSecond()
 			}
-			if len(f.Publishers()) != 2 || !f.IsCurrent(now) {
-				b.Fatalf("it follows %v", f.Publishers())
+			if len(subscriber.Publishers()) != 2 || !subscriber.IsCurrent(now) {
+				b.Fatalf("the subscriber is not current or follows %v", subscriber.Publishers())
 			}
 			bytes = 0
 			b.ReportAllocs()
 			for b.Loop() {
-				second()
+				runSecond()
 			}
 			b.ReportMetric(float64(bytes)/float64(b.N), "B/s")
 		})
 	}
 }
 
-// BenchmarkSnapshot measures building and encoding a snapshot, which happens once for all subscribers, and decoding and installing it,
-// which each subscriber does.
+// BenchmarkSnapshot measures two costs of a snapshot: to build and encode it, which a publisher does once for all subscribers, and to decode
+// and install it, which each subscriber does.
 func BenchmarkSnapshot(b *testing.B) {
 	log := newFullLog(b)
 	b.Run("build", func(b *testing.B) {
@@ -190,12 +190,12 @@
 			b.SetBytes(int64(len(log.sharedSnapshot().Encoded())))
 		}
 	})
-	text := log.sharedSnapshot().Encoded()
+	encoded := log.sharedSnapshot().Encoded()
 	b.Run("take", func(b *testing.B) {
 		b.ReportAllocs()
-		b.SetBytes(int64(len(text)))
+		b.SetBytes(int64(len(encoded)))
 		for b.Loop() {
-			m, err := Decode(text)
+			m, err := Decode(encoded)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -206,7 +206,7 @@
 	})
 }
 
-// BenchmarkDigest measures the digest: of a change of 100 bytes, and of a complete state.
+// BenchmarkDigest measures the computation of the digest after a change of 100 bytes, and of a complete state.
 func BenchmarkDigest(b *testing.B) {
 	log := newFullLog(b)
 	b.Run("change", func(b *testing.B) {
@@ -238,7 +238,7 @@
 		return float64(m.HeapAlloc)
 	}
 	log := newFullLog(b)
-	text := log.sharedSnapshot().Encoded()
+	encoded := log.sharedSnapshot().Encoded()
 	for _, n := range []int{270, 541, 1840} {
 		b.Run(fmt.Sprintf("publisher/subscribers=%d", n), func(b *testing.B) {
 			for b.Loop() {
@@ -260,20 +260,20 @@
 	b.Run("subscriber", func(b *testing.B) {
 		for b.Loop() {
 			before := heap()
-			f := NewSubscriber(SubscriberConfig{ID: "b0", Site: "region0", Seeds: []string{"r0"}}, 0)
-			f.Tick(0)
-			f.Connected("r0")
-			m, err := Decode(text)
+			subscriber := NewSubscriber(SubscriberConfig{ID: "b0", Site: "region0", Seeds: []string{"r0"}}, 0)
+			subscriber.Tick(0)
+			subscriber.Connected("r0")
+			m, err := Decode(encoded)
 			if err != nil {
 				b.Fatal(err)
 			}
-			if err := f.Step("r0", m); err != nil {
+			if err := subscriber.Step("r0", m); err != nil {
 				b.Fatal(err)
 			}
-			f.Ready()
+			subscriber.Ready()
 			b.ReportMetric(heap()-before, "B")
-			b.ReportMetric(float64(f.State().Bytes()), "B/state")
-			runtime.KeepAlive(f)
+			b.ReportMetric(float64(subscriber.State().Bytes()), "B/state")
+			runtime.KeepAlive(subscriber)
 		}
 	})
 }
--- a/internal/fleet/changefeed/failover_test.go
+++ b/internal/fleet/changefeed/failover_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestRestartOfAllPublishersNeedsNoSnapshots restarts all publishers of 4,600 subscribers: they are current again within the lease, and
-// those that have the version are sent nothing.
+// TestRestartOfAllPublishersNeedsNoSnapshots guards against a burst of snapshots or a long outage after a restart of all publishers: 4,600
+// subscribers have to be current again within the lease, and are sent nothing because they have the version.
 func TestRestartOfAllPublishersNeedsNoSnapshots(t *testing.T) {
 	const publishers, subscribers = 17, 4600
 	h := newHarness(t, siteNames(publishers)...)
@@ -20,13 +20,13 @@
 		h.requireUpToDate(sub)
 	}
 	for _, a := range h.addresses {
-		h.kill(a)
+		h.killPublisher(a)
 	}
 	for _, a := range h.addresses {
-		h.start(a, PublisherConfig{})
+		h.startPublisher(a, PublisherConfig{})
 	}
-	clear(h.sent)
-	began := h.now
+	clear(h.sentByKind)
+	startedAt := h.now
 	for h.run(100 * time.Millisecond); ; h.run(100 * time.Millisecond) {
 		n := 0
 		for _, sub := range h.subscribers {
@@ -37,23 +37,24 @@
 		if n == subscribers {
 			break
 		}
-		if h.now-began > DefaultLease {
-			t.Fatalf("%d of %d within the lease", n, subscribers)
+		if h.now-startedAt > DefaultLease {
+			t.Fatalf("%d of %d subscribers are current again within the lease", n, subscribers)
 		}
 	}
-	back := h.now - began
+	recoveryTime := h.now - startedAt
 	h.run(3 * time.Second)
 	for _, sub := range h.subscribers {
 		h.requireUpToDate(sub)
 	}
-	if h.sent["snapshot"] != 0 || h.sent["change"] != 0 {
-		t.Errorf("sent %v", h.sent)
+	if h.sentByKind["snapshot"] != 0 || h.sentByKind["change"] != 0 {
+		t.Errorf("messages sent: %v, want no snapshots and changes", h.sentByKind)
 	}
-	t.Logf("all are back after %v", back)
+	t.Logf("all subscribers are current again after %v", recoveryTime)
 }
 
-// TestFailoverToOtherPublishers loses one publisher of 17, then all of one site: its subscribers follow others within the lease, spread
-// evenly, and are current all the time where the loss is not silent.
+// TestFailoverToOtherPublishers guards against subscribers without a publisher, and against an uneven load, after the loss of one of 17
+// publishers or of all publishers of a site. Within the lease the subscribers have to follow others; unless the lost publishers are silent,
+// they have to stay current all the time.
 func TestFailoverToOtherPublishers(t *testing.T) {
 	const subscribers = 400
 	for name, isLost := range map[string]func(i int) bool{
@@ -66,7 +67,7 @@
 				for i := range subscribers {
 					h.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 				}
-				h.run(90 * time.Second) // each with whom it ranks first
+				h.run(90 * time.Second) // until each subscriber follows its best ranked publishers
 				lost := map[string]bool{}
 				for i, a := range h.addresses {
 					if !isLost(i) {
@@ -74,22 +75,22 @@
 					}
 					lost[a] = true
 					if silent {
-						h.publishers[a].blackholed, h.publishers[a].stopped = true, true
+						h.publishers[a].isBlackholed, h.publishers[a].isSuspended = true, true
 					} else {
-						h.kill(a)
+						h.killPublisher(a)
 					}
 				}
 				h.run(DefaultLease)
 				load, expiries := map[string]int{}, uint64(0)
 				for _, sub := range h.subscribers {
-					here := 0
+					remaining := 0
 					for _, a := range sub.core.Publishers() {
 						load[a]++
 						if !lost[a] {
-							here++
+							remaining++
 						}
 					}
-					if here == 0 {
+					if remaining == 0 {
 						t.Fatalf("%s follows %v", sub.id, sub.core.Publishers())
 					}
 					expiries += sub.core.Stats.LeaseExpiries
@@ -111,7 +112,7 @@
 				left := 17 - len(lost)
 				for _, a := range h.addresses {
 					if share := 2 * subscribers / left; !lost[a] && load[a] > 2*share {
-						t.Errorf("%s has %d, the share is %d", a, load[a], share)
+						t.Errorf("%s has %d subscribers, an even share is %d", a, load[a], share)
 					}
 				}
 				t.Logf("%d lease expiries, subscribers by publisher %v", expiries, load)
@@ -120,10 +121,11 @@
 	}
 }
 
-// TestOneWayPartition drops all messages of one direction between a subscriber and one of its publishers: the subscriber stays current by
-// the other one and drops the one that does not answer, and the publisher closes the session.
+// TestOneWayPartition guards against a half-open connection that makes a subscriber stale or keeps a session open. All messages of one
+// direction between a subscriber and one of its publishers are dropped: the subscriber has to stay current by the other publisher and drop
+// this one, and the publisher has to close the session.
 func TestOneWayPartition(t *testing.T) {
-	for name, cut := range map[string]func(from, to string) bool{
+	for name, isDropped := range map[string]func(from, to string) bool{
 		"to the publisher": func(from, to string) bool { return from == "b0" && to == "r1" },
 		"from it":          func(from, to string) bool { return from == "r1" && to == "b0" },
 	} {
@@ -131,59 +133,59 @@
 			h := newHarness(t, "s", "s", "s")
 			sub := h.newSubscriber("b0", "s")
 			h.run(90 * time.Second)
-			had := sub.core.Publishers()
-			if !slices.Contains(had, "r1") {
+			publishersBefore := sub.core.Publishers()
+			if !slices.Contains(publishersBefore, "r1") {
 				sub.id = "b0"
-				cut2 := cut
-				cut = func(from, to string) bool { // one of those that it follows
+				isDroppedForR1 := isDropped
+				isDropped = func(from, to string) bool { // cut off one of the publishers that the subscriber follows
 					swap := func(s string) string {
-						if s == had[0] {
+						if s == publishersBefore[0] {
 							return "r1"
 						}
 						return s
 					}
-					return cut2(swap(from), swap(to))
+					return isDroppedForR1(swap(from), swap(to))
 				}
-				had = []string{had[0]}
+				publishersBefore = []string{publishersBefore[0]}
 			} else {
-				had = []string{"r1"}
+				publishersBefore = []string{"r1"}
 			}
-			h.drop = func(from, to string, _ *Message) bool { return cut(from, to) }
+			h.dropMessage = func(from, to string, _ *Message) bool { return isDropped(from, to) }
 			for i := range 60 {
-				h.put(configItem(i))
+				h.appendItems(configItem(i))
 				h.run(100 * time.Millisecond)
 				if !sub.core.IsCurrent(h.now) {
-					t.Fatalf("not current after %v", time.Duration(i)*100*time.Millisecond)
+					t.Fatalf("the subscriber is not current after %v", time.Duration(i)*100*time.Millisecond)
 				}
 			}
 			h.requireUpToDate(sub)
-			if got := sub.core.Publishers(); slices.Contains(got, had[0]) || len(got) != 2 {
-				t.Errorf("it follows %v, %s is cut off", got, had[0])
+			if got := sub.core.Publishers(); slices.Contains(got, publishersBefore[0]) || len(got) != 2 {
+				t.Errorf("the subscriber follows %v, %s is cut off", got, publishersBefore[0])
 			}
-			if n := len(h.publishers[had[0]].core.sessions); n != 0 {
-				t.Errorf("the publisher still counts %d", n)
+			if n := len(h.publishers[publishersBefore[0]].core.sessions); n != 0 {
+				t.Errorf("the publisher still has %d sessions", n)
 			}
-			h.drop = func(string, string, *Message) bool { return false }
+			h.dropMessage = func(string, string, *Message) bool { return false }
 			h.run(3 * time.Minute)
 			h.requireUpToDate(sub)
 		})
 	}
 }
 
-// TestDrainingPublisherSpreadsItsSubscribers drains a publisher: its subscribers are never without a publisher.
+// TestDrainingPublisherSpreadsItsSubscribers guards against subscribers without a current state after one of their publishers drains.
 func TestDrainingPublisherSpreadsItsSubscribers(t *testing.T) {
 	h := newHarness(t, siteNames(17)...)
 	for i := range 500 {
 		h.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 	}
 	h.run(90 * time.Second)
-	s := h.publishers["r2"]
-	had := len(s.core.sessions)
-	s.core.Drain()
-	h.drainPublisher(s)
+	publisher := h.publishers["r2"]
+	sessionsBefore := len(publisher.core.sessions)
+	publisher.core.Drain()
+	h.drainPublisher(publisher)
 	h.run(2 * time.Second)
-	if len(s.core.sessions) != 0 || had == 0 {
-		t.Errorf("%d of %d are left", len(s.core.sessions), had)
+	if len(publisher.core.sessions) != 0 || sessionsBefore == 0 {
+		t.Errorf("%d of %d sessions are left after the drain", len(publisher.core.sessions), sessionsBefore)
 	}
 	for _, sub := range h.subscribers {
 		h.requireUpToDate(sub)
@@ -193,39 +195,40 @@
 	}
 }
 
-// TestSubscribersReturnGradually restarts a publisher: its subscribers return one by one, and none is ever without a publisher.
+// TestSubscribersReturnGradually guards against a rush of subscribers to a publisher that is back after a restart, and against subscribers
+// that are without a publisher meanwhile.
 func TestSubscribersReturnGradually(t *testing.T) {
 	h := newHarness(t, siteNames(17)...)
 	for i := range 500 {
 		h.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 	}
 	h.run(2 * time.Minute)
-	had := len(h.publishers["r3"].core.sessions)
-	h.kill("r3")
+	sessionsBefore := len(h.publishers["r3"].core.sessions)
+	h.killPublisher("r3")
 	h.run(10 * time.Second)
-	h.start("r3", PublisherConfig{})
-	most := 0
+	h.startPublisher("r3", PublisherConfig{})
+	maxPerSecond := 0
 	for second := range 150 {
 		before := h.publishers["r3"].core.Stats.Accepted
 		h.run(time.Second)
-		most = max(most, int(h.publishers["r3"].core.Stats.Accepted-before))
+		maxPerSecond = max(maxPerSecond, int(h.publishers["r3"].core.Stats.Accepted-before))
 		for _, sub := range h.subscribers {
 			if sub.core.Stats.LeaseExpiries > 0 || len(sub.core.Publishers()) == 0 {
 				t.Fatalf("%s after %d s: %v, %d lease expiries", sub.id, second, sub.core.Publishers(), sub.core.Stats.LeaseExpiries)
 			}
 		}
 	}
-	if back := len(h.publishers["r3"].core.sessions); back != had {
-		t.Errorf("%d of %d are back", back, had)
+	if returned := len(h.publishers["r3"].core.sessions); returned != sessionsBefore {
+		t.Errorf("%d of %d subscribers have returned", returned, sessionsBefore)
 	}
-	if most > had/4 {
-		t.Errorf("%d of %d in one second", most, had)
+	if maxPerSecond > sessionsBefore/4 {
+		t.Errorf("%d of %d subscribers returned in one second", maxPerSecond, sessionsBefore)
 	}
-	t.Logf("%d came back, at most %d in a second", had, most)
+	t.Logf("%d subscribers returned, at most %d in a second", sessionsBefore, maxPerSecond)
 }
 
-// TestAllPublishersDrainAtOnce restarts all publishers in a planned way: the retry times that they ask for leave no subscriber without a
-// publisher.
+// TestAllPublishersDrainAtOnce guards against retry times that leave subscribers without a publisher: all publishers drain and restart at
+// once, and the subscribers have to be current again within the lease, without snapshots.
 func TestAllPublishersDrainAtOnce(t *testing.T) {
 	h := newHarness(t, siteNames(17)...)
 	for i := range 300 {
@@ -235,14 +238,14 @@
 	for _, a := range h.addresses {
 		h.publishers[a].core.Drain()
 		h.drainPublisher(h.publishers[a])
-		h.kill(a)
+		h.killPublisher(a)
 	}
 	h.run(time.Second)
 	for _, a := range h.addresses {
-		h.start(a, PublisherConfig{})
+		h.startPublisher(a, PublisherConfig{})
 	}
-	clear(h.sent)
-	began := h.now
+	clear(h.sentByKind)
+	startedAt := h.now
 	for n := 0; n < len(h.subscribers); {
 		h.run(100 * time.Millisecond)
 		n = 0
@@ -251,11 +254,11 @@
 				n++
 			}
 		}
-		if h.now-began > DefaultLease {
-			t.Fatalf("%d of %d within the lease", n, len(h.subscribers))
+		if h.now-startedAt > DefaultLease {
+			t.Fatalf("%d of %d subscribers are current again within the lease", n, len(h.subscribers))
 		}
 	}
-	t.Logf("all are back after %v", h.now-began)
+	t.Logf("all subscribers are current again after %v", h.now-startedAt)
 	h.run(10 * time.Second)
 	for _, sub := range h.subscribers {
 		h.requireUpToDate(sub)
@@ -263,7 +266,7 @@
 			t.Errorf("%s follows %v", sub.id, sub.core.Publishers())
 		}
 	}
-	if h.sent["snapshot"] > 0 {
-		t.Errorf("%d snapshots", h.sent["snapshot"])
+	if h.sentByKind["snapshot"] > 0 {
+		t.Errorf("%d snapshots were sent, want none", h.sentByKind["snapshot"])
 	}
 }
--- a/internal/fleet/changefeed/golden_test.go
+++ b/internal/fleet/changefeed/golden_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files instead of comparing with them")
 
-// compareGolden fails unless the lines are those of a golden file.
+// compareGolden fails the test unless lines are equal to the content of a golden file. With -update it writes the file first.
 func compareGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -38,7 +38,7 @@
 	}
 }
 
-// readGoldenMessages reads a golden file of lines "name hex".
+// readGoldenMessages reads a golden file with lines of the form "name hex" and returns the encoded messages by name.
 func readGoldenMessages(t *testing.T, name string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -58,12 +58,13 @@
 	return encoded
 }
 
+// goldenMessage is a message with its name in the golden file.
 type goldenMessage struct {
 	name string
 	msg  Message
 }
 
-// goldenMessages has one message of each kind, with every field set.
+// goldenMessages returns one message of each kind, with every field set.
 func goldenMessages() []goldenMessage {
 	items := []Item{{Key: "config/a", Value: []byte("one")}, {Key: "member/b", Deleted: true}}
 	return []goldenMessage{
@@ -83,7 +84,7 @@
 	}
 }
 
-// TestGoldenMessages holds the bytes of each kind of message.
+// TestGoldenMessages guards against a change of the encoding of any kind of message, which other versions of the program read.
 func TestGoldenMessages(t *testing.T) {
 	messages := goldenMessages()
 	if kinds := reflect.TypeFor[Message]().NumField(); len(messages) != kinds {
@@ -106,12 +107,12 @@
 			t.Errorf("%s is decoded as %+v", m.name, decoded)
 		}
 		if again := Encode(&decoded); !bytes.Equal(again, encoded[m.name]) {
-			t.Errorf("%s is encoded again as %x", m.name, again)
+			t.Errorf("%s is encoded differently after decoding: %x", m.name, again)
 		}
 	}
 }
 
-// TestGoldenDigests holds the digests that members compare, and the hash by which subscribers rank publishers.
+// TestGoldenDigests guards against a change of the digests that processes compare, and of the scores by which subscribers rank publishers.
 func TestGoldenDigests(t *testing.T) {
 	var lines []string
 	log := NewLog(LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
@@ -139,7 +140,7 @@
 	compareGolden(t, "digests.golden", lines)
 }
 
-// TestGoldenConstants holds strings and numbers that are part of what other processes see.
+// TestGoldenConstants guards against a change of texts and numbers that are part of the protocol or of stored state.
 func TestGoldenConstants(t *testing.T) {
 	var texts []string
 	for _, err := range []error{ErrOutOfOrder, ErrDigestMismatch, ErrConflict, ErrFull, ErrInvalidItem, ErrForeignFleet, ErrMalformedMessage, errDraining} {
--- a/internal/fleet/changefeed/model_clone_test.go
+++ b/internal/fleet/changefeed/model_clone_test.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// clone returns a deep copy. Its random numbers start anew, so that what follows from a state does not depend on the moves that led to it.
+// clone returns a deep copy for the exploration. The random number generators start anew, so that the successors of a state do not depend on
+// the moves that led to it.
 func (w *modelWorld) clone() *modelWorld {
 	copied := *w
 	copied.source = w.source.clone()
--- a/internal/fleet/changefeed/model_fingerprint_test.go
+++ b/internal/fleet/changefeed/model_fingerprint_test.go
@@ -14,16 +14,18 @@
 	now  time.Duration
 }
 
+// add adds values to the hash by their text.
 func (f *fingerprinter) add(values ...any) {
 	_, _ = fmt.Fprintln(&f.hash, values...) // a hash never returns an error
 }
 
-// ago is the time that has passed since a moment, negative for a moment that is still to come.
+// ago returns the time since a moment: negative for a moment in the future, and at least minus one minute.
 func (f *fingerprinter) ago(at time.Duration) time.Duration {
 	return max(f.now-at, -time.Minute)
 }
 
-// fingerprint identifies a state, with times relative to now: states of equal fingerprints continue alike, except for random draws.
+// fingerprint returns a hash of a state of the world, with times relative to now. States with equal fingerprints have the same successors,
+// except for random numbers.
 func (w *modelWorld) fingerprint() uint64 {
 	f := &fingerprinter{now: w.now}
 	f.hash.SetSeed(fingerprintSeed)
@@ -32,11 +34,11 @@
 		f.add(min(f.ago(at), time.Minute))
 	}
 	for _, pub := range w.publishers {
-		f.add("publisher", pub.log.Version(), pub.log.Changes(), pub.stopped)
+		f.add("publisher", pub.log.Version(), pub.log.Changes(), pub.isSuspended)
 		f.addPublisher(pub.core)
 	}
 	for _, sub := range w.subscribers {
-		f.add("subscriber", sub.stopped)
+		f.add("subscriber", sub.isSuspended)
 		f.addSubscriber(sub.core)
 		for _, address := range []string{"r0", "r1"} {
 			f.addCandidate(sub.core.candidates[address])
@@ -79,7 +81,7 @@
 		return
 	}
 	for _, messages := range conn.inTransit {
-		f.add("in transit", conn.open, len(messages))
+		f.add("in transit", conn.isOpen, len(messages))
 		for _, message := range messages {
 			if message != nil {
 				f.addMessage(message)
--- a/internal/fleet/changefeed/model_world_test.go
+++ b/internal/fleet/changefeed/model_world_test.go
@@ -9,7 +9,7 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// The kinds of violations.
+// The kinds of violations. The text of a violation begins with its kind.
 const (
 	violationWentBack       = "a subscriber went back"
 	violationMixedState     = "a state that was never agreed"
@@ -17,7 +17,7 @@
 	violationNotConverged   = "a subscriber does not converge"
 )
 
-// injectedFault is a fault injected around a subscriber.
+// injectedFault is a fault that the model injects around a subscriber, to show that the exploration finds the resulting violation.
 type injectedFault string
 
 const (
@@ -27,12 +27,12 @@
 	faultLeaseIgnored      injectedFault = "lease ignored"
 )
 
-// modelWorld is a small world for exhaustive exploration: two publishers, some subscribers, and a source of a few versions.
+// modelWorld is a small system for exhaustive exploration: two publishers, a few subscribers, and a source that agrees on a few versions.
 type modelWorld struct {
 	now         time.Duration
 	source      *Log
-	agreedAt    []time.Duration // when each version was agreed
-	digests     []uint64
+	agreedAt    []time.Duration // time at which each version was agreed
+	digests     []uint64        // digest of each agreed version
 	publishers  [2]*modelPublisher
 	subscribers []*modelSubscriber
 	lastConn    uint64
@@ -53,24 +53,26 @@
 	corruptions int
 }
 
+// modelPublisher is a publisher core with its log.
 type modelPublisher struct {
 	address     string
 	log         *Log
 	core        *Publisher
-	stopped     bool
+	isSuspended bool
 	incarnation int
 }
 
+// modelSubscriber is a subscriber core with its connections by address.
 type modelSubscriber struct {
 	id             string
 	core           *Subscriber
-	stopped        bool
+	isSuspended    bool
 	incarnation    uint64
 	appliedVersion uint64
 	conns          map[string]*modelConn
 }
 
-// direction is a direction of a connection.
+// direction is the direction of a message on a connection.
 type direction int
 
 const (
@@ -80,37 +82,40 @@
 
 var directions = []direction{toPublisher, toSubscriber}
 
+// modelConn is a connection with the messages in transit.
 type modelConn struct {
 	id        uint64
 	publisher int
-	inTransit [2][]*Message // by direction; nil is the connection's end
-	open      bool          // at the publisher
+	inTransit [2][]*Message // messages by direction; nil marks the end of the connection
+	isOpen    bool          // the publisher has not closed the connection and has not restarted
 }
 
-func newModelWorld(t testing.TB, subscribers int, left budget, broken injectedFault) *modelWorld {
-	w := &modelWorld{source: NewLog(LogConfig{MaxChanges: 100, MaxBytes: 1 << 20}), remaining: left, fault: broken, agreedAt: []time.Duration{0}, digests: []uint64{0}}
-	w.agree(Item{Key: FleetKey, Value: []byte("f")},
+// newModelWorld returns a world in which all subscribers have the first version and no message is in transit.
+func newModelWorld(t testing.TB, subscribers int, remaining budget, fault injectedFault) *modelWorld {
+	w := &modelWorld{source: NewLog(LogConfig{MaxChanges: 100, MaxBytes: 1 << 20}), remaining: remaining, fault: fault, agreedAt: []time.Duration{0}, digests: []uint64{0}}
+	w.agreeNextVersion(Item{Key: FleetKey, Value: []byte("f")},
 		memberItem(t, shardmap.Member{ID: "r0", Addr: "r0", Zone: "z0", Site: "s"}), memberItem(t, shardmap.Member{ID: "r1", Addr: "r1", Zone: "z1", Site: "s"}))
 	for i := range w.publishers {
 		w.publishers[i] = &modelPublisher{address: fmt.Sprintf("r%d", i)}
 		w.startPublisher(i)
 	}
 	for i := range subscribers {
-		f := &modelSubscriber{id: fmt.Sprintf("b%d", i)}
-		w.subscribers = append(w.subscribers, f)
+		sub := &modelSubscriber{id: fmt.Sprintf("b%d", i)}
+		w.subscribers = append(w.subscribers, sub)
 		w.startSubscriber(i)
 	}
-	for range 12 { // all at the first version, nothing in transit
+	for range 12 { // until all subscribers have the first version and no message is in transit
 		w.tick()
 		w.replicateTo(0)
 		w.replicateTo(1)
 		w.deliverAll()
 	}
-	w.remaining = left
+	w.remaining = remaining
 	return w
 }
 
-func (w *modelWorld) agree(items ...Item) {
+// agreeNextVersion appends a version to the source's log.
+func (w *modelWorld) agreeNextVersion(items ...Item) {
 	change, err := w.source.Append(items)
 	if err != nil {
 		panic(err)
@@ -119,9 +124,10 @@
 	w.digests = append(w.digests, change.DigestAfter)
 }
 
+// startPublisher starts or restarts a publisher. After a restart it has the version that it had before.
 func (w *modelWorld) startPublisher(i int) {
 	pub := w.publishers[i]
-	log := NewLog(LogConfig{MaxChanges: 2, MaxBytes: 1 << 20}) // so short that three versions truncate it
+	log := NewLog(LogConfig{MaxChanges: 2, MaxBytes: 1 << 20}) // the log is so short that three versions truncate it
 	from := w.source
 	if pub.log != nil {
 		from = pub.log
@@ -130,43 +136,45 @@
 		panic(err)
 	}
 	pub.incarnation++
-	pub.log, pub.stopped = log, false
+	pub.log, pub.isSuspended = log, false
 	pub.core = NewPublisher(PublisherConfig{ID: pub.address, MaxSubscribers: 10, WindowBytes: 1 << 10, SnapshotBytesPerSecond: 1 << 20, Seed: uint64(pub.incarnation)}, log, w.now)
 }
 
+// startSubscriber starts or restarts a subscriber with an empty state.
 func (w *modelWorld) startSubscriber(i int) {
 	sub := w.subscribers[i]
 	sub.incarnation++
-	sub.appliedVersion, sub.stopped, sub.conns = 0, false, map[string]*modelConn{}
+	sub.appliedVersion, sub.isSuspended, sub.conns = 0, false, map[string]*modelConn{}
 	sub.core = NewSubscriber(SubscriberConfig{ID: sub.id, Incarnation: sub.incarnation, Site: "s", Seeds: []string{"r0", "r1"}, Seed: sub.incarnation}, w.now)
 }
 
-func (w *modelWorld) fail(name, format string, args ...any) {
+// recordViolation records the first violation.
+func (w *modelWorld) recordViolation(name, format string, args ...any) {
 	if w.violation == "" {
 		w.violation = name + ": " + fmt.Sprintf(format, args...)
 	}
 }
 
-// tick advances the time by a second, with one tick of each process that is not suspended.
+// tick advances the time by one second and calls Tick of each process that is not suspended.
 func (w *modelWorld) tick() {
 	w.now += time.Second
 	for i, pub := range w.publishers {
-		if !pub.stopped {
+		if !pub.isSuspended {
 			pub.core.Tick(w.now)
 			w.drainPublisher(i)
 		}
 	}
 	for _, sub := range w.subscribers {
-		w.check(sub)
-		if !sub.stopped {
+		w.checkSubscriber(sub)
+		if !sub.isSuspended {
 			sub.core.Tick(w.now)
 			w.drainSubscriber(sub)
-			w.check(sub)
+			w.checkSubscriber(sub)
 		}
 	}
 }
 
-// replicateTo brings all agreed versions to a publisher.
+// replicateTo replicates all agreed versions to a publisher and confirms the newest one.
 func (w *modelWorld) replicateTo(i int) {
 	pub := w.publishers[i]
 	changes, ok := w.source.ChangesSince(pub.log.Version(), pub.log.Digest())
@@ -175,7 +183,7 @@
 	}
 	for _, change := range changes {
 		if err := pub.log.Apply(*change); err != nil {
-			w.fail(violationMixedState, "publisher %d: %v", i, err)
+			w.recordViolation(violationMixedState, "publisher %d: %v", i, err)
 		}
 	}
 	pub.core.LogChanged()
@@ -183,10 +191,11 @@
 	w.drainPublisher(i)
 }
 
-func (w *modelWorld) findConn(num uint64) (*modelSubscriber, *modelConn) {
+// findConn returns an open connection by its ID, and its subscriber.
+func (w *modelWorld) findConn(connID uint64) (*modelSubscriber, *modelConn) {
 	for _, sub := range w.subscribers {
 		for _, a := range []string{"r0", "r1"} {
-			if conn := sub.conns[a]; conn != nil && conn.id == num {
+			if conn := sub.conns[a]; conn != nil && conn.id == connID {
 				return sub, conn
 			}
 		}
@@ -194,6 +203,7 @@
 	return nil, nil
 }
 
+// drainPublisher performs a publisher's pending actions.
 func (w *modelWorld) drainPublisher(i int) {
 	out := w.publishers[i].core.Ready()
 	for _, s := range out.Sends {
@@ -201,22 +211,23 @@
 			conn.inTransit[toSubscriber] = append(conn.inTransit[toSubscriber], &s.Message.Content)
 		}
 	}
-	for _, num := range out.CloseConns {
-		if _, conn := w.findConn(num); conn != nil {
-			conn.open = false
+	for _, connID := range out.CloseConns {
+		if _, conn := w.findConn(connID); conn != nil {
+			conn.isOpen = false
 			conn.inTransit[toSubscriber] = append(conn.inTransit[toSubscriber], nil)
 		}
 	}
 }
 
+// drainSubscriber performs a subscriber's pending actions.
 func (w *modelWorld) drainSubscriber(sub *modelSubscriber) {
 	out := sub.core.Ready()
-	for _, a := range out.Updates {
-		w.checkUpdate(sub, a)
+	for _, update := range out.Updates {
+		w.checkUpdate(sub, update)
 	}
-	for _, l := range out.Events {
-		if l.IsAlert() {
-			w.fail(violationMixedState, "%v", l)
+	for _, event := range out.Events {
+		if event.IsAlert() {
+			w.recordViolation(violationMixedState, "%v", event)
 		}
 	}
 	for _, s := range out.Sends {
@@ -231,17 +242,17 @@
 	}
 	for _, a := range out.DialAddrs {
 		w.lastConn++
-		sub.conns[a] = &modelConn{id: w.lastConn, publisher: int(a[1] - '0'), open: true}
+		sub.conns[a] = &modelConn{id: w.lastConn, publisher: int(a[1] - '0'), isOpen: true}
 		sub.core.Connected(a)
 		w.drainSubscriber(sub)
 	}
 }
 
-// closeConn closes a connection at the subscriber's end: what it has sent before still arrives.
+// closeConn closes a connection at the subscriber's end. Messages that the subscriber sent before still arrive.
 func (w *modelWorld) closeConn(sub *modelSubscriber, conn *modelConn) {
 	pub := w.publishers[conn.publisher]
 	delete(sub.conns, pub.address)
-	if conn.open {
+	if conn.isOpen {
 		for _, m := range conn.inTransit[toPublisher] {
 			w.deliverToPublisher(conn, m)
 		}
@@ -250,55 +261,56 @@
 	}
 }
 
-func (w *modelWorld) checkUpdate(sub *modelSubscriber, a Update) {
+// checkUpdate verifies that a subscriber's updates go forward and leave no version out.
+func (w *modelWorld) checkUpdate(sub *modelSubscriber, update Update) {
 	switch {
-	case a.Version <= sub.appliedVersion:
-		w.fail(violationWentBack, "%s from %d to %d", sub.id, sub.appliedVersion, a.Version)
-	case !a.Complete && a.Version != sub.appliedVersion+1:
-		w.fail(violationMixedState, "%s from %d to %d by a change", sub.id, sub.appliedVersion, a.Version)
+	case update.Version <= sub.appliedVersion:
+		w.recordViolation(violationWentBack, "%s from version %d to %d", sub.id, sub.appliedVersion, update.Version)
+	case !update.Complete && update.Version != sub.appliedVersion+1:
+		w.recordViolation(violationMixedState, "%s from version %d to %d by a change", sub.id, sub.appliedVersion, update.Version)
 	}
-	sub.appliedVersion = a.Version
+	sub.appliedVersion = update.Version
 }
 
-// check verifies a subscriber's state, and what it reports of its age.
-func (w *modelWorld) check(sub *modelSubscriber) {
-	st := sub.core.State()
-	fresh := NewState() // by what is there, not by the digest that was carried forward
-	if _, _, err := fresh.evaluateItems(st.Items("")); err != nil {
-		w.fail(violationMixedState, "%s: %v", sub.id, err)
+// checkSubscriber verifies that a subscriber's state is an agreed one, and that the age that it reports is not too low.
+func (w *modelWorld) checkSubscriber(sub *modelSubscriber) {
+	state := sub.core.State()
+	fresh := NewState() // recomputes the digest from the items instead of using the incrementally updated one
+	if _, _, err := fresh.evaluateItems(state.Items("")); err != nil {
+		w.recordViolation(violationMixedState, "%s: %v", sub.id, err)
 	}
-	sum, _, _ := fresh.evaluateItems(st.Items(""))
-	if got := sum + mixBits(st.Version()); st.Version() >= uint64(len(w.digests)) || got != w.digests[st.Version()] {
-		w.fail(violationMixedState, "%s at version %d", sub.id, st.Version())
+	sum, _, _ := fresh.evaluateItems(state.Items(""))
+	if got := sum + mixBits(state.Version()); state.Version() >= uint64(len(w.digests)) || got != w.digests[state.Version()] {
+		w.recordViolation(violationMixedState, "%s at version %d", sub.id, state.Version())
 		return
 	}
 	current := sub.core.IsCurrent(w.now)
 	if w.fault == faultLeaseIgnored {
 		current = sub.core.hasConfirmation
 	}
-	if current && w.versionAt(w.now-DefaultLease) > st.Version() {
-		w.fail(violationFalselyCurrent, "%s at version %d, %d was agreed a lease ago", sub.id, st.Version(), w.versionAt(w.now-DefaultLease))
+	if current && w.versionAt(w.now-DefaultLease) > state.Version() {
+		w.recordViolation(violationFalselyCurrent, "%s at version %d, version %d was agreed a lease ago", sub.id, state.Version(), w.versionAt(w.now-DefaultLease))
 	}
-	if age, known := sub.core.Age(w.now); known && w.versionAt(w.now-age) > st.Version() {
-		w.fail(violationFalselyCurrent, "%s at version %d as of %v ago, %d was agreed then", sub.id, st.Version(), age, w.versionAt(w.now-age))
+	if age, known := sub.core.Age(w.now); known && w.versionAt(w.now-age) > state.Version() {
+		w.recordViolation(violationFalselyCurrent, "%s at version %d, confirmed %v ago, when version %d was agreed", sub.id, state.Version(), age, w.versionAt(w.now-age))
 	}
 }
 
-// versionAt returns the version that was agreed before a time; one that was agreed at that very time does not count.
-func (w *modelWorld) versionAt(at time.Duration) (v uint64) {
-	for i, t := range w.agreedAt {
-		if t < at {
-			v = uint64(i)
+// versionAt returns the newest version that was agreed before a time, not counting one that was agreed at exactly that time.
+func (w *modelWorld) versionAt(at time.Duration) (version uint64) {
+	for i, agreedAt := range w.agreedAt {
+		if agreedAt < at {
+			version = uint64(i)
 		}
 	}
-	return v
+	return version
 }
 
-// deliverToPublisher delivers a message to a publisher.
+// deliverToPublisher delivers a message to a publisher, unless the connection is closed there.
 func (w *modelWorld) deliverToPublisher(conn *modelConn, m *Message) {
 	pub := w.publishers[conn.publisher]
 	switch {
-	case !conn.open:
+	case !conn.isOpen:
 	case m.Hello != nil:
 		_ = pub.core.Connected(w.now, conn.id, *m.Hello)
 	default:
@@ -307,19 +319,19 @@
 	w.drainPublisher(conn.publisher)
 }
 
-// deliverToSubscriber delivers a message to a subscriber, through the injected fault.
+// deliverToSubscriber delivers a message to a subscriber, with the injected fault.
 func (w *modelWorld) deliverToSubscriber(sub *modelSubscriber, addr string, m Message) {
-	st := sub.core.state
+	state := sub.core.state
 	switch {
-	case w.fault == faultDigestUnchecked && m.Change != nil && m.Change.Version == st.Version()+1:
+	case w.fault == faultDigestUnchecked && m.Change != nil && m.Change.Version == state.Version()+1:
 		change := *m.Change
-		if next, err := st.nextChange(change.Items); err == nil {
+		if next, err := state.nextChange(change.Items); err == nil {
 			change.DigestBefore = next.DigestBefore
 			change.DigestAfter = next.DigestAfter
 		}
 		m.Change = &change
-	case w.fault == faultSnapshotOverNewer && m.Snapshot != nil && m.Snapshot.Version < st.Version():
-		*st = *NewState()
+	case w.fault == faultSnapshotOverNewer && m.Snapshot != nil && m.Snapshot.Version < state.Version():
+		*state = *NewState()
 	}
 	_ = sub.core.Step(addr, m)
 }
@@ -330,10 +342,10 @@
 	m := conn.inTransit[dir][0]
 	conn.inTransit[dir] = conn.inTransit[dir][1:]
 	if corrupt {
-		h := *m.Change
-		h.Items = slices.Clone(h.Items)
-		h.Items[0].Value = []byte("corrupted")
-		m = &Message{Change: &h}
+		corrupted := *m.Change
+		corrupted.Items = slices.Clone(corrupted.Items)
+		corrupted.Items[0].Value = []byte("corrupted")
+		m = &Message{Change: &corrupted}
 	}
 	switch {
 	case dir == toPublisher:
@@ -345,38 +357,38 @@
 		w.deliverToSubscriber(sub, addr, *m)
 	}
 	w.drainSubscriber(sub)
-	w.check(sub)
+	w.checkSubscriber(sub)
 }
 
-// deliverAll delivers all messages in transit, and those that follow from them.
+// deliverAll delivers all messages in transit, and the messages that they cause.
 func (w *modelWorld) deliverAll() {
 	for range 10000 {
-		some := false
+		delivered := false
 		for _, sub := range w.subscribers {
 			for _, a := range []string{"r0", "r1"} {
 				for _, dir := range directions {
 					if conn := sub.conns[a]; conn != nil && len(conn.inTransit[dir]) > 0 {
-						some = true
+						delivered = true
 						w.deliverNext(sub, a, dir, false)
 					}
 				}
 			}
 		}
-		if !some {
+		if !delivered {
 			return
 		}
 	}
-	w.fail(violationNotConverged, "there is no end of messages")
+	w.recordViolation(violationNotConverged, "messages are still in transit after 10000 rounds")
 }
 
-// checkConverges ends all faults and verifies that all subscribers become current with the newest version.
+// checkConverges ends all suspensions and verifies that all subscribers become current with the newest version and follow both publishers.
 func (w *modelWorld) checkConverges() {
 	for i, pub := range w.publishers {
-		pub.stopped = false
+		pub.isSuspended = false
 		w.replicateTo(i)
 	}
 	for _, sub := range w.subscribers {
-		sub.stopped = false
+		sub.isSuspended = false
 	}
 	for range 60 {
 		w.tick()
@@ -386,7 +398,7 @@
 	}
 	for _, sub := range w.subscribers {
 		if sub.core.State().Version() != w.source.Version() || !sub.core.IsCurrent(w.now) || len(sub.core.Publishers()) != 2 {
-			w.fail(violationNotConverged, "%s is at version %d of %d and follows %v", sub.id, sub.core.State().Version(), w.source.Version(), sub.core.Publishers())
+			w.recordViolation(violationNotConverged, "%s is at version %d of %d and follows %v", sub.id, sub.core.State().Version(), w.source.Version(), sub.core.Publishers())
 		}
 	}
 }
--- a/internal/fleet/changefeed/state_test.go
+++ b/internal/fleet/changefeed/state_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// requireUnchanged fails if a state is not exactly as it was.
+// requireUnchanged fails the test unless a state has this version, digest and items.
 func requireUnchanged(t *testing.T, s *State, version, digest uint64, items []Item) {
 	t.Helper()
 	if s.Version() != version || s.Digest() != digest || !reflect.DeepEqual(s.Items(""), items) {
@@ -17,10 +17,11 @@
 	}
 }
 
-// TestRejectedChangesLeaveTheStateUnchanged covers each reason to reject a change or a snapshot.
+// TestRejectedChangesLeaveTheStateUnchanged guards against a rejected change or snapshot that modifies the state. It covers each reason for
+// a rejection.
 func TestRejectedChangesLeaveTheStateUnchanged(t *testing.T) {
 	l := NewLog(LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
-	must := func(items ...Item) Change {
+	appendItems := func(items ...Item) Change {
 		t.Helper()
 		c, err := l.Append(items)
 		if err != nil {
@@ -28,44 +29,44 @@
 		}
 		return c
 	}
-	c1 := must(Item{Key: FleetKey, Value: []byte("f")})
-	c2 := must(Item{Key: "a", Value: []byte("1")}, Item{Key: "b", Value: []byte("2")})
+	c1 := appendItems(Item{Key: FleetKey, Value: []byte("f")})
+	c2 := appendItems(Item{Key: "a", Value: []byte("1")}, Item{Key: "b", Value: []byte("2")})
 	old := *l.Snapshot()
-	c3 := must(Item{Key: "a", Deleted: true})
+	c3 := appendItems(Item{Key: "a", Deleted: true})
 	snap := *l.Snapshot()
-	c4 := must(Item{Key: "c", Value: []byte("3")})
+	c4 := appendItems(Item{Key: "c", Value: []byte("3")})
 	newer := *l.Snapshot()
-	with := func(c Change, do func(*Change)) Change { do(&c); return c }
-	swith := func(s Snapshot, do func(*Snapshot)) Snapshot { do(&s); return s }
-	made := func(items ...Item) Change { // as a source would make it that checks nothing
+	modifiedChange := func(c Change, do func(*Change)) Change { do(&c); return c }
+	modifiedSnapshot := func(s Snapshot, do func(*Snapshot)) Snapshot { do(&s); return s }
+	uncheckedChange := func(items ...Item) Change { // returns a change as a source without validation would make it
 		return Change{Version: 4, DigestBefore: c3.DigestAfter, DigestAfter: c4.DigestAfter, Items: items}
 	}
-	for name, one := range map[string]struct {
+	for name, tc := range map[string]struct {
 		change *Change
 		snap   *Snapshot
 		err    error
 	}{
 		"an old change":                    {change: &c2, err: ErrOutOfOrder},
 		"the same change again":            {change: &c3, err: ErrOutOfOrder},
-		"a gap":                            {change: ptr(with(c4, func(c *Change) { c.Version = 5 })), err: ErrOutOfOrder},
-		"the same version, other content":  {change: ptr(with(c3, func(c *Change) { c.DigestAfter++ })), err: ErrConflict},
-		"of another state":                 {change: ptr(with(c4, func(c *Change) { c.DigestBefore++ })), err: ErrDigestMismatch},
-		"that comes out otherwise":         {change: ptr(with(c4, func(c *Change) { c.Items = []Item{{Key: "c", Value: []byte("4")}} })), err: ErrDigestMismatch},
-		"an empty key":                     {change: ptr(made(Item{Value: []byte("x")})), err: ErrInvalidItem},
-		"a long key":                       {change: ptr(made(Item{Key: strings.Repeat("k", MaxKeyBytes+1)})), err: ErrInvalidItem},
-		"a key that is no text":            {change: ptr(made(Item{Key: "a\xff"})), err: ErrInvalidItem},
-		"a key with a line's end":          {change: ptr(made(Item{Key: "a\n"})), err: ErrInvalidItem},
-		"a key twice":                      {change: ptr(made(Item{Key: "x"}, Item{Key: "x"})), err: ErrInvalidItem},
-		"deleted with a value":             {change: ptr(made(Item{Key: "x", Value: []byte("y"), Deleted: true})), err: ErrInvalidItem},
-		"a long value":                     {change: ptr(made(Item{Key: "x", Value: make([]byte, MaxValueBytes+1)})), err: ErrFull},
-		"another fleet":                    {change: ptr(made(Item{Key: FleetKey, Value: []byte("g")})), err: ErrForeignFleet},
-		"no fleet any more":                {change: ptr(made(Item{Key: FleetKey, Deleted: true})), err: ErrForeignFleet},
+		"a gap":                            {change: ptr(modifiedChange(c4, func(c *Change) { c.Version = 5 })), err: ErrOutOfOrder},
+		"the same version, other content":  {change: ptr(modifiedChange(c3, func(c *Change) { c.DigestAfter++ })), err: ErrConflict},
+		"of another state":                 {change: ptr(modifiedChange(c4, func(c *Change) { c.DigestBefore++ })), err: ErrDigestMismatch},
+		"that comes out otherwise":         {change: ptr(modifiedChange(c4, func(c *Change) { c.Items = []Item{{Key: "c", Value: []byte("4")}} })), err: ErrDigestMismatch},
+		"an empty key":                     {change: ptr(uncheckedChange(Item{Value: []byte("x")})), err: ErrInvalidItem},
+		"a long key":                       {change: ptr(uncheckedChange(Item{Key: strings.Repeat("k", MaxKeyBytes+1)})), err: ErrInvalidItem},
+		"a key that is no text":            {change: ptr(uncheckedChange(Item{Key: "a\xff"})), err: ErrInvalidItem},
+		"a key with a line's end":          {change: ptr(uncheckedChange(Item{Key: "a\n"})), err: ErrInvalidItem},
+		"a key twice":                      {change: ptr(uncheckedChange(Item{Key: "x"}, Item{Key: "x"})), err: ErrInvalidItem},
+		"deleted with a value":             {change: ptr(uncheckedChange(Item{Key: "x", Value: []byte("y"), Deleted: true})), err: ErrInvalidItem},
+		"a long value":                     {change: ptr(uncheckedChange(Item{Key: "x", Value: make([]byte, MaxValueBytes+1)})), err: ErrFull},
+		"another fleet":                    {change: ptr(uncheckedChange(Item{Key: FleetKey, Value: []byte("g")})), err: ErrForeignFleet},
+		"no fleet any more":                {change: ptr(uncheckedChange(Item{Key: FleetKey, Deleted: true})), err: ErrForeignFleet},
 		"an older snapshot":                {snap: &old, err: ErrOutOfOrder},
-		"a snapshot, other content":        {snap: ptr(swith(snap, func(s *Snapshot) { s.Digest++ })), err: ErrConflict},
-		"a snapshot that is damaged":       {snap: ptr(swith(newer, func(s *Snapshot) { s.Items = s.Items[1:] })), err: ErrDigestMismatch},
-		"a snapshot of another fleet":      {snap: ptr(swith(newer, func(s *Snapshot) { s.Fleet = "g" })), err: ErrForeignFleet},
-		"a snapshot with a deleted key":    {snap: ptr(swith(newer, func(s *Snapshot) { s.Items = append([]Item{{Key: "z", Deleted: true}}, s.Items...) })), err: ErrInvalidItem},
-		"a snapshot with a key twice":      {snap: ptr(swith(newer, func(s *Snapshot) { s.Items = append([]Item{s.Items[0]}, s.Items...) })), err: ErrInvalidItem},
+		"a snapshot, other content":        {snap: ptr(modifiedSnapshot(snap, func(s *Snapshot) { s.Digest++ })), err: ErrConflict},
+		"a snapshot that is damaged":       {snap: ptr(modifiedSnapshot(newer, func(s *Snapshot) { s.Items = s.Items[1:] })), err: ErrDigestMismatch},
+		"a snapshot of another fleet":      {snap: ptr(modifiedSnapshot(newer, func(s *Snapshot) { s.Fleet = "g" })), err: ErrForeignFleet},
+		"a snapshot with a deleted key":    {snap: ptr(modifiedSnapshot(newer, func(s *Snapshot) { s.Items = append([]Item{{Key: "z", Deleted: true}}, s.Items...) })), err: ErrInvalidItem},
+		"a snapshot with a key twice":      {snap: ptr(modifiedSnapshot(newer, func(s *Snapshot) { s.Items = append([]Item{s.Items[0]}, s.Items...) })), err: ErrInvalidItem},
 		"a snapshot that is there already": {snap: &snap},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -77,25 +78,27 @@
 			}
 			version, digest, items := s.Version(), s.Digest(), s.Items("")
 			var err error
-			if one.change != nil {
-				err = s.Apply(*one.change)
+			if tc.change != nil {
+				err = s.Apply(*tc.change)
 			} else {
-				err = s.Install(*one.snap)
+				err = s.Install(*tc.snap)
 			}
-			if !errors.Is(err, one.err) || (err == nil) != (one.err == nil) {
-				t.Errorf("%v, not %v", err, one.err)
+			if !errors.Is(err, tc.err) || (err == nil) != (tc.err == nil) {
+				t.Errorf("error is %v, want %v", err, tc.err)
 			}
 			requireUnchanged(t, s, version, digest, items)
 			if err := s.Apply(c4); err != nil || s.Digest() != newer.Digest {
-				t.Errorf("it does not go on: %v", err)
+				t.Errorf("the next valid change is not applied: %v", err)
 			}
 		})
 	}
 }
 
+// ptr returns a pointer to a copy of a value.
 func ptr[T any](v T) *T { return &v }
 
-// TestFullStateRejectsWholeChanges fills a state by bytes and by keys.
+// TestFullStateRejectsWholeChanges guards against a change that exceeds a size limit and is applied in part, and against a full state that
+// rejects deletions. It fills a state by bytes and by keys.
 func TestFullStateRejectsWholeChanges(t *testing.T) {
 	l := NewLog(LogConfig{MaxChanges: 2, MaxBytes: 1})
 	for i := range MaxStateBytes / MaxValueBytes {
@@ -105,13 +108,13 @@
 	}
 	version, bytes := l.Version(), l.State().Bytes()
 	if _, err := l.Append([]Item{{Key: "small", Value: []byte("1")}, {Key: "large", Value: make([]byte, MaxValueBytes)}}); !errors.Is(err, ErrFull) {
-		t.Errorf("by bytes: %v", err)
+		t.Errorf("change beyond MaxStateBytes: %v, want ErrFull", err)
 	}
-	if _, is := l.State().Get("small"); is || l.Version() != version || l.State().Bytes() != bytes {
-		t.Error("half of it was applied")
+	if _, exists := l.State().Get("small"); exists || l.Version() != version || l.State().Bytes() != bytes {
+		t.Error("the change was applied in part")
 	}
 	if _, err := l.Append([]Item{{Key: "0", Deleted: true}, {Key: "1", Value: make([]byte, MaxValueBytes)}}); err != nil {
-		t.Errorf("a deletion is rejected: %v", err)
+		t.Errorf("a change with a deletion is rejected: %v", err)
 	}
 	var items []Item
 	for i := range MaxKeys {
@@ -122,12 +125,12 @@
 		t.Fatal(err)
 	}
 	if _, err := l.Append([]Item{{Key: "one more"}}); !errors.Is(err, ErrFull) {
-		t.Errorf("by keys: %v", err)
+		t.Errorf("change beyond MaxKeys: %v, want ErrFull", err)
 	}
 }
 
-// TestDigestDependsOnContentAndVersionOnly comes to one state by changes, by changes in another order, and by a snapshot, and finds
-// each single difference.
+// TestDigestDependsOnContentAndVersionOnly guards against digests of equal states that differ, and of different states that are equal. It
+// builds one state by changes, by changes in another order and by a snapshot, and modifies single values and the version.
 func TestDigestDependsOnContentAndVersionOnly(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	a, b := NewLog(LogConfig{MaxChanges: 10, MaxBytes: 1 << 20}), NewLog(LogConfig{MaxChanges: 10, MaxBytes: 1 << 20})
@@ -169,11 +172,12 @@
 		}
 	}
 	if NewState().Digest() != 0 {
-		t.Error("nothing at all has a digest")
+		t.Error("the empty state has a digest other than zero")
 	}
 }
 
-// TestRetainedChangesAreBounded holds it by number and by bytes, and finds in it what it reaches.
+// TestRetainedChangesAreBounded guards against a log that exceeds its limits of changes or bytes, or returns wrong changes for a version
+// that it reaches back to.
 func TestRetainedChangesAreBounded(t *testing.T) {
 	l := NewLog(LogConfig{MaxChanges: 8, MaxBytes: 1000})
 	digests := []uint64{0}
@@ -183,48 +187,50 @@
 		}
 		digests = append(digests, l.Digest())
 		if l.Changes() > 8 || l.Bytes() > 1000 {
-			t.Fatalf("%d changes of %d bytes", l.Changes(), l.Bytes())
+			t.Fatalf("%d changes of %d bytes are retained", l.Changes(), l.Bytes())
 		}
 		for v, d := range digests {
 			got, ok := l.ChangesSince(uint64(v), d)
-			if reach := len(digests)-1-v <= l.Changes(); ok != reach || ok && len(got) != len(digests)-1-v {
-				t.Fatalf("at %d since %d: %v, %d changes", l.Version(), v, ok, len(got))
+			if reached := len(digests)-1-v <= l.Changes(); ok != reached || ok && len(got) != len(digests)-1-v {
+				t.Fatalf("at version %d, changes since %d: %v, %d changes", l.Version(), v, ok, len(got))
 			}
 			for n, c := range got {
 				if c.Version != uint64(v+n+1) || c.DigestBefore != digests[v+n] {
-					t.Fatalf("at %d since %d: change %d is version %d", l.Version(), v, n, c.Version)
+					t.Fatalf("at version %d, changes since %d: change %d is version %d", l.Version(), v, n, c.Version)
 				}
 			}
 			if _, ok := l.ChangesSince(uint64(v), d+1); ok {
-				t.Fatalf("at %d since %d of other content: led on by changes", l.Version(), v)
+				t.Fatalf("at version %d, changes since %d are returned for another digest", l.Version(), v)
 			}
 		}
 	}
 	if _, err := l.Append([]Item{{Key: "large", Value: make([]byte, 5000)}}); err != nil || l.Changes() != 1 {
-		t.Errorf("a change over the bound: %v, %d retained", err, l.Changes())
+		t.Errorf("change larger than MaxBytes: %v, %d changes retained", err, l.Changes())
 	}
 	if a, b := l.Snapshot(), l.Snapshot(); a != b {
 		t.Error("the snapshot of one version is built twice")
 	}
 }
 
-// TestLogDetectsOldConflictingChange verifies that the log compares old changes with the digests that it retains.
+// TestLogDetectsOldConflictingChange guards against a conflicting history that is not detected because the conflicting change is older than
+// the newest version: the log has to compare it with the digests that it retains.
 func TestLogDetectsOldConflictingChange(t *testing.T) {
 	a, b := NewLog(LogConfig{MaxChanges: 8, MaxBytes: 1000}), NewLog(LogConfig{MaxChanges: 8, MaxBytes: 1000})
 	for i := range 4 {
 		_, _ = a.Append([]Item{{Key: "k", Value: []byte{byte(i)}}})
 		_, _ = b.Append([]Item{{Key: "k", Value: []byte{byte(i / 2)}}})
 	}
-	cs, _ := b.ChangesSince(1, b.entries[0].change.DigestAfter)
-	if err := a.Apply(*cs[0]); !errors.Is(err, ErrConflict) {
-		t.Errorf("version 2 of another history: %v", err)
+	changes, _ := b.ChangesSince(1, b.entries[0].change.DigestAfter)
+	if err := a.Apply(*changes[0]); !errors.Is(err, ErrConflict) {
+		t.Errorf("change to version 2 of another history: %v, want ErrConflict", err)
 	}
 	if err := a.Install(*b.Snapshot()); !errors.Is(err, ErrConflict) {
-		t.Errorf("its newest: %v", err)
+		t.Errorf("snapshot of another history: %v, want ErrConflict", err)
 	}
 }
 
-// TestMessagesRoundTrip encodes and decodes each kind of message; a truncated or extended one is rejected.
+// TestMessagesRoundTrip guards against a field that is lost when a message is encoded and decoded, and against truncated or extended
+// messages that are accepted.
 func TestMessagesRoundTrip(t *testing.T) {
 	for name, m := range map[string]Message{
 		"hello": {Hello: &Hello{
@@ -247,33 +253,33 @@
 		"put request":      {PutRequest: &PutRequest{OperationID: "o", Key: "k", Value: []byte("v"), Delete: true, IfVersion: 4, Unconditional: true}},
 		"put response":     {PutResponse: &PutResponse{OperationID: "o", Version: 3, RejectReason: "r"}},
 	} {
-		text := Encode(&m)
-		got, err := Decode(text)
+		encoded := Encode(&m)
+		got, err := Decode(encoded)
 		if err != nil || !reflect.DeepEqual(got, m) {
 			t.Errorf("%s: %v, %+v", name, err, got)
 		}
-		for n := range text {
-			if got, err := Decode(text[:n]); err == nil {
-				t.Errorf("%s cut after %d of %d bytes is read: %+v", name, n, len(text), got)
+		for n := range encoded {
+			if got, err := Decode(encoded[:n]); err == nil {
+				t.Errorf("%s truncated after %d of %d bytes is decoded: %+v", name, n, len(encoded), got)
 			}
 		}
-		if _, err := Decode(append(text[:len(text):len(text)], text...)); err == nil {
-			t.Errorf("%s twice in one is read", name)
+		if _, err := Decode(append(encoded[:len(encoded):len(encoded)], encoded...)); err == nil {
+			t.Errorf("two messages of kind %s in one are decoded", name)
 		}
 	}
 	if _, err := Decode(make([]byte, MaxMessageBytes+1)); !errors.Is(err, ErrMalformedMessage) {
-		t.Error("a message over the bound is read")
+		t.Error("a message over MaxMessageBytes is decoded")
 	}
-	// A newer form has fields that this one does not know.
+	// A newer version of the protocol may have unknown fields, which are ignored.
 	if m, err := Decode([]byte{0xa1, 0x18, 0x63, 0x01}); err != nil || !reflect.DeepEqual(m, Message{}) {
-		t.Errorf("a message of fields unknown: %v, %+v", err, m)
+		t.Errorf("message with an unknown field: %v, %+v", err, m)
 	}
-	o := &SharedMessage{Content: Message{Disconnect: &Disconnect{}}}
-	if a, b := o.Encoded(), o.Encoded(); &a[0] != &b[0] {
-		t.Error("one message is worded twice")
+	shared := &SharedMessage{Content: Message{Disconnect: &Disconnect{}}}
+	if a, b := shared.Encoded(), shared.Encoded(); &a[0] != &b[0] {
+		t.Error("a shared message is encoded twice")
 	}
 	small := Message{Change: &Change{Version: 1e6, DigestBefore: 1 << 63, DigestAfter: 1 << 62, Items: []Item{{Key: "config/limits", Value: []byte("0123456789")}}}}
 	if n := len(Encode(&small)); n > 80 {
-		t.Errorf("a change of 10 bytes is worded in %d", n)
+		t.Errorf("a change with a value of 10 bytes is encoded in %d bytes", n)
 	}
 }
