--- a/internal/fleet/changefeed/model_fingerprint_test.go
+++ b/internal/fleet/changefeed/model_fingerprint_test.go
@@ -14,16 +14,18 @@
 	now  time.Duration
 }
 
+// add adds values to the hash by their text.
 func (f *fingerprinter) add(values ...any) {
 	_, _ = fmt.Fprintln(&f.hash, values...) // a hash never returns an error
 }
 
-// ago is the time that has passed since a moment, negative for a moment that is still to come.
+// ago returns the time since a moment: negative for a moment in the future, and at least minus one minute.
 func (f *fingerprinter) ago(at time.Duration) time.Duration {
 	return max(f.now-at, -time.Minute)
 }
 
-// fingerprint identifies a state, with times relative to now: states of equal fingerprints continue alike, except for random draws.
+// fingerprint returns a hash of a state of the world, with times relative to now. States with equal fingerprints have the same successors,
+// except for random numbers.
 func (w *modelWorld) fingerprint() uint64 {
 	f := &fingerprinter{now: w.now}
 	f.hash.SetSeed(fingerprintSeed)
@@ -32,11 +34,11 @@
 		f.add(min(f.ago(at), time.Minute))
 	}
 	for _, pub := range w.publishers {
-		f.add("publisher", pub.log.Version(), pub.log.Changes(), pub.stopped)
+		f.add("publisher", pub.log.Version(), pub.log.Changes(), pub.isSuspended)
 		f.addPublisher(pub.core)
 	}
 	for _, sub := range w.subscribers {
-		f.add("subscriber", sub.stopped)
+		f.add("subscriber", sub.isSuspended)
 		f.addSubscriber(sub.core)
 		for _, address := range []string{"r0", "r1"} {
 			f.addCandidate(sub.core.candidates[address])
@@ -47,20 +49,20 @@
 }
 
 func (f *fingerprinter) addPublisher(p *Publisher) {
-	f.add(p.confirmed, f.ago(p.latest.at), f.ago(p.now), len(p.pendingConfirmations), len(p.snapshotQueue))
-	for e := p.order.Front(); e != nil; e = e.Next() {
+	f.add(p.hasConfirmation, f.ago(p.latestConfirmation.at), f.ago(p.now), len(p.pendingConfirmations), len(p.snapshotQueue))
+	for e := p.sessionOrder.Front(); e != nil; e = e.Next() {
 		s := e.Value.(*session)
 		f.add("session", s.hello.ID, s.hello.Incarnation, f.ago(s.lastReceived))
 		f.add(s.ackedVersion, s.sentVersion)
-		f.add(s.standby, s.awaitingResume, s.forceSnapshot, s.awaitingSnapshot)
+		f.add(s.isStandby, s.awaitingResume, s.forceSnapshot, s.awaitingSnapshot)
 		f.add(len(s.inFlight), s.inFlightBytes)
 		f.add(s.lastAnswered, s.lastResponse, s.syncPending)
 	}
 }
 
 func (f *fingerprinter) addSubscriber(s *Subscriber) {
-	f.add(s.state.Version(), s.confirmed, f.ago(s.confirmedAt), s.stale, f.ago(s.now))
-	f.add(s.digestMismatch, f.ago(s.replaceAt), s.replaceSoon)
+	f.add(s.state.Version(), s.hasConfirmation, f.ago(s.confirmedAt), s.isStale, f.ago(s.now))
+	f.add(s.digestMismatch, f.ago(s.replacementDueAt), s.replacementIsUrgent)
 }
 
 func (f *fingerprinter) addCandidate(c *candidate) {
@@ -68,10 +70,10 @@
 		return
 	}
 	f.add("candidate", c.state, f.ago(c.stateSince), f.ago(c.lastReceived), f.ago(c.lastAnswered))
-	f.add(c.healthy, c.synced, c.standby)
+	f.add(c.isHealthy, c.isSynced, c.isStandby)
 	f.add(c.lastSequence, c.lastResponse, len(c.pendingRenewals), c.pendingConfirmations, f.ago(c.nextRenewAt))
-	f.add(c.syncPending, c.syncSequence, c.syncVersion, c.syncSnapshot, c.unackedBytes)
-	f.add(c.failures, c.hasFailed, f.ago(c.avoidUntil), c.rejected)
+	f.add(c.syncPending, c.syncSequence, c.syncVersion, c.syncForcesSnapshot, c.unackedBytes)
+	f.add(c.consecutiveFailures, c.hasFailed, f.ago(c.avoidUntil), c.hasRejected)
 }
 
 func (f *fingerprinter) addConn(conn *modelConn) {
@@ -79,7 +81,7 @@
 		return
 	}
 	for _, messages := range conn.inTransit {
-		f.add("in transit", conn.open, len(messages))
+		f.add("in transit", conn.isOpen, len(messages))
 		for _, message := range messages {
 			if message != nil {
 				f.addMessage(message)
