--- a/internal/fleet/membership/action.go
+++ b/internal/fleet/membership/action.go
@@ -2,18 +2,18 @@
 
 import "net/netip"
 
-// ActionKind is what has to be done.
+// ActionKind says what the caller has to do.
 type ActionKind uint8
 
-// The kinds of actions. The result of each but Report has to be returned to the table.
+// The kinds of actions. The caller returns the result of each one except Report to the table.
 const (
-	Join           ActionKind = iota // exchange members with Addr; ends in HandleJoinResult
-	Ping                             // ask whether ID responds; ends in HandlePingResult
-	ProbeDuplicate                   // ask whether a process with this member's own ID responds at Addr; ends in HandleProbeResult
+	Join           ActionKind = iota // exchange member lists with Addr, then call HandleJoinResult
+	Ping                             // ask whether member ID responds, then call HandlePingResult
+	ProbeDuplicate                   // ask whether a process with this member's own ID responds at Addr, then call HandleProbeResult
 	Report                           // log Event
 )
 
-// Action is one thing to do. Which fields are set depends on its kind.
+// Action is one task for the caller. Which fields are set depends on its kind.
 type Action struct {
 	Kind  ActionKind
 	Addr  netip.AddrPort
@@ -21,7 +21,7 @@
 	Event Event
 }
 
-// NextAction returns what has to be done, in the order in which it was decided; false where nothing is left.
+// NextAction removes and returns the oldest pending action; it returns false if there is none.
 func (t *Table) NextAction() (Action, bool) {
 	if len(t.actions) == 0 {
 		return Action{}, false
@@ -31,4 +31,5 @@
 	return action, true
 }
 
-func (t *Table) request(action Action) { t.actions = append(t.actions, action) }
+// addAction queues an action for NextAction.
+func (t *Table) addAction(action Action) { t.actions = append(t.actions, action) }
--- a/internal/fleet/membership/conflict.go
+++ b/internal/fleet/membership/conflict.go
@@ -2,24 +2,24 @@
 
 import "net/netip"
 
-// conflict is whether another process runs with this member's ID.
+// conflict tracks whether another process runs with this member's ID.
 type conflict struct {
-	probing   bool
-	confirmed bool // for as long as this process runs
+	probing   bool // a ProbeDuplicate action is in flight
+	confirmed bool // the other process responded; stays set until this process ends
 }
 
-// HandleConflict takes that this member's own ID was seen at another address: its own one before, or that of a process with a copy of its
-// data directory.
+// HandleConflict handles a report that this member's own ID was seen at another address. That is either this member's own previous address
+// or the address of a process with a copy of its data directory.
 func (t *Table) HandleConflict(addr netip.AddrPort) {
 	if t.conflict.probing || t.conflict.confirmed || addr == t.cfg.Self.Addr {
 		return
 	}
 	t.conflict.probing = true
-	t.request(Action{Kind: ProbeDuplicate, Addr: addr})
+	t.addAction(Action{Kind: ProbeDuplicate, Addr: addr})
 }
 
-// HandleProbeResult takes whether a process with this member's ID responded. Neither of the two promises anything from then on, as neither
-// can know to whom the records belong.
+// HandleProbeResult handles the result of ProbeDuplicate: whether a process with this member's ID responded. If one did, both processes stay
+// in the standing Duplicate, as neither can know which of them owns the records.
 func (t *Table) HandleProbeResult(addr netip.AddrPort, isRunning bool) {
 	t.conflict.probing = false
 	if isRunning && !t.conflict.confirmed {
--- a/internal/fleet/membership/events.go
+++ b/internal/fleet/membership/events.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// EventKind is what happened.
+// EventKind says what happened.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	MemberJoined      EventKind = iota // Member is alive
+	MemberJoined      EventKind = iota // Member is alive now
 	MemberFailed                       // Member is dead or unreachable
-	MemberLeft                         // Member announced its end
-	MemberFlapping                     // Member came back, Returns times within a short time
-	MemberRestarted                    // Member has a new process with the same data directory: what was in memory is lost
-	MemberReplaced                     // Member's address has another member's data directory: its own is lost
-	MemberForgotten                    // Member failed too long ago to be part of the fleet
-	ProcessResumed                     // this process was paused for Duration
-	StandingChanged                    // to Standing, with Alive of Total members alive
-	TooFewMachines                     // Alive machines for Total replicas
-	EnoughMachines                     // again Alive machines for Total replicas
+	MemberLeft                         // Member announced that it leaves
+	MemberFlapping                     // Member failed and came back repeatedly: Returns times within flapWindow
+	MemberRestarted                    // Member runs as a new process on the same data directory; its memory contents are lost
+	MemberReplaced                     // Member's address is used by a member with another data directory; Member's own is lost
+	MemberForgotten                    // Member failed longer than ForgetAfter ago and is no longer part of the fleet
+	ProcessResumed                     // this process was paused for Duration and runs again
+	StandingChanged                    // this member's standing is now Standing; Alive of Total members are alive
+	TooFewMachines                     // Alive machines are fewer than the Total replicas of a record
+	EnoughMachines                     // Alive machines suffice again for the Total replicas of a record
 	DuplicateDetected                  // another process at Member.Addr has a copy of this member's data directory
 )
 
-// Event is a decision that operators are told of, with its figures. Which fields are set depends on its kind.
+// Event is a decision of the table that is logged for operators, with its figures. Which fields are set depends on its kind.
 type Event struct {
 	Kind     EventKind
 	Member   Member
@@ -32,27 +32,28 @@
 	Total    int
 }
 
-func (t *Table) report(event Event) { t.request(Action{Kind: Report, Event: event}) }
+// report queues the logging of an event.
+func (t *Table) report(event Event) { t.addAction(Action{Kind: Report, Event: event}) }
 
-// reportPeer reports what happened to another member. The figures include this member.
+// reportPeer reports an event of another member. The counts Alive and Total include this member.
 func (t *Table) reportPeer(kind EventKind, peer *Peer) {
 	t.report(Event{Kind: kind, Member: peer.Member, Returns: peer.Returns, Alive: t.aliveCount() + 1, Total: t.fleetSize() + 1})
 }
 
-// reportChanges reports what has changed for this member as a whole.
+// reportChanges reports a change of this member's standing, and whether enough machines are alive for all replicas, since the last call.
 func (t *Table) reportChanges() {
 	if standing := t.Standing(t.now); standing != t.lastStanding {
 		t.lastStanding = standing
 		t.report(Event{Kind: StandingChanged, Standing: standing, Alive: t.aliveCount() + 1, Total: t.fleetSize() + 1})
 	}
 	machines := t.aliveMachines()
-	lacksHosts := t.hasMet && machines < t.cfg.ReplicationFactor
-	if lacksHosts == t.lacksHosts {
+	lacksMachines := t.hasMetMember && machines < t.cfg.ReplicationFactor
+	if lacksMachines == t.lacksMachines {
 		return
 	}
-	t.lacksHosts = lacksHosts
+	t.lacksMachines = lacksMachines
 	kind := EnoughMachines
-	if lacksHosts {
+	if lacksMachines {
 		kind = TooFewMachines
 	}
 	t.report(Event{Kind: kind, Alive: machines, Total: t.cfg.ReplicationFactor})
--- a/internal/fleet/membership/join.go
+++ b/internal/fleet/membership/join.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	joinIntervalAlone = time.Second     // between two joins while no other member is alive
-	joinInterval      = 5 * time.Second // while some have failed
-	maxJoinBackoff    = time.Minute     // between two joins of one address
+	joinIntervalAlone = time.Second     // time between two joins while no other member is alive
+	joinInterval      = 5 * time.Second // time between two joins while some members are alive and others have failed
+	maxJoinBackoff    = time.Minute     // longest backoff between two joins of one address
 )
 
-// joinAttempts are the addresses where a member may be that this one does not see. One is joined at a time.
+// joinAttempts holds the addresses at which a member may run that this one does not see. One address is joined at a time.
 type joinAttempts struct {
 	targets  map[netip.AddrPort]*joinTarget
-	inFlight netip.AddrPort // invalid where there is none
-	nextAt   time.Duration
+	inFlight netip.AddrPort // address of the join in flight; invalid if there is none
+	nextAt   time.Duration  // earliest time of the next join of any address
 }
 
-// joinTarget is an address that is joined until somebody responds.
+// joinTarget schedules the joins of one address.
 type joinTarget struct {
-	nextAt  time.Duration
-	backoff time.Duration
+	nextAt  time.Duration // earliest time of the next join of this address
+	backoff time.Duration // newest backoff after a failed join; 0 if the last one succeeded
 }
 
-// startJoin joins one address where a member may be that this one does not see: that of a member that failed, or a seed where no member is
-// alive. Without it two halves of a fleet that was partitioned for long, or from the start, would stay apart.
+// startJoin joins one address at which a member may run that this one does not see: the address of a failed member, or a seed at which no
+// member is alive. Without it the two halves of a fleet that was partitioned for long, or from the start, would never merge.
 func (t *Table) startJoin() {
 	if t.joins.inFlight.IsValid() || t.now < t.joins.nextAt {
 		return
@@ -41,26 +41,26 @@
 		interval = joinIntervalAlone / time.Duration(len(due))
 	}
 	t.joins.nextAt = t.now + t.jitter(interval)
-	t.request(Action{Kind: Join, Addr: t.joins.inFlight})
+	t.addAction(Action{Kind: Join, Addr: t.joins.inFlight})
 }
 
-// dueJoins returns the addresses that may be joined now, in order.
+// dueJoins returns the addresses that may be joined now, in ascending order.
 func (t *Table) dueJoins() []netip.AddrPort {
 	alive := map[netip.AddrPort]bool{t.cfg.Self.Addr: true}
-	wanted := map[netip.AddrPort]bool{}
+	candidates := map[netip.AddrPort]bool{}
 	for _, peer := range t.peers {
 		switch {
 		case peer.State == Alive:
 			alive[peer.Addr] = true
 		case peer.State == Failed && !peer.isLost():
-			wanted[peer.Addr] = true
+			candidates[peer.Addr] = true
 		}
 	}
 	for _, seed := range t.cfg.Seeds {
-		wanted[seed] = true
+		candidates[seed] = true
 	}
 	var due []netip.AddrPort
-	for addr := range wanted {
+	for addr := range candidates {
 		if !alive[addr] && t.joinTarget(addr).nextAt <= t.now {
 			due = append(due, addr)
 		}
@@ -69,6 +69,7 @@
 	return due
 }
 
+// joinTarget returns the schedule of an address, which may be joined at once if it is new.
 func (t *Table) joinTarget(addr netip.AddrPort) *joinTarget {
 	target := t.joins.targets[addr]
 	if target == nil {
@@ -78,7 +79,7 @@
 	return target
 }
 
-// HandleJoinResult takes whether somebody responded to a join.
+// HandleJoinResult handles the result of Join: ok says whether a member responded at the address.
 func (t *Table) HandleJoinResult(addr netip.AddrPort, ok bool) {
 	if addr == t.joins.inFlight {
 		t.joins.inFlight = netip.AddrPort{}
@@ -95,7 +96,7 @@
 	target.nextAt = t.now + t.jitter(target.backoff)
 }
 
-// jitter draws a duration from half to one and a half of d, so that members that began together do not act together.
+// jitter draws a duration between 0.5 and 1.5 times d, so that members that started together do not join in step.
 func (t *Table) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(t.rng.Float64()*float64(d))
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -1,9 +1,10 @@
-// Package membership decides what one member believes of the others: which are alive, failed or have left, which addresses to join so that
-// a partitioned fleet becomes one again, and whether this member may rely on what it knows. It is pure: events and a time in, actions
-// out, so that simulations run the code that ships. It must never read a clock, open a socket or use randomness other than its seed's,
-// and it must never vouch for a record: which members have one is agreed elsewhere, and a member that is alive may not.
+// Package membership keeps one member's view of the fleet: which other members are alive, have failed or have left, which addresses to join
+// so that a partitioned fleet merges again, and whether this member may rely on its view. It is a pure state machine: it takes events and
+// the time and returns actions, so that simulations run the production code. It must never read a clock, open a socket or use randomness
+// other than that of its seed. It must never decide which members hold a record: that is agreed on elsewhere, and a member that is alive
+// may not hold it.
 //
-// All times are of one machine's clock, which goes on while the process is paused.
+// All times are readings of one machine's clock, which keeps running while the process is paused.
 package membership
 
 import (
@@ -14,105 +15,105 @@
 	"time"
 )
 
-// Intervals of the table; none depends on the size of the fleet.
+// Intervals of the table. None of them depends on the size of the fleet.
 const (
-	HeartbeatInterval = 100 * time.Millisecond // between two calls of Tick
-	StallThreshold    = time.Second            // a longer gap between two ticks is a pause, in which others may have declared this member failed
+	HeartbeatInterval = 100 * time.Millisecond // time between two calls of Tick
+	StallThreshold    = time.Second            // a longer gap between two ticks counts as a pause of the process, in which others may have declared this member failed
 )
 
-const randomStream = 0x3e3b // keeps this package's random numbers apart from others of the same seed
+const randomStream = 0x3e3b // separates this package's random numbers from others that are drawn from the same seed
 
-// Member is what a member says of itself.
+// Member is the description of a member that it gossips itself.
 type Member struct {
-	ID   string // 32 hexadecimal digits, drawn with its data directory
-	Name string // of the balancer
+	ID   string // 32 hexadecimal digits, drawn at random when its data directory is created
+	Name string // name of the balancer
 	Addr netip.AddrPort
 
-	// Failure domains, each within the next one.
+	// Failure domains of the member, each one part of the next.
 	Machine string
 	Zone    string
 	Site    string
 
-	Incarnation        uint64 // number of starts
-	Leaving            bool   // it is alive and about to leave: others are to take over from it
-	ProtocolVersion    int    // the newest that it speaks
-	MinProtocolVersion int    // the oldest that it speaks
+	Incarnation        uint64 // number of process starts with this data directory
+	Leaving            bool   // the member is alive and about to leave; others have to take over from it
+	ProtocolVersion    int    // newest protocol version that the member supports
+	MinProtocolVersion int    // oldest protocol version that the member supports
 }
 
 // State is the state of another member.
 type State uint8
 
-// The states of a member.
+// The states of another member.
 const (
 	Alive  State = iota
-	Failed       // dead or unreachable
-	Left         // it announced its end
+	Failed       // the member is dead or unreachable
+	Left         // the member announced that it leaves
 )
 
-// String returns the state as operators' reports have it.
+// String returns the name of the state in reports for operators.
 func (s State) String() string { return [...]string{"here", "gone", "left"}[s] }
 
-// Peer is another member and what is known of it.
+// Peer is this member's view of another member.
 type Peer struct {
 	Member
 	State      State
-	Since      time.Duration // when it came into this state
-	Returns    int           // times that it came back within flapWindow
-	ReplacedBy string        // ID of a member that has its address with another data directory: this one's is lost; empty for none
+	Since      time.Duration // time of the last change of State
+	Returns    int           // number of times that the member came back within flapWindow
+	ReplacedBy string        // ID of the member that uses this one's address with another data directory; this one's directory is lost. Empty if there is none
 
-	flapWindowStart time.Duration
+	flapWindowStart time.Duration // time from which Returns is counted
 }
 
-// isLost reports whether the peer failed for good, as another member has its address.
+// isLost reports whether the peer will not come back, as another member uses its address.
 func (p *Peer) isLost() bool { return p.ReplacedBy != "" }
 
-// Standing is whether a member may rely on what it knows.
+// Standing says whether a member may rely on its view of the fleet, and if not, why.
 type Standing uint8
 
-// The standings. Only with Quorum a member may rely on what it knows.
+// The standings. A member may rely on its view only in Quorum.
 const (
-	Joining   Standing = iota // no other member was met yet
+	Joining   Standing = iota // this member has not met another member yet
 	Quorum                    // more than half of all known members are alive, this one included
-	NoQuorum                  // not so: the others may have gone on without this member
-	Resuming                  // the process was paused, and too few members have responded since
+	NoQuorum                  // half of all known members or fewer are alive; the others may have continued without this member
+	Resuming                  // the process was paused, and too few members have responded since then
 	Duplicate                 // another process runs with a copy of the data directory
 )
 
-// String returns the standing as operators' reports have it.
+// String returns the name of the standing in reports for operators.
 func (s Standing) String() string {
 	return [...]string{"joining", "together", "apart", "waking", "doubled"}[s]
 }
 
-// Config is what a table begins with.
+// Config holds the parameters of a table.
 type Config struct {
 	Self              Member
 	Seeds             []netip.AddrPort
-	ReplicationFactor int           // machines that have to be alive for all replicas of a record
-	ForgetAfter       time.Duration // a member that failed longer ago is no longer part of the fleet
-	MaxMembers        int           // other members that are known at once
+	ReplicationFactor int           // number of machines that have to be alive for all replicas of a record
+	ForgetAfter       time.Duration // time after which a failed member is no longer part of the fleet
+	MaxMembers        int           // largest number of other members in the table
 	Seed              uint64
 }
 
-// Table is what one member knows of the others. It must be used by one goroutine at a time.
+// Table holds one member's view of the others. It must be used by one goroutine at a time.
 type Table struct {
-	Rejected int // new members for which there was no room
-	Stalls   int // pauses of this process
-
-	cfg      Config
-	rng      *rand.Rand
-	now      time.Duration // of the newest tick
-	peers    map[string]*Peer
-	hasMet   bool // another member, or there are no seeds
-	joins    joinAttempts
-	pings    pingRound
-	conflict conflict
-	actions  []Action
-
-	lastStanding Standing // reported
-	lacksHosts   bool     // reported: fewer machines are alive than ReplicationFactor
+	Rejected int // number of new members that were rejected because the table was full
+	Stalls   int // number of pauses of this process
+
+	cfg          Config
+	rng          *rand.Rand
+	now          time.Duration // time of the newest tick
+	peers        map[string]*Peer
+	hasMetMember bool // another member was met, or there are no other seeds
+	joins        joinAttempts
+	pings        pingRound
+	conflict     conflict
+	actions      []Action
+
+	lastStanding  Standing // standing that was reported last
+	lacksMachines bool     // last report: fewer machines are alive than ReplicationFactor
 }
 
-// New makes a table that knows of no other member.
+// New returns a table without other members.
 func New(cfg Config, now time.Duration) *Table {
 	t := &Table{
 		cfg:   cfg,
@@ -127,20 +128,20 @@
 			t.joins.targets[seed] = &joinTarget{nextAt: now}
 		}
 	}
-	t.hasMet = len(t.joins.targets) == 0
+	t.hasMetMember = len(t.joins.targets) == 0
 	t.lastStanding = t.Standing(now)
 	return t
 }
 
-// Standing returns whether this member may rely on what it knows at a time, which the caller reads anew for each use: a process that
-// resumed a moment ago has not had a tick yet.
+// Standing returns this member's standing at the given time. The caller must read the clock for each call: a process that has just resumed
+// from a pause may not have had a tick yet.
 func (t *Table) Standing(now time.Duration) Standing {
 	switch {
 	case t.conflict.confirmed:
 		return Duplicate
 	case t.pings.active || now-t.now > StallThreshold:
 		return Resuming
-	case !t.hasMet:
+	case !t.hasMetMember:
 		return Joining
 	case 2*(t.aliveCount()+1) <= t.fleetSize()+1:
 		return NoQuorum
@@ -148,18 +149,18 @@
 	return Quorum
 }
 
-// Peers returns all other members by name.
+// Peers returns all other members, sorted by name.
 func (t *Table) Peers() []Peer {
 	var peers []Peer
-	for _, peer := range t.sorted() {
+	for _, peer := range t.peersByID() {
 		peers = append(peers, *peer)
 	}
 	slices.SortStableFunc(peers, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
 	return peers
 }
 
-// sorted returns all other members by ID, so that no decision depends on the order of a map.
-func (t *Table) sorted() []*Peer {
+// peersByID returns all other members, sorted by ID, so that no decision depends on the iteration order of a map.
+func (t *Table) peersByID() []*Peer {
 	peers := make([]*Peer, 0, len(t.peers))
 	for _, peer := range t.peers {
 		peers = append(peers, peer)
@@ -168,17 +169,18 @@
 	return peers
 }
 
-// aliveCount returns how many other members are alive.
+// aliveCount returns the number of other members that are alive.
 func (t *Table) aliveCount() int {
-	return t.count(func(peer *Peer) bool { return peer.State == Alive })
+	return t.countPeers(func(peer *Peer) bool { return peer.State == Alive })
 }
 
-// fleetSize returns how many other members are alive or may come back.
+// fleetSize returns the number of other members that are alive or may come back.
 func (t *Table) fleetSize() int {
-	return t.count(func(peer *Peer) bool { return peer.State == Alive || peer.State == Failed && !peer.isLost() })
+	return t.countPeers(func(peer *Peer) bool { return peer.State == Alive || peer.State == Failed && !peer.isLost() })
 }
 
-func (t *Table) count(matches func(*Peer) bool) int {
+// countPeers returns the number of other members that match.
+func (t *Table) countPeers(matches func(*Peer) bool) int {
 	n := 0
 	for _, peer := range t.peers {
 		if matches(peer) {
@@ -188,7 +190,7 @@
 	return n
 }
 
-// aliveMachines returns how many machines are alive, this member's included.
+// aliveMachines returns the number of machines with a member that is alive, this member's machine included.
 func (t *Table) aliveMachines() int {
 	machines := map[string]bool{t.cfg.Self.Machine: true}
 	for _, peer := range t.peers {
--- a/internal/fleet/membership/peers.go
+++ b/internal/fleet/membership/peers.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	leftTTL       = time.Minute // a member that left is listed for so long
-	flapWindow    = 10 * time.Minute
-	flapThreshold = 3 // returns within the window, above which a member is flapping
+	leftPeerTTL   = time.Minute      // time for which a member that left stays in the table
+	flapWindow    = 10 * time.Minute // time over which the returns of a member are counted
+	flapThreshold = 3                // a member with more returns within flapWindow is flapping
 )
 
-// Tick advances the time. A late tick is a pause of the process, after which nothing that was known holds until a majority of those that
-// were alive have responded.
+// Tick advances the time. A tick that is more than StallThreshold late shows that the process was paused. The table's view is then not relied
+// on until a majority of the members that were alive before have responded.
 func (t *Table) Tick(now time.Duration) {
 	gap := now - t.now
 	t.now = now
@@ -27,19 +27,19 @@
 	if t.pings.active && now-t.pings.startedAt >= pingRoundInterval {
 		t.startPingRound()
 	}
-	t.forgetOld()
+	t.forgetExpired()
 	t.startJoin()
 	t.reportChanges()
 }
 
-// HandleAlive takes that a member is alive, or has changed what it says of itself.
+// HandleAlive handles the news that a member is alive or that its description has changed.
 func (t *Table) HandleAlive(m Member) {
 	if m.ID == t.cfg.Self.ID {
 		return
 	}
 	peer, isKnown := t.peers[m.ID]
 	if !isKnown {
-		if len(t.peers) >= t.cfg.MaxMembers && !t.makeRoom() {
+		if len(t.peers) >= t.cfg.MaxMembers && !t.evictPeer() {
 			t.Rejected++
 			return
 		}
@@ -58,7 +58,7 @@
 	peer.State = Alive
 	peer.Since = t.now
 	peer.ReplacedBy = ""
-	t.hasMet = true
+	t.hasMetMember = true
 	kind := MemberJoined
 	if isKnown && t.countReturn(peer) {
 		kind = MemberFlapping
@@ -68,7 +68,7 @@
 	t.reportChanges()
 }
 
-// countReturn counts that a member came back, and reports whether it is flapping.
+// countReturn counts one return of a member and reports whether it is flapping.
 func (t *Table) countReturn(peer *Peer) bool {
 	if t.now-peer.flapWindowStart > flapWindow {
 		peer.flapWindowStart = t.now
@@ -78,12 +78,12 @@
 	return peer.Returns > flapThreshold
 }
 
-// markReplaced marks the failed members at an address where another one is alive: their data directories are lost, and they will not come
-// back. A member that has not failed is left alone, as gossip about the old one goes on for a while and may arrive together with that
-// about the new one.
+// markReplaced marks the failed members at an address at which another member is alive: their data directories are lost, and they will not
+// come back. A member that has not failed is not marked, as gossip about the old member continues for a while and may arrive together with
+// gossip about the new one.
 func (t *Table) markReplaced(addr netip.AddrPort) {
 	var replacement *Peer
-	peers := t.sorted()
+	peers := t.peersByID()
 	for _, peer := range peers {
 		if peer.Addr == addr && peer.State == Alive {
 			replacement = peer
@@ -100,7 +100,7 @@
 	}
 }
 
-// HandleFailure takes that a member is dead or unreachable.
+// HandleFailure handles the news that a member is dead or unreachable.
 func (t *Table) HandleFailure(id string) {
 	peer := t.peers[id]
 	if peer == nil || peer.State != Alive {
@@ -113,8 +113,8 @@
 	t.reportChanges()
 }
 
-// HandleLeave takes that a member announced the end of an incarnation, and reports whether that is news. An announcement that arrives late
-// says nothing of the incarnation that followed. The member may have been declared failed before.
+// HandleLeave handles a member's announcement that it leaves and reports whether that is news. An announcement of an earlier incarnation is
+// ignored, as it says nothing about the current one. The member may have been declared failed before.
 func (t *Table) HandleLeave(id string, incarnation uint64) bool {
 	peer := t.peers[id]
 	if peer == nil || peer.State == Left || incarnation < peer.Incarnation {
@@ -128,43 +128,45 @@
 	return true
 }
 
-// forgetOld drops members that failed or left long ago.
-func (t *Table) forgetOld() {
-	for _, peer := range t.sorted() {
+// forgetExpired removes the members that left more than leftPeerTTL ago or failed more than ForgetAfter ago.
+func (t *Table) forgetExpired() {
+	for _, peer := range t.peersByID() {
 		age := t.now - peer.Since
 		switch {
-		case peer.State == Left && age > leftTTL:
-			t.drop(peer)
+		case peer.State == Left && age > leftPeerTTL:
+			t.removePeer(peer)
 		case peer.State == Failed && age > t.cfg.ForgetAfter:
 			t.reportPeer(MemberForgotten, peer)
-			t.drop(peer)
+			t.removePeer(peer)
 		}
 	}
 }
 
-func (t *Table) drop(peer *Peer) {
+// removePeer removes a member and stops the joins of its address, unless that is a seed.
+func (t *Table) removePeer(peer *Peer) {
 	delete(t.peers, peer.ID)
 	if !slices.Contains(t.cfg.Seeds, peer.Addr) {
 		delete(t.joins.targets, peer.Addr)
 	}
 }
 
-// makeRoom drops a member that left or, where there is none, one that failed: the one that did so first. It reports false where all are
-// alive.
-func (t *Table) makeRoom() bool {
-	var worst *Peer
-	for _, peer := range t.sorted() {
-		if peer.State != Alive && (worst == nil || dropsBefore(peer, worst)) {
-			worst = peer
+// evictPeer makes room in a full table. It removes the member that left first or, if none has left, the one that failed first. It returns
+// false if all members are alive.
+func (t *Table) evictPeer() bool {
+	var oldest *Peer
+	for _, peer := range t.peersByID() {
+		if peer.State != Alive && (oldest == nil || evictsBefore(peer, oldest)) {
+			oldest = peer
 		}
 	}
-	if worst == nil {
+	if oldest == nil {
 		return false
 	}
-	t.drop(worst)
+	t.removePeer(oldest)
 	return true
 }
 
-func dropsBefore(a, b *Peer) bool {
+// evictsBefore reports whether a is evicted rather than b: members that left go first, then those that are longest in their state.
+func evictsBefore(a, b *Peer) bool {
 	return cmp.Or(cmp.Compare(b.State, a.State), cmp.Compare(a.Since, b.Since)) < 0
 }
--- a/internal/fleet/membership/resume.go
+++ b/internal/fleet/membership/resume.go
@@ -3,39 +3,39 @@
 import "time"
 
 const (
-	maxPings          = 31 // members that are asked in one round
-	pingRoundInterval = time.Second
+	maxPings          = 31          // largest number of members that are pinged in one round
+	pingRoundInterval = time.Second // time after which a round without a majority is repeated
 )
 
-// pingRound asks members after a pause whether they still respond. It ends once a majority did.
+// pingRound pings members after a pause of this process, to learn whether they still respond. It ends once a majority has responded.
 type pingRound struct {
-	active    bool
-	startedAt time.Duration
-	responded map[string]bool // by ID, of those that were asked
+	active    bool            // the process was paused, and no majority has responded since then
+	startedAt time.Duration   // time of the newest round
+	responded map[string]bool // whether a member responded, by ID, for the members that were pinged
 }
 
-// startPingRound asks all members that are alive, or a random part of them.
+// startPingRound pings all members that are alive, or maxPings of them at random.
 func (t *Table) startPingRound() {
 	t.pings.startedAt = t.now
 	clear(t.pings.responded)
 	var ids []string
-	for _, peer := range t.sorted() {
+	for _, peer := range t.peersByID() {
 		if peer.State == Alive {
 			ids = append(ids, peer.ID)
 		}
 	}
-	if len(ids) == 0 { // nobody was alive who could have gone on without this member
+	if len(ids) == 0 { // no other member was alive that could have continued without this one
 		t.pings.active = false
 		return
 	}
 	t.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	for _, id := range ids[:min(len(ids), maxPings)] {
 		t.pings.responded[id] = false
-		t.request(Action{Kind: Ping, ID: id})
+		t.addAction(Action{Kind: Ping, ID: id})
 	}
 }
 
-// HandlePingResult takes whether a member responded.
+// HandlePingResult handles the result of Ping: ok says whether the member responded.
 func (t *Table) HandlePingResult(id string, ok bool) {
 	if _, wasAsked := t.pings.responded[id]; !wasAsked || !ok {
 		return
@@ -47,7 +47,7 @@
 	}
 }
 
-// hasMajority reports whether more than half responded, this member included.
+// hasMajority reports whether more than half of the pinged members and this one, which counts as responded, have responded.
 func (r *pingRound) hasMajority() bool {
 	responses := 0
 	for _, responded := range r.responded {
