--- a/internal/fleet/gossip/agent.go
+++ b/internal/fleet/gossip/agent.go
@@ -1,7 +1,7 @@
-// Package gossip keeps a member in contact with the others: it runs the failure detector, which is memberlist's (SWIM with Lifeguard),
-// feeds what it detects to the pure table of package membership, and carries out what that decides. It owns the fleet's address and the
-// goroutines that serve it. It must never decide which member is joined or believed, and never make a caller wait for another member:
-// what is known is published, and read without waiting.
+// Package gossip keeps a member in contact with the other members of its fleet. It runs the failure detector of the library memberlist (SWIM
+// with Lifeguard), passes its notifications to the state machine of package membership, and executes the actions of that. It owns the
+// fleet's address and the goroutines that serve it. It must never decide itself which member to join or to consider alive, and it must never
+// make a caller wait for another member: the current status is published and read without blocking.
 package gossip
 
 import (
@@ -19,72 +19,72 @@
 )
 
 const (
-	maxQueuedEvents = 4096 // for the table; when there are more it is synchronized with all members that are alive
-	leaveTimeout    = 500 * time.Millisecond
+	maxQueuedEvents = 4096                   // events waiting for the table; if there are more, the table is synchronized with the library's list of members instead
+	leaveTimeout    = 500 * time.Millisecond // longest wait until an announcement that this member leaves was sent
 )
 
 // Options are the parameters of an agent.
 type Options struct {
-	FleetName string // label of all datagrams and streams; those of another fleet are dropped
+	FleetName string // label of all datagrams and streams; those with another label are dropped
 	Self      membership.Member
 	Seeds     []netip.AddrPort
 	Transport memberlist.Transport
 	Log       *zap.Logger
 
 	ReplicationFactor int
-	ForgetAfter       time.Duration // a member that failed longer ago is no longer listed
-	MaxPeers          int
-	Seed              uint64
+	ForgetAfter       time.Duration // time after which a failed member is no longer listed
+	MaxPeers          int           // largest number of other members
+	Seed              uint64        // seed of the table's random numbers
 
-	Now  func() time.Duration     // a clock that goes on while the process is paused
-	Tune func(*memberlist.Config) // changes the library's settings after the function Tune; nil for none
+	Now            func() time.Duration     // clock that keeps running while the process is paused
+	OverrideConfig func(*memberlist.Config) // changes the library's settings after TuneMemberlist; nil for no change
 }
 
-// Status is what was known at one moment.
+// Status is a member's view of the fleet at one moment.
 type Status struct {
 	Self        membership.Member
 	Standing    membership.Standing
-	Peers       []membership.Peer // by name
-	HealthScore int               // 0 is healthy; each point lengthens this member's own timeouts by one unit
-	Stalls      int               // pauses of this process
-	Rejected    int               // new members for which there was no room
-	Malformed   int64             // messages that can't be read or are another fleet's, and warnings of the library
+	Peers       []membership.Peer // all other members, sorted by name
+	HealthScore int               // health score of the library: 0 is healthy, each point lengthens this member's own timeouts by one unit
+	Stalls      int               // number of pauses of this process
+	Rejected    int               // number of new members that were rejected because the table was full
+	Malformed   int64             // number of malformed messages, messages of another fleet, and warnings and errors of the library
 }
 
-// Agent is one member's part in the gossip. Its methods may be called by any goroutine.
+// Agent takes part in the gossip for one member. Its methods may be called by any goroutine.
 type Agent struct {
 	opt        Options
 	memberlist *memberlist.Memberlist
-	table      *membership.Table // the goroutine's of run
-	departures *memberlist.TransmitLimitedQueue
+	table      *membership.Table                // used only by the goroutine of run
+	departures *memberlist.TransmitLimitedQueue // announcements of members that left, to be gossiped
 
-	isLeaving  atomic.Bool
-	lastTickAt atomic.Int64 // nanoseconds
-	malformed  atomic.Int64
-	status     atomic.Pointer[Status]
+	isLeaving  atomic.Bool            // this member announced that it is about to leave
+	lastTickAt atomic.Int64           // time of the table's newest tick in nanoseconds of Options.Now
+	malformed  atomic.Int64           // Status.Malformed
+	status     atomic.Pointer[Status] // status that was published last
 
 	mu         sync.Mutex
-	events     []func()
-	overflowed bool // events were dropped
+	events     []func() // events waiting for the table; guarded by mu
+	overflowed bool     // events were dropped since the last dequeue; guarded by mu
 
-	wake       chan struct{}
-	done       chan struct{}
+	wake       chan struct{} // holds a value if events are waiting
+	done       chan struct{} // closed by Close
 	closeOnce  sync.Once
 	goroutines sync.WaitGroup
 }
 
-// Tune sets the library's settings. They are those for a local network with probes twice as often, as a member that stores records has to
-// be noticed as failed before its records are requested.
-func Tune(cfg *memberlist.Config) {
+// TuneMemberlist changes the library's defaults for a local network. Probes are sent twice as often, as the failure of a member that stores
+// records has to be detected before its records are requested.
+func TuneMemberlist(cfg *memberlist.Config) {
 	cfg.ProbeInterval = 500 * time.Millisecond
 	cfg.ProbeTimeout = 250 * time.Millisecond
 	cfg.GossipToTheDeadTime = 30 * time.Second
 	cfg.PushPullInterval = 15 * time.Second
 	cfg.TCPTimeout = 3 * time.Second
-	cfg.DeadNodeReclaimTime = time.Second // for a member that comes back at another address
+	cfg.DeadNodeReclaimTime = time.Second // lets a member come back at another address
 }
 
-// Open starts an agent. It joins nobody by itself: the table decides whom to join.
+// Open starts an agent. It joins no member itself: the table decides which addresses to join.
 func Open(opt Options) (*Agent, error) {
 	a := &Agent{opt: opt, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	a.table = membership.New(membership.Config{
@@ -104,7 +104,7 @@
 	a.publish()
 	list, err := memberlist.Create(cfg)
 	if err != nil {
-		return nil, fmt.Errorf("gossip: %w", err)
+		return nil, fmt.Errorf("start of the gossip library: %w", err)
 	}
 	a.memberlist = list
 	a.goroutines.Add(1)
@@ -112,11 +112,12 @@
 	return a, nil
 }
 
+// memberlistConfig returns the library's configuration for this agent.
 func (a *Agent) memberlistConfig() *memberlist.Config {
 	cfg := memberlist.DefaultLANConfig()
-	Tune(cfg)
-	if a.opt.Tune != nil {
-		a.opt.Tune(cfg)
+	TuneMemberlist(cfg)
+	if a.opt.OverrideConfig != nil {
+		a.opt.OverrideConfig(cfg)
 	}
 	addr := a.opt.Self.Addr
 	cfg.Name = a.opt.Self.ID
@@ -126,7 +127,7 @@
 	cfg.BindPort = int(addr.Port())
 	cfg.AdvertiseAddr = cfg.BindAddr
 	cfg.AdvertisePort = cfg.BindPort
-	cfg.DNSConfigPath = "" // addresses are configured, never resolved
+	cfg.DNSConfigPath = "" // addresses come from the configuration and are never resolved by DNS
 	cfg.Logger = log.New(&logWriter{agent: a}, "", 0)
 	d := &delegate{agent: a}
 	cfg.Delegate = d
@@ -136,7 +137,7 @@
 	return cfg
 }
 
-// Status returns what was last published. The standing is that of this moment.
+// Status returns the status that was published last. Its standing takes into account that the process may have been paused since then.
 func (a *Agent) Status() Status {
 	s := *a.status.Load()
 	sinceTick := a.opt.Now() - time.Duration(a.lastTickAt.Load())
@@ -147,14 +148,14 @@
 	return s
 }
 
-// AnnounceLeaving announces that this member is about to leave and still alive. It waits for 500 ms at most.
+// AnnounceLeaving announces that this member is about to leave but is still alive. It blocks for 500 ms at most.
 func (a *Agent) AnnounceLeaving() {
 	a.isLeaving.Store(true)
-	_ = a.memberlist.UpdateNode(leaveTimeout) // who does not hear of it finds the member failed later
+	_ = a.memberlist.UpdateNode(leaveTimeout) // a member that misses the announcement detects the failure later
 }
 
-// Leave announces the end of this member, for 500 ms at most, and closes the agent. Close does so without the announcement, where
-// another process continues as this member.
+// Leave announces that this member leaves, for 500 ms at most, and closes the agent. If another process continues as this member, Close is
+// used instead, which announces nothing.
 func (a *Agent) Leave() {
 	select {
 	case <-a.done:
@@ -163,21 +164,21 @@
 	}
 	if a.memberlist.NumMembers() > 1 {
 		a.departures.QueueBroadcast(departure{ID: a.opt.Self.ID, Incarnation: a.opt.Self.Incarnation})
-		_ = a.memberlist.Leave(leaveTimeout) // who does not hear of it finds the member failed later
+		_ = a.memberlist.Leave(leaveTimeout) // a member that misses the announcement detects the failure later
 	}
 	a.Close()
 }
 
-// Close ends the agent and its transport, and waits for its goroutines.
+// Close stops the agent and its transport and waits for their goroutines.
 func (a *Agent) Close() {
 	a.closeOnce.Do(func() {
 		close(a.done)
-		_ = a.memberlist.Shutdown() // the transport's Shutdown, which does not fail
+		_ = a.memberlist.Shutdown() // it returns the error of the transport's Shutdown, which never fails
 		a.goroutines.Wait()
 	})
 }
 
-// publish makes what the table knows readable by Status.
+// publish stores the table's current view for Status.
 func (a *Agent) publish() {
 	s := &Status{
 		Self:     a.opt.Self,
--- a/internal/fleet/gossip/bench_test.go
+++ b/internal/fleet/gossip/bench_test.go
@@ -163,7 +163,7 @@
 	self.Addr = memnet.Addr(num)
 	port := &countingPort{Port: network.Port(num)}
 	cfg := memberlist.DefaultLANConfig()
-	Tune(cfg)
+	TuneMemberlist(cfg)
 	cfg.ProbeInterval = 0
 	cfg.GossipInterval = 0
 	cfg.PushPullInterval = 0
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -9,30 +9,31 @@
 	"go.uber.org/zap"
 )
 
-// delegate takes the library's notifications and answers its questions. The library holds its locks meanwhile.
+// delegate receives the library's callbacks. The library holds its locks during a callback, so none of them may block.
 type delegate struct{ agent *Agent }
 
-// NotifyJoin takes a member that was found alive.
+// NotifyJoin handles a member that was found to be alive.
 func (d *delegate) NotifyJoin(node *memberlist.Node) { d.notifyAlive(node) }
 
-// NotifyUpdate takes a member whose metadata has changed.
+// NotifyUpdate handles a member whose metadata has changed.
 func (d *delegate) NotifyUpdate(node *memberlist.Node) { d.notifyAlive(node) }
 
+// notifyAlive passes a member that is alive to the table.
 func (d *delegate) notifyAlive(node *memberlist.Node) {
 	m, err := decodeMember(node)
 	if err != nil {
-		return // refused by NotifyAlive, which counts it
+		return // NotifyAlive rejects such a member and counts it
 	}
 	d.agent.enqueue(func() { d.agent.table.HandleAlive(m) })
 }
 
-// NotifyLeave takes a member that failed or left.
+// NotifyLeave handles a member that failed or left. A departure, which arrives as a message, tells the two cases apart.
 func (d *delegate) NotifyLeave(node *memberlist.Node) {
 	id := node.Name
 	d.agent.enqueue(func() { d.agent.table.HandleFailure(id) })
 }
 
-// NotifyAlive refuses members whose metadata can't be read or whose protocol versions do not match.
+// NotifyAlive rejects members whose metadata is malformed or whose protocol versions do not overlap with this program's.
 func (d *delegate) NotifyAlive(node *memberlist.Node) error {
 	_, err := decodeMember(node)
 	if err != nil {
@@ -41,7 +42,7 @@
 	return err
 }
 
-// NotifyConflict takes two addresses for one ID. Each process handles the conflicts of its own ID.
+// NotifyConflict handles two addresses for one ID. Each process handles only the conflicts of its own ID.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
 	if existing.Name != d.agent.opt.Self.ID {
 		return
@@ -54,50 +55,50 @@
 	}
 }
 
-// NodeMeta returns the metadata that is gossiped with this member's address.
+// NodeMeta returns the metadata that is gossiped with this member's address, limit bytes at most.
 func (d *delegate) NodeMeta(limit int) []byte {
 	m := d.agent.opt.Self
 	m.Leaving = d.agent.isLeaving.Load()
-	text := encodeMeta(m)
-	if len(text) > limit {
-		panic(fmt.Sprintf("the metadata of a member has %d bytes, more than %d", len(text), limit)) // the fleet file bounds its names
+	encoded := encodeMeta(m)
+	if len(encoded) > limit {
+		panic(fmt.Sprintf("gossip: metadata of this member has %d bytes, the limit is %d", len(encoded), limit)) // the fleet file bounds the names in it
 	}
-	return text
+	return encoded
 }
 
-// NotifyMsg takes another member's departure and passes it on if it is news.
-func (d *delegate) NotifyMsg(text []byte) {
-	leaving, err := decodeDeparture(text)
+// NotifyMsg handles the departure of another member and gossips it on if it is news.
+func (d *delegate) NotifyMsg(encoded []byte) {
+	left, err := decodeDeparture(encoded)
 	if err != nil {
 		d.agent.malformed.Add(1)
 		return
 	}
 	d.agent.enqueue(func() {
-		if d.agent.table.HandleLeave(leaving.ID, leaving.Incarnation) {
-			d.agent.departures.QueueBroadcast(leaving)
+		if d.agent.table.HandleLeave(left.ID, left.Incarnation) {
+			d.agent.departures.QueueBroadcast(left)
 		}
 	})
 }
 
-// GetBroadcasts returns the departures that go out with the next datagram.
+// GetBroadcasts returns the departures that are sent with the next datagram.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.agent.departures.GetBroadcasts(overhead, limit)
 }
 
-// LocalState is unused: members exchange nothing but metadata and departures.
+// LocalState returns nothing: members exchange no state other than metadata and departures.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState is unused.
+// MergeRemoteState does nothing, as no member sends a state.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// logWriter takes the library's log: its warnings and errors are counted.
+// logWriter receives the library's log. Warnings and errors are counted and logged at debug level.
 type logWriter struct{ agent *Agent }
 
-// Write takes one line.
-func (fleet *logWriter) Write(text []byte) (int, error) {
-	if bytes.Contains(text, []byte("[ERR]")) || bytes.Contains(text, []byte("[WARN]")) {
-		fleet.agent.malformed.Add(1)
-		fleet.agent.opt.Log.Debug("fleet: gossip library", zap.ByteString("line", bytes.TrimSpace(text)))
+// Write handles one line of the library's log.
+func (w *logWriter) Write(line []byte) (int, error) {
+	if bytes.Contains(line, []byte("[ERR]")) || bytes.Contains(line, []byte("[WARN]")) {
+		w.agent.malformed.Add(1)
+		w.agent.opt.Log.Debug("fleet: log line of the gossip library", zap.ByteString("line", bytes.TrimSpace(line)))
 	}
-	return len(text), nil
+	return len(line), nil
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -67,7 +67,7 @@
 		Transport:         fleet.ports[i],
 		Log:               zap.NewNop(),
 		Now:               fleet.now,
-		Tune:              fleet.tune,
+		OverrideConfig:    fleet.tune,
 	}
 	for s := range min(3, len(fleet.agents)) {
 		opt.Seeds = append(opt.Seeds, memnet.Addr(s))
--- a/internal/fleet/gossip/loop.go
+++ b/internal/fleet/gossip/loop.go
@@ -8,7 +8,7 @@
 	"sabletally/internal/fleet/membership"
 )
 
-// run owns the table until the agent is closed.
+// run advances the table at each heartbeat and event until the agent is closed. Its goroutine alone uses the table.
 func (a *Agent) run() {
 	defer a.goroutines.Done()
 	heartbeat := time.NewTicker(membership.HeartbeatInterval)
@@ -20,11 +20,11 @@
 		case <-a.wake:
 		case <-heartbeat.C:
 		}
-		a.turn()
+		a.runOnce()
 	}
 }
 
-// enqueue hands an event to the table. It never waits, as the library calls with its locks held.
+// enqueue queues an event for the table. It never blocks, as the library calls it with locks held.
 func (a *Agent) enqueue(event func()) {
 	a.mu.Lock()
 	if len(a.events) < maxQueuedEvents {
@@ -39,6 +39,7 @@
 	}
 }
 
+// dequeue removes and returns all queued events, and whether events were dropped since the last call.
 func (a *Agent) dequeue() (events []func(), overflowed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,8 +49,8 @@
 	return events, overflowed
 }
 
-// turn advances the table, hands it all events, and carries out what it decides.
-func (a *Agent) turn() {
+// runOnce advances the table, passes all queued events to it, executes its actions and publishes its view.
+func (a *Agent) runOnce() {
 	now := a.opt.Now()
 	a.table.Tick(now)
 	a.lastTickAt.Store(int64(now))
@@ -66,7 +67,7 @@
 	a.publish()
 }
 
-// synchronize tells the table of all members that the library knows to be alive, and that the others failed.
+// synchronize makes the table agree with the library after events were dropped: the library's members are alive, all others failed.
 func (a *Agent) synchronize() {
 	alive := map[string]bool{}
 	for _, node := range a.memberlist.Members() {
@@ -82,7 +83,7 @@
 	}
 }
 
-// execute carries out one action. What waits for the network runs in a goroutine of its own, whose result is an event.
+// execute executes one action. A network request runs in its own goroutine, and its result becomes an event.
 func (a *Agent) execute(action membership.Action) {
 	switch action.Kind {
 	case membership.Report:
@@ -106,7 +107,7 @@
 	}
 }
 
-// executeAsync runs a request in a goroutine; the function that it returns is the event with its result.
+// executeAsync runs a request in its own goroutine and queues the event that the request returns as its result.
 func (a *Agent) executeAsync(request func() func()) {
 	a.goroutines.Add(1)
 	go func() {
@@ -115,12 +116,13 @@
 	}()
 }
 
-// ping reports whether a member responds at an address.
+// ping reports whether a process with the given member ID responds at an address.
 func (a *Agent) ping(id string, addr netip.AddrPort) bool {
 	_, err := a.memberlist.Ping(id, net.UDPAddrFromAddrPort(addr))
 	return err == nil
 }
 
+// addressOf returns the address of a member; the zero value if the table has no such member.
 func (a *Agent) addressOf(id string) netip.AddrPort {
 	for _, peer := range a.table.Peers() {
 		if peer.ID == id {
--- a/internal/fleet/gossip/meta.go
+++ b/internal/fleet/gossip/meta.go
@@ -11,16 +11,16 @@
 	"sabletally/internal/fleet/node"
 )
 
-// Versions of the protocol between members that this program speaks.
+// Newest and oldest version of the protocol between members that this program supports.
 const (
 	ProtocolVersion    = node.ProtocolVersion
 	MinProtocolVersion = 1
 )
 
-const memberIDDigits = 32
+const memberIDDigits = 32 // hexadecimal digits of a member ID
 
-// metadata is gossiped with a member's address. Its size is limited to 512 bytes by the library, which names of 64 bytes keep to. The JSON
-// names are the wire form.
+// metadata is gossiped with a member's address. The library limits it to 512 bytes, which is enough for names of up to 64 bytes. The JSON
+// names are part of the wire format.
 type metadata struct {
 	Name               string `json:"n"`
 	Machine            string `json:"m"`
@@ -32,6 +32,7 @@
 	Leaving            bool   `json:"g,omitempty"`
 }
 
+// encodeMeta encodes the metadata of a member.
 func encodeMeta(m membership.Member) []byte {
 	return mustMarshal(metadata{
 		Name:               m.Name,
@@ -45,27 +46,28 @@
 	})
 }
 
-// mustMarshal encodes a value of a type that can always be encoded.
+// mustMarshal encodes a value whose type can always be encoded as JSON.
 func mustMarshal(v any) []byte {
-	text, err := json.Marshal(v)
+	encoded, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
-	return text
+	return encoded
 }
 
-// decodeMember returns the member that the library knows as a node. It is an error that the protocol versions do not overlap.
+// decodeMember decodes a member from the library's node. It returns an error if the member's protocol versions do not overlap with this
+// program's.
 func decodeMember(node *memberlist.Node) (membership.Member, error) {
 	var meta metadata
 	if err := json.Unmarshal(node.Meta, &meta); err != nil {
-		return membership.Member{}, fmt.Errorf("member %s: %w", node.Name, err)
+		return membership.Member{}, fmt.Errorf("malformed metadata of member %s: %w", node.Name, err)
 	}
 	addr, ok := netip.AddrFromSlice(node.Addr)
 	if !ok || len(node.Name) != memberIDDigits || meta.Name == "" {
-		return membership.Member{}, fmt.Errorf("member %q at %v has no name or address", node.Name, node.Addr)
+		return membership.Member{}, fmt.Errorf("member with ID %q at %v: ID or address is malformed, or name is empty", node.Name, node.Addr)
 	}
 	if meta.MinProtocolVersion > ProtocolVersion || meta.ProtocolVersion < MinProtocolVersion {
-		return membership.Member{}, fmt.Errorf("member %s (%s) speaks protocol versions %d to %d, this one %d to %d", node.Name, meta.Name,
+		return membership.Member{}, fmt.Errorf("member %s (%s) supports protocol versions %d to %d, this program %d to %d", node.Name, meta.Name,
 			meta.MinProtocolVersion, meta.ProtocolVersion, MinProtocolVersion, ProtocolVersion)
 	}
 	return membership.Member{
@@ -82,20 +84,21 @@
 	}, nil
 }
 
-// departure announces that a member leaves, with the incarnation that ends. The library's own announcement does not reach all members as
-// one. It is a memberlist.Broadcast. The JSON names are the wire form.
+// departure announces that a member leaves, with the incarnation that ends. It is sent beside the library's own announcement, which some
+// members receive only as a failure. It is a memberlist.Broadcast. The JSON names are part of the wire format.
 type departure struct {
 	ID          string `json:"bye"`
 	Incarnation uint64 `json:"l"`
 }
 
-func decodeDeparture(text []byte) (departure, error) {
+// decodeDeparture decodes and checks a departure.
+func decodeDeparture(encoded []byte) (departure, error) {
 	var d departure
-	if err := json.Unmarshal(text, &d); err != nil {
+	if err := json.Unmarshal(encoded, &d); err != nil {
 		return departure{}, err
 	}
 	if len(d.ID) != memberIDDigits || d.Incarnation == 0 {
-		return departure{}, fmt.Errorf("%q is no departure of a member", text)
+		return departure{}, fmt.Errorf("malformed departure %q: no valid member ID or incarnation", encoded)
 	}
 	return d, nil
 }
@@ -103,11 +106,11 @@
 // Message encodes the departure.
 func (d departure) Message() []byte { return mustMarshal(d) }
 
-// Invalidates reports whether the departure replaces another one.
+// Invalidates reports whether the departure supersedes another broadcast in the queue: one of the same member and no later incarnation.
 func (d departure) Invalidates(other memberlist.Broadcast) bool {
 	o, ok := other.(departure)
 	return ok && o.ID == d.ID && o.Incarnation <= d.Incarnation
 }
 
-// Finished does nothing: nobody waits for the end of a broadcast.
+// Finished does nothing, as no caller waits for the end of a broadcast.
 func (d departure) Finished() {}
--- a/internal/fleet/gossip/stream.go
+++ b/internal/fleet/gossip/stream.go
@@ -7,41 +7,42 @@
 	"sync/atomic"
 )
 
-// stream is a connection that ends with the transport. One that another member opened gives its place back when it is closed.
+// stream is a connection that is closed when the transport ends. A stream that the other side opened counts against a limit until it is closed.
 type stream struct {
 	net.Conn
-	stopWatching func() bool
+	stopWatching func() bool // cancels the closing of the connection at the end of the transport
 	closeOnce    sync.Once
-	count        *atomic.Int64 // of the streams of its kind; nil for one that this member opened
+	kindCount    *atomic.Int64 // number of open streams of its kind; nil if this member opened the stream
 
-	first  [1]byte // was read to learn the kind
-	unread int     // bytes of first that Read still has to return
+	firstByte   [1]byte // first byte of the stream, which was read to identify its kind
+	unreadBytes int     // number of bytes of firstByte that Read has not returned yet
 }
 
-func (t *Transport) newStream(conn net.Conn, count *atomic.Int64) *stream {
-	closeConn := func() { _ = conn.Close() } // whoever uses it gets the error
-	return &stream{Conn: conn, count: count, stopWatching: context.AfterFunc(t.ctx, closeConn)}
+// newStream returns a stream that is closed when the transport ends. kindCount is decremented at its close, unless it is nil.
+func (t *Transport) newStream(conn net.Conn, kindCount *atomic.Int64) *stream {
+	closeConn := func() { _ = conn.Close() } // the user of the connection gets the error
+	return &stream{Conn: conn, kindCount: kindCount, stopWatching: context.AfterFunc(t.ctx, closeConn)}
 }
 
-// Unwrap returns the connection itself.
+// Unwrap returns the underlying connection.
 func (s *stream) Unwrap() net.Conn { return s.Conn }
 
-// Read reads what arrives, the first byte included.
+// Read reads from the connection, including the first byte that was read before.
 func (s *stream) Read(b []byte) (int, error) {
-	if s.unread > 0 && len(b) > 0 {
-		s.unread = 0
-		b[0] = s.first[0]
+	if s.unreadBytes > 0 && len(b) > 0 {
+		s.unreadBytes = 0
+		b[0] = s.firstByte[0]
 		return 1, nil
 	}
 	return s.Conn.Read(b)
 }
 
-// Close closes the connection.
+// Close closes the connection and frees its place among the streams of its kind.
 func (s *stream) Close() error {
 	s.closeOnce.Do(func() {
 		s.stopWatching()
-		if s.count != nil {
-			s.count.Add(-1)
+		if s.kindCount != nil {
+			s.kindCount.Add(-1)
 		}
 	})
 	return s.Conn.Close()
