--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,10 +11,10 @@
 	"sabletally/policy"
 )
 
-// maxResponseBytes bounds a response.
+// maxResponseBytes limits how much of a response is read.
 const maxResponseBytes = 16 << 20
 
-// Endpoint is one line of the list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	UID           string
 	Address       string
@@ -23,29 +23,29 @@
 	MachineType   string
 	State         policy.EndpointState
 	Weight        float64
-	StartedAt     time.Time // zero if long ago
+	StartedAt     time.Time // start of its process; zero means long ago
 }
 
-// List is one response: the complete list, or what has changed since an earlier revision.
+// List is the content of one response: the complete list, or the entries that changed since an earlier revision.
 type List struct {
 	Revision  uint64
-	Complete  bool
+	Complete  bool // Endpoints holds all endpoints, not only those that changed
 	Endpoints []Endpoint
 }
 
-// stateByName maps the states of the protocol.
+// stateByName maps the names of states in responses to states.
 var stateByName = map[string]policy.EndpointState{
 	"in_service": policy.Ready, "terminating": policy.Draining, "terminated": policy.Removed,
 }
 
-// listDocument is a response as discovery writes it.
+// listDocument is the JSON form of a response.
 type listDocument struct {
 	Revision  *uint64            `json:"rev"`
 	Complete  *bool              `json:"all"`
 	Endpoints []endpointDocument `json:"targets"`
 }
 
-// endpointDocument is one line of a response.
+// endpointDocument is the JSON form of one entry of a response.
 type endpointDocument struct {
 	UID           string   `json:"uid"`
 	Address       string   `json:"endpoint"`
@@ -57,58 +57,72 @@
 	StartedMs     int64    `json:"boot_ms"`
 }
 
-// Encode returns a list as discovery writes it, in the order of the UIDs.
+// Encode encodes a list in the form of a response, sorted by UID.
 func Encode(l List) []byte {
 	out := listDocument{Revision: &l.Revision, Complete: &l.Complete, Endpoints: []endpointDocument{}}
-	for _, s := range l.Endpoints {
-		t := endpointDocument{UID: s.UID, Address: s.Address, Zone: s.Zone, FailureDomain: s.FailureDomain, MachineType: s.MachineType, Weight: &s.Weight}
+	for _, endpoint := range l.Endpoints {
+		document := endpointDocument{
+			UID:           endpoint.UID,
+			Address:       endpoint.Address,
+			Zone:          endpoint.Zone,
+			FailureDomain: endpoint.FailureDomain,
+			MachineType:   endpoint.MachineType,
+			Weight:        &endpoint.Weight,
+		}
 		for name, state := range stateByName {
-			if state == s.State {
-				t.State = name
+			if state == endpoint.State {
+				document.State = name
 			}
 		}
-		if !s.StartedAt.IsZero() {
-			t.StartedMs = s.StartedAt.UnixMilli()
+		if !endpoint.StartedAt.IsZero() {
+			document.StartedMs = endpoint.StartedAt.UnixMilli()
 		}
-		out.Endpoints = append(out.Endpoints, t)
+		out.Endpoints = append(out.Endpoints, document)
 	}
 	slices.SortFunc(out.Endpoints, func(a, b endpointDocument) int { return strings.Compare(a.UID, b.UID) })
-	text, err := json.Marshal(out)
+	encoded, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // it holds plain values only
+		panic(err) // every value of the document can be encoded
 	}
-	return text
+	return encoded
 }
 
-// Decode decodes a response; one that is wrong anywhere is an error as a whole.
-func Decode(text []byte) (List, error) {
+// Decode decodes a response. If any entry is malformed, it returns an error and no list.
+func Decode(encoded []byte) (List, error) {
 	var in listDocument
-	if err := json.Unmarshal(text, &in); err != nil {
+	if err := json.Unmarshal(encoded, &in); err != nil {
 		return List{}, err
 	}
 	if in.Revision == nil || in.Complete == nil {
 		return List{}, errors.New("rev or all is missing")
 	}
 	l := List{Revision: *in.Revision, Complete: *in.Complete}
-	for i, t := range in.Endpoints {
-		s := Endpoint{UID: t.UID, Address: t.Address, Zone: t.Zone, FailureDomain: t.FailureDomain, MachineType: t.MachineType, Weight: 1}
-		state, known := stateByName[t.State]
+	for i, document := range in.Endpoints {
+		endpoint := Endpoint{
+			UID:           document.UID,
+			Address:       document.Address,
+			Zone:          document.Zone,
+			FailureDomain: document.FailureDomain,
+			MachineType:   document.MachineType,
+			Weight:        1,
+		}
+		state, isKnown := stateByName[document.State]
 		switch {
-		case t.UID == "":
+		case document.UID == "":
 			return List{}, fmt.Errorf("targets[%d].uid is missing", i)
-		case !known:
-			return List{}, fmt.Errorf("targets[%d].state %q is not known", i, t.State)
-		case t.Address == "" && state != policy.Removed:
+		case !isKnown:
+			return List{}, fmt.Errorf("targets[%d].state %q is not known", i, document.State)
+		case document.Address == "" && state != policy.Removed:
 			return List{}, fmt.Errorf("targets[%d].endpoint is missing", i)
 		}
-		s.State = state
-		if t.Weight != nil && *t.Weight > 0 {
-			s.Weight = *t.Weight
+		endpoint.State = state
+		if document.Weight != nil && *document.Weight > 0 {
+			endpoint.Weight = *document.Weight
 		}
-		if t.StartedMs != 0 {
-			s.StartedAt = time.UnixMilli(t.StartedMs)
+		if document.StartedMs != 0 {
+			endpoint.StartedAt = time.UnixMilli(document.StartedMs)
 		}
-		l.Endpoints = append(l.Endpoints, s)
+		l.Endpoints = append(l.Endpoints, endpoint)
 	}
 	return l, nil
 }
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -11,82 +11,82 @@
 
 const endpointsPath = "/v1/endpoints"
 
-// errOverloaded is the error of a request that discovery rejected after a wait.
-var errOverloaded = errors.New("discovery has no time")
+// errOverloaded is the error of a request that discovery rejected after a wait, which shows that it is overloaded.
+var errOverloaded = errors.New("discovery is overloaded")
 
-// invalidResponseError is the error of a response that can't be used.
+// invalidResponseError is the error of a response that is no endpoint list: changes may have been missed.
 type invalidResponseError struct{ error }
 
-// response is what a request brought.
-type response struct {
+// fetchResult is the result of one request.
+type fetchResult struct {
 	list List
 	err  error
 }
 
-// next requests the complete list, or the changes since the newest one, waiting for them up to hold. A request that is
-// late (its connection is silent, or it waits on a discovery that was down) is repeated beside the first one: at a shared
-// discovery once, and not sooner than a turn. The first response ends both.
-func (w *Watch) next(ctx context.Context, hold, turn time.Duration) (List, error) {
-	path, repeatPath := endpointsPath, endpointsPath
+// fetch requests the complete list, or the changes since the newest one, for which it waits up to hold. If the request is late (its
+// connection is silent, or discovery was down when it was sent), it is hedged: an agent gets further requests until it answers one,
+// a shared discovery gets one, a retry interval after the first at the earliest. The first response ends all requests.
+func (w *Watch) fetch(ctx context.Context, hold, retryInterval time.Duration) (List, error) {
+	path, hedgePath := endpointsPath, endpointsPath
 	if w.hasList {
 		path = fmt.Sprintf("%s?from=%d&hold_ms=%d", endpointsPath, w.revision, hold.Milliseconds())
 		if w.shared {
-			repeatPath = fmt.Sprintf("%s?from=%d&hold_ms=0", endpointsPath, w.revision)
+			hedgePath = fmt.Sprintf("%s?from=%d&hold_ms=0", endpointsPath, w.revision)
 		}
 	} else {
 		hold = 0
 	}
-	lateAfter := hold + w.lateAfter
+	hedgeDelay := hold + w.hedgeDelay
 	timeout := hold + responseTimeout
 	if w.shared {
-		lateAfter = max(lateAfter, turn)
-		if w.turn < maxTurn { // few balancers can ask sooner, but have to hear a slow response too
-			turn = maxTurn
+		hedgeDelay = max(hedgeDelay, retryInterval)
+		if w.retryInterval < maxRetryInterval { // a few balancers may send requests sooner, but must still wait for a slow response
+			retryInterval = maxRetryInterval
 		}
-		timeout = lateAfter + turn
+		timeout = hedgeDelay + retryInterval
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	responses := make(chan response, 2)
+	responses := make(chan fetchResult, 2)
 	go func() {
-		list, err := w.request(ctx, path, timeout)
-		responses <- response{list, err}
+		list, err := w.doRequest(ctx, path, timeout)
+		responses <- fetchResult{list, err}
 	}()
-	late := time.NewTimer(lateAfter)
-	defer late.Stop()
+	hedgeTimer := time.NewTimer(hedgeDelay)
+	defer hedgeTimer.Stop()
 	select {
 	case r := <-responses:
 		return r.list, r.err
-	case <-late.C:
-	case <-w.refresh:
+	case <-hedgeTimer.C:
+	case <-w.refreshRequests:
 	}
 	w.lastRequestAt = time.Now()
-	go w.repeat(ctx, repeatPath, turn, responses)
+	go w.sendHedge(ctx, hedgePath, retryInterval, responses)
 	r := <-responses
-	if r.err != nil && w.shared { // the first request is reset when the network is back
+	if r.err != nil && w.shared { // the first request may only have been reset as the network came back: wait for the other one
 		r = <-responses
 	}
 	return r.list, r.err
 }
 
-// repeat makes a request beside a late one; an agent is asked until it answers.
-func (w *Watch) repeat(ctx context.Context, path string, timeout time.Duration, responses chan<- response) {
+// sendHedge sends a request beside a late one: one to a shared discovery, or one after another to an agent until it answers.
+func (w *Watch) sendHedge(ctx context.Context, path string, timeout time.Duration, responses chan<- fetchResult) {
 	if w.shared {
-		list, err := w.request(ctx, path, timeout)
-		responses <- response{list, err}
+		list, err := w.doRequest(ctx, path, timeout)
+		responses <- fetchResult{list, err}
 		return
 	}
 	for ; ctx.Err() == nil; sleepRandom(ctx, agentRetryPause) {
-		list, err := w.request(ctx, path, agentRetryTimeout)
+		list, err := w.doRequest(ctx, path, agentRetryTimeout)
 		if err == nil {
-			responses <- response{list, nil}
+			responses <- fetchResult{list, nil}
 			return
 		}
 	}
 }
 
-// request makes one request and decodes its response.
-func (w *Watch) request(ctx context.Context, path string, timeout time.Duration) (List, error) {
+// doRequest sends one request and decodes its response.
+func (w *Watch) doRequest(ctx context.Context, path string, timeout time.Duration) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.address+path, nil)
@@ -99,23 +99,23 @@
 		return List{}, err
 	}
 	defer func() { _ = res.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return List{}, err
 	}
-	if res.StatusCode >= http.StatusInternalServerError { // nothing is missed: the next request goes on from the same list
-		err := fmt.Errorf("discovery answers %s", res.Status)
-		if time.Since(sentAt) >= sharedLateAfter { // a request that is rejected at once takes nobody's time
+	if res.StatusCode >= http.StatusInternalServerError { // no change was missed: the next request continues from the same list
+		err := fmt.Errorf("discovery responded with status %s", res.Status)
+		if time.Since(sentAt) >= sharedHedgeDelay { // a rejection at once costs discovery no time and is no sign of overload
 			err = fmt.Errorf("%w: %w", errOverloaded, err)
 		}
 		return List{}, err
 	}
 	if res.StatusCode != http.StatusOK {
-		return List{}, &invalidResponseError{fmt.Errorf("discovery answers %s", res.Status)}
+		return List{}, &invalidResponseError{fmt.Errorf("discovery responded with status %s", res.Status)}
 	}
-	list, err := Decode(text)
+	list, err := Decode(body)
 	if err != nil {
-		return List{}, &invalidResponseError{fmt.Errorf("discovery: %w", err)}
+		return List{}, &invalidResponseError{fmt.Errorf("malformed endpoint list from discovery: %w", err)}
 	}
 	return list, nil
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -79,16 +79,16 @@
 func TestOnlyASharedDiscoveryIsAskedMoreSeldomByMany(t *testing.T) {
 	few, many, shared, huge := New("", 2, false, nil, nil), New("", 80, false, nil, nil), New("", 80, true, nil, nil), New("", 1e5, true, nil, nil)
 	for _, w := range []*Watch{few, many} {
-		if w.hold > time.Second || w.hold+w.lateAfter > 1500*time.Millisecond || responseTimeout >= 2*time.Second || w.maxBackoff > 250*time.Millisecond || w.maxStartDelay > 0 {
+		if w.hold > time.Second || w.hold+w.hedgeDelay > 1500*time.Millisecond || responseTimeout >= 2*time.Second || w.maxBackoff > 250*time.Millisecond || w.maxStartDelay > 0 {
 			t.Errorf("%+v", w)
 		}
 	}
-	if shared.hold != 40*time.Second || shared.lateAfter > time.Second || huge.hold != sharedMaxHold {
+	if shared.hold != 40*time.Second || shared.hedgeDelay > time.Second || huge.hold != sharedMaxHold {
 		t.Errorf("%+v, %+v", shared, huge)
 	}
 	for among, w := range map[int]*Watch{2: New("", 2, true, nil, nil), 35: New("", 35, true, nil, nil), 80: shared, 1e5: huge} {
 		// Two turns fit nowhere into the 6 s of one: what is asked a turn after discovery's return has over a second for its answer.
-		if w.maxStartDelay >= 3500*time.Millisecond || w.turn > 4800*time.Millisecond || w.round > 10*time.Second || among >= 12 && w.turn < 4*time.Second {
+		if w.maxStartDelay >= 3500*time.Millisecond || w.retryInterval > 4800*time.Millisecond || w.round > 10*time.Second || among >= 12 && w.retryInterval < 4*time.Second {
 			t.Errorf("%d: %+v", among, w)
 		}
 		if w.StartFrom(known); w.maxStartDelay >= 5*time.Second {
