--- a/internal/loadgossip/codec.go
+++ b/internal/loadgossip/codec.go
@@ -1,6 +1,6 @@
 // Package loadgossip carries the load messages that balancers exchange. It owns their encoding, which is the
-// same in the simulator and on sockets, and the datagrams on sockets. It must never act on the contents of a
-// message, wait for one or send one twice: messages come late or never, and policy does not rely on any.
+// same in the simulator and over UDP, and the UDP sockets. It must never act on the contents of a message, wait
+// for a message or send one again: messages may arrive late or not at all, and policy relies on none of them.
 package loadgossip
 
 import (
@@ -11,25 +11,25 @@
 	"sabletally/policy"
 )
 
-// MaxDatagramSize bounds the length of a datagram in bytes.
+// MaxDatagramSize is the largest size of a datagram in bytes.
 const MaxDatagramSize = 256
 
-// A datagram is a header and one byte for each endpoint. The header holds, in little-endian order, the version
-// hash (uint32), the offset (uint16) and the unit of load (float32). A byte holds a load in units and, in its
-// highest bit, whether the endpoint is overloaded.
+// A datagram consists of a header and one byte for each endpoint. The header holds, in little-endian order, the
+// version hash (uint32), the offset (uint16) and the unit of load (float32). Each byte holds the load of an
+// endpoint in that unit and, in its highest bit, whether the endpoint is overloaded.
 const (
-	headerSize    = 10
-	maxLoads      = 240 // endpoints in one datagram
-	maxUnits      = 127 // of one load: the largest load of a datagram
-	overloadedBit = 0x80
+	headerSize    = 10   // bytes
+	maxLoads      = 240  // largest number of endpoints in one datagram
+	maxUnits      = 127  // largest load in units; the unit is chosen so that the largest load of a datagram has this value
+	overloadedBit = 0x80 // bit of a load byte: the endpoint is overloaded
 )
 
 var (
-	errLength = errors.New("load message of impossible length")
-	errUnit   = errors.New("load message whose unit of load is not a finite number of at least 0")
+	errLength = errors.New("load message: length of the datagram is out of range")
+	errUnit   = errors.New("load message: unit of load is negative or not a finite number")
 )
 
-// Encode returns the datagrams of a message, as many as its loads need and at least one.
+// Encode encodes a message as datagrams, as many as its loads need and at least one.
 func Encode(message policy.GossipMessage) [][]byte {
 	var datagrams [][]byte
 	for from := 0; from < max(len(message.Loads), 1); from += maxLoads {
@@ -44,7 +44,7 @@
 	return datagrams
 }
 
-// encodePart encodes a message of maxLoads loads at most.
+// encodePart encodes a message with at most maxLoads loads as one datagram.
 func encodePart(message policy.GossipMessage) []byte {
 	unit := float32(0)
 	for _, load := range message.Loads {
@@ -67,7 +67,7 @@
 	return datagram
 }
 
-// Decode reads one datagram. It returns an error for bytes that Encode cannot have written.
+// Decode decodes one datagram. It returns an error for bytes that Encode cannot have produced.
 func Decode(datagram []byte) (policy.GossipMessage, error) {
 	if len(datagram) < headerSize || len(datagram) > headerSize+maxLoads {
 		return policy.GossipMessage{}, errLength
