--- a/internal/fleet/membership/bench_test.go
+++ b/internal/fleet/membership/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// measureCPU starts a measurement. The function that it returns ends it, and reports and returns the CPU time of one operation in ns, garbage
-// collection included: on a shared machine the wall clock says less.
+// measureCPU starts a measurement. The returned function ends it and reports and returns the CPU time of one operation in ns, garbage
+// collection included. On a shared machine the wall clock is less meaningful.
 func measureCPU(b *testing.B) func() float64 {
 	cpuTime := func() time.Duration {
 		var u syscall.Rusage
@@ -29,10 +29,10 @@
 	}
 }
 
-// scales are the fleet sizes at which docs/CAPACITY.md takes its points.
-var scales = []int{17, 100, 300, 1000, 2300, 4600}
+// fleetSizes are the fleet sizes for which docs/CAPACITY.md gives figures.
+var fleetSizes = []int{17, 100, 300, 1000, 2300, 4600}
 
-// fullTable makes the table of member 0 with all of a fleet of n alive, and returns the bytes that it uses.
+// fullTable returns the table of member 0 in a fleet of n members that are all alive, and the heap bytes that it uses.
 func fullTable(n int) (*Table, uint64) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -48,9 +48,9 @@
 	return table, after.HeapAlloc - min(before.HeapAlloc, after.HeapAlloc)
 }
 
-// BenchmarkHeartbeat is what the gossip agent does with the table ten times a second: a tick, then the list of all members.
+// BenchmarkHeartbeat measures what the gossip agent does with the table ten times a second: a tick, then listing all members.
 func BenchmarkHeartbeat(b *testing.B) {
-	for _, n := range scales {
+	for _, n := range fleetSizes {
 		table, heapBytes := fullTable(n)
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			done := measureCPU(b)
@@ -58,19 +58,19 @@
 				table.Tick(table.now + HeartbeatInterval)
 				table.drain()
 				if len(table.Peers()) != n-1 {
-					b.Fatal("members are missing")
+					b.Fatal("some members are not listed")
 				}
 			}
-			per := done()
-			b.ReportMetric(per/float64(HeartbeatInterval)*100, "%core")
+			cpuTime := done()
+			b.ReportMetric(cpuTime/float64(HeartbeatInterval)*100, "%core")
 			b.ReportMetric(float64(heapBytes), "heap-B")
 		})
 	}
 }
 
-// BenchmarkRestart is one member that fails and comes back.
+// BenchmarkRestart measures the failure and return of one member.
 func BenchmarkRestart(b *testing.B) {
-	for _, n := range scales {
+	for _, n := range fleetSizes {
 		table, _ := fullTable(n)
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			done := measureCPU(b)
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// TestDecisionsMatchTheGoldenDigest draws events from fixed seeds and compares the digests of a table's actions and standings with those of
-// an earlier build.
+// TestDecisionsMatchTheGoldenDigest guards against an unintended change of the table's decisions. It draws events from fixed seeds and
+// compares the digests of the table's actions and standings with those of an earlier build.
 func TestDecisionsMatchTheGoldenDigest(t *testing.T) {
 	got := ""
 	for seed := uint64(1); seed <= 4; seed++ {
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	if got != string(golden) {
-		t.Errorf("got\n%swant\n%s", got, golden)
+		t.Errorf("digests of the decisions are\n%swant\n%s", got, golden)
 	}
 }
 
-// decisionRun draws events for the table of member 0 among twelve members, some of which share an address or a machine.
+// decisionRun drives the table of member 0 with random events of twelve members, some of which share an address or a machine.
 type decisionRun struct {
 	rng     *rand.Rand
 	table   *Table
@@ -39,7 +39,7 @@
 
 const decisionMembers = 12
 
-// seededDecisions runs 6,000 heartbeats.
+// seededDecisions runs 6,000 heartbeats and returns the digest and the number of the table's actions.
 func seededDecisions(seed uint64) (digest uint64, actions int) {
 	const heartbeats = 6000
 	run := &decisionRun{rng: rand.New(rand.NewPCG(seed, 99)), digest: fnv.New64a()}
@@ -55,8 +55,10 @@
 	return run.digest.Sum64(), run.actions
 }
 
+// write adds values to the digest.
 func (r *decisionRun) write(values ...any) { _, _ = fmt.Fprintln(r.digest, values...) }
 
+// member returns member i with a random incarnation and leaving state.
 func (r *decisionRun) member(i int) Member {
 	return Member{
 		ID:                 fmt.Sprintf("%032x", i+1),
@@ -72,7 +74,7 @@
 	}
 }
 
-// heartbeat draws at most one event, ticks, and answers all actions.
+// heartbeat draws at most one event, ticks, and returns a random result for each action.
 func (r *decisionRun) heartbeat() {
 	r.now += HeartbeatInterval
 	if r.rng.IntN(400) == 0 {
@@ -95,6 +97,7 @@
 	}
 }
 
+// drawEvent passes one random event, or none, to the table.
 func (r *decisionRun) drawEvent() {
 	other := r.member(1 + r.rng.IntN(decisionMembers-1))
 	switch r.rng.IntN(40) {
@@ -109,6 +112,7 @@
 	}
 }
 
+// answer returns a random result for an action to the table.
 func (r *decisionRun) answer(action Action) {
 	switch action.Kind {
 	case Join:
--- a/internal/fleet/membership/join.go
+++ b/internal/fleet/membership/join.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	joinIntervalAlone = time.Second     // time between two joins while no other member is alive
+	joinIntervalAlone = time.Second     // time between two joins of one address while no other member is alive; also the shortest backoff
 	joinInterval      = 5 * time.Second // time between two joins while some members are alive and others have failed
 	maxJoinBackoff    = time.Minute     // longest backoff between two joins of one address
 )
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -12,6 +12,7 @@
 
 const second = time.Second
 
+// member returns member i of the tests.
 func member(i int) Member {
 	return Member{ID: fmt.Sprintf("%032d", i), Name: fmt.Sprintf("n%d", i), Addr: address(i), Machine: fmt.Sprintf("m%d", i), Incarnation: 1}
 }
@@ -20,7 +21,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 }
 
-// newTable makes the table of member 0, with seeds 0 to 2.
+// newTable returns the table of member 0 with the members 0 to 2 as seeds.
 func newTable(maxMembers int) *Table {
 	return New(Config{
 		Self:              member(0),
@@ -32,7 +33,7 @@
 	}, 0)
 }
 
-// runUntil ticks until a time and returns all actions.
+// runUntil ticks until a time and returns all actions of the table.
 func (t *Table) runUntil(until time.Duration) (all []Action) {
 	for t.now < until {
 		t.Tick(t.now + HeartbeatInterval)
@@ -41,6 +42,7 @@
 	return all
 }
 
+// drain removes and returns all pending actions.
 func (t *Table) drain() (all []Action) {
 	for a, more := t.NextAction(); more; a, more = t.NextAction() {
 		all = append(all, a)
@@ -48,6 +50,7 @@
 	return all
 }
 
+// eventKinds returns the kinds of the reported events among some actions.
 func eventKinds(all []Action) (kinds []EventKind) {
 	for _, a := range all {
 		if a.Kind == Report {
@@ -57,7 +60,8 @@
 	return kinds
 }
 
-// TestResumedProcessNeedsMajority pauses one of five for five seconds: it relies on nothing until a majority responded.
+// TestResumedProcessNeedsMajority guards against a member that relies on its view after a pause, in which the others may have continued
+// without it. It pauses one of five members for five seconds: its standing is Resuming until a majority has responded.
 func TestResumedProcessNeedsMajority(t *testing.T) {
 	table := newTable(100)
 	for i := 1; i < 5; i++ {
@@ -67,7 +71,7 @@
 	if got := table.Standing(2 * second); got != Quorum {
 		t.Fatal(got)
 	}
-	if got := table.Standing(2*second + StallThreshold + 1); got != Resuming { // no tick has come yet
+	if got := table.Standing(2*second + StallThreshold + 1); got != Resuming { // before the first tick after the pause
 		t.Fatal(got)
 	}
 	table.Tick(7 * second)
@@ -81,7 +85,7 @@
 		t.Fatal(pinged, table.Standing(7*second))
 	}
 	table.HandlePingResult(member(1).ID, true)
-	table.HandlePingResult(member(1).ID, true) // counted once
+	table.HandlePingResult(member(1).ID, true) // a second response of one member does not count
 	table.HandlePingResult(member(2).ID, false)
 	if got := table.Standing(7 * second); got != Resuming {
 		t.Fatal(got)
@@ -93,7 +97,7 @@
 	table.Tick(20 * second)
 	table.drain()
 	pings := 0
-	for _, a := range table.runUntil(23 * second) { // nobody responds
+	for _, a := range table.runUntil(23 * second) { // no member responds
 		if a.Kind == Ping {
 			pings++
 		}
@@ -109,19 +113,20 @@
 	}
 }
 
-// TestQuorumNeedsMajority loses four of five members one by one; one that left does not count any more.
+// TestQuorumNeedsMajority guards against a quorum without a majority. It loses four of five members one by one: members that failed still
+// count towards the size of the fleet, members that left do not. A departure that arrives late must not end a later incarnation.
 func TestQuorumNeedsMajority(t *testing.T) {
-	for left, want := range map[bool][]Standing{false: {Quorum, Quorum, NoQuorum, NoQuorum}, true: {Quorum, Quorum, Quorum, Quorum}} {
+	for announced, want := range map[bool][]Standing{false: {Quorum, Quorum, NoQuorum, NoQuorum}, true: {Quorum, Quorum, Quorum, Quorum}} {
 		table := newTable(100)
 		for i := 1; i < 5; i++ {
 			table.HandleAlive(member(i))
 		}
 		for i := 1; i < 5; i++ {
-			if table.HandleFailure(member(i).ID); left && !table.HandleLeave(member(i).ID, 1) {
-				t.Error("the departure of a member is no news")
+			if table.HandleFailure(member(i).ID); announced && !table.HandleLeave(member(i).ID, 1) {
+				t.Error("the departure of a failed member was not reported as news")
 			}
 			if got := table.Standing(0); got != want[i-1] {
-				t.Errorf("%d lost, left %v: %v", i, left, got)
+				t.Errorf("%d members lost, departures announced %v: unexpected standing %v", i, announced, got)
 			}
 		}
 	}
@@ -136,10 +141,11 @@
 	}
 }
 
-// TestJoinsGoToSeedsAndFailedMembers counts joins: of seeds until a member is alive there, then of failed members, with a growing backoff.
+// TestJoinsGoToSeedsAndFailedMembers guards against partitions that never merge and against joins without a backoff. It counts joins: of the
+// seeds until a member is alive there, then of failed members with a growing backoff until they are forgotten.
 func TestJoinsGoToSeedsAndFailedMembers(t *testing.T) {
 	table := newTable(100)
-	joins := func(actions []Action) map[netip.AddrPort]int {
+	joinsIn := func(actions []Action) map[netip.AddrPort]int {
 		n := map[netip.AddrPort]int{}
 		for _, a := range actions {
 			if a.Kind == Join {
@@ -148,36 +154,37 @@
 		}
 		return n
 	}
-	play := func(until time.Duration) map[netip.AddrPort]int {
+	countJoins := func(until time.Duration) map[netip.AddrPort]int {
 		n := map[netip.AddrPort]int{}
 		for table.now < until {
-			for a, k := range joins(table.runUntil(table.now + HeartbeatInterval)) {
-				n[a] += k
-				table.HandleJoinResult(a, false)
+			for addr, count := range joinsIn(table.runUntil(table.now + HeartbeatInterval)) {
+				n[addr] += count
+				table.HandleJoinResult(addr, false)
 			}
 		}
 		return n
 	}
-	if n := play(10 * second); n[address(0)] != 0 || n[address(1)] < 2 || n[address(2)] < 2 {
-		t.Errorf("alone: %v", n)
+	if n := countJoins(10 * second); n[address(0)] != 0 || n[address(1)] < 2 || n[address(2)] < 2 {
+		t.Errorf("joins while no other member is alive: %v", n)
 	}
 	table.HandleAlive(member(1))
 	table.HandleAlive(member(2))
 	table.HandleAlive(member(7))
-	if n := play(60 * second); len(n) != 0 {
-		t.Errorf("all are alive: %v", n)
+	if n := countJoins(60 * second); len(n) != 0 {
+		t.Errorf("joins while all members are alive: %v", n)
 	}
 	table.HandleFailure(member(7).ID)
-	first, late := play(120*second), play(30*time.Minute)
+	first, late := countJoins(120*second), countJoins(30*time.Minute)
 	if first[address(7)] < 4 || first[address(7)] > 12 || late[address(7)] < 20 || late[address(7)] > 60 {
-		t.Errorf("%v, then %v", first, late)
+		t.Errorf("joins in the first minute after a failure: %v, until minute 30: %v", first, late)
 	}
-	if n := play(3 * time.Hour); len(table.peers) != 2 || n[address(7)] > 60 {
-		t.Errorf("a member that was forgotten is still joined: %v", n)
+	if n := countJoins(3 * time.Hour); len(table.peers) != 2 || n[address(7)] > 60 {
+		t.Errorf("failed member was not forgotten, or is joined too often: %v", n)
 	}
 }
 
-// TestReportedEvents has members that join, restart, flap and lose their data directories, and fewer machines than replicas.
+// TestReportedEvents guards against missing and repeated events in the operators' log. Members join, restart, flap and lose their data
+// directories, until fewer machines than replicas are alive.
 func TestReportedEvents(t *testing.T) {
 	table := newTable(100)
 	a, b := member(1), member(2)
@@ -199,7 +206,7 @@
 	b2 := member(9)
 	b2.Addr, b2.Machine = b.Addr, b.Machine
 	table.HandleAlive(b2)
-	if got := eventKinds(table.drain()); !slices.Equal(got, []EventKind{MemberJoined}) { // not yet known which of the two is alive
+	if got := eventKinds(table.drain()); !slices.Equal(got, []EventKind{MemberJoined}) { // it is not known yet which of the two members is alive
 		t.Error(got)
 	}
 	table.HandleFailure(b.ID)
@@ -207,7 +214,7 @@
 		t.Error(got)
 	}
 	table.HandleFailure(b2.ID)
-	if got := table.Standing(0); got != Quorum { // two of three: the replaced one does not count
+	if got := table.Standing(0); got != Quorum { // two of three members are alive, as the replaced one does not count
 		t.Error(got)
 	}
 	if got := eventKinds(table.drain()); !slices.Contains(got, TooFewMachines) {
@@ -215,8 +222,8 @@
 	}
 }
 
-// TestAnyOrderOfEvents draws events: the table keeps its bounds, has one join in flight, decides the same for the same events, and never has a quorum
-// while most members have failed.
+// TestAnyOrderOfEvents draws random events. In any order of them the table must keep its limit of members, have at most one join in flight,
+// make the same decisions for the same events, and never have a quorum while most members have failed.
 func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxMembers = 6
@@ -252,27 +259,27 @@
 			}
 			actions := table.drain()
 			if got := twin.drain(); !slices.Equal(actions, got) {
-				t.Fatalf("event %d: %v and %v", n, actions, got)
+				t.Fatalf("event %d: actions %v and %v of two tables with the same events", n, actions, got)
 			}
 			for _, a := range actions {
 				if a.Kind == Join {
 					if joining[a.Addr] || a.Addr == address(0) {
-						t.Fatalf("event %d: a second join of %v", n, a.Addr)
+						t.Fatalf("event %d: a second join of %v, or a join of the member itself", n, a.Addr)
 					}
 					joining[a.Addr] = true
 				}
 			}
 			alive, failed := 0, 0
-			for _, k := range table.Peers() {
+			for _, peer := range table.Peers() {
 				switch {
-				case k.State == Alive:
+				case peer.State == Alive:
 					alive++
-				case k.State == Failed && k.ReplacedBy == "":
+				case peer.State == Failed && peer.ReplacedBy == "":
 					failed++
 				}
 			}
 			if len(table.peers) > maxMembers || table.Standing(table.now) == Quorum && alive+1 <= failed {
-				t.Fatalf("event %d: %d known, %d alive, %d failed, %v", n, len(table.peers), alive, failed, table.Standing(table.now))
+				t.Fatalf("event %d: %d other members known, %d alive, %d failed, standing %v", n, len(table.peers), alive, failed, table.Standing(table.now))
 			}
 		}
 	})
--- a/internal/fleet/membership/peers.go
+++ b/internal/fleet/membership/peers.go
@@ -13,8 +13,8 @@
 	flapThreshold = 3                // a member with more returns within flapWindow is flapping
 )
 
-// Tick advances the time. A tick that is more than StallThreshold late shows that the process was paused. The table's view is then not relied
-// on until a majority of the members that were alive before have responded.
+// Tick advances the time. More than StallThreshold since the previous tick shows that the process was paused. The table's view is then not
+// relied on until a majority of the members that were alive before have responded.
 func (t *Table) Tick(now time.Duration) {
 	gap := now - t.now
 	t.now = now
