--- a/internal/fleet/gossip/bench_test.go
+++ b/internal/fleet/gossip/bench_test.go
@@ -18,8 +18,8 @@
 	"sabletally/internal/lab/memnet"
 )
 
-// measureCPU starts a measurement. The function that it returns ends it, and reports and returns the CPU time of one operation in ns, garbage
-// collection included: on a shared machine the wall clock says less.
+// measureCPU starts a measurement. The returned function ends it and reports and returns the CPU time of one operation in ns, garbage
+// collection included. On a shared machine the wall clock is less meaningful.
 func measureCPU(b *testing.B) func() float64 {
 	cpuTime := func() time.Duration {
 		var u syscall.Rusage
@@ -39,20 +39,21 @@
 	}
 }
 
-// countingPort is a network port that counts the bytes of the streams that it opens, both ways.
+// countingPort is a network port that counts the bytes of the streams that it opens, in both directions.
 type countingPort struct {
 	*memnet.Port
 	bytes atomic.Int64
 }
 
-func (c *countingPort) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
-	conn, err := c.Port.DialTimeout(addr, within)
+func (c *countingPort) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	conn, err := c.Port.DialTimeout(addr, timeout)
 	if err != nil {
 		return nil, err
 	}
 	return &countingConn{conn, &c.bytes}, nil
 }
 
+// countingConn counts the bytes that are read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -70,34 +71,34 @@
 	return n, err
 }
 
-// encodeAlive encodes the library's message that a member is alive: type 4, then its fields in the older form of msgpack.
+// encodeAlive encodes the library's message that a member is alive: message type 4, then its fields in the older format of msgpack.
 func encodeAlive(m membership.Member) []byte {
-	text := []byte{4, 0x86}
-	raw := func(b []byte) {
+	encoded := []byte{4, 0x86}
+	appendBytes := func(b []byte) {
 		if len(b) < 32 {
-			text = append(text, 0xa0|byte(len(b)))
+			encoded = append(encoded, 0xa0|byte(len(b)))
 		} else {
-			text = append(text, 0xda, byte(len(b)>>8), byte(len(b)))
+			encoded = append(encoded, 0xda, byte(len(b)>>8), byte(len(b)))
 		}
-		text = append(text, b...)
+		encoded = append(encoded, b...)
 	}
 	ip := m.Addr.Addr().As4()
-	raw([]byte("Incarnation"))
-	text = append(text, 1)
-	raw([]byte("Node"))
-	raw([]byte(m.ID))
-	raw([]byte("Addr"))
-	raw(ip[:])
-	raw([]byte("Port"))
-	text = append(text, 0xcd, byte(m.Addr.Port()>>8), byte(m.Addr.Port()))
-	raw([]byte("Meta"))
-	raw(encodeMeta(m))
-	raw([]byte("Vsn"))
-	raw([]byte{memberlist.ProtocolVersionMin, memberlist.ProtocolVersionMax, memberlist.ProtocolVersion2Compatible, 0, 0, 0})
-	return text
+	appendBytes([]byte("Incarnation"))
+	encoded = append(encoded, 1)
+	appendBytes([]byte("Node"))
+	appendBytes([]byte(m.ID))
+	appendBytes([]byte("Addr"))
+	appendBytes(ip[:])
+	appendBytes([]byte("Port"))
+	encoded = append(encoded, 0xcd, byte(m.Addr.Port()>>8), byte(m.Addr.Port()))
+	appendBytes([]byte("Meta"))
+	appendBytes(encodeMeta(m))
+	appendBytes([]byte("Vsn"))
+	appendBytes([]byte{memberlist.ProtocolVersionMin, memberlist.ProtocolVersionMax, memberlist.ProtocolVersion2Compatible, 0, 0, 0})
+	return encoded
 }
 
-// memberAt makes a member with a random ID, as streams are compressed.
+// memberAt returns member i with a random ID. Streams are compressed, and regular IDs would make them unrealistically small.
 func memberAt(i int) membership.Member {
 	rng := rand.New(rand.NewPCG(uint64(i), 0x51))
 	return membership.Member{
@@ -113,28 +114,28 @@
 	}
 }
 
-// BenchmarkExchange is the library's full exchange between two members that both know all of n: the CPU time of both together. Each
-// member starts one per PushPullInterval, and receives as many.
+// BenchmarkExchange measures the library's full state exchange between two members that both know all n members: the CPU time of both
+// together. Each member starts one exchange per PushPullInterval and takes part in as many that others start.
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{17, 100, 300, 1000, 2300, 4600} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			network := memnet.New(7, 0)
-			knows := func(list *memberlist.Memberlist, many int) {
-				for end := time.Now().Add(30 * time.Second); list.NumMembers() < many; time.Sleep(time.Millisecond) {
+			waitForMembers := func(list *memberlist.Memberlist, count int) {
+				for end := time.Now().Add(30 * time.Second); list.NumMembers() < count; time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
-						b.Fatalf("%d of %d members are known", list.NumMembers(), many)
+						b.Fatalf("%d of %d members are known", list.NumMembers(), count)
 					}
 				}
 			}
 			first, _ := openList(b, network, 0)
-			second, at := openList(b, network, 1)
-			far := network.Port(2)
+			second, secondPort := openList(b, network, 1)
+			remotePort := network.Port(2)
 			for i := 2; i < n; i++ {
-				if _, err := far.WriteTo(encodeAlive(memberAt(i)), memnet.Addr(0).String()); err != nil {
+				if _, err := remotePort.WriteTo(encodeAlive(memberAt(i)), memnet.Addr(0).String()); err != nil {
 					b.Fatal(err)
 				}
 				if i%256 == 0 || i == n-1 { // the library queues 1,024 messages
-					knows(first, i)
+					waitForMembers(first, i)
 				}
 			}
 			join := func() {
@@ -143,21 +144,21 @@
 				}
 			}
 			join()
-			knows(first, n)
-			knows(second, n)
+			waitForMembers(first, n)
+			waitForMembers(second, n)
 			join()
-			at.bytes.Store(0)
+			secondPort.bytes.Store(0)
 			done := measureCPU(b)
 			for range b.N {
 				join()
 			}
 			done()
-			b.ReportMetric(float64(at.bytes.Load())/float64(b.N)/2, "packet-B")
+			b.ReportMetric(float64(secondPort.bytes.Load())/float64(b.N)/2, "packet-B")
 		})
 	}
 }
 
-// openList opens the library at a port of the network, without any traffic of its own.
+// openList starts the library at a port of the network, without any periodic traffic.
 func openList(b *testing.B, network *memnet.Network, num int) (*memberlist.Memberlist, *countingPort) {
 	self := memberAt(num)
 	self.Addr = memnet.Addr(num)
@@ -185,7 +186,7 @@
 	return list, port
 }
 
-// metaDelegate has the metadata of a member and does nothing else.
+// metaDelegate supplies the metadata of a member and ignores all messages.
 type metaDelegate struct{ self membership.Member }
 
 func (d *metaDelegate) NodeMeta(int) []byte             { return encodeMeta(d.self) }
--- a/internal/fleet/gossip/compare_test.go
+++ b/internal/fleet/gossip/compare_test.go
@@ -15,55 +15,59 @@
 	"sabletally/internal/lab/memnet"
 )
 
-// The figures of docs/design/fleet.md, in virtual time: go test ./internal/fleet/gossip -run TestCompareDetectors -compare -v
+// These flags select the comparison of failure detectors for docs/design/fleet.md, which runs in virtual time:
+// go test ./internal/fleet/gossip -run TestCompareDetectors -compare -v
 var (
 	compare     = flag.Bool("compare", false, "compare failure detectors; takes many minutes")
-	compareFrom = flag.Int("compare-from", 0, "the least number of members")
+	compareFrom = flag.Int("compare-from", 0, "smallest fleet to compare, in members")
 )
 
-// comparison is the result of one detector.
+// comparison holds the results of one detector.
 type comparison struct {
-	falseFailures                     int // times that a member took one that is alive for failed, all pairs together
-	death, stall, partition, noQuorum time.Duration
-	bytes                             float64 // per second and member
+	falseFailures                     int           // number of times that a member saw a live one as failed, over all pairs
+	death, stall, partition, noQuorum time.Duration // time until half of the others saw the failure; until the partitioned member lost its quorum
+	bytes                             float64       // bytes sent per second and member
 }
 
-func (f comparison) String() string {
-	r := func(d time.Duration) time.Duration { return d.Round(100 * time.Millisecond) }
-	return fmt.Sprintf("%6d | %v | %v | %v | %v | %.0f", f.falseFailures, r(f.death), r(f.stall), r(f.partition), r(f.noQuorum), f.bytes)
+// String returns the results as columns of the comparison's table.
+func (c comparison) String() string {
+	round := func(d time.Duration) time.Duration { return d.Round(100 * time.Millisecond) }
+	return fmt.Sprintf("%6d | %v | %v | %v | %v | %.0f", c.falseFailures, round(c.death), round(c.stall), round(c.partition), round(c.noQuorum), c.bytes)
 }
 
 const (
-	quietTime = 3 * time.Minute // in which nobody fails
-	maxWait   = 2 * time.Minute // for one detection
+	quietTime = 3 * time.Minute // time without any failure, in which false failures are counted
+	maxWait   = 2 * time.Minute // longest wait for one detection
 )
 
+// TestCompareDetectors prints a table of failure detectors by size of the fleet and packet loss. It checks nothing and runs only with
+// the flag -compare.
 func TestCompareDetectors(t *testing.T) {
 	if !*compare {
-		t.Skip("by hand")
+		t.Skip("runs only with the flag -compare")
 	}
 	fmt.Println("detector | members | loss | false failures in 3 min | death seen by half | stall | one way cut | no quorum at the cut one | bytes/s each")
-	for _, many := range []int{10, 100, 300} {
-		if many < *compareFrom {
+	for _, members := range []int{10, 100, 300} {
+		if members < *compareFrom {
 			continue
 		}
 		for _, loss := range []float64{0.01, 0.1, 0.3} {
-			for _, arm := range []struct {
+			for _, variant := range []struct {
 				name string
 				tune func(*memberlist.Config)
 			}{{"as for a LAN", func(c *memberlist.Config) { *c = lanDefaults(*c) }}, {"ours", nil}} {
-				var f comparison
-				synctest.Test(t, func(t *testing.T) { f = compareLibrary(t, many, loss, arm.tune) })
-				fmt.Printf("memberlist, %s | %d | %.0f%% | %v\n", arm.name, many, 100*loss, f)
+				var result comparison
+				synctest.Test(t, func(t *testing.T) { result = compareLibrary(t, members, loss, variant.tune) })
+				fmt.Printf("memberlist, %s | %d | %.0f%% | %v\n", variant.name, members, 100*loss, result)
 			}
 			for _, missed := range []int{8, 16} {
-				fmt.Printf("heartbeats, %d missed | %d | %.0f%% | %v\n", missed, many, 100*loss, compareHeartbeats(many, loss, missed))
+				fmt.Printf("heartbeats, %d missed | %d | %.0f%% | %v\n", missed, members, 100*loss, compareHeartbeats(members, loss, missed))
 			}
 		}
 	}
 }
 
-// lanDefaults restores the library's own settings.
+// lanDefaults restores the library's own defaults for a local network.
 func lanDefaults(c memberlist.Config) memberlist.Config {
 	d := memberlist.DefaultLANConfig()
 	c.ProbeInterval, c.ProbeTimeout, c.PushPullInterval = d.ProbeInterval, d.ProbeTimeout, d.PushPullInterval
@@ -71,12 +75,12 @@
 	return c
 }
 
-// compareLibrary runs the agent that ships.
-func compareLibrary(t *testing.T, many int, loss float64, tune func(*memberlist.Config)) comparison {
-	fleet := newTunedFleet(t, many, tune)
+// compareLibrary measures the production agent in a fleet with packet loss.
+func compareLibrary(t *testing.T, members int, loss float64, tune func(*memberlist.Config)) comparison {
+	fleet := newTunedFleet(t, members, tune)
 	defer fleet.close()
 	lossy := func(int, int) memnet.Link { return memnet.Link{Loss: loss} }
-	fleet.waitFor("all are connected", 5*time.Minute, fleet.allConnected(many))
+	fleet.waitFor("all are connected", 5*time.Minute, fleet.allConnected(members))
 	fleet.network.Set(lossy)
 	time.Sleep(10 * time.Second)
 
@@ -88,9 +92,9 @@
 		result.falseFailures += counter.count()
 	}
 	after, _ := fleet.network.Sum()
-	result.bytes = float64(after-before) / quietTime.Seconds() / float64(many)
+	result.bytes = float64(after-before) / quietTime.Seconds() / float64(members)
 
-	paused, cut, ended := many-1, many-2, many-3
+	paused, cut, ended := members-1, members-2, members-3
 	fleet.ports[paused].Pause()
 	result.stall = fleet.detectionTime(paused)
 	fleet.ports[paused].Resume()
@@ -98,11 +102,11 @@
 
 	fleet.network.Set(func(from, _ int) memnet.Link { return memnet.Link{Loss: loss, Cut: from == cut} })
 	result.partition = fleet.detectionTime(cut)
-	began := time.Now()
-	for fleet.agents[cut].Status().Standing != membership.NoQuorum && time.Since(began) < 5*time.Minute {
+	start := time.Now()
+	for fleet.agents[cut].Status().Standing != membership.NoQuorum && time.Since(start) < 5*time.Minute {
 		time.Sleep(100 * time.Millisecond)
 	}
-	result.noQuorum = result.partition + time.Since(began)
+	result.noQuorum = result.partition + time.Since(start)
 	fleet.network.Set(lossy)
 	time.Sleep(time.Minute)
 
@@ -111,10 +115,10 @@
 	return result
 }
 
-// failureCounter counts how often members become failed in the view of others.
+// failureCounter counts how often members change to failed in the view of others.
 type failureCounter struct {
 	fleet  *testFleet
-	states []map[string]membership.State // by observer, by member ID
+	states []map[string]membership.State // last state that each observer saw, by observer and member ID
 }
 
 func newFailureCounter(fleet *testFleet) *failureCounter {
@@ -123,7 +127,7 @@
 	return c
 }
 
-// count returns how many members became failed since the last call, all pairs together.
+// count returns how many members changed to failed since the last call, over all pairs of observer and member.
 func (c *failureCounter) count() int {
 	n := 0
 	for i, agent := range c.fleet.agents {
@@ -139,16 +143,16 @@
 	return n
 }
 
-// detectionTime returns how long it takes until half of the others see a member as failed, maxWait at most.
+// detectionTime returns the time until half of the other members see a member as failed, maxWait at most.
 func (fleet *testFleet) detectionTime(member int) time.Duration {
-	began := time.Now()
-	for time.Since(began) < maxWait && 2*fleet.observersOfFailure(member) < len(fleet.agents)-1 {
+	start := time.Now()
+	for time.Since(start) < maxWait && 2*fleet.observersOfFailure(member) < len(fleet.agents)-1 {
 		time.Sleep(100 * time.Millisecond)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
-// observersOfFailure returns how many others see a member as failed.
+// observersOfFailure returns how many other members see a member as failed.
 func (fleet *testFleet) observersOfFailure(member int) int {
 	n := 0
 	for i, agent := range fleet.agents {
@@ -164,35 +168,35 @@
 	return n
 }
 
-// compareHeartbeats computes a detector by heartbeats: each member sends one to each other member four times a second, and is failed once so
-// many are missed in a row.
-func compareHeartbeats(many int, loss float64, missed int) (f comparison) {
-	const each = 250 * time.Millisecond
-	rng := rand.New(rand.NewPCG(uint64(many), uint64(missed)))
-	for range many * (many - 1) {
-		row := 0
-		for range int(quietTime / each) {
+// compareHeartbeats simulates a detector by heartbeats: each member sends one to each other member four times a second, and counts as failed
+// once the given number of them was missed in a row.
+func compareHeartbeats(members int, loss float64, missed int) (result comparison) {
+	const heartbeatInterval = 250 * time.Millisecond
+	rng := rand.New(rand.NewPCG(uint64(members), uint64(missed)))
+	for range members * (members - 1) {
+		missedInRow := 0
+		for range int(quietTime / heartbeatInterval) {
 			if rng.Float64() >= loss {
-				row = 0
-			} else if row++; row == missed {
-				f.falseFailures++
+				missedInRow = 0
+			} else if missedInRow++; missedInRow == missed {
+				result.falseFailures++
 			}
 		}
 	}
-	seen := func() time.Duration { // by half of the others: each lost some of the last ones before, too
+	detectionByHalf := func() time.Duration { // time until half of the others detect a failure; some have missed the last heartbeats before it
 		var all []time.Duration
-		for range many - 1 {
-			row := missed
+		for range members - 1 {
+			missedInRow := missed
 			for rng.Float64() < loss {
-				row--
+				missedInRow--
 			}
-			all = append(all, time.Duration(float64(max(row, 0))*float64(each)-rng.Float64()*float64(each)))
+			all = append(all, time.Duration(float64(max(missedInRow, 0))*float64(heartbeatInterval)-rng.Float64()*float64(heartbeatInterval)))
 		}
 		slices.Sort(all)
 		return all[len(all)/2]
 	}
-	f.death, f.stall, f.partition = seen(), seen(), seen()
-	f.noQuorum = -1 // it receives the heartbeats of all the others
-	f.bytes = 4 * float64(many-1) * 40
-	return f
+	result.death, result.stall, result.partition = detectionByHalf(), detectionByHalf(), detectionByHalf()
+	result.noQuorum = -1 // not applicable: the partitioned member still receives the heartbeats of all others
+	result.bytes = 4 * float64(members-1) * 40
+	return result
 }
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -12,7 +12,7 @@
 	"sabletally/internal/fleet/membership"
 )
 
-// checkGolden compares bytes with a file of testdata.
+// checkGolden fails the test if bytes differ from a file of testdata.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -21,11 +21,12 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Errorf("%s: encoded to\n%s, and the file has\n%s", name, got, want)
+		t.Errorf("%s: encoded bytes are\n%s, the golden file has\n%s", name, got, want)
 	}
 }
 
-// TestMetaIsUnchanged encodes what goes with a member's address to the bytes of the golden files, and decodes these to the same member.
+// TestMetaIsUnchanged guards against a change of the metadata's wire format. The metadata of a member must encode to the bytes of the golden
+// files and decode to the same member.
 func TestMetaIsUnchanged(t *testing.T) {
 	m := membership.Member{
 		ID:                 "0123456789abcdef0123456789abcdef",
@@ -40,28 +41,29 @@
 	}
 	for name, leaving := range map[string]bool{"meta.json": false, "meta-leaving.json": true} {
 		m.Leaving = leaving
-		text := encodeMeta(m)
-		checkGolden(t, name, text)
-		got, err := decodeMember(&memberlist.Node{Name: m.ID, Addr: net.ParseIP("10.0.0.1"), Port: 7001, Meta: text})
+		encoded := encodeMeta(m)
+		checkGolden(t, name, encoded)
+		got, err := decodeMember(&memberlist.Node{Name: m.ID, Addr: net.ParseIP("10.0.0.1"), Port: 7001, Meta: encoded})
 		if err != nil || got != m {
-			t.Errorf("%s: %v: %+v", name, err, got)
+			t.Errorf("%s: decoded with error %v to %+v", name, err, got)
 		}
 	}
 }
 
-// TestDepartureIsUnchanged encodes the message of a member that leaves to the bytes of the golden file, and decodes these to the same message.
+// TestDepartureIsUnchanged guards against a change of the departure's wire format. A departure must encode to the bytes of the golden file and
+// decode to the same message.
 func TestDepartureIsUnchanged(t *testing.T) {
-	leaving := departure{ID: "0123456789abcdef0123456789abcdef", Incarnation: 7}
-	text := leaving.Message()
-	checkGolden(t, "bye.json", text)
-	if got, err := decodeDeparture(text); err != nil || got != leaving {
-		t.Errorf("%v: %+v", err, got)
+	want := departure{ID: "0123456789abcdef0123456789abcdef", Incarnation: 7}
+	encoded := want.Message()
+	checkGolden(t, "bye.json", encoded)
+	if got, err := decodeDeparture(encoded); err != nil || got != want {
+		t.Errorf("departure decoded with error %v to %+v", err, got)
 	}
 }
 
-// TestConstantsOnTheWireAreUnchanged has the first byte of a stream between members, and the protocol versions.
+// TestConstantsOnTheWireAreUnchanged guards against a change of the first byte of a stream between members and of the protocol versions.
 func TestConstantsOnTheWireAreUnchanged(t *testing.T) {
 	if PeerStreamMark != 's' || ProtocolVersion != 2 || MinProtocolVersion != 1 {
-		t.Errorf("%q, protocol versions %d to %d", PeerStreamMark, MinProtocolVersion, ProtocolVersion)
+		t.Errorf("first byte %q, protocol versions %d to %d", PeerStreamMark, MinProtocolVersion, ProtocolVersion)
 	}
 }
--- a/internal/fleet/gossip/transport_test.go
+++ b/internal/fleet/gossip/transport_test.go
@@ -9,10 +9,10 @@
 	"sabletally/internal/fleet/framing"
 )
 
-// TestNumberOfStreamsIsBounded has as many streams open at once as there may be members: each is accepted, and the next one is closed
-// and counted.
+// TestNumberOfStreamsIsBounded guards against too low a limit of streams and against none. It opens as many streams at once as a fleet may
+// have members: each must be accepted, and one more must be closed and counted.
 func TestNumberOfStreamsIsBounded(t *testing.T) {
-	const members, within = 1024, 20 * time.Second
+	const members, timeout = 1024, 20 * time.Second
 	address := netip.MustParseAddrPort("127.0.0.1:0")
 	transport, err := Listen(address, address, 0)
 	if err != nil {
@@ -31,25 +31,25 @@
 		}
 		return c
 	}
-	until := time.After(within)
+	expired := time.After(timeout)
 	for n := range members {
 		open()
 		select {
 		case s := <-transport.StreamCh():
 			t.Cleanup(func() { _ = s.Close() })
-		case <-until:
-			t.Fatalf("%d of %d streams were accepted within %v", n, members, within)
+		case <-expired:
+			t.Fatalf("%d of %d streams were accepted within %v", n, members, timeout)
 		}
 	}
 	if n := transport.StreamsRejected.Load(); n != 0 {
-		t.Errorf("%d were rejected", n)
+		t.Errorf("%d streams below the limit were rejected", n)
 	}
 	c := open()
-	_ = c.SetReadDeadline(time.Now().Add(within))
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("one more was not closed")
+		t.Error("a stream beyond the limit was not closed")
 	}
 	if n := transport.StreamsRejected.Load(); n != 1 {
-		t.Errorf("%d are counted as rejected, not 1", n)
+		t.Errorf("%d streams are counted as rejected, want 1", n)
 	}
 }
