--- a/internal/discovery/reach_test.go
+++ b/internal/discovery/reach_test.go
@@ -18,101 +18,104 @@
 	"time"
 )
 
-// trouble is one of a discovery's, from and to so long after the start of a play. At its end the list changes.
-type trouble struct {
+// fault is a fault of the shared discovery. from and to are the times of its start and end after the start of the simulation. The
+// endpoint list changes at its end.
+type fault struct {
 	kind     string
 	from, to time.Duration
 }
 
+// The kinds of faults. Their values are parts of the names of subtests.
 const (
-	quiet   = "none"
-	refused = "refused"
-	reset   = "reset"
-	silent  = "silent"
-	half    = "half an answer"
-	hangs   = "half an answer, then silent"
-	busy    = "503"
-	turned  = "503 after 2 s"
-	slow    = "slow by 5 s"
-	ever    = "slow by 5 s for ever"
-	mixed   = "by turns"
+	noFault           = "none"
+	connectionRefused = "refused"
+	connectionReset   = "reset"
+	noResponse        = "silent"
+	truncatedResponse = "half an answer"
+	stalledResponse   = "half an answer, then silent"
+	rejectedAtOnce    = "503"
+	rejectedLate      = "503 after 2 s"
+	slowResponse      = "slow by 5 s"
+	alwaysSlow        = "slow by 5 s for ever"
+	randomFault       = "by turns"
 )
 
-// service is a discovery that so many share. What it was asked during a trouble is lost, or late.
-type service struct {
-	trouble
-	each  time.Duration // for one call after the other, once the trouble is over
-	start time.Time
-	began chan struct{} // closed at the trouble's start
-	back  chan struct{} // and end
+// sharedDiscovery simulates a discovery service that several balancers share. Requests during its fault are lost, rejected or late.
+type sharedDiscovery struct {
+	fault
+	serviceTime  time.Duration // time to serve one request, one after another, once the fault has ended
+	start        time.Time     // start of the simulation
+	faultStarted chan struct{} // closed at the start of the fault
+	faultEnded   chan struct{} // closed at the end of the fault
 
-	mu    sync.Mutex
-	calls []time.Duration // but those of watches that go on
-	free  time.Duration   // when all that has come is served
+	mu        sync.Mutex
+	requests  []time.Duration // times of all requests but those that continue an answered watch
+	busyUntil time.Duration   // time at which all requests so far are served
 }
 
-func newService(what trouble, each time.Duration) *service {
-	s := &service{trouble: what, each: each, start: time.Now(), began: make(chan struct{}), back: make(chan struct{})}
-	time.AfterFunc(what.from, func() { close(s.began) })
-	time.AfterFunc(what.to, func() { close(s.back) })
+func newSharedDiscovery(f fault, serviceTime time.Duration) *sharedDiscovery {
+	s := &sharedDiscovery{fault: f, serviceTime: serviceTime, start: time.Now(), faultStarted: make(chan struct{}), faultEnded: make(chan struct{})}
+	time.AfterFunc(f.from, func() { close(s.faultStarted) })
+	time.AfterFunc(f.to, func() { close(s.faultEnded) })
 	return s
 }
 
-// asker is one balancer's way to it.
-type asker struct {
-	*service
-	lost  time.Duration // until when a watch that was swallowed may wait
-	told  bool          // it had an answer,
-	heard time.Duration // the last one then
+// balancerTransport carries the requests of one balancer to the shared discovery.
+type balancerTransport struct {
+	*sharedDiscovery
+	lostUntil      time.Duration // latest end of the hold of a watch that was lost
+	hasResponse    bool          // a request of the balancer was answered
+	lastResponseAt time.Duration // time of the last response
 }
 
-func (a *asker) RoundTrip(r *http.Request) (*http.Response, error) {
-	ctx, at, q := r.Context(), time.Since(a.start), r.URL.Query()
-	a.mu.Lock()
-	if !a.told || at > a.heard+200*time.Millisecond { // else its watch goes on, at discovery's own pace
-		a.calls = append(a.calls, at)
+// RoundTrip answers a request as discovery would at the current time of the simulation.
+func (transport *balancerTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	ctx, at, query := request.Context(), time.Since(transport.start), request.URL.Query()
+	transport.mu.Lock()
+	if !transport.hasResponse || at > transport.lastResponseAt+200*time.Millisecond { // otherwise it continues an answered watch
+		transport.requests = append(transport.requests, at)
 	}
-	mine := at
-	if at >= a.to {
-		a.free = max(a.free, at) + a.each
-		mine = a.free
+	servedAt := at
+	if at >= transport.to {
+		transport.busyUntil = max(transport.busyUntil, at) + transport.serviceTime
+		servedAt = transport.busyUntil
 	}
-	a.mu.Unlock()
-	ms, _ := strconv.Atoi(q.Get("hold_ms"))
-	over := at + time.Duration(ms)*time.Millisecond
-	if at >= a.from && (at < a.to || a.kind == ever) {
-		if res, failed, err := a.fail(ctx, a.kind, over); failed {
+	transport.mu.Unlock()
+	holdMS, _ := strconv.Atoi(query.Get("hold_ms"))
+	holdEnd := at + time.Duration(holdMS)*time.Millisecond
+	if at >= transport.from && (at < transport.to || transport.kind == alwaysSlow) {
+		if res, failed, err := transport.applyFault(ctx, transport.kind, holdEnd); failed {
 			return res, err
 		}
 	}
-	time.Sleep(mine - at + 10*time.Millisecond)
-	wait := time.NewTimer(max(0, over-time.Since(a.start)))
+	time.Sleep(servedAt - at + 10*time.Millisecond)
+	wait := time.NewTimer(max(0, holdEnd-time.Since(transport.start)))
 	defer wait.Stop()
-	began := a.began
-	if at >= a.from || a.kind == slow || a.kind == ever { // the trouble doesn't meet this one
-		began = nil
+	faultStarted := transport.faultStarted
+	if at >= transport.from || transport.kind == slowResponse || transport.kind == alwaysSlow { // the fault does not affect this request
+		faultStarted = nil
 	}
-	for q.Get("from") != "" && time.Since(a.start) < min(over, max(at, a.to)) && q.Get("from") != "51" {
+	for query.Get("from") != "" && time.Since(transport.start) < min(holdEnd, max(at, transport.to)) && query.Get("from") != "51" {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-began:
-			kind := a.kind
+		case <-faultStarted:
+			kind := transport.kind
 			switch kind {
-			case refused, mixed: // what stands ends with its process
-				kind = reset
-			case turned: // what waits for its turn, as those that have had it don't
-				kind = busy
+			case connectionRefused, randomFault: // an open request is reset as the process of discovery ends
+				kind = connectionReset
+			case rejectedLate: // an open watch is rejected without a wait, as it was served before
+				kind = rejectedAtOnce
 			}
-			if res, failed, err := a.fail(ctx, kind, over); failed {
+			if res, failed, err := transport.applyFault(ctx, kind, holdEnd); failed {
 				return res, err
 			}
-			began = nil
-		case <-a.back:
+			faultStarted = nil
+		case <-transport.faultEnded:
 		case <-wait.C:
 		}
 	}
-	if q.Get("from") == "51" {
+	if query.Get("from") == "51" {
 		select {
 		case <-ctx.Done():
 		case <-wait.C:
@@ -121,158 +124,161 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	a.mu.Lock()
-	a.told, a.heard = true, time.Since(a.start)
-	a.mu.Unlock()
+	transport.mu.Lock()
+	transport.hasResponse, transport.lastResponseAt = true, time.Since(transport.start)
+	transport.mu.Unlock()
 	rev := 50
-	if time.Since(a.start) >= a.to {
+	if time.Since(transport.start) >= transport.to {
 		rev = 51
 	}
-	return reply(http.StatusOK, strings.NewReader(fmt.Sprintf(`{"rev":%d,"all":true,"targets":[]}`, rev))), nil
+	return newResponse(http.StatusOK, strings.NewReader(fmt.Sprintf(`{"rev":%d,"all":true,"targets":[]}`, rev))), nil
 }
 
-// fail is what a call gets in the trouble; false: its answer, later.
-func (a *asker) fail(ctx context.Context, kind string, over time.Duration) (res *http.Response, failed bool, err error) {
+// applyFault returns what a request gets during the fault. failed is false if the request is answered after all, perhaps later.
+func (transport *balancerTransport) applyFault(ctx context.Context, kind string, holdEnd time.Duration) (res *http.Response, failed bool, err error) {
 	const part = `{"rev":50,"all":true,"targets":[{"ui`
-	if kind == mixed {
-		kind = []string{refused, reset, silent, half, hangs, busy, slow}[rand.IntN(7)]
+	if kind == randomFault {
+		kind = []string{connectionRefused, connectionReset, noResponse, truncatedResponse, stalledResponse, rejectedAtOnce, slowResponse}[rand.IntN(7)]
 	}
 	switch kind {
-	case refused:
+	case connectionRefused:
 		return nil, true, errors.New("refused")
-	case reset:
+	case connectionReset:
 		time.Sleep(30 * time.Millisecond)
 		return nil, true, errors.New("reset")
-	case silent: // also where it may wait: the watch has fallen silent
-		a.lost = max(a.lost, over)
+	case noResponse: // the same holds for an open watch, which gets no response from then on
+		transport.lostUntil = max(transport.lostUntil, holdEnd)
 		<-ctx.Done()
 		return nil, true, ctx.Err()
-	case half:
-		return reply(http.StatusOK, io.MultiReader(strings.NewReader(part), reader(func() error { return io.ErrUnexpectedEOF }))), true, nil
-	case hangs:
-		a.lost = max(a.lost, over)
-		return reply(http.StatusOK, io.MultiReader(strings.NewReader(part), reader(func() error { <-ctx.Done(); return ctx.Err() }))), true, nil
-	case busy:
-		return reply(http.StatusServiceUnavailable, strings.NewReader("")), true, nil
-	case turned:
+	case truncatedResponse:
+		return newResponse(http.StatusOK, io.MultiReader(strings.NewReader(part), errorReader(func() error { return io.ErrUnexpectedEOF }))), true, nil
+	case stalledResponse:
+		transport.lostUntil = max(transport.lostUntil, holdEnd)
+		return newResponse(http.StatusOK, io.MultiReader(strings.NewReader(part), errorReader(func() error { <-ctx.Done(); return ctx.Err() }))), true, nil
+	case rejectedAtOnce:
+		return newResponse(http.StatusServiceUnavailable, strings.NewReader("")), true, nil
+	case rejectedLate:
 		time.Sleep(2 * time.Second)
-		return reply(http.StatusServiceUnavailable, strings.NewReader("")), true, nil
-	case slow, ever:
+		return newResponse(http.StatusServiceUnavailable, strings.NewReader("")), true, nil
+	case slowResponse, alwaysSlow:
 		time.Sleep(5 * time.Second)
 	}
 	return nil, false, nil
 }
 
-func reply(status int, body io.Reader) *http.Response {
+// newResponse returns an HTTP response.
+func newResponse(status int, body io.Reader) *http.Response {
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Body: io.NopCloser(body)}
 }
 
-type reader func() error
+// errorReader is a response body whose read fails with the function's error.
+type errorReader func() error
 
-func (r reader) Read([]byte) (int, error) { return 0, r() }
+func (r errorReader) Read([]byte) (int, error) { return 0, r() }
 
-// played is what came of one play.
-type played struct {
-	worst, over time.Duration // the latest hearing after discovery's return, and after the moment at which it counts as told
-	calls       []time.Duration
+// simulationResult holds the results of one simulation.
+type simulationResult struct {
+	// Latest receipt of the change, after the end of the fault and after the balancer's deadline. Negative if it was earlier.
+	worstDelay, worstOverrun time.Duration
+	requests                 []time.Duration // times of the requests, see sharedDiscovery
 }
 
-// busiest is the largest number of calls in a second, from a moment on.
-func (p played) busiest(from time.Duration) int {
-	most, first := 0, 0
-	for n, at := range p.calls {
-		for at-p.calls[first] >= time.Second || p.calls[first] < from && first < n {
+// peakRate returns the largest number of requests within one second, from a time on.
+func (r simulationResult) peakRate(from time.Duration) int {
+	peak, first := 0, 0
+	for n, at := range r.requests {
+		for at-r.requests[first] >= time.Second || r.requests[first] < from && first < n {
 			first++
 		}
-		most = max(most, n-first+1)
+		peak = max(peak, n-first+1)
 	}
-	return most
+	return peak
 }
 
-// play has so many balancers follow one discovery through a trouble: from the start of their processes with a list that they know,
-// from a reload without, or, where the trouble comes later, from what they have heard.
-func play(t *testing.T, among int, known List, reload bool, what trouble, each time.Duration) (p played) {
-	p.worst, p.over = math.MinInt64, math.MinInt64
+// simulate runs the watches of several balancers at one shared discovery through a fault. The watches are those of a process start with a
+// known list, or of a reload without one. If the fault starts later, they have received a list before.
+func simulate(t *testing.T, balancers int, knownList List, reload bool, f fault, serviceTime time.Duration) (result simulationResult) {
+	result.worstDelay, result.worstOverrun = math.MinInt64, math.MinInt64
 	synctest.Test(t, func(t *testing.T) {
-		s := newService(what, each)
-		var all sync.WaitGroup
+		discovery := newSharedDiscovery(f, serviceTime)
+		var pending sync.WaitGroup
 		var mu sync.Mutex
 		ctx, cancel := context.WithCancel(t.Context())
-		for range among {
-			a, heard := &asker{service: s}, false
-			all.Add(1)
-			w := New("desk", among, true, func(l List) {
-				if l.Revision != 51 || heard {
+		for range balancers {
+			transport, hasChange := &balancerTransport{sharedDiscovery: discovery}, false
+			pending.Add(1)
+			w := New("discovery", balancers, true, func(l List) {
+				if l.Revision != 51 || hasChange {
 					return
 				}
-				heard = true
-				all.Done()
-				// A change counts as told 6 s after discovery had it and could be reached; for a watch that was swallowed 2 s after its wait.
-				at := time.Since(s.start)
+				hasChange = true
+				pending.Done()
+				// The deadline is 6 s after discovery had the change and was reachable, or 2 s after the hold of a watch that was lost.
+				at := time.Since(discovery.start)
 				mu.Lock()
 				defer mu.Unlock()
-				p.worst = max(p.worst, at-what.to)
-				p.over = max(p.over, at-max(what.to+6*time.Second, a.lost+2*time.Second))
+				result.worstDelay = max(result.worstDelay, at-f.to)
+				result.worstOverrun = max(result.worstOverrun, at-max(f.to+6*time.Second, transport.lostUntil+2*time.Second))
 			}, func(error) {})
 			if !reload {
-				w.StartFrom(known)
+				w.StartFrom(knownList)
 			}
-			w.client.Transport = a
+			w.client.Transport = transport
 			go w.Run(ctx)
 		}
 		done := make(chan struct{})
-		go func() { all.Wait(); close(done) }()
+		go func() { pending.Wait(); close(done) }()
 		select {
 		case <-done:
-			time.Sleep(10 * time.Second) // what is asked afterwards counts as well
-		case <-time.After(what.to + 2*time.Minute):
-			p.worst, p.over = time.Hour, time.Hour // not by all
+			time.Sleep(10 * time.Second) // requests after the change are counted as well
+		case <-time.After(f.to + 2*time.Minute):
+			result.worstDelay, result.worstOverrun = time.Hour, time.Hour // some balancers have not received the change
 		}
 		cancel()
-		time.Sleep(10 * time.Second) // what is late ends
-		p.calls = s.calls
+		time.Sleep(10 * time.Second) // time in which late requests end
+		result.requests = discovery.requests
 	})
-	slices.Sort(p.calls)
-	return p
+	slices.Sort(result.requests)
+	return result
 }
 
-// lost is whether a watch that may wait for long can have been swallowed: where it was open, or asked for between two troubles, or as
-// the first call of many.
-func lost(kind, when string, among int) bool {
-	return kind == mixed || (kind == silent || kind == hangs) && (when == "followed" || when == "start" && among > 48)
+// mayLoseWatch reports whether a watch with a long hold may have been lost without a response: one that was open when the fault started, one
+// that was sent between two random faults, or the first request if there are many balancers.
+func mayLoseWatch(kind, when string, balancers int) bool {
+	return kind == randomFault || (kind == noResponse || kind == stalledResponse) && (when == "followed" || when == "start" && balancers > 48)
 }
 
-// TestAChangeIsHeardOnceDiscoveryCanBeReached plays each kind of trouble, of several lengths, with 2, 35 and 300 balancers that share
-// one discovery: while it is followed, as their processes start, and after a reload. Each balancer has to hear
-// of what changed within 6 s of the return, with half a second to spare, and their calls have to stay few and spread.
+// TestAChangeIsHeardOnceDiscoveryCanBeReached guards against balancers that learn of a change too late after a fault of a shared discovery, and
+// against bursts of requests. It simulates each kind of fault with several durations and 2, 35 and 300 balancers: during watches, at process
+// starts and after a reload. Each balancer must receive the change within 6 s after the fault, with half a second to spare.
 func TestAChangeIsHeardOnceDiscoveryCanBeReached(t *testing.T) {
-	kinds := []string{refused, reset, silent, half, hangs, busy, turned, slow, ever, mixed}
-	ends := []time.Duration{300 * time.Millisecond, 1700 * time.Millisecond, 3 * time.Second, 8 * time.Second, 13 * time.Second}
-	for _, c := range []struct{ among, plays, most int }{{2, 20, 6}, {35, 3, 30}, {300, 1, 145}} {
+	kinds := []string{connectionRefused, connectionReset, noResponse, truncatedResponse, stalledResponse, rejectedAtOnce, rejectedLate, slowResponse, alwaysSlow, randomFault}
+	durations := []time.Duration{300 * time.Millisecond, 1700 * time.Millisecond, 3 * time.Second, 8 * time.Second, 13 * time.Second}
+	for _, c := range []struct{ balancers, runs, maxRate int }{{2, 20, 6}, {35, 3, 30}, {300, 1, 145}} {
 		for when, from := range map[string]time.Duration{"followed": 70 * time.Second, "start": 0, "reload": 0} {
 			for _, kind := range kinds {
-				if kind == ever && when != "followed" {
-					continue // a first call's turn and 5 s are more than 6 s
+				if kind == alwaysSlow && when != "followed" {
+					continue // a first request's retry interval and its delay of 5 s exceed the 6 s
 				}
-				t.Run(fmt.Sprintf("%d/%s/%s", c.among, when, kind), func(t *testing.T) {
-					worst, busiest := time.Duration(math.MinInt64), 0
-					for _, long := range ends {
-						if kind == turned && (long > 8*time.Second || c.among > 48 && when != "followed") {
-							continue // taken for one that is overbooked, see TestManyBalancersAllFollowABusyDiscovery
+				t.Run(fmt.Sprintf("%d/%s/%s", c.balancers, when, kind), func(t *testing.T) {
+					worstDelay, peakRate := time.Duration(math.MinInt64), 0
+					for _, duration := range durations {
+						if kind == rejectedLate && (duration > 8*time.Second || c.balancers > 48 && when != "followed") {
+							continue // counts as overload, see TestManyBalancersAllFollowABusyDiscovery
 						}
-						for range c.plays {
-							p := play(t, c.among, known, when == "reload", trouble{kind, from, from + long}, 0)
-							if worst, busiest = max(worst, p.worst), max(busiest, p.busiest(from)); p.over > -500*time.Millisecond {
-								t.Errorf("after %v: heard %v after the return, %v after it counts", long, p.worst, p.over)
+						for range c.runs {
+							result := simulate(t, c.balancers, knownList, when == "reload", fault{kind, from, from + duration}, 0)
+							if worstDelay, peakRate = max(worstDelay, result.worstDelay), max(peakRate, result.peakRate(from)); result.worstOverrun > -500*time.Millisecond {
+								t.Errorf("fault of %v: change received %v after its end, %v after the deadline", duration, result.worstDelay, result.worstOverrun)
 							}
-							if p.worst > 5500*time.Millisecond && !lost(kind, when, c.among) {
-								t.Errorf("after %v: heard %v after the return, and no watch was let wait", long, p.worst)
+							if result.worstDelay > 5500*time.Millisecond && !mayLoseWatch(kind, when, c.balancers) {
+								t.Errorf("fault of %v: change received %v after its end, although no watch was lost", duration, result.worstDelay)
 							}
 						}
 					}
-					t.Logf("heard %v after the return, %d calls in a second", worst, busiest)
-					if busiest > c.most {
-						t.Errorf("%d calls in a second, wanted %d at most", busiest, c.most)
+					t.Logf("change received %v after the fault, %d requests within a second", worstDelay, peakRate)
+					if peakRate > c.maxRate {
+						t.Errorf("%d requests within a second, want at most %d", peakRate, c.maxRate)
 					}
 				})
 			}
@@ -280,84 +286,84 @@
 	}
 }
 
-// TestAReloadIsHeardWithinFourSeconds has balancers follow another discovery, and start, with nothing amiss: by calls of each that are
-// spread, at one that needs so long for each.
+// TestAReloadIsHeardWithinFourSeconds guards against late first lists and bursts of requests without any fault. All balancers switch to
+// another shared discovery or start at once, while it needs some time for each request.
 func TestAReloadIsHeardWithinFourSeconds(t *testing.T) {
 	for _, c := range []struct {
-		among, most int
-		each        time.Duration
+		balancers, maxRate int
+		serviceTime        time.Duration
 	}{{2, 6, 100 * time.Millisecond}, {35, 30, 30 * time.Millisecond}, {300, 145, 4 * time.Millisecond}} {
 		for range 5 {
 			for reload, within := range map[bool]time.Duration{true: 3500 * time.Millisecond, false: 5500 * time.Millisecond} {
-				p := play(t, c.among, List{}, reload, trouble{quiet, 0, 0}, c.each)
-				if busiest := p.busiest(0); p.worst > within || busiest > c.most {
-					t.Errorf("%d balancers, reload %v: heard after %v, %d calls in a second", c.among, reload, p.worst, busiest)
+				result := simulate(t, c.balancers, List{}, reload, fault{noFault, 0, 0}, c.serviceTime)
+				if peakRate := result.peakRate(0); result.worstDelay > within || peakRate > c.maxRate {
+					t.Errorf("%d balancers, reload %v: list received after %v, %d requests within a second", c.balancers, reload, result.worstDelay, peakRate)
 				}
 			}
 		}
 	}
 }
 
-// TestWhatADiscoveryHasToAnswer has discovery come back with a call after the other answered, so many a second: half as many as there are
-// balancers are enough for all to hear of a change within 6 s.
+// TestWhatADiscoveryHasToAnswer guards against more requests after a fault than a shared discovery can serve. A discovery that serves, per
+// second, one request for every two balancers must be able to tell all of them of a change within 6 s.
 func TestWhatADiscoveryHasToAnswer(t *testing.T) {
-	for _, among := range []int{12, 35, 80, 300} {
-		each := 2 * time.Second / time.Duration(among)
+	for _, balancers := range []int{12, 35, 80, 300} {
+		serviceTime := 2 * time.Second / time.Duration(balancers)
 		for when, from := range map[string]time.Duration{"followed": 70 * time.Second, "start": 0, "reload": 0} {
-			for _, kind := range []string{refused, half, busy} {
-				if p := play(t, among, known, when == "reload", trouble{kind, from, from + 3*time.Second}, each); p.over > 0 {
-					t.Errorf("%d balancers, %s, %s: heard %v after the return", among, when, kind, p.worst)
+			for _, kind := range []string{connectionRefused, truncatedResponse, rejectedAtOnce} {
+				if result := simulate(t, balancers, knownList, when == "reload", fault{kind, from, from + 3*time.Second}, serviceTime); result.worstOverrun > 0 {
+					t.Errorf("%d balancers, %s, %s: change received %v after the fault", balancers, when, kind, result.worstDelay)
 				}
 			}
 		}
 	}
 }
 
-// TestSwallowedCallsLeaveTheirPlace has real connections taken and never answered, also once discovery is back, as after a failover: neither
-// they nor their two places may keep the next call.
+// TestSwallowedCallsLeaveTheirPlace guards against requests that occupy both connections forever. It uses real connections that discovery
+// accepts but never answers, even after it has recovered, as after a failover. The next request must not have to wait for them.
 func TestSwallowedCallsLeaveTheirPlace(t *testing.T) {
 	t.Parallel()
-	back := make(chan struct{})
-	at := func() bool {
+	recovered := make(chan struct{})
+	hasRecovered := func() bool {
 		select {
-		case <-back:
+		case <-recovered:
 			return true
 		default:
 			return false
 		}
 	}
-	swallowed := make(chan struct{}, 16)
-	s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
-		if !at() {
-			swallowed <- struct{}{}
+	requests := make(chan struct{}, 16)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if !hasRecovered() {
+			requests <- struct{}{}
 			<-r.Context().Done()
 			return
 		}
-		_, _ = io.WriteString(out, `{"rev":51,"all":true,"targets":[]}`)
+		_, _ = io.WriteString(w, `{"rev":51,"all":true,"targets":[]}`)
 	}))
-	defer s.Close()
-	heard := make(chan struct{}, 1)
-	w := New(s.Listener.Addr().String(), 2, true, func(List) {
+	defer server.Close()
+	received := make(chan struct{}, 1)
+	watch := New(server.Listener.Addr().String(), 2, true, func(List) {
 		select {
-		case heard <- struct{}{}:
+		case received <- struct{}{}:
 		default:
 		}
 	}, func(error) {})
-	w.StartFrom(known)
+	watch.StartFrom(knownList)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go w.Run(ctx)
-	for range 2 { // both its places
+	go watch.Run(ctx)
+	for range 2 { // the watch may use two connections
 		select {
-		case <-swallowed:
+		case <-requests:
 		case <-time.After(4 * time.Second):
-			t.Fatal("not called")
+			t.Fatal("no request has arrived within 4 s")
 		}
 	}
-	close(back)
+	close(recovered)
 	select {
-	case <-heard:
+	case <-received:
 	case <-time.After(6 * time.Second):
-		t.Error("not heard within 6 s")
+		t.Error("no list received within 6 s after the recovery")
 	}
 }
--- a/internal/loadgossip/golden_test.go
+++ b/internal/loadgossip/golden_test.go
@@ -15,14 +15,15 @@
 
 const goldenFile = "testdata/datagrams.golden"
 
-// TestDatagramsAreAsBefore compares the bytes of messages, and what is read of them, with those of the build that wrote testdata.
+// TestDatagramsAreAsBefore guards against a change of the wire format. It compares the datagrams of some messages, and the messages decoded from
+// them, with those of the build that wrote testdata.
 func TestDatagramsAreAsBefore(t *testing.T) {
 	long := policy.GossipMessage{VersionHash: 0xcafe0123, Offset: 5}
 	for n := range 500 {
 		long.Loads = append(long.Loads, float64(n*n%977)*13.5)
 		long.Overloaded = append(long.Overloaded, n%7 == 3)
 	}
-	var got []string
+	var lines []string
 	for _, message := range []policy.GossipMessage{
 		{},
 		{VersionHash: 1, Loads: []float64{0, 0}, Overloaded: []bool{false, true}},
@@ -30,14 +31,14 @@
 		long,
 	} {
 		for _, datagram := range Encode(message) {
-			read, err := Decode(datagram)
+			decoded, err := Decode(datagram)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got = append(got, fmt.Sprintf("%s %d %d %v %v", hex.EncodeToString(datagram), read.VersionHash, read.Offset, read.Loads, read.Overloaded))
+			lines = append(lines, fmt.Sprintf("%s %d %d %v %v", hex.EncodeToString(datagram), decoded.VersionHash, decoded.Offset, decoded.Loads, decoded.Overloaded))
 		}
 	}
-	text := strings.Join(got, "\n") + "\n"
+	text := strings.Join(lines, "\n") + "\n"
 	if *updateGolden {
 		if err := os.WriteFile(goldenFile, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
@@ -48,6 +49,6 @@
 		t.Fatal(err)
 	}
 	if text != string(want) {
-		t.Errorf("is\n%swas\n%s", text, want)
+		t.Errorf("datagrams are\n%swant\n%s", text, want)
 	}
 }
--- a/internal/loadgossip/loadgossip_test.go
+++ b/internal/loadgossip/loadgossip_test.go
@@ -11,6 +11,8 @@
 	"sabletally/policy"
 )
 
+// TestMessagesAreDecoded guards against messages that change on the way, for any number of loads, and against malformed datagrams that are
+// accepted. Loads may lose precision.
 func TestMessagesAreDecoded(t *testing.T) {
 	for _, loads := range [][]float64{nil, {0, 0}, {1, 0, 3}, {18410.5, 92000, 1}, slices.Repeat([]float64{7e4}, 3*maxLoads-1)} {
 		message := policy.GossipMessage{VersionHash: 0xdeadbeef, Offset: 240, Loads: loads, Overloaded: make([]bool, len(loads))}
@@ -21,28 +23,30 @@
 		for _, datagram := range Encode(message) {
 			part, err := Decode(datagram)
 			if err != nil || len(datagram) > MaxDatagramSize || part.VersionHash != message.VersionHash || part.Offset != 240+len(got.Loads) {
-				t.Fatalf("%d bytes, %+v, %v", len(datagram), part, err)
+				t.Fatalf("datagram of %d bytes is decoded to %+v, error %v", len(datagram), part, err)
 			}
 			got.Loads, got.Overloaded = append(got.Loads, part.Loads...), append(got.Overloaded, part.Overloaded...)
 		}
 		if !slices.Equal(got.Overloaded, message.Overloaded) {
-			t.Fatalf("%+v", got)
+			t.Fatalf("overloaded endpoints differ: %+v", got)
 		}
 		for n, load := range loads {
 			if math.Abs(got.Loads[n]-load) > slices.Max(loads)/250 {
-				t.Errorf("%v is read as %v", load, got.Loads[n])
+				t.Errorf("load %v is decoded as %v", load, got.Loads[n])
 			}
 		}
 	}
-	nan := Encode(policy.GossipMessage{})[0]
-	copy(nan[6:], []byte{0, 0, 0xc0, 0x7f})
-	for _, bad := range [][]byte{nil, make([]byte, headerSize-1), make([]byte, MaxDatagramSize+1), nan} {
-		if _, err := Decode(bad); err == nil {
-			t.Errorf("%d malformed bytes are decoded", len(bad))
+	unitIsNaN := Encode(policy.GossipMessage{})[0]
+	copy(unitIsNaN[6:], []byte{0, 0, 0xc0, 0x7f})
+	for _, malformed := range [][]byte{nil, make([]byte, headerSize-1), make([]byte, MaxDatagramSize+1), unitIsNaN} {
+		if _, err := Decode(malformed); err == nil {
+			t.Errorf("malformed datagram of %d bytes is decoded without an error", len(malformed))
 		}
 	}
 }
 
+// TestOnlyPeersAreReceived guards against messages of unknown senders that reach the handler, and against two balancers at one address. Two
+// processes of one balancer may share an address, and the newest one must receive.
 func TestOnlyPeersAreReceived(t *testing.T) {
 	received := make(chan int, 8)
 	handle := func(from int, _ policy.GossipMessage, done func()) { done(); received <- from }
@@ -58,36 +62,36 @@
 		defer transport.Close()
 		transports = append(transports, transport)
 	}
-	a, b, stranger := transports[0], transports[1], transports[2]
-	a.SetPeers([]netip.AddrPort{anyAddress, b.Addr()}) // nobody listens at the first
+	a, b, unknown := transports[0], transports[1], transports[2]
+	a.SetPeers([]netip.AddrPort{anyAddress, b.Addr()}) // there is no listener at the first address
 	b.SetPeers([]netip.AddrPort{a.Addr()})
-	stranger.SetPeers([]netip.AddrPort{a.Addr()})
-	stranger.Broadcast(policy.GossipMessage{})
+	unknown.SetPeers([]netip.AddrPort{a.Addr()})
+	unknown.Broadcast(policy.GossipMessage{})
 	for end := time.Now().Add(10 * time.Second); counters[0].Dropped.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the message of an unknown sender is not counted")
+			t.Fatal("message of an unknown sender was not counted as dropped within 10 s")
 		}
 	}
 	b.Broadcast(policy.GossipMessage{})
 	if from := <-received; from != 1 || counters[0].Received.Load() != 1 {
-		t.Fatalf("received from %d, %d messages", from, counters[0].Received.Load())
+		t.Fatalf("message received from peer %d, %d messages received in all", from, counters[0].Received.Load())
 	}
 	if _, err := Listen(a.Addr(), false, nil, &counters[0], handle); err == nil {
-		t.Fatal("two listen at one address")
+		t.Fatal("two transports listen at one address that is not shared")
 	}
-	old, err := Listen(anyAddress, true, nil, &counters[2], handle) // two processes of one balancer may, and the newest receives
+	predecessor, err := Listen(anyAddress, true, nil, &counters[2], handle) // two processes of one balancer may share an address, and the newest one receives
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer old.Close()
-	young, err := Listen(old.Addr(), true, []netip.AddrPort{b.Addr()}, &counters[0], handle)
+	defer predecessor.Close()
+	successor, err := Listen(predecessor.Addr(), true, []netip.AddrPort{b.Addr()}, &counters[0], handle)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer young.Close()
-	b.SetPeers([]netip.AddrPort{old.Addr()})
+	defer successor.Close()
+	b.SetPeers([]netip.AddrPort{predecessor.Addr()})
 	b.Broadcast(policy.GossipMessage{})
 	if from := <-received; from != 0 || counters[0].Received.Load() != 2 {
-		t.Fatalf("received from %d, %d messages", from, counters[0].Received.Load())
+		t.Fatalf("message received from peer %d, %d messages received in all", from, counters[0].Received.Load())
 	}
 }
