--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -21,7 +21,7 @@
 	agentHedgeDelay   = 300 * time.Millisecond  // time beyond its hold after which a watch without a response is hedged by further requests
 	agentRetryTimeout = 250 * time.Millisecond  // timeout of each hedging request and of each dial
 	agentRetryPause   = 50 * time.Millisecond   // longest random pause between hedging requests, which are sent until one is answered
-	agentMinBackoff   = 20 * time.Millisecond   // backoff after the first failed request; doubled for each further one
+	agentMinBackoff   = 20 * time.Millisecond   // backoff after the first failed request, doubled for each further one; the pause is random below it
 	agentMaxBackoff   = 250 * time.Millisecond  // longest backoff
 	responseTimeout   = 1500 * time.Millisecond // timeout of any request, beyond its hold
 )
@@ -34,7 +34,7 @@
 	sharedHoldPerBalancer = 500 * time.Millisecond // the longest hold grows by this with each balancer
 	sharedMaxHold         = 60 * time.Second       // upper bound of the longest hold
 	sharedHedgeDelay      = 800 * time.Millisecond // time beyond its hold after which a watch without a response is hedged by one request
-	sharedDialTimeout     = 2 * time.Second
+	sharedDialTimeout     = 2 * time.Second        // timeout of each dial
 
 	// The retry interval is the time between two requests of a balancer while none is answered. Each interval is shortened by
 	// a random part of up to a sixth.
