--- a/internal/fleet/publisher/conn.go
+++ b/internal/fleet/publisher/conn.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	writeTimeout  = 30 * time.Second // of one write; the core closes a session that acknowledges nothing for as long
-	closeTimeout  = 2 * time.Second  // of the last write
-	maxQueueParts = 2 * 4096         // headers and bodies
-	maxQueueBytes = 8 << 20          // beside one message of any size
+	writeTimeout  = 30 * time.Second // limit of one write; the core closes a session without acknowledgements after the same time
+	closeTimeout  = 2 * time.Second  // limit of the last write before the connection is closed
+	maxQueueParts = 2 * 4096         // headers and bodies in the send queue of a connection
+	maxQueueBytes = 8 << 20          // a queue of at most this size accepts one more message of any size
 )
 
-// conn is a subscriber's connection, with one goroutine that reads and one that writes.
+// conn is the connection of one subscriber. One goroutine reads from it and one writes to it.
 type conn struct {
-	server     *Server
-	id         uint64
-	netConn    net.Conn
-	operations atomic.Int64 // pending
+	server            *Server
+	id                uint64
+	netConn           net.Conn
+	pendingOperations atomic.Int64 // operations and puts of this subscriber that have no result yet
 
 	mu           sync.Mutex
-	queue        [][]byte // headers and bodies, shared with other connections
-	queueBytes   int
-	isClosing    bool // nothing more is queued; the connection ends after the queue
-	wake         chan struct{}
-	writerClosed chan struct{}
+	queue        [][]byte      // headers and bodies to send; the slices may be shared with other connections
+	queueBytes   int           // total size of queue
+	isClosing    bool          // set when nothing more may be queued; the connection is closed once the queue is sent
+	wakeup       chan struct{} // tells the writer that the queue or isClosing has changed
+	writerClosed chan struct{} // closed when the writer has ended, or was never started
 }
 
 func newConn(server *Server, netConn net.Conn) *conn {
 	return &conn{
 		server:       server,
 		netConn:      netConn,
-		wake:         make(chan struct{}, 1),
+		wakeup:       make(chan struct{}, 1),
 		writerClosed: make(chan struct{}),
 	}
 }
 
-// enqueue queues headers and bodies, which go out in as few writes as possible. It never waits. A connection whose queue is full is
+// enqueue queues headers and bodies, which are sent in as few writes as possible. It never blocks. A connection whose queue is full is
 // closed.
 func (c *conn) enqueue(parts ...[]byte) {
 	c.mu.Lock()
@@ -57,27 +57,29 @@
 	c.mu.Unlock()
 	if isFull {
 		c.server.overflowed.Add(1)
-		_ = c.netConn.Close() // its reader ends in any case
+		_ = c.netConn.Close() // the reader ends even if this returns an error
 		return
 	}
 	c.signal()
 }
 
-// send queues a message to this subscriber alone.
+// send queues a message for this subscriber only.
 func (c *conn) send(message *changefeed.Message) {
 	body := changefeed.Encode(message)
 	c.enqueue(framing.Header(body), body)
 }
 
+// sendResult sends the result of the operation that the subscriber submitted under requestID.
 func (c *conn) sendResult(requestID uint64, result replication.Result) {
 	c.send(&changefeed.Message{OperationResult: &changefeed.Payload{RequestID: requestID, Body: framing.Encode(result)}})
 }
 
+// sendPutResponse sends the result of a put.
 func (c *conn) sendPutResponse(result shardmap.PutResult) {
 	c.send(&changefeed.Message{PutResponse: &changefeed.PutResponse{OperationID: result.OperationID, Version: result.Version, RejectReason: result.Rejection}})
 }
 
-// closeAfterQueue closes the connection after what is queued.
+// closeAfterQueue closes the connection once the queued messages are sent. Nothing more can be queued.
 func (c *conn) closeAfterQueue() {
 	c.mu.Lock()
 	c.isClosing = true
@@ -85,18 +87,19 @@
 	c.signal()
 }
 
+// signal wakes the writer, without blocking if a wakeup is already pending.
 func (c *conn) signal() {
 	select {
-	case c.wake <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// write writes the queue until the connection ends; readerClosed is closed when its reader ends.
+// write sends queued messages until the connection ends. readerClosed is closed when the connection's reader has ended.
 func (c *conn) write(readerClosed <-chan struct{}) {
 	defer c.server.goroutines.Done()
 	defer close(c.writerClosed)
-	defer func() { _ = c.netConn.Close() }() // a failed write is seen by the reader
+	defer func() { _ = c.netConn.Close() }() // after a failed write this ends the reader, too
 	for {
 		queue, isClosing := c.takeQueue()
 		if len(queue) > 0 {
@@ -111,11 +114,12 @@
 		select {
 		case <-readerClosed:
 			return
-		case <-c.wake:
+		case <-c.wakeup:
 		}
 	}
 }
 
+// takeQueue removes and returns everything that is queued.
 func (c *conn) takeQueue() (queue [][]byte, isClosing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,6 +129,7 @@
 	return queue, c.isClosing
 }
 
+// writeAll sends the parts of a queue in one vectored write.
 func (c *conn) writeAll(queue [][]byte, isClosing bool) error {
 	size := int64(0)
 	for _, part := range queue {
@@ -134,7 +139,7 @@
 	if isClosing {
 		timeout = closeTimeout
 	}
-	_ = c.netConn.SetWriteDeadline(time.Now().Add(timeout)) // fails on a closed connection alone, and so does the write
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(timeout)) // fails only on a closed connection, on which the write fails as well
 	buffers := net.Buffers(queue)
 	if _, err := buffers.WriteTo(c.netConn); err != nil {
 		return err
--- a/internal/fleet/publisher/filtered_state.go
+++ b/internal/fleet/publisher/filtered_state.go
@@ -8,17 +8,19 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// filteredState is the agreed state as it is sent to subscribers: without the shard configurations, which only members need, as the
-// operations of a subscriber go through a control process.
+// filteredState is the agreed state as it is published to subscribers: without the shard configurations. Only members need those, because
+// subscribers submit their operations through a control process.
 //
-// It has every version of the agreed state: a change of shard configurations alone becomes one without items. So a version means the same
-// at each control process, however it received the state; it is the number that answers a put; and whoever has a version here has what
-// was agreed up to it. The digests are those of the filtered content.
+// It has every version of the agreed state: a change that consists of shard configurations becomes a change without items. A version
+// number therefore means the same at each control process, no matter how that process received the state. It is the number that a put
+// returns, and a subscriber that has a version has everything that was agreed up to it. The digests that subscribers see are computed
+// from the filtered content.
 type filteredState struct {
-	log          *changefeed.Log
-	agreedDigest uint64 // of the complete agreed state at the log's version
+	log          *changefeed.Log // the filtered state and its retained changes
+	agreedDigest uint64          // digest of the complete agreed state at the version of log
 }
 
+// withoutShardConfigurations returns a copy of items that has no shard configurations.
 func withoutShardConfigurations(items []changefeed.Item) []changefeed.Item {
 	return slices.DeleteFunc(slices.Clone(items), func(item changefeed.Item) bool {
 		_, isShard := shardmap.ShardFromKey(item.Key)
@@ -26,10 +28,10 @@
 	})
 }
 
-// install replaces the state by a snapshot of the agreed state. An error leaves it as it was.
+// install replaces the state with a snapshot of the complete agreed state. On an error the state is unchanged.
 func (f *filteredState) install(snapshot *changefeed.Snapshot) error {
 	if snapshot.Version == f.log.Version() && snapshot.Digest != f.agreedDigest {
-		return fmt.Errorf("%w: a snapshot of version %d with digest %016x, here %016x", changefeed.ErrConflict, snapshot.Version, snapshot.Digest, f.agreedDigest)
+		return fmt.Errorf("%w: the snapshot of version %d has digest %016x, the present state has %016x", changefeed.ErrConflict, snapshot.Version, snapshot.Digest, f.agreedDigest)
 	}
 	filtered := changefeed.NewSnapshot(snapshot.Fleet, snapshot.Version, withoutShardConfigurations(snapshot.Items))
 	if err := f.log.Install(*filtered); err != nil {
@@ -39,15 +41,15 @@
 	return nil
 }
 
-// apply applies the next change of the agreed state. An error leaves the state as it was.
+// apply applies the next change of the complete agreed state. On an error the state is unchanged.
 func (f *filteredState) apply(change *changefeed.Change) error {
 	switch {
 	case change.Version == f.log.Version() && change.DigestAfter != f.agreedDigest:
-		return fmt.Errorf("%w: version %d with digest %016x, here %016x", changefeed.ErrConflict, change.Version, change.DigestAfter, f.agreedDigest)
+		return fmt.Errorf("%w: the change of version %d results in digest %016x, the present state has %016x", changefeed.ErrConflict, change.Version, change.DigestAfter, f.agreedDigest)
 	case change.Version != f.log.Version()+1:
-		return fmt.Errorf("%w: version %d after %d", changefeed.ErrOutOfOrder, change.Version, f.log.Version())
+		return fmt.Errorf("%w: the change has version %d, the present state has %d", changefeed.ErrOutOfOrder, change.Version, f.log.Version())
 	case change.DigestBefore != f.agreedDigest:
-		return fmt.Errorf("%w: version %d is of %016x, here is %016x", changefeed.ErrDigestMismatch, change.Version, change.DigestBefore, f.agreedDigest)
+		return fmt.Errorf("%w: the change of version %d applies to digest %016x, the present state has %016x", changefeed.ErrDigestMismatch, change.Version, change.DigestBefore, f.agreedDigest)
 	}
 	if _, err := f.log.Append(withoutShardConfigurations(change.Items)); err != nil {
 		return err
--- a/internal/fleet/publisher/operations.go
+++ b/internal/fleet/publisher/operations.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	maxOperationsPerConn = 256 // pending operations and puts
-	maxOperations        = 8192
-	maxOperationTimeout  = 10 * time.Second
+	maxOperationsPerConn = 256              // pending operations and puts of one subscriber
+	maxOperations        = 8192             // pending operations of all subscribers
+	maxOperationTimeout  = 10 * time.Second // limit of the timeout that a subscriber requests for an operation
 	putTimeout           = 5 * time.Second
 )
 
-// putBusy is sent to subscribers; its text is part of the protocol.
-const putBusy = "busy: too many changes of this follower wait"
+// rejectionBusy is the rejection of a put beyond the limit. Its text is sent to subscribers and is part of the protocol.
+const rejectionBusy = "busy: too many changes of this follower wait"
 
-// pendingOperation is the connection that awaits the result of an operation, and its ID of the request.
+// pendingOperation identifies who is waiting for the result of an operation.
 type pendingOperation struct {
 	conn      *conn
-	requestID uint64
+	requestID uint64 // assigned by the subscriber
 }
 
-// submit executes a subscriber's operation. The result of one that is submitted again while it is pending goes to the latest submitter.
+// submit executes a subscriber's operation. If an operation is submitted again while it is pending, it is executed once and the result goes
+// to the latest submitter.
 func (s *Server) submit(c *conn, requestID uint64, op replication.Operation, timeout time.Duration) {
 	s.mu.Lock()
-	previous, isPending := s.operations[op.ID]
-	isFull := !isPending && (c.operations.Load() >= maxOperationsPerConn || len(s.operations) >= maxOperations)
+	previous, isPending := s.operationsByID[op.ID]
+	isFull := !isPending && (c.pendingOperations.Load() >= maxOperationsPerConn || len(s.operationsByID) >= maxOperations)
 	if !isFull {
 		if isPending {
-			previous.conn.operations.Add(-1)
+			previous.conn.pendingOperations.Add(-1)
 		}
-		s.operations[op.ID] = pendingOperation{conn: c, requestID: requestID}
-		c.operations.Add(1)
+		s.operationsByID[op.ID] = pendingOperation{conn: c, requestID: requestID}
+		c.pendingOperations.Add(1)
 	}
 	s.mu.Unlock()
 	s.submitted.Add(1)
@@ -43,27 +44,27 @@
 		s.rejectedOperations.Add(1)
 		c.sendResult(requestID, replication.Result{OperationID: op.ID, Outcome: replication.OutcomeRejected, Reason: replication.ReasonBusy})
 	case !isPending:
-		s.backend.Submit(op, timeout, func(result replication.Result) { s.complete(op.ID, result) })
+		s.backend.Submit(op, timeout, func(result replication.Result) { s.completeOperation(op.ID, result) })
 	}
 }
 
-// complete sends the result of an operation to its latest submitter.
-func (s *Server) complete(operationID string, result replication.Result) {
+// completeOperation sends the result of an operation to its latest submitter.
+func (s *Server) completeOperation(operationID string, result replication.Result) {
 	s.mu.Lock()
-	pending := s.operations[operationID]
-	delete(s.operations, operationID)
+	pending := s.operationsByID[operationID]
+	delete(s.operationsByID, operationID)
 	s.mu.Unlock()
-	pending.conn.operations.Add(-1)
+	pending.conn.pendingOperations.Add(-1)
 	pending.conn.sendResult(pending.requestID, result)
 }
 
-// put forwards a subscriber's put to the log's leader.
-func (s *Server) put(c *conn, request *changefeed.PutRequest) {
+// forwardPut forwards a subscriber's put to the leader of the agreed log.
+func (s *Server) forwardPut(c *conn, request *changefeed.PutRequest) {
 	s.submitted.Add(1)
-	if c.operations.Add(1) > maxOperationsPerConn {
-		c.operations.Add(-1)
+	if c.pendingOperations.Add(1) > maxOperationsPerConn {
+		c.pendingOperations.Add(-1)
 		s.rejectedOperations.Add(1)
-		c.sendPutResponse(shardmap.PutResult{OperationID: request.OperationID, Rejection: putBusy})
+		c.sendPutResponse(shardmap.PutResult{OperationID: request.OperationID, Rejection: rejectionBusy})
 		return
 	}
 	put := shardmap.Put{
@@ -75,7 +76,7 @@
 		ExpectedVersion: request.IfVersion,
 	}
 	s.backend.Put(put, putTimeout, func(result shardmap.PutResult) {
-		c.operations.Add(-1)
+		c.pendingOperations.Add(-1)
 		c.sendPutResponse(result)
 	})
 }
--- a/internal/fleet/publisher/pending_updates.go
+++ b/internal/fleet/publisher/pending_updates.go
@@ -7,44 +7,46 @@
 	"sabletally/internal/fleet/changefeed"
 )
 
-// publishInterval is the minimum time between two publications of changes. A change after a pause is published at once; those that
-// follow it are sent together, in one write to each subscriber.
+// publishInterval is the minimum time between two publications of changes. A change after a pause is published at once. The changes that
+// follow within the interval are sent together, in one write to each subscriber.
 const publishInterval = 100 * time.Millisecond
 
-// pendingUpdates holds what the member's core has reported and the publisher has not taken over. It is safe for concurrent use.
+// pendingUpdates holds the updates that the member's core has reported and the publisher has not published yet. It is safe for concurrent
+// use.
 type pendingUpdates struct {
-	wake chan struct{} // receives where something was added
+	wakeup chan struct{} // receives a value after an update was added
 
-	mu            sync.Mutex
-	snapshot      *changefeed.Snapshot // nil: the changes apply to the published state
-	changes       []*changefeed.Change
-	confirmation  confirmation
-	isConfirmed   bool          // confirmation is set
-	takenAt       time.Duration // time of the confirmation that was taken last
-	nextPublishAt time.Duration
+	mu                  sync.Mutex
+	snapshot            *changefeed.Snapshot // the state that the changes apply to; nil if they apply to the published state
+	changes             []*changefeed.Change
+	confirmation        confirmation
+	isConfirmed         bool          // whether confirmation is set
+	takenConfirmationAt time.Duration // the field "at" of the confirmation that was taken last
+	nextPublishAt       time.Duration // earliest time of the next publication of changes
 }
 
-// confirmation states that at a time nothing newer than a version was agreed.
+// confirmation states that nothing newer than a version had been agreed at a time.
 type confirmation struct {
 	at      time.Duration
 	version uint64
 }
 
-// updateBatch is what is published together.
+// updateBatch holds the updates that are published together.
 type updateBatch struct {
-	snapshot     *changefeed.Snapshot
-	changes      []*changefeed.Change
-	confirmation *confirmation
+	snapshot     *changefeed.Snapshot // nil: the state is not replaced
+	changes      []*changefeed.Change // applied after snapshot
+	confirmation *confirmation        // nil: no new confirmation
 }
 
 // hasChanges reports whether the batch changes the state.
 func (b *updateBatch) hasChanges() bool { return b.snapshot != nil || len(b.changes) > 0 }
 
 func newPendingUpdates() *pendingUpdates {
-	return &pendingUpdates{wake: make(chan struct{}, 1)}
+	return &pendingUpdates{wakeup: make(chan struct{}, 1)}
 }
 
-// add adds changes, which follow a snapshot if one is given. It returns false where too many changes are pending.
+// add adds changes. If a snapshot is given, it replaces the pending updates and the changes follow it. add returns false if too many changes
+// are pending; the changes are then not added.
 func (p *pendingUpdates) add(snapshot *changefeed.Snapshot, changes []*changefeed.Change) bool {
 	p.mu.Lock()
 	if snapshot != nil {
@@ -72,16 +74,17 @@
 	}
 }
 
-// take removes what is to be published now. Changes that are not due yet stay pending for the returned time, zero where there are none.
+// take removes and returns the updates that are due. If changes remain because they are not due yet, it also returns the time until they
+// are, otherwise zero.
 func (p *pendingUpdates) take(now time.Duration) (updateBatch, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var batch updateBatch
-	if p.isConfirmed && p.confirmation.at != p.takenAt {
+	if p.isConfirmed && p.confirmation.at != p.takenConfirmationAt {
 		taken := p.confirmation
 		batch.confirmation = &taken
 	}
-	p.takenAt = p.confirmation.at
+	p.takenConfirmationAt = p.confirmation.at
 	if p.snapshot == nil && len(p.changes) == 0 {
 		return batch, 0
 	}
@@ -96,9 +99,10 @@
 	return batch, 0
 }
 
+// signal wakes the publisher, without blocking if a wakeup is already pending.
 func (p *pendingUpdates) signal() {
 	select {
-	case p.wake <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/fleet/publisher/publish.go
+++ b/internal/fleet/publisher/publish.go
@@ -9,58 +9,58 @@
 	"sabletally/internal/fleet/framing"
 )
 
-// run drives the core: at each tick, when updates arrive, and when pending changes are due.
+// run drives the core: at each tick, when updates arrive, and when pending changes are due. It ends with Close.
 func (s *Server) run() {
 	defer s.goroutines.Done()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	due := time.NewTimer(tickInterval)
-	defer due.Stop()
+	publishTimer := time.NewTimer(tickInterval)
+	defer publishTimer.Stop()
 	for {
 		wait := time.Duration(0)
 		select {
 		case <-s.done:
 			return
-		case <-s.pending.wake:
+		case <-s.pendingUpdates.wakeup:
 			wait = s.publish(false)
-		case <-due.C:
+		case <-publishTimer.C:
 			wait = s.publish(false)
 		case <-ticker.C:
 			wait = s.publish(true)
 		}
 		if wait > 0 {
-			due.Reset(wait)
+			publishTimer.Reset(wait)
 		}
 	}
 }
 
-// publish takes over pending updates and carries out what the core decides. It returns how long further changes have to wait, zero where
-// there are none.
+// publish applies the updates that are due and performs the resulting actions of the core. It returns the time until further pending
+// changes are due, or zero if there are none.
 func (s *Server) publish(isTick bool) time.Duration {
-	batch, wait := s.pending.take(s.options.Now())
+	batch, wait := s.pendingUpdates.take(s.options.Now())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.options.Now() // read after waiting for the lock
+	now := s.options.Now() // read again, because waiting for the lock takes time
 	if isTick {
 		s.core.Tick(now)
 	}
 	if batch.hasChanges() {
-		s.apply(batch)
+		s.applyUpdates(batch)
 		s.core.LogChanged()
 	}
 	if batch.confirmation != nil {
 		s.core.ConfirmVersion(batch.confirmation.at, batch.confirmation.version)
 	}
-	s.carryOut()
+	s.processReady()
 	if s.statusAt == 0 || now-s.statusAt >= statusInterval {
 		s.refreshStatus(now)
 	}
 	return wait
 }
 
-// apply applies updates to the published state. One that does not fit is logged and leaves the state as it was.
-func (s *Server) apply(batch updateBatch) {
-	const message = "fleet: agreed state cannot be published"
+// applyUpdates applies updates to the published state. An update that does not apply is logged and leaves the state unchanged.
+func (s *Server) applyUpdates(batch updateBatch) {
+	const message = "fleet: agreed state not published"
 	if batch.snapshot != nil {
 		if err := s.state.install(batch.snapshot); err != nil {
 			s.options.Log.Error(message, zap.Uint64("version", batch.snapshot.Version), zap.Error(err))
@@ -73,7 +73,7 @@
 	}
 }
 
-// refreshStatus is called with mu held.
+// refreshStatus stores the status that Status returns. mu is held.
 func (s *Server) refreshStatus(now time.Duration) {
 	s.statusAt = now
 	age, ageKnown := s.core.Age(now)
@@ -89,8 +89,8 @@
 	})
 }
 
-// carryOut performs the core's pending actions. It is called with mu held.
-func (s *Server) carryOut() {
+// processReady performs the core's pending actions. mu is held.
+func (s *Server) processReady() {
 	ready := s.core.Ready()
 	s.enqueue(ready.Sends)
 	for _, id := range ready.CloseConns {
@@ -103,7 +103,8 @@
 	}
 }
 
-// enqueue queues messages. Consecutive ones to the same connection go out in one write, and the header of a shared message is built once.
+// enqueue queues messages. Consecutive messages to the same connection are queued together, so that they go out in one write. The header of
+// a message that several connections share is built once.
 func (s *Server) enqueue(sends []changefeed.PublisherSend) {
 	headers := map[*changefeed.SharedMessage][]byte{}
 	var parts [][]byte
@@ -124,6 +125,7 @@
 	}
 }
 
+// logEvent logs an event that the core has reported.
 func logEvent(log *zap.Logger, event changefeed.Event) {
 	fields := []zap.Field{
 		zap.String("subscriber", event.PeerID),
@@ -132,16 +134,16 @@
 	}
 	switch event.Kind {
 	case changefeed.EventResumed:
-		log.Warn("fleet: process was suspended, subscriber leases are extended", fields...)
+		log.Warn("fleet: process was suspended, subscriber leases extended", fields...)
 	case changefeed.EventLeaseExpired:
-		log.Warn("fleet: subscriber lease expired", fields...)
+		log.Warn("fleet: subscriber session closed: lease expired", fields...)
 	case changefeed.EventSlowSubscriber:
-		log.Warn("fleet: subscriber acknowledges nothing", fields...)
+		log.Warn("fleet: subscriber session closed: no acknowledgement in time", fields...)
 	case changefeed.EventForeignFleet:
-		log.Warn("fleet: subscriber of another fleet", fields...)
+		log.Warn("fleet: subscriber rejected: belongs to another fleet", fields...)
 	case changefeed.EventNewerProtocol:
-		log.Warn("fleet: subscriber of a newer protocol version", fields...)
+		log.Warn("fleet: subscriber rejected: newer protocol version", fields...)
 	default:
-		log.Warn("fleet: malformed message of a subscriber", append(fields, zap.Stringer("event", event))...)
+		log.Warn("fleet: malformed message from a subscriber", append(fields, zap.Stringer("event", event))...)
 	}
 }
--- a/internal/fleet/publisher/serve.go
+++ b/internal/fleet/publisher/serve.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	helloTimeout     = 3 * time.Second
-	idleTimeout      = 2 * changefeed.DefaultLease // the core closes silent sessions; this closes connections that have none
-	maxGreetingBytes = 4 << 10
-	maxRequestBytes  = 1 << 20
+	helloTimeout     = 3 * time.Second             // from accepting a stream to receiving its Hello
+	idleTimeout      = 2 * changefeed.DefaultLease // the core closes the sessions of silent subscribers; this closes connections without a session
+	maxGreetingBytes = 4 << 10                     // limit of the first body, the greeting
+	maxRequestBytes  = 1 << 20                     // limit of each later message from a subscriber
 	readBufferBytes  = 4 << 10
 )
 
@@ -24,6 +24,7 @@
 	buffered *bufio.Reader
 }
 
+// readBody reads one frame and counts its bytes.
 func (r *messageReader) readBody(maxBytes int) ([]byte, error) {
 	body, err := framing.Read(r.buffered, maxBytes)
 	r.server.received.Add(int64(framing.HeaderSize + len(body)))
@@ -40,7 +41,7 @@
 
 // serve handles a subscriber's connection until it ends.
 func (s *Server) serve(netConn net.Conn) error {
-	defer func() { _ = netConn.Close() }() // the reason for its end is returned
+	defer func() { _ = netConn.Close() }() // the error that ended the connection is returned instead
 	reader := &messageReader{server: s, buffered: bufio.NewReaderSize(netConn, readBufferBytes)}
 	hello, err := s.readHello(netConn, reader)
 	if err != nil {
@@ -49,26 +50,26 @@
 	c := newConn(s, netConn)
 	readerClosed := make(chan struct{})
 	defer close(readerClosed)
-	if err := s.open(c, hello, readerClosed); err != nil {
-		<-c.writerClosed // the reason is sent
+	if err := s.openSession(c, hello, readerClosed); err != nil {
+		<-c.writerClosed // the reason for the rejection is sent before the connection is closed
 		return err
 	}
-	defer s.closed(c)
+	defer s.closeSession(c)
 	for {
-		_ = netConn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails on a closed connection alone, and so does the read
+		_ = netConn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails only on a closed connection, on which the read fails as well
 		message, err := reader.readMessage()
 		if err != nil {
 			return err
 		}
-		if err := s.handle(c, message); err != nil {
+		if err := s.handleMessage(c, message); err != nil {
 			return err
 		}
 	}
 }
 
-// readHello reads the mark of the stream, the greeting and the hello.
+// readHello reads the beginning of a stream: the stream mark, the greeting and the Hello.
 func (s *Server) readHello(netConn net.Conn, reader *messageReader) (changefeed.Hello, error) {
-	_ = netConn.SetReadDeadline(time.Now().Add(helloTimeout)) // fails on a closed connection alone, and so does the read
+	_ = netConn.SetReadDeadline(time.Now().Add(helloTimeout)) // fails only on a closed connection, on which the read fails as well
 	if _, err := reader.buffered.Discard(1); err != nil {
 		return changefeed.Hello{}, fmt.Errorf("read stream mark: %w", err)
 	}
@@ -81,23 +82,23 @@
 		return changefeed.Hello{}, fmt.Errorf("decode greeting: %w", err)
 	}
 	if greeting.Fleet != s.options.Fleet {
-		return changefeed.Hello{}, fmt.Errorf("a subscriber of fleet %q at %v", greeting.Fleet, netConn.RemoteAddr())
+		return changefeed.Hello{}, fmt.Errorf("greeting names another fleet, %q, from %v", greeting.Fleet, netConn.RemoteAddr())
 	}
 	message, err := reader.readMessage()
 	if err != nil {
 		return changefeed.Hello{}, fmt.Errorf("read hello: %w", err)
 	}
 	if message.Hello == nil {
-		return changefeed.Hello{}, fmt.Errorf("%w: no hello", changefeed.ErrMalformedMessage)
+		return changefeed.Hello{}, fmt.Errorf("%w: the first message is not a Hello", changefeed.ErrMalformedMessage)
 	}
 	return *message.Hello, nil
 }
 
-// handle passes a message to the core, and executes the operation or put in it.
-func (s *Server) handle(c *conn, message changefeed.Message) error {
+// handleMessage passes a message to the core and executes the operation or the put that it contains.
+func (s *Server) handleMessage(c *conn, message changefeed.Message) error {
 	s.mu.Lock()
 	err := s.core.Step(s.options.Now(), c.id, message)
-	s.carryOut()
+	s.processReady()
 	s.mu.Unlock()
 	if err != nil {
 		return err
@@ -106,22 +107,23 @@
 	case message.Operation != nil:
 		var request framing.OperationRequest
 		if err := framing.Decode(message.Operation.Body, &request); err != nil {
-			return fmt.Errorf("decode operation %d: %w", message.Operation.RequestID, err)
+			return fmt.Errorf("decode operation of request %d: %w", message.Operation.RequestID, err)
 		}
 		s.submit(c, message.Operation.RequestID, request.Operation, min(request.Timeout, maxOperationTimeout))
 	case message.PutRequest != nil:
-		s.put(c, message.PutRequest)
+		s.forwardPut(c, message.PutRequest)
 	}
 	return nil
 }
 
-// open starts the writer and opens a session. Where the core rejects the subscriber, the connection ends after the core's answer.
-func (s *Server) open(c *conn, hello changefeed.Hello, readerClosed <-chan struct{}) error {
+// openSession starts the writer and opens a session. If the core rejects the subscriber, the connection is closed once the core's answer is
+// sent.
+func (s *Server) openSession(c *conn, hello changefeed.Hello, readerClosed <-chan struct{}) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
 	case <-s.done:
-		close(c.writerClosed) // it was never started
+		close(c.writerClosed) // the writer is not started
 		return net.ErrClosed
 	default:
 	}
@@ -131,7 +133,7 @@
 	s.goroutines.Add(1)
 	go c.write(readerClosed)
 	err := s.core.Connected(s.options.Now(), c.id, hello)
-	s.carryOut()
+	s.processReady()
 	if err != nil {
 		c.closeAfterQueue()
 		delete(s.conns, c.id)
@@ -139,11 +141,11 @@
 	return err
 }
 
-// closed ends the session of a connection.
-func (s *Server) closed(c *conn) {
+// closeSession ends the session of a closed connection.
+func (s *Server) closeSession(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c.id)
 	s.core.ConnectionClosed(c.id)
-	s.carryOut()
+	s.processReady()
 }
