--- a/internal/fleet/subscriber/client.go
+++ b/internal/fleet/subscriber/client.go
@@ -1,9 +1,9 @@
-// Package subscriber runs a balancer's side of the changefeed: it drives a changefeed.Subscriber on connections and forwards operations
-// to the control processes that it follows. It owns the connections and the requests that await a response. It must never make the
-// balancer's loop wait, and never promise anything by itself.
+// Package subscriber is the network client of the changefeed in a balancer: it drives a changefeed.Subscriber on connections to control
+// processes, and forwards operations to them. It owns the connections and the requests that await a response. It must never block the
+// balancer's loop, and never report an operation or a put as successful unless a control process has answered so.
 //
-// A client costs a goroutine for each connection, in most cases two, and one more while something is being written, so thousands of
-// clients fit in a process.
+// A client needs one goroutine for each connection, in most cases two, and one more for each connection that is being written to, so
+// thousands of clients fit in a process.
 package subscriber
 
 import (
@@ -21,60 +21,60 @@
 
 const (
 	tickInterval    = 200 * time.Millisecond
-	minTickInterval = 10 * time.Millisecond // between updates of the core's time by messages
+	minTickInterval = 10 * time.Millisecond // minimum time between two ticks that are caused by messages
 )
 
 // Options configures a Client.
 type Options struct {
-	Fleet       string // the fleet's name in the files
-	Name        string
-	ID          string
-	Incarnation uint64 // grows with each start under an ID
+	Fleet       string // name of the fleet in the fleet files
+	Name        string // name of this balancer
+	ID          string // ID of this balancer
+	Incarnation uint64 // number of this start under ID; higher than that of each earlier start
 	Machine     string
 	Zone        string
 	Site        string
-	Seeds       []netip.AddrPort // control processes
-	Seed        uint64
-	LocalAddr   netip.Addr           // of outgoing connections; invalid: any
+	Seeds       []netip.AddrPort     // addresses of control processes to contact first
+	Seed        uint64               // seed of the core's random generator
+	LocalAddr   netip.Addr           // local address of outgoing connections; any if invalid
 	Now         func() time.Duration // a clock that continues while the process is suspended
 	Log         *zap.Logger
 
-	// OnUpdate is called with each update of the state, in order, by one goroutine at a time. It must not wait. It may be nil.
+	// OnUpdate is called with each update of the state, in order, by one goroutine at a time. It must not block. It may be nil.
 	OnUpdate func(changefeed.Update)
 }
 
 // Status describes a Client at one moment.
 type Status struct {
-	Fleet      string // its ID, empty before it is known
-	Version    uint64
-	Digest     uint64
-	Keys       int
-	Bytes      int
-	Current    bool          // the state was confirmed within the lease
-	Age        time.Duration // since the state was confirmed
-	AgeKnown   bool
-	Publishers []string // addresses of the open connections
-	Sent       int64    // bytes
-	Received   int64    // bytes
-	Waiting    int      // operations and puts without a response
+	Fleet      string        // ID of the fleet; empty before it is known
+	Version    uint64        // version of the state
+	Digest     uint64        // digest of the state
+	Keys       int           // number of keys in the state
+	Bytes      int           // size of the state
+	Current    bool          // whether the state was confirmed within the lease
+	Age        time.Duration // time since the state was confirmed
+	AgeKnown   bool          // false before the first confirmation
+	Publishers []string      // addresses of the control processes that are followed
+	Sent       int64         // bytes sent
+	Received   int64         // bytes received
+	Waiting    int           // operations and puts without a response
 	Stats      changefeed.SubscriberStats
 }
 
-// Client is the connection of one balancer to the control processes.
+// Client subscribes one balancer to the agreed state and submits its operations and puts.
 type Client struct {
 	options Options
 
 	mu             sync.Mutex // guards the fields below
 	core           *changefeed.Subscriber
-	conns          map[string]*conn    // dialing or open, by address
-	requests       map[uint64]*request // by ID
-	puts           map[string]*request // the requests that are puts, by operation ID
+	conns          map[string]*conn    // dialing and open connections by address
+	requests       map[uint64]*request // pending operations and puts by request ID
+	puts           map[string]*request // pending puts by operation ID
 	lastRequestID  uint64
-	lastTick       time.Duration
-	pendingUpdates []changefeed.Update // for OnUpdate
-	isNotifying    bool                // a goroutine is calling OnUpdate
+	lastTick       time.Duration       // time of the core
+	pendingUpdates []changefeed.Update // updates that OnUpdate has not been called with
+	isNotifying    bool                // whether a goroutine is calling OnUpdate
 	isClosed       bool
-	timer          *time.Timer
+	tickTimer      *time.Timer
 
 	dialContext context.Context
 	cancelDials context.CancelFunc
@@ -83,7 +83,7 @@
 	goroutines  sync.WaitGroup
 }
 
-// Open starts a client, which connects in the background.
+// Open starts a client. It connects in the background.
 func Open(options Options) *Client {
 	seeds := make([]string, 0, len(options.Seeds))
 	for _, seed := range options.Seeds {
@@ -111,12 +111,12 @@
 		cancelDials: cancelDials,
 	}
 	c.mu.Lock()
-	c.timer = time.AfterFunc(0, c.onTimer)
+	c.tickTimer = time.AfterFunc(0, c.onTimer)
 	c.mu.Unlock()
 	return c
 }
 
-// Status returns the current status without waiting.
+// Status returns the current status.
 func (c *Client) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,21 +140,21 @@
 	}
 }
 
-// IsCurrent reports whether the state was confirmed within the lease, as of now.
+// IsCurrent reports whether the state is current, which means that it was confirmed within the lease.
 func (c *Client) IsCurrent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.core.IsCurrent(c.options.Now())
 }
 
-// Get returns the value of a key, which must not be modified.
+// Get returns the value of a key in the state. The value must not be modified.
 func (c *Client) Get(key string) ([]byte, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.core.State().Get(key)
 }
 
-// Close disconnects from all control processes and waits for the goroutines. Pending requests end without a response.
+// Close disconnects from all control processes and waits for the goroutines. Pending requests end as if no response had arrived.
 func (c *Client) Close() {
 	c.mu.Lock()
 	if c.isClosed {
@@ -162,10 +162,10 @@
 		return
 	}
 	c.isClosed = true
-	c.timer.Stop()
+	c.tickTimer.Stop()
 	c.cancelDials()
 	c.core.Disconnect()
-	c.carryOut()
+	c.processReady()
 	for _, open := range c.conns {
 		open.closeAfterQueue()
 	}
@@ -177,40 +177,40 @@
 	clear(c.puts)
 	c.mu.Unlock()
 	for _, r := range pending {
-		r.timer.Stop()
+		r.timeoutTimer.Stop()
 		r.onNoResponse()
 	}
 	c.goroutines.Wait()
 }
 
-// onTimer is the periodic tick.
+// onTimer performs the periodic tick.
 func (c *Client) onTimer() {
 	c.mu.Lock()
 	if !c.isClosed {
 		c.tick()
-		c.carryOut()
-		c.timer.Reset(tickInterval)
+		c.processReady()
+		c.tickTimer.Reset(tickInterval)
 	}
 	c.mu.Unlock()
 	c.notifyUpdates()
 }
 
-// tick sets the core's time. A message must not be sent with a later time than it has: the age of the state is computed from it.
+// tick sets the core's time. The core computes the age of the state from it, so it must not lag when a message is sent.
 func (c *Client) tick() {
 	now := c.options.Now()
 	c.lastTick = now
 	c.core.Tick(now)
 }
 
-// tickIfDue calls tick unless that was done a moment ago. mu is held.
+// tickIfDue calls tick unless the last tick is less than minTickInterval ago. mu is held.
 func (c *Client) tickIfDue() {
 	if c.options.Now()-c.lastTick >= minTickInterval {
 		c.tick()
 	}
 }
 
-// carryOut performs the core's pending actions. mu is held.
-func (c *Client) carryOut() {
+// processReady performs the core's pending actions. mu is held.
+func (c *Client) processReady() {
 	ready := c.core.Ready()
 	if c.options.OnUpdate != nil {
 		c.pendingUpdates = append(c.pendingUpdates, ready.Updates...)
@@ -224,7 +224,7 @@
 		if closing := c.conns[address]; closing != nil {
 			delete(c.conns, address)
 			closing.closeAfterQueue()
-			c.resubmit(closing)
+			c.resendRequests(closing)
 		}
 	}
 	if !c.isClosed {
@@ -237,6 +237,7 @@
 	}
 }
 
+// dial starts a connection to an address. mu is held.
 func (c *Client) dial(address string) {
 	dialing := &conn{client: c, address: address}
 	c.conns[address] = dialing
@@ -244,7 +245,7 @@
 	go dialing.run()
 }
 
-// notifyUpdates calls OnUpdate with the pending updates. mu is not held.
+// notifyUpdates calls OnUpdate with the pending updates. mu must not be held.
 func (c *Client) notifyUpdates() {
 	if c.options.OnUpdate == nil {
 		return
@@ -252,7 +253,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.isNotifying {
-		return // that goroutine handles these updates as well
+		return // the notifying goroutine passes on these updates, too
 	}
 	c.isNotifying = true
 	for len(c.pendingUpdates) > 0 {
@@ -267,8 +268,8 @@
 	c.isNotifying = false
 }
 
-// connected reports an established connection to the core. It returns false for one that was given up meanwhile.
-func (c *Client) connected(established *conn) bool {
+// onConnected reports an established connection to the core. It returns false if the connection has been abandoned meanwhile.
+func (c *Client) onConnected(established *conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.isClosed || c.conns[established.address] != established {
@@ -277,13 +278,13 @@
 	c.tick()
 	established.enqueue(framing.Encode(framing.Greeting{Fleet: c.options.Fleet}))
 	c.core.Connected(established.address)
-	c.carryOut()
-	c.submitUnsent()
+	c.processReady()
+	c.sendUnsent()
 	return true
 }
 
-// disconnected reports a failed dial, or the end of a connection, to the core.
-func (c *Client) disconnected(ended *conn, wasConnected bool) {
+// onDisconnected reports a failed dial, or the end of a connection, to the core.
+func (c *Client) onDisconnected(ended *conn, wasConnected bool) {
 	c.mu.Lock()
 	if c.conns[ended.address] == ended {
 		delete(c.conns, ended.address)
@@ -293,28 +294,28 @@
 		} else {
 			c.core.DialFailed(ended.address)
 		}
-		c.carryOut()
-		c.resubmit(ended)
+		c.processReady()
+		c.resendRequests(ended)
 	}
 	c.mu.Unlock()
 	c.notifyUpdates()
 }
 
-// handle handles a message. It returns false for one of a connection that was given up.
-func (c *Client) handle(source *conn, message changefeed.Message) bool {
+// handleMessage processes a message from a control process. It returns false if its connection has been abandoned.
+func (c *Client) handleMessage(source *conn, message changefeed.Message) bool {
 	var complete func()
 	c.mu.Lock()
 	isOpen := !c.isClosed && c.conns[source.address] == source
 	if isOpen {
 		c.tickIfDue()
-		_ = c.core.Step(source.address, message) // the core has dealt with an error and reports it as an event
+		_ = c.core.Step(source.address, message) // the core handles an error itself and reports it as an event
 		switch {
 		case message.OperationResult != nil:
 			complete = c.completeOperation(message.OperationResult)
 		case message.PutResponse != nil:
 			complete = c.completePut(message.PutResponse)
 		}
-		c.carryOut()
+		c.processReady()
 	}
 	c.mu.Unlock()
 	if complete != nil {
@@ -324,8 +325,8 @@
 	return isOpen
 }
 
-// progress reports bytes of an incomplete message to the core.
-func (c *Client) progress(source *conn) {
+// reportProgress tells the core that bytes of an incomplete message have arrived.
+func (c *Client) reportProgress(source *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns[source.address] == source {
@@ -334,6 +335,7 @@
 	}
 }
 
+// logEvent logs an event that the core has reported.
 func logEvent(log *zap.Logger, event changefeed.Event) {
 	address := zap.String("address", event.Addr)
 	detail := zap.String("detail", event.Detail)
@@ -353,10 +355,10 @@
 	case changefeed.EventDigestMismatch:
 		log.Warn("fleet: digest mismatch, requesting a snapshot", address, version, duration, detail)
 	case changefeed.EventHistoryConflict:
-		log.Error("fleet: two histories: one version of the agreed state with different contents", address, version, duration, detail)
+		log.Error("fleet: history conflict: control process has different content at the same version", address, version, duration, detail)
 	case changefeed.EventForeignFleet:
-		log.Warn("fleet: control process of another fleet", address, version, duration, detail)
+		log.Warn("fleet: control process belongs to another fleet", address, version, duration, detail)
 	default:
-		log.Warn("fleet: invalid message of a control process", address, version, duration, detail, zap.Stringer("event", event))
+		log.Warn("fleet: invalid message from a control process", address, version, duration, detail, zap.Stringer("event", event))
 	}
 }
--- a/internal/fleet/subscriber/conn.go
+++ b/internal/fleet/subscriber/conn.go
@@ -12,27 +12,27 @@
 
 const (
 	dialTimeout       = time.Second
-	writeTimeout      = 5 * time.Second        // of one write
-	disconnectTimeout = 500 * time.Millisecond // of the last write
-	progressInterval  = 500 * time.Millisecond
-	maxQueuedBodies   = 8192
+	writeTimeout      = 5 * time.Second        // limit of one write
+	disconnectTimeout = 500 * time.Millisecond // limit of the last write before the connection is closed
+	progressInterval  = 500 * time.Millisecond // minimum time between two reports of progress
+	maxQueuedBodies   = 8192                   // size of the send queue of a connection
 	readBufferBytes   = 4 << 10
 )
 
-// conn is the connection to one control process, dialing or open.
+// conn is a connection to one control process. It is created before it is dialed.
 type conn struct {
 	client  *Client
 	address string
 
 	mu        sync.Mutex
-	netConn   net.Conn // nil while it is dialing
-	queue     [][]byte // bodies
-	isWriting bool     // a goroutine writes the queue
-	isMarked  bool     // the mark of the stream was sent; belongs to the writing goroutine
-	isClosing bool     // nothing more is queued; the connection ends after the queue
+	netConn   net.Conn // nil while the connection is being dialed
+	queue     [][]byte // bodies to send
+	isWriting bool     // whether a goroutine is writing the queue
+	markSent  bool     // whether the stream mark was sent; used only by the writing goroutine, without mu
+	isClosing bool     // set when nothing more may be queued; the connection is closed once the queue is sent
 }
 
-// run dials, then reads until the connection ends.
+// run dials the control process, then reads until the connection ends.
 func (c *conn) run() {
 	client := c.client
 	defer client.goroutines.Done()
@@ -42,24 +42,24 @@
 	}
 	netConn, err := dialer.DialContext(client.dialContext, "tcp", c.address)
 	if err != nil {
-		client.disconnected(c, false)
+		client.onDisconnected(c, false)
 		return
 	}
-	defer func() { _ = netConn.Close() }() // the core is told of its end
+	defer func() { _ = netConn.Close() }() // the core learns about the end from onDisconnected
 	c.mu.Lock()
 	c.netConn = netConn
 	c.mu.Unlock()
-	if !client.connected(c) {
+	if !client.onConnected(c) {
 		return
 	}
 	c.readMessages(netConn)
-	client.disconnected(c, true)
+	client.onDisconnected(c, true)
 }
 
-// readMessages handles messages until the connection ends or is given up, or a message is malformed.
+// readMessages processes messages until the connection ends or is abandoned, or a message is malformed.
 func (c *conn) readMessages(netConn net.Conn) {
-	progress := &progressReader{conn: c, netConn: netConn, reportedAt: time.Now()}
-	buffered := bufio.NewReaderSize(progress, readBufferBytes)
+	reader := &progressReader{conn: c, netConn: netConn, reportedAt: time.Now()}
+	buffered := bufio.NewReaderSize(reader, readBufferBytes)
 	for {
 		body, err := framing.Read(buffered, changefeed.MaxMessageBytes)
 		if err != nil {
@@ -67,17 +67,18 @@
 		}
 		c.client.received.Add(int64(framing.HeaderSize + len(body)))
 		message, err := changefeed.Decode(body)
-		if err != nil || !c.client.handle(c, message) {
+		if err != nil || !c.client.handleMessage(c, message) {
 			return
 		}
 	}
 }
 
-// progressReader reports arriving bytes to the client, at most once in progressInterval.
+// progressReader reads from a connection and reports progress to the client, at most once per progressInterval. A large message that
+// arrives slowly thus counts as a sign of life.
 type progressReader struct {
 	conn       *conn
 	netConn    net.Conn
-	reportedAt time.Time
+	reportedAt time.Time // time of the last report
 }
 
 // Read implements io.Reader.
@@ -85,12 +86,12 @@
 	n, err := r.netConn.Read(buffer)
 	if now := time.Now(); n > 0 && now.Sub(r.reportedAt) >= progressInterval {
 		r.reportedAt = now
-		r.conn.client.progress(r.conn)
+		r.conn.client.reportProgress(r.conn)
 	}
 	return n, err
 }
 
-// enqueue queues a body. It never waits. A connection whose queue is full is closed.
+// enqueue queues a body. It never blocks. A connection whose queue is full is closed.
 func (c *conn) enqueue(body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,14 +99,14 @@
 		return
 	}
 	if len(c.queue) >= maxQueuedBodies {
-		_ = c.netConn.Close() // its reader ends in any case
+		_ = c.netConn.Close() // the reader ends even if this returns an error
 		return
 	}
 	c.queue = append(c.queue, body)
 	c.startWriting()
 }
 
-// closeAfterQueue closes the connection after what is queued.
+// closeAfterQueue closes the connection once the queued bodies are sent. Nothing more can be queued.
 func (c *conn) closeAfterQueue() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// startWriting starts a goroutine that writes the queue, unless there is one: an idle connection needs none. mu is held.
+// startWriting starts a goroutine that writes the queue, unless one is running. An idle connection has no such goroutine. mu is held.
 func (c *conn) startWriting() {
 	if c.isWriting {
 		return
@@ -125,7 +126,7 @@
 	go c.writeQueue()
 }
 
-// writeQueue writes until the queue is empty.
+// writeQueue writes queued bodies until the queue is empty.
 func (c *conn) writeQueue() {
 	defer c.client.goroutines.Done()
 	for {
@@ -137,14 +138,15 @@
 		if isClosing {
 			timeout = disconnectTimeout
 		}
-		_ = c.netConn.SetWriteDeadline(time.Now().Add(timeout)) // fails on a closed connection alone, and so does the write
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(timeout)) // fails only on a closed connection, on which the write fails as well
 		if err := c.writeFrames(queue); err != nil {
-			_ = c.netConn.Close() // its reader reports the end
+			_ = c.netConn.Close() // the reader then reports the end of the connection
 		}
 	}
 }
 
-// takeQueue takes the queue over. Where it is empty the writing ends, and the connection with it if it is closing.
+// takeQueue removes and returns the queued bodies. If there are none, the writing goroutine has to end; a closing connection is then
+// closed.
 func (c *conn) takeQueue() (queue [][]byte, isClosing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,11 +161,12 @@
 	return queue, c.isClosing
 }
 
+// writeFrames writes bodies as frames, after the stream mark if that was not sent yet.
 func (c *conn) writeFrames(bodies [][]byte) error {
 	var buffers net.Buffers
 	size := int64(0)
-	if !c.isMarked {
-		c.isMarked = true
+	if !c.markSent {
+		c.markSent = true
 		buffers = append(buffers, []byte{framing.StreamMark})
 		size++
 	}
--- a/internal/fleet/subscriber/request.go
+++ b/internal/fleet/subscriber/request.go
@@ -8,33 +8,33 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// maxRequests bounds the operations and puts without a response. Further ones are rejected.
+// maxRequests is the maximum number of pending operations and puts. Further ones are rejected.
 const maxRequests = 4096
 
-// Reasons for which a put ends without a response.
+// The rejections of puts that end without a response from a control process. Their texts reach operators.
 const (
 	putTimedOut = "no answer in time: it may have taken hold; ask again as the same operation"
 	putNotSent  = "no control process is followed, or too many changes wait"
 	putPending  = "it is under way already"
 )
 
-// request is an operation or a put that awaits its response. It ends by exactly one of its callbacks.
+// request is a pending operation or put. It ends with a call of exactly one of its callbacks.
 type request struct {
-	id           uint64
-	operationID  string
-	encoded      []byte
-	conn         *conn // that it was sent on; nil: none
-	wasSent      bool  // at least once
-	timer        *time.Timer
-	onNoResponse func()
-	onResult     func(replication.Result)      // of an operation
-	onPut        func(*changefeed.PutResponse) // of a put
+	id             uint64
+	operationID    string
+	encodedMessage []byte
+	conn           *conn // connection that it was last sent on; nil if that has ended, or if it was never sent
+	wasSent        bool  // whether it was sent at least once
+	timeoutTimer   *time.Timer
+	onNoResponse   func()
+	onResult       func(replication.Result)      // nil for a put
+	onPutResponse  func(*changefeed.PutResponse) // nil for an operation
 }
 
-// Submit has an operation executed by the control processes. done is called once, by another goroutine, within the time or a little
-// later; it must not wait. Without a response the outcome is unknown, or a rejection if the operation was never sent. An operation whose
-// connection ends is sent again on another one, which is safe as operations are idempotent by their ID.
-func (c *Client) Submit(op replication.Operation, within time.Duration, done func(replication.Result)) {
+// Submit submits an operation to a control process that is followed. done is called once, when the result arrives or the timeout has passed;
+// it must not block. Without a result the outcome is OutcomeUnknown, or OutcomeRejected if the operation was never sent. If the connection
+// ends first, the operation is sent again on another connection, which is safe because operations are idempotent by their ID.
+func (c *Client) Submit(op replication.Operation, timeout time.Duration, done func(replication.Result)) {
 	r := &request{operationID: op.ID, onResult: done}
 	r.onNoResponse = func() {
 		result := replication.Result{OperationID: op.ID, Outcome: replication.OutcomeUnknown}
@@ -44,17 +44,17 @@
 		}
 		done(result)
 	}
-	c.start(r, within, func(requestID uint64) changefeed.Message {
-		body := framing.Encode(framing.OperationRequest{Operation: op, Timeout: within})
+	c.startRequest(r, timeout, func(requestID uint64) changefeed.Message {
+		body := framing.Encode(framing.OperationRequest{Operation: op, Timeout: timeout})
 		return changefeed.Message{Operation: &changefeed.Payload{RequestID: requestID, Body: body}}
 	})
 }
 
-// Put asks for a change of an operators' item. done is called as by Submit; RejectReason says why the change was not made, or may not
-// have been. A put that is repeated under the same operation ID is answered with the same version.
-func (c *Client) Put(put changefeed.PutRequest, within time.Duration, done func(changefeed.PutResponse)) {
+// Put asks for a change of an item of the operators' configuration. done is called as described for Submit. RejectReason says why the
+// change was not made, or that its outcome is unknown. A put that is repeated with the same operation ID gets the same version as a response.
+func (c *Client) Put(put changefeed.PutRequest, timeout time.Duration, done func(changefeed.PutResponse)) {
 	r := &request{operationID: put.OperationID}
-	r.onPut = func(response *changefeed.PutResponse) { done(*response) }
+	r.onPutResponse = func(response *changefeed.PutResponse) { done(*response) }
 	r.onNoResponse = func() {
 		reason := putTimedOut
 		if !r.wasSent {
@@ -66,10 +66,10 @@
 		done(changefeed.PutResponse{OperationID: put.OperationID, RejectReason: putPending})
 		return
 	}
-	c.start(r, within, func(uint64) changefeed.Message { return changefeed.Message{PutRequest: &put} })
+	c.startRequest(r, timeout, func(uint64) changefeed.Message { return changefeed.Message{PutRequest: &put} })
 }
 
-// registerPut returns false where a put with the same operation ID is pending.
+// registerPut adds a put to the pending ones. It returns false if a put with the same operation ID is already pending.
 func (c *Client) registerPut(r *request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,8 +80,8 @@
 	return true
 }
 
-// start sends a request and ends it after a time without a response.
-func (c *Client) start(r *request, within time.Duration, newMessage func(requestID uint64) changefeed.Message) {
+// startRequest sends a request, and ends it if no response arrives before the timeout.
+func (c *Client) startRequest(r *request, timeout time.Duration, newMessage func(requestID uint64) changefeed.Message) {
 	c.mu.Lock()
 	if c.isClosed || len(c.requests) >= maxRequests {
 		delete(c.puts, r.operationID)
@@ -93,23 +93,24 @@
 	c.lastRequestID++
 	r.id = c.lastRequestID
 	message := newMessage(r.id)
-	r.encoded = changefeed.Encode(&message)
+	r.encodedMessage = changefeed.Encode(&message)
 	c.requests[r.id] = r
-	r.timer = time.AfterFunc(within, func() { c.expire(r) })
-	c.send(r)
+	r.timeoutTimer = time.AfterFunc(timeout, func() { c.expireRequest(r) })
+	c.sendRequest(r)
 }
 
-func (c *Client) expire(r *request) {
+// expireRequest ends a request whose timeout has passed, unless it has already ended.
+func (c *Client) expireRequest(r *request) {
 	c.mu.Lock()
-	wasPending := c.remove(r)
+	wasPending := c.removeRequest(r)
 	c.mu.Unlock()
 	if wasPending {
 		r.onNoResponse()
 	}
 }
 
-// remove removes a request; false where it has ended. mu is held.
-func (c *Client) remove(r *request) bool {
+// removeRequest removes a request from the pending ones. It returns false if the request has already ended. mu is held.
+func (c *Client) removeRequest(r *request) bool {
 	if c.requests[r.id] != r {
 		return false
 	}
@@ -120,38 +121,39 @@
 	return true
 }
 
-// send sends a request to the first control process that is followed, if there is one. mu is held.
-func (c *Client) send(r *request) {
+// sendRequest sends a request to the first control process that is followed, if there is one. mu is held.
+func (c *Client) sendRequest(r *request) {
 	for _, address := range c.core.Publishers() {
 		if open := c.conns[address]; open != nil {
 			r.conn = open
 			r.wasSent = true
-			open.enqueue(r.encoded)
+			open.enqueue(r.encodedMessage)
 			return
 		}
 	}
 }
 
-// submitUnsent sends the requests that no connection has. mu is held.
-func (c *Client) submitUnsent() {
+// sendUnsent sends the requests that are on no connection. mu is held.
+func (c *Client) sendUnsent() {
 	for _, r := range c.requests {
 		if r.conn == nil {
-			c.send(r)
+			c.sendRequest(r)
 		}
 	}
 }
 
-// resubmit sends the requests of a connection that has ended again. mu is held.
-func (c *Client) resubmit(ended *conn) {
+// resendRequests sends the requests of an ended connection again, on another connection. mu is held.
+func (c *Client) resendRequests(ended *conn) {
 	for _, r := range c.requests {
 		if r.conn == ended {
 			r.conn = nil
-			c.send(r)
+			c.sendRequest(r)
 		}
 	}
 }
 
-// completeOperation returns the call that completes an operation, nil where none awaits the result. mu is held.
+// completeOperation ends the pending operation that a result belongs to. It returns the call of its callback, which is to be made without
+// mu, or nil if no operation awaits the result. mu is held.
 func (c *Client) completeOperation(payload *changefeed.Payload) func() {
 	r := c.requests[payload.RequestID]
 	if r == nil || r.onResult == nil {
@@ -161,17 +163,18 @@
 	if err := framing.Decode(payload.Body, &result); err != nil || result.OperationID != r.operationID {
 		return nil
 	}
-	c.remove(r)
-	r.timer.Stop()
+	c.removeRequest(r)
+	r.timeoutTimer.Stop()
 	return func() { r.onResult(result) }
 }
 
-// completePut returns the call that completes a put, nil where none awaits the response. mu is held.
+// completePut ends the pending put that a response belongs to. It returns the call of its callback, which is to be made without mu, or nil
+// if no put awaits the response. mu is held.
 func (c *Client) completePut(response *changefeed.PutResponse) func() {
 	r := c.puts[response.OperationID]
-	if r == nil || !c.remove(r) {
+	if r == nil || !c.removeRequest(r) {
 		return nil
 	}
-	r.timer.Stop()
-	return func() { r.onPut(response) }
+	r.timeoutTimer.Stop()
+	return func() { r.onPutResponse(response) }
 }
