--- a/internal/fleet/report_build.go
+++ b/internal/fleet/report_build.go
@@ -153,7 +153,7 @@
 		Conflicts:         status.Stats.Conflicts,
 		InvalidMessages:   status.Stats.InvalidMessages,
 		LeaseExpiries:     status.Stats.LeaseExpiries,
-		PendingOperations: status.Waiting,
+		PendingOperations: status.PendingRequests,
 		Sent:              status.Sent,
 		Received:          status.Received,
 	}
--- a/internal/fleet/subscriber/client.go
+++ b/internal/fleet/subscriber/client.go
@@ -45,19 +45,19 @@
 
 // Status describes a Client at one moment.
 type Status struct {
-	Fleet      string        // ID of the fleet; empty before it is known
-	Version    uint64        // version of the state
-	Digest     uint64        // digest of the state
-	Keys       int           // number of keys in the state
-	Bytes      int           // size of the state
-	Current    bool          // whether the state was confirmed within the lease
-	Age        time.Duration // time since the state was confirmed
-	AgeKnown   bool          // false before the first confirmation
-	Publishers []string      // addresses of the control processes that are followed
-	Sent       int64         // bytes sent
-	Received   int64         // bytes received
-	Waiting    int           // operations and puts without a response
-	Stats      changefeed.SubscriberStats
+	Fleet           string        // ID of the fleet; empty before it is known
+	Version         uint64        // version of the state
+	Digest          uint64        // digest of the state
+	Keys            int           // number of keys in the state
+	Bytes           int           // size of the state
+	Current         bool          // whether the state was confirmed within the lease
+	Age             time.Duration // time since the state was confirmed
+	AgeKnown        bool          // false before the first confirmation
+	Publishers      []string      // addresses of the control processes that are followed
+	Sent            int64         // bytes sent
+	Received        int64         // bytes received
+	PendingRequests int           // operations and puts without a response
+	Stats           changefeed.SubscriberStats
 }
 
 // Client subscribes one balancer to the agreed state and submits its operations and puts.
@@ -124,19 +124,19 @@
 	state := c.core.State()
 	age, ageKnown := c.core.Age(now)
 	return Status{
-		Fleet:      state.Fleet(),
-		Version:    state.Version(),
-		Digest:     state.Digest(),
-		Keys:       state.Len(),
-		Bytes:      state.Bytes(),
-		Current:    c.core.IsCurrent(now),
-		Age:        age,
-		AgeKnown:   ageKnown,
-		Publishers: c.core.Publishers(),
-		Sent:       c.sent.Load(),
-		Received:   c.received.Load(),
-		Waiting:    len(c.requests),
-		Stats:      c.core.Stats,
+		Fleet:           state.Fleet(),
+		Version:         state.Version(),
+		Digest:          state.Digest(),
+		Keys:            state.Len(),
+		Bytes:           state.Bytes(),
+		Current:         c.core.IsCurrent(now),
+		Age:             age,
+		AgeKnown:        ageKnown,
+		Publishers:      c.core.Publishers(),
+		Sent:            c.sent.Load(),
+		Received:        c.received.Load(),
+		PendingRequests: len(c.requests),
+		Stats:           c.core.Stats,
 	}
 }
 
