--- a/internal/fleet/config/golden_test.go
+++ b/internal/fleet/config/golden_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestEveryKeyIsUnchanged reads one file of each role in which every key of that role is set, to a value that is not its default.
+// TestEveryKeyIsUnchanged reads a file of each role that sets every key of that role to a value other than its default. It guards against a
+// renamed key, which would break the files of operators.
 func TestEveryKeyIsUnchanged(t *testing.T) {
 	address := netip.MustParseAddrPort
 	for name, want := range map[string]File{
@@ -73,12 +74,12 @@
 	} {
 		got, err := Read(filepath.Join("testdata", name))
 		if err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("read %s: %v", name, err)
 			continue
 		}
 		for i := range got.IdempotentClasses {
 			if got.IdempotentClasses[i].location.Empty() {
-				t.Errorf("%s: no place of %q is known", name, got.IdempotentClasses[i].Name)
+				t.Errorf("%s: class %q has no location", name, got.IdempotentClasses[i].Name)
 			}
 			got.IdempotentClasses[i] = Class{Name: got.IdempotentClasses[i].Name}
 		}
--- a/internal/fleet/config/parse.go
+++ b/internal/fleet/config/parse.go
@@ -11,40 +11,40 @@
 	"sabletally/internal/hclconfig"
 )
 
-// Bounds of what a file may set.
+// Limits of the values in a fleet file.
 const (
 	maxSeeds             = MaxMembers
 	maxClasses           = 64
 	maxReplicationFactor = 7
 	maxVoters            = 7
-	maxNameBytes         = 64 // names are part of the gossiped metadata, whose size is bounded
+	maxNameBytes         = 64 // names are part of the gossiped metadata, whose size is limited
 	maxSubscribersLimit  = 10000
 	maxRecordsLimit      = 1000000
 	maxMegabytes         = 4096
 )
 
-// Defaults that depend on the role.
+// The default number of voters, which depends on the role.
 const (
 	defaultVoters        = 3
 	defaultControlVoters = 5
 )
 
-// fleetAttributes are all attributes of the block "fleet".
+// fleetAttributes lists all attributes of the block "fleet".
 const fleetAttributes = "role listen advertise seeds data copies machine zone site gone_after repair_after voters records megabytes " +
 	"list_young list_old followers"
 
-// unavailable has the attributes that a role does not have, and why.
-var unavailable = map[Role]struct {
+// unavailableAttributes has the attributes that must not be set with a role, and the reason.
+var unavailableAttributes = map[Role]struct {
 	attributes []string
 	reason     string
 }{
-	RoleMember:  {[]string{"followers"}, `only role "control" has it`},
-	RoleControl: {[]string{"list_young", "list_old"}, `role "control" has no list of servers`},
+	RoleMember:  {[]string{"followers"}, `only available with role "control"`},
+	RoleControl: {[]string{"list_young", "list_old"}, `not available with role "control", which has no endpoint list`},
 	RoleBalancer: {[]string{"listen", "advertise", "copies", "gone_after", "repair_after", "voters", "records", "megabytes", "followers"},
-		`role "balancer" has none: the control processes' files say it`},
+		`not available with role "balancer": the files of the control processes set it`},
 }
 
-// Parse reads the text of a file; path is its name in errors. The error is a hclconfig.Diagnostics with all that is wrong.
+// Parse parses and validates the text of a fleet file. Errors name it by path. The error is a hclconfig.Diagnostics with all faults.
 func Parse(text []byte, path string) (*File, error) {
 	r := &hclconfig.Reader{}
 	body := r.Parse(text, path)
@@ -66,17 +66,17 @@
 	return f, nil
 }
 
-// parseHold reads a block that names the classes whose sessions are recorded in the fleet.
+// parseHold reads a block "hold", which names the classes whose sessions are recorded in the fleet.
 func (f *File) parseHold(r *hclconfig.Reader, block *hcl.Block) {
 	if f.Role == RoleControl {
-		r.Errorf(block.DefRange, "hold: role %q runs no circuits", RoleControl)
+		r.Errorf(block.DefRange, "hold: not available with role %q, which runs no sessions", RoleControl)
 	}
 	if block.Labels[0] != "intents" {
-		r.Errorf(block.LabelRanges[0], "hold %q is none; there is \"intents\"", block.Labels[0])
+		r.Errorf(block.LabelRanges[0], "hold: unknown kind %q; the only kind is \"intents\"", block.Labels[0])
 		return
 	}
 	if len(f.IdempotentClasses) > 0 {
-		r.Errorf(block.DefRange, "a second hold \"intents\"")
+		r.Errorf(block.DefRange, "duplicate block hold \"intents\"")
 	}
 	b := r.Block("hold", block.Body, block.DefRange, "grades")
 	b.Require("grades")
@@ -86,16 +86,16 @@
 	}
 }
 
-// parseFleet reads the block "fleet". Faults are reported in the order of the calls.
+// parseFleet reads the block "fleet". The order of the calls is the order in which faults are reported.
 func (f *File) parseFleet(r *hclconfig.Reader, block *hcl.Block) {
 	p := &fleetParser{Block: r.Block("fleet", block.Body, block.DefRange, fleetAttributes), reader: r}
 	f.Role = Role(p.String("role", string(RoleMember), string(RoleControl), string(RoleBalancer)))
 	p.Require("seeds", "data", "machine", "zone", "site")
 	p.checkAvailable(f.Role)
 	f.FleetName = p.checkName("fleet", block.Labels[0], block.LabelRanges[0])
-	f.Machine = p.name("machine")
-	f.Zone = p.name("zone")
-	f.Site = p.name("site")
+	f.Machine = p.nameAttribute("machine")
+	f.Zone = p.nameAttribute("zone")
+	f.Site = p.nameAttribute("site")
 	f.parseAddresses(p)
 	f.parseDataDir(p)
 	f.ReplicationFactor = p.Int("copies", 3, 1, maxReplicationFactor)
@@ -107,17 +107,18 @@
 	f.MaxBytes = p.Int("megabytes", 64, 1, maxMegabytes) << 20
 }
 
+// parseAddresses reads the addresses of this process and of the seeds.
 func (f *File) parseAddresses(p *fleetParser) {
 	if f.Role != RoleBalancer {
 		p.Require("listen")
 	}
-	f.Listen = p.address("listen")
+	f.Listen = p.addressAttribute("listen")
 	f.Advertise = f.Listen
 	if p.Has("advertise") {
-		f.Advertise = p.address("advertise")
+		f.Advertise = p.addressAttribute("advertise")
 	}
 	if f.Advertise.IsValid() && f.Advertise.Addr().IsUnspecified() {
-		p.fault("listen", `%v is every address: "advertise" has to tell where the others reach this member`, f.Listen)
+		p.attributeErrorf("listen", `%v is the unspecified address: set "advertise" to the address at which others reach this member`, f.Listen)
 	}
 	seeds, locations := p.StringList("seeds", maxSeeds)
 	for i, text := range seeds {
@@ -125,74 +126,78 @@
 	}
 }
 
+// parseDataDir reads the path of the data directory.
 func (f *File) parseDataDir(p *fleetParser) {
 	f.DataDir = p.String("data", "")
 	if p.Has("data") && !filepath.IsAbs(f.DataDir) {
-		p.fault("data", "%q is no absolute path; a relative one is another directory wherever the program is started", f.DataDir)
+		p.attributeErrorf("data", "%q is not an absolute path; a relative one depends on the directory in which the program is started", f.DataDir)
 	}
 }
 
+// parseListAges reads the age limits of a stored endpoint list.
 func (f *File) parseListAges(p *fleetParser) {
 	f.ListFreshTTL = p.Duration("list_young", 30*time.Second, 0, 24*time.Hour)
 	f.ListStaleTTL = p.Duration("list_old", 24*time.Hour, 0, 30*24*time.Hour)
 	if f.ListStaleTTL < f.ListFreshTTL {
-		p.fault("list_old", "%v is less than list_young, %v", f.ListStaleTTL, f.ListFreshTTL)
+		p.attributeErrorf("list_old", "%v is less than list_young, %v", f.ListStaleTTL, f.ListFreshTTL)
 	}
 }
 
+// parseVoters reads the number of voters and the limit of subscribers, both of which depend on the role.
 func (f *File) parseVoters(p *fleetParser) {
-	otherwise := defaultVoters
+	defaultCount := defaultVoters
 	if f.Role == RoleControl {
-		otherwise = defaultControlVoters
+		defaultCount = defaultControlVoters
 		f.MaxSubscribers = p.Int("followers", 1000, 1, maxSubscribersLimit)
 	}
-	f.Voters = p.Int("voters", otherwise, 1, maxVoters)
+	f.Voters = p.Int("voters", defaultCount, 1, maxVoters)
 	if f.Voters%2 == 0 {
-		p.fault("voters", "%d is even: it stands no more losses than %d", f.Voters, f.Voters-1)
+		p.attributeErrorf("voters", "%d is even: it tolerates no more failures than %d", f.Voters, f.Voters-1)
 	}
 }
 
-// fleetParser reads attributes of the block "fleet" whose rules are this package's.
+// fleetParser reads the attributes of the block "fleet" that need more validation than hclconfig provides.
 type fleetParser struct {
 	*hclconfig.Block
 	reader *hclconfig.Reader
 }
 
-// fault reports what is wrong with an attribute, where it stands.
-func (p *fleetParser) fault(attribute, format string, args ...any) {
+// attributeErrorf reports a fault of an attribute at its location.
+func (p *fleetParser) attributeErrorf(attribute, format string, args ...any) {
 	p.reader.Errorf(p.AttributeRange(attribute), attribute+": "+format, args...)
 }
 
-// checkAvailable reports the attributes that a role does not have.
+// checkAvailable reports the attributes that are set but not available with the role.
 func (p *fleetParser) checkAvailable(role Role) {
-	for _, attribute := range unavailable[role].attributes {
+	for _, attribute := range unavailableAttributes[role].attributes {
 		if p.Has(attribute) {
-			p.fault(attribute, "%s", unavailable[role].reason)
+			p.attributeErrorf(attribute, "%s", unavailableAttributes[role].reason)
 		}
 	}
 }
 
-// name reads an attribute that is a name; it is empty where the file has none.
-func (p *fleetParser) name(attribute string) string {
+// nameAttribute reads an attribute that is a name. It returns an empty string if the attribute is not set.
+func (p *fleetParser) nameAttribute(attribute string) string {
 	if !p.Has(attribute) {
 		return ""
 	}
 	return p.checkName(attribute, p.String(attribute, "-"), p.AttributeRange(attribute))
 }
 
-func (p *fleetParser) checkName(what, text string, location hcl.Range) string {
+// checkName reports an invalid name, and returns it in any case. subject is what the fault is reported about.
+func (p *fleetParser) checkName(subject, text string, location hcl.Range) string {
 	if location.Empty() {
 		return text
 	}
 	isSpaceOrControl := func(c rune) bool { return c <= ' ' || c == 0x7f }
 	if text == "" || len(text) > maxNameBytes || strings.ContainsFunc(text, isSpaceOrControl) {
-		p.reader.Errorf(location, "%s: %q is no name: wants 1 to %d bytes without spaces", what, text, maxNameBytes)
+		p.reader.Errorf(location, "%s: %q is not a valid name: it must have 1 to %d bytes and no spaces", subject, text, maxNameBytes)
 	}
 	return text
 }
 
-// address reads an attribute that is an address; it is invalid where the file has none.
-func (p *fleetParser) address(attribute string) netip.AddrPort {
+// addressAttribute reads an attribute that is an address. The result is not valid if the attribute is not set.
+func (p *fleetParser) addressAttribute(attribute string) netip.AddrPort {
 	text := p.String(attribute, "")
 	if !p.Has(attribute) {
 		return netip.AddrPort{}
@@ -200,11 +205,12 @@
 	return p.parseAddress(attribute, text, p.AttributeRange(attribute))
 }
 
-// parseAddress parses an IP address with a port. Host names are refused, as a resolver that hangs would block the start.
-func (p *fleetParser) parseAddress(what, text string, location hcl.Range) netip.AddrPort {
+// parseAddress parses an IP address with a port. Host names are rejected, because a resolver that hangs would block the start of the process.
+// subject is what a fault is reported about.
+func (p *fleetParser) parseAddress(subject, text string, location hcl.Range) netip.AddrPort {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil || address.Port() == 0 {
-		p.reader.Errorf(location, `%s: %q is no address; wants an IP address and a port, such as "127.0.0.1:7001"`, what, text)
+		p.reader.Errorf(location, `%s: %q is not a valid address; expected an IP address and a port, such as "127.0.0.1:7001"`, subject, text)
 		return netip.AddrPort{}
 	}
 	return address
--- a/internal/fleet/subscriber/client.go
+++ b/internal/fleet/subscriber/client.go
@@ -53,7 +53,7 @@
 	Current         bool          // whether the state was confirmed within the lease
 	Age             time.Duration // time since the state was confirmed
 	AgeKnown        bool          // false before the first confirmation
-	Publishers      []string      // addresses of the control processes that are followed
+	Publishers      []string      // addresses of the control processes with an open connection
 	Sent            int64         // bytes sent
 	Received        int64         // bytes received
 	PendingRequests int           // operations and puts without a response
