--- a/internal/fleet/node/put.go
+++ b/internal/fleet/node/put.go
@@ -121,7 +121,7 @@
 	}
 	versions := map[string]int{n.cfg.Self.ID: ProtocolVersion}
 	for _, peer := range n.peers {
-		versions[peer.ID] = peer.Form
+		versions[peer.ID] = peer.ProtocolVersion
 	}
 	hadPuts := len(state.RecentPuts) > 0
 	for _, m := range state.Members {
--- a/internal/fleet/node/testfleet_test.go
+++ b/internal/fleet/node/testfleet_test.go
@@ -166,10 +166,10 @@
 			version = ProtocolVersion
 		}
 		peers = append(peers, placement.MemberStatus{
-			Member:   fleet.cfgs[j].Self,
-			Alive:    !fleet.down[j],
-			StateAge: fleet.now - fleet.changedAt[j],
-			Form:     version,
+			Member:          fleet.cfgs[j].Self,
+			Alive:           !fleet.down[j],
+			StateAge:        fleet.now - fleet.changedAt[j],
+			ProtocolVersion: version,
 		})
 	}
 	return peers
--- a/internal/fleet/nodeserver/loop.go
+++ b/internal/fleet/nodeserver/loop.go
@@ -225,12 +225,12 @@
 	var all []placement.MemberStatus
 	for _, peer := range peers {
 		all = append(all, placement.MemberStatus{
-			Member:   ShardMember(peer.Member),
-			Alive:    peer.State == membership.Alive,
-			Left:     peer.State == membership.Left,
-			Draining: peer.Leaving,
-			StateAge: now - peer.Since,
-			Form:     peer.ProtocolVersion,
+			Member:          ShardMember(peer.Member),
+			Alive:           peer.State == membership.Alive,
+			Left:            peer.State == membership.Left,
+			Draining:        peer.Leaving,
+			StateAge:        now - peer.Since,
+			ProtocolVersion: peer.ProtocolVersion,
 		})
 	}
 	return all
--- a/internal/fleet/placement/planner.go
+++ b/internal/fleet/placement/planner.go
@@ -32,8 +32,8 @@
 	Draining bool
 	// StateAge is how long the member has been in this state.
 	StateAge time.Duration
-	// Form is the newest form of the members' protocol that the member knows.
-	Form int
+	// ProtocolVersion is the newest form of the members' protocol that the member knows.
+	ProtocolVersion int
 }
 
 // Config is what a Planner goes by.
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -117,7 +117,7 @@
 			s.alive, s.since = is, w.now
 		}
 		n.views[o.index] = s
-		all = append(all, placement.MemberStatus{Member: o.self, Alive: s.alive, Draining: o.draining, StateAge: w.now - s.since, Form: node.ProtocolVersion})
+		all = append(all, placement.MemberStatus{Member: o.self, Alive: s.alive, Draining: o.draining, StateAge: w.now - s.since, ProtocolVersion: node.ProtocolVersion})
 	}
 	n.lastView = all
 	return all
