--- a/internal/fleet/node/leader.go
+++ b/internal/fleet/node/leader.go
@@ -69,6 +69,6 @@
 func (n *Node) handleReplicaReport(report replication.ReplicaReport) {
 	isValid := report.Shard >= 0 && report.Shard < shardmap.ShardCount
 	if n.leading.planner != nil && n.log.IsLeader() && isValid {
-		n.leading.planner.Report(n.now, n.log.State(), report)
+		n.leading.planner.AddReport(n.now, n.log.State(), report)
 	}
 }
--- a/internal/fleet/node/ready.go
+++ b/internal/fleet/node/ready.go
@@ -86,7 +86,7 @@
 	for _, report := range reports {
 		switch {
 		case n.log.IsLeader() && n.leading.planner != nil:
-			n.leading.planner.Report(n.now, n.log.State(), report)
+			n.leading.planner.AddReport(n.now, n.log.State(), report)
 		case n.leaderID != "" && n.leaderID != n.cfg.Self.ID:
 			n.send(Packet{To: n.leaderID, ReplicaReport: &report})
 		}
--- a/internal/fleet/placement/digest_test.go
+++ b/internal/fleet/placement/digest_test.go
@@ -43,11 +43,11 @@
 		num := rng.IntN(shardmap.ShardCount)
 		v := st.Configurations[num]
 		if ids := append(v.InSync, v.Joining...); len(ids) > 1 && rng.IntN(2) == 0 {
-			planner.Report(now, st, replication.ReplicaReport{Shard: num, Configuration: v.Number - uint64(rng.IntN(20)/19), From: ids[rng.IntN(len(ids))], Subject: ids[rng.IntN(len(ids))]})
+			planner.AddReport(now, st, replication.ReplicaReport{Shard: num, Configuration: v.Number - uint64(rng.IntN(20)/19), From: ids[rng.IntN(len(ids))], Subject: ids[rng.IntN(len(ids))]})
 		}
 		for n, v := range st.Configurations {
 			if len(v.Joining) > 0 && rng.IntN(10) == 0 {
-				planner.Report(now, st, replication.ReplicaReport{Shard: n, Configuration: v.Number, From: v.InSync[0], Subject: v.Joining[0], CaughtUp: true})
+				planner.AddReport(now, st, replication.ReplicaReport{Shard: n, Configuration: v.Number, From: v.InSync[0], Subject: v.Joining[0], CaughtUp: true})
 			}
 		}
 		e, is := planner.Propose(now, st, seen, now > time.Second)
--- a/internal/fleet/placement/planner.go
+++ b/internal/fleet/placement/planner.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// Report takes a replica's report about another one. One from another configuration, or from a member that is no in-sync replica, is
+// AddReport takes a replica's report about another one. One from another configuration, or from a member that is no in-sync replica, is
 // ignored.
-func (p *Planner) Report(now time.Duration, state *shardmap.State, report replication.ReplicaReport) {
+func (p *Planner) AddReport(now time.Duration, state *shardmap.State, report replication.ReplicaReport) {
 	current := state.Configurations[report.Shard]
 	if report.Configuration != current.Number || !slices.Contains(current.InSync, report.From) {
 		return
