--- a/internal/fleet/placement/planner.go
+++ b/internal/fleet/placement/planner.go
@@ -1,9 +1,9 @@
-// Package placement decides which configurations the shards are to have: which member stops being a replica, which begins to be one,
-// which leads. It runs at the member that leads the agreed log, on how that one sees the others.
+// Package placement decides which members are the replicas of each shard and which of them is the primary. It runs on the member that leads
+// the agreed log, and uses that member's view of the others.
 //
-// It is pure: what it proposes takes effect only once it is agreed, and is decided again where another change came first. It must
-// never remove the last replica with committed records: a shard all of whose replicas have failed waits for one of them, or for an
-// operator's decision.
+// It has no side effects: a proposal takes effect only once it is agreed, and is made anew if another change was agreed first. The package
+// must never remove the last replica with committed records: a shard whose replicas have all failed waits for one of them to return, or for
+// an operator's decision.
 package placement
 
 import (
@@ -17,97 +17,100 @@
 
 const (
 	proposalInterval  = 100 * time.Millisecond
-	epochInterval     = 2 * time.Second // at least, between epochs: members that join together are in one
-	suspicionTTL      = 5 * time.Second
-	maxChangesInEntry = 64 // of shards
+	epochInterval     = 2 * time.Second // minimum time between two epochs, so that members that join together are in the same one
+	suspicionTTL      = 5 * time.Second // time for which a suspicion counts unless it is repeated
+	maxChangesInEntry = 64              // maximum number of shard changes in one entry
 )
 
-// MemberStatus is how the leading member sees another one.
+// MemberStatus is the state of a member as the leader of the log sees it.
 type MemberStatus struct {
 	shardmap.Member
+	// Alive is set while the member is not considered to have failed.
 	Alive bool
-	// Left is set where the member announced that it has left.
+	// Left is set if the member announced that it has left.
 	Left bool
-	// Draining is set where the member announced that it will leave; it is alive until then.
+	// Draining is set if the member announced that it will leave; it is alive until then.
 	Draining bool
-	// StateAge is how long the member has been in this state.
+	// StateAge is the time since the member entered its present state.
 	StateAge time.Duration
 	// ProtocolVersion is the newest form of the members' protocol that the member knows.
 	ProtocolVersion int
 }
 
-// Config is what a Planner goes by.
+// Config configures a Planner.
 type Config struct {
-	// ReplicationFactor is how many replicas a shard is to have.
+	// ReplicationFactor is the number of replicas that a shard should have.
 	ReplicationFactor int
-	// MinReplicas is how many in-sync replicas a shard needs to accept writes.
+	// MinReplicas is the number of in-sync replicas that a shard needs to accept writes.
 	MinReplicas int
-	// EvictAfter is how long a member may have failed before it is left out of the next epoch.
+	// EvictAfter is the time after which a failed member is no longer part of the next epoch.
 	EvictAfter time.Duration
-	// MaxJoiningShards bounds the shards that have joining replicas at the same time.
+	// MaxJoiningShards is the maximum number of shards that have joining replicas at the same time.
 	MaxJoiningShards int
 }
 
-// Planner makes proposals while its member leads the log; each leadership begins with a new one. It is not safe for concurrent use.
+// Planner makes proposals while its member leads the log. Each term of leadership begins with a new Planner. It is not safe for concurrent
+// use.
 type Planner struct {
-	cfg          Config
-	nextProposal time.Duration
-	lastEpoch    time.Duration
-	reports      reports
+	cfg            Config
+	nextProposalAt time.Duration // earliest time of the next proposal
+	lastEpochAt    time.Duration // time of the last proposal of an epoch
+	reports        reports
 
-	targets      [][]string // the replicas that each shard is to have in targetsEpoch
-	targetsEpoch uint64
+	targets      [][]string // by shard: the replicas that it should have, the primary first
+	targetsEpoch uint64     // epoch for which targets was computed
 }
 
-// New makes a planner that knows of no reports.
+// New returns a planner without reports. It may propose from now on.
 func New(cfg Config, now time.Duration) *Planner {
 	return &Planner{
-		cfg:          cfg,
-		nextProposal: now,
-		lastEpoch:    now - epochInterval,
-		reports:      newReports(),
+		cfg:            cfg,
+		nextProposalAt: now,
+		lastEpochAt:    now - epochInterval,
+		reports:        newReports(),
 	}
 }
 
-// AddReport takes a replica's report about another one. One from another configuration, or from a member that is no in-sync replica, is
-// ignored.
+// AddReport adds a replica's report about another replica of its shard. A report from another configuration than the present one, or from a
+// member that is not an in-sync replica, is ignored.
 func (p *Planner) AddReport(now time.Duration, state *shardmap.State, report replication.ReplicaReport) {
 	current := state.Configurations[report.Shard]
 	if report.Configuration != current.Number || !slices.Contains(current.InSync, report.From) {
 		return
 	}
 	p.reports.add(now, report, current.Primary())
-	p.nextProposal = min(p.nextProposal, now)
+	p.nextProposalAt = min(p.nextProposalAt, now)
 }
 
-// Propose returns the entry to propose now; false where none is due. Shards get their first configurations only once the log has all
-// its voters: the record of who holds a committed write must not depend on a single member.
-func (p *Planner) Propose(now time.Duration, state *shardmap.State, members []MemberStatus, hasVoters bool) (shardmap.Entry, bool) {
-	if now < p.nextProposal || state.FleetID == "" {
+// Propose returns the entry to propose now, or false if there is none. Shards get their first configurations only once the log has all its
+// voters: the record of which members store a committed write must not depend on a single member.
+func (p *Planner) Propose(now time.Duration, state *shardmap.State, members []MemberStatus, hasAllVoters bool) (shardmap.Entry, bool) {
+	if now < p.nextProposalAt || state.FleetID == "" {
 		return shardmap.Entry{}, false
 	}
-	p.nextProposal = now + proposalInterval
+	p.nextProposalAt = now + proposalInterval
 	var entry shardmap.Entry
 	p.proposeEpoch(now, state, members, &entry)
 	p.updateTargets(state)
 	p.reports.removeOutdated(now, state)
-	p.proposeShardChanges(state, members, hasVoters, &entry)
+	p.proposeShardChanges(state, members, hasAllVoters, &entry)
 	return entry, len(entry.Members) > 0 || len(entry.ShardChanges) > 0
 }
 
+// proposeEpoch adds the next epoch to the entry if the members have changed.
 func (p *Planner) proposeEpoch(now time.Duration, state *shardmap.State, members []MemberStatus, entry *shardmap.Entry) {
-	next := p.epochMembers(state, members)
-	if len(next) == 0 || slices.Equal(next, state.Members) || now-p.lastEpoch < epochInterval {
+	next := p.nextEpochMembers(state, members)
+	if len(next) == 0 || slices.Equal(next, state.Members) || now-p.lastEpochAt < epochInterval {
 		return
 	}
-	p.lastEpoch = now
+	p.lastEpochAt = now
 	entry.BaseEpoch = state.Epoch
 	entry.Members = next
 }
 
-// epochMembers are the members of the next epoch, sorted by ID: those that are alive, and those of this epoch that have not failed
-// for long.
-func (p *Planner) epochMembers(state *shardmap.State, members []MemberStatus) []shardmap.Member {
+// nextEpochMembers returns the members of the next epoch, sorted by ID: those that are alive, and those of the present epoch that failed less
+// than EvictAfter ago and have not left. Draining members are not included.
+func (p *Planner) nextEpochMembers(state *shardmap.State, members []MemberStatus) []shardmap.Member {
 	var next []shardmap.Member
 	for _, m := range members {
 		if m.Draining {
@@ -122,7 +125,7 @@
 	return next
 }
 
-// updateTargets ranks all shards' replicas again where the epoch has changed.
+// updateTargets computes the replicas that each shard should have, if the epoch has changed.
 func (p *Planner) updateTargets(state *shardmap.State) {
 	if p.targets != nil && p.targetsEpoch == state.Epoch {
 		return
@@ -134,7 +137,8 @@
 	}
 }
 
-func (p *Planner) proposeShardChanges(state *shardmap.State, members []MemberStatus, hasVoters bool, entry *shardmap.Entry) {
+// proposeShardChanges adds changes of shard configurations to the entry.
+func (p *Planner) proposeShardChanges(state *shardmap.State, members []MemberStatus, hasAllVoters bool, entry *shardmap.Entry) {
 	alive := map[string]bool{}
 	for _, m := range members {
 		alive[m.ID] = m.Alive
@@ -145,12 +149,12 @@
 			joiningShards++
 		}
 	}
-	for _, shard := range byInSyncCount(state) {
+	for _, shard := range shardsByInSyncCount(state) {
 		if len(entry.ShardChanges) >= maxChangesInEntry {
 			return
 		}
 		current := state.Configurations[shard]
-		if current.Number == 0 && !hasVoters {
+		if current.Number == 0 && !hasAllVoters {
 			continue
 		}
 		plan := shardPlan{
@@ -162,7 +166,7 @@
 			minInSync:       p.cfg.MinReplicas,
 			mayStartJoining: joiningShards < p.cfg.MaxJoiningShards,
 		}
-		change, changed := plan.next()
+		change, changed := plan.nextChange()
 		if !changed {
 			continue
 		}
@@ -173,8 +177,8 @@
 	}
 }
 
-// byInSyncCount are all shards, those with the fewest in-sync replicas first.
-func byInSyncCount(state *shardmap.State) []int {
+// shardsByInSyncCount returns all shards, those with the fewest in-sync replicas first.
+func shardsByInSyncCount(state *shardmap.State) []int {
 	shards := make([]int, len(state.Configurations))
 	for i := range shards {
 		shards[i] = i
--- a/internal/fleet/placement/reports.go
+++ b/internal/fleet/placement/reports.go
@@ -7,25 +7,27 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// reportKey identifies what one replica reports about another one in a shard's configuration.
+// reportKey identifies a report of one replica about another one.
 type reportKey struct {
 	shard         int
-	configuration uint64
-	subject       string
-	from          string
+	configuration uint64 // number of the shard's configuration
+	subject       string // ID of the replica that the report is about
+	from          string // ID of the replica that reports
 }
 
-// reports are those that still count.
+// reports holds the replicas' reports that are still valid.
 type reports struct {
-	suspicions map[reportKey]time.Duration // when each was last reported
-	caughtUp   map[reportKey]bool
+	suspicions map[reportKey]time.Duration // time of the latest report that a replica suspects another one
+	caughtUp   map[reportKey]bool          // reports that a joining replica has caught up
 }
 
+// newReports returns an empty set of reports.
 func newReports() reports {
 	return reports{suspicions: map[reportKey]time.Duration{}, caughtUp: map[reportKey]bool{}}
 }
 
-// add takes a report about the configuration in force. Only the primary knows which replicas have caught up.
+// add adds a report about the present configuration. Only the primary knows which replicas have caught up, so such reports from other
+// replicas are ignored.
 func (r *reports) add(now time.Duration, report replication.ReplicaReport, primary string) {
 	key := reportKey{report.Shard, report.Configuration, report.Subject, report.From}
 	switch {
@@ -38,7 +40,7 @@
 	}
 }
 
-// removeOutdated removes reports about former configurations, and suspicions that were not repeated for suspicionTTL.
+// removeOutdated removes reports about former configurations, and suspicions that were not repeated within suspicionTTL.
 func (r *reports) removeOutdated(now time.Duration, state *shardmap.State) {
 	for key, at := range r.suspicions {
 		if state.Configurations[key.shard].Number != key.configuration || now-at > suspicionTTL {
