--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -449,8 +449,8 @@
 	file := filepath.Join(dir, "f.hcl")
 	for _, c := range []struct{ old, new, want string }{
 		{"copies    = 3", "copies    = 30", "f.hcl:6:15: copies: 30 lies outside 1 to 7"},
-		{"machine   = \"m0\"", "machine   = \"m8\"", "machine \\\"m0\\\"'s directory"},
-		{"", "", "another process has it"},
+		{"machine   = \"m0\"", "machine   = \"m8\"", "belongs to machine \\\"m0\\\""},
+		{"", "", "in use by another process"},
 	} {
 		if err := os.WriteFile(file, []byte(strings.Replace(string(text), c.old, c.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/datadir/datadir.go
+++ b/internal/fleet/datadir/datadir.go
@@ -1,6 +1,7 @@
-// Package datadir owns a member's data directory: that one process uses it at a time, which fleet and machine it belongs to, and the
-// member's ID, which is drawn when the directory is empty. A member that lost its disk is therefore a new member. The package must
-// never accept a directory whose identity it can't read completely, nor one of a newer format.
+// Package datadir manages the data directory of a member. It ensures that one process uses the directory at a time, and stores which fleet
+// and machine the directory belongs to and the member's ID. The ID is generated when the directory is empty, so a member that lost its disk
+// comes back as a new member. The package must never accept a directory whose identity it cannot read completely, or one with a newer format
+// version.
 package datadir
 
 import (
@@ -22,21 +23,21 @@
 	lockFile         = "lock"
 )
 
-// ErrLocked means that another process uses the directory.
-var ErrLocked = errors.New("another process has it")
+// ErrLocked reports that another process uses the directory.
+var ErrLocked = errors.New("in use by another process")
 
 // Directory is a data directory that this process has locked.
 type Directory struct {
 	Identity
-	IsNew bool // the directory was empty when it was opened
+	IsNew bool // whether the directory was empty when it was opened
 
 	path string
 	lock *os.File
 }
 
-// Open locks a directory for this process, creates it if it does not exist, and counts one more incarnation of its member. The fleet
-// and the machine have to be those of the directory: otherwise it is a copy, whose member may still be running elsewhere. Errors name
-// the directory; ErrLocked is reported through errors.Is.
+// Open creates a directory if it does not exist, locks it for this process, and increments the incarnation of its member. The fleet and the
+// machine must be those of the directory. If the machine is another one, the directory may be a copy, and its member may still be running
+// elsewhere. If another process uses the directory, the error wraps ErrLocked.
 func Open(path, fleet, machine string) (*Directory, error) {
 	d, err := open(path, fleet, machine)
 	if err != nil {
@@ -45,6 +46,7 @@
 	return d, nil
 }
 
+// open is Open with errors that do not name the directory.
 func open(path, fleet, machine string) (*Directory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -54,14 +56,14 @@
 		return nil, err
 	}
 	d := &Directory{path: path, lock: lock}
-	if err := d.start(fleet, machine); err != nil {
+	if err := d.startIncarnation(fleet, machine); err != nil {
 		d.Close()
 		return nil, err
 	}
 	return d, nil
 }
 
-// acquireLock opens a file and locks it, or returns ErrLocked. The lock ends with the file.
+// acquireLock opens a file and locks it, or returns ErrLocked. The lock is released when the file is closed.
 func acquireLock(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|unix.O_CLOEXEC, 0o600)
 	if err != nil {
@@ -71,23 +73,23 @@
 	if err == nil {
 		return file, nil
 	}
-	_ = file.Close() // the lock's error is reported
+	_ = file.Close() // the error of the lock is returned instead
 	if errors.Is(err, unix.EWOULDBLOCK) {
 		err = ErrLocked
 	}
 	return nil, err
 }
 
-// start reads or creates the identity, checks whose it is, and stores the next incarnation.
-func (d *Directory) start(fleet, machine string) error {
+// startIncarnation reads or creates the identity, verifies the fleet and the machine, and stores the next incarnation.
+func (d *Directory) startIncarnation(fleet, machine string) error {
 	if err := d.loadOrCreate(fleet, machine); err != nil {
 		return err
 	}
 	if d.FleetName != fleet {
-		return fmt.Errorf("it is a directory of fleet %q, not of %q", d.FleetName, fleet)
+		return fmt.Errorf("the directory belongs to fleet %q, not to fleet %q", d.FleetName, fleet)
 	}
 	if d.Machine != machine {
-		return fmt.Errorf("it is machine %q's directory, and this is %q: a member with a copy of it may still run; give this one an empty directory",
+		return fmt.Errorf("the directory belongs to machine %q, and this is machine %q: the member may still be running there; start with an empty directory",
 			d.Machine, machine)
 	}
 	d.Incarnation++
@@ -95,22 +97,23 @@
 	return d.writeIdentity()
 }
 
+// loadOrCreate reads the identity, or creates one if the directory has none.
 func (d *Directory) loadOrCreate(fleet, machine string) error {
 	text, err := os.ReadFile(filepath.Join(d.path, identityFile))
 	if errors.Is(err, fs.ErrNotExist) {
-		return d.create(fleet, machine)
+		return d.createIdentity(fleet, machine)
 	}
 	if err != nil {
 		return err
 	}
 	if d.Identity, err = decodeIdentity(text); err != nil {
-		return fmt.Errorf("%s: %w", identityFile, err)
+		return fmt.Errorf("read identity file %q: %w", identityFile, err)
 	}
 	return nil
 }
 
-// create draws the identity of a new member.
-func (d *Directory) create(fleet, machine string) error {
+// createIdentity generates the identity of a new member.
+func (d *Directory) createIdentity(fleet, machine string) error {
 	if err := d.checkEmpty(); err != nil {
 		return err
 	}
@@ -121,8 +124,8 @@
 	return nil
 }
 
-// checkEmpty refuses a directory without an identity that has other files: its member would come back with a new ID among its own
-// records.
+// checkEmpty returns an error if a directory without an identity has other files: its member would come back with a new ID and with the
+// records of the old one.
 func (d *Directory) checkEmpty() error {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -130,13 +133,13 @@
 	}
 	for _, entry := range entries {
 		if entry.Name() != lockFile && entry.Name() != identityTempFile {
-			return fmt.Errorf("it has no file %q but is not empty (%q)", identityFile, entry.Name())
+			return fmt.Errorf("the directory has no file %q but is not empty: it contains %q", identityFile, entry.Name())
 		}
 	}
 	return nil
 }
 
-// writeIdentity replaces the identity atomically: a process that ends at any point leaves the old one or the new one.
+// writeIdentity replaces the identity file atomically: whenever the process ends, the old or the new identity is on disk.
 func (d *Directory) writeIdentity() error {
 	text, err := d.encode()
 	if err != nil {
@@ -152,7 +155,7 @@
 	return syncDirectory(d.path)
 }
 
-// writeSynced writes a file and waits until it is on disk.
+// writeSynced writes a file and waits until its content is on disk.
 func writeSynced(path string, text []byte) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -168,15 +171,15 @@
 	return err
 }
 
-// syncDirectory waits until the names in a directory are on disk.
+// syncDirectory waits until the entries of a directory are on disk.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = directory.Close() }() // opened for reading
+	defer func() { _ = directory.Close() }() // it was opened for reading only
 	return directory.Sync()
 }
 
-// Close releases the directory.
-func (d *Directory) Close() { _ = d.lock.Close() } // the lock is released in any case
+// Close unlocks the directory.
+func (d *Directory) Close() { _ = d.lock.Close() } // the lock is released even if this returns an error
--- a/internal/fleet/datadir/golden_test.go
+++ b/internal/fleet/datadir/golden_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestIdentityFileIsUnchanged reads the golden file of a directory, encodes it to the same bytes, and counts a start on a copy of it.
+// TestIdentityFileIsUnchanged guards against a change of the identity file's format: it decodes the golden file, encodes it to the same bytes,
+// and opens a directory with a copy of it.
 func TestIdentityFileIsUnchanged(t *testing.T) {
 	want := Identity{Format: 1, FleetName: "istanbul", Machine: "m1", MemberID: "0123456789abcdef0123456789abcdef", Incarnation: 7}
 	text, err := os.ReadFile(filepath.Join("testdata", identityFile))
@@ -15,11 +16,11 @@
 	}
 	got, err := decodeIdentity(text)
 	if err != nil || got != want {
-		t.Fatalf("%v: %+v", err, got)
+		t.Fatalf("decode: error %v, identity %+v", err, got)
 	}
 	again, err := got.encode()
 	if err != nil || string(again) != string(text) {
-		t.Errorf("%v: encoded to\n%s, and the file has\n%s", err, again, text)
+		t.Errorf("encode: error %v, got\n%s, want\n%s", err, again, text)
 	}
 
 	dir := t.TempDir()
@@ -33,9 +34,9 @@
 	defer open.Close()
 	want.Incarnation++
 	if open.Identity != want || open.IsNew {
-		t.Errorf("opened as %+v", open.Identity)
+		t.Errorf("opened directory has identity %+v", open.Identity)
 	}
-	if looked, err := ReadIdentity(dir); err != nil || looked != want {
-		t.Errorf("%v: on disk %+v", err, looked)
+	if stored, err := ReadIdentity(dir); err != nil || stored != want {
+		t.Errorf("read identity: error %v, identity %+v", err, stored)
 	}
 }
