--- a/internal/fleet/boottime/boottime.go
+++ b/internal/fleet/boottime/boottime.go
@@ -1,6 +1,6 @@
-// Package boottime reads a clock that goes on while a process, or its whole machine, is suspended. Whatever depends on elapsed time
-// between members (a lease, the age of a message) is computed from it, and it is read anew before each use. Its times must never be
-// compared between machines: it counts from the start of the machine.
+// Package boottime reads a clock that continues while the process, or the whole machine, is suspended. Everything that depends on time elapsed
+// between members, such as a lease or the age of a message, is computed from this clock, which is read again before each use. Its times must
+// never be compared between machines, because it counts from the start of the machine.
 package boottime
 
 import (
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine was started, suspension included, unlike the runtime's monotonic clock.
+// Now returns the time since the machine was started. Unlike the runtime's monotonic clock, it includes the time of suspension.
 func Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/fleet/checksum/checksum.go
+++ b/internal/fleet/checksum/checksum.go
@@ -1,5 +1,5 @@
-// Package checksum is the one checksum of the fleet's files and frames: CRC-32 with the Castagnoli polynomial. It detects accidental
-// damage; it must never be relied on against an attacker.
+// Package checksum computes the checksum that all files and frames of the fleet use: CRC-32 with the Castagnoli polynomial. It detects
+// accidental damage; it offers no protection against an attacker.
 package checksum
 
 import "hash/crc32"
--- a/internal/fleet/framing/golden_test.go
+++ b/internal/fleet/framing/golden_test.go
@@ -14,9 +14,10 @@
 	"sabletally/internal/fleet/replication"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files before comparing with them")
 
-// TestGoldenFrames holds the bytes of each kind of body, with its header.
+// TestGoldenFrames guards against a change of the protocol: it compares the frame of each kind of body with the golden file, and decodes it
+// again.
 func TestGoldenFrames(t *testing.T) {
 	record := replication.Record{Key: "k", Version: 2, Value: []byte("v"), OperationID: "o", CreatedAt: 3, Deleted: true, PastOperationIDs: []string{"p"}}
 	frames := []struct {
@@ -57,17 +58,17 @@
 		}
 		body, err := Read(bytes.NewReader(frame), 1<<10)
 		if err != nil {
-			t.Fatalf("%s: %v", frames[i].name, err)
+			t.Fatalf("read frame %s: %v", frames[i].name, err)
 		}
 		decoded := reflect.New(reflect.TypeOf(frames[i].value))
 		if err := Decode(body, decoded.Interface()); err != nil {
-			t.Fatalf("%s: %v", frames[i].name, err)
+			t.Fatalf("decode %s: %v", frames[i].name, err)
 		}
 		if !reflect.DeepEqual(decoded.Elem().Interface(), frames[i].value) {
-			t.Errorf("%s is decoded as %+v", frames[i].name, decoded.Elem())
+			t.Errorf("%s: decoded as %+v", frames[i].name, decoded.Elem())
 		}
 		if again := Encode(decoded.Elem().Interface()); !bytes.Equal(again, body) {
-			t.Errorf("%s is encoded again as %x", frames[i].name, again)
+			t.Errorf("%s: the decoded value is encoded as %x", frames[i].name, again)
 		}
 	}
 }
