--- a/internal/fleet/config/config.go
+++ b/internal/fleet/config/config.go
@@ -51,7 +51,7 @@
 	ListStaleTTL time.Duration // maximum age at which the endpoints of a stored list are candidates for health checks
 
 	MaxRecords     int // maximum number of records that this member stores
-	MaxBytes       int // maximum size of their keys and values together
+	MaxBytes       int // maximum size of the stored keys and values together, in bytes
 	MaxSubscribers int // maximum number of balancers that a control process serves; 0 for the other roles
 
 	IdempotentClasses []Class // service classes whose sessions are recorded in the fleet before they are sent to an upstream
--- a/internal/fleet/placement/digest_test.go
+++ b/internal/fleet/placement/digest_test.go
@@ -15,64 +15,65 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files before comparing with them")
 
-// digestSeed hashes all proposals of one seeded run, in which members fail, return, leave and report each other.
+// digestSeed returns the hash and the number of all proposals of one seeded run, in which members fail, return, leave and suspect each other.
 func digestSeed(seed uint64) (digest string, proposals int) {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	h := sha256.New()
-	st := shardmap.New()
-	st.Apply(shardmap.Entry{BootstrapID: "f"})
-	var seen []MemberStatus
+	hash := sha256.New()
+	state := shardmap.New()
+	state.Apply(shardmap.Entry{BootstrapID: "f"})
+	var statuses []MemberStatus
 	for i := range 9 {
 		m := shardmap.Member{ID: fmt.Sprint("m", i), Addr: fmt.Sprint(i), Machine: fmt.Sprint("h", i), Zone: fmt.Sprint("z", i%4), Site: fmt.Sprint("s", i%2)}
-		seen = append(seen, MemberStatus{Member: m, Alive: true})
+		statuses = append(statuses, MemberStatus{Member: m, Alive: true})
 	}
 	now := time.Duration(0)
 	planner := New(Config{ReplicationFactor: 3, MinReplicas: 2, EvictAfter: 5 * time.Second, MaxJoiningShards: 4}, now)
 	for range 1500 {
 		now += time.Duration(rng.IntN(120)) * time.Millisecond
-		for i := range seen {
-			seen[i].StateAge += 60 * time.Millisecond
+		for i := range statuses {
+			statuses[i].StateAge += 60 * time.Millisecond
 			if rng.IntN(400) == 0 {
-				seen[i].Alive, seen[i].StateAge = !seen[i].Alive, 0
-				seen[i].Draining = seen[i].Alive && rng.IntN(3) == 0
-				seen[i].Left = !seen[i].Alive && rng.IntN(3) == 0
+				statuses[i].Alive, statuses[i].StateAge = !statuses[i].Alive, 0
+				statuses[i].Draining = statuses[i].Alive && rng.IntN(3) == 0
+				statuses[i].Left = !statuses[i].Alive && rng.IntN(3) == 0
 			}
 		}
-		num := rng.IntN(shardmap.ShardCount)
-		v := st.Configurations[num]
+		shard := rng.IntN(shardmap.ShardCount)
+		v := state.Configurations[shard]
 		if ids := append(v.InSync, v.Joining...); len(ids) > 1 && rng.IntN(2) == 0 {
-			planner.AddReport(now, st, replication.ReplicaReport{Shard: num, Configuration: v.Number - uint64(rng.IntN(20)/19), From: ids[rng.IntN(len(ids))], Subject: ids[rng.IntN(len(ids))]})
+			planner.AddReport(now, state, replication.ReplicaReport{Shard: shard, Configuration: v.Number - uint64(rng.IntN(20)/19), From: ids[rng.IntN(len(ids))], Subject: ids[rng.IntN(len(ids))]})
 		}
-		for n, v := range st.Configurations {
+		for n, v := range state.Configurations {
 			if len(v.Joining) > 0 && rng.IntN(10) == 0 {
-				planner.AddReport(now, st, replication.ReplicaReport{Shard: n, Configuration: v.Number, From: v.InSync[0], Subject: v.Joining[0], CaughtUp: true})
+				planner.AddReport(now, state, replication.ReplicaReport{Shard: n, Configuration: v.Number, From: v.InSync[0], Subject: v.Joining[0], CaughtUp: true})
 			}
 		}
-		e, is := planner.Propose(now, st, seen, now > time.Second)
-		_, _ = fmt.Fprintf(h, "%d %v %s\n", now, is, e.Encode())
-		if is {
+		entry, ok := planner.Propose(now, state, statuses, now > time.Second)
+		_, _ = fmt.Fprintf(hash, "%d %v %s\n", now, ok, entry.Encode())
+		if ok {
 			proposals++
 			if rng.IntN(10) > 0 {
-				st.Apply(e)
+				state.Apply(entry)
 			}
 		}
 		if rng.IntN(500) == 0 {
 			planner = New(Config{ReplicationFactor: 3, MinReplicas: 2, EvictAfter: 5 * time.Second, MaxJoiningShards: 4}, now)
 		}
 	}
-	return fmt.Sprintf("%x", h.Sum(nil)), proposals
+	return fmt.Sprintf("%x", hash.Sum(nil)), proposals
 }
 
-// TestDecisionDigest holds the proposals of seeded runs against those of an earlier program.
+// TestDecisionDigest guards against unintended changes of decisions: it compares the proposals of seeded runs with those of an earlier version of
+// the program.
 func TestDecisionDigest(t *testing.T) {
 	var out strings.Builder
 	for seed := range uint64(6) {
 		digest, proposals := digestSeed(seed + 1)
 		fmt.Fprintf(&out, "%d %s\n", seed+1, digest)
 		if proposals < 100 {
-			t.Errorf("seed %d has %d proposals", seed+1, proposals)
+			t.Errorf("seed %d: %d proposals, want at least 100", seed+1, proposals)
 		}
 	}
 	path := filepath.Join("testdata", "decisions.golden")
--- a/internal/fleet/placement/planner.go
+++ b/internal/fleet/placement/planner.go
@@ -33,7 +33,7 @@
 	Draining bool
 	// StateAge is the time since the member entered its present state.
 	StateAge time.Duration
-	// ProtocolVersion is the newest form of the members' protocol that the member knows.
+	// ProtocolVersion is the newest version of the protocol between members that the member supports.
 	ProtocolVersion int
 }
 
--- a/internal/fleet/publisher/conn_test.go
+++ b/internal/fleet/publisher/conn_test.go
@@ -13,13 +13,13 @@
 	"sabletally/internal/fleet/framing"
 )
 
-// TestConnectionDuringCloseEnds says hello to a server that has just been closed: its goroutine ends, so that Close does not wait for
-// it forever.
+// TestConnectionDuringCloseEnds guards against a Close that never returns: a stream that sends its Hello just after the server was closed must
+// end, because Close waits for its goroutine.
 func TestConnectionDuringCloseEnds(t *testing.T) {
 	server := New(Options{ID: "c0", Fleet: "lab", MaxSubscribers: 1, Now: boottime.Now, Log: zap.NewNop()})
 	close(server.done)
 	near, far := net.Pipe()
-	defer func() { _ = far.Close() }() // a pipe never fails to close
+	defer func() { _ = far.Close() }() // closing a pipe never fails
 	ended := make(chan error, 1)
 	go func() { ended <- server.serve(near) }()
 	hello := changefeed.Encode(&changefeed.Message{Hello: &changefeed.Hello{ProtocolVersion: changefeed.ProtocolVersion, ID: "b0"}})
@@ -34,9 +34,9 @@
 	select {
 	case err := <-ended:
 		if !errors.Is(err, net.ErrClosed) {
-			t.Errorf("it ends with %v", err)
+			t.Errorf("the connection ended with error %v, want net.ErrClosed", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("the connection did not end within 10 s")
 	}
 }
--- a/internal/fleet/publisher/filtered_state_test.go
+++ b/internal/fleet/publisher/filtered_state_test.go
@@ -10,16 +10,17 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// TestStateIsIndependentOfItsPath applies a history to filtered states by changes, by snapshots, and by both at random with restarts: a
-// version has the same content everywhere, and covers the agreed version of that number.
+// TestStateIsIndependentOfItsPath guards against control processes that publish different contents under the same version. It applies a
+// history to filtered states by changes, by snapshots, and by a random mix of both with restarts. All must have the same version, content
+// and digest as the agreed state without shard configurations.
 func TestStateIsIndependentOfItsPath(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		core := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
-		fresh := func() *filteredState {
+		newState := func() *filteredState {
 			return &filteredState{log: changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})}
 		}
-		byChanges, bySnapshots, mixed := fresh(), fresh(), fresh()
+		byChanges, bySnapshots, mixed := newState(), newState(), newState()
 		subscriber := changefeed.NewState()
 		for step := range 200 {
 			items := []changefeed.Item{{Key: changefeed.FleetKey, Value: []byte("f")}}
@@ -38,7 +39,7 @@
 			}
 			switch n := rng.IntN(4); {
 			case n == 0: // a restart
-				mixed = fresh()
+				mixed = newState()
 				err = mixed.install(core.Snapshot())
 			case n == 1 || mixed.log.Version()+1 != c.Version:
 				err = mixed.install(core.Snapshot())
@@ -48,22 +49,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for name, one := range map[string]*filteredState{"changes": byChanges, "snapshots": bySnapshots, "both": mixed} {
-				if one.log.Version() != core.Version() || one.log.Digest() != byChanges.log.Digest() || one.agreedDigest != core.Digest() {
-					t.Fatalf("seed %d, by %s: version %d with %016x, agreed %d, by changes %016x", seed, name, one.log.Version(), one.log.Digest(), core.Version(), byChanges.log.Digest())
+			for name, state := range map[string]*filteredState{"changes": byChanges, "snapshots": bySnapshots, "both": mixed} {
+				if state.log.Version() != core.Version() || state.log.Digest() != byChanges.log.Digest() || state.agreedDigest != core.Digest() {
+					t.Fatalf("seed %d, by %s: version %d with digest %016x, want version %d with digest %016x", seed, name, state.log.Version(), state.log.Digest(), core.Version(), byChanges.log.Digest())
 				}
-				if got, want := one.log.State().Items(""), withoutShardConfigurations(core.State().Items("")); fmt.Sprint(got) != fmt.Sprint(want) {
-					t.Fatalf("seed %d, by %s: %v, agreed %v", seed, name, got, want)
+				if got, want := state.log.State().Items(""), withoutShardConfigurations(core.State().Items("")); fmt.Sprint(got) != fmt.Sprint(want) {
+					t.Fatalf("seed %d, by %s: items %v, want %v", seed, name, got, want)
 				}
 			}
 			if n := len(byChanges.log.State().Items("view/")); n > 0 {
-				t.Fatalf("%d shard configurations are sent", n)
+				t.Fatalf("%d shard configurations are published", n)
 			}
-			sent, is := byChanges.log.ChangesSince(subscriber.Version(), subscriber.Digest())
-			if !is || len(sent) != 1 {
-				t.Fatalf("%d changes after version %d", len(sent), subscriber.Version())
+			changes, ok := byChanges.log.ChangesSince(subscriber.Version(), subscriber.Digest())
+			if !ok || len(changes) != 1 {
+				t.Fatalf("%d changes after version %d, want 1", len(changes), subscriber.Version())
 			}
-			if err := subscriber.Apply(*sent[0]); err != nil {
+			if err := subscriber.Apply(*changes[0]); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -89,7 +90,8 @@
 	return items
 }
 
-// checkRejectsOtherHistory verifies that updates of a history that differs in a shard configuration alone are rejected.
+// checkRejectsOtherHistory verifies that updates from another history are rejected, even if the histories differ only in a shard
+// configuration.
 func checkRejectsOtherHistory(t *testing.T, core *changefeed.Log, byChanges, bySnapshots *filteredState) {
 	t.Helper()
 	other := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 1 << 20})
@@ -113,23 +115,23 @@
 	}
 	before := byChanges.log.Digest()
 	if err := byChanges.apply(&conflicting); !errors.Is(err, changefeed.ErrConflict) {
-		t.Errorf("a change of another history: %v", err)
+		t.Errorf("change with another result: error %v, want ErrConflict", err)
 	}
 	if err := byChanges.apply(&after); !errors.Is(err, changefeed.ErrDigestMismatch) {
-		t.Errorf("a change that is of another history: %v", err)
+		t.Errorf("change of another state: error %v, want ErrDigestMismatch", err)
 	}
 	if err := bySnapshots.install(snapshot); err != nil {
-		t.Errorf("what is there already: %v", err)
+		t.Errorf("snapshot that is installed already: error %v", err)
 	}
 	if err := byChanges.install(snapshot); !errors.Is(err, changefeed.ErrOutOfOrder) {
-		t.Errorf("an older snapshot: %v", err)
+		t.Errorf("older snapshot: error %v, want ErrOutOfOrder", err)
 	}
-	unlike := *snapshot
-	unlike.Digest++
-	if err := bySnapshots.install(&unlike); !errors.Is(err, changefeed.ErrConflict) {
-		t.Errorf("a snapshot of another history: %v", err)
+	otherSnapshot := *snapshot
+	otherSnapshot.Digest++
+	if err := bySnapshots.install(&otherSnapshot); !errors.Is(err, changefeed.ErrConflict) {
+		t.Errorf("snapshot with another digest: error %v, want ErrConflict", err)
 	}
 	if byChanges.log.Digest() != before || byChanges.agreedDigest != next.DigestAfter {
-		t.Error("a rejected update has changed something")
+		t.Error("a rejected update has changed the state")
 	}
 }
--- a/internal/fleet/store/golden_test.go
+++ b/internal/fleet/store/golden_test.go
@@ -16,7 +16,7 @@
 	"sabletally/internal/fleet/replication"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files before comparing with them")
 
 const goldenFile = "holdings.db.golden"
 
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -49,7 +49,7 @@
 	writeErr error // error of the first write that failed
 
 	WriteCount   int64 // number of write transactions
-	WrittenBytes int64 // size of the keys and values that were written
+	WrittenBytes int64 // total size of the keys and values that were written, in bytes
 }
 
 // Open opens or creates the file in a directory that this process has locked, and reads its whole content. It returns an error if the file
--- a/internal/fleet/store/write.go
+++ b/internal/fleet/store/write.go
@@ -42,7 +42,7 @@
 	return s.writeErr
 }
 
-// transaction is the transaction of one call of Write.
+// transaction is the database transaction of one call of Write.
 type transaction struct {
 	store *Store
 	tx    *bbolt.Tx
--- a/internal/fleet/subscriber/client.go
+++ b/internal/fleet/subscriber/client.go
@@ -49,7 +49,7 @@
 	Version         uint64        // version of the state
 	Digest          uint64        // digest of the state
 	Keys            int           // number of keys in the state
-	Bytes           int           // size of the state
+	Bytes           int           // size of the state in bytes
 	Current         bool          // whether the state was confirmed within the lease
 	Age             time.Duration // time since the state was confirmed
 	AgeKnown        bool          // false before the first confirmation
@@ -70,7 +70,7 @@
 	requests       map[uint64]*request // pending operations and puts by request ID
 	puts           map[string]*request // pending puts by operation ID
 	lastRequestID  uint64
-	lastTick       time.Duration       // time of the core
+	lastTick       time.Duration       // time that the core was last set to
 	pendingUpdates []changefeed.Update // updates that OnUpdate has not been called with
 	isNotifying    bool                // whether a goroutine is calling OnUpdate
 	isClosed       bool
@@ -140,7 +140,7 @@
 	}
 }
 
-// IsCurrent reports whether the state is current, which means that it was confirmed within the lease.
+// IsCurrent reports whether the state is current now, which means that it was confirmed within the lease.
 func (c *Client) IsCurrent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/subscriber/golden_test.go
+++ b/internal/fleet/subscriber/golden_test.go
@@ -18,23 +18,24 @@
 	"sabletally/internal/fleet/framing"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
+var updateGolden = flag.Bool("update", false, "rewrite the golden files before comparing with them")
 
-// TestGoldenOpening holds the first bytes that are sent to a control process: the mark, the greeting, the hello and a renewal.
+// TestGoldenOpening guards against a change of the protocol: it compares the first bytes that a subscriber sends to a control process with the
+// golden file. They are the stream mark, the greeting, the Hello and a renewal of the lease.
 func TestGoldenOpening(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // nothing is left to fail
-	f := Open(Options{Fleet: "lab", Name: "b-1", ID: "id-1", Incarnation: 3, Machine: "m", Zone: "z", Site: "s",
+	defer func() { _ = listener.Close() }() // an error here does not affect the test
+	client := Open(Options{Fleet: "lab", Name: "b-1", ID: "id-1", Incarnation: 3, Machine: "m", Zone: "z", Site: "s",
 		Seeds: []netip.AddrPort{listener.Addr().(*net.TCPAddr).AddrPort()}, Seed: 1, Now: boottime.Now, Log: zap.NewNop()})
-	defer f.Close()
+	defer client.Close()
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // as above
+	defer func() { _ = conn.Close() }() // an error here does not affect the test
 	if err := conn.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/subscriber/request.go
+++ b/internal/fleet/subscriber/request.go
@@ -31,9 +31,10 @@
 	onPutResponse  func(*changefeed.PutResponse) // nil for an operation
 }
 
-// Submit submits an operation to a control process that is followed. done is called once, when the result arrives or the timeout has passed;
-// it must not block. Without a result the outcome is OutcomeUnknown, or OutcomeRejected if the operation was never sent. If the connection
-// ends first, the operation is sent again on another connection, which is safe because operations are idempotent by their ID.
+// Submit submits an operation to a control process that is followed. done is called once, when the result arrives, soon after the timeout
+// has passed, or at once if too many requests are pending. It may be called by any goroutine, also before Submit returns, and must not block.
+// Without a result the outcome is OutcomeUnknown, or OutcomeRejected if the operation was never sent. If the connection ends first, the
+// operation is sent again on another connection, which is safe because operations are idempotent by their ID.
 func (c *Client) Submit(op replication.Operation, timeout time.Duration, done func(replication.Result)) {
 	r := &request{operationID: op.ID, onResult: done}
 	r.onNoResponse = func() {
