--- a/internal/fleet/node/agreed.go
+++ b/internal/fleet/node/agreed.go
@@ -14,64 +14,64 @@
 )
 
 const (
-	maxKeptChanges     = 4096 // newest changes of the agreed state
-	maxKeptChangeBytes = 4 << 20
+	maxKeptChanges     = 4096    // changes of the agreed state that are kept for polls of other members
+	maxKeptChangeBytes = 4 << 20 // total size of the kept changes
 )
 
-// agreedState is the newest agreed state that this member knows, from the log, where it votes, and from other members.
+// agreedState is the newest agreed state that this member knows. Voters learn it from the log, all members from responses to their polls.
 type agreedState struct {
-	feed  *changefeed.Log // the state as a map, and its newest changes
-	state *shardmap.State // the same without operators' items
+	feed  *changefeed.Log // the state as keys and values, and its newest changes
+	state *shardmap.State // the same state without operators' items
 
-	membersVersion uint64   // version with which this member learned of the list of members
-	shardVersions  []uint64 // by shard: version with which this member learned of its configuration
+	membersVersion uint64   // version at which this member learned the current list of members
+	shardVersions  []uint64 // by shard: version at which this member learned its current configuration
 
-	asOf    time.Duration // nothing newer was agreed up to then
-	hasAsOf bool
+	confirmedAt   time.Duration // latest time at which the state was the newest agreed one
+	everConfirmed bool          // whether confirmedAt is valid
 
-	writtenFleetID string // on disk
+	persistedFleetID string // fleet ID that is on disk, or part of a Ready to be written
 }
 
 func newAgreedState(fleetID string) agreedState {
 	state := shardmap.New()
 	state.FleetID = fleetID
 	return agreedState{
-		feed:           changefeed.NewLog(changefeed.LogConfig{MaxChanges: maxKeptChanges, MaxBytes: maxKeptChangeBytes}),
-		state:          state,
-		shardVersions:  make([]uint64, shardmap.ShardCount),
-		writtenFleetID: fleetID,
+		feed:             changefeed.NewLog(changefeed.LogConfig{MaxChanges: maxKeptChanges, MaxBytes: maxKeptChangeBytes}),
+		state:            state,
+		shardVersions:    make([]uint64, shardmap.ShardCount),
+		persistedFleetID: fleetID,
 	}
 }
 
-// confirm takes a time up to which nothing newer than the state was agreed.
+// confirm records that nothing newer than the state had been agreed at a time.
 func (a *agreedState) confirm(asOf time.Duration) {
-	if !a.hasAsOf || asOf > a.asOf {
-		a.asOf = asOf
-		a.hasAsOf = true
+	if !a.everConfirmed || asOf > a.confirmedAt {
+		a.confirmedAt = asOf
+		a.everConfirmed = true
 	}
 }
 
-// AsOf returns the latest time at which this member's state was confirmed to be the newest agreed one; false if it never was.
+// AsOf returns the latest time at which this member's state was the newest agreed one, as far as is confirmed; false if it never was.
 func (n *Node) AsOf() (time.Duration, bool) {
 	asOf, known := n.log.AsOf()
-	if n.agreed.hasAsOf {
-		return max(asOf, n.agreed.asOf), true
+	if n.agreedState.everConfirmed {
+		return max(asOf, n.agreedState.confirmedAt), true
 	}
 	return asOf, known
 }
 
-// applyLog takes what the log has committed.
+// applyLog applies what the log has committed.
 func (n *Node) applyLog(ready consensus.Ready) {
 	if ready.Snapshot != nil {
-		n.install(ready.Snapshot)
+		n.installSnapshot(ready.Snapshot)
 	}
 	for _, change := range ready.Changes {
-		version := n.agreed.feed.Version()
+		version := n.agreedState.feed.Version()
 		if change.Version <= version {
 			continue // learned from another member before
 		}
 		if change.Version != version+1 {
-			n.install(consensus.SnapshotOf(n.log.State()))
+			n.installSnapshot(consensus.SnapshotOf(n.log.State()))
 			break
 		}
 		if !n.appendChange(change) {
@@ -83,11 +83,11 @@
 	}
 }
 
-// appendChange applies a change from the log and reports whether it could be.
+// appendChange applies a change from the log and reports whether it succeeded.
 func (n *Node) appendChange(change consensus.Change) bool {
-	appended, err := n.agreed.feed.Append(change.Items)
+	appended, err := n.agreedState.feed.Append(change.Items)
 	if err != nil {
-		n.reportFault("an agreed change that can't be taken", change.Version, err.Error())
+		n.reportFault("an agreed change cannot be applied", change.Version, err.Error())
 		return false
 	}
 	n.ready.Changes = append(n.ready.Changes, &appended)
@@ -95,12 +95,12 @@
 	return true
 }
 
-// applyChange applies a change from another member and reports whether it could be. After a failure the next response repairs it, by a
-// snapshot where the digests differ.
+// applyChange applies a change from another member and reports whether it succeeded. A failure is repaired by the response to a later
+// poll, with a snapshot if the digests differ.
 func (n *Node) applyChange(change *changefeed.Change) bool {
-	err := n.agreed.feed.Apply(*change)
+	err := n.agreedState.feed.Apply(*change)
 	if err != nil && !errors.Is(err, changefeed.ErrOutOfOrder) {
-		n.reportFault("a change that does not fit", change.Version, err.Error())
+		n.reportFault("a change from another member cannot be applied", change.Version, err.Error())
 	}
 	if err != nil {
 		return false
@@ -110,9 +110,9 @@
 	return true
 }
 
-// install replaces the state by a snapshot, if it is newer.
-func (n *Node) install(snapshot *changefeed.Snapshot) {
-	feed := n.agreed.feed
+// installSnapshot replaces the state by a snapshot, unless the state is newer or the same.
+func (n *Node) installSnapshot(snapshot *changefeed.Snapshot) {
+	feed := n.agreedState.feed
 	isCurrent := snapshot.Version == feed.Version() && snapshot.Digest == feed.Digest()
 	if snapshot.Version < max(1, feed.Version()) || isCurrent {
 		return
@@ -123,7 +123,7 @@
 		return
 	}
 	if err != nil {
-		n.reportFault("a state that can't be taken", snapshot.Version, err.Error())
+		n.reportFault("a snapshot of the agreed state cannot be installed", snapshot.Version, err.Error())
 		return
 	}
 	n.ready.Snapshot = snapshot
@@ -131,9 +131,9 @@
 	n.applyItems(snapshot.Items, snapshot.Version)
 }
 
-// applyItems brings the state up to a version. A configuration never goes back to an older one.
+// applyItems updates the state to a version. A shard's configuration is never replaced by an older one.
 func (n *Node) applyItems(items []changefeed.Item, version uint64) {
-	state := n.agreed.state
+	state := n.agreedState.state
 	next := *state
 	next.Configurations = slices.Clone(state.Configurations)
 	var shards []int
@@ -142,7 +142,7 @@
 			shards = append(shards, shard)
 		}
 		if err := next.SetValue(item.Key, item.Value, item.Deleted); err != nil {
-			n.reportFault("an item that can't be read", version, err.Error())
+			n.reportFault("an agreed item cannot be decoded", version, err.Error())
 		}
 	}
 	if n.ready.Snapshot != nil && n.ready.Snapshot.Version == version {
@@ -151,7 +151,7 @@
 	isNewEpoch := next.Epoch != state.Epoch
 	isNewFleet := next.FleetID != state.FleetID
 	if isNewEpoch || !slices.Equal(state.Members, next.Members) {
-		n.agreed.membersVersion = version
+		n.agreedState.membersVersion = version
 	}
 	state.FleetID = next.FleetID
 	state.Epoch = next.Epoch
@@ -160,43 +160,43 @@
 	for _, shard := range shards {
 		n.setConfiguration(shard, next.Configurations[shard], version)
 	}
-	n.recordFleet(isNewEpoch || isNewFleet)
+	n.recordFleetAndEpoch(isNewEpoch || isNewFleet)
 }
 
-// membersInFeed returns those members that the feed's state has. A snapshot does not say which were removed.
+// membersInFeed returns those of the members that the feed's state contains. A snapshot does not list removed members.
 func (n *Node) membersInFeed(members []shardmap.Member) []shardmap.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m shardmap.Member) bool {
-		_, exists := n.agreed.feed.State().Get(shardmap.MemberKey(m.ID))
+		_, exists := n.agreedState.feed.State().Get(shardmap.MemberKey(m.ID))
 		return !exists
 	})
 }
 
-// setConfiguration takes a shard's configuration, if it is newer.
+// setConfiguration replaces a shard's configuration by a newer one; an older one is ignored.
 func (n *Node) setConfiguration(shard int, configuration shardmap.Configuration, version uint64) {
-	if configuration.Number <= n.agreed.state.Configurations[shard].Number {
+	if configuration.Number <= n.agreedState.state.Configurations[shard].Number {
 		return
 	}
-	n.agreed.state.Configurations[shard] = configuration
-	n.agreed.shardVersions[shard] = version
+	n.agreedState.state.Configurations[shard] = configuration
+	n.agreedState.shardVersions[shard] = version
 	n.replicas.SetConfiguration(shard, configuration)
 }
 
-// recordFleet has a new fleet's ID written to disk, and logs a new epoch.
-func (n *Node) recordFleet(isNewEpoch bool) {
-	state := n.agreed.state
-	if state.FleetID != n.agreed.writtenFleetID {
-		n.agreed.writtenFleetID = state.FleetID
+// recordFleetAndEpoch adds to the next Ready the fleet ID, if it has to be written to disk, and an event for a new epoch.
+func (n *Node) recordFleetAndEpoch(isNewEpoch bool) {
+	state := n.agreedState.state
+	if state.FleetID != n.agreedState.persistedFleetID {
+		n.agreedState.persistedFleetID = state.FleetID
 		n.ready.FleetID = state.FleetID
 	}
 	if isNewEpoch {
 		detail := fmt.Sprintf("%d members", len(state.Members))
-		n.ready.Events = append(n.ready.Events, Event{Message: "epoch", Epoch: state.Epoch, Detail: detail})
+		n.ready.Events = append(n.ready.Events, Event{Message: "new epoch", Epoch: state.Epoch, Detail: detail})
 	}
 }
 
-// reportDivergence logs that there are two states of one version.
+// reportDivergence reports that two members have different states of the same version.
 func (n *Node) reportDivergence(version uint64) {
-	n.reportFault("two histories: one version of the agreed state with other contents", version, "")
+	n.reportFault("two histories: one version of the agreed state with different contents", version, "")
 }
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -103,12 +103,12 @@
 				since := uint64(2)
 				switch kind {
 				case "epoch":
-					clear(node.agreed.shardVersions)
+					clear(node.agreedState.shardVersions)
 					since = 1
 				case "shard":
-					clear(node.agreed.shardVersions)
-					node.agreed.membersVersion = 0
-					node.agreed.shardVersions[17] = 2
+					clear(node.agreedState.shardVersions)
+					node.agreedState.membersVersion = 0
+					node.agreedState.shardVersions[17] = 2
 					since = 1
 				case "all":
 					since = 0
--- a/internal/fleet/node/leader.go
+++ b/internal/fleet/node/leader.go
@@ -10,21 +10,21 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// selfStateAge is the age of this member's own state for the planner: it is always old enough.
+// selfStateAge is the state age that the planner is given for this member itself. It exceeds every age that the planner requires.
 const selfStateAge = time.Hour
 
-// leading is the state of the log's leader. It ends with the leadership, but for the times of changes of voters.
-type leading struct {
-	planner           *placement.Planner // nil while this member does not lead
-	term              uint64             // of the planner
-	proposals         map[string]*proposal
-	nextVoterChangeAt time.Duration
-	votersChangedAt   time.Duration
+// leaderState is what this member needs while it leads the log. It is reset when the leadership ends, except for the times of voter changes.
+type leaderState struct {
+	planner           *placement.Planner   // nil while this member does not lead
+	term              uint64               // term in which the planner was created
+	proposals         map[string]*proposal // puts that were proposed to the log, by operation ID
+	nextVoterChangeAt time.Duration        // earliest time of the next voter change or leadership transfer
+	votersChangedAt   time.Duration        // when the latest voter change was proposed
 }
 
-// lead does what the log's leader does: it places shards, chooses the voters, and hands its leadership over before it leaves.
-func (n *Node) lead() {
-	l := &n.leading
+// runLeader does the work of the log's leader: it places shards, chooses the voters, and transfers its leadership before it leaves.
+func (n *Node) runLeader() {
+	l := &n.leadership
 	if !n.log.IsLeader() {
 		l.planner = nil
 		clear(l.proposals)
@@ -47,8 +47,8 @@
 	self := placement.MemberStatus{Member: n.cfg.Self, Alive: true, Draining: n.isLeaving, StateAge: selfStateAge}
 	members := append(slices.Clone(n.peers), self)
 	hasAllVoters := len(n.log.Voters()) >= n.cfg.VoterCount
-	if entry, changes := l.planner.Propose(n.now, n.log.State(), members, hasAllVoters); changes {
-		_ = n.log.Propose(entry) // a lost proposal is made again
+	if entry, hasChanges := l.planner.Propose(n.now, n.log.State(), members, hasAllVoters); hasChanges {
+		_ = n.log.Propose(entry) // the planner proposes the change again if this proposal is lost
 	}
 	if n.now >= l.nextVoterChangeAt {
 		l.nextVoterChangeAt = n.now + voterChangeInterval
@@ -56,6 +56,7 @@
 	}
 }
 
+// transferLeadership transfers the leadership to any other voter that is alive and not leaving itself.
 func (n *Node) transferLeadership() {
 	for _, peer := range n.peers {
 		id := consensus.NodeID(peer.ID)
@@ -66,9 +67,10 @@
 	}
 }
 
+// handleReplicaReport passes a replica's report to the planner. A member that does not lead ignores it; replicas repeat their reports.
 func (n *Node) handleReplicaReport(report replication.ReplicaReport) {
 	isValid := report.Shard >= 0 && report.Shard < shardmap.ShardCount
-	if n.leading.planner != nil && n.log.IsLeader() && isValid {
-		n.leading.planner.Report(n.now, n.log.State(), report)
+	if n.leadership.planner != nil && n.log.IsLeader() && isValid {
+		n.leadership.planner.Report(n.now, n.log.State(), report)
 	}
 }
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -1,6 +1,7 @@
-// Package node is a member of a fleet without sockets, disk and clock: it combines the replicated log (package consensus), the placement of
-// shards, and this member's replicas, and passes the agreed state on to members that do not vote. Simulations run this very code. It must
-// never release anything before the writes that it depends on are on disk, and never accept a message of another fleet.
+// Package node is the state machine of one fleet member, without sockets, disk or clock, so that simulations run the same code as production.
+// It combines the replicated log (package consensus), the placement of shards and this member's replicas, and passes the agreed state on to
+// members that do not vote. It must never release anything before the writes that it depends on are on disk, and never accept a message
+// of another fleet.
 package node
 
 import (
@@ -17,27 +18,27 @@
 )
 
 const (
-	maxMinReplicas = 2      // a write needs so many replicas, or all where the replication factor is smaller
-	randomStream   = 0xc02e // keeps this package's random numbers apart from others of the same seed
+	maxMinReplicas = 2      // replicas that a write needs, unless the replication factor is smaller
+	randomStream   = 0xc02e // PCG stream, so that this package's random numbers differ from those of other packages with the same seed
 )
 
 // Config configures a Node.
 type Config struct {
 	Self        shardmap.Member
 	Incarnation uint64
-	Seeds       []string // addresses
+	Seeds       []string // addresses of the members that others contact first
 
-	BootstrapID  string // ID of the fleet that this member may bootstrap, drawn for it
-	CanBootstrap bool   // this member has the first of the seeds' addresses
+	BootstrapID  string // random ID for the fleet, if this member bootstraps it
+	CanBootstrap bool   // whether this member has the address of the first seed
 
-	VoterCount        int // of the log, once there are so many machines
+	VoterCount        int // number of voters of the log; fewer while there are not as many machines
 	ReplicationFactor int
-	EvictAfter        time.Duration // a member that failed longer ago is not part of the next epoch
-	MaxJoiningShards  int           // that are copied to a new replica at once
-	Seed              uint64
+	EvictAfter        time.Duration // how long a member has failed before the next epoch leaves it out
+	MaxJoiningShards  int           // number of shards that are copied to new replicas at the same time
+	Seed              uint64        // seed of the random numbers
 
-	MaxKeys              int // records stored here
-	MaxBytes             int // of the records stored here
+	MaxKeys              int // maximum number of records on this member
+	MaxBytes             int // maximum size of the records on this member
 	MaxPendingOperations int
 	Retention            []replication.RetentionRule
 }
@@ -55,32 +56,32 @@
 	Records []replication.Record
 }
 
-// Node is one member. It must be used by one goroutine at a time.
+// Node is one member of the fleet. It must be used by one goroutine at a time.
 type Node struct {
 	cfg   Config
-	self  uint64 // ID in the log
-	now   time.Duration
+	self  uint64        // this member's ID in the log
+	now   time.Duration // time of the latest tick
 	rng   *rand.Rand
-	ready Ready // what the next call of Ready returns
+	ready Ready // collected for the next call of Ready
 
 	log      *consensus.Node
 	replicas *replication.Node
 	peers    []placement.MemberStatus // the other members
 
-	agreed   agreedState
-	polling  polling
-	leading  leading
-	puts     map[string]*pendingPut // submitted here, by operation ID
-	leaderID string                 // of the log, as far as is known
+	agreedState agreedState
+	polls       pollState
+	leadership  leaderState
+	pendingPuts map[string]*pendingPut // puts that were submitted to this member, by operation ID
+	leaderID    string                 // member ID of the log's leader, empty while unknown
 
 	nextBootstrapAt time.Duration
-	emptySeeds      map[string]time.Duration // when the seed at an address last said that it knows no fleet
+	emptySeeds      map[string]time.Duration // by seed address: when a response last said that no fleet is known there
 
-	reportedFaults map[string]bool // by message
+	reportedFaults map[string]bool // messages of the faults that were reported
 	isLeaving      bool
 }
 
-// New makes a node from what is on disk.
+// New returns a node that continues from the state on disk.
 func New(cfg Config, saved PersistentState, now time.Duration) (*Node, error) {
 	log, err := consensus.New(cfg.Self.ID, saved.Log, cfg.Seed, now)
 	if err != nil {
@@ -92,10 +93,10 @@
 		now:             now,
 		rng:             rand.New(rand.NewPCG(cfg.Seed, randomStream)),
 		log:             log,
-		agreed:          newAgreedState(saved.FleetID),
-		polling:         polling{nextAt: now, pending: map[uint64]time.Duration{}},
-		leading:         leading{nextVoterChangeAt: now, proposals: map[string]*proposal{}},
-		puts:            map[string]*pendingPut{},
+		agreedState:     newAgreedState(saved.FleetID),
+		polls:           pollState{nextPollAt: now, sentAt: map[uint64]time.Duration{}},
+		leadership:      leaderState{nextVoterChangeAt: now, proposals: map[string]*proposal{}},
+		pendingPuts:     map[string]*pendingPut{},
 		nextBootstrapAt: now,
 		emptySeeds:      map[string]time.Duration{},
 		reportedFaults:  map[string]bool{},
@@ -117,8 +118,8 @@
 
 func (n *Node) minReplicas() int { return min(maxMinReplicas, n.cfg.ReplicationFactor) }
 
-// State returns the newest agreed state that is known here, without operators' items. It must not be changed.
-func (n *Node) State() *shardmap.State { return n.agreed.state }
+// State returns the newest agreed state that this member knows, without operators' items. The caller must not modify it.
+func (n *Node) State() *shardmap.State { return n.agreedState.state }
 
 // Replicas returns this member's replicas.
 func (n *Node) Replicas() *replication.Node { return n.replicas }
@@ -126,27 +127,27 @@
 // IsLeader reports whether this member leads the log.
 func (n *Node) IsLeader() bool { return n.log.IsLeader() }
 
-// Voters returns the voters' IDs in the log; none at a member that does not vote.
+// Voters returns the IDs that the voters have in the log; none at a member that does not vote.
 func (n *Node) Voters() []uint64 { return n.log.Voters() }
 
-// Tick advances the time and takes the state of the other members.
+// Tick advances the time, updates the status of the other members, and does all work that is due.
 func (n *Node) Tick(now time.Duration, peers []placement.MemberStatus) {
 	n.now = now
 	n.peers = peers
 	n.log.Tick(now)
 	n.replicas.Tick(now)
 	n.tryBootstrap()
-	n.lead()
+	n.runLeader()
 	n.retryPuts()
-	n.learnLeader()
-	if now >= n.polling.nextAt {
+	n.updateLeaderFromLog()
+	if now >= n.polls.nextPollAt {
 		n.schedulePoll()
-		n.poll()
+		n.sendPoll()
 	}
 }
 
-// learnLeader takes the leader's ID from the log, where this member votes.
-func (n *Node) learnLeader() {
+// updateLeaderFromLog sets the leader to the one that the log knows, if this member votes.
+func (n *Node) updateLeaderFromLog() {
 	leader := n.log.Leader()
 	if leader == 0 || !slices.Contains(n.log.Voters(), n.self) {
 		return
@@ -159,32 +160,32 @@
 func (n *Node) setLeader(id string) {
 	if id != n.leaderID {
 		n.leaderID = id
-		n.polling.leaderUnansweredSince = 0
+		n.polls.leaderUnansweredSince = 0
 	}
 }
 
-// Leave has this member's replicas and its leadership moved to others, as it will end.
+// Leave starts to move this member's replicas and its leadership to other members, because the process will end.
 func (n *Node) Leave() { n.isLeaving = true }
 
-// SetWallClock takes the time of day, by which records expire, in Unix seconds.
+// SetWallClock sets the wall-clock time by which records expire, in Unix seconds.
 func (n *Node) SetWallClock(unix int64) { n.replicas.SetWallClock(unix) }
 
-// Submit executes an operation. Its result is part of a Ready, after the timeout at the latest.
+// Submit starts an operation. A later Ready contains its result, at the latest after the timeout.
 func (n *Node) Submit(operation replication.Operation, timeout time.Duration) {
 	n.replicas.Submit(operation, timeout)
 }
 
-// MarkDiskFailed notes that nothing can be written any more: this member confirms nothing, neither as a replica nor in the log.
+// MarkDiskFailed records that writes to disk fail: this member confirms nothing from now on, neither as a replica nor in the log.
 func (n *Node) MarkDiskFailed() { n.replicas.MarkDiskFailed() }
 
-// Step takes a packet. It is an error that the packet is another fleet's or member's, or that it can't be read.
+// Step handles a packet. It returns an error for a packet of another fleet, a packet for another member, and a malformed one.
 func (n *Node) Step(p Packet) error {
-	fleetID := n.agreed.state.FleetID
+	fleetID := n.agreedState.state.FleetID
 	if p.FleetID != "" && fleetID != "" && p.FleetID != fleetID {
-		return fmt.Errorf("a packet of fleet %s; this one is %s", p.FleetID, fleetID)
+		return fmt.Errorf("packet of fleet %s received by a member of fleet %s", p.FleetID, fleetID)
 	}
 	if p.To != "" && p.To != n.cfg.Self.ID {
-		return fmt.Errorf("a packet for member %s", p.To)
+		return fmt.Errorf("packet is addressed to another member, %s", p.To)
 	}
 	switch {
 	case p.Raft != nil:
@@ -207,14 +208,14 @@
 	return nil
 }
 
-// memberID returns the ID of the member with an ID in the log, empty where it is not known.
+// memberID returns the ID of the member that has the given ID in the log, empty if it is unknown.
 func (n *Node) memberID(logID uint64) string {
 	for _, peer := range n.peers {
 		if consensus.NodeID(peer.ID) == logID {
 			return peer.ID
 		}
 	}
-	for _, m := range n.agreed.state.Members {
+	for _, m := range n.agreedState.state.Members {
 		if consensus.NodeID(m.ID) == logID {
 			return m.ID
 		}
@@ -222,11 +223,11 @@
 	return ""
 }
 
-// FeedState returns the newest agreed state that is known here, as a map. It must not be changed.
-func (n *Node) FeedState() *changefeed.State { return n.agreed.feed.State() }
+// FeedState returns the newest agreed state that this member knows, as keys and values. The caller must not modify it.
+func (n *Node) FeedState() *changefeed.State { return n.agreedState.feed.State() }
 
-// FeedSnapshot returns the newest agreed state that is known here as one message.
-func (n *Node) FeedSnapshot() *changefeed.Snapshot { return n.agreed.feed.Snapshot() }
+// FeedSnapshot returns the newest agreed state that this member knows, as one message.
+func (n *Node) FeedSnapshot() *changefeed.Snapshot { return n.agreedState.feed.Snapshot() }
 
-// ChangeCount returns how many of the newest changes are kept.
-func (n *Node) ChangeCount() int { return n.agreed.feed.Changes() }
+// ChangeCount returns the number of changes of the agreed state that are kept in memory.
+func (n *Node) ChangeCount() int { return n.agreedState.feed.Changes() }
--- a/internal/fleet/node/packet.go
+++ b/internal/fleet/node/packet.go
@@ -8,51 +8,53 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// ProtocolVersion is the version of the protocol between members. Since version 2 they exchange the agreed state as changes and agree on
-// operators' items; version 1 counts versions of the state differently.
+// This file defines the packets that members exchange.
+
+// ProtocolVersion is the version of the protocol between members. Since version 2 members exchange the agreed state as changes and agree
+// on operators' items; version 1 counts versions of the state differently.
 const ProtocolVersion = 2
 
-// Packet is a message from one member to another. At most one of the fields behind FleetID is set. The CBOR names are the wire form.
+// Packet is a message from one member to another. At most one of the fields after FleetID is set. The CBOR names are part of the wire format.
 type Packet struct {
 	From string `cbor:"From"` // member ID
 	To   string `cbor:"To"`   // member ID
-	Addr string `cbor:"Addr"` // unused; part of the wire form
+	Addr string `cbor:"Addr"` // unused; kept as part of the wire format
 
-	FleetID       string                     `cbor:"Fleet"` // empty while the sender knows of no fleet
-	Raft          []byte                     `cbor:"Raft"`  // a message of the log
+	FleetID       string                     `cbor:"Fleet"` // empty while the sender knows no fleet
+	Raft          []byte                     `cbor:"Raft"`  // an encoded message of the log
 	Replication   []replication.Message      `cbor:"Copies"`
-	ReplicaReport *replication.ReplicaReport `cbor:"Complaint"` // to the log's leader
+	ReplicaReport *replication.ReplicaReport `cbor:"Complaint"` // for the log's leader
 	PollRequest   *PollRequest               `cbor:"Poll"`
 	PollResponse  *PollResponse              `cbor:"Told"`
-	PutRequest    *shardmap.Put              `cbor:"Put"` // to the log's leader
+	PutRequest    *shardmap.Put              `cbor:"Put"` // for the log's leader
 	PutResult     *shardmap.PutResult        `cbor:"Done"`
 }
 
-// PollRequest asks for what was agreed after a version.
+// PollRequest asks for all changes of the agreed state after a version.
 type PollRequest struct {
-	Version         uint64 `cbor:"Version"`
-	Digest          uint64 `cbor:"Digest"`
-	ProtocolVersion int    `cbor:"Form"`   // 0 from a program of the first version
-	RequestNumber   uint64 `cbor:"Number"` // is returned in the response
+	Version         uint64 `cbor:"Version"` // the requester's version of the agreed state
+	Digest          uint64 `cbor:"Digest"`  // the requester's digest at Version
+	ProtocolVersion int    `cbor:"Form"`    // 0 from a program of protocol version 1
+	RequestNumber   uint64 `cbor:"Number"`  // copied to the response
 }
 
-// PollResponse answers a PollRequest with all that was agreed since. A requester of the present protocol version gets Changes or, where
-// these are no longer kept, Snapshot; an older one gets Epoch, Members and Shards.
+// PollResponse answers a PollRequest. A requester of the current protocol version gets Changes or, if these are no longer kept, Snapshot;
+// an older one gets Epoch, Members and Shards.
 type PollResponse struct {
-	FleetID  string                         `cbor:"Fleet"` // empty where the responder knows of no fleet
-	Since    uint64                         `cbor:"Since"` // the requester's version
-	Version  uint64                         `cbor:"Version"`
+	FleetID  string                         `cbor:"Fleet"`   // empty if the responder knows no fleet
+	Since    uint64                         `cbor:"Since"`   // the requester's version
+	Version  uint64                         `cbor:"Version"` // the responder's version
 	Epoch    uint64                         `cbor:"Epoch"`
-	Members  []shardmap.Member              `cbor:"Members"` // empty where they have not changed
+	Members  []shardmap.Member              `cbor:"Members"` // empty if they have not changed since the requester's version
 	Shards   map[int]shardmap.Configuration `cbor:"Slots"`
-	LeaderID string                         `cbor:"Leader"` // of the log, as far as is known
-	Addr     string                         `cbor:"Addr"`   // of the responder
+	LeaderID string                         `cbor:"Leader"` // member ID of the log's leader, empty while unknown
+	Addr     string                         `cbor:"Addr"`   // address of the responder
 
 	ProtocolVersion int                  `cbor:"Form"`
-	RequestNumber   uint64               `cbor:"Number"`
-	Digest          uint64               `cbor:"Digest"` // of Version
-	HasAge          bool                 `cbor:"Known"`  // Age is valid
-	Age             time.Duration        `cbor:"Age"`    // how long before the response Version was confirmed to be the newest
+	RequestNumber   uint64               `cbor:"Number"` // that of the request
+	Digest          uint64               `cbor:"Digest"` // the responder's digest at Version
+	HasAge          bool                 `cbor:"Known"`  // whether Age is valid
+	Age             time.Duration        `cbor:"Age"`    // time since Version was last confirmed to be the newest version
 	Changes         []*changefeed.Change `cbor:"Changes"`
 	Snapshot        *changefeed.Snapshot `cbor:"Snapshot"`
 }
--- a/internal/fleet/node/poll.go
+++ b/internal/fleet/node/poll.go
@@ -9,51 +9,52 @@
 )
 
 const (
-	pollInterval      = 250 * time.Millisecond
-	stalePollInterval = 80 * time.Millisecond   // while what is known is older than staleAfter
-	staleAfter        = 1200 * time.Millisecond // the leader has most likely changed
-	maxPendingPolls   = 16
-	maxResponseBytes  = 1 << 20 // of the changes in one response
-
-	leaderResponseTimeout = 500 * time.Millisecond
-	leaderSuspicionTime   = 4 * leaderResponseTimeout // a leader that has not responded is polled again then
+	pollInterval      = 250 * time.Millisecond  // mean time between polls
+	stalePollInterval = 80 * time.Millisecond   // mean time between polls while the state was confirmed longer than staleAfter ago
+	staleAfter        = 1200 * time.Millisecond // after so long without confirmation the leader has most likely changed
+	maxPendingPolls   = 16                      // requests whose responses are awaited
+	maxResponseBytes  = 1 << 20                 // maximum size of the changes in one response
+
+	leaderResponseTimeout = 500 * time.Millisecond    // a leader that does not respond for so long is not preferred for polls
+	leaderSuspicionTime   = 4 * leaderResponseTimeout // after this time without a response the leader is preferred again
 )
 
-// polling is how a member learns of the agreed state from others. Voters also learn it from the log.
-type polling struct {
-	nextAt                time.Duration
-	pending               map[uint64]time.Duration // when a request was sent, by number
-	leaderUnansweredSince time.Duration            // when the leader was polled that has not responded since; 0 where it has
+// pollState is the state of the polls by which a member learns the agreed state from others. Voters also learn it from the log.
+type pollState struct {
+	nextPollAt            time.Duration
+	sentAt                map[uint64]time.Duration // by request number: when the request was sent
+	leaderUnansweredSince time.Duration            // when the first unanswered poll of the leader was sent; 0 if there is none
 }
 
-// nextNumber returns the number of a new request. The oldest pending one is dropped where there are too many.
-func (p *polling) nextNumber(now time.Duration) uint64 {
+// nextRequestNumber returns the number of a new request and records that it is sent. Beyond maxPendingPolls the oldest pending request is
+// forgotten.
+func (p *pollState) nextRequestNumber(now time.Duration) uint64 {
 	oldest, newest := uint64(0), uint64(0)
-	for number := range p.pending {
+	for number := range p.sentAt {
 		if oldest == 0 || number < oldest {
 			oldest = number
 		}
 		newest = max(newest, number)
 	}
-	if len(p.pending) >= maxPendingPolls {
-		delete(p.pending, oldest)
+	if len(p.sentAt) >= maxPendingPolls {
+		delete(p.sentAt, oldest)
 	}
-	number := max(newest+1, uint64(now)) // greater than those of an earlier process
-	p.pending[number] = now
+	number := max(newest+1, uint64(now)) // greater than the numbers of an earlier process of this member
+	p.sentAt[number] = now
 	return number
 }
 
-// schedulePoll draws the time of the next poll.
+// schedulePoll draws a random time for the next poll: half to one and a half times the interval from now.
 func (n *Node) schedulePoll() {
 	interval := pollInterval
 	if asOf, known := n.AsOf(); known && n.now-asOf > staleAfter {
 		interval = stalePollInterval
 	}
-	n.polling.nextAt = n.now + interval/2 + time.Duration(n.rng.Float64()*float64(interval))
+	n.polls.nextPollAt = n.now + interval/2 + time.Duration(n.rng.Float64()*float64(interval))
 }
 
-// poll asks a random member that is alive, or by the same chance the log's leader, for what was agreed.
-func (n *Node) poll() {
+// sendPoll asks a member that is alive for the changes of the agreed state: with equal probability the log's leader or a random member.
+func (n *Node) sendPoll() {
 	var ids []string
 	for _, peer := range n.peers {
 		if peer.Alive && peer.ID != n.cfg.Self.ID {
@@ -65,16 +66,16 @@
 		return
 	}
 	n.send(Packet{To: n.pickPollTarget(ids), PollRequest: &PollRequest{
-		Version:         n.agreed.state.Version,
-		Digest:          n.agreed.feed.Digest(),
+		Version:         n.agreedState.state.Version,
+		Digest:          n.agreedState.feed.Digest(),
 		ProtocolVersion: ProtocolVersion,
-		RequestNumber:   n.polling.nextNumber(n.now),
+		RequestNumber:   n.polls.nextRequestNumber(n.now),
 	}})
 }
 
-// pickPollTarget picks one of the members that are alive. The leader is left out for a while once it has not responded.
+// pickPollTarget returns one of the members that are alive. A leader that did not respond in time is not preferred for a while.
 func (n *Node) pickPollTarget(ids []string) string {
-	p := &n.polling
+	p := &n.polls
 	to := ids[n.rng.IntN(len(ids))]
 	isLeaderSuspect := p.leaderUnansweredSince != 0 && n.now-p.leaderUnansweredSince > leaderResponseTimeout
 	if slices.Contains(ids, n.leaderID) && !isLeaderSuspect && n.rng.IntN(2) == 0 {
@@ -89,9 +90,9 @@
 	return to
 }
 
-// answerPoll sends what was agreed since the requester's version.
+// answerPoll sends all changes of the agreed state since the requester's version.
 func (n *Node) answerPoll(from string, request *PollRequest) {
-	state := n.agreed.state
+	state := n.agreedState.state
 	response := &PollResponse{
 		FleetID:         state.FleetID,
 		Since:           request.Version,
@@ -101,7 +102,7 @@
 		Addr:            n.cfg.Self.Addr,
 		ProtocolVersion: ProtocolVersion,
 		RequestNumber:   request.RequestNumber,
-		Digest:          n.agreed.feed.Digest(),
+		Digest:          n.agreedState.feed.Digest(),
 	}
 	if asOf, known := n.AsOf(); known {
 		response.HasAge = true
@@ -115,15 +116,15 @@
 	n.send(Packet{To: from, PollResponse: response})
 }
 
-// addChanges adds what a requester of the present protocol version gets.
+// addChanges adds to a response what a requester of the current protocol version expects: changes, or a snapshot.
 func (n *Node) addChanges(request *PollRequest, response *PollResponse) {
-	feed := n.agreed.feed
+	feed := n.agreedState.feed
 	isCurrent := request.Version == feed.Version() && request.Digest == feed.Digest()
 	if isCurrent || feed.Version() == 0 || request.Version > feed.Version() {
 		return
 	}
-	changes, areKept := feed.ChangesSince(request.Version, request.Digest)
-	if !areKept {
+	changes, isAvailable := feed.ChangesSince(request.Version, request.Digest)
+	if !isAvailable {
 		response.Snapshot = feed.Snapshot()
 		return
 	}
@@ -139,24 +140,24 @@
 	}
 }
 
-// addConfigurations adds what a requester of the first protocol version gets.
+// addConfigurations adds to a response what a requester of protocol version 1 expects: members and configurations.
 func (n *Node) addConfigurations(since uint64, response *PollResponse) {
 	response.Shards = map[int]shardmap.Configuration{}
-	state := n.agreed.state
+	state := n.agreedState.state
 	if since >= state.Version {
 		return
 	}
-	if n.agreed.membersVersion > since {
+	if n.agreedState.membersVersion > since {
 		response.Members = state.Members
 	}
 	for shard, configuration := range state.Configurations {
-		if n.agreed.shardVersions[shard] > since {
+		if n.agreedState.shardVersions[shard] > since {
 			response.Shards[shard] = configuration
 		}
 	}
 }
 
-// handlePollResponse takes what another member knows. What is agreed is the same wherever it is learned; only what is newer is taken.
+// handlePollResponse applies what is newer in another member's state. The agreed state of one version is the same at all members.
 func (n *Node) handlePollResponse(from string, response *PollResponse) {
 	if response.FleetID == "" {
 		if slices.Contains(n.cfg.Seeds, response.Addr) {
@@ -165,9 +166,9 @@
 		return
 	}
 	if from == n.leaderID {
-		n.polling.leaderUnansweredSince = 0
+		n.polls.leaderUnansweredSince = 0
 	}
-	if n.believesLeader(from, response.LeaderID) {
+	if n.acceptsLeader(from, response.LeaderID) {
 		n.setLeader(response.LeaderID)
 	}
 	if response.ProtocolVersion >= ProtocolVersion {
@@ -177,45 +178,45 @@
 	}
 }
 
-// believesLeader reports whether a response changes whom this member takes for the leader. While the leader responds, only its own
-// response and that of the new leader do.
-func (n *Node) believesLeader(from, leaderID string) bool {
+// acceptsLeader reports whether this member accepts the leader that a response names. While the known leader responds, only its own
+// responses and those of the new leader are accepted.
+func (n *Node) acceptsLeader(from, leaderID string) bool {
 	if leaderID == "" {
 		return false
 	}
-	return from == leaderID || from == n.leaderID || n.polling.leaderUnansweredSince != 0 || n.leaderID == ""
+	return from == leaderID || from == n.leaderID || n.polls.leaderUnansweredSince != 0 || n.leaderID == ""
 }
 
-// handleChanges takes a response of the present protocol version.
+// handleChanges applies a response of the current protocol version.
 func (n *Node) handleChanges(response *PollResponse) {
-	sentAt, isPending := n.polling.pending[response.RequestNumber]
-	delete(n.polling.pending, response.RequestNumber)
+	sentAt, isPending := n.polls.sentAt[response.RequestNumber]
+	delete(n.polls.sentAt, response.RequestNumber)
 	if response.Snapshot != nil {
-		n.install(response.Snapshot)
+		n.installSnapshot(response.Snapshot)
 	}
 	for _, change := range response.Changes {
-		if change.Version <= n.agreed.feed.Version() {
+		if change.Version <= n.agreedState.feed.Version() {
 			continue
 		}
 		if !n.applyChange(change) {
 			break
 		}
 	}
-	version := n.agreed.feed.Version()
-	if response.Version == version && response.Digest != n.agreed.feed.Digest() {
+	version := n.agreedState.feed.Version()
+	if response.Version == version && response.Digest != n.agreedState.feed.Digest() {
 		n.reportDivergence(response.Version)
 		return
 	}
 	if isPending && response.HasAge && response.Version <= version {
-		n.agreed.confirm(sentAt - response.Age)
+		n.agreedState.confirm(sentAt - response.Age)
 	}
 }
 
-// handleConfigurations takes a response of the first protocol version. It is incomplete where it answers an earlier process, which knew
-// more, and where the fleet has operators' items, which an older program does not know.
+// handleConfigurations applies a response of protocol version 1. It ignores incomplete responses: those to an earlier process of this
+// member, which knew more, and all of them if the fleet has operators' items, which an older program does not know.
 func (n *Node) handleConfigurations(response *PollResponse) {
-	state := n.agreed.state
-	hasItems := len(n.agreed.feed.State().Items(shardmap.ConfigPrefix)) > 0
+	state := n.agreedState.state
+	hasItems := len(n.agreedState.feed.State().Items(shardmap.ConfigPrefix)) > 0
 	if response.Version <= state.Version || response.Since > state.Version || hasItems {
 		return
 	}
@@ -226,7 +227,7 @@
 	if isNewEpoch && len(response.Members) > 0 {
 		state.Epoch = response.Epoch
 		state.Members = response.Members
-		n.agreed.membersVersion = response.Version
+		n.agreedState.membersVersion = response.Version
 	}
 	state.Version = response.Version
 	for _, shard := range sortedKeys(response.Shards) {
@@ -234,6 +235,6 @@
 			n.setConfiguration(shard, response.Shards[shard], response.Version)
 		}
 	}
-	n.install(consensus.SnapshotOf(state))
-	n.recordFleet(isNewEpoch)
+	n.installSnapshot(consensus.SnapshotOf(state))
+	n.recordFleetAndEpoch(isNewEpoch)
 }
--- a/internal/fleet/node/put.go
+++ b/internal/fleet/node/put.go
@@ -7,63 +7,66 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
+// This file executes puts, which change operators' items: any member accepts them, and the log's leader proposes them to the log.
+
 const (
-	maxPendingPuts   = 1024 // submitted here, and proposed by the log's leader
-	putRetryInterval = 300 * time.Millisecond
-	proposalInterval = time.Second // a proposal that was lost is made again then, if it is requested
+	maxPendingPuts   = 1024                   // maximum number of puts submitted to one member, and of puts proposed by the log's leader
+	putRetryInterval = 300 * time.Millisecond // between two requests to the leader for the same put
+	proposalInterval = time.Second            // minimum time before a put that is requested again is proposed again
 )
 
-// Rejections of a put.
+// Reasons for rejecting a put, which operators get as PutResult.Rejection.
 const (
 	rejectionBusy    = "busy: too many changes wait"
 	rejectionTimeout = "no answer in time: it may have taken hold; asked again as the same operation it is answered with the same version"
 )
 
-// pendingPut is a put that was submitted here.
+// pendingPut is a put that was submitted to this member and has no result yet.
 type pendingPut struct {
-	put      shardmap.Put
-	deadline time.Duration
-	nextAt   time.Duration // when the leader is asked again
+	put           shardmap.Put
+	deadline      time.Duration
+	nextRequestAt time.Duration // when the put is sent to the leader again
 }
 
-// proposal is a put at the log's leader.
+// proposal is a put that the log's leader has proposed and that is not committed yet.
 type proposal struct {
-	put        shardmap.Put
-	requesters map[string]bool // member IDs
-	nextAt     time.Duration   // when it may be proposed again
+	put            shardmap.Put
+	requesters     map[string]bool // IDs of the members that wait for the result
+	nextProposalAt time.Duration   // earliest time at which it is proposed again
 }
 
-// Put changes an operators' item. Its result is part of a Ready, after the timeout at the latest. A put with the operation ID of a pending
-// one replaces it.
+// Put starts to change an operators' item. A later Ready contains its result, at the latest after the timeout. A put with the operation ID
+// of a pending one replaces that.
 func (n *Node) Put(put shardmap.Put, timeout time.Duration) {
 	if err := put.Validate(); err != nil {
 		n.rejectPut(put, err.Error())
 		return
 	}
-	if len(n.puts) >= maxPendingPuts {
+	if len(n.pendingPuts) >= maxPendingPuts {
 		n.rejectPut(put, rejectionBusy)
 		return
 	}
-	n.puts[put.OperationID] = &pendingPut{put: put, deadline: n.now + timeout, nextAt: n.now}
+	n.pendingPuts[put.OperationID] = &pendingPut{put: put, deadline: n.now + timeout, nextRequestAt: n.now}
 	n.retryPuts()
 }
 
+// rejectPut ends a put that is not executed.
 func (n *Node) rejectPut(put shardmap.Put, rejection string) {
 	n.ready.PutResults = append(n.ready.PutResults, shardmap.PutResult{OperationID: put.OperationID, Rejection: rejection})
 }
 
-// retryPuts sends pending puts to the log's leader when they are due.
+// retryPuts sends the pending puts that are due to the log's leader, and ends those whose timeout has passed.
 func (n *Node) retryPuts() {
-	for _, id := range sortedKeys(n.puts) {
-		pending := n.puts[id]
+	for _, id := range sortedKeys(n.pendingPuts) {
+		pending := n.pendingPuts[id]
 		if n.now >= pending.deadline {
 			n.finishPut(shardmap.PutResult{OperationID: id, Rejection: rejectionTimeout})
 			continue
 		}
-		if n.now < pending.nextAt {
+		if n.now < pending.nextRequestAt {
 			continue
 		}
-		pending.nextAt = n.now + putRetryInterval
+		pending.nextRequestAt = n.now + putRetryInterval
 		switch {
 		case n.log.IsLeader():
 			n.handlePut(n.cfg.Self.ID, pending.put)
@@ -73,7 +76,7 @@
 	}
 }
 
-// handlePut takes a put at the log's leader. Any other member ignores it: the requester learns of the leader soon.
+// handlePut answers or proposes a put at the log's leader. Any other member ignores it: the requester soon learns who the leader is.
 func (n *Node) handlePut(from string, put shardmap.Put) {
 	if !n.log.IsLeader() {
 		return
@@ -82,23 +85,23 @@
 		n.answerPut(from, result)
 		return
 	}
-	p := n.leading.proposals[put.OperationID]
+	p := n.leadership.proposals[put.OperationID]
 	if p == nil {
 		if rejection := n.checkPut(put); rejection != "" {
 			n.answerPut(from, shardmap.PutResult{OperationID: put.OperationID, Rejection: rejection})
 			return
 		}
 		p = &proposal{put: put, requesters: map[string]bool{}}
-		n.leading.proposals[put.OperationID] = p
+		n.leadership.proposals[put.OperationID] = p
 	}
 	p.requesters[from] = true
-	if n.now >= p.nextAt {
-		p.nextAt = n.now + proposalInterval
-		_ = n.log.Propose(shardmap.Entry{Puts: []shardmap.Put{p.put}}) // a lost proposal is made again with a later request
+	if n.now >= p.nextProposalAt {
+		p.nextProposalAt = n.now + proposalInterval
+		_ = n.log.Propose(shardmap.Entry{Puts: []shardmap.Put{p.put}}) // a lost proposal is repeated when the put is requested again
 	}
 }
 
-// checkPut returns why a new put can't be proposed; empty where it can.
+// checkPut returns the reason why a new put can't be proposed, empty if it can.
 func (n *Node) checkPut(put shardmap.Put) string {
 	if rejection := n.checkProtocolVersions(); rejection != "" {
 		return rejection
@@ -106,14 +109,14 @@
 	if err := put.Validate(); err != nil {
 		return err.Error()
 	}
-	if len(n.leading.proposals) >= maxPendingPuts {
+	if len(n.leadership.proposals) >= maxPendingPuts {
 		return rejectionBusy
 	}
 	return ""
 }
 
-// checkProtocolVersions returns which member of the epoch may run a program that does not know of operators' items; empty where none does.
-// Once there are items all members did know of them, so that one that is not seen now is no obstacle.
+// checkProtocolVersions returns a rejection that names a member of the epoch whose program may not support operators' items, empty if there
+// is none. Once a put has succeeded, all members supported them then, so that a member that is not known to the gossip now is no obstacle.
 func (n *Node) checkProtocolVersions() string {
 	state := n.log.State()
 	if state.Epoch == 0 {
@@ -123,28 +126,29 @@
 	for _, peer := range n.peers {
 		versions[peer.ID] = peer.Form
 	}
-	hadPuts := len(state.RecentPuts) > 0
+	hasHadPuts := len(state.RecentPuts) > 0
 	for _, m := range state.Members {
-		version, isSeen := versions[m.ID]
-		if version < ProtocolVersion && (isSeen || !hadPuts) {
+		version, isKnown := versions[m.ID]
+		if version < ProtocolVersion && (isKnown || !hasHadPuts) {
 			return fmt.Sprintf("member %s at %s is of an older program, or was not heard: replace it first", m.ID, m.Addr)
 		}
 	}
 	return ""
 }
 
-// handleCommittedPut answers all who requested a put that was committed.
+// handleCommittedPut sends the result of a committed put to all members that requested it.
 func (n *Node) handleCommittedPut(result shardmap.PutResult) {
-	p := n.leading.proposals[result.OperationID]
+	p := n.leadership.proposals[result.OperationID]
 	if p == nil {
 		return
 	}
-	delete(n.leading.proposals, result.OperationID)
+	delete(n.leadership.proposals, result.OperationID)
 	for _, id := range sortedKeys(p.requesters) {
 		n.answerPut(id, result)
 	}
 }
 
+// answerPut sends the result of a put to the member that requested it, which may be this one.
 func (n *Node) answerPut(to string, result shardmap.PutResult) {
 	if to == n.cfg.Self.ID {
 		n.finishPut(result)
@@ -153,11 +157,11 @@
 	n.send(Packet{To: to, PutResult: &result})
 }
 
-// finishPut ends a put that was submitted here.
+// finishPut ends a put that was submitted to this member with its result.
 func (n *Node) finishPut(result shardmap.PutResult) {
-	if n.puts[result.OperationID] == nil {
+	if n.pendingPuts[result.OperationID] == nil {
 		return
 	}
-	delete(n.puts, result.OperationID)
+	delete(n.pendingPuts, result.OperationID)
 	n.ready.PutResults = append(n.ready.PutResults, result)
 }
--- a/internal/fleet/node/ready.go
+++ b/internal/fleet/node/ready.go
@@ -7,55 +7,57 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// Ready is what has to be done. FleetID, Log and ShardWrites have to be on disk before Packets are sent and results are returned.
+// Ready is the output of a node. FleetID, Log and ShardWrites must be on disk before Packets are sent and results are returned.
 type Ready struct {
-	FleetID     string // to be written; empty where it is unchanged
+	FleetID     string // fleet ID to be written, empty if it is unchanged
 	Log         consensus.Write
 	ShardWrites []replication.Write
 
 	Packets    []Packet
-	Results    []replication.Result // of operations submitted here
-	PutResults []shardmap.PutResult // of puts submitted here
+	Results    []replication.Result // results of operations submitted to this member
+	PutResults []shardmap.PutResult // results of puts submitted to this member
 	Events     []Event
 
-	Snapshot *changefeed.Snapshot // the agreed state was replaced by this; nil where it was not
-	Changes  []*changefeed.Change // of the agreed state, in order, after Snapshot
+	Snapshot *changefeed.Snapshot // what the agreed state was replaced by; nil if it was not replaced
+	Changes  []*changefeed.Change // changes of the agreed state after Snapshot, in order
 }
 
-// Event is something that is logged for operators.
+// Event is an entry for the operators' log.
 type Event struct {
 	Message string
 	Detail  string
 	Epoch   uint64
-	Version uint64 // of the agreed state
-	IsAlert bool   // it wants an operator
+	Version uint64 // version of the agreed state
+	IsAlert bool   // whether it needs an operator's attention
 }
 
-// Ready returns what has to be done; each thing once. After an error, which is the log's, this member can't go on.
+// Ready returns the node's output since the previous call. An error comes from the log; the node can't be used after it.
 func (n *Node) Ready() (Ready, error) {
-	fromLog, err := n.log.Ready()
+	logReady, err := n.log.Ready()
 	if err != nil {
 		return Ready{}, err
 	}
-	n.applyLog(fromLog)
-	n.ready.Log = fromLog.Write
-	n.sendLogMessages(fromLog.Messages)
-	fromReplicas := n.replicas.Ready()
-	n.ready.ShardWrites = fromReplicas.Writes
-	n.ready.Results = fromReplicas.Results
-	n.sendReplication(fromReplicas.Messages)
-	n.sendReplicaReports(fromReplicas.Reports)
+	n.applyLog(logReady)
+	n.ready.Log = logReady.Write
+	n.sendLogMessages(logReady.Messages)
+	replicasReady := n.replicas.Ready()
+	n.ready.ShardWrites = replicasReady.Writes
+	n.ready.Results = replicasReady.Results
+	n.sendReplication(replicasReady.Messages)
+	n.sendReplicaReports(replicasReady.Reports)
 	ready := n.ready
 	n.ready = Ready{}
 	return ready, nil
 }
 
+// send adds a packet from this member to the next Ready.
 func (n *Node) send(p Packet) {
 	p.From = n.cfg.Self.ID
-	p.FleetID = n.agreed.state.FleetID
+	p.FleetID = n.agreedState.state.FleetID
 	n.ready.Packets = append(n.ready.Packets, p)
 }
 
+// sendLogMessages sends the log's messages, and tells the log which of them have an unknown receiver.
 func (n *Node) sendLogMessages(messages []consensus.Message) {
 	for _, message := range messages {
 		if to := n.memberID(message.To); to != "" {
@@ -66,14 +68,14 @@
 	}
 }
 
-// sendReplication sends one packet to each member.
+// sendReplication sends the replicas' messages, in one packet for each receiver.
 func (n *Node) sendReplication(messages []replication.Message) {
-	packetOf := map[string]int{} // index by member ID
+	packetIndexes := map[string]int{} // index by member ID
 	for _, message := range messages {
-		i, exists := packetOf[message.To]
+		i, exists := packetIndexes[message.To]
 		if !exists {
 			i = len(n.ready.Packets)
-			packetOf[message.To] = i
+			packetIndexes[message.To] = i
 			n.send(Packet{To: message.To})
 		}
 		packet := &n.ready.Packets[i]
@@ -81,19 +83,19 @@
 	}
 }
 
-// sendReplicaReports hands reports to the log's leader. While none is known they are lost; replicas repeat them.
+// sendReplicaReports sends the replicas' reports to the log's leader. Reports are lost while no leader is known; replicas repeat them.
 func (n *Node) sendReplicaReports(reports []replication.ReplicaReport) {
 	for _, report := range reports {
 		switch {
-		case n.log.IsLeader() && n.leading.planner != nil:
-			n.leading.planner.Report(n.now, n.log.State(), report)
+		case n.log.IsLeader() && n.leadership.planner != nil:
+			n.leadership.planner.Report(n.now, n.log.State(), report)
 		case n.leaderID != "" && n.leaderID != n.cfg.Self.ID:
 			n.send(Packet{To: n.leaderID, ReplicaReport: &report})
 		}
 	}
 }
 
-// reportFault logs one kind of fault once.
+// reportFault adds an alert to the next Ready, once for each message.
 func (n *Node) reportFault(message string, version uint64, detail string) {
 	if n.reportedFaults[message] {
 		return
