--- a/internal/fleet/nodeserver/bench_test.go
+++ b/internal/fleet/nodeserver/bench_test.go
@@ -60,7 +60,7 @@
 			if err := c.Step(node.Packet{FleetID: "f", PollResponse: &node.PollResponse{FleetID: "f", Version: 2, Epoch: 1, Members: all}}); err != nil {
 				b.Fatal(err)
 			}
-			s := &Server{node: c, links: newLinks("", "", nil, nil)}
+			s := &Server{node: c, links: newLinkTable("", "", nil, nil)}
 			done := measureCPU(b)
 			for range b.N {
 				var at []placement.MemberStatus
--- a/internal/fleet/nodeserver/frame.go
+++ b/internal/fleet/nodeserver/frame.go
@@ -9,18 +9,18 @@
 	"sabletally/internal/fleet/framing"
 )
 
-const maxFrameBytes = 16 << 20 // of one packet
+const maxFrameBytes = 16 << 20 // maximum size of one frame
 
-// hello is the first frame of a stream: who speaks to whom. The receiver refuses one that was meant for a member that had its address
-// before. The CBOR names are the wire form.
+// hello is the first frame of a stream and identifies sender and receiver. A receiver rejects a hello for another member, which may have had
+// its address before. The CBOR names are part of the wire format.
 type hello struct {
 	FleetName       string `cbor:"Fleet"`
 	ProtocolVersion int    `cbor:"Form"`
-	From            string `cbor:"From"` // member ID
-	To              string `cbor:"To"`   // member ID
+	From            string `cbor:"From"` // ID of the sending member
+	To              string `cbor:"To"`   // ID of the member that the stream is meant for
 }
 
-// encodeFrame encodes a hello or a packet, with its length and checksum.
+// encodeFrame encodes a hello or a packet as a frame: a header with length and checksum, and the CBOR body.
 func encodeFrame(v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
@@ -33,10 +33,10 @@
 func readFrame(r io.Reader, v any) (int, error) {
 	body, err := framing.Read(r, maxFrameBytes)
 	if err != nil {
-		return 0, fmt.Errorf("reading a frame: %w", err)
+		return 0, fmt.Errorf("read frame: %w", err)
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
-		return 0, fmt.Errorf("decoding a frame: %w", err)
+		return 0, fmt.Errorf("decode frame: %w", err)
 	}
 	return framing.HeaderSize + len(body), nil
 }
--- a/internal/fleet/nodeserver/link.go
+++ b/internal/fleet/nodeserver/link.go
@@ -17,178 +17,182 @@
 )
 
 const (
-	maxLinkQueue    = 1024 // packets that wait for one member; more are dropped, and retried by their senders
-	dialTimeout     = time.Second
-	redialDelay     = 200 * time.Millisecond
-	writeTimeout    = 2 * time.Second
-	helloTimeout    = 3 * time.Second
-	linkIdleTimeout = time.Minute // a link without packets is closed
-	readIdleTimeout = 2 * linkIdleTimeout
-	unackedTimeout  = 3 * time.Second // of the kernel, for data that the other side does not acknowledge
+	maxLinkQueue    = 1024                   // packets that wait for one member; more are dropped, and the nodes repeat what they need
+	dialTimeout     = time.Second            // for one attempt to connect to a member
+	redialDelay     = 200 * time.Millisecond // minimum time between two attempts to connect to a member
+	writeTimeout    = 2 * time.Second        // for writing one frame
+	helloTimeout    = 3 * time.Second        // for reading the hello of a link that another member opened
+	linkIdleTimeout = time.Minute            // after which a link without packets is closed
+	readIdleTimeout = 2 * linkIdleTimeout    // after which the reader closes a link that carries no packets
+	unackedTimeout  = 3 * time.Second        // TCP_USER_TIMEOUT: how long sent data may stay unacknowledged
 	readBufferBytes = 64 << 10
 )
 
-// links are the connections to all other members. Each member opens one for its own packets when it has one to send.
-type links struct {
+// linkTable holds the links to the other members and reads the links that they open. A link carries packets in one direction: each member
+// opens a link to another one when it has a packet to send.
+type linkTable struct {
 	fleetName string
-	self      string // member ID
+	self      string // this member's ID
 	transport *gossip.Transport
-	receive   func(node.Packet) // called by one goroutine for each link that others opened; must not wait
+	receive   func(node.Packet) // called from the goroutine of each link that another member opened; must not block
 
 	mu         sync.Mutex
-	byMember   map[string]*link
+	byMember   map[string]*link // links that this member opened, by member ID
 	goroutines sync.WaitGroup
 
-	bytesSent     atomic.Int64
-	bytesReceived atomic.Int64
-	dropped       atomic.Int64 // packets that found no room or no connection
-	malformed     atomic.Int64 // packets and streams
+	bytesSent      atomic.Int64
+	bytesReceived  atomic.Int64
+	packetsDropped atomic.Int64 // packets dropped because a queue was full or there was no connection
+	malformedCount atomic.Int64 // rejected packets and streams
 }
 
-func newLinks(fleetName, self string, transport *gossip.Transport, receive func(node.Packet)) *links {
-	return &links{fleetName: fleetName, self: self, transport: transport, receive: receive, byMember: map[string]*link{}}
+func newLinkTable(fleetName, self string, transport *gossip.Transport, receive func(node.Packet)) *linkTable {
+	return &linkTable{fleetName: fleetName, self: self, transport: transport, receive: receive, byMember: map[string]*link{}}
 }
 
-// start accepts links until the transport ends.
-func (l *links) start() {
-	l.goroutines.Add(1)
-	go l.accept()
+// start starts to accept links; it ends when the transport is closed.
+func (t *linkTable) start() {
+	t.goroutines.Add(1)
+	go t.acceptLinks()
 }
 
-// wait waits until all goroutines have ended, which they do after the transport.
-func (l *links) wait() { l.goroutines.Wait() }
+// wait waits until all goroutines have ended, which they do once the transport is closed.
+func (t *linkTable) wait() { t.goroutines.Wait() }
 
-// send queues a packet for a member at an address. It never waits.
-func (l *links) send(member, address string, packet node.Packet) {
+// send queues a packet for a member at an address. It never blocks.
+func (t *linkTable) send(member, address string, packet node.Packet) {
 	frame, err := encodeFrame(packet)
 	if err != nil || len(frame) > maxFrameBytes {
-		l.dropped.Add(1)
+		t.packetsDropped.Add(1)
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	k := l.linkTo(member, address)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	l := t.linkTo(member, address)
 	select {
-	case k.queue <- frame:
+	case l.queue <- frame:
 	default:
-		l.dropped.Add(1)
+		t.packetsDropped.Add(1)
 	}
 }
 
-// linkTo returns the link to a member, a new one where it has another address now. The lock is held.
-func (l *links) linkTo(member, address string) *link {
-	existing := l.byMember[member]
+// linkTo returns the link to a member, a new one if there is none or the member's address has changed. The caller holds the lock.
+func (t *linkTable) linkTo(member, address string) *link {
+	existing := t.byMember[member]
 	if existing != nil && existing.address == address {
 		return existing
 	}
 	if existing != nil {
 		close(existing.queue)
 	}
-	k := &link{links: l, member: member, address: address, queue: make(chan []byte, maxLinkQueue)}
-	l.byMember[member] = k
-	l.goroutines.Add(1)
+	l := &link{table: t, member: member, address: address, queue: make(chan []byte, maxLinkQueue)}
+	t.byMember[member] = l
+	t.goroutines.Add(1)
 	go func() {
-		defer l.goroutines.Done()
-		k.run()
+		defer t.goroutines.Done()
+		l.run()
 	}()
-	return k
+	return l
 }
 
-// removeIdle removes a link without packets, and reports whether it has to end.
-func (l *links) removeIdle(k *link) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.byMember[k.member] != k {
+// removeIdle removes a link without queued packets, and reports whether the link has to end.
+func (t *linkTable) removeIdle(l *link) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.byMember[l.member] != l {
 		return true
 	}
-	if len(k.queue) > 0 {
+	if len(l.queue) > 0 {
 		return false
 	}
-	delete(l.byMember, k.member)
+	delete(t.byMember, l.member)
 	return true
 }
 
 // link sends packets to one member at one address, over one connection at a time.
 type link struct {
-	links   *links
-	member  string // ID
+	table   *linkTable
+	member  string // ID of the receiving member
 	address string
-	queue   chan []byte // frames; closed when the member has another address
+	queue   chan []byte // encoded frames; closed when the member's address changes
 
-	conn       net.Conn // nil while there is none
-	nextDialAt time.Time
+	conn       net.Conn  // nil while there is no connection
+	nextDialAt time.Time // earliest time of the next attempt to connect
 }
 
-// run sends frames until the link is idle, replaced, or the transport ends. Frames that a broken connection had taken are lost.
-func (k *link) run() {
-	defer k.closeConn()
+// run sends frames until the link is idle or replaced, or the transport is closed. Frames that were written to a connection that breaks are
+// lost.
+func (l *link) run() {
+	defer l.closeConn()
 	idle := time.NewTimer(linkIdleTimeout)
 	defer idle.Stop()
 	for {
 		idle.Reset(linkIdleTimeout)
 		select {
-		case <-k.links.transport.Done():
+		case <-l.table.transport.Done():
 			return
 		case <-idle.C:
-			if k.links.removeIdle(k) {
+			if l.table.removeIdle(l) {
 				return
 			}
-		case frame, open := <-k.queue:
+		case frame, open := <-l.queue:
 			if !open {
 				return
 			}
-			k.write(frame)
+			l.writeFrame(frame)
 		}
 	}
 }
 
-// write sends one frame, or counts it as dropped.
-func (k *link) write(frame []byte) {
-	if !k.connect() {
-		k.links.dropped.Add(1)
+// writeFrame sends one frame, or counts it as dropped.
+func (l *link) writeFrame(frame []byte) {
+	if !l.ensureConnected() {
+		l.table.packetsDropped.Add(1)
 		return
 	}
-	_ = k.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a closed connection fails in the write
-	if _, err := k.conn.Write(frame); err != nil {
-		k.links.dropped.Add(1)
-		k.closeConn()
+	_ = l.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a closed connection fails in the write
+	if _, err := l.conn.Write(frame); err != nil {
+		l.table.packetsDropped.Add(1)
+		l.closeConn()
 		return
 	}
-	k.links.bytesSent.Add(int64(len(frame)))
+	l.table.bytesSent.Add(int64(len(frame)))
 }
 
-// connect reports whether there is a connection. It dials when there is none, but not soon after the last time.
-func (k *link) connect() bool {
-	if k.conn != nil {
+// ensureConnected connects to the member if there is no connection, and reports whether there is one. It waits redialDelay between attempts
+// and reports false meanwhile.
+func (l *link) ensureConnected() bool {
+	if l.conn != nil {
 		return true
 	}
-	if time.Now().Before(k.nextDialAt) {
+	if time.Now().Before(l.nextDialAt) {
 		return false
 	}
-	k.nextDialAt = time.Now().Add(redialDelay)
-	conn, err := k.dial()
+	l.nextDialAt = time.Now().Add(redialDelay)
+	conn, err := l.dial()
 	if err != nil {
 		return false
 	}
-	k.conn = conn
+	l.conn = conn
 	return true
 }
 
-func (k *link) closeConn() {
-	if k.conn != nil {
-		_ = k.conn.Close() // a write that failed was counted
-		k.conn = nil
+// closeConn closes the connection, if there is one.
+func (l *link) closeConn() {
+	if l.conn != nil {
+		_ = l.conn.Close() // failed writes were counted as dropped
+		l.conn = nil
 	}
 }
 
 // dial opens a connection and sends the hello.
-func (k *link) dial() (net.Conn, error) {
-	conn, err := k.links.transport.DialTimeout(k.address, dialTimeout)
+func (l *link) dial() (net.Conn, error) {
+	conn, err := l.table.transport.DialTimeout(l.address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
 	limitUnacked(conn)
-	frame, err := encodeFrame(hello{FleetName: k.links.fleetName, ProtocolVersion: gossip.ProtocolVersion, From: k.links.self, To: k.member})
+	frame, err := encodeFrame(hello{FleetName: l.table.fleetName, ProtocolVersion: gossip.ProtocolVersion, From: l.table.self, To: l.member})
 	if err == nil {
 		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a closed connection fails in the write
 		_, err = conn.Write(append([]byte{gossip.PeerStreamMark}, frame...))
@@ -200,8 +204,9 @@
 	return conn, nil
 }
 
-// limitUnacked has the kernel end a connection whose other side does not acknowledge. Without it a network partition is noticed minutes
-// after it has healed. Failures are ignored: the connection is slower to fail then.
+// limitUnacked makes the kernel close a connection whose other side does not acknowledge data within unackedTimeout. Without it a connection
+// that broke in a network partition fails only minutes after the partition has healed. Failures are ignored: the connection then fails
+// later.
 func limitUnacked(conn net.Conn) {
 	wrapper, ok := conn.(interface{ Unwrap() net.Conn })
 	if !ok {
@@ -220,45 +225,45 @@
 	})
 }
 
-// accept takes links that others open.
-func (l *links) accept() {
-	defer l.goroutines.Done()
+// acceptLinks serves the links that other members open, until the transport is closed.
+func (t *linkTable) acceptLinks() {
+	defer t.goroutines.Done()
 	for {
 		select {
-		case <-l.transport.Done():
+		case <-t.transport.Done():
 			return
-		case conn := <-l.transport.PeerStreams():
-			l.goroutines.Add(1)
+		case conn := <-t.transport.PeerStreams():
+			t.goroutines.Add(1)
 			go func() {
-				defer l.goroutines.Done()
-				l.serve(conn)
+				defer t.goroutines.Done()
+				t.serveConn(conn)
 			}()
 		}
 	}
 }
 
-// serve reads a link that another member opened until it ends.
-func (l *links) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // nothing was written
-	err := l.readPackets(conn)
+// serveConn reads a link that another member opened, until the link ends.
+func (t *linkTable) serveConn(conn net.Conn) {
+	defer func() { _ = conn.Close() }() // nothing is written to this connection
+	err := t.readPackets(conn)
 	if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-		l.malformed.Add(1)
+		t.malformedCount.Add(1)
 	}
 }
 
-// readPackets receives packets until the link fails, which it returns why.
-func (l *links) readPackets(conn net.Conn) error {
+// readPackets receives packets until the link ends, and returns the reason.
+func (t *linkTable) readPackets(conn net.Conn) error {
 	r := bufio.NewReaderSize(conn, readBufferBytes)
 	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout)) // a closed connection fails in the read
-	if _, err := r.Discard(1); err != nil {                // the mark
+	if _, err := r.Discard(1); err != nil {                // gossip.PeerStreamMark
 		return err
 	}
-	var first hello
-	if _, err := readFrame(r, &first); err != nil {
+	var peerHello hello
+	if _, err := readFrame(r, &peerHello); err != nil {
 		return err
 	}
-	if first.FleetName != l.fleetName || first.To != l.self || first.ProtocolVersion < gossip.MinProtocolVersion {
-		return fmt.Errorf("a link of fleet %q, protocol version %d, for member %s", first.FleetName, first.ProtocolVersion, first.To)
+	if peerHello.FleetName != t.fleetName || peerHello.To != t.self || peerHello.ProtocolVersion < gossip.MinProtocolVersion {
+		return fmt.Errorf("rejected hello of fleet %q, protocol version %d, for member %s", peerHello.FleetName, peerHello.ProtocolVersion, peerHello.To)
 	}
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(readIdleTimeout))
@@ -267,10 +272,10 @@
 		if err != nil {
 			return err
 		}
-		if packet.From != first.From {
-			return fmt.Errorf("a packet of %s on a link of %s", packet.From, first.From)
+		if packet.From != peerHello.From {
+			return fmt.Errorf("packet of member %s on a link of member %s", packet.From, peerHello.From)
 		}
-		l.bytesReceived.Add(int64(n))
-		l.receive(packet)
+		t.bytesReceived.Add(int64(n))
+		t.receive(packet)
 	}
 }
--- a/internal/fleet/nodeserver/loop.go
+++ b/internal/fleet/nodeserver/loop.go
@@ -13,12 +13,13 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
+// tickInterval is the longest time between two iterations of the server's loop.
 const tickInterval = 50 * time.Millisecond
 
-// errDuplicate means that another process runs as this member.
-var errDuplicate = errors.New("another process has a copy of the directory")
+// errDuplicateMember reports that another process runs as this member.
+var errDuplicateMember = errors.New("another process has a copy of the directory")
 
-// run owns the node until the server is closed.
+// run is the server's loop, the only goroutine that uses the node. It ends when the server is closed.
 func (s *Server) run() {
 	defer s.goroutines.Done()
 	ticker := time.NewTicker(tickInterval)
@@ -31,32 +32,34 @@
 		case <-s.wake:
 		case <-ticker.C:
 		}
-		s.turn()
+		s.runIteration()
 	}
 }
 
-// turn hands the node all that is queued, and carries out what follows: first to disk, in one write, then out.
-func (s *Server) turn() {
+// runIteration passes all queued requests to the node and carries out its output: first the writes, in one transaction, then packets, results
+// and notifications.
+func (s *Server) runIteration() {
 	queued, isLeaving := s.dequeue()
 	if isLeaving {
 		s.node.Leave()
 	}
 	peers := s.peerStatus()
-	s.node.Tick(s.opt.Now(), peers)
+	s.node.Tick(s.options.Now(), peers)
 	s.node.SetWallClock(time.Now().Unix())
-	s.submit(queued)
+	s.submitToNode(queued)
 	ready := s.persist()
 	s.logEvents(ready.Events)
 	s.finishPuts(ready.PutResults)
 	s.send(ready.Packets, peers)
 	s.finishOperations(ready.Results)
 	s.notifyObserver(ready)
-	if now := s.opt.Now(); now-s.statusAt >= statusInterval {
-		s.statusAt = now
+	if now := s.options.Now(); now-s.statusPublishedAt >= statusInterval {
+		s.statusPublishedAt = now
 		s.publishStatus()
 	}
 }
 
+// dequeue returns and clears the queue.
 func (s *Server) dequeue() (queued queue, isLeaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,12 +68,12 @@
 	return queued, s.isLeaving
 }
 
-// submit hands the node what was queued.
-func (s *Server) submit(queued queue) {
+// submitToNode passes queued packets, operations and puts to the node.
+func (s *Server) submitToNode(queued queue) {
 	for _, packet := range queued.packets {
 		if err := s.node.Step(packet); err != nil {
-			s.links.malformed.Add(1)
-			s.opt.Log.Debug("fleet: malformed packet", zap.Error(err))
+			s.links.malformedCount.Add(1)
+			s.options.Log.Debug("fleet: malformed packet", zap.Error(err))
 		}
 	}
 	for _, request := range queued.operations {
@@ -84,11 +87,11 @@
 	}
 }
 
-// persist writes what the node has ready to disk and returns it. After a failure nothing is sent or confirmed.
+// persist returns the node's output once it is on disk. After a failure the output contains nothing to send or to confirm.
 func (s *Server) persist() node.Ready {
 	ready, err := s.node.Ready()
-	if err == nil && s.opt.Gossip.Status().Standing == membership.Duplicate {
-		err = errDuplicate
+	if err == nil && s.options.Gossip.Status().Standing == membership.Duplicate {
+		err = errDuplicateMember
 	}
 	if err == nil && s.failure == nil {
 		err = s.store.Write(ready)
@@ -96,16 +99,16 @@
 	if err != nil && s.failure == nil {
 		s.failure = err
 		s.node.MarkDiskFailed()
-		s.opt.Log.Error("fleet: this member confirms nothing any more", zap.Error(err))
+		s.options.Log.Error("fleet: this member has failed and confirms nothing from now on", zap.Error(err))
 	}
 	if s.failure != nil {
-		withhold(&ready)
+		withholdResults(&ready)
 	}
 	return ready
 }
 
-// withhold removes all that depends on a write that failed.
-func withhold(ready *node.Ready) {
+// withholdResults removes the packets, and replaces all results by ones that leave the outcome open, as a write that they depend on failed.
+func withholdResults(ready *node.Ready) {
 	ready.Packets = nil
 	for i, result := range ready.Results {
 		ready.Results[i] = replication.Result{
@@ -122,16 +125,18 @@
 	}
 }
 
+// logEvents logs the node's events for operators.
 func (s *Server) logEvents(events []node.Event) {
 	for _, event := range events {
 		if event.IsAlert {
-			s.opt.Log.Error("fleet: "+event.Message, zap.Uint64("version", event.Version), zap.String("is", event.Detail))
+			s.options.Log.Error("fleet: "+event.Message, zap.Uint64("version", event.Version), zap.String("is", event.Detail))
 		} else {
-			s.opt.Log.Info("fleet: "+event.Message, zap.Uint64("epoch", event.Epoch), zap.String("is", event.Detail))
+			s.options.Log.Info("fleet: "+event.Message, zap.Uint64("epoch", event.Epoch), zap.String("is", event.Detail))
 		}
 	}
 }
 
+// finishPuts calls the callbacks of the puts that have a result.
 func (s *Server) finishPuts(results []shardmap.PutResult) {
 	for _, result := range results {
 		callbacks := s.pendingPuts[result.OperationID]
@@ -142,6 +147,7 @@
 	}
 }
 
+// finishOperations calls the callbacks of the operations that have a result.
 func (s *Server) finishOperations(results []replication.Result) {
 	for _, result := range results {
 		done := s.pendingOperations[result.OperationID]
@@ -150,14 +156,14 @@
 		}
 		delete(s.pendingOperations, result.OperationID)
 		if result.Outcome == replication.OutcomeRejected || result.Outcome == replication.OutcomeUnknown {
-			s.opt.Log.Warn("fleet: operation not confirmed", zap.String("op", result.OperationID), zap.Stringer("outcome", result.Outcome),
+			s.options.Log.Warn("fleet: operation not confirmed", zap.String("op", result.OperationID), zap.Stringer("outcome", result.Outcome),
 				zap.Stringer("why", result.Reason))
 		}
 		done(result)
 	}
 }
 
-// send sends packets to the newest known addresses of their members.
+// send sends packets to their members, at the newest known addresses: the gossip's, or else the agreed state's.
 func (s *Server) send(packets []node.Packet, peers []placement.MemberStatus) {
 	addresses := map[string]string{}
 	for _, m := range s.node.State().Members {
@@ -173,9 +179,9 @@
 	}
 }
 
-// notifyObserver passes on the agreed state. After a failure nothing is passed on, as it may not be on disk.
+// notifyObserver passes changes of the agreed state to the observer. It passes nothing after a failure, as the state may not be on disk.
 func (s *Server) notifyObserver(ready node.Ready) {
-	observer := s.opt.Observer
+	observer := s.options.Observer
 	if observer == nil || s.failure != nil {
 		return
 	}
@@ -191,7 +197,7 @@
 	}
 }
 
-// rejectPending ends all requests that wait, when the server is closed.
+// rejectPending ends all queued and pending requests when the server is closed.
 func (s *Server) rejectPending() {
 	s.mu.Lock()
 	s.isClosed = true
@@ -218,10 +224,10 @@
 	}
 }
 
-// peerStatus returns the other members as the gossip has them.
+// peerStatus returns the status of the other members that the gossip knows.
 func (s *Server) peerStatus() []placement.MemberStatus {
-	peers := s.opt.Gossip.Status().Peers
-	now := s.opt.Now()
+	peers := s.options.Gossip.Status().Peers
+	now := s.options.Now()
 	var all []placement.MemberStatus
 	for _, peer := range peers {
 		all = append(all, placement.MemberStatus{
--- a/internal/fleet/nodeserver/server.go
+++ b/internal/fleet/nodeserver/server.go
@@ -1,6 +1,6 @@
-// Package nodeserver runs a member's node on sockets and disk. It owns the goroutine that the node lives in, the links to the nodes of the
-// other members, and the order of effects: first to disk, then out. Callers submit requests and are called back. It must never be waited
-// for by the balancer's loop, and never confirm anything once the disk has failed.
+// Package nodeserver runs a member's node with sockets and a disk. It owns the goroutine that runs the node, the links to the nodes of the
+// other members, and the order of effects: output is written to disk before it is sent. Callers submit requests and get the results in
+// callbacks. The balancer's loop must never wait for it, and it must never confirm anything once the disk has failed.
 package nodeserver
 
 import (
@@ -19,36 +19,36 @@
 	"sabletally/internal/fleet/store"
 )
 
-// maxQueued bounds the packets, the operations and the puts that wait for the node. Packets beyond it are dropped, and retried by their
-// senders; operations and puts are rejected.
+// maxQueued is the maximum number of packets, of operations and of puts that wait for the node. Further packets are dropped, and the nodes
+// repeat what they need; further operations and puts are rejected.
 const maxQueued = 8192
 
 // Options are the parameters of a server.
 type Options struct {
 	NodeConfig node.Config
-	FleetName  string // in the fleet file
-	DataDir    string // locked by this process
+	FleetName  string // as in the fleet file
+	DataDir    string // data directory, which this process has locked
 	Transport  *gossip.Transport
 	Gossip     *gossip.Agent
-	Now        func() time.Duration // a clock that goes on while the process is paused
+	Now        func() time.Duration // a clock that continues while the process is suspended
 	Log        *zap.Logger
 	Observer   Observer // nil for none
 }
 
-// Observer is notified of the agreed state by one goroutine. Its methods must not wait.
+// Observer is notified of changes of the agreed state. Its methods are called from one goroutine and must not block.
 type Observer interface {
-	// StateChanged notifies that the state was replaced, if snapshot is not nil, and of the changes after that. It returns false where the
-	// observer has no room; it is then notified of a snapshot next.
+	// StateChanged reports that the state was replaced, if snapshot is not nil, and the changes after that. An observer that has no room for
+	// them returns false; its next notification is a snapshot then.
 	StateChanged(snapshot *changefeed.Snapshot, changes []*changefeed.Change) bool
-	// VersionConfirmed notifies that nothing newer than a version was agreed up to a time.
+	// VersionConfirmed reports that a version was still the newest agreed one at a time.
 	VersionConfirmed(asOf time.Duration, version uint64)
 }
 
-// Server runs one member's node. Its methods may be called by any goroutine.
+// Server runs one member's node. Its methods may be called from any goroutine.
 type Server struct {
-	opt    Options
-	links  *links
-	status atomic.Pointer[Status]
+	options Options
+	links   *linkTable
+	status  atomic.Pointer[Status]
 
 	mu             sync.Mutex
 	queue          queue
@@ -61,18 +61,18 @@
 	closeOnce  sync.Once
 	goroutines sync.WaitGroup
 
-	// The rest is the goroutine's of run.
+	// The fields below are used only by the goroutine of run.
 
 	node              *node.Node
 	store             *store.Store
 	pendingOperations map[string]func(replication.Result)   // callbacks by operation ID
 	pendingPuts       map[string][]func(shardmap.PutResult) // callbacks by operation ID
-	failure           error                                 // why nothing is confirmed any more; nil while all is well
-	observerIsBehind  bool                                  // it had no room for changes
-	statusAt          time.Duration                         // when the status was published
+	failure           error                                 // the first failure, after which nothing is confirmed; nil before
+	observerIsBehind  bool                                  // whether the observer missed changes and needs a snapshot
+	statusPublishedAt time.Duration                         // when the status was last published
 }
 
-// queue is what waits for the node.
+// queue holds what the node has to handle in the next iteration.
 type queue struct {
 	packets    []node.Packet
 	operations []operationRequest
@@ -91,19 +91,19 @@
 	done    func(shardmap.PutResult)
 }
 
-// Open reads the disk and starts the node.
-func Open(opt Options) (*Server, error) {
-	diskStore, saved, err := store.Open(opt.DataDir)
+// Open reads the state on disk and starts the node.
+func Open(options Options) (*Server, error) {
+	diskStore, saved, err := store.Open(options.DataDir)
 	if err != nil {
 		return nil, err
 	}
-	n, err := node.New(opt.NodeConfig, saved, opt.Now())
+	n, err := node.New(options.NodeConfig, saved, options.Now())
 	if err != nil {
-		_ = diskStore.Close() // nothing was written
+		_ = diskStore.Close() // nothing was written to it
 		return nil, err
 	}
 	s := &Server{
-		opt:               opt,
+		options:           options,
 		node:              n,
 		store:             diskStore,
 		wake:              make(chan struct{}, 1),
@@ -111,7 +111,7 @@
 		pendingOperations: map[string]func(replication.Result){},
 		pendingPuts:       map[string][]func(shardmap.PutResult){},
 	}
-	s.links = newLinks(opt.FleetName, opt.NodeConfig.Self.ID, opt.Transport, s.receive)
+	s.links = newLinkTable(options.FleetName, options.NodeConfig.Self.ID, options.Transport, s.receive)
 	s.publishStatus()
 	s.goroutines.Add(1)
 	go s.run()
@@ -119,8 +119,8 @@
 	return s, nil
 }
 
-// Submit executes an operation, here or wherever its shard's primary is. done is called once from another goroutine, at the timeout or a
-// little later at the latest; it must not wait.
+// Submit executes an operation at the primary of its shard. done is called once from another goroutine, at the latest shortly after the
+// timeout; it must not block.
 func (s *Server) Submit(operation replication.Operation, timeout time.Duration, done func(replication.Result)) {
 	s.mu.Lock()
 	isRejected := s.isClosed || len(s.queue.operations) >= maxQueued
@@ -135,8 +135,8 @@
 	s.wakeUp()
 }
 
-// Put changes an operators' item, wherever the log's leader is. done is called as with Submit; the result's Rejection says why the item was
-// not changed, or is not known to be. A repetition with the same operation ID has the same result.
+// Put changes an operators' item through the log's leader. done is called as for Submit; the result's Rejection is the reason why the item
+// was not changed, or why that is unknown. A repetition with the same operation ID gets the same result.
 func (s *Server) Put(put shardmap.Put, timeout time.Duration, done func(shardmap.PutResult)) {
 	s.mu.Lock()
 	isRejected := s.isClosed || len(s.queue.puts) >= maxQueued
@@ -151,7 +151,7 @@
 	s.wakeUp()
 }
 
-// Leave has this member's replicas moved to other members, as it will end.
+// Leave starts to move this member's replicas to other members, because the process will end.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	s.isLeaving = true
@@ -159,17 +159,18 @@
 	s.wakeUp()
 }
 
-// Close ends the server. The transport has to be closed before. Pending requests get the result that their outcome is not known.
+// Close stops the server. The transport must be closed before. Queued operations and puts are rejected; those that the node has got end with
+// an unknown outcome.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() {
 		close(s.done)
 		s.goroutines.Wait()
 		s.links.wait()
-		_ = s.store.Close() // all that was confirmed is on disk
+		_ = s.store.Close() // everything that was confirmed is on disk
 	})
 }
 
-// receive queues a packet of another member's.
+// receive queues a packet of another member.
 func (s *Server) receive(packet node.Packet) {
 	s.mu.Lock()
 	if len(s.queue.packets) >= maxQueued {
@@ -181,6 +182,7 @@
 	s.wakeUp()
 }
 
+// wakeUp starts the next iteration of the loop at once.
 func (s *Server) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
@@ -188,7 +190,7 @@
 	}
 }
 
-// ShardMember returns the part of a member that the fleet agrees on.
+// ShardMember returns the part of a member's description that is in the agreed state.
 func ShardMember(m membership.Member) shardmap.Member {
 	return shardmap.Member{ID: m.ID, Addr: m.Addr.String(), Machine: m.Machine, Zone: m.Zone, Site: m.Site}
 }
--- a/internal/fleet/nodeserver/status.go
+++ b/internal/fleet/nodeserver/status.go
@@ -8,49 +8,50 @@
 	"sabletally/internal/fleet/replication"
 )
 
+// statusInterval is the minimum time between two publications of the status.
 const statusInterval = 100 * time.Millisecond
 
-// Status is what was known at one moment.
+// Status is a snapshot of a server's state and counters for reports.
 type Status struct {
-	FleetID string // empty before the fleet was bootstrapped
+	FleetID string // empty while this member knows no fleet
 
-	// The agreed state.
+	// Agreed state.
 	Version     uint64
 	Digest      uint64
 	Epoch       uint64
-	MemberCount int           // of the epoch
-	ChangesKept int           // newest changes that are kept
-	AsOf        time.Duration // nothing newer than Version was agreed up to then
-	HasAsOf     bool          // AsOf is valid
+	MemberCount int           // number of members of the epoch
+	ChangesKept int           // number of changes that are kept in memory
+	AsOf        time.Duration // latest time at which Version was the newest agreed version
+	HasAsOf     bool          // whether AsOf is valid
 
-	// The log; there are no voters where this member does not vote.
+	// Log. A member that does not vote knows no voters.
 	IsLeader   bool
 	VoterCount int
 	VoterSites []string
 
-	// The replicas.
-	ReplicaCounts map[int]int // number of shards by number of replicas in sync
-	LocalShards   int         // that have a replica here
-	RecordCount   int
-	RecordBytes   int            // of keys and values
-	Rejections    map[string]int // operations by reason
+	// Replicas.
+	ReplicaCounts map[int]int    // number of shards by their number of in-sync replicas
+	LocalShards   int            // number of shards with an in-sync replica on this member
+	RecordCount   int            // records on this member
+	RecordBytes   int            // size of their keys and values
+	Rejections    map[string]int // number of rejected operations, by reason
 
-	// The disk.
-	DiskError  string // why nothing is confirmed any more; empty while all is well
-	FileBytes  int64
-	WriteCount int64
+	// Disk.
+	DiskError  string // the failure after which this member confirms nothing; empty if there was none
+	FileBytes  int64  // size of the store's file
+	WriteCount int64  // number of transactions written to the store
 
-	// The links to the other members.
+	// Links to the other members.
 	BytesSent      int64
 	BytesReceived  int64
 	PacketsDropped int64
-	Malformed      int64 // packets and streams
+	Malformed      int64 // number of rejected packets and streams
 }
 
-// Status returns what was last published.
+// Status returns the status that was published last.
 func (s *Server) Status() Status { return *s.status.Load() }
 
-// publishStatus makes what the node knows readable by Status.
+// publishStatus collects the status that Status returns.
 func (s *Server) publishStatus() {
 	state, feed := s.node.State(), s.node.FeedState()
 	status := &Status{
@@ -69,14 +70,14 @@
 		WriteCount:     s.store.WriteCount,
 		BytesSent:      s.links.bytesSent.Load(),
 		BytesReceived:  s.links.bytesReceived.Load(),
-		PacketsDropped: s.links.dropped.Load() + s.droppedPackets.Load(),
-		Malformed:      s.links.malformed.Load(),
+		PacketsDropped: s.links.packetsDropped.Load() + s.droppedPackets.Load(),
+		Malformed:      s.links.malformedCount.Load(),
 	}
 	status.AsOf, status.HasAsOf = s.node.AsOf()
 	status.RecordCount, status.RecordBytes = s.node.Replicas().Usage()
 	for _, configuration := range state.Configurations {
 		status.ReplicaCounts[len(configuration.InSync)]++
-		if slices.Contains(configuration.InSync, s.opt.NodeConfig.Self.ID) {
+		if slices.Contains(configuration.InSync, s.options.NodeConfig.Self.ID) {
 			status.LocalShards++
 		}
 	}
@@ -91,7 +92,7 @@
 	s.status.Store(status)
 }
 
-// voterSites returns the sites of the voters that are members of the epoch.
+// voterSites returns the site of each voter that is a member of the epoch.
 func (s *Server) voterSites() []string {
 	var sites []string
 	for _, id := range s.node.Voters() {
