--- a/internal/fleet/admin_state.go
+++ b/internal/fleet/admin_state.go
@@ -10,18 +10,18 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// AdminState is what operators have set for a balancer. It is stored as a record under the balancer's name; of several, the one that the
-// replicas received last is in force.
+// AdminState is the state that operators have set for a balancer. It is stored as a record under the balancer's name; the last write that
+// the replicas received is in force.
 type AdminState struct {
 	OutOfService bool   `json:"out"`
-	SetAt        int64  `json:"at"` // Unix seconds by the clock of the balancer that received it
-	SetBy        string `json:"by"` // ID of that balancer
+	SetAt        int64  `json:"at"` // Unix seconds, by the clock of the balancer that received the command
+	SetBy        string `json:"by"` // member ID of that balancer
 }
 
 func adminStateKey(name string) string { return "word/" + name }
 
-// SetAdminState stores the administrative state of a balancer in the background. It retries until the state is stored or a later call
-// supersedes it, for a limited time; the outcome is logged.
+// SetAdminState stores the administrative state of a balancer in the background. It retries for a limited time, until the state is stored or
+// a later call supersedes it, and logs whether the state was stored.
 func (f *Fleet) SetAdminState(name string, outOfService bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,6 +35,7 @@
 	}()
 }
 
+// storeAdminState writes the state until it is stored or superseded, at most maxRecordAttempts times.
 func (f *Fleet) storeAdminState(name string, sequence int, state AdminState) {
 	expectedVersion := uint64(0)
 	for attempt := range maxRecordAttempts {
@@ -55,13 +56,14 @@
 	f.log.Error("fleet: admin state not stored, it is lost when this process ends", zap.String("of", name), zap.Bool("out", state.OutOfService))
 }
 
-// writeAdminState writes the state over the version that is in force, which it learns from conflicts. It returns that version.
+// writeAdminState replaces the stored version of the state by a new one. It learns the stored version from conflicts, and returns it as the
+// version to expect in the next attempt.
 func (f *Fleet) writeAdminState(store recordStore, name string, sequence int, state AdminState, expectedVersion uint64) (version uint64, isStored bool) {
 	value, err := json.Marshal(state)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // cannot happen: the fields are plain values
 	}
-	for range maxRecordAttempts { // other balancers may write in between
+	for range maxRecordAttempts { // other balancers may write between two attempts
 		result := f.submitAndWait(store, replication.Operation{
 			ID:              rand.Text(),
 			Key:             adminStateKey(name),
@@ -84,27 +86,26 @@
 	return expectedVersion, false
 }
 
-// isSuperseded reports whether SetAdminState was called again.
+// isSuperseded reports whether SetAdminState was called again after the call with this sequence number.
 func (f *Fleet) isSuperseded(sequence int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return sequence != f.adminStateSequence
 }
 
-// LoadAdminState reads the administrative state of a balancer in the background, and calls onLoaded once it is known: with false where
-// none was set. It retries while no member answers, for a limited time. A state that took longer than the expected time is logged as
-// late.
-func (f *Fleet) LoadAdminState(name string, expected time.Duration, onLoaded func(outOfService bool)) {
+// LoadAdminState reads the administrative state of a balancer in the background, and calls onLoaded once it is known, with false if none was
+// set. While no member answers it retries, for a limited time. A state that is loaded after more than expectedTime is logged as late.
+func (f *Fleet) LoadAdminState(name string, expectedTime time.Duration, onLoaded func(outOfService bool)) {
 	f.goroutines.Add(1)
 	go func() {
 		defer f.goroutines.Done()
-		began := time.Now()
+		startedAt := time.Now()
 		for range maxRecordAttempts {
 			if record, ok := f.readRecord(adminStateKey(name)); ok {
 				state := f.decodeAdminState(name, record)
-				took := time.Since(began)
+				duration := time.Since(startedAt)
 				f.log.Info("fleet: admin state loaded", zap.String("of", name), zap.Bool("out", state.OutOfService), zap.Uint64("version", record.Version),
-					zap.Duration("after", took), zap.Bool("late", took > expected))
+					zap.Duration("after", duration), zap.Bool("late", duration > expectedTime))
 				onLoaded(state.OutOfService)
 				return
 			}
@@ -116,7 +117,7 @@
 	}()
 }
 
-// decodeAdminState returns the zero state for a record that does not exist or can't be decoded.
+// decodeAdminState decodes a record. It returns the zero state for one that does not exist or is malformed.
 func (f *Fleet) decodeAdminState(name string, record replication.Record) AdminState {
 	var state AdminState
 	if len(record.Value) == 0 || record.Deleted {
--- a/internal/fleet/close.go
+++ b/internal/fleet/close.go
@@ -10,12 +10,12 @@
 	"sabletally/internal/fleet/membership"
 )
 
-// handOverPoll is how often HandOver checks whether it is finished.
+// handOverPoll is the time between two checks of HandOver whether it is finished.
 const handOverPoll = 50 * time.Millisecond
 
-// HandOver moves this member's replicas to other members before it leaves, and waits for that within a time. What was not moved is
-// repaired as if the machine had failed, and is still on its disk.
-func (f *Fleet) HandOver(within time.Duration) {
+// HandOver moves this member's replicas and leadership to other members before it leaves, and returns when that is done or after the timeout.
+// The other members repair what was not moved as if this machine had failed; it also remains on the disk here.
+func (f *Fleet) HandOver(timeout time.Duration) {
 	m := f.currentMember()
 	if m == nil {
 		return
@@ -26,14 +26,14 @@
 	if !slices.ContainsFunc(m.agent.Status().Peers, canTakeOver) {
 		return
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	m.node.Leave()
 	m.agent.AnnounceLeaving()
 	for {
 		status := m.node.Status()
 		isFinished := status.LocalShards == 0 && !status.IsLeader
-		if isFinished || time.Since(began) > within {
-			f.log.Info("fleet: handed over", zap.Bool("all", isFinished), zap.Int("shards-left", status.LocalShards), zap.Duration("after", time.Since(began)))
+		if isFinished || time.Since(startedAt) > timeout {
+			f.log.Info("fleet: handed over", zap.Bool("all", isFinished), zap.Int("shards-left", status.LocalShards), zap.Duration("after", time.Since(startedAt)))
 			return
 		}
 		if !f.sleep(handOverPoll) {
@@ -42,14 +42,15 @@
 	}
 }
 
+// canTakeOver reports whether a member can receive replicas of this one.
 func canTakeOver(peer membership.Peer) bool {
 	return peer.State == membership.Alive && !peer.Leaving
 }
 
-// Leave tells the other members that this one leaves, and closes the fleet. It takes a second at most.
+// Leave announces to the other members that this one leaves, and closes the fleet. It takes at most one second.
 func (f *Fleet) Leave() { f.close((*gossip.Agent).Leave) }
 
-// Close closes the fleet without telling the other members, as another process continues as this member.
+// Close closes the fleet without announcing it, because another process continues as this member.
 func (f *Fleet) Close() { f.close((*gossip.Agent).Close) }
 
 func (f *Fleet) close(closeAgent func(*gossip.Agent)) {
@@ -71,7 +72,7 @@
 	}
 }
 
-// markClosed returns false where the fleet was closed before.
+// markClosed marks the fleet as closed, and returns false if it was closed before.
 func (f *Fleet) markClosed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,7 +92,7 @@
 	}
 }
 
-// close closes the parts of a member; the agent closes the transport.
+// close closes the components of a member. The agent closes the transport.
 func (m *member) close(closeAgent func(*gossip.Agent)) {
 	closeAgent(m.agent)
 	if m.publisher != nil {
--- a/internal/fleet/endpoint_list.go
+++ b/internal/fleet/endpoint_list.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	endpointListInterval        = 2 * time.Second  // between writes of a changed list
-	endpointListRefreshInterval = 10 * time.Second // between writes of an unchanged list, for its age
-	maxEndpointListBytes        = 1 << 20          // a longer list is not stored
+	endpointListInterval        = 2 * time.Second  // minimum time between two writes of the list
+	endpointListRefreshInterval = 10 * time.Second // minimum time between two writes of an unchanged list, which update its age
+	maxEndpointListBytes        = 1 << 20          // maximum size of a list that is stored
 )
 
-// EndpointList is the newest endpoint list as it is stored, for a balancer that starts while discovery is silent.
+// EndpointList is the stored form of the newest endpoint list. It serves balancers that start while discovery does not respond.
 type EndpointList struct {
 	Revision    uint64          `json:"rev"`
-	ConfirmedAt int64           `json:"at"` // Unix seconds at which discovery confirmed it last
+	ConfirmedAt int64           `json:"at"` // when discovery last confirmed the list, in Unix seconds
 	Endpoints   json.RawMessage `json:"known"`
 }
 
-// endpointListWriter is the state of writing the list. It is guarded by the fleet's lock.
+// endpointListWriter is the state of the writes of the endpoint list. It is guarded by the fleet's lock.
 type endpointListWriter struct {
-	writtenAt       time.Time
-	writtenRevision uint64
-	recordVersion   uint64
-	isWriting       bool
+	writtenAt       time.Time // when the latest write was started
+	writtenRevision uint64    // revision of the list that was stored last
+	recordVersion   uint64    // version of the stored record, which the next write expects
+	isWriting       bool      // whether a write has no result yet
 }
 
 func (f *Fleet) endpointListKey() string { return "list/" + f.config.Site }
 
-// SaveEndpointList stores the list that discovery has just confirmed, in the background. Of all members that receive it only the primary
-// of the record writes it, so that a fleet of hundreds writes it once. A balancer that follows control processes stores none.
+// SaveEndpointList stores the list that discovery has just confirmed, in the background. Of all members that receive the list only the
+// primary of the record writes it, so that a fleet of hundreds writes it once. A balancer that follows control processes does not store it.
 func (f *Fleet) SaveEndpointList(revision uint64, endpoints []byte) {
-	store, op := f.endpointListWrite(revision, endpoints)
+	store, op := f.nextEndpointListWrite(revision, endpoints)
 	if store == nil {
 		return
 	}
@@ -49,14 +49,14 @@
 		case replication.OutcomeCommitted:
 			writer.recordVersion = result.Record.Version
 			writer.writtenRevision = revision
-		case replication.OutcomeConflict: // another member was the primary before; the next write replaces its record
+		case replication.OutcomeConflict: // another member has written the record as its primary; the next write replaces that
 			writer.recordVersion = result.Record.Version
 		}
 	})
 }
 
-// endpointListWrite returns the write that is due and where to submit it; nil where none is due.
-func (f *Fleet) endpointListWrite(revision uint64, endpoints []byte) (recordStore, replication.Operation) {
+// nextEndpointListWrite returns the operation that writes the list and the store to submit it to; the store is nil if no write is due.
+func (f *Fleet) nextEndpointListWrite(revision uint64, endpoints []byte) (recordStore, replication.Operation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.member == nil || len(endpoints) > maxEndpointListBytes {
@@ -84,8 +84,8 @@
 	}
 }
 
-// LoadEndpointList reads the stored list in the background and calls onLoaded with it and its age, once, if there is one. It retries
-// while no member answers, until stop returns true.
+// LoadEndpointList reads the stored list in the background, and calls onLoaded once with the list and its age if there is one. While no
+// member answers it retries, until stop returns true.
 func (f *Fleet) LoadEndpointList(stop func() bool, onLoaded func(list EndpointList, age time.Duration)) {
 	f.goroutines.Add(1)
 	go func() {
@@ -102,6 +102,7 @@
 	}()
 }
 
+// decodeEndpointList passes the list of a record to onLoaded, unless the record does not exist or is malformed.
 func (f *Fleet) decodeEndpointList(record replication.Record, onLoaded func(list EndpointList, age time.Duration)) {
 	if record.Version == 0 {
 		f.log.Info("fleet: no endpoint list is stored")
@@ -115,7 +116,7 @@
 	onLoaded(list, max(0, time.Since(time.Unix(list.ConfirmedAt, 0))))
 }
 
-// EndpointListAges returns up to which age a stored list is used, and up to which its endpoints are candidates.
+// EndpointListAges returns the maximum age at which a stored list is used, and the one at which its endpoints are candidates for health checks.
 func (f *Fleet) EndpointListAges() (maxUsedAge, maxCandidateAge time.Duration) {
 	return f.config.ListFreshTTL, f.config.ListStaleTTL
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -13,8 +13,8 @@
 
 var updateGolden = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
 
-// fill sets every field of a value to something else than its zero value, each to another one.
-func fill(t *testing.T, v reflect.Value, next *int) {
+// fillFields sets every field of a value to something else than its zero value, each to another one.
+func fillFields(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
 	switch v.Kind() {
@@ -30,19 +30,19 @@
 		v.SetFloat(float64(*next) + 0.5)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem(), next)
+		fillFields(t, v.Elem(), next)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(t, v.Index(0), next)
+		fillFields(t, v.Index(0), next)
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(t, key, next)
-		fill(t, value, next)
+		fillFields(t, key, next)
+		fillFields(t, value, next)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i), next)
+			fillFields(t, v.Field(i), next)
 		}
 	default:
 		t.Fatalf("no value for a %v", v.Type())
@@ -89,7 +89,7 @@
 func TestGoldenReport(t *testing.T) {
 	var report Report
 	next := 0
-	fill(t, reflect.ValueOf(&report).Elem(), &next)
+	fillFields(t, reflect.ValueOf(&report).Elem(), &next)
 	requireGolden(t, "report.golden.json", report)
 }
 
--- a/internal/fleet/open.go
+++ b/internal/fleet/open.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	maxJoiningShards     = 8    // copied to another member at a time
-	maxPendingOperations = 4096 // at this member
+	maxJoiningShards     = 8    // number of shards that are copied to new replicas at the same time
+	maxPendingOperations = 4096 // maximum number of operations that wait for their results at this member
 )
 
-// Each part of a process derives its own random numbers from the seed and the incarnation.
+// Each component combines the seed with the incarnation, shifted by its own number of bits, so that their random numbers differ.
 const (
 	publisherSeedShift = 16
 	nodeSeedShift      = 32
 	clientSeedShift    = 32
 )
 
-// openDirectory opens the data directory and what belongs to the role, all or nothing.
+// openDirectory opens the data directory and starts the components of the role. After an error nothing is open.
 func (f *Fleet) openDirectory() error {
 	directory, err := datadir.Open(f.config.DataDir, f.config.FleetName, f.config.Machine)
 	if err != nil {
@@ -75,7 +75,7 @@
 	f.log.Info("fleet: subscriber started", f.identityFields(directory)...)
 }
 
-// openMember starts the parts of a member. An error leaves none of them open.
+// openMember starts the components of a member. After an error none of them is open.
 func (f *Fleet) openMember(directory *datadir.Directory) (*member, error) {
 	streams := 0
 	if f.config.Role == config.RoleControl {
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	self := f.self(directory)
+	self := f.selfMember(directory)
 	agent, err := gossip.Open(gossip.Options{
 		FleetName:         f.config.FleetName,
 		Self:              self,
@@ -127,7 +127,8 @@
 	return m, nil
 }
 
-func (f *Fleet) self(directory *datadir.Directory) membership.Member {
+// selfMember returns this member's description for the gossip.
+func (f *Fleet) selfMember(directory *datadir.Directory) membership.Member {
 	return membership.Member{
 		ID:                 directory.MemberID,
 		Name:               f.name,
@@ -141,6 +142,7 @@
 	}
 }
 
+// nodeConfig returns the configuration of this member's node.
 func (f *Fleet) nodeConfig(directory *datadir.Directory, self membership.Member) node.Config {
 	seeds := make([]string, 0, len(f.config.Seeds))
 	for _, seed := range f.config.Seeds {
@@ -164,6 +166,7 @@
 	}
 }
 
+// newPublisher returns the publisher of a control process, which is not started yet.
 func (f *Fleet) newPublisher(directory *datadir.Directory, transport *gossip.Transport) *publisher.Server {
 	return publisher.New(publisher.Options{
 		ID:             directory.MemberID,
@@ -176,7 +179,7 @@
 	})
 }
 
-// adoptMember makes the parts of a member those of the fleet, or closes them where the fleet was closed meanwhile.
+// adoptMember sets the fleet's data directory and member, or closes both if the fleet was closed meanwhile.
 func (f *Fleet) adoptMember(directory *datadir.Directory, m *member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,6 +198,7 @@
 	f.log.Info("fleet: member started", fields...)
 }
 
+// identityFields returns the log fields that identify this process in the fleet.
 func (f *Fleet) identityFields(directory *datadir.Directory) []zap.Field {
 	return []zap.Field{
 		zap.String("fleet", f.config.FleetName),
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	operationTimeout  = 2 * time.Second
-	writeRetryDelay   = time.Second
-	readRetryDelay    = 200 * time.Millisecond
-	maxRecordAttempts = 30
+	operationTimeout  = 2 * time.Second        // for one operation on a record
+	writeRetryDelay   = time.Second            // between two attempts to write a record
+	readRetryDelay    = 200 * time.Millisecond // between two attempts to read a record
+	maxRecordAttempts = 30                     // attempts to read or write a record before giving up
 )
 
-// recordStore executes operations on records, as a member or by the control processes.
+// recordStore executes operations on records: a member's node server, or a subscriber's client, which sends them to control processes.
 type recordStore interface {
-	Submit(op replication.Operation, within time.Duration, done func(replication.Result))
+	Submit(op replication.Operation, timeout time.Duration, done func(replication.Result))
 }
 
-// currentStore returns the store and this process's member ID; nil while another process of a hot restart owns the data directory.
+// currentStore returns the store and this process's member ID. The store is nil while the predecessor of a hot restart owns the data
+// directory.
 func (f *Fleet) currentStore() (recordStore, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -32,7 +33,7 @@
 	return nil, ""
 }
 
-// submitAndWait returns the result of an operation; unknown where the fleet is closed meanwhile.
+// submitAndWait executes an operation and returns its result, OutcomeUnknown if the fleet is closed meanwhile.
 func (f *Fleet) submitAndWait(store recordStore, op replication.Operation) replication.Result {
 	results := make(chan replication.Result, 1)
 	store.Submit(op, operationTimeout, func(result replication.Result) { results <- result })
@@ -44,12 +45,12 @@
 	}
 }
 
-// readRecord reads a record, which has version 0 where it does not exist. It returns false where no member has answered.
+// readRecord reads a record, which has version 0 if it does not exist. It returns false if no member has answered.
 func (f *Fleet) readRecord(key string) (replication.Record, bool) {
 	store, _ := f.currentStore()
 	if store == nil {
 		return replication.Record{}, false
 	}
 	result := f.submitAndWait(store, replication.Operation{ID: rand.Text(), Key: key, ReadOnly: true})
-	return result.Record, result.Outcome == replication.OutcomeConflict // which is how a read is answered
+	return result.Record, result.Outcome == replication.OutcomeConflict // a read is always answered with a conflict
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -1,102 +1,102 @@
 package fleet
 
-// Report is what operators are shown of a process's part in the fleet. The JSON names are read by operators.
+// Report is the operators' report on a process as part of the fleet. Operators and their tools read the JSON names.
 type Report struct {
 	Fleet     string         `json:"fleet"`
-	Role      string         `json:"role,omitempty"` // as configured
-	Member    bool           `json:"member"`         // this process owns the data directory
-	Reason    string         `json:"why,omitempty"`  // why this process is not a member
+	Role      string         `json:"role,omitempty"` // configured role
+	Member    bool           `json:"member"`         // whether this process owns the data directory
+	Reason    string         `json:"why,omitempty"`  // why this process is not a member; empty if it is
 	Standing  string         `json:"standing,omitempty"`
-	Self      *MemberReport  `json:"self,omitempty"`
-	Others    []MemberReport `json:"others,omitempty"`
-	Alive     int            `json:"here"`     // members that are alive, this one included
-	Replicas  int            `json:"copies"`   // of each record
-	Machines  int            `json:"machines"` // of the members that are alive
-	Health    int            `json:"health"`   // 0 is healthy; each point lengthens this member's own timeouts
-	Pauses    int            `json:"stalls"`   // times that this process was suspended
-	Rejected  int            `json:"refused"`  // messages
-	Malformed int64          `json:"odd"`      // datagrams
-	Dropped   int64          `json:"dropped"`  // datagrams
-	Unopened  int64          `json:"unopened"` // streams that were rejected
-	Sent      int64          `json:"sent"`     // bytes of datagrams
-	Received  int64          `json:"heard"`    // bytes of datagrams
+	Self      *MemberReport  `json:"self,omitempty"`   // this process
+	Others    []MemberReport `json:"others,omitempty"` // the other members that the gossip knows
+	Alive     int            `json:"here"`             // number of members that are alive, including this one
+	Replicas  int            `json:"copies"`           // replicas of each record (replication factor)
+	Machines  int            `json:"machines"`         // number of machines with members that are alive
+	Health    int            `json:"health"`           // gossip health score: 0 is healthy, and each point lengthens this member's own timeouts
+	Pauses    int            `json:"stalls"`           // number of times that this process was suspended
+	Rejected  int            `json:"refused"`          // new members rejected because there was no room for them
+	Malformed int64          `json:"odd"`              // gossip messages that are malformed or of another fleet
+	Dropped   int64          `json:"dropped"`          // datagrams dropped because the queue was full
+	Unopened  int64          `json:"unopened"`         // streams rejected because too many were open
+	Sent      int64          `json:"sent"`             // bytes of datagrams sent
+	Received  int64          `json:"heard"`            // bytes of datagrams received
 
-	Store      *StoreReport      `json:"held,omitempty"`
-	Subscriber *SubscriberReport `json:"following,omitempty"`  // in the role of a balancer
-	Publisher  *PublisherReport  `json:"publishing,omitempty"` // of a control process
+	Store      *StoreReport      `json:"held,omitempty"`       // for a member
+	Subscriber *SubscriberReport `json:"following,omitempty"`  // for the role of a balancer
+	Publisher  *PublisherReport  `json:"publishing,omitempty"` // for a control process
 }
 
 // SubscriberReport describes a balancer that follows control processes.
 type SubscriberReport struct {
-	ID                string   `json:"id"` // of the fleet, empty before it is known
-	Version           uint64   `json:"version"`
-	Digest            uint64   `json:"digest"`
-	Keys              int      `json:"keys"`
-	Bytes             int      `json:"bytes"`
-	Current           bool     `json:"current"`
-	Age               float64  `json:"age"`    // seconds since the state was confirmed; -1 where it never was
-	Publishers        []string `json:"relays"` // addresses of those that are followed
-	Changes           uint64   `json:"changes"`
-	Snapshots         uint64   `json:"snapshots"`
-	Gaps              uint64   `json:"gaps"`
-	DigestMismatches  uint64   `json:"mismatches"`
-	Conflicts         uint64   `json:"conflicts"`
-	InvalidMessages   uint64   `json:"refused"`
-	LeaseExpiries     uint64   `json:"lapses"` // times that the state became stale
-	PendingOperations int      `json:"waiting"`
-	Sent              int64    `json:"sent"` // bytes
-	Received          int64    `json:"got"`  // bytes
+	ID                string   `json:"id"`         // fleet ID, empty while unknown
+	Version           uint64   `json:"version"`    // version of the agreed state that is known
+	Digest            uint64   `json:"digest"`     // digest of the state at that version
+	Keys              int      `json:"keys"`       // number of keys in the state
+	Bytes             int      `json:"bytes"`      // size of its keys and values
+	Current           bool     `json:"current"`    // whether the state was confirmed within the lease
+	Age               float64  `json:"age"`        // seconds since the state was last confirmed; -1 if it never was
+	Publishers        []string `json:"relays"`     // addresses of the publishers that are followed
+	Changes           uint64   `json:"changes"`    // changes applied
+	Snapshots         uint64   `json:"snapshots"`  // snapshots installed
+	Gaps              uint64   `json:"gaps"`       // changes that did not follow the known version
+	DigestMismatches  uint64   `json:"mismatches"` // states with another digest than the publisher's
+	Conflicts         uint64   `json:"conflicts"`  // versions with two different contents
+	InvalidMessages   uint64   `json:"refused"`    // invalid messages of publishers
+	LeaseExpiries     uint64   `json:"lapses"`     // number of times that the state became stale
+	PendingOperations int      `json:"waiting"`    // operations without a result yet
+	Sent              int64    `json:"sent"`       // bytes sent
+	Received          int64    `json:"got"`        // bytes received
 }
 
 // PublisherReport describes a control process and its subscribers.
 type PublisherReport struct {
-	Subscribers        int     `json:"followers"`
-	MaxSubscribers     int     `json:"most"`
-	Current            int     `json:"current"` // subscribers that acknowledged the newest version
-	AwaitingSnapshot   int     `json:"waiting"` // subscribers queued for a snapshot
-	Blocked            int     `json:"blocked"` // subscribers whose window is full
-	LowestVersion      uint64  `json:"lowest"`  // version acknowledged by any of them
+	Subscribers        int     `json:"followers"` // connected subscribers
+	MaxSubscribers     int     `json:"most"`      // configured maximum of connected subscribers
+	Current            int     `json:"current"`   // subscribers that have acknowledged the newest version
+	AwaitingSnapshot   int     `json:"waiting"`   // subscribers that wait for a snapshot
+	Blocked            int     `json:"blocked"`   // subscribers whose send window is full
+	LowestVersion      uint64  `json:"lowest"`    // lowest version that a connected subscriber has acknowledged
 	Version            uint64  `json:"version"`
 	Digest             uint64  `json:"digest"`
-	Age                float64 `json:"age"` // as in SubscriberReport
-	Changes            uint64  `json:"changes"`
-	Snapshots          uint64  `json:"snapshots"`
-	Accepted           uint64  `json:"came"` // sessions
-	LeaseExpiries      uint64  `json:"lapsed"`
-	SlowSubscribers    uint64  `json:"slow"`
-	RejectedFull       uint64  `json:"full"` // subscribers rejected beyond the maximum
-	MalformedMessages  uint64  `json:"bad"`
-	Operations         int64   `json:"ops"`
-	RejectedOperations int64   `json:"busy"`
-	Writes             int64   `json:"writes"` // to subscribers; one write sends everything that is queued
-	Sent               int64   `json:"sent"`
-	Received           int64   `json:"got"`
+	Age                float64 `json:"age"`       // as in SubscriberReport
+	Changes            uint64  `json:"changes"`   // changes sent
+	Snapshots          uint64  `json:"snapshots"` // snapshots sent
+	Accepted           uint64  `json:"came"`      // sessions of subscribers accepted
+	LeaseExpiries      uint64  `json:"lapsed"`    // number of times that a lease expired
+	SlowSubscribers    uint64  `json:"slow"`      // sessions closed because the subscriber acknowledged nothing
+	RejectedFull       uint64  `json:"full"`      // subscribers rejected because MaxSubscribers were connected
+	MalformedMessages  uint64  `json:"bad"`       // malformed messages of subscribers
+	Operations         int64   `json:"ops"`       // operations and puts submitted for subscribers
+	RejectedOperations int64   `json:"busy"`      // operations and puts rejected because too many were pending
+	Writes             int64   `json:"writes"`    // writes to subscribers; one write sends everything that is queued
+	Sent               int64   `json:"sent"`      // bytes sent
+	Received           int64   `json:"got"`       // bytes received
 }
 
-// StoreReport describes the replicas that this member stores, and the agreed state.
+// StoreReport describes the replicas that a member stores, and the agreed state that it knows.
 type StoreReport struct {
-	ID               string         `json:"id"` // of the fleet, drawn at its bootstrap; empty before
-	Epoch            uint64         `json:"epoch"`
-	Members          int            `json:"members"`             // of the epoch
-	Voters           int            `json:"voters"`              // as known by this member; 0 where it does not vote
+	ID               string         `json:"id"`                  // fleet ID, drawn at the fleet's bootstrap; empty while unknown
+	Epoch            uint64         `json:"epoch"`               // number of the current member list
+	Members          int            `json:"members"`             // number of members of the epoch
+	Voters           int            `json:"voters"`              // number of voters of the log; 0 at a member that does not vote
 	VoterSites       []string       `json:"voters-at,omitempty"` // sites of the voters
-	Version          uint64         `json:"version"`             // of the agreed state
-	IsLeader         bool           `json:"leads"`
-	ShardsByReplicas map[int]int    `json:"slots"` // number of shards by their number of complete replicas
-	LocalShards      int            `json:"mine"`  // shards with a replica here
-	Records          int            `json:"records"`
-	Bytes            int            `json:"bytes"`
-	FileBytes        int64          `json:"file"`
-	DiskError        string         `json:"disk,omitempty"` // the error of the disk; nothing is committed here then
-	Rejections       map[string]int `json:"refusals,omitempty"`
-	Sent             int64          `json:"sent"`
-	Received         int64          `json:"got"`
-	Dropped          int64          `json:"dropped"`
-	Malformed        int64          `json:"odd"`
-	Writes           int64          `json:"writes"`
+	Version          uint64         `json:"version"`             // version of the agreed state
+	IsLeader         bool           `json:"leads"`               // whether this member leads the log
+	ShardsByReplicas map[int]int    `json:"slots"`               // number of shards by their number of in-sync replicas
+	LocalShards      int            `json:"mine"`                // number of shards with an in-sync replica on this member
+	Records          int            `json:"records"`             // records on this member
+	Bytes            int            `json:"bytes"`               // size of their keys and values
+	FileBytes        int64          `json:"file"`                // size of the store's file
+	DiskError        string         `json:"disk,omitempty"`      // failure after which this member confirms nothing; empty if there was none
+	Rejections       map[string]int `json:"refusals,omitempty"`  // number of rejected operations, by reason
+	Sent             int64          `json:"sent"`                // bytes sent to other members
+	Received         int64          `json:"got"`                 // bytes received from other members
+	Dropped          int64          `json:"dropped"`             // packets dropped because a queue was full or there was no connection
+	Malformed        int64          `json:"odd"`                 // rejected packets and streams
+	Writes           int64          `json:"writes"`              // transactions written to the store
 }
 
-// MemberReport describes one member.
+// MemberReport describes one member as the gossip knows it.
 type MemberReport struct {
 	Name        string  `json:"name"`
 	ID          string  `json:"id"`
@@ -104,8 +104,8 @@
 	Machine     string  `json:"machine"`
 	Zone        string  `json:"zone"`
 	Site        string  `json:"site"`
-	Incarnation uint64  `json:"life"`
+	Incarnation uint64  `json:"life"` // incremented with each start of the member
 	State       string  `json:"state"`
-	Seconds     float64 `json:"seconds"`      // in this state
+	Seconds     float64 `json:"seconds"`      // time in this state
 	ReplacedBy  string  `json:"by,omitempty"` // ID of the member that replaced it
 }
--- a/internal/fleet/report_build.go
+++ b/internal/fleet/report_build.go
@@ -16,7 +16,7 @@
 	standingStale   = "not current"
 )
 
-// Report returns the report for operators, without waiting.
+// Report returns the report for operators. It does not block.
 func (f *Fleet) Report() Report {
 	f.mu.Lock()
 	m, client, openErr := f.member, f.client, f.openErr
@@ -24,9 +24,9 @@
 	report := Report{Fleet: f.config.FleetName, Role: string(f.config.Role), Replicas: f.config.ReplicationFactor}
 	switch {
 	case client != nil:
-		f.reportClient(&report, client.Status())
+		f.addClientReport(&report, client.Status())
 	case m != nil:
-		f.reportMember(&report, m)
+		f.addMemberReport(&report, m)
 	case openErr != nil:
 		report.Reason = openErr.Error()
 	default:
@@ -35,8 +35,8 @@
 	return report
 }
 
-// reportClient fills in the report of a balancer that follows control processes.
-func (f *Fleet) reportClient(report *Report, status subscriber.Status) {
+// addClientReport adds to a report the part of a balancer that follows control processes.
+func (f *Fleet) addClientReport(report *Report, status subscriber.Status) {
 	f.mu.Lock()
 	directory := f.directory
 	f.mu.Unlock()
@@ -59,8 +59,8 @@
 	report.Subscriber = newSubscriberReport(status)
 }
 
-// reportMember fills in the report of a member.
-func (f *Fleet) reportMember(report *Report, m *member) {
+// addMemberReport adds to a report the part of a member.
+func (f *Fleet) addMemberReport(report *Report, m *member) {
 	status := m.agent.Status()
 	self := newMemberReport(status.Self)
 	report.Member = true
@@ -185,7 +185,7 @@
 	}
 }
 
-// ageSeconds returns -1 for an unknown age.
+// ageSeconds returns an age in seconds, -1 if it is unknown.
 func ageSeconds(age time.Duration, isKnown bool) float64 {
 	if !isKnown {
 		return -1
