--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -11,9 +11,9 @@
 	"sabletally/internal/fleet/config"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
+var updateGolden = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// fillFields sets every field of a value to something else than its zero value, each to another one.
+// fillFields sets every field of a value to a value of its own that is not the zero value.
 func fillFields(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
@@ -49,7 +49,7 @@
 	}
 }
 
-// requireGolden compares the JSON of a value with a golden file, and that it is decoded and encoded again to the same bytes.
+// requireGolden checks that the JSON of a value equals a golden file, and that decoding and encoding that again yields the same bytes.
 func requireGolden(t *testing.T, name string, value any) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -81,11 +81,12 @@
 		t.Fatal(err)
 	}
 	if string(again) != string(want) {
-		t.Errorf("%s is encoded again as %s", path, again)
+		t.Errorf("%s is decoded and encoded as\n%s", path, again)
 	}
 }
 
-// TestGoldenReport holds the report that operators read, with every field set.
+// TestGoldenReport guards against changes of the JSON report, which operators' tools read: a report with every field set must equal the golden
+// file.
 func TestGoldenReport(t *testing.T) {
 	var report Report
 	next := 0
@@ -93,7 +94,7 @@
 	requireGolden(t, "report.golden.json", report)
 }
 
-// TestGoldenRecords holds what is stored for balancers: the keys and the values.
+// TestGoldenRecords guards against changes of the keys and values of the records that are stored for balancers.
 func TestGoldenRecords(t *testing.T) {
 	requireGolden(t, "admin_state.golden.json", AdminState{OutOfService: true, SetAt: 1700000000, SetBy: "id-1"})
 	requireGolden(t, "endpoint_list.golden.json", EndpointList{Revision: 7, ConfirmedAt: 1700000000, Endpoints: json.RawMessage(`{"servers":["a","b"]}`)})
--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -12,8 +12,8 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// measureCPU starts a measurement. The function that it returns ends it, and reports and returns the CPU time of one operation in ns, garbage
-// collection included: on a shared machine the wall clock says less.
+// measureCPU starts a measurement. The returned function ends it, and reports and returns the CPU time of one operation in nanoseconds,
+// garbage collection included. On a shared machine CPU time varies less than wall-clock time.
 func measureCPU(b *testing.B) func() float64 {
 	cpuTime := func() time.Duration {
 		var u syscall.Rusage
@@ -23,20 +23,20 @@
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
 	b.ReportAllocs()
-	from := cpuTime()
+	startTime := cpuTime()
 	b.ResetTimer()
 	return func() float64 {
 		b.StopTimer()
-		each := float64(cpuTime()-from) / float64(b.N)
-		b.ReportMetric(each, "cpu-ns/op")
-		return each
+		perOperation := float64(cpuTime()-startTime) / float64(b.N)
+		b.ReportMetric(perOperation, "cpu-ns/op")
+		return perOperation
 	}
 }
 
-// scales are the fleet sizes at which docs/CAPACITY.md takes its points.
-var scales = []int{17, 100, 300, 1000, 2300, 4600}
+// fleetSizes are the fleet sizes that docs/CAPACITY.md reports.
+var fleetSizes = []int{17, 100, 300, 1000, 2300, 4600}
 
-func members(n int) (all []shardmap.Member) {
+func newMembers(n int) (all []shardmap.Member) {
 	for i := range n {
 		all = append(all, shardmap.Member{
 			ID:      fmt.Sprintf("%032x", i+1),
@@ -49,9 +49,10 @@
 	return all
 }
 
-// newNonVoter makes a member that knows of a fleet of n, with a configuration of each shard. It neither votes nor has replicas.
+// newNonVoter returns a member that knows a fleet of n members with a configuration for each shard, and the status of its peers. The member
+// neither votes nor has replicas.
 func newNonVoter(b *testing.B, n int) (*Node, []placement.MemberStatus) {
-	all := members(n)
+	all := newMembers(n)
 	node, err := New(Config{
 		Self:                 all[0],
 		Incarnation:          1,
@@ -83,7 +84,7 @@
 		b.Fatal(err)
 	}
 	if len(node.State().Members) != n {
-		b.Fatal("the list was not accepted")
+		b.Fatal("the poll response was not applied")
 	}
 	var peers []placement.MemberStatus
 	for _, m := range all[1:] {
@@ -92,14 +93,14 @@
 	return node, peers
 }
 
-// BenchmarkAnswerPoll encodes and decodes the response to a poll: after an epoch, after a change of one shard's configuration, to a member that
-// knows nothing, and where nothing has changed.
+// BenchmarkAnswerPoll measures the response to a poll, encoded and decoded: after a new epoch, after a change of one shard's configuration, for
+// a member that knows nothing, and without any change.
 func BenchmarkAnswerPoll(b *testing.B) {
-	for _, n := range scales {
+	for _, n := range fleetSizes {
 		for _, kind := range []string{"epoch", "shard", "all", "nothing"} {
 			b.Run(fmt.Sprintf("kind=%s/members=%d", kind, n), func(b *testing.B) {
 				node, _ := newNonVoter(b, n)
-				from := members(2)[1].ID
+				from := newMembers(2)[1].ID
 				since := uint64(2)
 				switch kind {
 				case "epoch":
@@ -114,55 +115,55 @@
 					since = 0
 				}
 				size := 0
-				done := measureCPU(b)
+				stopMeasurement := measureCPU(b)
 				for range b.N {
 					_ = node.Step(Packet{From: from, To: node.cfg.Self.ID, FleetID: "f", PollRequest: &PollRequest{Version: since}})
-					text, err := cbor.Marshal(node.ready.Packets[0])
+					encoded, err := cbor.Marshal(node.ready.Packets[0])
 					if err != nil {
 						b.Fatal(err)
 					}
 					node.ready.Packets = node.ready.Packets[:0]
 					var p Packet
-					if err := cbor.Unmarshal(text, &p); err != nil {
+					if err := cbor.Unmarshal(encoded, &p); err != nil {
 						b.Fatal(err)
 					}
-					size = len(text)
+					size = len(encoded)
 				}
-				done()
+				stopMeasurement()
 				b.ReportMetric(float64(size), "packet-B")
 			})
 		}
 	}
 }
 
-// BenchmarkIdleTurn is a turn of a member that neither votes nor has replicas. There is one each 50 ms at least.
+// BenchmarkIdleTurn measures one tick of a member that neither votes nor has replicas. A member ticks at least every 50 ms.
 func BenchmarkIdleTurn(b *testing.B) {
-	for _, n := range scales {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			node, peers := newNonVoter(b, n)
-			now, packets := time.Duration(0), 0
+			now, packetCount := time.Duration(0), 0
 			var newest Packet
-			done := measureCPU(b)
+			stopMeasurement := measureCPU(b)
 			for range b.N {
 				now += 50 * time.Millisecond
 				node.Tick(now, peers)
-				r, err := node.Ready()
+				ready, err := node.Ready()
 				if err != nil {
 					b.Fatal(err)
 				}
-				for _, p := range r.Packets {
-					packets++
+				for _, p := range ready.Packets {
+					packetCount++
 					newest = p
 				}
 			}
-			per := done()
-			b.ReportMetric(per/5e7*100, "%core")
-			text, err := cbor.Marshal(newest)
+			perTick := stopMeasurement()
+			b.ReportMetric(perTick/5e7*100, "%core")
+			encoded, err := cbor.Marshal(newest)
 			if err != nil {
 				b.Fatal(err)
 			}
-			b.ReportMetric(float64(packets)/now.Seconds(), "packets/s")
-			b.ReportMetric(float64(len(text)), "packet-B")
+			b.ReportMetric(float64(packetCount)/now.Seconds(), "packets/s")
+			b.ReportMetric(float64(len(encoded)), "packet-B")
 		})
 	}
 }
--- a/internal/fleet/node/golden_test.go
+++ b/internal/fleet/node/golden_test.go
@@ -14,26 +14,27 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// TestPacketsMatchTheGoldenDigest runs a fleet of five with a seed, puts and a leader that is cut off, and compares the digest of all encoded
-// packets with that of an earlier build.
+// TestPacketsMatchTheGoldenDigest guards against unintended changes of the node's behavior and of the wire format. It runs a fleet of five
+// with fixed seeds, puts, a leader that is cut off and a voter that fails, and compares the digest of all encoded packets with that of an
+// earlier build.
 func TestPacketsMatchTheGoldenDigest(t *testing.T) {
 	fleet := newTestFleet(t, 3, "a", "a", "b", "b", "c")
-	sum := fnv.New64a()
-	packets := 0
+	digest := fnv.New64a()
+	packetCount := 0
 	fleet.afterStep = func() {
-		for _, one := range fleet.inTransit {
-			text, err := cbor.Marshal(one.packet)
+		for _, sent := range fleet.inTransit {
+			encoded, err := cbor.Marshal(sent.packet)
 			if err != nil {
 				t.Fatal(err)
 			}
-			var head [20]byte
-			binary.BigEndian.PutUint64(head[:], uint64(fleet.now))
-			binary.BigEndian.PutUint32(head[8:], uint32(one.from))
-			binary.BigEndian.PutUint32(head[12:], uint32(one.to))
-			binary.BigEndian.PutUint32(head[16:], uint32(len(text)))
-			_, _ = sum.Write(head[:])
-			_, _ = sum.Write(text)
-			packets++
+			var header [20]byte
+			binary.BigEndian.PutUint64(header[:], uint64(fleet.now))
+			binary.BigEndian.PutUint32(header[8:], uint32(sent.from))
+			binary.BigEndian.PutUint32(header[12:], uint32(sent.to))
+			binary.BigEndian.PutUint32(header[16:], uint32(len(encoded)))
+			_, _ = digest.Write(header[:])
+			_, _ = digest.Write(encoded)
+			packetCount++
 		}
 	}
 	fleet.waitFor("there are three voters", 30*time.Second, func() bool { return len(fleet.voters()) == 3 && fleet.allAgree() })
@@ -47,7 +48,7 @@
 	fleet.run(5 * time.Second)
 	fleet.setDown(slices.Max(fleet.voters()), true)
 	fleet.run(2 * testEvictAfter)
-	got := fmt.Sprintf("%016x, %d packets, version %d\n", sum.Sum64(), packets, fleet.nodes[0].FeedState().Version())
+	got := fmt.Sprintf("%016x, %d packets, version %d\n", digest.Sum64(), packetCount, fleet.nodes[0].FeedState().Version())
 	golden, err := os.ReadFile("testdata/digest.golden")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/node/testfleet_test.go
+++ b/internal/fleet/node/testfleet_test.go
@@ -22,7 +22,7 @@
 	testEvictAfter = 10 * time.Second
 )
 
-// testFleet is nodes in virtual time, whose packets arrive one step later. It has no disks, so that nodes are not restarted.
+// testFleet runs nodes in virtual time and delivers their packets one step later. It has no disks, so that nodes can't be restarted.
 type testFleet struct {
 	t         *testing.T
 	now       time.Duration
@@ -31,13 +31,13 @@
 	down      map[int]bool
 	changedAt map[int]time.Duration // when a node was stopped or started last
 
-	isCut            func(from, to int) bool // packets are lost
-	protocolVersions map[int]int             // where it is not this program's
-	inTransit        []sentPacket
+	isCut            func(from, to int) bool // whether packets on this path are lost
+	protocolVersions map[int]int             // by node: protocol version, if it is not ProtocolVersion
+	inTransit        []sentPacket            // sent in the last step
 
 	putResults map[string]shardmap.PutResult // by operation ID
-	alerts     []string
-	afterStep  func()
+	alerts     []string                      // events that need an operator
+	afterStep  func()                        // called after each step
 }
 
 type sentPacket struct {
@@ -47,7 +47,8 @@
 
 func memberID(i int) string { return fmt.Sprintf("%016x%016x", i+1, i+1) }
 
-// newTestFleet makes one member for each site. Each has a machine of its own, and a zone of its own unless the site has one, as in "a/1".
+// newTestFleet returns a fleet with one member for each element of sites, which is a site or a site with a zone, as in "a/1". Each member has
+// its own machine, and its own zone unless one is given.
 func newTestFleet(t *testing.T, voters int, sites ...string) *testFleet {
 	fleet := &testFleet{
 		t:                t,
@@ -58,12 +59,13 @@
 		isCut:            func(int, int) bool { return false },
 		afterStep:        func() {},
 	}
-	for _, s := range sites {
-		fleet.join(voters, s)
+	for _, site := range sites {
+		fleet.join(voters, site)
 	}
 	return fleet
 }
 
+// join adds a member to the fleet and returns its index.
 func (fleet *testFleet) join(voters int, site string) int {
 	fleet.t.Helper()
 	i := len(fleet.nodes)
@@ -102,12 +104,13 @@
 	return i
 }
 
+// setDown stops a node or lets it run on.
 func (fleet *testFleet) setDown(i int, down bool) {
 	fleet.down[i] = down
 	fleet.changedAt[i] = fleet.now
 }
 
-// run advances the time in steps.
+// run advances the time by a duration, in steps.
 func (fleet *testFleet) run(duration time.Duration) {
 	fleet.t.Helper()
 	for end := fleet.now + duration; fleet.now < end; {
@@ -123,7 +126,7 @@
 	}
 }
 
-// step runs one node: a tick, the packets that arrive, and what it has ready.
+// step runs one node for one step: a tick, the packets that arrive, and the node's output.
 func (fleet *testFleet) step(i int, packets []sentPacket) {
 	fleet.t.Helper()
 	node := fleet.nodes[i]
@@ -132,13 +135,13 @@
 		if sent.to != i || fleet.isCut(sent.from, i) {
 			continue
 		}
-		if err := node.Step(sent.packet); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) { // a response of a former voter
-			fleet.t.Fatalf("%d: %v", i, err)
+		if err := node.Step(sent.packet); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) { // a former voter's response is allowed
+			fleet.t.Fatalf("node %d: handling a packet: %v", i, err)
 		}
 	}
 	ready, err := node.Ready()
 	if err != nil {
-		fleet.t.Fatalf("%d: %v", i, err)
+		fleet.t.Fatalf("node %d: Ready: %v", i, err)
 	}
 	for _, packet := range ready.Packets {
 		to := slices.IndexFunc(fleet.cfgs, func(cfg Config) bool { return cfg.Self.ID == packet.To })
@@ -154,7 +157,7 @@
 	}
 }
 
-// peersOf returns the other members as the gossip of a member would have them.
+// peersOf returns the status of the other members as the gossip of a member would report it.
 func (fleet *testFleet) peersOf(i int) []placement.MemberStatus {
 	var peers []placement.MemberStatus
 	for j := range fleet.nodes {
@@ -175,16 +178,17 @@
 	return peers
 }
 
-// waitFor runs until a condition holds.
+// waitFor advances the time until a condition holds, and fails the test after the timeout.
 func (fleet *testFleet) waitFor(what string, timeout time.Duration, isTrue func() bool) {
 	fleet.t.Helper()
 	for end := fleet.now + timeout; !isTrue(); fleet.run(testStep) {
 		if fleet.now >= end {
-			fleet.t.Fatalf("not within %v: %s", timeout, what)
+			fleet.t.Fatalf("timeout after %v, waiting until %s", timeout, what)
 		}
 	}
 }
 
+// leader returns the index of the node that leads the log, -1 if there is none.
 func (fleet *testFleet) leader() int {
 	for i, node := range fleet.nodes {
 		if node.IsLeader() && !fleet.down[i] {
@@ -194,28 +198,29 @@
 	return -1
 }
 
-// voters returns the indexes of the leader's voters.
+// voters returns the indexes of the voters that the leader knows, sorted; none without a leader.
 func (fleet *testFleet) voters() (all []int) {
-	if at := fleet.leader(); at >= 0 {
-		for _, n := range fleet.nodes[at].Voters() {
-			all = append(all, slices.IndexFunc(fleet.cfgs, func(node Config) bool { return consensus.NodeID(node.Self.ID) == n }))
+	if leader := fleet.leader(); leader >= 0 {
+		for _, logID := range fleet.nodes[leader].Voters() {
+			all = append(all, slices.IndexFunc(fleet.cfgs, func(node Config) bool { return consensus.NodeID(node.Self.ID) == logID }))
 		}
 	}
 	slices.Sort(all)
 	return all
 }
 
+// votersBySite returns the number of voters at each site that has any, sorted.
 func (fleet *testFleet) votersBySite(voters []int) (counts []int) {
-	at := map[string]int{}
+	countBySite := map[string]int{}
 	for _, i := range voters {
-		at[fleet.cfgs[i].Self.Site]++
+		countBySite[fleet.cfgs[i].Self.Site]++
 	}
-	counts = slices.Collect(maps.Values(at))
+	counts = slices.Collect(maps.Values(countBySite))
 	slices.Sort(counts)
 	return counts
 }
 
-// allAgree reports whether all nodes that are up know the same state.
+// allAgree reports whether all running nodes know the same state.
 func (fleet *testFleet) allAgree() bool {
 	var first *changefeed.State
 	for i, node := range fleet.nodes {
@@ -232,10 +237,11 @@
 	return true
 }
 
-func (fleet *testFleet) put(i int, p shardmap.Put) shardmap.PutResult {
+// put executes a put at a node and returns its result.
+func (fleet *testFleet) put(i int, put shardmap.Put) shardmap.PutResult {
 	fleet.t.Helper()
-	delete(fleet.putResults, p.OperationID)
-	fleet.nodes[i].Put(p, 5*time.Second)
-	fleet.waitFor("the put "+p.OperationID+" is answered", 6*time.Second, func() bool { _, is := fleet.putResults[p.OperationID]; return is })
-	return fleet.putResults[p.OperationID]
+	delete(fleet.putResults, put.OperationID)
+	fleet.nodes[i].Put(put, 5*time.Second)
+	fleet.waitFor("the put "+put.OperationID+" is answered", 6*time.Second, func() bool { _, exists := fleet.putResults[put.OperationID]; return exists })
+	return fleet.putResults[put.OperationID]
 }
--- a/internal/fleet/node/voters_test.go
+++ b/internal/fleet/node/voters_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// TestVotersAreSpread has five voters among nine members of three sites. No site has a majority, so that it is
-// not lost with one site.
+// TestVotersAreSpread guards against a majority of voters in one failure domain. Of five voters among nine members of three sites, no site may
+// have a majority; three voters of one site must be in three zones.
 func TestVotersAreSpread(t *testing.T) {
 	fleet := newTestFleet(t, 5, "a", "a", "a", "a", "a", "b", "b", "c", "c")
 	fleet.waitFor("there are five voters", 30*time.Second, func() bool { return len(fleet.voters()) == 5 })
 	if got := fleet.votersBySite(fleet.voters()); !slices.Equal(got, []int{1, 2, 2}) {
-		t.Errorf("voters by site %v, wanted 2, 2 and 1", got)
+		t.Errorf("number of voters by site: %v, want 1, 2 and 2", got)
 	}
 
 	fleet = newTestFleet(t, 3, "a/1", "a/1", "a/1", "a/2", "a/2", "a/3")
@@ -22,12 +22,13 @@
 		zones[fleet.cfgs[i].Self.Zone] = true
 	}
 	if len(zones) != 3 {
-		t.Errorf("three voters of one site are in zones %v", zones)
+		t.Errorf("three voters of one site are in zones %v, want three zones", zones)
 	}
 }
 
-// TestCrowdedSiteLosesVoters adds two sites to one with all five voters. Voters are replaced one at a time, none is replaced while another one is
-// down, and two sites do not exchange a voter for ever.
+// TestCrowdedSiteLosesVoters guards against a site that keeps a majority of the voters although there are other sites. It adds two sites to one
+// that has all five voters: voters must be replaced one at a time, and none while another one is down. With two sites, voters must not move
+// back and forth between them.
 func TestCrowdedSiteLosesVoters(t *testing.T) {
 	fleet := newTestFleet(t, 5, "a", "a", "a", "a", "a")
 	fleet.waitFor("there are five voters", 30*time.Second, func() bool { return len(fleet.voters()) == 5 })
@@ -66,7 +67,7 @@
 	settled := fleet.voters()
 	fleet.run(20 * time.Second)
 	if got := fleet.voters(); !slices.Equal(got, settled) {
-		t.Errorf("voters moved on from %v to %v", settled, got)
+		t.Errorf("voters changed again, from %v to %v", settled, got)
 	}
 
 	two := newTestFleet(t, 5, "a", "a", "a", "a", "b", "b", "b", "b")
@@ -74,6 +75,6 @@
 	settled = two.voters()
 	two.run(20 * time.Second)
 	if got := two.voters(); !slices.Equal(got, settled) {
-		t.Errorf("of two sites: voters moved from %v to %v", settled, got)
+		t.Errorf("two sites: voters changed again, from %v to %v", settled, got)
 	}
 }
--- a/internal/fleet/nodeserver/bench_test.go
+++ b/internal/fleet/nodeserver/bench_test.go
@@ -13,8 +13,8 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// measureCPU starts a measurement. The function that it returns ends it, and reports and returns the CPU time of one operation in ns, garbage
-// collection included: on a shared machine the wall clock says less.
+// measureCPU starts a measurement. The returned function ends it, and reports and returns the CPU time of one operation in nanoseconds,
+// garbage collection included. On a shared machine CPU time varies less than wall-clock time.
 func measureCPU(b *testing.B) func() float64 {
 	cpuTime := func() time.Duration {
 		var u syscall.Rusage
@@ -24,22 +24,22 @@
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
 	b.ReportAllocs()
-	from := cpuTime()
+	startTime := cpuTime()
 	b.ResetTimer()
 	return func() float64 {
 		b.StopTimer()
-		each := float64(cpuTime()-from) / float64(b.N)
-		b.ReportMetric(each, "cpu-ns/op")
-		return each
+		perOperation := float64(cpuTime()-startTime) / float64(b.N)
+		b.ReportMetric(perOperation, "cpu-ns/op")
+		return perOperation
 	}
 }
 
-// BenchmarkIdleTurn is what each turn does with the members though nothing is sent: their agreed form, as peerStatus makes it, and the map of
-// their addresses. There is a turn each 50 ms, and with each packet.
+// BenchmarkIdleTurn measures what an iteration of the server's loop does for each member even if nothing is sent: the conversion of peerStatus,
+// and the map of addresses. There is an iteration every 50 ms and after each packet.
 func BenchmarkIdleTurn(b *testing.B) {
 	for _, n := range []int{17, 100, 300, 1000, 2300, 4600} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			var known []membership.Peer
+			var gossipPeers []membership.Peer
 			var all []shardmap.Member
 			for i := range n {
 				m := membership.Member{
@@ -50,27 +50,27 @@
 					Zone:    fmt.Sprintf("zone-%02d", i%11),
 					Site:    fmt.Sprintf("region-%d", i%11%3),
 				}
-				known = append(known, membership.Peer{Member: m})
+				gossipPeers = append(gossipPeers, membership.Peer{Member: m})
 				all = append(all, ShardMember(m))
 			}
-			c, err := node.New(node.Config{Self: all[0], Incarnation: 1, ReplicationFactor: 3}, node.PersistentState{}, 0)
+			memberNode, err := node.New(node.Config{Self: all[0], Incarnation: 1, ReplicationFactor: 3}, node.PersistentState{}, 0)
 			if err != nil {
 				b.Fatal(err)
 			}
-			if err := c.Step(node.Packet{FleetID: "f", PollResponse: &node.PollResponse{FleetID: "f", Version: 2, Epoch: 1, Members: all}}); err != nil {
+			if err := memberNode.Step(node.Packet{FleetID: "f", PollResponse: &node.PollResponse{FleetID: "f", Version: 2, Epoch: 1, Members: all}}); err != nil {
 				b.Fatal(err)
 			}
-			s := &Server{node: c, links: newLinkTable("", "", nil, nil)}
-			done := measureCPU(b)
+			s := &Server{node: memberNode, links: newLinkTable("", "", nil, nil)}
+			stopMeasurement := measureCPU(b)
 			for range b.N {
-				var at []placement.MemberStatus
-				for _, k := range known[1:] {
-					at = append(at, placement.MemberStatus{Member: ShardMember(k.Member), Alive: true, StateAge: time.Hour})
+				var peers []placement.MemberStatus
+				for _, peer := range gossipPeers[1:] {
+					peers = append(peers, placement.MemberStatus{Member: ShardMember(peer.Member), Alive: true, StateAge: time.Hour})
 				}
-				s.send(nil, at)
+				s.send(nil, peers)
 			}
-			per := done()
-			b.ReportMetric(per/float64(tickInterval)*100, "%core")
+			perIteration := stopMeasurement()
+			b.ReportMetric(perIteration/float64(tickInterval)*100, "%core")
 		})
 	}
 }
--- a/internal/fleet/nodeserver/datadir_golden_test.go
+++ b/internal/fleet/nodeserver/datadir_golden_test.go
@@ -16,9 +16,10 @@
 
 const goldenMember = "0123456789abcdef0123456789abcdef"
 
+// goldenState identifies the agreed state in the golden directory.
 const goldenState = "version 8, digest 6b8f0b15caebb508"
 
-// goldenNode is the configuration of the member that the golden directory belongs to, a fleet of one.
+// goldenNode returns the configuration of the golden directory's member, the only one of its fleet.
 func goldenNode(incarnation uint64) node.Config {
 	const addr = "10.0.0.1:7001"
 	return node.Config{
@@ -38,35 +39,35 @@
 	}
 }
 
-// driveNode advances a node in steps, with its writes stored, until a condition holds.
-func driveNode(t *testing.T, c *node.Node, s *store.Store, now *time.Duration, done func(node.Ready) bool) {
+// driveNode advances a node in steps and stores its writes, until a condition holds for its output.
+func driveNode(t *testing.T, memberNode *node.Node, diskStore *store.Store, now *time.Duration, done func(node.Ready) bool) {
 	t.Helper()
 	for end := *now + time.Minute; *now < end; {
 		*now += tickInterval
-		c.Tick(*now, nil)
-		c.SetWallClock(1700000000)
-		r, err := c.Ready()
+		memberNode.Tick(*now, nil)
+		memberNode.SetWallClock(1700000000)
+		ready, err := memberNode.Ready()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Write(r); err != nil {
+		if err := diskStore.Write(ready); err != nil {
 			t.Fatal(err)
 		}
-		if done(r) {
+		if done(ready) {
 			return
 		}
 	}
-	t.Fatal("the condition does not hold within a minute")
+	t.Fatal("the condition did not hold within a minute")
 }
 
-// operate executes one operation.
-func operate(t *testing.T, c *node.Node, s *store.Store, now *time.Duration, op replication.Operation) (result replication.Result) {
+// executeOperation executes one operation and returns its result.
+func executeOperation(t *testing.T, memberNode *node.Node, diskStore *store.Store, now *time.Duration, op replication.Operation) (result replication.Result) {
 	t.Helper()
-	c.Submit(op, 10*time.Second)
-	driveNode(t, c, s, now, func(r node.Ready) bool {
-		for _, one := range r.Results {
-			if one.OperationID == op.ID {
-				result = one
+	memberNode.Submit(op, 10*time.Second)
+	driveNode(t, memberNode, diskStore, now, func(ready node.Ready) bool {
+		for _, candidate := range ready.Results {
+			if candidate.OperationID == op.ID {
+				result = candidate
 				return true
 			}
 		}
@@ -75,8 +76,8 @@
 	return result
 }
 
-// TestDataDirectoryOfAnEarlierBuildIsRead opens a copy of a directory that an earlier build wrote: its identity, log and records are the same,
-// and the member continues with them.
+// TestDataDirectoryOfAnEarlierBuildIsRead guards against changes of the on-disk format. It opens a copy of a directory that an earlier build
+// wrote: its identity, log and records must be decoded unchanged, and the member must continue with them.
 func TestDataDirectoryOfAnEarlierBuildIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "datadir"))); err != nil {
@@ -84,46 +85,46 @@
 	}
 	identity, err := datadir.ReadIdentity(dir)
 	if err != nil || identity != (datadir.Identity{Format: 1, FleetName: "istanbul", Machine: "m1", MemberID: goldenMember, Incarnation: 3}) {
-		t.Fatalf("%v: %+v", err, identity)
+		t.Fatalf("identity: error %v, got %+v", err, identity)
 	}
 	if _, err := store.Inspect(dir); err != nil {
 		t.Fatal(err)
 	}
-	s, saved, err := store.Open(dir)
+	diskStore, saved, err := store.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = s.Close() }()
+	defer func() { _ = diskStore.Close() }()
 	records := 0
-	for _, one := range saved.Shards {
-		records += len(one.Records)
+	for _, shardState := range saved.Shards {
+		records += len(shardState.Records)
 	}
 	if saved.FleetID != "fleet-id" || len(saved.Shards) != shardmap.ShardCount || records != 6 || len(saved.Log.HardState) == 0 || len(saved.Log.Snapshot) == 0 ||
 		len(saved.Log.Entries) != 8 {
 		t.Errorf("fleet %q, %d shards, %d records, %d entries", saved.FleetID, len(saved.Shards), records, len(saved.Log.Entries))
 	}
 	now := time.Hour
-	c, err := node.New(goldenNode(identity.Incarnation+1), saved, now)
+	memberNode, err := node.New(goldenNode(identity.Incarnation+1), saved, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	driveNode(t, c, s, &now, func(node.Ready) bool { return c.IsLeader() && c.FeedState().Version() >= 8 })
-	if got := fmt.Sprintf("version %d, digest %016x", c.FeedState().Version(), c.FeedState().Digest()); got != goldenState {
-		t.Errorf("the state has %s, not %s", got, goldenState)
+	driveNode(t, memberNode, diskStore, &now, func(node.Ready) bool { return memberNode.IsLeader() && memberNode.FeedState().Version() >= 8 })
+	if got := fmt.Sprintf("version %d, digest %016x", memberNode.FeedState().Version(), memberNode.FeedState().Digest()); got != goldenState {
+		t.Errorf("agreed state: got %s, want %s", got, goldenState)
 	}
 	for i := range 2 {
-		if v, is := c.FeedState().Get(fmt.Sprintf("config/%d", i)); !is || string(v) != fmt.Sprintf("value %d", i) {
-			t.Errorf("config/%d is %q", i, v)
+		if value, exists := memberNode.FeedState().Get(fmt.Sprintf("config/%d", i)); !exists || string(value) != fmt.Sprintf("value %d", i) {
+			t.Errorf("config/%d is %q", i, value)
 		}
 	}
 	for i := range 5 {
 		key := fmt.Sprintf("key/%d", i)
-		got := operate(t, c, s, &now, replication.Operation{ID: "read " + key, Key: key, ReadOnly: true})
+		got := executeOperation(t, memberNode, diskStore, &now, replication.Operation{ID: "read " + key, Key: key, ReadOnly: true})
 		if got.Outcome != replication.OutcomeConflict || got.Record.Version != uint64(1+i%2) || string(got.Record.Value) != fmt.Sprintf("%s at %d", key, got.Record.Version) {
 			t.Errorf("%s: %+v", key, got)
 		}
 	}
-	if got := operate(t, c, s, &now, replication.Operation{ID: "next", Key: "key/0", ExpectedVersion: 1, Value: []byte("new")}); got.Outcome != replication.OutcomeCommitted || got.Record.Version != 2 {
-		t.Errorf("a write that follows: %+v", got)
+	if got := executeOperation(t, memberNode, diskStore, &now, replication.Operation{ID: "next", Key: "key/0", ExpectedVersion: 1, Value: []byte("new")}); got.Outcome != replication.OutcomeCommitted || got.Record.Version != 2 {
+		t.Errorf("a new write: %+v", got)
 	}
 }
--- a/internal/fleet/nodeserver/golden_test.go
+++ b/internal/fleet/nodeserver/golden_test.go
@@ -14,7 +14,7 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// goldenRecord has every field set.
+// goldenRecord is a record with every field set.
 var goldenRecord = replication.Record{
 	Key:              "k",
 	Version:          3,
@@ -25,7 +25,7 @@
 	PastOperationIDs: []string{"p", "q"},
 }
 
-// goldenPackets are one packet of each kind, with every field set.
+// goldenPackets returns one packet of each kind, with every field set, by the name of its golden file.
 func goldenPackets() map[string]node.Packet {
 	packet := func(set func(*node.Packet)) node.Packet {
 		p := node.Packet{From: "from", To: "to", Addr: "10.0.0.1:7001", FleetID: "f"}
@@ -40,7 +40,7 @@
 	}
 	snapshot := changefeed.NewSnapshot("f", 9, []changefeed.Item{{Key: "epoch", Value: []byte("9")}, {Key: "fleet", Value: []byte("f")}})
 	members := []shardmap.Member{{ID: "m", Addr: "10.0.0.2:7001", Machine: "machine", Zone: "zone", Site: "site"}}
-	view := shardmap.Configuration{Number: 5, InSync: []string{"a", "b"}, Joining: []string{"c"}, DataLosses: 2}
+	configuration := shardmap.Configuration{Number: 5, InSync: []string{"a", "b"}, Joining: []string{"c"}, DataLosses: 2}
 	message := replication.Message{
 		Kind:              replication.MessageWrite,
 		From:              "from",
@@ -82,7 +82,7 @@
 				Version:  2,
 				Epoch:    3,
 				Members:  members,
-				Shards:   map[int]shardmap.Configuration{4: view},
+				Shards:   map[int]shardmap.Configuration{4: configuration},
 				LeaderID: "l",
 				Addr:     "10.0.0.2:7001",
 			}
@@ -126,7 +126,7 @@
 	}
 }
 
-// checkGolden compares bytes with a file of testdata.
+// checkGolden compares an encoded frame with a golden file.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -135,31 +135,32 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: encoded to\n%q, and the file has\n%q", name, got, want)
+		t.Errorf("%s: got\n%q\nwant\n%q", name, got, want)
 	}
 }
 
-// TestFramesAreUnchanged encodes a hello and one packet of each kind to the bytes of the golden files, and decodes these to the same values.
+// TestFramesAreUnchanged guards against changes of the wire format: a hello and one packet of each kind must be encoded to the bytes of the
+// golden files, and these must be decoded to the same values.
 func TestFramesAreUnchanged(t *testing.T) {
-	first := hello{FleetName: "istanbul", ProtocolVersion: 2, From: "from", To: "to"}
-	text, err := encodeFrame(first)
+	sentHello := hello{FleetName: "istanbul", ProtocolVersion: 2, From: "from", To: "to"}
+	frame, err := encodeFrame(sentHello)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "hello.frame", text)
-	var again hello
-	if n, err := readFrame(bytes.NewReader(text), &again); err != nil || n != len(text) || again != first {
-		t.Errorf("%v: %d bytes, %+v", err, n, again)
+	checkGolden(t, "hello.frame", frame)
+	var decoded hello
+	if n, err := readFrame(bytes.NewReader(frame), &decoded); err != nil || n != len(frame) || decoded != sentHello {
+		t.Errorf("decoded hello: error %v, %d bytes, %+v", err, n, decoded)
 	}
 	for name, p := range goldenPackets() {
-		text, err := encodeFrame(p)
+		frame, err := encodeFrame(p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkGolden(t, name+".frame", text)
-		var got node.Packet
-		if n, err := readFrame(bytes.NewReader(text), &got); err != nil || n != len(text) || !reflect.DeepEqual(got, p) {
-			t.Errorf("%s: %v: %d bytes, %+v", name, err, n, got)
+		checkGolden(t, name+".frame", frame)
+		var decoded node.Packet
+		if n, err := readFrame(bytes.NewReader(frame), &decoded); err != nil || n != len(frame) || !reflect.DeepEqual(decoded, p) {
+			t.Errorf("%s: decoded packet: error %v, %d bytes, %+v", name, err, n, decoded)
 		}
 	}
 }
--- a/internal/fleet/nodeserver/link_test.go
+++ b/internal/fleet/nodeserver/link_test.go
@@ -10,8 +10,8 @@
 	"sabletally/internal/fleet/shardmap"
 )
 
-// TestPacketRoundTrip encodes and decodes a packet with all parts, and damages its bytes. The configurations of a decoded packet must not
-// share their lists.
+// TestPacketRoundTrip guards against packets that are decoded to other values, such as configurations that share their lists, and against
+// corrupted frames that are accepted.
 func TestPacketRoundTrip(t *testing.T) {
 	p := node.Packet{
 		From:          "a",
@@ -29,19 +29,19 @@
 	for n := range shardmap.ShardCount {
 		p.PollResponse.Shards[n] = shardmap.Configuration{Number: uint64(n), InSync: []string{string(rune('a' + n%5)), string(rune('f' + n%3)), "z"}[:1+n%3]}
 	}
-	text, err := encodeFrame(p)
+	frame, err := encodeFrame(p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got node.Packet
-	if _, err := readFrame(bytes.NewReader(text), &got); err != nil || !reflect.DeepEqual(got, p) {
-		t.Errorf("%v: %+v", err, got)
+	if _, err := readFrame(bytes.NewReader(frame), &got); err != nil || !reflect.DeepEqual(got, p) {
+		t.Errorf("decoded packet: error %v, %+v", err, got)
 	}
-	for _, at := range []int{0, 5, 9, len(text) - 1} {
-		bad := bytes.Clone(text)
-		bad[at] ^= 0x40
-		if _, err := readFrame(bytes.NewReader(bad), &got); err == nil {
-			t.Errorf("a change of byte %d was not detected", at)
+	for _, position := range []int{0, 5, 9, len(frame) - 1} {
+		corrupted := bytes.Clone(frame)
+		corrupted[position] ^= 0x40
+		if _, err := readFrame(bytes.NewReader(corrupted), &got); err == nil {
+			t.Errorf("the corruption of byte %d was not detected", position)
 		}
 	}
 }
