--- a/internal/fleet/node/leader.go
+++ b/internal/fleet/node/leader.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// transferLeadership transfers the leadership to any other voter that is alive and not leaving itself.
+// transferLeadership transfers the leadership to another voter that is alive and not leaving.
 func (n *Node) transferLeadership() {
 	for _, peer := range n.peers {
 		id := consensus.NodeID(peer.ID)
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -34,7 +34,7 @@
 	VoterCount        int // number of voters of the log; fewer while there are not as many machines
 	ReplicationFactor int
 	EvictAfter        time.Duration // how long a member has failed before the next epoch leaves it out
-	MaxJoiningShards  int           // number of shards that are copied to new replicas at the same time
+	MaxJoiningShards  int           // maximum number of shards that are copied to new replicas at the same time
 	Seed              uint64        // seed of the random numbers
 
 	MaxKeys              int // maximum number of records on this member
--- a/internal/fleet/open.go
+++ b/internal/fleet/open.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	maxJoiningShards     = 8    // number of shards that are copied to new replicas at the same time
+	maxJoiningShards     = 8    // maximum number of shards that are copied to new replicas at the same time
 	maxPendingOperations = 4096 // maximum number of operations that wait for their results at this member
 )
 
