--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -11,10 +11,10 @@
 	"sabletally/internal/fleet/config"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew instead of comparing with them")
+var updateGolden = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// fill sets every field of a value to something else than its zero value, each to another one.
-func fill(t *testing.T, v reflect.Value, next *int) {
+// fillFields sets every field of a value to a value of its own that is not the zero value.
+func fillFields(t *testing.T, v reflect.Value, next *int) {
 	t.Helper()
 	*next++
 	switch v.Kind() {
@@ -30,26 +30,26 @@
 		v.SetFloat(float64(*next) + 0.5)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem(), next)
+		fillFields(t, v.Elem(), next)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(t, v.Index(0), next)
+		fillFields(t, v.Index(0), next)
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(t, key, next)
-		fill(t, value, next)
+		fillFields(t, key, next)
+		fillFields(t, value, next)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i), next)
+			fillFields(t, v.Field(i), next)
 		}
 	default:
 		t.Fatalf("no value for a %v", v.Type())
 	}
 }
 
-// requireGolden compares the JSON of a value with a golden file, and that it is decoded and encoded again to the same bytes.
+// requireGolden checks that the JSON of a value equals a golden file, and that decoding and encoding that again yields the same bytes.
 func requireGolden(t *testing.T, name string, value any) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -81,19 +81,20 @@
 		t.Fatal(err)
 	}
 	if string(again) != string(want) {
-		t.Errorf("%s is encoded again as %s", path, again)
+		t.Errorf("%s is decoded and encoded as\n%s", path, again)
 	}
 }
 
-// TestGoldenReport holds the report that operators read, with every field set.
+// TestGoldenReport guards against changes of the JSON report, which operators' tools read: a report with every field set must equal the golden
+// file.
 func TestGoldenReport(t *testing.T) {
 	var report Report
 	next := 0
-	fill(t, reflect.ValueOf(&report).Elem(), &next)
+	fillFields(t, reflect.ValueOf(&report).Elem(), &next)
 	requireGolden(t, "report.golden.json", report)
 }
 
-// TestGoldenRecords holds what is stored for balancers: the keys and the values.
+// TestGoldenRecords guards against changes of the keys and values of the records that are stored for balancers.
 func TestGoldenRecords(t *testing.T) {
 	requireGolden(t, "admin_state.golden.json", AdminState{OutOfService: true, SetAt: 1700000000, SetBy: "id-1"})
 	requireGolden(t, "endpoint_list.golden.json", EndpointList{Revision: 7, ConfirmedAt: 1700000000, Endpoints: json.RawMessage(`{"servers":["a","b"]}`)})
