--- a/internal/balancer/accept_test.go
+++ b/internal/balancer/accept_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// slowCloseConn is a connection whose close takes long.
+// slowCloseConn is a connection whose close takes 100 ms.
 type slowCloseConn struct {
 	unpolledConn
 	closed atomic.Bool
@@ -19,21 +19,22 @@
 	return err
 }
 
-// TestANewConnectionIsEvictedAtOnce has descriptors run short while a connection is accepted that is the only one to evict. netpoll registers
-// it as soon as evictIdle returns, and panics on a connection that is closed by another goroutine meanwhile: it must be closed by then.
+// TestANewConnectionIsEvictedAtOnce guards against a panic of netpoll when the connection to evict is the one that is being accepted.
+// netpoll registers that connection as soon as evictIdle returns, and panics if another goroutine closes it meanwhile, so evictIdle must
+// close it before it returns.
 func TestANewConnectionIsEvictedAtOnce(t *testing.T) {
 	_, l := newFullLoop(t)
 	_, far := tcpPipe(t)
 	netConn := &slowCloseConn{unpolledConn: unpolledConn{fd: detachDescriptor(t, far)}}
-	l.descriptors.Store(l.descriptorLimit - 1) // of sessions
+	l.descriptors.Store(l.descriptorLimit - 1) // held by sessions
 	l.evictIdle(l.addClient(netConn))
 	if !netConn.closed.Load() {
-		t.Error("the connection is still being closed")
+		t.Error("the connection is not closed yet")
 	}
 	if n := l.Evicted.Load(); n != 1 {
-		t.Errorf("%d connections are evicted", n)
+		t.Errorf("%d connections were evicted, want 1", n)
 	}
 	if n := l.descriptors.Load(); n != l.descriptorLimit-1 {
-		t.Errorf("%d descriptors are counted, not %d", n, l.descriptorLimit-1)
+		t.Errorf("%d descriptors are counted, want %d", n, l.descriptorLimit-1)
 	}
 }
--- a/internal/balancer/cost_test.go
+++ b/internal/balancer/cost_test.go
@@ -13,8 +13,8 @@
 	"sabletally/policy"
 )
 
-// BenchmarkSetup is a session from its client's dial to its end, 64 at a time, with balancer, clients and servers in one process. `testbed
-// throughput` measures how many a second there can be.
+// BenchmarkSetup measures the cost of a session, from its client's dial to its end, with 64 sessions at a time and the balancer, clients and
+// servers in one process. `testbed throughput` measures the maximum rate of sessions.
 func BenchmarkSetup(b *testing.B) {
 	var known discovery.List
 	for i := range 8 {
@@ -38,15 +38,15 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go l.Run(ctx.Done())
-	gate, err := Listen("127.0.0.1:0")
+	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	serve(l, gate)
-	target := bench.NewTarget(gate.Addr().String())
+	serve(l, listener)
+	target := bench.NewTarget(listener.Addr().String())
 	b.ReportAllocs()
 	b.ResetTimer()
 	if s := bench.SetupBatch(target, 64, b.N); s.Failed > 0 {
-		b.Fatalf("%d failed", s.Failed)
+		b.Fatalf("%d sessions failed", s.Failed)
 	}
 }
--- a/internal/balancer/golden_test.go
+++ b/internal/balancer/golden_test.go
@@ -9,7 +9,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// TestCountersKeepTheirLogKeys compares the counters' log line, each counter with a value of its own, with the one of earlier releases.
+// TestCountersKeepTheirLogKeys guards against changes to the keys and the order of the counters' log line, which operators' tools parse. It
+// gives each counter a distinct value and compares the line with that of earlier releases.
 func TestCountersKeepTheirLogKeys(t *testing.T) {
 	golden, err := os.ReadFile("testdata/counters.json")
 	if err != nil {
@@ -38,6 +39,6 @@
 		t.Fatal(err)
 	}
 	if line.String() != string(golden) {
-		t.Errorf("logged as\n%s, not\n%s", line, golden)
+		t.Errorf("counters are logged as\n%s, want\n%s", line, golden)
 	}
 }
--- a/internal/balancer/handover_rig_test.go
+++ b/internal/balancer/handover_rig_test.go
@@ -17,32 +17,32 @@
 	"sabletally/policy"
 )
 
-// handoverRig is an old process's loop with established clients, at servers that send each line back.
-type handoverRig struct {
+// handoverFixture is the loop of an old process with established clients, whose servers echo each line.
+type handoverFixture struct {
 	t        *testing.T
 	servers  net.Listener
 	listener *Listener
-	dir      string // of the old process's socket
+	dir      string // directory of the old process's socket
 	oldLoop  *Loop
 	clients  []*bufio.ReadWriter
-	oldDone  chan bool // closed once it has shut down
+	oldEnded chan bool // closed once the old process has shut down
 }
 
-func newHandoverRig(t *testing.T, clients int) *handoverRig {
+func newHandoverFixture(t *testing.T, clients int) *handoverFixture {
 	t.Helper()
-	u := &handoverRig{t: t, dir: t.TempDir(), oldDone: make(chan bool)}
+	f := &handoverFixture{t: t, dir: t.TempDir(), oldEnded: make(chan bool)}
 	var err error
-	if u.servers, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if f.servers, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = u.servers.Close() })
+	t.Cleanup(func() { _ = f.servers.Close() })
 	go func() {
 		for {
-			c, err := u.servers.Accept()
+			c, err := f.servers.Accept()
 			if err != nil {
 				return
 			}
-			go func() { // UP, then each line back
+			go func() { // accepts the session, then echoes each line
 				r := bufio.NewReader(c)
 				_, _ = r.ReadString('\n')
 				_, _ = io.WriteString(c, "UP 1\r\n")
@@ -51,137 +51,141 @@
 			}()
 		}
 	}()
-	if u.listener, err = Listen("127.0.0.1:0"); err != nil {
+	if f.listener, err = Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	u.listener.shared = true
-	u.oldLoop = u.startProcess(u.dir, u.listener)
-	<-u.oldLoop.becameReady
+	f.listener.shared = true
+	f.oldLoop = f.startProcess(f.dir, f.listener)
+	<-f.oldLoop.becameReady
 	for n := range clients {
-		rw := u.client()
+		rw := f.client()
 		_, _ = fmt.Fprintf(rw, "OPEN %d 2 c=feed,d=20000\r\n", n+1)
 		_ = rw.Flush()
 		if got, err := rw.ReadString('\n'); got != "UP 1\r\n" {
 			t.Fatalf("%q, %v", got, err)
 		}
-		u.clients = append(u.clients, rw)
+		f.clients = append(f.clients, rw)
 	}
-	return u
+	return f
 }
 
-func (u *handoverRig) client() *bufio.ReadWriter {
-	u.t.Helper()
-	c, err := net.Dial("tcp", u.listener.Addr().String())
+// client connects a client that has not sent anything.
+func (f *handoverFixture) client() *bufio.ReadWriter {
+	f.t.Helper()
+	c, err := net.Dial("tcp", f.listener.Addr().String())
 	if err != nil {
-		u.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	u.t.Cleanup(func() { _ = c.Close() })
+	f.t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return bufio.NewReadWriter(bufio.NewReader(c), bufio.NewWriterSize(c, 16))
 }
 
-func (u *handoverRig) startProcess(dir string, g *Listener) *Loop {
-	u.t.Helper()
-	l := newLoopWithServer(u.t, u.servers.Addr().String(), policy.Idempotent)
+// startProcess runs another loop with a listener and the handover socket in dir.
+func (f *handoverFixture) startProcess(dir string, g *Listener) *Loop {
+	f.t.Helper()
+	l := newLoopWithServer(f.t, f.servers.Addr().String(), policy.Idempotent)
 	ctx, stop := context.WithCancel(context.Background())
-	u.t.Cleanup(stop)
+	f.t.Cleanup(stop)
 	go l.Run(ctx.Done())
 	if err := l.StartHandover(g, dir, "n", 64<<20, 0); err != nil {
-		u.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	serve(l, g)
 	return l
 }
 
-// runIn runs a function in a loop and waits for it.
+// runIn calls a function on a loop's goroutine and waits for it.
 func runIn(l *Loop, do func()) {
 	done := make(chan bool)
 	l.post(event{run: func() { defer close(done); do() }})
 	<-done
 }
 
-// waitUntil waits until the old process's loop sees that a condition holds.
-func (u *handoverRig) waitUntil(what string, is func() bool) {
-	u.t.Helper()
+// waitUntil waits until a condition holds, which it checks on the goroutine of the old process's loop.
+func (f *handoverFixture) waitUntil(what string, condition func() bool) {
+	f.t.Helper()
 	for end, seen := time.Now().Add(testTimeout), false; !seen; time.Sleep(time.Millisecond) {
-		if runIn(u.oldLoop, func() { seen = is() }); time.Now().After(end) {
-			u.t.Fatal("not seen: ", what)
+		if runIn(f.oldLoop, func() { seen = condition() }); time.Now().After(end) {
+			f.t.Fatal("timed out waiting until ", what)
 		}
 	}
 }
 
-func (u *handoverRig) shutDownOld() { u.oldLoop.Shutdown(0, time.Second, func() { close(u.oldDone) }) }
+func (f *handoverFixture) shutDownOld() {
+	f.oldLoop.Shutdown(0, time.Second, func() { close(f.oldEnded) })
+}
 
-func (u *handoverRig) expectOldDone() {
-	u.t.Helper()
+func (f *handoverFixture) expectOldEnded() {
+	f.t.Helper()
 	select {
-	case <-u.oldDone:
+	case <-f.oldEnded:
 	case <-time.After(testTimeout):
-		u.t.Error("the old process does not end")
+		f.t.Error("the old process did not shut down")
 	}
 }
 
-// dialHangingSuccessor connects as a new process that says it is ready and reads only what confirm reads.
-func (u *handoverRig) dialHangingSuccessor() *net.UnixConn {
-	u.t.Helper()
-	path, err := hotrestart.SocketPath(u.dir, "n")
+// dialHangingSuccessor connects as a new process that reports that it is ready, and then hangs: only confirm reads from the connection.
+func (f *handoverFixture) dialHangingSuccessor() *net.UnixConn {
+	f.t.Helper()
+	path, err := hotrestart.SocketPath(f.dir, "n")
 	if err != nil {
-		u.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
-		u.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	u.t.Cleanup(func() { _ = c.Close() })
+	f.t.Cleanup(func() { _ = c.Close() })
 	if _, err := c.Write([]byte(`{"V":1,"Kind":2,"Confirms":true}`)); err != nil {
-		u.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	u.waitUntil("the new process is ready", func() bool { return u.oldLoop.readySuccessor() != nil })
+	f.waitUntil("the new process is ready", func() bool { return f.oldLoop.readySuccessor() != nil })
 	return c
 }
 
-// confirm reads and confirms so many sessions and clients as the new process, and closes them unused.
-func (u *handoverRig) confirm(c *net.UnixConn, many int) {
-	u.t.Helper()
+// confirm reads and confirms the given number of sessions and clients as the new process, and closes their descriptors.
+func (f *handoverFixture) confirm(c *net.UnixConn, count int) {
+	f.t.Helper()
 	text, rights := make([]byte, 256<<10), make([]byte, 256)
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	for taken := 0; taken < many; {
+	for taken := 0; taken < count; {
 		_, m, _, _, err := c.ReadMsgUnix(text, rights)
 		if err != nil {
-			u.t.Fatal(err)
+			f.t.Fatal(err)
 		}
 		msgs, _ := unix.ParseSocketControlMessage(rights[:m])
 		for i := range msgs {
 			fds, _ := unix.ParseUnixRights(&msgs[i])
 			closeDescriptors(fds)
 			if _, err := c.Write([]byte(`{"V":1,"Kind":6}`)); err != nil {
-				u.t.Fatal(err)
+				f.t.Fatal(err)
 			}
 			taken++
 		}
 	}
 }
 
-// countAnswers counts the clients that got MOVE, and those that got the end of the connection alone.
-func (u *handoverRig) countAnswers() (moved, bare int) {
-	u.t.Helper()
-	for n, rw := range u.clients {
+// countAnswers counts the clients that were sent MOVE, and those whose connection was closed without a line.
+func (f *handoverFixture) countAnswers() (migrated, closed int) {
+	f.t.Helper()
+	for n, rw := range f.clients {
 		switch got, err := rw.ReadString('\n'); {
 		case got == "MOVE\r\n":
-			moved++
+			migrated++
 		case got == "" && errors.Is(err, io.EOF):
-			bare++
+			closed++
 		default:
-			u.t.Errorf("client %d got %q, %v", n, got, err)
+			f.t.Errorf("client %d received %q, %v", n, got, err)
 		}
 	}
-	return moved, bare
+	return migrated, closed
 }
 
-// proxyLink stands between the two processes of a handover: the new one finds it in its directory. It forwards so many messages, with their
-// descriptors. From then on the new process's side looks ended to the old one, and what that has sent by then is still delivered. cut is closed
-// once all of it is.
-func proxyLink(t *testing.T, oldDir, newDir string, most int, cut chan bool) {
+// proxyLink starts a proxy between the two processes of a handover: the new process connects to it in newDir. It forwards limit messages
+// with their descriptors. At the next one it shuts down its sending side towards the old process, so that the old process sees the link
+// end, but still forwards the messages of the old process to the new one. It closes cut once these are delivered.
+func proxyLink(t *testing.T, oldDir, newDir string, limit int, cut chan bool) {
 	t.Helper()
 	to, err := hotrestart.SocketPath(oldDir, "n")
 	if err != nil {
@@ -195,7 +199,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listener.SetUnlinkOnClose(false) // the new process listens there next
+	listener.SetUnlinkOnClose(false) // the new process listens on the same path later
 	go func() {
 		defer close(cut)
 		near, err := listener.AcceptUnix()
@@ -210,8 +214,8 @@
 		}
 		defer func() { _ = far.Close() }()
 		var mu sync.Mutex
-		passed := 0
-		pass := func(from, to *net.UnixConn, on bool) {
+		forwarded := 0
+		forward := func(from, to *net.UnixConn, on bool) {
 			text, rights := make([]byte, 256<<10), make([]byte, 256)
 			for {
 				n, m, _, _, err := from.ReadMsgUnix(text, rights)
@@ -219,10 +223,10 @@
 					return
 				}
 				mu.Lock()
-				if passed++; passed <= most || on {
+				if forwarded++; forwarded <= limit || on {
 					_, _, _ = to.WriteMsgUnix(text[:n], rights[:m], nil)
 				}
-				if passed == most+1 {
+				if forwarded == limit+1 {
 					_ = far.CloseWrite()
 				}
 				mu.Unlock()
@@ -236,7 +240,7 @@
 				}
 			}
 		}
-		go pass(near, far, false)
-		pass(far, near, true)
+		go forward(near, far, false)
+		forward(far, near, true)
 	}()
 }
--- a/internal/balancer/leaving_client_test.go
+++ b/internal/balancer/leaving_client_test.go
@@ -18,7 +18,7 @@
 	"sabletally/policy"
 )
 
-// unpolledConn is a client's connection that no poller reads.
+// unpolledConn is a client's connection from which no poller reads.
 type unpolledConn struct {
 	netpoll.Connection
 	fd             int
@@ -45,25 +45,25 @@
 
 // countingServer is a server that counts the connections and lines that reach it.
 type countingServer struct {
-	t            *testing.T
-	listener     net.Listener
-	reply        string // to each line, once mayReply is closed
-	mayReply     chan struct{}
-	mu           sync.Mutex
-	accepted     int
-	lines        []string
-	fenceAddress string // the test's own address
-	fencePassed  chan int
+	t              *testing.T
+	listener       net.Listener
+	reply          string // answer to each first line, sent once mayReply is closed; "" for no answer
+	mayReply       chan struct{}
+	mu             sync.Mutex
+	accepted       int
+	lines          []string
+	markerAddress  string   // local address of the connection that connectionCount makes
+	markerAccepted chan int // number of connections accepted before that connection
 }
 
-func newCountingServer(t *testing.T, says string) *countingServer {
+func newCountingServer(t *testing.T, reply string) *countingServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	s := &countingServer{t: t, listener: listener, reply: says, mayReply: make(chan struct{}), fencePassed: make(chan int, 1)}
+	s := &countingServer{t: t, listener: listener, reply: reply, mayReply: make(chan struct{}), markerAccepted: make(chan int, 1)}
 	go func() {
 		for {
 			c, err := listener.Accept()
@@ -71,8 +71,8 @@
 				return
 			}
 			s.mu.Lock()
-			if c.RemoteAddr().String() == s.fenceAddress {
-				s.fencePassed <- s.accepted
+			if c.RemoteAddr().String() == s.markerAddress {
+				s.markerAccepted <- s.accepted
 				s.mu.Unlock()
 				_ = c.Close()
 				continue
@@ -106,24 +106,25 @@
 	_, _ = io.Copy(io.Discard, r)
 }
 
-// attempts returns how many connections were begun so far: the test's own follows them in the queue.
-func (s *countingServer) attempts() int {
+// connectionCount returns the number of connections that were started so far. It makes a connection of its own, which follows them in the
+// accept queue.
+func (s *countingServer) connectionCount() int {
 	s.t.Helper()
-	// Under the lock, so that it is known by the time that it is accepted.
+	// The lock is held until the address is set, so that the accept loop recognises the connection.
 	s.mu.Lock()
 	c, err := net.Dial("tcp", s.listener.Addr().String())
 	if err != nil {
 		s.mu.Unlock()
 		s.t.Fatal(err)
 	}
-	s.fenceAddress = c.LocalAddr().String()
+	s.markerAddress = c.LocalAddr().String()
 	s.mu.Unlock()
 	defer func() { _ = c.Close() }()
 	select {
-	case n := <-s.fencePassed:
+	case n := <-s.markerAccepted:
 		return n
 	case <-time.After(testTimeout):
-		s.t.Fatal("nothing is accepted")
+		s.t.Fatal("the server does not accept connections")
 		return 0
 	}
 }
@@ -134,7 +135,7 @@
 	return len(s.lines)
 }
 
-// leavingClient is a loop that the test steps, with a client that is about to leave.
+// leavingClient is a loop that the test steps, with a client that is about to disconnect.
 type leavingClient struct {
 	*steppedLoop
 	server *countingServer
@@ -143,53 +144,54 @@
 	ending string
 }
 
-// clientEndings are the ways in which a client leaves; a cancelled call is one of the first three on the wire.
+// clientEndings are the ways in which a client disconnects. On the wire, a cancelled call is one of the first three.
 var clientEndings = []string{"end", "half-close", "reset", "unread bytes and end", "unread bytes and reset", "more unread bytes than have room, and end"}
 
-func newLeavingClient(t *testing.T, how, says string) *leavingClient {
+func newLeavingClient(t *testing.T, ending, reply string) *leavingClient {
 	t.Helper()
-	s := newCountingServer(t, says)
+	s := newCountingServer(t, reply)
 	l := newLoopWithServer(t, s.listener.Addr().String(), policy.Idempotent)
-	y := &leavingClient{steppedLoop: &steppedLoop{t: t, l: l}, server: s, ending: how}
+	lc := &leavingClient{steppedLoop: &steppedLoop{t: t, l: l}, server: s, ending: ending}
 	near, far := tcpPipe(t)
-	y.client = near
+	lc.client = near
 	u := &unpolledConn{fd: detachDescriptor(t, far)}
 	t.Cleanup(func() { _ = u.Close() })
 	l.descriptors.Add(1)
-	y.conn = newConn(u, l, &l.descriptors)
-	y.conn.idle = l.idle
-	return y
+	lc.conn = newConn(u, l, &l.descriptors)
+	lc.conn.idle = l.idle
+	return lc
 }
 
-// applyServers lists so many servers at the one address, in a state.
-func (y *leavingClient) applyServers(many int, state policy.EndpointState) {
+// applyServers applies an endpoint list with the given number of servers, all at one address and in the same state.
+func (lc *leavingClient) applyServers(many int, state policy.EndpointState) {
 	var all []discovery.Endpoint
 	for i := range many {
-		all = append(all, discovery.Endpoint{UID: fmt.Sprint("s-", i+1), Address: y.server.listener.Addr().String(), Weight: 1, State: state})
+		all = append(all, discovery.Endpoint{UID: fmt.Sprint("s-", i+1), Address: lc.server.listener.Addr().String(), Weight: 1, State: state})
 	}
-	y.l.applyList(discovery.List{Complete: true, Endpoints: all}, false)
+	lc.l.applyList(discovery.List{Complete: true, Endpoints: all}, false)
 }
 
-// receiveLine has the loop handle the client's line in its next turn.
-func (y *leavingClient) receiveLine(text string) {
+// receiveLine posts a line of the client, which the loop handles in its next iteration.
+func (lc *leavingClient) receiveLine(text string) {
 	line := protocol.Decode([]byte(text))
 	if line.Err != nil {
-		y.t.Fatal(line.Err)
+		lc.t.Fatal(line.Err)
 	}
-	y.conn.phase.Store(expectNothing)
-	y.l.post(event{conn: y.conn, lines: []protocol.Line{line}})
+	lc.conn.phase.Store(expectNothing)
+	lc.l.post(event{conn: lc.conn, lines: []protocol.Line{line}})
 }
 
-// leave has the client leave, and the loop be late.
-func (y *leavingClient) leave() {
-	y.t.Helper()
-	leaveBy(y.t, y.ending, y.client, y.conn.fd())
+// leave has the client disconnect, and returns disconnectGrace later without having stepped the loop.
+func (lc *leavingClient) leave() {
+	lc.t.Helper()
+	leaveAndWait(lc.t, lc.ending, lc.client, lc.conn.fd())
 }
 
-// leaveBy has a client leave, given the descriptor of the connection's other end, and waits for 0.1 s and until the kernel knows.
-func leaveBy(t *testing.T, how string, client *net.TCPConn, fd int) {
+// leaveAndWait has a client disconnect and waits for disconnectGrace, and until the kernel has received the end, except where a flood hides
+// it. fd is the descriptor of the connection's other end.
+func leaveAndWait(t *testing.T, ending string, client *net.TCPConn, fd int) {
 	t.Helper()
-	flood := strings.HasPrefix(how, "more")
+	flood := strings.HasPrefix(ending, "more")
 	if flood {
 		_ = client.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 		for {
@@ -198,30 +200,31 @@
 			}
 		}
 	}
-	if strings.HasPrefix(how, "unread") {
+	if strings.HasPrefix(ending, "unread") {
 		_, _ = io.WriteString(client, strings.Repeat("x", 100))
 		for _, n := kernelState(t, fd); n < 100; _, n = kernelState(t, fd) {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	endBy(how, client)
+	endConnection(ending, client)
 	began := time.Now()
-	for st, n := kernelState(t, fd); time.Since(began) <= clientGoneFor || !flood && st == unix.BPF_TCP_ESTABLISHED; st, n = kernelState(t, fd) {
+	for st, n := kernelState(t, fd); time.Since(began) <= disconnectGrace || !flood && st == unix.BPF_TCP_ESTABLISHED; st, n = kernelState(t, fd) {
 		if flood && (st != unix.BPF_TCP_ESTABLISHED || n == 0) {
-			t.Fatalf("state %d with %d bytes unread: its end has come", st, n)
+			t.Fatalf("state %d with %d unread bytes: the end was received", st, n)
 		}
 		if time.Since(began) > testTimeout {
-			t.Fatal("the kernel does not hear of its end")
+			t.Fatal("the kernel has not received the client's end")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func endBy(how string, client *net.TCPConn) {
+// endConnection ends a client's connection in one of the ways of clientEndings.
+func endConnection(ending string, client *net.TCPConn) {
 	switch {
-	case how == "half-close":
+	case ending == "half-close":
 		_ = client.CloseWrite()
-	case strings.HasSuffix(how, "reset"):
+	case strings.HasSuffix(ending, "reset"):
 		_ = client.SetLinger(0)
 		_ = client.Close()
 	default:
@@ -229,7 +232,7 @@
 	}
 }
 
-// kernelState returns a connection's state and how many of its bytes nobody has read.
+// kernelState returns a connection's TCP state and the number of its unread bytes.
 func kernelState(t *testing.T, fd int) (state uint8, unread int) {
 	t.Helper()
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -242,34 +245,35 @@
 	return info.State, unread
 }
 
-// expectNothingMore steps the loop until the client's session has ended, and checks that nothing was begun beside what had been.
-func (y *leavingClient) expectNothingMore(attempts, lines int) {
-	y.t.Helper()
-	y.runUntil("no session is left", func() bool { return len(y.l.sessions) == 0 })
-	if n := y.server.attempts(); n != attempts {
-		y.t.Errorf("%d attempts, %d of them before it went", n, attempts)
+// expectNoMoreAttempts steps the loop until the client's session has ended. It checks that there were only the given numbers of connections
+// and of written lines, those from before the client disconnected.
+func (lc *leavingClient) expectNoMoreAttempts(attempts, lines int) {
+	lc.t.Helper()
+	lc.runUntil("no session is left", func() bool { return len(lc.l.sessions) == 0 })
+	if n := lc.server.connectionCount(); n != attempts {
+		lc.t.Errorf("%d connections, %d of them before the client disconnected", n, attempts)
 	}
-	if n := y.server.lineCount(); n != lines {
-		y.t.Errorf("%d lines written, %d of them before it went", n, lines)
+	if n := lc.server.lineCount(); n != lines {
+		lc.t.Errorf("%d lines written, %d of them before the client disconnected", n, lines)
 	}
-	if n := y.l.Panics.Load(); n != 0 {
-		y.t.Errorf("%d panics", n)
+	if n := lc.l.Panics.Load(); n != 0 {
+		lc.t.Errorf("%d panics", n)
 	}
 }
 
-// admitted steps the loop until the client's session is in the table.
-func (y *leavingClient) admitted() *session {
-	y.t.Helper()
-	y.receiveLine(fmt.Sprintf(openLine, 1))
-	y.runUntil("it is admitted", func() bool { return len(y.l.sessions) == 1 })
-	return y.l.sessions[y.l.lastSessionID]
+// admit steps the loop until the client's session is in the session table.
+func (lc *leavingClient) admit() *session {
+	lc.t.Helper()
+	lc.receiveLine(fmt.Sprintf(openLine, 1))
+	lc.runUntil("the session is admitted", func() bool { return len(lc.l.sessions) == 1 })
+	return lc.l.sessions[lc.l.lastSessionID]
 }
 
-// connectedUnhandled has an attempt's connection come up and hides that from the loop.
-func (y *leavingClient) connectedUnhandled() *session {
-	y.t.Helper()
-	session := y.admitted()
-	y.session = session
-	y.waitUntil("the attempt's connection is up", func() bool { return y.takeEvent(func(ev event) bool { return ev.session == session }) })
+// connectUnhandled waits until an attempt is connected and removes that event from the loop's inbox.
+func (lc *leavingClient) connectUnhandled() *session {
+	lc.t.Helper()
+	session := lc.admit()
+	lc.session = session
+	lc.waitUntil("the attempt is connected", func() bool { return lc.takeEvent(func(ev event) bool { return ev.session == session }) })
 	return session
 }
--- a/internal/balancer/load_estimator_test.go
+++ b/internal/balancer/load_estimator_test.go
@@ -12,6 +12,8 @@
 	"sabletally/policy"
 )
 
+// TestLoadIsEstimatedFromProbeTimes guards against wrong load estimates for idle, loaded, overloaded and warming servers on machines of
+// different speeds.
 func TestLoadIsEstimatedFromProbeTimes(t *testing.T) {
 	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 2, SlowStartWindow: 20 * time.Second}}
 	l := &Loop{log: zap.NewNop(), deployment: dep, policy: policy.New(dep.Policy, 7), startTime: time.Now(),
@@ -28,47 +30,47 @@
 	}
 	for id := range policy.EndpointID(3) {
 		if load, known := probe(id, 7*ms, 8*ms, 7*ms, 1*ms, 7*ms, 8*ms); !known || load > 0.4 {
-			t.Errorf("an idle server: %v, %v", load, known)
+			t.Errorf("load %v, known %v for an idle server", load, known)
 		}
 	}
 	if load, _ := probe(0, 16*ms, 8*ms); load > 0.4 {
-		t.Errorf("one probe that waited for another: %v", load)
+		t.Errorf("load %v after one probe that waited for another", load)
 	}
 	if load, _ := probe(2, 2400*time.Microsecond, 3*ms, 2600*time.Microsecond); load > 0.4 {
-		t.Errorf("a fast server and a busy machine of our own: %v", load)
+		t.Errorf("load %v for a fast server probed from a busy balancer", load)
 	}
 	if load, _ := probe(0, 90*ms); load < 1.05 {
-		t.Errorf("one probe that no other probe explains: %v", load)
+		t.Errorf("load %v after one probe that is longer than other balancers' probes can explain", load)
 	}
 	probe(0, 8*ms, 8*ms)
 	if load, _ := probe(0, 10*ms, 10*ms); load < 0.6 || load > 0.85 {
-		t.Errorf("a loaded server: %v", load)
+		t.Errorf("load %v for a loaded server", load)
 	}
 	if load, _ := probe(0, 22*ms, 20*ms); load < 1.05 {
-		t.Errorf("an overloaded server: %v", load)
+		t.Errorf("load %v for an overloaded server", load)
 	}
 	if load, _ := probe(3, 11*ms, 11*ms, 12*ms); load > 0.4 {
-		t.Errorf("an idle server on a slow machine: %v", load)
+		t.Errorf("load %v for an idle server on a slow machine", load)
 	}
 	if load, _ := probe(4, 30*ms, 31*ms, 32*ms); load < 0.85 {
-		t.Errorf("a server that was overloaded from the start: %v", load)
+		t.Errorf("load %v for a server that was overloaded from the start", load)
 	}
-	for id, want := range map[policy.EndpointID]float64{0: 1, 2: 2.5, 3: 0.7} { // of machines of 8, 3 and 12 ms
+	for id, want := range map[policy.EndpointID]float64{0: 1, 2: 2.5, 3: 0.7} { // probes of their machines take 8, 3 and 12 ms
 		server := l.servers[id]
 		server.listed.Weight = 1
 		if got := server.weight(); got < want/1.5 || got > want*1.5 {
-			t.Errorf("server %d of weight %v, wanted about %v", id, got, want)
+			t.Errorf("server %d has weight %v, want about %v", id, got, want)
 		}
 	}
 	l.servers[1].listed.StartedAt = l.startTime.Add(15 * time.Second)
 	if _, known := probe(1, 40*ms); known {
-		t.Error("a load is estimated from a warming server's probes")
+		t.Error("a load was estimated for a server that is warming up")
 	}
 }
 
-// TestAnOverloadedServersFirstProbeIsReestimated has a fleet that is overloaded when a balancer starts: the slow server is probed first, the
-// others show what is usual, and the policy avoids the slow one without a second probe. A long probe after short ones is repeated in the next
-// round.
+// TestAnOverloadedServersFirstProbeIsReestimated guards against sessions that are sent to a server which is overloaded when a balancer
+// starts. The overloaded server is probed first; the probes of the others show how slow it is, and the policy must avoid it without a second
+// probe. A long probe after short ones must be repeated in the next round.
 func TestAnOverloadedServersFirstProbeIsReestimated(t *testing.T) {
 	ms := time.Millisecond
 	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 2, CanHealthCheck: true, HasLoadReports: true, MaxAttempts: 3,
@@ -109,30 +111,31 @@
 		t.Fatalf("%v", attempts)
 	}
 	at := time.Second
-	for _, x := range []struct {
+	for _, c := range []struct {
 		took time.Duration
 		want bool
 	}{{7, false}, {8, false}, {28, true}} {
-		for probed := map[policy.EndpointID]bool{}; !probed[1]; at += 10 * ms { // until its own turn
+		for probed := map[policy.EndpointID]bool{}; !probed[1]; at += 10 * ms { // until the server's regular probe
 			l.policy.AdvanceClock(at)
 			l.now = at
 			_, probed = next()
 		}
-		probe(1, x.took*ms)
-		l.policy.AdvanceClock(at + 260*ms) // the next round: its own turn is not before 700 ms
-		if _, probed := next(); probed[1] != x.want {
-			t.Fatalf("probed again after %d ms: %t", x.took, probed[1])
+		probe(1, c.took*ms)
+		l.policy.AdvanceClock(at + 260*ms) // next round of probes; the server's next regular probe is at least 700 ms away
+		if _, probed := next(); probed[1] != c.want {
+			t.Fatalf("after a probe of %d ms, probed again is %t", c.took, probed[1])
 		}
 	}
 }
 
-// TestMachineSpeedIsEstimatedFromAFewProbes has slow first probes, as those of a new balancer are by its own start. One probe of each server
-// later the speed of each machine is known. With a median that stays as it was first, all machines would be four times as fast as it.
+// TestMachineSpeedIsEstimatedFromAFewProbes guards against a median probe time that stays at that of the first probes, by which all machines
+// would be four times as fast as the median. The first probes of a new balancer are slow because it is starting. Soon after, the speed of
+// each machine must be known.
 func TestMachineSpeedIsEstimatedFromAFewProbes(t *testing.T) {
 	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 80, Classes: []policy.Class{{MessageObjective: time.Second}}}}
 	l := &Loop{log: zap.NewNop(), policy: policy.New(dep.Policy, 7), startTime: time.Now(), servers: map[policy.EndpointID]*upstream{}}
 	l.applySettings(dep)
-	took, want := []time.Duration{4, 4, 10, 10, 10, 10, 20}, []int{3, 3, 0, 0, 0, 0, -1} // none is under a quarter of the fastest
+	took, want := []time.Duration{4, 4, 10, 10, 10, 10, 20}, []int{3, 3, 0, 0, 0, 0, -1} // no machine is slower than a quarter of the fastest one's speed
 	for i := range took {
 		l.servers[policy.EndpointID(i)] = &upstream{id: policy.EndpointID(i), listed: discovery.Endpoint{UID: fmt.Sprint(i), Weight: 1}}
 	}
@@ -144,7 +147,7 @@
 	}
 	for i := range want {
 		if got := l.servers[policy.EndpointID(i)].speedStep; got != want[i] {
-			t.Errorf("server %d, whose probes take %d ms, has speed step %d, not %d", i, took[i], got, want[i])
+			t.Errorf("server %d, whose probes take %d ms, has speed step %d, want %d", i, took[i], got, want[i])
 		}
 	}
 }
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -20,12 +20,12 @@
 	"sabletally/policy"
 )
 
-// serve accepts clients beside the test.
+// serve accepts clients on another goroutine.
 func serve(l *Loop, listener *Listener) {
-	go func() { _ = l.Serve(listener) }() // it ends with the listener
+	go func() { _ = l.Serve(listener) }() // ends when the listener is closed
 }
 
-// newLoopWithServer returns a loop with one listed server and one class, that nobody runs yet.
+// newLoopWithServer returns a loop with one listed server and one class. It is not running.
 func newLoopWithServer(t *testing.T, server string, effect policy.Idempotency) *Loop {
 	t.Helper()
 	dep := &deployment.Settings{
@@ -41,84 +41,84 @@
 	return l
 }
 
-// TestAPanicCostsOneConnection has the loop panic for an established session and for one that waits for its answer: a third goes on, and the
-// policy does not hold the two any more.
+// TestAPanicCostsOneConnection guards against a panic in the loop that ends other sessions, or leaves its own session in the loop. The loop
+// panics for an established session and for one that waits for its answer; a third session must continue.
 func TestAPanicCostsOneConnection(t *testing.T) {
 	servers, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = servers.Close() }()
-	door, err := Listen("127.0.0.1:0")
+	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := make(chan net.Conn, 3)
+	requested := make(chan net.Conn, 3)
 	go func() {
 		for {
 			c, err := servers.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { _ = c.Close() }) // not before: a connection that is garbage-collected is closed
+			t.Cleanup(func() { _ = c.Close() }) // keeps a reference to it until then, as a connection that is garbage-collected is closed
 			_, _ = bufio.NewReader(c).ReadString('\n')
-			asked <- c
+			requested <- c
 		}
 	}()
 	l := newLoopWithServer(t, servers.Addr().String(), policy.Idempotent)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go l.Run(ctx.Done())
-	serve(l, door)
-	last := 0
+	serve(l, listener)
+	lastID := 0
 	client := func() (net.Conn, *bufio.Reader, net.Conn) {
-		c, err := net.Dial("tcp", door.Addr().String())
+		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-		last++
-		_, _ = fmt.Fprintf(c, "OPEN %d 2 c=feed,d=20000\r\n", last)
-		return c, bufio.NewReader(c), <-asked
+		lastID++
+		_, _ = fmt.Fprintf(c, "OPEN %d 2 c=feed,d=20000\r\n", lastID)
+		return c, bufio.NewReader(c), <-requested
 	}
-	in := func(do func()) { // runs in the loop and waits
+	runInLoop := func(do func()) {
 		done := make(chan struct{})
 		l.post(event{run: func() { defer close(done); do() }})
 		<-done
 	}
-	fail := func(id policy.SessionID) {
-		in(func() { l.recoverPanics(l.sessions[id].client, func() { panic("for the test") }) })
+	panicFor := func(id policy.SessionID) {
+		runInLoop(func() { l.recoverPanics(l.sessions[id].client, func() { panic("test panic for a session") }) })
 	}
-	_, waits, _ := client()
-	_, stands, server := client()
-	goesOn, r, other := client()
+	_, waiting, _ := client()
+	_, established, server := client()
+	surviving, r, other := client()
 	for _, c := range []net.Conn{server, other} {
 		_, _ = io.WriteString(c, "UP 1\r\n")
 	}
-	_, _ = stands.ReadString('\n')
+	_, _ = established.ReadString('\n')
 	_, _ = r.ReadString('\n')
-	fail(1)
-	if got, err := waits.ReadString('\n'); !strings.HasPrefix(got, "ERR") {
+	panicFor(1)
+	if got, err := waiting.ReadString('\n'); !strings.HasPrefix(got, "ERR") {
 		t.Fatalf("%q, %v", got, err)
 	}
-	fail(2)
-	if _, err := stands.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
+	panicFor(2)
+	if _, err := established.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Fatal(err)
 	}
-	in(func() { panic("for no session") })
-	_, _ = io.WriteString(goesOn, "M 1\r\n")
+	runInLoop(func() { panic("test panic for no session") })
+	_, _ = io.WriteString(surviving, "M 1\r\n")
 	if got, _ := bufio.NewReader(other).ReadString('\n'); got != "M 1\r\n" {
 		t.Fatalf("%q", got)
 	}
-	in(func() {
+	runInLoop(func() {
 		if n := l.Panics.Load(); n != 3 || len(l.sessions) != 1 || l.openSessions != 1 {
-			t.Errorf("%d panics, %d sessions, %d open", n, len(l.sessions), l.openSessions)
+			t.Errorf("%d panics, %d sessions, %d of them open; want 3, 1 and 1", n, len(l.sessions), l.openSessions)
 		}
 	})
 }
 
-// TestAServerThatEndsFirstIsSentNothing has a server end its connection before it was sent anything: it is sent nothing, and the attempt had
-// no effect.
+// TestAServerThatEndsFirstIsSentNothing guards against a request that is written to a server which has ended its connection already. Nothing
+// must be sent, and the attempt must end as one without effect.
 func TestAServerThatEndsFirstIsSentNothing(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -153,7 +153,7 @@
 		l.runOnce()
 	}
 	c := <-up
-	for c.CheckOpen() == nil { // until its end has arrived
+	for c.CheckOpen() == nil { // until the server's end of the connection has arrived
 		time.Sleep(time.Millisecond)
 	}
 	l.upstreamDialed(session, 1, c, nil)
@@ -162,9 +162,9 @@
 		l.runOnce()
 	}
 	if got := <-received; got != "" {
-		t.Fatalf("the server was sent %q", got)
+		t.Fatalf("the server received %q", got)
 	}
 	if session.attemptActive || l.Outcomes[policy.ConnectFailed].Load() != 1 || l.descriptors.Load() != 0 {
-		t.Fatal("a connection that was gone by then was used")
+		t.Fatal("a connection that had ended was used")
 	}
 }
--- a/internal/balancer/race_test.go
+++ b/internal/balancer/race_test.go
@@ -20,18 +20,18 @@
 	"sabletally/policy"
 )
 
-// These tests force an order of two things that happen at the same time: both are held, by a loop that only the test steps or by a lock that
-// it holds.
+// The tests in this file force the order of two concurrent events: they hold both back, by a loop that only the test steps or by a lock.
 
 const testTimeout = 20 * time.Second
 
-// TestAClientThatLeftBeforeTheRequestIsWritten has a client leave while its attempt's connection comes up. The loop handles that first, and the
-// client's end, which is posted or unread, only later. The request must not be written: its client has left.
+// TestAClientThatLeftBeforeTheRequestIsWritten guards against a request that is written for a client which has disconnected. The client
+// disconnects while its attempt is being connected, and the loop handles the connection first: the client's end is posted but not handled,
+// or not even read.
 func TestAClientThatLeftBeforeTheRequestIsWritten(t *testing.T) {
-	for _, how := range []string{"end", "half-close", "reset", "unread bytes and end"} {
-		t.Run(how, func(t *testing.T) {
-			x := newSteppedLoop(t, policy.Idempotent)
-			switch tcp := x.client.(*net.TCPConn); how {
+	for _, ending := range []string{"end", "half-close", "reset", "unread bytes and end"} {
+		t.Run(ending, func(t *testing.T) {
+			sl := newSteppedLoop(t, policy.Idempotent)
+			switch tcp := sl.client.(*net.TCPConn); ending {
 			case "half-close":
 				_ = tcp.CloseWrite()
 			case "reset":
@@ -43,77 +43,78 @@
 			default:
 				_ = tcp.Close()
 			}
-			c := x.session.client
-			x.waitUntil("its end is here", func() bool { return x.hasEvent(func(ev event) bool { return ev.conn == c && ev.disconnect != nil }) })
-			x.handleConnected()
-			if got := x.serverInput(); got != "" {
-				t.Errorf("the server was sent %q", got)
+			c := sl.session.client
+			sl.waitUntil("the client's end is posted", func() bool { return sl.hasEvent(func(ev event) bool { return ev.conn == c && ev.disconnect != nil }) })
+			sl.handleConnected()
+			if got := sl.serverInput(); got != "" {
+				t.Errorf("the server received %q", got)
 			}
-			if n := len(x.l.sessions); n != 0 {
-				t.Errorf("%d sessions are left", n)
+			if n := len(sl.l.sessions); n != 0 {
+				t.Errorf("%d sessions are left, want none", n)
 			}
 		})
 	}
 }
 
-// TestAWriteAfterTheCloseFails has netpoll close a client's connection between the writer's check and its write, and free its buffers at any
-// moment after: each write fails and none panics.
+// TestAWriteAfterTheCloseFails guards against a panic in a write to a client whose connection netpoll closes between the writer's check and
+// its write, and whose buffers netpoll frees at any time after that. Each write must fail.
 func TestAWriteAfterTheCloseFails(t *testing.T) {
-	x := newSteppedLoop(t, policy.Idempotent)
-	c := x.session.client
-	_ = x.client.(*net.TCPConn).SetLinger(0)
-	_ = x.client.Close()
-	x.waitUntil("its end is here", func() bool { return x.hasEvent(func(ev event) bool { return ev.conn == c && ev.disconnect != nil }) })
+	sl := newSteppedLoop(t, policy.Idempotent)
+	c := sl.session.client
+	_ = sl.client.(*net.TCPConn).SetLinger(0)
+	_ = sl.client.Close()
+	sl.waitUntil("the client's end is posted", func() bool { return sl.hasEvent(func(ev event) bool { return ev.conn == c && ev.disconnect != nil }) })
 	for end := time.Now().Add(50 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if err := c.writeNow([]byte("ERR\r\n")); err == nil {
-			t.Fatal("a write succeeds")
+			t.Fatal("a write to a closed connection succeeded")
 		}
 	}
 	if stage := c.currentStage(); stage != StageConnected {
-		t.Errorf("its stage is %v", stage)
+		t.Errorf("the connection is at stage %v", stage)
 	}
 }
 
-// TestATimedOutAttemptIsNotSent has the process stopped while a connection comes up, until after the attempt's deadline. The loop handles the
-// connection first.
+// TestATimedOutAttemptIsNotSent guards against a request that is sent after its attempt's deadline. The process is stopped while the attempt
+// is being connected, until after the deadline, and the loop handles the connection before the timeout.
 func TestATimedOutAttemptIsNotSent(t *testing.T) {
-	x := newSteppedLoop(t, policy.NonIdempotent)
-	x.session.attemptDeadline = time.Since(x.l.startTime)
-	x.handleConnected()
-	if got := x.serverInput(); got != "" {
-		t.Errorf("the server was sent %q", got)
+	sl := newSteppedLoop(t, policy.NonIdempotent)
+	sl.session.attemptDeadline = time.Since(sl.l.startTime)
+	sl.handleConnected()
+	if got := sl.serverInput(); got != "" {
+		t.Errorf("the server received %q", got)
 	}
-	if n := x.l.Outcomes[policy.NeverSent].Load(); n != 1 {
-		t.Errorf("%d ended as never sent", n)
+	if n := sl.l.Outcomes[policy.NeverSent].Load(); n != 1 {
+		t.Errorf("%d attempts ended as never sent, want 1", n)
 	}
 }
 
-// TestAStallBetweenCheckAndWrite holds the goroutine that writes a request until the endpoint list says that the server drains: the request is
-// not written by the earlier check.
+// TestAStallBetweenCheckAndWrite guards against a request that is written to a draining server after a stall. The goroutine that writes the
+// request is held until the endpoint list marks the server as draining: the loop's earlier check must not count any more.
 func TestAStallBetweenCheckAndWrite(t *testing.T) {
-	x := newSteppedLoop(t, policy.Idempotent)
-	c := x.session.client
-	c.mu.Lock() // the client is checked last
-	x.handleConnected()
+	sl := newSteppedLoop(t, policy.Idempotent)
+	c := sl.session.client
+	c.mu.Lock() // blocks the check of the client, the last one before the write
+	sl.handleConnected()
 	held := time.Now()
-	x.l.applyList(discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: x.session.upstream.address, Weight: 1, State: policy.Draining}}}, false)
-	x.waitUntil("the check is old", func() bool { return time.Since(held) > maxCheckAge })
+	sl.l.applyList(discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: sl.session.upstream.address, Weight: 1, State: policy.Draining}}}, false)
+	sl.waitUntil("the loop's check is too old", func() bool { return time.Since(held) > maxCheckAge })
 	c.mu.Unlock()
-	if got := x.serverInput(); got != "" {
-		t.Errorf("a draining server was sent %q", got)
+	if got := sl.serverInput(); got != "" {
+		t.Errorf("the draining server received %q", got)
 	}
-	_ = x.client.SetReadDeadline(time.Now().Add(testTimeout))
-	if got, err := bufio.NewReader(x.client).ReadString('\n'); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("the client got %q, %v", got, err)
+	_ = sl.client.SetReadDeadline(time.Now().Add(testTimeout))
+	if got, err := bufio.NewReader(sl.client).ReadString('\n'); !strings.HasPrefix(got, "BUSY") {
+		t.Errorf("the client received %q, %v", got, err)
 	}
 }
 
-// TestNothingIsSentBeforeAFreshList starts with a list by which a server is ready, while by discovery's it is draining, and stops a loop in
-// between: each time discovery's list is applied before a request is written. Where discovery is silent the request is sent after a while.
+// TestNothingIsSentBeforeAFreshList guards against requests that are sent by an outdated endpoint list, after a start and after a stall. A
+// server is ready in the known list and draining in discovery's list, which must be applied before a request is written. If discovery does
+// not answer, the request must be sent after freshListTimeout.
 func TestNothingIsSentBeforeAFreshList(t *testing.T) {
 	for _, stalled := range []bool{false, true} {
 		for _, silent := range []bool{false, true} {
-			x := newSteppedLoop(t, policy.Idempotent)
+			sl := newSteppedLoop(t, policy.Idempotent)
 			agent, err := emulator.NewAgent(0, &emulator.Clock{}, history.New(0), func(string) int { return 0 })
 			if err != nil {
 				t.Fatal(err)
@@ -122,160 +123,163 @@
 			if silent {
 				agent.Misbehave(emulator.Mute)
 			}
-			agent.Set(emulator.Endpoint{UID: "s-1", Address: x.session.upstream.address, State: emulator.Terminating, Weight: 1})
+			agent.Set(emulator.Endpoint{UID: "s-1", Address: sl.session.upstream.address, State: emulator.Terminating, Weight: 1})
 			ctx, stop := context.WithCancel(context.Background())
 			t.Cleanup(stop)
-			before := x.l.Lists.Load()
-			if stalled { // the loop ran before: it follows discovery, whose newest list is not here yet
-				x.l.watch = discovery.New(agent.Addr(), 1, false, func(list discovery.List) {
-					x.l.post(event{run: func() { x.l.applyList(list, false) }})
+			before := sl.l.Lists.Load()
+			if stalled { // the loop follows discovery already, whose newest list has not arrived
+				sl.l.watch = discovery.New(agent.Addr(), 1, false, func(list discovery.List) {
+					sl.l.post(event{run: func() { sl.l.applyList(list, false) }})
 				}, func(error) {})
-				x.l.startTime = x.l.startTime.Add(-2 * time.Second) // stopped for so long, which is before the attempt's deadline
-				x.l.post(event{run: x.handleConnected})
+				sl.l.startTime = sl.l.startTime.Add(-2 * time.Second) // simulates a stall of 2 s, which ends before the attempt's deadline
+				sl.l.post(event{run: sl.handleConnected})
 			} else {
-				x.l.FollowDiscovery(ctx, agent.Addr())
-				x.l.post(event{run: x.handleConnected})
+				sl.l.FollowDiscovery(ctx, agent.Addr())
+				sl.l.post(event{run: sl.handleConnected})
 			}
-			x.l.runOnce()
-			if x.l.Lists.Load() != before || len(x.l.deferred) != 1 {
-				t.Fatalf("%d lists applied before, %d requests wait", x.l.Lists.Load()-before, len(x.l.deferred))
+			sl.l.runOnce()
+			if sl.l.Lists.Load() != before || len(sl.l.deferred) != 1 {
+				t.Fatalf("%d lists were applied, %d requests wait; want 0 and 1", sl.l.Lists.Load()-before, len(sl.l.deferred))
 			}
 			if stalled {
-				go x.l.watch.Run(ctx)
+				go sl.l.watch.Run(ctx)
 			}
 			if silent {
-				x.runUntil("a silent discovery is waited for no longer", func() bool { return len(x.firstLines) > 0 })
-				_ = x.client.Close()
+				sl.runUntil("the request is sent without a fresh list", func() bool { return len(sl.firstLines) > 0 })
+				_ = sl.client.Close()
 			}
-			if got := x.serverInput(); (got != "") != silent {
-				t.Errorf("stalled %v, silent %v: the server was sent %q", stalled, silent, got)
+			if got := sl.serverInput(); (got != "") != silent {
+				t.Errorf("stalled %v, silent %v: the server received %q", stalled, silent, got)
 			}
 		}
 	}
 }
 
-// TestASessionThatCantBeRelayedIsAnswered has no descriptor left to relay an established session: its client gets an answer in time, and the loop
-// gives up.
+// TestASessionThatCantBeRelayedIsAnswered guards against a client that gets no answer because no descriptor is free to relay its established
+// session. The loop must give up after relayStartTimeout and send the client a final answer.
 func TestASessionThatCantBeRelayedIsAnswered(t *testing.T) {
-	x := newSteppedLoop(t, policy.NonIdempotent)
-	c := x.session.client
+	sl := newSteppedLoop(t, policy.NonIdempotent)
+	c := sl.session.client
 	c.mu.Lock()
-	c.writing = true // a writer that hangs looks the same: the detach has to wait
+	c.writing = true // has the same effect: the detach has to be retried
 	c.mu.Unlock()
-	x.session.dial.finished, x.session.dial, x.session.upstreamConn = true, nil, x.upstreamConn
-	x.l.now = time.Since(x.l.startTime)
-	x.l.sessionEstablished(x.session, protocol.Decode([]byte("UP 1\r\n")))
+	sl.session.dial.finished, sl.session.dial, sl.session.upstreamConn = true, nil, sl.upstreamConn
+	sl.l.now = time.Since(sl.l.startTime)
+	sl.l.sessionEstablished(sl.session, protocol.Decode([]byte("UP 1\r\n")))
 	began := time.Now()
-	x.runUntil("it is given up", func() bool { return len(x.l.sessions) == 0 })
+	sl.runUntil("the session has ended", func() bool { return len(sl.l.sessions) == 0 })
 	if took := time.Since(began); took < relayStartTimeout/2 {
-		t.Errorf("given up after %v", took)
+		t.Errorf("the session ended after only %v", took)
 	}
 	c.mu.Lock()
 	if got := string(c.outgoing); got != "ERR\r\n" || !c.closingWrite {
-		t.Errorf("the client gets %q, ending %v", got, c.closingWrite)
+		t.Errorf("%q is queued for the client, closing %v", got, c.closingWrite)
 	}
 	c.mu.Unlock()
-	if got := x.serverInput(); got != "" {
-		t.Errorf("the server was sent %q", got)
+	if got := sl.serverInput(); got != "" {
+		t.Errorf("the server received %q", got)
 	}
 }
 
-// TestEventsDuringTheRelayStart holds the start of an established session's relay until something else has happened: an end on either side, a list
-// by which the server drains, a shutdown. The server's line reaches a client that is there, both sides end, and nothing is left behind.
+// TestEventsDuringTheRelayStart guards against lost lines and leaked sessions or descriptors when something happens between the
+// establishment of a session and the start of its relay: an end on either side, a list that marks the server as draining, or a shutdown. A
+// client that has not disconnected must get the server's line, and both sides must end.
 func TestEventsDuringTheRelayStart(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		do    func(x *steppedLoop, server net.Conn)
-		after string // what the client reads, to the end
+		do    func(sl *steppedLoop, server net.Conn)
+		after string // everything that the client must read; "" if it has disconnected, "?" if any input is allowed
 	}{
-		{"the client ends", func(x *steppedLoop, _ net.Conn) { _ = x.client.Close() }, ""},
-		{"the client resets", func(x *steppedLoop, _ net.Conn) { _ = x.client.(*net.TCPConn).SetLinger(0); _ = x.client.Close() }, ""},
+		{"the client ends", func(sl *steppedLoop, _ net.Conn) { _ = sl.client.Close() }, ""},
+		{"the client resets", func(sl *steppedLoop, _ net.Conn) { _ = sl.client.(*net.TCPConn).SetLinger(0); _ = sl.client.Close() }, ""},
 		{"the server ends", func(_ *steppedLoop, server net.Conn) { _ = server.Close() }, "UP 1\r\n"},
 		{"the server says more and ends", func(_ *steppedLoop, server net.Conn) {
 			_, _ = io.WriteString(server, "M 1\r\nUP 2\r\nBYE\r\n")
 			_ = server.Close()
 		}, "UP 1\r\nM 1\r\nUP 2\r\nBYE\r\n"},
 		{"the server resets", func(_ *steppedLoop, server net.Conn) { _ = server.(*net.TCPConn).SetLinger(0); _ = server.Close() }, "?"},
-		{"the server drains", func(x *steppedLoop, _ net.Conn) {
-			x.l.post(event{run: func() {
-				x.l.applyList(discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: x.session.upstream.address, Weight: 1, State: policy.Draining},
-					{UID: "s-2", Address: x.session.upstream.address, Weight: 1}}}, false) // otherwise there is no server to migrate to
+		{"the server drains", func(sl *steppedLoop, _ net.Conn) {
+			sl.l.post(event{run: func() {
+				sl.l.applyList(discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: sl.session.upstream.address, Weight: 1, State: policy.Draining},
+					{UID: "s-2", Address: sl.session.upstream.address, Weight: 1}}}, false) // a session is migrated only if another server is ready
 			}})
 		}, "UP 1\r\nMOVE\r\n"},
-		{"the process is shut down", func(x *steppedLoop, _ net.Conn) { x.l.Shutdown(0, 100*time.Millisecond, func() {}) }, "UP 1\r\nMOVE\r\n"},
+		{"the process is shut down", func(sl *steppedLoop, _ net.Conn) { sl.l.Shutdown(0, 100*time.Millisecond, func() {}) }, "UP 1\r\nMOVE\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := newSteppedLoop(t, policy.Idempotent)
-			x.wantServerConn <- true
-			x.handleConnected()
-			x.runUntil("the server gets its line", func() bool { return len(x.serverConns) > 0 })
-			server := <-x.serverConns
+			sl := newSteppedLoop(t, policy.Idempotent)
+			sl.wantServerConn <- true
+			sl.handleConnected()
+			sl.runUntil("the server has the request", func() bool { return len(sl.serverConns) > 0 })
+			server := <-sl.serverConns
 			_, _ = io.WriteString(server, "UP 1\r\n")
-			conn := x.session.client
-			conn.mu.Lock() // the detach waits for it
-			x.waitUntil("it is established", func() bool {
-				if !x.session.established {
-					x.l.runOnce()
+			conn := sl.session.client
+			conn.mu.Lock() // blocks the detach
+			sl.waitUntil("the session is established", func() bool {
+				if !sl.session.established {
+					sl.l.runOnce()
 				}
-				return x.session.established
+				return sl.session.established
 			})
-			c.do(x, server)
+			c.do(sl, server)
 			if c.after != "" {
-				for range 3 { // what has been posted is handled while the detach waits
-					x.l.runOnce()
+				for range 3 { // handles the posted events while the detach is blocked
+					sl.l.runOnce()
 				}
 			}
 			conn.mu.Unlock()
 			got := make(chan string, 1)
 			go func() {
-				_ = x.client.SetReadDeadline(time.Now().Add(testTimeout))
-				all, _ := io.ReadAll(x.client)
+				_ = sl.client.SetReadDeadline(time.Now().Add(testTimeout))
+				all, _ := io.ReadAll(sl.client)
 				got <- string(all)
 			}()
-			x.runUntil("no session and no descriptor is left", func() bool { return len(x.l.sessions) == 0 && x.l.descriptors.Load() == 0 })
+			sl.runUntil("no session and no descriptor is left", func() bool { return len(sl.l.sessions) == 0 && sl.l.descriptors.Load() == 0 })
 			if text := <-got; c.after != "?" && c.after != "" && text != c.after {
-				t.Errorf("the client got %q", text)
+				t.Errorf("the client received %q", text)
 			}
 			_ = server.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := io.ReadAll(server); err != nil && strings.Contains(err.Error(), "timeout") {
-				t.Error("the server's side is open")
+				t.Error("the server's side is still open")
 			}
-			if n := x.l.Panics.Load(); n != 0 || x.l.openSessions != 0 {
-				t.Errorf("%d panics, %d open", n, x.l.openSessions)
+			if n := sl.l.Panics.Load(); n != 0 || sl.l.openSessions != 0 {
+				t.Errorf("%d panics, %d open sessions; want none", n, sl.l.openSessions)
 			}
 		})
 	}
 }
 
-// TestAnUnsentAttemptIsRejected has an attempt time out while its request waits to be written: also a non-idempotent one is rejected, as a retry is
-// harmless.
+// TestAnUnsentAttemptIsRejected guards against a non-idempotent session that is failed although a retry would be harmless. Its attempt times
+// out while the request waits to be written, so the session must be rejected.
 func TestAnUnsentAttemptIsRejected(t *testing.T) {
-	x := newSteppedLoop(t, policy.NonIdempotent)
-	x.l.freshListDeadline = time.Hour // a fresh list is waited for
-	x.handleConnected()
-	x.l.startTime = x.l.startTime.Add(-x.session.attemptDeadline)
-	x.l.runOnce()
-	if got := x.serverInput(); got != "" {
-		t.Errorf("the server was sent %q", got)
+	sl := newSteppedLoop(t, policy.NonIdempotent)
+	sl.l.freshListDeadline = time.Hour // makes the request wait for a fresh list
+	sl.handleConnected()
+	sl.l.startTime = sl.l.startTime.Add(-sl.session.attemptDeadline)
+	sl.l.runOnce()
+	if got := sl.serverInput(); got != "" {
+		t.Errorf("the server received %q", got)
 	}
-	x.l.runOnce()
-	_ = x.client.SetReadDeadline(time.Now().Add(testTimeout))
-	if got, err := bufio.NewReader(x.client).ReadString('\n'); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("the client got %q, %v", got, err)
+	sl.l.runOnce()
+	_ = sl.client.SetReadDeadline(time.Now().Add(testTimeout))
+	if got, err := bufio.NewReader(sl.client).ReadString('\n'); !strings.HasPrefix(got, "BUSY") {
+		t.Errorf("the client received %q, %v", got, err)
 	}
 }
 
-// TestAClientWithoutADescriptorIsRejected has a client's line arrive before it is accepted, and no connection that could be evicted: the client
-// reads its rejection and an orderly end.
+// TestAClientWithoutADescriptorIsRejected guards against a client that is reset instead of rejected when no descriptor is free and no
+// connection can be evicted. The client's line arrives before the client is accepted.
 func TestAClientWithoutADescriptorIsRejected(t *testing.T) {
 	testRejectionWithoutADescriptor(t, "OPEN 1 2 c=feed,d=20000\r\n")
 }
 
-// Guards against a rejection that a reset overtakes: what a client had sent behind its request was left unread at the close.
+// TestAClientThatSaysMoreIsRejectedWithoutADescriptor guards against a rejection that is lost to a reset, as a close with unread input
+// becomes one: the client has sent more input after its request.
 func TestAClientThatSaysMoreIsRejectedWithoutADescriptor(t *testing.T) {
 	testRejectionWithoutADescriptor(t, "OPEN 1 2 c=feed,d=20000\r\n"+strings.Repeat("M 1\r\n", 4000))
 }
 
+// testRejectionWithoutADescriptor checks that a client that sends text is rejected and its connection closed in order.
 func testRejectionWithoutADescriptor(t *testing.T, text string) {
 	t.Helper()
 	dep := &deployment.Settings{Policy: &policy.Config{Balancers: 1, Classes: []policy.Class{{}}}}
@@ -284,106 +288,110 @@
 		t.Fatal(err)
 	}
 	l.descriptors.Store(l.availableDescriptors())
-	door, err := Listen("127.0.0.1:0")
+	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", door.Addr().String())
+	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = io.WriteString(c, text)
-	serve(l, door)
+	serve(l, listener)
 	if got, err := io.ReadAll(c); !strings.HasPrefix(string(got), "BUSY") || err != nil {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("the client received %q, %v", got, err)
 	}
 }
 
-// TestAllPairsOfEvents has all pairs of what may happen to a session whose request is sent, in both orders, with a shutdown behind them, for an
-// idempotent and a non-idempotent session. Whatever the order: a client that is there gets one final answer and an end; a non-idempotent
-// request that may have been served is not sent again; a second attempt comes only once the first connection has ended; and nothing is left in
-// the loop.
+// TestAllPairsOfEvents guards against orders of events in which a session is answered twice or never, sent again after it may have been
+// served, or left in the loop. It covers all pairs of events that may happen to a session whose request is sent, in both orders and followed
+// by a shutdown, for an idempotent and a non-idempotent session. In every order, a client that has not disconnected gets one final answer
+// and an end, a non-idempotent request that may have been served is not sent again, a second attempt starts only after the first connection
+// has ended, and no session is left.
 func TestAllPairsOfEvents(t *testing.T) {
 	type act struct {
 		name string
-		left bool // the client takes no answer any more
-		do   func(x *steppedLoop, server *net.TCPConn)
+		left bool // whether the client disconnects, so that it gets no answer
+		do   func(sl *steppedLoop, server *net.TCPConn)
 	}
 	acts := []act{
-		{"the client ends", true, func(x *steppedLoop, _ *net.TCPConn) { _ = x.client.Close() }},
-		{"the client resets", true, func(x *steppedLoop, _ *net.TCPConn) { _ = x.client.(*net.TCPConn).SetLinger(0); _ = x.client.Close() }},
-		{"the client says more", false, func(x *steppedLoop, _ *net.TCPConn) { _, _ = io.WriteString(x.client, "M 1\r\n") }},
+		{"the client ends", true, func(sl *steppedLoop, _ *net.TCPConn) { _ = sl.client.Close() }},
+		{"the client resets", true, func(sl *steppedLoop, _ *net.TCPConn) {
+			_ = sl.client.(*net.TCPConn).SetLinger(0)
+			_ = sl.client.Close()
+		}},
+		{"the client says more", false, func(sl *steppedLoop, _ *net.TCPConn) { _, _ = io.WriteString(sl.client, "M 1\r\n") }},
 		{"up", false, func(_ *steppedLoop, server *net.TCPConn) { _, _ = io.WriteString(server, "UP 1\r\n") }},
 		{"up and more", false, func(_ *steppedLoop, server *net.TCPConn) { _, _ = io.WriteString(server, "UP 1\r\nLOAD 1\r\nUP 2\r\n") }},
 		{"rejected", false, func(_ *steppedLoop, server *net.TCPConn) { _, _ = io.WriteString(server, "BUSY\r\n") }},
 		{"an error", false, func(_ *steppedLoop, server *net.TCPConn) { _, _ = io.WriteString(server, "ERR\r\n") }},
 		{"the server ends", false, func(_ *steppedLoop, server *net.TCPConn) { _ = server.CloseWrite() }},
 		{"the server resets", false, func(_ *steppedLoop, server *net.TCPConn) { _ = server.SetLinger(0); _ = server.Close() }},
-		{"the server drains", false, func(x *steppedLoop, _ *net.TCPConn) {
-			x.l.post(event{run: func() {
-				x.l.applyList(discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: x.session.upstream.address, Weight: 1, State: policy.Draining}}}, false)
+		{"the server drains", false, func(sl *steppedLoop, _ *net.TCPConn) {
+			sl.l.post(event{run: func() {
+				sl.l.applyList(discovery.List{Complete: true, Endpoints: []discovery.Endpoint{{UID: "s-1", Address: sl.session.upstream.address, Weight: 1, State: policy.Draining}}}, false)
 			}})
 		}},
-		{"the attempt times out", false, func(x *steppedLoop, _ *net.TCPConn) {
-			x.l.post(event{run: func() {
-				if x.l.sessions[x.session.id] == x.session && x.session.attemptActive {
-					x.l.attemptTimedOut(x.session, nil)
+		{"the attempt times out", false, func(sl *steppedLoop, _ *net.TCPConn) {
+			sl.l.post(event{run: func() {
+				if sl.l.sessions[sl.session.id] == sl.session && sl.session.attemptActive {
+					sl.l.attemptTimedOut(sl.session, nil)
 				}
 			}})
 		}},
-		{"the process is shut down", false, func(x *steppedLoop, _ *net.TCPConn) { x.l.Shutdown(0, 20*time.Millisecond, func() {}) }},
+		{"the process is shut down", false, func(sl *steppedLoop, _ *net.TCPConn) { sl.l.Shutdown(0, 20*time.Millisecond, func() {}) }},
 	}
 	for _, effect := range []policy.Idempotency{policy.Idempotent, policy.NonIdempotent} {
 		for _, first := range acts {
 			for _, second := range acts {
 				t.Run(first.name+", "+second.name, func(t *testing.T) {
 					t.Parallel()
-					x := newSteppedLoop(t, effect)
-					x.wantServerConn <- true
-					x.handleConnected()
-					x.runUntil("the server gets its line", func() bool { return len(x.serverConns) > 0 })
-					server := (<-x.serverConns).(*net.TCPConn)
-					defer func() { _ = server.Close() }() // not before: a connection that is garbage-collected is closed
+					sl := newSteppedLoop(t, effect)
+					sl.wantServerConn <- true
+					sl.handleConnected()
+					sl.runUntil("the server has the request", func() bool { return len(sl.serverConns) > 0 })
+					server := (<-sl.serverConns).(*net.TCPConn)
+					defer func() { _ = server.Close() }() // keeps a reference to it until then, as a connection that is garbage-collected is closed
 					_ = server.SetDeadline(time.Now().Add(testTimeout))
-					_ = x.client.SetDeadline(time.Now().Add(testTimeout))
-					asked := len(x.firstLines)
+					_ = sl.client.SetDeadline(time.Now().Add(testTimeout))
+					asked := len(sl.firstLines)
 					for _, a := range []act{first, second} {
-						if a.do(x, server); !a.left {
-							x.l.runOnce() // with what has arrived by now, or next time
+						if a.do(sl, server); !a.left {
+							sl.l.runOnce() // handles the event if it has arrived already, otherwise a later iteration does
 						}
 					}
-					x.l.Shutdown(0, 20*time.Millisecond, func() {})
+					sl.l.Shutdown(0, 20*time.Millisecond, func() {})
 					var got []byte
 					var err error
 					var over atomic.Bool
 					go func() {
 						defer over.Store(true)
 						if !first.left && !second.left {
-							got, err = io.ReadAll(x.client)
+							got, err = io.ReadAll(sl.client)
 						}
 					}()
-					x.runUntil("no session is left, and its client has an end", func() bool { return over.Load() && len(x.l.sessions) == 0 })
-					if n := len(x.firstLines) - asked; n > 0 && effect == policy.NonIdempotent && first.name != "rejected" && second.name != "rejected" {
-						t.Errorf("sent %d times more, and it may have been served", n)
+					sl.runUntil("no session is left and the client's connection has ended", func() bool { return over.Load() && len(sl.l.sessions) == 0 })
+					if n := len(sl.firstLines) - asked; n > 0 && effect == policy.NonIdempotent && first.name != "rejected" && second.name != "rejected" {
+						t.Errorf("the request, which may have been served, was sent again %d times", n)
 					}
-					if n := x.l.Panics.Load(); n != 0 || x.l.openSessions != 0 || len(x.l.sessionsByClientID) != 0 {
-						t.Errorf("%d panics, %d open, %d ids", n, x.l.openSessions, len(x.l.sessionsByClientID))
+					if n := sl.l.Panics.Load(); n != 0 || sl.l.openSessions != 0 || len(sl.l.sessionsByClientID) != 0 {
+						t.Errorf("%d panics, %d open sessions, %d client IDs; want none", n, sl.l.openSessions, len(sl.l.sessionsByClientID))
 					}
 					if first.left || second.left {
 						return
 					}
 					lines := strings.SplitAfter(string(got), "\r\n")
-					// UP, then what the server says and an end or MOVE; or one other answer.
+					// Either UP, followed by the server's lines and an end or MOVE, or a single BUSY or ERR.
 					ok := lines[0] == "UP 1\r\n" || len(lines) == 2 && lines[1] == "" && (strings.HasPrefix(lines[0], "BUSY") || strings.HasPrefix(lines[0], "ERR"))
 					is := func(name string) bool { return first.name == name || second.name == name }
 					if lines[0] == "UP 1\r\n" && !is("the server ends") && !is("the server resets") && !is("the client says more") {
 						ok = strings.HasSuffix(string(got), "\r\nMOVE\r\n")
 					}
-					// A reset is forwarded as a reset and loses what was not read. A client that sends more before its answer may be reset.
+					// A reset is forwarded as a reset, which discards unread input. A client that sends more before its answer may be reset.
 					if may := is("the server resets") || is("the client says more"); (!may || len(got) > 0) && !ok || !may && err != nil {
-						t.Errorf("the client got %q, %v", got, err)
+						t.Errorf("the client received %q, %v", got, err)
 					}
 				})
 			}
--- a/internal/balancer/stepped_loop_test.go
+++ b/internal/balancer/stepped_loop_test.go
@@ -14,17 +14,18 @@
 	"sabletally/policy"
 )
 
-// steppedLoop is a loop that the test steps, with one session whose attempt is just connected. Its client and its server are real sockets.
+// steppedLoop is a loop whose iterations the test runs, with one session whose attempt has just been connected. The client and the server
+// are real sockets.
 type steppedLoop struct {
 	t              *testing.T
 	l              *Loop
 	session        *session
-	client         net.Conn    // the client's end
-	upstreamConn   *relay.Conn // to the server
-	firstLines     chan string // of servers
-	wantServerConn chan bool   // the test wants to be the server itself, once its line has arrived
-	serverConns    chan net.Conn
-	serverInputs   chan string // all that a server received, once its connection has ended
+	client         net.Conn      // client's end of its connection
+	upstreamConn   *relay.Conn   // attempt's connection to the server
+	firstLines     chan string   // first lines that servers have received
+	wantServerConn chan bool     // a value makes the next server pass its connection to the test after the first line
+	serverConns    chan net.Conn // server connections that are passed to the test
+	serverInputs   chan string   // everything that a server has received, sent when its connection has ended
 }
 
 // tcpPipe returns both ends of a TCP connection.
@@ -50,6 +51,7 @@
 	return c.(*net.TCPConn), d.(*net.TCPConn)
 }
 
+// detachDescriptor closes a connection and returns a duplicate of its descriptor.
 func detachDescriptor(t *testing.T, c *net.TCPConn) int {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -65,6 +67,7 @@
 	return fd
 }
 
+// newSteppedLoop returns a stepped loop after its session's attempt has connected and before the loop has handled that.
 func newSteppedLoop(t *testing.T, effect policy.Idempotency) *steppedLoop {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,7 +76,7 @@
 	}
 	t.Cleanup(func() { _ = listener.Close() })
 	l := newLoopWithServer(t, listener.Addr().String(), effect)
-	x := &steppedLoop{t: t, l: l, wantServerConn: make(chan bool, 1), serverConns: make(chan net.Conn, 1), firstLines: make(chan string, 4), serverInputs: make(chan string, 4)}
+	sl := &steppedLoop{t: t, l: l, wantServerConn: make(chan bool, 1), serverConns: make(chan net.Conn, 1), firstLines: make(chan string, 4), serverInputs: make(chan string, 4)}
 	go func() {
 		for {
 			c, err := listener.Accept()
@@ -85,17 +88,17 @@
 				r := bufio.NewReader(c)
 				got, _ := r.ReadString('\n')
 				if got != "" {
-					x.firstLines <- got
+					sl.firstLines <- got
 				}
 				select {
-				case <-x.wantServerConn: // the test is the server itself
-					x.serverConns <- c
+				case <-sl.wantServerConn: // the test takes over the connection
+					sl.serverConns <- c
 					return
 				default:
 				}
 				rest, _ := io.ReadAll(r)
 				_ = c.Close()
-				x.serverInputs <- got + string(rest)
+				sl.serverInputs <- got + string(rest)
 			}()
 		}
 	}()
@@ -108,95 +111,95 @@
 	c := newConn(nc, l, &l.descriptors)
 	c.idle = l.idle
 	_ = nc.SetOnRequest(c.onReadable)
-	x.client = near
+	sl.client = near
 	_, _ = io.WriteString(near, "OPEN 1 2 c=feed,d=20000\r\n")
-	x.waitUntil("the attempt's connection is up", func() bool {
+	sl.waitUntil("the attempt is connected", func() bool {
 		if session := l.sessions[1]; session != nil {
-			x.session = session
-			// Its event is taken out of the inbox: the test decides when it is handled.
-			return x.takeEvent(func(ev event) bool { return ev.session == session })
+			sl.session = session
+			// The event is removed from the inbox, so that the test decides when the loop handles it.
+			return sl.takeEvent(func(ev event) bool { return ev.session == session })
 		}
 		return false
 	})
-	return x
+	return sl
 }
 
-// waitUntil steps the loop until a condition holds; without a step once there is a session.
-func (x *steppedLoop) waitUntil(what string, is func() bool) {
-	x.t.Helper()
-	for end := time.After(testTimeout); !is(); {
+// waitUntil waits until a condition holds. It steps the loop only while there is no session.
+func (sl *steppedLoop) waitUntil(what string, condition func() bool) {
+	sl.t.Helper()
+	for end := time.After(testTimeout); !condition(); {
 		select {
-		case <-x.l.wake:
-			if x.session == nil {
-				x.l.runOnce()
+		case <-sl.l.wake:
+			if sl.session == nil {
+				sl.l.runOnce()
 			}
 		case <-time.After(time.Millisecond):
 		case <-end:
-			x.t.Fatalf("not so within %v: %s", testTimeout, what)
+			sl.t.Fatalf("timed out after %v waiting until %s", testTimeout, what)
 		}
 	}
 }
 
 // runUntil steps the loop, as Run would, until a condition holds.
-func (x *steppedLoop) runUntil(what string, is func() bool) {
-	x.t.Helper()
-	for end := time.After(testTimeout); !is(); {
+func (sl *steppedLoop) runUntil(what string, condition func() bool) {
+	sl.t.Helper()
+	for end := time.After(testTimeout); !condition(); {
 		select {
-		case <-x.l.wake:
-		case <-time.After(time.Millisecond): // as the loop's timer would
+		case <-sl.l.wake:
+		case <-time.After(time.Millisecond): // stands for the loop's timer
 		case <-end:
-			x.t.Fatalf("not so within %v: %s", testTimeout, what)
+			sl.t.Fatalf("timed out after %v waiting until %s", testTimeout, what)
 		}
-		x.l.runOnce()
+		sl.l.runOnce()
 	}
 }
 
-// takeEvent takes an event out of the inbox.
-func (x *steppedLoop) takeEvent(is func(event) bool) bool {
-	if x.upstreamConn = x.session.dial.conn.Load(); x.upstreamConn == nil { // the connection may be up before the dialing goroutine has stored it
+// takeEvent removes the first event for which a condition holds from the inbox, and reports whether there was one.
+func (sl *steppedLoop) takeEvent(condition func(event) bool) bool {
+	if sl.upstreamConn = sl.session.dial.conn.Load(); sl.upstreamConn == nil { // the event may precede the store by the dialing goroutine
 		return false
 	}
-	x.l.mu.Lock()
-	defer x.l.mu.Unlock()
-	for i, ev := range x.l.inbox {
-		if is(ev) {
-			x.l.inbox = append(x.l.inbox[:i], x.l.inbox[i+1:]...)
+	sl.l.mu.Lock()
+	defer sl.l.mu.Unlock()
+	for i, ev := range sl.l.inbox {
+		if condition(ev) {
+			sl.l.inbox = append(sl.l.inbox[:i], sl.l.inbox[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// hasEvent reports whether an event is in the inbox.
-func (x *steppedLoop) hasEvent(is func(event) bool) bool {
-	x.l.mu.Lock()
-	defer x.l.mu.Unlock()
-	for _, ev := range x.l.inbox {
-		if is(ev) {
+// hasEvent reports whether an event for which a condition holds is in the inbox.
+func (sl *steppedLoop) hasEvent(condition func(event) bool) bool {
+	sl.l.mu.Lock()
+	defer sl.l.mu.Unlock()
+	for _, ev := range sl.l.inbox {
+		if condition(ev) {
 			return true
 		}
 	}
 	return false
 }
 
-// handleConnected has the loop handle the attempt's connection, as its event would.
-func (x *steppedLoop) handleConnected() {
-	x.session.dial.finished = true
-	x.l.now = time.Since(x.l.startTime)
-	x.l.upstreamDialed(x.session, x.session.generation, x.upstreamConn, nil)
+// handleConnected has the loop handle the attempt's connection, as the removed event would.
+func (sl *steppedLoop) handleConnected() {
+	sl.session.dial.finished = true
+	sl.l.now = time.Since(sl.l.startTime)
+	sl.l.upstreamDialed(sl.session, sl.session.generation, sl.upstreamConn, nil)
 }
 
 // serverInput steps the loop until the server's connection has ended, and returns what the server received.
-func (x *steppedLoop) serverInput() string {
-	x.t.Helper()
+func (sl *steppedLoop) serverInput() string {
+	sl.t.Helper()
 	for end := time.After(testTimeout); ; {
 		select {
-		case <-x.l.wake:
-			x.l.runOnce()
-		case got := <-x.serverInputs:
+		case <-sl.l.wake:
+			sl.l.runOnce()
+		case got := <-sl.serverInputs:
 			return got
 		case <-end:
-			x.t.Fatal("the server's connection does not end")
+			sl.t.Fatal("the server's connection did not end")
 		}
 	}
 }
