--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -52,8 +52,8 @@
 	l.Accepted.Add(1)
 	l.descriptors.Add(1)
 	c := newConn(netConn, l, &l.descriptors)
-	c.idle = l.idle
-	l.idle.add(c, l.idle.silent)
+	c.idleConns = l.idleConns
+	l.idleConns.add(c, l.idleConns.silent)
 	return c
 }
 
@@ -65,12 +65,12 @@
 		if l.relay.CloseLingering() {
 			continue
 		}
-		oldest, silent := l.idle.evict(c)
+		oldest, silent := l.idleConns.evict(c)
 		if oldest == nil && l.relay.CloseSending() {
 			continue
 		}
 		if oldest == nil {
-			oldest, silent = l.idle.evict(nil)
+			oldest, silent = l.idleConns.evict(nil)
 		}
 		if oldest == nil {
 			break
@@ -96,11 +96,11 @@
 // expireSilentClients ends clients that have not sent their first line in time, and schedules itself again.
 func (l *Loop) expireSilentClients() {
 	l.after(expireInterval, l.expireSilentClients)
-	for _, c := range l.idle.takeSilentSince(time.Now().Add(-firstLineTimeout)) {
+	for _, c := range l.idleConns.takeSilentSince(time.Now().Add(-firstLineTimeout)) {
 		switch {
 		case c.session != nil || c.finished:
 		case c.unansweredPings > 0: // the client waits until this balancer is ready
-			l.idle.add(c, l.idle.silent)
+			l.idleConns.add(c, l.idleConns.silent)
 		default:
 			l.FirstLineTimeouts.Add(1)
 			l.closeWithLine(c, protocol.FailLine)
@@ -110,7 +110,7 @@
 
 // rejectSilentClients rejects the clients that have not sent a request.
 func (l *Loop) rejectSilentClients() {
-	for _, c := range l.idle.takeSilentSince(time.Now()) {
+	for _, c := range l.idleConns.takeSilentSince(time.Now()) {
 		if c.session == nil && !c.finished {
 			l.closeWithLine(c, protocol.RejectLine(l.retryAfter()))
 		}
--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -68,14 +68,14 @@
 		l.closeWithLine(c, finalLine)
 		return
 	}
-	left := request.Timeout - c.sinceLastByte() - deadlineMargin
+	remaining := request.Timeout - c.sinceLastByte() - deadlineMargin
 	l.lastSessionID++
 	session := &session{
 		id:            l.lastSessionID,
 		request:       request,
 		client:        c,
-		deadline:      l.now + left,
-		policyRequest: l.policyRequestOf(l.lastSessionID, request, left),
+		deadline:      l.now + remaining,
+		policyRequest: l.policyRequestOf(l.lastSessionID, request, remaining),
 	}
 	c.session = session
 	l.sessions[session.id] = session
@@ -121,8 +121,8 @@
 	return true
 }
 
-// policyRequestOf returns the policy's description of a session under the current settings. left is the time until its deadline.
-func (l *Loop) policyRequestOf(id policy.SessionID, request *protocol.SessionRequest, left time.Duration) policy.SessionRequest {
+// policyRequestOf returns the policy's description of a session under the current settings. remaining is the time until its deadline.
+func (l *Loop) policyRequestOf(id policy.SessionID, request *protocol.SessionRequest, remaining time.Duration) policy.SessionRequest {
 	class, known := l.deployment.Classes[request.Class]
 	if !known {
 		class = len(l.deployment.Classes)
@@ -137,7 +137,7 @@
 		Group:   request.Group,
 		Tenant:  tenant,
 		Class:   class,
-		Timeout: left,
+		Timeout: remaining,
 		Load:    request.LoadHint,
 	}
 }
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -60,7 +60,7 @@
 	}
 	session.dial = nil
 	session.upstreamConn = c
-	again := func() { l.upstreamDialed(session, generation, c, nil) }
+	resume := func() { l.upstreamDialed(session, generation, c, nil) }
 	switch {
 	case isDescriptorShortage(err):
 		l.DescriptorShortages.Add(1)
@@ -71,8 +71,8 @@
 		l.attemptEnded(session, policy.NeverSent, nil)
 	case l.now >= session.attemptDeadline: // after a stall, this event is handled before the attempt's timeout
 		l.attemptEnded(session, policy.NeverSent, nil)
-	case !session.reattaching && l.deferUntilFresh(again):
-	case !l.mayWrite(session, again):
+	case !session.reattaching && l.deferUntilFresh(resume):
+	case !l.mayWrite(session, resume):
 	default:
 		if session.record != nil {
 			session.record.requestWritten = true
@@ -134,16 +134,16 @@
 }
 
 // attemptTimedOut ends an attempt that has timed out. An attempt whose request was not sent had no effect on the server.
-func (l *Loop) attemptTimedOut(session *session, why error) {
+func (l *Loop) attemptTimedOut(session *session, cause error) {
 	outcome := policy.NeverSent
 	if session.requestSent {
 		outcome = policy.TimedOut
 	}
-	l.attemptEnded(session, outcome, why)
+	l.attemptEnded(session, outcome, cause)
 }
 
 // attemptEnded ends an attempt that did not establish the session. It closes the connection before it tells the policy.
-func (l *Loop) attemptEnded(session *session, outcome policy.Outcome, why error) {
+func (l *Loop) attemptEnded(session *session, outcome policy.Outcome, cause error) {
 	if record := session.record; record != nil && record.committing { // answerCommitted continues once the answer is committed
 		record.upstreamClosed = true
 		return
@@ -151,9 +151,9 @@
 	l.log.Debug("attempt ended",
 		zap.Stringer("circuit", session),
 		zap.String("how", outcomeNames[outcome]),
-		zap.String("server", session.upstream.listed.UID),
+		zap.String("server", session.upstream.entry.UID),
 		zap.Duration("after", l.now-session.attemptStart),
-		zap.Error(why))
+		zap.Error(cause))
 	l.Outcomes[outcome].Add(1)
 	session.generation++
 	session.attemptActive = false
--- a/internal/balancer/client_left_test.go
+++ b/internal/balancer/client_left_test.go
@@ -115,7 +115,7 @@
 			lc.connectUnhandled()
 			lc.l.freshListDeadline = time.Hour
 			lc.handleConnected()
-			if len(lc.l.deferred) != 1 {
+			if len(lc.l.deferredRequests) != 1 {
 				t.Fatal("the session does not wait")
 			}
 			lc.leave()
@@ -216,7 +216,7 @@
 		t.Cleanup(func() { _ = u.Close() })
 		l.descriptors.Add(1)
 		lc.conn = newConn(u, l, &l.descriptors)
-		lc.conn.idle = l.idle
+		lc.conn.idleConns = l.idleConns
 		clients[i], conns[i] = near, lc.conn
 		lc.receiveLine(fmt.Sprintf(openLine, i+1))
 		if i == attempted-1 {
--- a/internal/balancer/conn.go
+++ b/internal/balancer/conn.go
@@ -33,7 +33,7 @@
 	netConn     netpoll.Connection
 	sink        eventSink
 	descriptors *atomic.Int64 // counter of open descriptors that includes this connection's
-	idle        *idleConns
+	idleConns   *idleConns
 	stage       atomic.Int32 // progress of the connection, a Stage
 	phase       atomic.Int32 // expectFirstLine or expectNothing
 	queuedBytes atomic.Int64 // bytes of lines that are posted to the loop and not handled yet
@@ -158,7 +158,7 @@
 	if c.phase.Load() == expectFirstLine {
 		isPing := line.Kind == protocol.KindPing
 		c.awaitsPong.Store(isPing)
-		c.idle.lineReceived(c, isPing)
+		c.idleConns.lineReceived(c, isPing)
 		if isPing && before < maxPings {
 			return
 		}
@@ -179,7 +179,7 @@
 	c.closed = true
 	c.mu.Unlock()
 	c.descriptors.Add(-1)
-	c.idle.remove(c)
+	c.idleConns.remove(c)
 	if onDetached != nil { // input that netpoll has read and nobody has handled is handed over too
 		reader := c.netConn.Reader()
 		if input, err := reader.Next(reader.Len()); err == nil {
--- a/internal/balancer/counters.go
+++ b/internal/balancer/counters.go
@@ -75,10 +75,10 @@
 	policy.NeverSent:     "never-sent",
 }
 
-// LogCounters logs the counters. why is the occasion.
-func (l *Loop) LogCounters(log *zap.Logger, why string) {
+// LogCounters logs the counters. occasion says why they are logged.
+func (l *Loop) LogCounters(log *zap.Logger, occasion string) {
 	l.ForwardedLines.Store(l.relay.ForwardedLines.Load())
-	fields := append([]zap.Field{zap.String("why", why)}, l.fields()...)
+	fields := append([]zap.Field{zap.String("why", occasion)}, l.fields()...)
 	fields = append(fields,
 		zap.Int64("descriptors", l.descriptors.Load()),
 		zap.Int64("unsent-bytes", l.relay.UnsentBytes.Load()),
--- a/internal/balancer/descriptors_test.go
+++ b/internal/balancer/descriptors_test.go
@@ -41,7 +41,7 @@
 	}
 	lc.l.descriptors.Add(1)
 	lc.client, lc.conn = near, newConn(nc, lc.l, &lc.l.descriptors)
-	lc.conn.idle = lc.l.idle
+	lc.conn.idleConns = lc.l.idleConns
 	_ = nc.SetOnRequest(lc.conn.onReadable)
 	line := protocol.Decode(fmt.Appendf(nil, openLine, id))
 	lc.conn.phase.Store(expectNothing)
--- a/internal/balancer/dial.go
+++ b/internal/balancer/dial.go
@@ -30,7 +30,7 @@
 	session        *session // session of the attempt, nil for a probe
 	onConnected    func(c *relay.Conn, err error)
 	onLine         func(c *relay.Conn, line protocol.Line)
-	onDisconnected func(c *relay.Conn, why error)
+	onDisconnected func(c *relay.Conn, cause error)
 
 	conn      atomic.Pointer[relay.Conn] // connection, nil until the relay has started to connect
 	cancelled atomic.Bool
@@ -101,13 +101,13 @@
 			l.handleResponse(session, line)
 		}
 	}
-	d.onDisconnected = func(c *relay.Conn, why error) {
+	d.onDisconnected = func(c *relay.Conn, cause error) {
 		switch {
 		case session.upstreamConn != c:
-		case errors.Is(why, relay.ErrLineTooLong):
-			l.attemptEnded(session, policy.Failed, why)
+		case errors.Is(cause, relay.ErrLineTooLong):
+			l.attemptEnded(session, policy.Failed, cause)
 		default:
-			l.attemptEnded(session, policy.Reset, why)
+			l.attemptEnded(session, policy.Reset, cause)
 		}
 	}
 }
@@ -142,9 +142,9 @@
 	h.loop.post(event{session: d.session, run: func() { d.onLine(c, line) }})
 }
 
-func (h relayHandler) Disconnected(c *relay.Conn, _ bool, why error) {
+func (h relayHandler) Disconnected(c *relay.Conn, _ bool, cause error) {
 	d := c.Data.(*upstreamDial)
-	h.loop.post(event{session: d.session, run: func() { d.onDisconnected(c, why) }})
+	h.loop.post(event{session: d.session, run: func() { d.onDisconnected(c, cause) }})
 }
 
 func (h relayHandler) PairEnded(end relay.PairEnd) {
--- a/internal/balancer/endpoint_recovery.go
+++ b/internal/balancer/endpoint_recovery.go
@@ -31,7 +31,7 @@
 	list := discovery.List{Revision: revision, Complete: true}
 	for _, server := range l.servers {
 		if server.state != policy.Removed {
-			list.Endpoints = append(list.Endpoints, server.listed)
+			list.Endpoints = append(list.Endpoints, server.entry)
 		}
 	}
 	l.fleet.SaveEndpointList(revision, discovery.Encode(list))
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -21,7 +21,7 @@
 	id         policy.EndpointID
 	address    string
 	state      policy.EndpointState
-	listed     discovery.Endpoint // newest entry of the server in the endpoint list
+	entry      discovery.Endpoint // newest entry of the server in the endpoint list
 	probeTimes probeTimes
 	// speedStep is the speed of the server's machine relative to the median machine, in steps of 1/stepsPerDoubling of a doubling.
 	speedStep int
@@ -93,19 +93,19 @@
 	if entry.Address != "" {
 		server.address = entry.Address
 	}
-	if server.listed != entry {
+	if server.entry != entry {
 		l.log.Info("endpoint updated",
 			zap.String("server", entry.UID),
 			zap.String("address", entry.Address),
 			zap.Uint8("state", uint8(entry.State)),
 			zap.Time("boot", entry.StartedAt))
 	}
-	if !server.listed.StartedAt.Equal(entry.StartedAt) { // the server was restarted, possibly on another machine
+	if !server.entry.StartedAt.Equal(entry.StartedAt) { // the server was restarted, possibly on another machine
 		server.probeTimes = probeTimes{}
 		server.speedStep = 0
 	}
 	server.state = entry.State
-	server.listed = entry
+	server.entry = entry
 	zone, known := l.deployment.Zones[entry.Zone]
 	if !known {
 		zone = len(l.deployment.Zones)
@@ -130,7 +130,7 @@
 	for id, server := range l.servers {
 		if !listed[id] {
 			server.state = policy.Removed
-			server.listed = discovery.Endpoint{}
+			server.entry = discovery.Endpoint{}
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	if l.now >= l.freshListDeadline {
 		return false
 	}
-	l.deferred = append(l.deferred, run)
+	l.deferredRequests = append(l.deferredRequests, run)
 	return true
 }
 
@@ -177,8 +177,8 @@
 	if l.now < l.freshListDeadline {
 		return
 	}
-	deferred := l.deferred
-	l.deferred = nil
+	deferred := l.deferredRequests
+	l.deferredRequests = nil
 	for _, run := range deferred {
 		l.recoverPanics(nil, run)
 	}
--- a/internal/balancer/established.go
+++ b/internal/balancer/established.go
@@ -26,7 +26,7 @@
 func (l *Loop) sessionEstablished(session *session, line protocol.Line) {
 	l.log.Debug("session established",
 		zap.Stringer("circuit", session),
-		zap.String("server", session.upstream.listed.UID),
+		zap.String("server", session.upstream.entry.UID),
 		zap.Duration("after", l.now-session.attemptStart),
 		zap.Int("tries", session.attempts),
 		zap.Uint64("group", session.policyRequest.Group))
@@ -121,7 +121,7 @@
 	l.log.Debug("session migrated",
 		zap.Stringer("circuit", session),
 		zap.String("why", outcomeNames[outcome]),
-		zap.String("server", session.upstream.listed.UID))
+		zap.String("server", session.upstream.entry.UID))
 	l.Migrations.Add(1)
 	l.establishedEnded(session, outcome)
 }
@@ -148,7 +148,7 @@
 func (l *Loop) logRelayEnd(session *session, end relay.PairEnd) {
 	fields := []zap.Field{
 		zap.Stringer("circuit", session),
-		zap.String("server", session.upstream.listed.UID),
+		zap.String("server", session.upstream.entry.UID),
 		zap.Stringer("by", end.By),
 		zap.Bool("abrupt", end.Abrupt),
 		zap.NamedError("cause", end.Cause),
@@ -170,7 +170,7 @@
 	l.log.Debug("session ended",
 		zap.Stringer("circuit", session),
 		zap.String("how", outcomeNames[outcome]),
-		zap.String("server", session.upstream.listed.UID))
+		zap.String("server", session.upstream.entry.UID))
 	l.Outcomes[outcome].Add(1)
 	l.removeSession(session)
 	l.policy.AttemptEnded(session.id, session.attempts-1, true, outcome)
--- a/internal/balancer/handover.go
+++ b/internal/balancer/handover.go
@@ -95,10 +95,10 @@
 
 // bootMillis returns the start time of a server's process in milliseconds since 1970, or 0 if it is unknown.
 func bootMillis(server *upstream) int64 {
-	if server.listed.StartedAt.IsZero() {
+	if server.entry.StartedAt.IsZero() {
 		return 0
 	}
-	return server.listed.StartedAt.UnixMilli()
+	return server.entry.StartedAt.UnixMilli()
 }
 
 func closeDescriptors(descriptors []int) {
--- a/internal/balancer/handover_predecessor.go
+++ b/internal/balancer/handover_predecessor.go
@@ -31,8 +31,8 @@
 	h.loop.post(event{run: func() { h.loop.predecessorMessage(m, descriptors) }})
 }
 
-func (h predecessorHandler) Closed(_ *hotrestart.Link, why error) {
-	h.loop.post(event{run: func() { h.loop.predecessorLost(why) }})
+func (h predecessorHandler) Closed(_ *hotrestart.Link, cause error) {
+	h.loop.post(event{run: func() { h.loop.predecessorLost(cause) }})
 }
 
 // predecessorConnected handles a new link to the predecessor.
@@ -148,9 +148,9 @@
 		return server
 	}
 	server := &upstream{
-		id:     policy.EndpointID(protocol.Hash(uid)),
-		state:  policy.Removed,
-		listed: discovery.Endpoint{UID: uid},
+		id:    policy.EndpointID(protocol.Hash(uid)),
+		state: policy.Removed,
+		entry: discovery.Endpoint{UID: uid},
 	}
 	l.servers[server.id] = server
 	l.serversByUID[uid] = server
@@ -172,8 +172,8 @@
 }
 
 // predecessorLost handles the end of the link to the predecessor, which has ended: this process listens for a successor now.
-func (l *Loop) predecessorLost(why error) {
-	l.log.Info("predecessor disconnected", zap.NamedError("why", why))
+func (l *Loop) predecessorLost(cause error) {
+	l.log.Info("predecessor disconnected", zap.NamedError("why", cause))
 	l.handover.predecessor = nil
 	l.peerDescriptors.Store(0)
 	l.setMemoryShare(false)
--- a/internal/balancer/handover_successor.go
+++ b/internal/balancer/handover_successor.go
@@ -27,8 +27,8 @@
 	h.loop.post(event{run: func() { h.loop.successorMessage(link, m, descriptors) }})
 }
 
-func (h successorHandler) Closed(link *hotrestart.Link, why error) {
-	h.loop.post(event{run: func() { h.loop.successorLost(link, why) }})
+func (h successorHandler) Closed(link *hotrestart.Link, cause error) {
+	h.loop.post(event{run: func() { h.loop.successorLost(link, cause) }})
 }
 
 // listenForSuccessor opens the socket to which a successor connects.
@@ -66,7 +66,7 @@
 			continue
 		}
 		state.Servers = append(state.Servers, hotrestart.ProbeTimes{
-			UID:        server.listed.UID,
+			UID:        server.entry.UID,
 			BootMillis: bootMillis(server),
 			Last:       times.last,
 			Previous:   times.previous,
@@ -97,12 +97,12 @@
 }
 
 // successorLost handles the end of the link to a successor.
-func (l *Loop) successorLost(link *hotrestart.Link, why error) {
+func (l *Loop) successorLost(link *hotrestart.Link, cause error) {
 	h := l.handover
 	if link != h.successor {
 		return
 	}
-	l.log.Info("successor disconnected", zap.NamedError("why", why))
+	l.log.Info("successor disconnected", zap.NamedError("why", cause))
 	h.successor = nil
 	h.successorReady = false
 	l.successorLinked.Store(false)
@@ -128,7 +128,7 @@
 			l.handOverSession(session)
 		}
 	}
-	for _, c := range l.idle.takeSilentSince(time.Now()) {
+	for _, c := range l.idleConns.takeSilentSince(time.Now()) {
 		if c.session == nil && !c.finished {
 			l.handOverClient(c, nil)
 		}
@@ -156,7 +156,7 @@
 	m := hotrestart.Message{
 		Kind:      hotrestart.Session,
 		Input:     session.request.Raw(),
-		ServerUID: session.upstream.listed.UID,
+		ServerUID: session.upstream.entry.UID,
 		Load:      session.policyRequest.Load,
 		Pair:      &state,
 	}
@@ -215,7 +215,7 @@
 	case result == detachRetry && firstLine != nil:
 		l.closeWithLine(c, protocol.RejectLine(l.retryAfter()))
 	case result == detachRetry: // a PONG is being written; the client's request or its end follows
-		l.idle.add(c, l.idle.silent)
+		l.idleConns.add(c, l.idleConns.silent)
 	}
 }
 
--- a/internal/balancer/handover_test.go
+++ b/internal/balancer/handover_test.go
@@ -16,9 +16,9 @@
 	f := newHandoverFixture(t, clients)
 	silent := f.client()
 	f.waitUntil("the silent client is accepted", func() bool {
-		f.oldLoop.idle.mu.Lock()
-		defer f.oldLoop.idle.mu.Unlock()
-		return f.oldLoop.idle.silent.Len() == 1
+		f.oldLoop.idleConns.mu.Lock()
+		defer f.oldLoop.idleConns.mu.Unlock()
+		return f.oldLoop.idleConns.silent.Len() == 1
 	})
 	successor := f.dialHangingSuccessor()
 	f.shutDownOld()
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -69,7 +69,7 @@
 		generation := session.generation
 		record.requestInFlight = true
 		timeout := min(maxWriteWait, (session.deadline-l.now)/2)
-		record.Begin(session.upstream.listed.UID, timeout, func(decision fleet.IdempotencyDecision) {
+		record.Begin(session.upstream.entry.UID, timeout, func(decision fleet.IdempotencyDecision) {
 			l.post(event{session: session, run: func() { l.writeDecided(session, generation, decision) }})
 		})
 	})
--- a/internal/balancer/leaving_client_test.go
+++ b/internal/balancer/leaving_client_test.go
@@ -158,7 +158,7 @@
 	t.Cleanup(func() { _ = u.Close() })
 	l.descriptors.Add(1)
 	lc.conn = newConn(u, l, &l.descriptors)
-	lc.conn.idle = l.idle
+	lc.conn.idleConns = l.idleConns
 	return lc
 }
 
--- a/internal/balancer/load_estimator.go
+++ b/internal/balancer/load_estimator.go
@@ -83,7 +83,7 @@
 // weight returns the server's weight in the endpoint list, corrected by the speed of its machine, as the listed weight may reflect only
 // the number of cores.
 func (u *upstream) weight() float64 {
-	return u.listed.Weight * math.Exp2(float64(u.speedStep)/stepsPerDoubling)
+	return u.entry.Weight * math.Exp2(float64(u.speedStep)/stepsPerDoubling)
 }
 
 // estimateLoad records the time of a server's probe and returns the server's load relative to its capacity. The load of a server that
@@ -150,7 +150,7 @@
 		return
 	}
 	server.speedStep = int(math.Round(speed))
-	l.log.Debug("machine speed changed", zap.String("server", server.listed.UID), zap.Int("steps", server.speedStep))
+	l.log.Debug("machine speed changed", zap.String("server", server.entry.UID), zap.Int("steps", server.speedStep))
 	l.policy.SetWeight(server.id, server.weight())
 }
 
@@ -187,7 +187,7 @@
 	}
 	load := l.loadFromProbes(times, idle)
 	l.log.Debug("load estimated",
-		zap.String("server", server.listed.UID),
+		zap.String("server", server.entry.UID),
 		zap.Float64("load", load),
 		zap.Duration("took", times.last))
 	report := policy.NoLoadReport
@@ -197,6 +197,6 @@
 
 // isWarmingUp reports whether a server is in its slow-start window.
 func (l *Loop) isWarmingUp(server *upstream) bool {
-	boot := server.listed.StartedAt
+	boot := server.entry.StartedAt
 	return !boot.IsZero() && l.now-boot.Sub(l.startTime) < l.deployment.Policy.SlowStartWindow
 }
--- a/internal/balancer/load_estimator_test.go
+++ b/internal/balancer/load_estimator_test.go
@@ -57,12 +57,12 @@
 	}
 	for id, want := range map[policy.EndpointID]float64{0: 1, 2: 2.5, 3: 0.7} { // probes of their machines take 8, 3 and 12 ms
 		server := l.servers[id]
-		server.listed.Weight = 1
+		server.entry.Weight = 1
 		if got := server.weight(); got < want/1.5 || got > want*1.5 {
 			t.Errorf("server %d has weight %v, want about %v", id, got, want)
 		}
 	}
-	l.servers[1].listed.StartedAt = l.startTime.Add(15 * time.Second)
+	l.servers[1].entry.StartedAt = l.startTime.Add(15 * time.Second)
 	if _, known := probe(1, 40*ms); known {
 		t.Error("a load was estimated for a server that is warming up")
 	}
@@ -79,7 +79,7 @@
 	l.applySettings(dep)
 	var list []policy.Endpoint
 	for id := range policy.EndpointID(4) {
-		l.servers[id] = &upstream{id: id, listed: discovery.Endpoint{UID: fmt.Sprint(id), Weight: 1}}
+		l.servers[id] = &upstream{id: id, entry: discovery.Endpoint{UID: fmt.Sprint(id), Weight: 1}}
 		list = append(list, policy.Endpoint{ID: id, Weight: 1, StartedAt: policy.StartedLongAgo})
 	}
 	l.policy.UpdateEndpoints(list, true)
@@ -137,7 +137,7 @@
 	l.applySettings(dep)
 	took, want := []time.Duration{4, 4, 10, 10, 10, 10, 20}, []int{3, 3, 0, 0, 0, 0, -1} // no machine is slower than a quarter of the fastest one's speed
 	for i := range took {
-		l.servers[policy.EndpointID(i)] = &upstream{id: policy.EndpointID(i), listed: discovery.Endpoint{UID: fmt.Sprint(i), Weight: 1}}
+		l.servers[policy.EndpointID(i)] = &upstream{id: policy.EndpointID(i), entry: discovery.Endpoint{UID: fmt.Sprint(i), Weight: 1}}
 	}
 	for id := range policy.EndpointID(5) {
 		l.estimateLoad(l.servers[id], 200*time.Millisecond)
--- a/internal/balancer/loop.go
+++ b/internal/balancer/loop.go
@@ -55,7 +55,7 @@
 	sessionsByClientID map[uint64]*session // sessions by the ID in the client's request
 	lastSessionID      policy.SessionID
 	openSessions       int
-	idle               *idleConns
+	idleConns          *idleConns
 	relay              *relay.Relay
 	fleet              *fleet.Fleet // replicates the sessions of some classes; nil without a fleet
 
@@ -72,7 +72,7 @@
 	initialList       discovery.List     // endpoint list from before the start; empty once discovery is followed
 	hasCurrentList    bool               // whether discovery has answered since the start
 	freshListDeadline time.Duration      // loop time until which requests wait for a fresh endpoint list
-	deferred          []func()           // functions that wait for a fresh endpoint list
+	deferredRequests  []func()           // functions that wait for a fresh endpoint list
 	messageObjective  time.Duration      // shortest message objective of all classes, 0 if no class has one
 	medianProbeTime   time.Duration      // probe time of the median machine without load, 0 while it is unknown
 
@@ -110,7 +110,7 @@
 		serversByUID:       map[string]*upstream{},
 		sessions:           map[policy.SessionID]*session{},
 		sessionsByClientID: map[uint64]*session{},
-		idle:               newIdleConns(),
+		idleConns:          newIdleConns(),
 		initialList:        known,
 		becameReady:        make(chan struct{}),
 	}
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -60,7 +60,7 @@
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { _ = c.Close() }) // keeps a reference to it until then, as a connection that is garbage-collected is closed
+			t.Cleanup(func() { _ = c.Close() }) // closes it only here, as a garbage-collected connection would be closed too early
 			_, _ = bufio.NewReader(c).ReadString('\n')
 			requested <- c
 		}
--- a/internal/balancer/probe.go
+++ b/internal/balancer/probe.go
@@ -110,7 +110,7 @@
 		if load, known := l.estimateLoad(p.upstream, elapsed); known {
 			report.Demand = load
 			l.log.Debug("load estimated",
-				zap.String("server", p.upstream.listed.UID),
+				zap.String("server", p.upstream.entry.UID),
 				zap.Float64("load", load),
 				zap.Duration("took", elapsed))
 		}
--- a/internal/balancer/race_test.go
+++ b/internal/balancer/race_test.go
@@ -138,8 +138,8 @@
 				sl.l.post(event{run: sl.handleConnected})
 			}
 			sl.l.runOnce()
-			if sl.l.Lists.Load() != before || len(sl.l.deferred) != 1 {
-				t.Fatalf("%d lists were applied, %d requests wait; want 0 and 1", sl.l.Lists.Load()-before, len(sl.l.deferred))
+			if sl.l.Lists.Load() != before || len(sl.l.deferredRequests) != 1 {
+				t.Fatalf("%d lists were applied, %d requests wait; want 0 and 1", sl.l.Lists.Load()-before, len(sl.l.deferredRequests))
 			}
 			if stalled {
 				go sl.l.watch.Run(ctx)
@@ -353,7 +353,7 @@
 					sl.handleConnected()
 					sl.runUntil("the server has the request", func() bool { return len(sl.serverConns) > 0 })
 					server := (<-sl.serverConns).(*net.TCPConn)
-					defer func() { _ = server.Close() }() // keeps a reference to it until then, as a connection that is garbage-collected is closed
+					defer func() { _ = server.Close() }() // closes it only here, as a garbage-collected connection would be closed too early
 					_ = server.SetDeadline(time.Now().Add(testTimeout))
 					_ = sl.client.SetDeadline(time.Now().Add(testTimeout))
 					asked := len(sl.firstLines)
--- a/internal/balancer/session_end.go
+++ b/internal/balancer/session_end.go
@@ -25,8 +25,8 @@
 	}
 	c.finished = true
 	c.closeWrite()
-	if c.idle != nil {
-		l.idle.add(c, l.idle.ended)
+	if c.idleConns != nil {
+		l.idleConns.add(c, l.idleConns.ended)
 	}
 	l.after(lingerTimeout, c.close)
 }
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -100,7 +100,7 @@
 	list := discovery.List{Complete: true}
 	for _, server := range l.servers {
 		if server.state != policy.Removed {
-			list.Endpoints = append(list.Endpoints, server.listed)
+			list.Endpoints = append(list.Endpoints, server.entry)
 		}
 	}
 	slices.SortFunc(list.Endpoints, func(a, b discovery.Endpoint) int { return cmp.Compare(a.UID, b.UID) })
@@ -113,7 +113,7 @@
 		if server.state == policy.Removed {
 			continue
 		}
-		zone := server.listed.Zone
+		zone := server.entry.Zone
 		_, wasKnown := l.deployment.Zones[zone]
 		_, isKnown := settings.Zones[zone]
 		if wasKnown && !isKnown {
--- a/internal/balancer/slow_servers.go
+++ b/internal/balancer/slow_servers.go
@@ -71,7 +71,7 @@
 	}
 	l.policy.RecordLatency(server.id, median)
 	l.log.Debug("slow messages",
-		zap.String("server", server.listed.UID),
+		zap.String("server", server.entry.UID),
 		zap.Duration("take", median),
 		zap.Int("of", len(times)))
 	server.reportedSlow = slow
--- a/internal/balancer/stepped_loop_test.go
+++ b/internal/balancer/stepped_loop_test.go
@@ -109,7 +109,7 @@
 	}
 	l.descriptors.Add(1)
 	c := newConn(nc, l, &l.descriptors)
-	c.idle = l.idle
+	c.idleConns = l.idleConns
 	_ = nc.SetOnRequest(c.onReadable)
 	sl.client = near
 	_, _ = io.WriteString(near, "OPEN 1 2 c=feed,d=20000\r\n")
