--- a/internal/balancer/idle_conns.go
+++ b/internal/balancer/idle_conns.go
@@ -58,9 +58,9 @@
 }
 
 // evict removes and returns the connection to close next, nil if there is none. It prefers ended connections whose final line is
-// written, then silent ones, and among these it takes clients that wait for the answer to a PING last. It never returns spared, nor a
+// written, then silent ones, and among these it takes clients that wait for the answer to a PING last. It never returns excluded, nor a
 // silent connection with unread input: a well-behaved client's line arrives right after the connection.
-func (i *idleConns) evict(spared *conn) (c *conn, silent bool) {
+func (i *idleConns) evict(excluded *conn) (c *conn, silent bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for element := i.ended.Front(); element != nil; element = element.Next() {
@@ -69,7 +69,7 @@
 			return c, false
 		}
 	}
-	c = i.oldestSilentLocked(spared)
+	c = i.oldestSilentLocked(excluded)
 	if c != nil {
 		i.removeLocked(c)
 	}
@@ -77,12 +77,12 @@
 }
 
 // oldestSilentLocked returns the silent connection to evict next, nil if there is none. The caller holds i.mu.
-func (i *idleConns) oldestSilentLocked(spared *conn) *conn {
+func (i *idleConns) oldestSilentLocked(excluded *conn) *conn {
 	var waitsForPong *conn
 	for element := i.silent.Front(); element != nil; element = element.Next() {
 		c := element.Value.(*idleConn).conn
 		switch {
-		case c == spared || !c.isFlushed() || c.hasUnreadBytes():
+		case c == excluded || !c.isFlushed() || c.hasUnreadBytes():
 		case !c.awaitsPong.Load():
 			return c
 		case waitsForPong == nil:
--- a/internal/balancer/loop.go
+++ b/internal/balancer/loop.go
@@ -44,8 +44,8 @@
 	now        time.Duration // loop clock: time since startTime, as of the current iteration
 
 	mu    sync.Mutex
-	inbox []event // guarded by mu
-	wake  chan struct{}
+	inbox []event       // guarded by mu
+	wake  chan struct{} // holds a value while the inbox may have events
 
 	timers        timers
 	timerSequence int
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -159,7 +159,7 @@
 	indices := make([]int, len(previous))
 	for name, i := range previous {
 		indices[i] = -1
-		if j, stays := current[name]; stays {
+		if j, exists := current[name]; exists {
 			indices[i] = j
 		}
 	}
