--- a/cmd/sabletally/control_rig_test.go
+++ b/cmd/sabletally/control_rig_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	b.Links.Admit()
+	b.Links.AcceptExternal()
 	b.ExtraSettings = fmt.Sprintf("role = \"control\"\n  voters = %d", control)
 	m := &controlFleet{MemberGroup: b, t: t, dir: dir}
 	for i := range control {
--- a/cmd/sabletally/descriptors_test.go
+++ b/cmd/sabletally/descriptors_test.go
@@ -121,7 +121,7 @@
 			go forwardConns(ln, s.agent.Addr())
 		}
 	} else {
-		s.agent.Misbehave(emulator.Mute)
+		s.agent.Misbehave(emulator.Unresponsive)
 		s.back = func() { s.agent.Misbehave(emulator.Healthy) }
 	}
 	if err := s.child.Start(); err != nil {
--- a/cmd/sabletally/fleet_rig_test.go
+++ b/cmd/sabletally/fleet_rig_test.go
@@ -162,7 +162,7 @@
 // nodeConfig is a balancer's configuration.
 func nodeConfig(name string, p *cluster.Process, a *emulator.Agent, seed int) []byte {
 	return fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":2048},
-		"known":%s,"settings":%s}`, name, p.Addr, a.Addr(), seed, a.Known(), strings.Replace(settings, `[{"Name":"feed"`, `[`+serviceClass("pay")+serviceClass("order")+`{"Name":"feed"`, 1))
+		"known":%s,"settings":%s}`, name, p.Addr, a.Addr(), seed, a.InitialList(), strings.Replace(settings, `[{"Name":"feed"`, `[`+serviceClass("pay")+serviceClass("order")+`{"Name":"feed"`, 1))
 }
 
 func serviceClass(name string) string {
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -302,7 +302,7 @@
 			}
 			m := newTestFleetOf(t, 3, false, c.less, "", a)
 			m.waitFor("the list is held", m.all, func(r fleet.Report) bool { return repaired(r) && r.Store.Records > 0 })
-			a.Misbehave(emulator.Mute)
+			a.Misbehave(emulator.Unresponsive)
 			p := m.procs[2]
 			if c.name == "no fleet" {
 				p = m.unstarted(a)
--- a/cmd/sabletally/ready_test.go
+++ b/cmd/sabletally/ready_test.go
@@ -129,7 +129,7 @@
 	for i := range listed {
 		a.Set(entry(fmt.Sprintf("s-%d", i), server, emulator.InService))
 	}
-	known := string(a.Known())
+	known := string(a.InitialList())
 	kind := func(i int) string {
 		return []string{"own agent", "shared"}[i%2] + []string{", list known", ", none known"}[i/2%2]
 	}
@@ -153,8 +153,8 @@
 		{"sound", a.Addr(), emulator.Healthy, nil},
 		{"slow", a.Addr(), emulator.Healthy, emulator.NewWatchHub(200*time.Millisecond, 2*time.Second)},
 		{"no time", a.Addr(), emulator.Healthy, emulator.NewWatchHub(time.Hour, 0)},
-		{"silent", a.Addr(), emulator.Mute, nil},
-		{"faulty", a.Addr(), emulator.Faulty, nil},
+		{"silent", a.Addr(), emulator.Unresponsive, nil},
+		{"faulty", a.Addr(), emulator.Malformed, nil},
 		{"refused", closedAddress(t), emulator.Healthy, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -188,7 +188,7 @@
 		name  string
 		fault emulator.Fault
 		cut   bool
-	}{{"discovery sound", emulator.Healthy, false}, {"discovery silent", emulator.Mute, false}, {"cut off", emulator.Mute, true}} {
+	}{{"discovery sound", emulator.Healthy, false}, {"discovery silent", emulator.Unresponsive, false}, {"cut off", emulator.Unresponsive, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			a.Misbehave(c.fault)
 			for _, p := range m.procs {
@@ -212,7 +212,7 @@
 func TestClientsThatPingAreEvictedLast(t *testing.T) {
 	t.Parallel()
 	a := agent(t)
-	a.Misbehave(emulator.Mute)
+	a.Misbehave(emulator.Unresponsive)
 	p, err := cluster.NewProcess("n0", []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1"}, t.TempDir(), nil)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/sabletally/site_test.go
+++ b/cmd/sabletally/site_test.go
@@ -103,7 +103,7 @@
 	s.child, s.config = child, filepath.Join(dir, "n0.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":64},"known":%s,"settings":%s}`,
-		child.Addr, s.agent.Addr(), s.agent.Known(), settings)
+		child.Addr, s.agent.Addr(), s.agent.InitialList(), settings)
 	if slices.Contains(env, "PROBES=yes") { // else a probe that is late on a busy machine could steer a test
 		text = strings.Replace(text, `"Probes":false`, `"Probes":true`, 1)
 	}
--- a/cmd/sabletally/soak_test.go
+++ b/cmd/sabletally/soak_test.go
@@ -215,7 +215,7 @@
 		k.t.Fatal(err)
 	}
 	config := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be96%d",
-		"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`, name, process.Addr, k.agent.Addr(), i, k.sockets, k.agent.Known(), soakSettings)
+		"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`, name, process.Addr, k.agent.Addr(), i, k.sockets, k.agent.InitialList(), soakSettings)
 	if err := process.WriteConfig([]byte(config)); err != nil {
 		k.t.Fatal(err)
 	}
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -161,7 +161,7 @@
 	}
 	a.process.CPUs = a.Cores
 	world := throughputWorld(a.Cores, idle)
-	if err := a.process.WriteConfig(cluster.BalancerConfig(world, 0, a.process.Addr, agent.Addr(), 7, agent.Known())); err != nil {
+	if err := a.process.WriteConfig(cluster.BalancerConfig(world, 0, a.process.Addr, agent.Addr(), 7, agent.InitialList())); err != nil {
 		return err
 	}
 	a.target = bench.NewTarget(a.process.Addr)
--- a/internal/balancer/race_test.go
+++ b/internal/balancer/race_test.go
@@ -120,7 +120,7 @@
 			}
 			t.Cleanup(agent.Close)
 			if silent {
-				agent.Misbehave(emulator.Mute)
+				agent.Misbehave(emulator.Unresponsive)
 			}
 			agent.Set(emulator.Endpoint{UID: "s-1", Address: x.session.upstream.address, State: emulator.Terminating, Weight: 1})
 			ctx, stop := context.WithCancel(context.Background())
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -210,7 +210,7 @@
 	c.mu.Unlock()
 	c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.BalancerStarted, Balancer: int32(b), Server: -1})
 	p := c.process(b)
-	if err := p.WriteConfig(BalancerConfig(&c.World, b, p.Addr, c.agents[b].Addr(), seed*0x9e3779b97f4a7c15, c.agents[b].Known())); err != nil {
+	if err := p.WriteConfig(BalancerConfig(&c.World, b, p.Addr, c.agents[b].Addr(), seed*0x9e3779b97f4a7c15, c.agents[b].InitialList())); err != nil {
 		return err
 	}
 	p.env = append(p.env[:len(p.env):len(p.env)], "EDGE_DISCOVERY="+c.agents[b].Addr())
@@ -262,7 +262,7 @@
 func (c *Cluster) DiscoveryAddr(b int) string { return c.agents[b].Addr() }
 
 // KnownEndpoints is the endpoint list that a balancer is configured with at its start, as JSON.
-func (c *Cluster) KnownEndpoints(b int) json.RawMessage { return c.agents[b].Known() }
+func (c *Cluster) KnownEndpoints(b int) json.RawMessage { return c.agents[b].InitialList() }
 
 // Close ends all processes and emulators and removes their files.
 func (c *Cluster) Close() {
--- a/internal/lab/cluster/fault_steps.go
+++ b/internal/lab/cluster/fault_steps.go
@@ -101,7 +101,7 @@
 	case faults.SetStore:
 		c.store.Slow(step.Value)
 	case faults.SetDiscovery:
-		fault := emulator.Mute
+		fault := emulator.Unresponsive
 		if on {
 			fault = emulator.Healthy
 		}
@@ -109,7 +109,7 @@
 	case faults.SetFaulty:
 		fault := emulator.Healthy
 		if on {
-			fault = emulator.Faulty
+			fault = emulator.Malformed
 		}
 		c.endpoints.Misbehave(fault)
 	case faults.SetLate:
@@ -126,7 +126,7 @@
 	case faults.SetSilentClients:
 		running.Go(func() { emulator.RunSilentClients(ctx, step.Value, step.For, c.PickBalancer, c.seed) })
 	case faults.SetPieces:
-		clients.Pieces.Store(on)
+		clients.FragmentLines.Store(on)
 	case faults.SetMisbehavingClients:
 		if c.stopMisbehaving != nil {
 			c.stopMisbehaving()
--- a/internal/lab/cluster/operations.go
+++ b/internal/lab/cluster/operations.go
@@ -53,7 +53,7 @@
 func (c *Cluster) reload(w *topology.World) {
 	for b := range c.agents {
 		p := c.process(b)
-		c.recordError(p.WriteConfig(BalancerConfig(w, b, p.Addr, c.agents[b].Addr(), 1, c.agents[b].Known())))
+		c.recordError(p.WriteConfig(BalancerConfig(w, b, p.Addr, c.agents[b].Addr(), 1, c.agents[b].InitialList())))
 		c.recordError(p.Signal(syscall.SIGHUP))
 	}
 }
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -45,7 +45,7 @@
 		run.Groups++
 		run.GroupServers += servers
 	}
-	run.Late = float64(clients.Late().Milliseconds())
+	run.Late = float64(clients.MaxStartDelay().Milliseconds())
 	c.endProcesses(&run)
 	events := c.eventsUntil(end, &run)
 	verdict := checker.Check(w.Rules(checkSlack, c.places), events, c.Log.Dropped(), end)
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -40,7 +40,7 @@
 	Retry            load.RetryPolicy
 	Seed             uint64
 
-	Pieces atomic.Bool // first lines are written in pieces
+	FragmentLines atomic.Bool // first lines are written in pieces
 
 	lastID      atomic.Uint64
 	late        atomic.Int64 // nanoseconds, the most that a client started late
@@ -85,8 +85,8 @@
 	c.running.Wait()
 }
 
-// Late returns how late a client was started at worst: by how much the lab itself fell behind.
-func (c *Clients) Late() time.Duration { return time.Duration(c.late.Load()) }
+// MaxStartDelay returns how late a client was started at worst: by how much the lab itself fell behind.
+func (c *Clients) MaxStartDelay() time.Duration { return time.Duration(c.late.Load()) }
 
 // Drop has a share of the established clients disconnect within a time and come straight back.
 func (c *Clients) Drop(share float64, within time.Duration, rng *rand.Rand) {
--- a/internal/lab/emulator/client_session.go
+++ b/internal/lab/emulator/client_session.go
@@ -63,7 +63,7 @@
 		group = fmt.Sprintf(",g=%x", p.Group)
 	}
 	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", s.id, p.Key, p.clients.ClassNames[p.Class], deadline.Milliseconds(), group, p.Load)
-	if p.clients.Pieces.Load() {
+	if p.clients.FragmentLines.Load() {
 		text = writeInPieces(s.conn, text)
 	}
 	_, err := s.conn.Write([]byte(text))
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -50,10 +50,10 @@
 const (
 	// Healthy is an agent that answers as it should.
 	Healthy Fault = iota
-	// Mute is an agent out of reach: it accepts connections and writes nothing.
-	Mute
-	// Faulty is an agent that writes incomplete and malformed answers by turns.
-	Faulty
+	// Unresponsive is an agent out of reach: it accepts connections and writes nothing.
+	Unresponsive
+	// Malformed is an agent that writes incomplete and malformed answers by turns.
+	Malformed
 )
 
 // Agent is the discovery agent of one balancer.
@@ -184,8 +184,8 @@
 	a.desk = d
 }
 
-// Known is the list in the form that a balancer is told at its start, and counts as told.
-func (a *Agent) Known() json.RawMessage {
+// InitialList is the list in the form that a balancer is told at its start, and counts as told.
+func (a *Agent) InitialList() json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.encodeList(true, 0)
@@ -245,7 +245,7 @@
 			_, _ = w.Write(text)
 			return
 		}
-		if fault == Faulty {
+		if fault == Malformed {
 			a.turns++
 			turn := a.turns
 			a.mu.Unlock()
@@ -253,7 +253,7 @@
 			return
 		}
 		a.mu.Unlock()
-		if fault == Mute {
+		if fault == Unresponsive {
 			until = nil
 		}
 		select {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -224,7 +224,7 @@
 	if e := wait(t, log, history.Notified, "draining"); e.Balancer != 2 || e.Server != 9 {
 		t.Fatal(e)
 	}
-	a.Misbehave(Faulty)
+	a.Misbehave(Malformed)
 	for range 3 {
 		<-errs
 	}
--- a/internal/lab/emulator/network_links.go
+++ b/internal/lab/emulator/network_links.go
@@ -81,8 +81,8 @@
 	return t, nil
 }
 
-// Admit lets in strangers' connections, which nothing is between. It is called before any is made.
-func (t *MemberLinks) Admit() {
+// AcceptExternal lets in strangers' connections, which nothing is between. It is called before any is made.
+func (t *MemberLinks) AcceptExternal() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, addr := range t.listenAddrs {
