--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -1,5 +1,5 @@
-// This file owns clients: each wants a connection for its time, comes again when it has none, and counts what it
-// got from when it wanted it. They never wait for each other.
+// This file emulates well-behaved clients: each wants a connection for some time, reconnects when it has lost it, and measures its
+// service from the time at which it wanted the connection. Clients never wait for each other.
 
 package emulator
 
@@ -23,8 +23,8 @@
 )
 
 const (
-	answerGrace     = 100 * time.Millisecond // beyond the deadline, to see a late answer
-	readAfterAnswer = 300 * time.Millisecond // for the end, or a second answer
+	answerGrace     = 100 * time.Millisecond // time to wait beyond the deadline, so that a late answer is recorded
+	readAfterAnswer = 300 * time.Millisecond // time to read on after a negative answer, for the end of the connection or a second answer
 )
 
 // Clients runs the well-behaved clients of a run.
@@ -35,35 +35,35 @@
 	PickBalancer     func(rng *rand.Rand) (balancer int, address string, ok bool)
 	ClassNames       []string
 	Deadlines        []time.Duration // by class
-	MessageInterval  time.Duration   // between two lines of a session
-	MessageObjective time.Duration   // of the answer to a line
+	MessageInterval  time.Duration   // time between two lines of a session
+	MessageObjective time.Duration   // an answer to a line within this time counts as served
 	Retry            load.RetryPolicy
 	Seed             uint64
 
-	FragmentLines atomic.Bool // first lines are written in pieces
+	FragmentLines atomic.Bool // whether first lines are written in fragments
 
-	lastID      atomic.Uint64
-	late        atomic.Int64 // nanoseconds, the most that a client started late
-	mu          sync.Mutex
-	established map[*runningClient]bool
-	running     sync.WaitGroup
+	lastID        atomic.Uint64
+	maxStartDelay atomic.Int64 // nanoseconds by which a client started late at most
+	mu            sync.Mutex
+	established   map[*runningClient]bool // clients with an established session
+	running       sync.WaitGroup
 }
 
-// runningClient is one client from its start to its end.
+// runningClient is one client while it runs.
 type runningClient struct {
 	load.Client
 	clients *Clients
 	rng     *rand.Rand
-	due     time.Duration // of the next line
-	drop    chan time.Duration
+	nextDue time.Duration      // time of the run at which the next line is due
+	drop    chan time.Duration // receives the delay after which to disconnect
 }
 
 // Run starts the clients at their times and returns when the last one has ended or the context is done.
-func (c *Clients) Run(ctx context.Context, people []load.Client) {
+func (c *Clients) Run(ctx context.Context, clients []load.Client) {
 	c.mu.Lock()
 	c.established = map[*runningClient]bool{}
 	c.mu.Unlock()
-	for i, p := range people {
+	for i, p := range clients {
 		wait := time.NewTimer(time.Until(c.Clock.At(p.At)))
 		select {
 		case <-ctx.Done():
@@ -72,23 +72,23 @@
 			return
 		case <-wait.C:
 		}
-		if late := int64(c.Clock.Now() - p.At); late > c.late.Load() {
-			c.late.Store(late)
+		if late := int64(c.Clock.Now() - p.At); late > c.maxStartDelay.Load() {
+			c.maxStartDelay.Store(late)
 		}
-		one := &runningClient{Client: p, clients: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), due: p.At + c.MessageInterval, drop: make(chan time.Duration, 1)}
+		client := &runningClient{Client: p, clients: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), nextDue: p.At + c.MessageInterval, drop: make(chan time.Duration, 1)}
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
-			one.run(ctx)
+			client.run(ctx)
 		}()
 	}
 	c.running.Wait()
 }
 
-// MaxStartDelay returns how late a client was started at worst: by how much the lab itself fell behind.
-func (c *Clients) MaxStartDelay() time.Duration { return time.Duration(c.late.Load()) }
+// MaxStartDelay returns the longest delay with which a client was started: how far the testbed itself fell behind.
+func (c *Clients) MaxStartDelay() time.Duration { return time.Duration(c.maxStartDelay.Load()) }
 
-// Drop has a share of the established clients disconnect within a time and come straight back.
+// Drop makes a share of the established clients disconnect within a time; they reconnect at once.
 func (c *Clients) Drop(share float64, within time.Duration, rng *rand.Rand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,19 +102,19 @@
 	}
 }
 
-// run connects, and retries, until the client wants its session no more.
+// run connects, and retries, until the time for which the client wants a session is over.
 func (p *runningClient) run(ctx context.Context) {
 	c := p.clients
 	since, failures := p.At, 0
 	for ctx.Err() == nil && c.Clock.Now() < p.Until {
-		how, advice, stood := p.connect(ctx, since)
-		if stood {
+		how, retryAfter, established := p.connect(ctx, since)
+		if established {
 			since, failures = c.Clock.Now(), 0
 		}
 		if how == load.Rejected || how == load.Failed {
 			failures++
 		}
-		wait := time.NewTimer(min(c.Retry.Delay(how, failures, advice, p.rng.Float64()), p.Until-c.Clock.Now()))
+		wait := time.NewTimer(min(c.Retry.Delay(how, failures, retryAfter, p.rng.Float64()), p.Until-c.Clock.Now()))
 		select {
 		case <-ctx.Done():
 		case <-wait.C:
@@ -124,14 +124,15 @@
 	p.countMissed(min(p.Until, c.Clock.Now()))
 }
 
-// countMissed counts the lines that could not be sent up to a time.
-func (p *runningClient) countMissed(up time.Duration) {
-	for ; p.due <= up; p.due += p.clients.MessageInterval {
-		p.clients.Meter.Message(p.due, 0, p.clients.MessageInterval, false)
+// countMissed counts the lines that were due up to a time and could not be sent as not served.
+func (p *runningClient) countMissed(until time.Duration) {
+	for ; p.nextDue <= until; p.nextDue += p.clients.MessageInterval {
+		p.clients.Meter.Message(p.nextDue, 0, p.clients.MessageInterval, false)
 	}
 }
 
-// connect makes one session and runs it to its end. retryAfter is that of a rejection.
+// connect opens one session and runs it to its end. It returns how the session ended, the Retry-After of a rejection, and whether
+// the session was established. A client wants a connection since the time given.
 func (p *runningClient) connect(ctx context.Context, since time.Duration) (how load.Ending, retryAfter time.Duration, established bool) {
 	c := p.clients
 	balancer, address, ok := c.PickBalancer(p.rng)
@@ -147,9 +148,9 @@
 	s := newClientSession(p, conn, balancer)
 	at := c.Clock.Now()
 	if err := s.sendRequest(deadline); err != nil {
-		return load.Failed, 0, false // no complete request was written
+		return load.Failed, 0, false // no complete first line was written
 	}
-	// The time is that before the write, as a server may be faster than this goroutine.
+	// The event has the time before the write, as the server may record the request before this goroutine runs on.
 	s.record(history.Taken, history.Event{At: max(at, 1), Duration: deadline})
 	_ = conn.SetReadDeadline(c.Clock.At(at + deadline + answerGrace))
 	answer, err := s.reader.ReadSlice('\n')
@@ -185,7 +186,7 @@
 	return s.run(ctx), 0, true
 }
 
-// setEstablished enters a client among those that Drop chooses from, or removes it.
+// setEstablished adds a client to those that Drop chooses from, or removes it.
 func (c *Clients) setEstablished(p *runningClient, established bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/emulator/client_session.go
+++ b/internal/lab/emulator/client_session.go
@@ -1,3 +1,5 @@
+// This file emulates a client's side of one session: it sends lines at their times and records answers and the end.
+
 package emulator
 
 import (
@@ -16,17 +18,17 @@
 	"sabletally/internal/protocol"
 )
 
-// clientSession is one connection of a client.
+// clientSession is a client's side of one connection.
 type clientSession struct {
 	client   *runningClient
 	conn     net.Conn
 	reader   *bufio.Reader
-	id       uint64
-	balancer int
+	id       uint64 // sent in the first line
+	balancer int    // index of the balancer that the client has dialed
 
 	mu         sync.Mutex
-	unanswered map[time.Duration]bool // due times of lines without an answer
-	ended      chan load.Ending       // receives how the other side ended the session
+	unanswered map[time.Duration]bool // due times of the lines that are sent and not answered
+	ended      chan load.Ending       // receives once how the session ended, when read returns
 }
 
 func newClientSession(p *runningClient, conn net.Conn, balancer int) *clientSession {
@@ -41,7 +43,7 @@
 	}
 }
 
-// record adds an event of the session, at the present time if it has none.
+// record adds an event of the session to the history, with the current time if the event has none.
 func (s *clientSession) record(kind history.Kind, event history.Event) {
 	c := s.client.clients
 	if event.At == 0 {
@@ -64,13 +66,13 @@
 	}
 	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", s.id, p.Key, p.clients.ClassNames[p.Class], deadline.Milliseconds(), group, p.Load)
 	if p.clients.FragmentLines.Load() {
-		text = writeInPieces(s.conn, text)
+		text = writeInFragments(s.conn, text)
 	}
 	_, err := s.conn.Write([]byte(text))
 	return err
 }
 
-// readSecondAnswers reads on after a rejection or failure: a second answer is recorded.
+// readSecondAnswers reads on after a rejection or failure and records each further final answer, which the checker reports.
 func (s *clientSession) readSecondAnswers() {
 	_ = s.conn.SetReadDeadline(time.Now().Add(readAfterAnswer))
 	for {
@@ -82,13 +84,14 @@
 	}
 }
 
+// recordSecondAnswer records a line if it is a final answer.
 func (s *clientSession) recordSecondAnswer(line []byte) {
 	if answer, isAnswer := finalAnswer(line); isAnswer {
 		s.record(history.Answered, history.Event{Text: answer})
 	}
 }
 
-// finalAnswer reports whether a line is a final answer, and which.
+// finalAnswer returns the event text of a final answer, and whether the line is one.
 func finalAnswer(line []byte) (string, bool) {
 	switch {
 	case bytes.HasPrefix(line, []byte("UP ")):
@@ -101,7 +104,7 @@
 	return "", false
 }
 
-// run sends a line at each of the client's times, whether or not the last one was answered, until the session ends.
+// run sends a line whenever one is due, whether or not the previous one was answered, until the session ends.
 func (s *clientSession) run(ctx context.Context) (how load.Ending) {
 	p := s.client
 	clock := p.clients.Clock
@@ -114,7 +117,7 @@
 	defer until.Stop()
 	var dropped <-chan time.Time
 	for {
-		next.Reset(max(0, time.Until(clock.At(p.due))))
+		next.Reset(max(0, time.Until(clock.At(p.nextDue))))
 		select {
 		case how := <-s.ended:
 			return how
@@ -132,21 +135,21 @@
 	}
 }
 
-// sendLine sends the line that is due now, unless the client's time is up by then.
+// sendLine sends the line that is due now, unless the client wants no session any more at that time.
 func (s *clientSession) sendLine() {
 	p := s.client
-	due := p.due
-	p.due += p.clients.MessageInterval
+	due := p.nextDue
+	p.nextDue += p.clients.MessageInterval
 	if due >= p.Until {
 		return
 	}
 	s.mu.Lock()
 	s.unanswered[due] = true
 	s.mu.Unlock()
-	_, _ = s.conn.Write(fmt.Appendf(nil, "M %d\r\n", int64(due))) // an error shows as the connection's end
+	_, _ = s.conn.Write(fmt.Appendf(nil, "M %d\r\n", int64(due))) // read sees a failure as the end of the connection
 }
 
-// leave ends the session from the client's side.
+// leave closes the session from the client's side.
 func (s *clientSession) leave() load.Ending {
 	s.record(history.Left, history.Event{})
 	_ = s.conn.Close()
@@ -154,7 +157,7 @@
 	return load.Dropped
 }
 
-// read handles what comes until the other side ends the session.
+// read handles the lines that arrive until the connection ends.
 func (s *clientSession) read() {
 	c := s.client.clients
 	how := load.Broken
@@ -179,7 +182,7 @@
 	}
 }
 
-// recordEnd records how a read ended, unless the client has closed the connection itself.
+// recordEnd records how the connection ended, unless the client has closed it itself.
 func (s *clientSession) recordEnd(err error) {
 	text := "end"
 	if IsAbruptClose(err) {
@@ -190,7 +193,7 @@
 	}
 }
 
-// handleEcho counts the answer to a line, and records one that was delayed on its way.
+// handleEcho counts the answer to a line, and records an answer that took more than a second from the server to the client.
 func (s *clientSession) handleEcho(line []byte, now time.Duration) {
 	c := s.client.clients
 	due, sent := parseEcho(line)
@@ -205,7 +208,8 @@
 	}
 }
 
-// countUnanswered counts lines without an answer as not served, except those that a leaving client has just sent.
+// countUnanswered counts the lines without an answer as not served. If the client itself has closed the session, lines whose
+// objective has not passed yet are not counted.
 func (s *clientSession) countUnanswered(how load.Ending) {
 	c := s.client.clients
 	s.mu.Lock()
@@ -218,14 +222,14 @@
 	clear(s.unanswered)
 }
 
-// parseEcho decodes a server's answer to a line: the line's due time and the time of the answer.
+// parseEcho decodes a server's answer to a line: the time at which the line was due and the time at which the answer was sent.
 func parseEcho(raw []byte) (due, sent time.Duration) {
 	for i, word := range bytes.Fields(raw) {
 		if i == 1 {
 			n, _ := strconv.ParseInt(string(word), 10, 64)
 			due = time.Duration(n)
 		}
-		if at, is := bytes.CutPrefix(word, []byte("t=")); is {
+		if at, found := bytes.CutPrefix(word, []byte("t=")); found {
 			n, _ := strconv.ParseInt(string(at), 10, 64)
 			sent = time.Duration(n)
 		}
--- a/internal/lab/emulator/clock.go
+++ b/internal/lab/emulator/clock.go
@@ -1,3 +1,5 @@
+// This file holds the clock of a run, and addresses for listeners.
+
 package emulator
 
 import (
@@ -7,7 +9,7 @@
 	"time"
 )
 
-// Clock is the time of a run; it is 0 until Begin.
+// Clock measures the time since the start of a run. It stands at 0 until Begin.
 type Clock struct{ start atomic.Pointer[time.Time] }
 
 // Begin starts the clock.
@@ -24,7 +26,7 @@
 	return 0
 }
 
-// At returns the wall-clock time of a time of the run.
+// At converts a time of the run to wall-clock time.
 func (c *Clock) At(d time.Duration) time.Time {
 	if start := c.start.Load(); start != nil {
 		return start.Add(d)
@@ -32,11 +34,11 @@
 	return time.Now().Add(d)
 }
 
-var loopbacks atomic.Uint32
+var loopbackCount atomic.Uint32 // addresses that Loopback has returned
 
-// Loopback returns a loopback address with port 0 that no other process is likely to use, so that a port which is
-// closed and opened again is not taken in between.
+// Loopback returns a loopback address, with port 0, that other processes are unlikely to use, so that no other process takes a port
+// between its closing and its reopening.
 func Loopback() string {
-	pid, n := os.Getpid(), loopbacks.Add(1)
+	pid, n := os.Getpid(), loopbackCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>8&0x7f, pid&0xff, 1+n%254)
 }
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -1,4 +1,4 @@
-// This file owns the list of servers and the agents that tell it: one agent for each balancer.
+// This file emulates service discovery: the list of servers, and the agents that serve it over HTTP, one for each balancer.
 
 package emulator
 
@@ -18,12 +18,12 @@
 )
 
 const (
-	replacedLifetime = 1500 * time.Millisecond // of the connections to a discovery that was replaced
-	notifiedAfter    = 6 * time.Second         // what an agent has counts as known to its balancer by then
-	maxHold          = time.Minute
+	replacedLifetime = 1500 * time.Millisecond // time until the connections to a replaced address are closed
+	notifiedAfter    = 6 * time.Second         // time after which the balancer of a healthy agent counts as notified of a change even if it has not fetched it
+	maxHold          = time.Minute             // longest time for which a watch waits for a change
 )
 
-// Endpoint is one line of the list, in the wire's form.
+// Endpoint is one entry of the list, as it is encoded in a response.
 type Endpoint struct {
 	UID           string  `json:"uid"`
 	Address       string  `json:"endpoint"`
@@ -35,24 +35,25 @@
 	BootMs        int64   `json:"boot_ms"`
 }
 
-// States on the wire.
+// The values of Endpoint.State.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
 	Terminated  = "terminated"
 )
 
+// stateTexts maps states to the texts of BalancerNotified events.
 var stateTexts = map[string]string{InService: "ready", Terminating: "draining", Terminated: "gone"}
 
-// Fault is the way in which an agent misbehaves.
+// Fault is a way in which an agent misbehaves.
 type Fault uint8
 
 const (
-	// Healthy is an agent that answers as it should.
+	// Healthy is an agent without a fault.
 	Healthy Fault = iota
-	// Unresponsive is an agent out of reach: it accepts connections and writes nothing.
+	// Unresponsive is an agent that accepts connections and writes nothing.
 	Unresponsive
-	// Malformed is an agent that writes incomplete and malformed answers by turns.
+	// Malformed is an agent that writes truncated and malformed responses in turn.
 	Malformed
 )
 
@@ -61,25 +62,25 @@
 	balancer int32
 	clock    *Clock
 	log      *history.Log
-	number   func(uid string) int
-
-	mu      sync.Mutex
-	entries []Endpoint // in the order they came
-	revs    []int      // the revision at which each changed
-	rev     int
-	said    map[string]int // revision of a server's state that was written
-	changed chan struct{}
-	fault   Fault
-	turns   int
-	text    string    // answered in place of all else, if it is not empty
-	desk    *WatchHub // where calls wait for their turn, nil where they need not
-	ln      net.Listener
-	srv     *http.Server
+	indexOf  func(uid string) int // index of a server by its UID
+
+	mu             sync.Mutex
+	entries        []Endpoint     // in the order in which they were added
+	entryRevs      []int          // by entry, the revision of its last change
+	rev            int            // revision of the list
+	notifiedRevs   map[string]int // by UID, the newest revision of the entry that counts as known to the balancer
+	changed        chan struct{}  // closed and replaced when the list or the behavior changes
+	fault          Fault
+	malformedCount int       // malformed responses so far
+	fixedResponse  string    // response to each request, unless it is empty
+	hub            *WatchHub // where requests wait for their turn; nil if they do not wait
+	ln             net.Listener
+	srv            *http.Server
 }
 
-// NewAgent makes an agent that listens; number tells a server's number by its name.
-func NewAgent(balancer int, clock *Clock, log *history.Log, number func(string) int) (*Agent, error) {
-	a := &Agent{balancer: int32(balancer), clock: clock, log: log, number: number, said: map[string]int{}, changed: make(chan struct{})}
+// NewAgent starts an agent; indexOf returns the index of a server by its UID.
+func NewAgent(balancer int, clock *Clock, log *history.Log, indexOf func(string) int) (*Agent, error) {
+	a := &Agent{balancer: int32(balancer), clock: clock, log: log, indexOf: indexOf, notifiedRevs: map[string]int{}, changed: make(chan struct{})}
 	return a, a.listen()
 }
 
@@ -96,14 +97,15 @@
 	return nil
 }
 
-// Addr is where it listens now.
+// Addr returns the address on which the agent listens now.
 func (a *Agent) Addr() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ln.Addr().String()
 }
 
-// Replace has the agent listen at another address; the old one takes nothing new and ends a little later.
+// Replace moves the agent to a new address. The old address accepts no new connections, and its open ones are closed after
+// replacedLifetime.
 func (a *Agent) Replace() error {
 	a.mu.Lock()
 	ln, srv := a.ln, a.srv
@@ -116,14 +118,14 @@
 	return nil
 }
 
-// Close ends it.
+// Close stops the agent and closes its connections.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	_ = a.srv.Close()
 }
 
-// Set takes a line of the list; what it replaces is told no more.
+// Set adds an entry to the list, or replaces the entry of the same UID.
 func (a *Agent) Set(e Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -135,9 +137,9 @@
 		}
 	}
 	if at < 0 {
-		a.entries, a.revs = append(a.entries, e), append(a.revs, a.rev)
+		a.entries, a.entryRevs = append(a.entries, e), append(a.entryRevs, a.rev)
 	} else {
-		a.entries[at], a.revs[at] = e, a.rev
+		a.entries[at], a.entryRevs[at] = e, a.rev
 	}
 	close(a.changed)
 	a.changed = make(chan struct{})
@@ -145,22 +147,22 @@
 	time.AfterFunc(notifiedAfter, func() { a.recordNotified(e, rev) })
 }
 
-// recordNotified notes what the balancer should have fetched by now.
+// recordNotified records an entry as known to the balancer if the balancer should have fetched it by now.
 func (a *Agent) recordNotified(e Endpoint, rev int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.fault == Healthy && a.said[e.UID] < rev {
+	if a.fault == Healthy && a.notifiedRevs[e.UID] < rev {
 		a.recordState(e, rev)
 	}
 }
 
-// recordState notes that the balancer has been told; mu is held.
+// recordState records that the balancer knows an entry's state; mu is held.
 func (a *Agent) recordState(e Endpoint, rev int) {
-	a.said[e.UID] = rev
-	a.log.Add(history.Event{At: a.clock.Now(), Kind: history.Notified, Balancer: a.balancer, Server: int32(a.number(e.UID)), Text: stateTexts[e.State]})
+	a.notifiedRevs[e.UID] = rev
+	a.log.Add(history.Event{At: a.clock.Now(), Kind: history.Notified, Balancer: a.balancer, Server: int32(a.indexOf(e.UID)), Text: stateTexts[e.State]})
 }
 
-// Misbehave changes how it answers.
+// Misbehave sets the agent's fault.
 func (a *Agent) Misbehave(f Fault) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -169,29 +171,31 @@
 	a.changed = make(chan struct{})
 }
 
-// ServeText has it answer with a text, whatever is asked, until the text is empty again.
+// ServeText makes the agent answer each request with a text; an empty text ends that.
 func (a *Agent) ServeText(text string) {
 	a.mu.Lock()
-	a.text = text
+	a.fixedResponse = text
 	a.mu.Unlock()
-	a.Misbehave(Healthy) // wakes who waits
+	a.Misbehave(Healthy) // wakes the requests that wait
 }
 
-// UseHub has calls wait at a desk that agents share; one that it turns away is answered 503.
-func (a *Agent) UseHub(d *WatchHub) {
+// UseHub makes requests wait for their turn at a hub that agents share; a request that the hub rejects is answered with 503. Nil
+// ends that.
+func (a *Agent) UseHub(hub *WatchHub) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.desk = d
+	a.hub = hub
 }
 
-// InitialList is the list in the form that a balancer is told at its start, and counts as told.
+// InitialList returns the whole list, encoded, for a balancer's configuration. The balancer counts as notified of it.
 func (a *Agent) InitialList() json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.encodeList(true, 0)
 }
 
-// encodeList writes the whole list or what changed since a revision, and notes it as told; mu is held.
+// encodeList encodes the whole list, or the entries that changed since a revision, and records them as known to the balancer; mu is
+// held.
 func (a *Agent) encodeList(whole bool, from int) []byte {
 	out := struct {
 		Rev     int        `json:"rev"`
@@ -199,20 +203,21 @@
 		Targets []Endpoint `json:"targets"`
 	}{a.rev, whole, []Endpoint{}}
 	for i, e := range a.entries {
-		if !whole && a.revs[i] <= from || whole && e.State == Terminated {
+		if !whole && a.entryRevs[i] <= from || whole && e.State == Terminated {
 			continue
 		}
 		out.Targets = append(out.Targets, e)
 	}
 	for i, e := range a.entries {
-		if (whole || a.revs[i] > from) && a.said[e.UID] < a.revs[i] {
-			a.recordState(e, a.revs[i])
+		if (whole || a.entryRevs[i] > from) && a.notifiedRevs[e.UID] < a.entryRevs[i] {
+			a.recordState(e, a.entryRevs[i])
 		}
 	}
-	text, _ := json.Marshal(out) // of plain fields
+	text, _ := json.Marshal(out) // cannot fail: all fields are strings, numbers and booleans
 	return text
 }
 
+// serve answers a request for the whole list, or a watch, which waits until the list is newer than its revision.
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, err := strconv.Atoi(q.Get("from"))
@@ -222,9 +227,9 @@
 		return
 	}
 	a.mu.Lock()
-	desk := a.desk
+	hub := a.hub
 	a.mu.Unlock()
-	if desk != nil && !desk.WaitForWatch(r.Context()) {
+	if hub != nil && !hub.WaitForWatch(r.Context()) {
 		http.Error(w, "no time", http.StatusServiceUnavailable)
 		return
 	}
@@ -233,8 +238,8 @@
 	for {
 		a.mu.Lock()
 		fault, changed := a.fault, a.changed
-		if a.text != "" {
-			text := a.text
+		if a.fixedResponse != "" {
+			text := a.fixedResponse
 			a.mu.Unlock()
 			_, _ = io.WriteString(w, text)
 			return
@@ -246,8 +251,8 @@
 			return
 		}
 		if fault == Malformed {
-			a.turns++
-			turn := a.turns
+			a.malformedCount++
+			turn := a.malformedCount
 			a.mu.Unlock()
 			a.serveMalformed(w, turn)
 			return
@@ -270,10 +275,10 @@
 	}
 }
 
-// serveMalformed answers with a fault, one kind after the other.
+// serveMalformed writes a malformed response; the kinds of malformation follow each other in turn.
 func (a *Agent) serveMalformed(w http.ResponseWriter, turn int) {
 	switch turn % 4 {
-	case 0: // half a list
+	case 0: // a truncated list
 		w.Header().Set("Content-Length", "400")
 		_, _ = io.WriteString(w, `{"rev":9,"all":true,"targets":[{"uid":"s-`)
 	case 1:
@@ -285,34 +290,35 @@
 	}
 }
 
-// EndpointList tells all agents of the servers, each in its time.
+// EndpointList is the list of servers. It delivers each change to all agents, to each one with a delay of its own.
 type EndpointList struct {
-	clock  *Clock
-	notice [2]time.Duration
-	silent [2]time.Duration
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	agents  []*Agent
-	entries map[string]Endpoint
-	hidden  map[string]bool
-	late    time.Duration
+	clock            *Clock
+	announcedDelay   [2]time.Duration // shortest and longest delay of an announced change
+	unannouncedDelay [2]time.Duration // shortest and longest delay of a change that the list has to detect
+
+	mu         sync.Mutex
+	rng        *rand.Rand
+	agents     []*Agent
+	entries    map[string]Endpoint
+	hidden     map[string]bool // UIDs that the agents do not list
+	extraDelay time.Duration   // added to the delay of each change
 }
 
-// NewEndpointList makes a list; its words take as long as the ranges say, where a process dies unannounced the second.
-func NewEndpointList(clock *Clock, notice, silent [2]time.Duration, seed uint64) *EndpointList {
-	return &EndpointList{clock: clock, notice: notice, silent: silent, rng: rand.New(rand.NewPCG(seed, 0x1157)),
+// NewEndpointList returns an empty list. A change reaches an agent after a random delay within the range announced, or within the
+// range unannounced if a process has stopped without an announcement.
+func NewEndpointList(clock *Clock, announced, unannounced [2]time.Duration, seed uint64) *EndpointList {
+	return &EndpointList{clock: clock, announcedDelay: announced, unannouncedDelay: unannounced, rng: rand.New(rand.NewPCG(seed, 0x1157)),
 		entries: map[string]Endpoint{}, hidden: map[string]bool{}}
 }
 
-// AddAgent adds an agent.
+// AddAgent adds an agent that receives later changes.
 func (l *EndpointList) AddAgent(a *Agent) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.agents = append(l.agents, a)
 }
 
-// SetInitial tells a server at once, before the run.
+// SetInitial sets a server's entry without delay, before the run.
 func (l *EndpointList) SetInitial(e Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -322,7 +328,7 @@
 	}
 }
 
-// Set changes a server's line; unannounced: the list finds out by itself.
+// Set changes a server's entry. An unannounced change is one that the list has to detect.
 func (l *EndpointList) Set(ctx context.Context, e Endpoint, unannounced bool) {
 	l.mu.Lock()
 	l.entries[e.UID] = e
@@ -330,7 +336,7 @@
 	l.deliver(ctx, e, unannounced)
 }
 
-// SetState changes only the state, and the boot time where it is not 0.
+// SetState changes only the state of a server's entry, and its boot time unless that is 0.
 func (l *EndpointList) SetState(ctx context.Context, uid, state string, bootMs int64, unannounced bool) {
 	l.mu.Lock()
 	e := l.entries[uid]
@@ -342,23 +348,24 @@
 	l.Set(ctx, e, unannounced)
 }
 
+// deliver sends a server's entry to each agent after a delay.
 func (l *EndpointList) deliver(ctx context.Context, e Endpoint, unannounced bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.hidden[e.UID] {
 		e.State = Terminated
 	}
-	span := l.notice
+	span := l.announcedDelay
 	if unannounced {
-		span = l.silent
+		span = l.unannouncedDelay
 	}
 	for _, a := range l.agents {
-		wait := span[0] + time.Duration(l.rng.Float64()*float64(span[1]-span[0])) + l.late
+		wait := span[0] + time.Duration(l.rng.Float64()*float64(span[1]-span[0])) + l.extraDelay
 		time.AfterFunc(wait, func() {
 			if ctx.Err() != nil {
 				return
 			}
-			// What the list says by now: an older word that is late must not undo a newer one.
+			// The entry as it is at this time: a late delivery of an older change must not undo a newer one.
 			l.mu.Lock()
 			now := l.entries[e.UID]
 			if l.hidden[e.UID] {
@@ -370,7 +377,7 @@
 	}
 }
 
-// Hide has the list lack a server; Hide(false) shows it again.
+// Hide removes a server from the list that agents serve, or shows it again.
 func (l *EndpointList) Hide(ctx context.Context, uid string, hide bool) {
 	l.mu.Lock()
 	l.hidden[uid] = hide
@@ -379,14 +386,14 @@
 	l.deliver(ctx, e, false)
 }
 
-// SetDelay has all words come later.
+// SetDelay sets the additional delay of later changes.
 func (l *EndpointList) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.late = d
+	l.extraDelay = d
 }
 
-// Misbehave changes how all agents answer.
+// Misbehave sets the fault of all agents.
 func (l *EndpointList) Misbehave(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/emulator/forwarders.go
+++ b/internal/lab/emulator/forwarders.go
@@ -1,5 +1,5 @@
-// This file owns fronts: what stands before some members of a fleet so that the ways between two groups of members can be cut, while
-// everybody else, however many, goes through. It holds little for each connection; Ties know more faults, and members alone.
+// This file emulates partitions of large fleets: forwarders in front of some members cut the links between two groups of members, and
+// forward all other traffic. They use less memory for each connection than MemberLinks, which emulates more faults.
 
 package emulator
 
@@ -14,48 +14,48 @@
 
 const (
 	forwardBufferSize = 4096             // bytes, for each direction of a connection
-	unansweredTimeout = 10 * time.Second // a dial over a link that stays cut is reset after it up
+	unansweredTimeout = 10 * time.Second // time after which a connection over a link that stays cut is reset
 )
 
-// Forwarders stand before the members whose index they were told. Who sends is told by its IP address; what is no member's is a stranger's,
-// and its way is never cut. It reads the other members' addresses alone.
+// Forwarders forward connections and datagrams to some of the members. The sender is identified by its source IP address; traffic from
+// an address that is no member's is never cut.
 type Forwarders struct {
-	members []netip.AddrPort
-	own     map[int]*memberFront
+	members []netip.AddrPort    // addresses of all members
+	sockets map[int]*socketPair // by member, for the members behind a forwarder
 
 	mu      sync.Mutex
-	cut     []bool        // by member: the group that is cut off
+	cut     []bool        // by member, whether it is in the group that is cut off; nil: no cut yet
 	changed chan struct{} // closed when cut changes
 	conns   map[net.Conn]bool
 	closed  bool
 }
 
-// NewForwarders stands before some of the members. Close ends all.
-func NewForwarders(members []netip.AddrPort, before []int) (*Forwarders, error) {
-	f := &Forwarders{members: members, own: map[int]*memberFront{}, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
-	for _, m := range before {
-		own, err := listenTCPAndUDP()
+// NewForwarders starts a forwarder for each of the members with the given indices. Close stops them.
+func NewForwarders(members []netip.AddrPort, indices []int) (*Forwarders, error) {
+	f := &Forwarders{members: members, sockets: map[int]*socketPair{}, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	for _, m := range indices {
+		sockets, err := listenTCPAndUDP()
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.own[m] = own
+		f.sockets[m] = sockets
 	}
-	for m, own := range f.own {
-		go f.accept(m, own)
-		go f.forwardDatagrams(m, own)
+	for m, sockets := range f.sockets {
+		go f.accept(m, sockets)
+		go f.forwardDatagrams(m, sockets)
 	}
 	return f, nil
 }
 
-// Advertised is where a member is reached through its front.
-func (f *Forwarders) Advertised(member int) netip.AddrPort { return f.own[member].addr }
+// Advertised returns the address of a member's forwarder.
+func (f *Forwarders) Advertised(member int) netip.AddrPort { return f.sockets[member].addr }
 
-// Cut cuts the ways between the members told and all others, both ways; nil heals all. Datagrams are lost, what is in a connection is
-// held back until it is healed.
-func (f *Forwarders) Cut(off []int) {
+// Cut cuts the links between the given members and all others, in both directions, and restores all other links; nil restores all.
+// Datagrams over a cut link are lost; the data of connections is held back until the link is restored.
+func (f *Forwarders) Cut(group []int) {
 	cut := make([]bool, len(f.members))
-	for _, m := range off {
+	for _, m := range group {
 		cut[m] = true
 	}
 	f.mu.Lock()
@@ -65,10 +65,10 @@
 	f.changed = make(chan struct{})
 }
 
-// Close ends all.
+// Close stops the forwarders and closes all connections.
 func (f *Forwarders) Close() {
-	for _, own := range f.own {
-		own.close()
+	for _, sockets := range f.sockets {
+		sockets.close()
 	}
 	f.mu.Lock()
 	f.closed = true
@@ -81,17 +81,20 @@
 	}
 }
 
-// isCut tells whether the way between two members is cut, and a channel that is closed once that may have changed. A stranger is -1.
+// isCut reports whether the link between two members is cut, and returns a channel that is closed when that may have changed. The
+// index -1 stands for an address that is no member's.
 func (f *Forwarders) isCut(a, b int) (bool, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return a >= 0 && b >= 0 && f.cut != nil && f.cut[a] != f.cut[b] && !f.closed, f.changed
 }
 
+// sender returns the index of the member that sends from an address, or -1 if the address is no member's.
 func (f *Forwarders) sender(ip netip.Addr) int {
 	return slices.IndexFunc(f.members, func(m netip.AddrPort) bool { return m.Addr() == ip.Unmap() })
 }
 
+// track adds a connection to those that Close closes; it reports false if the forwarders are closed.
 func (f *Forwarders) track(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,41 +112,42 @@
 	delete(f.conns, c)
 }
 
-func (f *Forwarders) accept(to int, own *memberFront) {
+func (f *Forwarders) accept(to int, sockets *socketPair) {
 	for {
-		c, err := own.tcp.AcceptTCP()
+		c, err := sockets.tcp.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // no descriptor is free: guards against a loop that turns on it
+			time.Sleep(10 * time.Millisecond) // avoids a busy loop while no file descriptor is free
 			continue
 		}
 		go f.forwardStream(to, c)
 	}
 }
 
+// forwardStream forwards a connection to a member once the link from its sender is not cut.
 func (f *Forwarders) forwardStream(to int, near *net.TCPConn) {
 	defer f.closeConn(near)
 	if !f.track(near) {
 		return
 	}
 	from := f.sender(near.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
-	for late := time.After(unansweredTimeout); ; { // first packets that are lost are sent again, for a while
+	for timeout := time.After(unansweredTimeout); ; { // like the retransmission of handshake packets, which ends after some time
 		cut, changed := f.isCut(from, to)
 		if !cut {
 			break
 		}
 		select {
 		case <-changed:
-		case <-late:
+		case <-timeout:
 			_ = near.SetLinger(0)
 			return
 		}
 	}
 	far, err := net.Dial("tcp", f.members[to].String())
 	if err != nil {
-		_ = near.SetLinger(0) // so that who dialed is reset, as by a port that nobody listens at
+		_ = near.SetLinger(0) // the dialing side sees a reset, as it does of a port without a listener
 		return
 	}
 	defer f.closeConn(far)
@@ -156,7 +160,7 @@
 	both.Wait()
 }
 
-// copyStream passes one direction on until it ends. An end or a failure of the one side is the other's.
+// copyStream forwards one direction until it ends. A close or a failure of either side closes both.
 func (f *Forwarders) copyStream(from, to int, in, out net.Conn) {
 	buffer := make([]byte, forwardBufferSize)
 	for {
@@ -181,18 +185,19 @@
 	}
 }
 
-func (f *Forwarders) forwardDatagrams(to int, own *memberFront) {
+// forwardDatagrams forwards datagrams to a member and drops those over a cut link.
+func (f *Forwarders) forwardDatagrams(to int, sockets *socketPair) {
 	buffer := make([]byte, 65536)
 	for {
-		n, sent, err := own.udp.ReadFromUDPAddrPort(buffer)
+		n, source, err := sockets.udp.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		if cut, _ := f.isCut(f.sender(sent.Addr()), to); !cut {
-			_, _ = own.udp.WriteToUDPAddrPort(buffer[:n], f.members[to])
+		if cut, _ := f.isCut(f.sender(source.Addr()), to); !cut {
+			_, _ = sockets.udp.WriteToUDPAddrPort(buffer[:n], f.members[to])
 		}
 	}
 }
--- a/internal/lab/emulator/forwarders_test.go
+++ b/internal/lab/emulator/forwarders_test.go
@@ -12,7 +12,7 @@
 )
 
 // speaker is a member that gives back what a connection brings.
-func speaker(t *testing.T) (*memberFront, netip.AddrPort) {
+func speaker(t *testing.T) (*socketPair, netip.AddrPort) {
 	t.Helper()
 	s, err := listenTCPAndUDP()
 	if err != nil {
@@ -57,7 +57,7 @@
 // TestFrontsCutGroupsFromEachOther has members 0 and 1 in one group, 2 in the other, and a stranger.
 func TestFrontsCutGroupsFromEachOther(t *testing.T) {
 	var members []netip.AddrPort
-	var all []*memberFront
+	var all []*socketPair
 	for range 3 {
 		s, addr := speaker(t)
 		all, members = append(all, s), append(members, addr)
--- a/internal/lab/emulator/link.go
+++ b/internal/lab/emulator/link.go
@@ -1,4 +1,4 @@
-// This file owns links: a relay between two parties whose way can be made long, narrow, stalled or cut.
+// This file emulates network links: a TCP relay with delay, jitter, limited bandwidth, retransmissions, stalls and cuts.
 
 package emulator
 
@@ -11,42 +11,43 @@
 )
 
 const (
-	linkChunk         = 4096
-	maxChunksInFlight = 64 // for each direction of a connection
+	linkChunk         = 4096 // bytes read at a time
+	maxChunksInFlight = 64   // chunks that are delayed, for each direction of a connection
 
-	retransmitDelay = 200 * time.Millisecond
+	retransmitDelay = 200 * time.Millisecond // additional delay for each time that a chunk is retransmitted
 )
 
-// Condition is how a link is now.
+// Condition is the state of a link. "In" is the direction to the address that the link relays to, "out" the direction back to the
+// side that dialed.
 type Condition struct {
-	Delay   time.Duration // added to everything
-	Jitter  time.Duration // and up to so much more; what was sent first still arrives first
-	Rate    float64       // bytes a second, each connection and direction; 0: no limit
-	LateIn  time.Duration // towards the listener's side so much longer still,
-	LateOut time.Duration // and the other way
-	Resent  float64       // share of the pieces that are lost once and sent again, which takes resendAfter
-	Stall   bool          // nothing passes, nothing is lost
-	CutOut  bool          // nothing passes towards the listener's side (from who listens to who dialed)
-	CutIn   bool          // nothing passes the other way
+	Delay           time.Duration // of all data, in both directions
+	Jitter          time.Duration // longest random additional delay; data stays in order
+	Rate            float64       // bytes per second, for each connection and direction; 0: no limit
+	ExtraDelayIn    time.Duration // additional delay in direction in
+	ExtraDelayOut   time.Duration // additional delay in direction out
+	RetransmitShare float64       // probability that a chunk is lost and retransmitted, which adds retransmitDelay each time
+	Stall           bool          // all data is held back, and nothing is lost
+	CutOut          bool          // data in direction out is held back
+	CutIn           bool          // data in direction in is held back
 }
 
 // Link relays connections to an address.
 type Link struct {
-	to string
-	ln net.Listener
+	to string       // address that connections are relayed to
+	ln net.Listener // nil for a link that connections are passed to
 
 	mu      sync.Mutex
 	cond    Condition
-	changed chan struct{}
-	conns   map[net.Conn]bool
+	changed chan struct{}     // closed and replaced when cond changes
+	conns   map[net.Conn]bool // open connections of both sides
 	closed  bool
 }
 
-// NewLink makes a link to an address, which listens at one of its own.
+// NewLink starts a link to an address; it listens on a loopback address of its own.
 func NewLink(to string) (*Link, error) {
 	ln, err := net.Listen("tcp", Loopback())
 	if err != nil {
-		return nil, fmt.Errorf("link: %w", err)
+		return nil, fmt.Errorf("listen for a link: %w", err)
 	}
 	l := newLink(to)
 	l.ln = ln
@@ -54,15 +55,15 @@
 	return l, nil
 }
 
-// newLink makes a link that listens nowhere: connections are handed to it.
+// newLink returns a link without a listener; connections are passed to forward.
 func newLink(to string) *Link {
 	return &Link{to: to, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the link listens.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// Set changes how it is.
+// Set changes the link's condition.
 func (l *Link) Set(change func(*Condition)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +72,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Reset breaks all that passes now.
+// Reset resets all open connections.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	all := make([]net.Conn, 0, len(l.conns))
@@ -84,7 +85,7 @@
 	}
 }
 
-// Close ends the link and all on it.
+// Close stops the link and resets its connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -96,16 +97,18 @@
 	l.Set(func(*Condition) {})
 }
 
+// condition returns the current condition, a channel that is closed when it changes, and whether the link is closed.
 func (l *Link) condition() (Condition, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cond, l.changed, l.closed
 }
 
-func (l *Link) track(c net.Conn, on bool) {
+// track adds a connection to those that Reset closes, or removes it.
+func (l *Link) track(c net.Conn, open bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if on {
+	if open {
 		l.conns[c] = true
 	} else {
 		delete(l.conns, c)
@@ -122,9 +125,9 @@
 	}
 }
 
-// forward takes a connection to its far side and passes what comes, until both have ended.
+// forward dials the link's target and relays a connection in both directions until both have ended.
 func (l *Link) forward(near net.Conn) {
-	// Before the dial: the far side may have accepted, and a Reset come, before the dial is back.
+	// The connection is tracked before the dial, because the target may accept and a Reset may follow before the dial returns.
 	l.track(near, true)
 	defer l.track(near, false)
 	far, err := net.Dial("tcp", l.to)
@@ -143,18 +146,18 @@
 	l.track(far, false)
 }
 
-// chunk is a piece on its way; err is how the sender ended.
+// chunk is data in transit, or the end of a direction.
 type chunk struct {
 	text []byte
-	due  time.Time
-	err  error
+	due  time.Time // when it is delivered
+	err  error     // why the sender's side ended; nil if it goes on
 }
 
-// copyDelayed carries one direction; an end goes on as an end, a reset as a reset.
+// copyDelayed relays one direction of a connection; an orderly close is relayed as a close, a reset as a reset.
 func (l *Link) copyDelayed(from, to net.Conn, in bool) {
-	way := make(chan chunk, maxChunksInFlight)
+	inFlight := make(chan chunk, maxChunksInFlight)
 	go func() {
-		defer close(way)
+		defer close(inFlight)
 		var last time.Time
 		for {
 			text := make([]byte, linkChunk)
@@ -162,11 +165,11 @@
 			cond, _, _ := l.condition()
 			due := time.Now().Add(cond.Delay)
 			if in {
-				due = due.Add(cond.LateIn)
+				due = due.Add(cond.ExtraDelayIn)
 			} else {
-				due = due.Add(cond.LateOut)
+				due = due.Add(cond.ExtraDelayOut)
 			}
-			for rand.Float64() < cond.Resent {
+			for rand.Float64() < cond.RetransmitShare {
 				due = due.Add(retransmitDelay)
 			}
 			if cond.Jitter > 0 {
@@ -176,13 +179,13 @@
 				due = last
 			}
 			last = due
-			way <- chunk{text[:n], due, err}
+			inFlight <- chunk{text[:n], due, err}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	for c := range way {
+	for c := range inFlight {
 		time.Sleep(time.Until(c.due))
 		for {
 			cond, changed, closed := l.condition()
@@ -192,7 +195,7 @@
 				}
 				break
 			}
-			<-changed // cut is a stall that ends with the connection: nothing overtakes
+			<-changed // a cut holds data back like a stall, so that data stays in order
 		}
 		if len(c.text) > 0 {
 			if _, err := to.Write(c.text); err != nil {
--- a/internal/lab/emulator/misbehaving_clients.go
+++ b/internal/lab/emulator/misbehaving_clients.go
@@ -1,4 +1,4 @@
-// This file owns bad clients: what they send, and that each is owed an answer or a close in time.
+// This file emulates misbehaving clients: what they send, and whether each one gets an answer or a close in time.
 
 package emulator
 
@@ -18,18 +18,18 @@
 )
 
 const (
-	misbehaviorTimeout = 3 * time.Second
-	longLineBytes      = 8 << 20 // bytes of the longest line
+	misbehaviorTimeout = 3 * time.Second // a balancer must answer or close the connection within this time
+	longLineBytes      = 8 << 20         // length of the line without an end
 )
 
-// MisbehavingClient is one kind of bad client.
+// MisbehavingClient is one kind of misbehaving client.
 type MisbehavingClient struct {
 	Name string
-	Send func(rng *rand.Rand) []byte
+	Send func(rng *rand.Rand) []byte // returns what the client writes
 }
 
-// Rudes are all kinds.
-var Rudes = []MisbehavingClient{
+// MisbehavingClientKinds lists all kinds of misbehaving clients.
+var MisbehavingClientKinds = []MisbehavingClient{
 	{"silent", func(*rand.Rand) []byte { return nil }},
 	{"noise", func(rng *rand.Rand) []byte {
 		b := make([]byte, 200)
@@ -52,7 +52,7 @@
 	{"pings", func(*rand.Rand) []byte { return bytes.Repeat([]byte("PING\r\n"), 300) }},
 }
 
-// Run plays one bad client and tells whether it was left with neither an answer nor a close in time.
+// Run runs one misbehaving client and reports whether it got neither an answer nor a close in time.
 func (k MisbehavingClient) Run(address string, rng *rand.Rand) bool {
 	c, err := net.DialTimeout("tcp", address, misbehaviorTimeout)
 	if err != nil {
@@ -78,27 +78,29 @@
 }
 
 const (
-	maxPieceBytes = 5                    // bytes of a piece
-	pieceInterval = 3 * time.Millisecond // between two
+	maxFragmentBytes = 5                    // bytes of a fragment
+	fragmentInterval = 3 * time.Millisecond // time between two fragments
 )
 
-// writeInPieces writes a line but for its last bytes, which it returns: the line counts from those. An error shows at them.
-func writeInPieces(nc net.Conn, text string) string {
-	for len(text) > maxPieceBytes {
-		_, _ = io.WriteString(nc, text[:maxPieceBytes])
-		text = text[maxPieceBytes:]
-		time.Sleep(pieceInterval)
+// writeInFragments writes a line except its last bytes, which it returns for the caller to write: that write completes the line, and
+// fails if an earlier one has failed.
+func writeInFragments(nc net.Conn, text string) string {
+	for len(text) > maxFragmentBytes {
+		_, _ = io.WriteString(nc, text[:maxFragmentBytes])
+		text = text[maxFragmentBytes:]
+		time.Sleep(fragmentInterval)
 	}
 	return text
 }
 
-// RunSilentClients has so many clients a second connect and never finish a line, for a while. Each stays until it is closed.
-func RunSilentClients(ctx context.Context, rate float64, span time.Duration, door func(*rand.Rand) (int, string, bool), seed uint64) {
-	ctx, stop := context.WithTimeout(ctx, span)
+// RunSilentClients makes clients connect at a rate per second for a duration. They never complete a line, and stay connected until the
+// balancer closes the connection or the duration is over.
+func RunSilentClients(ctx context.Context, rate float64, duration time.Duration, pickBalancer func(*rand.Rand) (int, string, bool), seed uint64) {
+	ctx, stop := context.WithTimeout(ctx, duration)
 	defer stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	arrivals(ctx, rate, door, rand.New(rand.NewPCG(seed, 0x30b)), func(n int, address string) {
+	runArrivals(ctx, rate, pickBalancer, rand.New(rand.NewPCG(seed, 0x30b)), func(n int, address string) {
 		all.Go(func() {
 			c, err := net.DialTimeout("tcp", address, misbehaviorTimeout)
 			if err != nil {
@@ -108,33 +110,33 @@
 			if n%2 == 0 {
 				_, _ = io.WriteString(c, "OPEN 12")
 			}
-			closed := context.AfterFunc(ctx, func() { _ = c.Close() })
-			defer closed()
+			stopClosing := context.AfterFunc(ctx, func() { _ = c.Close() })
+			defer stopClosing()
 			_, _ = io.Copy(io.Discard, c)
 		})
 	})
 }
 
-// arrivals has so many clients a second arrive at the front, numbered, until the context is done.
-func arrivals(ctx context.Context, rate float64, door func(*rand.Rand) (int, string, bool), rng *rand.Rand, do func(n int, address string)) {
-	each := time.NewTicker(max(time.Millisecond, time.Duration(float64(time.Second)/rate)))
-	defer each.Stop()
+// runArrivals calls arrive at a rate per second, with the number of the client and the address of a balancer, until the context is done.
+func runArrivals(ctx context.Context, rate float64, pickBalancer func(*rand.Rand) (int, string, bool), rng *rand.Rand, arrive func(n int, address string)) {
+	ticker := time.NewTicker(max(time.Millisecond, time.Duration(float64(time.Second)/rate)))
+	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-each.C:
+		case <-ticker.C:
 		}
-		if _, address, ok := door(rng); ok {
-			do(n, address)
+		if _, address, ok := pickBalancer(rng); ok {
+			arrive(n, address)
 		}
 	}
 }
 
-// RunMisbehavingClients sends so many bad clients a second, kind after kind, until the context is done.
-func RunMisbehavingClients(ctx context.Context, rate float64, door func(*rand.Rand) (int, string, bool), meter *report.Meter, seed uint64) {
-	arrivals(ctx, rate, door, rand.New(rand.NewPCG(seed, 0xbad)), func(n int, address string) {
-		kind, own := Rudes[n%len(Rudes)], rand.New(rand.NewPCG(seed, uint64(n)))
-		go func() { meter.MisbehavingClient(kind.Run(address, own)) }()
+// RunMisbehavingClients starts misbehaving clients at a rate per second, of all kinds in turn, until the context is done.
+func RunMisbehavingClients(ctx context.Context, rate float64, pickBalancer func(*rand.Rand) (int, string, bool), meter *report.Meter, seed uint64) {
+	runArrivals(ctx, rate, pickBalancer, rand.New(rand.NewPCG(seed, 0xbad)), func(n int, address string) {
+		kind, clientRNG := MisbehavingClientKinds[n%len(MisbehavingClientKinds)], rand.New(rand.NewPCG(seed, uint64(n)))
+		go func() { meter.MisbehavingClient(kind.Run(address, clientRNG)) }()
 	})
 }
--- a/internal/lab/emulator/network_links.go
+++ b/internal/lab/emulator/network_links.go
@@ -1,4 +1,4 @@
-// This file owns ties: the ways between the members of a fleet, one for each ordered pair, for datagrams and connections alike.
+// This file emulates the network between the members of a fleet: one link for each ordered pair, for datagrams and connections.
 
 package emulator
 
@@ -13,144 +13,145 @@
 )
 
 const (
-	reorderDelay  = 80 * time.Millisecond // most that a reordered datagram is delayed
-	maxStreamLoss = 0.9                   // a stream over a link that loses all would hang
+	reorderDelay  = 80 * time.Millisecond // longest delay of a reordered datagram
+	maxStreamLoss = 0.9                   // limit of the loss applied to streams: with a loss of 1, retransmission would never end
 )
 
 // MemberLink is the condition of the link from one member to another.
 type MemberLink struct {
-	Cut        bool          // nothing passes
-	Loss       float64       // share of datagrams that are lost; a stream is retransmitted
-	Delay      time.Duration // added to everything
+	Cut        bool          // datagrams are lost; data of streams is held back
+	Loss       float64       // share of datagrams that are lost; streams are retransmitted instead
+	Delay      time.Duration // of datagrams and streams
 	Duplicated float64       // share of datagrams that are duplicated and reordered
 }
 
-// MemberLinks are the ways between so many members. Each member listens at one address and is reached at another, where its front
-// stands; who sends is told by the address that it sends from, which is its own.
+// MemberLinks emulates the links between the members of a fleet. Each member listens on one address and is reached by the others
+// through a proxy on another address. The sender is identified by its source IP address, which is the one that it listens on.
 type MemberLinks struct {
-	fronts      []*memberFront
-	listenAddrs []netip.AddrPort
-	guests      []*Link // by member: for connections of strangers, where they are let in
-
-	mu    sync.Mutex
-	ties  [][]MemberLink // from, to
-	links [][]*Link
-	rng   *rand.Rand
+	proxies       []*socketPair    // by member
+	listenAddrs   []netip.AddrPort // by member
+	externalLinks []*Link          // by member, for connections from outside the fleet; nil unless they are accepted
+
+	mu         sync.Mutex
+	conditions [][]MemberLink // by sender and receiver
+	links      [][]*Link      // by dialing and dialed member
+	rng        *rand.Rand
 }
 
-// memberFront is what stands before one member.
-type memberFront struct {
+// socketPair is a TCP listener and a UDP socket on the same address.
+type socketPair struct {
 	tcp  *net.TCPListener
 	udp  *net.UDPConn
 	addr netip.AddrPort
 }
 
-// NewMemberLinks picks addresses for so many members and stands before them. Close ends all.
-func NewMemberLinks(many int, seed uint64) (*MemberLinks, error) {
+// NewMemberLinks picks addresses for a number of members and starts their proxies. Close stops them.
+func NewMemberLinks(memberCount int, seed uint64) (*MemberLinks, error) {
 	t := &MemberLinks{rng: rand.New(rand.NewPCG(seed, 0x7135))}
-	for range many {
-		// An address for both kinds that nobody else is given: listeners that are closed again before the member has it.
-		own, err := listenTCPAndUDP()
-		for err == nil && t.sender(own.addr.Addr()) >= 0 { // its IP has to tell it from the others
-			own.close()
-			own, err = listenTCPAndUDP()
+	for range memberCount {
+		// The member's own address is free for TCP and UDP: both are opened on it and closed again before the member listens.
+		member, err := listenTCPAndUDP()
+		for err == nil && t.sender(member.addr.Addr()) >= 0 { // its IP address must differ from those of the other members, as it identifies the sender
+			member.close()
+			member, err = listenTCPAndUDP()
 		}
 		if err != nil {
 			t.Close()
 			return nil, err
 		}
-		own.close()
-		f, err := listenTCPAndUDP()
+		member.close()
+		proxy, err := listenTCPAndUDP()
 		if err != nil {
 			t.Close()
 			return nil, err
 		}
-		t.listenAddrs, t.fronts = append(t.listenAddrs, own.addr), append(t.fronts, f)
+		t.listenAddrs, t.proxies = append(t.listenAddrs, member.addr), append(t.proxies, proxy)
 	}
-	for from := range many {
-		t.ties = append(t.ties, make([]MemberLink, many))
+	for from := range memberCount {
+		t.conditions = append(t.conditions, make([]MemberLink, memberCount))
 		t.links = append(t.links, nil)
-		for to := range many {
+		for to := range memberCount {
 			t.links[from] = append(t.links[from], newLink(t.listenAddrs[to].String()))
 		}
 	}
-	for to, f := range t.fronts {
-		go t.accept(to, f)
-		go t.read(to, f)
+	for to, proxy := range t.proxies {
+		go t.accept(to, proxy)
+		go t.read(to, proxy)
 	}
 	return t, nil
 }
 
-// AcceptExternal lets in strangers' connections, which nothing is between. It is called before any is made.
+// AcceptExternal makes the proxies accept connections from outside the fleet, over links without faults. It must be called before the
+// first such connection.
 func (t *MemberLinks) AcceptExternal() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, addr := range t.listenAddrs {
-		t.guests = append(t.guests, newLink(addr.String()))
+		t.externalLinks = append(t.externalLinks, newLink(addr.String()))
 	}
 }
 
-// listenTCPAndUDP takes one address for datagrams and connections.
-func listenTCPAndUDP() (*memberFront, error) {
-	var last error
-	for range 20 { // a port that is free for the one may be taken for the other
+// listenTCPAndUDP opens a TCP listener and a UDP socket on the same address.
+func listenTCPAndUDP() (*socketPair, error) {
+	var lastErr error
+	for range 20 { // a port that is free for TCP may be in use for UDP
 		ln, err := net.Listen("tcp", Loopback())
 		if err != nil {
 			return nil, err
 		}
-		f := &memberFront{tcp: ln.(*net.TCPListener), addr: ln.Addr().(*net.TCPAddr).AddrPort()}
-		if f.udp, last = net.ListenUDP("udp", net.UDPAddrFromAddrPort(f.addr)); last == nil {
+		f := &socketPair{tcp: ln.(*net.TCPListener), addr: ln.Addr().(*net.TCPAddr).AddrPort()}
+		if f.udp, lastErr = net.ListenUDP("udp", net.UDPAddrFromAddrPort(f.addr)); lastErr == nil {
 			return f, nil
 		}
 		_ = ln.Close()
 	}
-	return nil, fmt.Errorf("ties: %w", last)
+	return nil, fmt.Errorf("open a UDP socket on the port of a TCP listener: %w", lastErr)
 }
 
-func (f *memberFront) close() {
+func (f *socketPair) close() {
 	_ = f.tcp.Close()
 	_ = f.udp.Close()
 }
 
-// Listen is the address that a member listens on.
+// Listen returns the address for a member to listen on.
 func (t *MemberLinks) Listen(member int) netip.AddrPort { return t.listenAddrs[member] }
 
-// Advertised is the address that the other members reach a member by.
-func (t *MemberLinks) Advertised(member int) netip.AddrPort { return t.fronts[member].addr }
+// Advertised returns the address of a member's proxy, on which the other members reach it.
+func (t *MemberLinks) Advertised(member int) netip.AddrPort { return t.proxies[member].addr }
 
-// Set changes every tie as it is told.
-func (t *MemberLinks) Set(change func(from, to int, tie *MemberLink)) {
+// Set calls change for each ordered pair of members to change the condition of its link.
+func (t *MemberLinks) Set(change func(from, to int, link *MemberLink)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for from := range t.ties {
-		for to := range t.ties[from] {
-			change(from, to, &t.ties[from][to])
+	for from := range t.conditions {
+		for to := range t.conditions[from] {
+			change(from, to, &t.conditions[from][to])
 		}
 	}
-	for from := range t.ties {
-		for to := range t.ties[from] {
-			there, back := t.ties[from][to], t.ties[to][from]
+	for from := range t.conditions {
+		for to := range t.conditions[from] {
+			forth, back := t.conditions[from][to], t.conditions[to][from]
 			t.links[from][to].Set(func(c *Condition) {
-				*c = Condition{CutIn: there.Cut, CutOut: back.Cut, LateIn: there.Delay, LateOut: back.Delay,
-					Resent: min(max(there.Loss, back.Loss), maxStreamLoss)}
+				*c = Condition{CutIn: forth.Cut, CutOut: back.Cut, ExtraDelayIn: forth.Delay, ExtraDelayOut: back.Delay,
+					RetransmitShare: min(max(forth.Loss, back.Loss), maxStreamLoss)}
 			})
 		}
 	}
 }
 
-// Close ends all.
+// Close stops the proxies and resets all connections.
 func (t *MemberLinks) Close() {
-	for _, f := range t.fronts {
-		f.close()
+	for _, proxy := range t.proxies {
+		proxy.close()
 	}
-	for _, row := range append(t.links, t.guests) {
+	for _, row := range append(t.links, t.externalLinks) {
 		for _, l := range row {
 			l.Close()
 		}
 	}
 }
 
-// sender is the member that sends from an address, -1 for a stranger.
+// sender returns the index of the member that sends from an address, or -1 if the address is no member's.
 func (t *MemberLinks) sender(ip netip.Addr) int {
 	for i, a := range t.listenAddrs {
 		if a.Addr() == ip.Unmap() {
@@ -160,16 +161,17 @@
 	return -1
 }
 
-func (t *MemberLinks) accept(to int, f *memberFront) {
+// accept accepts connections for a member and forwards each one over the link from its sender.
+func (t *MemberLinks) accept(to int, proxy *socketPair) {
 	for {
-		c, err := f.tcp.AcceptTCP()
+		c, err := proxy.tcp.AcceptTCP()
 		if err != nil {
 			return
 		}
 		from := t.sender(c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
 		t.mu.Lock()
-		if from < 0 && t.guests != nil {
-			go t.guests[to].forward(c)
+		if from < 0 && t.externalLinks != nil {
+			go t.externalLinks[to].forward(c)
 			t.mu.Unlock()
 			continue
 		}
@@ -179,9 +181,9 @@
 			continue
 		}
 		t.mu.Lock()
-		cut := t.ties[from][to].Cut || t.ties[to][from].Cut
+		cut := t.conditions[from][to].Cut || t.conditions[to][from].Cut
 		t.mu.Unlock()
-		if cut { // neither side's first packet would have come through; who dials waits for its own time-out
+		if cut { // no handshake can complete over a cut link; the dialing member runs into its own timeout first
 			time.AfterFunc(10*time.Second, func() { reset(c) })
 			continue
 		}
@@ -189,40 +191,41 @@
 	}
 }
 
-func (t *MemberLinks) read(to int, f *memberFront) {
+// read receives the datagrams for a member and delivers them subject to the link's condition.
+func (t *MemberLinks) read(to int, proxy *socketPair) {
 	buffer := make([]byte, 65536)
 	for {
-		n, sent, err := f.udp.ReadFromUDPAddrPort(buffer)
+		n, source, err := proxy.udp.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			continue
 		}
-		from := t.sender(sent.Addr())
+		from := t.sender(source.Addr())
 		if from < 0 {
 			continue
 		}
 		text := append([]byte(nil), buffer[:n]...)
 		t.mu.Lock()
-		tie := t.ties[from][to]
-		lost, mixed := t.rng.Float64() < tie.Loss, t.rng.Float64() < tie.Duplicated
-		one, two := time.Duration(t.rng.Float64()*float64(reorderDelay)), time.Duration(t.rng.Float64()*float64(reorderDelay))
+		link := t.conditions[from][to]
+		lost, duplicated := t.rng.Float64() < link.Loss, t.rng.Float64() < link.Duplicated
+		delay1, delay2 := time.Duration(t.rng.Float64()*float64(reorderDelay)), time.Duration(t.rng.Float64()*float64(reorderDelay))
 		t.mu.Unlock()
-		pass := func(late time.Duration) {
-			if late == 0 {
-				_, _ = f.udp.WriteToUDPAddrPort(text, t.listenAddrs[to])
+		deliver := func(delay time.Duration) {
+			if delay == 0 {
+				_, _ = proxy.udp.WriteToUDPAddrPort(text, t.listenAddrs[to])
 				return
 			}
-			time.AfterFunc(late, func() { _, _ = f.udp.WriteToUDPAddrPort(text, t.listenAddrs[to]) })
+			time.AfterFunc(delay, func() { _, _ = proxy.udp.WriteToUDPAddrPort(text, t.listenAddrs[to]) })
 		}
 		switch {
-		case tie.Cut || lost:
-		case mixed:
-			pass(tie.Delay + one)
-			pass(tie.Delay + two)
+		case link.Cut || lost:
+		case duplicated:
+			deliver(link.Delay + delay1)
+			deliver(link.Delay + delay2)
 		default:
-			pass(tie.Delay)
+			deliver(link.Delay)
 		}
 	}
 }
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -1,4 +1,4 @@
-// This file owns scripted servers: they hand each connection on with its first line, for a test to answer.
+// This file provides scripted servers: a test receives each connection with its first line and answers it.
 
 package emulator
 
@@ -11,37 +11,37 @@
 	"sabletally/internal/protocol"
 )
 
-// Script is any number of servers whose connections one test answers.
+// Script is a number of servers whose connections a test answers.
 type Script struct {
-	Sessions chan *Session // connections whose first line has come
-	bound    time.Duration // a connection's longest life
+	Sessions chan *Session // connections whose first line was read
+	maxAge   time.Duration // longest lifetime of a connection
 
-	mu   sync.Mutex
-	lns  []net.Listener
-	held []net.Conn // all connections: one that nobody holds would be closed
+	mu        sync.Mutex
+	listeners []net.Listener
+	conns     []net.Conn // all connections: a finalizer would close one without a reference
 }
 
-// Session is one connection at a scripted server.
+// Session is one connection of a scripted server.
 type Session struct {
 	net.Conn
-	R     *bufio.Reader
-	UID   string
-	First string
+	R     *bufio.Reader // reads the lines after the first one
+	UID   string        // of the server
+	First string        // first line other than a health check
 }
 
-// NewScript makes one that holds so many sessions nobody has taken yet, each connection for so long at most.
-func NewScript(most int, bound time.Duration) *Script {
-	return &Script{Sessions: make(chan *Session, most), bound: bound}
+// NewScript returns a script without servers. Up to capacity sessions wait in Sessions, and each connection lives for maxAge at most.
+func NewScript(capacity int, maxAge time.Duration) *Script {
+	return &Script{Sessions: make(chan *Session, capacity), maxAge: maxAge}
 }
 
-// Listen adds a server and returns its address.
+// Listen starts a server and returns its address.
 func (s *Script) Listen(uid string) (string, error) {
 	ln, err := net.Listen("tcp", Loopback())
 	if err != nil {
 		return "", err
 	}
 	s.mu.Lock()
-	s.lns = append(s.lns, ln)
+	s.listeners = append(s.listeners, ln)
 	s.mu.Unlock()
 	go func() {
 		for {
@@ -56,15 +56,15 @@
 	return ln.Addr().String(), nil
 }
 
-// Hold keeps a connection until Close.
+// Hold keeps a connection open until Close or the end of its lifetime.
 func (s *Script) Hold(c net.Conn) {
-	_ = c.SetDeadline(time.Now().Add(s.bound))
+	_ = c.SetDeadline(time.Now().Add(s.maxAge))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held = append(s.held, c)
+	s.conns = append(s.conns, c)
 }
 
-// serve answers probes and hands the connection on with its first other line.
+// serve answers health checks, and sends the connection to Sessions with its first other line.
 func (s *Script) serve(c net.Conn, uid string) {
 	e := &Session{Conn: c, R: bufio.NewReader(c), UID: uid}
 	for {
@@ -83,14 +83,14 @@
 	}
 }
 
-// Close ends all.
+// Close closes all listeners and connections.
 func (s *Script) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, ln := range s.lns {
+	for _, ln := range s.listeners {
 		_ = ln.Close()
 	}
-	for _, c := range s.held {
+	for _, c := range s.conns {
 		_ = c.Close()
 	}
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -1,6 +1,6 @@
-// Package emulator emulates what surrounds a balancer, on loopback: servers of the text protocol over the model,
-// discovery agents, links with faults, clients and misbehaving clients. All that they see goes into the history. It
-// must never leave loopback, and never look into a balancer.
+// Package emulator emulates the environment of a balancer on loopback addresses: servers of the text protocol with the load model,
+// discovery agents, links with faults, clients and misbehaving clients. What they observe is recorded in the history. The package must
+// never use an address outside loopback, and never inspect a balancer.
 package emulator
 
 import (
@@ -22,18 +22,17 @@
 
 // WireFaults are the ways in which a server misbehaves on the wire.
 type WireFaults struct {
-	Silent   bool // writes nothing any more
+	Silent   bool // writes nothing
 	HalfOpen bool // accepts connections and reads nothing
-	Drip     bool // answers a byte at a time
+	Drip     bool // writes one byte at a time
 	Torn     bool // resets the connection in the middle of a line
 }
 
 const (
-	// minDelay is the shortest delay that is waited for by a timer.
-	minDelay       = time.Millisecond / 2
-	dripInterval   = 20 * time.Millisecond
+	minDelay       = time.Millisecond / 2  // shorter delays of an answer are skipped rather than waited for by a timer
+	dripInterval   = 20 * time.Millisecond // time between two bytes of a dripping server
 	maxLine        = protocol.MaxLineBytes
-	drainInterval  = 250 * time.Millisecond
+	drainInterval  = 250 * time.Millisecond // time between two batches of migrated clients
 	readBufferSize = 4096
 )
 
@@ -45,29 +44,29 @@
 	log         *history.Log
 	store       *Store
 	warmup      model.Warmup
-	shedBacklog time.Duration
-	addr        string
+	shedBacklog time.Duration // backlog above which Tick sheds sessions; 0: never
+	addr        string        // empty until the first Listen
 
 	mu         sync.Mutex
 	model      *model.Server
 	wireFaults WireFaults
 	ln         net.Listener
-	sessions   map[*serverSession]bool
+	sessions   map[*serverSession]bool // open connections
 	rng        *rand.Rand
-	down       bool
+	down       bool // whether connections are refused or reset
 }
 
-// NewServer returns a server whose process started at a time of the run; Listen starts it.
-func NewServer(num int, uid string, kind model.MachineType, warmup model.Warmup, groupCost float64, sheds, started time.Duration,
+// NewServer returns a server whose process counts as started at a time of the run. It accepts connections after Listen.
+func NewServer(index int, uid string, machineType model.MachineType, warmup model.Warmup, groupCost float64, shedBacklog, started time.Duration,
 	store *Store, clock *Clock, log *history.Log, seed uint64) *Server {
-	s := &Server{Index: num, UID: uid, clock: clock, log: log, store: store, warmup: warmup, shedBacklog: sheds,
-		sessions: map[*serverSession]bool{}, rng: rand.New(rand.NewPCG(seed, uint64(num)))}
-	s.model = model.New(kind, warmup, started)
+	s := &Server{Index: index, UID: uid, clock: clock, log: log, store: store, warmup: warmup, shedBacklog: shedBacklog,
+		sessions: map[*serverSession]bool{}, rng: rand.New(rand.NewPCG(seed, uint64(index)))}
+	s.model = model.New(machineType, warmup, started)
 	s.model.GroupCost = groupCost
 	return s
 }
 
-// Listen has the server accept connections, at its former address if it had one.
+// Listen starts accepting connections, on the previous address if the server has listened before.
 func (s *Server) Listen() error {
 	at := s.addr
 	if at == "" {
@@ -79,18 +78,18 @@
 	}
 	s.mu.Lock()
 	s.ln, s.addr, s.down = ln, ln.Addr().String(), false
-	cold := "warm"
+	temperature := "warm"
 	if s.model.Warmth(s.clock.Now()) < 1 {
-		cold = "cold"
+		temperature = "cold"
 	}
-	fills := s.model.Capacity()
+	capacity := s.model.Capacity()
 	s.mu.Unlock()
-	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Index), Balancer: -1, Number: fills, Text: cold})
+	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Index), Balancer: -1, Number: capacity, Text: temperature})
 	go s.accept(ln)
 	return nil
 }
 
-// Addr returns the address that it listens on.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.addr }
 
 func (s *Server) accept(ln net.Listener) {
@@ -107,10 +106,10 @@
 			continue
 		}
 		s.sessions[e] = true
-		half := s.wireFaults.HalfOpen
+		halfOpen := s.wireFaults.HalfOpen
 		s.mu.Unlock()
-		if half {
-			continue // held open until the fault ends
+		if halfOpen {
+			continue // the connection stays open, unread, until the fault ends
 		}
 		go e.run()
 	}
@@ -126,18 +125,19 @@
 	return all
 }
 
-// overload has the server fail under more than it bears while it warms up.
-func (s *Server) overload(circuit uint64) {
+// overload stops the server because of more new sessions than it can accept during warm-up; sessionID is the one that overloaded it.
+func (s *Server) overload(sessionID uint64) {
 	s.mu.Lock()
 	already := s.down
 	s.mu.Unlock()
 	if already {
 		return
 	}
-	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Overloaded, Server: int32(s.Index), Balancer: -1, Session: circuit})
+	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Overloaded, Server: int32(s.Index), Balancer: -1, Session: sessionID})
 	s.stop()
 }
 
+// stop closes the listener and resets all connections.
 func (s *Server) stop() {
 	s.mu.Lock()
 	s.down = true
@@ -151,13 +151,13 @@
 	}
 }
 
-// Fail stops the server: it resets its sessions and refuses connections. The history records why.
-func (s *Server) Fail(why string) {
-	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Stopped, Server: int32(s.Index), Balancer: -1, Text: why})
+// Fail stops the server: its sessions are reset and connections are refused. The reason is recorded in the history.
+func (s *Server) Fail(reason string) {
+	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Stopped, Server: int32(s.Index), Balancer: -1, Text: reason})
 	s.stop()
 }
 
-// Revive starts its process again, which warms up anew.
+// Revive starts the server's process again, cold and without wire faults.
 func (s *Server) Revive() error {
 	s.mu.Lock()
 	old := s.model
@@ -167,7 +167,7 @@
 	return s.Listen()
 }
 
-// Set changes the model.
+// Set changes the server's model.
 func (s *Server) Set(change func(*model.Server)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,19 +178,19 @@
 // Misbehave changes the server's wire faults.
 func (s *Server) Misbehave(change func(*WireFaults)) {
 	s.mu.Lock()
-	was := s.wireFaults
+	before := s.wireFaults
 	change(&s.wireFaults)
-	is := s.wireFaults
+	after := s.wireFaults
 	s.mu.Unlock()
 	switch {
-	case is.Silent && !was.Silent:
+	case after.Silent && !before.Silent:
 		s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Stopped, Server: int32(s.Index), Balancer: -1, Text: "vanish"})
-	case was.Silent && !is.Silent: // a machine that is back has lost its connections
+	case before.Silent && !after.Silent: // a machine that is reachable again has lost its connections
 		for _, e := range s.openSessions() {
 			e.end("server", true)
 		}
 		s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Index), Balancer: -1, Number: s.model.Capacity(), Text: "warm"})
-	case was.HalfOpen && !is.HalfOpen:
+	case before.HalfOpen && !after.HalfOpen:
 		for _, e := range s.openSessions() {
 			if !e.requested && !e.established {
 				e.end("server", true)
@@ -199,18 +199,19 @@
 	}
 }
 
-// Drain has the server reject new sessions and, if sendsAway, move its clients in even parts until a time of the run.
-func (s *Server) Drain(ctx context.Context, sendsAway bool, by time.Duration) {
+// Drain makes the server reject new sessions. If migrate is set, it migrates its clients in equal batches until the time of the run
+// that deadline names.
+func (s *Server) Drain(ctx context.Context, migrate bool, deadline time.Duration) {
 	s.Set(func(m *model.Server) { m.Draining = true })
-	for sendsAway && s.clock.Now() < by {
-		var up []*serverSession
+	for migrate && s.clock.Now() < deadline {
+		var established []*serverSession
 		for _, e := range s.openSessions() {
 			if e.established {
-				up = append(up, e)
+				established = append(established, e)
 			}
 		}
-		rounds := max(1, int((by-s.clock.Now())/drainInterval))
-		for _, e := range up[:(len(up)+rounds-1)/rounds] {
+		rounds := max(1, int((deadline-s.clock.Now())/drainInterval))
+		for _, e := range established[:(len(established)+rounds-1)/rounds] {
 			e.write(protocol.MigrateLine)
 			e.end("server", false)
 		}
@@ -222,7 +223,8 @@
 	}
 }
 
-// Tick sheds sessions while the backlog is too long and returns the utilization; ready is false while the server is down or draining.
+// Tick resets about a twentieth of the sessions if the backlog is too long, and returns the utilization; ready is false while the
+// server is down or draining.
 func (s *Server) Tick() (utilization float64, ready bool) {
 	s.mu.Lock()
 	now := s.clock.Now()
@@ -250,7 +252,7 @@
 	return s.model.Sessions()
 }
 
-// Groups returns the groups that it holds sessions of.
+// Groups returns the set of groups of the established sessions.
 func (s *Server) Groups() map[uint64]bool {
 	all := map[uint64]bool{}
 	for _, e := range s.openSessions() {
@@ -264,7 +266,7 @@
 // Close stops the server.
 func (s *Server) Close() { s.stop() }
 
-// IsAbruptClose reports whether a read ended otherwise than by an orderly close.
+// IsAbruptClose reports whether a connection failed with an error other than an orderly close.
 func IsAbruptClose(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || err != nil && !errors.Is(err, io.EOF)
 }
--- a/internal/lab/emulator/server_session.go
+++ b/internal/lab/emulator/server_session.go
@@ -1,3 +1,5 @@
+// This file emulates a server's side of one connection: it reads the protocol's lines and answers them after the model's delays.
+
 package emulator
 
 import (
@@ -14,7 +16,7 @@
 	"sabletally/internal/protocol"
 )
 
-// serverSession is one connection at a server.
+// serverSession is a server's side of one connection.
 type serverSession struct {
 	server  *Server
 	conn    net.Conn
@@ -22,17 +24,17 @@
 	writeMu sync.Mutex
 
 	// Guarded by server.mu once the session runs.
-	number      uint64 // the session id of its first line
+	id          uint64 // session ID of the first line
 	load        float64
 	group       uint64
-	requested   bool // its first line has come and is not settled
-	admitted    bool // the model counts it
+	requested   bool // an OPEN was received and has not been rejected
+	admitted    bool // the model counts the session
 	established bool
 	ended       bool
-	endedBy     string
+	endedBy     string // AttemptEnded text: who ended the connection
 }
 
-// reset closes a connection by a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -40,18 +42,20 @@
 	_ = c.Close()
 }
 
-func (s *serverSession) record(w history.Kind, more history.Event) {
-	more.At, more.Kind, more.Session, more.Server, more.Balancer = s.server.clock.Now(), w, s.number, int32(s.server.Index), -1
-	s.server.log.Add(more)
+// record adds an event of the session to the history.
+func (s *serverSession) record(kind history.Kind, event history.Event) {
+	event.At, event.Kind, event.Session, event.Server, event.Balancer = s.server.clock.Now(), kind, s.id, int32(s.server.Index), -1
+	s.server.log.Add(event)
 }
 
+// silent reports whether the server currently writes nothing.
 func (s *serverSession) silent() bool {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
 	return s.server.wireFaults.Silent
 }
 
-// run answers a connection's lines until its end.
+// run answers the lines of a connection until its end.
 func (s *serverSession) run() {
 	endedBy := "peer"
 	defer func() { s.end(endedBy, false) }()
@@ -67,7 +71,7 @@
 			}
 			return
 		}
-		if s.silent() { // it reads on only to see the connection's end
+		if s.silent() { // reading goes on only to detect the end of the connection
 			continue
 		}
 		if s.established {
@@ -97,23 +101,23 @@
 	}
 }
 
-// answerOpen admits a session, or rejects it, and answers once the model's time has passed.
-func (s *serverSession) answerOpen(ask *protocol.SessionRequest, firstByteAt time.Duration) {
+// answerOpen admits or rejects a session, and answers after the delay of the model and the store.
+func (s *serverSession) answerOpen(request *protocol.SessionRequest, firstByteAt time.Duration) {
 	server := s.server
 	now := server.clock.Now()
 	s.requested = true
-	s.number, s.load, s.group = ask.ID, ask.LoadHint, ask.Group
+	s.id, s.load, s.group = request.ID, request.LoadHint, request.Group
 	if s.load == 0 {
 		s.load = 1
 	}
-	s.record(history.AttemptReceived, history.Event{Duration: now - firstByteAt, Text: strconv.FormatUint(ask.Key, 16)})
+	s.record(history.AttemptReceived, history.Event{Duration: now - firstByteAt, Text: strconv.FormatUint(request.Key, 16)})
 	server.mu.Lock()
-	answer, took := server.model.Admit(now, s.load, s.group, server.rng.Float64())
+	answer, delay := server.model.Admit(now, s.load, s.group, server.rng.Float64())
 	s.admitted = answer == model.Up
 	server.mu.Unlock()
 	switch answer {
 	case model.Overloaded:
-		server.overload(s.number)
+		server.overload(s.id)
 		return
 	case model.Busy:
 		s.reject("refused", "BUSY\r\n")
@@ -122,23 +126,23 @@
 		s.reject("failed", "ERR\r\n")
 		return
 	}
-	storeTook, stored := server.store.Call(now)
-	took += storeTook
-	if took < minDelay {
+	storeDelay, stored := server.store.Call(now)
+	delay += storeDelay
+	if delay < minDelay {
 		s.establish(stored)
 		return
 	}
-	time.AfterFunc(took, func() { s.establish(stored) })
+	time.AfterFunc(delay, func() { s.establish(stored) })
 }
 
-// reject ends an attempt; its connection stays open.
+// reject ends an attempt with a negative answer; the connection stays open.
 func (s *serverSession) reject(reason, answer string) {
 	s.record(history.AttemptEnded, history.Event{Text: reason})
 	s.leaveModel()
 	s.write([]byte(answer))
 }
 
-// establish answers an admitted session: by success if the store has taken it.
+// establish answers an admitted session; it is established if the call to the store succeeded.
 func (s *serverSession) establish(stored bool) {
 	if s.silent() {
 		return
@@ -155,11 +159,11 @@
 		s.reject("failed", "ERR\r\n")
 		return
 	}
-	s.record(history.Ran, history.Event{Number: float64(s.number)})
-	s.write(fmt.Appendf(nil, "UP %x\r\nLOAD %.3f\r\n", s.number, s.load*1e6/float64(server.model.Type.SessionsPerCore)))
+	s.record(history.Ran, history.Event{Number: float64(s.id)})
+	s.write(fmt.Appendf(nil, "UP %x\r\nLOAD %.3f\r\n", s.id, s.load*1e6/float64(server.model.Type.SessionsPerCore)))
 }
 
-// leaveModel takes a session out of the model; its connection may go on.
+// leaveModel removes the session from the model; the connection may stay open.
 func (s *serverSession) leaveModel() {
 	s.server.mu.Lock()
 	defer s.server.mu.Unlock()
@@ -170,32 +174,32 @@
 	}
 }
 
-// answerMessage answers a line of an established session by that line and the time of sending.
+// answerMessage answers a line of an established session with the same line and the time of sending.
 func (s *serverSession) answerMessage(line []byte) {
 	server := s.server
 	now := server.clock.Now()
 	server.mu.Lock()
-	took := server.model.Message(now)
+	delay := server.model.Message(now)
 	server.mu.Unlock()
 	text := append(make([]byte, 0, len(line)+16), line[:len(line)-2]...)
-	if took < minDelay {
+	if delay < minDelay {
 		s.write(appendSendTime(text, server.clock.Now()))
 		return
 	}
-	time.AfterFunc(took, func() {
+	time.AfterFunc(delay, func() {
 		if !s.silent() {
 			s.write(appendSendTime(text, server.clock.Now()))
 		}
 	})
 }
 
-// appendSendTime ends a line with the time at which it is sent, so that its reader can tell how long it took.
+// appendSendTime appends the time of sending and the end of the line, so that the client can measure how long the line was in transit.
 func appendSendTime(text []byte, now time.Duration) []byte {
 	text = append(text, " t="...)
 	return append(strconv.AppendInt(text, int64(now), 10), '\r', '\n')
 }
 
-// write sends text, as the server's wire faults will have it.
+// write sends text, subject to the server's wire faults.
 func (s *serverSession) write(text []byte) {
 	s.server.mu.Lock()
 	faults := s.server.wireFaults
@@ -219,7 +223,7 @@
 	}
 }
 
-// end ends a session, by a reset if abrupt. Only the first call has an effect and says who ended it.
+// end closes the connection, with a reset if abrupt. Only the first call has an effect; by is recorded as the one who ended it.
 func (s *serverSession) end(by string, abrupt bool) {
 	server := s.server
 	server.mu.Lock()
--- a/internal/lab/emulator/watch_hub.go
+++ b/internal/lab/emulator/watch_hub.go
@@ -1,5 +1,5 @@
-// This file owns the desk: what one service does for all balancers in turn, so many calls a second, behind agents or in
-// place of the network itself, which virtual time needs.
+// This file emulates the capacity of a discovery service that serves the watches of all balancers one after the other. It is used
+// behind agents, or as an HTTP transport where a test in virtual time has no network.
 
 package emulator
 
@@ -13,24 +13,24 @@
 	"time"
 )
 
-// WatchHub serves calls one after the other. One that has waited for too long is turned away, but its turn comes all the
-// same: what nobody waits for any more takes the time of those who do.
+// WatchHub serves requests one after the other. A request that has waited for too long is rejected, but still takes its service time:
+// abandoned requests delay the others.
 type WatchHub struct {
-	each, patience time.Duration
+	serviceTime, maxWait time.Duration // of each request
 
 	mu      sync.Mutex
-	free    time.Time // when all that has come is served
-	rev     int       // of the list,
-	text    string    // and what has changed in it
-	changed chan struct{}
+	freeAt  time.Time     // when all requests so far are served
+	rev     int           // revision of the list
+	text    string        // response to watches from an older revision
+	changed chan struct{} // closed by Publish
 }
 
-// NewWatchHub makes one that takes so long for each call, and turns calls away after so long a wait.
-func NewWatchHub(each, patience time.Duration) *WatchHub {
-	return &WatchHub{each: each, patience: patience, changed: make(chan struct{})}
+// NewWatchHub returns a hub that takes serviceTime for each request and rejects a request after a wait of maxWait.
+func NewWatchHub(serviceTime, maxWait time.Duration) *WatchHub {
+	return &WatchHub{serviceTime: serviceTime, maxWait: maxWait, changed: make(chan struct{})}
 }
 
-// Publish has the list change, once: watches from an older revision are answered with the text.
+// Publish changes the list: watches from an older revision are answered with the text. It may be called once.
 func (d *WatchHub) Publish(rev int, text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -38,8 +38,8 @@
 	close(d.changed)
 }
 
-// RoundTrip answers a watch as discovery would: 503 where it has waited too long for its turn, else once there is news, or
-// with none once it has waited for as long as it may.
+// RoundTrip answers a watch as a discovery agent does: with 503 if it has waited too long for its turn, else as soon as there is a
+// change, or with an empty change after its hold time.
 func (d *WatchHub) RoundTrip(r *http.Request) (*http.Response, error) {
 	status, text := http.StatusServiceUnavailable, ""
 	if d.WaitForWatch(r.Context()) {
@@ -48,24 +48,24 @@
 		from, _ := strconv.Atoi(q.Get("from"))
 		text = `{"rev":` + strconv.Itoa(from) + `,"all":false,"targets":[]}`
 		ms, _ := strconv.Atoi(q.Get("hold_ms"))
-		over := time.NewTimer(time.Duration(ms) * time.Millisecond)
-		defer over.Stop()
-		news := d.changed
+		holdTimer := time.NewTimer(time.Duration(ms) * time.Millisecond)
+		defer holdTimer.Stop()
+		changes := d.changed
 		for wait := q.Get("from") != ""; wait; {
-			if d.has(from) != "" {
+			if d.changeSince(from) != "" {
 				break
 			}
 			select {
-			case <-news:
-				news = nil // there is one change
-			case <-over.C:
+			case <-changes:
+				changes = nil // there is only one change
+			case <-holdTimer.C:
 				wait = false
 			case <-r.Context().Done():
 				return nil, r.Context().Err()
 			}
 		}
-		if changed := d.has(from); changed != "" {
-			text = changed
+		if response := d.changeSince(from); response != "" {
+			text = response
 		}
 	}
 	if err := r.Context().Err(); err != nil {
@@ -74,8 +74,8 @@
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Body: io.NopCloser(strings.NewReader(text))}, nil
 }
 
-// has is what has changed since a revision.
-func (d *WatchHub) has(from int) string {
+// changeSince returns the response to a watch from a revision; it is empty if the list has not changed since.
+func (d *WatchHub) changeSince(from int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if from >= d.rev {
@@ -84,20 +84,20 @@
 	return d.text
 }
 
-// WaitForWatch waits for the call's turn; false: it has waited too long, or its caller left.
+// WaitForWatch waits for a request's turn. It reports false if the request has waited too long or its context is done.
 func (d *WatchHub) WaitForWatch(ctx context.Context) bool {
 	now := time.Now()
 	d.mu.Lock()
-	if d.free.Before(now) {
-		d.free = now
+	if d.freeAt.Before(now) {
+		d.freeAt = now
 	}
-	d.free = d.free.Add(d.each)
-	wait := d.free.Sub(now)
+	d.freeAt = d.freeAt.Add(d.serviceTime)
+	wait := d.freeAt.Sub(now)
 	d.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(min(wait, d.patience)):
-		return wait <= d.patience
+	case <-time.After(min(wait, d.maxWait)):
+		return wait <= d.maxWait
 	}
 }
