--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -195,11 +195,11 @@
 // apply takes one event in.
 func (run *checkRun) apply(e *history.Event) {
 	switch e.Kind {
-	case history.Started, history.Stopped, history.Overloaded:
+	case history.ServerStarted, history.ServerStopped, history.ServerOverloaded:
 		run.applyServerEvent(e)
-	case history.BalancerStarted, history.BalancerKilled, history.Notified:
+	case history.BalancerStarted, history.BalancerKilled, history.BalancerNotified:
 		run.applyBalancerEvent(e)
-	case history.Noted:
+	case history.Note:
 	default:
 		run.applySessionEvent(e, run.session(e.Session))
 	}
@@ -207,20 +207,20 @@
 
 func (run *checkRun) applySessionEvent(e *history.Event, s *session) {
 	switch e.Kind {
-	case history.Taken:
+	case history.RequestSent:
 		s.balancer = e.Balancer
 		s.class = e.Class
 		s.takenAt = e.At
 		s.deadline = e.Duration
 		s.balancerKilled = run.killed[e.Balancer]
 		run.verdict.Sessions++
-	case history.Answered:
+	case history.AnswerReceived:
 		run.applyAnswer(e, s)
-	case history.Left:
+	case history.ClientClosed:
 		s.left, s.leftAt = true, e.At
-	case history.Moved:
+	case history.MigrateReceived:
 		s.moved = true
-	case history.Ended:
+	case history.ConnectionEnded:
 		s.ended, s.endedAt = true, e.At
 	case history.LineDelayed:
 		a := s.newestAttempt()
@@ -229,7 +229,7 @@
 		}
 	case history.AttemptReceived:
 		run.applyAttempt(e, s)
-	case history.Ran:
+	case history.EffectApplied:
 		for n := range s.attempts {
 			if a := &s.attempts[n]; a.server == e.Server && !a.ended {
 				a.ran, a.receipt = true, e.Number
@@ -247,14 +247,14 @@
 
 func (run *checkRun) applyServerEvent(e *history.Event) {
 	switch e.Kind {
-	case history.Started:
+	case history.ServerStarted:
 		if all := run.outages[e.Server]; len(all) > 0 && all[len(all)-1].to == stillOut {
 			all[len(all)-1].to = e.At
 		}
 		run.processes[e.Server] = &process{at: e.At, capacity: e.Number, cold: e.Text == "cold"}
-	case history.Stopped:
+	case history.ServerStopped:
 		run.outages[e.Server] = append(run.outages[e.Server], outage{e.At, stillOut})
-	case history.Overloaded:
+	case history.ServerOverloaded:
 		run.outages[e.Server] = append(run.outages[e.Server], outage{e.At, stillOut})
 		run.report(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d was overloaded", e.Server))
 	}
@@ -262,7 +262,7 @@
 
 func (run *checkRun) applyBalancerEvent(e *history.Event) {
 	switch e.Kind {
-	case history.Notified:
+	case history.BalancerNotified:
 		p := balancerServer{e.Balancer, e.Server}
 		if e.Text == "ready" {
 			delete(run.drainedSince, p)
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -27,20 +27,20 @@
 	return e
 }
 func taken(t, limit int) history.Event {
-	return at(t, history.Taken, func(e *history.Event) { e.Duration = time.Duration(limit) * ms })
+	return at(t, history.RequestSent, func(e *history.Event) { e.Duration = time.Duration(limit) * ms })
 }
 func class(g int16, e history.Event) history.Event { e.Class = g; return e }
 func sent(t int, server int32) history.Event {
 	return at(t, history.AttemptReceived, func(e *history.Event) { e.Server = server })
 }
 func ran(t int, server int32) history.Event {
-	return at(t, history.Ran, func(e *history.Event) { e.Server, e.Number = server, 7 })
+	return at(t, history.EffectApplied, func(e *history.Event) { e.Server, e.Number = server, 7 })
 }
 func over(t int, server int32, how string) history.Event {
 	return at(t, history.AttemptEnded, func(e *history.Event) { e.Server, e.Text = server, how })
 }
 func answer(t int, text string) history.Event {
-	return at(t, history.Answered, func(e *history.Event) {
+	return at(t, history.AnswerReceived, func(e *history.Event) {
 		if e.Text = text; text == "up" {
 			e.Number = 7
 		}
@@ -49,7 +49,7 @@
 func server(w history.Kind, t int, server int32, text string) history.Event {
 	return at(t, w, func(e *history.Event) { e.Server, e.Text, e.Session, e.Number = server, text, 0, 100 })
 }
-func ended(t int) history.Event { return at(t, history.Ended) }
+func ended(t int) history.Event { return at(t, history.ConnectionEnded) }
 
 // up is a session that is established at server 0 from 20 ms on.
 func up(more ...history.Event) []history.Event {
@@ -58,7 +58,7 @@
 
 // burst is a cold start of server 0 at 0 and so many sends within half a second, all of them ended well.
 func burst(n int) []history.Event {
-	all := []history.Event{server(history.Started, 0, 0, "cold")}
+	all := []history.Event{server(history.ServerStarted, 0, 0, "cold")}
 	for i := range n {
 		id := uint64(i + 1)
 		t := i * 500 / n
@@ -86,8 +86,8 @@
 		{"answered after it", []history.Event{taken(0, 1000), answer(1051, "busy")}, OneFinalAnswer},
 		{"never answered", []history.Event{taken(0, 1000)}, OneFinalAnswer},
 		{"taken near the end of the run", []history.Event{taken(9990, 1000)}, ""},
-		{"left before the answer", []history.Event{taken(0, 1000), at(900, history.Left)}, ""},
-		{"left because none came", []history.Event{taken(0, 1000), at(1100, history.Left)}, OneFinalAnswer},
+		{"left before the answer", []history.Event{taken(0, 1000), at(900, history.ClientClosed)}, ""},
+		{"left because none came", []history.Event{taken(0, 1000), at(1100, history.ClientClosed)}, OneFinalAnswer},
 		{"answered twice", up(answer(30, "busy")), OneFinalAnswer},
 		{"rejected and then served", []history.Event{taken(0, 1000), answer(5, "busy"), sent(10, 0), ran(12, 0), answer(20, "up")}, OneFinalAnswer},
 		{"not answered by a killed balancer", []history.Event{taken(0, 1000), at(500, history.BalancerKilled)}, ""},
@@ -107,37 +107,37 @@
 		{"deduplicated, again after its window", []history.Event{class(2, taken(0, 4000)), sent(10, 0), over(15, 0, "server"), sent(2061, 1), ran(2062, 1), answer(2070, "up")}, NoDuplicateEffect},
 		{"deduplicated, again in another failure domain", []history.Event{class(2, taken(0, 4000)), sent(10, 0), over(15, 0, "server"), sent(100, 2), ran(101, 2), answer(2070, "up")}, NoDuplicateEffect},
 
-		{"sent within the grace", []history.Event{server(history.Notified, 0, 0, "draining"), taken(700, 1000), sent(800, 0), ran(801, 0), answer(810, "up")}, ""},
-		{"sent after the grace", []history.Event{server(history.Notified, 0, 0, "draining"), taken(700, 1000), sent(801, 0), ran(802, 0), answer(810, "up")}, DrainRespected},
-		{"sent after the grace of a gone one", []history.Event{server(history.Notified, 0, 0, "gone"), taken(700, 1000), sent(900, 0), ran(902, 0), answer(910, "up")}, DrainRespected},
-		{"its first byte within the grace", []history.Event{server(history.Notified, 0, 0, "draining"), taken(700, 1000),
+		{"sent within the grace", []history.Event{server(history.BalancerNotified, 0, 0, "draining"), taken(700, 1000), sent(800, 0), ran(801, 0), answer(810, "up")}, ""},
+		{"sent after the grace", []history.Event{server(history.BalancerNotified, 0, 0, "draining"), taken(700, 1000), sent(801, 0), ran(802, 0), answer(810, "up")}, DrainRespected},
+		{"sent after the grace of a gone one", []history.Event{server(history.BalancerNotified, 0, 0, "gone"), taken(700, 1000), sent(900, 0), ran(902, 0), answer(910, "up")}, DrainRespected},
+		{"its first byte within the grace", []history.Event{server(history.BalancerNotified, 0, 0, "draining"), taken(700, 1000),
 			at(900, history.AttemptReceived, func(e *history.Event) { e.Duration = 100 * ms }), ran(901, 0), answer(910, "up")}, ""},
-		{"draining and then gone: the first counts", []history.Event{server(history.Notified, 0, 0, "draining"), server(history.Notified, 700, 0, "gone"),
+		{"draining and then gone: the first counts", []history.Event{server(history.BalancerNotified, 0, 0, "draining"), server(history.BalancerNotified, 700, 0, "gone"),
 			taken(700, 1000), sent(810, 0), ran(811, 0), answer(820, "up")}, DrainRespected},
-		{"ready again", []history.Event{server(history.Notified, 0, 0, "gone"), server(history.Notified, 500, 0, "ready"), taken(1700, 1000),
+		{"ready again", []history.Event{server(history.BalancerNotified, 0, 0, "gone"), server(history.BalancerNotified, 500, 0, "ready"), taken(1700, 1000),
 			sent(1800, 0), ran(1801, 0), answer(1810, "up")}, ""},
-		{"another balancer was notified", []history.Event{at(0, history.Notified, func(e *history.Event) { e.Balancer, e.Text = 1, "gone" }),
+		{"another balancer was notified", []history.Event{at(0, history.BalancerNotified, func(e *history.Event) { e.Balancer, e.Text = 1, "gone" }),
 			taken(1700, 1000), sent(1800, 0), ran(1801, 0), answer(1810, "up")}, ""},
 
 		{"a cold server, as many as it bears", burst(bears), ""},
 		{"a cold server pushed over", burst(bears + 3), SlowStartRespected},
-		{"a cold server fell", []history.Event{server(history.Overloaded, 10, 0, "")}, SlowStartRespected},
+		{"a cold server fell", []history.Event{server(history.ServerOverloaded, 10, 0, "")}, SlowStartRespected},
 
 		{"a line in time", up(held(1050)), ""},
 		{"a line held", up(held(1051)), LineDelayed},
-		{"a line held by a link that was cut", up(server(history.Stopped, 30, 0, "link"), server(history.Started, 200, 0, "warm"), held(400), held(1051)), ""},
-		{"a line held after the link was back", up(server(history.Stopped, 30, 0, "link"), server(history.Started, 40, 0, "warm"), at(1200, history.LineDelayed, func(e *history.Event) { e.Duration = 1100 * ms })), LineDelayed},
+		{"a line held by a link that was cut", up(server(history.ServerStopped, 30, 0, "link"), server(history.ServerStarted, 200, 0, "warm"), held(400), held(1051)), ""},
+		{"a line held after the link was back", up(server(history.ServerStopped, 30, 0, "link"), server(history.ServerStarted, 40, 0, "warm"), at(1200, history.LineDelayed, func(e *history.Event) { e.Duration = 1100 * ms })), LineDelayed},
 		{"cut while the server answers", up(ended(500)), CutWithoutMove},
-		{"moved", up(at(500, history.Moved), ended(501), over(510, 0, "peer")), ""},
+		{"moved", up(at(500, history.MigrateReceived), ended(501), over(510, 0, "peer")), ""},
 		{"cut with its server", up(over(499, 0, "server"), ended(500)), ""},
-		{"cut at a server that stopped", up(server(history.Stopped, 400, 0, "vanish"), ended(500)), ""},
-		{"cut before its server stopped", up(ended(500), server(history.Stopped, 600, 0, "crash")), CutWithoutMove},
+		{"cut at a server that stopped", up(server(history.ServerStopped, 400, 0, "vanish"), ended(500)), ""},
+		{"cut before its server stopped", up(ended(500), server(history.ServerStopped, 600, 0, "crash")), CutWithoutMove},
 		{"the server's end passed on in time", up(over(500, 0, "server"), ended(1550)), ""},
 		{"the server's end passed on late", up(over(500, 0, "server"), ended(1551)), CloseDelayed},
 		{"the server's end never passed on", up(over(500, 0, "server")), CloseDelayed},
-		{"the client's end passed on in time", up(at(500, history.Left), over(1550, 0, "peer")), ""},
-		{"the client's end passed on late", up(at(500, history.Left), over(1551, 0, "peer")), CloseDelayed},
-		{"the client's end never passed on", up(at(500, history.Left)), CloseDelayed},
+		{"the client's end passed on in time", up(at(500, history.ClientClosed), over(1550, 0, "peer")), ""},
+		{"the client's end passed on late", up(at(500, history.ClientClosed), over(1551, 0, "peer")), CloseDelayed},
+		{"the client's end never passed on", up(at(500, history.ClientClosed)), CloseDelayed},
 		{"open at a kill", up(at(500, history.BalancerKilled), ended(501)), ""},
 		{"open at a planned restart's kill", up(at(500, history.BalancerKilled, func(e *history.Event) { e.Text = "planned" }), ended(501)), CutWithoutMove},
 	} {
--- a/internal/lab/cluster/fault_steps.go
+++ b/internal/lab/cluster/fault_steps.go
@@ -85,12 +85,12 @@
 // cutLink cuts the way back from a server, or restores it; what waited on it is stale by then and is reset.
 func (c *Cluster) cutLink(server int, cut bool) {
 	if cut {
-		c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.Stopped, Server: int32(server), Balancer: -1, Text: "link"})
+		c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.ServerStopped, Server: int32(server), Balancer: -1, Text: "link"})
 	}
 	c.links[server].Set(func(l *emulator.Condition) { l.CutOut = cut })
 	if !cut {
 		c.links[server].Reset()
-		c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.Started, Server: int32(server), Balancer: -1, Text: "warm"})
+		c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.ServerStarted, Server: int32(server), Balancer: -1, Text: "warm"})
 	}
 }
 
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -112,7 +112,7 @@
 		switch {
 		case e.Kind == history.AttemptReceived:
 			run.Attempts++
-		case e.Kind == history.Answered && e.Text == "busy" && e.At >= c.World.Load.WarmupTime:
+		case e.Kind == history.AnswerReceived && e.Text == "busy" && e.At >= c.World.Load.WarmupTime:
 			run.Rejections++
 		}
 	}
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -151,14 +151,14 @@
 		return load.Failed, 0, false // no complete first line was written
 	}
 	// The event has the time before the write, as the server may record the request before this goroutine runs on.
-	s.record(history.Taken, history.Event{At: max(at, 1), Duration: deadline})
+	s.record(history.RequestSent, history.Event{At: max(at, 1), Duration: deadline})
 	_ = conn.SetReadDeadline(c.Clock.At(at + deadline + answerGrace))
 	answer, err := s.reader.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			s.record(history.Left, history.Event{})
+			s.record(history.ClientClosed, history.Event{})
 		} else {
-			s.record(history.Ended, history.Event{Text: "end"})
+			s.record(history.ConnectionEnded, history.Event{Text: "end"})
 		}
 		return load.Failed, 0, false
 	}
@@ -166,16 +166,16 @@
 	switch line.Kind {
 	case protocol.KindEstablished:
 	case protocol.KindRejected:
-		s.record(history.Answered, history.Event{Text: "busy"})
+		s.record(history.AnswerReceived, history.Event{Text: "busy"})
 		s.readSecondAnswers()
 		return load.Rejected, time.Duration(line.Value) * time.Millisecond, false
 	default:
-		s.record(history.Answered, history.Event{Text: "err"})
+		s.record(history.AnswerReceived, history.Event{Text: "err"})
 		s.readSecondAnswers()
 		return load.Failed, 0, false
 	}
 	receipt, _ := strconv.ParseUint(strings.TrimSpace(string(bytes.TrimPrefix(line.Raw, []byte("UP ")))), 16, 64)
-	s.record(history.Answered, history.Event{Text: "up", Number: float64(receipt)})
+	s.record(history.AnswerReceived, history.Event{Text: "up", Number: float64(receipt)})
 	now := c.Clock.Now()
 	c.Meter.Setup(now, now-since)
 	c.Meter.Open(1)
--- a/internal/lab/emulator/client_session.go
+++ b/internal/lab/emulator/client_session.go
@@ -87,7 +87,7 @@
 // recordSecondAnswer records a line if it is a final answer.
 func (s *clientSession) recordSecondAnswer(line []byte) {
 	if answer, isAnswer := finalAnswer(line); isAnswer {
-		s.record(history.Answered, history.Event{Text: answer})
+		s.record(history.AnswerReceived, history.Event{Text: answer})
 	}
 }
 
@@ -151,7 +151,7 @@
 
 // leave closes the session from the client's side.
 func (s *clientSession) leave() load.Ending {
-	s.record(history.Left, history.Event{})
+	s.record(history.ClientClosed, history.Event{})
 	_ = s.conn.Close()
 	<-s.ended
 	return load.Dropped
@@ -175,7 +175,7 @@
 		case bytes.HasPrefix(line, protocol.MigrateLine):
 			how = load.Moved
 			c.Meter.Migrate(now)
-			s.record(history.Moved, history.Event{})
+			s.record(history.MigrateReceived, history.Event{})
 		default:
 			s.recordSecondAnswer(line)
 		}
@@ -189,7 +189,7 @@
 		text = "reset"
 	}
 	if !errors.Is(err, net.ErrClosed) {
-		s.record(history.Ended, history.Event{Text: text})
+		s.record(history.ConnectionEnded, history.Event{Text: text})
 	}
 }
 
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -87,7 +87,7 @@
 func (a *Agent) listen() error {
 	ln, err := net.Listen("tcp", Loopback())
 	if err != nil {
-		return fmt.Errorf("discovery: %w", err)
+		return fmt.Errorf("listen for a discovery agent: %w", err)
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(a.serve), ErrorLog: nil}
 	a.mu.Lock()
@@ -159,7 +159,7 @@
 // recordState records that the balancer knows an entry's state; mu is held.
 func (a *Agent) recordState(e Endpoint, rev int) {
 	a.notifiedRevs[e.UID] = rev
-	a.log.Add(history.Event{At: a.clock.Now(), Kind: history.Notified, Balancer: a.balancer, Server: int32(a.indexOf(e.UID)), Text: stateTexts[e.State]})
+	a.log.Add(history.Event{At: a.clock.Now(), Kind: history.BalancerNotified, Balancer: a.balancer, Server: int32(a.indexOf(e.UID)), Text: stateTexts[e.State]})
 }
 
 // Misbehave sets the agent's fault.
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -122,7 +122,7 @@
 	if err := s.Revive(); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, log, history.Started, "cold")
+	wait(t, log, history.ServerStarted, "cold")
 	dial(t, s.Addr(), "OPEN 2f 2 c=feed,d=900\r\n").want("UP 2f")
 }
 
@@ -183,7 +183,7 @@
 			t.Fatal("it bears everything")
 		}
 	}
-	wait(t, log, history.Overloaded, "")
+	wait(t, log, history.ServerOverloaded, "")
 }
 
 func TestADrainingServerSendsItsClientsAway(t *testing.T) {
@@ -216,12 +216,12 @@
 	if l := <-lists; !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Weight != 2 {
 		t.Fatal(l)
 	}
-	wait(t, log, history.Notified, "ready")
+	wait(t, log, history.BalancerNotified, "ready")
 	list.SetState(ctx, "s-9", Terminating, 0, false)
 	if l := <-lists; l.Complete || len(l.Endpoints) != 1 {
 		t.Fatal(l)
 	}
-	if e := wait(t, log, history.Notified, "draining"); e.Balancer != 2 || e.Server != 9 {
+	if e := wait(t, log, history.BalancerNotified, "draining"); e.Balancer != 2 || e.Server != 9 {
 		t.Fatal(e)
 	}
 	a.Misbehave(Malformed)
@@ -238,7 +238,7 @@
 	}
 	a.UseHub(nil)
 	list.Hide(ctx, "s-9", true)
-	wait(t, log, history.Notified, "gone")
+	wait(t, log, history.BalancerNotified, "gone")
 	old := a.Addr()
 	if err := a.Replace(); err != nil || a.Addr() == old {
 		t.Fatal(err, old)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -84,7 +84,7 @@
 	}
 	capacity := s.model.Capacity()
 	s.mu.Unlock()
-	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Index), Balancer: -1, Number: capacity, Text: temperature})
+	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.ServerStarted, Server: int32(s.Index), Balancer: -1, Number: capacity, Text: temperature})
 	go s.accept(ln)
 	return nil
 }
@@ -133,7 +133,7 @@
 	if already {
 		return
 	}
-	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Overloaded, Server: int32(s.Index), Balancer: -1, Session: sessionID})
+	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.ServerOverloaded, Server: int32(s.Index), Balancer: -1, Session: sessionID})
 	s.stop()
 }
 
@@ -153,7 +153,7 @@
 
 // Fail stops the server: its sessions are reset and connections are refused. The reason is recorded in the history.
 func (s *Server) Fail(reason string) {
-	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Stopped, Server: int32(s.Index), Balancer: -1, Text: reason})
+	s.log.Add(history.Event{At: s.clock.Now(), Kind: history.ServerStopped, Server: int32(s.Index), Balancer: -1, Text: reason})
 	s.stop()
 }
 
@@ -184,12 +184,12 @@
 	s.mu.Unlock()
 	switch {
 	case after.Silent && !before.Silent:
-		s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Stopped, Server: int32(s.Index), Balancer: -1, Text: "vanish"})
+		s.log.Add(history.Event{At: s.clock.Now(), Kind: history.ServerStopped, Server: int32(s.Index), Balancer: -1, Text: "vanish"})
 	case before.Silent && !after.Silent: // a machine that is reachable again has lost its connections
 		for _, e := range s.openSessions() {
 			e.end("server", true)
 		}
-		s.log.Add(history.Event{At: s.clock.Now(), Kind: history.Started, Server: int32(s.Index), Balancer: -1, Number: s.model.Capacity(), Text: "warm"})
+		s.log.Add(history.Event{At: s.clock.Now(), Kind: history.ServerStarted, Server: int32(s.Index), Balancer: -1, Number: s.model.Capacity(), Text: "warm"})
 	case before.HalfOpen && !after.HalfOpen:
 		for _, e := range s.openSessions() {
 			if !e.requested && !e.established {
--- a/internal/lab/emulator/server_session.go
+++ b/internal/lab/emulator/server_session.go
@@ -159,7 +159,7 @@
 		s.reject("failed", "ERR\r\n")
 		return
 	}
-	s.record(history.Ran, history.Event{Number: float64(s.id)})
+	s.record(history.EffectApplied, history.Event{Number: float64(s.id)})
 	s.write(fmt.Appendf(nil, "UP %x\r\nLOAD %.3f\r\n", s.id, s.load*1e6/float64(server.model.Type.SessionsPerCore)))
 }
 
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -17,22 +17,22 @@
 
 // The kinds of event, with the fields of Event that each fills.
 const (
-	Taken           Kind = iota // a client's OPEN is written to an accepted connection; Len: its outer limit
-	Answered                    // a client has read a final answer; Text: up, busy, err; N: the receipt of an up
-	Left                        // a client has ended its connection by itself
-	Ended                       // a client has seen the end of its connection; Text: end or reset
-	Moved                       // a client has read MOVE
-	AttemptReceived             // a server has read a first line to its end; Len: since its first byte; Text: the key, on sockets
-	Ran                         // the effect of a session at its server; Number: the receipt
-	AttemptEnded                // an attempt or session has ended at its server; Text: refused, server (ended there) or peer
-	Notified                    // the list with a server's state was written to a balancer; Text: ready, draining or gone
-	Started                     // a server's process; N: connections that fill it; Text: cold or warm
-	Stopped                     // it, or the way to it, answers nothing more; Text: crash, vanish, stop, link
-	Overloaded                  // it was pushed over
-	BalancerStarted             // a balancer's process
-	BalancerKilled              // it was killed outright
-	LineDelayed                 // a line came late to its client; Len: how long it was on its way
-	Noted                       // anything for the reader of the log; Text
+	RequestSent      Kind = iota // a client's OPEN is written to an accepted connection; Len: its outer limit
+	AnswerReceived               // a client has read a final answer; Text: up, busy, err; N: the receipt of an up
+	ClientClosed                 // a client has ended its connection by itself
+	ConnectionEnded              // a client has seen the end of its connection; Text: end or reset
+	MigrateReceived              // a client has read MOVE
+	AttemptReceived              // a server has read a first line to its end; Len: since its first byte; Text: the key, on sockets
+	EffectApplied                // the effect of a session at its server; Number: the receipt
+	AttemptEnded                 // an attempt or session has ended at its server; Text: refused, server (ended there) or peer
+	BalancerNotified             // the list with a server's state was written to a balancer; Text: ready, draining or gone
+	ServerStarted                // a server's process; N: connections that fill it; Text: cold or warm
+	ServerStopped                // it, or the way to it, answers nothing more; Text: crash, vanish, stop, link
+	ServerOverloaded             // it was pushed over
+	BalancerStarted              // a balancer's process
+	BalancerKilled               // it was killed outright
+	LineDelayed                  // a line came late to its client; Len: how long it was on its way
+	Note                         // anything for the reader of the log; Text
 )
 
 var kindNames = [...]string{"taken", "answered", "left", "ended", "moved", "sent", "ran", "over", "told", "started", "stopped",
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -39,7 +39,7 @@
 	s := &session{number: w.lastSession, client: c, balancer: b}
 	c.session = s
 	limit := w.Deadlines[c.Class]
-	w.record(history.Event{Kind: history.Taken, Session: s.number, Balancer: b.index, Class: int16(c.Class), Duration: limit})
+	w.record(history.Event{Kind: history.RequestSent, Session: s.number, Balancer: b.index, Class: int16(c.Class), Duration: limit})
 	w.after(limit, func() { // the client's own deadline
 		if c.session == s && s.state < established {
 			w.disconnect(c)
@@ -66,7 +66,7 @@
 	if c.session = nil; s == nil {
 		return
 	}
-	w.record(history.Event{Kind: history.Left, Session: s.number})
+	w.record(history.Event{Kind: history.ClientClosed, Session: s.number})
 	w.after(w.ClientDelay, func() {
 		b := s.balancer
 		if !b.alive || b.sessions[s.id] != s {
@@ -92,7 +92,7 @@
 	s.generation++
 	w.after(w.ClientDelay, func() {
 		if s.client.session == s {
-			w.record(history.Event{Kind: history.Ended, Session: s.number})
+			w.record(history.Event{Kind: history.ConnectionEnded, Session: s.number})
 			w.retryLater(s.client, how, 0)
 		}
 	})
--- a/internal/lab/simulation/fault_steps.go
+++ b/internal/lab/simulation/fault_steps.go
@@ -66,7 +66,7 @@
 		w.silence(srv)
 	case faults.Speak:
 		srv.silent = false
-		w.record(history.Event{Kind: history.Started, Server: int32(srv.index), Balancer: -1, Number: srv.Capacity(), Text: "warm"})
+		w.record(history.Event{Kind: history.ServerStarted, Server: int32(srv.index), Balancer: -1, Number: srv.Capacity(), Text: "warm"})
 	case faults.SetSlow:
 		srv.Advance(w.now)
 		srv.SlowFactor = step.Value
@@ -91,7 +91,7 @@
 }
 
 func (w *world) recordStop(srv *server, reason string) {
-	w.record(history.Event{Kind: history.Stopped, Server: int32(srv.index), Balancer: -1, Text: reason})
+	w.record(history.Event{Kind: history.ServerStopped, Server: int32(srv.index), Balancer: -1, Text: reason})
 }
 
 // silence has a server's machine answer nothing any more.
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -44,7 +44,7 @@
 	if w.now-srv.started < w.Warmup.Window {
 		how = "cold"
 	}
-	w.record(history.Event{Kind: history.Started, Server: int32(srv.index), Balancer: -1, Number: srv.Capacity(), Text: how})
+	w.record(history.Event{Kind: history.ServerStarted, Server: int32(srv.index), Balancer: -1, Number: srv.Capacity(), Text: how})
 }
 
 // listing is a server's line in the endpoint list, in a balancer's time.
@@ -70,7 +70,7 @@
 			b.endpoints, b.known = append(b.endpoints, policy.Endpoint{}), append(b.known, false)
 		}
 		b.endpoints[i], b.known[i] = l, true
-		w.record(history.Event{Kind: history.Notified, Balancer: b.index, Server: int32(i), Text: stateNames[l.State]})
+		w.record(history.Event{Kind: history.BalancerNotified, Balancer: b.index, Server: int32(i), Text: stateNames[l.State]})
 	}
 	b.decider.AdvanceClock(w.now - b.start)
 	b.decider.UpdateEndpoints(lines, whole)
--- a/internal/lab/simulation/sessions.go
+++ b/internal/lab/simulation/sessions.go
@@ -58,7 +58,7 @@
 		if s.client.session != s {
 			return
 		}
-		w.record(history.Event{Kind: history.Answered, Session: s.number, Balancer: s.balancer.index, Text: text})
+		w.record(history.Event{Kind: history.AnswerReceived, Session: s.number, Balancer: s.balancer.index, Text: text})
 		w.retryLater(s.client, how, advice)
 	})
 }
@@ -92,8 +92,8 @@
 	w.releaseUpstream(s)
 	w.after(w.ClientDelay, func() {
 		if s.client.session == s {
-			w.record(history.Event{Kind: history.Moved, Session: s.number})
-			w.record(history.Event{Kind: history.Ended, Session: s.number})
+			w.record(history.Event{Kind: history.MigrateReceived, Session: s.number})
+			w.record(history.Event{Kind: history.ConnectionEnded, Session: s.number})
 			w.retryLater(s.client, load.Moved, 0)
 		}
 	})
@@ -162,7 +162,7 @@
 	case model.Overloaded:
 		if !srv.down {
 			srv.down = true
-			w.record(history.Event{Kind: history.Overloaded, Session: s.number, Server: int32(srv.index)})
+			w.record(history.Event{Kind: history.ServerOverloaded, Session: s.number, Server: int32(srv.index)})
 			w.endSessions(srv)
 		}
 		w.recordAttemptEnd(s, srv, "server")
@@ -194,7 +194,7 @@
 			w.answerAttemptOf(s, srv, generation, 0, policy.Failed)
 			return
 		}
-		w.record(history.Event{Kind: history.Ran, Session: s.number, Server: int32(srv.index), Number: receipt})
+		w.record(history.Event{Kind: history.EffectApplied, Session: s.number, Server: int32(srv.index), Number: receipt})
 		w.after(w.networkDelay(s.balancer, srv), func() {
 			if s.isAttempting(generation) {
 				w.establish(s, receipt)
@@ -249,7 +249,7 @@
 		if s.client.session != s {
 			return
 		}
-		w.record(history.Event{Kind: history.Answered, Session: s.number, Balancer: b.index, Text: "up", Number: receipt})
+		w.record(history.Event{Kind: history.AnswerReceived, Session: s.number, Balancer: b.index, Text: "up", Number: receipt})
 		w.meter.Setup(w.now, w.now-s.client.waitingSince)
 		s.client.failures = 0
 		if up := s.upstream; s.generation == generation && up != nil && up.slot >= 0 {
@@ -279,9 +279,9 @@
 				return
 			}
 			if movedByServer {
-				w.record(history.Event{Kind: history.Moved, Session: s.number})
+				w.record(history.Event{Kind: history.MigrateReceived, Session: s.number})
 			}
-			w.record(history.Event{Kind: history.Ended, Session: s.number})
+			w.record(history.Event{Kind: history.ConnectionEnded, Session: s.number})
 			if movedByServer {
 				w.retryLater(s.client, load.Moved, 0)
 			} else {
