--- a/internal/lab/cluster/describe.go
+++ b/internal/lab/cluster/describe.go
@@ -8,17 +8,17 @@
 
 // actionTexts are the actions as the log of a run names them.
 var actionTexts = map[faults.Action]string{
-	faults.Start: "starts", faults.BeginDrain: "drains", faults.Stop: "stops", faults.Die: "crashes", faults.Revive: "is back, cold",
-	faults.Silence: "vanishes", faults.Speak: "speaks again", faults.SetSlow: "slower, times", faults.SetErrors: "fails, share",
-	faults.SetFull: "full", faults.SetDrip: "drips", faults.SetTorn: "tears lines", faults.SetHalfOpen: "half open",
-	faults.SetStore: "the store is slower, times", faults.SetDiscovery: "discovery in reach", faults.SetLate: "the list comes later",
-	faults.SetFaulty: "discovery answers with faults", faults.Hide: "is missing from the list", faults.Show: "is in the list again",
+	faults.StartServer: "starts", faults.DrainServer: "drains", faults.StopServer: "stops", faults.CrashServer: "crashes", faults.RestartServer: "is back, cold",
+	faults.SilenceServer: "vanishes", faults.UnsilenceServer: "speaks again", faults.SetSlow: "slower, times", faults.SetErrors: "fails, share",
+	faults.SetFull: "full", faults.SetDrip: "drips", faults.SetTornLines: "tears lines", faults.SetHalfOpen: "half open",
+	faults.SetStoreSlow: "the store is slower, times", faults.SetDiscoveryReachable: "discovery in reach", faults.SetListDelay: "the list comes later",
+	faults.SetDiscoveryFaulty: "discovery answers with faults", faults.HideServer: "is missing from the list", faults.ShowServer: "is in the list again",
 	faults.DropClients: "clients drop, share", faults.KillBalancer: "is killed", faults.StartBalancer: "starts again",
 	faults.RestartBalancer: "restarts as planned", faults.ReloadAll: "all balancers reload", faults.SetMisbehavingClients: "bad clients a second",
 	faults.UpgradeBalancer: "gets a new process beside it", faults.DrainBalancer: "is emptied", faults.SetMoreClasses: "all balancers are retuned",
-	faults.SetSilentClients: "clients that never finish, a second", faults.SetPieces: "clients write in pieces",
+	faults.SetSilentClients: "clients that never finish, a second", faults.SetFragmentedLines: "clients write in pieces",
 	faults.SetMemberLinks: "ways between members", faults.StallBalancer: "is stopped", faults.LoseBalancer: "is lost with its directory",
-	faults.SetLinkLate: "its link is later", faults.SetLinkCut: "its link is cut",
+	faults.SetLinkDelay: "its link is later", faults.SetLinkCut: "its link is cut",
 }
 
 // describe returns a step as text.
--- a/internal/lab/cluster/fault_steps.go
+++ b/internal/lab/cluster/fault_steps.go
@@ -14,7 +14,7 @@
 // applyStep carries out one step of the fault schedule; what takes longer joins running.
 func (c *Cluster) applyStep(ctx context.Context, step faults.Step, clients *emulator.Clients, running *sync.WaitGroup) {
 	switch {
-	case step.Action == faults.Start:
+	case step.Action == faults.StartServer:
 		c.mu.Lock()
 		err := c.addServer(c.World.Machines[step.Machine], c.Clock.Now(), false)
 		c.mu.Unlock()
@@ -36,22 +36,22 @@
 	server := c.Servers[step.Target]
 	on := step.Value > 0
 	switch step.Action {
-	case faults.BeginDrain:
+	case faults.DrainServer:
 		c.endpoints.SetState(ctx, serverName(step.Target), emulator.Terminating, 0, false)
 		by := c.Clock.Now() + step.For
 		running.Go(func() { server.Drain(ctx, c.World.MovesClients, by) })
-	case faults.Stop:
+	case faults.StopServer:
 		server.Fail("stop")
 		c.endpoints.SetState(ctx, serverName(step.Target), emulator.Terminated, 0, false)
-	case faults.Die:
+	case faults.CrashServer:
 		server.Fail("crash")
 		c.endpoints.SetState(ctx, serverName(step.Target), emulator.Terminated, 0, true)
-	case faults.Revive:
+	case faults.RestartServer:
 		c.recordError(server.Revive())
 		c.endpoints.SetState(ctx, serverName(step.Target), emulator.InService, time.Now().UnixMilli(), false)
-	case faults.Silence:
+	case faults.SilenceServer:
 		server.Misbehave(func(w *emulator.WireFaults) { w.Silent = true })
-	case faults.Speak:
+	case faults.UnsilenceServer:
 		server.Misbehave(func(w *emulator.WireFaults) { w.Silent = false })
 	case faults.SetSlow:
 		server.Set(func(m *model.Server) { m.SlowFactor = step.Value })
@@ -61,11 +61,11 @@
 		server.Set(func(m *model.Server) { m.Full = on })
 	case faults.SetDrip:
 		server.Misbehave(func(w *emulator.WireFaults) { w.Drip = on })
-	case faults.SetTorn:
+	case faults.SetTornLines:
 		server.Misbehave(func(w *emulator.WireFaults) { w.Torn = on })
 	case faults.SetHalfOpen:
 		server.Misbehave(func(w *emulator.WireFaults) { w.HalfOpen = on })
-	case faults.SetLinkLate:
+	case faults.SetLinkDelay:
 		c.links[step.Target].Set(func(l *emulator.Condition) { l.Delay = step.For })
 	case faults.SetLinkCut:
 		c.cutLink(step.Target, on)
@@ -75,9 +75,9 @@
 // applyListStep carries out a step on a server's line in the endpoint list.
 func (c *Cluster) applyListStep(ctx context.Context, step faults.Step) {
 	switch step.Action {
-	case faults.Hide:
+	case faults.HideServer:
 		c.endpoints.Hide(ctx, serverName(step.Target), true)
-	case faults.Show:
+	case faults.ShowServer:
 		c.endpoints.Hide(ctx, serverName(step.Target), false)
 	}
 }
@@ -98,21 +98,21 @@
 func (c *Cluster) applyDiscoveryStep(step faults.Step) {
 	on := step.Value > 0
 	switch step.Action {
-	case faults.SetStore:
+	case faults.SetStoreSlow:
 		c.store.Slow(step.Value)
-	case faults.SetDiscovery:
+	case faults.SetDiscoveryReachable:
 		fault := emulator.Unresponsive
 		if on {
 			fault = emulator.Healthy
 		}
 		c.endpoints.Misbehave(fault)
-	case faults.SetFaulty:
+	case faults.SetDiscoveryFaulty:
 		fault := emulator.Healthy
 		if on {
 			fault = emulator.Malformed
 		}
 		c.endpoints.Misbehave(fault)
-	case faults.SetLate:
+	case faults.SetListDelay:
 		c.endpoints.SetDelay(step.For)
 	}
 }
@@ -125,7 +125,7 @@
 		clients.Drop(step.Value, step.For, c.rng)
 	case faults.SetSilentClients:
 		running.Go(func() { emulator.RunSilentClients(ctx, step.Value, step.For, c.PickBalancer, c.seed) })
-	case faults.SetPieces:
+	case faults.SetFragmentedLines:
 		clients.FragmentLines.Store(on)
 	case faults.SetMisbehavingClients:
 		if c.stopMisbehaving != nil {
--- a/internal/lab/faults/expand.go
+++ b/internal/lab/faults/expand.go
@@ -111,11 +111,11 @@
 func serverSteps(f Fault) (begin, end Step) {
 	switch f.Kind {
 	case Crash:
-		return Step{Action: Die}, Step{Action: Revive}
+		return Step{Action: CrashServer}, Step{Action: RestartServer}
 	case Vanish:
-		return Step{Action: Silence}, Step{Action: Speak}
+		return Step{Action: SilenceServer}, Step{Action: UnsilenceServer}
 	case ListIncomplete:
-		return Step{Action: Hide}, Step{Action: Show}
+		return Step{Action: HideServer}, Step{Action: ShowServer}
 	case Slow:
 		return Step{Action: SetSlow, Value: f.Factor}, Step{Action: SetSlow, Value: 1}
 	case Errors:
@@ -125,11 +125,11 @@
 	case Drip:
 		return Step{Action: SetDrip, Value: 1}, Step{Action: SetDrip}
 	case TornLines:
-		return Step{Action: SetTorn, Value: 1}, Step{Action: SetTorn}
+		return Step{Action: SetTornLines, Value: 1}, Step{Action: SetTornLines}
 	case HalfOpen:
 		return Step{Action: SetHalfOpen, Value: 1}, Step{Action: SetHalfOpen}
 	case LinkSlow:
-		return Step{Action: SetLinkLate, For: f.Delay}, Step{Action: SetLinkLate}
+		return Step{Action: SetLinkDelay, For: f.Delay}, Step{Action: SetLinkDelay}
 	default: // LinkCut
 		return Step{Action: SetLinkCut, Value: 1}, Step{Action: SetLinkCut}
 	}
@@ -139,17 +139,17 @@
 func worldSteps(f Fault) (begin, end Step) {
 	switch f.Kind {
 	case StoreSlow:
-		return Step{Action: SetStore, Value: f.Factor}, Step{Action: SetStore, Value: 1}
+		return Step{Action: SetStoreSlow, Value: f.Factor}, Step{Action: SetStoreSlow, Value: 1}
 	case DiscoveryOut:
-		return Step{Action: SetDiscovery}, Step{Action: SetDiscovery, Value: 1}
+		return Step{Action: SetDiscoveryReachable}, Step{Action: SetDiscoveryReachable, Value: 1}
 	case DiscoveryLate:
-		return Step{Action: SetLate, For: f.Delay}, Step{Action: SetLate}
+		return Step{Action: SetListDelay, For: f.Delay}, Step{Action: SetListDelay}
 	case DiscoveryFaulty:
-		return Step{Action: SetFaulty, Value: 1}, Step{Action: SetFaulty}
+		return Step{Action: SetDiscoveryFaulty, Value: 1}, Step{Action: SetDiscoveryFaulty}
 	case MisbehavingClients:
 		return Step{Action: SetMisbehavingClients, Value: f.Rate}, Step{Action: SetMisbehavingClients}
 	case FragmentedLines:
-		return Step{Action: SetPieces, Value: 1}, Step{Action: SetPieces}
+		return Step{Action: SetFragmentedLines, Value: 1}, Step{Action: SetFragmentedLines}
 	default: // Retune
 		return Step{Action: SetMoreClasses, Value: 1}, Step{Action: SetMoreClasses}
 	}
@@ -174,8 +174,8 @@
 }
 
 func (e *expander) drain(at time.Duration, server int, drain time.Duration) {
-	e.add(Step{At: at, Action: BeginDrain, Target: server, For: drain})
-	e.add(Step{At: at + drain, Action: Stop, Target: server})
+	e.add(Step{At: at, Action: DrainServer, Target: server, For: drain})
+	e.add(Step{At: at + drain, Action: StopServer, Target: server})
 }
 
 // release replaces servers in batches.
@@ -186,7 +186,7 @@
 	for i := range batches {
 		at := f.At + time.Duration(float64(f.For)*float64(i)/float64(batches))
 		for _, machine := range machines[i*size : min(len(machines), (i+1)*size)] {
-			e.add(Step{At: at, Action: Start, Target: e.total, Machine: machine})
+			e.add(Step{At: at, Action: StartServer, Target: e.total, Machine: machine})
 			e.drain(at, e.current[machine], f.Drain)
 			e.current[machine] = e.total
 			e.total++
@@ -221,7 +221,7 @@
 func (e *expander) numberSuccessors() {
 	numbers := map[int]int{}
 	for _, step := range e.steps {
-		if step.Action == Start {
+		if step.Action == StartServer {
 			numbers[step.Target] = e.servers + len(numbers)
 		}
 	}
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -22,32 +22,32 @@
 		started := 0
 		for _, s := range steps {
 			switch s.Action {
-			case Start:
+			case StartServer:
 				if s.Target != 10+started {
 					t.Errorf("%s: successor %d in place of %d", kind, s.Target, 10+started)
 				}
 				started++
-			case BeginDrain:
+			case DrainServer:
 				drained[s.Target] = true
-			case Stop:
+			case StopServer:
 				if !drained[s.Target] {
 					t.Errorf("%s: server %d stops without drain", kind, s.Target)
 				}
-			case Die, Silence, Hide, KillBalancer:
+			case CrashServer, SilenceServer, HideServer, KillBalancer:
 				on[[2]int{int(s.Action), s.Target}]++
 			case LoseBalancer:
 				on[[2]int{int(KillBalancer), s.Target}]++
 			case SetMemberLinks:
 				on[[2]int{int(s.Action), int(s.Members)}] += map[bool]int{true: -1, false: 1}[s.Link == MemberLink{In: s.Link.In, Out: s.Link.Out}]
-			case Revive, Speak, Show, StartBalancer:
+			case RestartServer, UnsilenceServer, ShowServer, StartBalancer:
 				on[[2]int{int(s.Action) - 1, s.Target}]--
-			case SetSlow, SetStore:
+			case SetSlow, SetStoreSlow:
 				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Value > 1]
-			case SetDiscovery:
+			case SetDiscoveryReachable:
 				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Value == 0]
-			case SetErrors, SetFull, SetDrip, SetTorn, SetHalfOpen, SetFaulty, SetMisbehavingClients, SetLinkCut:
+			case SetErrors, SetFull, SetDrip, SetTornLines, SetHalfOpen, SetDiscoveryFaulty, SetMisbehavingClients, SetLinkCut:
 				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.Value > 0]
-			case SetLate, SetLinkLate:
+			case SetListDelay, SetLinkDelay:
 				on[[2]int{int(s.Action), s.Target}] += map[bool]int{true: 1, false: -1}[s.For > 0]
 			}
 		}
--- a/internal/lab/faults/step.go
+++ b/internal/lab/faults/step.go
@@ -7,25 +7,25 @@
 
 // The actions. Capitalized words in the comments are fields of Step. Unless it is said otherwise, Value is 1 to begin and 0 to end.
 const (
-	Start      Action = iota // server Target starts cold, in place of Machine
-	BeginDrain               // the endpoint list says that the server drains, and it migrates its clients; For: until it stops
-	Stop                     // the server ends its connections and is gone
-	Die                      // the server's process dies; the endpoint list notices late
-	Revive                   // it starts again, cold
-	Silence                  // the server's machine sends nothing any more
-	Speak                    // it sends again
-	SetSlow                  // Value: times slower
-	SetErrors                // Value: share of set-ups that fail
+	StartServer     Action = iota // server Target starts cold, in place of Machine
+	DrainServer                   // the endpoint list says that the server drains, and it migrates its clients; For: until it stops
+	StopServer                    // the server ends its connections and is gone
+	CrashServer                   // the server's process dies; the endpoint list notices late
+	RestartServer                 // it starts again, cold
+	SilenceServer                 // the server's machine sends nothing any more
+	UnsilenceServer               // it sends again
+	SetSlow                       // Value: times slower
+	SetErrors                     // Value: share of set-ups that fail
 	SetFull
 	SetDrip
-	SetTorn
+	SetTornLines
 	SetHalfOpen
-	SetStore     // Value: times slower
-	SetDiscovery // Value: 1 reachable, 0 not
-	SetLate      // For: additional delay of the endpoint list
-	SetFaulty
-	Hide                  // the endpoint list lacks the server
-	Show                  // it has the server again
+	SetStoreSlow          // Value: times slower
+	SetDiscoveryReachable // Value: 1 reachable, 0 not
+	SetListDelay          // For: additional delay of the endpoint list
+	SetDiscoveryFaulty
+	HideServer            // the endpoint list lacks the server
+	ShowServer            // it has the server again
 	DropClients           // Value: share of the clients; For: within this time
 	KillBalancer          // without warning
 	StartBalancer         // again
@@ -36,8 +36,8 @@
 	DrainBalancer         // For: until it is in service again
 	SetMoreClasses        // Value: 1 with the additional class, 0 without
 	SetSilentClients      // Value: clients per second
-	SetPieces
-	SetLinkLate // For: additional delay
+	SetFragmentedLines
+	SetLinkDelay // For: additional delay
 	SetLinkCut
 	SetMemberLinks // links between Members and the other members become Link
 	StallBalancer  // For: until it continues
@@ -71,8 +71,8 @@
 
 func isOnServer(action Action) bool {
 	switch action {
-	case SetStore, SetDiscovery, SetLate, SetFaulty,
-		DropClients, SetMisbehavingClients, SetSilentClients, SetPieces,
+	case SetStoreSlow, SetDiscoveryReachable, SetListDelay, SetDiscoveryFaulty,
+		DropClients, SetMisbehavingClients, SetSilentClients, SetFragmentedLines,
 		KillBalancer, StartBalancer, RestartBalancer, UpgradeBalancer, DrainBalancer, StallBalancer, LoseBalancer,
 		ReloadAll, SetMoreClasses, SetMemberLinks:
 		return false
--- a/internal/lab/simulation/fault_steps.go
+++ b/internal/lab/simulation/fault_steps.go
@@ -17,13 +17,13 @@
 // applyStep carries out one step of the fault schedule.
 func (w *world) applyStep(step faults.Step) {
 	switch step.Action {
-	case faults.Start:
+	case faults.StartServer:
 		w.startReplacement(step.Machine)
-	case faults.SetStore:
+	case faults.SetStoreSlow:
 		w.Store.Slow = step.Value
-	case faults.SetDiscovery:
+	case faults.SetDiscoveryReachable:
 		w.setDiscovery(step.Value > 0)
-	case faults.SetLate:
+	case faults.SetListDelay:
 		w.discoveryDelay = step.For
 	case faults.DropClients:
 		w.dropClients(step.Value, step.For)
@@ -43,28 +43,28 @@
 // applyServerStep carries out a step on a server that has started.
 func (w *world) applyServerStep(srv *server, step faults.Step) {
 	switch step.Action {
-	case faults.BeginDrain:
+	case faults.DrainServer:
 		srv.state, srv.Draining = policy.Draining, true
 		w.announce(srv, w.ListDelay)
 		if w.MovesClients {
 			w.moveClientsAway(srv, w.now+step.For)
 		}
-	case faults.Stop:
+	case faults.StopServer:
 		srv.state, srv.down = policy.Removed, true
 		w.recordStop(srv, "stop")
 		w.endSessions(srv)
 		w.announce(srv, w.ListDelay)
-	case faults.Die:
+	case faults.CrashServer:
 		srv.down = true
 		w.recordStop(srv, "crash")
 		w.endSessions(srv)
 		srv.state = policy.Removed
 		w.announce(srv, w.DetectionDelay)
-	case faults.Revive:
+	case faults.RestartServer:
 		w.revive(srv)
-	case faults.Silence:
+	case faults.SilenceServer:
 		w.silence(srv)
-	case faults.Speak:
+	case faults.UnsilenceServer:
 		srv.silent = false
 		w.record(history.Event{Kind: history.ServerStarted, Server: int32(srv.index), Balancer: -1, Number: srv.Capacity(), Text: "warm"})
 	case faults.SetSlow:
@@ -74,10 +74,10 @@
 		srv.ErrorRate = step.Value
 	case faults.SetFull:
 		srv.Full = step.Value > 0
-	case faults.Hide:
+	case faults.HideServer:
 		srv.listed = false
 		w.announce(srv, w.ListDelay)
-	case faults.Show:
+	case faults.ShowServer:
 		srv.listed = true
 		w.announce(srv, w.ListDelay)
 	}
