--- a/internal/lab/faults/expand.go
+++ b/internal/lab/faults/expand.go
@@ -1,3 +1,5 @@
+// This file expands a fault schedule into steps.
+
 package faults
 
 import (
@@ -10,12 +12,12 @@
 )
 
 const (
-	defaultDrain = 4 * time.Second
-	maxMembers   = 64 // bits of Step.Members
+	defaultDrain = 4 * time.Second // time between drain and stop of a server without a time of its own
+	maxMembers   = 64              // number of bits of Step.Members
 )
 
 // Expand expands faults into steps, in order of time, for the given numbers of servers and balancers. It also returns the number of
-// servers with their successors. It fails if a kind of fault is unknown.
+// servers including successors. It fails if a kind of fault is unknown.
 func Expand(faults []Fault, servers, balancers int, seed uint64) ([]Step, int, error) {
 	e := &expander{
 		rng:       rand.New(rand.NewPCG(seed, 0xfa17)),
@@ -46,13 +48,14 @@
 // expander expands faults in order of time.
 type expander struct {
 	rng       *rand.Rand
-	servers   int // at the start
-	balancers int
-	total     int   // servers, successors included
-	current   []int // by machine, the server that runs there
+	servers   int   // number of servers at the start of the run
+	balancers int   // number of balancers
+	total     int   // number of servers, including successors
+	current   []int // by machine, the server that runs on it
 	steps     []Step
 }
 
+// expand adds the steps of one fault.
 func (e *expander) expand(f Fault) {
 	switch f.Kind {
 	case Drain:
@@ -82,7 +85,7 @@
 	}
 }
 
-// expandBalancers expands faults of single balancers.
+// expandBalancers adds the steps of a fault of single balancers.
 func (e *expander) expandBalancers(f Fault) {
 	balancers := e.draw(f.Share, e.balancers)
 	for i, balancer := range balancers {
@@ -150,7 +153,7 @@
 		return Step{Action: SetMisbehavingClients, Value: f.Rate}, Step{Action: SetMisbehavingClients}
 	case FragmentedLines:
 		return Step{Action: SetFragmentedLines, Value: 1}, Step{Action: SetFragmentedLines}
-	default: // Retune
+	default: // ChangeClasses
 		return Step{Action: SetMoreClasses, Value: 1}, Step{Action: SetMoreClasses}
 	}
 }
@@ -173,6 +176,7 @@
 	return e.rng.Perm(count)[:min(count, drawn)]
 }
 
+// drain adds the steps that drain a server and stop it.
 func (e *expander) drain(at time.Duration, server int, drain time.Duration) {
 	e.add(Step{At: at, Action: DrainServer, Target: server, For: drain})
 	e.add(Step{At: at + drain, Action: StopServer, Target: server})
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -15,15 +15,15 @@
 	// Faults of servers.
 
 	Drain     Kind = "drain"      // Share of the servers drain, and stop after Drain
-	Release   Kind = "release"    // Share is replaced within For, BatchShare at a time; successors start cold
-	Crash     Kind = "crash"      // processes die, and start again cold after For
-	Vanish    Kind = "vanish"     // machines are silent for For
-	Slow      Kind = "slow"       // Factor times slower for For
-	Errors    Kind = "errors"     // Rate of the set-ups fail for For
-	Full      Kind = "full"       // reject all new sessions for For
-	Drip      Kind = "drip"       // answer one byte at a time for For; sockets only
-	TornLines Kind = "torn-lines" // close connections in the middle of a line for For; sockets only
-	HalfOpen  Kind = "half-open"  // accept connections and read nothing for For; sockets only
+	Release   Kind = "release"    // Share of the servers are replaced within For, BatchShare at a time; successors start cold
+	Crash     Kind = "crash"      // processes of Share of the servers die, and start again cold after For
+	Vanish    Kind = "vanish"     // machines of Share of the servers send nothing for For
+	Slow      Kind = "slow"       // Share of the servers are Factor times slower for For
+	Errors    Kind = "errors"     // Rate of the set-ups at Share of the servers fail for For
+	Full      Kind = "full"       // Share of the servers reject all new sessions for For
+	Drip      Kind = "drip"       // Share of the servers write one byte at a time for For; sockets only
+	TornLines Kind = "torn-lines" // Share of the servers reset connections in the middle of a line for For; sockets only
+	HalfOpen  Kind = "half-open"  // Share of the servers accept connections and read nothing for For; sockets only
 	LinkSlow  Kind = "link-slow"  // links to Share of the servers are Delay slower for For; sockets only
 	LinkCut   Kind = "link-cut"   // links from Share of the servers carry nothing for For; sockets only
 	StoreSlow Kind = "store-slow" // the store is Factor times slower for For
@@ -31,8 +31,8 @@
 	// Faults of discovery.
 
 	DiscoveryOut    Kind = "discovery-outage" // the endpoint list is unreachable for For
-	DiscoveryLate   Kind = "discovery-late"   // it arrives Delay later for For
-	DiscoveryFaulty Kind = "discovery-faulty" // truncated and malformed responses for For; sockets only
+	DiscoveryLate   Kind = "discovery-late"   // changes of the endpoint list arrive Delay later for For
+	DiscoveryFaulty Kind = "discovery-faulty" // discovery agents send truncated and malformed responses for For; sockets only
 	ListIncomplete  Kind = "list-misses"      // the endpoint list lacks Share of the servers for For
 
 	// Faults of clients.
@@ -45,20 +45,20 @@
 	// Faults and maintenance of balancers.
 
 	BalancerCrash   Kind = "balancer-crash"   // Share of the balancers are killed, and start again after For
-	BalancerRestart Kind = "balancer-restart" // Share restart gracefully, one after the other within For
-	BalancerDrain   Kind = "balancer-drain"   // an operator drains Share, one after the other, each for For; sockets only
-	Upgrade         Kind = "upgrade"          // Share are replaced by hot restart, one after the other within For; sockets only
-	Reload          Kind = "reload"           // a new configuration names the other discovery; sockets only
+	BalancerRestart Kind = "balancer-restart" // Share of the balancers restart gracefully, one after the other within For
+	BalancerDrain   Kind = "balancer-drain"   // an operator drains Share of the balancers, one after the other, each for For; sockets only
+	Upgrade         Kind = "upgrade"          // Share of the balancers are replaced by hot restart, one after the other within For; sockets only
+	Reload          Kind = "reload"           // all balancers read a new configuration, which names another address of discovery; sockets only
 	ChangeClasses   Kind = "retune"           // a new configuration has one more class and fewer attempts, for For; sockets only
 	Stall           Kind = "stall"            // the processes of Share of the balancers are stopped for For; sockets only
 
 	// Faults between the members of a fleet; sockets only.
 
 	MembersLossy   Kind = "members-lossy"   // links between Share of the members and the others lose Rate of the messages for For
-	MembersSlow    Kind = "members-slow"    // these links are Delay slower for For; Direction "out": only what Share sends, like slow responses
-	MembersCut     Kind = "members-cut"     // Share is cut off from the others for For; Direction "in" or "out": in that direction only
-	MembersReorder Kind = "members-reorder" // Rate of their datagrams are duplicated and reordered for For
-	MachineLost    Kind = "machine-lost"    // Share are killed and their directories deleted; they start empty after For, or never
+	MembersSlow    Kind = "members-slow"    // links between Share of the members and the others are Delay slower for For; Direction "out": only what Share sends, like slow responses
+	MembersCut     Kind = "members-cut"     // Share of the members are cut off from the others for For; Direction "in" or "out": in that direction only
+	MembersReorder Kind = "members-reorder" // Rate of the datagrams between Share of the members and the others are duplicated and reordered for For
+	MachineLost    Kind = "machine-lost"    // Share of the members are killed and their directories deleted; they start empty after For, or never if it is 0
 )
 
 // Kinds lists all kinds of fault with the keys that an experiment file must set.
@@ -102,8 +102,10 @@
 	MachineLost:    {"part"},
 }
 
+// betweenMembers lists the faults that need balancers that are members of a fleet.
 var betweenMembers = []Kind{MembersLossy, MembersSlow, MembersCut, MembersReorder, MachineLost}
 
+// socketsOnly lists the other faults that have no meaning in virtual time.
 var socketsOnly = []Kind{
 	Drip, TornLines, HalfOpen, LinkSlow, LinkCut,
 	DiscoveryFaulty,
@@ -129,12 +131,12 @@
 type Fault struct {
 	Kind       Kind
 	At         time.Duration // since the start of the run
-	For        time.Duration
+	For        time.Duration // duration of the fault, or of the interval over which it is spread
 	Share      float64       // share of the servers, balancers or clients
 	BatchShare float64       // of a release: share of the servers replaced at a time
 	Drain      time.Duration // time between drain and stop of a server; 0: the default
-	Factor     float64
-	Rate       float64
-	Delay      time.Duration
-	Direction  string // of a fault between members, from the point of view of Share: "both", "in" or "out"
+	Factor     float64       // see the kinds
+	Rate       float64       // see the kinds
+	Delay      time.Duration // additional delay
+	Direction  string        // of a fault between members, from the point of view of Share: "both", "in" or "out"
 }
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// TestFaultsEnd checks that each fault ends: each state that is set is reset, and each server that stops was drained.
+// TestFaultsEnd expands each kind of fault and checks that it ends: a missing step would leave a fault active until the end of the run.
+// Each state that is set is reset, each server that stops was drained, and the same seed gives the same steps.
 func TestFaultsEnd(t *testing.T) {
 	for kind := range Kinds {
 		f := Fault{Kind: kind, At: time.Second, For: 2 * time.Second, Share: 0.5, BatchShare: 0.2, Factor: 4, Rate: 0.5, Delay: time.Second}
 		steps, total, err := Expand([]Fault{f}, 10, 4, 3)
 		if err != nil || len(steps) == 0 {
-			t.Fatalf("%s: %v, %d steps", kind, err, len(steps))
+			t.Fatalf("%s: Expand returned error %v and %d steps", kind, err, len(steps))
 		}
 		again, _, _ := Expand([]Fault{f}, 10, 4, 3)
 		if !slices.Equal(steps, again) {
-			t.Errorf("%s: the same seed gave other steps", kind)
+			t.Errorf("%s: the same seed gave different steps", kind)
 		}
 		on, drained := map[[2]int]int{}, map[int]bool{}
 		started := 0
@@ -24,14 +25,14 @@
 			switch s.Action {
 			case StartServer:
 				if s.Target != 10+started {
-					t.Errorf("%s: successor %d in place of %d", kind, s.Target, 10+started)
+					t.Errorf("%s: successor has number %d, want %d", kind, s.Target, 10+started)
 				}
 				started++
 			case DrainServer:
 				drained[s.Target] = true
 			case StopServer:
 				if !drained[s.Target] {
-					t.Errorf("%s: server %d stops without drain", kind, s.Target)
+					t.Errorf("%s: server %d stops without a drain", kind, s.Target)
 				}
 			case CrashServer, SilenceServer, HideServer, KillBalancer:
 				on[[2]int{int(s.Action), s.Target}]++
@@ -53,14 +54,14 @@
 		}
 		for what, n := range on {
 			if n != 0 {
-				t.Errorf("%s: action %d on %d ends at %d", kind, what[0], what[1], n)
+				t.Errorf("%s: action %d on target %d begins %d more times than it ends", kind, what[0], what[1], n)
 			}
 		}
 		if total != 10+started {
-			t.Errorf("%s: %d servers, %d started", kind, total, started)
+			t.Errorf("%s: Expand returned %d servers, want 10 and %d that were started", kind, total, started)
 		}
 	}
 	if _, _, err := Expand([]Fault{{Kind: "nothing"}}, 1, 1, 1); err == nil {
-		t.Error("an unknown kind of fault is accepted")
+		t.Error("Expand accepted an unknown kind of fault")
 	}
 }
--- a/internal/lab/faults/golden_test.go
+++ b/internal/lab/faults/golden_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestStepsOfASeedAreStable holds the steps that earlier builds made of each kind of fault, and of all kinds together: records of runs can
-// be compared only if the steps are the same.
+// TestStepsOfASeedAreStable compares the steps of each kind of fault, and of all kinds together, with digests of the steps that earlier
+// builds generated: runs of different builds can be compared only if their steps are the same.
 func TestStepsOfASeedAreStable(t *testing.T) {
 	var all []Fault
 	for i, kind := range slices.SortedFunc(maps.Keys(Kinds), cmp.Compare[Kind]) {
--- a/internal/lab/faults/step.go
+++ b/internal/lab/faults/step.go
@@ -5,70 +5,72 @@
 // Action is what a step does.
 type Action uint8
 
-// The actions. Capitalized words in the comments are fields of Step. Unless it is said otherwise, Value is 1 to begin and 0 to end.
+// The actions. Capitalized words in the comments are fields of Step. Where a comment gives no meaning of Value, a fault begins with
+// Value 1 and ends with Value 0.
 const (
-	StartServer     Action = iota // server Target starts cold, in place of Machine
-	DrainServer                   // the endpoint list says that the server drains, and it migrates its clients; For: until it stops
-	StopServer                    // the server ends its connections and is gone
-	CrashServer                   // the server's process dies; the endpoint list notices late
-	RestartServer                 // it starts again, cold
-	SilenceServer                 // the server's machine sends nothing any more
-	UnsilenceServer               // it sends again
-	SetSlow                       // Value: times slower
-	SetErrors                     // Value: share of set-ups that fail
-	SetFull
-	SetDrip
-	SetTornLines
-	SetHalfOpen
-	SetStoreSlow          // Value: times slower
-	SetDiscoveryReachable // Value: 1 reachable, 0 not
-	SetListDelay          // For: additional delay of the endpoint list
-	SetDiscoveryFaulty
-	HideServer            // the endpoint list lacks the server
-	ShowServer            // it has the server again
-	DropClients           // Value: share of the clients; For: within this time
-	KillBalancer          // without warning
-	StartBalancer         // again
-	RestartBalancer       // gracefully; it starts again once it has ended
-	ReloadAll             // all balancers read a new configuration
-	SetMisbehavingClients // Value: clients per second
-	UpgradeBalancer       // by hot restart
-	DrainBalancer         // For: until it is in service again
-	SetMoreClasses        // Value: 1 with the additional class, 0 without
-	SetSilentClients      // Value: clients per second
-	SetFragmentedLines
-	SetLinkDelay // For: additional delay
-	SetLinkCut
-	SetMemberLinks // links between Members and the other members become Link
-	StallBalancer  // For: until it continues
-	LoseBalancer   // it is killed, and its directory deleted
+	StartServer           Action = iota // server Target starts cold, in place of Machine
+	DrainServer                         // the endpoint list reports the server as draining, and the server migrates its clients; For: time until it stops
+	StopServer                          // the server closes its connections and does not return
+	CrashServer                         // the server's process dies; the endpoint list detects it after a delay
+	RestartServer                       // a crashed server starts again, cold
+	SilenceServer                       // the server's machine stops sending
+	UnsilenceServer                     // a silent machine sends again
+	SetSlow                             // Value: factor by which the server is slower; 1 ends the fault
+	SetErrors                           // Value: share of set-ups that fail; 0 ends the fault
+	SetFull                             // the server rejects all new sessions
+	SetDrip                             // the server writes one byte at a time
+	SetTornLines                        // the server resets connections in the middle of a line
+	SetHalfOpen                         // the server accepts connections and reads nothing
+	SetStoreSlow                        // Value: factor by which the store is slower; 1 ends the fault
+	SetDiscoveryReachable               // Value: 1 makes the discovery agents reachable, 0 unreachable
+	SetListDelay                        // For: additional delay of changes of the endpoint list; 0 ends the fault
+	SetDiscoveryFaulty                  // the discovery agents send truncated and malformed responses
+	HideServer                          // the endpoint list lacks the server
+	ShowServer                          // the endpoint list has the server again
+	DropClients                         // clients disconnect and reconnect; Value: share of the clients; For: time within which they do so
+	KillBalancer                        // the balancer is killed
+	StartBalancer                       // a balancer that was killed starts again
+	RestartBalancer                     // the balancer shuts down gracefully, and starts again once its process has ended
+	ReloadAll                           // all balancers read a new configuration
+	SetMisbehavingClients               // Value: misbehaving clients per second
+	UpgradeBalancer                     // the balancer is replaced by hot restart
+	DrainBalancer                       // an operator drains the balancer; For: time until it is in service again
+	SetMoreClasses                      // Value: 1 configures one more class, 0 removes it
+	SetSilentClients                    // Value: silent clients per second
+	SetFragmentedLines                  // clients write their first lines in fragments
+	SetLinkDelay                        // For: additional delay of the link to the server; 0 ends the fault
+	SetLinkCut                          // nothing that the server sends passes its link
+	SetMemberLinks                      // the links between Members and the other members get the state Link
+	StallBalancer                       // the balancer's process is stopped; For: time until it continues
+	LoseBalancer                        // the balancer is killed and its directory deleted
 )
 
 // MemberLink is the state of links between members of a fleet.
 type MemberLink struct {
-	In         bool    // applies to messages to the members of the step
-	Out        bool    // applies to messages from them
-	Loss       float64 // share of the messages
-	Duplicated float64 // share of the datagrams, which are also reordered
-	Delay      time.Duration
-	Cut        bool
+	In         bool          // whether the state applies to messages to the members of the step
+	Out        bool          // whether the state applies to messages from the members of the step
+	Loss       float64       // share of the messages that are lost
+	Duplicated float64       // share of the datagrams that are duplicated and reordered
+	Delay      time.Duration // additional delay of messages
+	Cut        bool          // whether no message passes
 }
 
 // Step is one action at one time.
 type Step struct {
 	At      time.Duration // since the start of the run
 	Action  Action
-	Target  int // a server, or a balancer for actions on balancers
-	Machine int // the machine whose place a started server takes
-	Value   float64
-	For     time.Duration
-	Members uint64 // of SetMemberLinks: a bit for each member
-	Link    MemberLink
+	Target  int           // index of a server, or of a balancer for actions on balancers
+	Machine int           // index of the machine whose place a started server takes
+	Value   float64       // see the actions
+	For     time.Duration // see the actions
+	Members uint64        // for SetMemberLinks, a bit for each member
+	Link    MemberLink    // for SetMemberLinks, the new state
 }
 
-// OnServer reports whether a step acts on server Target.
+// OnServer reports whether the step acts on server Target.
 func (s Step) OnServer() bool { return isOnServer(s.Action) }
 
+// isOnServer reports whether an action acts on a server.
 func isOnServer(action Action) bool {
 	switch action {
 	case SetStoreSlow, SetDiscoveryReachable, SetListDelay, SetDiscoveryFaulty,
