--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker owns the verdict on a run: the four rules and the losses, from the recorded events alone. It must
-// never look at a balancer, its log or its counters, and never forgive what the rules do not.
+// Package checker checks a run against the four rules and counts losses, from the recorded events alone. It must never look at a
+// balancer, its log or its counters, and never allow what the rules do not allow.
 package checker
 
 import (
@@ -13,24 +13,24 @@
 	"sabletally/policy"
 )
 
-// Rules are the figures that a run is held to.
+// Rules are the limits that a run is checked against.
 type Rules struct {
-	DrainGrace   time.Duration
-	Slack        time.Duration // for what the emulators see late: 50 ms on sockets, none in virtual time
-	MaxLineDelay time.Duration // a line is held so long at most
-	CloseTimeout time.Duration // an end is passed on by then
+	DrainGrace   time.Duration // time after the notification within which a drained server may still get attempts
+	Slack        time.Duration // tolerance for events that the emulators observe late: 50 ms on sockets, 0 in virtual time
+	MaxLineDelay time.Duration // longest delay of a line in a balancer
+	CloseTimeout time.Duration // time within which a balancer passes on the end of a connection
 	Warmup       model.Warmup
 	Classes      []policy.Class
-	Places       []Place // of the servers, by their index
+	Places       []Place // by server index
 }
 
-// Place is where a server runs: some classes' repeats are dropped only within a zone or failure domain.
+// Place is the location of a server. Servers of some classes deduplicate repeated requests only within a zone or failure domain.
 type Place struct{ Zone, FailureDomain int }
 
-// Rule names what was broken.
+// Rule names a rule or a kind of loss.
 type Rule string
 
-// The rules, and the losses that are no broken rule.
+// The four rules, the kinds of loss that violate none of them, and EventsLost, which makes a check impossible.
 const (
 	OneFinalAnswer     Rule = "1 one final answer"
 	NoDuplicateEffect  Rule = "2 no effect twice"
@@ -43,7 +43,7 @@
 	EventsLost         Rule = "the log lost events"
 )
 
-// Violation is one thing that went wrong.
+// Violation is one violated rule or one loss.
 type Violation struct {
 	At      time.Duration
 	Rule    Rule
@@ -51,28 +51,28 @@
 	Detail  string
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%.3fs session %x: %s: %s", b.At.Seconds(), b.Session, b.Rule, b.Detail)
+func (v Violation) String() string {
+	return fmt.Sprintf("%.3fs session %x: %s: %s", v.At.Seconds(), v.Session, v.Rule, v.Detail)
 }
 
 // Verdict is the checker's result for a run.
 type Verdict struct {
 	Violations []Violation
-	Sessions   int // taken
-	Answers    int // final answers
+	Sessions   int // sessions that clients have opened
+	Answers    int // final answers that clients have read
 }
 
-// Passed tells whether nothing was broken.
+// Passed reports whether there are no violations.
 func (v Verdict) Passed() bool { return len(v.Violations) == 0 }
 
-// String is the verdict in one line.
+// String formats the verdict in one line, with the number of violations of each rule.
 func (v Verdict) String() string {
 	if v.Passed() {
 		return fmt.Sprintf("kept: %d sessions, %d final answers, no rule broken", v.Sessions, v.Answers)
 	}
 	count := map[Rule]int{}
-	for _, b := range v.Violations {
-		count[b.Rule]++
+	for _, violation := range v.Violations {
+		count[violation.Rule]++
 	}
 	var rules []Rule
 	for r := range count {
@@ -86,52 +86,54 @@
 	return text
 }
 
-// attempt is one attempt of a session, as its server saw it.
+// attempt is one attempt of a session, as its server observed it.
 type attempt struct {
-	server  int32
-	sentAt  time.Duration
-	ended   bool
-	endedAt time.Duration
-	endedBy string
-	ran     bool // its effect happened
-	receipt float64
+	server        int32
+	sentAt        time.Duration
+	ended         bool
+	endedAt       time.Duration
+	endedBy       string  // "refused", "server" or "peer"
+	effectApplied bool    // whether the request took effect at the server
+	receipt       float64 // of the effect
 }
 
-// session is what the events tell of one session.
+// session is the state of one session that the events show.
 type session struct {
 	balancer       int32 // -1 for a session that no client has opened
 	class          int16
-	takenAt        time.Duration
-	deadline       time.Duration // after takenAt
-	answers        int
+	requestSentAt  time.Duration
+	deadline       time.Duration // relative to requestSentAt
+	answers        int           // final answers
 	established    bool
 	receipt        float64
-	moved          bool
-	left           bool // its client has disconnected
-	leftAt         time.Duration
-	ended          bool
+	migrated       bool // whether the client was told to migrate
+	clientClosed   bool // whether the client has closed the connection
+	clientClosedAt time.Duration
+	ended          bool // whether the client has seen the end of the connection
 	endedAt        time.Duration
-	balancerKilled bool // a killed balancer owes nothing more
+	balancerKilled bool // a killed balancer has no further obligations for the session
 	attempts       []attempt
 }
 
+// balancerServer identifies a server as one balancer knows it.
 type balancerServer struct{ balancer, server int32 }
 
-// process is a server's newest process.
+// process is the latest process of a server.
 type process struct {
-	at       time.Duration
-	capacity float64
-	cold     bool
-	attempts []time.Duration
+	startedAt time.Duration
+	capacity  float64
+	cold      bool
+	attempts  []time.Duration // times of the attempts within the overload window
 }
 
-// outage is a time in which a server, or the link to it, did not answer.
+// outage is a period in which a server, or the link to it, did not answer.
 type outage struct{ from, to time.Duration }
 
-const stillOut = time.Duration(1 << 62)
+// ongoing is the end of an outage that has not ended.
+const ongoing = time.Duration(1 << 62)
 
-// wasOut reports whether a server had an outage at any time within a span.
-func (run *checkRun) wasOut(server int32, from, to time.Duration) bool {
+// hadOutage reports whether a server had an outage at any time within a period.
+func (run *checkRun) hadOutage(server int32, from, to time.Duration) bool {
 	for _, o := range run.outages[server] {
 		if o.from <= to && o.to >= from {
 			return true
@@ -140,27 +142,27 @@
 	return false
 }
 
-// newestAttempt returns a session's newest attempt, nil before the first.
-func (c *session) newestAttempt() *attempt {
-	if len(c.attempts) == 0 {
+// latestAttempt returns the latest attempt of a session, or nil if there is none.
+func (s *session) latestAttempt() *attempt {
+	if len(s.attempts) == 0 {
 		return nil
 	}
-	return &c.attempts[len(c.attempts)-1]
+	return &s.attempts[len(s.attempts)-1]
 }
 
-// checkRun is a check under way.
+// checkRun is the state of a check in progress.
 type checkRun struct {
 	rules        Rules
 	verdict      Verdict
 	sessions     map[uint64]*session
-	order        []uint64
-	drainedSince map[balancerServer]time.Duration
-	processes    map[int32]*process
-	outages      map[int32][]outage
-	killed       map[int32]bool // balancers that were killed
+	order        []uint64                         // session IDs in the order of their first events
+	drainedSince map[balancerServer]time.Duration // since when the balancer has known that the server is not ready
+	processes    map[int32]*process               // by server
+	outages      map[int32][]outage               // by server, in order of time
+	killed       map[int32]bool                   // balancers that were killed and have not started again
 }
 
-// Check checks the events of a run, in order of time, up to its end. Lost is the number of events that were dropped.
+// Check checks the events of a run, in order of time, up to the end of the run. lost is the number of events that the log dropped.
 func Check(r Rules, events []history.Event, lost int, end time.Duration) Verdict {
 	run := &checkRun{rules: r, sessions: map[uint64]*session{}, drainedSince: map[balancerServer]time.Duration{},
 		processes: map[int32]*process{}, outages: map[int32][]outage{}, killed: map[int32]bool{}}
@@ -177,22 +179,23 @@
 	return run.verdict
 }
 
-func (run *checkRun) report(at time.Duration, r Rule, id uint64, what string) {
-	run.verdict.Violations = append(run.verdict.Violations, Violation{at, r, id, what})
+// report adds a violation to the verdict.
+func (run *checkRun) report(at time.Duration, r Rule, id uint64, detail string) {
+	run.verdict.Violations = append(run.verdict.Violations, Violation{at, r, id, detail})
 }
 
-// session returns the session of an id, also of one that no client has opened: a server may receive such.
+// session returns the session with an ID. It may be one that no client has opened, if a server has received such a request.
 func (run *checkRun) session(id uint64) *session {
-	c := run.sessions[id]
-	if c == nil {
-		c = &session{balancer: -1}
-		run.sessions[id] = c
+	s := run.sessions[id]
+	if s == nil {
+		s = &session{balancer: -1}
+		run.sessions[id] = s
 		run.order = append(run.order, id)
 	}
-	return c
+	return s
 }
 
-// apply takes one event in.
+// apply updates the state by one event and checks it.
 func (run *checkRun) apply(e *history.Event) {
 	switch e.Kind {
 	case history.ServerStarted, history.ServerStopped, history.ServerOverloaded:
@@ -210,21 +213,21 @@
 	case history.RequestSent:
 		s.balancer = e.Balancer
 		s.class = e.Class
-		s.takenAt = e.At
+		s.requestSentAt = e.At
 		s.deadline = e.Duration
 		s.balancerKilled = run.killed[e.Balancer]
 		run.verdict.Sessions++
 	case history.AnswerReceived:
 		run.applyAnswer(e, s)
 	case history.ClientClosed:
-		s.left, s.leftAt = true, e.At
+		s.clientClosed, s.clientClosedAt = true, e.At
 	case history.MigrateReceived:
-		s.moved = true
+		s.migrated = true
 	case history.ConnectionEnded:
 		s.ended, s.endedAt = true, e.At
 	case history.LineDelayed:
-		a := s.newestAttempt()
-		if e.Duration > run.rules.MaxLineDelay+run.rules.Slack && (a == nil || !run.wasOut(a.server, e.At-e.Duration, e.At)) {
+		a := s.latestAttempt()
+		if e.Duration > run.rules.MaxLineDelay+run.rules.Slack && (a == nil || !run.hadOutage(a.server, e.At-e.Duration, e.At)) {
 			run.report(e.At, LineDelayed, e.Session, fmt.Sprintf("for %v", e.Duration))
 		}
 	case history.AttemptReceived:
@@ -232,7 +235,7 @@
 	case history.EffectApplied:
 		for n := range s.attempts {
 			if a := &s.attempts[n]; a.server == e.Server && !a.ended {
-				a.ran, a.receipt = true, e.Number
+				a.effectApplied, a.receipt = true, e.Number
 			}
 		}
 	case history.AttemptEnded:
@@ -248,14 +251,14 @@
 func (run *checkRun) applyServerEvent(e *history.Event) {
 	switch e.Kind {
 	case history.ServerStarted:
-		if all := run.outages[e.Server]; len(all) > 0 && all[len(all)-1].to == stillOut {
+		if all := run.outages[e.Server]; len(all) > 0 && all[len(all)-1].to == ongoing {
 			all[len(all)-1].to = e.At
 		}
-		run.processes[e.Server] = &process{at: e.At, capacity: e.Number, cold: e.Text == "cold"}
+		run.processes[e.Server] = &process{startedAt: e.At, capacity: e.Number, cold: e.Text == "cold"}
 	case history.ServerStopped:
-		run.outages[e.Server] = append(run.outages[e.Server], outage{e.At, stillOut})
+		run.outages[e.Server] = append(run.outages[e.Server], outage{e.At, ongoing})
 	case history.ServerOverloaded:
-		run.outages[e.Server] = append(run.outages[e.Server], outage{e.At, stillOut})
+		run.outages[e.Server] = append(run.outages[e.Server], outage{e.At, ongoing})
 		run.report(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d was overloaded", e.Server))
 	}
 }
@@ -263,133 +266,137 @@
 func (run *checkRun) applyBalancerEvent(e *history.Event) {
 	switch e.Kind {
 	case history.BalancerNotified:
-		p := balancerServer{e.Balancer, e.Server}
+		pair := balancerServer{e.Balancer, e.Server}
 		if e.Text == "ready" {
-			delete(run.drainedSince, p)
-		} else if _, already := run.drainedSince[p]; !already {
-			run.drainedSince[p] = e.At
+			delete(run.drainedSince, pair)
+		} else if _, already := run.drainedSince[pair]; !already {
+			run.drainedSince[pair] = e.At
 		}
 	case history.BalancerStarted:
 		delete(run.killed, e.Balancer)
-		for p := range run.drainedSince { // it starts with a new list
-			if p.balancer == e.Balancer {
-				delete(run.drainedSince, p)
+		for pair := range run.drainedSince { // the new process starts with a new list
+			if pair.balancer == e.Balancer {
+				delete(run.drainedSince, pair)
 			}
 		}
 	case history.BalancerKilled:
 		run.killed[e.Balancer] = true
-		if e.Text == "planned" { // what it still holds is a loss
+		if e.Text == "planned" { // the sessions that are still open count as losses
 			return
 		}
 		for _, s := range run.sessions {
-			if s.balancer == e.Balancer && !s.ended && !s.left {
+			if s.balancer == e.Balancer && !s.ended && !s.clientClosed {
 				s.balancerKilled = true
 			}
 		}
 	}
 }
 
-func (run *checkRun) applyAnswer(e *history.Event, c *session) {
+// applyAnswer checks that a final answer is the first one of its session and not late.
+func (run *checkRun) applyAnswer(e *history.Event, s *session) {
 	run.verdict.Answers++
-	if c.answers++; c.answers > 1 {
-		run.report(e.At, OneFinalAnswer, e.Session, fmt.Sprintf("answer %d, %s", c.answers, e.Text))
+	if s.answers++; s.answers > 1 {
+		run.report(e.At, OneFinalAnswer, e.Session, fmt.Sprintf("answer %d, %s", s.answers, e.Text))
 		return
 	}
-	if late := e.At - c.takenAt - c.deadline; late > run.rules.Slack && !c.balancerKilled {
+	if late := e.At - s.requestSentAt - s.deadline; late > run.rules.Slack && !s.balancerKilled {
 		run.report(e.At, OneFinalAnswer, e.Session, fmt.Sprintf("%v after its deadline", late))
 	}
 	if e.Text == "up" {
-		c.established, c.receipt = true, e.Number
+		s.established, s.receipt = true, e.Number
 	}
 }
 
-func (run *checkRun) applyAttempt(e *history.Event, c *session) {
-	first := e.At - e.Duration
-	if c.balancer < 0 {
+// applyAttempt checks whether the balancer was allowed to send a session to a server.
+func (run *checkRun) applyAttempt(e *history.Event, s *session) {
+	firstByteAt := e.At - e.Duration
+	if s.balancer < 0 {
 		run.report(e.At, FabricatedAnswer, e.Session, "no client has asked for it")
 	}
-	if at, told := run.drainedSince[balancerServer{c.balancer, e.Server}]; told && first > at+run.rules.DrainGrace+run.rules.Slack {
-		run.report(e.At, DrainRespected, e.Session, fmt.Sprintf("server %d, %v after the balancer was notified", e.Server, first-at))
+	if notifiedAt, notified := run.drainedSince[balancerServer{s.balancer, e.Server}]; notified && firstByteAt > notifiedAt+run.rules.DrainGrace+run.rules.Slack {
+		run.report(e.At, DrainRespected, e.Session, fmt.Sprintf("server %d, %v after the balancer was notified", e.Server, firstByteAt-notifiedAt))
 	}
-	for n := range c.attempts {
-		if t := &c.attempts[n]; (!t.ended || t.endedBy != "refused" || t.ran) && !run.mayRepeat(c, t, e) {
-			run.report(e.At, NoDuplicateEffect, e.Session, fmt.Sprintf("server %d may have run it, server %d gets it again", t.server, e.Server))
+	for n := range s.attempts {
+		if previous := &s.attempts[n]; (!previous.ended || previous.endedBy != "refused" || previous.effectApplied) && !run.mayRepeat(s, previous, e) {
+			run.report(e.At, NoDuplicateEffect, e.Session, fmt.Sprintf("server %d may have run it, server %d gets it again", previous.server, e.Server))
 		}
 	}
-	if p := run.processes[e.Server]; p != nil && p.cold && e.At-p.at < run.rules.Warmup.Window {
+	if p := run.processes[e.Server]; p != nil && p.cold && e.At-p.startedAt < run.rules.Warmup.Window {
 		for len(p.attempts) > 0 && p.attempts[0] <= e.At-run.rules.Warmup.OverloadWindow {
 			p.attempts = p.attempts[1:]
 		}
 		p.attempts = append(p.attempts, e.At)
-		bears := run.rules.Warmup.Budget(p.capacity, run.rules.Warmup.Warmth(e.At-p.at))
-		if float64(len(p.attempts)) > bears+1 { // the model's clock may differ a little
+		budget := run.rules.Warmup.Budget(p.capacity, run.rules.Warmup.Warmth(e.At-p.startedAt))
+		if float64(len(p.attempts)) > budget+1 { // the model's clock may differ slightly from the event's time
 			run.report(e.At, SlowStartRespected, e.Session, fmt.Sprintf("server %d was sent %d within %v, bears %.1f",
-				e.Server, len(p.attempts), run.rules.Warmup.OverloadWindow, bears))
+				e.Server, len(p.attempts), run.rules.Warmup.OverloadWindow, budget))
 		}
 	}
-	c.attempts = append(c.attempts, attempt{server: e.Server, sentAt: e.At})
+	s.attempts = append(s.attempts, attempt{server: e.Server, sentAt: e.At})
 }
 
-// mayRepeat reports whether a session that may have run at an attempt may be sent again now.
-func (run *checkRun) mayRepeat(c *session, t *attempt, e *history.Event) bool {
-	if int(c.class) >= len(run.rules.Classes) {
+// mayRepeat reports whether a session may be sent again after an attempt that may have taken effect, according to the idempotency of
+// its class.
+func (run *checkRun) mayRepeat(s *session, previous *attempt, e *history.Event) bool {
+	if int(s.class) >= len(run.rules.Classes) {
 		return true
 	}
-	g := run.rules.Classes[c.class]
+	class := run.rules.Classes[s.class]
 	place := func(server int32) Place {
 		if int(server) < len(run.rules.Places) {
 			return run.rules.Places[server]
 		}
 		return Place{}
 	}
-	was, is := place(t.server), place(e.Server)
-	switch g.Idempotency {
+	before, now := place(previous.server), place(e.Server)
+	switch class.Idempotency {
 	case policy.Idempotent:
 		return true
 	case policy.NonIdempotent:
 		return false
 	}
-	return e.At <= t.sentAt+g.KeyTTL+run.rules.Slack && (g.KeyScope == policy.KeyScopeAll || was.Zone == is.Zone &&
-		(g.KeyScope == policy.KeyScopeZone || was.FailureDomain == is.FailureDomain))
+	return e.At <= previous.sentAt+class.KeyTTL+run.rules.Slack && (class.KeyScope == policy.KeyScopeAll || before.Zone == now.Zone &&
+		(class.KeyScope == policy.KeyScopeZone || before.FailureDomain == now.FailureDomain))
 }
 
-// checkEnd checks what shows only at the end of the run.
-func (run *checkRun) checkEnd(id uint64, c *session, end time.Duration) {
-	twice := false
-	for n := 1; n < len(c.attempts); n++ {
+// checkEnd checks what can be decided only at the end of the run: concurrent attempts, missing answers, fabricated answers and
+// connections that were closed late or without a migration.
+func (run *checkRun) checkEnd(id uint64, s *session, end time.Duration) {
+	concurrent := false
+	for n := 1; n < len(s.attempts); n++ {
 		for m := range n {
-			// The slack allows for a server that sees the end of its connection late.
-			if a, b := c.attempts[m], c.attempts[n]; !a.ended || a.endedAt > b.sentAt+run.rules.Slack {
+			// The slack allows for a server that observes the end of its connection late.
+			if a, b := s.attempts[m], s.attempts[n]; !a.ended || a.endedAt > b.sentAt+run.rules.Slack {
 				run.report(b.sentAt, NoDuplicateEffect, id, fmt.Sprintf("out at server %d while at server %d", b.server, a.server))
-				twice = true
+				concurrent = true
 			}
 		}
 	}
-	if c.balancer < 0 || c.balancerKilled {
+	if s.balancer < 0 || s.balancerKilled {
 		return
 	}
-	if c.answers == 0 && end > c.takenAt+c.deadline+run.rules.Slack && (!c.left || c.leftAt > c.takenAt+c.deadline) {
-		run.report(c.takenAt+c.deadline, OneFinalAnswer, id, "no answer before its deadline")
+	if s.answers == 0 && end > s.requestSentAt+s.deadline+run.rules.Slack && (!s.clientClosed || s.clientClosedAt > s.requestSentAt+s.deadline) {
+		run.report(s.requestSentAt+s.deadline, OneFinalAnswer, id, "no answer before its deadline")
 	}
-	at := c.newestAttempt()
-	if !c.established || twice { // it is not known which attempt was established
+	last := s.latestAttempt()
+	if !s.established || concurrent { // of concurrent attempts, it is not known which one was established
 		return
 	}
-	if at == nil || !at.ran || at.receipt != c.receipt {
-		run.report(c.takenAt, FabricatedAnswer, id, "no server made its receipt")
+	if last == nil || !last.effectApplied || last.receipt != s.receipt {
+		run.report(s.requestSentAt, FabricatedAnswer, id, "no server made its receipt")
 		return
 	}
-	switch byServer := at.ended && at.endedBy == "server"; {
-	case c.ended && !c.moved && !c.left && (!byServer || at.endedAt > c.endedAt+run.rules.Slack):
-		if !run.wasOut(at.server, c.endedAt-run.rules.CloseTimeout, c.endedAt) {
-			run.report(c.endedAt, CutWithoutMove, id, fmt.Sprintf("server %d still answered", at.server))
+	switch byServer := last.ended && last.endedBy == "server"; {
+	case s.ended && !s.migrated && !s.clientClosed && (!byServer || last.endedAt > s.endedAt+run.rules.Slack):
+		if !run.hadOutage(last.server, s.endedAt-run.rules.CloseTimeout, s.endedAt) {
+			run.report(s.endedAt, CutWithoutMove, id, fmt.Sprintf("server %d still answered", last.server))
 		}
-	case byServer && !c.left && end > at.endedAt+run.rules.CloseTimeout+run.rules.Slack &&
-		(!c.ended || c.endedAt > at.endedAt+run.rules.CloseTimeout+run.rules.Slack) && !c.moved:
-		run.report(at.endedAt, CloseDelayed, id, fmt.Sprintf("server %d had ended it", at.server))
-	case c.left && end > c.leftAt+run.rules.CloseTimeout+run.rules.Slack && (!at.ended || at.endedAt > c.leftAt+run.rules.CloseTimeout+run.rules.Slack):
-		if !run.wasOut(at.server, c.leftAt, end) {
-			run.report(c.leftAt, CloseDelayed, id, fmt.Sprintf("server %d still held it", at.server))
+	case byServer && !s.clientClosed && end > last.endedAt+run.rules.CloseTimeout+run.rules.Slack &&
+		(!s.ended || s.endedAt > last.endedAt+run.rules.CloseTimeout+run.rules.Slack) && !s.migrated:
+		run.report(last.endedAt, CloseDelayed, id, fmt.Sprintf("server %d had ended it", last.server))
+	case s.clientClosed && end > s.clientClosedAt+run.rules.CloseTimeout+run.rules.Slack && (!last.ended || last.endedAt > s.clientClosedAt+run.rules.CloseTimeout+run.rules.Slack):
+		if !run.hadOutage(last.server, s.clientClosedAt, end) {
+			run.report(s.clientClosedAt, CloseDelayed, id, fmt.Sprintf("server %d still held it", last.server))
 		}
 	}
 }
