--- a/internal/lab/eventqueue/eventqueue.go
+++ b/internal/lab/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package eventqueue is the queue of a discrete-event simulation: actions in the order of their virtual time, and
-// at one time in the order in which they were scheduled, so that a run is the same for the same seed. It must
-// never read a clock or start a goroutine.
+// Package eventqueue implements the event queue of a discrete-event simulation. Actions run in the order of their virtual times, and at
+// the same time in the order in which they were scheduled, so that a run is the same for the same seed. It must never read a clock or
+// start a goroutine.
 package eventqueue
 
 import (
@@ -11,13 +11,13 @@
 // Queue holds scheduled actions. Its zero value is empty and ready to use; it is not safe for concurrent use.
 type Queue struct {
 	events    eventHeap
-	scheduled uint64 // number of the newest event
+	scheduled uint64 // number of events scheduled so far
 }
 
 // event is one scheduled action.
 type event struct {
 	at     time.Duration
-	number uint64 // breaks ties
+	number uint64 // order of scheduling, which breaks ties of at
 	action func()
 }
 
@@ -27,7 +27,7 @@
 	heap.Push(&q.events, event{at, q.scheduled, action})
 }
 
-// Len returns how many actions are scheduled.
+// Len returns the number of scheduled actions.
 func (q *Queue) Len() int { return len(q.events) }
 
 // NextAt returns the time of the next action; ok is false if there is none.
@@ -44,7 +44,7 @@
 	return next.at, next.action
 }
 
-// eventHeap implements heap.Interface.
+// eventHeap implements heap.Interface; the first element is the next event.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -63,7 +63,7 @@
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
-	(*h)[last] = event{} // releases the action
+	(*h)[last] = event{} // releases the action for garbage collection
 	*h = (*h)[:last]
 	return popped
 }
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,5 +1,5 @@
-// Package history owns what the lab observes: events with their time, in order, bounded. Emulators and hosts write
-// them, the checker and reports read them. It must never check rules, and never ask a balancer for its view.
+// Package history records the events that the testbed observes, in a log of bounded size. Emulators and hosts write events, the checker
+// and reports read them. It must never check rules, and never ask a balancer for its view.
 package history
 
 import (
@@ -12,35 +12,36 @@
 	"time"
 )
 
-// Kind says what kind of event it is.
+// Kind is a kind of event.
 type Kind uint8
 
-// The kinds of event, with the fields of Event that each fills.
+// The kinds of event. Capitalized words after the semicolons are the fields of Event that the kind uses, beside At and the identifiers.
 const (
-	RequestSent      Kind = iota // a client's OPEN is written to an accepted connection; Len: its outer limit
-	AnswerReceived               // a client has read a final answer; Text: up, busy, err; N: the receipt of an up
-	ClientClosed                 // a client has ended its connection by itself
-	ConnectionEnded              // a client has seen the end of its connection; Text: end or reset
+	RequestSent      Kind = iota // a client has written its first line to an accepted connection; Duration: its deadline
+	AnswerReceived               // a client has read a final answer; Text: up, busy or err; Number: the receipt of an up
+	ClientClosed                 // a client has closed its connection
+	ConnectionEnded              // a client has observed the end of its connection; Text: end or reset
 	MigrateReceived              // a client has read MOVE
-	AttemptReceived              // a server has read a first line to its end; Len: since its first byte; Text: the key, on sockets
-	EffectApplied                // the effect of a session at its server; Number: the receipt
-	AttemptEnded                 // an attempt or session has ended at its server; Text: refused, server (ended there) or peer
-	BalancerNotified             // the list with a server's state was written to a balancer; Text: ready, draining or gone
-	ServerStarted                // a server's process; N: connections that fill it; Text: cold or warm
-	ServerStopped                // it, or the way to it, answers nothing more; Text: crash, vanish, stop, link
-	ServerOverloaded             // it was pushed over
-	BalancerStarted              // a balancer's process
-	BalancerKilled               // it was killed outright
-	LineDelayed                  // a line came late to its client; Len: how long it was on its way
-	Note                         // anything for the reader of the log; Text
+	AttemptReceived              // a server has read a complete first line; Duration: time since its first byte; Text: the key, on sockets
+	EffectApplied                // a session has taken effect at its server; Number: the receipt
+	AttemptEnded                 // an attempt or session has ended at its server; Text: refused, failed, server or peer (who ended it)
+	BalancerNotified             // a list with a server's state was written to a balancer; Text: ready, draining or gone
+	ServerStarted                // a server's process has started; Number: connections that fill it; Text: cold or warm
+	ServerStopped                // a server, or the link to it, has stopped answering; Text: crash, vanish, stop or link
+	ServerOverloaded             // a cold server was overloaded and has failed
+	BalancerStarted              // a balancer's process has started
+	BalancerKilled               // a balancer was killed; Text: why (planned: at the end of a planned restart)
+	LineDelayed                  // a line has reached its client late; Duration: its time in transit
+	Note                         // a note for readers of the log; Text
 )
 
+// kindNames are the names of the kinds in written logs.
 var kindNames = [...]string{"taken", "answered", "left", "ended", "moved", "sent", "ran", "over", "told", "started", "stopped",
 	"fell", "begun", "killed", "held", "noted"}
 
-func (w Kind) String() string { return kindNames[w] }
+func (k Kind) String() string { return kindNames[k] }
 
-// Event is one of them. Balancer and Server are indices, -1 where none is meant; times count from the run's start.
+// Event is one observation. Balancer and Server are indices, or -1 for none; At is the time since the start of the run.
 type Event struct {
 	At       time.Duration
 	Duration time.Duration
@@ -53,29 +54,29 @@
 	Kind     Kind
 }
 
-// Log collects the events of many writers. It is bounded: beyond that events are dropped, and Dropped counts them.
+// Log collects events; it is safe for concurrent use. Events beyond its capacity are dropped and counted.
 type Log struct {
-	mu     sync.Mutex
-	events []Event
-	most   int
-	lost   int
+	mu       sync.Mutex
+	events   []Event
+	capacity int
+	dropped  int
 }
 
-// New makes a log of so many events at most.
-func New(most int) *Log { return &Log{most: most} }
+// New returns a log for a number of events.
+func New(capacity int) *Log { return &Log{capacity: capacity} }
 
-// Add takes an event.
+// Add adds an event.
 func (l *Log) Add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.events) >= l.most {
-		l.lost++
+	if len(l.events) >= l.capacity {
+		l.dropped++
 		return
 	}
 	l.events = append(l.events, e)
 }
 
-// Events returns what has come so far, by time and, at one time, in the order it came.
+// Events returns the events so far, sorted by time; events of the same time are in the order in which they were added.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,14 +85,14 @@
 	return all
 }
 
-// Dropped returns the number of events that found no room; a run with any can't be checked.
+// Dropped returns the number of dropped events. A run with dropped events cannot be checked.
 func (l *Log) Dropped() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lost
+	return l.dropped
 }
 
-// Write writes events as lines of text, the same for the same events.
+// Write writes events as lines of text. The same events always give the same text.
 func Write(w io.Writer, events []Event) error {
 	out := bufio.NewWriter(w)
 	for _, e := range events {
--- a/internal/lab/topology/topology.go
+++ b/internal/lab/topology/topology.go
@@ -1,5 +1,5 @@
-// Package topology owns the description of a world: servers, clients, the list, the rules and the faults, the same for
-// sockets and for virtual time. It must never run one.
+// Package topology describes the environment of a run: servers, clients, the endpoint list, the rules and the faults. Runs on sockets
+// and in virtual time use the same description. It must never run one.
 package topology
 
 import (
@@ -18,39 +18,39 @@
 	Zone, FailureDomain int
 }
 
-// World is all that a run is made of, but for its seed and the policy or program under test.
+// World describes a run, except for its seed and the policy or program under test.
 type World struct {
 	Balancers, Zones                       int
 	Machines                               []Machine
 	Warmup                                 model.Warmup
 	Store                                  model.Store
-	Deployment                             policy.Config // Zone and Peers are set by who runs it
-	ClassNames                             []string
-	Deadlines                              []time.Duration // by class
-	MessageObjective                       time.Duration
-	MessageInterval                        time.Duration // a client sends a line so often; sockets only
-	DrainGrace                             time.Duration
-	ConnectTimeout                         time.Duration
-	GroupCost                              float64
-	ShedBacklog                            time.Duration // servers drop connections while more is piled up; 0: never
-	MovesClients                           bool          // draining servers send their clients away in even parts
-	ClientDelay, ZoneDelay, CrossZoneDelay time.Duration // ways, one way; virtual time only
-	ListDelay, DetectionDelay              [2]time.Duration
+	Deployment                             policy.Config    // without Zone and Balancers, which are set when a balancer starts
+	ClassNames                             []string         // by class
+	Deadlines                              []time.Duration  // by class
+	MessageObjective                       time.Duration    // an answer to a line within this time counts as served
+	MessageInterval                        time.Duration    // time between two lines of a client; sockets only
+	DrainGrace                             time.Duration    // time after a notification within which a drained server may still get attempts
+	ConnectTimeout                         time.Duration    // of a balancer's connections to servers
+	GroupCost                              float64          // load of each group at a server, in addition to that of its sessions
+	ShedBacklog                            time.Duration    // servers drop connections while their backlog is longer; 0: never
+	MovesClients                           bool             // whether draining servers migrate their clients, in equal batches
+	ClientDelay, ZoneDelay, CrossZoneDelay time.Duration    // one-way network delays: client to balancer, within a zone, between zones; virtual time only
+	ListDelay, DetectionDelay              [2]time.Duration // shortest and longest delay of announced and of unannounced changes of the endpoint list
 	Load                                   load.Plan
 	Retry                                  load.RetryPolicy
 	Faults                                 []faults.Fault
 	Limits                                 Limits
-	ReplicationFactor                      int // of each record, where the balancers are members of a fleet; 0: they are not
+	ReplicationFactor                      int // replicas of each record if the balancers are members of a fleet; 0: they are not
 }
 
-// Limits are those of one balancer's process.
+// Limits are the resource limits of one balancer process.
 type Limits struct {
-	Cores    float64
+	Cores    float64 // CPU cores
 	MemoryMB int
-	Sockets  int
+	Sockets  int // number of open sockets
 }
 
-// Rules returns what a run is checked by; slack is what the emulators may see late.
+// Rules returns the rules that a run is checked against. slack is the tolerance for events that the emulators observe late.
 func (w *World) Rules(slack time.Duration, places []checker.Place) checker.Rules {
 	return checker.Rules{DrainGrace: w.DrainGrace, Slack: slack, MaxLineDelay: time.Second, CloseTimeout: time.Second,
 		Warmup: w.Warmup, Classes: w.Deployment.Classes, Places: places}
