--- a/internal/lab/reference/session.go
+++ b/internal/lab/reference/session.go
@@ -1,3 +1,5 @@
+// This file relays the lines of a session, runs its attempts and health checks, and ends it.
+
 package reference
 
 import (
@@ -11,21 +13,21 @@
 	"sabletally/policy"
 )
 
-// relayFromClient relays a client's lines until its end.
-func (h *Host) relayFromClient(c *session, r *bufio.Reader) {
+// relayFromClient relays the client's lines to the server until the client's connection ends.
+func (h *Host) relayFromClient(s *session, r *bufio.Reader) {
 	for {
 		raw, err := r.ReadSlice('\n')
 		if err != nil {
-			h.update(func() { h.clientLeft(c) })
+			h.update(func() { h.clientDisconnected(s) })
 			return
 		}
 		h.mu.Lock()
-		server := c.server
-		if !c.established {
+		server := s.server
+		if !s.established {
 			server = nil
-		} else if c.asked.IsZero() {
-			c.asked = time.Now()
-			time.AfterFunc(silenceTimeout, func() { h.update(func() { h.checkSilence(c) }) })
+		} else if s.unansweredSince.IsZero() {
+			s.unansweredSince = time.Now()
+			time.AfterFunc(silenceTimeout, func() { h.update(func() { h.checkSilence(s) }) })
 		}
 		h.mu.Unlock()
 		if server != nil {
@@ -34,34 +36,34 @@
 	}
 }
 
-// checkSilence moves a client whose server does not answer.
-func (h *Host) checkSilence(c *session) {
+// checkSilence migrates a client whose server leaves a line unanswered for silenceTimeout.
+func (h *Host) checkSilence(s *session) {
 	switch {
-	case c.ended || !c.established || c.asked.IsZero():
-	case time.Since(c.asked) >= silenceTimeout && time.Since(c.answeredAt) >= silenceTimeout:
-		h.moveSession(c, policy.Reset)
+	case s.ended || !s.established || s.unansweredSince.IsZero():
+	case time.Since(s.unansweredSince) >= silenceTimeout && time.Since(s.answeredAt) >= silenceTimeout:
+		h.migrateSession(s, policy.Reset)
 	default:
-		time.AfterFunc(silenceTimeout/4, func() { h.update(func() { h.checkSilence(c) }) })
+		time.AfterFunc(silenceTimeout/4, func() { h.update(func() { h.checkSilence(s) }) })
 	}
 }
 
-// endSession removes a session.
-func (h *Host) endSession(c *session) {
-	c.ended, c.generation = true, c.generation+1
-	delete(h.sessions, c.id)
+// endSession removes a session; callbacks of its attempts are ignored from then on.
+func (h *Host) endSession(s *session) {
+	s.ended, s.generation = true, s.generation+1
+	delete(h.sessions, s.id)
 }
 
-// answer gives the final answer; a host that AnswersTwice does so at some sessions.
-func (h *Host) answer(c *session, text []byte) {
-	h.endSession(c)
-	if h.broken == AnswersTwice && c.id%sessionsPerBreak == 0 {
+// answer sends the final answer and ends the session; a host that AnswersTwice sends two answers at some sessions.
+func (h *Host) answer(s *session, text []byte) {
+	h.endSession(s)
+	if h.broken == AnswersTwice && s.id%sessionsPerBreak == 0 {
 		text = append(bytes.Clone(text), protocol.FailLine...)
 	}
-	_, _ = c.client.Write(text)
-	closeGracefully(c.client)
+	_, _ = s.client.Write(text)
+	closeGracefully(s.client)
 }
 
-// closeGracefully ends sending; the connection is closed a little later.
+// closeGracefully closes the sending side at once and the connection a second later, so that the client can read the last line.
 func closeGracefully(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
@@ -69,71 +71,74 @@
 	time.AfterFunc(time.Second, func() { _ = c.Close() })
 }
 
-func (c *session) dropServer() {
-	if c.cancel != nil {
-		c.cancel()
-		c.cancel = nil
+// closeServer cancels a dial in progress and closes the connection to the server.
+func (s *session) closeServer() {
+	if s.cancelDial != nil {
+		s.cancelDial()
+		s.cancelDial = nil
 	}
-	if c.server != nil {
-		_ = c.server.Close()
-		c.server = nil
+	if s.server != nil {
+		_ = s.server.Close()
+		s.server = nil
 	}
 }
 
-func (h *Host) moveSession(c *session, how policy.Outcome) {
-	id, attempt := c.id, c.attempts-1
-	h.endSession(c)
-	_, _ = c.client.Write(protocol.MigrateLine)
-	closeGracefully(c.client)
-	c.dropServer()
-	h.decider.AttemptEnded(id, attempt, true, how)
+// migrateSession tells the client to migrate and ends the session; outcome is reported to the policy.
+func (h *Host) migrateSession(s *session, outcome policy.Outcome) {
+	id, attempt := s.id, s.attempts-1
+	h.endSession(s)
+	_, _ = s.client.Write(protocol.MigrateLine)
+	closeGracefully(s.client)
+	s.closeServer()
+	h.decider.AttemptEnded(id, attempt, true, outcome)
 }
 
-// clientLeft ends a session whose client has disconnected.
-func (h *Host) clientLeft(c *session) {
-	if c.ended {
-		_ = c.client.Close()
+// clientDisconnected ends a session whose client has disconnected.
+func (h *Host) clientDisconnected(s *session) {
+	if s.ended {
+		_ = s.client.Close()
 		return
 	}
-	id, attempt, isHeld := c.id, c.attempts-1, c.attempting || c.established
-	if !c.established {
+	id, attempt, hasServer := s.id, s.attempts-1, s.inAttempt || s.established
+	if !s.established {
 		h.decider.ClientDisconnected(id)
 	}
-	h.endSession(c)
-	c.dropServer()
-	_ = c.client.Close()
-	if isHeld {
+	h.endSession(s)
+	s.closeServer()
+	_ = s.client.Close()
+	if hasServer {
 		h.decider.AttemptEnded(id, attempt, true, policy.Cancelled)
 	}
 }
 
-// startAttempt dials an endpoint; a host of TwoAttempts sends a second copy at some sessions.
-func (h *Host) startAttempt(c *session, id policy.EndpointID, within time.Duration) {
-	c.attempts++
-	c.generation++
-	c.attempting, c.endpoint, c.attemptAt = true, id, time.Now()
-	generation := c.generation
-	time.AfterFunc(within, func() {
+// startAttempt starts an attempt at an endpoint, which times out after timeout. A host of kind TwoAttempts also sends a copy of the
+// request to another endpoint at some sessions.
+func (h *Host) startAttempt(s *session, id policy.EndpointID, timeout time.Duration) {
+	s.attempts++
+	s.generation++
+	s.inAttempt, s.endpoint, s.attemptAt = true, id, time.Now()
+	generation := s.generation
+	time.AfterFunc(timeout, func() {
 		h.update(func() {
-			if c.generation == generation && c.attempting {
-				h.attemptEnded(c, policy.TimedOut)
+			if s.generation == generation && s.inAttempt {
+				h.attemptEnded(s, policy.TimedOut)
 			}
 		})
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), max(h.settings.ConnectTimeout, 50*time.Millisecond))
-	c.cancel = cancel
-	go h.dial(ctx, c, generation, h.address[id], within)
-	if h.broken == TwoAttempts && c.id%sessionsPerBreak == 0 {
-		for other, address := range h.address {
-			if other != id && h.state[other] == policy.Ready {
-				go sendCopy(address, c.ask.WithTimeout(within))
+	s.cancelDial = cancel
+	go h.dial(ctx, s, generation, h.addresses[id], timeout)
+	if h.broken == TwoAttempts && s.id%sessionsPerBreak == 0 {
+		for other, address := range h.addresses {
+			if other != id && h.states[other] == policy.Ready {
+				go sendCopy(address, s.request.WithTimeout(timeout))
 				break
 			}
 		}
 	}
 }
 
-// sendCopy sends a copy of the first line whose answer nobody reads.
+// sendCopy sends a copy of the first line to a server and ignores the answer.
 func sendCopy(address string, text []byte) {
 	if c, err := net.DialTimeout("tcp", address, time.Second); err == nil {
 		_, _ = c.Write(text)
@@ -141,138 +146,140 @@
 	}
 }
 
-func (h *Host) dial(ctx context.Context, c *session, generation int, address string, within time.Duration) {
+// dial connects to the endpoint of an attempt, sends the request and relays the server's lines.
+func (h *Host) dial(ctx context.Context, s *session, generation int, address string, timeout time.Duration) {
 	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-	live := false
+	proceed := false
 	h.update(func() {
-		if live = c.generation == generation && c.attempting; !live {
+		if proceed = s.generation == generation && s.inAttempt; !proceed {
 			return
 		}
 		switch {
 		case err != nil:
-			h.attemptEnded(c, policy.ConnectFailed)
-			live = false
-		case h.state[c.endpoint] != policy.Ready: // the list has changed during the dial
-			h.attemptEnded(c, policy.NeverSent)
-			live = false
+			h.attemptEnded(s, policy.ConnectFailed)
+			proceed = false
+		case h.states[s.endpoint] != policy.Ready: // the endpoint list has changed during the dial
+			h.attemptEnded(s, policy.NeverSent)
+			proceed = false
 		default:
-			c.server = nc
-			_, _ = nc.Write(c.ask.WithTimeout(within - time.Since(c.attemptAt)))
+			s.server = nc
+			_, _ = nc.Write(s.request.WithTimeout(timeout - time.Since(s.attemptAt)))
 		}
 	})
-	if !live {
+	if !proceed {
 		if nc != nil {
 			_ = nc.Close()
 		}
 		return
 	}
-	h.relayFromServer(c, nc)
+	h.relayFromServer(s, nc)
 }
 
-// relayFromServer relays a server's lines until its end.
-func (h *Host) relayFromServer(c *session, nc net.Conn) {
+// relayFromServer handles and relays the server's lines until the server's connection ends or another one replaces it.
+func (h *Host) relayFromServer(s *session, nc net.Conn) {
 	r := bufio.NewReaderSize(nc, protocol.MaxLineBytes)
 	for {
 		raw, err := r.ReadSlice('\n')
-		stop := false
+		stopReading := false
 		h.mu.Lock()
-		mine := c.server == nc
-		open := c.established
-		if mine && err == nil && open {
-			c.answeredAt, c.asked = time.Now(), time.Time{}
+		current := s.server == nc
+		established := s.established
+		if current && err == nil && established {
+			s.answeredAt, s.unansweredSince = time.Now(), time.Time{}
 			if bytes.HasPrefix(raw, protocol.MigrateLine) || bytes.HasPrefix(raw, []byte("BYE")) {
-				c.moved = true
+				s.migrating = true
 			}
 		}
 		h.mu.Unlock()
-		if !mine {
+		if !current {
 			return
 		}
-		if open && err == nil {
-			_, _ = c.client.Write(raw)
+		if established && err == nil {
+			_, _ = s.client.Write(raw)
 			continue
 		}
 		h.update(func() {
-			if c.server != nc || c.ended {
-				stop = true
+			if s.server != nc || s.ended {
+				stopReading = true
 				return
 			}
-			stop = h.handleServerLine(c, bytes.Clone(raw), err)
+			stopReading = h.handleServerLine(s, bytes.Clone(raw), err)
 		})
-		if stop {
+		if stopReading {
 			return
 		}
 	}
 }
 
-// handleServerLine handles a server's line before the session is established, and the end of its connection; it
-// reports whether nothing more is to be read.
-func (h *Host) handleServerLine(c *session, raw []byte, err error) bool {
-	ln := protocol.Decode(raw)
+// handleServerLine handles a server's line before the session is established, or the end of its connection. It reports whether reading
+// should stop.
+func (h *Host) handleServerLine(s *session, raw []byte, err error) bool {
+	line := protocol.Decode(raw)
 	switch {
-	case err != nil && c.established:
-		id, attempt, how := c.id, c.attempts-1, policy.Reset
-		if c.moved {
-			how = policy.Cancelled
+	case err != nil && s.established:
+		id, attempt, outcome := s.id, s.attempts-1, policy.Reset
+		if s.migrating {
+			outcome = policy.Cancelled
 		}
-		h.endSession(c)
-		c.dropServer()
-		closeGracefully(c.client)
-		h.decider.AttemptEnded(id, attempt, true, how)
+		h.endSession(s)
+		s.closeServer()
+		closeGracefully(s.client)
+		h.decider.AttemptEnded(id, attempt, true, outcome)
 	case err != nil:
-		h.attemptEnded(c, policy.Reset)
-	case ln.Kind == protocol.KindEstablished:
-		c.generation++
-		c.attempting, c.established, c.answeredAt = false, true, time.Now()
-		h.decider.AttemptEstablished(c.id, c.attempts-1, time.Since(c.attemptAt))
-		if h.broken == AnswersTwice && c.id%sessionsPerBreak == 0 {
+		h.attemptEnded(s, policy.Reset)
+	case line.Kind == protocol.KindEstablished:
+		s.generation++
+		s.inAttempt, s.established, s.answeredAt = false, true, time.Now()
+		h.decider.AttemptEstablished(s.id, s.attempts-1, time.Since(s.attemptAt))
+		if h.broken == AnswersTwice && s.id%sessionsPerBreak == 0 {
 			raw = append(raw, []byte("BUSY 100\r\n")...)
 		}
-		_, _ = c.client.Write(raw)
+		_, _ = s.client.Write(raw)
 		return false
-	case ln.Kind == protocol.KindLoad:
-		h.decider.RecordLoad(c.id, c.attempts-1, ln.Value)
+	case line.Kind == protocol.KindLoad:
+		h.decider.RecordLoad(s.id, s.attempts-1, line.Value)
 		return false
-	case ln.Kind == protocol.KindRejected:
-		h.attemptEnded(c, policy.Rejected)
+	case line.Kind == protocol.KindRejected:
+		h.attemptEnded(s, policy.Rejected)
 	default:
-		h.attemptEnded(c, policy.Failed)
+		h.attemptEnded(s, policy.Failed)
 	}
 	return true
 }
 
-func (h *Host) attemptEnded(c *session, how policy.Outcome) {
-	c.generation++
-	c.attempting = false
-	c.dropServer()
-	h.decider.AttemptEnded(c.id, c.attempts-1, false, how)
+// attemptEnded ends the attempt of a session that is not established and reports the outcome to the policy.
+func (h *Host) attemptEnded(s *session, outcome policy.Outcome) {
+	s.generation++
+	s.inAttempt = false
+	s.closeServer()
+	h.decider.AttemptEnded(s.id, s.attempts-1, false, outcome)
 }
 
-// checkHealth probes an endpoint for its load.
+// checkHealth runs a health check of an endpoint in the background and reports its outcome and load to the policy.
 func (h *Host) checkHealth(id policy.EndpointID) {
-	address := h.address[id]
+	address := h.addresses[id]
 	go func() {
-		how, report := policy.ConnectFailed, policy.NoLoadReport
+		outcome, report := policy.ConnectFailed, policy.NoLoadReport
 		if c, err := net.DialTimeout("tcp", address, max(h.settings.ConnectTimeout, 50*time.Millisecond)); err == nil {
 			_ = c.SetDeadline(time.Now().Add(healthCheckTimeout))
-			text := protocol.PingLine
+			request := protocol.PingLine
 			if h.settings.Policy.HasLoadReports {
-				text = protocol.LoadReportRequest
+				request = protocol.LoadReportRequest
 			}
-			_, _ = c.Write(text)
+			_, _ = c.Write(request)
 			raw, err := bufio.NewReader(c).ReadBytes('\n')
 			_ = c.Close()
-			if ln := protocol.Decode(raw); err == nil && ln.Kind == protocol.KindPong {
-				how = policy.Succeeded
-				if x, told := ln.Fields["x0"]; told {
-					report.Demand = x
+			if line := protocol.Decode(raw); err == nil && line.Kind == protocol.KindPong {
+				outcome = policy.Succeeded
+				if demand, found := line.Fields["x0"]; found {
+					report.Demand = demand
 				}
 			} else {
-				how = policy.TimedOut
+				outcome = policy.TimedOut
 			}
 		}
 		h.update(func() {
-			h.decider.HealthCheckEnded(id, how)
+			h.decider.HealthCheckEnded(id, outcome)
 			h.decider.RecordLoadReport(id, report)
 		})
 	}()
