--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,5 +1,6 @@
-// Package baseline has policies to compare the shipped one with: random choice, least connections and a plain consistent hash. They respect
-// drains, deadlines and idempotency, as any balancer must, and do nothing else. They must never be linked into the balancer that ships.
+// Package baseline implements policies that the shipped one is compared with: random choice, least connections and rendezvous hashing.
+// They respect drains, deadlines and idempotency, as any balancer must, and do nothing else. They must never be linked into the
+// balancer that ships.
 package baseline
 
 import (
@@ -12,7 +13,7 @@
 	"sabletally/policy"
 )
 
-// Decider is a policy as its host uses it; *policy.Balancer is one.
+// Decider is the interface between a policy and its host. *policy.Balancer implements it.
 type Decider interface {
 	AdvanceClock(now time.Duration)
 	UpdateEndpoints(endpoints []policy.Endpoint, complete bool)
@@ -29,18 +30,18 @@
 	NextWakeup() (time.Duration, bool)
 }
 
-// The policies that New knows; Ours is the one that ships.
+// The names of the policies.
 const (
-	Ours   = "ours"
-	Random = "random"
-	Least  = "least"
-	Hash   = "hash"
+	Ours           = "ours"   // the shipped policy
+	Random         = "random" // a random endpoint
+	LeastSessions  = "least"  // the endpoint with the fewest sessions of this balancer
+	RendezvousHash = "hash"   // rendezvous hashing by group or key
 )
 
-// Names lists the policies.
-var Names = []string{Ours, Random, Least, Hash}
+// Names lists the names of all policies.
+var Names = []string{Ours, Random, LeastSessions, RendezvousHash}
 
-// New returns a policy by its name.
+// New returns the policy with a name.
 func New(name string, config *policy.Config, seed uint64) (Decider, error) {
 	if name == Ours {
 		return policy.New(config, seed), nil
@@ -54,38 +55,40 @@
 	switch name {
 	case Random:
 		b.score = func(*session, int) float64 { return b.rng.Float64() }
-	case Least:
+	case LeastSessions:
 		b.score = func(_ *session, server int) float64 { return -float64(b.sessionCount[server]) + 0.5*b.rng.Float64() }
-	case Hash:
-		b.score = func(s *session, server int) float64 { return hash(s.affinityKey, uint64(b.endpoints[server])) }
+	case RendezvousHash:
+		b.score = func(s *session, server int) float64 {
+			return rendezvousScore(s.affinityKey, uint64(b.endpoints[server]))
+		}
 	default:
 		return nil, fmt.Errorf("policy %q is not known; there are %v", name, Names)
 	}
 	return b, nil
 }
 
-// hash is the score of rendezvous hashing.
-func hash(a, b uint64) float64 {
+// rendezvousScore returns the score of a key and an endpoint in rendezvous hashing, from [0, 1].
+func rendezvousScore(a, b uint64) float64 {
 	x := (a ^ b*0x9e3779b97f4a7c15) * 0xd6e8feb86659fd93
 	x = (x ^ x>>32) * 0xd6e8feb86659fd93
 	return float64(x^x>>32) / math.MaxUint64
 }
 
-// noServer is the server of a session that has none.
+// noServer is the server index of a session without a server.
 const noServer = -1
 
 // session is a session that waits, is in an attempt or is established.
 type session struct {
 	id          policy.SessionID
 	affinityKey uint64
-	deadline    time.Duration
-	objective   time.Duration
-	idempotent  bool // an attempt that may have had an effect may be retried
-	attempts    int
-	server      int
+	deadline    time.Duration // time of the run
+	objective   time.Duration // of the set-up
+	idempotent  bool          // an attempt that may have had an effect may be retried
+	attempts    int           // number of attempts so far
+	server      int           // index of the current server, or noServer
 	inAttempt   bool
-	tried       []int
-	neverSent   bool // no attempt may have had an effect
+	tried       []int // indices of the servers of all attempts
+	neverSent   bool  // no attempt may have had an effect
 }
 
 // canRetry reports whether a further attempt is safe.
@@ -96,17 +99,17 @@
 	config       *policy.Config
 	rng          *rand.Rand
 	now          time.Duration
-	score        func(s *session, server int) float64
+	score        func(s *session, server int) float64 // the server with the highest score is chosen
 	sessions     map[policy.SessionID]*session
-	queue        []*session
-	endpoints    []policy.EndpointID
-	index        map[policy.EndpointID]int
-	ready        []bool
-	sessionCount []int
-	draining     bool // new sessions are rejected, and at migrateAt all others migrate
+	queue        []*session                // sessions that wait for a decision
+	endpoints    []policy.EndpointID       // by server index
+	index        map[policy.EndpointID]int // server indices
+	ready        []bool                    // by server index
+	sessionCount []int                     // by server index, attempts included
+	draining     bool                      // new sessions are rejected, and at migrateAt all others migrate
 	migrateAt    time.Duration
-	migrated     bool
-	decisions    []policy.Decision
+	migrated     bool              // whether the migrations were decided
+	decisions    []policy.Decision // migrations that Next has not returned yet
 }
 
 func (b *baseline) AdvanceClock(now time.Duration) { b.now = now }
@@ -190,12 +193,13 @@
 	b.migrateAt = migrateAt
 }
 
-// finish gives a session its final answer.
+// finish ends a session and returns the decision for its final answer.
 func (b *baseline) finish(s *session, action policy.Action) policy.Decision {
 	delete(b.sessions, s.id)
 	return policy.Decision{Action: action, Session: s.id, Duration: b.retryAfter(action)}
 }
 
+// retryAfter returns a random Retry-After for a rejection, or 0 if none is sent.
 func (b *baseline) retryAfter(action policy.Action) time.Duration {
 	if action != policy.Reject || !b.config.CanSendRetryAfter {
 		return 0
@@ -237,7 +241,7 @@
 	}
 }
 
-// decide starts an attempt at the best server, or gives the session its final answer.
+// decide starts an attempt at the best server, or ends the session if none is possible.
 func (b *baseline) decide(s *session) policy.Decision {
 	server := noServer
 	if !b.draining && s.attempts < b.config.MaxAttempts && s.canRetry() && b.now < s.deadline {
@@ -253,7 +257,7 @@
 	}
 }
 
-// bestServer is the ready server with the highest score that the session has not tried, noServer if there is none.
+// bestServer returns the ready server with the highest score that the session has not tried, or noServer.
 func (b *baseline) bestServer(s *session) int {
 	best, bestScore := noServer, 0.0
 	for i, ready := range b.ready {
@@ -267,6 +271,8 @@
 	return best
 }
 
+// startAttempt returns the decision to start an attempt. Its timeout is half of the remaining time, or the set-up objective if that is
+// longer, so that time remains for a further attempt.
 func (b *baseline) startAttempt(s *session, server int) policy.Decision {
 	s.attempts++
 	s.server = server
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load owns the clients of a run: open-loop arrivals, what each client requests, and its delays after a rejection, a migration or a
-// broken connection. All clients are drawn in advance from a seed. It must never dial, and never delay a client because the response to
+// Package load generates the clients of a run: open-loop arrivals, what each client requests, and its delays after a rejection, a
+// migration or a broken connection. All clients are drawn in advance from a seed. It must never dial, and never delay a client because the response to
 // another one is late.
 package load
 
@@ -22,19 +22,19 @@
 // Burst multiplies the rate for some time.
 type Burst struct {
 	At     time.Duration // since the start of the run
-	For    time.Duration
-	Factor float64
+	For    time.Duration // duration of the burst
+	Factor float64       // multiplies the rate
 }
 
 // Plan describes the clients of a run.
 type Plan struct {
 	Shape          Shape
-	Rate           float64       // new clients per second, beside the standing ones
-	InitialClients int           // clients that arrive first, evenly over WarmupTime
-	WarmupTime     time.Duration // from then on the others arrive, and figures are collected
-	Length         time.Duration // no client arrives after it
-	MeanLifetime   time.Duration // of the time for which a client wants its connection
-	Groups         int           // 0: no groups
+	Rate           float64       // arrivals per second after WarmupTime
+	InitialClients int           // clients that arrive before the others, evenly over WarmupTime
+	WarmupTime     time.Duration // time of the run from which the other clients arrive and figures are collected
+	Length         time.Duration // end of the arrivals, as time of the run
+	MeanLifetime   time.Duration // mean of the time for which a client wants a connection
+	Groups         int           // number of groups; 0: no groups
 	LoadSigma      float64       // sigma of the clients' loads, a log-normal distribution with mean 1; 0: all have load 1
 	Classes        int
 	Tenants        int
@@ -43,11 +43,11 @@
 
 // Client is one client, which wants a connection for some time.
 type Client struct {
-	At     time.Duration // since the start of the run
-	Until  time.Duration
-	Load   float64
-	Key    uint64
-	Group  uint64 // 0: none
+	At     time.Duration // arrival, since the start of the run
+	Until  time.Duration // end of the time for which the client wants a connection, since the start of the run
+	Load   float64       // mean 1
+	Key    uint64        // deduplication and affinity key
+	Group  uint64        // 0: no group
 	Class  int
 	Tenant int
 }
@@ -93,7 +93,7 @@
 	return client
 }
 
-// drawGap draws the time from an arrival to the next one.
+// drawGap draws the time between an arrival and the next one.
 func (p *Plan) drawGap(rng *rand.Rand, at time.Duration) time.Duration {
 	rate := p.Rate
 	for _, burst := range p.Bursts {
@@ -113,30 +113,30 @@
 
 // The ways in which a client's connection or request ends.
 const (
-	Rejected Ending = iota
-	Failed          // any other response, or none in time
-	Broken          // it was established and broke
-	Moved           // it was established and migrated
-	Dropped         // the client closed it and reconnects at once
+	Rejected Ending = iota // the request was rejected, with or without Retry-After
+	Failed                 // any other negative response, or none in time
+	Broken                 // the established connection broke
+	Moved                  // the balancer told the client to migrate
+	Dropped                // the client closed the connection and reconnects at once
 )
 
-// RetryPolicy is the delays of clients before they retry. They retry as long as they want a connection.
+// RetryPolicy configures the delays before clients retry. They retry as long as they want a connection.
 type RetryPolicy struct {
-	Backoff    time.Duration // after a rejection without Retry-After or a failure; doubles with each in a row
-	MaxDelay   time.Duration // of Backoff
-	MoveDelay  time.Duration // after a migration
-	BreakDelay time.Duration // after a broken connection
+	Backoff    time.Duration // delay after a rejection without Retry-After or after a failure; doubles with each consecutive one
+	MaxDelay   time.Duration // limit of the doubled Backoff
+	MoveDelay  time.Duration // delay after a migration
+	BreakDelay time.Duration // delay after a broken connection
 }
 
-// Delay is the time until a client retries, after a number of failures in a row, with a draw from [0, 1) for jitter.
-func (r RetryPolicy) Delay(how Ending, failures int, retryAfter time.Duration, draw float64) time.Duration {
+// Delay returns the time until a client retries after a number of consecutive failures. draw is a random number from [0, 1) for jitter.
+func (r RetryPolicy) Delay(ending Ending, failures int, retryAfter time.Duration, draw float64) time.Duration {
 	jitter := func(d time.Duration) time.Duration { return time.Duration((0.5 + draw) * float64(d)) }
 	switch {
-	case how == Moved || how == Dropped:
+	case ending == Moved || ending == Dropped:
 		return jitter(r.MoveDelay)
-	case how == Broken && failures == 0:
+	case ending == Broken && failures == 0:
 		return jitter(r.BreakDelay)
-	case how == Rejected && retryAfter > 0:
+	case ending == Rejected && retryAfter > 0:
 		return retryAfter
 	}
 	return jitter(min(r.MaxDelay, r.Backoff<<min(max(failures-1, 0), 16)))
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,4 +1,4 @@
-// Package model owns the behavior of emulated servers: how load, warm-up, slowness and a shared store delay set-ups and messages, and when
+// Package model models the behavior of emulated servers: how load, warm-up, slowness and a shared store delay set-ups and messages, and when
 // a server is full or overloaded. The same code runs on sockets and in virtual time. It must never read a clock, draw random numbers or
 // open a socket: times and draws are arguments.
 package model
@@ -12,29 +12,29 @@
 type MachineType struct {
 	Name            string
 	Cores           int
-	Speed           float64       // of a core; 1 is the reference
+	Speed           float64       // speed of a core, relative to a reference core
 	SessionsPerCore int           // connections of load 1 that fill a core of speed 1
-	MaxSessions     int           // new sessions beyond it are rejected
+	MaxSessions     int           // sessions above which new ones are rejected
 	Setup           time.Duration // work of one set-up on a core of speed 1
 	Message         time.Duration // time of a message on an idle server of speed 1
 }
 
-// Warmup is how servers warm up, and what overloads a cold one: more new sessions within OverloadWindow than OverloadMultiple times what
-// it can accept. It can accept what would fill it in a third of Window, times its warmth.
+// Warmup configures how servers warm up, and what overloads a cold one: more new sessions within OverloadWindow than OverloadMultiple
+// times what it can accept. It can accept the sessions that would fill it in a third of Window, times its warmth.
 type Warmup struct {
-	Floor            float64 // share of the capacity at the start of the process
-	Window           time.Duration
-	OverloadMultiple float64
-	OverloadWindow   time.Duration
+	Floor            float64       // share of the capacity at the start of the process
+	Window           time.Duration // duration of the warm-up
+	OverloadMultiple float64       // see Warmup
+	OverloadWindow   time.Duration // see Warmup
 }
 
 const (
-	budgetSlack    = 3    // sessions beyond the budget, for random arrivals
-	fillDivisor    = 3    // a cold server may fill in this part of the warm-up
-	maxUtilization = 0.97 // beyond it only the backlog grows
+	budgetSlack    = 3    // sessions added to the budget, so that the randomness of arrivals does not overload a server
+	fillDivisor    = 3    // the budget fills a server in Window divided by this
+	maxUtilization = 0.97 // utilization above which the slowdown is constant and only the backlog grows
 )
 
-// Budget is the number of new sessions within OverloadWindow that a cold server of a capacity accepts at a warmth.
+// Budget returns the number of new sessions within OverloadWindow that a cold server of a capacity accepts at a warmth.
 func (w Warmup) Budget(capacity, warmth float64) float64 {
 	if w.Window <= 0 {
 		return math.Inf(1)
@@ -42,7 +42,7 @@
 	return w.OverloadMultiple*capacity*warmth*float64(w.OverloadWindow)/(float64(w.Window)/fillDivisor) + budgetSlack
 }
 
-// Warmth is the share of its capacity that a process has at an age.
+// Warmth returns the share of its capacity that a process has at an age.
 func (w Warmup) Warmth(age time.Duration) float64 {
 	if age >= w.Window {
 		return 1
@@ -58,26 +58,26 @@
 	Up Answer = iota
 	Busy
 	Err
-	Overloaded // this session overloaded it, and it stays down
+	Overloaded // the server is overloaded, by this session or an earlier one, and stays down
 )
 
-// Server is the state of one server. The fault schedule sets its exported fields.
+// Server is the state of one server. Faults change its exported fields.
 type Server struct {
 	Type       MachineType
-	SlowFactor float64 // times slower than its machine; 1 without a fault
+	SlowFactor float64 // factor by which the server is slower than its machine type; 1 without a fault
 	ErrorRate  float64 // share of set-ups that fail
 	Full       bool    // rejects all new sessions
-	Draining   bool
+	Draining   bool    // rejects all new sessions, which do not overload it
 	GroupCost  float64 // load of each group, in addition to that of its sessions
 
 	warmup         Warmup
-	started        time.Duration
-	advancedTo     time.Duration // the time of the last Advance
-	load           float64       // of the sessions and groups
-	sessions       int
-	groups         map[uint64]int
-	backlog        time.Duration // waiting work
-	recentSessions []time.Duration
+	started        time.Duration   // start of the process
+	advancedTo     time.Duration   // the time of the last Advance
+	load           float64         // load of the sessions and groups
+	sessions       int             // established sessions
+	groups         map[uint64]int  // established sessions by group
+	backlog        time.Duration   // time that the waiting work takes
+	recentSessions []time.Duration // times of the new sessions within OverloadWindow
 	overloaded     bool
 }
 
@@ -86,23 +86,23 @@
 	return &Server{Type: machineType, SlowFactor: 1, warmup: warmup, started: started, groups: map[uint64]int{}}
 }
 
-// Capacity is the number of connections of load 1 that fill the server when it is warm and without fault.
+// Capacity returns the number of connections of load 1 that fill the server when it is warm and without fault.
 func (s *Server) Capacity() float64 {
 	return float64(s.Type.Cores*s.Type.SessionsPerCore) * s.Type.Speed
 }
 
-// Warmth is the share of its capacity that the server has at a time.
+// Warmth returns the share of its capacity that the server has at a time.
 func (s *Server) Warmth(now time.Duration) float64 { return s.warmup.Warmth(now - s.started) }
 
-// Sessions is the number of established sessions.
+// Sessions returns the number of established sessions.
 func (s *Server) Sessions() int { return s.sessions }
 
-// Utilization is the load over the capacity at a time.
+// Utilization returns the load divided by the capacity at a time.
 func (s *Server) Utilization(now time.Duration) float64 {
 	return s.load / (s.Capacity() * s.Warmth(now) / s.SlowFactor)
 }
 
-// Backlog is the time that the waiting work takes, at the last Advance.
+// Backlog returns the time that the waiting work took at the last Advance.
 func (s *Server) Backlog() time.Duration { return s.backlog }
 
 // Advance advances the server to a time: the backlog grows while the load is above the capacity, and shrinks below it.
@@ -113,13 +113,13 @@
 	}
 }
 
-// slowdown is how many times longer work takes than on an idle server of speed 1.
+// slowdown returns the factor by which work takes longer than on an idle server of speed 1.
 func (s *Server) slowdown(now time.Duration) float64 {
 	return s.SlowFactor / s.Type.Speed / (1 - min(s.Utilization(now), maxUtilization))
 }
 
-// Admit handles the first line of a session of a load and a group, with a draw from [0, 1). It returns the answer and the time until it is
-// sent, without that of the store. Up establishes the session.
+// Admit handles the first line of a session with a load and a group; draw is a random number from [0, 1). It returns the answer and the
+// time until it is sent, without the time of the store. Up establishes the session.
 func (s *Server) Admit(now time.Duration, load float64, group uint64, draw float64) (Answer, time.Duration) {
 	s.Advance(now)
 	if s.overloaded {
@@ -174,13 +174,13 @@
 	s.sessions--
 }
 
-// Message is the time that a message takes.
+// Message returns the time that a message takes.
 func (s *Server) Message(now time.Duration) time.Duration {
 	s.Advance(now)
 	return time.Duration(float64(s.Type.Message)*s.slowdown(now)) + s.backlog
 }
 
-// Served is the share of messages with a response within an objective.
+// Served returns the share of messages with a response within an objective.
 func (s *Server) Served(now, objective time.Duration) float64 {
 	s.Advance(now)
 	if s.overloaded || s.backlog >= objective {
@@ -192,10 +192,10 @@
 // Store is the store that each set-up calls.
 type Store struct {
 	Rate   float64       // calls per second; 0: there is no store
-	Time   time.Duration // of one call
-	Slow   float64       // times slower; less than 1 counts as 1
+	Time   time.Duration // duration of one call
+	Slow   float64       // factor by which the store is slower; less than 1 counts as 1
 	Wait   time.Duration // timeout of a call in the queue; 0: none
-	freeAt time.Duration
+	freeAt time.Duration // when all calls so far have left the queue
 }
 
 // Call returns the time that a call takes, and whether it succeeds.
