--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -82,7 +82,7 @@
 	id          policy.SessionID
 	affinityKey uint64
 	deadline    time.Duration // time of the run
-	objective   time.Duration // of the set-up
+	objective   time.Duration // objective of the set-up time
 	idempotent  bool          // an attempt that may have had an effect may be retried
 	attempts    int           // number of attempts so far
 	server      int           // index of the current server, or noServer
@@ -94,7 +94,7 @@
 // canRetry reports whether a further attempt is safe.
 func (s *session) canRetry() bool { return s.neverSent || s.idempotent }
 
-// baseline ranks the ready servers that a session has not tried yet by a score.
+// baseline implements Decider: it ranks the ready servers that a session has not tried yet by a score.
 type baseline struct {
 	config       *policy.Config
 	rng          *rand.Rand
@@ -102,10 +102,10 @@
 	score        func(s *session, server int) float64 // the server with the highest score is chosen
 	sessions     map[policy.SessionID]*session
 	queue        []*session                // sessions that wait for a decision
-	endpoints    []policy.EndpointID       // by server index
+	endpoints    []policy.EndpointID       // endpoints, by server index
 	index        map[policy.EndpointID]int // server indices
-	ready        []bool                    // by server index
-	sessionCount []int                     // by server index, attempts included
+	ready        []bool                    // whether each server is ready, by server index
+	sessionCount []int                     // sessions and attempts of each server, by server index
 	draining     bool                      // new sessions are rejected, and at migrateAt all others migrate
 	migrateAt    time.Duration
 	migrated     bool              // whether the migrations were decided
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -15,13 +15,13 @@
 
 // Rules are the limits that a run is checked against.
 type Rules struct {
-	DrainGrace   time.Duration // time after the notification within which a drained server may still get attempts
-	Slack        time.Duration // tolerance for events that the emulators observe late: 50 ms on sockets, 0 in virtual time
-	MaxLineDelay time.Duration // longest delay of a line in a balancer
-	CloseTimeout time.Duration // time within which a balancer passes on the end of a connection
-	Warmup       model.Warmup
-	Classes      []policy.Class
-	Places       []Place // by server index
+	DrainGrace   time.Duration  // time after the notification within which a drained server may still get attempts
+	Slack        time.Duration  // tolerance for events that the emulators observe late: 50 ms on sockets, 0 in virtual time
+	MaxLineDelay time.Duration  // longest delay of a line in a balancer
+	CloseTimeout time.Duration  // time within which a balancer passes on the end of a connection
+	Warmup       model.Warmup   // warm-up and overload of servers
+	Classes      []policy.Class // idempotency of the sessions, by class
+	Places       []Place        // locations of the servers, by server index
 }
 
 // Place is the location of a server. Servers of some classes deduplicate repeated requests only within a zone or failure domain.
@@ -45,12 +45,13 @@
 
 // Violation is one violated rule or one loss.
 type Violation struct {
-	At      time.Duration
+	At      time.Duration // since the start of the run
 	Rule    Rule
-	Session uint64
+	Session uint64 // session ID; 0 if the violation concerns no session
 	Detail  string
 }
 
+// String formats the violation in one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%.3fs session %x: %s: %s", v.At.Seconds(), v.Session, v.Rule, v.Detail)
 }
@@ -94,7 +95,7 @@
 	endedAt       time.Duration
 	endedBy       string  // "refused", "server" or "peer"
 	effectApplied bool    // whether the request took effect at the server
-	receipt       float64 // of the effect
+	receipt       float64 // receipt that the server has given
 }
 
 // session is the state of one session that the events show.
@@ -156,9 +157,9 @@
 	verdict      Verdict
 	sessions     map[uint64]*session
 	order        []uint64                         // session IDs in the order of their first events
-	drainedSince map[balancerServer]time.Duration // since when the balancer has known that the server is not ready
-	processes    map[int32]*process               // by server
-	outages      map[int32][]outage               // by server, in order of time
+	drainedSince map[balancerServer]time.Duration // time since which the balancer has known that the server is not ready
+	processes    map[int32]*process               // latest processes, by server
+	outages      map[int32][]outage               // outages in order of time, by server
 	killed       map[int32]bool                   // balancers that were killed and have not started again
 }
 
@@ -208,6 +209,7 @@
 	}
 }
 
+// applySessionEvent updates the state of a session by an event of its client or of a server.
 func (run *checkRun) applySessionEvent(e *history.Event, s *session) {
 	switch e.Kind {
 	case history.RequestSent:
@@ -248,6 +250,7 @@
 	}
 }
 
+// applyServerEvent updates the processes and outages of servers.
 func (run *checkRun) applyServerEvent(e *history.Event) {
 	switch e.Kind {
 	case history.ServerStarted:
@@ -263,6 +266,7 @@
 	}
 }
 
+// applyBalancerEvent updates what balancers know of servers, and which balancers were killed.
 func (run *checkRun) applyBalancerEvent(e *history.Event) {
 	switch e.Kind {
 	case history.BalancerNotified:
--- a/internal/lab/checker/checker_test.go
+++ b/internal/lab/checker/checker_test.go
@@ -76,7 +76,7 @@
 	delayed := func(ms int) history.Event {
 		return event(500, history.LineDelayed, func(e *history.Event) { e.Duration = time.Duration(ms) * time.Millisecond })
 	}
-	budget := int(rules.Warmup.Budget(100, 0.2)) // of a process that has just started
+	budget := int(rules.Warmup.Budget(100, 0.2)) // budget of a process that has just started
 	for _, c := range []struct {
 		name   string
 		events []history.Event
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -29,16 +29,17 @@
 
 // Clients runs the well-behaved clients of a run.
 type Clients struct {
-	Clock            *Clock
-	Log              *history.Log
-	Meter            *report.Meter
+	Clock *Clock
+	Log   *history.Log
+	Meter *report.Meter
+	// PickBalancer returns a balancer's index and address; ok is false if none receives clients.
 	PickBalancer     func(rng *rand.Rand) (balancer int, address string, ok bool)
 	ClassNames       []string
-	Deadlines        []time.Duration // by class
+	Deadlines        []time.Duration // deadline of a session's set-up, by class
 	MessageInterval  time.Duration   // time between two lines of a session
 	MessageObjective time.Duration   // an answer to a line within this time counts as served
 	Retry            load.RetryPolicy
-	Seed             uint64
+	Seed             uint64 // seed of the clients' random draws
 
 	FragmentLines atomic.Bool // whether first lines are written in fragments
 
@@ -63,8 +64,8 @@
 	c.mu.Lock()
 	c.established = map[*runningClient]bool{}
 	c.mu.Unlock()
-	for i, p := range clients {
-		wait := time.NewTimer(time.Until(c.Clock.At(p.At)))
+	for i, plan := range clients {
+		wait := time.NewTimer(time.Until(c.Clock.At(plan.At)))
 		select {
 		case <-ctx.Done():
 			wait.Stop()
@@ -72,10 +73,10 @@
 			return
 		case <-wait.C:
 		}
-		if late := int64(c.Clock.Now() - p.At); late > c.maxStartDelay.Load() {
+		if late := int64(c.Clock.Now() - plan.At); late > c.maxStartDelay.Load() {
 			c.maxStartDelay.Store(late)
 		}
-		client := &runningClient{Client: p, clients: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), nextDue: p.At + c.MessageInterval, drop: make(chan time.Duration, 1)}
+		client := &runningClient{Client: plan, clients: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), nextDue: plan.At + c.MessageInterval, drop: make(chan time.Duration, 1)}
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
@@ -92,10 +93,10 @@
 func (c *Clients) Drop(share float64, within time.Duration, rng *rand.Rand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for p := range c.established {
+	for client := range c.established {
 		if rng.Float64() < share {
 			select {
-			case p.drop <- time.Duration(rng.Float64() * float64(within)):
+			case client.drop <- time.Duration(rng.Float64() * float64(within)):
 			default:
 			}
 		}
@@ -103,49 +104,49 @@
 }
 
 // run connects, and retries, until the time for which the client wants a session is over.
-func (p *runningClient) run(ctx context.Context) {
-	c := p.clients
-	since, failures := p.At, 0
-	for ctx.Err() == nil && c.Clock.Now() < p.Until {
-		how, retryAfter, established := p.connect(ctx, since)
+func (r *runningClient) run(ctx context.Context) {
+	c := r.clients
+	since, failures := r.At, 0
+	for ctx.Err() == nil && c.Clock.Now() < r.Until {
+		ending, retryAfter, established := r.connect(ctx, since)
 		if established {
 			since, failures = c.Clock.Now(), 0
 		}
-		if how == load.Rejected || how == load.Failed {
+		if ending == load.Rejected || ending == load.Failed {
 			failures++
 		}
-		wait := time.NewTimer(min(c.Retry.Delay(how, failures, retryAfter, p.rng.Float64()), p.Until-c.Clock.Now()))
+		wait := time.NewTimer(min(c.Retry.Delay(ending, failures, retryAfter, r.rng.Float64()), r.Until-c.Clock.Now()))
 		select {
 		case <-ctx.Done():
 		case <-wait.C:
 		}
 		wait.Stop()
 	}
-	p.countMissed(min(p.Until, c.Clock.Now()))
+	r.countMissed(min(r.Until, c.Clock.Now()))
 }
 
 // countMissed counts the lines that were due up to a time and could not be sent as not served.
-func (p *runningClient) countMissed(until time.Duration) {
-	for ; p.nextDue <= until; p.nextDue += p.clients.MessageInterval {
-		p.clients.Meter.Message(p.nextDue, 0, p.clients.MessageInterval, false)
+func (r *runningClient) countMissed(until time.Duration) {
+	for ; r.nextDue <= until; r.nextDue += r.clients.MessageInterval {
+		r.clients.Meter.Message(r.nextDue, 0, r.clients.MessageInterval, false)
 	}
 }
 
 // connect opens one session and runs it to its end. It returns how the session ended, the Retry-After of a rejection, and whether
 // the session was established. A client wants a connection since the time given.
-func (p *runningClient) connect(ctx context.Context, since time.Duration) (how load.Ending, retryAfter time.Duration, established bool) {
-	c := p.clients
-	balancer, address, ok := c.PickBalancer(p.rng)
+func (r *runningClient) connect(ctx context.Context, since time.Duration) (ending load.Ending, retryAfter time.Duration, established bool) {
+	c := r.clients
+	balancer, address, ok := c.PickBalancer(r.rng)
 	if !ok {
 		return load.Failed, 0, false
 	}
-	deadline := c.Deadlines[p.Class]
+	deadline := c.Deadlines[r.Class]
 	conn, err := net.DialTimeout("tcp", address, deadline)
 	if err != nil {
 		return load.Failed, 0, false
 	}
 	defer func() { _ = conn.Close() }()
-	s := newClientSession(p, conn, balancer)
+	s := newClientSession(r, conn, balancer)
 	at := c.Clock.Now()
 	if err := s.sendRequest(deadline); err != nil {
 		return load.Failed, 0, false // no complete first line was written
@@ -180,19 +181,19 @@
 	c.Meter.Setup(now, now-since)
 	c.Meter.Open(1)
 	defer c.Meter.Open(-1)
-	p.countMissed(now)
-	c.setEstablished(p, true)
-	defer c.setEstablished(p, false)
+	r.countMissed(now)
+	c.setEstablished(r, true)
+	defer c.setEstablished(r, false)
 	return s.run(ctx), 0, true
 }
 
 // setEstablished adds a client to those that Drop chooses from, or removes it.
-func (c *Clients) setEstablished(p *runningClient, established bool) {
+func (c *Clients) setEstablished(client *runningClient, established bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if established {
-		c.established[p] = true
+		c.established[client] = true
 	} else {
-		delete(c.established, p)
+		delete(c.established, client)
 	}
 }
--- a/internal/lab/emulator/client_session.go
+++ b/internal/lab/emulator/client_session.go
@@ -31,12 +31,13 @@
 	ended      chan load.Ending       // receives once how the session ended, when read returns
 }
 
-func newClientSession(p *runningClient, conn net.Conn, balancer int) *clientSession {
+// newClientSession returns a session with a new ID over a connection to a balancer.
+func newClientSession(r *runningClient, conn net.Conn, balancer int) *clientSession {
 	return &clientSession{
-		client:     p,
+		client:     r,
 		conn:       conn,
 		reader:     bufio.NewReaderSize(conn, maxLine),
-		id:         p.clients.lastID.Add(1),
+		id:         r.clients.lastID.Add(1),
 		balancer:   balancer,
 		unanswered: map[time.Duration]bool{},
 		ended:      make(chan load.Ending, 1),
@@ -59,13 +60,13 @@
 
 // sendRequest writes the first line.
 func (s *clientSession) sendRequest(deadline time.Duration) error {
-	p := s.client
+	r := s.client
 	group := ""
-	if p.Group > 0 {
-		group = fmt.Sprintf(",g=%x", p.Group)
+	if r.Group > 0 {
+		group = fmt.Sprintf(",g=%x", r.Group)
 	}
-	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", s.id, p.Key, p.clients.ClassNames[p.Class], deadline.Milliseconds(), group, p.Load)
-	if p.clients.FragmentLines.Load() {
+	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", s.id, r.Key, r.clients.ClassNames[r.Class], deadline.Milliseconds(), group, r.Load)
+	if r.clients.FragmentLines.Load() {
 		text = writeInFragments(s.conn, text)
 	}
 	_, err := s.conn.Write([]byte(text))
@@ -105,27 +106,27 @@
 }
 
 // run sends a line whenever one is due, whether or not the previous one was answered, until the session ends.
-func (s *clientSession) run(ctx context.Context) (how load.Ending) {
-	p := s.client
-	clock := p.clients.Clock
+func (s *clientSession) run(ctx context.Context) (ending load.Ending) {
+	r := s.client
+	clock := r.clients.Clock
 	_ = s.conn.SetReadDeadline(time.Time{})
 	go s.read()
-	defer func() { s.countUnanswered(how) }()
+	defer func() { s.countUnanswered(ending) }()
 	next := time.NewTimer(0)
 	defer next.Stop()
-	until := time.NewTimer(time.Until(clock.At(p.Until)))
+	until := time.NewTimer(time.Until(clock.At(r.Until)))
 	defer until.Stop()
 	var dropped <-chan time.Time
 	for {
-		next.Reset(max(0, time.Until(clock.At(p.nextDue))))
+		next.Reset(max(0, time.Until(clock.At(r.nextDue))))
 		select {
-		case how := <-s.ended:
-			return how
+		case ending := <-s.ended:
+			return ending
 		case <-ctx.Done():
 			return s.leave()
 		case <-until.C:
 			return s.leave()
-		case delay := <-p.drop:
+		case delay := <-r.drop:
 			dropped = time.After(delay)
 		case <-dropped:
 			return s.leave()
@@ -137,10 +138,10 @@
 
 // sendLine sends the line that is due now, unless the client wants no session any more at that time.
 func (s *clientSession) sendLine() {
-	p := s.client
-	due := p.nextDue
-	p.nextDue += p.clients.MessageInterval
-	if due >= p.Until {
+	r := s.client
+	due := r.nextDue
+	r.nextDue += r.clients.MessageInterval
+	if due >= r.Until {
 		return
 	}
 	s.mu.Lock()
@@ -160,20 +161,20 @@
 // read handles the lines that arrive until the connection ends.
 func (s *clientSession) read() {
 	c := s.client.clients
-	how := load.Broken
+	ending := load.Broken
 	for {
 		line, err := s.reader.ReadSlice('\n')
 		now := c.Clock.Now()
 		if err != nil {
 			s.recordEnd(err)
-			s.ended <- how
+			s.ended <- ending
 			return
 		}
 		switch {
 		case bytes.HasPrefix(line, []byte("M ")):
 			s.handleEcho(line, now)
 		case bytes.HasPrefix(line, protocol.MigrateLine):
-			how = load.Moved
+			ending = load.Moved
 			c.Meter.Migrate(now)
 			s.record(history.MigrateReceived, history.Event{})
 		default:
@@ -210,12 +211,12 @@
 
 // countUnanswered counts the lines without an answer as not served. If the client itself has closed the session, lines whose
 // objective has not passed yet are not counted.
-func (s *clientSession) countUnanswered(how load.Ending) {
+func (s *clientSession) countUnanswered(ending load.Ending) {
 	c := s.client.clients
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for due := range s.unanswered {
-		if how != load.Dropped || c.Clock.Now()-due > c.MessageObjective {
+		if ending != load.Dropped || c.Clock.Now()-due > c.MessageObjective {
 			c.Meter.Message(due, 0, c.MessageInterval, false)
 		}
 	}
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -65,10 +65,10 @@
 	indexOf  func(uid string) int // index of a server by its UID
 
 	mu             sync.Mutex
-	entries        []Endpoint     // in the order in which they were added
-	entryRevs      []int          // by entry, the revision of its last change
+	entries        []Endpoint     // entries in the order in which they were added
+	entryRevs      []int          // revision of the last change of each entry
 	rev            int            // revision of the list
-	notifiedRevs   map[string]int // by UID, the newest revision of the entry that counts as known to the balancer
+	notifiedRevs   map[string]int // newest revision of each entry, by UID, that counts as known to the balancer
 	changed        chan struct{}  // closed and replaced when the list or the behavior changes
 	fault          Fault
 	malformedCount int       // malformed responses so far
@@ -84,6 +84,7 @@
 	return a, a.listen()
 }
 
+// listen starts serving on a new address.
 func (a *Agent) listen() error {
 	ln, err := net.Listen("tcp", Loopback())
 	if err != nil {
@@ -93,7 +94,7 @@
 	a.mu.Lock()
 	a.ln, a.srv = ln, srv
 	a.mu.Unlock()
-	go func() { _ = srv.Serve(ln) }() // until the agent is closed
+	go func() { _ = srv.Serve(ln) }() // Serve returns when the server or its listener is closed
 	return nil
 }
 
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -169,7 +169,7 @@
 	s.Misbehave(func(w *WireFaults) { w.HalfOpen = true })
 	c = dial(t, s.Addr(), "PING\r\n")
 	for end := time.Now().Add(20 * time.Second); len(s.openSessions()) == 0 && time.Now().Before(end); {
-		time.Sleep(ms) // until the server has accepted the connection
+		time.Sleep(ms) // the server has not accepted the connection yet
 	}
 	s.Misbehave(func(w *WireFaults) { w.HalfOpen = false })
 	c.expectEnd(true)
--- a/internal/lab/emulator/forwarders.go
+++ b/internal/lab/emulator/forwarders.go
@@ -21,12 +21,12 @@
 // an address that is no member's is never cut.
 type Forwarders struct {
 	members []netip.AddrPort    // addresses of all members
-	sockets map[int]*socketPair // by member, for the members behind a forwarder
+	sockets map[int]*socketPair // sockets of the forwarders, by member
 
 	mu      sync.Mutex
-	cut     []bool        // by member, whether it is in the group that is cut off; nil: no cut yet
-	changed chan struct{} // closed when cut changes
-	conns   map[net.Conn]bool
+	cut     []bool            // whether each member is in the group that is cut off; nil: no cut yet
+	changed chan struct{}     // closed when cut changes
+	conns   map[net.Conn]bool // open connections of both sides
 	closed  bool
 }
 
@@ -105,6 +105,7 @@
 	return true
 }
 
+// closeConn closes a connection and stops tracking it.
 func (f *Forwarders) closeConn(c net.Conn) {
 	_ = c.Close()
 	f.mu.Lock()
@@ -112,6 +113,7 @@
 	delete(f.conns, c)
 }
 
+// accept accepts connections for a member until its listener is closed.
 func (f *Forwarders) accept(to int, sockets *socketPair) {
 	for {
 		c, err := sockets.tcp.AcceptTCP()
@@ -147,7 +149,7 @@
 	}
 	far, err := net.Dial("tcp", f.members[to].String())
 	if err != nil {
-		_ = near.SetLinger(0) // the dialing side sees a reset, as it does of a port without a listener
+		_ = near.SetLinger(0) // resets the connection, as a port without a listener does
 		return
 	}
 	defer f.closeConn(far)
--- a/internal/lab/emulator/link.go
+++ b/internal/lab/emulator/link.go
@@ -20,7 +20,7 @@
 // Condition is the state of a link. "In" is the direction to the address that the link relays to, "out" the direction back to the
 // side that dialed.
 type Condition struct {
-	Delay           time.Duration // of all data, in both directions
+	Delay           time.Duration // delay of all data, in both directions
 	Jitter          time.Duration // longest random additional delay; data stays in order
 	Rate            float64       // bytes per second, for each connection and direction; 0: no limit
 	ExtraDelayIn    time.Duration // additional delay in direction in
@@ -115,6 +115,7 @@
 	}
 }
 
+// accept forwards each connection until the listener is closed.
 func (l *Link) accept() {
 	for {
 		near, err := l.ln.Accept()
--- a/internal/lab/emulator/network_links.go
+++ b/internal/lab/emulator/network_links.go
@@ -21,20 +21,20 @@
 type MemberLink struct {
 	Cut        bool          // datagrams are lost; data of streams is held back
 	Loss       float64       // share of datagrams that are lost; streams are retransmitted instead
-	Delay      time.Duration // of datagrams and streams
+	Delay      time.Duration // delay of datagrams and streams
 	Duplicated float64       // share of datagrams that are duplicated and reordered
 }
 
 // MemberLinks emulates the links between the members of a fleet. Each member listens on one address and is reached by the others
 // through a proxy on another address. The sender is identified by its source IP address, which is the one that it listens on.
 type MemberLinks struct {
-	proxies       []*socketPair    // by member
-	listenAddrs   []netip.AddrPort // by member
-	externalLinks []*Link          // by member, for connections from outside the fleet; nil unless they are accepted
+	proxies       []*socketPair    // proxies of the members, by member
+	listenAddrs   []netip.AddrPort // addresses that the members listen on, by member
+	externalLinks []*Link          // links for connections from outside the fleet, by member; nil unless they are accepted
 
 	mu         sync.Mutex
-	conditions [][]MemberLink // by sender and receiver
-	links      [][]*Link      // by dialing and dialed member
+	conditions [][]MemberLink // conditions of the links, by sender and receiver
+	links      [][]*Link      // links for connections, by dialing and dialed member
 	rng        *rand.Rand
 }
 
@@ -108,6 +108,7 @@
 	return nil, fmt.Errorf("open a UDP socket on the port of a TCP listener: %w", lastErr)
 }
 
+// close closes both sockets.
 func (f *socketPair) close() {
 	_ = f.tcp.Close()
 	_ = f.udp.Close()
@@ -183,7 +184,7 @@
 		t.mu.Lock()
 		cut := t.conditions[from][to].Cut || t.conditions[to][from].Cut
 		t.mu.Unlock()
-		if cut { // no handshake can complete over a cut link; the dialing member runs into its own timeout first
+		if cut { // no handshake completes over a cut link; the dialing member waits for its own timeout
 			time.AfterFunc(10*time.Second, func() { reset(c) })
 			continue
 		}
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -25,7 +25,7 @@
 type Session struct {
 	net.Conn
 	R     *bufio.Reader // reads the lines after the first one
-	UID   string        // of the server
+	UID   string        // UID of the server
 	First string        // first line other than a health check
 }
 
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -92,6 +92,7 @@
 // Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.addr }
 
+// accept handles the connections of a listener until it is closed.
 func (s *Server) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -115,6 +116,7 @@
 	}
 }
 
+// openSessions returns the open connections.
 func (s *Server) openSessions() []*serverSession {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/emulator/watch_hub.go
+++ b/internal/lab/emulator/watch_hub.go
@@ -16,7 +16,7 @@
 // WatchHub serves requests one after the other. A request that has waited for too long is rejected, but still takes its service time:
 // abandoned requests delay the others.
 type WatchHub struct {
-	serviceTime, maxWait time.Duration // of each request
+	serviceTime, maxWait time.Duration // time that a request takes, and the wait after which it is rejected
 
 	mu      sync.Mutex
 	freeAt  time.Time     // when all requests so far are served
--- a/internal/lab/faults/expand.go
+++ b/internal/lab/faults/expand.go
@@ -51,7 +51,7 @@
 	servers   int   // number of servers at the start of the run
 	balancers int   // number of balancers
 	total     int   // number of servers, including successors
-	current   []int // by machine, the server that runs on it
+	current   []int // server that runs on each machine
 	steps     []Step
 }
 
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -130,13 +130,13 @@
 // Fault is one entry of the fault schedule.
 type Fault struct {
 	Kind       Kind
-	At         time.Duration // since the start of the run
+	At         time.Duration // begin, since the start of the run
 	For        time.Duration // duration of the fault, or of the interval over which it is spread
 	Share      float64       // share of the servers, balancers or clients
-	BatchShare float64       // of a release: share of the servers replaced at a time
+	BatchShare float64       // share of the servers that a release replaces at a time
 	Drain      time.Duration // time between drain and stop of a server; 0: the default
 	Factor     float64       // see the kinds
 	Rate       float64       // see the kinds
 	Delay      time.Duration // additional delay
-	Direction  string        // of a fault between members, from the point of view of Share: "both", "in" or "out"
+	Direction  string        // direction of a fault between members, from the point of view of Share: "both", "in" or "out"
 }
--- a/internal/lab/faults/step.go
+++ b/internal/lab/faults/step.go
@@ -57,14 +57,14 @@
 
 // Step is one action at one time.
 type Step struct {
-	At      time.Duration // since the start of the run
+	At      time.Duration // time since the start of the run
 	Action  Action
 	Target  int           // index of a server, or of a balancer for actions on balancers
 	Machine int           // index of the machine whose place a started server takes
 	Value   float64       // see the actions
 	For     time.Duration // see the actions
-	Members uint64        // for SetMemberLinks, a bit for each member
-	Link    MemberLink    // for SetMemberLinks, the new state
+	Members uint64        // set of members of SetMemberLinks, with a bit for each member
+	Link    MemberLink    // new state of the links of SetMemberLinks
 }
 
 // OnServer reports whether the step acts on server Target.
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -39,6 +39,7 @@
 var kindNames = [...]string{"taken", "answered", "left", "ended", "moved", "sent", "ran", "over", "told", "started", "stopped",
 	"fell", "begun", "killed", "held", "noted"}
 
+// String returns the name of the kind in written logs.
 func (k Kind) String() string { return kindNames[k] }
 
 // Event is one observation. Balancer and Server are indices, or -1 for none; At is the time since the start of the run.
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -21,7 +21,7 @@
 
 // Burst multiplies the rate for some time.
 type Burst struct {
-	At     time.Duration // since the start of the run
+	At     time.Duration // begin, since the start of the run
 	For    time.Duration // duration of the burst
 	Factor float64       // multiplies the rate
 }
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -30,7 +30,7 @@
 
 const (
 	budgetSlack    = 3    // sessions added to the budget, so that the randomness of arrivals does not overload a server
-	fillDivisor    = 3    // the budget fills a server in Window divided by this
+	fillDivisor    = 3    // divisor of Window: the budget allows a cold server to fill in that time
 	maxUtilization = 0.97 // utilization above which the slowdown is constant and only the backlog grows
 )
 
@@ -72,7 +72,7 @@
 
 	warmup         Warmup
 	started        time.Duration   // start of the process
-	advancedTo     time.Duration   // the time of the last Advance
+	advancedTo     time.Duration   // time of the last Advance
 	load           float64         // load of the sessions and groups
 	sessions       int             // established sessions
 	groups         map[uint64]int  // established sessions by group
--- a/internal/lab/topology/topology.go
+++ b/internal/lab/topology/topology.go
@@ -25,12 +25,12 @@
 	Warmup                                 model.Warmup
 	Store                                  model.Store
 	Deployment                             policy.Config    // without Zone and Balancers, which are set when a balancer starts
-	ClassNames                             []string         // by class
-	Deadlines                              []time.Duration  // by class
+	ClassNames                             []string         // names on the wire, by class
+	Deadlines                              []time.Duration  // deadlines of a session's set-up, by class
 	MessageObjective                       time.Duration    // an answer to a line within this time counts as served
 	MessageInterval                        time.Duration    // time between two lines of a client; sockets only
 	DrainGrace                             time.Duration    // time after a notification within which a drained server may still get attempts
-	ConnectTimeout                         time.Duration    // of a balancer's connections to servers
+	ConnectTimeout                         time.Duration    // timeout of a balancer's connections to servers
 	GroupCost                              float64          // load of each group at a server, in addition to that of its sessions
 	ShedBacklog                            time.Duration    // servers drop connections while their backlog is longer; 0: never
 	MovesClients                           bool             // whether draining servers migrate their clients, in equal batches
