--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -45,7 +45,7 @@
 		run.Groups++
 		run.GroupServers += servers
 	}
-	run.Late = float64(clients.Late().Milliseconds())
+	run.Late = float64(clients.MaxStartDelay().Milliseconds())
 	c.endProcesses(&run)
 	events := c.eventsUntil(end, &run)
 	verdict := checker.Check(w.Rules(checkSlack, c.places), events, c.Log.Dropped(), end)
@@ -112,7 +112,7 @@
 		switch {
 		case e.Kind == history.AttemptReceived:
 			run.Attempts++
-		case e.Kind == history.Answered && e.Text == "busy" && e.At >= c.World.Load.WarmupTime:
+		case e.Kind == history.AnswerReceived && e.Text == "busy" && e.At >= c.World.Load.WarmupTime:
 			run.Rejections++
 		}
 	}
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -1,5 +1,5 @@
-// This file owns clients: each wants a connection for its time, comes again when it has none, and counts what it
-// got from when it wanted it. They never wait for each other.
+// This file emulates well-behaved clients: each wants a connection for some time, reconnects when it has lost it, and measures its
+// service from the time at which it wanted the connection. Clients never wait for each other.
 
 package emulator
 
@@ -23,48 +23,49 @@
 )
 
 const (
-	answerGrace     = 100 * time.Millisecond // beyond the deadline, to see a late answer
-	readAfterAnswer = 300 * time.Millisecond // for the end, or a second answer
+	answerGrace     = 100 * time.Millisecond // time to wait beyond the deadline, so that a late answer is recorded
+	readAfterAnswer = 300 * time.Millisecond // time to read on after a negative answer, for the end of the connection or a second answer
 )
 
 // Clients runs the well-behaved clients of a run.
 type Clients struct {
-	Clock            *Clock
-	Log              *history.Log
-	Meter            *report.Meter
+	Clock *Clock
+	Log   *history.Log
+	Meter *report.Meter
+	// PickBalancer returns a balancer's index and address; ok is false if none receives clients.
 	PickBalancer     func(rng *rand.Rand) (balancer int, address string, ok bool)
 	ClassNames       []string
-	Deadlines        []time.Duration // by class
-	MessageInterval  time.Duration   // between two lines of a session
-	MessageObjective time.Duration   // of the answer to a line
+	Deadlines        []time.Duration // deadline of a session's set-up, by class
+	MessageInterval  time.Duration   // time between two lines of a session
+	MessageObjective time.Duration   // an answer to a line within this time counts as served
 	Retry            load.RetryPolicy
-	Seed             uint64
+	Seed             uint64 // seed of the clients' random draws
 
-	Pieces atomic.Bool // first lines are written in pieces
+	FragmentLines atomic.Bool // whether first lines are written in fragments
 
-	lastID      atomic.Uint64
-	late        atomic.Int64 // nanoseconds, the most that a client started late
-	mu          sync.Mutex
-	established map[*runningClient]bool
-	running     sync.WaitGroup
+	lastID        atomic.Uint64
+	maxStartDelay atomic.Int64 // nanoseconds by which a client started late at most
+	mu            sync.Mutex
+	established   map[*runningClient]bool // clients with an established session
+	running       sync.WaitGroup
 }
 
-// runningClient is one client from its start to its end.
+// runningClient is one client while it runs.
 type runningClient struct {
 	load.Client
 	clients *Clients
 	rng     *rand.Rand
-	due     time.Duration // of the next line
-	drop    chan time.Duration
+	nextDue time.Duration      // time of the run at which the next line is due
+	drop    chan time.Duration // receives the delay after which to disconnect
 }
 
 // Run starts the clients at their times and returns when the last one has ended or the context is done.
-func (c *Clients) Run(ctx context.Context, people []load.Client) {
+func (c *Clients) Run(ctx context.Context, clients []load.Client) {
 	c.mu.Lock()
 	c.established = map[*runningClient]bool{}
 	c.mu.Unlock()
-	for i, p := range people {
-		wait := time.NewTimer(time.Until(c.Clock.At(p.At)))
+	for i, plan := range clients {
+		wait := time.NewTimer(time.Until(c.Clock.At(plan.At)))
 		select {
 		case <-ctx.Done():
 			wait.Stop()
@@ -72,92 +73,93 @@
 			return
 		case <-wait.C:
 		}
-		if late := int64(c.Clock.Now() - p.At); late > c.late.Load() {
-			c.late.Store(late)
+		if late := int64(c.Clock.Now() - plan.At); late > c.maxStartDelay.Load() {
+			c.maxStartDelay.Store(late)
 		}
-		one := &runningClient{Client: p, clients: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), due: p.At + c.MessageInterval, drop: make(chan time.Duration, 1)}
+		client := &runningClient{Client: plan, clients: c, rng: rand.New(rand.NewPCG(c.Seed, uint64(i))), nextDue: plan.At + c.MessageInterval, drop: make(chan time.Duration, 1)}
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
-			one.run(ctx)
+			client.run(ctx)
 		}()
 	}
 	c.running.Wait()
 }
 
-// Late returns how late a client was started at worst: by how much the lab itself fell behind.
-func (c *Clients) Late() time.Duration { return time.Duration(c.late.Load()) }
+// MaxStartDelay returns the longest delay with which a client was started: how far the testbed itself fell behind.
+func (c *Clients) MaxStartDelay() time.Duration { return time.Duration(c.maxStartDelay.Load()) }
 
-// Drop has a share of the established clients disconnect within a time and come straight back.
+// Drop makes a share of the established clients disconnect within a time; they reconnect at once.
 func (c *Clients) Drop(share float64, within time.Duration, rng *rand.Rand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for p := range c.established {
+	for client := range c.established {
 		if rng.Float64() < share {
 			select {
-			case p.drop <- time.Duration(rng.Float64() * float64(within)):
+			case client.drop <- time.Duration(rng.Float64() * float64(within)):
 			default:
 			}
 		}
 	}
 }
 
-// run connects, and retries, until the client wants its session no more.
-func (p *runningClient) run(ctx context.Context) {
-	c := p.clients
-	since, failures := p.At, 0
-	for ctx.Err() == nil && c.Clock.Now() < p.Until {
-		how, advice, stood := p.connect(ctx, since)
-		if stood {
+// run connects, and retries, until the time for which the client wants a session is over.
+func (r *runningClient) run(ctx context.Context) {
+	c := r.clients
+	since, failures := r.At, 0
+	for ctx.Err() == nil && c.Clock.Now() < r.Until {
+		ending, retryAfter, established := r.connect(ctx, since)
+		if established {
 			since, failures = c.Clock.Now(), 0
 		}
-		if how == load.Rejected || how == load.Failed {
+		if ending == load.Rejected || ending == load.Failed {
 			failures++
 		}
-		wait := time.NewTimer(min(c.Retry.Delay(how, failures, advice, p.rng.Float64()), p.Until-c.Clock.Now()))
+		wait := time.NewTimer(min(c.Retry.Delay(ending, failures, retryAfter, r.rng.Float64()), r.Until-c.Clock.Now()))
 		select {
 		case <-ctx.Done():
 		case <-wait.C:
 		}
 		wait.Stop()
 	}
-	p.countMissed(min(p.Until, c.Clock.Now()))
+	r.countMissed(min(r.Until, c.Clock.Now()))
 }
 
-// countMissed counts the lines that could not be sent up to a time.
-func (p *runningClient) countMissed(up time.Duration) {
-	for ; p.due <= up; p.due += p.clients.MessageInterval {
-		p.clients.Meter.Message(p.due, 0, p.clients.MessageInterval, false)
+// countMissed counts the lines that were due up to a time and could not be sent as not served.
+func (r *runningClient) countMissed(until time.Duration) {
+	for ; r.nextDue <= until; r.nextDue += r.clients.MessageInterval {
+		r.clients.Meter.Message(r.nextDue, 0, r.clients.MessageInterval, false)
 	}
 }
 
-// connect makes one session and runs it to its end. retryAfter is that of a rejection.
-func (p *runningClient) connect(ctx context.Context, since time.Duration) (how load.Ending, retryAfter time.Duration, established bool) {
-	c := p.clients
-	balancer, address, ok := c.PickBalancer(p.rng)
+// connect opens one session and runs it to its end. It returns how the session ended, the Retry-After of a rejection, and whether
+// the session was established. A client wants a connection since the time given.
+func (r *runningClient) connect(ctx context.Context, since time.Duration) (ending load.Ending, retryAfter time.Duration, established bool) {
+	c := r.clients
+	balancer, address, ok := c.PickBalancer(r.rng)
 	if !ok {
 		return load.Failed, 0, false
 	}
-	deadline := c.Deadlines[p.Class]
+	deadline := c.Deadlines[r.Class]
 	conn, err := net.DialTimeout("tcp", address, deadline)
 	if err != nil {
 		return load.Failed, 0, false
 	}
 	defer func() { _ = conn.Close() }()
-	s := newClientSession(p, conn, balancer)
+	s := newClientSession(r, conn, balancer)
 	at := c.Clock.Now()
 	if err := s.sendRequest(deadline); err != nil {
-		return load.Failed, 0, false // no complete request was written
+		return load.Failed, 0, false // no complete first line was written
 	}
-	// The time is that before the write, as a server may be faster than this goroutine.
-	s.record(history.Taken, history.Event{At: max(at, 1), Duration: deadline})
+	// The event has the time before the write, as the server may record the request before this goroutine runs on.
+	s.record(history.RequestSent, history.Event{At: max(at, 1), Duration: deadline})
 	_ = conn.SetReadDeadline(c.Clock.At(at + deadline + answerGrace))
 	answer, err := s.reader.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			s.record(history.Left, history.Event{})
+			s.record(history.ClientClosed, history.Event{})
 		} else {
-			s.record(history.Ended, history.Event{Text: "end"})
+			s.record(history.ConnectionEnded, history.Event{Text: "end"})
 		}
 		return load.Failed, 0, false
 	}
@@ -165,33 +167,33 @@
 	switch line.Kind {
 	case protocol.KindEstablished:
 	case protocol.KindRejected:
-		s.record(history.Answered, history.Event{Text: "busy"})
+		s.record(history.AnswerReceived, history.Event{Text: "busy"})
 		s.readSecondAnswers()
 		return load.Rejected, time.Duration(line.Value) * time.Millisecond, false
 	default:
-		s.record(history.Answered, history.Event{Text: "err"})
+		s.record(history.AnswerReceived, history.Event{Text: "err"})
 		s.readSecondAnswers()
 		return load.Failed, 0, false
 	}
 	receipt, _ := strconv.ParseUint(strings.TrimSpace(string(bytes.TrimPrefix(line.Raw, []byte("UP ")))), 16, 64)
-	s.record(history.Answered, history.Event{Text: "up", Number: float64(receipt)})
+	s.record(history.AnswerReceived, history.Event{Text: "up", Number: float64(receipt)})
 	now := c.Clock.Now()
 	c.Meter.Setup(now, now-since)
 	c.Meter.Open(1)
 	defer c.Meter.Open(-1)
-	p.countMissed(now)
-	c.setEstablished(p, true)
-	defer c.setEstablished(p, false)
+	r.countMissed(now)
+	c.setEstablished(r, true)
+	defer c.setEstablished(r, false)
 	return s.run(ctx), 0, true
 }
 
-// setEstablished enters a client among those that Drop chooses from, or removes it.
-func (c *Clients) setEstablished(p *runningClient, established bool) {
+// setEstablished adds a client to those that Drop chooses from, or removes it.
+func (c *Clients) setEstablished(client *runningClient, established bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if established {
-		c.established[p] = true
+		c.established[client] = true
 	} else {
-		delete(c.established, p)
+		delete(c.established, client)
 	}
 }
--- a/internal/lab/emulator/client_session.go
+++ b/internal/lab/emulator/client_session.go
@@ -1,3 +1,5 @@
+// This file emulates a client's side of one session: it sends lines at their times and records answers and the end.
+
 package emulator
 
 import (
@@ -16,32 +18,33 @@
 	"sabletally/internal/protocol"
 )
 
-// clientSession is one connection of a client.
+// clientSession is a client's side of one connection.
 type clientSession struct {
 	client   *runningClient
 	conn     net.Conn
 	reader   *bufio.Reader
-	id       uint64
-	balancer int
+	id       uint64 // sent in the first line
+	balancer int    // index of the balancer that the client has dialed
 
 	mu         sync.Mutex
-	unanswered map[time.Duration]bool // due times of lines without an answer
-	ended      chan load.Ending       // receives how the other side ended the session
+	unanswered map[time.Duration]bool // due times of the lines that are sent and not answered
+	ended      chan load.Ending       // receives once how the session ended, when read returns
 }
 
-func newClientSession(p *runningClient, conn net.Conn, balancer int) *clientSession {
+// newClientSession returns a session with a new ID over a connection to a balancer.
+func newClientSession(r *runningClient, conn net.Conn, balancer int) *clientSession {
 	return &clientSession{
-		client:     p,
+		client:     r,
 		conn:       conn,
 		reader:     bufio.NewReaderSize(conn, maxLine),
-		id:         p.clients.lastID.Add(1),
+		id:         r.clients.lastID.Add(1),
 		balancer:   balancer,
 		unanswered: map[time.Duration]bool{},
 		ended:      make(chan load.Ending, 1),
 	}
 }
 
-// record adds an event of the session, at the present time if it has none.
+// record adds an event of the session to the history, with the current time if the event has none.
 func (s *clientSession) record(kind history.Kind, event history.Event) {
 	c := s.client.clients
 	if event.At == 0 {
@@ -57,20 +60,20 @@
 
 // sendRequest writes the first line.
 func (s *clientSession) sendRequest(deadline time.Duration) error {
-	p := s.client
+	r := s.client
 	group := ""
-	if p.Group > 0 {
-		group = fmt.Sprintf(",g=%x", p.Group)
+	if r.Group > 0 {
+		group = fmt.Sprintf(",g=%x", r.Group)
 	}
-	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", s.id, p.Key, p.clients.ClassNames[p.Class], deadline.Milliseconds(), group, p.Load)
-	if p.clients.Pieces.Load() {
-		text = writeInPieces(s.conn, text)
+	text := fmt.Sprintf("OPEN %x %x c=%s,d=%d%s,h=%.4f\r\n", s.id, r.Key, r.clients.ClassNames[r.Class], deadline.Milliseconds(), group, r.Load)
+	if r.clients.FragmentLines.Load() {
+		text = writeInFragments(s.conn, text)
 	}
 	_, err := s.conn.Write([]byte(text))
 	return err
 }
 
-// readSecondAnswers reads on after a rejection or failure: a second answer is recorded.
+// readSecondAnswers reads on after a rejection or failure and records each further final answer, which the checker reports.
 func (s *clientSession) readSecondAnswers() {
 	_ = s.conn.SetReadDeadline(time.Now().Add(readAfterAnswer))
 	for {
@@ -82,13 +85,14 @@
 	}
 }
 
+// recordSecondAnswer records a line if it is a final answer.
 func (s *clientSession) recordSecondAnswer(line []byte) {
 	if answer, isAnswer := finalAnswer(line); isAnswer {
-		s.record(history.Answered, history.Event{Text: answer})
+		s.record(history.AnswerReceived, history.Event{Text: answer})
 	}
 }
 
-// finalAnswer reports whether a line is a final answer, and which.
+// finalAnswer returns the event text of a final answer, and whether the line is one.
 func finalAnswer(line []byte) (string, bool) {
 	switch {
 	case bytes.HasPrefix(line, []byte("UP ")):
@@ -101,28 +105,28 @@
 	return "", false
 }
 
-// run sends a line at each of the client's times, whether or not the last one was answered, until the session ends.
-func (s *clientSession) run(ctx context.Context) (how load.Ending) {
-	p := s.client
-	clock := p.clients.Clock
+// run sends a line whenever one is due, whether or not the previous one was answered, until the session ends.
+func (s *clientSession) run(ctx context.Context) (ending load.Ending) {
+	r := s.client
+	clock := r.clients.Clock
 	_ = s.conn.SetReadDeadline(time.Time{})
 	go s.read()
-	defer func() { s.countUnanswered(how) }()
+	defer func() { s.countUnanswered(ending) }()
 	next := time.NewTimer(0)
 	defer next.Stop()
-	until := time.NewTimer(time.Until(clock.At(p.Until)))
+	until := time.NewTimer(time.Until(clock.At(r.Until)))
 	defer until.Stop()
 	var dropped <-chan time.Time
 	for {
-		next.Reset(max(0, time.Until(clock.At(p.due))))
+		next.Reset(max(0, time.Until(clock.At(r.nextDue))))
 		select {
-		case how := <-s.ended:
-			return how
+		case ending := <-s.ended:
+			return ending
 		case <-ctx.Done():
 			return s.leave()
 		case <-until.C:
 			return s.leave()
-		case delay := <-p.drop:
+		case delay := <-r.drop:
 			dropped = time.After(delay)
 		case <-dropped:
 			return s.leave()
@@ -132,65 +136,65 @@
 	}
 }
 
-// sendLine sends the line that is due now, unless the client's time is up by then.
+// sendLine sends the line that is due now, unless the client wants no session any more at that time.
 func (s *clientSession) sendLine() {
-	p := s.client
-	due := p.due
-	p.due += p.clients.MessageInterval
-	if due >= p.Until {
+	r := s.client
+	due := r.nextDue
+	r.nextDue += r.clients.MessageInterval
+	if due >= r.Until {
 		return
 	}
 	s.mu.Lock()
 	s.unanswered[due] = true
 	s.mu.Unlock()
-	_, _ = s.conn.Write(fmt.Appendf(nil, "M %d\r\n", int64(due))) // an error shows as the connection's end
+	_, _ = s.conn.Write(fmt.Appendf(nil, "M %d\r\n", int64(due))) // read sees a failure as the end of the connection
 }
 
-// leave ends the session from the client's side.
+// leave closes the session from the client's side.
 func (s *clientSession) leave() load.Ending {
-	s.record(history.Left, history.Event{})
+	s.record(history.ClientClosed, history.Event{})
 	_ = s.conn.Close()
 	<-s.ended
 	return load.Dropped
 }
 
-// read handles what comes until the other side ends the session.
+// read handles the lines that arrive until the connection ends.
 func (s *clientSession) read() {
 	c := s.client.clients
-	how := load.Broken
+	ending := load.Broken
 	for {
 		line, err := s.reader.ReadSlice('\n')
 		now := c.Clock.Now()
 		if err != nil {
 			s.recordEnd(err)
-			s.ended <- how
+			s.ended <- ending
 			return
 		}
 		switch {
 		case bytes.HasPrefix(line, []byte("M ")):
 			s.handleEcho(line, now)
 		case bytes.HasPrefix(line, protocol.MigrateLine):
-			how = load.Moved
+			ending = load.Moved
 			c.Meter.Migrate(now)
-			s.record(history.Moved, history.Event{})
+			s.record(history.MigrateReceived, history.Event{})
 		default:
 			s.recordSecondAnswer(line)
 		}
 	}
 }
 
-// recordEnd records how a read ended, unless the client has closed the connection itself.
+// recordEnd records how the connection ended, unless the client has closed it itself.
 func (s *clientSession) recordEnd(err error) {
 	text := "end"
 	if IsAbruptClose(err) {
 		text = "reset"
 	}
 	if !errors.Is(err, net.ErrClosed) {
-		s.record(history.Ended, history.Event{Text: text})
+		s.record(history.ConnectionEnded, history.Event{Text: text})
 	}
 }
 
-// handleEcho counts the answer to a line, and records one that was delayed on its way.
+// handleEcho counts the answer to a line, and records an answer that took more than a second from the server to the client.
 func (s *clientSession) handleEcho(line []byte, now time.Duration) {
 	c := s.client.clients
 	due, sent := parseEcho(line)
@@ -205,27 +209,28 @@
 	}
 }
 
-// countUnanswered counts lines without an answer as not served, except those that a leaving client has just sent.
-func (s *clientSession) countUnanswered(how load.Ending) {
+// countUnanswered counts the lines without an answer as not served. If the client itself has closed the session, lines whose
+// objective has not passed yet are not counted.
+func (s *clientSession) countUnanswered(ending load.Ending) {
 	c := s.client.clients
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for due := range s.unanswered {
-		if how != load.Dropped || c.Clock.Now()-due > c.MessageObjective {
+		if ending != load.Dropped || c.Clock.Now()-due > c.MessageObjective {
 			c.Meter.Message(due, 0, c.MessageInterval, false)
 		}
 	}
 	clear(s.unanswered)
 }
 
-// parseEcho decodes a server's answer to a line: the line's due time and the time of the answer.
+// parseEcho decodes a server's answer to a line: the time at which the line was due and the time at which the answer was sent.
 func parseEcho(raw []byte) (due, sent time.Duration) {
 	for i, word := range bytes.Fields(raw) {
 		if i == 1 {
 			n, _ := strconv.ParseInt(string(word), 10, 64)
 			due = time.Duration(n)
 		}
-		if at, is := bytes.CutPrefix(word, []byte("t=")); is {
+		if at, found := bytes.CutPrefix(word, []byte("t=")); found {
 			n, _ := strconv.ParseInt(string(at), 10, 64)
 			sent = time.Duration(n)
 		}
--- a/internal/lab/faults/expand.go
+++ b/internal/lab/faults/expand.go
@@ -1,3 +1,5 @@
+// This file expands a fault schedule into steps.
+
 package faults
 
 import (
@@ -10,12 +12,12 @@
 )
 
 const (
-	defaultDrain = 4 * time.Second
-	maxMembers   = 64 // bits of Step.Members
+	defaultDrain = 4 * time.Second // time between drain and stop of a server without a time of its own
+	maxMembers   = 64              // number of bits of Step.Members
 )
 
 // Expand expands faults into steps, in order of time, for the given numbers of servers and balancers. It also returns the number of
-// servers with their successors. It fails if a kind of fault is unknown.
+// servers including successors. It fails if a kind of fault is unknown.
 func Expand(faults []Fault, servers, balancers int, seed uint64) ([]Step, int, error) {
 	e := &expander{
 		rng:       rand.New(rand.NewPCG(seed, 0xfa17)),
@@ -46,13 +48,14 @@
 // expander expands faults in order of time.
 type expander struct {
 	rng       *rand.Rand
-	servers   int // at the start
-	balancers int
-	total     int   // servers, successors included
-	current   []int // by machine, the server that runs there
+	servers   int   // number of servers at the start of the run
+	balancers int   // number of balancers
+	total     int   // number of servers, including successors
+	current   []int // server that runs on each machine
 	steps     []Step
 }
 
+// expand adds the steps of one fault.
 func (e *expander) expand(f Fault) {
 	switch f.Kind {
 	case Drain:
@@ -82,7 +85,7 @@
 	}
 }
 
-// expandBalancers expands faults of single balancers.
+// expandBalancers adds the steps of a fault of single balancers.
 func (e *expander) expandBalancers(f Fault) {
 	balancers := e.draw(f.Share, e.balancers)
 	for i, balancer := range balancers {
@@ -111,11 +114,11 @@
 func serverSteps(f Fault) (begin, end Step) {
 	switch f.Kind {
 	case Crash:
-		return Step{Action: Die}, Step{Action: Revive}
+		return Step{Action: CrashServer}, Step{Action: RestartServer}
 	case Vanish:
-		return Step{Action: Silence}, Step{Action: Speak}
+		return Step{Action: SilenceServer}, Step{Action: UnsilenceServer}
 	case ListIncomplete:
-		return Step{Action: Hide}, Step{Action: Show}
+		return Step{Action: HideServer}, Step{Action: ShowServer}
 	case Slow:
 		return Step{Action: SetSlow, Value: f.Factor}, Step{Action: SetSlow, Value: 1}
 	case Errors:
@@ -125,11 +128,11 @@
 	case Drip:
 		return Step{Action: SetDrip, Value: 1}, Step{Action: SetDrip}
 	case TornLines:
-		return Step{Action: SetTorn, Value: 1}, Step{Action: SetTorn}
+		return Step{Action: SetTornLines, Value: 1}, Step{Action: SetTornLines}
 	case HalfOpen:
 		return Step{Action: SetHalfOpen, Value: 1}, Step{Action: SetHalfOpen}
 	case LinkSlow:
-		return Step{Action: SetLinkLate, For: f.Delay}, Step{Action: SetLinkLate}
+		return Step{Action: SetLinkDelay, For: f.Delay}, Step{Action: SetLinkDelay}
 	default: // LinkCut
 		return Step{Action: SetLinkCut, Value: 1}, Step{Action: SetLinkCut}
 	}
@@ -139,18 +142,18 @@
 func worldSteps(f Fault) (begin, end Step) {
 	switch f.Kind {
 	case StoreSlow:
-		return Step{Action: SetStore, Value: f.Factor}, Step{Action: SetStore, Value: 1}
+		return Step{Action: SetStoreSlow, Value: f.Factor}, Step{Action: SetStoreSlow, Value: 1}
 	case DiscoveryOut:
-		return Step{Action: SetDiscovery}, Step{Action: SetDiscovery, Value: 1}
+		return Step{Action: SetDiscoveryReachable}, Step{Action: SetDiscoveryReachable, Value: 1}
 	case DiscoveryLate:
-		return Step{Action: SetLate, For: f.Delay}, Step{Action: SetLate}
+		return Step{Action: SetListDelay, For: f.Delay}, Step{Action: SetListDelay}
 	case DiscoveryFaulty:
-		return Step{Action: SetFaulty, Value: 1}, Step{Action: SetFaulty}
+		return Step{Action: SetDiscoveryFaulty, Value: 1}, Step{Action: SetDiscoveryFaulty}
 	case MisbehavingClients:
 		return Step{Action: SetMisbehavingClients, Value: f.Rate}, Step{Action: SetMisbehavingClients}
 	case FragmentedLines:
-		return Step{Action: SetPieces, Value: 1}, Step{Action: SetPieces}
-	default: // Retune
+		return Step{Action: SetFragmentedLines, Value: 1}, Step{Action: SetFragmentedLines}
+	default: // ChangeClasses
 		return Step{Action: SetMoreClasses, Value: 1}, Step{Action: SetMoreClasses}
 	}
 }
@@ -173,9 +176,10 @@
 	return e.rng.Perm(count)[:min(count, drawn)]
 }
 
+// drain adds the steps that drain a server and stop it.
 func (e *expander) drain(at time.Duration, server int, drain time.Duration) {
-	e.add(Step{At: at, Action: BeginDrain, Target: server, For: drain})
-	e.add(Step{At: at + drain, Action: Stop, Target: server})
+	e.add(Step{At: at, Action: DrainServer, Target: server, For: drain})
+	e.add(Step{At: at + drain, Action: StopServer, Target: server})
 }
 
 // release replaces servers in batches.
@@ -186,7 +190,7 @@
 	for i := range batches {
 		at := f.At + time.Duration(float64(f.For)*float64(i)/float64(batches))
 		for _, machine := range machines[i*size : min(len(machines), (i+1)*size)] {
-			e.add(Step{At: at, Action: Start, Target: e.total, Machine: machine})
+			e.add(Step{At: at, Action: StartServer, Target: e.total, Machine: machine})
 			e.drain(at, e.current[machine], f.Drain)
 			e.current[machine] = e.total
 			e.total++
@@ -221,7 +225,7 @@
 func (e *expander) numberSuccessors() {
 	numbers := map[int]int{}
 	for _, step := range e.steps {
-		if step.Action == Start {
+		if step.Action == StartServer {
 			numbers[step.Target] = e.servers + len(numbers)
 		}
 	}
