--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves the operators' address: HTTP/1.1, one request to a connection. It owns the paths, the responses
-// and the connections, whose number is bounded apart from the clients'. It must never wait for the balancer's loop, and
-// never decide what a request means for a session: it reads what is published and forwards what is asked for.
+// Package admin serves the operators' address over HTTP/1.1, with one request per connection. It defines the paths and the
+// responses, and limits the number of connections separately from that of clients. It never waits for the balancer's loop
+// and knows nothing of sessions: it reads published state and forwards requests.
 package admin
 
 import (
@@ -14,39 +14,40 @@
 )
 
 const (
-	callTimeout        = 5 * time.Second // for a complete request, and for its response
-	maxHeaderBytes     = 4 << 10         // net/http adds as much again
-	minConns           = 8
-	maxConns           = 64
-	descriptorsPerConn = 16 // descriptors of the balancer for each connection, within minConns and maxConns
+	callTimeout        = 5 * time.Second // limit of reading a request with its body, and of writing its response
+	maxHeaderBytes     = 4 << 10         // limit of a request's headers; net/http adds another 4 KiB
+	minConns           = 8               // lower bound of MaxConns
+	maxConns           = 64              // upper bound of MaxConns
+	descriptorsPerConn = 16              // descriptors of the balancer for each connection that MaxConns allows
 )
 
-// Balancer is what the requests act on. Its methods must not wait; an error tells operators the reason.
+// Balancer is the balancer that requests are about. Its methods must not block; the text of an error is sent to the operator.
 type Balancer interface {
 	Ready() error
 	OutOfService() error
 	InService() error
 }
 
-// Pages are further paths and the values that they show as JSON. The functions must not wait.
+// Pages maps further paths to functions that return the value to send as JSON. The functions must not block.
 type Pages map[string]func() any
 
-// MaxConns returns the maximum number of connections at the address of a balancer with so many descriptors.
+// MaxConns returns the maximum number of connections to the operators' address of a balancer with the given number of
+// descriptors.
 func MaxConns(sockets int) int { return min(max(sockets/descriptorsPerConn, minConns), maxConns) }
 
-// Server serves one address.
+// Server serves one operators' address.
 type Server struct {
 	http *http.Server
 	ln   *boundedListener
 }
 
-// Open listens at an address for requests to a balancer. It holds maxConns connections at most, which has to be 1 or
-// more. The log of net/http goes to out.
+// Open listens at an address for requests to a balancer. At most maxConns connections are open at a time; maxConns must be
+// at least 1. net/http logs to out.
 func Open(address string, maxConns int, b Balancer, pages Pages, out io.Writer) (*Server, error) {
 	return OpenHandler(address, maxConns, newHandler(b, pages), out)
 }
 
-// OpenHandler is Open for a handler of the caller's. A request has to be complete, with its body, within callTimeout.
+// OpenHandler is like Open with a handler of the caller. A request has to be complete, with its body, within callTimeout.
 func OpenHandler(address string, maxConns int, h http.Handler, out io.Writer) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -70,11 +71,11 @@
 	return s, nil
 }
 
-// Serve answers requests until Close.
+// Serve serves requests until Close.
 func (s *Server) Serve() { _ = s.http.Serve(s.ln) }
 
-// Addr returns the address that it listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// Close ends the server and its connections.
+// Close closes the listener and all connections.
 func (s *Server) Close() { _ = s.http.Close() }
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -10,18 +10,18 @@
 	"strings"
 )
 
-// endpoint is one path: its methods and what they do.
-type endpoint map[string]func() error
+// route maps the HTTP methods of a path to the functions that carry them out. Paths of pages have a nil function.
+type route map[string]func() error
 
-// newHandler serves the paths of a balancer and of pages. No request needs a body, and none is read.
+// newHandler returns a handler for the paths of a balancer and of pages. No request needs a body, and none is read.
 func newHandler(b Balancer, pages Pages) http.Handler {
-	endpoints := map[string]endpoint{
+	routes := map[string]route{
 		"/control/ready":          {http.MethodGet: b.Ready, http.MethodHead: b.Ready},
 		"/control/out-of-service": {http.MethodPut: b.OutOfService},
 		"/control/in-service":     {http.MethodPut: b.InService},
 	}
 	for path := range pages {
-		endpoints[path] = endpoint{http.MethodGet: nil}
+		routes[path] = route{http.MethodGet: nil}
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if page := pages[r.URL.Path]; page != nil && r.Method == http.MethodGet {
@@ -30,7 +30,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		e := endpoints[r.URL.Path]
+		e := routes[r.URL.Path]
 		run := e[r.Method]
 		switch {
 		case e == nil:
@@ -47,7 +47,7 @@
 	})
 }
 
-// respond answers a request that was carried out, or rejected with err.
+// respond writes the response to a request that was carried out, or rejected with err.
 func respond(w http.ResponseWriter, r *http.Request, err error) {
 	if err == nil {
 		_, _ = io.WriteString(w, "yes\n")
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -6,27 +6,27 @@
 	"sync"
 )
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// boundedListener holds maxConns connections at most: one more ends the oldest without a request, so that silent
-// callers do not keep operators out.
+// boundedListener keeps at most maxConns connections open. One more closes the oldest connection that has sent no complete
+// request, so that idle connections do not lock operators out.
 type boundedListener struct {
 	net.Listener
 	maxConns int
 	mu       sync.Mutex
-	conns    *list.List // of *conn, oldest first
+	conns    *list.List // open connections (*conn), the oldest first
 }
 
-// conn is one connection at a boundedListener.
+// conn is a connection that a boundedListener has accepted.
 type conn struct {
 	net.Conn
 	listener *boundedListener
-	element  *list.Element
+	element  *list.Element // position in listener.conns
 
 	// Guarded by listener.mu.
-	requestRead bool // the request is complete
-	closed      bool
+	requestRead bool // set once the request's headers are read
+	closed      bool // set once the connection is no longer in listener.conns
 }
 
 // Accept implements net.Listener.
@@ -49,8 +49,8 @@
 	return c, nil
 }
 
-// evict removes and returns the connection to end: the oldest without a complete request, or else the oldest. The
-// caller holds mu.
+// evict removes and returns the connection to close: the oldest without a complete request, or the oldest if all have one.
+// The caller holds mu.
 func (b *boundedListener) evict() *conn {
 	found := b.conns.Front()
 	for e := found; e != nil; e = e.Next() {
@@ -65,14 +65,14 @@
 	return c
 }
 
-// markRequestRead records that the request is complete.
+// markRequestRead records that the request's headers are read.
 func (c *conn) markRequestRead() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.requestRead = true
 }
 
-// Close closes the connection and removes it from the listener's.
+// Close closes the connection and removes it from the listener's list.
 func (c *conn) Close() error {
 	c.listener.mu.Lock()
 	if !c.closed {
