--- a/internal/deployment/document.go
+++ b/internal/deployment/document.go
@@ -1,8 +1,8 @@
 package deployment
 
-// settingsDocument is the JSON form of the settings. This is the only place that maps its names: "grades" are
-// classes, "accounts" are tenants, "goals" and "aims" are latency objectives, "cold" means slow start, "fall"
-// means overload. Pointers mark keys that must be present.
+// settingsDocument is the JSON form of the settings. Only this file maps the names in JSON to those in the code: "grades"
+// are classes, "accounts" are tenants, "goals" and "aims" are latency objectives, "cold" means slow start, "fall" means
+// overload. Pointers tell a key that is absent from one with the zero value.
 type settingsDocument struct {
 	Balancers       *int            `json:"PeersTotal"`
 	Index           int             `json:"Me"`
@@ -58,13 +58,13 @@
 }
 
 type specificsDocument struct {
-	Groups             bool      `json:"Groups"` // read for its type only
+	Groups             bool      `json:"Groups"` // not used; declared so that a value of another type is an error
 	MessageObjectiveUs []float64 `json:"MessageAimUs"`
 	Mode               string    `json:"Mode"`
 	TenantQuotas       []float64 `json:"TenantQuotaConnections"`
 }
 
-// checkRequired returns an error for the first key that is missing or out of range.
+// checkRequired returns an error for the first required key that is missing or out of range.
 func (d *settingsDocument) checkRequired() error {
 	guarantees, limits := d.Guarantees, d.Limits
 	switch {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// The names that some keys may have as their values.
+// The allowed values of keys with a fixed set of names. "" stands for an absent key.
 var (
 	registryModes = []string{registryPushed, registryOnRequest}
 	modes         = []string{"", "proxy", "pass"}
@@ -110,7 +110,7 @@
 	reportsInAnswers  = "answers"
 )
 
-// checkNames returns an error for the first key whose value is no known name, or negative nines.
+// checkNames returns an error for the first key whose value is not one of its allowed names, or for negative nines.
 func (d *settingsDocument) checkNames() error {
 	if err := checkName("RegistryMode", *d.RegistryMode, registryModes); err != nil {
 		return err
--- a/internal/deployment/node_config.go
+++ b/internal/deployment/node_config.go
@@ -13,7 +13,7 @@
 	"sabletally/internal/discovery"
 )
 
-// The environment variables of a node. All but the first one win over the node file.
+// The environment variables of a balancer. All but EDGE_CONFIG, which names the node file, override a key of that file.
 const (
 	envFile      = "EDGE_CONFIG"
 	envName      = "EDGE_NAME"
@@ -23,31 +23,31 @@
 )
 
 const (
-	minMemoryMB = 16
-	minSockets  = 64
+	minMemoryMB = 16 // smallest allowed limits.memory_mb
+	minSockets  = 64 // smallest allowed limits.sockets
 )
 
-// NodeConfig is the configuration of one balancer on sockets.
+// NodeConfig is the configuration of one balancer that runs on network sockets.
 type NodeConfig struct {
 	Name             string
-	Listen           string // address for clients
-	Discovery        string // address of the endpoint list
-	Admin            string // address for operators, "" if there is none
-	Seed             uint64
-	Cores            float64
-	MemoryMB         int
-	MaxSockets       int
+	Listen           string  // address that clients connect to
+	Discovery        string  // address of the discovery service, which has the endpoint list
+	Admin            string  // operators' address, "" if there is none
+	Seed             uint64  // seed of the random generators
+	Cores            float64 // number of CPU cores that the balancer may use
+	MemoryMB         int     // memory limit in MiB
+	MaxSockets       int     // limit of open descriptors
 	InitialEndpoints discovery.List
 	Settings         *Settings
 	Gossip           GossipAddresses
-	StartupOnly      string         // the values that only a start applies, as text to compare
-	document         map[string]any // the whole node file
+	StartupOnly      string         // values that take effect at a start only, as one text for comparison
+	document         map[string]any // the node file as decoded JSON
 }
 
-// GossipAddresses are the addresses of load gossip; zero if balancers do not gossip.
+// GossipAddresses are the UDP addresses of load gossip. The zero value means that balancers do not gossip.
 type GossipAddresses struct {
 	Listen netip.AddrPort
-	Peers  []netip.AddrPort
+	Peers  []netip.AddrPort // addresses of the other balancers
 }
 
 // nodeDocument is the JSON form of the node file.
@@ -55,7 +55,7 @@
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"` // hexadecimal
+	Seed      string          `json:"seed"` // 64-bit number in hexadecimal digits
 	Admin     string          `json:"mgmt"`
 	Limits    nodeLimits      `json:"limits"`
 	Known     json.RawMessage `json:"known"`
@@ -63,7 +63,8 @@
 	Gossip    *gossipDocument `json:"peers"`
 }
 
-// nodeLimits is printed into NodeConfig.StartupOnly: its fields keep their order.
+// nodeLimits is the JSON form of the limits. NodeConfig.StartupOnly includes it as printed by fmt, so the order of the
+// fields matters.
 type nodeLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -75,9 +76,9 @@
 	Peers  []string `json:"others"`
 }
 
-// ReadNodeConfig reads the node file that EDGE_CONFIG names; env looks variables up. If the file is read again,
-// previous is the configuration in force, else nil. A file that is read again is newer than the variables, so its
-// discovery address wins, and it must have all keys that the file before had. Errors name the key at fault.
+// ReadNodeConfig reads the node file that EDGE_CONFIG names; env looks up environment variables. At a reload, previous is the
+// configuration in force; at the start it is nil. At a reload the file is newer than the variables, so its discovery address
+// takes precedence, and it must have all keys of the previous file. Errors name the key that is missing or invalid.
 func ReadNodeConfig(env func(string) string, previous *NodeConfig) (*NodeConfig, error) {
 	text, document, err := readNodeDocument(env(envFile))
 	if err != nil {
@@ -95,7 +96,7 @@
 	if previous != nil {
 		config.Discovery = firstNonEmpty(document.Discovery, config.Discovery)
 	}
-	_ = json.Unmarshal(text, &config.document) // well-formed; a number beyond float64 is of no use and left out
+	_ = json.Unmarshal(text, &config.document) // text is valid JSON; the only possible error is a number beyond float64, which is left out
 	if err := config.checkAddresses(); err != nil {
 		return nil, err
 	}
@@ -140,6 +141,7 @@
 	return text, &document, nil
 }
 
+// checkAddresses returns an error for the first address that is not of the form host:port.
 func (c *NodeConfig) checkAddresses() error {
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -159,6 +161,7 @@
 	return nil
 }
 
+// checkLimits returns an error for the first limit that is missing or too low.
 func (c *NodeConfig) checkLimits() error {
 	hasCores := c.Cores > 0
 	switch {
@@ -172,8 +175,8 @@
 	return nil
 }
 
-// setGossip reads the addresses of gossip. The number of peers must be that of the settings: policy relies on hearing
-// from all of them.
+// setGossip sets the gossip addresses from the node file. The number of peers must match the number of balancers in the
+// settings, because package policy relies on gossip from all of them.
 func (c *NodeConfig) setGossip(document *gossipDocument) error {
 	if document == nil {
 		return &KeyError{"peers", "is missing while settings.Limits.Peers is true"}
--- a/internal/deployment/replacement.go
+++ b/internal/deployment/replacement.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// checkReplacement returns an error if a node file can't replace the one in force. At the start a file may omit optional
-// keys; one that replaces another has lost what it lacks, for example because it was written only in part.
+// checkReplacement returns an error if a node file can't replace the one in force. A file may omit optional keys at the start
+// only: at a reload, a key that the file in force had may be missing because the file was written incompletely.
 func checkReplacement(previous, next *NodeConfig) error {
 	for i, deadline := range next.Settings.Deadlines {
 		if deadline <= 0 {
@@ -18,9 +18,9 @@
 		}
 	}
 	required := maps.Clone(previous.document)
-	delete(required, "known") // discovery.Decode checks it
+	delete(required, "known") // discovery.Decode has checked its keys
 	if !next.Settings.Policy.CanGossip {
-		delete(required, "peers") // not used
+		delete(required, "peers") // unused without gossip
 	}
 	if path := missingKey(required, next.document, ""); path != "" {
 		return &KeyError{path[1:], "is missing; the file in force has it"}
@@ -28,12 +28,13 @@
 	return nil
 }
 
+// classKeyError reports a duration of a class that is missing or not positive.
 func classKeyError(index int, key string) error {
 	return &KeyError{fmt.Sprintf("settings: ServiceGrades[%d].%s", index, key), "is missing or below 1"}
 }
 
-// missingKey returns the path of the first key of a JSON value that is missing in its replacement, "" if none is. Each
-// element of a list must have the keys that all elements had.
+// missingKey returns the path of the first key of a JSON value that is missing in its replacement, or "" if none is missing.
+// Each element of a list must have the keys that all elements of the previous list had in common.
 func missingKey(previous, next any, path string) string {
 	switch previous := previous.(type) {
 	case map[string]any:
@@ -72,7 +73,7 @@
 	return ""
 }
 
-// commonKeys returns the first of some objects with the keys that all of them have.
+// commonKeys returns the first of some JSON objects, reduced to the keys that all of them have.
 func commonKeys(elements []any) map[string]any {
 	var common map[string]any
 	for i, element := range elements {
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -1,6 +1,6 @@
-// Package deployment reads the configuration of a balancer: the settings, which are the same for the simulator
-// and on sockets, and the node file of a balancer on sockets. It owns the outer names of both. It must never
-// decide anything, or replace a value that is missing: a missing key is an error that names the key.
+// Package deployment reads the configuration of a balancer: the settings, which the simulator and balancers on network
+// sockets share, and the node file of a balancer on sockets. It maps the names in these files to those in the code. It
+// makes no decisions and fills in no defaults for required values: a missing required key is an error that names the key.
 package deployment
 
 import (
@@ -15,29 +15,29 @@
 // Settings are the settings of a deployment.
 type Settings struct {
 	Policy           *policy.Config
-	ReportFields     []string        // of a load report, in order
-	Classes          map[string]int  // index into Policy.Classes by name
-	Tenants          map[string]int  // index into Policy.Tenants by name
-	Zones            map[string]int  // number by name
-	Deadlines        []time.Duration // of a session, by class; 0 if there is none
-	PollEndpointList bool            // the endpoint list comes only on request
-	ConnectTimeout   time.Duration   // of a connection to an endpoint, 0 if there is none
+	ReportFields     []string        // names of the fields of a load report, in order
+	Classes          map[string]int  // index into Policy.Classes by class name
+	Tenants          map[string]int  // index into Policy.Tenants by tenant name
+	Zones            map[string]int  // zone number by zone name
+	Deadlines        []time.Duration // deadline of a session by class index, 0 if there is none
+	PollEndpointList bool            // whether the endpoint list has to be polled, because it is not pushed
+	ConnectTimeout   time.Duration   // timeout of connecting to an endpoint, 0 if there is none
 }
 
-// KeyError reports a key of a configuration that is missing or has a value that is not allowed.
+// KeyError reports a key of a configuration that is missing or has an invalid value.
 type KeyError struct {
-	Key     string // as written in the configuration, with its path
-	Problem string
+	Key     string // path of the key, as written in the configuration
+	Problem string // predicate of the message, such as "is missing"
 }
 
 func (e *KeyError) Error() string { return e.Key + " " + e.Problem }
 
 const (
-	maxDuration  = 10 * 365 * 24 * time.Hour // longer ones are cut, so that no sum of two overflows
-	maxBalancers = 1 << 20
+	maxDuration  = 10 * 365 * 24 * time.Hour // longer durations are capped, so that the sum of two cannot overflow
+	maxBalancers = 1 << 20                   // larger numbers of balancers are capped
 )
 
-// ParseSettings reads settings from JSON. Errors name the key at fault, as a *KeyError unless the JSON is malformed.
+// ParseSettings parses settings in JSON. A missing or invalid key is a *KeyError; malformed JSON is an error of package json.
 func ParseSettings(text []byte) (*Settings, error) {
 	var document settingsDocument
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -68,7 +68,7 @@
 	return settings, nil
 }
 
-// policyConfig returns the configuration without its classes and tenants.
+// policyConfig returns the policy's configuration without classes and tenants.
 func (d *settingsDocument) policyConfig() *policy.Config {
 	hasEndpointReports := d.Report.Source == reportsByProbe || d.Report.Source == reportsInAnswers
 	return &policy.Config{
@@ -89,11 +89,12 @@
 		CrossZoneCost:      d.Prices.CrossZone,
 		NinesWeight:        d.Goal.NinesWeight,
 		TargetNines:        d.Goal.TargetNines,
-		HasLoadReports:     hasEndpointReports, // hosts that estimate loads themselves set it too
+		HasLoadReports:     hasEndpointReports, // hosts that estimate the endpoints' load set it as well
 		HasEndpointReports: hasEndpointReports,
 	}
 }
 
+// addClasses adds the classes and their deadlines.
 func (s *Settings) addClasses(document *settingsDocument) error {
 	for i, entry := range document.Classes {
 		class := policy.Class{
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// idempotencies and keyScopes map the names of the settings.
+// idempotencies and keyScopes map the names in the settings to policy's values.
 var (
 	idempotencies = map[string]policy.Idempotency{
 		"read_like":       policy.Idempotent,
@@ -128,7 +129,7 @@
 	}
 )
 
-// setIdempotency sets what repeating a request of a class may do; the class has an index in the settings.
+// setIdempotency sets the idempotency and the key scope of a class; index is its index in the settings, for errors.
 func (entry *classDocument) setIdempotency(class *policy.Class, index int) error {
 	if entry.Idempotency == nil {
 		return &KeyError{fmt.Sprintf("ServiceGrades[%d].Effect", index), "is missing"}
@@ -139,7 +140,7 @@
 	}
 	class.Idempotency = idempotency
 	if idempotency != policy.IdempotentWithKey {
-		return nil // the scope has no meaning
+		return nil // only idempotency keys have a scope
 	}
 	scope, isKnown := keyScopes[entry.KeyScope]
 	if !isKnown {
@@ -149,6 +150,7 @@
 	return nil
 }
 
+// addTenants adds the tenants and their connection quotas.
 func (s *Settings) addTenants(document *settingsDocument) {
 	for i, entry := range document.Tenants {
 		var tenant policy.Tenant
@@ -160,11 +162,12 @@
 	}
 }
 
-// microseconds converts a number of the settings, maxDuration at most.
+// microseconds converts a number of microseconds in the settings to a duration of at most maxDuration.
 func microseconds(n int64) time.Duration {
 	return time.Duration(min(n, int64(maxDuration/time.Microsecond))) * time.Microsecond
 }
 
+// checkName returns an error if a key's value is not one of the known names.
 func checkName(key, name string, known []string) error {
 	if slices.Contains(known, name) {
 		return nil
