--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -9,7 +9,7 @@
 	"sabletally/policy"
 )
 
-// Codes of events.
+// Codes of the events in a frame.
 const (
 	eventClientDisconnected = 0
 	eventCloseInstance      = 1
@@ -26,30 +26,30 @@
 	maxEventCode            = eventSession
 )
 
-// Offsets in each record.
+// Offsets of the fields that event and action records have in common.
 const (
 	recordCodeAt     = 0
 	recordInstanceAt = 1
-	recordSessionAt  = 5 // where the record is about a session
+	recordSessionAt  = 5 // only in records about a session
 )
 
-// Kinds of a measurement.
+// Kinds of measurement events.
 const (
 	measurementLoad    = 1
 	measurementLatency = 2
 )
 
 const (
-	maxReportFields = 4
-	flagHasLoad     = 1 // of a session
+	maxReportFields = 4 // number of values that a record has room for in a load report
+	flagHasLoad     = 1 // bit of a session's flags: the record states the session's load
 )
 
 // Modes of an endpoint list.
 const (
-	listUnavailable = 0 // the list that was there before still holds
-	listComplete    = 1
-	listCached      = 3 // complete
-	listChanges     = 4
+	listUnavailable = 0 // discovery has no list; the previous one stays in force
+	listComplete    = 1 // all endpoints
+	listCached      = 3 // all endpoints, from a cache
+	listChanges     = 4 // only the endpoints that have changed
 )
 
 // Availabilities of an entry of an endpoint list.
@@ -59,7 +59,7 @@
 	entryDraining = 2
 )
 
-// outcomes maps the protocol's verdicts.
+// outcomes maps the protocol's verdicts on attempts and health checks to policy's outcomes.
 var outcomes = map[uint16]policy.Outcome{
 	200: policy.Succeeded,
 	502: policy.Failed,
@@ -71,11 +71,11 @@
 	409: policy.NeverSent,
 }
 
-// event is one record of a frame.
+// event is one record of a frame. The parameter at of its methods is the offset of a field in the record.
 type event struct {
 	record []byte
-	tail   []byte // of the frame
-	offset int    // of the record in the frame
+	tail   []byte // tail of the frame
+	offset int    // byte offset of the record in the frame
 }
 
 func (e event) code() byte                    { return e.record[recordCodeAt] }
@@ -93,7 +93,7 @@
 	return &FieldError{Field: field, Offset: e.offset + at, Problem: fmt.Sprintf(format, args...)}
 }
 
-// tailField returns the bytes of the tail to which a field points, by an offset and a number of units.
+// tailField returns the bytes of the tail to which a field points by an offset and a number of units of unitSize bytes.
 func (e event) tailField(field string, at, unitSize int) ([]byte, error) {
 	offset, units := uint64(e.uint32(at)), uint64(e.uint32(at+4))
 	end := offset + units*uint64(unitSize)
@@ -104,7 +104,7 @@
 	return e.tail[offset:end], nil
 }
 
-// outcome reads a verdict.
+// outcome decodes a verdict.
 func (e event) outcome(at int) (policy.Outcome, error) {
 	verdict := e.uint16(at)
 	outcome, isKnown := outcomes[verdict]
@@ -114,7 +114,7 @@
 	return outcome, nil
 }
 
-// loadReport reads a load report, whose figures have the given names in order.
+// loadReport decodes a load report, whose values have the given names in order.
 func (e event) loadReport(at int, names []string) (policy.LoadReport, error) {
 	report := policy.NoLoadReport
 	count := int(e.record[at])
@@ -135,7 +135,7 @@
 	return report, nil
 }
 
-// sessionLayout tells where the fields of a session are in a record.
+// sessionLayout holds the offsets of a session's fields in a record.
 type sessionLayout struct {
 	tenant, key, group, endpoint, class, timeout, load, flags int
 }
@@ -145,6 +145,7 @@
 	adoptedSessionLayout = sessionLayout{tenant: 13, key: 17, group: 25, endpoint: 33, timeout: 39, class: 43, load: 45, flags: 49}
 )
 
+// sessionRequest decodes the fields of a session.
 func (e event) sessionRequest(layout sessionLayout) policy.SessionRequest {
 	request := policy.SessionRequest{
 		ID:      e.session(),
@@ -160,10 +161,10 @@
 	return request
 }
 
-// listEntriesAt is where an endpoint list's record points to its entries.
+// listEntriesAt is the offset of the field that points to the entries of an endpoint list.
 const listEntriesAt = 14
 
-// decodeList reads the entries of an endpoint list; openedAt is the clock at the instance's start.
+// decodeList decodes the entries of an endpoint list; openedAt is the clock at the instance's start.
 func (e event) decodeList(encoded []byte, openedAt uint64) ([]policy.Endpoint, error) {
 	entries := make([]policy.Endpoint, 0, len(encoded)/listEntrySize)
 	for ; len(encoded) > 0; encoded = encoded[listEntrySize:] {
@@ -176,7 +177,7 @@
 	return entries, nil
 }
 
-// Offsets in an entry of an endpoint list, which begins with the endpoint.
+// Offsets in an entry of an endpoint list, which begins with the endpoint's address.
 const (
 	entryZoneAt          = 6
 	entryMachineTypeAt   = 8
@@ -186,7 +187,7 @@
 	entryStartedAt       = 17
 )
 
-// decodeEntry reads one entry of an endpoint list. It reports false for a state that is not known.
+// decodeEntry decodes one entry of an endpoint list. It returns false if the entry's state is not known.
 func decodeEntry(b []byte, openedAt uint64) (entry policy.Endpoint, isKnown bool) {
 	entry = policy.Endpoint{
 		ID:            decodeEndpoint(b),
@@ -216,7 +217,7 @@
 	return entry, true
 }
 
-// decodeEndpoint reads an IPv4 address (big-endian) and a port (little-endian).
+// decodeEndpoint decodes an IPv4 address (big-endian) and a port (little-endian).
 func decodeEndpoint(b []byte) policy.EndpointID {
 	address := uint64(binary.BigEndian.Uint32(b))
 	port := uint64(littleEndian.Uint16(b[4:]))
--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -1,6 +1,6 @@
-// Package simprotocol speaks the simulator's protocol: binary frames of fixed-size records on standard input and
-// output. It hosts many balancers, turns the records that it reads into calls of package policy and their
-// decisions into the records that it writes. It owns the protocol's names and must never decide anything.
+// Package simprotocol implements the simulator's protocol: binary frames of fixed-size records on a pair of streams. It hosts
+// many balancers in one process, translates event records into calls of package policy, and policy's decisions into action
+// records. It defines the names and the layout of the protocol, and makes no decisions itself.
 package simprotocol
 
 import (
@@ -12,10 +12,10 @@
 	"io"
 )
 
-// A frame is a header, records of eventSize bytes, and a tail to which the records point. The header holds the
-// clock in microseconds (uint64), the length of the frame and the number of its records (uint32 each). All
-// numbers are little-endian unless said otherwise. A reply is a header with its length and the number of its
-// records (uint32 each), records of actionSize bytes, and a tail.
+// Sizes and offsets of the protocol, in bytes. A frame has a header, records of eventSize bytes, and a tail with data of
+// variable length to which the records point. The header holds the clock in microseconds (uint64), the length of the frame
+// and the number of records (uint32 each). A reply has a header with its length and the number of records (uint32 each),
+// records of actionSize bytes, and a tail. All numbers are little-endian unless stated otherwise.
 const (
 	headerSize      = 16
 	frameLengthAt   = 8
@@ -31,16 +31,17 @@
 
 // FieldError reports a field of a frame that cannot be read.
 type FieldError struct {
-	Field   string // by the protocol's name
-	Offset  int    // in the frame
-	Problem string
+	Field   string // the protocol's name of the field
+	Offset  int    // byte offset of the field in the frame
+	Problem string // what is wrong with the field's value
 }
 
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s at byte %d: %s", e.Field, e.Offset, e.Problem)
 }
 
-// Serve answers frames until the input ends between two frames. A malformed frame ends it with an error and gets no reply.
+// Serve reads frames from in and writes a reply to each until the input ends between two frames. It returns an error at a
+// malformed frame, which gets no reply.
 func Serve(in *bufio.Reader, out *bufio.Writer) error {
 	h := newHost()
 	var buffer bytes.Buffer
@@ -61,8 +62,8 @@
 	}
 }
 
-// readFrame reads one frame into a buffer. It returns io.EOF if the input ends before it. The buffer grows with the bytes
-// that arrive, not by the length that the frame claims.
+// readFrame reads one frame into a buffer. It returns io.EOF if the input ends before the first byte. The buffer grows with
+// the bytes that arrive and not by the length in the header, so that a wrong length allocates nothing.
 func readFrame(in *bufio.Reader, buffer *bytes.Buffer) ([]byte, error) {
 	buffer.Reset()
 	n, err := io.CopyN(buffer, in, headerSize)
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -8,30 +8,30 @@
 	"sabletally/policy"
 )
 
-// instance is one balancer.
+// instance is one balancer of the simulation.
 type instance struct {
 	number       uint32
-	balancer     *policy.Balancer // nil if its settings could not be read
-	openedAt     uint64           // the clock at its start
-	reportFields []string
-	timerAt      time.Duration // of the earliest timer that has been set
-	isTimerSet   bool
-	pollsList    bool // the endpoint list comes only on request
-	needsPoll    bool // and has to be requested
-	isTouched    bool // in host.touched
+	balancer     *policy.Balancer // nil if the settings could not be read
+	openedAt     uint64           // simulator's clock at the instance's start, in microseconds
+	reportFields []string         // names of a load report's values, in order
+	timerAt      time.Duration    // time of the earliest timer that has been set, since the instance's start
+	isTimerSet   bool             // whether the timer at timerAt has yet to fire
+	pollsList    bool             // whether the endpoint list has to be polled, because it is not pushed
+	needsPoll    bool             // whether the next poll is due
+	isTouched    bool             // whether the instance is in host.touched
 }
 
-// host owns the instances and the reply to the present frame.
+// host holds the instances and the reply to the current frame.
 type host struct {
 	instances map[uint32]*instance
-	touched   []*instance // by the present frame, in the order of their first event
-	clock     uint64      // microseconds
+	touched   []*instance // instances with an event in the current frame, in the order of their first event
+	clock     uint64      // time of the current frame on the simulator's clock, in microseconds
 	reply     reply
 }
 
 func newHost() *host { return &host{instances: map[uint32]*instance{}} }
 
-// handle applies the events of a frame and collects the answers of their instances in the reply.
+// handle applies the events of a frame and collects the decisions of their instances in the reply.
 func (h *host) handle(frame []byte) error {
 	h.reply.reset()
 	h.touched = h.touched[:0]
@@ -77,6 +77,7 @@
 	return in.apply(e, in.now(h.clock))
 }
 
+// touch records that an instance has an event in the current frame.
 func (h *host) touch(in *instance) {
 	if in.isTouched {
 		return
@@ -85,7 +86,7 @@
 	h.touched = append(h.touched, in)
 }
 
-// open starts an instance. Settings that cannot be read fail the instance alone.
+// open starts an instance. If its settings cannot be read, only this instance fails, with a message to the simulator.
 func (h *host) open(e event) error {
 	text, err := e.tailField("BootInfo", 13, 1)
 	if err != nil {
@@ -110,7 +111,7 @@
 func (h *host) answer(in *instance) {
 	now := in.now(h.clock)
 	in.balancer.AdvanceClock(now)
-	if in.needsPoll && !in.isTimerSet { // after a failed poll not before the next round
+	if in.needsPoll && !in.isTimerSet { // a failed poll is not repeated before the timer fires
 		in.needsPoll = false
 		h.reply.addPollEndpointList(in.number)
 	}
@@ -125,10 +126,10 @@
 	}
 }
 
-// now is the time since the instance's start at a clock.
+// now returns the time from the instance's start to a time on the simulator's clock.
 func (in *instance) now(clock uint64) time.Duration { return microseconds(int64(clock - in.openedAt)) }
 
-// apply calls the balancer's input for an event.
+// apply calls the balancer's method for an event; now is the time since the instance's start.
 func (in *instance) apply(e event, now time.Duration) error {
 	b := in.balancer
 	switch e.code() {
@@ -158,6 +159,7 @@
 	return nil
 }
 
+// applyEndpointList updates the balancer's endpoints, or has an unavailable list polled again.
 func (in *instance) applyEndpointList(e event) error {
 	const modeAt = 5
 	encoded, err := e.tailField("Items", listEntriesAt, listEntrySize)
@@ -180,6 +182,7 @@
 	return nil
 }
 
+// applyMeasurement records the load of a session or the latency of an endpoint.
 func (in *instance) applyMeasurement(e event) {
 	switch e.record[20] {
 	case measurementLoad:
@@ -226,7 +229,7 @@
 	}
 	message, err := loadgossip.Decode(datagram)
 	if err != nil {
-		return nil // another balancer's fault must not end this one
+		return nil // an invalid message of another balancer is ignored
 	}
 	in.balancer.ReceiveGossip(int(e.uint32(5)), message)
 	return nil
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -9,7 +9,7 @@
 	"sabletally/policy"
 )
 
-// Codes of actions.
+// Codes of the actions in a reply.
 const (
 	actionStartAttempt     = 0
 	actionReject           = 1
@@ -22,14 +22,14 @@
 	actionMigrate          = 12
 )
 
-// toAllPeers is the receiver of a message to every other balancer.
+// toAllPeers addresses a gossip message to all other balancers.
 const toAllPeers = 0xffff
 
 // reply collects the records and the tail of one reply.
 type reply struct {
 	records []byte
 	tail    []byte
-	count   uint32 // of records
+	count   uint32 // number of records
 }
 
 func (r *reply) reset() {
@@ -50,7 +50,7 @@
 	return out.Flush()
 }
 
-// add appends a record and returns it for its fields, which are valid until the next one is added.
+// add appends a record and returns it for the caller to fill in. The slice is valid until the next record is added.
 func (r *reply) add(code byte, instance uint32) []byte {
 	var record [actionSize]byte
 	record[recordCodeAt] = code
@@ -67,26 +67,29 @@
 	return record
 }
 
-// appendTail appends bytes to the tail and has a field of a record point to them.
+// appendTail appends bytes to the tail and sets a field of a record to point to them.
 func (r *reply) appendTail(field []byte, bytes []byte) {
 	littleEndian.PutUint32(field, uint32(len(r.tail)))
 	littleEndian.PutUint32(field[4:], uint32(len(bytes)))
 	r.tail = append(r.tail, bytes...)
 }
 
-// addFailure has the simulator end an instance with a message.
+// addFailure adds an action that ends an instance in the simulator with an error message.
 func (r *reply) addFailure(instance uint32, message string) {
 	r.appendTail(r.add(actionFailInstance, instance)[5:], []byte(message))
 }
 
+// addPollEndpointList adds an action that asks the simulator for the endpoint list.
 func (r *reply) addPollEndpointList(instance uint32) {
 	r.add(actionPollEndpointList, instance)[5] = 1
 }
 
+// addTimer adds an action that sets a timer.
 func (r *reply) addTimer(instance uint32, delay time.Duration) {
 	littleEndian.PutUint32(r.add(actionSetTimer, instance)[9:], uint32(delay/time.Microsecond))
 }
 
+// addDecision adds the action for a decision. Gossip takes an action for each of its datagrams.
 func (r *reply) addDecision(instance uint32, decision policy.Decision) {
 	duration := uint32(max(0, min(decision.Duration/time.Microsecond, math.MaxUint32)))
 	switch decision.Action {
