--- a/internal/hclconfig/hclconfig.go
+++ b/internal/hclconfig/hclconfig.go
@@ -1,6 +1,6 @@
-// Package hclconfig reads HCL files that people write: blocks with typed attributes, each with its unit and bounds. It
-// reports everything that is wrong at once, by file, line and column, and owns the form of these messages. It must
-// never know what a file is about, and never replace a wrong value silently.
+// Package hclconfig reads configuration files in HCL: blocks with typed attributes that are checked against units and
+// bounds. It collects all errors of a file, each with file, line and column, and defines the form of these messages. It
+// knows nothing of what a file configures, and never replaces an invalid value without an error.
 package hclconfig
 
 import (
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
 }
 
-// Diagnostics are all errors in a file, in the order of the file.
+// Diagnostics are all errors in a file, ordered by line and column.
 type Diagnostics []Diagnostic
 
 func (f Diagnostics) Error() string {
@@ -38,15 +38,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// Reader collects the errors of one file.
+// Reader reads one file and collects its errors.
 type Reader struct{ Diagnostics Diagnostics }
 
-// Errorf adds an error at a place in the file.
+// Errorf adds an error at a position in the file.
 func (r *Reader) Errorf(where hcl.Range, format string, args ...any) {
 	r.Diagnostics = append(r.Diagnostics, Diagnostic{where.Filename, where.Start.Line, where.Start.Column, fmt.Sprintf(format, args...)})
 }
 
-// AddHCL adds the errors that the HCL library has found.
+// AddHCL adds the errors that the HCL library has reported.
 func (r *Reader) AddHCL(all hcl.Diagnostics) {
 	for _, d := range all {
 		where := hcl.Range{}
@@ -57,7 +57,7 @@
 	}
 }
 
-// Parse parses a file's text; path names it in messages. It returns nil if the text is not HCL.
+// Parse parses a file's text; path is its name in messages. It adds an error and returns nil if the text is not valid HCL.
 func (r *Reader) Parse(text []byte, path string) hcl.Body {
 	file, diags := hclparse.NewParser().ParseHCL(text, path)
 	r.AddHCL(diags)
@@ -67,7 +67,7 @@
 	return file.Body
 }
 
-// Err returns all errors in the order of the file as Diagnostics, nil if there are none.
+// Err returns all errors as Diagnostics, ordered by line and column, or nil if there are none.
 func (r *Reader) Err() error {
 	if len(r.Diagnostics) == 0 {
 		return nil
@@ -78,21 +78,23 @@
 	return r.Diagnostics
 }
 
-// FileStart returns the first place of a file.
+// FileStart returns the position of the first character of a file.
 func FileStart(path string) hcl.Range {
 	return hcl.Range{Filename: path, Start: hcl.Pos{Line: 1, Column: 1}}
 }
 
-// Block is one block of a file. Its methods return otherwise for an attribute that is absent or wrong.
+// Block is one block of a file. The methods that read an attribute return fallback if the attribute is absent or invalid; an
+// invalid one is added to the errors.
 type Block struct {
 	reader *Reader
-	name   string
+	name   string // name of the block in messages
 	Range  hcl.Range
 	attrs  hcl.Attributes
-	Blocks map[string][]*hcl.Block
+	Blocks map[string][]*hcl.Block // nested blocks by type
 }
 
-// Block opens a block, given the attributes (separated by spaces) and blocks that it may hold.
+// Block decodes a block. attrs (separated by spaces) and blocks are the attributes and nested blocks that it may have; any
+// others are errors.
 func (r *Reader) Block(name string, body hcl.Body, where hcl.Range, attrs string, blocks ...hcl.BlockHeaderSchema) *Block {
 	schema := &hcl.BodySchema{Blocks: blocks}
 	for _, a := range strings.Fields(attrs) {
@@ -110,12 +112,13 @@
 	return b
 }
 
-// Single returns the only block of a kind, nil if there is none; must makes that an error.
-func (b *Block) Single(kind string, must bool) *hcl.Block {
+// Single returns the only nested block of a type, or nil if there is none, which is an error if the block is required. A
+// second block of the type is an error.
+func (b *Block) Single(kind string, required bool) *hcl.Block {
 	all := b.Blocks[kind]
 	if len(all) == 0 {
-		if must {
-			b.reader.Errorf(b.Range, "%s wants a block %q", b.name, kind)
+		if required {
+			b.reader.Errorf(b.Range, "%s requires a block %q", b.name, kind)
 		}
 		return nil
 	}
@@ -132,12 +135,13 @@
 func (b *Block) Require(names ...string) {
 	for _, n := range names {
 		if !b.Has(n) {
-			b.reader.Errorf(b.Range, "%s wants %q", b.name, n)
+			b.reader.Errorf(b.Range, "%s requires the attribute %q", b.name, n)
 		}
 	}
 }
 
-// value returns an attribute's value; ok is false if it is absent or wrong.
+// value evaluates an attribute and returns its value with its position. It returns false if the attribute is absent, null or
+// not a constant expression.
 func (b *Block) value(name string) (cty.Value, hcl.Range, bool) {
 	a := b.attrs[name]
 	if a == nil {
@@ -152,119 +156,119 @@
 }
 
 // String reads a string, which has to be one of allowed if any are given.
-func (b *Block) String(name, otherwise string, allowed ...string) string {
+func (b *Block) String(name, fallback string, allowed ...string) string {
 	v, where, ok := b.value(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	if v.Type() != cty.String {
-		b.reader.Errorf(where, "%s: wants a text in quotes", name)
-		return otherwise
+		b.reader.Errorf(where, "%s: must be a quoted string", name)
+		return fallback
 	}
 	if s := v.AsString(); len(allowed) == 0 || slices.Contains(allowed, s) {
 		return s
 	}
 	b.reader.Errorf(where, "%s: %q is none of %s%s", name, v.AsString(), strings.Join(allowed, ", "), Suggestion(v.AsString(), allowed))
-	return otherwise
+	return fallback
 }
 
 // Bool reads a boolean.
-func (b *Block) Bool(name string, otherwise bool) bool {
+func (b *Block) Bool(name string, fallback bool) bool {
 	v, where, ok := b.value(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	if v.Type() != cty.Bool {
-		b.reader.Errorf(where, "%s: wants true or false", name)
-		return otherwise
+		b.reader.Errorf(where, "%s: must be true or false", name)
+		return fallback
 	}
 	return v.True()
 }
 
 // Number reads a number within bounds.
-func (b *Block) Number(name string, otherwise, minimum, maximum float64) float64 {
+func (b *Block) Number(name string, fallback, minimum, maximum float64) float64 {
 	v, where, ok := b.value(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	if v.Type() != cty.Number {
-		b.reader.Errorf(where, "%s: wants a number", name)
-		return otherwise
+		b.reader.Errorf(where, "%s: must be a number", name)
+		return fallback
 	}
 	n, _ := v.AsBigFloat().Float64()
 	if n < minimum || n > maximum {
 		b.reader.Errorf(where, "%s: %v lies outside %v to %v", name, n, minimum, maximum)
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
 // Int reads an integer within bounds.
-func (b *Block) Int(name string, otherwise, minimum, maximum int) int {
-	n := b.Number(name, float64(otherwise), float64(minimum), float64(maximum))
+func (b *Block) Int(name string, fallback, minimum, maximum int) int {
+	n := b.Number(name, float64(fallback), float64(minimum), float64(maximum))
 	if n != float64(int(n)) {
 		_, where, _ := b.value(name)
-		b.reader.Errorf(where, "%s: %v is no whole number", name, n)
-		return otherwise
+		b.reader.Errorf(where, "%s: %v is not a whole number", name, n)
+		return fallback
 	}
 	return int(n)
 }
 
-// Duration reads a duration within bounds, which has to have a unit.
-func (b *Block) Duration(name string, otherwise, minimum, maximum time.Duration) time.Duration {
+// Duration reads a duration within bounds: a string of a number and a unit.
+func (b *Block) Duration(name string, fallback, minimum, maximum time.Duration) time.Duration {
 	v, where, ok := b.value(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
-	return b.parseDuration(name, v, where, otherwise, minimum, maximum)
+	return b.parseDuration(name, v, where, fallback, minimum, maximum)
 }
 
-func (b *Block) parseDuration(name string, v cty.Value, where hcl.Range, otherwise, minimum, maximum time.Duration) time.Duration {
+func (b *Block) parseDuration(name string, v cty.Value, where hcl.Range, fallback, minimum, maximum time.Duration) time.Duration {
 	if v.Type() == cty.Number {
 		n, _ := v.AsBigFloat().Float64()
-		b.reader.Errorf(where, `%s: %v has no unit; wants a time such as "%vms" or "%vs"`, name, n, n, n)
-		return otherwise
+		b.reader.Errorf(where, `%s: %v has no unit; must be a duration such as "%vms" or "%vs"`, name, n, n, n)
+		return fallback
 	}
 	if v.Type() != cty.String {
-		b.reader.Errorf(where, `%s: wants a time such as "250ms"`, name)
-		return otherwise
+		b.reader.Errorf(where, `%s: must be a duration such as "250ms"`, name)
+		return fallback
 	}
 	d, err := time.ParseDuration(v.AsString())
 	switch {
 	case err != nil:
-		b.reader.Errorf(where, `%s: %q is no time; wants one such as "250ms", "1.5s" or "2m"`, name, v.AsString())
+		b.reader.Errorf(where, `%s: %q is not a duration such as "250ms", "1.5s" or "2m"`, name, v.AsString())
 	case d < minimum || d > maximum:
 		b.reader.Errorf(where, "%s: %v lies outside %v to %v", name, d, minimum, maximum)
 	default:
 		return d
 	}
-	return otherwise
+	return fallback
 }
 
-// DurationRange reads a range of durations: ["200ms", "1s"].
-func (b *Block) DurationRange(name string, otherwise [2]time.Duration, maximum time.Duration) [2]time.Duration {
+// DurationRange reads a range of durations, such as ["200ms", "1s"].
+func (b *Block) DurationRange(name string, fallback [2]time.Duration, maximum time.Duration) [2]time.Duration {
 	v, where, ok := b.value(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	if !v.Type().IsTupleType() || v.LengthInt() != 2 {
-		b.reader.Errorf(where, `%s: wants two times, such as ["200ms", "1s"]`, name)
-		return otherwise
+		b.reader.Errorf(where, `%s: must be a list of two durations, such as ["200ms", "1s"]`, name)
+		return fallback
 	}
 	both := v.AsValueSlice()
-	out := [2]time.Duration{b.parseDuration(name, both[0], where, otherwise[0], 0, maximum), b.parseDuration(name, both[1], where, otherwise[1], 0, maximum)}
+	out := [2]time.Duration{b.parseDuration(name, both[0], where, fallback[0], 0, maximum), b.parseDuration(name, both[1], where, fallback[1], 0, maximum)}
 	if out[0] > out[1] {
 		b.reader.Errorf(where, "%s: %v is longer than %v", name, out[0], out[1])
-		return otherwise
+		return fallback
 	}
 	return out
 }
 
-// Fraction reads a fraction: "30%", or a number from 0 to 1.
-func (b *Block) Fraction(name string, otherwise float64) float64 {
+// Fraction reads a fraction: a percentage such as "30%", or a number from 0 to 1.
+func (b *Block) Fraction(name string, fallback float64) float64 {
 	v, where, ok := b.value(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	n := -1.0
 	switch v.Type() {
@@ -278,39 +282,40 @@
 		}
 	}
 	if n < 0 || n > 1 {
-		b.reader.Errorf(where, `%s: wants a share such as "30%%", or a number from 0 to 1`, name)
-		return otherwise
+		b.reader.Errorf(where, `%s: must be a percentage such as "30%%", or a number from 0 to 1`, name)
+		return fallback
 	}
 	return n
 }
 
-// UintList reads a list of distinct integers of maxItems at most.
-func (b *Block) UintList(name string, otherwise []uint64, maxItems int) []uint64 {
+// UintList reads a list of 1 to maxItems distinct unsigned integers.
+func (b *Block) UintList(name string, fallback []uint64, maxItems int) []uint64 {
 	v, where, ok := b.value(name)
 	if !ok {
-		return otherwise
+		return fallback
 	}
 	if !v.Type().IsTupleType() || v.LengthInt() == 0 || v.LengthInt() > maxItems {
-		b.reader.Errorf(where, "%s: wants a list of 1 to %d whole numbers, such as [1, 2, 3]", name, maxItems)
-		return otherwise
+		b.reader.Errorf(where, "%s: must be a list of 1 to %d whole numbers, such as [1, 2, 3]", name, maxItems)
+		return fallback
 	}
 	var all []uint64
 	for _, one := range v.AsValueSlice() {
 		if one.IsNull() || one.Type() != cty.Number {
-			b.reader.Errorf(where, "%s: wants whole numbers", name)
-			return otherwise
+			b.reader.Errorf(where, "%s: must hold only whole numbers", name)
+			return fallback
 		}
 		n, exact := one.AsBigFloat().Uint64()
 		if exact != 0 || slices.Contains(all, n) {
-			b.reader.Errorf(where, "%s: wants whole numbers, each once", name)
-			return otherwise
+			b.reader.Errorf(where, "%s: must hold only whole numbers from 0, each once", name)
+			return fallback
 		}
 		all = append(all, n)
 	}
 	return all
 }
 
-// StringList reads a list of distinct strings of maxItems at most, with the place of each.
+// StringList reads a list of 1 to maxItems distinct strings, with the position of each. It returns nil if the attribute is absent
+// or not such a list; invalid items are left out.
 func (b *Block) StringList(name string, maxItems int) (items []string, places []hcl.Range) {
 	a := b.attrs[name]
 	if a == nil {
@@ -318,7 +323,7 @@
 	}
 	expressions, diags := hcl.ExprList(a.Expr)
 	if diags.HasErrors() || len(expressions) == 0 || len(expressions) > maxItems {
-		b.reader.Errorf(a.Expr.Range(), "%s: wants a list of 1 to %d texts", name, maxItems)
+		b.reader.Errorf(a.Expr.Range(), "%s: must be a list of 1 to %d strings", name, maxItems)
 		return nil, nil
 	}
 	for _, expression := range expressions {
@@ -327,9 +332,9 @@
 		case diags.HasErrors():
 			b.reader.AddHCL(diags)
 		case v.IsNull() || v.Type() != cty.String:
-			b.reader.Errorf(expression.Range(), "%s: wants texts in quotes", name)
+			b.reader.Errorf(expression.Range(), "%s: must hold only quoted strings", name)
 		case slices.Contains(items, v.AsString()):
-			b.reader.Errorf(expression.Range(), "%s: %q stands twice", name, v.AsString())
+			b.reader.Errorf(expression.Range(), "%s: %q is listed twice", name, v.AsString())
 		default:
 			items = append(items, v.AsString())
 			places = append(places, expression.Range())
@@ -338,7 +343,7 @@
 	return items, places
 }
 
-// AttributeRange returns the place of an attribute's value, or of the block if it is absent.
+// AttributeRange returns the position of an attribute's value, or of the block if the attribute is absent.
 func (b *Block) AttributeRange(name string) hcl.Range {
 	if a := b.attrs[name]; a != nil {
 		return a.Expr.Range()
@@ -346,10 +351,11 @@
 	return b.Range
 }
 
-// maxSuggestionDistance is the largest edit distance of a misspelled name.
+// maxSuggestionDistance is the largest edit distance at which a known name is suggested for a misspelled one.
 const maxSuggestionDistance = 2
 
-// Suggestion names the known name that a misspelled one is likely to mean, as the end of a message; "" if there is none.
+// Suggestion returns the end of an error message that suggests the allowed name closest to a misspelled one, or "" if none is
+// close enough.
 func Suggestion(name string, allowed []string) string {
 	best, smallest := "", maxSuggestionDistance+1
 	for _, a := range allowed {
@@ -363,7 +369,7 @@
 	return fmt.Sprintf("; did you mean %q?", best)
 }
 
-// editDistance is the Levenshtein distance.
+// editDistance returns the Levenshtein distance of two strings in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -64,15 +64,15 @@
 // TestParseRejectsBadFiles checks the position and the text of each error.
 func TestParseRejectsBadFiles(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{`length = "10s"`, `length = 10`, `f.hcl:3:12: length: 10 has no unit; wants a time such as "10ms" or "10s"`},
-		{`length = "10s"`, `length = "10"`, `f.hcl:3:12: length: "10" is no time; wants one such as "250ms"`},
+		{`length = "10s"`, `length = 10`, `f.hcl:3:12: length: 10 has no unit; must be a duration such as "10ms" or "10s"`},
+		{`length = "10s"`, `length = "10"`, `f.hcl:3:12: length: "10" is not a duration such as "250ms"`},
 		{`length = "10s"`, `length = "0s"`, "f.hcl:3:12: length: 0s lies outside 1s to 1h0m0s"},
-		{`length = "10s"`, ``, `f.hcl:1:1: experiment wants "length"`},
+		{`length = "10s"`, ``, `f.hcl:1:1: experiment requires the attribute "length"`},
 		{`length = "10s"`, `lenght = "10s"`, `f.hcl:3:3: Unsupported argument: An argument named "lenght" is not expected here. Did you mean "length"?`}, //nolint:misspell // the misspelling is the case
 		{`"sockets"`, `"socket"`, `f.hcl:2:12: mode: "socket" is none of sockets, virtual; did you mean "sockets"?`},
-		{`count = 3`, `count = 3.5`, "f.hcl:6:26: count: 3.5 is no whole number"},
+		{`count = 3`, `count = 3.5`, "f.hcl:6:26: count: 3.5 is not a whole number"},
 		{`count = 3`, `count = 0`, "f.hcl:6:26: count: 0 lies outside 1 to 200"},
-		{`count = 3`, `count = "x"`, "f.hcl:6:26: count: wants a number"},
+		{`count = 3`, `count = "x"`, "f.hcl:6:26: count: must be a number"},
 		{`server "std" { count = 3 }`, ``, `f.hcl:5:1: world: wants 1 to 200 servers (blocks "server"), has 0`},
 		{`rate = 5`, ``, "f.hcl:8:1: load: nobody comes"},
 		{`rate = 5`, `standing = 5`, "f.hcl:8:1: load: standing clients want a time to come in: fill"},
@@ -82,15 +82,15 @@
 		{"load {", "load {}\nload {", `f.hcl:9:1: a second block "load"; the first is in line 8`},
 		{"}\nload", "}\nfault \"drian\" {}\nload", `f.hcl:8:7: fault "drian" is none of`},
 		{"}\nload", "}\nfault \"drian\" {}\nload", `did you mean "drain"?`},
-		{"}\nload", "}\nfault \"crash\" {\n  at = \"1s\"\n  for = \"1s\"\n}\nload", `f.hcl:8:1: fault "crash" wants "part"`},
-		{"}\nload", "}\nfault \"crash\" {\n  at = \"1s\"\n  for = \"1s\"\n  part = \"300%\"\n}\nload", `f.hcl:11:10: part: wants a share such as "30%"`},
+		{"}\nload", "}\nfault \"crash\" {\n  at = \"1s\"\n  for = \"1s\"\n}\nload", `f.hcl:8:1: fault "crash" requires the attribute "part"`},
+		{"}\nload", "}\nfault \"crash\" {\n  at = \"1s\"\n  for = \"1s\"\n  part = \"300%\"\n}\nload", `f.hcl:11:10: part: must be a percentage such as "30%"`},
 		{"}\nload", "}\nfault \"crash\" {\n  at = \"11s\"\n  for = \"1s\"\n  part = 1\n}\nload", "f.hcl:9:8: at: 11s lies outside 0s to 10s"},
 		{"}\nload", "}\narm \"a\" {\n  policy = \"ours\"\n  broken = \"two-tries\"\n}\nload", `f.hcl:8:1: arm "a": policy, binary and broken rule each other out`},
 		{"}\nload", "}\narm \"a\" {}\narm \"a\" {}\nload", `f.hcl:9:1: arm "a" stands twice`},
 		{"}\nload", "}\narm \"a\" {\n  policy = \"hsah\"\n}\nload", `f.hcl:9:12: policy: "hsah" is none of ours, random, least, hash; did you mean "hash"?`},
 		{`"sockets"`, `"virtual"`, ""},
-		{"\"sockets\"\n", "\"virtual\"\n  seeds = [1, 1]\n", "f.hcl:3:11: seeds: wants whole numbers, each once"},
-		{"\"sockets\"\n", "\"sockets\"\n  seeds = [1, -1]\n", "f.hcl:3:11: seeds: wants whole numbers"},
+		{"\"sockets\"\n", "\"virtual\"\n  seeds = [1, 1]\n", "f.hcl:3:11: seeds: must hold only whole numbers from 0, each once"},
+		{"\"sockets\"\n", "\"sockets\"\n  seeds = [1, -1]\n", "f.hcl:3:11: seeds: must hold only whole numbers"},
 		{"server", "notice = [\"2s\", \"1s\"]\n  server", "f.hcl:6:12: notice: 2s is longer than 1s"},
 		{"server", "outer_limit = \"100ms\"\n  server", "world: the outer limit 100ms is shorter than the set-up goal 300ms"},
 		{"server", "grade \"g\" { effect = \"idem\" }\n  server", `effect: "idem" is none of deduplicated, idempotent, unrepeatable`},
@@ -113,8 +113,8 @@
 	if !errors.As(err, &faults) || len(faults) < 4 || faults[0].Line != 3 || faults[len(faults)-1].Line < 9 {
 		t.Errorf("%v", err)
 	}
-	if _, err := Parse([]byte("experiment {\n  mode = 5\n}\n"), "f.hcl"); err == nil || !strings.Contains(err.Error(), "f.hcl:2:10: mode: wants a text") ||
-		!strings.Contains(err.Error(), `wants a block "world"`) {
+	if _, err := Parse([]byte("experiment {\n  mode = 5\n}\n"), "f.hcl"); err == nil || !strings.Contains(err.Error(), "f.hcl:2:10: mode: must be a quoted string") ||
+		!strings.Contains(err.Error(), `requires a block "world"`) {
 		t.Errorf("%v", err)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none.hcl")); !os.IsNotExist(err) {
