--- a/internal/deployment/golden_test.go
+++ b/internal/deployment/golden_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-var updateGolden = flag.Bool("update", false, "write testdata/*.golden from the present build")
+var updateGolden = flag.Bool("update", false, "write testdata/*.golden from the current build")
 
-// compareGolden compares a text with a file in testdata that an earlier build wrote.
+// compareGolden compares a text with a golden file that an earlier build wrote.
 func compareGolden(t *testing.T, file, text string) {
 	t.Helper()
 	if *updateGolden {
@@ -25,11 +25,11 @@
 		t.Fatal(err)
 	}
 	if text != string(want) {
-		t.Errorf("%s: is\n%swas\n%s", file, text, want)
+		t.Errorf("%s: got\n%swant\n%s", file, text, want)
 	}
 }
 
-// describe writes every field of a Deployment by names of its own.
+// describe formats every field of settings, under names that do not depend on those of the fields.
 func describe(d *Settings) string {
 	var text strings.Builder
 	line := func(name string, value any) { fmt.Fprintf(&text, "%s: %v\n", name, value) }
@@ -53,8 +53,8 @@
 	line("wanted nines", p.TargetNines)
 	line("load reports when polled", p.HasLoadReports)
 	line("load reports of the servers", p.HasEndpointReports)
-	for n, g := range p.Classes {
-		line(fmt.Sprintf("class %d", n), fmt.Sprint(uint8(g.Idempotency), uint8(g.KeyScope), g.KeyTTL, g.SetupObjective, g.MessageObjective, g.PriorityWeight))
+	for n, class := range p.Classes {
+		line(fmt.Sprintf("class %d", n), fmt.Sprint(uint8(class.Idempotency), uint8(class.KeyScope), class.KeyTTL, class.SetupObjective, class.MessageObjective, class.PriorityWeight))
 	}
 	for n, tenant := range p.Tenants {
 		line(fmt.Sprintf("tenant %d", n), tenant.ConnectionQuota)
@@ -71,7 +71,8 @@
 	return text.String()
 }
 
-// TestSettingsAreReadAsBefore reads settings with every key.
+// TestSettingsAreReadAsBefore guards against a key of the settings that is read otherwise than by earlier builds. The file has every
+// key.
 func TestSettingsAreReadAsBefore(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
@@ -84,24 +85,25 @@
 	compareGolden(t, "testdata/settings.golden", describe(d))
 }
 
-// TestNodeFilesAreReadAsBefore reads a node file, alone, under variables that win over it, and in the place of another.
+// TestNodeFilesAreReadAsBefore guards against a key of the node file that is read otherwise than by earlier builds: at the start, with
+// environment variables that override it, and at a reload.
 func TestNodeFilesAreReadAsBefore(t *testing.T) {
 	var text strings.Builder
 	var inForce *NodeConfig
 	for _, c := range []struct {
-		name string
-		env  map[string]string
-		was  bool
+		name     string
+		env      map[string]string
+		isReload bool
 	}{
 		{"alone", nil, false},
 		{"under variables", map[string]string{"EDGE_NAME": "other", "EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2", "EDGE_MGMT": "127.0.0.1:3"}, false},
 		{"in the place of another", map[string]string{"EDGE_DISCOVERY": "127.0.0.1:2"}, true},
 	} {
 		previous := inForce
-		if !c.was {
+		if !c.isReload {
 			previous = nil
 		}
-		s, err := ReadNodeConfig(func(key string) string {
+		config, err := ReadNodeConfig(func(key string) string {
 			if key == "EDGE_CONFIG" {
 				return "testdata/node.json"
 			}
@@ -110,19 +112,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		inForce = s
+		inForce = config
 		fmt.Fprintf(&text, "%s: name %s, listen %s, discovery %s, mgmt %s, seed %d, cores %v, memory %d, sockets %d, gossip at %v to %v, fixed %q, "+
-			"revision %d, whole %v\n", c.name, s.Name, s.Listen, s.Discovery, s.Admin, s.Seed, s.Cores, s.MemoryMB, s.MaxSockets, s.Gossip.Listen, s.Gossip.Peers,
-			s.StartupOnly, s.InitialEndpoints.Revision, s.InitialEndpoints.Complete)
-		for _, server := range s.InitialEndpoints.Endpoints {
+			"revision %d, whole %v\n", c.name, config.Name, config.Listen, config.Discovery, config.Admin, config.Seed, config.Cores, config.MemoryMB, config.MaxSockets, config.Gossip.Listen, config.Gossip.Peers,
+			config.StartupOnly, config.InitialEndpoints.Revision, config.InitialEndpoints.Complete)
+		for _, server := range config.InitialEndpoints.Endpoints {
 			fmt.Fprintln(&text, server.UID, server.Address, server.Zone, server.FailureDomain, server.MachineType, uint8(server.State), server.Weight, server.StartedAt.UnixMilli())
 		}
-		text.WriteString(describe(s.Settings))
+		text.WriteString(describe(config.Settings))
 	}
 	compareGolden(t, "testdata/node.golden", text.String())
 }
 
-// TestBadSettingsAreNamedAsBefore holds the errors that operators read.
+// TestBadSettingsAreNamedAsBefore guards the error messages that operators see for invalid settings and node files, at the start and
+// at a reload.
 func TestBadSettingsAreNamedAsBefore(t *testing.T) {
 	settings, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
@@ -163,13 +166,13 @@
 				return ""
 			}
 		}
-		was, err := ReadNodeConfig(env("testdata/node.json"), nil)
+		previous, err := ReadNodeConfig(env("testdata/node.json"), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, atStart := ReadNodeConfig(env(file), nil)
-		_, later := ReadNodeConfig(env(file), was)
-		fmt.Fprintf(&text, "%s for %s: at the start: %v; later: %v\n", change[1], change[0], atStart, later)
+		_, startErr := ReadNodeConfig(env(file), nil)
+		_, reloadErr := ReadNodeConfig(env(file), previous)
+		fmt.Fprintf(&text, "%s for %s: at the start: %v; later: %v\n", change[1], change[0], startErr, reloadErr)
 	}
 	compareGolden(t, "testdata/errors.golden", text.String())
 }
--- a/internal/deployment/settings_test.go
+++ b/internal/deployment/settings_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestDurationsOfAnySizeAreRead has durations that mean "for ever": no sum of two may overflow.
+// TestDurationsOfAnySizeAreRead reads durations up to the largest integer, which operators use for "no limit". It guards against
+// durations that overflow to a negative one, or whose sum of two would.
 func TestDurationsOfAnySizeAreRead(t *testing.T) {
 	for _, duration := range []string{"0", "1", "9000000000000000", "9223372036854775807"} {
 		d, err := ParseSettings(fmt.Appendf(nil, `{"PeersTotal":1,"Zone":0,"RegistryMode":"pushed","ServiceGrades":[{"Name":"feed","Effect":"read_like",
@@ -15,10 +16,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := d.Policy.Classes[0]
-		for _, got := range []time.Duration{d.Deadlines[0], d.ConnectTimeout, g.SetupObjective, g.MessageObjective, g.KeyTTL, d.Policy.SlowStartWindow, d.Policy.MaxRetryAfter} {
+		class := d.Policy.Classes[0]
+		for _, got := range []time.Duration{d.Deadlines[0], d.ConnectTimeout, class.SetupObjective, class.MessageObjective, class.KeyTTL, d.Policy.SlowStartWindow, d.Policy.MaxRetryAfter} {
 			if got < 0 || got > maxDuration || (got == 0) != (duration == "0") {
-				t.Errorf("%s microseconds are %v", duration, got)
+				t.Errorf("%s microseconds were read as %v", duration, got)
 			}
 		}
 	}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -11,12 +11,12 @@
 	"testing"
 )
 
-var updateGolden = flag.Bool("update", false, "write testdata/frames.golden from the present build")
+var updateGolden = flag.Bool("update", false, "write testdata/frames.golden from the current build")
 
 const goldenFile = "testdata/frames.golden"
 
-// everySetting lets an instance use every action of the wire.
-const everySetting = `{"PeersTotal": 3, "Me": 1, "Zone": 0, "RegistryMode": "on_request", "Weights": "nominal", "ExcessUtility": 0.5,
+// allFeatures are settings under which an instance uses every action of the protocol.
+const allFeatures = `{"PeersTotal": 3, "Me": 1, "Zone": 0, "RegistryMode": "on_request", "Weights": "nominal", "ExcessUtility": 0.5,
  "ServiceGrades": [{"Name": "read", "Effect": "read_like", "Group": "all", "LatencyGoalUs": 300000, "OuterLimitUs": 2000000, "Utility": 1.0},
   {"Name": "write", "Effect": "non_idempotent", "LatencyGoalUs": 200000, "Utility": 4.0}],
  "Accounts": [{"Name": "a"}, {"Name": "b"}], "Specifics": {"MessageAimUs": [100000, 90000], "TenantQuotaConnections": [2, 9]},
@@ -24,23 +24,23 @@
  "Report": {"Fields": ["x0", "x1", "cpu"], "How": "probe"}, "Prices": {"CrossZone": 0.05},
  "Limits": {"MostSetupTries": 3, "MaxRetryAfterUs": 1000000, "RetryAfter": true, "Probes": true, "Peers": true}}`
 
-// goldenFrames are frames with a record of every event.
+// goldenFrames returns frames that together have a record of every event.
 func goldenFrames() [][]byte {
 	const (
 		second   = "0b 03000000 c5913a5d24e80400 01000000 0000 00 650ad2557c3bf091 00000000 0000000000000000 80841e00"
 		write    = "0b 03000000 c6913a5d24e80400 01000000 0100 01 660ad2557c3bf091 e02e0000 107cf3d901648e2b 80841e00"
-		handover = "09 03000000 0100000000000000 00000000 0100000000000000 0000000000000000 0a124a07 5b1b 80a90300"
+		adopted  = "09 03000000 0100000000000000 00000000 0100000000000000 0000000000000000 0a124a07 5b1b 80a90300"
 		endpoint = "0a124a07 5b1b"
 	)
 	datagram := []byte{1, 2, 3, 4, 0, 0, 0, 0, 0x80, 0x3f, 0x10, 0x90}
 	frames := [][]byte{
 		frame(900_000, nil),
-		boot(strings.Replace(everySetting, `"Probes": true`, `"Probes": false`, 1)),
+		openFrame(strings.Replace(allFeatures, `"Probes": true`, `"Probes": false`, 1)),
 		frame(1_100_000, nil, write),
 		frame(1_200_000, nil, "04 03000000 c6913a5d24e80400 "+endpoint+" 00 00 f6010000 9801 00"),
 		frame(1_300_000, nil, "01 03000000"),
 	}
-	frames = append(frames, boot(everySetting), frame(1_100_000, nil, sessionEvent, second, write, handover))
+	frames = append(frames, openFrame(allFeatures), frame(1_100_000, nil, sessionEvent, second, write, adopted))
 	frames = append(frames,
 		frame(1_120_000, nil, "05 03000000 "+endpoint+" c800 00000000 03 cdcc4c3e 0000003f cdcccc3e"),
 		frame(1_130_000, nil, "05 03000000 0a9011f2841b c800 00000000 03 cdcc4c3e 0000003f cdcccc3e"),
@@ -57,30 +57,30 @@
 		frame(1_500_000, nil, "02 03000000 00"),
 		frame(4_000_000, nil, "07 03000000 4d000000"),
 	)
-	drained, err := hex.DecodeString("0a124a075b1b000000000000020000803f0000000000000000")
+	drainingEntry, err := hex.DecodeString("0a124a075b1b000000000000020000803f0000000000000000")
 	if err != nil {
 		panic(err)
 	}
-	frames = append(frames, frame(4_500_000, drained, "02 03000000 04 2900000000000000 00000000 01000000"))
+	frames = append(frames, frame(4_500_000, drainingEntry, "02 03000000 04 2900000000000000 00000000 01000000"))
 	for n := range 12 {
 		frames = append(frames, frame(uint64(4_750_000+250_000*n), nil, "07 03000000 4d000000"))
 	}
-	gone, err := hex.DecodeString("0a124a075b1b000000000000010000803f0000000000000000" + "0a9011f2841b000000000000010000803f0000000000000000")
+	removedEntries, err := hex.DecodeString("0a124a075b1b000000000000010000803f0000000000000000" + "0a9011f2841b000000000000010000803f0000000000000000")
 	if err != nil {
 		panic(err)
 	}
 	third := strings.Replace(second, "c591", "c791", 1)
-	frames = append(frames, frame(8_000_000, gone, "02 03000000 01 2900000000000000 00000000 02000000", third))
-	frames = append(frames, boot("not json"), frame(9_000_000, nil, "01 03000000"))
+	frames = append(frames, frame(8_000_000, removedEntries, "02 03000000 01 2900000000000000 00000000 02000000", third))
+	frames = append(frames, openFrame("not json"), frame(9_000_000, nil, "01 03000000"))
 	return frames
 }
 
-// replies splits the output of Serve.
+// replies splits the output of Serve into replies.
 func replies(t *testing.T, out []byte) [][]byte {
 	var all [][]byte
 	for len(out) > 0 {
 		if len(out) < replyHeaderSize {
-			t.Fatalf("%d bytes are no reply", len(out))
+			t.Fatalf("output ends with %d bytes, too few for a reply", len(out))
 		}
 		size := int(binary.LittleEndian.Uint32(out))
 		all = append(all, out[:size])
@@ -89,7 +89,8 @@
 	return all
 }
 
-// TestFramesAreAnsweredAsBefore has a record of every event answered by the same bytes as by the build that wrote testdata.
+// TestFramesAreAnsweredAsBefore guards against a reply that differs in any byte from that of the build that wrote testdata. The frames
+// have a record of every event and lead to every action.
 func TestFramesAreAnsweredAsBefore(t *testing.T) {
 	if *updateGolden {
 		in := goldenFrames()
@@ -134,7 +135,7 @@
 	seen := map[byte]bool{}
 	for n, reply := range got {
 		if hex.EncodeToString(reply) != want[n] {
-			t.Errorf("reply %d is  %x\nwas %s", n, reply, want[n])
+			t.Errorf("reply %d: got  %x\nwant %s", n, reply, want[n])
 		}
 		records := int(binary.LittleEndian.Uint32(reply[4:]))
 		for i := range records {
@@ -143,7 +144,7 @@
 	}
 	for _, code := range []byte{0, 1, 2, 4, 5, 7, 9, 10, 12} {
 		if !seen[code] {
-			t.Errorf("no reply holds an action %d", code)
+			t.Errorf("no reply has action %d", code)
 		}
 	}
 }
