--- a/cmd/sabletally/commands.go
+++ b/cmd/sabletally/commands.go
@@ -11,10 +11,11 @@
 	"sabletally/internal/hclconfig"
 )
 
-// callTimeout bounds a command's call to a process's operators' address, which answers within a second.
+// callTimeout bounds a command's HTTP request to a process's operators' address. Processes respond within a second.
 const callTimeout = 5 * time.Second
 
-// commands are the program's commands: what an operator asks of files and of running processes. Only put and control change anything.
+// commands declares the command line for kong. Only put and control have side effects; the other commands read files or ask running
+// processes.
 type commands struct {
 	Fleet struct {
 		Check   checkCmd   `cmd:"" help:"Reads the fleet's file and names each fault by file, line and column."`
@@ -26,17 +27,17 @@
 	} `cmd:"" help:"The other balancers, and what is held for them."`
 }
 
-// roleError is a fleet file of another role than the command needs.
+// roleError reports a fleet file whose role does not fit the command.
 type roleError struct{ message string }
 
 func (e *roleError) Error() string { return e.message }
 
-// command runs a command and returns the program's exit code.
-func command(args []string) int {
+// runCommand parses the arguments, runs the command that they name and returns the exit code of the process.
+func runCommand(args []string) int {
 	parser, err := kong.New(&commands{}, kong.Name("sabletally"), kong.UsageOnError(),
 		kong.Description("Without arguments, the balancer: it is told by its environment what it is (see the README)."))
 	if err != nil {
-		panic(err) // the tags of commands are wrong
+		panic(err) // the struct tags of commands are invalid
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
@@ -44,8 +45,8 @@
 		return exitUsage
 	}
 	if err := ctx.Run(); err != nil {
-		eachFault(err, func(err error) { fmt.Fprintln(os.Stderr, err) })
-		if isFaultyFile(err) {
+		forEachError(err, func(err error) { fmt.Fprintln(os.Stderr, err) })
+		if isInvalidFile(err) {
 			return exitUsage
 		}
 		return exitFailed
@@ -53,8 +54,8 @@
 	return exitOK
 }
 
-// isFaultyFile reports whether a command failed because of a faulty file.
-func isFaultyFile(err error) bool {
+// isInvalidFile reports whether a command failed because of an invalid fleet file.
+func isInvalidFile(err error) bool {
 	if _, is := errors.AsType[*roleError](err); is {
 		return true
 	}
@@ -62,13 +63,13 @@
 	return is
 }
 
-// eachFault calls a function with each fault of a file, or with any other error itself.
-func eachFault(err error, report func(error)) {
-	faults, is := errors.AsType[hclconfig.Diagnostics](err)
+// forEachError calls report with each error in an invalid file, or with err itself if it is of another kind.
+func forEachError(err error, report func(error)) {
+	diagnostics, is := errors.AsType[hclconfig.Diagnostics](err)
 	if !is {
 		report(err)
 	}
-	for _, fault := range faults {
-		report(fault)
+	for _, diagnostic := range diagnostics {
+		report(diagnostic)
 	}
 }
--- a/cmd/sabletally/control.go
+++ b/cmd/sabletally/control.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	handOverTimeout = 5 * time.Second // for others to take over what a control process holds
-	maxAdminConns   = 64
+	handOverTimeout = 5 * time.Second // time for other members to take over the replicas of a control process that ends
+	maxAdminConns   = 64              // limit of connections at the operators' address
 )
 
 type controlCmd struct {
@@ -25,14 +25,15 @@
 	Name string `help:"Its name in the others' reports; none: its machine's."`
 }
 
-// Run runs a control process: one of the few that balancers follow, without a balancer in it.
+// Run runs a control process until it is told to end. It is a member of the fleet that has no balancer and publishes the fleet's state
+// for balancers to follow.
 func (c controlCmd) Run() error {
 	file, err := config.Read(c.File)
 	if err != nil {
 		return err
 	}
 	if file.Role != config.RoleControl {
-		return &roleError{fmt.Sprintf("%s: role %q is no control process's: wants role = %q", c.File, file.Role, config.RoleControl)}
+		return &roleError{fmt.Sprintf("%s: role %q is not for a control process: requires role = %q", c.File, file.Role, config.RoleControl)}
 	}
 	name := c.Name
 	if name == "" {
@@ -54,7 +55,7 @@
 		}
 		defer server.Close()
 		go server.Serve()
-		log.Info("fleet: control process answers operators", zap.String("mgmt", server.Addr()))
+		log.Info("fleet: control process serves operators' requests", zap.String("mgmt", server.Addr()))
 	}
 	<-terminate
 	member.HandOver(handOverTimeout)
--- a/cmd/sabletally/control_handler.go
+++ b/cmd/sabletally/control_handler.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	changeTimeout = 4 * time.Second // below callTimeout
+	changeTimeout = 4 * time.Second // below callTimeout, so that a command gets the response
 	itemPath      = "/control/" + shardmap.ConfigPrefix
-	versionHeader = "Sabletally-Version"
+	versionHeader = "Sabletally-Version" // HTTP header with the version of the published state
 )
 
-// controlHandler serves what operators ask of a control process: its report, whether it is ready, and the items of configuration.
+// controlHandler serves the operators' requests to a control process: its report, its readiness, and the items of configuration.
 func controlHandler(member *fleet.Fleet) http.Handler {
 	h := controlAPI{member}
 	mux := http.NewServeMux()
@@ -31,7 +31,7 @@
 	return mux
 }
 
-// controlAPI is the handlers. Nothing is to be done about a response that can't be written: its client has gone.
+// controlAPI has the HTTP handlers. They ignore errors in writing a response: its client has gone.
 type controlAPI struct{ member *fleet.Fleet }
 
 func (a controlAPI) report(w http.ResponseWriter, _ *http.Request) {
@@ -74,8 +74,8 @@
 	_, _ = fmt.Fprintf(w, "%d\n", result.Version)
 }
 
-// parseChange reads a change of an item. The body is its value; ?op= names the operation, and ?if= the version of the item that has to
-// be in force.
+// parseChange reads a change of an item from a request. The body is the item's value, ?op= the operation's ID (a random one if absent),
+// and ?if= the version that the item must have for the change to take effect.
 func parseChange(w http.ResponseWriter, r *http.Request) (shardmap.Put, error) {
 	query := r.URL.Query()
 	put := shardmap.Put{
--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -153,7 +153,7 @@
 	m.waitWithin("all are current again", 2*bound, all)
 	m.everywhere(2, "config/limits", "seven")
 	for _, address := range []string{m.balancers[0].AdminAddr, m.control[1].AdminAddr} {
-		if code := command([]string{"fleet", "status", address}); code != 0 {
+		if code := runCommand([]string{"fleet", "status", address}); code != 0 {
 			t.Errorf("status of %s: exit %d", address, code)
 		}
 	}
@@ -168,7 +168,7 @@
 		{[]string{"get", m.control[3].AdminAddr, "config/none"}, 1},
 		{[]string{"put", m.control[0].AdminAddr, "config/by-hand", "--gone"}, 0},
 	} {
-		if code := command(append([]string{"fleet"}, c.args...)); code != c.code {
+		if code := runCommand(append([]string{"fleet"}, c.args...)); code != c.code {
 			t.Errorf("%q: exit %d, wanted %d", c.args, code, c.code)
 		}
 	}
@@ -363,9 +363,9 @@
 		role, want string
 		args       []string
 	}{
-		{"  role = \"control\"\n  listen = \"127.0.0.1:1\"", "start it by sabletally fleet control", nil},
-		{"  role = \"balancer\"", `role \"balancer\" is no control process's`, []string{"fleet", "control", file}},
-		{"  listen = \"127.0.0.1:1\"", `role \"\" is no control process's`, []string{"fleet", "control", file}},
+		{"  role = \"control\"\n  listen = \"127.0.0.1:1\"", "is not for a balancer: start a control process by sabletally fleet control", nil},
+		{"  role = \"balancer\"", `role \"balancer\" is not for a control process`, []string{"fleet", "control", file}},
+		{"  listen = \"127.0.0.1:1\"", `role \"\" is not for a control process`, []string{"fleet", "control", file}},
 		{"  role = \"controls\"", "f.hcl:2:10: role: \\\"controls\\\" is none of control, balancer", []string{"fleet", "control", file}},
 	} {
 		write(c.role)
--- a/cmd/sabletally/fleet_files.go
+++ b/cmd/sabletally/fleet_files.go
@@ -39,7 +39,7 @@
 	Dir string `arg:"" help:"The directory that the fleet's file names as data."`
 }
 
-// Run verifies a member's data directory and prints what is in it.
+// Run verifies the checksums of a member's data directory and prints a summary of its content.
 func (c verifyCmd) Run() error {
 	identity, err := datadir.ReadIdentity(c.Dir)
 	if err != nil {
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -153,14 +153,14 @@
 	}
 	starts(3, "yes")
 	starts(4, "yes") // it was started anew too, and nobody has asked it yet
-	if code := command([]string{"fleet", "status", m.procs[4].AdminAddr}); code != 0 {
+	if code := runCommand([]string{"fleet", "status", m.procs[4].AdminAddr}); code != 0 {
 		t.Errorf("status: exit %d", code)
 	}
-	if code := command([]string{"fleet", "verify", m.DataDir(4)}); code != 1 {
+	if code := runCommand([]string{"fleet", "verify", m.DataDir(4)}); code != 1 {
 		t.Errorf("verify of a directory that a process has: exit %d", code)
 	}
 	m.procs[4].Kill()
-	if code := command([]string{"fleet", "verify", m.DataDir(4)}); code != 0 {
+	if code := runCommand([]string{"fleet", "verify", m.DataDir(4)}); code != 0 {
 		t.Errorf("verify: exit %d", code)
 	}
 }
--- a/cmd/sabletally/items.go
+++ b/cmd/sabletally/items.go
@@ -23,7 +23,7 @@
 	If      *uint64 `help:"Only if this is the version that put the item last; 0: only if there is none."`
 }
 
-// Run changes an item.
+// Run sets or deletes an item and prints the version that has the change.
 func (c putCmd) Run() error {
 	query := url.Values{}
 	if c.Op != "" {
@@ -33,15 +33,16 @@
 		query.Set("if", strconv.FormatUint(*c.If, 10))
 	}
 	if c.Gone {
-		return callItem(c.Address, http.MethodDelete, c.Key, query, nil)
+		return requestItem(c.Address, http.MethodDelete, c.Key, query, nil)
 	}
 	value, err := c.value()
 	if err != nil {
 		return err
 	}
-	return callItem(c.Address, http.MethodPut, c.Key, query, value)
+	return requestItem(c.Address, http.MethodPut, c.Key, query, value)
 }
 
+// value returns the item's value from the arguments, or from the file that @FILE names.
 func (c putCmd) value() ([]byte, error) {
 	if path, isFile := strings.CutPrefix(c.Value, "@"); isFile {
 		return os.ReadFile(path)
@@ -54,13 +55,13 @@
 	Key     string `arg:"" help:"The item, such as config/limits."`
 }
 
-// Run prints an item.
-func (c getCmd) Run() error { return callItem(c.Address, http.MethodGet, c.Key, nil, nil) }
+// Run prints the value of an item.
+func (c getCmd) Run() error { return requestItem(c.Address, http.MethodGet, c.Key, nil, nil) }
 
-// callItem makes a call about an item and prints the answer.
-func callItem(address, method, key string, query url.Values, body []byte) error {
+// requestItem sends a request about an item to a control process and prints the body of the response.
+func requestItem(address, method, key string, query url.Values, body []byte) error {
 	if !strings.HasPrefix(key, shardmap.ConfigPrefix) {
-		return fmt.Errorf("key %q is none of operators': it begins with %q", key, shardmap.ConfigPrefix)
+		return fmt.Errorf("key %q is not an item of configuration: it must begin with %q", key, shardmap.ConfigPrefix)
 	}
 	u := url.URL{Scheme: "http", Host: address, Path: "/control/" + key, RawQuery: query.Encode()}
 	request, err := http.NewRequest(method, u.String(), bytes.NewReader(body))
@@ -72,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // no data depends on the error: the body was read
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
--- a/cmd/sabletally/log.go
+++ b/cmd/sabletally/log.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	logLevelVariable = "SABLETALLY_LOG"
-	// maxEqualLines bounds the lines a second of one kind in the log, so that clients can't fill it. The counters tell how many there
-	// were.
-	maxEqualLines = 10
+	logLevelVariable = "SABLETALLY_LOG" // environment variable with the lowest level that is logged
+	// maxLinesPerMessage bounds the log lines per second with the same message, so that clients can't fill the log. Counters record how
+	// often the events occurred.
+	maxLinesPerMessage = 10
 )
 
-// loggers write to standard error at the level that the environment names; info without one.
+// loggers holds the process's loggers, which write JSON lines to standard error.
 type loggers struct {
 	log *zap.Logger
-	// requested is for what operators ask for, each time: its lines are not bounded.
+	// requested writes what operators have asked for. Its lines are not limited in number.
 	requested *zap.Logger
 }
 
+// newLoggers returns loggers at the level that the environment names, info if it names none.
 func newLoggers() loggers {
 	level, err := zapcore.ParseLevel(os.Getenv(logLevelVariable))
 	if err != nil {
@@ -31,11 +32,11 @@
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoder), zapcore.Lock(os.Stderr), level)
-	bounded := core
+	sampled := core
 	if level > zapcore.DebugLevel {
-		bounded = zapcore.NewSamplerWithOptions(core, time.Second, maxEqualLines, 0)
+		sampled = zapcore.NewSamplerWithOptions(core, time.Second, maxLinesPerMessage, 0)
 	}
-	return loggers{log: zap.New(bounded), requested: zap.New(core)}
+	return loggers{log: zap.New(sampled), requested: zap.New(core)}
 }
 
 // named returns loggers whose lines carry a process's name.
@@ -44,15 +45,16 @@
 	return loggers{log: l.log.With(field), requested: l.requested.With(field)}
 }
 
-func (l loggers) sync() { _ = l.log.Sync() } // standard error may not support it
+func (l loggers) sync() { _ = l.log.Sync() } // ignores the error: standard error may not support syncing
 
-// libraryLog is the log of a library, under one name, so that it is bounded like any other kind of line.
+// libraryLog writes the log output of a library. All its lines have the library's name as message, so that their number is limited like
+// that of any other message.
 type libraryLog struct {
 	log  *zap.Logger
 	name string
 }
 
-// Write logs a line of the library.
+// Write implements io.Writer: it logs a line of the library.
 func (l libraryLog) Write(text []byte) (int, error) {
 	l.log.Warn(l.name, zap.ByteString("said", bytes.TrimSpace(text)))
 	return len(text), nil
--- a/cmd/sabletally/main.go
+++ b/cmd/sabletally/main.go
@@ -1,19 +1,19 @@
-// Command sabletally is one balancer on sockets, or with arguments a command for its operators. The package owns the process: its
-// configuration, its log, its limits, its signals and its exit code. It takes no part in a session.
+// Command sabletally runs one balancer on network sockets or, given arguments, a command for operators. The package sets up the
+// process: configuration, logs, limits, signals and exit code. Sessions are the business of package balancer alone.
 package main
 
 import "os"
 
-// Exit codes.
+// Exit codes of the process.
 const (
 	exitOK     = 0
 	exitFailed = 1
-	exitUsage  = 2 // wrong arguments, or a faulty configuration
+	exitUsage  = 2 // invalid arguments or an invalid configuration
 )
 
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(command(os.Args[1:]))
+		os.Exit(runCommand(os.Args[1:]))
 	}
 	os.Exit(run())
 }
--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -35,7 +35,7 @@
 // Guards against counters that an operator asks for and never gets: their lines shared the bound on those that clients cause.
 func TestEachRequestForCountersIsAnswered(t *testing.T) {
 	s := startSite(t, nil)
-	for range 3 * maxEqualLines {
+	for range 3 * maxLinesPerMessage {
 		s.counter("accepted")
 	}
 }
--- a/cmd/sabletally/run.go
+++ b/cmd/sabletally/run.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	maxShutdownWait = 3 * time.Second        // for the longest deadline of a class
-	shutdownMargin  = 400 * time.Millisecond // beyond that, until nothing is left
-	lateClientGrace = 400 * time.Millisecond // clients still arrive for so long at a balancer that shuts down
-	exitGrace       = 5 * time.Second        // after that the process ends in any case
+	maxShutdownWait    = 3 * time.Second        // upper limit of the wait for the longest deadline of a class
+	shutdownMargin     = 400 * time.Millisecond // time for the last sessions to end after the longest deadline
+	clientArrivalGrace = 400 * time.Millisecond // a balancer that shuts down still accepts clients for this time
+	exitGrace          = 5 * time.Second        // the process exits this long after the shutdown's timeout, whatever is still open
 )
 
-// signals are the signals that the process handles, by meaning. Several of one meaning that arrive before the first is handled count as
-// one.
+// signals holds a channel for each purpose of the signals that the process handles. Signals of one purpose that arrive before the first
+// of them is handled count as one.
 type signals struct {
 	terminate   <-chan os.Signal
 	reload      <-chan os.Signal
 	logCounters <-chan os.Signal
 }
 
-// catchSignals catches them, each kind in a channel of its own, so that none is lost behind others.
+// catchSignals starts to catch signals. Each purpose has a channel of its own, so that no signal is dropped because another fills the
+// channel.
 func catchSignals() signals {
 	return signals{
 		terminate:   notifyOn(syscall.SIGTERM, syscall.SIGINT),
@@ -42,7 +43,7 @@
 	return c
 }
 
-// run runs the balancer until it is told to end and returns the program's exit code.
+// run runs the balancer until a signal or a failure ends it and returns the exit code of the process.
 func run() int {
 	log := newLoggers()
 	defer log.sync()
@@ -54,13 +55,13 @@
 	return p.serve()
 }
 
-// configResult is the configuration as it was read again, or why it can't be.
+// configResult is the outcome of reading the configuration again: the configuration or an error.
 type configResult struct {
 	config *deployment.NodeConfig
 	err    error
 }
 
-// serve serves clients and handles signals until the process has to end, and returns the exit code.
+// serve accepts clients and handles signals until the process has to exit, and returns its exit code.
 func (p *process) serve() int {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -77,7 +78,7 @@
 		case <-p.signals.logCounters:
 			p.loop.LogCounters(p.requestedLog, "asked")
 		case <-reload:
-			reload = nil // until this one is done
+			reload = nil // further signals wait in their channel until this reload is done
 			go readConfig(p.config, configRead)
 		case result := <-configRead:
 			p.applyConfig(ctx, result)
@@ -102,14 +103,14 @@
 	}
 }
 
-// readConfig reads the configuration again. It runs beside serve, which must handle signals also while a file system hangs.
+// readConfig reads the configuration again. It runs in a goroutine of its own: serve must handle signals even while a file system hangs.
 func readConfig(previous *deployment.NodeConfig, result chan<- configResult) {
 	next, err := deployment.ReadNodeConfig(os.Getenv, previous)
 	result <- configResult{config: next, err: err}
 }
 
-// applyConfig applies a configuration that was read again: its settings, its gossip addresses and its discovery. The rest takes a
-// restart. With a faulty configuration the previous one stays in force as a whole.
+// applyConfig applies a configuration that was read again: its settings, its gossip addresses and its discovery address. All other values
+// take effect at a restart only. If the configuration is invalid, the previous one stays in force as a whole.
 func (p *process) applyConfig(ctx context.Context, result configResult) {
 	next, err := result.config, result.err
 	if err == nil {
@@ -117,7 +118,7 @@
 	}
 	if err != nil {
 		p.loop.ReloadErrors.Add(1)
-		p.log.Error("can't reload: the old configuration holds", zap.Error(err))
+		p.log.Error("can't reload the configuration: the previous one stays in force", zap.Error(err))
 		return
 	}
 	p.loop.Reloads.Add(1)
@@ -129,19 +130,19 @@
 	p.config = next
 }
 
-// startShutdown shuts the balancer down, the first time that it is called.
+// startShutdown starts to shut the balancer down and to hand over what its fleet member holds. Calls after the first have no effect.
 func (p *process) startShutdown() {
 	if p.exit != nil {
 		return
 	}
 	timeout := p.shutdownTimeout()
-	p.loop.Shutdown(lateClientGrace, timeout, func() { close(p.drained) })
+	p.loop.Shutdown(clientArrivalGrace, timeout, func() { close(p.drained) })
 	p.exit = time.After(timeout + exitGrace)
 	go func() {
 		defer close(p.handedOver)
 		switch {
 		case p.member == nil:
-		case p.loop.HasSuccessor(): // it goes on as this member
+		case p.loop.HasSuccessor(): // the successor continues as the same member, so nothing is handed over
 			p.member.Close()
 		default:
 			p.member.HandOver(timeout + exitGrace/2)
@@ -149,6 +150,7 @@
 	}()
 }
 
+// shutdownTimeout returns how long a shutdown waits for sessions: the longest deadline of a class, within a limit, and a margin.
 func (p *process) shutdownTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, deadline := range p.config.Settings.Deadlines {
--- a/cmd/sabletally/start.go
+++ b/cmd/sabletally/start.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	fleetFileVariable = "SABLETALLY_FLEET" // names the fleet file
-	listenerVariable  = "EDGE_ACCEPT_FD"   // the number of the listening socket's descriptor, where the platform holds it
-	socketDirVariable = "TMPDIR"           // where the processes of a hot restart meet
+	fleetFileVariable = "SABLETALLY_FLEET" // environment variable with the path of the fleet file
+	listenerVariable  = "EDGE_ACCEPT_FD"   // environment variable with the descriptor of a listening socket that the platform opened
+	socketDirVariable = "TMPDIR"           // environment variable with the directory of the sockets for hot restarts
 
-	// serviceStateTimeout is how long the fleet has to tell whether operators have taken the balancer out of service.
+	// serviceStateTimeout bounds the wait for the fleet to report whether operators have taken the balancer out of service.
 	serviceStateTimeout = 5 * time.Second
 
-	pollBufferSize = 4096 // bytes
+	pollBufferSize = 4096 // size in bytes of a netpoll read buffer
 )
 
-// startError is a reason not to start, with the key under which it is logged.
+// startError is an error that prevents the start, with the log field under which it is logged.
 type startError struct {
 	key string
 	err error
@@ -41,34 +41,35 @@
 
 func (e *startError) Unwrap() error { return e.err }
 
-// logStartError logs why the process can't start; a faulty fleet file gives one line a fault.
+// logStartError logs why the process can't start. Each error in an invalid fleet file gets a line of its own.
 func logStartError(log *zap.Logger, err error) {
 	start, is := errors.AsType[*startError](err)
 	if !is {
 		log.Error("can't start", zap.Error(err))
 		return
 	}
-	eachFault(start.err, func(err error) { log.Error("can't start", zap.NamedError(start.key, err)) })
+	forEachError(start.err, func(err error) { log.Error("can't start", zap.NamedError(start.key, err)) })
 }
 
 // process is a running balancer process.
 type process struct {
 	log *zap.Logger
-	// requestedLog is for what operators ask for.
+	// requestedLog writes what operators have asked for; see loggers.
 	requestedLog *zap.Logger
-	config       *deployment.NodeConfig // in force; a reload replaces it
+	config       *deployment.NodeConfig // the configuration in force, which a reload replaces
 	signals      signals
 	loop         *balancer.Loop
 	listener     *balancer.Listener
 	member       *fleet.Fleet // nil where the balancer is in no fleet
-	cleanup      []func()     // run by close, the last one first
+	cleanup      []func()     // functions that close runs, the last one first
 
-	drained    chan struct{}    // closed once a shutdown has left nothing open
-	handedOver chan struct{}    // closed once what the fleet's member held is held by others
-	exit       <-chan time.Time // set by a shutdown: when the process ends in any case
+	drained    chan struct{}    // closed once a shutdown has left no session open
+	handedOver chan struct{}    // closed once the member's handover has ended, finished or not
+	exit       <-chan time.Time // fires when the process exits whatever is still open; nil before a shutdown
 }
 
-// start starts a balancer process; signals must be caught from before. After an error it has logged why.
+// start starts a balancer process. Its signals are caught before the call, so that none ends the process meanwhile. start logs the error
+// that it returns.
 func start(log loggers, caught signals) (*process, error) {
 	nodeConfig, err := deployment.ReadNodeConfig(os.Getenv, nil)
 	if err != nil {
@@ -99,7 +100,7 @@
 }
 
 func (p *process) start() error {
-	// Without a fleet file nothing of the fleet is opened, allocated or started.
+	// Without a fleet file no part of package fleet is opened, allocated or started.
 	fleetFile, err := readFleetFile()
 	if err != nil {
 		return &startError{"fleet", err}
@@ -128,12 +129,12 @@
 	p.loop.FollowDiscovery(ctx, p.config.Discovery)
 	go p.loop.Run(ctx.Done())
 	if p.listener.Shared() {
-		p.startHandover(adminDescriptors + balancer.ReservedDescriptors(cores))
+		p.enableHotRestart(adminDescriptors + balancer.ReservedDescriptors(cores))
 	}
 	if err := p.loop.Reconfigure(p.config.Settings, p.config.Gossip); err != nil {
 		return err
 	}
-	if p.config.Admin != "" { // last: its calls need a loop that runs
+	if p.config.Admin != "" { // opened last because its requests need a running loop
 		if err := p.openAdmin(adminDescriptors); err != nil {
 			return &startError{"mgmt", err}
 		}
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// readFleetFile reads the fleet file that the environment names; nil without one.
+// readFleetFile reads the fleet file that the environment names. It returns nil if none is named.
 func readFleetFile() (*config.File, error) {
 	path := os.Getenv(fleetFileVariable)
 	if path == "" {
@@ -152,15 +153,15 @@
 		return nil, err
 	}
 	if file.Role == config.RoleControl {
-		return nil, fmt.Errorf("%s: role %q is no balancer's: start it by sabletally fleet control %s", path, file.Role, path)
+		return nil, fmt.Errorf("%s: role %q is not for a balancer: start a control process by sabletally fleet control %s", path, file.Role, path)
 	}
 	return file, nil
 }
 
-// setRuntimeLimits sets up Go's scheduler and memory limit, and netpoll.
+// setRuntimeLimits configures the Go scheduler, the memory limit and netpoll.
 func (p *process) setRuntimeLimits(cores int) {
-	// Beside the cores one processor for netpoll's poller and one for each relay worker: they sleep in the kernel and keep theirs for
-	// up to ten milliseconds, for which the loop would have to wait.
+	// One processor for each core, one for netpoll's poller and one for each relay worker. Pollers and workers sleep in system calls and
+	// keep their processor for up to 10 ms meanwhile; without the extra processors the loop would have to wait for it.
 	runtime.GOMAXPROCS(2*cores + 1)
 	debug.SetMemoryLimit(int64(p.config.MemoryMB) << 20 * 3 / 4)
 	_ = netpoll.Configure(netpoll.Config{ // fails only after netpoll has started
@@ -169,12 +170,12 @@
 		LoggerOutput: libraryLog{p.log, "netpoll"},
 		Runner: func(_ context.Context, handle func()) {
 			go handle()
-			runtime.Gosched() // what the poller has read is handled before it reads on
+			runtime.Gosched() // lets the handler run before the poller reads again
 		},
 	})
 }
 
-// openListener opens the clients' address, or takes the socket that the platform holds for it.
+// openListener listens at the clients' address, or uses the listening socket that the platform has passed to the process.
 func openListener(address string) (*balancer.Listener, error) {
 	if number := os.Getenv(listenerVariable); number != "" {
 		listener, err := balancer.InheritListener(number)
@@ -202,23 +203,24 @@
 	p.member = member
 	p.cleanup = append(p.cleanup, member.Leave)
 	p.loop.UseFleet(member)
-	if !p.listener.Shared() { // otherwise the old process of a hot restart knows the state
+	if !p.listener.Shared() { // the predecessor of a hot restart passes the state on
 		p.loop.AwaitServiceState(serviceStateTimeout)
 		member.LoadAdminState(p.config.Name, serviceStateTimeout, p.loop.RestoreServiceState)
 	}
 	return nil
 }
 
-// startHandover prepares for hot restarts. Without it the balancer works, but a restart migrates its sessions.
-func (p *process) startHandover(baseDescriptors int) {
+// enableHotRestart connects to the predecessor of a hot restart and waits for a successor. If it fails, the balancer works, but a restart
+// migrates its sessions.
+func (p *process) enableHotRestart(baseDescriptors int) {
 	memory := int64(p.config.MemoryMB) << 20
 	err := p.loop.StartHandover(p.listener, os.Getenv(socketDirVariable), p.config.Name, memory, baseDescriptors)
 	if err != nil {
-		p.log.Warn("alone: an upgrade will have clients moved", zap.Error(err))
+		p.log.Warn("hot restart is not available: a restart will migrate the sessions", zap.Error(err))
 	}
 }
 
-// openAdmin opens the operators' address.
+// openAdmin serves the operators' address, with the fleet's report if the balancer is a member.
 func (p *process) openAdmin(maxConns int) error {
 	pages := admin.Pages{}
 	if p.member != nil {
@@ -234,21 +236,21 @@
 	return nil
 }
 
-// adminService is the balancer as its operators see it: what they want of it is kept in the fleet.
+// adminService carries out operators' requests to the balancer and stores the requested service state in the fleet.
 type adminService struct {
 	*balancer.Loop
 	member *fleet.Fleet // nil where the balancer is in no fleet
 	name   string
 }
 
-// OutOfService drains the balancer.
-func (s adminService) OutOfService() error { return s.save(true, s.Loop.OutOfService()) }
+// OutOfService drains the balancer and stores that it is out of service.
+func (s adminService) OutOfService() error { return s.saveAdminState(true, s.Loop.OutOfService()) }
 
-// InService has the balancer take clients again.
-func (s adminService) InService() error { return s.save(false, s.Loop.InService()) }
+// InService has the balancer accept clients again and stores that it is in service.
+func (s adminService) InService() error { return s.saveAdminState(false, s.Loop.InService()) }
 
-// save keeps what operators want, unless it failed.
-func (s adminService) save(outOfService bool, err error) error {
+// saveAdminState stores the service state in the fleet, unless the balancer has rejected it with err.
+func (s adminService) saveAdminState(outOfService bool, err error) error {
 	if err == nil && s.member != nil {
 		s.member.SetAdminState(s.name, outOfService)
 	}
--- a/cmd/sabletally/status.go
+++ b/cmd/sabletally/status.go
@@ -19,20 +19,20 @@
 	JSON    bool   `help:"As the process says it."`
 }
 
-// Run prints how a process sees the fleet.
+// Run gets the fleet report of a process and prints it.
 func (c statusCmd) Run() error {
 	client := http.Client{Timeout: callTimeout}
 	response, err := client.Get("http://" + c.Address + "/control/fleet")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // no data depends on the error: the body was read
 	text, err := io.ReadAll(response.Body)
 	switch {
 	case err != nil:
 		return err
 	case response.StatusCode == http.StatusNotFound:
-		return fmt.Errorf("%s: the balancer is in no fleet: %s was not set when it started", c.Address, fleetFileVariable)
+		return fmt.Errorf("%s: the balancer is not in a fleet: %s was not set when it started", c.Address, fleetFileVariable)
 	case response.StatusCode != http.StatusOK:
 		return fmt.Errorf("%s: %s: %s", c.Address, response.Status, text)
 	case c.JSON:
@@ -41,13 +41,13 @@
 	}
 	var report fleet.Report
 	if err := json.Unmarshal(text, &report); err != nil {
-		return fmt.Errorf("%s: %w", c.Address, err)
+		return fmt.Errorf("%s: decode the fleet report: %w", c.Address, err)
 	}
 	_, err = io.WriteString(os.Stdout, formatReport(report))
 	return err
 }
 
-// formatReport formats a report for people.
+// formatReport formats a fleet report as text and tables.
 func formatReport(r fleet.Report) string {
 	var out strings.Builder
 	switch {
@@ -84,7 +84,7 @@
 	fmt.Fprintf(out, "fleet %s: %s, %d of %d members here, on %d machines for %d copies; health %d, stopped %d times\n",
 		r.Fleet, r.Standing, r.Alive, len(r.Others)+1, r.Machines, r.Replicas, r.Health, r.Pauses)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(table, "member\tmachine\tzone\tsite\taddress\tlife\tstate\tsince\tid") // into memory
+	_, _ = fmt.Fprintln(table, "member\tmachine\tzone\tsite\taddress\tlife\tstate\tsince\tid") // writing to memory never fails
 	for _, m := range append([]fleet.MemberReport{*r.Self}, r.Others...) {
 		state := m.State
 		since := time.Duration(m.Seconds * float64(time.Second)).Round(time.Second).String()
@@ -95,10 +95,10 @@
 		if m.ReplacedBy != "" {
 			state += ", replaced"
 		}
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%.8s\n", // into memory
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%.8s\n", // writing to memory never fails
 			m.Name, m.Machine, m.Zone, m.Site, m.Addr, m.Incarnation, state, since, m.ID)
 	}
-	_ = table.Flush() // into memory
+	_ = table.Flush() // writing to memory never fails
 }
 
 func formatStore(out *strings.Builder, s *fleet.StoreReport) {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter hosts many balancers on the simulator's wire, on standard input and output.
+// Command simadapter hosts balancers for the simulator. It speaks the simulator's protocol on standard input and output.
 package main
 
 import (
