--- a/.ci/knownred/judge.go
+++ b/.ci/knownred/judge.go
@@ -117,7 +117,7 @@
 			break
 		}
 		var e testEvent
-		if json.Unmarshal(line, &e) != nil { // output that is not from go test has no influence on the result
+		if json.Unmarshal(line, &e) != nil { // a line that is not from go test; whether it means a failure shows in go test's exit code
 			e = testEvent{Output: string(line)}
 		}
 		if e.Package == "" { // output without a package, for example of the compiler
--- a/cmd/sabletally/run.go
+++ b/cmd/sabletally/run.go
@@ -37,6 +37,7 @@
 	}
 }
 
+// notifyOn returns a channel that receives some kinds of signals.
 func notifyOn(kinds ...os.Signal) <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, kinds...)
--- a/internal/hclconfig/hclconfig.go
+++ b/internal/hclconfig/hclconfig.go
@@ -23,17 +23,17 @@
 	Message      string
 }
 
-func (f Diagnostic) Error() string {
-	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
+func (d Diagnostic) Error() string {
+	return fmt.Sprintf("%s:%d:%d: %s", d.File, d.Line, d.Column, d.Message)
 }
 
 // Diagnostics are all errors in a file, ordered by line and column.
 type Diagnostics []Diagnostic
 
-func (f Diagnostics) Error() string {
-	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.Error()
+func (d Diagnostics) Error() string {
+	lines := make([]string, len(d))
+	for i, diagnostic := range d {
+		lines[i] = diagnostic.Error()
 	}
 	return strings.Join(lines, "\n")
 }
@@ -42,18 +42,18 @@
 type Reader struct{ Diagnostics Diagnostics }
 
 // Errorf adds an error at a position in the file.
-func (r *Reader) Errorf(where hcl.Range, format string, args ...any) {
-	r.Diagnostics = append(r.Diagnostics, Diagnostic{where.Filename, where.Start.Line, where.Start.Column, fmt.Sprintf(format, args...)})
+func (r *Reader) Errorf(location hcl.Range, format string, args ...any) {
+	r.Diagnostics = append(r.Diagnostics, Diagnostic{location.Filename, location.Start.Line, location.Start.Column, fmt.Sprintf(format, args...)})
 }
 
 // AddHCL adds the errors that the HCL library has reported.
 func (r *Reader) AddHCL(all hcl.Diagnostics) {
 	for _, d := range all {
-		where := hcl.Range{}
+		location := hcl.Range{}
 		if d.Subject != nil {
-			where = *d.Subject
+			location = *d.Subject
 		}
-		r.Errorf(where, "%s: %s", d.Summary, strings.ReplaceAll(d.Detail, "\n", " "))
+		r.Errorf(location, "%s: %s", d.Summary, strings.ReplaceAll(d.Detail, "\n", " "))
 	}
 }
 
@@ -95,18 +95,18 @@
 
 // Block decodes a block. attrs (separated by spaces) and blocks are the attributes and nested blocks that it may have; any
 // others are errors.
-func (r *Reader) Block(name string, body hcl.Body, where hcl.Range, attrs string, blocks ...hcl.BlockHeaderSchema) *Block {
+func (r *Reader) Block(name string, body hcl.Body, location hcl.Range, attrs string, blocks ...hcl.BlockHeaderSchema) *Block {
 	schema := &hcl.BodySchema{Blocks: blocks}
 	for _, a := range strings.Fields(attrs) {
 		schema.Attributes = append(schema.Attributes, hcl.AttributeSchema{Name: a})
 	}
 	content, diags := body.Content(schema)
 	r.AddHCL(diags)
-	b := &Block{reader: r, name: name, Range: where, attrs: hcl.Attributes{}, Blocks: map[string][]*hcl.Block{}}
+	b := &Block{reader: r, name: name, Range: location, attrs: hcl.Attributes{}, Blocks: map[string][]*hcl.Block{}}
 	if content != nil {
 		b.attrs = content.Attributes
-		for _, in := range content.Blocks {
-			b.Blocks[in.Type] = append(b.Blocks[in.Type], in)
+		for _, nested := range content.Blocks {
+			b.Blocks[nested.Type] = append(b.Blocks[nested.Type], nested)
 		}
 	}
 	return b
@@ -114,16 +114,16 @@
 
 // Single returns the only nested block of a type, or nil if there is none, which is an error if the block is required. A
 // second block of the type is an error.
-func (b *Block) Single(kind string, required bool) *hcl.Block {
-	all := b.Blocks[kind]
+func (b *Block) Single(blockType string, required bool) *hcl.Block {
+	all := b.Blocks[blockType]
 	if len(all) == 0 {
 		if required {
-			b.reader.Errorf(b.Range, "%s requires a block %q", b.name, kind)
+			b.reader.Errorf(b.Range, "%s requires a block %q", b.name, blockType)
 		}
 		return nil
 	}
-	for _, more := range all[1:] {
-		b.reader.Errorf(more.DefRange, "a second block %q; the first is in line %d", kind, all[0].DefRange.Start.Line)
+	for _, extra := range all[1:] {
+		b.reader.Errorf(extra.DefRange, "a second block %q; the first is in line %d", blockType, all[0].DefRange.Start.Line)
 	}
 	return all[0]
 }
@@ -157,29 +157,29 @@
 
 // String reads a string, which has to be one of allowed if any are given.
 func (b *Block) String(name, fallback string, allowed ...string) string {
-	v, where, ok := b.value(name)
+	v, location, ok := b.value(name)
 	if !ok {
 		return fallback
 	}
 	if v.Type() != cty.String {
-		b.reader.Errorf(where, "%s: must be a quoted string", name)
+		b.reader.Errorf(location, "%s: must be a quoted string", name)
 		return fallback
 	}
 	if s := v.AsString(); len(allowed) == 0 || slices.Contains(allowed, s) {
 		return s
 	}
-	b.reader.Errorf(where, "%s: %q is none of %s%s", name, v.AsString(), strings.Join(allowed, ", "), Suggestion(v.AsString(), allowed))
+	b.reader.Errorf(location, "%s: %q is none of %s%s", name, v.AsString(), strings.Join(allowed, ", "), Suggestion(v.AsString(), allowed))
 	return fallback
 }
 
 // Bool reads a boolean.
 func (b *Block) Bool(name string, fallback bool) bool {
-	v, where, ok := b.value(name)
+	v, location, ok := b.value(name)
 	if !ok {
 		return fallback
 	}
 	if v.Type() != cty.Bool {
-		b.reader.Errorf(where, "%s: must be true or false", name)
+		b.reader.Errorf(location, "%s: must be true or false", name)
 		return fallback
 	}
 	return v.True()
@@ -187,17 +187,17 @@
 
 // Number reads a number within bounds.
 func (b *Block) Number(name string, fallback, minimum, maximum float64) float64 {
-	v, where, ok := b.value(name)
+	v, location, ok := b.value(name)
 	if !ok {
 		return fallback
 	}
 	if v.Type() != cty.Number {
-		b.reader.Errorf(where, "%s: must be a number", name)
+		b.reader.Errorf(location, "%s: must be a number", name)
 		return fallback
 	}
 	n, _ := v.AsBigFloat().Float64()
 	if n < minimum || n > maximum {
-		b.reader.Errorf(where, "%s: %v lies outside %v to %v", name, n, minimum, maximum)
+		b.reader.Errorf(location, "%s: %v lies outside %v to %v", name, n, minimum, maximum)
 		return fallback
 	}
 	return n
@@ -207,8 +207,8 @@
 func (b *Block) Int(name string, fallback, minimum, maximum int) int {
 	n := b.Number(name, float64(fallback), float64(minimum), float64(maximum))
 	if n != float64(int(n)) {
-		_, where, _ := b.value(name)
-		b.reader.Errorf(where, "%s: %v is not a whole number", name, n)
+		_, location, _ := b.value(name)
+		b.reader.Errorf(location, "%s: %v is not a whole number", name, n)
 		return fallback
 	}
 	return int(n)
@@ -216,29 +216,29 @@
 
 // Duration reads a duration within bounds: a string of a number and a unit.
 func (b *Block) Duration(name string, fallback, minimum, maximum time.Duration) time.Duration {
-	v, where, ok := b.value(name)
+	v, location, ok := b.value(name)
 	if !ok {
 		return fallback
 	}
-	return b.parseDuration(name, v, where, fallback, minimum, maximum)
+	return b.parseDuration(name, v, location, fallback, minimum, maximum)
 }
 
-func (b *Block) parseDuration(name string, v cty.Value, where hcl.Range, fallback, minimum, maximum time.Duration) time.Duration {
+func (b *Block) parseDuration(name string, v cty.Value, location hcl.Range, fallback, minimum, maximum time.Duration) time.Duration {
 	if v.Type() == cty.Number {
 		n, _ := v.AsBigFloat().Float64()
-		b.reader.Errorf(where, `%s: %v has no unit; must be a duration such as "%vms" or "%vs"`, name, n, n, n)
+		b.reader.Errorf(location, `%s: %v has no unit; must be a duration such as "%vms" or "%vs"`, name, n, n, n)
 		return fallback
 	}
 	if v.Type() != cty.String {
-		b.reader.Errorf(where, `%s: must be a duration such as "250ms"`, name)
+		b.reader.Errorf(location, `%s: must be a duration such as "250ms"`, name)
 		return fallback
 	}
 	d, err := time.ParseDuration(v.AsString())
 	switch {
 	case err != nil:
-		b.reader.Errorf(where, `%s: %q is not a duration such as "250ms", "1.5s" or "2m"`, name, v.AsString())
+		b.reader.Errorf(location, `%s: %q is not a duration such as "250ms", "1.5s" or "2m"`, name, v.AsString())
 	case d < minimum || d > maximum:
-		b.reader.Errorf(where, "%s: %v lies outside %v to %v", name, d, minimum, maximum)
+		b.reader.Errorf(location, "%s: %v lies outside %v to %v", name, d, minimum, maximum)
 	default:
 		return d
 	}
@@ -247,18 +247,18 @@
 
 // DurationRange reads a range of durations, such as ["200ms", "1s"].
 func (b *Block) DurationRange(name string, fallback [2]time.Duration, maximum time.Duration) [2]time.Duration {
-	v, where, ok := b.value(name)
+	v, location, ok := b.value(name)
 	if !ok {
 		return fallback
 	}
 	if !v.Type().IsTupleType() || v.LengthInt() != 2 {
-		b.reader.Errorf(where, `%s: must be a list of two durations, such as ["200ms", "1s"]`, name)
+		b.reader.Errorf(location, `%s: must be a list of two durations, such as ["200ms", "1s"]`, name)
 		return fallback
 	}
-	both := v.AsValueSlice()
-	out := [2]time.Duration{b.parseDuration(name, both[0], where, fallback[0], 0, maximum), b.parseDuration(name, both[1], where, fallback[1], 0, maximum)}
+	bounds := v.AsValueSlice()
+	out := [2]time.Duration{b.parseDuration(name, bounds[0], location, fallback[0], 0, maximum), b.parseDuration(name, bounds[1], location, fallback[1], 0, maximum)}
 	if out[0] > out[1] {
-		b.reader.Errorf(where, "%s: %v is longer than %v", name, out[0], out[1])
+		b.reader.Errorf(location, "%s: %v is longer than %v", name, out[0], out[1])
 		return fallback
 	}
 	return out
@@ -266,7 +266,7 @@
 
 // Fraction reads a fraction: a percentage such as "30%", or a number from 0 to 1.
 func (b *Block) Fraction(name string, fallback float64) float64 {
-	v, where, ok := b.value(name)
+	v, location, ok := b.value(name)
 	if !ok {
 		return fallback
 	}
@@ -282,7 +282,7 @@
 		}
 	}
 	if n < 0 || n > 1 {
-		b.reader.Errorf(where, `%s: must be a percentage such as "30%%", or a number from 0 to 1`, name)
+		b.reader.Errorf(location, `%s: must be a percentage such as "30%%", or a number from 0 to 1`, name)
 		return fallback
 	}
 	return n
@@ -290,23 +290,23 @@
 
 // UintList reads a list of 1 to maxItems distinct unsigned integers.
 func (b *Block) UintList(name string, fallback []uint64, maxItems int) []uint64 {
-	v, where, ok := b.value(name)
+	v, location, ok := b.value(name)
 	if !ok {
 		return fallback
 	}
 	if !v.Type().IsTupleType() || v.LengthInt() == 0 || v.LengthInt() > maxItems {
-		b.reader.Errorf(where, "%s: must be a list of 1 to %d whole numbers, such as [1, 2, 3]", name, maxItems)
+		b.reader.Errorf(location, "%s: must be a list of 1 to %d whole numbers, such as [1, 2, 3]", name, maxItems)
 		return fallback
 	}
 	var all []uint64
-	for _, one := range v.AsValueSlice() {
-		if one.IsNull() || one.Type() != cty.Number {
-			b.reader.Errorf(where, "%s: must hold only whole numbers", name)
+	for _, item := range v.AsValueSlice() {
+		if item.IsNull() || item.Type() != cty.Number {
+			b.reader.Errorf(location, "%s: must hold only whole numbers", name)
 			return fallback
 		}
-		n, exact := one.AsBigFloat().Uint64()
-		if exact != 0 || slices.Contains(all, n) {
-			b.reader.Errorf(where, "%s: must hold only whole numbers from 0, each once", name)
+		n, accuracy := item.AsBigFloat().Uint64()
+		if accuracy != 0 || slices.Contains(all, n) {
+			b.reader.Errorf(location, "%s: must hold only whole numbers from 0, each once", name)
 			return fallback
 		}
 		all = append(all, n)
@@ -316,7 +316,7 @@
 
 // StringList reads a list of 1 to maxItems distinct strings, with the position of each. It returns nil if the attribute is absent
 // or not such a list; invalid items are left out.
-func (b *Block) StringList(name string, maxItems int) (items []string, places []hcl.Range) {
+func (b *Block) StringList(name string, maxItems int) (items []string, locations []hcl.Range) {
 	a := b.attrs[name]
 	if a == nil {
 		return nil, nil
@@ -337,10 +337,10 @@
 			b.reader.Errorf(expression.Range(), "%s: %q is listed twice", name, v.AsString())
 		default:
 			items = append(items, v.AsString())
-			places = append(places, expression.Range())
+			locations = append(locations, expression.Range())
 		}
 	}
-	return items, places
+	return items, locations
 }
 
 // AttributeRange returns the position of an attribute's value, or of the block if the attribute is absent.
@@ -357,10 +357,10 @@
 // Suggestion returns the end of an error message that suggests the allowed name closest to a misspelled one, or "" if none is
 // close enough.
 func Suggestion(name string, allowed []string) string {
-	best, smallest := "", maxSuggestionDistance+1
+	best, smallestDistance := "", maxSuggestionDistance+1
 	for _, a := range allowed {
-		if d := editDistance(name, a); d < smallest {
-			best, smallest = a, d
+		if d := editDistance(name, a); d < smallestDistance {
+			best, smallestDistance = a, d
 		}
 	}
 	if best == "" {
@@ -376,14 +376,14 @@
 		row[j] = j
 	}
 	for i := range len(a) {
-		corner := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			cost := corner
+			cost := diagonal
 			if a[i] != b[j] {
-				cost = 1 + min(corner, row[j], row[j+1])
+				cost = 1 + min(diagonal, row[j], row[j+1])
 			}
-			corner, row[j+1] = row[j+1], cost
+			diagonal, row[j+1] = row[j+1], cost
 		}
 	}
 	return row[len(b)]
