--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -1,3 +1,5 @@
+// This file sets up and tears down a cluster: the emulated servers, the discovery agents and the balancers of one world.
+
 package cluster
 
 import (
@@ -23,21 +25,21 @@
 )
 
 const (
-	checkSlack     = 50 * time.Millisecond // that the rules allow on sockets
-	figureInterval = 250 * time.Millisecond
-	maxEvents      = 8 << 20
-	warmSince      = -time.Hour // start of the servers that are there before the run
+	checkSlack     = 50 * time.Millisecond  // time that the checker's rules allow for delays on sockets
+	figureInterval = 250 * time.Millisecond // time between two samples of the servers' load
+	maxEvents      = 8 << 20                // capacity of the event log
+	warmSince      = -time.Hour             // start time of the servers that exist before the run, so that they are warm
 )
 
-// Arm is what is under test: a command with its environment, and where its balancers' logs go.
+// Arm is the program under test: a command with its environment, and the place of its balancers' logs.
 type Arm struct {
 	Name    string
 	Command []string
 	Env     []string
-	Logs    string // a folder; empty: nowhere
+	Logs    string // directory for the balancers' logs; if empty, they are discarded
 }
 
-// Cluster is one world on sockets while it runs.
+// Cluster is a running world whose servers, clients and balancers communicate over sockets.
 type Cluster struct {
 	World     topology.World
 	Servers   []*emulator.Server
@@ -52,20 +54,20 @@
 	rng       *rand.Rand
 	seed      uint64
 	dir       string
-	hasLinks  bool
-	members   *MemberGroup // where the balancers are members of a fleet
-	places    []checker.Place
-	closers   []io.Closer
+	hasLinks  bool            // whether each server is reached through an emulated link that can fail
+	members   *MemberGroup    // fleet of the balancers, nil if they do not form one
+	places    []checker.Place // zone and failure domain of each server
+	closers   []io.Closer     // log files of the balancers
 
 	mu              sync.Mutex
-	receiving       []bool // the front deals to it
-	incarnations    []int
-	stopMisbehaving context.CancelFunc // ends the bad clients
-	replaced        []*Process         // that were replaced by one beside them
-	errs            []error
+	receiving       []bool             // by balancer: whether new clients are sent to it
+	incarnations    []int              // by balancer: number of starts
+	stopMisbehaving context.CancelFunc // ends the misbehaving clients
+	replaced        []*Process         // predecessors that were replaced by an upgrade
+	errs            []error            // errors of the testbed itself
 }
 
-// Start sets a world up and starts its balancers; Close ends all of it.
+// Start sets up a world and starts its balancers. Close ends all of them.
 func Start(w topology.World, arm Arm, seed uint64) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "testbed")
 	if err != nil {
@@ -97,7 +99,7 @@
 	return slices.ContainsFunc(w.Faults, func(f faults.Fault) bool { return slices.Contains(kinds, f.Kind) })
 }
 
-// startAll starts discovery, servers and balancers.
+// startAll starts the discovery agents, the servers and the balancers.
 func (c *Cluster) startAll(arm Arm) error {
 	w := &c.World
 	for b := range w.Balancers {
@@ -129,7 +131,7 @@
 	return nil
 }
 
-// addBalancer makes a balancer's process and starts it. An operated one has an admin address and a shared listener.
+// addBalancer creates a balancer's process and starts it. An operated one has an admin address and a shared listener.
 func (c *Cluster) addBalancer(b int, arm Arm, isOperated bool) error {
 	var out io.Writer
 	if arm.Logs != "" {
@@ -162,9 +164,10 @@
 	return c.startBalancer(b)
 }
 
-// Uid names a server; number reads the name.
+// serverName returns the name of a server, which is also its UID in the endpoint list.
 func serverName(num int) string { return fmt.Sprintf("s-%d", num) }
 
+// serverIndex returns the index of the server with a name, or -1 if it is not the name of a server.
 func serverIndex(uid string) int {
 	n, err := strconv.Atoi(strings.TrimPrefix(uid, "s-"))
 	if err != nil {
@@ -173,8 +176,9 @@
 	return n
 }
 
-// addServer adds a server; first: before the run.
-func (c *Cluster) addServer(m topology.Machine, started time.Duration, first bool) error {
+// addServer starts a server and adds it to the endpoint list. isInitial says that it exists before the run: it then belongs to the
+// list that balancers start with, instead of being announced.
+func (c *Cluster) addServer(m topology.Machine, started time.Duration, isInitial bool) error {
 	num := len(c.Servers)
 	s := emulator.NewServer(num, serverName(num), m.Type, c.World.Warmup, c.World.GroupCost, c.World.ShedBacklog, started, c.store, c.Clock, c.Log, c.seed)
 	if err := s.Listen(); err != nil {
@@ -182,18 +186,18 @@
 	}
 	c.Servers = append(c.Servers, s)
 	c.places = append(c.places, checker.Place{Zone: m.Zone, FailureDomain: m.FailureDomain})
-	at := s.Addr()
+	address := s.Addr()
 	if c.hasLinks {
-		l, err := emulator.NewLink(at)
+		link, err := emulator.NewLink(address)
 		if err != nil {
 			return err
 		}
-		c.links = append(c.links, l)
-		at = l.Addr()
+		c.links = append(c.links, link)
+		address = link.Addr()
 	}
-	e := emulator.Endpoint{UID: serverName(num), Address: at, Zone: ZoneName(m.Zone), MachineType: m.Type.Name, FailureDomain: m.FailureDomain, State: emulator.InService,
+	e := emulator.Endpoint{UID: serverName(num), Address: address, Zone: ZoneName(m.Zone), MachineType: m.Type.Name, FailureDomain: m.FailureDomain, State: emulator.InService,
 		Weight: float64(m.Type.Cores)}
-	if first {
+	if isInitial {
 		c.endpoints.SetInitial(e)
 	} else {
 		e.BootMs = time.Now().UnixMilli()
@@ -202,7 +206,7 @@
 	return nil
 }
 
-// startBalancer starts a balancer's next process and waits until it is ready.
+// startBalancer starts the next process of a balancer and waits until it is ready.
 func (c *Cluster) startBalancer(b int) error {
 	c.mu.Lock()
 	c.incarnations[b]++
@@ -223,7 +227,8 @@
 	return nil
 }
 
-// PickBalancer returns a random balancer among those that receive clients, as a front balancer would; ok is false if there is none.
+// PickBalancer returns a random balancer of those that receive clients, as a load balancer in front of them would. ok is false if
+// there is none.
 func (c *Cluster) PickBalancer(rng *rand.Rand) (balancer int, address string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -236,20 +241,21 @@
 	return 0, "", false
 }
 
-// process returns a balancer's newest process.
+// process returns the newest process of a balancer.
 func (c *Cluster) process(b int) *Process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Processes[b]
 }
 
+// stopReceiving stops sending new clients to a balancer.
 func (c *Cluster) stopReceiving(b int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.receiving[b] = false
 }
 
-// recordError keeps an error of the testbed itself, nil for none.
+// recordError stores an error of the testbed itself, unless it is nil.
 func (c *Cluster) recordError(err error) {
 	if err != nil {
 		c.mu.Lock()
@@ -258,13 +264,13 @@
 	}
 }
 
-// DiscoveryAddr is the address of a balancer's discovery agent.
+// DiscoveryAddr returns the address of a balancer's discovery agent.
 func (c *Cluster) DiscoveryAddr(b int) string { return c.agents[b].Addr() }
 
-// KnownEndpoints is the endpoint list that a balancer is configured with at its start, as JSON.
+// KnownEndpoints returns the endpoint list that a balancer is configured with at its start, as JSON.
 func (c *Cluster) KnownEndpoints(b int) json.RawMessage { return c.agents[b].Known() }
 
-// Close ends all processes and emulators and removes their files.
+// Close kills all processes, ends all emulators and removes their files.
 func (c *Cluster) Close() {
 	for _, p := range append(c.replaced, c.Processes...) {
 		p.Kill()
--- a/internal/lab/cluster/describe.go
+++ b/internal/lab/cluster/describe.go
@@ -1,3 +1,5 @@
+// This file describes the steps of the fault schedule as text, for the printed log of a run.
+
 package cluster
 
 import (
@@ -6,7 +8,7 @@
 	"sabletally/internal/lab/faults"
 )
 
-// actionTexts are the actions as the log of a run names them.
+// actionTexts are the descriptions of actions in the printed log of a run.
 var actionTexts = map[faults.Action]string{
 	faults.Start: "starts", faults.BeginDrain: "drains", faults.Stop: "stops", faults.Die: "crashes", faults.Revive: "is back, cold",
 	faults.Silence: "vanishes", faults.Speak: "speaks again", faults.SetSlow: "slower, times", faults.SetErrors: "fails, share",
@@ -21,7 +23,7 @@
 	faults.SetLinkLate: "its link is later", faults.SetLinkCut: "its link is cut",
 }
 
-// describe returns a step as text.
+// describe returns the description of a step, with its target and its values.
 func describe(step faults.Step) string {
 	text := actionTexts[step.Action]
 	switch {
--- a/internal/lab/cluster/fault_steps.go
+++ b/internal/lab/cluster/fault_steps.go
@@ -1,3 +1,5 @@
+// This file carries out the steps of the fault schedule on the servers, the links, discovery, the clients and the balancers.
+
 package cluster
 
 import (
@@ -11,7 +13,7 @@
 	"sabletally/internal/lab/model"
 )
 
-// applyStep carries out one step of the fault schedule; what takes longer joins running.
+// applyStep carries out one step of the fault schedule. Actions that take longer go on in goroutines, which running counts.
 func (c *Cluster) applyStep(ctx context.Context, step faults.Step, clients *emulator.Clients, running *sync.WaitGroup) {
 	switch {
 	case step.Action == faults.Start:
@@ -20,7 +22,7 @@
 		c.mu.Unlock()
 		c.recordError(err)
 	case step.OnServer():
-		if step.Target < len(c.Servers) { // else it has not started yet
+		if step.Target < len(c.Servers) { // otherwise the server has not started yet
 			c.applyServerStep(ctx, step, running)
 			c.applyListStep(ctx, step)
 		}
@@ -72,7 +74,7 @@
 	}
 }
 
-// applyListStep carries out a step on a server's line in the endpoint list.
+// applyListStep carries out a step on a server's entry in the endpoint list.
 func (c *Cluster) applyListStep(ctx context.Context, step faults.Step) {
 	switch step.Action {
 	case faults.Hide:
@@ -82,7 +84,8 @@
 	}
 }
 
-// cutLink cuts the way back from a server, or restores it; what waited on it is stale by then and is reset.
+// cutLink cuts the direction from a server to the balancers, or restores it. Connections that waited on the cut link are stale once
+// it is restored and are reset.
 func (c *Cluster) cutLink(server int, cut bool) {
 	if cut {
 		c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.Stopped, Server: int32(server), Balancer: -1, Text: "link"})
@@ -94,7 +97,7 @@
 	}
 }
 
-// applyDiscoveryStep carries out a step on discovery or on the servers' shared store.
+// applyDiscoveryStep carries out a step on the discovery service or on the servers' shared store.
 func (c *Cluster) applyDiscoveryStep(step faults.Step) {
 	on := step.Value > 0
 	switch step.Action {
@@ -117,7 +120,7 @@
 	}
 }
 
-// applyClientStep carries out a step on the clients.
+// applyClientStep carries out a step on the clients, or starts and stops misbehaving ones.
 func (c *Cluster) applyClientStep(ctx context.Context, step faults.Step, clients *emulator.Clients, running *sync.WaitGroup) {
 	on := step.Value > 0
 	switch step.Action {
@@ -169,7 +172,7 @@
 	case faults.DrainBalancer:
 		running.Go(func() { c.recordError(c.drainBalancer(ctx, b, step.For)) })
 	case faults.SetMemberLinks:
-		c.members.set(step.Members, step.Link)
+		c.members.setLinks(step.Members, step.Link)
 	case faults.StallBalancer:
 		running.Go(func() { c.stallBalancer(ctx, b, step.For) })
 	case faults.LoseBalancer:
@@ -179,11 +182,12 @@
 	}
 }
 
+// recordKill adds an event to the log: a balancer is killed without warning.
 func (c *Cluster) recordKill(balancer int) {
 	c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.BalancerKilled, Balancer: int32(balancer), Server: -1, Text: "outright"})
 }
 
-// noticeDeath sends clients elsewhere once a balancer's death shows, if it has not been started again by then.
+// noticeDeath stops sending clients to a killed balancer after deathNoticeDelay, unless it has been started again by then.
 func (c *Cluster) noticeDeath(ctx context.Context, balancer int) {
 	waitFor(ctx, deathNoticeDelay)
 	select {
--- a/internal/lab/cluster/member_group.go
+++ b/internal/lab/cluster/member_group.go
@@ -1,5 +1,5 @@
-// This file owns what balancers have that are members of a fleet: the ways between them, their files and directories, and
-// what is asked of them about each other.
+// This file provides what balancers need as members of a fleet: the emulated links between them, their configuration files and data
+// directories, and queries about how they see each other.
 
 package cluster
 
@@ -21,39 +21,39 @@
 const (
 	pollInterval  = 20 * time.Millisecond
 	quorumTimeout = 30 * time.Second
-	seedCount     = 3 // members that are everybody's seeds
+	seedCount     = 3 // number of members that all members have as their seeds
 )
 
-// MemberGroup is the fleet of a world.
+// MemberGroup is the fleet that the balancers of a world form.
 type MemberGroup struct {
 	Links         *emulator.MemberLinks
-	dir           string
-	processes     []*Process
-	ExtraBlocks   string // of each member's file, behind the block,
-	ExtraSettings string // and within it
+	dir           string     // directory of the members' configuration files and data directories
+	processes     []*Process // newest process of each member
+	ExtraBlocks   string     // appended to each member's file, after the block "fleet"
+	ExtraSettings string     // appended to the block "fleet" of each member's file
 }
 
-// NewMemberGroup makes the ways between so many members, whose files and directories lie in dir.
-func NewMemberGroup(many int, dir string, seed uint64) (*MemberGroup, error) {
-	t, err := emulator.NewMemberLinks(many, seed)
+// NewMemberGroup creates the links between a number of members, whose files and data directories are in dir.
+func NewMemberGroup(count int, dir string, seed uint64) (*MemberGroup, error) {
+	links, err := emulator.NewMemberLinks(count, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &MemberGroup{Links: t, dir: dir, processes: make([]*Process, many)}, nil
+	return &MemberGroup{Links: links, dir: dir, processes: make([]*Process, count)}, nil
 }
 
-// Add makes a process a member from its next start on; it needs an operators' address. Each is on a machine of its own, and the
-// machines are dealt out to zones in turn.
-func (b *MemberGroup) Add(i, copies, zones int, p *Process) error {
+// Add makes a process member i of the fleet from its next start on, and gives it an admin address if it has none. Each member is on
+// a machine of its own, and the machines are assigned to the zones in turn.
+func (g *MemberGroup) Add(i, replicationFactor, zones int, p *Process) error {
 	if p.AdminAddr == "" {
 		if err := p.EnableAdmin(); err != nil {
 			return err
 		}
 	}
-	b.processes[i] = p
+	g.processes[i] = p
 	seeds := make([]string, 0, seedCount)
-	for s := range min(seedCount, len(b.processes)) {
-		seeds = append(seeds, fmt.Sprintf("%q", b.Links.Advertised(s)))
+	for s := range min(seedCount, len(g.processes)) {
+		seeds = append(seeds, fmt.Sprintf("%q", g.Links.Advertised(s)))
 	}
 	text := fmt.Sprintf(`fleet "lab" {
   listen    = %q
@@ -68,8 +68,8 @@
   repair_after = "2s"
   %s
 }
-%s`, b.Links.Listen(i), b.Links.Advertised(i), strings.Join(seeds, ", "), b.DataDir(i), copies, i, ZoneName(i%max(zones, 1)), b.ExtraSettings, b.ExtraBlocks)
-	file := filepath.Join(b.dir, fmt.Sprintf("fleet-%d.hcl", i))
+%s`, g.Links.Listen(i), g.Links.Advertised(i), strings.Join(seeds, ", "), g.DataDir(i), replicationFactor, i, ZoneName(i%max(zones, 1)), g.ExtraSettings, g.ExtraBlocks)
+	file := filepath.Join(g.dir, fmt.Sprintf("fleet-%d.hcl", i))
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -77,63 +77,64 @@
 	return nil
 }
 
-// DataDir is a member's directory.
-func (b *MemberGroup) DataDir(i int) string { return filepath.Join(b.dir, fmt.Sprintf("data-%d", i)) }
+// DataDir returns the data directory of a member.
+func (g *MemberGroup) DataDir(i int) string { return filepath.Join(g.dir, fmt.Sprintf("data-%d", i)) }
 
-// LoseMachine ends a member outright and deletes its directory: the machine is lost with its disk.
-func (b *MemberGroup) LoseMachine(i int) error {
-	b.processes[i].Kill()
-	return os.RemoveAll(b.DataDir(i))
+// LoseMachine kills a member and deletes its data directory, as if its machine were lost with its disk.
+func (g *MemberGroup) LoseMachine(i int) error {
+	g.processes[i].Kill()
+	return os.RemoveAll(g.DataDir(i))
 }
 
-// set has the ways between some members and the others be as a step says.
-func (b *MemberGroup) set(band uint64, as faults.MemberLink) {
-	b.Links.Set(func(from, to int, tie *emulator.MemberLink) {
-		out, in := band>>from&1 == 1, band>>to&1 == 1
-		if out != in && (out && as.Out || in && as.In) {
-			*tie = emulator.MemberLink{Cut: as.Cut, Loss: as.Loss, Delay: as.Delay, Duplicated: as.Duplicated}
+// setLinks gives the links between some members, a bit for each, and all others a condition.
+func (g *MemberGroup) setLinks(members uint64, condition faults.MemberLink) {
+	g.Links.Set(func(from, to int, link *emulator.MemberLink) {
+		out, in := members>>from&1 == 1, members>>to&1 == 1
+		if out != in && (out && condition.Out || in && condition.In) {
+			*link = emulator.MemberLink{Cut: condition.Cut, Loss: condition.Loss, Delay: condition.Delay, Duplicated: condition.Duplicated}
 		}
 	})
 }
 
-// waitForQuorum waits until all members that run see each other, once nothing is between them any more: a fleet that stays apart
-// is a fault of the program's, whatever clients saw of it.
+// waitForQuorum restores all links between members and waits until all running members see each other. A fleet that stays
+// partitioned on healthy links is a fault of the program, even if no client noticed it.
 func (c *Cluster) waitForQuorum() error {
-	c.members.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
-	var run []int
+	c.members.Links.Set(func(_, _ int, link *emulator.MemberLink) { *link = emulator.MemberLink{} })
+	var running []int
 	for i, p := range c.Processes {
 		select {
 		case <-p.Exited():
 		default:
 			_ = p.Signal(syscall.SIGCONT)
-			run = append(run, i)
+			running = append(running, i)
 		}
 	}
-	return c.members.WaitUntil("all members that run see each other", quorumTimeout, run, SeesQuorumOf(len(run)))
+	return c.members.WaitUntil("all running members see each other", quorumTimeout, running, SeesQuorumOf(len(running)))
 }
 
-// Fleet asks a member how it sees the others.
+// Fleet gets a member's report about the fleet from its admin address.
 func (p *Process) Fleet() (r fleet.Report, err error) {
 	code, text, err := p.Call(http.MethodGet, "/control/fleet")
 	if err != nil {
 		return r, err
 	}
 	if code != http.StatusOK {
-		return r, fmt.Errorf("balancer %s: %d %s", p.Name, code, text)
+		return r, fmt.Errorf("balancer %s: GET /control/fleet: status %d: %s", p.Name, code, text)
 	}
 	err = json.Unmarshal([]byte(text), &r)
 	return r, err
 }
 
-// WaitUntil waits until the reports of the members given fulfil a condition, within a bound.
-func (b *MemberGroup) WaitUntil(what string, within time.Duration, members []int, is func(fleet.Report) bool) error {
-	for end := time.Now().Add(within); ; time.Sleep(pollInterval) {
+// WaitUntil waits until the reports of all given members fulfill a condition, which what describes. It fails with the last reports
+// that do not, once timeout has passed.
+func (g *MemberGroup) WaitUntil(what string, timeout time.Duration, members []int, isFulfilled func(fleet.Report) bool) error {
+	for end := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		var last string
 		for _, i := range members {
-			if r, err := b.processes[i].Fleet(); err != nil {
-				last += fmt.Sprintf("\n%d: %v", i, err)
-			} else if !is(r) {
-				last += fmt.Sprintf("\n%d: %s, %d here:", i, r.Standing, r.Alive)
+			if r, err := g.processes[i].Fleet(); err != nil {
+				last += fmt.Sprintf("\nmember %d: %v", i, err)
+			} else if !isFulfilled(r) {
+				last += fmt.Sprintf("\nmember %d: standing %q, %d members alive, others:", i, r.Standing, r.Alive)
 				for _, o := range r.Others {
 					last += fmt.Sprintf(" %s %s", o.Name, o.State)
 				}
@@ -143,17 +144,18 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("fleet: not within %v: %s%s", within, what, last)
+			return fmt.Errorf("fleet: timeout after %v of waiting until %s:%s", timeout, what, last)
 		}
 	}
 }
 
-// SeesQuorumOf is that a member sees so many here, itself among them, and takes what it knows for true.
-func SeesQuorumOf(many int) func(fleet.Report) bool {
-	return func(r fleet.Report) bool { return r.Standing == "together" && r.Alive == many }
+// SeesQuorumOf returns a condition for WaitUntil: a member sees exactly count members alive, itself among them, and is together with
+// a quorum, so that it acts on what it knows.
+func SeesQuorumOf(count int) func(fleet.Report) bool {
+	return func(r fleet.Report) bool { return r.Standing == "together" && r.Alive == count }
 }
 
-// MemberState is how a member sees another, by its name; empty where it knows none of that name.
+// MemberState returns the state that a report gives for the member with a name, or "" if the report does not know the name.
 func MemberState(r fleet.Report, name string) (state string) {
 	for _, o := range r.Others {
 		if o.Name == name && o.ReplacedBy == "" {
@@ -163,5 +165,5 @@
 	return state
 }
 
-// Close ends the ways.
-func (b *MemberGroup) Close() { b.Links.Close() }
+// Close ends the links between the members.
+func (g *MemberGroup) Close() { g.Links.Close() }
--- a/internal/lab/cluster/operations.go
+++ b/internal/lab/cluster/operations.go
@@ -1,3 +1,5 @@
+// This file carries out the operations on balancers that take longer: stalls, reloads, upgrades, drains and planned restarts.
+
 package cluster
 
 import (
@@ -14,17 +16,17 @@
 )
 
 const (
-	// drainNoticeDelay is how long clients are still sent to a balancer that has been asked to drain.
+	// drainNoticeDelay is the time for which clients are still sent to a balancer after it was asked to drain.
 	drainNoticeDelay = 300 * time.Millisecond
-	// deathNoticeDelay is how long clients are still sent to a balancer that has died or stalled.
+	// deathNoticeDelay is the time for which clients are still sent to a balancer after it died or stalled.
 	deathNoticeDelay = time.Second
-	// drainTimeout is when a balancer out of service has to hold no session any more.
+	// drainTimeout is the time within which a balancer that is taken out of service must have no sessions left.
 	drainTimeout = 4 * time.Second
-	// killDelay is the time beyond the longest deadline after which a process that is to end is killed.
+	// killDelay is the additional time after the longest deadline of a class until a process that was asked to end is killed.
 	killDelay = 700 * time.Millisecond
 )
 
-// waitFor waits for a time and reports whether the run still goes on.
+// waitFor waits for a time, or until the context is done. It reports whether the context is still active.
 func waitFor(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -34,7 +36,8 @@
 	}
 }
 
-// stallBalancer stops a balancer's process for a while; its sessions may miss their deadlines.
+// stallBalancer suspends a balancer's process for a time, by SIGSTOP and SIGCONT. As its sessions may miss their deadlines, the log
+// records the stall as a kill and a start, for which the checker makes allowances.
 func (c *Cluster) stallBalancer(ctx context.Context, b int, span time.Duration) {
 	p := c.process(b)
 	c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.BalancerKilled, Balancer: int32(b), Server: -1, Text: "stalled"})
@@ -49,7 +52,7 @@
 	c.mu.Unlock()
 }
 
-// reload has all balancers load the settings of a world.
+// reload writes new configurations with the settings of a world and has all balancers read them, by SIGHUP.
 func (c *Cluster) reload(w *topology.World) {
 	for b := range c.agents {
 		p := c.process(b)
@@ -58,7 +61,7 @@
 	}
 }
 
-// withMoreClasses returns a world whose settings have one class more, in the first place, and half the attempts.
+// withMoreClasses returns a world whose settings have one more class, in first place, and half the number of attempts.
 func withMoreClasses(w topology.World) topology.World {
 	w.Deployment.MaxAttempts = max(1, w.Deployment.MaxAttempts/2)
 	w.Deployment.Classes = append([]policy.Class{{Idempotency: policy.NonIdempotent, SetupObjective: time.Second, PriorityWeight: 1}}, w.Deployment.Classes...)
@@ -67,7 +70,8 @@
 	return w
 }
 
-// upgradeBalancer starts a new process of a balancer beside the old one, which ends once the new one is ready.
+// upgradeBalancer replaces a balancer by a hot restart: it starts a successor beside the old process, which is asked to end once the
+// successor is ready. It fails if the old process does not end in time or ends with an error.
 func (c *Cluster) upgradeBalancer(ctx context.Context, b int) error {
 	old := c.process(b)
 	successor, err := old.Successor()
@@ -93,26 +97,27 @@
 	case <-ctx.Done():
 	case <-time.After(c.longestDeadline() + killDelay):
 		old.Kill()
-		return fmt.Errorf("balancer %s: the old process does not end: %s", old.Name, old.LogTail())
+		return fmt.Errorf("upgrade of balancer %s: old process did not end in time after SIGTERM; end of its log: %s", old.Name, old.LogTail())
 	}
 	return nil
 }
 
-// drainBalancer takes a balancer out of service, checks that it says so and is empty in time, and puts it back.
+// drainBalancer takes a balancer out of service and puts it back. It checks that the balancer reports that it is not ready, and that
+// its sessions have ended within drainTimeout.
 func (c *Cluster) drainBalancer(ctx context.Context, b int, span time.Duration) error {
 	p := c.process(b)
 	call := func(path string) error {
 		code, text, err := p.Call(http.MethodPut, path)
 		if err == nil && code != http.StatusOK {
-			err = fmt.Errorf("balancer %s answers %s with %d %s", p.Name, path, code, text)
+			err = fmt.Errorf("balancer %s: PUT %s: status %d: %s", p.Name, path, code, text)
 		}
 		return err
 	}
 	if err := call("/control/out-of-service"); err != nil {
 		return err
 	}
-	if pong(p.Addr) {
-		return fmt.Errorf("balancer %s says that it is ready while it drains", p.Name)
+	if answersPing(p.Addr) {
+		return fmt.Errorf("balancer %s answers PING with PONG while it is out of service", p.Name)
 	}
 	if !waitFor(ctx, drainNoticeDelay) {
 		return nil
@@ -123,17 +128,17 @@
 	}
 	_, text, err := p.Call(http.MethodGet, "/control/ready")
 	if err != nil {
-		return fmt.Errorf("balancer %s after %v: %w", p.Name, drainTimeout, err)
+		return fmt.Errorf("balancer %s, out of service for %v: %w", p.Name, drainTimeout, err)
 	}
 	if !strings.Contains(text, " 0 circuits open") {
-		return fmt.Errorf("balancer %s after %v: %s", p.Name, drainTimeout, text)
+		return fmt.Errorf("balancer %s still has sessions after %v out of service: %s", p.Name, drainTimeout, text)
 	}
 	waitFor(ctx, span-drainTimeout)
 	if err := call("/control/in-service"); err != nil {
 		return err
 	}
-	if !pong(p.Addr) {
-		return fmt.Errorf("balancer %s says that it is not ready once it is back in service", p.Name)
+	if !answersPing(p.Addr) {
+		return fmt.Errorf("balancer %s does not answer PING with PONG although it is back in service", p.Name)
 	}
 	c.mu.Lock()
 	c.receiving[b] = true
@@ -141,14 +146,16 @@
 	return nil
 }
 
-func (c *Cluster) longestDeadline() (most time.Duration) {
-	for _, l := range c.World.Deadlines {
-		most = max(most, l)
+// longestDeadline returns the longest deadline of all classes.
+func (c *Cluster) longestDeadline() (longest time.Duration) {
+	for _, d := range c.World.Deadlines {
+		longest = max(longest, d)
 	}
-	return most
+	return longest
 }
 
-// restartAsPlanned ends a balancer by SIGTERM and starts it again.
+// restartAsPlanned asks a balancer to end by SIGTERM, kills it if it still runs after the longest deadline and killDelay, and starts
+// it again.
 func (c *Cluster) restartAsPlanned(ctx context.Context, b int) {
 	p := c.process(b)
 	c.recordError(p.Signal(syscall.SIGTERM))
--- a/internal/lab/cluster/proc.go
+++ b/internal/lab/cluster/proc.go
@@ -1,8 +1,8 @@
-// Package cluster runs worlds on sockets: it sets up the emulators, starts balancers as processes of their own, carries
-// out the fault schedule, and collects events and figures. It must never check rules, and never control a balancer but as an operator
-// can: by its configuration and by signals.
+// Package cluster runs worlds on sockets: it sets up the emulators, starts balancers as separate processes, carries out the fault
+// schedule, and collects events and figures. It must never check rules, and must control balancers only by the means that an operator
+// has: configuration, signals and the admin address.
 //
-// This file owns the balancers' processes.
+// This file starts, queries and ends the balancers' processes.
 package cluster
 
 import (
@@ -32,37 +32,38 @@
 
 const (
 	readyTimeout = 10 * time.Second
-	maxLogTail   = 64 << 10 // bytes of a balancer's log that are kept for a failure's report
+	maxLogTail   = 64 << 10 // bytes of a balancer's newest log that are kept for error messages
 	pingInterval = 5 * time.Millisecond
 )
 
-// Process is one balancer, which may be started again and again under its name and address.
+// Process is one balancer, which can be started repeatedly with the same name and address.
 type Process struct {
 	Name    string
-	Addr    string
+	Addr    string // the address that clients connect to
 	command []string
 	env     []string
-	config  string
+	config  string // path of the configuration file
 	log     io.Writer
 
-	AdminAddr string   // its operators' address, empty where it has none
-	shared    *os.File // its listening socket, where the platform holds it
-	tmp       string   // and the directory that all its processes have then
+	AdminAddr string   // the address for operators, "" if it has none
+	shared    *os.File // listening socket that its processes inherit, nil if each opens its own
+	tmp       string   // TMPDIR of all its processes if they inherit the socket
 
-	CPUs int // it is bound to so many of this machine's; 0: to none
+	CPUs int // number of this machine's CPUs that the process is bound to; 0: not bound
 
 	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
-	tail   []byte
-	err    error // how the newest run ended
-	cpu    time.Duration
-	rss    int64 // KiB, the largest of all runs
+	cmd    *exec.Cmd     // the newest run
+	exited chan struct{} // closed once the newest run has ended
+	tail   []byte        // the end of the log
+	err    error         // how the newest run ended
+	cpu    time.Duration // CPU time of all runs that have ended
+	rss    int64         // maximum resident memory of all runs that have ended, in KiB
 }
 
-// NewProcess makes a balancer of a command; its configuration lies in dir, its log also goes to out if that is not nil.
+// NewProcess returns a balancer that is run by a command. Its configuration file is in dir; its log is written to out as well, unless
+// out is nil.
 func NewProcess(name string, command, env []string, dir string, out io.Writer) (*Process, error) {
-	// An address that nobody else is given: a listener that is closed again before the process has it.
+	// The listener reserves a free address. It is closed again before the process opens the address.
 	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
 		return nil, err
@@ -74,7 +75,7 @@
 	return &Process{Name: name, Addr: ln.Addr().String(), command: command, env: env, config: filepath.Join(dir, name+".json"), log: out}, nil
 }
 
-// EnableAdmin gives it an operators' address, for its next start.
+// EnableAdmin gives the balancer an admin address from its next start on.
 func (p *Process) EnableAdmin() error {
 	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
@@ -85,7 +86,7 @@
 	return ln.Close()
 }
 
-// Call makes a call at its operators' address and returns its status code and what it says.
+// Call sends a request to the balancer's admin address and returns the status code and the body of the response.
 func (p *Process) Call(method, path string) (int, string, error) {
 	req, err := http.NewRequest(method, "http://"+p.AdminAddr+path, nil)
 	if err != nil {
@@ -101,20 +102,20 @@
 	return r.StatusCode, string(text), err
 }
 
-// WaitReady waits until it says that it is ready.
+// WaitReady waits until the balancer reports at its admin address that it is ready.
 func (p *Process) WaitReady() error {
 	for end := time.Now().Add(readyTimeout); ; time.Sleep(pingInterval) {
 		if code, _, err := p.Call(http.MethodGet, "/control/ready"); err == nil && code == http.StatusOK {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("balancer %s says no yes within %v: %s", p.Name, readyTimeout, p.LogTail())
+			return fmt.Errorf("balancer %s did not report that it is ready within %v; end of its log: %s", p.Name, readyTimeout, p.LogTail())
 		}
 	}
 }
 
-// ShareListener has the platform hold its listening socket, which each of its processes inherits, and one directory for them all. It
-// takes an address anew: one that was just closed may still be open in a child of another test that is being started.
+// ShareListener opens the balancer's listening socket, which each of its processes inherits, and creates a TMPDIR for all of them. It
+// uses a new address: the one reserved by NewProcess may still be open in a child process that another test is starting.
 func (p *Process) ShareListener() error {
 	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// UnshareListener lets go of both.
+// UnshareListener closes the socket and removes the directory that ShareListener created, if it was called.
 func (p *Process) UnshareListener() {
 	if p.shared != nil {
 		_ = p.shared.Close()
@@ -140,15 +141,15 @@
 	}
 }
 
-// Successor is another process of the same balancer, under the same name, address and configuration but with an operators'
-// address of its own.
+// Successor returns another process of the same balancer, with the same name, address and configuration, but with an admin address
+// of its own.
 func (p *Process) Successor() (*Process, error) {
 	q := &Process{Name: p.Name, Addr: p.Addr, command: p.command, env: slices.Clone(p.env), config: p.config,
 		log: p.log, CPUs: p.CPUs, shared: p.shared, tmp: p.tmp}
 	return q, q.EnableAdmin()
 }
 
-// WriteConfig replaces its configuration whole.
+// WriteConfig replaces the balancer's configuration file atomically.
 func (p *Process) WriteConfig(config []byte) error {
 	if err := os.WriteFile(p.config+".new", config, 0o600); err != nil {
 		return err
@@ -156,7 +157,7 @@
 	return os.Rename(p.config+".new", p.config)
 }
 
-// Start starts it and waits until it is ready.
+// Start starts the process and waits until it answers that it is ready.
 func (p *Process) Start() error {
 	if err := p.Launch(); err != nil {
 		return err
@@ -164,20 +165,20 @@
 	for end := time.Now().Add(readyTimeout); ; {
 		select {
 		case <-p.Exited():
-			return fmt.Errorf("balancer %s ended at its start: %s", p.Name, p.LogTail())
+			return fmt.Errorf("balancer %s ended during its start; end of its log: %s", p.Name, p.LogTail())
 		default:
 		}
-		if pong(p.Addr) {
+		if answersPing(p.Addr) {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("balancer %s is not ready within %v: %s", p.Name, readyTimeout, p.LogTail())
+			return fmt.Errorf("balancer %s was not ready within %v; end of its log: %s", p.Name, readyTimeout, p.LogTail())
 		}
 		time.Sleep(pingInterval)
 	}
 }
 
-// Launch starts it.
+// Launch starts the process without waiting until it is ready.
 func (p *Process) Launch() error {
 	cmd := exec.Command(p.command[0], p.command[1:]...)
 	cmd.Env = append(append(os.Environ(), "EDGE_CONFIG="+p.config, "EDGE_NAME="+p.Name, "EDGE_LISTEN="+p.Addr), p.env...)
@@ -189,8 +190,8 @@
 	if err != nil {
 		return err
 	}
-	if err := p.launch(cmd); err != nil {
-		return fmt.Errorf("balancer %s: %w", p.Name, err)
+	if err := p.startBound(cmd); err != nil {
+		return fmt.Errorf("starting balancer %s: %w", p.Name, err)
 	}
 	exited := make(chan struct{})
 	p.mu.Lock()
@@ -221,32 +222,33 @@
 	return nil
 }
 
-// launch starts a command bound to its processors, which a child inherits from the thread that starts it.
-func (p *Process) launch(cmd *exec.Cmd) error {
+// startBound starts a command. If the process is to be bound to CPUs, the calling thread is bound to them for that time, as a child
+// inherits the binding of the thread that starts it.
+func (p *Process) startBound(cmd *exec.Cmd) error {
 	if p.CPUs == 0 {
 		return cmd.Start()
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var was, some unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &was); err != nil {
+	var previous, selected unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &previous); err != nil {
 		return err
 	}
 	for i, n := 0, 0; i < 1024 && n < p.CPUs; i++ {
-		if was.IsSet(i) {
-			some.Set(i)
+		if previous.IsSet(i) {
+			selected.Set(i)
 			n++
 		}
 	}
-	if err := unix.SchedSetaffinity(0, &some); err != nil {
+	if err := unix.SchedSetaffinity(0, &selected); err != nil {
 		return err
 	}
-	defer func() { _ = unix.SchedSetaffinity(0, &was) }()
+	defer func() { _ = unix.SchedSetaffinity(0, &previous) }()
 	return cmd.Start()
 }
 
-// pong asks a balancer whether it is ready, as the front does.
-func pong(addr string) bool {
+// answersPing reports whether a balancer answers PING with PONG, by which a load balancer in front of it learns that it is ready.
+func answersPing(addr string) bool {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return false
@@ -258,14 +260,14 @@
 	return err == nil && text == "PONG\r\n"
 }
 
-// LogTail is the end of its log.
+// LogTail returns the end of the balancer's log.
 func (p *Process) LogTail() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.TrimSpace(string(p.tail))
 }
 
-// Signal sends it a signal; it is no error if it has ended.
+// Signal sends a signal to the newest run. It is no error if that has ended, or if there was none.
 func (p *Process) Signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -285,21 +287,21 @@
 	return p.cmd.Process.Pid
 }
 
-// Exited is closed once the newest run has ended.
+// Exited returns a channel that is closed once the newest run has ended. It is nil before the first run.
 func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// Err returns how the newest run ended, once it has: nil for an exit with 0.
+// Err returns the error with which the newest run ended: nil if it exited with status 0, or has not ended.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// Kill ends it outright and waits for that.
+// Kill kills the newest run and waits for its end.
 func (p *Process) Kill() {
 	_ = p.Signal(syscall.SIGKILL)
 	if done := p.Exited(); done != nil {
@@ -307,14 +309,14 @@
 	}
 }
 
-// TotalUsage returns the CPU time of all runs that have ended, and the most memory of one, in MiB.
+// TotalUsage returns the CPU time of all runs that have ended, and the maximum resident memory of any of them in MiB.
 func (p *Process) TotalUsage() (cpu time.Duration, mb float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cpu, float64(p.rss) / 1024
 }
 
-// CPU returns the processor time that the running process has used so far.
+// CPU returns the CPU time that the running process has used so far, 0 if it is unknown.
 func (p *Process) CPU() time.Duration {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -336,7 +338,7 @@
 	return time.Duration(user+sys) * time.Second / 100
 }
 
-// RSS is the memory that it holds now, in KiB.
+// RSS returns the resident memory of the running process in KiB, 0 if it is unknown.
 func (p *Process) RSS() int64 {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -345,8 +347,8 @@
 		return 0
 	}
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
-	for _, l := range strings.Split(string(text), "\n") {
-		if rest, is := strings.CutPrefix(l, "VmRSS:"); is {
+	for _, line := range strings.Split(string(text), "\n") {
+		if rest, found := strings.CutPrefix(line, "VmRSS:"); found {
 			var kb int64
 			_, _ = fmt.Sscan(rest, &kb)
 			return kb
@@ -355,19 +357,20 @@
 	return 0
 }
 
-var effectNames = map[policy.Idempotency]string{policy.Idempotent: "read_like", policy.IdempotentWithKey: "idempotency_key", policy.NonIdempotent: "non_idempotent"}
-var scopeNames = map[policy.KeyScope]string{policy.KeyScopeAll: "all", policy.KeyScopeZone: "zone", policy.KeyScopeFailureDomain: "cell"}
+// idempotencyNames and keyScopeNames are the values of "Effect" and "Group" in a balancer's configuration.
+var idempotencyNames = map[policy.Idempotency]string{policy.Idempotent: "read_like", policy.IdempotentWithKey: "idempotency_key", policy.NonIdempotent: "non_idempotent"}
+var keyScopeNames = map[policy.KeyScope]string{policy.KeyScopeAll: "all", policy.KeyScopeZone: "zone", policy.KeyScopeFailureDomain: "cell"}
 
-// BalancerConfig writes the configuration of one balancer of a world, in the form that the program reads.
+// BalancerConfig returns the configuration file of one balancer of a world.
 func BalancerConfig(w *topology.World, num int, listen, discovery string, seed uint64, known json.RawMessage) []byte {
 	d := &w.Deployment
 	us := func(t time.Duration) int64 { return t.Microseconds() }
-	var grades []map[string]any
-	var goals []float64
-	for i, g := range d.Classes {
-		grades = append(grades, map[string]any{"Name": w.ClassNames[i], "Effect": effectNames[g.Idempotency], "Group": scopeNames[g.KeyScope],
-			"WindowUs": us(g.KeyTTL), "LatencyGoalUs": us(g.SetupObjective), "OuterLimitUs": us(w.Deadlines[i]), "Utility": g.PriorityWeight})
-		goals = append(goals, float64(us(w.MessageObjective)))
+	var classes []map[string]any
+	var messageObjectives []float64
+	for i, class := range d.Classes {
+		classes = append(classes, map[string]any{"Name": w.ClassNames[i], "Effect": idempotencyNames[class.Idempotency], "Group": keyScopeNames[class.KeyScope],
+			"WindowUs": us(class.KeyTTL), "LatencyGoalUs": us(class.SetupObjective), "OuterLimitUs": us(w.Deadlines[i]), "Utility": class.PriorityWeight})
+		messageObjectives = append(messageObjectives, float64(us(w.MessageObjective)))
 	}
 	var zones []string
 	for z := range w.Zones {
@@ -382,20 +385,20 @@
 		"limits": map[string]any{"cores": w.Limits.Cores, "memory_mb": w.Limits.MemoryMB, "sockets": w.Limits.Sockets},
 		"known":  known,
 		"settings": map[string]any{
-			"PeersTotal": w.Balancers, "Zone": num % w.Zones, "Areas": zones, "RegistryMode": "pushed", "ServiceGrades": grades, "Accounts": []any{},
+			"PeersTotal": w.Balancers, "Zone": num % w.Zones, "Areas": zones, "RegistryMode": "pushed", "ServiceGrades": classes, "Accounts": []any{},
 			"Guarantees": map[string]any{"ColdFrom": d.SlowStartFloor, "ColdUs": us(d.SlowStartWindow), "DrainGraceUs": us(w.DrainGrace),
 				"FallMultiple": d.OverloadMultiple, "FallUs": us(d.OverloadWindow)},
 			"Limits": map[string]any{"ConnectTimeoutUs": us(w.ConnectTimeout), "MostSetupTries": d.MaxAttempts,
 				"MaxRetryAfterUs": us(d.MaxRetryAfter), "RetryAfter": d.CanSendRetryAfter, "Probes": d.CanHealthCheck},
 			"Prices": map[string]any{"CrossZone": d.CrossZoneCost}, "Report": report,
-			"Specifics": map[string]any{"Groups": w.Load.Groups > 0, "MessageAimUs": goals, "Mode": "proxy"},
+			"Specifics": map[string]any{"Groups": w.Load.Groups > 0, "MessageAimUs": messageObjectives, "Mode": "proxy"},
 		},
 	}, "", "  ")
 	if err != nil {
-		panic(err) // plain values and a list of our own
+		panic(err) // cannot happen: plain values, and a list that the testbed has encoded itself
 	}
 	return text
 }
 
-// ZoneName names a zone.
+// ZoneName returns the name of a zone.
 func ZoneName(z int) string { return fmt.Sprintf("zone-%c", 'a'+z%26) }
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -1,3 +1,5 @@
+// This file runs a started cluster: the load, the fault schedule and the collection of figures and events, up to the verdict.
+
 package cluster
 
 import (
@@ -13,9 +15,9 @@
 	"sabletally/internal/lab/report"
 )
 
-// Run plays the world to its end and returns its figures, its events and the checker's verdict. note, if not nil,
-// is called with each step of the fault schedule. An error is one of the testbed itself.
-func (c *Cluster) Run(ctx context.Context, note func(at time.Duration, text string)) (report.Run, []history.Event, checker.Verdict, error) {
+// Run runs the world to its end and returns its figures, its events and the checker's verdict. onStep, if it is not nil, is called
+// with the description of each step of the fault schedule. Errors are those of the testbed itself.
+func (c *Cluster) Run(ctx context.Context, onStep func(at time.Duration, text string)) (report.Run, []history.Event, checker.Verdict, error) {
 	w := &c.World
 	steps, _, err := faults.Expand(w.Faults, len(w.Machines), w.Balancers, c.seed)
 	if err != nil {
@@ -29,8 +31,8 @@
 		MessageInterval: w.MessageInterval, MessageObjective: w.MessageObjective, Retry: w.Retry, Seed: c.seed}
 	var running sync.WaitGroup
 	running.Go(func() { clients.Run(ctx, planned) })
-	running.Go(func() { c.takeFigures(ctx) })
-	running.Go(func() { c.runSchedule(ctx, steps, clients, &running, note) })
+	running.Go(func() { c.collectFigures(ctx) })
+	running.Go(func() { c.runSchedule(ctx, steps, clients, &running, onStep) })
 	waitFor(ctx, time.Until(c.Clock.At(w.Load.Length)))
 	end := c.Clock.Now()
 	if c.members != nil {
@@ -58,14 +60,15 @@
 	return run, events, verdict, nil
 }
 
-// runSchedule carries out each step of the fault schedule at its time. Steps that take longer join running.
-func (c *Cluster) runSchedule(ctx context.Context, steps []faults.Step, clients *emulator.Clients, running *sync.WaitGroup, note func(time.Duration, string)) {
+// runSchedule carries out each step of the fault schedule at its time. Actions that take longer go on in goroutines, which running
+// counts.
+func (c *Cluster) runSchedule(ctx context.Context, steps []faults.Step, clients *emulator.Clients, running *sync.WaitGroup, onStep func(time.Duration, string)) {
 	for _, step := range steps {
 		if !waitFor(ctx, time.Until(c.Clock.At(step.At))) {
 			return
 		}
-		if note != nil {
-			note(c.Clock.Now(), describe(step))
+		if onStep != nil {
+			onStep(c.Clock.Now(), describe(step))
 		}
 		c.applyStep(ctx, step, clients, running)
 	}
@@ -78,7 +81,7 @@
 	return c.Servers[:len(c.Servers):len(c.Servers)]
 }
 
-// serversByGroup counts the servers that hold sessions of each group.
+// serversByGroup returns, for each group of clients, the number of servers that have sessions of it.
 func (c *Cluster) serversByGroup() map[uint64]int {
 	groups := map[uint64]int{}
 	for _, s := range c.startedServers() {
@@ -89,7 +92,7 @@
 	return groups
 }
 
-// endProcesses kills all balancers and enters what they used.
+// endProcesses kills all balancers and sets their CPU time and memory in run.
 func (c *Cluster) endProcesses(run *report.Run) {
 	for _, p := range append(c.replaced, c.Processes...) {
 		p.Kill()
@@ -100,8 +103,8 @@
 	}
 }
 
-// eventsUntil returns the events up to the end of the run, as its end cuts sessions that are no fault of a balancer,
-// and enters the figures that are counted from them.
+// eventsUntil returns the events up to the end of the run, and sets the figures in run that are counted from them. Later events are
+// left out: the end of the run breaks sessions, which is no fault of a balancer.
 func (c *Cluster) eventsUntil(end time.Duration, run *report.Run) []history.Event {
 	var events []history.Event
 	for _, e := range c.Log.Events() {
@@ -119,8 +122,8 @@
 	return events
 }
 
-// takeFigures advances the servers' models and adds the figures of each interval to the meter.
-func (c *Cluster) takeFigures(ctx context.Context) {
+// collectFigures advances the servers' models and adds the figures of each interval to the meter.
+func (c *Cluster) collectFigures(ctx context.Context) {
 	for at := figureInterval; ; at += figureInterval {
 		if !waitFor(ctx, time.Until(c.Clock.At(at))) {
 			return
