--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -1,3 +1,5 @@
+// This file runs the balancers: their starts and ends, the decisions of their policy, and the endpoint lists that they get.
+
 package simulation
 
 import (
@@ -11,7 +13,8 @@
 )
 
 const (
-	// As the balancer on sockets moves its sessions when its process is to end.
+	// drainStart and drainEnd are the times after a stop signal between which a balancer migrates its sessions, the same as those of
+	// the balancer on sockets.
 	drainStart = 400 * time.Millisecond
 	drainEnd   = 2200 * time.Millisecond
 	// exitDelay is the time between the end of a drain and the start of the next process.
@@ -23,16 +26,18 @@
 	index     int32
 	zone      int
 	decider   baseline.Decider
-	start     time.Duration
+	start     time.Duration // the zero of the decider's clock
 	alive     bool
 	draining  bool
-	wakeAt    time.Duration // of the pending call to runDecisions, -1 for none
+	wakeAt    time.Duration // time of the pending call to runDecisions, -1 if there is none
 	sessions  map[policy.SessionID]*session
 	lastID    policy.SessionID
-	endpoints []policy.Endpoint // the endpoint list that it has, by server
-	known     []bool            // servers that the list has named to it
+	endpoints []policy.Endpoint // by server index: the newest entry of the endpoint list that was delivered
+	known     []bool            // by server index: whether an entry was delivered
 }
 
+// startBalancer starts the next process of a balancer. The first process gets the entries of all servers; a later one starts with
+// the list that its predecessor had, and gets the full list from discovery.
 func (w *world) startBalancer(num int) {
 	old := w.balancers[num]
 	b := &balancer{index: int32(num), zone: num % max(w.Zones, 1), start: w.now, alive: true, wakeAt: -1, sessions: map[policy.SessionID]*session{}}
@@ -41,26 +46,26 @@
 	b.decider, _ = baseline.New(w.policy, &dep, w.balancerSeeds.Uint64()) // Run has checked the name
 	w.balancers[num] = b
 	w.record(history.Event{Kind: history.BalancerStarted, Balancer: b.index, Server: -1})
-	var lines []policy.Endpoint
+	var endpoints []policy.Endpoint
 	for i, srv := range w.servers {
-		l := w.listing(srv, b)
-		if old != nil && i < len(old.known) && old.known[i] { // it starts with the list that its last process had
-			l = old.endpoints[i]
-			if l.StartedAt != policy.StartedLongAgo {
-				l.StartedAt += old.start - b.start
+		endpoint := w.endpointFor(srv, b)
+		if old != nil && i < len(old.known) && old.known[i] {
+			endpoint = old.endpoints[i]
+			if endpoint.StartedAt != policy.StartedLongAgo {
+				endpoint.StartedAt += old.start - b.start
 			}
 		} else if old != nil {
 			continue
 		}
-		lines = append(lines, l)
+		endpoints = append(endpoints, endpoint)
 	}
-	w.deliverListings(b, lines, true)
+	w.deliverEndpoints(b, endpoints, true)
 	if old != nil {
 		w.deliverFullList(b)
 	}
 }
 
-// deliverFullList gives a balancer the complete list as soon as discovery is up.
+// deliverFullList delivers the complete endpoint list to a balancer as soon as discovery is reachable.
 func (w *world) deliverFullList(b *balancer) {
 	if !w.discoveryUp {
 		w.pendingUpdates = append(w.pendingUpdates, func() { w.deliverFullList(b) })
@@ -70,21 +75,21 @@
 		if !b.alive {
 			return
 		}
-		var lines []policy.Endpoint
+		var endpoints []policy.Endpoint
 		for _, srv := range w.servers {
-			lines = append(lines, w.listing(srv, b))
+			endpoints = append(endpoints, w.endpointFor(srv, b))
 		}
-		w.deliverListings(b, lines, true)
+		w.deliverEndpoints(b, endpoints, true)
 	})
 }
 
-// killBalancer ends a balancer and all its sessions.
-func (w *world) killBalancer(b *balancer, how string) {
+// killBalancer ends a balancer's process and all its sessions. The event in the log gets the reason.
+func (w *world) killBalancer(b *balancer, reason string) {
 	if !b.alive {
 		return
 	}
 	b.alive = false
-	w.record(history.Event{Kind: history.BalancerKilled, Balancer: b.index, Server: -1, Text: how})
+	w.record(history.Event{Kind: history.BalancerKilled, Balancer: b.index, Server: -1, Text: reason})
 	ids := make([]policy.SessionID, 0, len(b.sessions))
 	for id := range b.sessions {
 		ids = append(ids, id)
@@ -93,12 +98,12 @@
 	for _, id := range ids {
 		s := b.sessions[id]
 		w.releaseUpstream(s)
-		w.balancerLost(s, load.Broken)
+		w.breakSession(s, load.Broken)
 	}
 	clear(b.sessions)
 }
 
-// runDecisions executes a balancer's decisions and schedules the next call.
+// runDecisions executes all decisions that a balancer's policy has made, and schedules the next call for the time that it asks for.
 func (w *world) runDecisions(b *balancer) {
 	b.decider.AdvanceClock(w.now - b.start)
 	for {
@@ -121,6 +126,7 @@
 	})
 }
 
+// execute carries out one decision. Decisions about sessions that have ended are ignored.
 func (w *world) execute(b *balancer, d policy.Decision) {
 	if d.Action == policy.HealthCheck {
 		w.checkHealth(b, w.servers[w.serverIndex[d.Endpoint]])
--- a/internal/lab/simulation/digest_test.go
+++ b/internal/lab/simulation/digest_test.go
@@ -12,8 +12,8 @@
 	"sabletally/internal/lab/history"
 )
 
-// TestRunsMatchTheGoldenDigest holds seeded runs of every policy to the digests that testdata keeps: the same
-// seed has to give the same events in every version of the program.
+// TestRunsMatchTheGoldenDigest compares the events of seeded runs of every policy with digests in testdata. It guards against changes
+// that alter the events of a seed, as results of different versions of the program are then no longer comparable.
 func TestRunsMatchTheGoldenDigest(t *testing.T) {
 	golden, err := os.ReadFile("testdata/digest.golden")
 	if err != nil {
@@ -36,6 +36,6 @@
 		}
 	}
 	if got != string(golden) {
-		t.Errorf("got\n%swant\n%s", got, golden)
+		t.Errorf("digests differ from testdata/digest.golden: got\n%swant\n%s", got, golden)
 	}
 }
--- a/internal/lab/simulation/fault_steps.go
+++ b/internal/lab/simulation/fault_steps.go
@@ -1,3 +1,5 @@
+// This file carries out the steps of the fault schedule.
+
 package simulation
 
 import (
@@ -11,7 +13,7 @@
 	"sabletally/policy"
 )
 
-// silenceTimeout is when the balancer on sockets moves sessions away from a silent server.
+// silenceTimeout is the time after which a balancer moves sessions away from a silent server, as the balancer on sockets does.
 const silenceTimeout = 5 * time.Second
 
 // applyStep carries out one step of the fault schedule.
@@ -34,7 +36,7 @@
 	case faults.RestartBalancer:
 		w.restartAsPlanned(step.Target)
 	default:
-		if step.Target < len(w.servers) { // else it has not started yet
+		if step.Target < len(w.servers) { // otherwise the server has not started yet
 			w.applyServerStep(w.servers[step.Target], step)
 		}
 	}
@@ -83,18 +85,19 @@
 	}
 }
 
-// startReplacement starts a server like an earlier one.
+// startReplacement starts a server with the machine type, zone and failure domain of an earlier one, and announces it.
 func (w *world) startReplacement(index int) {
 	old := w.servers[index]
-	machine := topology.Machine{Type: old.Type, Zone: old.zone, FailureDomain: old.cell}
+	machine := topology.Machine{Type: old.Type, Zone: old.zone, FailureDomain: old.failureDomain}
 	w.announce(w.addServer(machine, len(w.servers), w.now), w.ListDelay)
 }
 
+// recordStop adds an event to the log: a server has stopped, for a reason.
 func (w *world) recordStop(srv *server, reason string) {
 	w.record(history.Event{Kind: history.Stopped, Server: int32(srv.index), Balancer: -1, Text: reason})
 }
 
-// silence has a server's machine answer nothing any more.
+// silence stops all answers from a server's machine. The balancers move its established sessions away once they notice.
 func (w *world) silence(srv *server) {
 	srv.silent = true
 	w.recordStop(srv, "vanish")
@@ -112,7 +115,7 @@
 	}
 }
 
-// setDiscovery puts discovery out of reach, or back: then what waited is delivered.
+// setDiscovery makes discovery unreachable, or reachable again: then the updates that waited are delivered.
 func (w *world) setDiscovery(up bool) {
 	w.discoveryUp = up
 	if !up {
@@ -125,7 +128,7 @@
 	}
 }
 
-// dropClients has a share of the connected clients disconnect and come back, spread over a time.
+// dropClients disconnects a share of the connected clients at random times within a duration. They connect again later.
 func (w *world) dropClients(share float64, within time.Duration) {
 	for _, c := range w.clients {
 		if c.session == nil || c.session.state != established || w.rng.Float64() >= share {
@@ -159,7 +162,7 @@
 	})
 }
 
-// revive starts a server's process anew.
+// revive starts a server's process again. It is cold, and has no sessions.
 func (w *world) revive(srv *server) {
 	old := srv.Server
 	srv.Server = model.New(old.Type, w.Warmup, w.now)
@@ -168,12 +171,12 @@
 	w.announce(srv, w.ListDelay)
 }
 
-// moveClientsAway has a draining server move an even part of its clients away at a time until the drain ends.
-func (w *world) moveClientsAway(srv *server, by time.Duration) {
+// moveClientsAway lets a draining server move its clients away in even parts, one part in each interval until the end of the drain.
+func (w *world) moveClientsAway(srv *server, end time.Duration) {
 	if srv.down || srv.silent {
 		return
 	}
-	rounds := max(1, int((by-w.now)/figureInterval))
+	rounds := max(1, int((end-w.now)/figureInterval))
 	for range (len(srv.sessions) + rounds - 1) / rounds {
 		for _, up := range srv.sessions {
 			if up.served {
@@ -182,7 +185,7 @@
 			}
 		}
 	}
-	if w.now+figureInterval < by {
-		w.after(figureInterval, func() { w.moveClientsAway(srv, by) })
+	if w.now+figureInterval < end {
+		w.after(figureInterval, func() { w.moveClientsAway(srv, end) })
 	}
 }
--- a/internal/lab/simulation/figures.go
+++ b/internal/lab/simulation/figures.go
@@ -1,3 +1,5 @@
+// This file samples the servers at fixed intervals: figures for the meter, and latency reports for the balancers.
+
 package simulation
 
 import (
@@ -11,14 +13,15 @@
 const (
 	figureInterval      = 250 * time.Millisecond
 	slowMessageInterval = time.Second
-	// slowMessageDivisor: messages are reported that take over this part of the latency objective.
+	// slowMessageDivisor sets which messages are reported as slow: those that take more than the latency objective divided by it.
 	slowMessageDivisor = 3
-	// shedDivisor is the part of its sessions that an overloaded server drops at a time.
+	// shedDivisor sets the share of its sessions, one in 20, that an overloaded server drops in each interval.
 	shedDivisor = 20
 )
 
-// takeFigures adds the figures of one interval to the meter.
-func (w *world) takeFigures() {
+// collectFigures advances the servers' models and adds the figures of one interval to the meter. Servers whose backlog exceeds
+// ShedBacklog drop sessions.
+func (w *world) collectFigures() {
 	served := 0.0
 	w.loads = w.loads[:0]
 	for _, srv := range w.servers {
@@ -44,29 +47,30 @@
 	w.meter.Tick(w.now, figureInterval, served, float64(w.activeClients), worst, mean, spread)
 }
 
-// reportSlowMessages tells the balancers of slow servers how long messages take.
+// reportSlowMessages reports the message latency of slow servers to the balancers that have sessions there, and once more when a
+// server is no longer slow.
 func (w *world) reportSlowMessages() {
 	for _, srv := range w.servers {
-		if srv.down || srv.silent || len(srv.holders) == 0 {
+		if srv.down || srv.silent || len(srv.sessionsByBalancer) == 0 {
 			continue
 		}
-		took := srv.Message(w.now)
-		slow := took > w.MessageObjective/slowMessageDivisor
-		holders := make([]int32, 0, len(srv.holders))
-		for index := range srv.holders {
+		latency := srv.Message(w.now)
+		slow := latency > w.MessageObjective/slowMessageDivisor
+		indexes := make([]int32, 0, len(srv.sessionsByBalancer))
+		for index := range srv.sessionsByBalancer {
 			if slow || srv.slowReported[index] {
-				holders = append(holders, index)
+				indexes = append(indexes, index)
 			}
 		}
-		slices.Sort(holders)
-		for _, index := range holders {
+		slices.Sort(indexes)
+		for _, index := range indexes {
 			if srv.slowReported[index] = slow; !slow {
 				delete(srv.slowReported, index)
 			}
-			if holder := w.balancers[index]; holder.alive {
-				holder.decider.AdvanceClock(w.now - holder.start)
-				holder.decider.RecordLatency(srv.id, took)
-				w.runDecisions(holder)
+			if b := w.balancers[index]; b.alive {
+				b.decider.AdvanceClock(w.now - b.start)
+				b.decider.RecordLatency(srv.id, latency)
+				w.runDecisions(b)
 			}
 		}
 	}
--- a/internal/lab/simulation/sessions.go
+++ b/internal/lab/simulation/sessions.go
@@ -1,3 +1,5 @@
+// This file runs the sessions: their attempts at servers, what servers answer, and health checks.
+
 package simulation
 
 import (
@@ -9,17 +11,17 @@
 	"sabletally/policy"
 )
 
-// sessionState is how far a session has come.
+// sessionState is the state of a session at its balancer.
 type sessionState uint8
 
 const (
-	awaitingAttempt sessionState = iota // no answer yet, no attempt out
-	attempting                          // an attempt is out
+	awaitingAttempt sessionState = iota // not answered yet, and no attempt is in progress
+	attempting                          // an attempt is in progress
 	established
 	ended
 )
 
-// String names a state.
+// String returns the name of the state.
 func (s sessionState) String() string {
 	return [...]string{"awaiting attempt", "attempting", "established", "ended"}[s]
 }
@@ -30,15 +32,15 @@
 	id         policy.SessionID
 	client     *client
 	balancer   *balancer
-	server     *server          // of the newest attempt
-	upstream   *upstreamSession // at that server, once the attempt has arrived there
+	server     *server          // server of the newest attempt
+	upstream   *upstreamSession // the server's side of the newest attempt, nil until the attempt has arrived there
 	state      sessionState
-	attempts   int
-	generation int           // changes with each attempt and state, so that late events are told apart
-	attemptAt  time.Duration // when the newest attempt was decided
+	attempts   int           // number of attempts so far
+	generation int           // changes with each attempt and state, so that late events are recognized
+	attemptAt  time.Duration // time of the decision to start the newest attempt
 }
 
-// isAttempting reports whether the attempt of a generation is still out at a balancer that is alive.
+// isAttempting reports whether the attempt of a generation is still in progress at a balancer that is alive.
 func (s *session) isAttempting(generation int) bool {
 	return s.generation == generation && s.balancer.alive && s.state == attempting
 }
@@ -47,29 +49,30 @@
 type upstreamSession struct {
 	session *session
 	server  *server
-	slot    int // in server.sessions, -1 once it has ended there
-	served  bool
+	slot    int  // index in server.sessions, -1 once it has ended there
+	served  bool // whether the client has been answered
 }
 
-// reject gives a session a final answer other than success.
-func (w *world) reject(s *session, text string, how load.Ending, advice time.Duration) {
+// reject ends a session by a final answer other than success. The client retries, after retryAfter if that is not 0.
+func (w *world) reject(s *session, answer string, ending load.Ending, retryAfter time.Duration) {
 	w.endSession(s)
 	w.after(w.ClientDelay, func() {
 		if s.client.session != s {
 			return
 		}
-		w.record(history.Event{Kind: history.Answered, Session: s.number, Balancer: s.balancer.index, Text: text})
-		w.retryLater(s.client, how, advice)
+		w.record(history.Event{Kind: history.Answered, Session: s.number, Balancer: s.balancer.index, Text: answer})
+		w.retryLater(s.client, ending, retryAfter)
 	})
 }
 
+// endSession removes a session from its balancer.
 func (w *world) endSession(s *session) {
 	s.state = ended
 	s.generation++
 	delete(s.balancer.sessions, s.id)
 }
 
-// releaseUpstream has a session's server see its end, if a server holds it.
+// releaseUpstream ends the server's side of a session, if there is one, after the network delay.
 func (w *world) releaseUpstream(s *session) {
 	up := s.upstream
 	if s.upstream = nil; up == nil || up.slot < 0 {
@@ -84,8 +87,8 @@
 	})
 }
 
-// moveSession has a client move to another balancer or server.
-func (w *world) moveSession(s *session, how policy.Outcome) {
+// moveSession migrates a session: it ends here, and its client is told to connect again. The policy gets the outcome.
+func (w *world) moveSession(s *session, outcome policy.Outcome) {
 	w.meter.Migrate(w.now)
 	id, attempt, b := s.id, s.attempts-1, s.balancer
 	w.endSession(s)
@@ -98,23 +101,23 @@
 		}
 	})
 	b.decider.AdvanceClock(w.now - b.start)
-	b.decider.AttemptEnded(id, attempt, true, how)
+	b.decider.AttemptEnded(id, attempt, true, outcome)
 	w.runDecisions(b)
 }
 
-// startAttempt dials a server; no server holds the attempt until its line has arrived.
-func (w *world) startAttempt(s *session, srv *server, within time.Duration) {
+// startAttempt dials a server and sends it the session's first line. The server has no state of the attempt until the line arrives.
+func (w *world) startAttempt(s *session, srv *server, timeout time.Duration) {
 	w.meter.Attempt()
 	s.attempts++
 	s.generation++
 	s.state, s.attemptAt, s.server, s.upstream = attempting, w.now, srv, nil
 	generation, b := s.generation, s.balancer
-	w.after(within, func() {
+	w.after(timeout, func() {
 		if s.isAttempting(generation) {
 			w.endAttempt(s, policy.TimedOut)
 		}
 	})
-	way := w.networkDelay(b, srv)
+	delay := w.networkDelay(b, srv)
 	switch {
 	case srv.silent:
 		w.after(w.ConnectTimeout, func() {
@@ -124,22 +127,22 @@
 		})
 		return
 	case srv.down:
-		w.after(2*way, func() {
+		w.after(2*delay, func() {
 			if s.isAttempting(generation) {
 				w.endAttempt(s, policy.ConnectFailed)
 			}
 		})
 		return
 	}
-	w.after(2*way, func() { // the connection is up
+	w.after(2*delay, func() { // the connection is established
 		if !s.isAttempting(generation) {
 			return
 		}
-		if b.endpoints[srv.index].State != policy.Ready { // the list has changed during the dial
+		if b.endpoints[srv.index].State != policy.Ready { // the endpoint list has changed during the dial
 			w.endAttempt(s, policy.NeverSent)
 			return
 		}
-		w.after(way, func() {
+		w.after(delay, func() {
 			if s.isAttempting(generation) {
 				w.receiveAttempt(s, srv)
 			}
@@ -147,7 +150,7 @@
 	})
 }
 
-// receiveAttempt has a server read and answer a first line.
+// receiveAttempt lets a server read the first line of an attempt, and accept or reject it.
 func (w *world) receiveAttempt(s *session, srv *server) {
 	if srv.down {
 		w.answerAttempt(s, srv, 0, policy.Reset)
@@ -157,7 +160,7 @@
 		return
 	}
 	w.record(history.Event{Kind: history.AttemptReceived, Session: s.number, Server: int32(srv.index), Balancer: s.balancer.index, Class: int16(s.client.Class)})
-	answer, took := srv.Admit(w.now, s.client.Load, s.client.Group, w.rng.Float64())
+	answer, work := srv.Admit(w.now, s.client.Load, s.client.Group, w.rng.Float64())
 	switch answer {
 	case model.Overloaded:
 		if !srv.down {
@@ -174,17 +177,17 @@
 		w.recordAttemptEnd(s, srv, "failed")
 		w.answerAttempt(s, srv, srv.Type.Setup, policy.Failed)
 	default:
-		w.runAttempt(s, srv, took)
+		w.runAttempt(s, srv, work)
 	}
 }
 
-// runAttempt has a server set a session up, which takes a time and a call to the store.
-func (w *world) runAttempt(s *session, srv *server, took time.Duration) {
+// runAttempt lets a server set up a session, which takes the given work time and a call to the store.
+func (w *world) runAttempt(s *session, srv *server, work time.Duration) {
 	up := w.addUpstream(s, srv)
 	generation := s.generation
-	storeTook, stored := w.Store.Call(w.now)
+	storeTime, stored := w.Store.Call(w.now)
 	receipt := float64(s.number)
-	w.after(took+storeTook, func() {
+	w.after(work+storeTime, func() {
 		if up.slot < 0 || srv.silent {
 			return
 		}
@@ -203,12 +206,12 @@
 	})
 }
 
-// addUpstream enters an attempt in its server's table.
+// addUpstream adds an attempt to its server's table of sessions.
 func (w *world) addUpstream(s *session, srv *server) *upstreamSession {
 	up := &upstreamSession{session: s, server: srv, slot: len(srv.sessions)}
 	s.upstream = up
 	srv.sessions = append(srv.sessions, up)
-	srv.holders[s.balancer.index]++
+	srv.sessionsByBalancer[s.balancer.index]++
 	if group := s.client.Group; group > 0 {
 		if w.groupSessions[group] == nil {
 			w.groupSessions[group] = map[int]int{}
@@ -218,7 +221,7 @@
 	return up
 }
 
-// answerAttempt brings a server's answer to the balancer if the session's newest attempt is still out then.
+// answerAttempt delivers a server's answer to the balancer, if the session's newest attempt is still in progress then.
 func (w *world) answerAttempt(s *session, srv *server, delay time.Duration, outcome policy.Outcome) {
 	w.answerAttemptOf(s, srv, s.generation, delay, outcome)
 }
@@ -232,11 +235,12 @@
 	})
 }
 
+// recordAttemptEnd adds an event to the log: an attempt has ended at a server. by says which side or what ended it.
 func (w *world) recordAttemptEnd(s *session, srv *server, by string) {
 	w.record(history.Event{Kind: history.AttemptEnded, Session: s.number, Server: int32(srv.index), Text: by})
 }
 
-// establish tells the balancer and the client that the session is set up.
+// establish reports to the balancer, and after the network delay to the client, that the session is set up.
 func (w *world) establish(s *session, receipt float64) {
 	b := s.balancer
 	s.generation++
@@ -261,19 +265,19 @@
 	w.runDecisions(b)
 }
 
-// reportedLoad is a session's load as servers report it: microseconds of work a second.
+// reportedLoad returns a session's load as servers report it: microseconds of work per second.
 func (w *world) reportedLoad(s *session) float64 {
 	return s.client.Load * 1e6 / float64(s.server.Type.SessionsPerCore)
 }
 
-// endAttempt ends an attempt, or the session that it established.
-func (w *world) endAttempt(s *session, how policy.Outcome) {
+// endAttempt ends an attempt, or the session that it established, and reports the outcome to the policy.
+func (w *world) endAttempt(s *session, outcome policy.Outcome) {
 	b, id, attempt, wasEstablished := s.balancer, s.id, s.attempts-1, s.state == established
 	w.releaseUpstream(s)
 	b.decider.AdvanceClock(w.now - b.start)
 	if wasEstablished {
 		w.endSession(s)
-		movedByServer := how == policy.Cancelled
+		movedByServer := outcome == policy.Cancelled
 		w.after(w.ClientDelay, func() {
 			if s.client.session != s {
 				return
@@ -292,35 +296,35 @@
 		s.generation++
 		s.state = awaitingAttempt
 	}
-	b.decider.AttemptEnded(id, attempt, wasEstablished, how)
+	b.decider.AttemptEnded(id, attempt, wasEstablished, outcome)
 	w.runDecisions(b)
 }
 
-// checkHealth probes a server and reports the outcome and its load.
+// checkHealth sends a health check to a server and reports the outcome and the server's load to the policy.
 func (w *world) checkHealth(b *balancer, srv *server) {
 	w.meter.HealthCheck()
-	way := w.networkDelay(b, srv)
-	tell := func(how policy.Outcome, r policy.LoadReport) {
+	delay := w.networkDelay(b, srv)
+	finish := func(outcome policy.Outcome, report policy.LoadReport) {
 		if b.alive {
 			b.decider.AdvanceClock(w.now - b.start)
-			b.decider.HealthCheckEnded(srv.id, how)
-			b.decider.RecordLoadReport(srv.id, r)
+			b.decider.HealthCheckEnded(srv.id, outcome)
+			b.decider.RecordLoadReport(srv.id, report)
 			w.runDecisions(b)
 		}
 	}
 	switch {
 	case srv.silent:
-		w.after(w.ConnectTimeout, func() { tell(policy.ConnectFailed, policy.NoLoadReport) })
+		w.after(w.ConnectTimeout, func() { finish(policy.ConnectFailed, policy.NoLoadReport) })
 	case srv.down:
-		w.after(2*way, func() { tell(policy.ConnectFailed, policy.NoLoadReport) })
+		w.after(2*delay, func() { finish(policy.ConnectFailed, policy.NoLoadReport) })
 	default:
-		w.after(3*way, func() {
+		w.after(3*delay, func() {
 			srv.Advance(w.now)
-			r := policy.NoLoadReport
+			report := policy.NoLoadReport
 			if w.Deployment.HasLoadReports {
-				r.Demand, r.Backlog = srv.Utilization(w.now)*(0.95+0.1*w.rng.Float64()), srv.Backlog().Seconds()
+				report.Demand, report.Backlog = srv.Utilization(w.now)*(0.95+0.1*w.rng.Float64()), srv.Backlog().Seconds()
 			}
-			w.after(way, func() { tell(policy.Succeeded, r) })
+			w.after(delay, func() { finish(policy.Succeeded, report) })
 		})
 	}
 }
--- a/internal/lab/simulation/simulation_test.go
+++ b/internal/lab/simulation/simulation_test.go
@@ -21,7 +21,7 @@
 
 const ms = time.Millisecond
 
-// small is a world of a few balancers with room to spare.
+// small returns a world of three balancers and twelve servers with spare capacity.
 func small(faults ...faults.Fault) topology.World {
 	kind := model.MachineType{Name: "std", Cores: 2, Speed: 1, SessionsPerCore: 30, MaxSessions: 200, Setup: 8 * ms, Message: 10 * ms}
 	w := topology.World{
@@ -47,15 +47,16 @@
 	return w
 }
 
-// TestMain fixes the seed of the random runs: the same verdict each time. -rapid.seed draws others.
-func TestMain(srv *testing.M) {
+// TestMain fixes the seed of the randomized tests, so that each run of them gives the same verdict. The flag -rapid.seed sets another.
+func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = f.Value.Set("14")
 	}
-	os.Exit(srv.Run())
+	os.Exit(m.Run())
 }
 
+// run runs a world that must be valid. It returns the share of the requested time that was served, the events and the verdict.
 func run(t interface{ Fatal(...any) }, w topology.World, name string, seed uint64) (float64, []history.Event, checker.Verdict) {
 	r, events, v, err := Run(w, name, seed)
 	if err != nil {
@@ -64,6 +65,8 @@
 	return r.Served, events, v
 }
 
+// TestTheSameSeedGivesTheSameLog guards against a source of randomness other than the seed, such as the iteration order of maps, and
+// against a seed without effect.
 func TestTheSameSeedGivesTheSameLog(t *testing.T) {
 	log := func(seed uint64) string {
 		w := small(faults.Fault{Kind: faults.Crash, At: 10 * time.Second, For: 5 * time.Second, Share: 0.3},
@@ -75,27 +78,29 @@
 	}
 	first := log(7)
 	if len(first) < 10000 || first != log(7) {
-		t.Fatal("the same seed gave another log")
+		t.Fatal("seed 7: the log is shorter than 10000 bytes, or a second run gave another log")
 	}
 	if first == log(8) {
-		t.Fatal("another seed gave the same log")
+		t.Fatal("seeds 7 and 8 gave the same log")
 	}
 }
 
+// TestACalmWorldIsServed guards against a policy, or a simulation, that breaks rules or leaves clients unserved without any fault.
 func TestACalmWorldIsServed(t *testing.T) {
 	for _, name := range baseline.Names {
 		served, _, v := run(t, small(), name, 3)
 		if !v.Passed() || served < 0.9 {
-			t.Errorf("%s: %.3f served, %v", name, served, v)
+			t.Errorf("policy %s: share served %.3f, want 0.9 or more; verdict: %v", name, served, v)
 		}
 	}
 	if _, _, _, err := Run(small(), "nobody", 1); err == nil {
-		t.Error("a policy that does not exist ran")
+		t.Error("Run accepted a policy that does not exist")
 	}
 }
 
-// TestRandomTimetables holds our module to the rules under whatever the timetable brings, and the world to its own
-// books: what is asked for is answered, and nobody is served who does not want it.
+// TestRandomTimetables runs our policy under random schedules of faults. It guards against a combination of faults under which the
+// policy breaks a rule, and against figures of the simulation that contradict each other: more time served than requested, or a
+// negative number of established sessions.
 func TestRandomTimetables(t *testing.T) {
 	kinds := []faults.Kind{faults.Drain, faults.Release, faults.Crash, faults.Vanish, faults.Slow, faults.Errors,
 		faults.Full, faults.StoreSlow, faults.DiscoveryOut, faults.DiscoveryLate, faults.ListIncomplete,
@@ -115,11 +120,11 @@
 			t.Fatal(err)
 		}
 		if !v.Passed() {
-			t.Fatalf("%v\n%v", v, v.Violations[:min(5, len(v.Violations))])
+			t.Fatalf("verdict: %v\nfirst violations: %v", v, v.Violations[:min(5, len(v.Violations))])
 		}
-		for _, c := range r.Series {
-			if c.Served > 1.01*c.Requested+1 || c.Open < 0 {
-				t.Fatalf("%v open, %v served of %v asked for at %v s", c.Open, c.Served, c.Requested, c.At)
+		for _, p := range r.Series {
+			if p.Served > 1.01*p.Requested+1 || p.Open < 0 {
+				t.Fatalf("at %v s: %v open sessions, %v s served of %v s requested", p.At, p.Open, p.Served, p.Requested)
 			}
 		}
 	})
