--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,4 +1,4 @@
-// Package experiment owns experiment files: their format, their units and the errors in them, by file, line and column.
+// Package experiment reads experiment files. It defines their format and units, and reports errors in them by file, line and column.
 // It must never run an experiment.
 package experiment
 
@@ -16,11 +16,11 @@
 
 // Modes of an experiment.
 const (
-	Sockets = "sockets"
-	Virtual = "virtual"
+	Sockets = "sockets" // emulators and balancer processes that communicate over sockets, in real time
+	Virtual = "virtual" // a simulation in virtual time
 )
 
-// Bounds of what one machine can run.
+// Limits of what one machine can run.
 const (
 	maxSocketBalancers  = 16
 	maxSocketServers    = 200
@@ -32,20 +32,20 @@
 	maxSeeds            = 100
 )
 
-// BrokenModes are the deliberate faults of the reference balancer.
+// BrokenModes are the names of the deliberate faults of the reference balancer, by which the checker is tested.
 var BrokenModes = []string{"answers-twice", "sends-to-drained", "two-tries", "never-answers"}
 
-// Arm is one thing under test.
+// Arm is one of the programs or policies that an experiment compares.
 type Arm struct {
 	Name   string
-	Policy string          // of the reference balancer; "" if the arm is a binary
-	Binary string          // of the balancer, on sockets; "": the one beside the testbed
+	Policy string          // policy of the reference balancer or of the simulation; "" if the arm is a binary
+	Binary string          // path of the balancer program, on sockets; "" means the one beside the testbed
 	Broken string          // deliberate fault of the reference balancer, on sockets
-	Env    []string        // additional environment
-	Limits topology.Limits // of its balancers; those of the world unless the file sets them
+	Env    []string        // additional environment variables of its balancers, as NAME=VALUE
+	Limits topology.Limits // resource limits of its balancers; those of the world unless the file sets others
 }
 
-// Experiment is the content of a file.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Name  string
 	Title string
@@ -59,10 +59,10 @@
 type reader struct {
 	*hclconfig.Reader
 	experiment *Experiment
-	length     time.Duration // of the run
+	length     time.Duration // length of each run
 }
 
-// Load reads a file. The error is hclconfig.Diagnostics if its content is invalid.
+// Load reads an experiment file. The error is hclconfig.Diagnostics if its content is invalid.
 func Load(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return Parse(text, path)
 }
 
-// Parse parses an experiment; path is its name in messages. The error is hclconfig.Diagnostics.
+// Parse parses the text of an experiment file; path is the file's name in messages. Errors are hclconfig.Diagnostics.
 func Parse(text []byte, path string) (*Experiment, error) {
 	name := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	r := &reader{Reader: &hclconfig.Reader{}, experiment: &Experiment{Name: name}, length: maxLength}
@@ -92,6 +92,7 @@
 	return r.experiment, nil
 }
 
+// readAll reads all blocks of the file.
 func (r *reader) readAll(top *hclconfig.Block) {
 	header := top.Single("experiment", true)
 	world := top.Single("world", true)
@@ -116,6 +117,7 @@
 	}
 }
 
+// readHeader reads the block "experiment".
 func (r *reader) readHeader(in *hcl.Block) {
 	b := r.Block("experiment", in.Body, in.DefRange, "title mode length seeds")
 	b.Require("mode", "length")
@@ -129,8 +131,8 @@
 // isVirtual reports whether the experiment runs in virtual time.
 func (r *reader) isVirtual() bool { return r.experiment.Mode == Virtual }
 
-// bound returns the bound that applies to the mode of the experiment.
-func (r *reader) bound(sockets, virtual int) int {
+// limit returns the limit that applies to the mode of the experiment.
+func (r *reader) limit(sockets, virtual int) int {
 	if r.experiment.Mode == Sockets {
 		return sockets
 	}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -24,6 +24,7 @@
 }
 `
 
+// TestLoadRepositoryExperiments guards against changes of the format that make the repository's own experiment files invalid.
 func TestLoadRepositoryExperiments(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/experiments/*.hcl")
 	if err != nil || len(files) < 11 {
@@ -36,6 +37,7 @@
 	}
 }
 
+// TestParseCompleteFile checks that values of all kinds of blocks reach the experiment, and that defaults are set.
 func TestParseCompleteFile(t *testing.T) {
 	x, err := Parse([]byte(strings.Replace(completeFile, "rate = 5", "rate = 5\n  burst {\n at = \"1s\"\n for = \"2s\"\n times = 3\n}", 1)+
 		`fault "slow" {
@@ -61,7 +63,8 @@
 	}
 }
 
-// TestParseRejectsBadFiles checks the position and the text of each error.
+// TestParseRejectsBadFiles checks the position and the text of each error. It guards against invalid files that are accepted, and
+// against errors that point to the wrong place.
 func TestParseRejectsBadFiles(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`length = "10s"`, `length = 10`, `f.hcl:3:12: length: 10 has no unit; wants a time such as "10ms" or "10s"`},
@@ -74,10 +77,10 @@
 		{`count = 3`, `count = 0`, "f.hcl:6:26: count: 0 lies outside 1 to 200"},
 		{`count = 3`, `count = "x"`, "f.hcl:6:26: count: wants a number"},
 		{`server "std" { count = 3 }`, ``, `f.hcl:5:1: world: wants 1 to 200 servers (blocks "server"), has 0`},
-		{`rate = 5`, ``, "f.hcl:8:1: load: nobody comes"},
-		{`rate = 5`, `standing = 5`, "f.hcl:8:1: load: standing clients want a time to come in: fill"},
-		{`rate = 5`, `rate = 900000`, "more than the 20000 that can be run"},
-		{`rate = 5`, "rate = 5\n  fill = \"10s\"", "load: nothing is left to measure"},
+		{`rate = 5`, ``, "f.hcl:8:1: load: no clients: neither standing nor rate is set"},
+		{`rate = 5`, `standing = 5`, "f.hcl:8:1: load: standing clients need a time within which they connect: fill"},
+		{`rate = 5`, `rate = 900000`, "more than the limit of 20000"},
+		{`rate = 5`, "rate = 5\n  fill = \"10s\"", "load: fill 10s leaves no time to measure"},
 		{"load {", "lode {", `f.hcl:8:1: Unsupported block type: Blocks of type "lode" are not expected here. Did you mean "load"?`},
 		{"load {", "load {}\nload {", `f.hcl:9:1: a second block "load"; the first is in line 8`},
 		{"}\nload", "}\nfault \"drian\" {}\nload", `f.hcl:8:7: fault "drian" is none of`},
@@ -85,8 +88,8 @@
 		{"}\nload", "}\nfault \"crash\" {\n  at = \"1s\"\n  for = \"1s\"\n}\nload", `f.hcl:8:1: fault "crash" wants "part"`},
 		{"}\nload", "}\nfault \"crash\" {\n  at = \"1s\"\n  for = \"1s\"\n  part = \"300%\"\n}\nload", `f.hcl:11:10: part: wants a share such as "30%"`},
 		{"}\nload", "}\nfault \"crash\" {\n  at = \"11s\"\n  for = \"1s\"\n  part = 1\n}\nload", "f.hcl:9:8: at: 11s lies outside 0s to 10s"},
-		{"}\nload", "}\narm \"a\" {\n  policy = \"ours\"\n  broken = \"two-tries\"\n}\nload", `f.hcl:8:1: arm "a": policy, binary and broken rule each other out`},
-		{"}\nload", "}\narm \"a\" {}\narm \"a\" {}\nload", `f.hcl:9:1: arm "a" stands twice`},
+		{"}\nload", "}\narm \"a\" {\n  policy = \"ours\"\n  broken = \"two-tries\"\n}\nload", `f.hcl:8:1: arm "a": policy, binary and broken are mutually exclusive`},
+		{"}\nload", "}\narm \"a\" {}\narm \"a\" {}\nload", `f.hcl:9:1: arm "a" is declared twice`},
 		{"}\nload", "}\narm \"a\" {\n  policy = \"hsah\"\n}\nload", `f.hcl:9:12: policy: "hsah" is none of ours, random, least, hash; did you mean "hash"?`},
 		{`"sockets"`, `"virtual"`, ""},
 		{"\"sockets\"\n", "\"virtual\"\n  seeds = [1, 1]\n", "f.hcl:3:11: seeds: wants whole numbers, each once"},
@@ -99,15 +102,15 @@
 		x, err := Parse([]byte(strings.Replace(completeFile, c.old, c.new, 1)), "f.hcl")
 		if c.want == "" {
 			if err != nil {
-				t.Errorf("%q: %v", c.new, err)
+				t.Errorf("file with %q: unexpected error %v", c.new, err)
 			}
 			continue
 		}
 		if err == nil || !strings.Contains(err.Error(), c.want) || x != nil {
-			t.Errorf("%q: got %v, wanted %q", c.new, err, c.want)
+			t.Errorf("file with %q: got error %v, want %q", c.new, err, c.want)
 		}
 	}
-	// All errors at once, in the order of the file.
+	// All errors of a file are returned at once, in the order of the file.
 	_, err := Parse([]byte(strings.NewReplacer(`"10s"`, `10`, "count = 3", "count = 0", "rate = 5", "rate = -1").Replace(completeFile)), "f.hcl")
 	var faults hclconfig.Diagnostics
 	if !errors.As(err, &faults) || len(faults) < 4 || faults[0].Line != 3 || faults[len(faults)-1].Line < 9 {
@@ -122,7 +125,7 @@
 	}
 }
 
-// FuzzParse: Parse returns an experiment or errors that have a position, and never panics.
+// FuzzParse checks that for any text Parse returns either an experiment or errors with positions, and does not panic.
 func FuzzParse(f *testing.F) {
 	f.Add(completeFile)
 	for _, path := range []string{"release", "scale", "rough-servers"} {
@@ -138,9 +141,9 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		x, err := Parse([]byte(text), "f.hcl")
 		var faults hclconfig.Diagnostics
-		is := errors.As(err, &faults)
-		if err == nil && x == nil || err != nil && (!is || len(faults) == 0 || faults[0].File != "f.hcl" || faults[0].Line == 0) {
-			t.Fatalf("%v", err)
+		hasDiagnostics := errors.As(err, &faults)
+		if err == nil && x == nil || err != nil && (!hasDiagnostics || len(faults) == 0 || faults[0].File != "f.hcl" || faults[0].Line == 0) {
+			t.Fatalf("Parse returned neither an experiment nor errors with positions: %v", err)
 		}
 	})
 }
--- a/internal/lab/experiment/fault.go
+++ b/internal/lab/experiment/fault.go
@@ -1,3 +1,5 @@
+// This file reads the faults of an experiment.
+
 package experiment
 
 import (
@@ -12,6 +14,7 @@
 	"sabletally/internal/lab/faults"
 )
 
+// readFault reads a block "fault".
 func (r *reader) readFault(in *hcl.Block) {
 	kind := faults.Kind(in.Labels[0])
 	required, known := faults.Kinds[kind]
@@ -49,24 +52,24 @@
 	return names
 }
 
-// checkKind checks that a kind of fault has a meaning in the experiment.
+// checkKind reports an error if the experiment does not support a kind of fault.
 func (r *reader) checkKind(in *hcl.Block, kind faults.Kind) {
 	if r.isVirtual() && faults.IsSocketsOnly(kind) {
-		r.Errorf(in.LabelRanges[0], "fault %q has no meaning in virtual time", kind)
+		r.Errorf(in.LabelRanges[0], "fault %q is not supported in virtual time", kind)
 	}
 	if faults.IsBetweenMembers(kind) && r.experiment.World.ReplicationFactor == 0 {
-		r.Errorf(in.LabelRanges[0], "fault %q wants a fleet: a block \"fleet\" in the world", kind)
+		r.Errorf(in.LabelRanges[0], "fault %q needs a fleet: a block \"fleet\" in the world", kind)
 	}
 }
 
-// checkRate checks the rate of kinds for which it is a share.
+// checkRate reports an error if the rate is above 1 for a kind of fault for which it is a share.
 func (r *reader) checkRate(in *hcl.Block, fault *faults.Fault) {
 	if fault.Rate <= 1 {
 		return
 	}
 	switch fault.Kind {
 	case faults.MembersLossy, faults.MembersReorder:
-		r.Errorf(in.DefRange, "fault %q: rate is a share of what passes, 1 at most", fault.Kind)
+		r.Errorf(in.DefRange, "fault %q: rate is a share of the messages, 1 at most", fault.Kind)
 	case faults.Errors:
 		r.Errorf(in.DefRange, "fault %q: rate is a share of the set-ups, 1 at most", fault.Kind)
 	}
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -1,3 +1,5 @@
+// This file reads the load of an experiment: how clients arrive, leave and retry.
+
 package experiment
 
 import (
@@ -8,13 +10,14 @@
 	"sabletally/internal/lab/load"
 )
 
+// readLoad reads the block "load".
 func (r *reader) readLoad(in *hcl.Block) {
 	b := r.Block("load", in.Body, in.DefRange, "shape rate standing fill life groups spread wait wait_most move break",
 		hcl.BlockHeaderSchema{Type: "burst"})
 	b.Require("life")
 	const ms, s = time.Millisecond, time.Second
 	w := &r.experiment.World
-	maxClients := r.bound(maxSocketClients, maxVirtualClients)
+	maxClients := r.limit(maxSocketClients, maxVirtualClients)
 	w.Load = load.Plan{
 		Shape:          load.Shape(b.String("shape", string(load.Poisson), string(load.Poisson), string(load.Constant))),
 		Rate:           b.Number("rate", 0, 0, 1e6),
@@ -38,6 +41,7 @@
 	}
 }
 
+// readBurst reads a block "burst": a time in which the arrival rate is multiplied.
 func (r *reader) readBurst(in *hcl.Block) load.Burst {
 	b := r.Block("burst", in.Body, in.DefRange, "at for times")
 	b.Require("at", "for", "times")
@@ -48,18 +52,18 @@
 	}
 }
 
-// checkLoad checks what concerns several keys.
+// checkLoad checks the conditions that involve several keys.
 func (r *reader) checkLoad(in *hcl.Block, plan *load.Plan, maxClients int) {
 	if plan.WarmupTime >= r.length {
-		r.Errorf(in.DefRange, "load: nothing is left to measure: fill %v of a length of %v", plan.WarmupTime, r.length)
+		r.Errorf(in.DefRange, "load: fill %v leaves no time to measure in a length of %v", plan.WarmupTime, r.length)
 	}
 	if plan.InitialClients > 0 && plan.WarmupTime == 0 {
-		r.Errorf(in.DefRange, "load: standing clients want a time to come in: fill")
+		r.Errorf(in.DefRange, "load: standing clients need a time within which they connect: fill")
 	}
 	if plan.InitialClients == 0 && plan.Rate == 0 {
-		r.Errorf(in.DefRange, "load: nobody comes: neither standing nor rate")
+		r.Errorf(in.DefRange, "load: no clients: neither standing nor rate is set")
 	}
 	if clients := plan.Rate * (r.length - plan.WarmupTime).Seconds(); clients > float64(maxClients) {
-		r.Errorf(in.DefRange, "load: %.0f clients are more than the %d that can be run", clients, maxClients)
+		r.Errorf(in.DefRange, "load: %.0f clients are more than the limit of %d", clients, maxClients)
 	}
 }
--- a/internal/lab/experiment/world.go
+++ b/internal/lab/experiment/world.go
@@ -1,3 +1,5 @@
+// This file reads the world of an experiment: its balancers, servers and service classes, and how they behave.
+
 package experiment
 
 import (
@@ -13,7 +15,7 @@
 	"sabletally/policy"
 )
 
-// Bounds of the numbers of failure domains and zones.
+// Limits of the numbers of zones and failure domains.
 const (
 	maxZones          = 64
 	maxFailureDomains = 1000
@@ -21,12 +23,12 @@
 
 // Values of "probes".
 const (
-	probesNone   = "none"
-	probesPing   = "ping"
-	probesReport = "report"
+	probesNone   = "none"   // no health checks
+	probesPing   = "ping"   // health checks without load reports
+	probesReport = "report" // health checks with load reports
 )
 
-// idempotencies and keyScopes map the words of experiment files to the policy's terms.
+// idempotencies and keyScopes map the values of "effect" and "scope" to the policy's values.
 var (
 	idempotencies = map[string]policy.Idempotency{
 		"idempotent":   policy.Idempotent,
@@ -40,12 +42,13 @@
 	}
 )
 
-// classDefaults apply to classes that do not set them.
+// classDefaults are the values for classes that do not set them.
 type classDefaults struct {
 	deadline       time.Duration
 	setupObjective time.Duration
 }
 
+// readWorld reads the block "world".
 func (r *reader) readWorld(in *hcl.Block) {
 	b := r.Block("world", in.Body, in.DefRange, "balancers zones cells drain_grace message_goal message_each outer_limit setup_goal "+
 		"connect_within tries probes advice crossing_price group_cost sheds sends_away notice silent_notice client_way near_way cross_way",
@@ -56,7 +59,7 @@
 		hcl.BlockHeaderSchema{Type: "server", LabelNames: []string{"kind"}},
 		hcl.BlockHeaderSchema{Type: "grade", LabelNames: []string{"name"}})
 	w := &r.experiment.World
-	w.Balancers = b.Int("balancers", 1, 1, r.bound(maxSocketBalancers, maxVirtualBalancers))
+	w.Balancers = b.Int("balancers", 1, 1, r.limit(maxSocketBalancers, maxVirtualBalancers))
 	w.Zones = b.Int("zones", 1, 1, maxZones)
 	failureDomains := b.Int("cells", 1, 1, maxFailureDomains)
 	r.readBehavior(b)
@@ -73,7 +76,7 @@
 	for _, server := range b.Blocks["server"] {
 		r.readServers(server, failureDomains)
 	}
-	if limit := r.bound(maxSocketServers, maxVirtualServers); len(w.Machines) == 0 || len(w.Machines) > limit {
+	if limit := r.limit(maxSocketServers, maxVirtualServers); len(w.Machines) == 0 || len(w.Machines) > limit {
 		r.Errorf(in.DefRange, "world: wants 1 to %d servers (blocks \"server\"), has %d", limit, len(w.Machines))
 	}
 }
@@ -96,7 +99,7 @@
 	w.CrossZoneDelay = b.Duration("cross_way", ms, 0, s)
 }
 
-// readDeployment reads the policy's configuration, except for classes and slow start.
+// readDeployment reads the configuration of the policy, except for classes and slow start.
 func (r *reader) readDeployment(b *hclconfig.Block) {
 	d := &r.experiment.World.Deployment
 	d.MaxAttempts = b.Int("tries", 6, 1, 100)
@@ -108,7 +111,7 @@
 	d.CrossZoneCost = b.Number("crossing_price", 0.02, 0, 1)
 }
 
-// readWarmup reads how servers warm up, which the policy knows too.
+// readWarmup reads how servers warm up. The policy gets the same values for its slow start.
 func (r *reader) readWarmup(b *hclconfig.Block) {
 	w := &r.experiment.World
 	w.Warmup = model.Warmup{
@@ -133,6 +136,7 @@
 	d.OverloadWindow = w.Warmup.OverloadWindow
 }
 
+// readStore reads the block "store" if there is one: the store that all servers share.
 func (r *reader) readStore(b *hclconfig.Block) {
 	in := b.Single("store", false)
 	if in == nil {
@@ -147,6 +151,7 @@
 	}
 }
 
+// readFleet reads the block "fleet" if there is one: the balancers are then members of a fleet.
 func (r *reader) readFleet(b *hclconfig.Block) {
 	in := b.Single("fleet", false)
 	if in == nil {
@@ -155,11 +160,11 @@
 	fleet := r.Block("fleet", in.Body, in.DefRange, "copies")
 	r.experiment.World.ReplicationFactor = fleet.Int("copies", 3, 1, 7)
 	if r.isVirtual() {
-		r.Errorf(in.DefRange, "world: a fleet has no meaning in virtual time")
+		r.Errorf(in.DefRange, "world: a fleet is not supported in virtual time")
 	}
 }
 
-// readLimits reads a block of limits if there is one. Limits that it does not set are those of defaults.
+// readLimits reads the block "limits" if there is one. Limits that it does not set are taken from defaults.
 func (r *reader) readLimits(b *hclconfig.Block, defaults topology.Limits) topology.Limits {
 	in := b.Single("limits", false)
 	if in == nil {
@@ -173,7 +178,7 @@
 	}
 }
 
-// readServers reads a block of servers of one machine type, which are assigned to zones in turn.
+// readServers reads a block "server": a number of servers of one machine type, which are assigned to the zones in turn.
 func (r *reader) readServers(in *hcl.Block, failureDomains int) {
 	b := r.Block("server", in.Body, in.DefRange, "count cores speed fills most setup message")
 	b.Require("count")
@@ -187,18 +192,18 @@
 	}
 	machineType.MaxSessions = b.Int("most", 4*machineType.Cores*machineType.SessionsPerCore, 1, 100000000)
 	w := &r.experiment.World
-	limit := r.bound(maxSocketServers, maxVirtualServers)
+	limit := r.limit(maxSocketServers, maxVirtualServers)
 	for range b.Int("count", 1, 1, limit) {
 		index := len(w.Machines)
 		if index > limit {
-			break // the world reports that there are too many
+			break // readWorld reports that there are too many
 		}
 		zone := index % w.Zones
 		w.Machines = append(w.Machines, topology.Machine{Type: machineType, Zone: zone, FailureDomain: zone * failureDomains / w.Zones})
 	}
 }
 
-// readClasses reads the service classes; without any there is one with the defaults.
+// readClasses reads the service classes. If there are none, it adds one with the defaults.
 func (r *reader) readClasses(b *hclconfig.Block, defaults classDefaults) {
 	w := &r.experiment.World
 	for _, in := range b.Blocks["grade"] {
@@ -219,12 +224,13 @@
 	}}
 }
 
+// readClass reads a block "grade": a service class.
 func (r *reader) readClass(in *hcl.Block, defaults classDefaults) {
 	w := &r.experiment.World
 	name := in.Labels[0]
 	b := r.Block("grade", in.Body, in.DefRange, "effect scope window outer_limit setup_goal utility")
 	if slices.Contains(w.ClassNames, name) {
-		r.Errorf(in.DefRange, "grade %q stands twice", name)
+		r.Errorf(in.DefRange, "grade %q is declared twice", name)
 	}
 	class := policy.Class{
 		Idempotency:      idempotencies[b.String("effect", "idempotent", slices.Sorted(maps.Keys(idempotencies))...)],
