--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -134,7 +134,7 @@
 				loads = append(loads, utilization)
 			}
 		}
-		worst, mean, spread := report.Loads(loads)
+		worst, mean, spread := report.LoadSummary(loads)
 		c.Meter.Tick(at, figureInterval, 0, 0, worst, mean, spread)
 	}
 }
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Open changes the number of established sessions.
-func (m *Meter) Open(by int) {
+// AddOpenSessions changes the number of established sessions.
+func (m *Meter) AddOpenSessions(by int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.open += by
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -31,8 +31,8 @@
 	{"Rejections and moves", "a second", func(p Point) float64 { return p.Rejections + p.Migrations }},
 }
 
-// line is the mean over an arm's runs, by second.
-func (r *Report) line(arm string, of func(Point) float64) plotter.XYs {
+// meanSeries is the mean over an arm's runs, by second.
+func (r *Report) meanSeries(arm string, of func(Point) float64) plotter.XYs {
 	sum, count := map[int]float64{}, map[int]float64{}
 	last := 0
 	for _, run := range r.Runs {
@@ -68,7 +68,7 @@
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
 	for i, arm := range r.Arms {
-		points := r.line(arm.Name, curve.of)
+		points := r.meanSeries(arm.Name, curve.of)
 		if len(points) == 0 {
 			continue
 		}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -17,7 +17,7 @@
 			n := int(at/(500*time.Millisecond)) + i
 			m.Attempt()
 			m.HealthCheck()
-			m.Open(n % 3)
+			m.AddOpenSessions(n % 3)
 			m.Setup(at, time.Duration(n*n)*time.Millisecond)
 			m.Message(at, time.Duration(n)*time.Millisecond, 100*time.Millisecond, n%5 != 0)
 			if n%4 == 0 {
@@ -25,7 +25,7 @@
 				m.Migrate(at)
 				m.MisbehavingClient(n%8 == 0)
 			}
-			worst, mean, spread := Loads([]float64{0.1, float64(n%7) / 7, 0.5})
+			worst, mean, spread := LoadSummary([]float64{0.1, float64(n%7) / 7, 0.5})
 			m.Tick(at, 500*time.Millisecond, float64(n%9), 9, worst, mean, spread)
 		}
 		run := m.Run()
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Loads sums up the utilization of the ready servers: the maximum, the mean, and the standard deviation over the mean.
-func Loads(utilizations []float64) (worst, mean, spread float64) {
+// LoadSummary sums up the utilization of the ready servers: the maximum, the mean, and the standard deviation over the mean.
+func LoadSummary(utilizations []float64) (worst, mean, spread float64) {
 	sum, squares := 0.0, 0.0
 	for _, u := range utilizations {
 		worst = max(worst, u)
--- a/internal/lab/simulation/figures.go
+++ b/internal/lab/simulation/figures.go
@@ -43,7 +43,7 @@
 			}
 		}
 	}
-	worst, mean, spread := report.Loads(w.loads)
+	worst, mean, spread := report.LoadSummary(w.loads)
 	w.meter.Tick(w.now, figureInterval, served, float64(w.activeClients), worst, mean, spread)
 }
 
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -142,7 +142,7 @@
 	if up.served {
 		up.served = false
 		up.server.served--
-		w.meter.Open(-1)
+		w.meter.AddOpenSessions(-1)
 	}
 }
 
--- a/internal/lab/simulation/sessions.go
+++ b/internal/lab/simulation/sessions.go
@@ -259,7 +259,7 @@
 		if up := s.upstream; s.generation == generation && up != nil && up.slot >= 0 {
 			up.served = true
 			up.server.served++
-			w.meter.Open(1)
+			w.meter.AddOpenSessions(1)
 		}
 	})
 	w.runDecisions(b)
