--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -1,3 +1,5 @@
+// This file collects the figures of a run while it goes on.
+
 package report
 
 import (
@@ -8,23 +10,23 @@
 )
 
 const (
-	worstWindow       = 10 * time.Second // of Run.Worst
-	maxRecordedMicros = int64(time.Minute / time.Microsecond)
-	precision         = 3 // significant digits of histograms
+	worstWindow       = 10 * time.Second                      // length of the time that Run.Worst is about
+	maxRecordedMicros = int64(time.Minute / time.Microsecond) // longer durations are recorded as this one
+	precision         = 3                                     // significant digits of the histograms
 )
 
 // Meter collects the figures of a run while it goes on. Its methods may be called concurrently.
 type Meter struct {
 	mu       sync.Mutex
 	from, to time.Duration // figures are collected between these times of the run
-	run      Run
-	current  Point // the second that is not over
-	points   []Point
+	run      Run           // the figures that are counted directly
+	current  Point         // the second in progress
+	points   []Point       // the seconds that are over
 	setups   *hdrhistogram.Histogram
 	messages *hdrhistogram.Histogram
-	ticks    float64
-	spread   float64 // sum over the ticks
-	open     int
+	ticks    float64 // number of ticks between from and to
+	spread   float64 // sum of the spread of utilization over these ticks
+	open     int     // number of established sessions
 }
 
 // NewMeter returns a meter that collects figures between two times of the run.
@@ -40,7 +42,7 @@
 // isCollecting reports whether figures are collected at a time.
 func (m *Meter) isCollecting(now time.Duration) bool { return now >= m.from && now <= m.to }
 
-// Setup counts a set-up that took a time from its client's first request.
+// Setup counts a set-up. took is the time since the first request of its client.
 func (m *Meter) Setup(now, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -51,8 +53,8 @@
 	}
 }
 
-// Message counts a message, which represents an interval of its connection: the interval was served if the response was in time. took is 0
-// without a response.
+// Message counts a message, which represents an interval of its connection: the interval counts as served if the response was in time.
+// took is the time until the response, 0 if there was none.
 func (m *Meter) Message(now, took, interval time.Duration, inTime bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,15 +103,15 @@
 	}
 }
 
-// AddOpenSessions changes the number of established sessions.
-func (m *Meter) AddOpenSessions(by int) {
+// AddOpenSessions changes the number of established sessions by count, which may be negative.
+func (m *Meter) AddOpenSessions(count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.open += by
+	m.open += count
 }
 
-// Tick records the state over the last interval: numbers of connections served and requested, and the utilization of the servers. A second
-// ends with the tick at its end.
+// Tick records the state over the last interval: numbers of connections served and requested, and the utilization of the servers as
+// LoadSummary returns it. A tick at a full second ends the current Point.
 func (m *Meter) Tick(now, interval time.Duration, served, requested, worst, mean, spread float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -131,7 +133,7 @@
 	m.current = Point{}
 }
 
-// Run returns the figures.
+// Run returns the figures collected so far.
 func (m *Meter) Run() Run {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -155,7 +157,7 @@
 	return run
 }
 
-// collectedPoints are the seconds in which figures were collected.
+// collectedPoints returns the seconds in which figures were collected.
 func (m *Meter) collectedPoints() []Point {
 	var collected []Point
 	for _, p := range m.points {
@@ -166,7 +168,7 @@
 	return collected
 }
 
-// servedShare is the share served of what was requested, 0 if nothing was.
+// servedShare returns the time served as a share of the time requested, 0 if none was requested.
 func servedShare(points []Point) float64 {
 	requested, served := 0.0, 0.0
 	for _, p := range points {
@@ -179,7 +181,7 @@
 	return min(1, served/requested)
 }
 
-// worstShare is the least servedShare of a window of points, 1 without points.
+// worstShare returns the smallest servedShare of any worstWindow, 1 if there are no points.
 func worstShare(points []Point) float64 {
 	worst := 1.0
 	size := min(len(points), int(worstWindow/time.Second))
@@ -189,11 +191,12 @@
 	return worst
 }
 
-// quantile is a quantile in milliseconds.
+// quantile returns a quantile, in percent, of a histogram of microseconds, in milliseconds.
 func quantile(histogram *hdrhistogram.Histogram, q float64) float64 {
 	return float64(histogram.ValueAtQuantile(q)) / 1000
 }
 
+// record adds a duration to a histogram of microseconds.
 func record(histogram *hdrhistogram.Histogram, d time.Duration) {
-	_ = histogram.RecordValue(min(max(1, d.Microseconds()), maxRecordedMicros)) // within its bounds: no error
+	_ = histogram.RecordValue(min(max(1, d.Microseconds()), maxRecordedMicros)) // cannot fail: the value is within the histogram's range
 }
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -1,3 +1,5 @@
+// This file renders a report as an HTML page with plots.
+
 package report
 
 import (
@@ -14,10 +16,10 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// curves are the plots of a page: over time, with one line for each arm, the mean over its seeds.
+// curves are the plots of a page. Each shows a value over time, with one line for each arm: the mean over its seeds.
 var curves = []struct {
 	title, unit string
-	of          func(Point) float64
+	value       func(Point) float64 // NaN if a second has no value
 }{
 	{"Served, of what was asked for", "part", func(p Point) float64 {
 		if p.Requested == 0 {
@@ -31,8 +33,8 @@
 	{"Rejections and moves", "a second", func(p Point) float64 { return p.Rejections + p.Migrations }},
 }
 
-// meanSeries is the mean over an arm's runs, by second.
-func (r *Report) meanSeries(arm string, of func(Point) float64) plotter.XYs {
+// meanSeries returns the mean of a value over an arm's runs, by second. Seconds in which no run has a value are left out.
+func (r *Report) meanSeries(arm string, value func(Point) float64) plotter.XYs {
 	sum, count := map[int]float64{}, map[int]float64{}
 	last := 0
 	for _, run := range r.Runs {
@@ -41,23 +43,23 @@
 		}
 		for _, p := range run.Series {
 			at := int(math.Round(p.At))
-			if v := of(p); !math.IsNaN(v) && !math.IsInf(v, 0) {
+			if v := value(p); !math.IsNaN(v) && !math.IsInf(v, 0) {
 				sum[at] += v
 				count[at]++
 				last = max(last, at)
 			}
 		}
 	}
-	var all plotter.XYs
+	var series plotter.XYs
 	for at := range last + 1 {
 		if count[at] > 0 {
-			all = append(all, plotter.XY{X: float64(at), Y: sum[at] / count[at]})
+			series = append(series, plotter.XY{X: float64(at), Y: sum[at] / count[at]})
 		}
 	}
-	return all
+	return series
 }
 
-// plot draws one curve of all arms as SVG.
+// plot draws curve i, with a line for each arm, as SVG.
 func (r *Report) plot(i int) (template.HTML, error) {
 	curve := curves[i]
 	p := plot.New()
@@ -68,7 +70,7 @@
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
 	for i, arm := range r.Arms {
-		points := r.meanSeries(arm.Name, curve.of)
+		points := r.meanSeries(arm.Name, curve.value)
 		if len(points) == 0 {
 			continue
 		}
@@ -89,7 +91,7 @@
 		return "", err
 	}
 	text := out.Bytes()
-	if start := bytes.Index(text, []byte("<svg")); start > 0 { // the XML declaration must not stand within a page
+	if start := bytes.Index(text, []byte("<svg")); start > 0 { // an HTML page must not contain the XML declaration
 		text = text[start:]
 	}
 	return template.HTML(text), nil
@@ -116,7 +118,7 @@
 {{end}}</ul></body></html>
 `))
 
-// page is the report as an HTML page without external resources.
+// page returns the report as an HTML page without external resources.
 func (r *Report) page() ([]byte, error) {
 	type row struct {
 		Name  string
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report owns the figures of runs: their collection while a run goes on, ratios between arms and their range over seeds, and the
-// JSON and the page that show them. It must never run anything, and never check the rules.
+// Package report collects the figures of runs, compares arms by ratios and their range over seeds, and writes the JSON file and the HTML
+// page that show them. It must never run anything, and never check the rules.
 package report
 
 import (
@@ -18,36 +18,36 @@
 	Name    string
 	Title   string
 	Mode    string
-	Command string // that made it
-	Made    time.Time
-	Cores   int // of the machine that made it
+	Command string    // command line that made the report
+	Made    time.Time // time at which it was made
+	Cores   int       // number of cores of the machine that made it
 	Runs    []Run
 	Arms    []Arm
-	Kept    bool // all rules, in all runs
+	Kept    bool // whether no run broke a rule
 }
 
-// Arm is one arm over all seeds.
+// Arm is the result of one arm over all seeds.
 type Arm struct {
 	Name    string
-	Kept    int // runs that broke no rule
-	Runs    int
+	Kept    int // number of runs that broke no rule
+	Runs    int // number of runs
 	Figures []Figure
 }
 
-// Figure is one figure of an arm: its mean over the seeds, and the ratio to the first arm at the same seed. Ratios are 0 for the first arm,
-// and for figures that are 0 there.
+// Figure is one figure of an arm: its mean over the seeds, and its ratio to the first arm at the same seed. The ratios are 0 for the
+// first arm, and for figures that are 0 there.
 type Figure struct {
 	Name  string
 	Mean  float64
-	Ratio float64 // mean
-	Least float64
-	Most  float64
+	Ratio float64 // mean of the ratios over the seeds
+	Least float64 // smallest ratio of a seed
+	Most  float64 // largest ratio of a seed
 }
 
 // figures are the figures that are compared, in the order of the tables.
 var figures = []struct {
-	name string
-	of   func(*Run) float64
+	name  string
+	value func(*Run) float64
 }{
 	{"served", func(r *Run) float64 { return r.Served }},
 	{"worst 10 s", func(r *Run) float64 { return r.Worst }},
@@ -66,7 +66,7 @@
 	{"balancer MB", func(r *Run) float64 { return r.BalancerMB }},
 }
 
-// Summarize sets the arms from the runs.
+// Summarize computes Arms and Kept from Runs.
 func (r *Report) Summarize() {
 	r.Arms = nil
 	r.Kept = true
@@ -89,7 +89,7 @@
 	}
 }
 
-// newArm sums up the runs of one arm, and compares them with the runs of a reference that have the same seed.
+// newArm summarizes the runs of one arm, and compares them with the runs of the reference arm that have the same seed.
 func newArm(name string, runs, reference []*Run) Arm {
 	arm := Arm{Name: name, Runs: len(runs)}
 	for _, run := range runs {
@@ -98,20 +98,21 @@
 		}
 	}
 	for _, f := range figures {
-		arm.Figures = append(arm.Figures, newFigure(f.name, f.of, runs, reference))
+		arm.Figures = append(arm.Figures, newFigure(f.name, f.value, runs, reference))
 	}
 	return arm
 }
 
-func newFigure(name string, of func(*Run) float64, runs, reference []*Run) Figure {
+// newFigure computes one figure of an arm.
+func newFigure(name string, value func(*Run) float64, runs, reference []*Run) Figure {
 	figure := Figure{Name: name}
 	var ratios []float64
 	for _, run := range runs {
-		value := of(run)
-		figure.Mean += value / float64(len(runs))
+		v := value(run)
+		figure.Mean += v / float64(len(runs))
 		for _, other := range reference {
-			if other.Seed == run.Seed && of(other) != 0 {
-				ratios = append(ratios, value/of(other))
+			if other.Seed == run.Seed && value(other) != 0 {
+				ratios = append(ratios, v/value(other))
 			}
 		}
 	}
@@ -126,7 +127,7 @@
 	return figure
 }
 
-// Text is the report as a Markdown table.
+// Text returns the report as a Markdown table.
 func (r *Report) Text() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s (%s): %s\n\n| figure |", r.Name, r.Mode, r.Title)
@@ -152,7 +153,7 @@
 	return out.String()
 }
 
-// text formats the mean and, if there is one, the ratio with its range over the seeds.
+// text returns the mean and, if there is one, the ratio with its range over the seeds, as a cell of a table.
 func (f Figure) text() string {
 	mean := fmt.Sprintf("%.3f", f.Mean)
 	if f.Mean >= 100 {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// sampleReport has two arms at two seeds, with figures of a meter.
+// sampleReport returns a report of two arms at two seeds, with figures from meters.
 func sampleReport() *Report {
 	r := &Report{Name: "name", Title: "title", Mode: "virtual", Command: "command", Made: time.Unix(1000, 0).UTC(), Cores: 4}
 	for i := range 4 {
@@ -46,8 +46,8 @@
 	return r
 }
 
-// TestOutputIsStable holds report.json, the table and the page as earlier builds made them: other programs read the first, and pages quote
-// the others.
+// TestOutputIsStable compares report.json, the table and the page of a fixed report with digests. It guards against changes of their
+// format: other programs read report.json, and documentation quotes the others.
 func TestOutputIsStable(t *testing.T) {
 	r := sampleReport()
 	text, err := json.MarshalIndent(r, "", " ")
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -1,3 +1,5 @@
+// This file defines the figures of a single run.
+
 package report
 
 import (
@@ -6,62 +8,63 @@
 	"sabletally/internal/lab/checker"
 )
 
+// maxViolationsKept is the number of violations of a run that a report lists.
 const maxViolationsKept = 20
 
-// Point is one second of a run.
+// Point holds the figures of one second of a run.
 type Point struct {
-	At         float64 // seconds since the start of the run, at the end of this one
-	Requested  float64 `json:"Asked"` // seconds of connections requested
-	Served     float64 // and of those that were well served
-	Open       float64 // established sessions
-	Worst      float64 // utilization of the ready server that has most
-	Mean       float64 // utilization of the ready servers
-	Setups     float64
-	Rejections float64 `json:"Nacks"` // rejections
-	Migrations float64 `json:"Moves"` // sessions that migrated
+	At         float64 // end of this second, in seconds since the start of the run
+	Requested  float64 `json:"Asked"` // connection time that clients requested, in seconds
+	Served     float64 // part of the requested connection time that was served in time, in seconds
+	Open       float64 // number of established sessions
+	Worst      float64 // highest utilization of a ready server
+	Mean       float64 // mean utilization of the ready servers
+	Setups     float64 // number of sessions that were set up
+	Rejections float64 `json:"Nacks"` // number of rejections
+	Migrations float64 `json:"Moves"` // number of sessions that migrated
 }
 
-// Run is the figures of one arm at one seed. Times are milliseconds unless it is said otherwise.
+// Run holds the figures of one arm at one seed. Times are in milliseconds unless stated otherwise.
 type Run struct {
 	Arm                string
 	Seed               uint64
-	Served             float64 // seconds of connections served over seconds requested
-	Worst              float64 // the same in the worst 10 seconds
-	Setups             int
-	Rejections         int     `json:"Nacks"`  // rejections
-	Migrations         int     `json:"Moves"`  // sessions that migrated
-	Attempts           int     `json:"Tries"`  // attempts
-	HealthChecks       int     `json:"Probes"` // health checks
-	SetupP50           float64 // of set-up times, from a client's first request, with rejections and waits in between
+	Served             float64 // connection time served, as a share of the time requested
+	Worst              float64 // the smallest such share in any 10 seconds
+	Setups             int     // number of sessions that were set up
+	Rejections         int     `json:"Nacks"`  // number of rejections
+	Migrations         int     `json:"Moves"`  // number of sessions that migrated
+	Attempts           int     `json:"Tries"`  // number of attempts
+	HealthChecks       int     `json:"Probes"` // number of health checks
+	SetupP50           float64 // quantiles of set-up times, from a client's first request, with rejections and waits in between
 	SetupP90           float64
 	SetupP99           float64
-	SetupMost          float64
-	WorstLoad          float64 // utilization of a ready server, highest mean of a second
-	Spread             float64 // of the utilization of ready servers: standard deviation over mean, mean of the run
-	Groups             int     // at the end
-	GroupServers       int     // servers of each group, summed up over the groups
-	MessageP50         float64 `json:",omitempty"` // sockets only
-	MessageP99         float64 `json:",omitempty"` // sockets only
-	BalancerCPU        float64 `json:",omitempty"` // seconds, of all balancers
-	BalancerMB         float64 `json:",omitempty"` // maximum of the largest balancer
+	SetupMost          float64 // longest set-up time
+	WorstLoad          float64 // highest utilization of a ready server, as the mean over one second
+	Spread             float64 // standard deviation over mean of the ready servers' utilization, as the mean over the run
+	Groups             int     // number of groups of clients with sessions at the end of the run
+	GroupServers       int     // number of servers that have sessions of a group then, summed over the groups
+	MessageP50         float64 `json:",omitempty"` // quantile of the response times of messages, sockets only
+	MessageP99         float64 `json:",omitempty"` // quantile of the response times of messages, sockets only
+	BalancerCPU        float64 `json:",omitempty"` // CPU time of all balancers together, in seconds
+	BalancerMB         float64 `json:",omitempty"` // maximum memory of the largest balancer, in MiB
 	Balancers          []Usage `json:",omitempty"`
-	MisbehavingClients int     `json:"BadClients,omitempty"`    // misbehaving clients
-	UnansweredClients  int     `json:"BadUnanswered,omitempty"` // and those that got neither a response nor a close
-	Late               float64 `json:",omitempty"`              // maximum delay of the load itself
-	Kept               bool    // all rules
+	MisbehavingClients int     `json:"BadClients,omitempty"`    // number of misbehaving clients
+	UnansweredClients  int     `json:"BadUnanswered,omitempty"` // number of misbehaving clients that got neither a response nor a close
+	Late               float64 `json:",omitempty"`              // maximum delay by which the load generator itself was late
+	Kept               bool    // whether the run broke no rule
 	Verdict            string
-	Broken             []string `json:",omitempty"` // the first violations
+	Broken             []string `json:",omitempty"` // descriptions of the first violations
 	Series             []Point
 }
 
-// Usage is what one balancer used, in all of its processes.
+// Usage is the resource usage of one balancer, over all of its processes.
 type Usage struct {
 	Name string
-	CPU  float64 // seconds
-	MB   float64 // maximum
+	CPU  float64 // CPU time in seconds
+	MB   float64 // maximum resident memory of one process, in MiB
 }
 
-// SetVerdict sets the checker's verdict and the first violations.
+// SetVerdict sets the checker's verdict and the first maxViolationsKept violations.
 func (r *Run) SetVerdict(verdict checker.Verdict) {
 	r.Kept = verdict.Passed()
 	r.Verdict = verdict.String()
@@ -70,7 +73,7 @@
 	}
 }
 
-// LoadSummary sums up the utilization of the ready servers: the maximum, the mean, and the standard deviation over the mean.
+// LoadSummary returns the maximum and the mean of the ready servers' utilization, and its standard deviation divided by the mean.
 func LoadSummary(utilizations []float64) (worst, mean, spread float64) {
 	sum, squares := 0.0, 0.0
 	for _, u := range utilizations {
