--- a/internal/lab/bench/bench.go
+++ b/internal/lab/bench/bench.go
@@ -1,5 +1,7 @@
-// Package bench owns the measurement of throughput and latency: minimal servers and clients of the text protocol, connected directly or
+// Package bench measures throughput and latency with minimal servers and clients of the text protocol, which are connected directly or
 // through a balancer. It must never emulate the work of servers, and never check rules.
+//
+// This file sets up sessions and measures set-ups.
 package bench
 
 import (
@@ -16,21 +18,21 @@
 )
 
 const (
-	readBufferBytes   = 512 // small, as memory of idle connections is measured
-	maxRecordedMicros = int64(30 * time.Second / time.Microsecond)
+	readBufferBytes   = 512                                        // small, as the memory of idle connections is measured
+	maxRecordedMicros = int64(30 * time.Second / time.Microsecond) // longer latencies are recorded as this one
 	responseTimeout   = 20 * time.Second
-	sessionTimeout    = time.Minute // that clients request
+	sessionTimeout    = time.Minute // set-up deadline that clients request for a session
 	lineText          = "M 123456789 0123456789abcdef0123456789abcdef\r\n"
-	spinTime          = 2 * time.Millisecond // timers may be late by half a millisecond
+	spinTime          = 2 * time.Millisecond // time before a due time that is spent polling the clock, as timers may be late by half a millisecond
 )
 
-// Target is where clients connect: a balancer, or servers directly.
+// Target is what clients connect to: balancers, or servers directly.
 type Target struct {
 	Addrs []string
-	ids   *atomic.Uint64 // of sessions
+	ids   *atomic.Uint64 // the newest session ID
 }
 
-// NewTarget returns a target with addresses that are used in turn.
+// NewTarget returns a target with addresses that clients use in turn.
 func NewTarget(addrs ...string) *Target { return &Target{Addrs: addrs, ids: &atomic.Uint64{}} }
 
 // connection is an established session.
@@ -39,7 +41,7 @@
 	reader *bufio.Reader
 }
 
-// open sets up a session.
+// open connects to the target's next address and sets up a session.
 func (t *Target) open() (*connection, error) {
 	id := t.ids.Add(1)
 	conn, err := net.Dial("tcp", t.Addrs[id%uint64(len(t.Addrs))])
@@ -48,7 +50,7 @@
 	}
 	c := &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
 	if err := c.setUp(id); err != nil {
-		_ = c.Close() // the error of the set-up is returned
+		_ = c.Close() // only the error of the set-up is returned
 		return nil, err
 	}
 	return c, nil
@@ -56,7 +58,7 @@
 
 // setUp sends the first line of a session and waits for the response.
 func (c *connection) setUp(id uint64) error {
-	_ = c.SetDeadline(time.Now().Add(responseTimeout)) // it fails only on a closed connection, where the write fails too
+	_ = c.SetDeadline(time.Now().Add(responseTimeout)) // fails only on a closed connection, on which the write fails too
 	if _, err := fmt.Fprintf(c, "OPEN %x %x c=feed,d=%d\r\n", id, id*0x9e3779b97f4a7c15, sessionTimeout.Milliseconds()); err != nil {
 		return err
 	}
@@ -65,18 +67,18 @@
 		return err
 	}
 	if !bytes.HasPrefix(line, []byte("UP ")) {
-		return fmt.Errorf("answered %q", line)
+		return fmt.Errorf("OPEN was answered with %q instead of UP", line)
 	}
 	return nil
 }
 
-// reset closes a connection by a reset, so that thousands of ports do not stay in TIME_WAIT.
+// reset closes the connection by a TCP reset, so that thousands of ports do not stay in TIME_WAIT.
 func (c *connection) reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// exchange sends lines and reads as many.
+// exchange sends lines, of which there are count, and reads as many.
 func (c *connection) exchange(lines []byte, count int) error {
 	if _, err := c.Write(lines); err != nil {
 		return err
@@ -89,27 +91,27 @@
 	return nil
 }
 
-// Result is the result of a measurement. Latencies are microseconds, from the time at which an operation was due.
+// Result is the result of a measurement.
 type Result struct {
-	PerSecond float64
-	P50       float64
-	P99       float64
-	Failed    int
+	PerSecond float64 // operations that succeeded per second
+	P50       float64 // median latency in microseconds, from the time at which an operation was due
+	P99       float64 // the same for the 99th percentile
+	Failed    int     // number of operations that failed
 }
 
-// SetupRate sets up and closes sessions for a time, with a number of workers, as fast as they can.
+// SetupRate sets up and closes sessions for a time, with a number of workers that never pause.
 func SetupRate(t *Target, workers int, span time.Duration) Result {
 	end := time.Now().Add(span)
 	return runSetups(t, workers, func() bool { return time.Now().Before(end) })
 }
 
-// SetupBatch sets up and closes a number of sessions, with a number of workers.
+// SetupBatch sets up and closes a given number of sessions, with a number of workers that never pause.
 func SetupBatch(t *Target, workers, count int) Result {
 	var next atomic.Int64
 	return runSetups(t, workers, func() bool { return next.Add(1) <= int64(count) })
 }
 
-// runSetups sets up and closes sessions while hasNext.
+// runSetups lets workers set up and close sessions while hasNext returns true.
 func runSetups(t *Target, workers int, hasNext func() bool) Result {
 	var succeeded, failed atomic.Int64
 	start := time.Now()
@@ -131,8 +133,8 @@
 	return Result{PerSecond: float64(succeeded.Load()) / time.Since(start).Seconds(), Failed: int(failed.Load())}
 }
 
-// runPaced starts operations at a rate for a time, in an open loop, and records their latencies from the times at which they were due. An
-// operation calls onDone at its end unless it fails.
+// runPaced starts operations at a rate per second for a time, in an open loop, and records their latencies from the times at which they
+// were due. An operation calls onDone at its end unless it fails.
 func runPaced(rate float64, span time.Duration, operation func(onDone func()) error) Result {
 	latencies := hdrhistogram.New(1, maxRecordedMicros, 3)
 	var mu sync.Mutex
@@ -147,7 +149,7 @@
 				latency := time.Since(due)
 				mu.Lock()
 				defer mu.Unlock()
-				_ = latencies.RecordValue(min(max(1, latency.Microseconds()), maxRecordedMicros)) // within its bounds: no error
+				_ = latencies.RecordValue(min(max(1, latency.Microseconds()), maxRecordedMicros)) // cannot fail: the value is within the histogram's range
 			})
 			if err != nil {
 				failed.Add(1)
@@ -165,7 +167,7 @@
 	}
 }
 
-// waitUntil returns at a time, more precisely than a timer.
+// waitUntil returns at a time, more precisely than a timer: it polls the clock for the last spinTime.
 func waitUntil(due time.Time) {
 	if wait := time.Until(due); wait > spinTime {
 		time.Sleep(wait - spinTime)
@@ -175,7 +177,7 @@
 	}
 }
 
-// PacedSetups sets up sessions at a rate, whether or not earlier ones have succeeded.
+// PacedSetups sets up and closes sessions at a rate per second, whether or not earlier ones have succeeded.
 func PacedSetups(t *Target, rate float64, span time.Duration) Result {
 	return runPaced(rate, span, func(onDone func()) error {
 		c, err := t.open()
--- a/internal/lab/bench/connections.go
+++ b/internal/lab/bench/connections.go
@@ -1,3 +1,5 @@
+// This file measures the exchange of lines on established sessions.
+
 package bench
 
 import (
@@ -11,15 +13,16 @@
 )
 
 const (
-	maxConcurrentOpens = 32
-	floodLines         = 1000 // of one write
-	floodReadBytes     = 64 << 10
+	maxConcurrentOpens = 32       // number of sessions that OpenConnections sets up at a time
+	floodLines         = 1000     // number of lines in one write of a flood
+	floodReadBytes     = 64 << 10 // size of the read buffer of a flood
 )
 
 // Connections is a set of established sessions.
 type Connections struct{ all []*connection }
 
-// OpenConnections sets up a number of sessions, a few at a time.
+// OpenConnections sets up a number of sessions, maxConcurrentOpens at a time. If any of them fails, it closes all and returns the first
+// error.
 func OpenConnections(t *Target, count int) (*Connections, error) {
 	s := &Connections{all: make([]*connection, count)}
 	errs := make([]error, count)
@@ -34,18 +37,19 @@
 				errs[i] = err
 				return
 			}
-			_ = c.SetDeadline(time.Time{}) // it fails only on a closed connection, whose use fails too
+			_ = c.SetDeadline(time.Time{}) // fails only on a closed connection, on which each exchange fails too
 			s.all[i] = c
 		})
 	}
 	running.Wait()
 	if errors.Join(errs...) != nil {
 		s.Close()
-		return nil, fmt.Errorf("of %d sessions: %w", count, firstError(errs))
+		return nil, fmt.Errorf("setting up %d sessions: %w", count, firstError(errs))
 	}
 	return s, nil
 }
 
+// firstError returns the first error that is not nil, or nil.
 func firstError(errs []error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -64,7 +68,7 @@
 	}
 }
 
-// Lines sends lines on all sessions for a time, as fast as they come back, with window lines in flight on each session.
+// Lines sends lines on all sessions for a time, with window lines in flight on each, and counts those that come back.
 func (s *Connections) Lines(ctx context.Context, window int, span time.Duration) Result {
 	var received atomic.Int64
 	end := time.Now().Add(span)
@@ -72,7 +76,7 @@
 	var running sync.WaitGroup
 	for _, c := range s.all {
 		running.Go(func() {
-			_ = c.SetDeadline(end.Add(responseTimeout)) // it fails only on a closed connection, whose use fails too
+			_ = c.SetDeadline(end.Add(responseTimeout)) // fails only on a closed connection, on which each exchange fails too
 			for ctx.Err() == nil && time.Now().Before(end) {
 				if c.exchange(lines, window) != nil {
 					return
@@ -85,7 +89,7 @@
 	return Result{PerSecond: float64(received.Load()) / span.Seconds()}
 }
 
-// PacedLines sends lines at a rate over all sessions in turn, with one line in flight on each session.
+// PacedLines sends lines at a rate per second on all sessions in turn, with at most one line in flight on each.
 func (s *Connections) PacedLines(rate float64, span time.Duration) Result {
 	var next atomic.Int64
 	locks := make([]sync.Mutex, len(s.all))
@@ -94,7 +98,7 @@
 		locks[i].Lock()
 		defer locks[i].Unlock()
 		c := s.all[i]
-		_ = c.SetDeadline(time.Now().Add(responseTimeout)) // it fails only on a closed connection, whose use fails too
+		_ = c.SetDeadline(time.Now().Add(responseTimeout)) // fails only on a closed connection, on which the exchange fails too
 		if err := c.exchange([]byte(lineText), 1); err != nil {
 			return err
 		}
@@ -103,13 +107,13 @@
 	})
 }
 
-// StartFlood sends lines on one session at full speed, and reads the responses, until stop is called.
+// StartFlood sends lines on one session as fast as possible, and reads the responses, until stop is called.
 func StartFlood(t *Target) (stop func(), err error) {
 	c, err := t.open()
 	if err != nil {
 		return nil, err
 	}
-	_ = c.SetDeadline(time.Time{}) // it fails only on a closed connection, whose use fails too
+	_ = c.SetDeadline(time.Time{}) // fails only on a closed connection, on which reads and writes fail too
 	var running sync.WaitGroup
 	running.Go(c.writeFlood)
 	running.Go(c.discard)
@@ -129,7 +133,7 @@
 	}
 }
 
-// discard reads until the connection fails.
+// discard reads and discards lines until the connection fails.
 func (c *connection) discard() {
 	buffer := make([]byte, floodReadBytes)
 	for {
--- a/internal/lab/bench/server.go
+++ b/internal/lab/bench/server.go
@@ -1,3 +1,5 @@
+// This file contains the minimal server.
+
 package bench
 
 import (
@@ -7,10 +9,10 @@
 	"sync"
 )
 
-// maxBufferedBytes is the number of bytes after which a server writes its responses although there are more lines to read.
+// maxBufferedBytes is the size of the pending responses above which a server writes them although it has more lines to read.
 const maxBufferedBytes = 16 << 10
 
-// Server echoes lines and accepts every session.
+// Server is a minimal server of the text protocol: it accepts every session, answers health checks and echoes all other lines.
 type Server struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -42,7 +44,7 @@
 	}
 }
 
-// Addr is the server's address.
+// Addr returns the server's address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Close closes the server and all its connections.
@@ -55,6 +57,7 @@
 	}
 }
 
+// serve answers lines on one connection until it fails. Responses are written together once no further line is buffered.
 func (s *Server) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
