--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -14,7 +14,7 @@
 // server is an emulated server of the run.
 type server struct {
 	*model.Server
-	index              int // in world.servers
+	index              int // index in world.servers
 	id                 policy.EndpointID
 	zone               int
 	failureDomain      int
