--- a/internal/lab/cluster/describe.go
+++ b/internal/lab/cluster/describe.go
@@ -1,3 +1,5 @@
+// This file describes the steps of the fault schedule as text, for the printed log of a run.
+
 package cluster
 
 import (
@@ -6,7 +8,7 @@
 	"sabletally/internal/lab/faults"
 )
 
-// actionTexts are the actions as the log of a run names them.
+// actionTexts are the descriptions of actions in the printed log of a run.
 var actionTexts = map[faults.Action]string{
 	faults.StartServer: "starts", faults.DrainServer: "drains", faults.StopServer: "stops", faults.CrashServer: "crashes", faults.RestartServer: "is back, cold",
 	faults.SilenceServer: "vanishes", faults.UnsilenceServer: "speaks again", faults.SetSlow: "slower, times", faults.SetErrors: "fails, share",
@@ -21,7 +23,7 @@
 	faults.SetLinkDelay: "its link is later", faults.SetLinkCut: "its link is cut",
 }
 
-// describe returns a step as text.
+// describe returns the description of a step, with its target and its values.
 func describe(step faults.Step) string {
 	text := actionTexts[step.Action]
 	switch {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// sampleReport has two arms at two seeds, with figures of a meter.
+// sampleReport returns a report of two arms at two seeds, with figures from meters.
 func sampleReport() *Report {
 	r := &Report{Name: "name", Title: "title", Mode: "virtual", Command: "command", Made: time.Unix(1000, 0).UTC(), Cores: 4}
 	for i := range 4 {
@@ -17,7 +17,7 @@
 			n := int(at/(500*time.Millisecond)) + i
 			m.Attempt()
 			m.HealthCheck()
-			m.Open(n % 3)
+			m.AddOpenSessions(n % 3)
 			m.Setup(at, time.Duration(n*n)*time.Millisecond)
 			m.Message(at, time.Duration(n)*time.Millisecond, 100*time.Millisecond, n%5 != 0)
 			if n%4 == 0 {
@@ -25,7 +25,7 @@
 				m.Migrate(at)
 				m.MisbehavingClient(n%8 == 0)
 			}
-			worst, mean, spread := Loads([]float64{0.1, float64(n%7) / 7, 0.5})
+			worst, mean, spread := LoadSummary([]float64{0.1, float64(n%7) / 7, 0.5})
 			m.Tick(at, 500*time.Millisecond, float64(n%9), 9, worst, mean, spread)
 		}
 		run := m.Run()
@@ -46,8 +46,8 @@
 	return r
 }
 
-// TestOutputIsStable holds report.json, the table and the page as earlier builds made them: other programs read the first, and pages quote
-// the others.
+// TestOutputIsStable compares report.json, the table and the page of a fixed report with digests. It guards against changes of their
+// format: other programs read report.json, and documentation quotes the others.
 func TestOutputIsStable(t *testing.T) {
 	r := sampleReport()
 	text, err := json.MarshalIndent(r, "", " ")
