--- a/internal/lab/feedsim/checker.go
+++ b/internal/lab/feedsim/checker.go
@@ -8,28 +8,28 @@
 	"sabletally/internal/fleet/changefeed"
 )
 
-// What can be broken, by the names that the checker reports it under.
+// The violations that the checker reports: an error of Play contains one of these texts.
 const (
-	WentBack   = "a subscriber went back"
-	Mixed      = "a state that never was"
-	Skipped    = "a version was left out"
-	FalselyNew = "current beyond the lease"
-	Forgotten  = "a subscriber was forgotten"
-	NotInForce = "a change was not in force in time"
-	Broken     = "broken"
+	VersionRegressed  = "a subscriber returned to an older version"
+	StateMismatch     = "a subscriber has a state that was never committed"
+	VersionSkipped    = "a subscriber skipped a version"
+	FalselyCurrent    = "a subscriber takes an outdated version for current"
+	NotConverged      = "a subscriber did not catch up after the last fault"
+	NotInForce        = "a change was not in force in time"
+	UnexpectedFailure = "unexpected failure"
 )
 
-// applied is what one run of a subscriber has applied.
-type applied struct {
-	version uint64
-	sum     uint64            // by this package's own hash
-	items   map[string]uint64 // of each key
-	seen    uint64            // the version up to which checkInForce has looked
+// appliedState is the state that the updates of one subscriber process add up to.
+type appliedState struct {
+	version        uint64
+	itemsHash      uint64            // sum of the hashes of all items
+	itemHashes     map[string]uint64 // hash of each item, by key
+	checkedVersion uint64            // newest version that checkInForce has checked at the subscriber
 }
 
-func newApplied() applied { return applied{items: map[string]uint64{}} }
+func newAppliedState() appliedState { return appliedState{itemHashes: map[string]uint64{}} }
 
-// itemHash is a hash of an item that is independent of the changefeed's.
+// itemHash returns a hash of an item that is independent of the digests of the changefeed, so that a defect of those is detected.
 func itemHash(i changefeed.Item) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(i.Key))
@@ -38,62 +38,62 @@
 	return h.Sum64()
 }
 
-// expectedItems returns the hashes of the items that are committed now.
-func (w *World) expectedItems() map[string]uint64 {
-	if w.expected == nil {
-		w.expected = map[string]uint64{}
+// itemHashes returns the hashes of the items that are committed now.
+func (w *World) itemHashes() map[string]uint64 {
+	if w.expectedHashes == nil {
+		w.expectedHashes = map[string]uint64{}
 	}
-	return w.expected
+	return w.expectedHashes
 }
 
-// recordUpdate checks and records one update of a subscriber.
-func (w *World) recordUpdate(sub *subscriber, a changefeed.Update) {
-	t := &sub.applied
-	if a.Version <= t.version {
-		w.fail(WentBack, "subscriber %d from %d to %d", sub.index, t.version, a.Version)
+// recordUpdate checks that an update of a subscriber leads to a newer state that was committed, without a gap, and records it.
+func (w *World) recordUpdate(sub *subscriber, update changefeed.Update) {
+	applied := &sub.applied
+	if update.Version <= applied.version {
+		w.fail(VersionRegressed, "subscriber %d, from version %d to %d", sub.index, applied.version, update.Version)
 		return
 	}
-	if !a.Complete && a.Version != t.version+1 {
-		w.fail(Skipped, "subscriber %d from %d to %d by a change", sub.index, t.version, a.Version)
+	if !update.Complete && update.Version != applied.version+1 {
+		w.fail(VersionSkipped, "subscriber %d, from version %d to %d by a single change", sub.index, applied.version, update.Version)
 		return
 	}
-	if a.Version >= uint64(len(w.versions)) {
-		w.fail(Mixed, "subscriber %d has version %d, %d are committed", sub.index, a.Version, len(w.versions)-1)
+	if update.Version >= uint64(len(w.versions)) {
+		w.fail(StateMismatch, "subscriber %d has version %d, the newest committed version is %d", sub.index, update.Version, len(w.versions)-1)
 		return
 	}
-	if a.Complete {
-		clear(t.items)
-		t.sum = 0
+	if update.Complete {
+		clear(applied.itemHashes)
+		applied.itemsHash = 0
 	}
-	for _, i := range a.Items {
-		t.sum -= t.items[i.Key]
-		delete(t.items, i.Key)
+	for _, i := range update.Items {
+		applied.itemsHash -= applied.itemHashes[i.Key]
+		delete(applied.itemHashes, i.Key)
 		if !i.Deleted {
-			t.items[i.Key] = itemHash(i)
-			t.sum += itemHash(i)
+			applied.itemHashes[i.Key] = itemHash(i)
+			applied.itemsHash += itemHash(i)
 		}
 	}
-	t.version = a.Version
-	if want := w.versions[a.Version]; t.sum != want.itemsHash {
-		w.fail(Mixed, "subscriber %d at version %d", sub.index, a.Version)
+	applied.version = update.Version
+	if committed := w.versions[update.Version]; applied.itemsHash != committed.itemsHash {
+		w.fail(StateMismatch, "subscriber %d at version %d has items other than those committed", sub.index, update.Version)
 	}
 }
 
-// versionAt returns the newest version that was committed at a time.
+// versionAt returns the newest version that had been committed at a time.
 func (w *World) versionAt(at time.Duration) uint64 {
 	return uint64(sort.Search(len(w.versions), func(i int) bool { return w.versions[i].at > at })) - 1
 }
 
-// checkCurrent checks what a subscriber says of its own version, age and lease.
+// checkCurrent checks the version, age and lease that a subscriber reports of itself against what was committed.
 func (w *World) checkCurrent(sub *subscriber) {
 	now := w.clock(&sub.process)
 	st := sub.core.State()
 	if st.Version() != sub.applied.version {
-		w.fail(Mixed, "subscriber %d has version %d, its update said %d", sub.index, st.Version(), sub.applied.version)
+		w.fail(StateMismatch, "subscriber %d has version %d, its newest update was version %d", sub.index, st.Version(), sub.applied.version)
 		return
 	}
 	if st.Digest() != w.versions[st.Version()].digest {
-		w.fail(Mixed, "subscriber %d at version %d has another digest", sub.index, st.Version())
+		w.fail(StateMismatch, "subscriber %d has another digest than the committed one of version %d", sub.index, st.Version())
 		return
 	}
 	current := sub.core.IsCurrent(now)
@@ -102,72 +102,74 @@
 	}
 	if current {
 		if v := w.versionAt(w.now - changefeed.DefaultLease); v > st.Version() {
-			w.fail(FalselyNew, "subscriber %d at version %d, %d was committed a lease ago", sub.index, st.Version(), v)
+			w.fail(FalselyCurrent, "subscriber %d is current at version %d, but version %d was committed more than a lease ago", sub.index, st.Version(), v)
 		}
 	}
 	if age, known := sub.core.Age(now); known {
 		if v := w.versionAt(w.now - age); v > st.Version() {
-			w.fail(FalselyNew, "subscriber %d at version %d as of %v ago, %d was committed then", sub.index, st.Version(), age, v)
+			w.fail(FalselyCurrent, "subscriber %d has version %d as of %v ago, but version %d was committed by then", sub.index, st.Version(), age, v)
 		}
 	}
 }
 
-// checkInForce checks each change at each subscriber that two publishers of three could reach since it was committed.
+// checkInForce checks that each change is in force in time at each subscriber that two thirds of the publishers could reach since the change
+// was committed.
 func (w *World) checkInForce() {
 	for _, sub := range w.subscribers {
 		if !sub.up {
 			continue
 		}
-		t := &sub.applied
-		for t.seen+1 < uint64(len(w.versions)) {
-			a := w.versions[t.seen+1]
-			if deadlineOf(a) > w.now && sub.core.State().Version() <= t.seen {
+		applied := &sub.applied
+		for applied.checkedVersion+1 < uint64(len(w.versions)) {
+			committed := w.versions[applied.checkedVersion+1]
+			if deadlineOf(committed) > w.now && sub.core.State().Version() <= applied.checkedVersion {
 				break
 			}
-			t.seen++
-			if sub.unreachableAt >= a.at || sub.startedAt+firstSnapshotTimeout > a.at {
+			applied.checkedVersion++
+			if sub.unreachableAt >= committed.at || sub.startedAt+firstSnapshotTimeout > committed.at {
 				continue
 			}
-			w.Due++
-			if sub.core.State().Version() < t.seen {
-				w.fail(NotInForce, "version %d of %v at subscriber %d, which has %d and follows %v", t.seen, a.at-time.Hour, sub.index, sub.core.State().Version(), sub.core.Publishers())
+			w.DueChanges++
+			if sub.core.State().Version() < applied.checkedVersion {
+				w.fail(NotInForce, "version %d, committed at %v: subscriber %d has version %d and follows %v", applied.checkedVersion, committed.at-time.Hour, sub.index, sub.core.State().Version(), sub.core.Publishers())
 				return
 			}
-			if late := w.now - a.at; late > w.Late && deadlineOf(a) >= w.now {
-				w.Late = late // exact to checkInterval
+			if latency := w.now - committed.at; latency > w.MaxPropagationTime && deadlineOf(committed) >= w.now {
+				w.MaxPropagationTime = latency // measured to checkInterval
 			}
 		}
 	}
 }
 
+// addCounters adds the counters of a subscriber's core, which end with its process, to those of the history.
 func (w *World) addCounters(sub *subscriber) {
 	c := sub.core.Stats
-	w.Lapses += c.LeaseExpiries
-	w.Wants += c.SyncRequests
-	w.Mismatches += c.DigestMismatches
+	w.LeaseExpiries += c.LeaseExpiries
+	w.SyncRequests += c.SyncRequests
+	w.DigestMismatches += c.DigestMismatches
 }
 
-// checkEnd checks all subscribers once everything has settled.
-func (w *World) checkEnd() {
+// checkFinalState checks at the end of a history that all subscribers run, have the newest state and follow two publishers.
+func (w *World) checkFinalState() {
 	newest := w.log.Version()
 	for _, sub := range w.subscribers {
 		w.addCounters(sub)
 		if !sub.up {
-			w.fail(Broken, "subscriber %d was not started again", sub.index)
+			w.fail(UnexpectedFailure, "subscriber %d was not started again", sub.index)
 			continue
 		}
 		if st := sub.core.State(); st.Version() != newest || st.Digest() != w.log.Digest() || !sub.core.IsCurrent(w.clock(&sub.process)) || len(sub.core.Publishers()) < 2 {
 			age, _ := sub.core.Age(w.clock(&sub.process))
-			w.fail(Forgotten, "subscriber %d has version %d of %d, as of %v ago, and follows %v", sub.index, st.Version(), newest, age, sub.core.Publishers())
+			w.fail(NotConverged, "subscriber %d has version %d of %d, as of %v ago, and follows %v", sub.index, st.Version(), newest, age, sub.core.Publishers())
 			continue
 		}
 		for _, i := range sub.core.State().Items("") {
-			if w.expected[i.Key] != itemHash(i) {
-				w.fail(Mixed, "subscriber %d has another value of %s", sub.index, i.Key)
+			if w.expectedHashes[i.Key] != itemHash(i) {
+				w.fail(StateMismatch, "subscriber %d has another value of %s than the committed one", sub.index, i.Key)
 			}
 		}
-		if sub.core.State().Len() != len(w.expected) {
-			w.fail(Mixed, "subscriber %d has %d keys of %d", sub.index, sub.core.State().Len(), len(w.expected))
+		if sub.core.State().Len() != len(w.expectedHashes) {
+			w.fail(StateMismatch, "subscriber %d has %d keys, %d are committed", sub.index, sub.core.State().Len(), len(w.expectedHashes))
 		}
 	}
 }
--- a/internal/lab/feedsim/digest_test.go
+++ b/internal/lab/feedsim/digest_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestHistoriesMatchTheGoldenDigest holds seeded histories to the digests that testdata keeps: the same seed
-// has to give the same messages in every version of the program.
+// TestHistoriesMatchTheGoldenDigest guards against unintended changes of the protocol: a seed has to give the same messages in every
+// version of the program, so the digests of three histories are compared with those in testdata.
 func TestHistoriesMatchTheGoldenDigest(t *testing.T) {
 	golden, err := os.ReadFile("testdata/digest.golden")
 	if err != nil {
--- a/internal/lab/feedsim/log.go
+++ b/internal/lab/feedsim/log.go
@@ -7,25 +7,26 @@
 	"sabletally/internal/fleet/changefeed"
 )
 
+// commit appends a version to the log and records the state that every subscriber has to have at it.
 func (w *World) commit(items []changefeed.Item) {
 	c, err := w.log.Append(items)
 	if err != nil {
-		w.fail(Broken, "the source refuses: %v", err)
+		w.fail(UnexpectedFailure, "the log rejected a change: %v", err)
 		return
 	}
 	last := w.versions[len(w.versions)-1]
-	a := version{at: w.now, digest: c.DigestAfter, itemsHash: last.itemsHash}
+	v := version{at: w.now, digest: c.DigestAfter, itemsHash: last.itemsHash}
 	for _, i := range items {
-		if old, is := w.expectedItems()[i.Key]; is {
-			a.itemsHash -= old
-			delete(w.expectedItems(), i.Key)
+		if old, exists := w.itemHashes()[i.Key]; exists {
+			v.itemsHash -= old
+			delete(w.itemHashes(), i.Key)
 		}
 		if !i.Deleted {
-			w.expectedItems()[i.Key] = itemHash(i)
-			a.itemsHash += itemHash(i)
+			w.itemHashes()[i.Key] = itemHash(i)
+			v.itemsHash += itemHash(i)
 		}
 	}
-	w.versions = append(w.versions, a)
+	w.versions = append(w.versions, v)
 }
 
 // isRunning reports whether a process is up and not stalled.
@@ -36,23 +37,23 @@
 	if !w.isRunning(&pub.process) {
 		return false
 	}
-	n := 0
+	reachable := 0
 	for _, v := range w.publishers[:voters] {
 		if w.isRunning(&v.process) && !w.isCut(&pub.process, &v.process) && !w.isCut(&v.process, &pub.process) {
-			n++
+			reachable++
 		}
 	}
-	return 2*n > voters
+	return 2*reachable > voters
 }
 
-// putChange commits a change at random times, now and then a burst of them.
+// putChange commits a change at random times, in one of 40 cases a burst of 100 changes, and schedules the next one.
 func (w *World) putChange() {
 	w.after(time.Duration(w.rng.ExpFloat64()/w.plan.Rate*float64(time.Second)), w.putChange)
-	times := 1
+	count := 1
 	if w.rng.IntN(40) == 0 {
-		times = 100
+		count = 100
 	}
-	for i := range times {
+	for i := range count {
 		w.after(time.Duration(i)*10*time.Millisecond, func() {
 			if w.leader < 0 || !w.canLead(w.publishers[w.leader]) || w.changesOver {
 				return
@@ -64,7 +65,7 @@
 				item = changefeed.Item{Key: key, Deleted: true}
 			}
 			items := []changefeed.Item{item}
-			if w.rng.IntN(50) == 0 { // a member is put again
+			if w.rng.IntN(50) == 0 { // the record of a member is written again, unchanged
 				pub := w.publishers[w.rng.IntN(len(w.publishers))]
 				v, _ := w.log.State().Get(changefeed.MemberPrefix + pub.addr)
 				items = append(items, changefeed.Item{Key: changefeed.MemberPrefix + pub.addr, Value: v})
@@ -74,17 +75,18 @@
 	}
 }
 
-// pollLog has a publisher ask the leader for newer changes, and confirms with a quorum that there are no others.
+// pollLog has a publisher ask the leader for newer changes. The leader has reached a quorum of voters, so its response also confirms that
+// there is no newer version.
 func (w *World) pollLog(pub *publisher) {
-	w.after(logPollInterval/2+w.chance(logPollInterval), func() { w.pollLog(pub) })
+	w.after(logPollInterval/2+w.randomDuration(logPollInterval), func() { w.pollLog(pub) })
 	if !w.isRunning(&pub.process) || w.leader < 0 {
 		return
 	}
-	born, asked := pub.incarnation, w.clock(&pub.process)
+	incarnation, askedAt := pub.incarnation, w.clock(&pub.process)
 	version, digest := pub.log.Version(), pub.log.Digest()
-	lead := w.publishers[w.leader]
-	ask := func() {
-		if w.isCut(&pub.process, &lead.process) || w.leader != lead.index || !w.canLead(lead) {
+	leader := w.publishers[w.leader]
+	request := func() {
+		if w.isCut(&pub.process, &leader.process) || w.leader != leader.index || !w.canLead(leader) {
 			return
 		}
 		changes, ok := w.log.ChangesSince(version, digest)
@@ -93,79 +95,81 @@
 		if !ok {
 			snap = w.log.Snapshot()
 		}
-		w.after(w.roundTrip(lead, pub), func() {
-			if w.isCut(&lead.process, &pub.process) || !pub.up || pub.incarnation != born {
+		w.after(w.responseDelay(leader, pub), func() {
+			if w.isCut(&leader.process, &pub.process) || !pub.up || pub.incarnation != incarnation {
 				return
 			}
 			w.runOrDefer(&pub.process, func() {
-				if pub.incarnation != born {
+				if pub.incarnation != incarnation {
 					return
 				}
 				if snap != nil {
-					_ = pub.log.Install(*snap) // a late one is older than the publisher's version and is refused
+					_ = pub.log.Install(*snap) // a delayed snapshot may be older than the publisher's version: it is rejected
 				}
 				for _, c := range changes {
 					_ = pub.log.Apply(*c)
 				}
 				pub.core.LogChanged()
-				pub.core.ConfirmVersion(asked, newest)
-				w.drainPublisher(pub)
+				pub.core.ConfirmVersion(askedAt, newest)
+				w.handlePublisherOutput(pub)
 			})
 		})
 	}
-	if lead == pub {
-		ask()
+	if leader == pub {
+		request()
 		return
 	}
-	w.after(w.delay(&pub.process, &lead.process), ask)
+	w.after(w.delay(&pub.process, &leader.process), request)
 }
 
-func (w *World) roundTrip(from, to *publisher) time.Duration {
+// responseDelay returns the delay of a response between publishers; the leader asks itself without one.
+func (w *World) responseDelay(from, to *publisher) time.Duration {
 	if from == to {
 		return 0
 	}
 	return w.delay(&from.process, &to.process)
 }
 
-// watchLeader elects a leader and records which processes can be reached.
+// watchLeader elects a leader when there has been none for electionTimeout, and records which processes can't be reached.
 func (w *World) watchLeader() {
 	w.after(checkInterval, w.watchLeader)
 	if w.leader >= 0 && w.canLead(w.publishers[w.leader]) {
-		w.leaderLostAt = w.now
-	} else if w.now-w.leaderLostAt > electionTimeout {
+		w.leaderReachableAt = w.now
+	} else if w.now-w.leaderReachableAt > electionTimeout {
 		w.leader = -1
-		if from := w.rng.IntN(voters); true {
+		if first := w.rng.IntN(voters); true {
 			for i := range voters {
-				if v := w.publishers[(from+i)%voters]; w.canLead(v) {
-					w.leader, w.leaderLostAt = v.index, w.now
+				if v := w.publishers[(first+i)%voters]; w.canLead(v) {
+					w.leader, w.leaderReachableAt = v.index, w.now
 					break
 				}
 			}
 		}
 	}
-	good := w.leader >= 0 && w.canLead(w.publishers[w.leader]) && w.loss == 0
-	well := make([]*publisher, 0, len(w.publishers))
+	canCommit := w.leader >= 0 && w.canLead(w.publishers[w.leader]) && w.loss == 0
+	reachable := make([]*publisher, 0, len(w.publishers))
 	for _, pub := range w.publishers {
-		if good && w.isRunning(&pub.process) && w.now-pub.startedAt > time.Second && !w.separated(&pub.process, &w.publishers[w.leader].process) {
-			well = append(well, pub)
+		if canCommit && w.isRunning(&pub.process) && w.now-pub.startedAt > time.Second && !w.isSeparated(&pub.process, &w.publishers[w.leader].process) {
+			reachable = append(reachable, pub)
 		} else {
 			pub.unreachableAt = w.now
 		}
 	}
 	for _, sub := range w.subscribers {
-		n := len(well)
+		publishers := len(reachable)
 		if w.cutActive {
-			for _, pub := range well {
-				if w.separated(&sub.process, &pub.process) {
-					n--
+			for _, pub := range reachable {
+				if w.isSeparated(&sub.process, &pub.process) {
+					publishers--
 				}
 			}
 		}
-		if !w.isRunning(&sub.process) || 3*n < 2*len(w.publishers) {
+		if !w.isRunning(&sub.process) || 3*publishers < 2*len(w.publishers) {
 			sub.unreachableAt = w.now
 		}
 	}
 	w.checkInForce()
 }
 
-func (w *World) separated(a, b *process) bool { return w.isCut(a, b) || w.isCut(b, a) }
+// isSeparated reports whether two processes are cut from each other in any direction.
+func (w *World) isSeparated(a, b *process) bool { return w.isCut(a, b) || w.isCut(b, a) }
--- a/internal/lab/feedsim/network.go
+++ b/internal/lab/feedsim/network.go
@@ -8,31 +8,32 @@
 	"sabletally/internal/fleet/changefeed"
 )
 
+// delay draws the delay of a message between two processes.
 func (w *World) delay(a, b *process) time.Duration {
 	d := regionalDelay
 	if a.region != b.region {
 		d = interRegionDelay
 	}
-	return d + w.chance(delayJitter)
+	return d + w.randomDuration(delayJitter)
 }
 
-// dial opens a connection; that of a stalled process is accepted by its kernel.
+// dial opens a connection to a publisher. The kernel of a stalled process still accepts it.
 func (w *World) dial(sub *subscriber, addr string) {
 	var pub *publisher
-	for _, one := range w.publishers {
-		if one.addr == addr {
-			pub = one
+	for _, candidate := range w.publishers {
+		if candidate.addr == addr {
+			pub = candidate
 		}
 	}
-	w.lastConn++
-	c := &conn{number: w.lastConn, subscriber: sub, publisher: pub, subscriberIncarnation: sub.incarnation, subscriberOpen: true}
+	w.lastConnNumber++
+	c := &conn{number: w.lastConnNumber, subscriber: sub, publisher: pub, subscriberIncarnation: sub.incarnation, subscriberOpen: true}
 	sub.conns[addr] = c
 	w.after(w.delay(&sub.process, &pub.process), func() {
 		if w.isCut(&sub.process, &pub.process) || pub.machineOff {
 			return
 		}
-		took := pub.up
-		if took {
+		accepted := pub.up
+		if accepted {
 			c.publisherIncarnation, c.publisherOpen = pub.incarnation, true
 			pub.conns[c.number] = c
 		}
@@ -45,79 +46,82 @@
 				if sub.conns[addr] != c {
 					return
 				}
-				if took {
+				if accepted {
 					sub.core.Connected(addr)
 				} else {
 					delete(sub.conns, addr)
 					sub.core.DialFailed(addr)
 				}
-				w.drainSubscriber(sub)
+				w.handleSubscriberOutput(sub)
 			})
 		})
 	})
 }
 
-// send sends a message on a connection; nil is the connection's end, which is never lost.
-func (w *World) send(c *conn, way int, m *changefeed.Message) {
-	times := 1
+// send sends a message on a connection, and loses or duplicates it during that fault. A nil message is the end of the connection, which is
+// never lost.
+func (w *World) send(c *conn, direction int, m *changefeed.Message) {
+	copies := 1
 	if m != nil && w.loss > 0 {
 		switch roll := w.rng.Float64(); {
 		case roll < w.loss:
 			return
 		case roll < 2*w.loss:
-			times = 2
+			copies = 2
 		}
 	}
-	for range times {
-		c.lastArrival[way] = max(c.lastArrival[way], w.now+w.delay(&c.subscriber.process, &c.publisher.process))
-		w.after(c.lastArrival[way]-w.now, func() { w.arrive(c, way, m) })
+	for range copies {
+		c.lastArrival[direction] = max(c.lastArrival[direction], w.now+w.delay(&c.subscriber.process, &c.publisher.process))
+		w.after(c.lastArrival[direction]-w.now, func() { w.arrive(c, direction, m) })
 	}
 }
 
-func (w *World) arrive(c *conn, way int, m *changefeed.Message) {
+// arrive delivers a message at the end of its delay, or holds it back during a cut. A connection with too many held messages is reset.
+func (w *World) arrive(c *conn, direction int, m *changefeed.Message) {
 	from, to := &c.subscriber.process, &c.publisher.process
-	if way == toSubscriber {
+	if direction == toSubscriber {
 		from, to = to, from
 	}
-	if w.isCut(from, to) || len(c.held[way]) > 0 {
-		if c.held[way] = append(c.held[way], m); len(c.held[way]) > maxHeldMessages {
+	if w.isCut(from, to) || len(c.held[direction]) > 0 {
+		if c.held[direction] = append(c.held[direction], m); len(c.held[direction]) > maxHeldMessages {
 			w.reset(c)
 			return
 		}
 		if !c.isHeld {
 			c.isHeld = true
-			w.held = append(w.held, c)
+			w.heldConns = append(w.heldConns, c)
 		}
 		return
 	}
-	w.deliver(c, way, m)
+	w.deliver(c, direction, m)
 }
 
-// releaseHeld delivers what a cut has held back.
+// releaseHeld sends the messages that a cut has held back.
 func (w *World) releaseHeld() {
-	held := w.held
-	w.held = nil
+	held := w.heldConns
+	w.heldConns = nil
 	for _, c := range held {
 		c.isHeld = false
-		for way := range c.held {
-			all := c.held[way]
-			c.held[way] = nil
-			for _, m := range all {
-				c.lastArrival[way] = max(c.lastArrival[way], w.now+w.delay(&c.subscriber.process, &c.publisher.process))
-				w.after(c.lastArrival[way]-w.now, func() { w.arrive(c, way, m) })
+		for direction := range c.held {
+			messages := c.held[direction]
+			c.held[direction] = nil
+			for _, m := range messages {
+				c.lastArrival[direction] = max(c.lastArrival[direction], w.now+w.delay(&c.subscriber.process, &c.publisher.process))
+				w.after(c.lastArrival[direction]-w.now, func() { w.arrive(c, direction, m) })
 			}
 		}
 	}
 }
 
-func (w *World) deliver(c *conn, way int, m *changefeed.Message) {
-	w.addToDigest(c, way, m)
+// deliver hands a message to the core of its receiver.
+func (w *World) deliver(c *conn, direction int, m *changefeed.Message) {
+	w.addToDigest(c, direction, m)
 	w.Messages++
-	if way == toPublisher {
+	if direction == toPublisher {
 		pub := c.publisher
 		if !pub.up || pub.incarnation != c.publisherIncarnation || !c.publisherOpen {
 			if m != nil && !pub.machineOff && c.subscriberOpen {
-				w.send(c, toSubscriber, nil) // its kernel answers with a reset
+				w.send(c, toSubscriber, nil) // the kernel of the machine responds with a reset
 			}
 			return
 		}
@@ -135,7 +139,7 @@
 			default:
 				_ = pub.core.Step(w.clock(&pub.process), c.number, *m)
 			}
-			w.drainPublisher(pub)
+			w.handlePublisherOutput(pub)
 		})
 		return
 	}
@@ -156,15 +160,15 @@
 			delete(sub.conns, addr)
 			sub.core.ConnectionClosed(addr)
 		} else {
-			one := *m
+			message := *m
 			if w.replaceMessage != nil {
-				one = w.replaceMessage(sub, addr, one)
+				message = w.replaceMessage(sub, addr, message)
 			}
-			if err := sub.core.Step(addr, one); err != nil {
-				w.Refused++
+			if err := sub.core.Step(addr, message); err != nil {
+				w.RejectedMessages++
 			}
 		}
-		w.drainSubscriber(sub)
+		w.handleSubscriberOutput(sub)
 		w.checkCurrent(sub)
 	})
 }
@@ -180,7 +184,7 @@
 				c.publisherOpen = false
 				delete(pub.conns, c.number)
 				pub.core.ConnectionClosed(c.number)
-				w.drainPublisher(pub)
+				w.handlePublisherOutput(pub)
 			}
 		})
 	}
@@ -190,23 +194,24 @@
 				c.subscriberOpen = false
 				delete(sub.conns, pub.addr)
 				sub.core.ConnectionClosed(pub.addr)
-				w.drainSubscriber(sub)
+				w.handleSubscriberOutput(sub)
 			}
 		})
 	}
 }
 
-// addToDigest adds a delivery to the digest of the history.
-func (w *World) addToDigest(c *conn, way int, m *changefeed.Message) {
+// addToDigest adds a delivery to the digest of the history: its time, connection, direction, and the kind of the message.
+func (w *World) addToDigest(c *conn, direction int, m *changefeed.Message) {
 	h := fnv.New64a()
 	var b [8]byte
-	for _, v := range []uint64{w.digest, uint64(w.now), c.number, uint64(way), messageKind(m)} {
+	for _, v := range []uint64{w.digest, uint64(w.now), c.number, uint64(direction), messageKind(m)} {
 		binary.LittleEndian.PutUint64(b[:], v)
 		h.Write(b[:])
 	}
 	w.digest = h.Sum64()
 }
 
+// messageKind returns a number for the kind of a message and its version.
 func messageKind(m *changefeed.Message) uint64 {
 	switch {
 	case m == nil:
--- a/internal/lab/feedsim/play.go
+++ b/internal/lab/feedsim/play.go
@@ -5,12 +5,12 @@
 )
 
 const (
-	startupTime = 8 * time.Second  // before the first fault
-	settleTime  = 30 * time.Second // without faults, at the end
-	quietTime   = 8 * time.Second  // of that without changes, at the end
+	startupTime = 8 * time.Second  // time before the first fault
+	settleTime  = 30 * time.Second // time without faults at the end of a history
+	quietTime   = 8 * time.Second  // time without changes at the end of settleTime
 )
 
-// Play runs a history to its end and returns the first thing that was broken, nil if nothing was.
+// Play runs a history to its end and returns the first violation, nil if there was none.
 func (w *World) Play() error {
 	start := w.now
 	end := start + startupTime + w.plan.Length
@@ -31,6 +31,6 @@
 		return w.err
 	}
 	w.now = end + settleTime
-	w.checkEnd()
+	w.checkFinalState()
 	return w.err
 }
--- a/internal/lab/feedsim/processes.go
+++ b/internal/lab/feedsim/processes.go
@@ -6,12 +6,13 @@
 	"sabletally/internal/fleet/changefeed"
 )
 
+// startPublisher starts a process of a publisher, with the state on its disk or with a lost disk.
 func (w *World) startPublisher(pub *publisher) {
 	old := pub.log
 	pub.log = changefeed.NewLog(changefeed.LogConfig{MaxChanges: 100, MaxBytes: 256 << 10})
-	if old != nil && w.rng.IntN(3) > 0 { // it starts with the state on its disk, without the changes that led there
+	if old != nil && w.rng.IntN(3) > 0 { // the disk has the state, but not the changes that led to it
 		if err := pub.log.Install(*old.Snapshot()); err != nil {
-			w.fail(Broken, "publisher %d does not start: %v", pub.index, err)
+			w.fail(UnexpectedFailure, "publisher %d does not start: %v", pub.index, err)
 		}
 	}
 	pub.incarnation++
@@ -20,6 +21,7 @@
 		pub.log, w.clock(&pub.process))
 }
 
+// startSubscriber starts a process of a subscriber, without any state.
 func (w *World) startSubscriber(sub *subscriber) {
 	sub.starts++
 	sub.incarnation++
@@ -28,39 +30,40 @@
 		seeds = append(seeds, w.publishers[(sub.index*7+i*3)%len(w.publishers)].addr)
 	}
 	sub.up, sub.machineOff, sub.stalledUntil, sub.deferred, sub.conns, sub.startedAt, sub.unreachableAt = true, false, 0, nil, map[string]*conn{}, w.now, w.now
-	sub.applied = newApplied()
+	sub.applied = newAppliedState()
 	sub.core = changefeed.NewSubscriber(changefeed.SubscriberConfig{ID: fmt.Sprintf("b%d", sub.index), Incarnation: sub.starts, Zone: fmt.Sprintf("z%d", sub.zone), Site: fmt.Sprintf("s%d", sub.region),
 		Seeds: seeds, Seed: w.plan.Seed<<20 ^ uint64(sub.index)<<4 ^ sub.incarnation}, w.clock(&sub.process))
 }
 
-// runOrDefer has a process do something now, or, if it is stalled, once it runs again.
-func (w *World) runOrDefer(n *process, do func()) {
+// runOrDefer runs an action of a process now, or, if the process is stalled, once it runs again.
+func (w *World) runOrDefer(n *process, action func()) {
 	if n.stalledUntil > w.now || len(n.deferred) > 0 {
-		n.deferred = append(n.deferred, do)
+		n.deferred = append(n.deferred, action)
 		return
 	}
-	do()
+	action()
 }
 
-// runDeferred does what a process has deferred while it was stalled: before its next tick or after it.
-func (w *World) runDeferred(n *process, beat func()) {
+// runDeferred runs a tick of a process and the actions that were deferred while it was stalled, in a random order of the two.
+func (w *World) runDeferred(n *process, tick func()) {
 	waiting := n.deferred
 	n.deferred = nil
-	first := len(waiting) > 0 && w.rng.IntN(2) == 0
-	if !first {
-		beat()
+	deferredFirst := len(waiting) > 0 && w.rng.IntN(2) == 0
+	if !deferredFirst {
+		tick()
 	}
-	born := n.incarnation
-	for _, do := range waiting {
-		if n.up && n.incarnation == born {
-			do()
+	incarnation := n.incarnation
+	for _, action := range waiting {
+		if n.up && n.incarnation == incarnation {
+			action()
 		}
 	}
-	if first && n.up && n.incarnation == born {
-		beat()
+	if deferredFirst && n.up && n.incarnation == incarnation {
+		tick()
 	}
 }
 
+// tickPublisher runs a tick of a publisher's core and schedules the next one.
 func (w *World) tickPublisher(pub *publisher) {
 	w.after(heartbeatInterval, func() { w.tickPublisher(pub) })
 	if !pub.up || pub.stalledUntil > w.now {
@@ -68,24 +71,26 @@
 	}
 	w.runDeferred(&pub.process, func() {
 		pub.core.Tick(w.clock(&pub.process))
-		w.drainPublisher(pub)
+		w.handlePublisherOutput(pub)
 	})
 }
 
+// tickSubscriber runs a tick of a subscriber's core and schedules the next one.
 func (w *World) tickSubscriber(sub *subscriber) {
 	w.after(heartbeatInterval, func() { w.tickSubscriber(sub) })
 	if !sub.up || sub.stalledUntil > w.now {
 		return
 	}
-	w.checkCurrent(sub) // it may have been stalled until now
+	w.checkCurrent(sub) // after a stall, what the subscriber reports before its tick must be right too
 	w.runDeferred(&sub.process, func() {
 		sub.core.Tick(w.clock(&sub.process))
-		w.drainSubscriber(sub)
+		w.handleSubscriberOutput(sub)
 	})
 	w.checkCurrent(sub)
 }
 
-func (w *World) drainPublisher(pub *publisher) {
+// handlePublisherOutput carries out what a publisher's core asks for.
+func (w *World) handlePublisherOutput(pub *publisher) {
 	out := pub.core.Ready()
 	for _, s := range out.Sends {
 		if c := pub.conns[s.Conn]; c != nil {
@@ -107,14 +112,15 @@
 	}
 }
 
-func (w *World) drainSubscriber(sub *subscriber) {
+// handleSubscriberOutput carries out what a subscriber's core asks for, and checks its updates and events.
+func (w *World) handleSubscriberOutput(sub *subscriber) {
 	out := sub.core.Ready()
-	for _, a := range out.Updates {
-		w.recordUpdate(sub, a)
+	for _, update := range out.Updates {
+		w.recordUpdate(sub, update)
 	}
-	for _, l := range out.Events {
-		if l.IsAlert() {
-			w.fail(Broken, "subscriber %d: %v", sub.index, l)
+	for _, event := range out.Events {
+		if event.IsAlert() {
+			w.fail(UnexpectedFailure, "subscriber %d: %v", sub.index, event)
 		}
 	}
 	for _, s := range out.Sends {
--- a/internal/lab/feedsim/world.go
+++ b/internal/lab/feedsim/world.go
@@ -1,7 +1,7 @@
-// Package feedsim plays the publishers and subscribers of the changefeed in virtual time: the cores that ship, on
-// connections in memory, with faults by seed. It owns what happens to them, a log in place of the consensus
-// (versions are committed at one place and reach the publishers late), and a record of what each subscriber
-// applied. It must never reach into a core: what it knows of one comes out of it as it would on sockets.
+// Package feedsim simulates the publishers and subscribers of the changefeed in virtual time: the production cores on
+// in-memory connections, with faults drawn from a seed. It owns the faults, a log in place of the consensus (versions are
+// committed at one place and reach the publishers late), and a record of what each subscriber applied. It must never
+// access the internal state of a core: it sees only the output that the core would send on sockets.
 package feedsim
 
 import (
@@ -19,92 +19,92 @@
 	heartbeatInterval      = 200 * time.Millisecond
 	logPollInterval        = 250 * time.Millisecond
 	checkInterval          = 500 * time.Millisecond
-	regionalDelay          = 500 * time.Microsecond // one way within a region
-	interRegionDelay       = 20 * time.Millisecond  // one way between regions
-	delayJitter            = 5 * time.Millisecond
-	maxHeldMessages        = 512 // messages that a cut holds back on a connection before it is reset
-	electionTimeout        = 1500 * time.Millisecond
+	regionalDelay          = 500 * time.Microsecond  // one-way delay within a region
+	interRegionDelay       = 20 * time.Millisecond   // one-way delay between regions
+	delayJitter            = 5 * time.Millisecond    // upper limit of the random delay that is added
+	maxHeldMessages        = 512                     // messages that a cut holds back on a connection before the connection is reset
+	electionTimeout        = 1500 * time.Millisecond // from the loss of the leader to the election of the next
 	voters                 = 5
-	inForceDeadline        = 7 * time.Second
-	firstSnapshotTimeout   = 10 * time.Second // from a subscriber's start to its first snapshot
+	inForceDeadline        = 7 * time.Second  // from a commit until the change is in force at every reachable subscriber
+	firstSnapshotTimeout   = 10 * time.Second // time from a subscriber's start to its first snapshot, within which no change is due at it
 	windowBytes            = 64 << 10
 	snapshotBytesPerSecond = 32 << 20
 )
 
-// Plan describes one history.
+// Plan holds the parameters of one history.
 type Plan struct {
 	Seed        uint64
 	Publishers  int
 	Zones       int
 	Regions     int
 	Subscribers int
-	Length      time.Duration // of the time with faults
-	Rate        float64       // changes a second
-	Faults      float64       // a second
-	Loss        float64       // share of messages lost, and of messages duplicated, during that fault
+	Length      time.Duration // length of the time with faults
+	Rate        float64       // changes per second
+	Faults      float64       // faults per second
+	Loss        float64       // share of messages that are lost, and share that are duplicated, while that fault lasts
 }
 
-// DefaultPlan is a history of 17 publishers in 3 regions and 11 zones.
+// DefaultPlan returns the plan of a history with 17 publishers in 3 regions and 11 zones.
 func DefaultPlan(seed uint64, subscribers int) Plan {
 	return Plan{Seed: seed, Publishers: 17, Zones: 11, Regions: 3, Subscribers: subscribers, Length: 45 * time.Second, Rate: 1, Faults: 0.5, Loss: 0.2}
 }
 
-// World is a history under way.
+// World is a running history: the processes, the network between them and the committed versions.
 type World struct {
-	plan        Plan
-	rng         *rand.Rand
-	now         time.Duration
-	queue       eventqueue.Queue
-	publishers  []*publisher
-	subscribers []*subscriber
-	lastConn    uint64
-	held        []*conn // with messages that a cut holds back
-	isCut       func(from, to *process) bool
-	cutActive   bool
-	loss        float64
-	faultsOver  bool // settleTime has begun
-	changesOver bool // quietTime has begun
-
-	log          *changefeed.Log
-	versions     []version
-	expected     map[string]uint64 // hashes of the items that are committed now
-	leader       int               // index of a publisher, -1 for none
-	leaderLostAt time.Duration
-	puts         int
-
-	Kills, Stalls, Cuts, Resets, Restarts int // Restarts counts those of all publishers at once
-	Messages, Snapshots, Changes          int
-	Late                                  time.Duration // the longest time that a change took to a reachable subscriber
-	Due                                   int           // changes times the subscribers that were reachable
-	Lapses, Wants, Mismatches             uint64
-	Refused                               int // messages that a subscriber rejected
-
-	// Tests replace what a subscriber receives, or what it says of its own lease.
-	replaceMessage func(f *subscriber, addr string, m changefeed.Message) changefeed.Message
-	isCurrent      func(f *subscriber, now time.Duration) bool
-
-	digest uint64
-	err    error
+	plan           Plan
+	rng            *rand.Rand
+	now            time.Duration
+	queue          eventqueue.Queue
+	publishers     []*publisher
+	subscribers    []*subscriber
+	lastConnNumber uint64
+	heldConns      []*conn // connections with messages that a cut holds back
+	isCut          func(from, to *process) bool
+	cutActive      bool    // true during a cut
+	loss           float64 // current share of messages lost
+	faultsOver     bool    // true once settleTime has begun
+	changesOver    bool    // true once quietTime has begun
+
+	log               *changefeed.Log
+	versions          []version         // committed versions, by number
+	expectedHashes    map[string]uint64 // hashes of the items of the newest committed version, by key
+	leader            int               // index of the publisher that leads, -1 for none
+	leaderReachableAt time.Duration     // last time at which the leader could reach a quorum
+	puts              int               // changes committed by putChange
+
+	Kills, Stalls, NetworkCuts, Resets, FullRestarts int // FullRestarts counts restarts of all publishers at once
+	Messages, Snapshots, Changes                     int
+	MaxPropagationTime                               time.Duration // longest time from a commit until the change was in force at a reachable subscriber
+	DueChanges                                       int           // changes checked to be in force, counted for each reachable subscriber
+	LeaseExpiries, SyncRequests, DigestMismatches    uint64
+	RejectedMessages                                 int // messages that subscribers rejected
+
+	// Tests set these to replace a message that a subscriber receives, or its answer whether its version is current.
+	replaceMessage func(sub *subscriber, addr string, m changefeed.Message) changefeed.Message
+	isCurrent      func(sub *subscriber, now time.Duration) bool
+
+	digest uint64 // digest of all deliveries so far
+	err    error  // first violation
 }
 
-// version is a committed version: its time and its state.
+// version holds the commit time and the state of a committed version.
 type version struct {
 	at        time.Duration
 	digest    uint64
-	itemsHash uint64 // by itemHash
+	itemsHash uint64 // sum of itemHash over all items
 }
 
-// process is a publisher's or subscriber's process on a machine.
+// process is the part that publishers and subscribers have in common: a process on a machine.
 type process struct {
 	index         int
 	zone, region  int
 	up            bool
-	machineOff    bool // nothing answers at its address
+	machineOff    bool // true while the machine is lost with the process: no kernel responds at its address
 	incarnation   uint64
 	stalledUntil  time.Duration
-	clockOffset   time.Duration // of its clock against the world's
-	deferred      []func()
-	unreachableAt time.Duration // the last time that it could not be reached
+	clockOffset   time.Duration // difference of the process's clock to the time of the simulation
+	deferred      []func()      // actions to run once a stall ends
+	unreachableAt time.Duration // last time at which the process could not be reached
 	startedAt     time.Duration
 }
 
@@ -121,10 +121,10 @@
 	starts  uint64
 	core    *changefeed.Subscriber
 	conns   map[string]*conn
-	applied applied
+	applied appliedState
 }
 
-// conn is a connection; it delivers each direction in order.
+// conn is a connection between a subscriber and a publisher. It delivers the messages of each direction in order.
 type conn struct {
 	number                uint64
 	subscriber            *subscriber
@@ -133,17 +133,18 @@
 	publisherIncarnation  uint64
 	subscriberOpen        bool
 	publisherOpen         bool
-	lastArrival           [2]time.Duration         // of the newest message, by direction
-	held                  [2][]*changefeed.Message // messages held back by a cut, by direction; nil is the connection's end
-	isHeld                bool                     // World.held names it
+	lastArrival           [2]time.Duration         // arrival time of the newest message, by direction
+	held                  [2][]*changefeed.Message // messages held back by a cut, by direction; a nil message is the end of the connection
+	isHeld                bool                     // true while World.heldConns contains the connection
 }
 
+// Directions of a connection.
 const (
 	toPublisher  = 0
 	toSubscriber = 1
 )
 
-// New returns a world in which all processes start.
+// New returns a world in which all processes have just started.
 func New(p Plan) *World {
 	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xfeed3)), now: time.Hour, log: changefeed.NewLog(changefeed.LogConfig{MaxChanges: 400, MaxBytes: 1 << 20}),
 		versions: []version{{}}, isCut: func(*process, *process) bool { return false }}
@@ -153,7 +154,7 @@
 		pub.zone, pub.region = i%p.Zones, i%p.Zones%p.Regions
 		text, err := json.Marshal(shardmap.Member{ID: pub.addr, Addr: pub.addr, Machine: pub.addr, Zone: fmt.Sprintf("z%d", pub.zone), Site: fmt.Sprintf("s%d", pub.region)})
 		if err != nil {
-			panic(err) // it holds plain values only
+			panic(err) // a struct of strings can always be encoded
 		}
 		items = append(items, changefeed.Item{Key: changefeed.MemberPrefix + pub.addr, Value: text})
 		w.publishers = append(w.publishers, pub)
@@ -161,15 +162,15 @@
 	w.commit(items)
 	for _, pub := range w.publishers {
 		w.startPublisher(pub)
-		w.after(w.chance(logPollInterval), func() { w.pollLog(pub) })
-		w.after(w.chance(heartbeatInterval), func() { w.tickPublisher(pub) })
+		w.after(w.randomDuration(logPollInterval), func() { w.pollLog(pub) })
+		w.after(w.randomDuration(heartbeatInterval), func() { w.tickPublisher(pub) })
 	}
 	for i := range p.Subscribers {
 		sub := &subscriber{process: w.newProcess(p.Publishers + i)}
 		sub.zone, sub.region = i%p.Zones, i%p.Zones%p.Regions
 		w.subscribers = append(w.subscribers, sub)
 		w.startSubscriber(sub)
-		w.after(w.chance(heartbeatInterval), func() { w.tickSubscriber(sub) })
+		w.after(w.randomDuration(heartbeatInterval), func() { w.tickSubscriber(sub) })
 	}
 	w.after(checkInterval, w.watchLeader)
 	return w
@@ -179,17 +180,22 @@
 	return process{index: num, clockOffset: time.Duration(w.rng.Int64N(int64(100 * time.Hour)))}
 }
 
-func (w *World) after(d time.Duration, do func()) {
-	w.queue.Schedule(w.now+d, do)
+// after schedules an action.
+func (w *World) after(d time.Duration, action func()) {
+	w.queue.Schedule(w.now+d, action)
 }
 
-func (w *World) chance(d time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(d))) }
+// randomDuration draws a duration below a limit.
+func (w *World) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(w.rng.Int64N(int64(limit)))
+}
 
-func (w *World) fail(name, format string, args ...any) {
+// fail records a violation; the first one ends the history.
+func (w *World) fail(violation, format string, args ...any) {
 	if w.err == nil {
-		w.err = fmt.Errorf("seed %d at %v: %s: %s", w.plan.Seed, w.now-time.Hour, name, fmt.Sprintf(format, args...))
+		w.err = fmt.Errorf("seed %d at %v: %s: %s", w.plan.Seed, w.now-time.Hour, violation, fmt.Sprintf(format, args...))
 	}
 }
 
-// clock returns the time by a process's own clock.
+// clock returns the current time by a process's own clock.
 func (w *World) clock(n *process) time.Duration { return w.now + n.clockOffset }
--- a/internal/lab/feedsim/world_test.go
+++ b/internal/lab/feedsim/world_test.go
@@ -11,53 +11,55 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 4, "histories in virtual time")
-	from  = flag.Uint64("from", 1, "the first seed")
-	many  = flag.Int("followers", 60, "subscribers of each")
+	seedCount       = flag.Int("seeds", 4, "number of histories, each with a seed of its own")
+	firstSeed       = flag.Uint64("from", 1, "seed of the first history")
+	subscriberCount = flag.Int("followers", 60, "number of subscribers of each history")
 )
 
-// TestNoSubscriberGoesBackMixesOrIsForgotten plays histories with every fault.
+// TestNoSubscriberGoesBackMixesOrIsForgotten plays histories with all faults. It fails if a subscriber returns to an older version, has a state
+// that was never committed, skips a version, takes an outdated version for current, or lacks a change after its deadline or at the end.
 func TestNoSubscriberGoesBackMixesOrIsForgotten(t *testing.T) {
 	var late time.Duration
 	versions, due, restarts := 0, 0, 0
-	for seed := *from; seed < *from+uint64(*seeds); seed++ {
-		began := time.Now()
-		w := New(DefaultPlan(seed, *many))
+	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
+		startedAt := time.Now()
+		w := New(DefaultPlan(seed, *subscriberCount))
 		err := w.Play()
-		t.Logf("seed %d: %d versions, %d killed, %d stalls, %d cuts, %d resets, %d times all publishers, %d messages, %d changes, %d snapshots, %d wants, %d mismatches, %d lapses, "+
-			"in force %v at the latest of %d, in %v", seed, len(w.versions)-1, w.Kills, w.Stalls, w.Cuts, w.Resets, w.Restarts, w.Messages, w.Changes, w.Snapshots, w.Wants, w.Mismatches,
-			w.Lapses, w.Late, w.Due, time.Since(began).Round(10*time.Millisecond))
+		t.Logf("seed %d: %d versions, %d processes killed, %d stalls, %d network cuts, %d resets, %d restarts of all publishers, %d messages, %d changes, %d snapshots, %d sync requests, "+
+			"%d digest mismatches, %d lease expiries, propagation took at most %v (%d times checked), test took %v", seed, len(w.versions)-1, w.Kills, w.Stalls, w.NetworkCuts, w.Resets, w.FullRestarts, w.Messages, w.Changes, w.Snapshots, w.SyncRequests, w.DigestMismatches,
+			w.LeaseExpiries, w.MaxPropagationTime, w.DueChanges, time.Since(startedAt).Round(10*time.Millisecond))
 		if err != nil {
 			t.Error(err)
 		}
-		late, versions, due, restarts = max(late, w.Late), versions+len(w.versions)-1, due+w.Due, restarts+w.Restarts
+		late, versions, due, restarts = max(late, w.MaxPropagationTime), versions+len(w.versions)-1, due+w.DueChanges, restarts+w.FullRestarts
 	}
-	t.Logf("%d histories of %d followers, %d versions, all publishers restarted %d times, in force %v at the latest of %d", *seeds, *many, versions, restarts, late, due)
+	t.Logf("%d histories with %d subscribers each: %d versions, %d restarts of all publishers, propagation took at most %v (%d times checked)", *seedCount, *subscriberCount, versions, restarts, late, due)
 	if due < versions {
-		t.Errorf("only %d times was a change found to be in force", due)
+		t.Errorf("changes were checked to be in force only %d times, which is fewer than there are versions", due)
 	}
 }
 
-// TestTheSameSeedIsTheSameHistory plays one twice.
+// TestTheSameSeedIsTheSameHistory plays a seed twice and another seed once. It fails if a history depends on anything but its plan, or if the
+// seed has no effect.
 func TestTheSameSeedIsTheSameHistory(t *testing.T) {
 	a, b := New(DefaultPlan(9, 30)), New(DefaultPlan(9, 30))
 	errA, errB := a.Play(), b.Play()
-	if a.Digest() != b.Digest() || a.Messages != b.Messages || a.Lapses != b.Lapses || errA != nil || errB != nil {
-		t.Errorf("%x and %x, %d and %d messages, %v, %v", a.Digest(), b.Digest(), a.Messages, b.Messages, errA, errB)
+	if a.Digest() != b.Digest() || a.Messages != b.Messages || a.LeaseExpiries != b.LeaseExpiries || errA != nil || errB != nil {
+		t.Errorf("one seed played twice: digests %x and %x, %d and %d messages, errors %v and %v", a.Digest(), b.Digest(), a.Messages, b.Messages, errA, errB)
 	}
 	if c := New(DefaultPlan(10, 30)); c.Play() != nil || c.Digest() == a.Digest() {
-		t.Error("another seed is the same history")
+		t.Error("another seed gave the same history, or its history failed")
 	}
 }
 
-// harm has one change of so many come with another value than was agreed.
-func harm(w *World, each int) func(*subscriber, string, changefeed.Message) changefeed.Message {
+// corruptChanges returns a function that replaces the value in one change of so many, until the faults are over.
+func corruptChanges(w *World, interval int) func(*subscriber, string, changefeed.Message) changefeed.Message {
 	n := 0
 	return func(_ *subscriber, _ string, m changefeed.Message) changefeed.Message {
 		if m.Change == nil || m.Change.Items[0].Deleted || w.faultsOver {
 			return m
 		}
-		if n++; n%each != 0 {
+		if n++; n%interval != 0 {
 			return m
 		}
 		c := *m.Change
@@ -67,77 +69,79 @@
 	}
 }
 
-// TestWhatIsHarmedOnTheWayIsRefused plays histories in which changes come with other values: none is taken, and all go on.
+// TestWhatIsHarmedOnTheWayIsRefused plays histories in which some changes arrive with another value. It fails if a subscriber applies one, does
+// not count the digest mismatch, or does not recover.
 func TestWhatIsHarmedOnTheWayIsRefused(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		w := New(DefaultPlan(seed, 30))
-		w.replaceMessage = harm(w, 20)
+		w.replaceMessage = corruptChanges(w, 20)
 		if err := w.Play(); err != nil {
 			t.Error(err)
 		}
-		if w.Mismatches < 10 || w.Refused < 10 {
-			t.Errorf("seed %d: %d mismatches, %d refused", seed, w.Mismatches, w.Refused)
+		if w.DigestMismatches < 10 || w.RejectedMessages < 10 {
+			t.Errorf("seed %d: %d digest mismatches and %d rejected messages, want at least 10 of each", seed, w.DigestMismatches, w.RejectedMessages)
 		}
-		t.Logf("seed %d: %d mismatches, %d snapshots, %d wants, %d changes", seed, w.Mismatches, w.Snapshots, w.Wants, w.Changes)
+		t.Logf("seed %d: %d digest mismatches, %d snapshots, %d sync requests, %d changes", seed, w.DigestMismatches, w.Snapshots, w.SyncRequests, w.Changes)
 	}
 }
 
-// TestWhatIsBrokenOnPurposeIsNamed puts each break around the subscribers until it shows: a checker that finds nothing proves nothing.
+// TestWhatIsBrokenOnPurposeIsNamed tests the checker: for each defect that is built in around the subscribers, one of up to 60 histories has to
+// fail with the violation that belongs to the defect.
 func TestWhatIsBrokenOnPurposeIsNamed(t *testing.T) {
-	for broken, one := range map[string]struct {
-		name string
-		in   func(w *World)
+	for defect, c := range map[string]struct {
+		violation string
+		inject    func(w *World)
 	}{
-		"digest not checked": {Mixed, func(w *World) {
-			harmed := harm(w, 20)
+		"digest not checked": {StateMismatch, func(w *World) {
+			corrupt := corruptChanges(w, 20)
 			w.replaceMessage = func(sub *subscriber, addr string, m changefeed.Message) changefeed.Message {
-				m = harmed(sub, addr, m)
+				m = corrupt(sub, addr, m)
 				st := sub.core.State()
 				if m.Change == nil || m.Change.Version != st.Version()+1 || st.Version() == 0 {
 					return m
 				}
-				l := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 1, MaxBytes: 1}) // what the change comes to there, whatever it says
-				if err := l.Install(changefeed.Snapshot{Fleet: st.Fleet(), Version: st.Version(), Digest: st.Digest(), Items: st.Items("")}); err != nil {
+				log := changefeed.NewLog(changefeed.LogConfig{MaxChanges: 1, MaxBytes: 1}) // computes the digest that the corrupted change leads to, so that the subscriber accepts it
+				if err := log.Install(changefeed.Snapshot{Fleet: st.Fleet(), Version: st.Version(), Digest: st.Digest(), Items: st.Items("")}); err != nil {
 					t.Fatal(err)
 				}
-				c, err := l.Append(m.Change.Items)
+				change, err := log.Append(m.Change.Items)
 				if err != nil {
 					return m
 				}
-				return changefeed.Message{Change: &c}
+				return changefeed.Message{Change: &change}
 			}
 		}},
-		"snapshot over a newer state": {WentBack, func(w *World) {
+		"snapshot over a newer state": {VersionRegressed, func(w *World) {
 			w.replaceMessage = func(sub *subscriber, _ string, m changefeed.Message) changefeed.Message {
 				if s := m.Snapshot; s != nil && s.Version < sub.core.State().Version() {
-					w.recordUpdate(sub, changefeed.Update{Version: s.Version, Items: s.Items, Complete: true}) // as if it were taken
+					w.recordUpdate(sub, changefeed.Update{Version: s.Version, Items: s.Items, Complete: true}) // as if the subscriber had applied it
 				}
 				return m
 			}
 		}},
-		"lease not looked at": {FalselyNew, func(w *World) {
+		"lease not looked at": {FalselyCurrent, func(w *World) {
 			w.isCurrent = func(sub *subscriber, now time.Duration) bool {
 				_, known := sub.core.Age(now)
 				return known
 			}
 		}},
 	} {
-		t.Run(broken, func(t *testing.T) {
+		t.Run(defect, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 60; seed++ {
 				w := New(DefaultPlan(seed, 30))
-				one.in(w)
+				c.inject(w)
 				err := w.Play()
 				if err == nil {
 					continue
 				}
-				if !strings.Contains(err.Error(), one.name) {
-					t.Fatalf("not by name: %v", err)
+				if !strings.Contains(err.Error(), c.violation) {
+					t.Fatalf("the checker reported another violation: %v", err)
 				}
 				t.Logf("found: %v", err)
 				return
 			}
-			t.Error("it was not found")
+			t.Error("the checker did not detect the defect in any history")
 		})
 	}
 }
