--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -10,19 +10,19 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// What can be broken, by the names that the checker reports it under.
+// The violations that the checker reports: an error of Play contains one of these texts.
 const (
-	LostWrite         = "an acknowledged write was lost"
-	DuplicateVersion  = "one version was written twice"
-	NotLinearizable   = "no order explains what clients saw"
-	NotSettled        = "the fleet does not settle"
-	UnderReplicated   = "a shard is under-replicated"
-	orderCheckTimeout = 300 * time.Millisecond // for one key; one that takes longer counts as undecided
-	finalReadTimeout  = 20 * time.Second
-	finalReadAttempt  = 2 * time.Second
+	LostWrite              = "an acknowledged write was lost"
+	DuplicateVersion       = "one version was written twice"
+	NotLinearizable        = "the results of the clients are not linearizable"
+	NotRecovered           = "the fleet did not recover after the last fault"
+	UnderReplicated        = "a shard is under-replicated"
+	linearizabilityTimeout = 300 * time.Millisecond // limit for the check of one key, which is undecided if it takes longer
+	finalReadTimeout       = 20 * time.Second       // limit for the final read of one key, over all attempts
+	finalReadAttempt       = 2 * time.Second        // limit for one attempt of a final read
 )
 
-// check reads every key once the fleet has settled and compares it with what clients were told.
+// check reads every key once the fleet has recovered and compares the results of all operations with the final records.
 func (w *World) check() error {
 	if err := w.checkShardMap(); err != nil {
 		return err
@@ -37,23 +37,24 @@
 	if err := w.checkWrites(final); err != nil {
 		return err
 	}
-	return w.checkOrder()
+	return w.checkLinearizability()
 }
 
-func (w *World) broken(name, format string, args ...any) error {
+// violation returns the error for a violation.
+func (w *World) violation(name, format string, args ...any) error {
 	return fmt.Errorf("seed %d: %s: %s", w.plan.Seed, name, fmt.Sprintf(format, args...))
 }
 
-// checkShardMap checks that the fleet was bootstrapped and that each shard has all its replicas.
+// checkShardMap checks that the fleet was bootstrapped and that each shard has all its replicas in sync.
 func (w *World) checkShardMap() error {
 	newest, _ := w.newestState()
 	if newest == nil || newest.FleetID == "" {
-		return w.broken(NotSettled, "it was never bootstrapped")
+		return w.violation(NotRecovered, "the fleet was never bootstrapped")
 	}
-	w.Configurations = int(newest.Version)
+	w.ShardMapVersion = int(newest.Version)
 	for shard, c := range newest.Configurations {
 		if len(c.InSync) < min(w.plan.ReplicationFactor, len(w.members)) {
-			return w.broken(UnderReplicated, "shard %d has %d replicas in sync, configuration %d: %v, joining %v", shard, len(c.InSync), c.Number, c.InSync, c.Joining)
+			return w.violation(UnderReplicated, "shard %d has %d replicas in sync in configuration %d: %v, joining %v", shard, len(c.InSync), c.Number, c.InSync, c.Joining)
 		}
 	}
 	return nil
@@ -73,7 +74,7 @@
 	return final, nil
 }
 
-// readKey asks random members for a key until one answers.
+// readKey submits reads of a key to random members until one of them succeeds.
 func (w *World) readKey(key string) (replication.Record, error) {
 	for attempt := 0; ; attempt++ {
 		w.lastOperation++
@@ -87,7 +88,7 @@
 			return op.Result.Record, nil
 		}
 		if time.Duration(attempt)*finalReadAttempt > finalReadTimeout {
-			return replication.Record{}, w.broken(NotSettled, "key %s can't be read: %v %v", key, op.Result.Outcome, op.Result.Reason)
+			return replication.Record{}, w.violation(NotRecovered, "reads of key %s failed for too long; the last one: outcome %v, reason %v", key, op.Result.Outcome, op.Result.Reason)
 		}
 	}
 }
@@ -102,18 +103,18 @@
 		}
 		version := fmt.Sprintf("%s version %d", op.Request.Key, record.Version)
 		if other := writers[version]; other != "" {
-			return w.broken(DuplicateVersion, "%s: %s and %s", version, other, op.Request.ID)
+			return w.violation(DuplicateVersion, "%s was written by %s and by %s", version, other, op.Request.ID)
 		}
 		writers[version] = op.Request.ID
 		if f := final[op.Request.Key]; f.Version < record.Version || f.Version == record.Version && f.OperationID != op.Request.ID {
-			return w.broken(LostWrite, "%s was acknowledged to %s at %v, now there is version %d by %s", version, op.Request.ID, op.EndedAt, f.Version, f.OperationID)
+			return w.violation(LostWrite, "%s was acknowledged to %s at %v, but the final record is version %d by %s", version, op.Request.ID, op.EndedAt, f.Version, f.OperationID)
 		}
 	}
 	return nil
 }
 
-// checkOrder checks that the operations on each key are linearizable.
-func (w *World) checkOrder() error {
+// checkLinearizability checks that the operations on each key are linearizable. Keys that take too long to check are counted as undecided.
+func (w *World) checkLinearizability() error {
 	byKey := map[string][]porcupine.Operation{}
 	for _, op := range w.Operations {
 		if op.hasNoEffect() {
@@ -121,16 +122,16 @@
 		}
 		key := op.Request.Key
 		o := porcupine.Operation{ClientId: len(byKey[key]), Input: op.Request, Output: op.Result, Call: int64(op.StartedAt), Return: int64(op.EndedAt)}
-		if !op.HasResult || op.Result.Outcome == replication.OutcomeUnknown { // it may be done at any later time, or never
+		if !op.HasResult || op.Result.Outcome == replication.OutcomeUnknown { // the write may take effect at any later time, or never
 			o.Output, o.Return = replication.Result{Outcome: replication.OutcomeUnknown}, math.MaxInt64
 		}
 		byKey[key] = append(byKey[key], o)
 	}
 	for i := range w.plan.Keys {
 		key := fmt.Sprintf("k%d", i)
-		switch result, _ := porcupine.CheckOperationsVerbose(register, byKey[key], orderCheckTimeout); result {
+		switch result, _ := porcupine.CheckOperationsVerbose(register, byKey[key], linearizabilityTimeout); result {
 		case porcupine.Illegal:
-			return w.broken(NotLinearizable, "key %s, %d operations", key, len(byKey[key]))
+			return w.violation(NotLinearizable, "key %s, which had %d operations", key, len(byKey[key]))
 		case porcupine.Unknown:
 			w.Undecided++
 		}
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// hasNoEffect reports whether an operation neither changed a record nor tells of one.
+// hasNoEffect reports whether an operation neither changed a record nor returned one.
 func (op *Operation) hasNoEffect() bool {
 	if !op.HasResult {
 		return op.Request.ReadOnly
@@ -153,7 +154,7 @@
 	op      string
 }
 
-// register is a key as its clients see it: a compare-and-swap register by version.
+// register is the model of a key: a register that clients compare and swap by its version.
 var register = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -166,7 +167,7 @@
 			return op.ExpectedVersion == s.version && (r.Record.OperationID != op.ID || r.Record.Version == next.version), next
 		case r.Outcome == replication.OutcomeConflict:
 			return op.ExpectedVersion != s.version && r.Record.Version == s.version, s
-		case op.ExpectedVersion == s.version: // unknown: it may have been done or not
+		case op.ExpectedVersion == s.version: // the outcome is unknown: the write may have taken effect or not
 			return true, next
 		}
 		return true, s
--- a/internal/lab/fleetsim/clients.go
+++ b/internal/lab/fleetsim/clients.go
@@ -8,6 +8,7 @@
 	"sabletally/internal/fleet/replication"
 )
 
+// runClient submits a random operation to a random member and schedules the next one.
 func (w *World) runClient() {
 	if w.faultsOver {
 		return
@@ -24,39 +25,41 @@
 	case 0:
 		op.ReadOnly, op.Value = true, nil
 	case 1:
-		op.ExpectedVersion = w.lastVersion(key) // the newest version that any client knows
+		op.ExpectedVersion = w.lastVersion(key) // the other writes expect that there is no record
 	}
 	w.submit(n, op)
 }
 
-func (w *World) submit(n *member, op replication.Operation) {
-	a := &Operation{Request: op, Client: n.index, StartedAt: w.now}
-	w.Operations = append(w.Operations, a)
-	w.operationByID[op.ID] = a
-	w.runOrDefer(n, n.starts, func() { n.core.Submit(op, operationTimeout) })
+// submit submits an operation to a member and adds it to the history.
+func (w *World) submit(n *member, request replication.Operation) {
+	op := &Operation{Request: request, Client: n.index, StartedAt: w.now}
+	w.Operations = append(w.Operations, op)
+	w.operationByID[request.ID] = op
+	w.runOrDefer(n, n.starts, func() { n.core.Submit(request, operationTimeout) })
 }
 
 // lastVersion returns the newest version of a key that any client knows of.
 func (w *World) lastVersion(key string) uint64 {
-	for _, a := range slices.Backward(w.Operations) {
-		if a.HasResult && a.Request.Key == key && a.Result.Record.Version > 0 && !a.Result.Record.Deleted {
-			return a.Result.Record.Version
+	for _, op := range slices.Backward(w.Operations) {
+		if op.HasResult && op.Request.Key == key && op.Result.Record.Version > 0 && !op.Result.Record.Deleted {
+			return op.Result.Record.Version
 		}
 	}
 	return 0
 }
 
+// recordResult records the first result of an operation.
 func (w *World) recordResult(r replication.Result) {
-	if a := w.operationByID[r.OperationID]; a != nil && !a.HasResult {
-		a.HasResult, a.Result, a.EndedAt = true, r, w.now
+	if op := w.operationByID[r.OperationID]; op != nil && !op.HasResult {
+		op.HasResult, op.Result, op.EndedAt = true, r, w.now
 	}
 }
 
 // Counts returns the number of operations by outcome; those without a result count as unknown.
 func (w *World) Counts() map[replication.Outcome]int {
-	n := map[replication.Outcome]int{}
-	for _, a := range w.Operations {
-		n[a.Result.Outcome]++
+	counts := map[replication.Outcome]int{}
+	for _, op := range w.Operations {
+		counts[op.Result.Outcome]++
 	}
-	return n
+	return counts
 }
--- a/internal/lab/fleetsim/digest_test.go
+++ b/internal/lab/fleetsim/digest_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestHistoriesMatchTheGoldenDigest holds seeded histories to the digests that testdata keeps: the same seed
-// has to give the same messages and operations in every version of the program.
+// TestHistoriesMatchTheGoldenDigest guards against unintended changes of the protocol: a seed has to give the same messages and operations in
+// every version of the program, so the digests of three histories are compared with those in testdata.
 func TestHistoriesMatchTheGoldenDigest(t *testing.T) {
 	golden, err := os.ReadFile("testdata/digest.golden")
 	if err != nil {
@@ -15,7 +15,7 @@
 	}
 	var got string
 	for seed := uint64(1); seed <= 3; seed++ {
-		w := New(usual(seed))
+		w := New(defaultPlan(seed))
 		if err := w.Play(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/fleetsim/disk.go
+++ b/internal/lab/fleetsim/disk.go
@@ -9,7 +9,7 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// disk is a member's disk in memory; it survives the process and is lost with the machine.
+// disk is the in-memory disk of a member. It survives the member's process and is lost with the machine.
 type disk struct {
 	fleetID             string
 	hardState, snapshot []byte
@@ -18,6 +18,7 @@
 	shards              map[int]*shardData
 }
 
+// shardData is the stored state of one shard.
 type shardData struct {
 	ballot  replication.Ballot
 	records map[string]replication.Record
@@ -25,7 +26,7 @@
 
 func newDisk() *disk { return &disk{entries: map[uint64][]byte{}, shards: map[int]*shardData{}} }
 
-// write stores everything that a Ready asks for.
+// write stores everything that a Ready of the core asks to store.
 func (d *disk) write(r node.Ready) {
 	if r.FleetID != "" {
 		d.fleetID = r.FleetID
@@ -53,26 +54,26 @@
 		if w.ReplaceAll {
 			clear(s.records)
 		}
-		for _, one := range w.Records {
-			if s.records[one.Key] = one; one.Version == 0 {
-				delete(s.records, one.Key)
+		for _, record := range w.Records {
+			if s.records[record.Key] = record; record.Version == 0 {
+				delete(s.records, record.Key)
 			}
 		}
 	}
 }
 
-// read returns what a process finds at its start.
+// read returns the state that a process loads at its start.
 func (d *disk) read() node.PersistentState {
 	out := node.PersistentState{FleetID: d.fleetID, Log: consensus.PersistentState{HardState: d.hardState, Snapshot: d.snapshot}, Shards: map[int]node.ShardState{}}
 	for _, i := range slices.Sorted(maps.Keys(d.entries)) {
 		out.Log.Entries = append(out.Log.Entries, d.entries[i])
 	}
-	for num, s := range d.shards {
-		one := node.ShardState{Ballot: s.ballot}
+	for shard, s := range d.shards {
+		state := node.ShardState{Ballot: s.ballot}
 		for _, k := range slices.Sorted(maps.Keys(s.records)) {
-			one.Records = append(one.Records, s.records[k])
+			state.Records = append(state.Records, s.records[k])
 		}
-		out.Shards[num] = one
+		out.Shards[shard] = state
 	}
 	return out
 }
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -8,58 +8,61 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// runOrDefer has a member do something now, or, if it is stalled, once it runs again.
-func (w *World) runOrDefer(n *member, born uint64, do func()) {
+// runOrDefer runs an action of a member now, or, if it is stalled, once it runs again. The action is dropped unless the member is still in
+// the process with the given number.
+func (w *World) runOrDefer(n *member, starts uint64, action func()) {
 	switch {
-	case !n.up || n.starts != born:
+	case !n.up || n.starts != starts:
 	case n.stalledUntil > w.now:
-		n.deferred = append(n.deferred, do)
+		n.deferred = append(n.deferred, action)
 	default:
-		do()
+		action()
 		w.handleReady(n)
 	}
 }
 
+// tick runs a tick of a member's core, after the actions that were deferred, and schedules the next one.
 func (w *World) tick(n *member) {
 	w.after(tickInterval, func() { w.tick(n) })
 	if !n.up || n.stalledUntil > w.now {
 		return
 	}
-	for _, do := range n.deferred {
-		do()
+	for _, action := range n.deferred {
+		action()
 	}
 	n.deferred = nil
-	n.core.Tick(w.now, w.membersSeenBy(n))
+	n.core.Tick(w.now, w.observedMembers(n))
 	n.core.SetWallClock(int64(w.now / time.Second))
 	w.handleReady(n)
 }
 
-// handleReady carries out what a core asks for. The process may crash between any two steps.
+// handleReady carries out what a core asks for: it writes to the disk, then sends packets and returns results. The process may crash before
+// and after the write.
 func (w *World) handleReady(n *member) {
-	born := n.starts
+	starts := n.starts
 	r, err := n.core.Ready()
 	if err != nil {
-		w.fail("%d: %v", n.index, err)
+		w.fail("member %d: get the output of the core: %v", n.index, err)
 		return
 	}
 	send := func() {
 		for _, p := range r.Packets {
 			w.send(n, p)
 		}
-		for _, one := range r.Results {
-			w.recordResult(one)
+		for _, result := range r.Results {
+			w.recordResult(result)
 		}
 	}
 	if w.plan.Defect == EarlyAcknowledgement {
-		for _, one := range r.ShardWrites {
-			for _, rec := range one.Records {
-				if !one.ReplaceAll {
+		for _, write := range r.ShardWrites {
+			for _, rec := range write.Records {
+				if !write.ReplaceAll {
 					w.recordResult(replication.Result{OperationID: rec.OperationID, Outcome: replication.OutcomeCommitted, Record: rec})
 				}
 			}
 		}
 	}
-	if w.drawsCrash() {
+	if w.drawCrash() {
 		w.kill(n)
 		return
 	}
@@ -67,35 +70,37 @@
 		r.ShardWrites = nil
 	}
 	n.disk.write(r)
-	if w.drawsCrash() {
+	if w.drawCrash() {
 		w.kill(n)
 		return
 	}
-	if n.starts == born {
+	if n.starts == starts {
 		send()
 	}
 }
 
-// drawsCrash draws whether a process crashes at this step.
-func (w *World) drawsCrash() bool {
+// drawCrash draws whether a process crashes before the next step.
+func (w *World) drawCrash() bool {
 	return !w.faultsOver && w.now > 15*time.Second && w.rng.Float64() < w.plan.Faults/40000
 }
 
+// kill kills the process of a member and starts it again after a while.
 func (w *World) kill(n *member) {
 	if n.up {
 		w.Kills++
 		n.up = false
-		born := n.starts
+		starts := n.starts
 		w.after(time.Duration(w.rng.Int64N(int64(8*time.Second))), func() {
-			if !n.up && n.starts == born && !n.diskLost {
+			if !n.up && n.starts == starts && !n.diskLost {
 				w.startMember(n)
 			}
 		})
 	}
 }
 
-// membersSeenBy returns how a member sees the others: as late as its failure detector would.
-func (w *World) membersSeenBy(n *member) []placement.MemberStatus {
+// observedMembers returns the status of all other members as a member observes it: a change of reachability is delayed as by a failure
+// detector.
+func (w *World) observedMembers(n *member) []placement.MemberStatus {
 	if w.now < n.nextViewAt {
 		return n.lastView
 	}
@@ -106,18 +111,18 @@
 			continue
 		}
 		s := n.views[o.index]
-		is := o.up && o.stalledUntil <= w.now && !w.isCut(n.index, o.index) && !w.isCut(o.index, n.index)
-		if is != s.trulyAlive || s.id != o.id {
-			s.trulyAlive, s.trulySince = is, w.now
+		reachable := o.up && o.stalledUntil <= w.now && !w.isCut(n.index, o.index) && !w.isCut(o.index, n.index)
+		if reachable != s.reachable || s.id != o.id {
+			s.reachable, s.reachableSince = reachable, w.now
 		}
 		if s.id != o.id {
-			s.alive, s.since, s.id = false, w.now, o.id
+			s.alive, s.aliveSince, s.id = false, w.now, o.id
 		}
-		if wait := map[bool]time.Duration{true: recoveryDetectionTime, false: failureDetectionTime}[is]; is != s.alive && w.now-s.trulySince >= wait {
-			s.alive, s.since = is, w.now
+		if delay := map[bool]time.Duration{true: recoveryDetectionTime, false: failureDetectionTime}[reachable]; reachable != s.alive && w.now-s.reachableSince >= delay {
+			s.alive, s.aliveSince = reachable, w.now
 		}
 		n.views[o.index] = s
-		all = append(all, placement.MemberStatus{Member: o.self, Alive: s.alive, Draining: o.draining, StateAge: w.now - s.since, ProtocolVersion: node.ProtocolVersion})
+		all = append(all, placement.MemberStatus{Member: o.self, Alive: s.alive, Draining: o.draining, StateAge: w.now - s.aliveSince, ProtocolVersion: node.ProtocolVersion})
 	}
 	n.lastView = all
 	return all
--- a/internal/lab/fleetsim/network.go
+++ b/internal/lab/fleetsim/network.go
@@ -11,6 +11,7 @@
 	"sabletally/internal/fleet/replication"
 )
 
+// send sends a packet, and loses, duplicates or reorders it during that fault.
 func (w *World) send(from *member, p node.Packet) {
 	to := w.byID[p.To]
 	if to == nil {
@@ -20,19 +21,19 @@
 		p.Replication = w.acknowledgeStaleWrites(from, to, p.Replication)
 	}
 	w.addToDigest(from.index, to.index, p)
-	if w.isCut(from.index, to.index) || to.deafUntil > w.now && len(p.Replication) == 0 || w.rng.Float64() < w.loss {
+	if w.isCut(from.index, to.index) || to.replicationOnlyUntil > w.now && len(p.Replication) == 0 || w.rng.Float64() < w.loss {
 		return
 	}
-	times := 1
+	copies := 1
 	if w.rng.Float64() < w.loss {
-		times = 2
+		copies = 2
 	}
-	for range times {
-		late := networkDelay + time.Duration(w.rng.Int64N(int64(delayJitter)))
-		if w.rng.Float64() < w.loss { // reordered
-			late += time.Duration(w.rng.Int64N(int64(2 * time.Second)))
+	for range copies {
+		delay := networkDelay + time.Duration(w.rng.Int64N(int64(delayJitter)))
+		if w.rng.Float64() < w.loss { // the packet arrives after later ones
+			delay += time.Duration(w.rng.Int64N(int64(2 * time.Second)))
 		}
-		w.after(late, func() {
+		w.after(delay, func() {
 			if t := w.byID[p.To]; t != nil {
 				w.runOrDefer(t, t.starts, func() { _ = t.core.Step(p) })
 			}
@@ -40,17 +41,18 @@
 	}
 }
 
-// acknowledgeStaleWrites turns a replica's rejection of a deposed primary into an acknowledgement of its newest write.
+// acknowledgeStaleWrites is the defect MissingFence: it replaces a replica's rejection of a deposed primary by an acknowledgement of the
+// newest write of that primary.
 func (w *World) acknowledgeStaleWrites(from, to *member, msgs []replication.Message) []replication.Message {
 	msgs = slices.Clone(msgs)
 	for i, m := range msgs {
-		at := [3]int{from.index, to.index, m.Shard}
-		back := [3]int{to.index, from.index, m.Shard}
+		key := [3]int{from.index, to.index, m.Shard}
+		reverseKey := [3]int{to.index, from.index, m.Shard}
 		switch m.Kind {
 		case replication.MessageWrite:
-			w.lastWrites[at] = m
+			w.lastWrites[key] = m
 		case replication.MessageStaleBallot:
-			if last, is := w.lastWrites[back]; is {
+			if last, exists := w.lastWrites[reverseKey]; exists {
 				msgs[i].Kind, msgs[i].Ballot, msgs[i].Sequence = replication.MessageWriteAck, last.Ballot, last.Sequence
 			}
 		}
@@ -58,7 +60,7 @@
 	return msgs
 }
 
-// addToDigest adds a packet to the digest of the history.
+// addToDigest adds a packet to the digest of the history: its time, sender, receiver and content.
 func (w *World) addToDigest(from, to int, p node.Packet) {
 	h := fnv.New64a()
 	var b [8]byte
--- a/internal/lab/fleetsim/play.go
+++ b/internal/lab/fleetsim/play.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	startupTime = 12 * time.Second // before the first fault; the fleet is bootstrapped in it
-	settleTime  = 90 * time.Second // without faults, at the end
+	startupTime = 12 * time.Second // time before the first fault, in which the fleet is bootstrapped
+	settleTime  = 90 * time.Second // time without faults at the end of a history
 )
 
-// Play runs a history to its end and returns the first thing that was broken, nil if nothing was.
+// Play runs a history to its end and returns the first violation, nil if there was none.
 func (w *World) Play() error {
 	end := startupTime + w.plan.Length
 	w.after(startupTime, w.injectFault)
@@ -25,6 +25,7 @@
 	return w.check()
 }
 
+// runUntil runs the events up to a time.
 func (w *World) runUntil(end time.Duration) {
 	for at, ok := w.queue.NextAt(); w.err == nil && ok && at <= end; at, ok = w.queue.NextAt() {
 		var action func()
--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -1,6 +1,7 @@
-// Package fleetsim plays the members of a fleet in virtual time: the cores that ship, on disks and a network in memory,
-// with faults by seed. It owns what happens to them and the history of the clients' operations. It must never reach
-// into a core: what it knows of one comes out of it as it would on sockets.
+// Package fleetsim simulates the members of a fleet in virtual time: the production cores on in-memory disks and an
+// in-memory network, with faults drawn from a seed. It owns the faults, the history of the clients' operations and its
+// check. It must never change the internal state of a core: members interact only by the output that their cores would send
+// on sockets.
 package fleetsim
 
 import (
@@ -18,19 +19,19 @@
 
 const (
 	tickInterval          = 50 * time.Millisecond
-	viewInterval          = 200 * time.Millisecond
+	viewInterval          = 200 * time.Millisecond // between updates of the member list that a member observes
 	networkDelay          = 500 * time.Microsecond
-	delayJitter           = 4 * time.Millisecond
-	failureDetectionTime  = 3 * time.Second // so long until a member that is away is seen so
-	recoveryDetectionTime = 300 * time.Millisecond
+	delayJitter           = 4 * time.Millisecond   // upper limit of the random delay that is added
+	failureDetectionTime  = 3 * time.Second        // time until an unreachable member is observed as dead
+	recoveryDetectionTime = 300 * time.Millisecond // time until a member that is reachable again is observed as alive
 	evictAfter            = 5 * time.Second
 	operationTimeout      = 1500 * time.Millisecond
 )
 
-// Defect is a defect of the cores that a history puts in, to show that the checker finds it.
+// Defect is a defect that a history injects into the cores, to show that the checker detects it.
 type Defect string
 
-// The defects that a history can put in.
+// The defects that a history can inject.
 const (
 	NoDefect             Defect = ""
 	EarlyAcknowledgement Defect = "acknowledged-before-copied" // writes are acknowledged before they are replicated
@@ -39,31 +40,31 @@
 	MissingWrite         Defect = "records-not-written"        // records are never written to disk
 )
 
-// Plan describes one history.
+// Plan holds the parameters of one history.
 type Plan struct {
 	Seed              uint64
 	Members           int
 	ReplicationFactor int
-	Length            time.Duration // of the time with faults
-	Rate              float64       // operations a second
+	Length            time.Duration // length of the time with faults
+	Rate              float64       // operations per second
 	Keys              int
-	Faults            float64 // a second
-	LoseMachines      bool    // with their disks, as far as the fleet has to survive it
-	Loss              float64 // share of packets lost, and of packets duplicated, during that fault
+	Faults            float64 // faults per second
+	LoseMachines      bool    // whether machines are lost with their disks, as far as the fleet has to survive that
+	Loss              float64 // share of packets that are lost, and share that are duplicated, while that fault lasts
 	Defect            Defect
 }
 
-// Operation is one operation as its client saw it.
+// Operation is an operation and its result as its client observed them.
 type Operation struct {
 	Request            replication.Operation
-	Client             int
+	Client             int // index of the member that the operation was submitted to
 	StartedAt, EndedAt time.Duration
 	Result             replication.Result
 	HasResult          bool
-	Withdrawn          bool // the client's own process ended before the result
+	Withdrawn          bool // whether the client's own process ended before the result
 }
 
-// World is a history under way.
+// World is a running history: the members, the network between them and the operations of clients.
 type World struct {
 	plan          Plan
 	rng           *rand.Rand
@@ -73,53 +74,54 @@
 	byID          map[string]*member
 	lastMember    int
 	isCut         func(from, to int) bool
-	loss          float64
-	faultsOver    bool
+	loss          float64 // current share of packets lost
+	faultsOver    bool    // true once settleTime has begun
 	lastOperation int
 
-	Operations     []*Operation
-	operationByID  map[string]*Operation
-	MachinesLost   int // with their disks
-	Kills          int
-	Stalls         int
-	Cuts           int
-	Configurations int // versions of the shard map
+	Operations      []*Operation
+	operationByID   map[string]*Operation
+	MachinesLost    int // machines lost with their disks
+	Kills           int
+	Stalls          int
+	NetworkCuts     int
+	ShardMapVersion int // version of the shard map at the end
 
-	Undecided  int                            // keys whose order took too long to check
+	Undecided  int                            // keys whose linearizability took too long to check
 	lastWrites map[[3]int]replication.Message // for MissingFence: the newest write by sender, receiver and shard
-	digest     uint64
-	err        error
+	digest     uint64                         // digest of all packets so far
+	err        error                          // first violation
 }
 
-// member is one machine with one member at a time.
+// member is a machine with the member that runs on it. A machine that lost its disk comes back with a new member.
 type member struct {
-	index        int
-	id           string
-	incarnation  uint64
-	core         *node.Node
-	disk         *disk
-	up           bool
-	stalledUntil time.Duration
-	deafUntil    time.Duration // until then only replication messages reach it
-	draining     bool          // it has announced that it leaves
-	diskLost     bool          // until the machine comes back as another member
-	deferred     []func()
-	self         shardmap.Member
-	views        []view
-	lastView     []placement.MemberStatus // as of the newest view
-	nextViewAt   time.Duration
-	starts       uint64 // number of processes so far, so that events of an earlier one are dropped
+	index                int
+	id                   string
+	incarnation          uint64
+	core                 *node.Node
+	disk                 *disk
+	up                   bool
+	stalledUntil         time.Duration
+	replicationOnlyUntil time.Duration // time until which only packets with replication messages reach the member
+	draining             bool          // whether the member has announced that it leaves
+	diskLost             bool          // true from the loss of the disk until the machine comes back as another member
+	deferred             []func()      // actions to run once a stall ends
+	self                 shardmap.Member
+	views                []view
+	lastView             []placement.MemberStatus // result of the newest observation
+	nextViewAt           time.Duration
+	starts               uint64 // number of processes so far; events that belong to an earlier one are dropped
 }
 
+// view is the state of another member as a member observes it.
 type view struct {
-	alive      bool
-	since      time.Duration
-	trulyAlive bool // whether it is reachable, and since when
-	trulySince time.Duration
-	id         string
+	alive          bool          // whether the failure detector reports the other member as alive
+	aliveSince     time.Duration // time of the last change of alive
+	reachable      bool          // whether the member can actually be reached
+	reachableSince time.Duration // time of the last change of reachable
+	id             string        // member ID that the view is about
 }
 
-// New returns a world in which all members start with empty disks.
+// New returns a world in which all members have just started with empty disks.
 func New(p Plan) *World {
 	w := &World{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 0xf1ee)), byID: map[string]*member{}, operationByID: map[string]*Operation{}, lastWrites: map[[3]int]replication.Message{},
 		isCut: func(int, int) bool { return false }}
@@ -135,15 +137,17 @@
 	return w
 }
 
-func (w *World) after(d time.Duration, do func()) {
-	w.queue.Schedule(w.now+d, do)
+// after schedules an action.
+func (w *World) after(d time.Duration, action func()) {
+	w.queue.Schedule(w.now+d, action)
 }
 
+// describeMember returns the entry of a member in the shard map.
 func describeMember(n *member) shardmap.Member {
 	return shardmap.Member{ID: n.id, Addr: fmt.Sprintf("m%d", n.index), Machine: fmt.Sprintf("m%d", n.index), Zone: fmt.Sprintf("z%d", n.index%3), Site: "s"}
 }
 
-// replaceMember gives a machine an empty disk, and so a new member.
+// replaceMember gives a machine an empty disk and a new member.
 func (w *World) replaceMember(n *member) {
 	w.lastMember++
 	delete(w.byID, n.id)
@@ -155,23 +159,25 @@
 	n.disk, n.incarnation, n.diskLost = newDisk(), 0, false
 }
 
+// startMember starts a process of a member with the state on its disk.
 func (w *World) startMember(n *member) {
 	n.incarnation++
 	n.starts++
-	repair := 8
+	maxJoiningShards := 8
 	if w.plan.Defect == NoRepair {
-		repair = 0
+		maxJoiningShards = 0
 	}
 	c, err := node.New(node.Config{Self: n.self, Incarnation: n.incarnation, BootstrapID: fmt.Sprintf("f%d", w.lastMember), CanBootstrap: n.index == 0, Seeds: []string{"m0", "m1", "m2"}, VoterCount: 3,
-		ReplicationFactor: w.plan.ReplicationFactor, EvictAfter: evictAfter, MaxJoiningShards: repair, Seed: w.plan.Seed<<20 ^ uint64(n.index)<<10 ^ n.starts, MaxKeys: 1 << 20, MaxBytes: 1 << 30, MaxPendingOperations: 4096}, n.disk.read(), w.now)
+		ReplicationFactor: w.plan.ReplicationFactor, EvictAfter: evictAfter, MaxJoiningShards: maxJoiningShards, Seed: w.plan.Seed<<20 ^ uint64(n.index)<<10 ^ n.starts, MaxKeys: 1 << 20, MaxBytes: 1 << 30, MaxPendingOperations: 4096}, n.disk.read(), w.now)
 	if err != nil {
-		w.fail("%d does not start: %v", n.index, err)
+		w.fail("start member %d: %v", n.index, err)
 		return
 	}
-	n.core, n.up, n.stalledUntil, n.deafUntil, n.deferred = c, true, 0, 0, nil
+	n.core, n.up, n.stalledUntil, n.replicationOnlyUntil, n.deferred = c, true, 0, 0, nil
 	n.draining = false
 }
 
+// fail records a violation; the first one ends the history.
 func (w *World) fail(format string, args ...any) {
 	if w.err == nil {
 		w.err = fmt.Errorf("seed %d at %v: %s", w.plan.Seed, w.now, fmt.Sprintf(format, args...))
