--- a/cmd/testbed/control_config.go
+++ b/cmd/testbed/control_config.go
@@ -75,7 +75,7 @@
 // create creates all control processes and starts their forwarders; no control process is started. After an error, the forwarders that
 // were started are in t.
 func (t *controlTier) create() error {
-	for _, place := range t.plan.Control {
+	for _, place := range t.plan.ControlPlaces {
 		addr, err := freeAddress()
 		if err != nil {
 			return err
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -60,21 +60,21 @@
 // newRun checks the arguments and plans the run.
 func (c *scaleCmd) newRun() (*scaleRun, error) {
 	plan, err := scale.NewPlan(scale.Options{
-		Balancers: c.Balancers,
-		Control:   c.Control,
-		Zones:     c.Zones,
-		Regions:   c.Regions,
-		PerDay:    c.ChangesPerDay,
-		Burst:     c.Burst,
-		For:       c.For,
-		Seed:      c.Seed,
-		Faults:    c.Faults,
+		Balancers:     c.Balancers,
+		Control:       c.Control,
+		Zones:         c.Zones,
+		Regions:       c.Regions,
+		ChangesPerDay: c.ChangesPerDay,
+		Burst:         c.Burst,
+		Length:        c.For,
+		Seed:          c.Seed,
+		Faults:        c.Faults,
 	})
 	if err != nil {
 		return nil, err
 	}
 	if _, err := os.Stat(c.Binary); err != nil {
-		return nil, scale.BadArgument{Flag: "binary", What: fmt.Sprintf("%v; build both with: go build -o bin/ ./cmd/...", err)}
+		return nil, scale.BadArgument{Flag: "binary", Problem: fmt.Sprintf("%v; build both with: go build -o bin/ ./cmd/...", err)}
 	}
 	return &scaleRun{
 		scaleCmd: c,
--- a/cmd/testbed/scale_cluster.go
+++ b/cmd/testbed/scale_cluster.go
@@ -93,7 +93,7 @@
 			Seed:  w.plan.Seed*1_000_003 + uint64(i),
 		}}
 		for _, b := range balancers {
-			place := w.plan.Balancer[b]
+			place := w.plan.BalancerPlaces[b]
 			h.config.Balancers = append(h.config.Balancers, hollowBalancer{
 				Index:   b,
 				Name:    fmt.Sprintf("b%d", b),
@@ -122,11 +122,11 @@
 	for _, event := range events {
 		switch event.Kind {
 		case eventStarted:
-			w.ledger.Up(event.Balancer, event.At)
+			w.ledger.RecordStart(event.Balancer, event.At)
 		case eventStopped:
-			w.ledger.Down(event.Balancer, event.At)
+			w.ledger.RecordEnd(event.Balancer, event.At)
 		case eventApplied:
-			w.ledger.Applied(event.Balancer, event.Version, event.At)
+			w.ledger.RecordApplied(event.Balancer, event.Version, event.At)
 		}
 	}
 }
--- a/cmd/testbed/scale_faults.go
+++ b/cmd/testbed/scale_faults.go
@@ -12,27 +12,27 @@
 // applyStep carries out one step of the fault schedule and returns once that is done.
 func (w *scaleCluster) applyStep(step scale.Step) error {
 	switch step.Action {
-	case scale.Kill:
+	case scale.KillControl:
 		return w.eachControl(step.Targets, func(c *controlProcess) error {
 			c.kill()
 			return nil
 		})
-	case scale.End:
+	case scale.StopControl:
 		return w.eachControl(step.Targets, func(c *controlProcess) error {
 			c.shutDown()
 			return nil
 		})
-	case scale.Start:
+	case scale.StartControl:
 		return w.eachControl(step.Targets, (*controlProcess).restart)
-	case scale.Cut:
+	case scale.CutLinks:
 		return w.cutOff(step.Targets)
-	case scale.Heal:
+	case scale.RestoreLinks:
 		return w.cutOff(nil)
-	case scale.Down, scale.Up:
-		return w.setBalancers(step.Targets, step.Action == scale.Up)
-	case scale.ZoneOff:
+	case scale.StopBalancers, scale.StartBalancers:
+		return w.setBalancers(step.Targets, step.Action == scale.StartBalancers)
+	case scale.KillZone:
 		return w.eachHostOf(step.Targets[0], w.killHost)
-	case scale.ZoneOn:
+	case scale.StartZone:
 		return w.eachHostOf(step.Targets[0], w.restartHost)
 	default:
 		return fmt.Errorf("unknown action %q", step.Action)
@@ -93,7 +93,7 @@
 	var running sync.WaitGroup
 	errs := make([]error, len(w.hosts))
 	for i := range w.hosts {
-		if w.plan.Balancer[w.balancersByHost[i][0]].Zone == zone {
+		if w.plan.BalancerPlaces[w.balancersByHost[i][0]].Zone == zone {
 			running.Go(func() { errs[i] = do(i) })
 		}
 	}
@@ -117,7 +117,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, b := range w.balancersByHost[host] {
-		w.ledger.Down(b, now)
+		w.ledger.RecordEnd(b, now)
 	}
 	return nil
 }
--- a/cmd/testbed/scale_measurement.go
+++ b/cmd/testbed/scale_measurement.go
@@ -88,7 +88,7 @@
 	r.cluster.mu.Lock()
 	defer r.cluster.mu.Unlock()
 	for i, change := range r.plan.Changes {
-		r.ledger.Due(i, r.startTime+change.Due)
+		r.ledger.SetDueTime(i, r.startTime+change.Due)
 	}
 	return m, nil
 }
@@ -191,11 +191,11 @@
 	figures.BalancerBytes = float64(atEnd.Sent+atEnd.Received-before.Sent-before.Received) / seconds / balancers
 	figures.Snapshots = atEnd.Snapshots - before.Snapshots
 	figures.LeaseExpiries = last.LeaseExpiries - before.LeaseExpiries
-	figures.Applied = atEnd.Changes - before.Changes
-	figures.Duplicates = atEnd.Duplicates - before.Duplicates
+	figures.AppliedChanges = atEnd.Changes - before.Changes
+	figures.DuplicateChanges = atEnd.Duplicates - before.Duplicates
 	figures.Gaps = atEnd.Gaps - before.Gaps
 	figures.SyncRequests = atEnd.SyncRequests - before.SyncRequests
-	figures.Rejected = last.Rejected - before.Rejected
+	figures.RejectedMessages = last.Rejected - before.Rejected
 	figures.Conflicts = last.Conflicts
 	if len(m.run.plan.Steps) == 0 {
 		return
@@ -203,5 +203,5 @@
 	if m.steadyTime == 0 {
 		m.steadyTime = boottime.Now()
 	}
-	figures.SteadyAfter = float64((m.steadyTime - m.faults.endTime).Microseconds()) / 1000
+	figures.ConvergenceAfterFaultsMs = float64((m.steadyTime - m.faults.endTime).Microseconds()) / 1000
 }
--- a/cmd/testbed/scale_run.go
+++ b/cmd/testbed/scale_run.go
@@ -256,9 +256,9 @@
 		return value, exists
 	})
 	for balancer, final := range status.Finals {
-		r.ledger.End(balancer, final)
+		r.ledger.SetFinal(balancer, final)
 	}
-	r.figures.AddAccount(r.ledger.Close(boottime.Now(), scale.Final{Version: agreed.Version, Digest: agreed.Digest, Values: hash}))
+	r.figures.AddAccount(r.ledger.ComputeAccount(boottime.Now(), scale.Final{Version: agreed.Version, Digest: agreed.Digest, Values: hash}))
 	r.recordMaxima()
 	return nil
 }
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	// Each change was timed at each balancer, and the twenty of the zone returned.
-	if f.Verdict != "verdict: kept" || f.Missed != 0 || f.Samples < int64(f.Changes*80) || f.Changes < 50 || f.Returned != 20 || f.SteadyAfter <= 0 {
+	if f.Verdict != "verdict: kept" || f.MissedChanges != 0 || f.Samples < int64(f.Changes*80) || f.Changes < 50 || f.ReturnedBalancers != 20 || f.ConvergenceAfterFaultsMs <= 0 {
 		t.Errorf("%s", text)
 	}
 	checkNothingLeft(t, tmp)
--- a/internal/lab/scale/account.go
+++ b/internal/lab/scale/account.go
@@ -15,15 +15,15 @@
 
 // Account is the result of a ledger.
 type Account struct {
-	InForce     *hdrhistogram.Histogram // microseconds until a change was in force, one sample for each balancer
-	Returned    *hdrhistogram.Histogram // microseconds from a balancer's return to its first state
-	Missed      int                     // changes missed, counted for each balancer
-	Behind      int                     // balancers that lack a change
-	Differ      int                     // balancers whose state differs from that of the control processes
-	Silent      int                     // reachable balancers that did not report their final state
-	NotAccepted int                     // changes
-	Regressions int                     // times that a balancer reported an older version, or one twice
-	Slowest     int                     // the change that took longest to be in force; -1 for none
+	InForceTimes       *hdrhistogram.Histogram // microseconds until a change was in force, one sample for each balancer
+	ReturnTimes        *hdrhistogram.Histogram // microseconds from a balancer's return to its first state
+	MissedChanges      int                     // changes missed, counted for each balancer
+	BalancersBehind    int                     // balancers that lack a change
+	BalancersDiffering int                     // balancers whose state differs from that of the control processes
+	BalancersSilent    int                     // reachable balancers that did not report their final state
+	ChangesNotAccepted int                     // changes
+	Regressions        int                     // times that a balancer reported an older version, or one twice
+	SlowestChange      int                     // the change that took longest to be in force; -1 for none
 }
 
 // accounting computes an account.
@@ -38,14 +38,14 @@
 	next      []int // of the current balancer, by process: the first applied version that may include the next change
 }
 
-// Close computes the account at the end of a run; control is the final state of the control processes.
-func (l *Ledger) Close(end time.Duration, control Final) Account {
+// ComputeAccount computes the account at the end of a run; control is the final state of the control processes.
+func (l *Ledger) ComputeAccount(end time.Duration, control Final) Account {
 	a := accounting{
 		account: Account{
-			InForce:     hdrhistogram.New(1, maxRecordedMicros, precision),
-			Returned:    hdrhistogram.New(1, maxRecordedMicros, precision),
-			NotAccepted: l.NotAccepted(),
-			Slowest:     -1,
+			InForceTimes:       hdrhistogram.New(1, maxRecordedMicros, precision),
+			ReturnTimes:        hdrhistogram.New(1, maxRecordedMicros, precision),
+			ChangesNotAccepted: l.NotAccepted(),
+			SlowestChange:      -1,
 		},
 		end:       end,
 		control:   control,
@@ -72,22 +72,22 @@
 	hasValidState := !b.isUp() || a.checkFinal(b.final)
 	a.addReturns(b)
 	missed := a.addChanges(b, hasValidState)
-	a.account.Missed += missed
+	a.account.MissedChanges += missed
 	if missed > 0 && hasValidState {
-		a.account.Behind++
+		a.account.BalancersBehind++
 	}
 }
 
 // checkFinal counts a final state that is missing or wrong, and reports whether it is valid.
 func (a *accounting) checkFinal(final *Final) bool {
 	if final == nil {
-		a.account.Silent++
+		a.account.BalancersSilent++
 		return false
 	}
 	hasWrongValues := final.Version >= a.newest && final.Values != a.control.Values
 	hasWrongDigest := final.Version == a.control.Version && final.Digest != a.control.Digest
 	if hasWrongValues || hasWrongDigest {
-		a.account.Differ++
+		a.account.BalancersDiffering++
 		return false
 	}
 	return true
@@ -102,7 +102,7 @@
 		} else if until == 0 {
 			until = a.end
 		}
-		record(a.account.Returned, until-p.up)
+		record(a.account.ReturnTimes, until-p.up)
 	}
 }
 
@@ -121,10 +121,10 @@
 		if !wasReachable {
 			continue
 		}
-		record(a.account.InForce, stale)
+		record(a.account.InForceTimes, stale)
 		if stale > a.slowest {
 			a.slowest = stale
-			a.account.Slowest = i
+			a.account.SlowestChange = i
 		}
 	}
 	return missed
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -11,51 +11,51 @@
 // Figures are the results of a run. Rates are over the length of the run, without what happened before and after it. Figures of a balancer
 // are of its subscription to the control tier only.
 type Figures struct {
-	Balancers     int     `json:"balancers"`
-	Control       int     `json:"control"`
-	Changes       int     `json:"changes"` // during the run, the burst included
-	InForceP50    float64 `json:"in_force_ms_p50"`
-	InForceP99    float64 `json:"in_force_ms_p99"`
-	InForceWorst  float64 `json:"in_force_ms_worst"`
-	Missed        int     `json:"missed"`                    // changes, counted for each balancer
-	BalancerCore  float64 `json:"balancer_core_percent"`     // user and system time, including the test's own part
-	BalancerMB    float64 `json:"balancer_memory_mb"`        // resident memory of their processes divided by their number, maximum
-	BalancerBytes float64 `json:"balancer_bytes_per_second"` // sent and received, without TCP and IP headers
-	ControlCore   float64 `json:"control_core_percent_worst"`
-	ControlMB     float64 `json:"control_memory_mb_worst"`
-	ControlBytes  float64 `json:"control_bytes_per_second_worst"` // read and written, disk included
-	SteadyAfter   float64 `json:"steady_after_ms"`                // after the last fault; 0 without faults
+	Balancers                int     `json:"balancers"`
+	Control                  int     `json:"control"`
+	Changes                  int     `json:"changes"` // during the run, the burst included
+	InForceP50               float64 `json:"in_force_ms_p50"`
+	InForceP99               float64 `json:"in_force_ms_p99"`
+	InForceWorst             float64 `json:"in_force_ms_worst"`
+	MissedChanges            int     `json:"missed"`                    // changes, counted for each balancer
+	BalancerCore             float64 `json:"balancer_core_percent"`     // user and system time, including the test's own part
+	BalancerMB               float64 `json:"balancer_memory_mb"`        // resident memory of their processes divided by their number, maximum
+	BalancerBytes            float64 `json:"balancer_bytes_per_second"` // sent and received, without TCP and IP headers
+	ControlCore              float64 `json:"control_core_percent_worst"`
+	ControlMB                float64 `json:"control_memory_mb_worst"`
+	ControlBytes             float64 `json:"control_bytes_per_second_worst"` // read and written, disk included
+	ConvergenceAfterFaultsMs float64 `json:"steady_after_ms"`                // after the last fault; 0 without faults
 
-	Zones             int     `json:"zones"`
-	Regions           int     `json:"regions"`
-	Voters            int     `json:"voters"`
-	Seconds           float64 `json:"seconds"`
-	Seed              uint64  `json:"seed"`
-	Faults            string  `json:"faults"`
-	FaultDescription  string  `json:"faults_in_words"`
-	Samples           int64   `json:"samples"` // changes that were timed, counted for each balancer
-	ReturnedWorst     float64 `json:"returned_ms_worst"`
-	Returned          int64   `json:"returned"`
-	Behind            int     `json:"balancers_behind"`
-	Differ            int     `json:"balancers_that_differ"`
-	Silent            int     `json:"balancers_silent"`
-	NotAccepted       int     `json:"changes_not_accepted"`
-	Regressions       int     `json:"went_back"`
-	Snapshots         uint64  `json:"snapshots"`     // received by balancers during the run
-	LeaseExpiries     uint64  `json:"lapses"`        // leases that expired
-	Rejected          uint64  `json:"refused"`       // messages that balancers rejected, and digests that did not match
-	Applied           uint64  `json:"changes_taken"` // applied by balancers
-	Duplicates        uint64  `json:"changes_had"`   // duplicates: from the other control process, or sent again
-	Gaps              uint64  `json:"gaps"`          // changes that arrived before an earlier one
-	SyncRequests      uint64  `json:"asked_again"`   // sync requests of balancers
-	Conflicts         uint64  `json:"conflicts"`
-	Steady            bool    `json:"steady"`      // all were current and evenly spread at the end
-	SpreadDescription string  `json:"even_spread"` // describes how many are current, and the spread of their connections
-	ConvergenceMs     float64 `json:"together_ms"` // from the start of the balancers until all were current
-	MaxPutDelayMs     float64 `json:"late_ms"`     // maximum delay with which the test itself put a change
-	Partial           string  `json:"partial,omitempty"`
-	MemoryMB          float64 `json:"memory_mb"` // all processes together, maximum
-	Verdict           string  `json:"verdict"`
+	Zones              int     `json:"zones"`
+	Regions            int     `json:"regions"`
+	Voters             int     `json:"voters"`
+	Seconds            float64 `json:"seconds"`
+	Seed               uint64  `json:"seed"`
+	Faults             string  `json:"faults"`
+	FaultDescription   string  `json:"faults_in_words"`
+	Samples            int64   `json:"samples"` // changes that were timed, counted for each balancer
+	ReturnedWorst      float64 `json:"returned_ms_worst"`
+	ReturnedBalancers  int64   `json:"returned"`
+	BalancersBehind    int     `json:"balancers_behind"`
+	BalancersDiffering int     `json:"balancers_that_differ"`
+	BalancersSilent    int     `json:"balancers_silent"`
+	ChangesNotAccepted int     `json:"changes_not_accepted"`
+	Regressions        int     `json:"went_back"`
+	Snapshots          uint64  `json:"snapshots"`     // received by balancers during the run
+	LeaseExpiries      uint64  `json:"lapses"`        // leases that expired
+	RejectedMessages   uint64  `json:"refused"`       // messages that balancers rejected, and digests that did not match
+	AppliedChanges     uint64  `json:"changes_taken"` // applied by balancers
+	DuplicateChanges   uint64  `json:"changes_had"`   // duplicates: from the other control process, or sent again
+	Gaps               uint64  `json:"gaps"`          // changes that arrived before an earlier one
+	SyncRequests       uint64  `json:"asked_again"`   // sync requests of balancers
+	Conflicts          uint64  `json:"conflicts"`
+	Steady             bool    `json:"steady"`      // all were current and evenly spread at the end
+	SpreadDescription  string  `json:"even_spread"` // describes how many are current, and the spread of their connections
+	ConvergenceMs      float64 `json:"together_ms"` // from the start of the balancers until all were current
+	MaxPutDelayMs      float64 `json:"late_ms"`     // maximum delay with which the test itself put a change
+	Partial            string  `json:"partial,omitempty"`
+	MemoryMB           float64 `json:"memory_mb"` // all processes together, maximum
+	Verdict            string  `json:"verdict"`
 }
 
 // Targets are the limits of a run's figures.
@@ -81,17 +81,17 @@
 // AddAccount sets the figures of an account.
 func (f *Figures) AddAccount(a Account) {
 	milliseconds := func(microseconds int64) float64 { return float64(microseconds) / 1000 }
-	f.Samples = a.InForce.TotalCount()
-	f.InForceP50 = milliseconds(a.InForce.ValueAtQuantile(50))
-	f.InForceP99 = milliseconds(a.InForce.ValueAtQuantile(99))
-	f.InForceWorst = milliseconds(a.InForce.Max())
-	f.Returned = a.Returned.TotalCount()
-	f.ReturnedWorst = milliseconds(a.Returned.Max())
-	f.Missed = a.Missed
-	f.Behind = a.Behind
-	f.Differ = a.Differ
-	f.Silent = a.Silent
-	f.NotAccepted = a.NotAccepted
+	f.Samples = a.InForceTimes.TotalCount()
+	f.InForceP50 = milliseconds(a.InForceTimes.ValueAtQuantile(50))
+	f.InForceP99 = milliseconds(a.InForceTimes.ValueAtQuantile(99))
+	f.InForceWorst = milliseconds(a.InForceTimes.Max())
+	f.ReturnedBalancers = a.ReturnTimes.TotalCount()
+	f.ReturnedWorst = milliseconds(a.ReturnTimes.Max())
+	f.MissedChanges = a.MissedChanges
+	f.BalancersBehind = a.BalancersBehind
+	f.BalancersDiffering = a.BalancersDiffering
+	f.BalancersSilent = a.BalancersSilent
+	f.ChangesNotAccepted = a.ChangesNotAccepted
 	f.Regressions = a.Regressions
 }
 
@@ -115,10 +115,10 @@
 		}
 	}
 	check(f.Samples == 0, "no change was timed")
-	check(f.Missed > 0, "%d changes missed, at %d balancers that are behind, %d that differ and %d that are silent", f.Missed, f.Behind, f.Differ, f.Silent)
-	check(f.Differ > 0 && f.Missed == 0, "%d balancers differ", f.Differ)
-	check(f.Silent > 0 && f.Missed == 0, "%d balancers are silent", f.Silent)
-	check(f.NotAccepted > 0, "%d changes were not accepted", f.NotAccepted)
+	check(f.MissedChanges > 0, "%d changes missed, at %d balancers that are behind, %d that differ and %d that are silent", f.MissedChanges, f.BalancersBehind, f.BalancersDiffering, f.BalancersSilent)
+	check(f.BalancersDiffering > 0 && f.MissedChanges == 0, "%d balancers differ", f.BalancersDiffering)
+	check(f.BalancersSilent > 0 && f.MissedChanges == 0, "%d balancers are silent", f.BalancersSilent)
+	check(f.ChangesNotAccepted > 0, "%d changes were not accepted", f.ChangesNotAccepted)
 	check(f.Regressions > 0, "%d times a balancer went back", f.Regressions)
 	check(f.Conflicts > 0, "%d conflicts", f.Conflicts)
 	check(!f.Steady, "not steady in the end: %s", f.SpreadDescription)
@@ -159,17 +159,17 @@
 	}
 	row("balancers, control, voters", "%d, %d, %d in %d zones of %d regions", f.Balancers, f.Control, f.Voters, f.Zones, f.Regions)
 	row("faults", "%s", f.FaultDescription)
-	row("changes", "%d in %.0f s; put %.1f ms late at worst by the test; %d not accepted", f.Changes, f.Seconds, f.MaxPutDelayMs, f.NotAccepted)
+	row("changes", "%d in %.0f s; put %.1f ms late at worst by the test; %d not accepted", f.Changes, f.Seconds, f.MaxPutDelayMs, f.ChangesNotAccepted)
 	row("in force, p50, p99, worst", "%.1f, %.1f, %.1f ms, %d samples (allowed %.0f ms)", f.InForceP50, f.InForceP99, f.InForceWorst, f.Samples, float64(targets.InForce.Milliseconds()))
-	row("missed", "%d (%d balancers behind, %d differ, %d silent); %d went back, %d conflicts", f.Missed, f.Behind, f.Differ, f.Silent, f.Regressions, f.Conflicts)
-	row("returned balancers", "%d; first state within %.1f ms at worst", f.Returned, f.ReturnedWorst)
+	row("missed", "%d (%d balancers behind, %d differ, %d silent); %d went back, %d conflicts", f.MissedChanges, f.BalancersBehind, f.BalancersDiffering, f.BalancersSilent, f.Regressions, f.Conflicts)
+	row("returned balancers", "%d; first state within %.1f ms at worst", f.ReturnedBalancers, f.ReturnedWorst)
 	row("a balancer's control part", "%.3f%% of a core, %.2f MB, %.0f bytes a second (allowed %.4g%%, %.0f, %.0f)", f.BalancerCore, f.BalancerMB, f.BalancerBytes,
 		targets.BalancerCore, targets.BalancerMB, targets.BalancerBytes)
 	row("a control process, worst", "%.2f%% of a core, %.1f MB, %.0f bytes a second (allowed %.0f%%, %.0f MB)", f.ControlCore, f.ControlMB, f.ControlBytes, targets.ControlCore, targets.ControlMB)
-	row("snapshots taken, lapses, refused", "%d, %d, %d", f.Snapshots, f.LeaseExpiries, f.Rejected)
-	row("changes at a balancer", "%.1f taken, %.1f had already, %.1f too early; asked again %.2f times", float64(f.Applied)/balancers, float64(f.Duplicates)/balancers, float64(f.Gaps)/balancers, float64(f.SyncRequests)/balancers)
+	row("snapshots taken, lapses, refused", "%d, %d, %d", f.Snapshots, f.LeaseExpiries, f.RejectedMessages)
+	row("changes at a balancer", "%.1f taken, %.1f had already, %.1f too early; asked again %.2f times", float64(f.AppliedChanges)/balancers, float64(f.DuplicateChanges)/balancers, float64(f.Gaps)/balancers, float64(f.SyncRequests)/balancers)
 	row("together after the start", "%.0f ms", f.ConvergenceMs)
-	row("steady after the last fault", "%.0f ms; %s", f.SteadyAfter, f.SpreadDescription)
+	row("steady after the last fault", "%.0f ms; %s", f.ConvergenceAfterFaultsMs, f.SpreadDescription)
 	row("memory of all processes", "%.0f MB", f.MemoryMB)
 	return w.Flush()
 }
--- a/internal/lab/scale/ledger.go
+++ b/internal/lab/scale/ledger.go
@@ -47,8 +47,8 @@
 	return &Ledger{balancers: make([]balancerRecord, balancers), changes: make([]plannedChange, changes)}
 }
 
-// Due sets the time at which a change is to be put. It must be called before the change is put.
-func (l *Ledger) Due(change int, at time.Duration) { l.changes[change].due = at }
+// SetDueTime sets the time at which a change is to be put. It must be called before the change is put.
+func (l *Ledger) SetDueTime(change int, at time.Duration) { l.changes[change].due = at }
 
 // SetVersion sets the version of a change that was accepted.
 func (l *Ledger) SetVersion(change int, version uint64) { l.changes[change].version = version }
@@ -81,22 +81,22 @@
 	return version, byKey
 }
 
-// Up records the start of a balancer's process. One that still runs is recorded as ended: its end may not have been reported.
-func (l *Ledger) Up(balancer int, at time.Duration) {
-	l.Down(balancer, at)
+// RecordStart records the start of a balancer's process. One that still runs is recorded as ended: its end may not have been reported.
+func (l *Ledger) RecordStart(balancer int, at time.Duration) {
+	l.RecordEnd(balancer, at)
 	b := &l.balancers[balancer]
 	b.processes = append(b.processes, process{up: at})
 }
 
-// Down records the end of a balancer's process, if one runs.
-func (l *Ledger) Down(balancer int, at time.Duration) {
+// RecordEnd records the end of a balancer's process, if one runs.
+func (l *Ledger) RecordEnd(balancer int, at time.Duration) {
 	if latest := l.balancers[balancer].latest(); latest != nil && latest.down == 0 {
 		latest.down = at
 	}
 }
 
-// Applied records that a balancer has all changes up to a version.
-func (l *Ledger) Applied(balancer int, version uint64, at time.Duration) {
+// RecordApplied records that a balancer has all changes up to a version.
+func (l *Ledger) RecordApplied(balancer int, version uint64, at time.Duration) {
 	b := &l.balancers[balancer]
 	latest := b.latest()
 	if latest == nil {
@@ -109,8 +109,8 @@
 	latest.applied = append(latest.applied, appliedVersion{version: version, at: at})
 }
 
-// End records the state of a balancer at the end.
-func (l *Ledger) End(balancer int, final Final) { l.balancers[balancer].final = &final }
+// SetFinal records the state of a balancer at the end.
+func (l *Ledger) SetFinal(balancer int, final Final) { l.balancers[balancer].final = &final }
 
 // latest is the latest process, nil if there was none.
 func (b *balancerRecord) latest() *process {
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -34,32 +34,32 @@
 
 // Options are the options of a run.
 type Options struct {
-	Balancers int
-	Control   int // control processes
-	Zones     int
-	Regions   int
-	PerDay    int           // configuration changes per day
-	Burst     int           // additional changes within one second
-	For       time.Duration // length of the run
-	Seed      uint64
-	Faults    string
+	Balancers     int
+	Control       int // control processes
+	Zones         int
+	Regions       int
+	ChangesPerDay int           // configuration changes per day
+	Burst         int           // additional changes within one second
+	Length        time.Duration // length of the run
+	Seed          uint64
+	Faults        string
 }
 
 // BadArgument is an invalid option.
 type BadArgument struct {
-	Flag string // without dashes
-	What string // what is wrong
+	Flag    string // without dashes
+	Problem string // what is wrong
 }
 
-func (b BadArgument) Error() string { return "--" + b.Flag + ": " + b.What }
+func (b BadArgument) Error() string { return "--" + b.Flag + ": " + b.Problem }
 
 // Check returns a BadArgument for the first invalid option.
 func (o *Options) Check() error {
 	if err := o.checkNumbers(); err != nil {
 		return err
 	}
-	if o.For < minLength || o.For > maxLength {
-		return BadArgument{"for", fmt.Sprintf("%v lies outside %v to %v", o.For, minLength, maxLength)}
+	if o.Length < minLength || o.Length > maxLength {
+		return BadArgument{"for", fmt.Sprintf("%v lies outside %v to %v", o.Length, minLength, maxLength)}
 	}
 	if !slices.Contains(Faults, o.Faults) {
 		return BadArgument{"faults", fmt.Sprintf("%q is none; there are %v", o.Faults, Faults)}
@@ -85,7 +85,7 @@
 		{"control", o.Control, 1, maxControl},
 		{"zones", o.Zones, 1, maxZones},
 		{"regions", o.Regions, 1, max(1, o.Zones)},
-		{"changes-per-day", o.PerDay, 0, maxChangesPerDay},
+		{"changes-per-day", o.ChangesPerDay, 0, maxChangesPerDay},
 		{"burst", o.Burst, 0, maxBurst},
 	} {
 		if option.value < option.min || option.value > option.max {
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -37,15 +37,15 @@
 
 // The actions of steps.
 const (
-	Kill    Action = "kill"    // kill control processes
-	End     Action = "end"     // shut control processes down gracefully
-	Start   Action = "start"   // start them again, with their data
-	Cut     Action = "cut"     // cut the links between these control processes and all others; balancers reach both
-	Heal    Action = "heal"    // restore the links
-	Down    Action = "down"    // stop balancers
-	Up      Action = "up"      // start balancers, without any state
-	ZoneOff Action = "zone"    // kill all processes of balancers of a zone
-	ZoneOn  Action = "zone-on" // start them again
+	KillControl    Action = "kill"    // kill control processes
+	StopControl    Action = "end"     // shut control processes down gracefully
+	StartControl   Action = "start"   // start them again, with their data
+	CutLinks       Action = "cut"     // cut the links between these control processes and all others; balancers reach both
+	RestoreLinks   Action = "heal"    // restore the links
+	StopBalancers  Action = "down"    // stop balancers
+	StartBalancers Action = "up"      // start balancers, without any state
+	KillZone       Action = "zone"    // kill all processes of balancers of a zone
+	StartZone      Action = "zone-on" // start them again
 )
 
 // Step is one step of the fault schedule.
@@ -59,8 +59,8 @@
 type Plan struct {
 	Options
 	Voters           int
-	Control          []Place
-	Balancer         []Place
+	ControlPlaces    []Place
+	BalancerPlaces   []Place
 	Changes          []Change // by time
 	Steps            []Step   // by time
 	FaultDescription string   // describes the faults
@@ -75,16 +75,16 @@
 		return nil, err
 	}
 	p := &Plan{
-		Options:  o,
-		Voters:   Voters(o.Control),
-		Control:  make([]Place, o.Control),
-		Balancer: make([]Place, o.Balancers),
+		Options:        o,
+		Voters:         Voters(o.Control),
+		ControlPlaces:  make([]Place, o.Control),
+		BalancerPlaces: make([]Place, o.Balancers),
 	}
-	for i := range p.Control {
-		p.Control[i] = o.place(i, i/o.Zones)
+	for i := range p.ControlPlaces {
+		p.ControlPlaces[i] = o.place(i, i/o.Zones)
 	}
-	for i := range p.Balancer {
-		p.Balancer[i] = o.place(i, i/o.Zones/balancersPerRack)
+	for i := range p.BalancerPlaces {
+		p.BalancerPlaces[i] = o.place(i, i/o.Zones/balancersPerRack)
 	}
 	p.drawChanges(rand.New(rand.NewPCG(o.Seed, 1)))
 	p.drawFaults(rand.New(rand.NewPCG(o.Seed, 2)))
@@ -101,7 +101,7 @@
 }
 
 // faultStart is when a single fault begins. The burst of changes falls into it.
-func (p *Plan) faultStart() time.Duration { return p.For * 2 / 5 }
+func (p *Plan) faultStart() time.Duration { return p.Length * 2 / 5 }
 
 func (p *Plan) drawChanges(rng *rand.Rand) {
 	add := func(due time.Duration) {
@@ -111,9 +111,9 @@
 			Bytes: minValueBytes + rng.IntN(maxValueBytes-minValueBytes+1),
 		})
 	}
-	if p.PerDay > 0 {
-		mean := float64(day) / float64(p.PerDay)
-		for at := mean * rng.ExpFloat64(); at < float64(p.For); at += mean * rng.ExpFloat64() {
+	if p.ChangesPerDay > 0 {
+		mean := float64(day) / float64(p.ChangesPerDay)
+		for at := mean * rng.ExpFloat64(); at < float64(p.Length); at += mean * rng.ExpFloat64() {
 			add(time.Duration(at))
 		}
 	}
@@ -137,7 +137,7 @@
 	if p.Faults == FaultsZone {
 		groups = make([][]int, p.Zones)
 	}
-	for i, place := range p.Balancer {
+	for i, place := range p.BalancerPlaces {
 		group := place.Zone % len(groups)
 		groups[group] = append(groups[group], i)
 	}
--- a/internal/lab/scale/plan_golden_test.go
+++ b/internal/lab/scale/plan_golden_test.go
@@ -20,7 +20,7 @@
 		o := testOptions()
 		o.Faults = kind
 		p := newTestPlan(t, o)
-		text := fmt.Sprintf("%v\n%v\n%v\n%v\n%v\n%v\n%v\n", p.Voters, p.Control, p.Balancer, p.Changes, p.Steps, p.FaultDescription, p.Hosts(30))
+		text := fmt.Sprintf("%v\n%v\n%v\n%v\n%v\n%v\n%v\n", p.Voters, p.ControlPlaces, p.BalancerPlaces, p.Changes, p.Steps, p.FaultDescription, p.Hosts(30))
 		if got := fmt.Sprintf("%x", sha256.Sum256([]byte(text)))[:16]; got != want[kind] {
 			t.Errorf("%s: digest %s, want %s", kind, got, want[kind])
 		}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -10,7 +10,7 @@
 )
 
 func testOptions() Options {
-	return Options{Balancers: 460, Control: 17, Zones: 11, Regions: 3, PerDay: 21000, Burst: 100, For: time.Minute, Seed: 3, Faults: FaultsNone}
+	return Options{Balancers: 460, Control: 17, Zones: 11, Regions: 3, ChangesPerDay: 21000, Burst: 100, Length: time.Minute, Seed: 3, Faults: FaultsNone}
 }
 
 func newTestPlan(t *testing.T, o Options) *Plan {
@@ -31,9 +31,9 @@
 		{func(o *Options) { o.Control = 65 }, "--control: 65 lies outside 1 to 64"},
 		{func(o *Options) { o.Zones = 0 }, "--zones: 0 lies outside 1 to 64"},
 		{func(o *Options) { o.Regions = 12 }, "--regions: 12 lies outside 1 to 11"},
-		{func(o *Options) { o.PerDay = -1 }, "--changes-per-day: -1 lies outside"},
+		{func(o *Options) { o.ChangesPerDay = -1 }, "--changes-per-day: -1 lies outside"},
 		{func(o *Options) { o.Burst = 10001 }, "--burst: 10001 lies outside"},
-		{func(o *Options) { o.For = 9 * time.Second }, "--for: 9s lies outside 10s to 24h"},
+		{func(o *Options) { o.Length = 9 * time.Second }, "--for: 9s lies outside 10s to 24h"},
 		{func(o *Options) { o.Faults = "rock" }, `--faults: "rock" is none; there are [none day rack zone region]`},
 		{func(o *Options) { o.Faults, o.Control = FaultsRack, 1 }, "--faults: rack wants 2 control processes"},
 		{func(o *Options) { o.Faults, o.Zones, o.Regions = FaultsZone, 1, 1 }, "--faults: zone wants 2 zones"},
@@ -67,7 +67,7 @@
 // TestChangesAtConfiguredRate checks the number of changes of a day, and that a burst takes less than a second.
 func TestChangesAtConfiguredRate(t *testing.T) {
 	o := testOptions()
-	o.For = 24 * time.Hour
+	o.Length = 24 * time.Hour
 	p := newTestPlan(t, o)
 	if n := len(p.Changes) - o.Burst; n < 20400 || n > 21600 { // four times the root of the mean
 		t.Errorf("%d changes in a day", n)
@@ -75,9 +75,9 @@
 	if !slices.IsSortedFunc(p.Changes, func(a, b Change) int { return int(a.Due - b.Due) }) {
 		t.Error("not by time")
 	}
-	o.PerDay, o.For = 0, 10*time.Second
+	o.ChangesPerDay, o.Length = 0, 10*time.Second
 	p = newTestPlan(t, o)
-	if n := len(p.Changes); n != 100 || p.Changes[99].Due-p.Changes[0].Due >= time.Second || p.Changes[99].Due > o.For {
+	if n := len(p.Changes); n != 100 || p.Changes[99].Due-p.Changes[0].Due >= time.Second || p.Changes[99].Due > o.Length {
 		t.Errorf("a burst of %d from %v to %v", n, p.Changes[0].Due, p.Changes[n-1].Due)
 	}
 	for _, c := range p.Changes {
@@ -97,16 +97,16 @@
 
 // TestEachFaultEndsWithinTheRun checks that each step that stops something is followed by the one that starts it again, within the run.
 func TestEachFaultEndsWithinTheRun(t *testing.T) {
-	off := map[Action]Action{Kill: Start, End: Start, Cut: Heal, Down: Up, ZoneOff: ZoneOn}
+	off := map[Action]Action{KillControl: StartControl, StopControl: StartControl, CutLinks: RestoreLinks, StopBalancers: StartBalancers, KillZone: StartZone}
 	for _, kind := range Faults[1:] {
 		for _, long := range []time.Duration{minLength, time.Minute, time.Hour} {
 			o := testOptions()
-			o.Faults, o.For = kind, long
+			o.Faults, o.Length = kind, long
 			p := newTestPlan(t, o)
 			gone := map[string]bool{}
 			went := 0
 			for _, s := range p.Steps {
-				if s.At < 0 || s.At > o.For {
+				if s.At < 0 || s.At > o.Length {
 					t.Errorf("%s, %v: %+v", kind, long, s)
 				}
 				for _, who := range s.Targets {
@@ -140,7 +140,7 @@
 func TestBurstDuringFault(t *testing.T) {
 	for _, kind := range []string{FaultsRack, FaultsZone, FaultsRegion} {
 		o := testOptions()
-		o.Faults, o.PerDay = kind, 0
+		o.Faults, o.ChangesPerDay = kind, 0
 		p := newTestPlan(t, o)
 		if first, last := p.Changes[0].Due, p.Changes[len(p.Changes)-1].Due; first < p.Steps[0].At || last > p.LastFault() {
 			t.Errorf("%s from %v to %v, burst from %v to %v", kind, p.Steps[0].At, p.LastFault(), first, last)
@@ -151,18 +151,18 @@
 func TestDayIsScaledToRun(t *testing.T) {
 	count := func(o Options) (n int) {
 		for _, s := range newTestPlan(t, o).Steps {
-			if s.Action == Down {
+			if s.Action == StopBalancers {
 				n += len(s.Targets)
 			}
 		}
 		return n
 	}
 	o := testOptions()
-	o.Faults, o.Balancers, o.For = FaultsDay, 4600, 24*time.Hour
+	o.Faults, o.Balancers, o.Length = FaultsDay, 4600, 24*time.Hour
 	if n := count(o); n != 1730 {
 		t.Errorf("%d go in a day", n)
 	}
-	o.For = time.Minute
+	o.Length = time.Minute
 	if n := count(o); n != 46+2 {
 		t.Errorf("%d go in a minute", n)
 	}
@@ -183,8 +183,8 @@
 				t.Errorf("%s: %d in one", kind, len(h))
 			}
 			for _, b := range h {
-				if kind == FaultsZone && p.Balancer[b].Zone != p.Balancer[h[0]].Zone {
-					t.Errorf("zones %d and %d in one", p.Balancer[b].Zone, p.Balancer[h[0]].Zone)
+				if kind == FaultsZone && p.BalancerPlaces[b].Zone != p.BalancerPlaces[h[0]].Zone {
+					t.Errorf("zones %d and %d in one", p.BalancerPlaces[b].Zone, p.BalancerPlaces[h[0]].Zone)
 				}
 			}
 			all = append(all, h...)
@@ -203,11 +203,11 @@
 // newTestLedger has changes of versions 11 and 12, due at 100 and 200 ms, and one balancer that is up from 0 on.
 func newTestLedger(more ...func(*Ledger)) *Ledger {
 	l := NewLedger(1, 2)
-	l.Due(0, milliseconds(100))
-	l.Due(1, milliseconds(200))
+	l.SetDueTime(0, milliseconds(100))
+	l.SetDueTime(1, milliseconds(200))
 	l.SetVersion(0, 11)
 	l.SetVersion(1, 12)
-	l.Up(0, 0)
+	l.RecordStart(0, 0)
 	for _, f := range more {
 		f(l)
 	}
@@ -218,57 +218,57 @@
 
 func TestInForceIsMeasuredFromDueTime(t *testing.T) {
 	a := newTestLedger(func(l *Ledger) {
-		l.Applied(0, 11, milliseconds(150))
-		l.Applied(0, 12, milliseconds(260))
-		l.End(0, completeState)
-	}).Close(milliseconds(1000), completeState)
-	if a.Missed+a.Regressions+a.NotAccepted+a.Differ+a.Silent+a.Behind != 0 || a.InForce.TotalCount() != 2 || (a.InForce.Min()+500)/1000 != 50 || // as the histogram rounds
-		a.InForce.Max()/1000 != 60 || a.Slowest != 1 {
-		t.Errorf("%+v, %d to %d us", a, a.InForce.Min(), a.InForce.Max())
+		l.RecordApplied(0, 11, milliseconds(150))
+		l.RecordApplied(0, 12, milliseconds(260))
+		l.SetFinal(0, completeState)
+	}).ComputeAccount(milliseconds(1000), completeState)
+	if a.MissedChanges+a.Regressions+a.ChangesNotAccepted+a.BalancersDiffering+a.BalancersSilent+a.BalancersBehind != 0 || a.InForceTimes.TotalCount() != 2 || (a.InForceTimes.Min()+500)/1000 != 50 || // as the histogram rounds
+		a.InForceTimes.Max()/1000 != 60 || a.SlowestChange != 1 {
+		t.Errorf("%+v, %d to %d us", a, a.InForceTimes.Min(), a.InForceTimes.Max())
 	}
 }
 
 // TestSnapshotAppliesAllChanges applies the version of the second change only.
 func TestSnapshotAppliesAllChanges(t *testing.T) {
 	a := newTestLedger(func(l *Ledger) {
-		l.Applied(0, 12, milliseconds(300))
-		l.End(0, completeState)
-	}).Close(milliseconds(1000), completeState)
-	if a.Missed != 0 || a.InForce.TotalCount() != 2 || a.InForce.Max()/1000 != 200 {
-		t.Errorf("%+v, %d us", a, a.InForce.Max())
+		l.RecordApplied(0, 12, milliseconds(300))
+		l.SetFinal(0, completeState)
+	}).ComputeAccount(milliseconds(1000), completeState)
+	if a.MissedChanges != 0 || a.InForceTimes.TotalCount() != 2 || a.InForceTimes.Max()/1000 != 200 {
+		t.Errorf("%+v, %d us", a, a.InForceTimes.Max())
 	}
 }
 
 // TestUnreachableTimeIsNotCounted: for a balancer that is down from 120 to 400 ms, what was due meanwhile counts from its return.
 func TestUnreachableTimeIsNotCounted(t *testing.T) {
 	a := newTestLedger(func(l *Ledger) {
-		l.Down(0, milliseconds(120))
-		l.Up(0, milliseconds(400))
-		l.Applied(0, 12, milliseconds(430))
-		l.End(0, completeState)
-	}).Close(milliseconds(1000), completeState)
-	if a.Missed != 0 || a.InForce.TotalCount() != 2 || a.InForce.Max()/1000 != 30 || a.Returned.TotalCount() != 1 || a.Returned.Max()/1000 != 30 {
-		t.Errorf("%+v, %d us", a, a.InForce.Max())
+		l.RecordEnd(0, milliseconds(120))
+		l.RecordStart(0, milliseconds(400))
+		l.RecordApplied(0, 12, milliseconds(430))
+		l.SetFinal(0, completeState)
+	}).ComputeAccount(milliseconds(1000), completeState)
+	if a.MissedChanges != 0 || a.InForceTimes.TotalCount() != 2 || a.InForceTimes.Max()/1000 != 30 || a.ReturnTimes.TotalCount() != 1 || a.ReturnTimes.Max()/1000 != 30 {
+		t.Errorf("%+v, %d us", a, a.InForceTimes.Max())
 	}
 }
 
 // TestStalenessBeforeRestartIsCounted: a restart does not hide that a balancer lacked a change for long.
 func TestStalenessBeforeRestartIsCounted(t *testing.T) {
 	a := newTestLedger(func(l *Ledger) {
-		l.Applied(0, 11, milliseconds(110))
-		l.Down(0, milliseconds(900))
-		l.Up(0, milliseconds(910))
-		l.Applied(0, 12, milliseconds(920))
-		l.End(0, completeState)
-	}).Close(milliseconds(1000), completeState)
-	if a.Missed != 0 || a.InForce.Max()/1000 != 700 {
-		t.Errorf("%+v, %d us", a, a.InForce.Max())
+		l.RecordApplied(0, 11, milliseconds(110))
+		l.RecordEnd(0, milliseconds(900))
+		l.RecordStart(0, milliseconds(910))
+		l.RecordApplied(0, 12, milliseconds(920))
+		l.SetFinal(0, completeState)
+	}).ComputeAccount(milliseconds(1000), completeState)
+	if a.MissedChanges != 0 || a.InForceTimes.Max()/1000 != 700 {
+		t.Errorf("%+v, %d us", a, a.InForceTimes.Max())
 	}
 }
 
 func TestUnreachableAtEndMissesNothing(t *testing.T) {
-	a := newTestLedger(func(l *Ledger) { l.Down(0, milliseconds(50)) }).Close(milliseconds(1000), completeState)
-	if a.Missed != 0 || a.Silent != 0 || a.InForce.TotalCount() != 0 {
+	a := newTestLedger(func(l *Ledger) { l.RecordEnd(0, milliseconds(50)) }).ComputeAccount(milliseconds(1000), completeState)
+	if a.MissedChanges != 0 || a.BalancersSilent != 0 || a.InForceTimes.TotalCount() != 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -280,36 +280,36 @@
 		want Account
 	}{
 		"behind": {func(l *Ledger) {
-			l.Applied(0, 11, milliseconds(150))
-			l.End(0, Final{Version: 11, Digest: 6, Values: 5})
-		}, Account{Missed: 1, Behind: 1}},
+			l.RecordApplied(0, 11, milliseconds(150))
+			l.SetFinal(0, Final{Version: 11, Digest: 6, Values: 5})
+		}, Account{MissedChanges: 1, BalancersBehind: 1}},
 		"another digest": {func(l *Ledger) {
-			l.Applied(0, 12, milliseconds(150))
-			l.End(0, Final{Version: 12, Digest: 8, Values: 9})
-		}, Account{Missed: 2, Differ: 1}},
+			l.RecordApplied(0, 12, milliseconds(150))
+			l.SetFinal(0, Final{Version: 12, Digest: 8, Values: 9})
+		}, Account{MissedChanges: 2, BalancersDiffering: 1}},
 		"other values": {func(l *Ledger) {
-			l.Applied(0, 13, milliseconds(150))
-			l.End(0, Final{Version: 13, Digest: 8, Values: 8})
-		}, Account{Missed: 2, Differ: 1}},
-		"silent": {func(l *Ledger) { l.Applied(0, 12, milliseconds(150)) }, Account{Missed: 2, Silent: 1}},
+			l.RecordApplied(0, 13, milliseconds(150))
+			l.SetFinal(0, Final{Version: 13, Digest: 8, Values: 8})
+		}, Account{MissedChanges: 2, BalancersDiffering: 1}},
+		"silent": {func(l *Ledger) { l.RecordApplied(0, 12, milliseconds(150)) }, Account{MissedChanges: 2, BalancersSilent: 1}},
 		"not accepted": {func(l *Ledger) {
 			l.SetVersion(1, 0)
-			l.Applied(0, 12, milliseconds(150))
-			l.End(0, completeState)
-		}, Account{Missed: 1, Behind: 1, NotAccepted: 1}},
+			l.RecordApplied(0, 12, milliseconds(150))
+			l.SetFinal(0, completeState)
+		}, Account{MissedChanges: 1, BalancersBehind: 1, ChangesNotAccepted: 1}},
 		"back": {func(l *Ledger) {
-			l.Applied(0, 12, milliseconds(250))
-			l.Applied(0, 11, milliseconds(260))
-			l.End(0, completeState)
+			l.RecordApplied(0, 12, milliseconds(250))
+			l.RecordApplied(0, 11, milliseconds(260))
+			l.SetFinal(0, completeState)
 		}, Account{Regressions: 1}},
 		"twice": {func(l *Ledger) {
-			l.Applied(0, 12, milliseconds(250))
-			l.Applied(0, 12, milliseconds(260))
-			l.End(0, completeState)
+			l.RecordApplied(0, 12, milliseconds(250))
+			l.RecordApplied(0, 12, milliseconds(260))
+			l.SetFinal(0, completeState)
 		}, Account{Regressions: 1}},
 	} {
-		got := newTestLedger(c.more).Close(milliseconds(1000), completeState)
-		got.InForce, got.Returned, got.Slowest = nil, nil, 0
+		got := newTestLedger(c.more).ComputeAccount(milliseconds(1000), completeState)
+		got.InForceTimes, got.ReturnTimes, got.SlowestChange = nil, nil, 0
 		if got != c.want {
 			t.Errorf("%s: %+v, wanted %+v", name, got, c.want)
 		}
@@ -356,10 +356,10 @@
 		"balancer 3001 bytes a second, allowed 3000":                            {func(f *Figures) { f.BalancerBytes++ }, false},
 		"control process 101 % of a core, allowed 100":                          {func(f *Figures) { f.ControlCore++ }, false},
 		"control process 4097 MB, allowed 4096":                                 {func(f *Figures) { f.ControlMB++ }, false},
-		"5 changes missed, at 1 balancers that are behind, 0 that differ and 0": {func(f *Figures) { f.Missed, f.Behind = 5, 1 }, true},
-		"1 balancers differ":                                                    {func(f *Figures) { f.Differ = 1 }, true},
-		"2 balancers are silent":                                                {func(f *Figures) { f.Silent = 2 }, true},
-		"1 changes were not accepted":                                           {func(f *Figures) { f.NotAccepted = 1 }, true},
+		"5 changes missed, at 1 balancers that are behind, 0 that differ and 0": {func(f *Figures) { f.MissedChanges, f.BalancersBehind = 5, 1 }, true},
+		"1 balancers differ":                                                    {func(f *Figures) { f.BalancersDiffering = 1 }, true},
+		"2 balancers are silent":                                                {func(f *Figures) { f.BalancersSilent = 2 }, true},
+		"1 changes were not accepted":                                           {func(f *Figures) { f.ChangesNotAccepted = 1 }, true},
 		"1 times a balancer went back":                                          {func(f *Figures) { f.Regressions = 1 }, true},
 		"1 conflicts":                                                           {func(f *Figures) { f.Conflicts = 1 }, true},
 		"not steady in the end: all at one":                                     {func(f *Figures) { f.Steady, f.SpreadDescription = false, "all at one" }, true},
@@ -381,7 +381,7 @@
 	p := newTestPlan(t, testOptions())
 	n := p.Requirements(p.Hosts(300))
 	long := testOptions()
-	long.For, long.Balancers = 24*time.Hour, 4600
+	long.Length, long.Balancers = 24*time.Hour, 4600
 	if l := newTestPlan(t, long); l.Requirements(l.Hosts(300)).Check(20000, 16000, 16000) == nil {
 		t.Error("the ledger of a day takes no memory")
 	}
