--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Figures are the results of a run. Rates are over the length of the run, without what happened before and after it. Figures of a balancer
-// are of its subscription to the control tier only.
+// Figures are the results of a run. Rates are averages over the length of the run, without the time before and after it. Figures of a balancer
+// cover its subscription to the control tier only.
 type Figures struct {
 	Balancers                int     `json:"balancers"`
 	Control                  int     `json:"control"`
-	Changes                  int     `json:"changes"` // during the run, the burst included
+	Changes                  int     `json:"changes"` // changes put during the run, including the burst
 	InForceP50               float64 `json:"in_force_ms_p50"`
 	InForceP99               float64 `json:"in_force_ms_p99"`
 	InForceWorst             float64 `json:"in_force_ms_worst"`
-	MissedChanges            int     `json:"missed"`                    // changes, counted for each balancer
-	BalancerCore             float64 `json:"balancer_core_percent"`     // user and system time, including the test's own part
-	BalancerMB               float64 `json:"balancer_memory_mb"`        // resident memory of their processes divided by their number, maximum
-	BalancerBytes            float64 `json:"balancer_bytes_per_second"` // sent and received, without TCP and IP headers
+	MissedChanges            int     `json:"missed"`                    // missed changes, counted for each balancer
+	BalancerCore             float64 `json:"balancer_core_percent"`     // user and system time of a balancer, including the part of the test itself
+	BalancerMB               float64 `json:"balancer_memory_mb"`        // maximum of the resident memory of the host processes divided by the number of balancers
+	BalancerBytes            float64 `json:"balancer_bytes_per_second"` // bytes sent and received by a balancer, without TCP and IP headers
 	ControlCore              float64 `json:"control_core_percent_worst"`
 	ControlMB                float64 `json:"control_memory_mb_worst"`
-	ControlBytes             float64 `json:"control_bytes_per_second_worst"` // read and written, disk included
-	ConvergenceAfterFaultsMs float64 `json:"steady_after_ms"`                // after the last fault; 0 without faults
+	ControlBytes             float64 `json:"control_bytes_per_second_worst"` // bytes read and written by a control process, including its disk
+	ConvergenceAfterFaultsMs float64 `json:"steady_after_ms"`                // time from the end of the last fault until the run was steady; 0 without faults
 
 	Zones              int     `json:"zones"`
 	Regions            int     `json:"regions"`
@@ -33,7 +33,7 @@
 	Seed               uint64  `json:"seed"`
 	Faults             string  `json:"faults"`
 	FaultDescription   string  `json:"faults_in_words"`
-	Samples            int64   `json:"samples"` // changes that were timed, counted for each balancer
+	Samples            int64   `json:"samples"` // timed changes, counted for each balancer
 	ReturnedWorst      float64 `json:"returned_ms_worst"`
 	ReturnedBalancers  int64   `json:"returned"`
 	BalancersBehind    int     `json:"balancers_behind"`
@@ -41,30 +41,30 @@
 	BalancersSilent    int     `json:"balancers_silent"`
 	ChangesNotAccepted int     `json:"changes_not_accepted"`
 	Regressions        int     `json:"went_back"`
-	Snapshots          uint64  `json:"snapshots"`     // received by balancers during the run
-	LeaseExpiries      uint64  `json:"lapses"`        // leases that expired
+	Snapshots          uint64  `json:"snapshots"`     // snapshots that balancers received during the run
+	LeaseExpiries      uint64  `json:"lapses"`        // leases of balancers that expired
 	RejectedMessages   uint64  `json:"refused"`       // messages that balancers rejected, and digests that did not match
-	AppliedChanges     uint64  `json:"changes_taken"` // applied by balancers
-	DuplicateChanges   uint64  `json:"changes_had"`   // duplicates: from the other control process, or sent again
+	AppliedChanges     uint64  `json:"changes_taken"` // changes that balancers applied
+	DuplicateChanges   uint64  `json:"changes_had"`   // changes that balancers already had: from their other control process, or sent again
 	Gaps               uint64  `json:"gaps"`          // changes that arrived before an earlier one
-	SyncRequests       uint64  `json:"asked_again"`   // sync requests of balancers
+	SyncRequests       uint64  `json:"asked_again"`   // sync requests that balancers sent
 	Conflicts          uint64  `json:"conflicts"`
-	Steady             bool    `json:"steady"`      // all were current and evenly spread at the end
-	SpreadDescription  string  `json:"even_spread"` // describes how many are current, and the spread of their connections
-	ConvergenceMs      float64 `json:"together_ms"` // from the start of the balancers until all were current
+	Steady             bool    `json:"steady"`      // whether all balancers were current and evenly spread at the end
+	SpreadDescription  string  `json:"even_spread"` // description of how many balancers are current and how their connections are spread
+	ConvergenceMs      float64 `json:"together_ms"` // time from the start of the balancers until all were current
 	MaxPutDelayMs      float64 `json:"late_ms"`     // maximum delay with which the test itself put a change
 	Partial            string  `json:"partial,omitempty"`
-	MemoryMB           float64 `json:"memory_mb"` // all processes together, maximum
+	MemoryMB           float64 `json:"memory_mb"` // maximum memory of all processes together
 	Verdict            string  `json:"verdict"`
 }
 
-// Targets are the limits of a run's figures.
+// Targets are the limits that the figures of a run are checked against.
 type Targets struct {
 	InForce       time.Duration
-	BalancerCore  float64 // percent
+	BalancerCore  float64 // percent of a core
 	BalancerMB    float64
-	BalancerBytes float64 // per second
-	ControlCore   float64 // percent
+	BalancerBytes float64 // bytes per second
+	ControlCore   float64 // percent of a core
 	ControlMB     float64
 }
 
@@ -78,7 +78,7 @@
 	ControlMB:     4096,
 }
 
-// AddAccount sets the figures of an account.
+// AddAccount sets the figures that come from an account.
 func (f *Figures) AddAccount(a Account) {
 	milliseconds := func(microseconds int64) float64 { return float64(microseconds) / 1000 }
 	f.Samples = a.InForceTimes.TotalCount()
@@ -95,10 +95,10 @@
 	f.Regressions = a.Regressions
 }
 
-// Check returns a description of each target that was missed. Counts are always checked; times and sizes, which depend on the machine too,
-// only with targets.
+// Check returns a description of each target that was missed. Counts are always checked. Times and sizes, which also depend on the machine, are
+// checked only if targets are given.
 func (f *Figures) Check(targets *Targets) []string {
-	if f.Partial != "" { // figures that were not measured are neither kept nor missed
+	if f.Partial != "" { // an incomplete run neither meets nor misses a target
 		return []string{"partial: " + f.Partial}
 	}
 	missed := f.checkCounts()
@@ -108,6 +108,7 @@
 	return missed
 }
 
+// checkCounts checks the figures that do not depend on the speed of the machine.
 func (f *Figures) checkCounts() (missed []string) {
 	check := func(isMissed bool, format string, args ...any) {
 		if isMissed {
@@ -125,6 +126,7 @@
 	return missed
 }
 
+// checkTargets checks times and sizes against their limits.
 func (f *Figures) checkTargets(targets *Targets) (missed []string) {
 	check := func(name string, value, limit float64, unit string) {
 		if value > limit {
@@ -142,7 +144,7 @@
 	return missed
 }
 
-// Verdict is the last line of the output, from the descriptions that Check returned.
+// Verdict returns the last line of the output for the descriptions that Check returned.
 func Verdict(missed []string) string {
 	if len(missed) == 0 {
 		return "verdict: kept"
--- a/internal/lab/scale/ledger.go
+++ b/internal/lab/scale/ledger.go
@@ -4,32 +4,36 @@
 	"time"
 )
 
-// Ledger records which balancer had which change from when on. Times are of one machine's clock. A balancer is reachable while one of its
-// processes runs, and is checked for that time only: a change that was due while it was down counts from its return. The processes and
-// versions of one balancer must be recorded in their order; those of different balancers, and the versions of changes, in any order.
+// Ledger records the time from which each balancer had each change. Times are of the clock of a single machine. A balancer is reachable while
+// one of its processes runs, and is checked for that time only: a change that was due while it was down counts from its return. The
+// processes and versions of one balancer must be recorded in their order; those of different balancers, and the versions of changes, may be
+// recorded in any order.
 type Ledger struct {
 	changes   []plannedChange
 	balancers []balancerRecord
 }
 
+// plannedChange is a change of the plan, with the version that it got.
 type plannedChange struct {
-	due     time.Duration
-	version uint64 // 0: not accepted
+	due     time.Duration // time at which the change is to be put
+	version uint64        // 0 unless the change was accepted
 }
 
+// balancerRecord is what the ledger holds of one balancer.
 type balancerRecord struct {
-	processes   []process
-	final       *Final // nil unless it was reported
-	regressions int    // versions reported that were not newer than the one before
+	processes   []process // in order of their start
+	final       *Final    // final state, nil unless it was reported
+	regressions int       // reported versions that were not newer than the one before
 }
 
+// process is one process of a balancer.
 type process struct {
-	up      time.Duration
-	down    time.Duration // 0 while it runs
-	applied []appliedVersion
+	startedAt time.Duration
+	endedAt   time.Duration    // 0 while the process runs
+	applied   []appliedVersion // by ascending version
 }
 
-// appliedVersion says that a balancer had all changes up to a version from a time on.
+// appliedVersion is the time from which a balancer had all changes up to a version.
 type appliedVersion struct {
 	version uint64
 	at      time.Duration
@@ -39,7 +43,7 @@
 type Final struct {
 	Version uint64
 	Digest  uint64
-	Values  uint64 // hash of all values that it has, computed by the test itself
+	Values  uint64 // hash of all values that the balancer has, computed by the test itself
 }
 
 // NewLedger returns a ledger of the given numbers of balancers and changes.
@@ -53,7 +57,7 @@
 // SetVersion sets the version of a change that was accepted.
 func (l *Ledger) SetVersion(change int, version uint64) { l.changes[change].version = version }
 
-// NotAccepted is the number of changes that were not accepted.
+// NotAccepted returns the number of changes that were not accepted.
 func (l *Ledger) NotAccepted() (count int) {
 	for _, c := range l.changes {
 		if c.version == 0 {
@@ -63,7 +67,7 @@
 	return count
 }
 
-// Newest is the highest version of a change and, by key, the change with the highest version, -1 for none.
+// Newest returns the highest version of any change and, by key, the change with the highest version, -1 for none.
 func (l *Ledger) Newest(keyOf func(change int) int) (version uint64, byKey []int) {
 	byKey = make([]int, Keys)
 	for i := range byKey {
@@ -81,17 +85,18 @@
 	return version, byKey
 }
 
-// RecordStart records the start of a balancer's process. One that still runs is recorded as ended: its end may not have been reported.
+// RecordStart records the start of a balancer's process. An earlier process that still runs is recorded as ended, as its end may not have been
+// reported.
 func (l *Ledger) RecordStart(balancer int, at time.Duration) {
 	l.RecordEnd(balancer, at)
 	b := &l.balancers[balancer]
-	b.processes = append(b.processes, process{up: at})
+	b.processes = append(b.processes, process{startedAt: at})
 }
 
 // RecordEnd records the end of a balancer's process, if one runs.
 func (l *Ledger) RecordEnd(balancer int, at time.Duration) {
-	if latest := l.balancers[balancer].latest(); latest != nil && latest.down == 0 {
-		latest.down = at
+	if latest := l.balancers[balancer].latest(); latest != nil && latest.endedAt == 0 {
+		latest.endedAt = at
 	}
 }
 
@@ -109,10 +114,10 @@
 	latest.applied = append(latest.applied, appliedVersion{version: version, at: at})
 }
 
-// SetFinal records the state of a balancer at the end.
+// SetFinal sets the final state of a balancer.
 func (l *Ledger) SetFinal(balancer int, final Final) { l.balancers[balancer].final = &final }
 
-// latest is the latest process, nil if there was none.
+// latest returns the newest process of the balancer, nil if there was none.
 func (b *balancerRecord) latest() *process {
 	if len(b.processes) == 0 {
 		return nil
@@ -120,8 +125,8 @@
 	return &b.processes[len(b.processes)-1]
 }
 
-// isUp reports whether a process runs.
+// isUp reports whether a process of the balancer runs.
 func (b *balancerRecord) isUp() bool {
 	latest := b.latest()
-	return latest != nil && latest.down == 0
+	return latest != nil && latest.endedAt == 0
 }
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -1,6 +1,6 @@
-// Package scale owns the decisions of the scale test: the places of balancers and control processes, the changes and faults of a run
-// and their times, which balancer lacks a change and for how long, and the verdict. It is pure: the same options give the same plan, and
-// the same observations the same verdict. It must never start a process, open a socket or read a clock.
+// Package scale owns the decisions of the scale test: in which failure domains balancers and control processes are, which changes and faults a
+// run has and when, which balancer lacks a change and for how long, and the verdict. It is pure: the same options give the same plan, and the
+// same observations the same verdict. It must never start a process, open a socket or read a clock.
 package scale
 
 import (
@@ -12,18 +12,18 @@
 // Kinds of faults that a run may have.
 const (
 	FaultsNone   = "none"
-	FaultsDay    = "day"    // restarts and losses at the rates of an ordinary day
+	FaultsDay    = "day"    // processes restart and are lost at the rates of an ordinary day
 	FaultsRack   = "rack"   // all processes of a rack are killed and started again
-	FaultsZone   = "zone"   // all processes of a zone
+	FaultsZone   = "zone"   // all processes of a zone are killed and started again
 	FaultsRegion = "region" // the control processes of a region are cut off from the others
 )
 
-// Faults lists the kinds of faults, by the names that options use.
+// Faults lists all kinds of faults, by their names in options.
 var Faults = []string{FaultsNone, FaultsDay, FaultsRack, FaultsZone, FaultsRegion}
 
-// Bounds of options.
+// Limits of the options.
 const (
-	maxBalancers     = 10000 // subscribers that a control process may be configured for
+	maxBalancers     = 10000 // highest number of subscribers that a control process can be configured for
 	maxControl       = 64
 	maxZones         = 64
 	maxChangesPerDay = 50_000_000
@@ -35,20 +35,20 @@
 // Options are the options of a run.
 type Options struct {
 	Balancers     int
-	Control       int // control processes
+	Control       int // number of control processes
 	Zones         int
 	Regions       int
 	ChangesPerDay int           // configuration changes per day
-	Burst         int           // additional changes within one second
+	Burst         int           // additional changes that are put within one second
 	Length        time.Duration // length of the run
 	Seed          uint64
-	Faults        string
+	Faults        string // kind of faults, one of the names in Faults
 }
 
 // BadArgument is an invalid option.
 type BadArgument struct {
-	Flag    string // without dashes
-	Problem string // what is wrong
+	Flag    string // name of the option, without dashes
+	Problem string // what is wrong with its value
 }
 
 func (b BadArgument) Error() string { return "--" + b.Flag + ": " + b.Problem }
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -9,11 +9,11 @@
 const (
 	day = 24 * time.Hour
 
-	// Keys is the number of settings that changes are made to: few, so that changes of one key follow each other and their order matters.
+	// Keys is the number of settings that are changed. It is low, so that changes of the same key follow each other and their order matters.
 	Keys = 64
 
-	minValueBytes    = 100
-	maxValueBytes    = 400
+	minValueBytes    = 100 // size of the smallest value that is put
+	maxValueBytes    = 400 // size of the largest value that is put
 	balancersPerRack = 20
 	maxVoters        = 5
 )
@@ -22,54 +22,54 @@
 type Place struct {
 	Region int
 	Zone   int
-	Rack   int // within the zone
+	Rack   int // number of the rack within the zone
 }
 
 // Change is one configuration change.
 type Change struct {
-	Due   time.Duration // since the start of the run
-	Key   int           // less than Keys
+	Due   time.Duration // time to put the change, since the start of the run
+	Key   int           // number of the setting, less than Keys
 	Bytes int           // size of the value
 }
 
 // Action is what a step of the fault schedule does.
 type Action string
 
-// The actions of steps.
+// The actions of steps. The Targets of a step are control processes, balancers or a zone.
 const (
 	KillControl    Action = "kill"    // kill control processes
 	StopControl    Action = "end"     // shut control processes down gracefully
-	StartControl   Action = "start"   // start them again, with their data
-	CutLinks       Action = "cut"     // cut the links between these control processes and all others; balancers reach both
-	RestoreLinks   Action = "heal"    // restore the links
+	StartControl   Action = "start"   // start control processes again, with their data
+	CutLinks       Action = "cut"     // cut the links between these control processes and all others; balancers reach both sides
+	RestoreLinks   Action = "heal"    // restore all links
 	StopBalancers  Action = "down"    // stop balancers
-	StartBalancers Action = "up"      // start balancers, without any state
-	KillZone       Action = "zone"    // kill all processes of balancers of a zone
-	StartZone      Action = "zone-on" // start them again
+	StartBalancers Action = "up"      // start balancers again, without any state
+	KillZone       Action = "zone"    // kill all balancer processes of a zone
+	StartZone      Action = "zone-on" // start the balancer processes of a zone again
 )
 
 // Step is one step of the fault schedule.
 type Step struct {
-	At      time.Duration // since the start of the run
+	At      time.Duration // time since the start of the run
 	Action  Action
-	Targets []int // indices of control processes or balancers; of a zone its number
+	Targets []int // indices of control processes or of balancers, or the number of a zone
 }
 
-// Plan is everything that a run will do.
+// Plan is everything that a run will do: the failure domains of all processes, the changes and the faults.
 type Plan struct {
 	Options
-	Voters           int
+	Voters           int // number of control processes that vote: the first ones
 	ControlPlaces    []Place
 	BalancerPlaces   []Place
-	Changes          []Change // by time
-	Steps            []Step   // by time
-	FaultDescription string   // describes the faults
+	Changes          []Change // in order of time
+	Steps            []Step   // in order of time
+	FaultDescription string   // description of the faults
 }
 
-// Voters is the number of voters among control processes: odd, and not more than five.
+// Voters returns the number of voters among control processes: it is odd, and five at most.
 func Voters(control int) int { return min(maxVoters, control-(control+1)%2) }
 
-// NewPlan draws a plan. The error is a BadArgument.
+// NewPlan draws a plan from the seed of the options. The error is a BadArgument.
 func NewPlan(o Options) (*Plan, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 	return p, nil
 }
 
-// place assigns processes to zones in turn, and zones to regions.
+// place returns the place of a process: processes are assigned to zones in turn, and zones to regions.
 func (o *Options) place(index, rack int) Place {
 	balancersPerZone := (o.Balancers + o.Zones - 1) / o.Zones
 	racks := (balancersPerZone + balancersPerRack - 1) / balancersPerRack
@@ -100,9 +100,10 @@
 	return Place{Region: zone % o.Regions, Zone: zone, Rack: rack % racks}
 }
 
-// faultStart is when a single fault begins. The burst of changes falls into it.
+// faultStart returns the time at which a single fault begins. The burst of changes follows a second later, during the fault.
 func (p *Plan) faultStart() time.Duration { return p.Length * 2 / 5 }
 
+// drawChanges draws the changes: at random times with the configured rate, and the burst.
 func (p *Plan) drawChanges(rng *rand.Rand) {
 	add := func(due time.Duration) {
 		p.Changes = append(p.Changes, Change{
@@ -123,7 +124,7 @@
 	slices.SortStableFunc(p.Changes, func(a, b Change) int { return int(a.Due - b.Due) })
 }
 
-// LastFault is the time of the last step, 0 if there is none.
+// LastFault returns the time of the last step, 0 if there is none.
 func (p *Plan) LastFault() (at time.Duration) {
 	for _, step := range p.Steps {
 		at = max(at, step.At)
@@ -131,7 +132,8 @@
 	return at
 }
 
-// Hosts divides the balancers into processes of at most maxPerHost. If a zone will be lost, all balancers of a process are in one zone.
+// Hosts divides the balancers into host processes of at most maxPerHost balancers each, and returns the indices of the balancers of each
+// process. If a zone will be lost, all balancers of a process are in one zone.
 func (p *Plan) Hosts(maxPerHost int) (hosts [][]int) {
 	groups := [][]int{nil}
 	if p.Faults == FaultsZone {
--- a/internal/lab/scale/plan_faults.go
+++ b/internal/lab/scale/plan_faults.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// An ordinary day of a deployment with 4,600 balancers; scaled to a run, but not below a minimum.
+	// Restarts and losses of balancers on an ordinary day of a deployment with 4,600 balancers. They are scaled to the run, but not below a
+	// minimum.
 	referenceBalancers = 4600
 	referenceRestarts  = 1700
 	referenceLosses    = 30
-	minRestarts        = 5 // or one in a hundred balancers
-	minLosses          = 2
-	controlLosses      = 2 // control processes lost in a run: one killed, one shut down
+	minRestarts        = 5 // lowest number of restarts in a run, or one in a hundred balancers if that is more
+	minLosses          = 2 // lowest number of losses in a run
+	controlLosses      = 2 // number of control processes lost in a run: one is killed, one is shut down
 
-	restartTime        = time.Second     // until a balancer is back after a restart
-	replacementTime    = 5 * time.Second // until a lost balancer is replaced
-	controlRestartTime = 2 * time.Second // until a control process is started again
+	restartTime        = time.Second     // time until a balancer is back after a restart
+	replacementTime    = 5 * time.Second // time until a lost balancer is replaced
+	controlRestartTime = 2 * time.Second // time until a lost control process is started again
 
 	minFaultLength = 6 * time.Second // longer than a lease
 	maxFaultLength = 30 * time.Second
 )
 
-// drawFaults draws the steps of the fault schedule, not yet in order, and describes them.
+// drawFaults draws the steps of the fault schedule, in any order, and describes them.
 func (p *Plan) drawFaults(rng *rand.Rand) {
 	switch p.Faults {
 	case FaultsNone:
@@ -39,19 +40,19 @@
 	}
 }
 
-// faultLength is the length of a single fault.
+// faultLength returns the length of a single fault.
 func (p *Plan) faultLength() time.Duration {
 	return min(max(p.Length/5, minFaultLength), maxFaultLength)
 }
 
-// addFault adds the two steps of a fault, unless it affects no process.
-func (p *Plan) addFault(begin, end Action, at, length time.Duration, who []int) {
-	if len(who) == 0 {
+// addFault adds the two steps of a fault, unless it has no targets.
+func (p *Plan) addFault(begin, end Action, at, length time.Duration, targets []int) {
+	if len(targets) == 0 {
 		return
 	}
 	p.Steps = append(p.Steps,
-		Step{At: at, Action: begin, Targets: who},
-		Step{At: at + length, Action: end, Targets: who})
+		Step{At: at, Action: begin, Targets: targets},
+		Step{At: at + length, Action: end, Targets: targets})
 }
 
 // drawControlPlace draws the place of a control process.
@@ -59,8 +60,8 @@
 	return p.ControlPlaces[rng.IntN(p.Options.Control)]
 }
 
-// matching returns the indices of the places that match.
-func matching(places []Place, match func(Place) bool) (indices []int) {
+// matchingPlaces returns the indices of the places that match.
+func matchingPlaces(places []Place, match func(Place) bool) (indices []int) {
 	for i, place := range places {
 		if match(place) {
 			indices = append(indices, i)
@@ -69,17 +70,18 @@
 	return indices
 }
 
-// scaleDay scales a number of an ordinary day to the balancers and the length of the run.
+// scaleDay scales a number of events of an ordinary day to the balancers and the length of the run.
 func (p *Plan) scaleDay(perDay, minimum int) int {
 	scaled := float64(perDay) * float64(p.Balancers) / referenceBalancers * float64(p.Length) / float64(day)
 	return min(p.Balancers, max(minimum, int(scaled+0.5)))
 }
 
+// drawDay draws the faults of an ordinary day: restarts and losses of balancers, and of control processes.
 func (p *Plan) drawDay(rng *rand.Rand) {
-	leastRestarts := max(minRestarts, p.Balancers/100)
-	restarts := p.scaleDay(referenceRestarts, leastRestarts)
+	lowestRestarts := max(minRestarts, p.Balancers/100)
+	restarts := p.scaleDay(referenceRestarts, lowestRestarts)
 	losses := min(p.scaleDay(referenceLosses, minLosses), p.Balancers-restarts)
-	span := float64(p.Length - p.Length/10 - replacementTime) // all are back within the run
+	span := float64(p.Length - p.Length/10 - replacementTime) // all balancers are back before the run ends
 	balancers := rng.Perm(p.Balancers)[:restarts+losses]
 	for i, balancer := range balancers {
 		length := restartTime
@@ -88,21 +90,22 @@
 		}
 		p.addFault(StopBalancers, StartBalancers, p.Length/10+time.Duration(rng.Float64()*span), length, []int{balancer})
 	}
-	endings := []Action{KillControl, StopControl}
+	endActions := []Action{KillControl, StopControl}
 	for i, control := range rng.Perm(p.Options.Control)[:min(controlLosses, p.Options.Control-1)] {
 		at := p.faultStart() + time.Duration(i)*p.Length/4
-		p.addFault(endings[i%len(endings)], StartControl, at, controlRestartTime, []int{control})
+		p.addFault(endActions[i%len(endActions)], StartControl, at, controlRestartTime, []int{control})
 	}
 	p.FaultDescription = fmt.Sprintf("day: %d balancers restart (away %v), %d are lost (away %v), one control process is killed and one ended as planned (away %v each); "+
 		"a day's 1,700 and 30 of 4,600 scaled to %v, but %d and %d at least",
-		restarts, restartTime, losses, replacementTime, controlRestartTime, p.Length, min(p.Balancers, leastRestarts), minLosses)
+		restarts, restartTime, losses, replacementTime, controlRestartTime, p.Length, min(p.Balancers, lowestRestarts), minLosses)
 }
 
+// drawRack draws the loss of a rack with a control process.
 func (p *Plan) drawRack(rng *rand.Rand) {
 	rack := p.drawControlPlace(rng)
 	isInRack := func(place Place) bool { return place == rack }
-	control := matching(p.ControlPlaces, isInRack)
-	balancers := matching(p.BalancerPlaces, isInRack)
+	control := matchingPlaces(p.ControlPlaces, isInRack)
+	balancers := matchingPlaces(p.BalancerPlaces, isInRack)
 	length := p.faultLength()
 	p.addFault(KillControl, StartControl, p.faultStart(), length, control)
 	p.addFault(StopBalancers, StartBalancers, p.faultStart(), length, balancers)
@@ -110,11 +113,12 @@
 		len(control), len(balancers), rack.Zone, rack.Rack, length)
 }
 
+// drawZone draws the loss of a zone with a control process.
 func (p *Plan) drawZone(rng *rand.Rand) {
 	zone := p.drawControlPlace(rng).Zone
 	isInZone := func(place Place) bool { return place.Zone == zone }
-	control := matching(p.ControlPlaces, isInZone)
-	balancers := matching(p.BalancerPlaces, isInZone)
+	control := matchingPlaces(p.ControlPlaces, isInZone)
+	balancers := matchingPlaces(p.BalancerPlaces, isInZone)
 	length := p.faultLength()
 	p.addFault(KillControl, StartControl, p.faultStart(), length, control)
 	p.addFault(KillZone, StartZone, p.faultStart(), length, []int{zone})
@@ -122,11 +126,12 @@
 		len(control), len(balancers), zone, length)
 }
 
+// drawRegion draws the partition of a region with a control process from the other control processes.
 func (p *Plan) drawRegion(rng *rand.Rand) {
 	region := p.drawControlPlace(rng).Region
 	isInRegion := func(place Place) bool { return place.Region == region }
-	control := matching(p.ControlPlaces, isInRegion)
-	voters := matching(p.ControlPlaces[:p.Voters], isInRegion)
+	control := matchingPlaces(p.ControlPlaces, isInRegion)
+	voters := matchingPlaces(p.ControlPlaces[:p.Voters], isInRegion)
 	length := p.faultLength()
 	p.addFault(CutLinks, RestoreLinks, p.faultStart(), length, control)
 	p.FaultDescription = fmt.Sprintf("region: the %d control processes of region %d (%d of them vote) are cut off from the others for %v; balancers reach both sides",
--- a/internal/lab/scale/spread.go
+++ b/internal/lab/scale/spread.go
@@ -7,14 +7,14 @@
 
 // Spread is the distribution of the balancers' connections over the control processes.
 type Spread struct {
-	Least   int
-	Most    int
-	Allowed int // for Most
+	Least   int // connections of the control process that has least
+	Most    int // connections of the control process that has most
+	Allowed int // highest value of Most that is still even
 	Mean    float64
 }
 
-// NewSpread returns the spread of the connections of each control process that runs. It is even if none has more than twice the mean plus
-// ten: numbers differ by design, as balancers prefer their own region and connect to control processes of different zones.
+// NewSpread returns the spread for the numbers of connections of all control processes that run. It is even if none has more than twice the mean
+// plus ten: the numbers differ by design, as balancers prefer their own region and connect to control processes of different zones.
 func NewSpread(connections []int) Spread {
 	if len(connections) == 0 {
 		return Spread{}
