--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -104,7 +104,7 @@
 
 // TestScaleRejectsBadArguments: the error names the flag, and the exit code is 2.
 func TestScaleRejectsBadArguments(t *testing.T) {
-	for want, args := range map[string][]string{"--faults: \"rock\" is none": {"--faults", "rock"}, "--regions: 4 lies outside 1 to 3": {"--regions", "4"},
+	for want, args := range map[string][]string{"--faults: \"rock\" is not a kind of faults": {"--faults", "rock"}, "--regions: 4 lies outside 1 to 3": {"--regions", "4"},
 		"--binary: stat": {"--binary", "/nowhere"}, "--for: expected duration": {"--for", "3"}, "unknown flag --control-processes": {"--control-processes", "3"}} {
 		cmd, out := scaleCommand(t.TempDir(), args...)
 		err := cmd.Run()
--- a/internal/lab/scale/options.go
+++ b/internal/lab/scale/options.go
@@ -62,16 +62,16 @@
 		return BadArgument{"for", fmt.Sprintf("%v lies outside %v to %v", o.Length, minLength, maxLength)}
 	}
 	if !slices.Contains(Faults, o.Faults) {
-		return BadArgument{"faults", fmt.Sprintf("%q is none; there are %v", o.Faults, Faults)}
+		return BadArgument{"faults", fmt.Sprintf("%q is not a kind of faults; the kinds are %v", o.Faults, Faults)}
 	}
 	if o.Faults != FaultsNone && o.Control < 2 {
-		return BadArgument{"faults", fmt.Sprintf("%s wants 2 control processes at least", o.Faults)}
+		return BadArgument{"faults", fmt.Sprintf("%s needs at least 2 control processes", o.Faults)}
 	}
 	if o.Faults == FaultsZone && o.Zones < 2 {
-		return BadArgument{"faults", "zone wants 2 zones at least"}
+		return BadArgument{"faults", "zone needs at least 2 zones"}
 	}
 	if o.Faults == FaultsRegion && o.Regions < 2 {
-		return BadArgument{"faults", "region wants 2 regions at least"}
+		return BadArgument{"faults", "region needs at least 2 regions"}
 	}
 	return nil
 }
--- a/internal/lab/scale/plan_golden_test.go
+++ b/internal/lab/scale/plan_golden_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestPlanOfASeedIsStable holds the plans that earlier builds drew for a seed: figures of runs can be compared only if the plans are the
-// same.
+// TestPlanOfASeedIsStable fails if a seed gives another plan than in earlier versions: the figures of two runs can only be compared if their
+// plans are the same.
 func TestPlanOfASeedIsStable(t *testing.T) {
 	want := map[string]string{
 		FaultsNone:   "01939e82475334cf",
--- a/internal/lab/scale/requirements.go
+++ b/internal/lab/scale/requirements.go
@@ -55,13 +55,13 @@
 func (r Requirements) Check(files int, total, available float64) error {
 	switch {
 	case r.Processes > maxProcesses:
-		return BadArgument{"control", fmt.Sprintf("%d processes in all; %d at the most", r.Processes, maxProcesses)}
+		return BadArgument{"control", fmt.Sprintf("the run needs %d processes; at most %d are allowed", r.Processes, maxProcesses)}
 	case r.Files > files:
-		return BadArgument{"balancers", fmt.Sprintf("a process may need %d descriptors; this machine allows %d (ulimit -n)", r.Files, files)}
+		return BadArgument{"balancers", fmt.Sprintf("a process may need %d file descriptors; this machine allows %d (ulimit -n)", r.Files, files)}
 	case r.MemoryMB > total/2:
-		return BadArgument{"balancers", fmt.Sprintf("some %.0f MB in all, with what is booked of %d changes; half of this machine's memory is %.0f MB", r.MemoryMB, r.Changes, total/2)}
+		return BadArgument{"balancers", fmt.Sprintf("the run needs about %.0f MB, including the ledger of %d changes; half of this machine's memory is %.0f MB", r.MemoryMB, r.Changes, total/2)}
 	case r.MemoryMB > available:
-		return BadArgument{"balancers", fmt.Sprintf("some %.0f MB in all; %.0f MB are free on this machine now", r.MemoryMB, available)}
+		return BadArgument{"balancers", fmt.Sprintf("the run needs about %.0f MB; %.0f MB are free on this machine now", r.MemoryMB, available)}
 	}
 	return nil
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -22,6 +22,7 @@
 	return p
 }
 
+// TestOptionsRejectBadArguments sets one option to a bad value at a time: the error has to name the flag and say what is wrong.
 func TestOptionsRejectBadArguments(t *testing.T) {
 	for _, c := range []struct {
 		change func(*Options)
@@ -34,120 +35,125 @@
 		{func(o *Options) { o.ChangesPerDay = -1 }, "--changes-per-day: -1 lies outside"},
 		{func(o *Options) { o.Burst = 10001 }, "--burst: 10001 lies outside"},
 		{func(o *Options) { o.Length = 9 * time.Second }, "--for: 9s lies outside 10s to 24h"},
-		{func(o *Options) { o.Faults = "rock" }, `--faults: "rock" is none; there are [none day rack zone region]`},
-		{func(o *Options) { o.Faults, o.Control = FaultsRack, 1 }, "--faults: rack wants 2 control processes"},
-		{func(o *Options) { o.Faults, o.Zones, o.Regions = FaultsZone, 1, 1 }, "--faults: zone wants 2 zones"},
-		{func(o *Options) { o.Faults, o.Regions = FaultsRegion, 1 }, "--faults: region wants 2 regions"},
+		{func(o *Options) { o.Faults = "rock" }, `--faults: "rock" is not a kind of faults; the kinds are [none day rack zone region]`},
+		{func(o *Options) { o.Faults, o.Control = FaultsRack, 1 }, "--faults: rack needs at least 2 control processes"},
+		{func(o *Options) { o.Faults, o.Zones, o.Regions = FaultsZone, 1, 1 }, "--faults: zone needs at least 2 zones"},
+		{func(o *Options) { o.Faults, o.Regions = FaultsRegion, 1 }, "--faults: region needs at least 2 regions"},
 	} {
 		o := testOptions()
 		c.change(&o)
 		_, err := NewPlan(o)
 		var bad BadArgument
 		if !errors.As(err, &bad) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("got %v, wanted %q", err, c.want)
+			t.Errorf("got error %v, want one with %q", err, c.want)
 		}
 	}
 }
 
+// TestPlanDependsOnSeedOnly fails if a plan depends on anything but its options, or if the seed has no effect.
 func TestPlanDependsOnSeedOnly(t *testing.T) {
 	for _, kind := range Faults {
 		o := testOptions()
 		o.Faults = kind
 		if !reflect.DeepEqual(newTestPlan(t, o), newTestPlan(t, o)) {
-			t.Errorf("%s: the same seed, another plan", kind)
+			t.Errorf("%s: the same seed gave another plan", kind)
 		}
 		p := newTestPlan(t, o)
 		o.Seed++
 		if reflect.DeepEqual(p.Changes, newTestPlan(t, o).Changes) {
-			t.Errorf("%s: another seed, the same changes", kind)
+			t.Errorf("%s: another seed gave the same changes", kind)
 		}
 	}
 }
 
-// TestChangesAtConfiguredRate checks the number of changes of a day, and that a burst takes less than a second.
+// TestChangesAtConfiguredRate checks the number of changes of a day and their order, that a burst takes less than a second, and that keys and
+// sizes are within their limits.
 func TestChangesAtConfiguredRate(t *testing.T) {
 	o := testOptions()
 	o.Length = 24 * time.Hour
 	p := newTestPlan(t, o)
-	if n := len(p.Changes) - o.Burst; n < 20400 || n > 21600 { // four times the root of the mean
-		t.Errorf("%d changes in a day", n)
+	if n := len(p.Changes) - o.Burst; n < 20400 || n > 21600 { // the mean of 21000, give or take four standard deviations
+		t.Errorf("%d changes in a day, want 20400 to 21600", n)
 	}
 	if !slices.IsSortedFunc(p.Changes, func(a, b Change) int { return int(a.Due - b.Due) }) {
-		t.Error("not by time")
+		t.Error("the changes are not in order of time")
 	}
 	o.ChangesPerDay, o.Length = 0, 10*time.Second
 	p = newTestPlan(t, o)
 	if n := len(p.Changes); n != 100 || p.Changes[99].Due-p.Changes[0].Due >= time.Second || p.Changes[99].Due > o.Length {
-		t.Errorf("a burst of %d from %v to %v", n, p.Changes[0].Due, p.Changes[n-1].Due)
+		t.Errorf("a burst of %d changes from %v to %v, want 100 within a second", n, p.Changes[0].Due, p.Changes[n-1].Due)
 	}
 	for _, c := range p.Changes {
 		if c.Key < 0 || c.Key >= Keys || c.Bytes < minValueBytes || c.Bytes > maxValueBytes {
-			t.Fatalf("%+v", c)
+			t.Fatalf("key or size out of range: %+v", c)
 		}
 	}
 }
 
+// TestVotersAreOdd: an even number of voters tolerates no more failures than one voter less.
 func TestVotersAreOdd(t *testing.T) {
 	for control, want := range map[int]int{1: 1, 2: 1, 3: 3, 4: 3, 5: 5, 6: 5, 17: 5} {
 		if got := Voters(control); got != want {
-			t.Errorf("%d of %d vote, wanted %d", got, control, want)
+			t.Errorf("%d of %d control processes vote, want %d", got, control, want)
 		}
 	}
 }
 
-// TestEachFaultEndsWithinTheRun checks that each step that stops something is followed by the one that starts it again, within the run.
+// TestEachFaultEndsWithinTheRun checks that each step that stops processes or cuts links is followed by the one that ends the fault, within the
+// run.
 func TestEachFaultEndsWithinTheRun(t *testing.T) {
-	off := map[Action]Action{KillControl: StartControl, StopControl: StartControl, CutLinks: RestoreLinks, StopBalancers: StartBalancers, KillZone: StartZone}
+	endOf := map[Action]Action{KillControl: StartControl, StopControl: StartControl, CutLinks: RestoreLinks, StopBalancers: StartBalancers, KillZone: StartZone}
 	for _, kind := range Faults[1:] {
-		for _, long := range []time.Duration{minLength, time.Minute, time.Hour} {
+		for _, length := range []time.Duration{minLength, time.Minute, time.Hour} {
 			o := testOptions()
-			o.Faults, o.Length = kind, long
+			o.Faults, o.Length = kind, length
 			p := newTestPlan(t, o)
-			gone := map[string]bool{}
-			went := 0
+			faulty := map[string]bool{}
+			faults := 0
 			for _, s := range p.Steps {
 				if s.At < 0 || s.At > o.Length {
-					t.Errorf("%s, %v: %+v", kind, long, s)
+					t.Errorf("%s, %v: step outside the run: %+v", kind, length, s)
 				}
-				for _, who := range s.Targets {
-					of := string(s.Action) // what brings it back
-					if back, is := off[s.Action]; is {
-						of = string(back)
+				for _, target := range s.Targets {
+					endAction := string(s.Action) // the action that ends the fault
+					if end, isStart := endOf[s.Action]; isStart {
+						endAction = string(end)
 					}
-					name := of + string(rune(who))
-					if _, is := off[s.Action]; is == gone[name] {
-						t.Fatalf("%s, %v: %+v", kind, long, s)
+					name := endAction + string(rune(target))
+					if _, isStart := endOf[s.Action]; isStart == faulty[name] {
+						t.Fatalf("%s, %v: step begins a fault that is going on, or ends one that is not: %+v", kind, length, s)
 					}
-					gone[name] = !gone[name]
-					if gone[name] {
-						went++
+					faulty[name] = !faulty[name]
+					if faulty[name] {
+						faults++
 					}
 				}
 			}
-			for name, is := range gone {
-				if is {
-					t.Errorf("%s, %v: %q does not come back", kind, long, name)
+			for name, isFaulty := range faulty {
+				if isFaulty {
+					t.Errorf("%s, %v: the fault that %q ends does not end", kind, length, name)
 				}
 			}
-			if went == 0 || p.LastFault() == 0 || p.FaultDescription == "" {
-				t.Errorf("%s, %v: nothing goes", kind, long)
+			if faults == 0 || p.LastFault() == 0 || p.FaultDescription == "" {
+				t.Errorf("%s, %v: no fault, or no description of it", kind, length)
 			}
 		}
 	}
 }
 
-// TestBurstDuringFault: a burst outside the fault would show less.
+// TestBurstDuringFault checks that the burst of changes falls into the fault: outside of it, the burst would test less.
 func TestBurstDuringFault(t *testing.T) {
 	for _, kind := range []string{FaultsRack, FaultsZone, FaultsRegion} {
 		o := testOptions()
 		o.Faults, o.ChangesPerDay = kind, 0
 		p := newTestPlan(t, o)
 		if first, last := p.Changes[0].Due, p.Changes[len(p.Changes)-1].Due; first < p.Steps[0].At || last > p.LastFault() {
-			t.Errorf("%s from %v to %v, burst from %v to %v", kind, p.Steps[0].At, p.LastFault(), first, last)
+			t.Errorf("%s: the fault lasts from %v to %v, the burst from %v to %v", kind, p.Steps[0].At, p.LastFault(), first, last)
 		}
 	}
 }
 
+// TestDayIsScaledToRun checks the number of restarts and losses of a day, of a minute, where the minimum applies, and with few balancers.
 func TestDayIsScaledToRun(t *testing.T) {
 	count := func(o Options) (n int) {
 		for _, s := range newTestPlan(t, o).Steps {
@@ -160,18 +166,19 @@
 	o := testOptions()
 	o.Faults, o.Balancers, o.Length = FaultsDay, 4600, 24*time.Hour
 	if n := count(o); n != 1730 {
-		t.Errorf("%d go in a day", n)
+		t.Errorf("%d balancers stop in a day, want 1730", n)
 	}
 	o.Length = time.Minute
 	if n := count(o); n != 46+2 {
-		t.Errorf("%d go in a minute", n)
+		t.Errorf("%d balancers stop in a minute, want 48", n)
 	}
 	o.Balancers = 3
 	if n := count(o); n != 3 {
-		t.Errorf("%d of 3 go", n)
+		t.Errorf("%d of 3 balancers stop, want 3", n)
 	}
 }
 
+// TestHostsContainEachBalancerOnce checks also that a host process has no more than its limit, and with a zone fault only balancers of one zone.
 func TestHostsContainEachBalancerOnce(t *testing.T) {
 	for _, kind := range []string{FaultsNone, FaultsZone} {
 		o := testOptions()
@@ -180,18 +187,18 @@
 		var all []int
 		for _, h := range p.Hosts(30) {
 			if len(h) == 0 || len(h) > 30 {
-				t.Errorf("%s: %d in one", kind, len(h))
+				t.Errorf("%s: %d balancers in one host process, want 1 to 30", kind, len(h))
 			}
 			for _, b := range h {
 				if kind == FaultsZone && p.BalancerPlaces[b].Zone != p.BalancerPlaces[h[0]].Zone {
-					t.Errorf("zones %d and %d in one", p.BalancerPlaces[b].Zone, p.BalancerPlaces[h[0]].Zone)
+					t.Errorf("zones %d and %d in one host process", p.BalancerPlaces[b].Zone, p.BalancerPlaces[h[0]].Zone)
 				}
 			}
 			all = append(all, h...)
 		}
 		slices.Sort(all)
 		if len(all) != o.Balancers || len(slices.Compact(all)) != o.Balancers {
-			t.Errorf("%s: %d of %d", kind, len(all), o.Balancers)
+			t.Errorf("%s: the host processes have %d balancers, want each of %d once", kind, len(all), o.Balancers)
 		}
 	}
 }
@@ -200,15 +207,15 @@
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * ms }
 
-// newTestLedger has changes of versions 11 and 12, due at 100 and 200 ms, and one balancer that is up from 0 on.
-func newTestLedger(more ...func(*Ledger)) *Ledger {
+// newTestLedger returns a ledger with changes of versions 11 and 12, due at 100 and 200 ms, and one balancer that is up from 0 on.
+func newTestLedger(records ...func(*Ledger)) *Ledger {
 	l := NewLedger(1, 2)
 	l.SetDueTime(0, milliseconds(100))
 	l.SetDueTime(1, milliseconds(200))
 	l.SetVersion(0, 11)
 	l.SetVersion(1, 12)
 	l.RecordStart(0, 0)
-	for _, f := range more {
+	for _, f := range records {
 		f(l)
 	}
 	return l
@@ -216,19 +223,20 @@
 
 var completeState = Final{Version: 12, Digest: 7, Values: 9}
 
+// TestInForceIsMeasuredFromDueTime checks that a change counts from the time at which it was to be put, not from when it was accepted.
 func TestInForceIsMeasuredFromDueTime(t *testing.T) {
 	a := newTestLedger(func(l *Ledger) {
 		l.RecordApplied(0, 11, milliseconds(150))
 		l.RecordApplied(0, 12, milliseconds(260))
 		l.SetFinal(0, completeState)
 	}).ComputeAccount(milliseconds(1000), completeState)
-	if a.MissedChanges+a.Regressions+a.ChangesNotAccepted+a.BalancersDiffering+a.BalancersSilent+a.BalancersBehind != 0 || a.InForceTimes.TotalCount() != 2 || (a.InForceTimes.Min()+500)/1000 != 50 || // as the histogram rounds
+	if a.MissedChanges+a.Regressions+a.ChangesNotAccepted+a.BalancersDiffering+a.BalancersSilent+a.BalancersBehind != 0 || a.InForceTimes.TotalCount() != 2 || (a.InForceTimes.Min()+500)/1000 != 50 || // rounded as in the histogram
 		a.InForceTimes.Max()/1000 != 60 || a.SlowestChange != 1 {
 		t.Errorf("%+v, %d to %d us", a, a.InForceTimes.Min(), a.InForceTimes.Max())
 	}
 }
 
-// TestSnapshotAppliesAllChanges applies the version of the second change only.
+// TestSnapshotAppliesAllChanges applies the version of the second change only: it includes the first one.
 func TestSnapshotAppliesAllChanges(t *testing.T) {
 	a := newTestLedger(func(l *Ledger) {
 		l.RecordApplied(0, 12, milliseconds(300))
@@ -239,7 +247,7 @@
 	}
 }
 
-// TestUnreachableTimeIsNotCounted: for a balancer that is down from 120 to 400 ms, what was due meanwhile counts from its return.
+// TestUnreachableTimeIsNotCounted has a balancer that is down from 120 to 400 ms: a change that was due meanwhile counts from its return.
 func TestUnreachableTimeIsNotCounted(t *testing.T) {
 	a := newTestLedger(func(l *Ledger) {
 		l.RecordEnd(0, milliseconds(120))
@@ -252,7 +260,7 @@
 	}
 }
 
-// TestStalenessBeforeRestartIsCounted: a restart does not hide that a balancer lacked a change for long.
+// TestStalenessBeforeRestartIsCounted checks that a restart does not hide that a balancer lacked a change for a long time before.
 func TestStalenessBeforeRestartIsCounted(t *testing.T) {
 	a := newTestLedger(func(l *Ledger) {
 		l.RecordApplied(0, 11, milliseconds(110))
@@ -266,6 +274,7 @@
 	}
 }
 
+// TestUnreachableAtEndMissesNothing checks that a balancer that is down at the end counts neither as silent nor as behind.
 func TestUnreachableAtEndMissesNothing(t *testing.T) {
 	a := newTestLedger(func(l *Ledger) { l.RecordEnd(0, milliseconds(50)) }).ComputeAccount(milliseconds(1000), completeState)
 	if a.MissedChanges != 0 || a.BalancersSilent != 0 || a.InForceTimes.TotalCount() != 0 {
@@ -273,11 +282,11 @@
 	}
 }
 
-// TestMissedChangesAreCounted has one fault in each case.
+// TestMissedChangesAreCounted has a balancer with a single defect in each case, which has to be counted as that defect only.
 func TestMissedChangesAreCounted(t *testing.T) {
 	for name, c := range map[string]struct {
-		more func(*Ledger)
-		want Account
+		record func(*Ledger)
+		want   Account
 	}{
 		"behind": {func(l *Ledger) {
 			l.RecordApplied(0, 11, milliseconds(150))
@@ -308,25 +317,27 @@
 			l.SetFinal(0, completeState)
 		}, Account{Regressions: 1}},
 	} {
-		got := newTestLedger(c.more).ComputeAccount(milliseconds(1000), completeState)
+		got := newTestLedger(c.record).ComputeAccount(milliseconds(1000), completeState)
 		got.InForceTimes, got.ReturnTimes, got.SlowestChange = nil, nil, 0
 		if got != c.want {
-			t.Errorf("%s: %+v, wanted %+v", name, got, c.want)
+			t.Errorf("%s: got %+v, want %+v", name, got, c.want)
 		}
 	}
 }
 
+// TestNewestByKey checks that the newest change of a key is the one with the highest version, not the one that was put last.
 func TestNewestByKey(t *testing.T) {
 	l := NewLedger(1, 4)
-	l.SetVersion(0, 12) // put later than the next one of its key
+	l.SetVersion(0, 12) // has a higher version than the next change of its key
 	l.SetVersion(1, 11)
 	l.SetVersion(2, 13)
 	version, byKey := l.Newest(func(i int) int { return i / 2 })
 	if version != 13 || byKey[0] != 0 || byKey[1] != 2 || byKey[2] != -1 {
-		t.Errorf("%d, %v", version, byKey[:3])
+		t.Errorf("got version %d and changes by key %v", version, byKey[:3])
 	}
 }
 
+// TestSpreadIsEven checks the limit of twice the mean plus ten.
 func TestSpreadIsEven(t *testing.T) {
 	if s := NewSpread([]int{10, 30, 0}); !s.Even() || s.Allowed != 36 {
 		t.Error(s)
@@ -339,15 +350,15 @@
 	}
 }
 
-// TestEachTargetIsChecked misses one target at a time; without targets only counts are checked.
+// TestEachTargetIsChecked misses one target at a time, which the verdict has to name. Without targets, only counts are checked.
 func TestEachTargetIsChecked(t *testing.T) {
 	kept := Figures{Samples: 1, Steady: true, InForceWorst: 7000, BalancerCore: 1.6, BalancerMB: 128, BalancerBytes: 3000, ControlCore: 100, ControlMB: 4096}
-	if not := kept.Check(&DefaultTargets); len(not) != 0 || Verdict(not) != "verdict: kept" {
-		t.Error(not)
+	if missed := kept.Check(&DefaultTargets); len(missed) != 0 || Verdict(missed) != "verdict: kept" {
+		t.Error(missed)
 	}
 	for want, c := range map[string]struct {
-		change func(*Figures)
-		counts bool
+		change  func(*Figures)
+		isCount bool
 	}{
 		"in force 7001 ms, allowed 7000":                                        {func(f *Figures) { f.InForceWorst++ }, false},
 		"first state after a return 8000 ms, allowed 7000":                      {func(f *Figures) { f.ReturnedWorst = 8000 }, false},
@@ -369,38 +380,39 @@
 		f := kept
 		c.change(&f)
 		if v := Verdict(f.Check(&DefaultTargets)); !strings.HasPrefix(v, "verdict: not kept: "+want) {
-			t.Errorf("%s, wanted %q", v, want)
+			t.Errorf("got %q, want %q", v, want)
 		}
-		if not := f.Check(nil); (len(not) > 0) != c.counts {
-			t.Errorf("%s: by counts %v", want, not)
+		if missed := f.Check(nil); (len(missed) > 0) != c.isCount {
+			t.Errorf("%s: without targets, the check returned %v", want, missed)
 		}
 	}
 }
 
+// TestRequirementsOfMachine checks that a run is rejected that needs more memory, file descriptors or processes than the machine has.
 func TestRequirementsOfMachine(t *testing.T) {
 	p := newTestPlan(t, testOptions())
-	n := p.Requirements(p.Hosts(300))
+	requirements := p.Requirements(p.Hosts(300))
 	long := testOptions()
 	long.Length, long.Balancers = 24*time.Hour, 4600
-	if l := newTestPlan(t, long); l.Requirements(l.Hosts(300)).Check(20000, 16000, 16000) == nil {
-		t.Error("the ledger of a day takes no memory")
+	if day := newTestPlan(t, long); day.Requirements(day.Hosts(300)).Check(20000, 16000, 16000) == nil {
+		t.Error("a run whose ledger needs more memory than the machine has was accepted")
 	}
 	region := testOptions()
 	region.Faults, region.Balancers = FaultsRegion, 5000
 	if r := newTestPlan(t, region); r.Requirements(r.Hosts(300)).Check(20000, 24000, 16000) == nil {
-		t.Error("forwarders need no descriptors")
+		t.Error("a run whose forwarders need more descriptors than a process may have was accepted")
 	}
-	if err := n.Check(20000, 24000, 16000); err != nil {
+	if err := requirements.Check(20000, 24000, 16000); err != nil {
 		t.Error(err)
 	}
 	for want, err := range map[string]error{
-		"--balancers: a process may need 1456 descriptors; this machine allows 1024":                                     n.Check(1024, 24000, 16000),
-		"--balancers: some 1435 MB in all, with what is booked of 122 changes; half of this machine's memory is 1000 MB": n.Check(20000, 2000, 16000),
-		"--balancers: some 1435 MB in all; 1400 MB are free":                                                             n.Check(20000, 24000, 1400),
-		"--control: 301 processes in all; 300 at the most":                                                               Requirements{Processes: 301}.Check(20000, 24000, 16000),
+		"--balancers: a process may need 1456 file descriptors; this machine allows 1024":                                         requirements.Check(1024, 24000, 16000),
+		"--balancers: the run needs about 1435 MB, including the ledger of 122 changes; half of this machine's memory is 1000 MB": requirements.Check(20000, 2000, 16000),
+		"--balancers: the run needs about 1435 MB; 1400 MB are free":                                                              requirements.Check(20000, 24000, 1400),
+		"--control: the run needs 301 processes; at most 300 are allowed":                                                         Requirements{Processes: 301}.Check(20000, 24000, 16000),
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, wanted %q", err, want)
+			t.Errorf("got error %v, want one with %q", err, want)
 		}
 	}
 }
