--- a/cmd/testbed/count.go
+++ b/cmd/testbed/count.go
@@ -117,7 +117,7 @@
 
 // printEvents prints the counts of events over time.
 func printEvents(to io.Writer, stats *logstats.Statistics) error {
-	table := newLogTable(to, append(logstats.Names[:], "held", "places", "half-within", "nine-in-ten")...)
+	table := newLogTable(to, append(logstats.ColumnNames[:], "held", "places", "half-within", "nine-in-ten")...)
 	for _, row := range stats.Rows {
 		table.cell(row.At)
 		for _, count := range row.Columns {
--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -41,8 +41,8 @@
 	columns
 )
 
-// Names are the names of the columns, as tables print them.
-var Names = [columns]string{"ready", "stands", "ended", "timed-out", "failed", "no-conn", "turned", "braked", "nacked",
+// ColumnNames are the names of the columns, as tables print them.
+var ColumnNames = [columns]string{"ready", "stands", "ended", "timed-out", "failed", "no-conn", "turned", "braked", "nacked",
 	"broken-off", "lists", "no-list", "guesses", "paces", "slow"}
 
 // Row is one step of time, over all balancers.
