--- a/internal/lab/logstats/logstats.go
+++ b/internal/lab/logstats/logstats.go
@@ -1,5 +1,6 @@
-// Package logstats sums up the debug logs of many balancers: random variation of one balancer averages out over all of them. It owns the
-// number of logsing of these logs and the tables made of them. It must never check rules, and never need a running balancer.
+// Package logstats summarizes the debug logs of many balancers over time: the random variation of a single balancer averages out over all of
+// them. It owns the parsing of these logs and the rows of the tables that are made from them. It must never check rules, and never need a
+// running balancer.
 package logstats
 
 import (
@@ -16,56 +17,56 @@
 )
 
 const (
-	maxLineBytes   = 1 << 20    // of a log line
-	maxRows        = 100_000    // from the first line to the last
-	maxSetupMicros = 60_000_000 // longer set-ups count as this
+	maxLineBytes   = 1 << 20    // limit for the length of a log line
+	maxRows        = 100_000    // limit for the number of rows from the first line to the last
+	maxSetupMicros = 60_000_000 // limit for recorded set-up times; longer ones count as this
 )
 
-// The columns of a row, in their order: the events that log lines are counted as.
+// The columns of a row, in their order. Each is a kind of event that log lines are counted as.
 const (
-	Ready                 = iota // processes that have become ready
-	Established                  // established sessions
-	Ended                        // established sessions that ended or migrated
-	TimedOut                     // attempts that timed out
-	Failed                       // attempts that failed with an error
-	Unconnected                  // attempts without a connection
-	Rejected                     // attempts that were rejected, reset or canceled
-	RejectedByBudget             // sessions rejected without an attempt
-	RejectedAfterAttempts        // sessions rejected after attempts
-	SessionFailed                // sessions that failed otherwise
-	Lists                        // endpoint lists received
-	NoList                       // requests to discovery that failed
-	LoadEstimates                // health checks that gave a load
-	Paces                        // changes of pace
-	Slow                         // reports of slow messages
-	columns
+	ReadyProcesses          = iota // processes that have become ready
+	EstablishedSessions            // established sessions
+	EndedSessions                  // established sessions that ended or migrated
+	TimedOutAttempts               // attempts that timed out
+	FailedAttempts                 // attempts that failed with an error
+	UnconnectedAttempts            // attempts that got no connection
+	RejectedAttempts               // attempts that were rejected, reset or canceled
+	RejectedByBudget               // sessions rejected before any attempt
+	RejectedAfterAttempts          // sessions rejected after attempts
+	FailedSessions                 // sessions that failed for other reasons
+	EndpointLists                  // endpoint lists received
+	FailedDiscoveryRequests        // requests for an endpoint list that failed
+	LoadEstimates                  // load estimates of health checks
+	SpeedChanges                   // changes of the estimated speed of a server
+	SlowMessageReports             // reports of slow messages
+	columnCount
 )
 
-// ColumnNames are the names of the columns, as tables print them.
-var ColumnNames = [columns]string{"ready", "stands", "ended", "timed-out", "failed", "no-conn", "turned", "braked", "nacked",
+// ColumnNames are the names of the columns as tables print them.
+var ColumnNames = [columnCount]string{"ready", "stands", "ended", "timed-out", "failed", "no-conn", "turned", "braked", "nacked",
 	"broken-off", "lists", "no-list", "guesses", "paces", "slow"}
 
-// Row is one step of time, over all balancers.
+// Row holds the counts of one step of time, over all balancers.
 type Row struct {
-	At              time.Duration // since the first line of all logs
-	Columns         [columns]int
-	Sessions        int            // established at its end
-	ServersPerGroup float64        `json:"Places"` // servers of a group, mean; 0 without groups
-	SetupP50        time.Duration  `json:"Middle"` // median of the set-up times
+	At              time.Duration // start of the step, since the first line of all logs
+	Columns         [columnCount]int
+	Sessions        int            // sessions that are established at the end of the step
+	ServersPerGroup float64        `json:"Places"` // mean number of servers that hold sessions of a group; 0 without groups
+	SetupP50        time.Duration  `json:"Middle"` // median set-up time
 	SetupP90        time.Duration  `json:"Late"`   // 90th percentile of the set-up times
-	Servers         map[string]int // sessions by server, at its end
+	Servers         map[string]int // established sessions by server, at the end of the step
 }
 
-// Statistics is the sum of the logs.
+// Statistics is the summary of all logs.
 type Statistics struct {
-	Step   time.Duration
+	Step   time.Duration // length of a row
 	Rows   []Row
-	Names  []string // of the servers, sorted
-	Unread int      // lines that are not log lines of a balancer
+	Names  []string // names of the servers, sorted
+	Unread int      // number of lines that are not log lines of a balancer
 	Logs   int      // number of logs
 }
 
-// entry is the part of a log line that is counted. The names of its fields are those of the log.
+// entry holds the fields of a log line that are evaluated. Their JSON names are those of the log.
 type entry struct {
 	Time     time.Time `json:"ts"`
 	Message  string    `json:"msg"`
@@ -74,28 +75,29 @@
 	Attempts int `json:"tries"`
 	Server   string
 	Session  string  `json:"circuit"`
-	After    float64 // seconds
+	After    float64 // set-up time in seconds
 	Group    uint64
 }
 
-// groupServer is a server of a group.
+// groupServer identifies a server and the group of a session on it.
 type groupServer struct {
 	server string
-	group  uint64 // 0: none
+	group  uint64 // 0 if the session has no group
 }
 
-// event is one counted log line; noColumn if it only changes the number of sessions.
+// event is the effect of a log line on the counts.
 type event struct {
-	at          time.Time
-	column      int
-	setupTime   time.Duration
-	change      int // of the number of sessions of groupServer
-	groupServer groupServer
+	at            time.Time
+	column        int           // noColumn if the event only changes the number of sessions
+	setupTime     time.Duration // set-up time of a session that was established
+	sessionChange int           // change of the number of sessions of groupServer
+	groupServer   groupServer
 }
 
+// noColumn stands for a log line or event that is counted in no column.
 const noColumn = -1
 
-// Reader reads logs, one balancer's after the other, and sums them up.
+// Reader reads the logs of balancers, one after the other, and summarizes them.
 type Reader struct {
 	events []event
 	unread int
@@ -106,35 +108,35 @@
 func (e *entry) column() int {
 	switch e.Message {
 	case "ready":
-		return Ready
+		return ReadyProcesses
 	case "stands":
-		return Established
+		return EstablishedSessions
 	case "stood":
-		return Ended
+		return EndedSessions
 	case "list":
-		return Lists
+		return EndpointLists
 	case "no list":
-		return NoList
+		return FailedDiscoveryRequests
 	case "guess":
 		return LoadEstimates
 	case "pace":
-		return Paces
+		return SpeedChanges
 	case "slow messages":
-		return Slow
+		return SlowMessageReports
 	case "try ended":
 		switch e.Outcome {
 		case "timed-out":
-			return TimedOut
+			return TimedOutAttempts
 		case "failed":
-			return Failed
+			return FailedAttempts
 		case "connect-failed":
-			return Unconnected
+			return UnconnectedAttempts
 		}
-		return Rejected
+		return RejectedAttempts
 	case "not served":
 		switch {
 		case len(e.Answer) < 4 || e.Answer[:4] != "BUSY":
-			return SessionFailed
+			return FailedSessions
 		case e.Attempts == 0:
 			return RejectedByBudget
 		}
@@ -143,8 +145,8 @@
 	return noColumn
 }
 
-// Read reads the log of one balancer, with its restarts one after the other. Text before the JSON object of a line is skipped: a collector
-// may have put its own time there. An error names the line.
+// Read reads the log of one balancer, whose processes follow each other in it. Text before the JSON object of a line is skipped: a log
+// collector may have put its own timestamp there. An error names the line.
 func (r *Reader) Read(name string, log io.Reader) error {
 	r.logs++
 	sessions := map[string]groupServer{} // established sessions of the current process
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// parseEntry parses a log line, and reports whether it is one of a balancer.
+// parseEntry parses a line, and reports whether it is a log line of a balancer.
 func parseEntry(line []byte) (entry, bool) {
 	var e entry
 	start := bytes.IndexByte(line, '{')
@@ -184,19 +186,19 @@
 	}
 	counted := event{at: e.Time, column: column}
 	switch column {
-	case Ready: // the sessions of an earlier process ended with it, at a time that is in no log
+	case ReadyProcesses: // the sessions of the earlier process ended with it, but no line tells when
 		for _, s := range sessions {
-			r.events = append(r.events, event{at: e.Time, column: noColumn, change: -1, groupServer: s})
+			r.events = append(r.events, event{at: e.Time, column: noColumn, sessionChange: -1, groupServer: s})
 		}
 		clear(sessions)
-	case Established:
+	case EstablishedSessions:
 		counted.setupTime = time.Duration(e.After * float64(time.Second))
-		counted.change = 1
+		counted.sessionChange = 1
 		counted.groupServer = groupServer{server: e.Server, group: e.Group}
 		sessions[e.Session] = counted.groupServer
-	case Ended:
+	case EndedSessions:
 		if s, established := sessions[e.Session]; established {
-			counted.change = -1
+			counted.sessionChange = -1
 			counted.groupServer = s
 			delete(sessions, e.Session)
 		}
@@ -204,46 +206,46 @@
 	r.events = append(r.events, counted)
 }
 
-// Sum sums up what was read, in steps of time.
+// Sum summarizes the logs that were read, in rows of a step of time each.
 func (r *Reader) Sum(step time.Duration) (*Statistics, error) {
 	if step <= 0 {
-		return nil, fmt.Errorf("a step of %v is not positive", step)
+		return nil, fmt.Errorf("step %v is not positive", step)
 	}
-	f := &Statistics{Step: step, Unread: r.unread, Logs: r.logs}
+	stats := &Statistics{Step: step, Unread: r.unread, Logs: r.logs}
 	if len(r.events) == 0 {
-		return f, nil
+		return stats, nil
 	}
 	slices.SortStableFunc(r.events, func(a, b event) int { return a.at.Compare(b.at) })
 	first := r.events[0].at
 	length := r.events[len(r.events)-1].at.Sub(first)
 	if length/step >= maxRows {
-		return nil, fmt.Errorf("%v in steps of %v are over %d rows", length, step, maxRows)
+		return nil, fmt.Errorf("logs of %v in steps of %v need more than %d rows", length, step, maxRows)
 	}
-	s := newSummer()
+	b := newRowBuilder()
 	for i := range r.events {
 		e := &r.events[i]
-		for e.at.Sub(first) >= s.row.At+step {
-			f.Rows = append(f.Rows, s.endRow(step))
+		for e.at.Sub(first) >= b.row.At+step {
+			stats.Rows = append(stats.Rows, b.endRow(step))
 		}
-		s.add(e)
+		b.add(e)
 	}
-	f.Rows = append(f.Rows, s.endRow(step))
-	f.Names = slices.Sorted(maps.Keys(s.sessionsByServer))
-	return f, nil
+	stats.Rows = append(stats.Rows, b.endRow(step))
+	stats.Names = slices.Sorted(maps.Keys(b.sessionsByServer))
+	return stats, nil
 }
 
-// summer sums up events in order of time.
-type summer struct {
-	row              Row // the current one
-	setupTimes       *hdrhistogram.Histogram
-	sessions         int
+// rowBuilder computes the rows from the events in order of time.
+type rowBuilder struct {
+	row              Row                     // current row
+	setupTimes       *hdrhistogram.Histogram // set-up times of the current row, in microseconds
+	sessions         int                     // sessions that are established now
 	sessionsByServer map[string]int
 	sessionsByGroup  map[groupServer]int
 	serversByGroup   map[uint64]int
 }
 
-func newSummer() *summer {
-	return &summer{
+func newRowBuilder() *rowBuilder {
+	return &rowBuilder{
 		setupTimes:       hdrhistogram.New(1, maxSetupMicros, 3),
 		sessionsByServer: map[string]int{},
 		sessionsByGroup:  map[groupServer]int{},
@@ -251,48 +253,49 @@
 	}
 }
 
-func (s *summer) add(e *event) {
+// add adds an event to the current row.
+func (b *rowBuilder) add(e *event) {
 	if e.column != noColumn {
-		s.row.Columns[e.column]++
+		b.row.Columns[e.column]++
 	}
-	if e.column == Established {
-		_ = s.setupTimes.RecordValue(min(max(e.setupTime.Microseconds(), 1), maxSetupMicros)) // within its bounds: no error
+	if e.column == EstablishedSessions {
+		_ = b.setupTimes.RecordValue(min(max(e.setupTime.Microseconds(), 1), maxSetupMicros)) // values within the bounds give no error
 	}
-	if e.change == 0 {
+	if e.sessionChange == 0 {
 		return
 	}
-	s.sessions += e.change
-	s.sessionsByServer[e.groupServer.server] += e.change
-	before := s.sessionsByGroup[e.groupServer]
-	after := before + e.change
-	s.sessionsByGroup[e.groupServer] = after
+	b.sessions += e.sessionChange
+	b.sessionsByServer[e.groupServer.server] += e.sessionChange
+	before := b.sessionsByGroup[e.groupServer]
+	after := before + e.sessionChange
+	b.sessionsByGroup[e.groupServer] = after
 	group := e.groupServer.group
 	if group == 0 || before != 0 && after != 0 {
 		return
 	}
-	s.serversByGroup[group] += e.change
-	if s.serversByGroup[group] == 0 {
-		delete(s.serversByGroup, group)
+	b.serversByGroup[group] += e.sessionChange
+	if b.serversByGroup[group] == 0 {
+		delete(b.serversByGroup, group)
 	}
 }
 
 // endRow completes the current row and starts the next one.
-func (s *summer) endRow(step time.Duration) Row {
-	row := s.row
-	row.Sessions = s.sessions
-	row.Servers = maps.Clone(s.sessionsByServer)
-	if len(s.serversByGroup) > 0 {
+func (b *rowBuilder) endRow(step time.Duration) Row {
+	row := b.row
+	row.Sessions = b.sessions
+	row.Servers = maps.Clone(b.sessionsByServer)
+	if len(b.serversByGroup) > 0 {
 		servers := 0
-		for _, count := range s.serversByGroup {
+		for _, count := range b.serversByGroup {
 			servers += count
 		}
-		row.ServersPerGroup = float64(servers) / float64(len(s.serversByGroup))
+		row.ServersPerGroup = float64(servers) / float64(len(b.serversByGroup))
 	}
-	if s.setupTimes.TotalCount() > 0 {
-		row.SetupP50 = time.Duration(s.setupTimes.ValueAtQuantile(50)) * time.Microsecond
-		row.SetupP90 = time.Duration(s.setupTimes.ValueAtQuantile(90)) * time.Microsecond
+	if b.setupTimes.TotalCount() > 0 {
+		row.SetupP50 = time.Duration(b.setupTimes.ValueAtQuantile(50)) * time.Microsecond
+		row.SetupP90 = time.Duration(b.setupTimes.ValueAtQuantile(90)) * time.Microsecond
 	}
-	s.setupTimes.Reset()
-	s.row = Row{At: row.At + step}
+	b.setupTimes.Reset()
+	b.row = Row{At: row.At + step}
 	return row
 }
