--- a/cmd/testbed/drawsite.go
+++ b/cmd/testbed/drawsite.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	drawer, err := sitefile.NewDrawer(c.Seed, c.Size)
+	drawer, err := sitefile.DrawDeployment(c.Seed, c.Size)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/gossip/compare_test.go
+++ b/internal/fleet/gossip/compare_test.go
@@ -81,17 +81,17 @@
 	defer fleet.close()
 	lossy := func(int, int) memnet.Link { return memnet.Link{Loss: loss} }
 	fleet.waitFor("all are connected", 5*time.Minute, fleet.allConnected(members))
-	fleet.network.Set(lossy)
+	fleet.network.SetLinks(lossy)
 	time.Sleep(10 * time.Second)
 
 	var result comparison
 	counter := newFailureCounter(fleet)
-	before, _ := fleet.network.Sum()
+	before, _ := fleet.network.SentTotals()
 	for range int(quietTime / time.Second) {
 		time.Sleep(time.Second)
 		result.falseFailures += counter.count()
 	}
-	after, _ := fleet.network.Sum()
+	after, _ := fleet.network.SentTotals()
 	result.bytes = float64(after-before) / quietTime.Seconds() / float64(members)
 
 	paused, cut, ended := members-1, members-2, members-3
@@ -100,14 +100,14 @@
 	fleet.ports[paused].Resume()
 	time.Sleep(time.Minute)
 
-	fleet.network.Set(func(from, _ int) memnet.Link { return memnet.Link{Loss: loss, Cut: from == cut} })
+	fleet.network.SetLinks(func(from, _ int) memnet.Link { return memnet.Link{Loss: loss, IsCut: from == cut} })
 	result.partition = fleet.detectionTime(cut)
 	start := time.Now()
 	for fleet.agents[cut].Status().Standing != membership.NoQuorum && time.Since(start) < 5*time.Minute {
 		time.Sleep(100 * time.Millisecond)
 	}
 	result.noQuorum = result.partition + time.Since(start)
-	fleet.network.Set(lossy)
+	fleet.network.SetLinks(lossy)
 	time.Sleep(time.Minute)
 
 	_ = fleet.ports[ended].Shutdown()
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -139,7 +139,7 @@
 		fleet := newFleet(t, 7)
 		defer fleet.close()
 		fleet.waitFor("all are connected", 30*time.Second, fleet.allConnected(7))
-		fleet.network.Set(func(from, to int) memnet.Link { return memnet.Link{Cut: from < 3 != (to < 3)} })
+		fleet.network.SetLinks(func(from, to int) memnet.Link { return memnet.Link{IsCut: from < 3 != (to < 3)} })
 		fleet.waitFor("only the four members have a quorum", time.Minute, func() bool {
 			for i, agent := range fleet.agents {
 				want, alive := membership.Quorum, 4
@@ -153,7 +153,7 @@
 			return true
 		})
 		time.Sleep(10 * time.Minute)
-		fleet.network.Set(func(int, int) memnet.Link { return memnet.Link{} })
+		fleet.network.SetLinks(func(int, int) memnet.Link { return memnet.Link{} })
 		t.Log("connected after", fleet.waitFor("all are connected again", 2*time.Minute, fleet.allConnected(7)))
 	})
 }
@@ -170,12 +170,12 @@
 		}
 		fleet.agents = fleet.agents[3:]
 		fleet.waitFor("the five remaining members are connected", 30*time.Second, fleet.allConnected(5))
-		fleet.network.Set(func(from, to int) memnet.Link { return memnet.Link{Cut: from < 5 != (to < 5)} })
+		fleet.network.SetLinks(func(from, to int) memnet.Link { return memnet.Link{IsCut: from < 5 != (to < 5)} })
 		time.Sleep(10 * time.Minute)
 		if n := aliveCount(fleet.agents[0]); n != 2 {
 			t.Fatal(n)
 		}
-		fleet.network.Set(func(int, int) memnet.Link { return memnet.Link{} })
+		fleet.network.SetLinks(func(int, int) memnet.Link { return memnet.Link{} })
 		t.Log("connected after", fleet.waitFor("all are connected again", 3*time.Minute, fleet.allConnected(5)))
 	})
 }
--- a/internal/lab/memnet/memnet.go
+++ b/internal/lab/memnet/memnet.go
@@ -28,10 +28,10 @@
 
 // Link is the state of the link from one member to another.
 type Link struct {
-	Loss       float64 // share of datagrams; in a stream, of writes that are retransmitted after a delay
-	Delay      time.Duration
-	Duplicated float64 // share of datagrams that arrive twice, the second time up to Delay and 50 ms later
-	Cut        bool
+	Loss        float64 // share of datagrams; in a stream, of writes that are retransmitted after a delay
+	Delay       time.Duration
+	Duplication float64 // share of datagrams that arrive twice, the second time up to Delay and 50 ms later
+	IsCut       bool
 }
 
 // Network is a network between members, which have numbers.
@@ -42,8 +42,8 @@
 	link    func(from, to int) Link
 	latency time.Duration
 
-	Bytes   int64 // sent as datagrams; read it with Sum
-	Packets int64 // datagrams sent; read it with Sum
+	SentBytes   int64 // sent as datagrams; read it with SentTotals
+	SentPackets int64 // datagrams sent; read it with SentTotals
 }
 
 // New returns a network with a latency for each direction and without faults.
@@ -56,18 +56,18 @@
 	}
 }
 
-// Set sets the function that returns the state of links.
-func (n *Network) Set(link func(from, to int) Link) {
+// SetLinks sets the function that returns the state of links.
+func (n *Network) SetLinks(link func(from, to int) Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.link = link
 }
 
-// Sum returns the number of bytes and datagrams sent so far.
-func (n *Network) Sum() (bytes, packets int64) {
+// SentTotals returns the number of bytes and datagrams sent so far.
+func (n *Network) SentTotals() (bytes, packets int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.Bytes, n.Packets
+	return n.SentBytes, n.SentPackets
 }
 
 // Port is the endpoint of one member. It is a memberlist.Transport.
@@ -154,19 +154,19 @@
 	if p.closed || p.paused {
 		return now, nil
 	}
-	n.Bytes += int64(len(b))
-	n.Packets++
+	n.SentBytes += int64(len(b))
+	n.SentPackets++
 	if receiver == nil || receiver.closed {
 		return now, nil
 	}
 	link := n.link(p.number, receiver.number)
-	if link.Cut || n.rng.Float64() < link.Loss {
+	if link.IsCut || n.rng.Float64() < link.Loss {
 		return now, nil
 	}
 	datagram := append([]byte(nil), b...)
 	delay := n.latency + link.Delay
 	p.sendAfter(delay, receiver, datagram)
-	if n.rng.Float64() < link.Duplicated {
+	if n.rng.Float64() < link.Duplication {
 		extra := time.Duration(n.rng.Float64() * float64(link.Delay+maxReorderDelay))
 		p.sendAfter(delay+extra, receiver, datagram)
 	}
@@ -191,7 +191,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	link := n.link(from.number, to.number)
-	if link.Cut || from.closed || to.closed || from.paused || to.paused {
+	if link.IsCut || from.closed || to.closed || from.paused || to.paused {
 		return 0, false
 	}
 	delay := n.latency + link.Delay
--- a/internal/lab/sitefile/draw.go
+++ b/internal/lab/sitefile/draw.go
@@ -47,8 +47,8 @@
 	return s.least * math.Exp(r.Float64()*math.Log(s.most/s.least))
 }
 
-// Drawer holds the figures of one drawn deployment.
-type Drawer struct {
+// Deployment holds the figures of one drawn deployment.
+type Deployment struct {
 	name                          string
 	perCore, coldFrom, coldFor    float64
 	fallMillis, fallMultiple      float64
@@ -56,8 +56,8 @@
 	sigma                         float64
 }
 
-// NewDrawer draws the figures; the same seed and size give the same figures.
-func NewDrawer(seed uint64, size Size) (*Drawer, error) {
+// DrawDeployment draws the figures; the same seed and size give the same figures.
+func DrawDeployment(seed uint64, size Size) (*Deployment, error) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	core := smallCore
 	switch size {
@@ -71,7 +71,7 @@
 	default:
 		return nil, fmt.Errorf("size %q is not known", size)
 	}
-	return &Drawer{
+	return &Deployment{
 		name:    fmt.Sprintf("%s-%s-%d", namePrefix, size, seed),
 		perCore: core.draw(r), coldFrom: coldFrom.draw(r), coldFor: coldSeconds.draw(r),
 		fallMillis: fallMillis.draw(r), fallMultiple: fallMultiple.draw(r),
@@ -80,7 +80,7 @@
 }
 
 // Apply returns a copy of a site file with the drawn figures in place of its own.
-func (d *Drawer) Apply(base []byte) ([]byte, error) {
+func (d *Deployment) Apply(base []byte) ([]byte, error) {
 	var out bytes.Buffer
 	section, seen := "", map[string]int{}
 	replaced := map[string]bool{}
@@ -109,7 +109,7 @@
 }
 
 // value is what stands for a key of the nth section of a name, "" where it keeps what it has.
-func (d *Drawer) value(section, key string, nth int) string {
+func (d *Deployment) value(section, key string, nth int) string {
 	switch section + key {
 	case "name":
 		return strconv.Quote(d.name)
--- a/internal/lab/sitefile/draw_test.go
+++ b/internal/lab/sitefile/draw_test.go
@@ -33,7 +33,7 @@
 
 func draw(t *testing.T, seed uint64, size Size) string {
 	t.Helper()
-	d, err := NewDrawer(seed, size)
+	d, err := DrawDeployment(seed, size)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,10 +64,10 @@
 }
 
 func TestABadSizeOrFileIsRefused(t *testing.T) {
-	if _, err := NewDrawer(1, "huge"); err == nil || !strings.Contains(err.Error(), `"huge"`) {
+	if _, err := DrawDeployment(1, "huge"); err == nil || !strings.Contains(err.Error(), `"huge"`) {
 		t.Errorf("%v", err)
 	}
-	d, err := NewDrawer(1, AnySize)
+	d, err := DrawDeployment(1, AnySize)
 	if err != nil {
 		t.Fatal(err)
 	}
