--- a/internal/lab/memnet/memnet.go
+++ b/internal/lab/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is an in-memory network between members of a fleet, with faults on each ordered pair of them, for simulations in virtual
-// time that run the code that ships. It owns the delivery and the loss of messages. It must never open a socket.
+// Package memnet is an in-memory network between the members of a fleet, for simulations that run production code in virtual time. Each ordered
+// pair of members has a link with faults of its own. The package owns the delivery and the loss of messages. It must never open a socket.
 package memnet
 
 import (
@@ -16,25 +16,25 @@
 )
 
 const (
-	maxQueuedPackets   = 512 // datagrams, and deliveries to a paused member
-	maxQueuedStreams   = 64
-	maxReorderDelay    = 50 * time.Millisecond // of a duplicated datagram, beside the delay of the link
-	minRetransmitDelay = 200 * time.Millisecond
-	maxRetransmits     = 8
-	memberPort         = 7000
+	maxQueuedPackets   = 512                    // limit for datagrams that a member has not read, and for deliveries to a paused member
+	maxQueuedStreams   = 64                     // limit for streams that a member has not accepted
+	maxReorderDelay    = 50 * time.Millisecond  // upper limit of the extra delay of a duplicated datagram, added to the delay of the link
+	minRetransmitDelay = 200 * time.Millisecond // delay of the first retransmission in a stream; it doubles with each further one
+	maxRetransmits     = 8                      // limit for retransmissions of one write to a stream, which fails after them
+	memberPort         = 7000                   // port in the address of every member
 )
 
-var errRefused = errors.New("connection refused")
+var errConnectionRefused = errors.New("connection refused")
 
 // Link is the state of the link from one member to another.
 type Link struct {
-	Loss        float64 // share of datagrams; in a stream, of writes that are retransmitted after a delay
+	Loss        float64 // share of datagrams that are lost; in a stream, share of writes that are retransmitted after a delay
 	Delay       time.Duration
-	Duplication float64 // share of datagrams that arrive twice, the second time up to Delay and 50 ms later
+	Duplication float64 // share of datagrams that arrive twice, the second time later by up to Delay plus 50 ms
 	IsCut       bool
 }
 
-// Network is a network between members, which have numbers.
+// Network is a network between members, which are identified by numbers.
 type Network struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -42,11 +42,11 @@
 	link    func(from, to int) Link
 	latency time.Duration
 
-	SentBytes   int64 // sent as datagrams; read it with SentTotals
-	SentPackets int64 // datagrams sent; read it with SentTotals
+	SentBytes   int64 // bytes sent as datagrams; SentTotals reads it under the lock
+	SentPackets int64 // datagrams sent; SentTotals reads it under the lock
 }
 
-// New returns a network with a latency for each direction and without faults.
+// New returns a network without faults. The latency applies to each direction.
 func New(seed uint64, latency time.Duration) *Network {
 	return &Network{
 		rng:     rand.New(rand.NewPCG(seed, 0x6e37)),
@@ -56,21 +56,21 @@
 	}
 }
 
-// SetLinks sets the function that returns the state of links.
+// SetLinks sets the function that returns the state of the link from one member to another.
 func (n *Network) SetLinks(link func(from, to int) Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.link = link
 }
 
-// SentTotals returns the number of bytes and datagrams sent so far.
+// SentTotals returns the number of bytes and of datagrams sent so far.
 func (n *Network) SentTotals() (bytes, packets int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.SentBytes, n.SentPackets
 }
 
-// Port is the endpoint of one member. It is a memberlist.Transport.
+// Port connects one member to the network. It implements memberlist.Transport.
 type Port struct {
 	network *Network
 	number  int
@@ -78,16 +78,16 @@
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 	paused  bool
-	queued  []func() // deliveries while it is paused
+	queued  []func() // deliveries to make after the pause
 	closed  bool
 }
 
-// Addr is the address of the member with a number.
+// Addr returns the address of the member with a number.
 func Addr(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), memberPort)
 }
 
-// Port returns a new port for a member. It replaces an earlier one of that number.
+// Port returns a new port for a member. It replaces the port that had this number before.
 func (n *Network) Port(number int) *Port {
 	p := &Port{
 		network: n,
@@ -102,14 +102,14 @@
 	return p
 }
 
-// Pause queues deliveries to a member, like the kernel's buffers of a stopped process, and drops what it sends.
+// Pause queues the deliveries to a member, like the kernel buffers of a stopped process, and drops the datagrams that the member sends.
 func (p *Port) Pause() {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
 	p.paused = true
 }
 
-// Resume ends a pause and makes the queued deliveries.
+// Resume ends a pause and makes the deliveries that were queued.
 func (p *Port) Resume() {
 	p.network.mu.Lock()
 	queued := p.queued
@@ -140,7 +140,7 @@
 	return p.addr.Addr().AsSlice(), int(p.addr.Port()), nil
 }
 
-// WriteTo sends a datagram. As on a real network, a loss is no error.
+// WriteTo sends a datagram. As on a real network, the loss of a datagram is no error.
 func (p *Port) WriteTo(b []byte, to string) (time.Time, error) {
 	addr, err := netip.ParseAddrPort(to)
 	if err != nil {
@@ -165,16 +165,16 @@
 	}
 	datagram := append([]byte(nil), b...)
 	delay := n.latency + link.Delay
-	p.sendAfter(delay, receiver, datagram)
+	p.deliverAfter(delay, receiver, datagram)
 	if n.rng.Float64() < link.Duplication {
 		extra := time.Duration(n.rng.Float64() * float64(link.Delay+maxReorderDelay))
-		p.sendAfter(delay+extra, receiver, datagram)
+		p.deliverAfter(delay+extra, receiver, datagram)
 	}
 	return now, nil
 }
 
-// sendAfter delivers a copy of a datagram after a delay. A full queue of the receiver drops it.
-func (p *Port) sendAfter(delay time.Duration, receiver *Port, datagram []byte) {
+// deliverAfter delivers a copy of a datagram after a delay. If the queue of the receiver is full, the datagram is dropped.
+func (p *Port) deliverAfter(delay time.Duration, receiver *Port, datagram []byte) {
 	time.AfterFunc(delay, func() {
 		receiver.deliver(func() {
 			packet := &memberlist.Packet{Buf: append([]byte(nil), datagram...), From: net.UDPAddrFromAddrPort(p.addr), Timestamp: time.Now()}
@@ -186,7 +186,8 @@
 	})
 }
 
-// streamDelay is the time that one write to, or the opening of, a stream takes in one direction; false if nothing gets through.
+// streamDelay returns the time that one write to a stream, or one direction of its opening, takes, with retransmissions. It returns false if
+// nothing gets through.
 func (n *Network) streamDelay(from, to *Port) (time.Duration, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -206,7 +207,7 @@
 	return delay, true
 }
 
-// DialTimeout opens a stream.
+// DialTimeout opens a stream to the member with an address.
 func (p *Port) DialTimeout(to string, timeout time.Duration) (net.Conn, error) {
 	addr, err := netip.ParseAddrPort(to)
 	if err != nil {
@@ -217,25 +218,25 @@
 	receiver := n.ports[addr]
 	n.mu.Unlock()
 	if receiver == nil || receiver.closed {
-		return nil, errRefused
+		return nil, errConnectionRefused
 	}
-	forth, reaches := n.streamDelay(p, receiver)
-	back, returns := n.streamDelay(receiver, p)
-	if !reaches || !returns || forth+back > timeout {
+	requestDelay, reaches := n.streamDelay(p, receiver)
+	responseDelay, returns := n.streamDelay(receiver, p)
+	if !reaches || !returns || requestDelay+responseDelay > timeout {
 		time.Sleep(timeout)
 		return nil, os.ErrDeadlineExceeded
 	}
-	time.Sleep(forth + back)
+	time.Sleep(requestDelay + responseDelay)
 	local, remote := net.Pipe()
 	select {
 	case receiver.streams <- &stream{Conn: remote, from: receiver, to: p}:
 	default:
-		return nil, fmt.Errorf("%w: too many streams wait", errRefused)
+		return nil, fmt.Errorf("%w: the accept queue is full", errConnectionRefused)
 	}
 	return &stream{Conn: local, from: p, to: receiver}, nil
 }
 
-// stream is one end of a connection. Writes take the delay of the link.
+// stream is one end of a connection. A write takes the delay of the link.
 type stream struct {
 	net.Conn
 	from, to *Port
@@ -261,7 +262,7 @@
 		deadline := s.deadline
 		s.mu.Unlock()
 		if deadline.IsZero() {
-			_ = s.Close() // the write fails at once, below
+			_ = s.Close() // without a deadline, the write fails at once
 		}
 		time.Sleep(time.Until(deadline))
 		return 0, os.ErrDeadlineExceeded
@@ -270,10 +271,10 @@
 	return s.Conn.Write(b)
 }
 
-// PacketCh delivers the datagrams that arrive at the member.
+// PacketCh returns the channel of datagrams that arrive at the member.
 func (p *Port) PacketCh() <-chan *memberlist.Packet { return p.packets }
 
-// StreamCh delivers the streams that other members open to this one.
+// StreamCh returns the channel of streams that other members open to this one.
 func (p *Port) StreamCh() <-chan net.Conn { return p.streams }
 
 // Shutdown removes the member from the network.
