--- a/internal/lab/feedsim/world.go
+++ b/internal/lab/feedsim/world.go
@@ -23,9 +23,9 @@
 	interRegionDelay       = 20 * time.Millisecond   // one-way delay between regions
 	delayJitter            = 5 * time.Millisecond    // upper limit of the random delay that is added
 	maxHeldMessages        = 512                     // messages that a cut holds back on a connection before the connection is reset
-	electionTimeout        = 1500 * time.Millisecond // from the loss of the leader to the election of the next
+	electionTimeout        = 1500 * time.Millisecond // time from the loss of the leader to the election of the next one
 	voters                 = 5
-	inForceDeadline        = 7 * time.Second  // from a commit until the change is in force at every reachable subscriber
+	inForceDeadline        = 7 * time.Second  // time limit from a commit until the change is in force at every reachable subscriber
 	firstSnapshotTimeout   = 10 * time.Second // time from a subscriber's start to its first snapshot, within which no change is due at it
 	windowBytes            = 64 << 10
 	snapshotBytesPerSecond = 32 << 20
--- a/internal/lab/fleetsim/checker.go
+++ b/internal/lab/fleetsim/checker.go
@@ -12,14 +12,14 @@
 
 // The violations that the checker reports: an error of Play contains one of these texts.
 const (
-	LostWrite              = "an acknowledged write was lost"
-	DuplicateVersion       = "one version was written twice"
-	NotLinearizable        = "the results of the clients are not linearizable"
-	NotRecovered           = "the fleet did not recover after the last fault"
-	UnderReplicated        = "a shard is under-replicated"
-	linearizabilityTimeout = 300 * time.Millisecond // limit for the check of one key, which is undecided if it takes longer
-	finalReadTimeout       = 20 * time.Second       // limit for the final read of one key, over all attempts
-	finalReadAttempt       = 2 * time.Second        // limit for one attempt of a final read
+	LostWrite               = "an acknowledged write was lost"
+	DuplicateVersion        = "one version was written twice"
+	NotLinearizable         = "the results of the clients are not linearizable"
+	NotRecovered            = "the fleet did not recover after the last fault"
+	UnderReplicated         = "a shard is under-replicated"
+	linearizabilityTimeout  = 300 * time.Millisecond // limit for the check of one key, which is undecided if it takes longer
+	finalReadTimeout        = 20 * time.Second       // limit for the final read of one key, over all attempts
+	finalReadAttemptTimeout = 2 * time.Second        // limit for one attempt of a final read
 )
 
 // check reads every key once the fleet has recovered and compares the results of all operations with the final records.
@@ -81,13 +81,13 @@
 		request := replication.Operation{ID: fmt.Sprintf("o%d", w.lastOperation), Key: key, ReadOnly: true}
 		w.submit(w.members[w.rng.IntN(len(w.members))], request)
 		op := w.operationByID[request.ID]
-		for end := w.now + finalReadAttempt; !op.HasResult && w.now < end; {
+		for end := w.now + finalReadAttemptTimeout; !op.HasResult && w.now < end; {
 			w.runUntil(w.now + tickInterval)
 		}
 		if op.HasResult && op.Result.Outcome == replication.OutcomeConflict {
 			return op.Result.Record, nil
 		}
-		if time.Duration(attempt)*finalReadAttempt > finalReadTimeout {
+		if time.Duration(attempt)*finalReadAttemptTimeout > finalReadTimeout {
 			return replication.Record{}, w.violation(NotRecovered, "reads of key %s failed for too long; the last one: outcome %v, reason %v", key, op.Result.Outcome, op.Result.Reason)
 		}
 	}
--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -87,7 +87,7 @@
 	ShardMapVersion int // version of the shard map at the end
 
 	Undecided  int                            // keys whose linearizability took too long to check
-	lastWrites map[[3]int]replication.Message // for MissingFence: the newest write by sender, receiver and shard
+	lastWrites map[[3]int]replication.Message // newest write by sender, receiver and shard, for the defect MissingFence
 	digest     uint64                         // digest of all packets so far
 	err        error                          // first violation
 }
--- a/internal/lab/scale/ledger.go
+++ b/internal/lab/scale/ledger.go
@@ -21,7 +21,7 @@
 
 // balancerRecord is what the ledger holds of one balancer.
 type balancerRecord struct {
-	processes   []process // in order of their start
+	processes   []process // processes of the balancer, in order of their start
 	final       *Final    // final state, nil unless it was reported
 	regressions int       // reported versions that were not newer than the one before
 }
@@ -30,7 +30,7 @@
 type process struct {
 	startedAt time.Duration
 	endedAt   time.Duration    // 0 while the process runs
-	applied   []appliedVersion // by ascending version
+	applied   []appliedVersion // versions that the process had, in ascending order
 }
 
 // appliedVersion is the time from which a balancer had all changes up to a version.
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -61,8 +61,8 @@
 	Voters           int // number of control processes that vote: the first ones
 	ControlPlaces    []Place
 	BalancerPlaces   []Place
-	Changes          []Change // in order of time
-	Steps            []Step   // in order of time
+	Changes          []Change // changes in order of time
+	Steps            []Step   // fault schedule in order of time
 	FaultDescription string   // description of the faults
 }
 
