--- a/cmd/sabletally/end_pairs_test.go
+++ b/cmd/sabletally/end_pairs_test.go
@@ -14,108 +14,110 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// waitingSession is a session at whose end lines still wait for a reader that does not read yet.
-type waitingSession struct {
+// pendingSession is a session whose end has begun while lines still wait for a reader that has not started to read.
+type pendingSession struct {
 	site   *site
 	client *testClient
 	server *emulator.Session
 	writer net.Conn
 	reader net.Conn
-	lines  *bufio.Reader // of the reader
+	lines  *bufio.Reader // what the reader receives
 }
 
-// firstEvent begins the end of a session behind its lines.
+// firstEvent starts the end of a session after its lines are written.
 type firstEvent struct {
-	name     string
-	toServer bool // the lines go to the server, otherwise to the client
-	begin    func(s *waitingSession)
-	byReset  bool   // what the reader sees behind the lines
-	lastLine string // before it
-	// endsSending is set if the writer may still be written to.
-	endsSending bool
+	name        string
+	toServer    bool // the client writes the lines; otherwise the server does
+	begin       func(s *pendingSession)
+	expectReset bool   // the reader must see a reset after the lines; otherwise an orderly end
+	lastLine    string // last line before the end, if the balancer adds one
+	// closesWrite is set if the writer only closes its sending direction, so that lines may still be written to it.
+	closesWrite bool
 }
 
 var firstEvents = []firstEvent{
-	{name: "the server resets", begin: func(s *waitingSession) { resetConn(s.writer) }, byReset: true},
-	{name: "the server ends", begin: func(s *waitingSession) { _ = s.writer.(*net.TCPConn).CloseWrite() }, endsSending: true},
-	{name: "the client resets", toServer: true, begin: func(s *waitingSession) { resetConn(s.writer) }, byReset: true},
-	{name: "the client ends its sending", toServer: true, begin: func(s *waitingSession) { _ = s.writer.(*net.TCPConn).CloseWrite() }, endsSending: true},
-	{name: "the server's line is too long", begin: func(s *waitingSession) {
+	{name: "the server resets", begin: func(s *pendingSession) { resetConn(s.writer) }, expectReset: true},
+	{name: "the server ends", begin: func(s *pendingSession) { _ = s.writer.(*net.TCPConn).CloseWrite() }, closesWrite: true},
+	{name: "the client resets", toServer: true, begin: func(s *pendingSession) { resetConn(s.writer) }, expectReset: true},
+	{name: "the client ends its sending", toServer: true, begin: func(s *pendingSession) { _ = s.writer.(*net.TCPConn).CloseWrite() }, closesWrite: true},
+	{name: "the server's line is too long", begin: func(s *pendingSession) {
 		_ = s.writer.SetWriteDeadline(time.Now().Add(bound))
 		go func() { _, _ = io.WriteString(s.writer, strings.Repeat("x", 5000)) }()
-	}, byReset: true},
-	{name: "it is migrated", begin: func(s *waitingSession) {
+	}, expectReset: true},
+	{name: "it is migrated", begin: func(s *pendingSession) {
 		s.site.listServer(s.server.UID, "", emulator.Terminating)
-		_, _ = io.Copy(io.Discard, s.server.R) // until the migration has begun
+		_, _ = io.Copy(io.Discard, s.server.R) // returns when the migration has begun
 		_ = s.server.Close()
 	}, lastLine: "MOVE\r\n"},
 }
 
-// secondEvent comes while the lines still wait.
+// secondEvent happens after the first one, while the lines still wait.
 type secondEvent struct {
 	name        string
-	do          func(s *waitingSession)
-	endsSending bool
-	resetsAfter bool // the writer's own end of its sending
+	do          func(s *pendingSession)
+	closesWrite bool
+	resets      bool // the writer resets the connection, so that the reader may see either kind of end
 }
 
 var secondEvents = []secondEvent{
-	{name: "nothing", do: func(*waitingSession) {}},
-	{name: "the reader ends its sending", do: func(s *waitingSession) { _ = s.reader.(*net.TCPConn).CloseWrite() }, endsSending: true},
-	{name: "the reader writes a line", do: func(s *waitingSession) { _, _ = io.WriteString(s.reader, "M 1\r\n") }},
-	{name: "the writer resets", do: func(s *waitingSession) { resetConn(s.writer) }, resetsAfter: true},
-	{name: "SIGTERM", do: func(s *waitingSession) { _ = s.site.child.Signal(syscall.SIGTERM) }},
-	{name: "SIGHUP", do: func(s *waitingSession) { _ = s.site.child.Signal(syscall.SIGHUP) }},
-	{name: "a stall", do: func(s *waitingSession) {
+	{name: "nothing", do: func(*pendingSession) {}},
+	{name: "the reader ends its sending", do: func(s *pendingSession) { _ = s.reader.(*net.TCPConn).CloseWrite() }, closesWrite: true},
+	{name: "the reader writes a line", do: func(s *pendingSession) { _, _ = io.WriteString(s.reader, "M 1\r\n") }},
+	{name: "the writer resets", do: func(s *pendingSession) { resetConn(s.writer) }, resets: true},
+	{name: "SIGTERM", do: func(s *pendingSession) { _ = s.site.child.Signal(syscall.SIGTERM) }},
+	{name: "SIGHUP", do: func(s *pendingSession) { _ = s.site.child.Signal(syscall.SIGHUP) }},
+	{name: "a stall", do: func(s *pendingSession) {
 		_ = s.site.child.Signal(syscall.SIGSTOP)
 		time.Sleep(150 * time.Millisecond)
 		_ = s.site.child.Signal(syscall.SIGCONT)
 	}},
-	{name: "a hot restart", do: func(s *waitingSession) { _ = s.site.newSuccessor().Signal(syscall.SIGTERM) }},
+	{name: "a hot restart", do: func(s *pendingSession) { _ = s.site.newSuccessor().Signal(syscall.SIGTERM) }},
 }
 
-// Guards against report e8b126's class: what is owed at a session's end was lost when something else happened before it had arrived.
+// Guards against the loss of lines at the end of a session, or of the end itself, when a second event comes before they have arrived (report
+// e8b126).
 func TestWhatIsOwedAtAnEndOutlivesASecondEvent(t *testing.T) {
 	for _, first := range firstEvents {
 		for _, second := range secondEvents {
-			if second.resetsAfter && !first.endsSending {
+			if second.resets && !first.closesWrite {
 				continue
 			}
-			if first.toServer && second.endsSending { // a server that ends its session is owed nothing more
+			if first.toServer && second.closesWrite { // after a server ends its session, nothing more has to reach it
 				continue
 			}
-			t.Run(first.name+", then "+second.name, func(t *testing.T) { playEvents(t, first, second) })
+			t.Run(first.name+", then "+second.name, func(t *testing.T) { runEvents(t, first, second) })
 		}
 	}
 }
 
-func playEvents(t *testing.T, first firstEvent, second secondEvent) {
+func runEvents(t *testing.T, first firstEvent, second secondEvent) {
 	env := []string{"SLOW_MESSAGES=yes"}
 	if second.name == "a hot restart" {
 		env = append(env, "SHARED")
 	}
 	site := startSite(t, env, "s-1", "s-2")
 	a, e := site.establish()
-	s := &waitingSession{site: site, client: a, server: e, writer: e.Conn, reader: a.Conn, lines: a.r}
+	s := &pendingSession{site: site, client: a, server: e, writer: e.Conn, reader: a.Conn, lines: a.r}
 	if first.toServer {
 		s.writer, s.reader, s.lines = a.Conn, e.Conn, e.R
 	}
 	_ = s.reader.(*net.TCPConn).SetReadBuffer(64 << 10)
-	owed := writeBulk(s.writer, 20000) / len(bulkLine(0))
-	if owed == 0 {
-		t.Fatal("nothing was taken")
+	expected := writeBulk(s.writer, 20000) / len(bulkLine(0))
+	if expected == 0 {
+		t.Fatal("the balancer acknowledged no whole line")
 	}
 	first.begin(s)
 	time.Sleep(50 * time.Millisecond)
 	second.do(s)
 	time.Sleep(50 * time.Millisecond)
-	if err := s.expectLines(owed, first, second.resetsAfter); err != nil {
+	if err := s.expectLines(expected, first, second.resets); err != nil {
 		t.Error(err)
 	}
 }
 
-// expectLines reads to the end and expects the lines that are owed, and the end behind them.
-func (s *waitingSession) expectLines(owed int, first firstEvent, eitherEnd bool) error {
+// expectLines reads until the connection ends and checks that at least the expected number of lines arrived, followed by the end that the
+// first event causes. With anyEnd the kind of the end is not checked.
+func (s *pendingSession) expectLines(expected int, first firstEvent, anyEnd bool) error {
 	_ = s.reader.SetReadDeadline(time.Now().Add(bound))
 	got := 0
 	last := ""
@@ -131,14 +133,14 @@
 		}
 	}
 	switch {
-	case got < owed:
-		return fmt.Errorf("%d of %d lines arrived, then %w", got, owed, end)
+	case got < expected:
+		return fmt.Errorf("%d of %d lines arrived, then %w", got, expected, end)
 	case first.lastLine != "" && last != first.lastLine:
-		return fmt.Errorf("%.20q in place of %q", last, first.lastLine)
-	case eitherEnd:
+		return fmt.Errorf("the last line is %.20q in place of %q", last, first.lastLine)
+	case anyEnd:
 		return nil
-	case first.byReset != errors.Is(end, syscall.ECONNRESET) || !first.byReset && !errors.Is(end, io.EOF):
-		return fmt.Errorf("ended by %w", end)
+	case first.expectReset != errors.Is(end, syscall.ECONNRESET) || !first.expectReset && !errors.Is(end, io.EOF):
+		return fmt.Errorf("the session ended by %w", end)
 	}
 	return nil
 }
--- a/cmd/sabletally/faulty_kernel_test.go
+++ b/cmd/sabletally/faulty_kernel_test.go
@@ -14,17 +14,17 @@
 	"sabletally/internal/socket"
 )
 
-// faultsVariable has a started program make its system calls by a faultPlan.
+// faultsVariable names the environment variable that gives a started program a faultPlan, as JSON, for its system calls.
 const faultsVariable = "SABLETALLY_FAULTS"
 
-// faultPlan says how often system calls fail, as parts of one. Short reads and writes take a part of what they could.
+// faultPlan holds the probabilities, from 0 to 1, with which system calls fail. Its fields are keys in JSON.
 type faultPlan struct {
 	Seed        uint64
-	Interrupted float64 // EINTR
-	Short       float64
-	NoBuffers   float64 // ENOBUFS of a write or a read
-	NoMemory    float64 // ENOMEM of a write or a read
-	// Shortage has accept, socket and connect fail for shortageTime out of each shortagePeriod, each time with another error.
+	Interrupted float64 // probability that a read, a write or an epoll wait fails with EINTR
+	Short       float64 // probability that a read or write handles only a part of its bytes
+	NoBuffers   float64 // probability that a read or write fails with ENOBUFS
+	NoMemory    float64 // probability that a read or write fails with ENOMEM
+	// Shortage makes accept, socket and connect fail in the first shortageTime of each shortagePeriod, with another error each time.
 	Shortage bool
 }
 
@@ -33,14 +33,14 @@
 	shortageTime   = 150 * time.Millisecond
 )
 
-// Errors of one shortage after the other, by call.
+// Errors with which each call fails, one per shortage in turn.
 var (
 	acceptShortages  = []unix.Errno{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ECONNABORTED, unix.EPERM, unix.EMFILE}
 	socketShortages  = []unix.Errno{unix.ENOBUFS, unix.ENFILE, unix.EMFILE, unix.ENOMEM}
 	connectShortages = []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.EINTR}
 )
 
-// env returns the plan as the environment carries it.
+// env returns the environment variable that carries the plan.
 func (p faultPlan) env(t *testing.T) string {
 	t.Helper()
 	text, err := json.Marshal(p)
@@ -50,10 +50,10 @@
 	return faultsVariable + "=" + string(text)
 }
 
-// faultyKernel makes system calls that fail by a plan. Lines in its peers' text have one connection fail:
+// faultyKernel is a socket.Kernel whose system calls fail by a plan. Marker lines in the text of a connection make that connection fail:
 //
-//	BREAK READ ERRNO: once this line is read, a read fails with that error, and the connection has ended.
-//	BREAK WRITE ERRNO: half of this line is written, and the rest fails with that error.
+//	BREAK READ ERRNO: the next read after this line fails with that error, and later ones return the end of the connection.
+//	BREAK WRITE ERRNO: half of this line is written, and every later write fails with that error.
 type faultyKernel struct {
 	socket.Kernel
 	plan  faultPlan
@@ -61,13 +61,14 @@
 
 	mu  sync.Mutex
 	rng *rand.Rand
-	// By descriptor; a test breaks one connection of a program at most. An error of a read is 0 once it was returned.
-	broken       map[int]unix.Errno
-	brokenWrites map[int]unix.Errno
+	// Errors by descriptor. Entries are not removed when a descriptor is reused: a test breaks at most one connection of a program. The error of
+	// a read becomes 0 when it has been returned.
+	failedReads  map[int]unix.Errno
+	failedWrites map[int]unix.Errno
 }
 
-// brokenBy are the errors of a connection that is broken, by name.
-var brokenBy = map[string]unix.Errno{
+// connErrors maps the names in marker lines to the errors of a broken connection.
+var connErrors = map[string]unix.Errno{
 	"ETIMEDOUT":    unix.ETIMEDOUT,
 	"EHOSTUNREACH": unix.EHOSTUNREACH,
 	"ENETUNREACH":  unix.ENETUNREACH,
@@ -76,12 +77,12 @@
 	"EPIPE":        unix.EPIPE,
 }
 
-// useFaults puts a faultyKernel in place if the environment says so.
+// useFaults installs a faultyKernel with the plan in text, the value of faultsVariable. It does nothing if text is empty.
 func useFaults(text string) error {
 	if text == "" {
 		return nil
 	}
-	k := &faultyKernel{Kernel: socket.Linux(), start: time.Now(), broken: map[int]unix.Errno{}, brokenWrites: map[int]unix.Errno{}}
+	k := &faultyKernel{Kernel: socket.Linux(), start: time.Now(), failedReads: map[int]unix.Errno{}, failedWrites: map[int]unix.Errno{}}
 	if err := json.Unmarshal([]byte(text), &k.plan); err != nil {
 		return err
 	}
@@ -90,7 +91,8 @@
 	return nil
 }
 
-// draw returns the error with which a call fails before it does anything, 0 for none, and how many of so many bytes it handles.
+// draw decides at random how a call on size bytes ends: it returns the error with which the call fails at once, 0 for none, and the number of
+// bytes that it handles otherwise.
 func (k *faultyKernel) draw(size int) (unix.Errno, int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -112,27 +114,27 @@
 	return 0, size
 }
 
-// errorNamed returns the error that a marker line names, 0 without such a line.
+// errorNamed returns the error that a marker line in text names, 0 if there is no such line.
 func errorNamed(text []byte, marker string) unix.Errno {
 	_, after, found := bytes.Cut(text, []byte(marker))
 	if !found {
 		return 0
 	}
 	name, _, _ := strings.Cut(string(after), "\r\n")
-	return brokenBy[name]
+	return connErrors[name]
 }
 
 func (k *faultyKernel) Read(fd int, p []byte) (int, error) {
 	k.mu.Lock()
-	err, isBroken := k.broken[fd]
-	if isBroken {
-		k.broken[fd] = 0
+	err, isFailed := k.failedReads[fd]
+	if isFailed {
+		k.failedReads[fd] = 0
 	}
 	k.mu.Unlock()
 	switch {
 	case err != 0:
 		return -1, err
-	case isBroken:
+	case isFailed:
 		return 0, nil
 	}
 	drawn, size := k.draw(len(p))
@@ -142,23 +144,23 @@
 	n, readErr := k.Kernel.Read(fd, p[:size])
 	if n > 0 {
 		if err := errorNamed(p[:n], "BREAK READ "); err != 0 {
-			k.breakConn(fd, err)
+			k.failNextRead(fd, err)
 		}
 	}
 	return n, readErr
 }
 
-func (k *faultyKernel) breakConn(fd int, err unix.Errno) {
+func (k *faultyKernel) failNextRead(fd int, err unix.Errno) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.broken[fd] = err
+	k.failedReads[fd] = err
 }
 
 func (k *faultyKernel) Write(fd int, p []byte) (int, error) {
 	k.mu.Lock()
-	err := k.brokenWrites[fd]
+	err := k.failedWrites[fd]
 	if marked := errorNamed(p, "BREAK WRITE "); marked != 0 {
-		k.brokenWrites[fd] = marked
+		k.failedWrites[fd] = marked
 	}
 	k.mu.Unlock()
 	if err != 0 {
@@ -174,7 +176,7 @@
 	return k.Kernel.Write(fd, p[:size])
 }
 
-// shortage returns the error of a call in a shortage, 0 outside.
+// shortage returns the error with which a call fails now, 0 outside of a shortage.
 func (k *faultyKernel) shortage(errors []unix.Errno) unix.Errno {
 	since := time.Since(k.start)
 	if !k.plan.Shortage || since%shortagePeriod > shortageTime {
@@ -201,7 +203,7 @@
 	switch err := k.shortage(connectShortages); err {
 	case 0:
 		return k.Kernel.Connect(fd, to)
-	case unix.EINTR: // it goes on in the kernel
+	case unix.EINTR: // an interrupted connect goes on in the kernel
 		_ = k.Kernel.Connect(fd, to)
 		return err
 	default:
--- a/cmd/sabletally/line_delay_test.go
+++ b/cmd/sabletally/line_delay_test.go
@@ -19,26 +19,26 @@
 	"sabletally/internal/lab/emulator"
 )
 
-const smallLine = 170 // bytes of a line in these tests
+const smallLine = 170 // length of a small line in bytes
 
-// timedReader is a client that stops reading now and then, and what is late for it.
+// timedReader is a client that pauses its reading at random, with the lines that were written for it and how late they arrived.
 type timedReader struct {
 	rng *rand.Rand
 
 	mu      sync.Mutex
 	written []time.Time
-	late    int // lines
+	late    int // number of lines that arrived later than maxReaderDelay
 	worst   time.Duration
 }
 
-// maxReaderDelay is how late a line may be, counted from when it was written or the reader last read on, whichever is later.
+// maxReaderDelay bounds the time until a line is read, from its write or the end of the reader's last pause, whichever is later.
 const maxReaderDelay = maxLineDelay + soakSlack
 
-// writeBursts has a server write many small lines one right after the other, for a time.
+// writeBursts writes bursts of 100 to 1500 small lines from a server for the given time.
 func (r *timedReader) writeBursts(server net.Conn, lasting time.Duration) error {
 	for end := time.Now().Add(lasting); time.Now().Before(end); {
-		time.Sleep(time.Duration(600+r.upTo(900)) * time.Millisecond)
-		for range 100 + r.upTo(1400) {
+		time.Sleep(time.Duration(600+r.randomBelow(900)) * time.Millisecond)
+		for range 100 + r.randomBelow(1400) {
 			r.mu.Lock()
 			r.written = append(r.written, time.Now())
 			r.mu.Unlock()
@@ -50,22 +50,22 @@
 	return nil
 }
 
-func (r *timedReader) upTo(most int) int {
+func (r *timedReader) randomBelow(most int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.IntN(most)
 }
 
-// read reads until the connection ends.
+// read reads lines, with random pauses, until the connection ends.
 func (r *timedReader) read(client io.Reader) error {
 	lines := bufio.NewReader(client)
 	resumed := time.Now()
 	stopAt := resumed.Add(200 * time.Millisecond)
 	for number := 0; ; number++ {
 		if time.Now().After(stopAt) {
-			time.Sleep(time.Duration(r.upTo(500)) * time.Millisecond)
+			time.Sleep(time.Duration(r.randomBelow(500)) * time.Millisecond)
 			resumed = time.Now()
-			stopAt = resumed.Add(time.Duration(200+r.upTo(800)) * time.Millisecond)
+			stopAt = resumed.Add(time.Duration(200+r.randomBelow(800)) * time.Millisecond)
 		}
 		_, err := lines.ReadString('\n')
 		if errors.Is(err, io.EOF) {
@@ -74,11 +74,11 @@
 		if err != nil {
 			return fmt.Errorf("after %d lines: %w", number, err)
 		}
-		r.note(time.Now(), number, resumed)
+		r.recordLine(time.Now(), number, resumed)
 	}
 }
 
-func (r *timedReader) note(now time.Time, number int, resumed time.Time) {
+func (r *timedReader) recordLine(now time.Time, number int, resumed time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	from := r.written[number]
@@ -92,7 +92,7 @@
 	}
 }
 
-// Guards against report e8b126's class: lines for a reader that stops now and then waited for retransmissions and window probes.
+// Guards against lines for a reader with pauses that were late because they waited for retransmissions and window probes (report e8b126).
 func TestLinesForAReaderThatStopsNowAndThenAreNotHeldBack(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -135,15 +135,15 @@
 				late += r.late
 				worst = max(worst, r.worst)
 			}
-			t.Logf("worst %v", worst)
+			t.Logf("longest delay %v", worst)
 			if late > 0 {
-				t.Errorf("%d lines late, the worst by %v", late, worst)
+				t.Errorf("%d lines late, the longest delay is %v", late, worst)
 			}
 		})
 	}
 }
 
-// segmentsReceived returns how many segments with data the kernel has received on a connection.
+// segmentsReceived returns the number of segments with data that the kernel has received on a connection.
 func segmentsReceived(t *testing.T, c net.Conn) int {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -165,15 +165,16 @@
 	return segments
 }
 
-// Guards against report e8b126's class: each small line was a segment of its own, which overflowed the receive buffer of a stopped reader.
+// Guards against small lines that each were sent in a segment of their own and overflowed the receive buffer of a paused reader (report
+// e8b126).
 func TestSmallLinesForAStoppedReaderGoInFewSegments(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	a, e := s.establish()
 	before, began := segmentsReceived(t, a.Conn), time.Now()
 	const (
-		lines     = 300
-		atOnce    = 3                    // segments
-		otherwise = 4 * time.Millisecond // from one to the next
+		lines           = 300
+		initialSegments = 3                    // segments that may be sent without delay
+		minInterval     = 4 * time.Millisecond // minimum time between later segments
 	)
 	for range lines {
 		if _, err := io.WriteString(e, strings.Repeat("x", smallLine-2)+"\r\n"); err != nil {
@@ -181,14 +182,15 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(20 * time.Millisecond) // for the last one
+	time.Sleep(20 * time.Millisecond) // time for the last segment to arrive
 	segments, took := segmentsReceived(t, a.Conn)-before, time.Since(began)
-	if segments > atOnce+int(took/otherwise) {
-		t.Errorf("%d lines came in %d segments within %v", lines, segments, took)
+	if segments > initialSegments+int(took/minInterval) {
+		t.Errorf("%d lines arrived in %d segments within %v", lines, segments, took)
 	}
 }
 
-// Guards against conversations that wait for others' small lines: each turn of one is written at once, however soon it comes.
+// Guards against coalescing that delays the turns of a conversation: each of them must be written immediately, however soon it follows the
+// one before.
 func TestTurnsOfAConversationAreWrittenAtOnce(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	a, e := s.establish()
--- a/cmd/sabletally/line_delivery_test.go
+++ b/cmd/sabletally/line_delivery_test.go
@@ -17,10 +17,10 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// deliverySessions is how many sessions of a kind a test of delivery opens.
+// deliverySessions is the number of concurrent sessions in a delivery test.
 const deliverySessions = 20
 
-// converse has client and server write lines by turns, after which the kernel delays acknowledgements.
+// converse has client and server write lines in turns, which makes the kernel delay its acknowledgements from then on.
 func converse(a *testClient, e *emulator.Session) error {
 	for i := range 12 {
 		line := fmt.Sprintf("M %d\r\n", i)
@@ -28,13 +28,13 @@
 			return err
 		}
 		if got, err := e.R.ReadString('\n'); got != line {
-			return fmt.Errorf("the server got %q, %w", got, err)
+			return fmt.Errorf("the server got %q in place of the client's line, %w", got, err)
 		}
 		if _, err := io.WriteString(e, line); err != nil {
 			return err
 		}
 		if got, err := a.r.ReadString('\n'); got != line {
-			return fmt.Errorf("the client got %q, %w", got, err)
+			return fmt.Errorf("the client got %q in place of the server's line, %w", got, err)
 		}
 	}
 	return nil
@@ -46,9 +46,9 @@
 	_ = c.Close()
 }
 
-// missingLines reads what a client receives until its connection ends and returns how many of these lines are not among it.
+// missingLines reads until the connection ends and returns how many of the given lines are not in the text.
 func missingLines(r io.Reader, lines []string) int {
-	received, _ := io.ReadAll(r) // ends with an error at a reset
+	received, _ := io.ReadAll(r) // fails if the connection is reset
 	missing := 0
 	for _, line := range lines {
 		if !strings.Contains(string(received), line) {
@@ -58,7 +58,8 @@
 	return missing
 }
 
-// inSessions establishes sessions and runs a function on all of them at once. It returns the sum of the lines that these report as missing.
+// inSessions establishes deliverySessions sessions and runs a function on all of them concurrently. It returns the total number of missing
+// lines that the calls report.
 func (s *site) inSessions(run func(a *testClient, e *emulator.Session) (missing int, err error)) int {
 	s.t.Helper()
 	type result struct {
@@ -70,7 +71,7 @@
 		server *emulator.Session
 	}
 	var sessions []session
-	for range deliverySessions { // all of them first: a server that resets gets no more for a while
+	for range deliverySessions { // establishes all of them first, as a server that resets gets no new sessions for a while
 		a, e := s.establish()
 		sessions = append(sessions, session{a, e})
 	}
@@ -92,7 +93,7 @@
 	return sum
 }
 
-// afterSessions returns a function that each session calls once it is under way. Once all have, run is called.
+// afterSessions returns a function that each session calls when it has started. After all have, run is called.
 func afterSessions(run func()) (started func()) {
 	var sessions sync.WaitGroup
 	sessions.Add(deliverySessions)
@@ -103,12 +104,12 @@
 	return sessions.Done
 }
 
-// Guards against incident 0fd2d2: a server's last small lines were lost when it ended its session with a reset.
+// Guards against the loss of a server's last small lines before it reset the connection (incident 0fd2d2).
 func TestLastLinesBeforeAServersResetArrive(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		times   []time.Duration // of the server's lines
-		pause   time.Duration   // from the last of them to the end
+		times   []time.Duration // when the server writes its lines
+		pause   time.Duration   // from the last line to the end of the connection
 		orderly bool
 	}{
 		{"at once", []time.Duration{0, 5 * time.Millisecond, 29 * time.Millisecond}, 0, false},
@@ -154,13 +155,13 @@
 	}
 }
 
-// bulkLine is one of many numbered lines.
+// bulkLine returns a long line with a number.
 func bulkLine(number int) string {
 	return fmt.Sprintf("L %06d %s\r\n", number, strings.Repeat("x", 280))
 }
 
-// writeBulk writes lines until so many are written, the connection fails or takes nothing for 100 ms, and returns how many bytes the
-// other side's kernel has acknowledged.
+// writeBulk writes up to the given number of lines and returns how many bytes the other side's kernel has acknowledged. It stops early if the
+// connection fails or accepts no bytes for 100 ms.
 func writeBulk(c net.Conn, lines int) (acknowledged int) {
 	written := 0
 	for number := range lines {
@@ -178,18 +179,18 @@
 	return written - unacknowledged
 }
 
-// unacknowledgedBytes returns how much of what was written the other side's kernel has not received.
+// unacknowledgedBytes returns the number of written bytes that the other side's kernel has not acknowledged.
 func unacknowledgedBytes(c net.Conn) int {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return 0
 	}
 	bytes := 0
-	_ = raw.Control(func(fd uintptr) { bytes, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) }) // 0 on a closed connection
+	_ = raw.Control(func(fd uintptr) { bytes, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) }) // leaves 0 if the connection is closed
 	return bytes
 }
 
-// isEndedByPeer reports whether the other side's end of a connection has arrived, read or not.
+// isEndedByPeer reports whether the other side's FIN or reset has arrived in the kernel, whether it has been read or not.
 func isEndedByPeer(c net.Conn) (ended bool, err error) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -202,7 +203,7 @@
 	return ended, err
 }
 
-// countBulk reads until the connection ends and returns how many lines arrived complete and in order.
+// countBulk reads bulk lines until the connection ends and returns how many arrived complete and in order, and the error of the end.
 func countBulk(r *bufio.Reader) (lines int, err error) {
 	for ; ; lines++ {
 		line, err := r.ReadString('\n')
@@ -210,13 +211,13 @@
 			return lines, err
 		}
 		if line != bulkLine(lines) {
-			return lines, fmt.Errorf("line %d is %.20q", lines, line)
+			return lines, fmt.Errorf("bulk line %d is %.20q", lines, line)
 		}
 	}
 }
 
-// deliverBulk has one end of a session write lines and end, while the other one reads only later. It fails unless each line that the
-// balancer's kernel has received arrives, and the end after them is of the same kind.
+// deliverBulk has one peer of a session write lines and end the session, while the other one starts to read later. It fails unless every line
+// that the balancer's kernel has received arrives, followed by an end of the same kind.
 func deliverBulk(t *testing.T, from, to net.Conn, r *bufio.Reader, lines int, readsAfter time.Duration, reset bool) error {
 	t.Helper()
 	acknowledged := make(chan int, 1)
@@ -233,22 +234,22 @@
 	time.Sleep(readsAfter)
 	_ = to.SetReadDeadline(time.Now().Add(bound))
 	got, end := countBulk(r)
-	owed := <-acknowledged / len(bulkLine(0))
-	if got < owed || owed == 0 {
-		return fmt.Errorf("%d of %d lines arrived, then %w", got, owed, end)
+	expected := <-acknowledged / len(bulkLine(0))
+	if got < expected || expected == 0 {
+		return fmt.Errorf("%d of %d lines arrived, then %w", got, expected, end)
 	}
 	if reset != errors.Is(end, syscall.ECONNRESET) || !reset && !errors.Is(end, io.EOF) {
-		return fmt.Errorf("ended by %w", end)
+		return fmt.Errorf("the session ended by %w", end)
 	}
 	return nil
 }
 
-// Guards against incident 0fd2d2's class: lines that wait for a slow reader were dropped when the other side ended the session.
+// Guards against lines that waited for a slow reader and were dropped when the other side ended the session (incident 0fd2d2).
 func TestLinesForASlowReaderArriveBeforeTheEnd(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		lines      int
-		readBuffer int // of the reader's socket, 0 for the usual one
+		readBuffer int // receive buffer of the reader's socket in bytes, 0 for the default
 		readsAfter time.Duration
 		reset      bool
 		toServer   bool
@@ -278,7 +279,7 @@
 	}
 }
 
-// Guards against incident 0fd2d2's class: the last lines that a client wrote before its own reset did not reach the server.
+// Guards against the loss of the last lines that a client wrote before it reset the connection (incident 0fd2d2).
 func TestLastLinesBeforeAClientsResetArrive(t *testing.T) {
 	s := startSite(t, []string{"SABLETALLY_LOG=debug", "SABLETALLY_FILES=1024"}, "s-1")
 	lost := s.inSessions(func(a *testClient, e *emulator.Session) (int, error) {
@@ -304,7 +305,7 @@
 	}
 }
 
-// Guards against incident 0fd2d2's class: an answer to a client that had ended its sending was dropped.
+// Guards against the loss of an answer to a client that had closed its sending direction (incident 0fd2d2).
 func TestAnAnswerToAClientThatHasEndedItsSendingArrives(t *testing.T) {
 	s := startSite(t, []string{"SABLETALLY_LOG=debug"}, "s-1")
 	a, e := s.establish()
@@ -321,7 +322,7 @@
 	}
 }
 
-// Guards against incident 0fd2d2's class: good lines were dropped when a bad one arrived together with them.
+// Guards against valid lines that were dropped when an invalid one arrived together with them (incident 0fd2d2).
 func TestLinesBeforeABadOneArrive(t *testing.T) {
 	tooLong := strings.Repeat("x", 5000) + "\r\n"
 	for _, c := range []struct {
@@ -348,7 +349,7 @@
 	}
 }
 
-// Guards against incident 0fd2d2's class: a server's reset that a write to it met first was forwarded as an orderly end.
+// Guards against a server's reset that was forwarded as an orderly end because a write to the server met it first (incident 0fd2d2).
 func TestAServersResetUnderAClientsLinesIsForwardedAsOne(t *testing.T) {
 	s := startSite(t, []string{"SABLETALLY_LOG=debug", "SABLETALLY_FILES=1024"}, "s-1")
 	s.inSessions(func(a *testClient, e *emulator.Session) (int, error) {
@@ -366,14 +367,14 @@
 		time.Sleep(20 * time.Millisecond)
 		resetConn(e.Conn)
 		_, err := io.ReadAll(a.r)
-		if wrote := <-writeFailed; !errors.Is(err, syscall.ECONNRESET) && !errors.Is(wrote, syscall.ECONNRESET) { // whichever came first
+		if wrote := <-writeFailed; !errors.Is(err, syscall.ECONNRESET) && !errors.Is(wrote, syscall.ECONNRESET) { // one of them gets the reset
 			return 0, fmt.Errorf("the client got no reset, but %w and %w", err, wrote)
 		}
 		return 0, nil
 	})
 }
 
-// Guards against a counter that lagged one report behind: the first report said that no line was forwarded.
+// Guards against a counter that was one report late: the first report counted no forwarded lines.
 func TestTheFirstReportCountsForwardedLines(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	a, e := s.establish()
@@ -385,13 +386,14 @@
 	}
 }
 
-// Guards against a fault of incident 0fd2d2's own mend: ended sessions whose server had not closed yet held the descriptors of new ones.
+// Guards against a fault of the first fix of incident 0fd2d2: sessions that had ended, but whose server had not closed its connection, kept the
+// descriptors that new sessions needed.
 func TestEndedSessionsKeepNoOthersFromBeingServed(t *testing.T) {
 	s := startSite(t, []string{"SABLETALLY_FILES=64", "SABLETALLY_LOG=debug", "SLOW_CONNECT=yes"}, "s-1")
 	for range 3 {
 		var clients []*testClient
 		for range 12 {
-			a, _ := s.establish() // its server never ends it
+			a, _ := s.establish() // the server never closes its connection
 			clients = append(clients, a)
 		}
 		for _, a := range clients {
@@ -399,7 +401,7 @@
 		}
 		for end := time.Now().Add(bound); s.counter("open") > 0; {
 			if time.Now().After(end) {
-				t.Fatal("clients that have left are still held")
+				t.Fatal("sessions of clients that have closed their connections are still open")
 			}
 		}
 	}
--- a/cmd/sabletally/migration_delivery_test.go
+++ b/cmd/sabletally/migration_delivery_test.go
@@ -14,24 +14,24 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// readUntilMigrated returns how many numbered bulk lines a client receives before MOVE, which the end has to follow.
+// readUntilMigrated returns the number of bulk lines that a client receives before MOVE. It fails unless an orderly end follows.
 func readUntilMigrated(r *bufio.Reader) (int, error) {
 	for lines := 0; ; lines++ {
 		line, err := r.ReadString('\n')
 		if line == "MOVE\r\n" {
 			_, err := r.ReadByte()
 			if !errors.Is(err, io.EOF) {
-				return lines, fmt.Errorf("%w after MOVE", err)
+				return lines, fmt.Errorf("%w after MOVE in place of EOF", err)
 			}
 			return lines, nil
 		}
 		if err != nil || line != bulkLine(lines) {
-			return lines, fmt.Errorf("%.20q, %w after %d lines", line, err, lines)
+			return lines, fmt.Errorf("read %.20q, %w after %d lines", line, err, lines)
 		}
 	}
 }
 
-// writeUntilEnded writes numbered lines until the balancer's end arrives, and ends the connection in turn.
+// writeUntilEnded writes bulk lines from a server until the balancer's end arrives, and closes the connection then.
 func writeUntilEnded(e *emulator.Session, pause time.Duration, written *atomic.Int64) {
 	ended := make(chan struct{})
 	go func() {
@@ -55,7 +55,7 @@
 	}()
 }
 
-// Guards against incident 0fd2d2's class: a migration dropped what the server had sent and the balancer had not read.
+// Guards against a migration that dropped lines which the server had sent and the balancer had not read (incident 0fd2d2).
 func TestLinesBeforeAMigrationArrive(t *testing.T) {
 	s := startSite(t, []string{"SABLETALLY_LOG=debug", "SABLETALLY_FILES=1024"}, "s-1")
 	var written, arrived atomic.Int64
@@ -72,8 +72,8 @@
 	}
 }
 
-// expectHalvedLines has servers write half a line, and the rest a pause after the balancer's end, and expects it before MOVE.
-func (s *site) expectHalvedLines(pause time.Duration, started func()) {
+// expectSplitLines has servers write half a line, and the rest after the balancer's end and a pause. It expects the whole line before MOVE.
+func (s *site) expectSplitLines(pause time.Duration, started func()) {
 	s.t.Helper()
 	s.inSessions(func(a *testClient, e *emulator.Session) (int, error) {
 		go func() {
@@ -96,14 +96,14 @@
 	})
 }
 
-// Guards against incident 0fd2d2's class: a migration dropped what a server was still writing when it got the balancer's end.
+// Guards against a migration that dropped a line which the server was still writing when it got the balancer's end (incident 0fd2d2).
 func TestALineThatAServerIsWritingArrivesBeforeItsMigration(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SABLETALLY_FILES=1024"}, "s-1")
 	started := afterSessions(func() { s.expectYes("PUT", "/control/out-of-service") })
-	s.expectHalvedLines(60*time.Millisecond, started)
+	s.expectSplitLines(60*time.Millisecond, started)
 }
 
-// Guards against report e8b126's class: a line on its way for 0.3 s was lost when its session was migrated at the end of a shutdown.
+// Guards against the loss of a line that was in flight for 0.3 s when its session was migrated at the end of a shutdown (report e8b126).
 func TestALineOnItsWayAtTheEndOfAShutdownArrives(t *testing.T) {
 	s := startSite(t, []string{"SLOW_MESSAGES=yes", "SABLETALLY_FILES=1024"}, "s-1")
 	started := afterSessions(func() {
@@ -112,10 +112,10 @@
 		<-killed
 		s.child.Kill()
 	})
-	s.expectHalvedLines(300*time.Millisecond, started)
+	s.expectSplitLines(300*time.Millisecond, started)
 }
 
-// slowReader reads at a bounded rate.
+// slowReader waits 10 ms before each read.
 type slowReader struct{ io.Reader }
 
 func (r slowReader) Read(p []byte) (int, error) {
@@ -123,7 +123,7 @@
 	return r.Reader.Read(p)
 }
 
-// Guards against incident 0fd2d2's class: a migration dropped what a server had written and a slow reader kept from being read.
+// Guards against a migration that dropped lines which the balancer had not read, as they waited for a slow reader (incident 0fd2d2).
 func TestLinesForASlowReaderArriveBeforeItsMigration(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SABLETALLY_FILES=1024"}, "s-1")
 	var written, arrived atomic.Int64
@@ -140,7 +140,7 @@
 	}
 }
 
-// Guards against an old process that outlives its hot restart: a server that went on sending after its client's end kept it for 20 s.
+// Guards against a predecessor that outlives its hot restart: a server that went on sending after its client's end kept it alive for 20 s.
 func TestAServerThatSendsOnDoesNotHoldUpAHotRestart(t *testing.T) {
 	s := startSite(t, []string{"SHARED"}, "s-1")
 	a, e := s.establish()
@@ -161,6 +161,6 @@
 	select {
 	case <-old.Exited():
 	case <-time.After(soakKillDelay):
-		t.Fatal("the old process has not ended when it would be killed")
+		t.Fatal("the predecessor has not exited by the time at which it would be killed")
 	}
 }
--- a/cmd/sabletally/restart_delivery_test.go
+++ b/cmd/sabletally/restart_delivery_test.go
@@ -13,7 +13,7 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// Guards against report e8b126's class: an end that waits behind a slow reader's lines, and the lines with it, lost at a hot restart.
+// Guards against a hot restart that lost lines which waited for a slow reader, and the end of the session behind them (report e8b126).
 func TestAnEndBehindWaitingLinesSurvivesHotRestarts(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -33,7 +33,7 @@
 				from, to, r = a.Conn, e.Conn, e.R
 			}
 			_ = to.(*net.TCPConn).SetReadBuffer(64 << 10)
-			owed := writeBulk(from, 20000) / len(bulkLine(0))
+			expected := writeBulk(from, 20000) / len(bulkLine(0))
 			if c.reset {
 				resetConn(from)
 			} else {
@@ -44,23 +44,23 @@
 				time.Sleep(200 * time.Millisecond)
 			}
 			got, end := countBulk(r)
-			if got < owed || owed == 0 {
-				t.Errorf("%d of %d lines arrived, then %v", got, owed, end)
+			if got < expected || expected == 0 {
+				t.Errorf("%d of %d lines arrived, then %v", got, expected, end)
 			}
 			if c.reset != errors.Is(end, syscall.ECONNRESET) || !c.reset && !errors.Is(end, io.EOF) {
-				t.Errorf("ended by %v", end)
+				t.Errorf("the session ended by %v", end)
 			}
 		})
 	}
 }
 
-// Guards against report e8b126's class: lines that had come together for one write were lost when their pair was handed over or ended.
+// Guards against the loss of coalesced lines that waited for their write when their session was handed over or ended (report e8b126).
 func TestLinesThatWaitForOneWriteArrive(t *testing.T) {
 	const lines = 40
 	for _, c := range []struct {
 		name string
 		end  func(s *site, e *emulator.Session)
-		want string // what the client sees behind the lines
+		want string // text that the client receives after the lines
 	}{
 		{"reset", func(_ *site, e *emulator.Session) { resetConn(e.Conn) }, ""},
 		{"in order", func(_ *site, e *emulator.Session) { _ = e.Close() }, ""},
@@ -80,7 +80,7 @@
 			}
 			s := startSite(t, env, "s-1", "s-2")
 			a, e := s.establish()
-			go func() { // ends its side once the balancer has ended it
+			go func() { // closes the connection after the balancer's end
 				_, _ = io.Copy(io.Discard, e.R)
 				_ = e.Close()
 			}()
@@ -97,9 +97,9 @@
 			}
 			c.end(s, e)
 			want.WriteString(c.want)
-			got, _ := io.ReadAll(a.r) // ends with an error at a reset
+			got, _ := io.ReadAll(a.r) // fails if the connection is reset
 			if string(got) != want.String() {
-				t.Errorf("%q in place of %q", got, want.String())
+				t.Errorf("the client got %q in place of %q", got, want.String())
 			}
 		})
 	}
--- a/cmd/sabletally/shutdown_delivery_test.go
+++ b/cmd/sabletally/shutdown_delivery_test.go
@@ -18,46 +18,46 @@
 
 const (
 	serverCloses          serverEnd = iota
-	serverResets                    // with a reset
-	serverClosesOverInput           // over a line that it has not read, which is a reset too
-	serverWaits                     // for the balancer's end
+	serverResets                    // the server resets the connection
+	serverClosesOverInput           // the server closes with an unread line in its buffer, which makes the kernel send a reset
+	serverAwaitsEnd                 // the server closes after the balancer's end
 )
 
-// shutdownDelivery is what servers do in the middle of a shutdown. Times count from SIGTERM.
+// shutdownDelivery is a case of servers that write lines and end their sessions during a shutdown. Times count from SIGTERM.
 type shutdownDelivery struct {
-	name      string
-	lines     []time.Duration // when a line's last byte is written
-	halves    time.Duration   // by which each line's first half is written earlier, 0 for whole lines
-	end       serverEnd
-	endsAfter time.Duration // the last line
-	suspended bool          // the balancer's process is held up from before the last two lines until after the end
-	upgrade   bool          // another process takes over
+	name          string
+	lines         []time.Duration // when the last byte of each line is written
+	firstHalfLead time.Duration   // how much earlier the first half of each line is written, 0 for whole lines
+	end           serverEnd
+	endsAfter     time.Duration // time from the last line to the server's end
+	suspended     bool          // the balancer is suspended from before the last two lines until after the server's end
+	upgrade       bool          // the shutdown is part of a hot restart
 }
 
 var shutdownDeliveries = []shutdownDelivery{
-	{name: "reset, a line in flight", lines: millis(517, 525, 549), end: serverResets},
-	{name: "reset after a quiet time", lines: millis(525, 549), end: serverResets},
-	{name: "reset 15 ms later", lines: millis(525, 549), end: serverResets, endsAfter: 15 * time.Millisecond},
-	{name: "reset, in halves", lines: millis(525, 549), halves: 20 * time.Millisecond, end: serverResets},
-	{name: "reset, held up", lines: millis(525, 549), end: serverResets, suspended: true},
-	{name: "reset, held up, a line in flight", lines: millis(490, 525, 549), end: serverResets, suspended: true},
-	{name: "close over input", lines: millis(525, 549), end: serverClosesOverInput},
-	{name: "close over input, held up", lines: millis(525, 549), end: serverClosesOverInput, suspended: true},
-	{name: "in order", lines: millis(517, 525, 549), end: serverCloses},
-	{name: "migrated", lines: millis(525, 549), end: serverWaits},
-	{name: "migrated, held up", lines: millis(525, 549), end: serverWaits, suspended: true},
-	{name: "migrated, in halves", lines: millis(525, 549), halves: 20 * time.Millisecond, end: serverWaits},
-	{name: "reset right after a conversation", lines: millis(1, 25), end: serverResets},
-	{name: "reset at a hot restart", lines: millis(1, 25), end: serverResets, upgrade: true},
-	{name: "reset in halves at a hot restart", lines: millis(1, 25), halves: 20 * time.Millisecond, end: serverResets, upgrade: true},
+	{name: "reset, a line in flight", lines: milliseconds(517, 525, 549), end: serverResets},
+	{name: "reset after a quiet time", lines: milliseconds(525, 549), end: serverResets},
+	{name: "reset 15 ms later", lines: milliseconds(525, 549), end: serverResets, endsAfter: 15 * time.Millisecond},
+	{name: "reset, in halves", lines: milliseconds(525, 549), firstHalfLead: 20 * time.Millisecond, end: serverResets},
+	{name: "reset, held up", lines: milliseconds(525, 549), end: serverResets, suspended: true},
+	{name: "reset, held up, a line in flight", lines: milliseconds(490, 525, 549), end: serverResets, suspended: true},
+	{name: "close over input", lines: milliseconds(525, 549), end: serverClosesOverInput},
+	{name: "close over input, held up", lines: milliseconds(525, 549), end: serverClosesOverInput, suspended: true},
+	{name: "in order", lines: milliseconds(517, 525, 549), end: serverCloses},
+	{name: "migrated", lines: milliseconds(525, 549), end: serverAwaitsEnd},
+	{name: "migrated, held up", lines: milliseconds(525, 549), end: serverAwaitsEnd, suspended: true},
+	{name: "migrated, in halves", lines: milliseconds(525, 549), firstHalfLead: 20 * time.Millisecond, end: serverAwaitsEnd},
+	{name: "reset right after a conversation", lines: milliseconds(1, 25), end: serverResets},
+	{name: "reset at a hot restart", lines: milliseconds(1, 25), end: serverResets, upgrade: true},
+	{name: "reset in halves at a hot restart", lines: milliseconds(1, 25), firstHalfLead: 20 * time.Millisecond, end: serverResets, upgrade: true},
 }
 
 const (
-	suspendedBefore = 120 * time.Millisecond // the last two lines
-	suspendedAfter  = 20 * time.Millisecond  // the last one
+	suspendLead = 120 * time.Millisecond // time from the balancer's suspension to the last line but one
+	resumeDelay = 20 * time.Millisecond  // time from the last line until the balancer continues
 )
 
-func millis(times ...int) []time.Duration {
+func milliseconds(times ...int) []time.Duration {
 	var spans []time.Duration
 	for _, n := range times {
 		spans = append(spans, time.Duration(n)*time.Millisecond)
@@ -65,31 +65,31 @@
 	return spans
 }
 
-// deliveryCount counts sessions by what did not arrive of their last two lines.
-type deliveryCount struct{ one, both, moved, movedOne, movedBoth atomic.Int64 }
+// deliveryCount counts the sessions that lost one line and those that lost more, separately for migrated sessions.
+type deliveryCount struct{ lostOne, lostMore, migrated, migratedLostOne, migratedLostMore atomic.Int64 }
 
-func (n *deliveryCount) add(missing int, moved bool) {
-	one, both := &n.one, &n.both
-	if moved {
-		n.moved.Add(1)
-		one, both = &n.movedOne, &n.movedBoth
+func (n *deliveryCount) add(missing int, migrated bool) {
+	lostOne, lostMore := &n.lostOne, &n.lostMore
+	if migrated {
+		n.migrated.Add(1)
+		lostOne, lostMore = &n.migratedLostOne, &n.migratedLostMore
 	}
 	switch {
 	case missing == 1:
-		one.Add(1)
+		lostOne.Add(1)
 	case missing > 1:
-		both.Add(1)
+		lostMore.Add(1)
 	}
 }
 
-// Guards against report e8b126: lines that a server wrote in the middle of a shutdown, just before its session's end, never arrived.
+// Guards against the loss of lines that a server wrote during a shutdown, just before the end of its session (report e8b126).
 func TestLinesWithinAShutdownArrive(t *testing.T) {
 	for _, c := range shutdownDeliveries {
-		t.Run(c.name, func(t *testing.T) { c.play(t) })
+		t.Run(c.name, func(t *testing.T) { c.run(t) })
 	}
 }
 
-func (c shutdownDelivery) play(t *testing.T) {
+func (c shutdownDelivery) run(t *testing.T) {
 	env := []string{"SABLETALLY_LOG=debug", "SABLETALLY_FILES=1024", "SLOW_MESSAGES=yes"}
 	if c.upgrade {
 		env = append(env, "SHARED")
@@ -108,9 +108,9 @@
 		}
 		close(ready)
 		if c.suspended {
-			time.Sleep(time.Until(signalled.Add(c.lines[len(c.lines)-2] - suspendedBefore)))
+			time.Sleep(time.Until(signalled.Add(c.lines[len(c.lines)-2] - suspendLead)))
 			_ = s.child.Signal(syscall.SIGSTOP)
-			time.Sleep(time.Until(signalled.Add(c.lines[len(c.lines)-1] + suspendedAfter)))
+			time.Sleep(time.Until(signalled.Add(c.lines[len(c.lines)-1] + resumeDelay)))
 			_ = s.child.Signal(syscall.SIGCONT)
 		}
 	})
@@ -124,7 +124,7 @@
 		var received string
 		var reading sync.WaitGroup
 		reading.Go(func() {
-			text, _ := io.ReadAll(a.r) // ends with an error at a reset
+			text, _ := io.ReadAll(a.r) // fails if the connection is reset
 			received = string(text)
 		})
 		written, err := c.serve(a, e, signalled)
@@ -138,36 +138,37 @@
 		count.add(missing, strings.HasSuffix(received, "MOVE\r\n"))
 		return missing, err
 	})
-	t.Logf("%d lost: one line in %d sessions, more in %d; of %d migrated ones one in %d, more in %d",
-		lost, count.one.Load(), count.both.Load(), count.moved.Load(), count.movedOne.Load(), count.movedBoth.Load())
+	t.Logf("%d lines lost: one line in %d sessions, more in %d; of %d migrated sessions one line in %d, more in %d",
+		lost, count.lostOne.Load(), count.lostMore.Load(), count.migrated.Load(), count.migratedLostOne.Load(), count.migratedLostMore.Load())
 	if lost > 0 {
 		t.Errorf("%d lines lost", lost)
 	}
 }
 
-// serve plays the server and returns the lines that are owed: those that it wrote whole before the balancer's end arrived.
-func (c shutdownDelivery) serve(a *testClient, e *emulator.Session, from time.Time) (owed []string, err error) {
+// serve writes the lines, ends the session, and returns the lines that must arrive: those that were written whole before the balancer's end
+// arrived.
+func (c shutdownDelivery) serve(a *testClient, e *emulator.Session, from time.Time) (expected []string, err error) {
 	names := []string{"L first\r\n", "L second\r\n", "L third\r\n"}
-	const half = 4 // bytes
+	const half = 4 // bytes in the first half of a line
 	for i, at := range c.lines {
 		line := names[i]
-		if c.halves > 0 {
-			time.Sleep(time.Until(from.Add(at - c.halves)))
+		if c.firstHalfLead > 0 {
+			time.Sleep(time.Until(from.Add(at - c.firstHalfLead)))
 			if _, err := io.WriteString(e, line[:half]); err != nil {
-				return owed, nil
+				return expected, nil
 			}
 		}
 		time.Sleep(time.Until(from.Add(at)))
 		if ended, err := isEndedByPeer(e.Conn); ended || err != nil {
-			return owed, nil
+			return expected, nil
 		}
-		if c.halves > 0 {
+		if c.firstHalfLead > 0 {
 			line = line[half:]
 		}
 		if _, err := io.WriteString(e, line); err != nil {
-			return owed, nil
+			return expected, nil
 		}
-		owed = append(owed, names[i])
+		expected = append(expected, names[i])
 	}
 	if c.end == serverClosesOverInput {
 		_, _ = io.WriteString(a, "M unread\r\n")
@@ -177,15 +178,15 @@
 	switch c.end {
 	case serverResets:
 		resetConn(e.Conn)
-	case serverWaits:
+	case serverAwaitsEnd:
 		_, err := io.Copy(io.Discard, e.R)
 		if errors.Is(err, syscall.ECONNRESET) {
 			err = nil
 		}
 		_ = e.Close()
-		return owed, err
+		return expected, err
 	default:
 		_ = e.Close()
 	}
-	return owed, nil
+	return expected, nil
 }
--- a/cmd/sabletally/slow_reader_test.go
+++ b/cmd/sabletally/slow_reader_test.go
@@ -12,19 +12,19 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// Guards against a server that is taken for gone while it is the client that reads slowly: its unread answers counted as silence.
+// Guards against a server that was taken for silent because its client read slowly: answers that the balancer had not read counted as missing.
 func TestASlowReadersServerIsNotTakenForSilent(t *testing.T) {
 	s := startSite(t, []string{"SABLETALLY_FILES=1024"}, "s-1")
 	var written, arrived atomic.Int64
 	s.inSessions(func(a *testClient, e *emulator.Session) (int, error) {
 		go func() {
-			defer func() { _ = e.Conn.(*net.TCPConn).CloseWrite() }() // a close over the client's lines would be a reset
+			defer func() { _ = e.Conn.(*net.TCPConn).CloseWrite() }() // Close would send a reset if the client's lines are unread
 			if _, err := e.R.ReadString('\n'); err != nil {
 				return
 			}
 			go func() { _, _ = io.Copy(io.Discard, e.R) }()
 			_ = e.SetWriteDeadline(time.Now().Add(500 * time.Millisecond))
-			for number := 0; ; number++ { // until nothing more is taken
+			for number := 0; ; number++ { // until the connection accepts no more bytes
 				if n, err := io.WriteString(e, bulkLine(number)); err != nil {
 					_ = e.SetWriteDeadline(time.Time{})
 					_, _ = io.WriteString(e, bulkLine(number)[n:])
@@ -35,9 +35,9 @@
 		}()
 		a.write("M 1\r\n")
 		time.Sleep(500 * time.Millisecond)
-		a.write("M 2\r\n") // its answer is behind all that
+		a.write("M 2\r\n") // the answer to this line waits behind all lines above
 		time.Sleep(2700 * time.Millisecond)
-		lines, err := readUntilMigrated(a.r) // a busy machine may have the policy move it for its load
+		lines, err := readUntilMigrated(a.r) // on a busy machine the policy may migrate the session because of the load
 		arrived.Add(int64(lines))
 		if err != nil && !errors.Is(err, io.EOF) {
 			return 0, err
@@ -52,7 +52,7 @@
 	}
 }
 
-// Guards against incident 0fd2d2's class: answers to a slow reader that had ended its sending were dropped a second after that end.
+// Guards against answers to a slow reader that were dropped a second after it had closed its sending direction (incident 0fd2d2).
 func TestAnswersToASlowReaderThatHasEndedItsSendingArrive(t *testing.T) {
 	s := startSite(t, []string{"SABLETALLY_FILES=1024"}, "s-1")
 	const lines = 20000
@@ -84,7 +84,8 @@
 	}
 }
 
-// Guards against incident 0fd2d2's class: a crowd of silent clients had the answers of sessions cut whose clients had ended their sending.
+// Guards against a crowd of silent clients that made the balancer cut off answers to clients which had closed their sending direction (incident
+// 0fd2d2).
 func TestASilentCrowdLeavesAnswersToEndedClientsAlone(t *testing.T) {
 	s := startSite(t, []string{"SABLETALLY_FILES=64", "SLOW_CONNECT=yes"}, "s-1")
 	const sessions = 8
@@ -104,7 +105,7 @@
 		go func() {
 			got, err := io.ReadAll(a.r)
 			if string(got) != "M 1\r\n" {
-				err = fmt.Errorf("%q, %w", got, err)
+				err = fmt.Errorf("the client got %q, %w", got, err)
 			}
 			results <- err
 		}()
--- a/cmd/sabletally/soak_client_test.go
+++ b/cmd/sabletally/soak_client_test.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// soakClient opens one session after another.
+// soakClient opens one session after another until done is closed.
 type soakClient struct {
-	number  int
-	model   *model
-	rng     *rand.Rand
-	front   func() *soakNode // an open balancer, nil where there is none
-	next    func() uint64    // session IDs
-	done    <-chan struct{}
-	signals *moments
-	maxRest time.Duration // between two sessions
+	number       int
+	model        *model
+	rng          *rand.Rand
+	pickNode     func() *soakNode // returns a balancer in rotation, nil if there is none
+	nextID       func() uint64    // returns the ID of the next session
+	done         <-chan struct{}
+	signals      *broadcaster
+	maxThinkTime time.Duration // maximum wait between two sessions
 }
 
 func (c *soakClient) run() {
@@ -29,9 +29,9 @@
 		select {
 		case <-c.done:
 			return
-		case <-time.After(time.Duration(c.rng.Int64N(int64(c.maxRest)))):
+		case <-time.After(time.Duration(c.rng.Int64N(int64(c.maxThinkTime)))):
 		}
-		if node := c.front(); node != nil {
+		if node := c.pickNode(); node != nil {
 			c.open(node)
 		}
 	}
@@ -39,29 +39,29 @@
 
 var soakClasses = []string{"feed", "pay"}
 
-// open opens a session and plays it to its end.
+// open opens a session and runs it until it ends.
 func (c *soakClient) open(node *soakNode) {
 	address, linkDelay := node.address, time.Duration(0)
-	if c.rng.Float64() < soakOverLink {
+	if c.rng.Float64() < soakLinkShare {
 		address, linkDelay = node.link.address(), soakLinkDelay
 	}
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		return // never accepted
+		return // not recorded: the balancer did not accept the connection
 	}
 	defer func() { _ = conn.Close() }()
 	class := soakClasses[c.rng.IntN(len(soakClasses))]
-	s := &soakSession{id: c.next(), class: class, node: node.Name, nonIdempotent: class == "pay", pause: slowPause(c.rng.Float64()), linkDelay: linkDelay}
+	s := &soakSession{id: c.nextID(), class: class, node: node.Name, nonIdempotent: class == "pay", pause: drawPause(c.rng.Float64()), linkDelay: linkDelay}
 	switch draw := c.rng.Float64(); {
-	case linkDelay > 0: // the link's own kernel would wait for a small buffer
-	case draw < 0.2 && s.pause == 0: // a slow reader would take a burst for longer than the soak lasts
+	case linkDelay > 0: // keeps the default buffer: a small one would make the link's kernel wait as well
+	case draw < 0.2 && s.pause == 0: // not for a slow reader: it would need longer for a burst than the soak lasts
 		_ = conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	case draw < 0.5:
 		_ = conn.(*net.TCPConn).SetReadBuffer(32 << 10)
 	}
-	node.enter(s)
-	defer node.leave(s)
-	c.model.add(s)
+	node.addSession(s)
+	defer node.removeSession(s)
+	c.model.addSession(s)
 	request := fmt.Sprintf("OPEN %x %x c=%s,t=acme,d=%d,g=%x\r\n", s.id, c.rng.Uint64(), class, soakDeadline.Milliseconds(), c.number)
 	s.openedAt = time.Now()
 	if err := c.writeInParts(conn, request); err != nil {
@@ -70,9 +70,9 @@
 	s.mu.Lock()
 	s.openedAt = time.Now()
 	s.mu.Unlock()
-	if c.rng.Float64() < 0.05 { // leaves before its answer
+	if c.rng.Float64() < 0.05 { // the client ends the session before it has an answer
 		time.Sleep(time.Duration(c.rng.IntN(30)) * time.Millisecond)
-		s.endOwn(conn, endOrderly)
+		s.sendEnd(conn, endOrderly)
 		return
 	}
 	r := bufio.NewReader(conn)
@@ -80,17 +80,17 @@
 	answer, err := r.ReadString('\n')
 	s.mu.Lock()
 	if err != nil {
-		s.end, s.endAt = kindOfEnd(err), time.Now()
+		s.receivedEnd, s.receivedEndAt = connEndOf(err), time.Now()
 	} else {
 		s.answer, s.answeredAt = answer, time.Now()
 	}
 	s.mu.Unlock()
 	if err == nil && strings.HasPrefix(answer, "UP ") {
-		c.talk(conn, r, s)
+		c.runSession(conn, r, s)
 	}
 }
 
-// writeInParts writes a line, sometimes byte after byte or in halves.
+// writeInParts writes a line, one time in ten in two halves with a pause between them.
 func (c *soakClient) writeInParts(conn net.Conn, line string) error {
 	if c.rng.Float64() < 0.1 {
 		half := len(line) / 2
@@ -104,8 +104,9 @@
 	return err
 }
 
-// endOwn ends the session from the client's side.
-func (s *soakSession) endOwn(conn net.Conn, how connEnd) {
+// sendEnd ends the session from the client's side, unless it has ended or been migrated. A reset waits until the balancer's kernel has
+// acknowledged all bytes, and becomes an orderly end if that takes more than a second.
+func (s *soakSession) sendEnd(conn net.Conn, how connEnd) {
 	for end := time.Now().Add(time.Second); how == endReset && unacknowledgedBytes(conn) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			how = endOrderly
@@ -113,10 +114,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.end != endNone || !s.movedAt.IsZero() {
+	if s.receivedEnd != endNone || !s.migratedAt.IsZero() {
 		return
 	}
-	s.ownEnd, s.ownEndAt = how, time.Now()
+	s.sentEnd, s.sentEndAt = how, time.Now()
 	if how == endReset {
 		resetConn(conn)
 	} else {
@@ -124,16 +125,16 @@
 	}
 }
 
-// talk writes lines over an established session until it ends, or the client ends it.
-func (c *soakClient) talk(conn net.Conn, r *bufio.Reader, s *soakSession) {
+// runSession writes lines over an established session until the balancer or the client ends it.
+func (c *soakClient) runSession(conn net.Conn, r *bufio.Reader, s *soakSession) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		s.readLines(r, s.pause)
 	}()
 	leave := time.After(time.Duration(500+c.rng.IntN(5000)) * time.Millisecond)
-	var signalled <-chan struct{} // nil: never
-	if c.rng.Float64() < soakWithSignal {
+	var signalled <-chan struct{} // a nil channel never fires
+	if c.rng.Float64() < soakSignalShare {
 		signalled = c.signals.next()
 	}
 	for line := 0; ; line++ {
@@ -141,7 +142,7 @@
 		case <-ended:
 			return
 		case <-c.done:
-			s.endOwn(conn, endOrderly)
+			s.sendEnd(conn, endOrderly)
 			<-ended
 			return
 		case <-signalled:
@@ -158,7 +159,7 @@
 	}
 }
 
-// leave ends the session, sometimes right behind a burst of lines.
+// leave ends the session, sometimes immediately after a burst of lines.
 func (c *soakClient) leave(conn net.Conn, s *soakSession) {
 	if c.rng.Float64() < 0.3 {
 		c.burst(conn, s)
@@ -167,13 +168,13 @@
 	if c.rng.Float64() < 0.4 {
 		how = endReset
 	}
-	s.endOwn(conn, how)
+	s.sendEnd(conn, how)
 }
 
-// burst writes lines one right after the other.
+// burst writes soakBurstLines lines without pauses.
 func (c *soakClient) burst(conn net.Conn, s *soakSession) {
-	for number := range soakBulk {
-		line := fmt.Sprintf("C b%d %s\r\n", number, strings.Repeat("y", bulkSize))
+	for number := range soakBurstLines {
+		line := fmt.Sprintf("C b%d %s\r\n", number, strings.Repeat("y", burstLineSize))
 		_, err := io.WriteString(conn, line)
 		s.recordWritten(line, err)
 		if err != nil {
@@ -182,16 +183,16 @@
 	}
 }
 
-// writeLine writes a line and records it once its last byte is written.
+// writeLine writes a line and records it after its last byte is written.
 func (c *soakClient) writeLine(conn net.Conn, s *soakSession, line string) {
 	s.recordWritten(line, c.writeInParts(conn, line))
 }
 
-// recordWritten records a line of the client, or how writing it failed.
+// recordWritten records a line that the client wrote, or that its write met a reset.
 func (s *soakSession) recordWritten(line string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if errors.Is(err, syscall.ECONNRESET) { // the reader only sees an orderly end then
+	if errors.Is(err, syscall.ECONNRESET) { // the kernel reports the reset to the write only; the read gets EOF
 		s.writeWasReset = true
 	}
 	if err == nil {
@@ -199,21 +200,21 @@
 	}
 }
 
-// readLines records what the client receives until its connection ends. A slow reader pauses now and then.
+// readLines records the lines that the client receives until its connection ends. A slow reader pauses between periods of reading.
 func (s *soakSession) readLines(r *bufio.Reader, pause time.Duration) {
 	for pacer := newPacer(pause); ; {
 		pacer.wait()
 		line, err := r.ReadString('\n')
 		s.mu.Lock()
 		switch {
-		case errors.Is(err, net.ErrClosed): // by its own reset
+		case errors.Is(err, net.ErrClosed): // the client itself has reset the connection
 		case err != nil:
-			s.end, s.endAt = kindOfEnd(err), time.Now()
+			s.receivedEnd, s.receivedEndAt = connEndOf(err), time.Now()
 			if errors.Is(err, syscall.ETIMEDOUT) {
-				s.end = endNone
+				s.receivedEnd = endNone
 			}
 		case line == "MOVE\r\n":
-			s.movedAt = time.Now()
+			s.migratedAt = time.Now()
 		default:
 			s.received = append(s.received, timedLine{text: line, at: time.Now(), readingSince: pacer.readingSince})
 		}
--- a/cmd/sabletally/soak_link_test.go
+++ b/cmd/sabletally/soak_link_test.go
@@ -14,49 +14,49 @@
 )
 
 const (
-	soakLinkDelay = 500 * time.Millisecond // that a link may add to a line, an answer or an end
-	maxLinkHold   = 300 * time.Millisecond // for which it carries nothing now and then
-	maxChunkDelay = 20 * time.Millisecond  // of some of the pieces
-	maxChunk      = 16 << 10               // bytes of a piece
+	soakLinkDelay = 500 * time.Millisecond // allowance for the delay that a link adds to a line, an answer or an end
+	maxLinkStall  = 300 * time.Millisecond // maximum length of a stall, in which a link forwards nothing
+	maxChunkDelay = 20 * time.Millisecond  // maximum delay of a chunk; one chunk in fifty is delayed
+	maxChunk      = 16 << 10               // maximum size of a chunk in bytes
 )
 
-// soakLink carries connections to an address in pieces of any size, some of them late, and nothing at all now and then. What was sent arrives,
-// in order, before the end behind it, and the end arrives as it was.
+// soakLink forwards connections to an address in chunks of random sizes, with random delays and stalls. It delivers all bytes in order and
+// then an end of the same kind, orderly or by a reset.
 type soakLink struct {
 	listener net.Listener
 	to       string
 
-	mu   sync.Mutex
-	rng  *rand.Rand
-	held sync.RWMutex // write-locked while nothing is carried
+	mu      sync.Mutex
+	rng     *rand.Rand
+	stalled sync.RWMutex // write-locked during a stall
 }
 
 func newSoakLink(listener net.Listener, to string, seed uint64, done <-chan struct{}) *soakLink {
 	l := &soakLink{listener: listener, to: to, rng: rand.New(rand.NewPCG(seed, 900))}
 	go l.accept()
-	go l.holdNowAndThen(done)
+	go l.stallPeriodically(done)
 	return l
 }
 
 func (l *soakLink) address() string { return l.listener.Addr().String() }
 
-// upTo draws a number below most.
-func (l *soakLink) upTo(most int) int {
+// randomBelow returns a random number in [0, most).
+func (l *soakLink) randomBelow(most int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.IntN(most)
 }
 
-func (l *soakLink) holdNowAndThen(done <-chan struct{}) {
+func (l *soakLink) stallPeriodically(done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
-		case <-time.After(time.Duration(500+l.upTo(1500)) * time.Millisecond):
+		case <-time.After(time.Duration(500+l.randomBelow(1500)) * time.Millisecond):
 		}
-		l.held.Lock()
-		time.Sleep(time.Duration(l.upTo(int(maxLinkHold))))
-		l.held.Unlock()
+		l.stalled.Lock()
+		time.Sleep(time.Duration(l.randomBelow(int(maxLinkStall))))
+		l.stalled.Unlock()
 	}
 }
 
@@ -71,35 +71,35 @@
 			_ = near.Close()
 			continue
 		}
-		go l.carryBoth(near.(*net.TCPConn), far.(*net.TCPConn))
+		go l.forwardBoth(near.(*net.TCPConn), far.(*net.TCPConn))
 	}
 }
 
-func (l *soakLink) carryBoth(near, far *net.TCPConn) {
-	a, b := &linkEnd{TCPConn: near}, &linkEnd{TCPConn: far}
+func (l *soakLink) forwardBoth(near, far *net.TCPConn) {
+	a, b := &linkConn{TCPConn: near}, &linkConn{TCPConn: far}
 	var directions sync.WaitGroup
-	directions.Go(func() { l.carry(a, b) })
-	directions.Go(func() { l.carry(b, a) })
+	directions.Go(func() { l.forward(a, b) })
+	directions.Go(func() { l.forward(b, a) })
 	directions.Wait()
 	_ = near.Close()
 	_ = far.Close()
 }
 
-// linkEnd is one end of a link.
-type linkEnd struct {
+// linkConn is one of the two connections of a link.
+type linkConn struct {
 	*net.TCPConn
-	broken atomic.Bool // a write met its reset: a read only sees an orderly end then
-	ended  atomic.Bool // by the link itself
+	writeFailed  atomic.Bool // a write met a reset, so that reads get EOF in its place
+	closedByLink atomic.Bool // the link has closed its sending direction
 }
 
-// wasReset reports whether an end that a read saw as an orderly one was a reset: the write that met it may not have returned yet, but the
-// kernel is done with the connection then, and not after an orderly end of the other side alone.
-func (e *linkEnd) wasReset() bool {
-	if e.broken.Load() {
+// wasReset reports whether the EOF of a read stands for a reset that a write met first. That write may not have returned yet, so the state of
+// the socket counts too: it is CLOSE after a reset, but not if only the other side has closed its sending direction.
+func (e *linkConn) wasReset() bool {
+	if e.writeFailed.Load() {
 		return true
 	}
 	raw, err := e.SyscallConn()
-	if err != nil || e.ended.Load() {
+	if err != nil || e.closedByLink.Load() {
 		return false
 	}
 	isDone := false
@@ -110,30 +110,30 @@
 	return isDone
 }
 
-// carry carries one direction until its end.
-func (l *soakLink) carry(from, to *linkEnd) {
+// forward copies one direction until it ends, and forwards the end.
+func (l *soakLink) forward(from, to *linkConn) {
 	buffer := make([]byte, maxChunk)
 	for {
-		n, err := from.Read(buffer[:1+l.upTo(maxChunk)])
+		n, err := from.Read(buffer[:1+l.randomBelow(maxChunk)])
 		if n > 0 {
-			l.pass()
+			l.delayChunk()
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
-				to.broken.Store(true) // the other direction carries that on
+				to.writeFailed.Store(true) // the other direction forwards the reset
 			}
 		}
 		if errors.Is(err, io.EOF) && from.wasReset() {
 			err = syscall.ECONNRESET
 		}
 		switch {
-		case errors.Is(err, net.ErrClosed): // by the other direction's reset
+		case errors.Is(err, net.ErrClosed): // the other direction has reset this connection
 			return
 		case errors.Is(err, io.EOF):
-			l.pass()
-			to.ended.Store(true)
+			l.delayChunk()
+			to.closedByLink.Store(true)
 			_ = to.CloseWrite()
 			return
 		case err != nil:
-			l.pass()
+			l.delayChunk()
 			for end := time.Now().Add(bound); unacknowledgedBytes(to.TCPConn) > 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
@@ -143,11 +143,11 @@
 	}
 }
 
-// pass waits until the next piece may go.
-func (l *soakLink) pass() {
-	l.held.RLock()
-	defer l.held.RUnlock()
-	if l.upTo(50) == 0 {
-		time.Sleep(time.Duration(l.upTo(int(maxChunkDelay))))
+// delayChunk waits for the end of a stall, and delays one chunk in fifty.
+func (l *soakLink) delayChunk() {
+	l.stalled.RLock()
+	defer l.stalled.RUnlock()
+	if l.randomBelow(50) == 0 {
+		time.Sleep(time.Duration(l.randomBelow(int(maxChunkDelay))))
 	}
 }
--- a/cmd/sabletally/soak_peers_test.go
+++ b/cmd/sabletally/soak_peers_test.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	soakMaxGap     = 60 * time.Millisecond // between the halves of a line
-	maxSoakLines   = 10000                 // of a client in one session
-	soakBulk       = 1500                  // lines of a burst
-	soakOverLink   = 0.25                  // of the clients come over a link
-	soakWithBurst  = 0.06                  // of a server's lines are many small ones one right after the other
-	soakWithSignal = 0.3                   // of the sessions end in the moment of a signal or a change of the list
-	slowReadTime   = 20 * time.Millisecond // how long a slow reader reads between two pauses
+	maxLineGap      = 60 * time.Millisecond // maximum time between the halves of a line
+	maxSoakLines    = 10000                 // maximum number of lines of a client in one session
+	soakBurstLines  = 1500                  // number of lines in a large burst
+	soakLinkShare   = 0.25                  // share of the sessions whose clients connect over a link
+	soakBurstShare  = 0.06                  // share of a server's lines that come after a burst of small lines
+	soakSignalShare = 0.3                   // share of the peers that end a session at a signal or a change of server states
+	slowReadTime    = 20 * time.Millisecond // time that a slow reader reads between two pauses
 )
 
-// slowPause draws how long a slow reader pauses, 0 for one that is not slow.
-func slowPause(draw float64) time.Duration {
+// drawPause returns the length of a reader's pauses for a random number in [0, 1): 0 for three readers in four, 100 to 350 ms for a slow one.
+func drawPause(draw float64) time.Duration {
 	const slowPart = 0.25
 	if draw >= slowPart {
 		return 0
@@ -26,11 +26,11 @@
 	return 100*time.Millisecond + time.Duration(draw/slowPart*float64(250*time.Millisecond))
 }
 
-// pacer pauses a slow reader now and then.
+// pacer pauses a slow reader each time that it has read for slowReadTime.
 type pacer struct {
-	pause     time.Duration // 0 for one that is not slow
+	pause     time.Duration // 0 for a reader that is not slow
 	lastPause time.Time
-	// readingSince is when it last read on.
+	// readingSince is when the last pause ended.
 	readingSince time.Time
 }
 
@@ -44,34 +44,34 @@
 	}
 }
 
-// moments tells many of one moment after another.
-type moments struct {
-	mu     sync.Mutex
-	coming chan struct{}
+// broadcaster notifies all waiting goroutines of an event.
+type broadcaster struct {
+	mu        sync.Mutex
+	nextEvent chan struct{}
 }
 
-// next returns a channel that is closed at the next moment.
-func (m *moments) next() <-chan struct{} {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.coming == nil {
-		m.coming = make(chan struct{})
+// next returns a channel that is closed at the next event.
+func (b *broadcaster) next() <-chan struct{} {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.nextEvent == nil {
+		b.nextEvent = make(chan struct{})
 	}
-	return m.coming
+	return b.nextEvent
 }
 
-// now is the next moment.
-func (m *moments) now() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.coming != nil {
-		close(m.coming)
+// notify closes the channels that next has returned since the last event.
+func (b *broadcaster) notify() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.nextEvent != nil {
+		close(b.nextEvent)
 	}
-	m.coming = nil
+	b.nextEvent = nil
 }
 
-// kindOfEnd returns how a connection ended whose read failed.
-func kindOfEnd(err error) connEnd {
+// connEndOf returns how a connection ended, from the error of a read.
+func connEndOf(err error) connEnd {
 	if errors.Is(err, io.EOF) {
 		return endOrderly
 	}
--- a/cmd/sabletally/soak_server_test.go
+++ b/cmd/sabletally/soak_server_test.go
@@ -14,12 +14,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// soakServer accepts sessions and serves each by a draw of chance.
+// soakServer accepts sessions and draws at random how it answers, serves and ends each of them.
 type soakServer struct {
 	uid      string
 	listener net.Listener
 	model    *model
-	signals  *moments
+	signals  *broadcaster
 
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -31,8 +31,8 @@
 	return v.rng.Float64()
 }
 
-// upTo draws a span of time.
-func (v *soakServer) upTo(most time.Duration) time.Duration {
+// randomDuration returns a random duration in [0, most).
+func (v *soakServer) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(v.float() * float64(most))
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// handle answers probes, and the first session request.
+// handle answers health checks on a connection until a session request arrives, and serves that session.
 func (v *soakServer) handle(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
@@ -61,26 +61,26 @@
 		}
 		fields := strings.Fields(line)
 		id, _ := strconv.ParseUint(fields[1], 16, 64)
-		if s := v.model.find(id); s != nil {
+		if s := v.model.findSession(id); s != nil {
 			v.serveSession(c, r, s)
 		}
 		return
 	}
 }
 
-// serveSession answers a request, and then writes lines and ends the session, or leaves that to the client.
+// serveSession answers a session request. An established session is served until its connection ends.
 func (v *soakServer) serveSession(c net.Conn, r *bufio.Reader, s *soakSession) {
-	a := &soakAttempt{conn: c, server: v.uid, beganAt: time.Now(), pause: slowPause(v.float())}
-	v.model.attemptBegan(s, a)
+	a := &soakAttempt{conn: c, server: v.uid, startedAt: time.Now(), pause: drawPause(v.float())}
+	v.model.attemptStarted(s, a)
 	answer := fmt.Sprintf("UP %s %d\r\n", v.uid, len(s.attempts))
 	switch draw := v.float(); {
 	case draw < 0.05:
 		answer = "BUSY\r\n"
 	case draw < 0.08:
 		answer = "ERR\r\n"
-	case draw < 0.11: // breaks before its answer
+	case draw < 0.11: // resets the connection without an answer
 		s.mu.Lock()
-		a.ownEnd, a.ownEndAt = endReset, time.Now()
+		a.sentEnd, a.sentEndAt = endReset, time.Now()
 		s.mu.Unlock()
 		resetConn(c)
 		return
@@ -88,54 +88,54 @@
 		_, _ = io.Copy(io.Discard, r)
 		return
 	}
-	time.Sleep(v.upTo(30 * time.Millisecond))
+	time.Sleep(v.randomDuration(30 * time.Millisecond))
 	s.mu.Lock()
 	a.answer = answer
 	if !strings.HasPrefix(answer, "UP ") {
-		a.ownEnd, a.ownEndAt = endOrderly, time.Now()
+		a.sentEnd, a.sentEndAt = endOrderly, time.Now()
 	}
 	s.mu.Unlock()
 	if _, err := io.WriteString(c, answer); err != nil || !strings.HasPrefix(answer, "UP ") {
 		return
 	}
-	t := &soakTalk{server: v, conn: c, session: s, attempt: a, ended: make(chan struct{}), echoes: make(chan string, maxSoakLines)}
+	t := &serverSession{server: v, conn: c, session: s, attempt: a, ended: make(chan struct{}), echoes: make(chan string, maxSoakLines)}
 	go t.read(r)
 	go t.echo()
-	t.talk()
+	t.run()
 	<-t.ended
 }
 
-// soakTalk is an established session at its server.
-type soakTalk struct {
+// serverSession is the server's side of an established session.
+type serverSession struct {
 	server  *soakServer
 	conn    net.Conn
 	session *soakSession
 	attempt *soakAttempt
-	ended   chan struct{} // closed once the balancer's end was read
-	echoes  chan string   // lines of the client, which are written back while others are read
+	ended   chan struct{} // closed after the balancer's end was read
+	echoes  chan string   // lines of the client that echo writes back while read goes on
 
 	writeMu sync.Mutex
-	done    bool // nothing more is written
-	torn    bool // nothing more either: half a line was
+	done    bool // the server has ended the session and writes nothing more
+	torn    bool // a line was written in part, so that nothing may follow it
 	lines   int
 }
 
-// echo writes the client's lines back.
-func (t *soakTalk) echo() {
+// echo writes the client's lines back until the connection ends.
+func (t *serverSession) echo() {
 	for line := range t.echoes {
 		t.write(strings.Replace(line, "C ", "M ", 1))
 	}
 }
 
-// read records the client's lines and has them echoed, until the balancer ends the connection. It goes on while a write has to wait.
-func (t *soakTalk) read(r *bufio.Reader) {
+// read records the client's lines and passes them to echo until the balancer ends the connection. It does not wait for writes.
+func (t *serverSession) read(r *bufio.Reader) {
 	defer close(t.ended)
 	defer close(t.echoes)
 	for pacer := newPacer(t.attempt.pause); ; {
 		pacer.wait()
 		line, err := r.ReadString('\n')
 		if err != nil {
-			t.sawEnd(err)
+			t.recordEnd(err)
 			return
 		}
 		t.session.mu.Lock()
@@ -145,32 +145,32 @@
 	}
 }
 
-// sawEnd records the balancer's end, and ends the connection in turn once the line that is being written is, or can't be.
-func (t *soakTalk) sawEnd(err error) {
+// recordEnd records the balancer's end and closes the connection, after the line that is being written is complete or its write has failed.
+func (t *serverSession) recordEnd(err error) {
 	t.session.mu.Lock()
-	if t.attempt.ownEnd == endNone {
-		t.attempt.end, t.attempt.endAt = kindOfEnd(err), time.Now()
+	if t.attempt.sentEnd == endNone {
+		t.attempt.receivedEnd, t.attempt.receivedEndAt = connEndOf(err), time.Now()
 	}
 	t.session.mu.Unlock()
-	_ = t.conn.SetWriteDeadline(time.Now().Add(2 * soakMaxGap))
+	_ = t.conn.SetWriteDeadline(time.Now().Add(2 * maxLineGap))
 	t.writeMu.Lock()
 	defer t.writeMu.Unlock()
 	t.done = true
 	_ = t.conn.Close()
 }
 
-// write writes one line, sometimes in two parts, and records it once its last byte is written.
-func (t *soakTalk) write(line string) {
+// write writes one line, sometimes in two parts, and records it after its last byte is written.
+func (t *serverSession) write(line string) {
 	t.writeMu.Lock()
 	defer t.writeMu.Unlock()
 	if t.done || t.torn {
 		return
 	}
-	t.noteArrivedEnd()
-	if len(line) < bulkSize && t.server.float() < 0.1 {
+	t.recordArrivedEnd()
+	if len(line) < burstLineSize && t.server.float() < 0.1 {
 		half := len(line) / 2
 		_, _ = io.WriteString(t.conn, line[:half])
-		time.Sleep(t.server.upTo(soakMaxGap))
+		time.Sleep(t.server.randomDuration(maxLineGap))
 		if _, err := io.WriteString(t.conn, line[half:]); err != nil {
 			t.torn = true
 			return
@@ -184,18 +184,18 @@
 	t.attempt.written = append(t.attempt.written, timedLine{text: line, at: time.Now()})
 }
 
-// writePart writes the start of a line whose rest never comes.
-func (t *soakTalk) writePart(text string) {
+// writeUnfinished writes the start of a line and marks the session as torn: the rest never follows.
+func (t *serverSession) writeUnfinished(text string) {
 	t.writeMu.Lock()
 	defer t.writeMu.Unlock()
 	if !t.done {
-		_, _ = io.WriteString(t.conn, text) // fails on a broken connection, which the reader sees too
+		_, _ = io.WriteString(t.conn, text) // on a broken connection the reader fails too and records the end
 		t.torn = true
 	}
 }
 
-// noteArrivedEnd records that the balancer's end has arrived, read or not.
-func (t *soakTalk) noteArrivedEnd() {
+// recordArrivedEnd records if the balancer's end has reached this server's kernel, whether it has been read or not.
+func (t *serverSession) recordArrivedEnd() {
 	if t.attempt.endArrived {
 		return
 	}
@@ -204,25 +204,25 @@
 	defer t.session.mu.Unlock()
 	if ended || err != nil {
 		t.attempt.endArrived = true
-		t.attempt.endNotedAt = time.Now()
-		t.attempt.owed = len(t.attempt.written)
+		t.attempt.endArrivedAt = time.Now()
+		t.attempt.writtenBeforeEnd = len(t.attempt.written)
 	}
 }
 
-// bulkSize is the size of lines that are written one right after the other.
-const bulkSize = 280
+// burstLineSize is the payload of a line of a burst, in bytes.
+const burstLineSize = 280
 
-func (t *soakTalk) writeNumbered(size int) {
+func (t *serverSession) writeNumbered(size int) {
 	t.write(fmt.Sprintf("L %d %s\r\n", t.lines, strings.Repeat("x", size)))
 	t.lines++
 }
 
-// talk plays what the server does of itself in the session.
-func (t *soakTalk) talk() {
+// run writes lines and bursts for a random time and then ends the session, or leaves its end to the client or to a migration.
+func (t *serverSession) run() {
 	v := t.server
-	life := 300*time.Millisecond + v.upTo(3*time.Second)
-	var signalled <-chan struct{} // nil: never
-	if v.float() < soakWithSignal {
+	life := 300*time.Millisecond + v.randomDuration(3*time.Second)
+	var signalled <-chan struct{} // a nil channel never fires
+	if v.float() < soakSignalShare {
 		signalled = v.signals.next()
 	}
 	for end := time.Now().Add(life); time.Now().Before(end); {
@@ -232,15 +232,15 @@
 		case <-signalled:
 			end = time.Now()
 			continue
-		case <-time.After(v.upTo(200 * time.Millisecond)):
+		case <-time.After(v.randomDuration(200 * time.Millisecond)):
 		}
-		if v.float() < soakWithBurst {
-			t.burst(100+int(v.float()*soakBulk), smallLine)
+		if v.float() < soakBurstShare {
+			t.burst(100+int(v.float()*soakBurstLines), smallLine)
 		}
-		t.writeNumbered(int(v.upTo(200)))
+		t.writeNumbered(int(v.randomDuration(200)))
 	}
 	switch draw := v.float(); {
-	case draw < 0.4: // is ended by its client, or moved
+	case draw < 0.4: // the client or a migration ends the session
 	case draw < 0.65:
 		t.finish(endOrderly, func() { t.write("BYE\r\n") })
 	case draw < 0.70:
@@ -248,37 +248,38 @@
 	case draw < 0.75:
 		t.finish(endReset, func() {
 			t.burst(3, 5)
-			t.writePart("L and no more")
+			t.writeUnfinished("L and no more")
 		})
 	case draw < 0.85:
-		t.finish(endReset, func() { t.burst(soakBulk, bulkSize) })
+		t.finish(endReset, func() { t.burst(soakBurstLines, burstLineSize) })
 	default:
-		t.finish(endOrderly, func() { t.burst(soakBulk, bulkSize) })
+		t.finish(endOrderly, func() { t.burst(soakBurstLines, burstLineSize) })
 	}
 }
 
-// burst writes lines; a few of them some milliseconds apart.
-func (t *soakTalk) burst(lines, size int) {
+// burst writes lines without pauses, or with pauses of up to 25 ms if there are fewer than ten.
+func (t *serverSession) burst(lines, size int) {
 	for range lines {
 		t.writeNumbered(size)
 		if lines < 10 {
-			time.Sleep(t.server.upTo(25 * time.Millisecond))
+			time.Sleep(t.server.randomDuration(25 * time.Millisecond))
 		}
 	}
 }
 
-// finish writes the last lines and ends the connection. A reset waits until the balancer's machine has all, as it would discard the rest.
-func (t *soakTalk) finish(how connEnd, last func()) {
+// finish writes the last lines and ends the connection. A reset would discard bytes that the balancer's kernel has not acknowledged: it waits
+// for them, and becomes an orderly end if that takes more than a second.
+func (t *serverSession) finish(how connEnd, last func()) {
 	last()
-	for end := time.Now().Add(time.Second); !t.endOwn(how); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(time.Second); !t.sendEnd(how); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			how = endOrderly
 		}
 	}
 }
 
-// endOwn ends the connection, unless it is to be reset and the balancer's machine has not received all.
-func (t *soakTalk) endOwn(how connEnd) bool {
+// sendEnd ends the connection and returns true. It returns false if a reset has to wait for unacknowledged bytes.
+func (t *serverSession) sendEnd(how connEnd) bool {
 	t.writeMu.Lock()
 	defer t.writeMu.Unlock()
 	if how == endReset && unacknowledgedBytes(t.conn) > 0 {
@@ -291,7 +292,7 @@
 	}
 	t.done = true
 	t.attempt.tcp = retransmissions(t.conn)
-	t.attempt.ownEnd, t.attempt.ownEndAt = how, time.Now()
+	t.attempt.sentEnd, t.attempt.sentEndAt = how, time.Now()
 	if how == endReset {
 		resetConn(t.conn)
 	} else {
@@ -300,8 +301,8 @@
 	return true
 }
 
-// retransmissions tells what a connection's kernel sent again, as it tells a line that was held back from one that a full receive buffer
-// dropped.
+// retransmissions describes a connection's retransmissions. They show whether a late line was delayed by the balancer or was dropped by a full
+// receive buffer and sent again.
 func retransmissions(c net.Conn) string {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -310,7 +311,7 @@
 	text := ""
 	_ = raw.Control(func(fd uintptr) { // fails only on a closed connection
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			text = fmt.Sprintf("%d segments sent again, retransmission timeout %v, %d unacknowledged", info.Total_retrans, time.Duration(info.Rto)*time.Microsecond, info.Unacked)
+			text = fmt.Sprintf("%d segments retransmitted, retransmission timeout %v, %d unacknowledged", info.Total_retrans, time.Duration(info.Rto)*time.Microsecond, info.Unacked)
 		}
 	})
 	return text
--- a/cmd/sabletally/soak_stalls_test.go
+++ b/cmd/sabletally/soak_stalls_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// stall is a time for which this machine held up the test itself.
+// stall is a period in which a busy machine kept the test or a balancer from running.
 type stall struct{ from, to time.Time }
 
-// watchStalls notes how late a sleeping goroutine wakes up: what goes on in that time may be late by as much through the machine.
+// watchStalls records how late a sleeping goroutine wakes up: events in such a period may be late by as much because of the machine.
 func (m *model) watchStalls(done <-chan struct{}) {
 	const tick = 5 * time.Millisecond
 	for {
@@ -28,7 +28,7 @@
 	}
 }
 
-// longestStall returns the longest time for which the test was held up.
+// longestStall returns the length of the longest stall of the test itself.
 func (m *model) longestStall() time.Duration {
 	longest := time.Duration(0)
 	for _, s := range m.stalls {
@@ -37,9 +37,8 @@
 	return longest
 }
 
-// isLate reports whether a span is longer than its bound, beside the slack of sockets and what the machine held up of it: the longest time
-// for which the test slept on, and those for which a balancer waited for a processor, within the span. It never counts more than the longest
-// time for which the test itself was held up anywhere in the run.
+// isLate reports whether the time between two events is longer than its bound plus soakSlack and the stalls in between. These are the longest
+// stall of the test and all stalls of balancers that overlap with it, and count for no more than the longest stall of the test in the run.
 func (m *model) isLate(from, to time.Time, bound time.Duration) bool {
 	if to.Sub(from) <= bound+soakSlack {
 		return false
@@ -60,16 +59,17 @@
 	return to.Sub(from) > bound+soakSlack+min(heldUp, m.longestStall())
 }
 
-// wasHeldUp reports whether the test, and so its servers, was held up just before a time for longer than lines on their way are waited for.
-func (m *model) wasHeldUp(at time.Time) bool {
+// wasStalledBefore reports whether, in the second before a time, the test and so its servers stalled for longer than the balancer waits for
+// lines in flight.
+func (m *model) wasStalledBefore(at time.Time) bool {
 	const (
-		waitedFor = 300 * time.Millisecond
-		before    = time.Second
+		minStall = 300 * time.Millisecond
+		before   = time.Second
 	)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, s := range m.stalls {
-		if s.to.Sub(s.from) > waitedFor && s.overlaps(at.Add(-before), at) {
+		if s.to.Sub(s.from) > minStall && s.overlaps(at.Add(-before), at) {
 			return true
 		}
 	}
@@ -78,11 +78,12 @@
 
 func (s stall) overlaps(from, to time.Time) bool { return s.from.Before(to) && s.to.After(from) }
 
-// watchProcess notes for how long a balancer's busiest thread waited for a processor in each short while.
+// watchProcess records a stall for each interval of 25 ms in which a thread of a balancer waited more than 5 ms for a processor. The stall is
+// as long as the longest wait of a thread.
 func (m *model) watchProcess(pid func() int, done <-chan struct{}) {
 	const (
-		tick       = 25 * time.Millisecond
-		worthwhile = 5 * time.Millisecond
+		tick     = 25 * time.Millisecond
+		minStall = 5 * time.Millisecond
 	)
 	var before map[string]time.Duration
 	for {
@@ -94,7 +95,7 @@
 			}
 		}
 		before = after
-		if waited > worthwhile {
+		if waited > minStall {
 			now := time.Now()
 			m.mu.Lock()
 			m.balancerStalls = append(m.balancerStalls, stall{now.Add(-waited), now})
@@ -108,14 +109,14 @@
 	}
 }
 
-// runDelays returns for how long each thread of a process has waited for a processor since its start, by its path under /proc.
+// runDelays returns the total time that each thread of a process has waited for a processor, by the path of its schedstat file.
 func runDelays(pid int) map[string]time.Duration {
 	delays := map[string]time.Duration{}
-	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is right
+	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // fails only on a malformed pattern
 	for _, thread := range threads {
 		text, err := os.ReadFile(thread)
 		if err != nil {
-			continue // it has just ended
+			continue // the thread has just ended
 		}
 		var running, waiting int64
 		if _, err := fmt.Sscan(string(text), &running, &waiting); err == nil {
--- a/cmd/sabletally/soak_test.go
+++ b/cmd/sabletally/soak_test.go
@@ -17,19 +17,19 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// soakSeedsVariable has the soak play other seeds than CI does: FIRST-LAST.
+// soakSeedsVariable names the environment variable with the range of seeds to run in place of the default ones, as FIRST-LAST.
 const soakSeedsVariable = "SABLETALLY_SOAK_SEEDS"
 
 const (
 	soakDuration = 8 * time.Second
 	soakClients  = 60
-	// soakManyClients is how many clients every sixteenth seed has, soakManySockets the descriptors that its balancers are given.
-	soakManyClients = 1000
-	soakManySockets = 4096
-	soakSockets     = 512
-	soakMaxRest     = 100 * time.Millisecond // of a client between two sessions
-	soakServers     = 6
-	soakCrowd       = 200
+	// Every sixteenth seed has soakLargeClients clients, and its balancers have a limit of soakLargeSockets descriptors.
+	soakLargeClients = 1000
+	soakLargeSockets = 4096
+	soakSockets      = 512
+	soakMaxThinkTime = 100 * time.Millisecond // maximum time that a client waits between two sessions
+	soakServers      = 6
+	soakIdleConns    = 200
 )
 
 const soakSettings = `{"PeersTotal":2,"Zone":0,"Areas":["a","b"],"RegistryMode":"pushed","ServiceGrades":[
@@ -39,49 +39,49 @@
  "Limits":{"ConnectTimeoutUs":200000,"MostSetupTries":6,"MaxRetryAfterUs":1000000,"RetryAfter":true,"Probes":false,"Peers":false},"Weights":"rough",
  "Report":{"How":"none"},"Specifics":{"MessageAimUs":[250000,250000]}}`
 
-// soakNode is one balancer, with the sessions whose clients are connected to it.
+// soakNode is a balancer process and the sessions whose clients are connected to it.
 type soakNode struct {
 	*cluster.Process
-	address string
-	link    *soakLink   // another way to it
-	isOpen  atomic.Bool // the front deals out connections to it
+	address    string
+	link       *soakLink   // address at which some clients reach the balancer with added delays
+	inRotation atomic.Bool // new clients may be sent to this balancer
 
 	mu       sync.Mutex
 	sessions map[*soakSession]bool
 }
 
-// pid returns the process that serves now.
+// pid returns the ID of the process that currently serves, which changes at a hot restart.
 func (n *soakNode) pid() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.Pid()
 }
 
-func (n *soakNode) enter(s *soakSession) {
+func (n *soakNode) addSession(s *soakSession) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sessions[s] = true
 }
 
-func (n *soakNode) leave(s *soakSession) {
+func (n *soakNode) removeSession(s *soakSession) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.sessions, s)
 }
 
-// markHeld records which clients are connected and were neither moved nor ended, just before a kill.
-func (n *soakNode) markHeld() {
+// markConnectedAtKill records, just before the balancer is killed, which of its sessions are still connected and neither migrated nor ended.
+func (n *soakNode) markConnectedAtKill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for s := range n.sessions {
 		s.mu.Lock()
 		s.killedAt = time.Now()
-		s.heldAtKill = s.ownEnd == endNone && s.end == endNone && s.movedAt.IsZero()
+		s.connectedAtKill = s.sentEnd == endNone && s.receivedEnd == endNone && s.migratedAt.IsZero()
 		s.mu.Unlock()
 	}
 }
 
-// soak is one seeded run: whole processes under faults, judged by a model that sees what the peers wrote.
+// soak is one seeded run: balancer processes under faults, and a model that checks what their clients and servers wrote and received.
 type soak struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -90,14 +90,15 @@
 	nodes   []*soakNode
 	servers []*soakServer
 	sockets int
-	signals moments // of signals and changes of the list
+	signals broadcaster // signals to balancers and changes of server states
 	lastID  atomic.Uint64
 }
 
-// Guards against incident 0fd2d2's class: lines, answers and ends lost while sessions end in all ways, under signals and failing calls.
+// Guards against lines, answers and connection ends that get lost (incident 0fd2d2) when sessions end in any way while balancers get signals
+// and their system calls fail.
 func TestSoak(t *testing.T) {
 	first, last := uint64(1), uint64(12)
-	seeds := []uint64{431} // lines of a burst were late across hot restarts
+	seeds := []uint64{431} // this seed showed that lines of a burst were late across hot restarts
 	if text := os.Getenv(soakSeedsVariable); text != "" {
 		if n, err := fmt.Sscanf(text, "%d-%d", &first, &last); n != 2 || err != nil {
 			t.Fatalf("%s is %q, not FIRST-LAST", soakSeedsVariable, text)
@@ -108,11 +109,11 @@
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
-		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { playSoak(t, seed) })
+		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { runSoak(t, seed) })
 	}
 }
 
-func playSoak(t *testing.T, seed uint64) {
+func runSoak(t *testing.T, seed uint64) {
 	t.Parallel()
 	k := &soak{t: t, rng: rand.New(rand.NewPCG(seed, 0)), model: newModel(), agent: agent(t)}
 	k.startServers(seed)
@@ -121,64 +122,64 @@
 		plan = faultPlan{Seed: seed, Interrupted: 0.1, Short: 0.2, NoBuffers: 0.01, NoMemory: 0.01, Shortage: seed%4 == 0}
 	}
 	upgrades := seed%3 == 2
-	many := seed%16 == 14
+	large := seed%16 == 14
 	k.sockets = soakSockets
-	if many {
-		k.sockets = soakManySockets
+	if large {
+		k.sockets = soakLargeSockets
 	}
 	for i := range 2 {
 		k.startNode(i, plan, upgrades)
 	}
-	done, judging := make(chan struct{}), make(chan struct{})
+	done, watching := make(chan struct{}), make(chan struct{})
 	for i, n := range k.nodes {
 		n.link = newSoakLink(listen(t), n.address, seed+uint64(i)<<32, done)
 	}
-	go k.model.watchStalls(judging)
+	go k.model.watchStalls(watching)
 	for _, n := range k.nodes {
-		go k.model.watchProcess(n.pid, judging)
+		go k.model.watchProcess(n.pid, watching)
 	}
 	var clients, others sync.WaitGroup
-	count, maxRest := soakClients, soakMaxRest
-	if many { // as many sessions a second, and more of them open
-		count = soakManyClients
-		maxRest = soakMaxRest * soakManyClients / soakClients
+	count, maxThinkTime := soakClients, soakMaxThinkTime
+	if large { // keeps the rate of new sessions, with more of them open at a time
+		count = soakLargeClients
+		maxThinkTime = soakMaxThinkTime * soakLargeClients / soakClients
 	}
 	for i := range count {
-		c := &soakClient{number: i, model: k.model, rng: rand.New(rand.NewPCG(seed, uint64(i)+1)), front: k.front, done: done, signals: &k.signals, maxRest: maxRest,
-			next: func() uint64 { return seed<<32 + k.lastID.Add(1) }}
+		c := &soakClient{number: i, model: k.model, rng: rand.New(rand.NewPCG(seed, uint64(i)+1)), pickNode: k.pickNode, done: done, signals: &k.signals, maxThinkTime: maxThinkTime,
+			nextID: func() uint64 { return seed<<32 + k.lastID.Add(1) }}
 		clients.Go(c.run)
 	}
-	others.Go(func() { k.changeList(done, rand.New(rand.NewPCG(seed, 1000))) })
+	others.Go(func() { k.changeServerStates(done, rand.New(rand.NewPCG(seed, 1000))) })
 	if seed%3 == 0 {
-		others.Go(func() { k.crowd(done) })
+		others.Go(func() { k.openIdleConns(done) })
 	}
 	end := time.After(soakDuration)
-	k.signal(upgrades)
+	k.sendSignals(upgrades)
 	<-end
 	close(done)
 	others.Wait()
 	clients.Wait()
-	time.Sleep(maxEndDelay + 200*time.Millisecond) // for what the servers still see
+	time.Sleep(maxEndDelay + 200*time.Millisecond) // time for the last ends to reach the servers
 	for _, n := range k.nodes {
 		n.Kill()
 	}
-	close(judging)
+	close(watching)
 	k.report()
 }
 
-// report fails the test for each violation. These come last, as what CI shows of a long output is its end.
+// report logs totals and fails the test once for each violation. Violations come last because CI shows only the end of a long output.
 func (k *soak) report() {
-	violations := k.model.judge()
-	moved, served := 0, 0
+	violations := k.model.check()
+	migrated, served := 0, 0
 	for _, s := range k.model.sessions {
 		if s.establishedAttempt() != nil {
 			served++
 		}
-		if !s.movedAt.IsZero() {
-			moved++
+		if !s.migratedAt.IsZero() {
+			migrated++
 		}
 	}
-	k.t.Logf("%d sessions, %d established, %d moved, test held up for %v at most", len(k.model.sessions), served, moved, k.model.longestStall())
+	k.t.Logf("%d sessions, %d established, %d migrated, longest stall of the test %v", len(k.model.sessions), served, migrated, k.model.longestStall())
 	if len(violations) > 0 || k.t.Failed() {
 		for _, n := range k.nodes {
 			k.t.Log(n.LogTail())
@@ -202,7 +203,7 @@
 	}
 }
 
-// startNode starts a balancer, whose listening socket the test holds if it is to be upgraded.
+// startNode starts balancer i. If it is to be hot-restarted, the test holds its listening socket.
 func (k *soak) startNode(i int, plan faultPlan, upgrades bool) {
 	name := fmt.Sprintf("n%d", i)
 	env := []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + k.agent.Addr(), plan.env(k.t)}
@@ -223,23 +224,23 @@
 		k.t.Fatal(err)
 	}
 	n := &soakNode{Process: process, address: process.Addr, sessions: map[*soakSession]bool{}}
-	n.isOpen.Store(true)
+	n.inRotation.Store(true)
 	k.nodes = append(k.nodes, n)
-	k.t.Cleanup(func() { n.Kill() }) // of its last process
+	k.t.Cleanup(func() { n.Kill() }) // kills the process that serves at the end, which may be a successor
 }
 
-// front returns a balancer that takes connections.
-func (k *soak) front() *soakNode {
+// pickNode returns a random balancer that is in rotation, or nil if there is none.
+func (k *soak) pickNode() *soakNode {
 	for _, i := range rand.Perm(len(k.nodes)) {
-		if k.nodes[i].isOpen.Load() {
+		if k.nodes[i].inRotation.Load() {
 			return k.nodes[i]
 		}
 	}
 	return nil
 }
 
-// changeList lists servers as draining and as ready again.
-func (k *soak) changeList(done <-chan struct{}, rng *rand.Rand) {
+// changeServerStates lists random servers as draining and later as ready again, until done is closed.
+func (k *soak) changeServerStates(done <-chan struct{}, rng *rand.Rand) {
 	for {
 		v := k.servers[rng.IntN(soakServers/2)]
 		for _, state := range []string{emulator.Terminating, emulator.InService} {
@@ -249,19 +250,19 @@
 			case <-time.After(time.Duration(500+rng.IntN(1000)) * time.Millisecond):
 			}
 			if state == emulator.InService {
-				k.model.setListed(v.uid, true)
+				k.model.setReady(v.uid, true)
 			}
 			k.agent.Set(entry(v.uid, v.listener.Addr().String(), state))
-			k.signals.now()
+			k.signals.notify()
 			if state != emulator.InService {
-				k.model.setListed(v.uid, false)
+				k.model.setReady(v.uid, false)
 			}
 		}
 	}
 }
 
-// crowd opens connections that say nothing, and half a line on some.
-func (k *soak) crowd(done <-chan struct{}) {
+// openIdleConns opens connections that send nothing, or only half of a request line, until done is closed.
+func (k *soak) openIdleConns(done <-chan struct{}) {
 	var conns []net.Conn
 	defer func() {
 		for _, c := range conns {
@@ -281,19 +282,20 @@
 		if i%4 == 0 {
 			_, _ = io.WriteString(c, "OPEN 1")
 		}
-		if conns = append(conns, c); len(conns) > soakCrowd {
+		if conns = append(conns, c); len(conns) > soakIdleConns {
 			_ = conns[0].Close()
 			conns = conns[1:]
 		}
 	}
 }
 
-// signal plays a series of signals to the first balancer for the soak's time.
-func (k *soak) signal(upgrades bool) {
+// sendSignals sends a sequence of signals, mostly to the first balancer, while the soak runs: a reload, a suspension, and then a restart or
+// two upgrades.
+func (k *soak) sendSignals(upgrades bool) {
 	n := k.nodes[0]
 	time.Sleep(time.Duration(800+k.rng.IntN(400)) * time.Millisecond)
-	k.send(n.Process, syscall.SIGHUP)
-	k.pause(n)
+	k.sendSignal(n.Process, syscall.SIGHUP)
+	k.suspend(n)
 	if upgrades {
 		for range 2 {
 			k.upgrade(n)
@@ -302,46 +304,46 @@
 		return
 	}
 	k.restart(n)
-	k.send(k.nodes[1].Process, syscall.SIGHUP)
-	k.pause(k.nodes[1])
+	k.sendSignal(k.nodes[1].Process, syscall.SIGHUP)
+	k.suspend(k.nodes[1])
 	_ = k.nodes[1].Signal(syscall.SIGUSR1)
 }
 
-// send sends a signal, in the moment of which some sessions are ended.
-func (k *soak) send(to *cluster.Process, signal syscall.Signal) {
+// sendSignal sends a signal to a balancer and notifies the peers that end their sessions at that moment.
+func (k *soak) sendSignal(to *cluster.Process, signal syscall.Signal) {
 	_ = to.Signal(signal)
-	k.signals.now()
+	k.signals.notify()
 }
 
-// pause stops a process for a moment.
-func (k *soak) pause(n *soakNode) {
-	k.t.Logf("%s is stopped at %s", n.Name, time.Now().Format(soakTime))
+// suspend stops a balancer process for 20 to 100 ms.
+func (k *soak) suspend(n *soakNode) {
+	k.t.Logf("%s is suspended at %s", n.Name, time.Now().Format(soakTimeLayout))
 	_ = n.Signal(syscall.SIGSTOP)
 	time.Sleep(time.Duration(20+k.rng.IntN(80)) * time.Millisecond)
 	_ = n.Signal(syscall.SIGCONT)
 }
 
-// restart ends a process as planned, kills it as early as the protocol allows, and starts it again.
+// restart shuts a balancer down, kills it as early as the protocol allows, and starts it again.
 func (k *soak) restart(n *soakNode) {
-	k.send(n.Process, syscall.SIGTERM)
+	k.sendSignal(n.Process, syscall.SIGTERM)
 	kill := time.After(soakKillDelay)
-	time.Sleep(soakLateClients)
-	n.isOpen.Store(false)
+	time.Sleep(soakAcceptAfterTerm)
+	n.inRotation.Store(false)
 	_ = n.Signal(syscall.SIGHUP)
-	k.pause(n)
+	k.suspend(n)
 	_ = n.Signal(syscall.SIGTERM)
 	<-kill
-	n.markHeld()
+	n.markConnectedAtKill()
 	n.Kill()
 	time.Sleep(time.Duration(k.rng.IntN(500)) * time.Millisecond)
 	if err := n.Start(); err != nil {
 		k.t.Error(err)
 		return
 	}
-	n.isOpen.Store(true)
+	n.inRotation.Store(true)
 }
 
-// upgrade starts a new process of the same balancer, and ends the old one.
+// upgrade hot-restarts a balancer: a successor starts, and the old process gets SIGTERM and must exit without error within soakKillDelay.
 func (k *soak) upgrade(n *soakNode) {
 	successor, err := n.Successor()
 	if err == nil {
@@ -356,16 +358,16 @@
 		return
 	}
 	old := n.Process
-	k.t.Logf("%s is upgraded at %s", n.Name, time.Now().Format(soakTime))
-	k.send(old, syscall.SIGTERM)
+	k.t.Logf("%s is upgraded at %s", n.Name, time.Now().Format(soakTimeLayout))
+	k.sendSignal(old, syscall.SIGTERM)
 	select {
 	case <-old.Exited():
 		if err := old.Err(); err != nil {
-			k.t.Errorf("the old process: %v", err)
+			k.t.Errorf("the predecessor exited with an error: %v", err)
 		}
 	case <-time.After(soakKillDelay):
 		old.Kill()
-		k.t.Error("the old process had to be killed")
+		k.t.Error("the predecessor did not exit in time after SIGTERM and was killed")
 	}
 	n.mu.Lock()
 	n.Process = successor
--- a/cmd/sabletally/system_calls_test.go
+++ b/cmd/sabletally/system_calls_test.go
@@ -12,7 +12,8 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// Guards against incident 0fd2d2's class: lines were lost or cut when a write or a read failed for a moment (ENOBUFS, ENOMEM) or was short.
+// Guards against lines that were lost or cut when a read or write was short or failed temporarily, such as with ENOBUFS or ENOMEM (incident
+// 0fd2d2).
 func TestLinesSurviveCallsThatFailForAMoment(t *testing.T) {
 	const lines = 150
 	for _, c := range []struct {
@@ -36,7 +37,7 @@
 				_, _ = io.WriteString(e, "BYE\r\n")
 				_ = e.Close()
 				if rest, err := io.ReadAll(a.r); string(rest) != "BYE\r\n" || err != nil {
-					return 1, fmt.Errorf("%q, %w at the end", rest, err)
+					return 1, fmt.Errorf("the last text is %q, %w", rest, err)
 				}
 				return 0, nil
 			})
@@ -47,7 +48,7 @@
 	}
 }
 
-// sendNumbered writes lines one by one and reads each of them at the other end.
+// sendNumbered writes lines one by one and checks that each of them arrives at the other peer.
 func sendNumbered(to io.Writer, from interface{ ReadString(byte) (string, error) }, lines int) error {
 	for i := range lines {
 		line := fmt.Sprintf("M %d %s\r\n", i, strings.Repeat("x", i))
@@ -61,10 +62,10 @@
 	return nil
 }
 
-// Guards against incident 0fd2d2's class: a connection that broke by another error than a reset ended the other side in order, as if all
-// had been said.
+// Guards against a connection that failed with an error other than a reset and made the balancer end the other side in order, as if the session
+// was complete (incident 0fd2d2).
 func TestABrokenConnectionEndsTheOtherSideWithAReset(t *testing.T) {
-	for name := range brokenBy {
+	for name := range connErrors {
 		for _, call := range []string{"READ", "WRITE"} {
 			for _, by := range []string{"client", "server"} {
 				t.Run(strings.Join([]string{call, by, name}, " "), func(t *testing.T) { breakOneSide(t, call, by, name) })
@@ -73,7 +74,8 @@
 	}
 }
 
-// breakOneSide has a call on the connection of one side fail. That side's other lines arrive, and the opposite side gets a reset.
+// breakOneSide makes a read or write on one peer's connection fail. Lines that this peer sent before must arrive, and the other peer must get a
+// reset.
 func breakOneSide(t *testing.T, call, by, name string) {
 	s := startSite(t, []string{"SABLETALLY_LOG=debug", faultPlan{}.env(t)}, "s-1")
 	a, e := s.establish()
@@ -85,9 +87,9 @@
 	}
 	marker := fmt.Sprintf("BREAK %s %s\r\n", call, name)
 	want := ""
-	if call == "READ" { // the broken side's last line arrives
+	if call == "READ" { // the last line of the broken side must arrive
 		_, _ = io.WriteString(broken, marker)
-		_ = broken.(*net.TCPConn).CloseWrite() // an event that has the relay read again
+		_ = broken.(*net.TCPConn).CloseWrite() // causes an event that makes the relay read again
 		want = marker
 	} else {
 		_, _ = io.WriteString(healthy, marker)
@@ -96,14 +98,15 @@
 	if string(got) != want || !errors.Is(err, syscall.ECONNRESET) {
 		t.Fatalf("the other side got %q, %v", got, err)
 	}
-	if call == "WRITE" { // nothing may follow half a line
+	if call == "WRITE" { // nothing may follow the half line
 		if got, _ := io.ReadAll(brokenReader); !strings.HasPrefix(marker, string(got)) {
 			t.Fatalf("the broken side got %q", got)
 		}
 	}
 }
 
-// Guards against incident 0fd2d2's class: a client was closed without its final answer when the answer's write failed for a moment.
+// Guards against a client connection that was closed without its final answer when the write of the answer failed temporarily (incident
+// 0fd2d2).
 func TestAnswersSurviveWritesThatFailForAMoment(t *testing.T) {
 	plan := faultPlan{Seed: 5, Interrupted: 0.2, Short: 0.3, NoBuffers: 0.1, NoMemory: 0.1}
 	s := startSite(t, []string{"SABLETALLY_LOG=debug", "SABLETALLY_FILES=1024", plan.env(t)}, "s-1")
