--- a/cmd/sabletally/soak_link_test.go
+++ b/cmd/sabletally/soak_link_test.go
@@ -47,6 +47,7 @@
 	return l.rng.IntN(most)
 }
 
+// stallPeriodically stalls the link every 0.5 to 2 s, for up to maxLinkStall, until done is closed.
 func (l *soakLink) stallPeriodically(done <-chan struct{}) {
 	for {
 		select {
--- a/cmd/sabletally/soak_model_test.go
+++ b/cmd/sabletally/soak_model_test.go
@@ -72,7 +72,7 @@
 	node          string
 	nonIdempotent bool
 	pause         time.Duration // length of the client's pauses in reading, 0 for none
-	linkDelay     time.Duration // maximum delay of the link between client and balancer, 0 without a link
+	linkDelay     time.Duration // allowance for the delay of the link between client and balancer, 0 without a link
 
 	mu            sync.Mutex
 	openedAt      time.Time
--- a/cmd/sabletally/soak_server_test.go
+++ b/cmd/sabletally/soak_server_test.go
@@ -25,7 +25,8 @@
 	rng *rand.Rand
 }
 
-func (v *soakServer) float() float64 {
+// randomFloat returns a random number in [0, 1).
+func (v *soakServer) randomFloat() float64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.rng.Float64()
@@ -33,7 +34,7 @@
 
 // randomDuration returns a random duration in [0, most).
 func (v *soakServer) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(v.float() * float64(most))
+	return time.Duration(v.randomFloat() * float64(most))
 }
 
 func (v *soakServer) serve() {
@@ -70,10 +71,10 @@
 
 // serveSession answers a session request. An established session is served until its connection ends.
 func (v *soakServer) serveSession(c net.Conn, r *bufio.Reader, s *soakSession) {
-	a := &soakAttempt{conn: c, server: v.uid, startedAt: time.Now(), pause: drawPause(v.float())}
+	a := &soakAttempt{conn: c, server: v.uid, startedAt: time.Now(), pause: drawPause(v.randomFloat())}
 	v.model.attemptStarted(s, a)
 	answer := fmt.Sprintf("UP %s %d\r\n", v.uid, len(s.attempts))
-	switch draw := v.float(); {
+	switch draw := v.randomFloat(); {
 	case draw < 0.05:
 		answer = "BUSY\r\n"
 	case draw < 0.08:
@@ -167,7 +168,7 @@
 		return
 	}
 	t.recordArrivedEnd()
-	if len(line) < burstLineSize && t.server.float() < 0.1 {
+	if len(line) < burstLineSize && t.server.randomFloat() < 0.1 {
 		half := len(line) / 2
 		_, _ = io.WriteString(t.conn, line[:half])
 		time.Sleep(t.server.randomDuration(maxLineGap))
@@ -220,12 +221,12 @@
 // run writes lines and bursts for a random time and then ends the session, or leaves its end to the client or to a migration.
 func (t *serverSession) run() {
 	v := t.server
-	life := 300*time.Millisecond + v.randomDuration(3*time.Second)
+	lifetime := 300*time.Millisecond + v.randomDuration(3*time.Second)
 	var signalled <-chan struct{} // a nil channel never fires
-	if v.float() < soakSignalShare {
+	if v.randomFloat() < soakSignalShare {
 		signalled = v.signals.next()
 	}
-	for end := time.Now().Add(life); time.Now().Before(end); {
+	for end := time.Now().Add(lifetime); time.Now().Before(end); {
 		select {
 		case <-t.ended:
 			return
@@ -234,12 +235,12 @@
 			continue
 		case <-time.After(v.randomDuration(200 * time.Millisecond)):
 		}
-		if v.float() < soakBurstShare {
-			t.burst(100+int(v.float()*soakBurstLines), smallLine)
+		if v.randomFloat() < soakBurstShare {
+			t.burst(100+int(v.randomFloat()*soakBurstLines), smallLine)
 		}
 		t.writeNumbered(int(v.randomDuration(200)))
 	}
-	switch draw := v.float(); {
+	switch draw := v.randomFloat(); {
 	case draw < 0.4: // the client or a migration ends the session
 	case draw < 0.65:
 		t.finish(endOrderly, func() { t.write("BYE\r\n") })
--- a/cmd/sabletally/soak_stalls_test.go
+++ b/cmd/sabletally/soak_stalls_test.go
@@ -37,26 +37,27 @@
 	return longest
 }
 
-// isLate reports whether the time between two events is longer than its bound plus soakSlack and the stalls in between. These are the longest
-// stall of the test and all stalls of balancers that overlap with it, and count for no more than the longest stall of the test in the run.
+// isLate reports whether the time between two events is longer than its bound plus soakSlack and an allowance for stalls. The allowance is the
+// longest stall of the test that overlaps with that time, plus all such stalls of balancers. It is at most the longest stall of the test in
+// the whole run.
 func (m *model) isLate(from, to time.Time, bound time.Duration) bool {
 	if to.Sub(from) <= bound+soakSlack {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	heldUp := time.Duration(0)
+	allowance := time.Duration(0)
 	for _, s := range m.stalls {
 		if s.overlaps(from, to) {
-			heldUp = max(heldUp, s.to.Sub(s.from))
+			allowance = max(allowance, s.to.Sub(s.from))
 		}
 	}
 	for _, s := range m.balancerStalls {
 		if s.overlaps(from, to) {
-			heldUp += s.to.Sub(s.from)
+			allowance += s.to.Sub(s.from)
 		}
 	}
-	return to.Sub(from) > bound+soakSlack+min(heldUp, m.longestStall())
+	return to.Sub(from) > bound+soakSlack+min(allowance, m.longestStall())
 }
 
 // wasStalledBefore reports whether, in the second before a time, the test and so its servers stalled for longer than the balancer waits for
--- a/cmd/sabletally/soak_test.go
+++ b/cmd/sabletally/soak_test.go
@@ -21,15 +21,15 @@
 const soakSeedsVariable = "SABLETALLY_SOAK_SEEDS"
 
 const (
-	soakDuration = 8 * time.Second
+	soakDuration = 8 * time.Second // time for which clients open sessions
 	soakClients  = 60
 	// Every sixteenth seed has soakLargeClients clients, and its balancers have a limit of soakLargeSockets descriptors.
 	soakLargeClients = 1000
 	soakLargeSockets = 4096
-	soakSockets      = 512
+	soakSockets      = 512                    // limit of descriptors of a balancer with other seeds
 	soakMaxThinkTime = 100 * time.Millisecond // maximum time that a client waits between two sessions
 	soakServers      = 6
-	soakIdleConns    = 200
+	soakIdleConns    = 200 // maximum number of idle connections that a soak keeps open
 )
 
 const soakSettings = `{"PeersTotal":2,"Zone":0,"Areas":["a","b"],"RegistryMode":"pushed","ServiceGrades":[
@@ -337,7 +337,7 @@
 	n.Kill()
 	time.Sleep(time.Duration(k.rng.IntN(500)) * time.Millisecond)
 	if err := n.Start(); err != nil {
-		k.t.Error(err)
+		k.t.Errorf("%s did not start again after its kill: %v", n.Name, err)
 		return
 	}
 	n.inRotation.Store(true)
@@ -354,7 +354,7 @@
 		err = successor.WaitReady()
 	}
 	if err != nil {
-		k.t.Error(err)
+		k.t.Errorf("the successor of %s did not start: %v", n.Name, err)
 		return
 	}
 	old := n.Process
