--- a/cmd/testbed/balancer.go
+++ b/cmd/testbed/balancer.go
@@ -14,7 +14,7 @@
 )
 
 // drainTime is the time between the signal to end and the end of the balancer, in which its sessions migrate.
-const drainTime = 5 * time.Second
+const drainDuration = 5 * time.Second
 
 // balancerCmd runs the reference balancer: with a baseline policy, or with a fault that the checker must find.
 type balancerCmd struct {
@@ -22,7 +22,7 @@
 	Broken string `help:"Fault of the balancer."`
 }
 
-func (c *balancerCmd) Run(*lab) error {
+func (c *balancerCmd) Run(*commandEnv) error {
 	config, err := deployment.ReadNodeConfig(os.Getenv, nil)
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 	go func() {
 		<-terminate
 		balancer.StartDraining()
-		time.Sleep(drainTime)
+		time.Sleep(drainDuration)
 		stop()
 	}()
 	return balancer.Run(ctx, listener, config.Discovery)
--- a/cmd/testbed/control_config.go
+++ b/cmd/testbed/control_config.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	scaleFleet          = "scale"
+	scaleFleetName      = "scale"
 	maxSeeds            = 5     // control processes that are configured as seeds
 	maxReplicas         = 3     // of a shard
 	maxFollowers        = 10000 // that a configuration may allow
@@ -62,14 +62,14 @@
 
 // controlTier creates the control processes of a plan, and the forwarders before them.
 type controlTier struct {
-	plan        *scale.Plan
-	self        string // this binary
-	binary      string // of the control processes
-	dir         string // of the configurations and the data
-	log         func(name string) io.Writer
-	listenAddrs []netip.AddrPort // by control process
-	controls    []*controlProcess
-	forwarders  []*forwarderProcess
+	plan          *scale.Plan
+	executable    string // this binary
+	controlBinary string // of the control processes
+	dir           string // of the configurations and the data
+	newLog        func(name string) io.Writer
+	listenAddrs   []netip.AddrPort // by control process
+	controls      []*controlProcess
+	forwarders    []*forwarderProcess
 }
 
 // create creates all control processes and starts their forwarders; no control process is started. After an error, the forwarders that
@@ -108,7 +108,7 @@
 		if len(members) == 0 {
 			continue
 		}
-		process, advertised, err := startForwarders(t.self, t.listenAddrs, members)
+		process, advertised, err := startForwarders(t.executable, t.listenAddrs, members)
 		if err != nil {
 			return err
 		}
@@ -131,9 +131,9 @@
 	if err != nil {
 		return err
 	}
-	command := []string{t.binary, "fleet", "control", path, "--mgmt", admin.String()}
+	command := []string{t.controlBinary, "fleet", "control", path, "--mgmt", admin.String()}
 	c := t.controls[index]
-	if c.Process, err = cluster.NewProcess(name, command, nil, t.dir, t.log(name)); err != nil {
+	if c.Process, err = cluster.NewProcess(name, command, nil, t.dir, t.newLog(name)); err != nil {
 		return err
 	}
 	c.AdminAddr = admin.String()
@@ -148,7 +148,7 @@
 	c := t.controls[index]
 	balancers := t.plan.Balancers
 	return fmt.Sprintf(controlConfigFormat,
-		scaleFleet,
+		scaleFleetName,
 		t.listenAddrs[index],
 		c.Addr,
 		strings.Join(seeds, ", "),
--- a/cmd/testbed/control_process.go
+++ b/cmd/testbed/control_process.go
@@ -65,7 +65,7 @@
 	if !c.isRunning() {
 		return
 	}
-	streams, err := readWrittenBytes(c.Pid())
+	streams, err := processIOBytes(c.Pid())
 	if err != nil {
 		return
 	}
@@ -80,7 +80,7 @@
 }
 
 // addFinished adds the traffic of the incarnation that ended to that of earlier ones.
-func (c *controlProcess) addFinished() {
+func (c *controlProcess) addFinishedTraffic() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.finishedBytes += c.streamBytes + c.datagramBytes
@@ -99,7 +99,7 @@
 func (c *controlProcess) kill() {
 	c.measureTraffic()
 	c.Kill()
-	c.addFinished()
+	c.addFinishedTraffic()
 }
 
 // shutDown has the process shut down gracefully.
@@ -111,7 +111,7 @@
 	case <-time.After(shutdownTimeout):
 		c.Kill()
 	}
-	c.addFinished()
+	c.addFinishedTraffic()
 }
 
 // restart starts the process again once its last run has ended.
--- a/cmd/testbed/count.go
+++ b/cmd/testbed/count.go
@@ -83,17 +83,17 @@
 // logTable prints a table of log statistics. Write errors are reported when it is closed.
 type logTable struct{ *tabwriter.Writer }
 
-func newLogTable(to io.Writer, columns ...string) logTable {
-	t := logTable{tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)}
-	t.cell("at")
+func newLogTable(out io.Writer, columns ...string) logTable {
+	t := logTable{tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)}
+	t.addCell("at")
 	for _, name := range columns {
-		t.cell(name)
+		t.addCell(name)
 	}
 	t.endRow()
 	return t
 }
 
-func (t logTable) cell(value any) { _, _ = fmt.Fprint(t, value, "\t") }
+func (t logTable) addCell(value any) { _, _ = fmt.Fprint(t, value, "\t") }
 
 func (t logTable) endRow() { _, _ = fmt.Fprintln(t) }
 
@@ -103,12 +103,12 @@
 }
 
 // printServers prints the connections of each server over time.
-func printServers(to io.Writer, stats *logstats.Statistics) error {
-	table := newLogTable(to, stats.Names...)
+func printServers(out io.Writer, stats *logstats.Statistics) error {
+	table := newLogTable(out, stats.Names...)
 	for _, row := range stats.Rows {
-		table.cell(row.At)
+		table.addCell(row.At)
 		for _, name := range stats.Names {
-			table.cell(row.Servers[name])
+			table.addCell(row.Servers[name])
 		}
 		table.endRow()
 	}
@@ -116,17 +116,17 @@
 }
 
 // printEvents prints the counts of events over time.
-func printEvents(to io.Writer, stats *logstats.Statistics) error {
-	table := newLogTable(to, append(logstats.Names[:], "held", "places", "half-within", "nine-in-ten")...)
+func printEvents(out io.Writer, stats *logstats.Statistics) error {
+	table := newLogTable(out, append(logstats.Names[:], "held", "places", "half-within", "nine-in-ten")...)
 	for _, row := range stats.Rows {
-		table.cell(row.At)
+		table.addCell(row.At)
 		for _, count := range row.Columns {
-			table.cell(count)
+			table.addCell(count)
 		}
-		table.cell(row.Sessions)
-		table.cell(fmt.Sprintf("%.2f", row.ServersPerGroup))
-		table.cell(row.SetupP50.Round(time.Millisecond))
-		table.cell(row.SetupP90.Round(time.Millisecond))
+		table.addCell(row.Sessions)
+		table.addCell(fmt.Sprintf("%.2f", row.ServersPerGroup))
+		table.addCell(row.SetupP50.Round(time.Millisecond))
+		table.addCell(row.SetupP90.Round(time.Millisecond))
 		table.endRow()
 	}
 	return table.close(stats)
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -23,12 +23,12 @@
 	Keep bool `help:"Keep a world without faults running afterwards, and print how to connect to it."`
 }
 
-func (c *demoCmd) Run(l *lab) error {
+func (c *demoCmd) Run(env *commandEnv) error {
 	x, err := experiment.Parse(demoFile, "demo.hcl")
 	if err != nil {
 		return err
 	}
-	binary := l.siblingProgram("sabletally")
+	binary := env.siblingProgram("sabletally")
 	if _, err := os.Stat(binary); err != nil {
 		return fmt.Errorf("%s is missing, both programs are built by: go build -o bin/ ./cmd/... (%w)", binary, err)
 	}
@@ -37,15 +37,15 @@
 	clients := float64(plan.InitialClients) + plan.Rate*(plan.Length-plan.WarmupTime).Seconds()
 	fmt.Printf("%d emulated servers, %d balancers (%s) and about %.0f clients, for %v.\n",
 		len(world.Machines), world.Balancers, filepath.Base(binary), clients, plan.Length)
-	running, err := cluster.Start(x.World, cluster.Arm{Name: "demo", Command: []string{binary}}, x.Seeds[0])
+	demoCluster, err := cluster.Start(x.World, cluster.Arm{Name: "demo", Command: []string{binary}}, x.Seeds[0])
 	if err != nil {
 		return err
 	}
-	defer running.Close()
-	if err := writeDemoConfig(world, running); err != nil {
+	defer demoCluster.Close()
+	if err := writeDemoConfig(world, demoCluster); err != nil {
 		return err
 	}
-	run, _, verdict, err := running.Run(l.ctx, func(at time.Duration, text string) { fmt.Printf("%6.2fs  %s\n", at.Seconds(), text) })
+	run, _, verdict, err := demoCluster.Run(env.ctx, func(at time.Duration, text string) { fmt.Printf("%6.2fs  %s\n", at.Seconds(), text) })
 	if err != nil {
 		return err
 	}
@@ -59,18 +59,18 @@
 		return errRuleBroken
 	}
 	if c.Keep {
-		return c.keepRunning(l, x)
+		return c.keepRunning(env, x)
 	}
 	return nil
 }
 
 // writeDemoConfig writes the first balancer's configuration to a file that stays, for the reader.
-func writeDemoConfig(world *topology.World, running *cluster.Cluster) error {
+func writeDemoConfig(world *topology.World, demoCluster *cluster.Cluster) error {
 	file, err := os.CreateTemp("", "sabletally-*.json")
 	if err != nil {
 		return err
 	}
-	config := cluster.BalancerConfig(world, 0, running.Processes[0].Addr, running.DiscoveryAddr(0), 1, running.KnownEndpoints(0))
+	config := cluster.BalancerConfig(world, 0, demoCluster.Processes[0].Addr, demoCluster.DiscoveryAddr(0), 1, demoCluster.KnownEndpoints(0))
 	_, err = file.Write(config)
 	if err := errors.Join(err, file.Close()); err != nil {
 		return fmt.Errorf("writing the first balancer's configuration: %w", err)
@@ -80,20 +80,20 @@
 }
 
 // keepRunning starts the world again, without faults or load, and keeps it running until it is interrupted.
-func (c *demoCmd) keepRunning(l *lab, x *experiment.Experiment) error {
+func (c *demoCmd) keepRunning(env *commandEnv, x *experiment.Experiment) error {
 	x.World.Faults = nil
-	running, err := cluster.Start(x.World, cluster.Arm{Name: "demo", Command: []string{l.siblingProgram("sabletally")}}, 1)
+	demoCluster, err := cluster.Start(x.World, cluster.Arm{Name: "demo", Command: []string{env.siblingProgram("sabletally")}}, 1)
 	if err != nil {
 		return err
 	}
-	defer running.Close()
-	running.Clock.Begin()
-	host, port, _ := net.SplitHostPort(running.Processes[0].Addr)
+	defer demoCluster.Close()
+	demoCluster.Clock.Begin()
+	host, port, _ := net.SplitHostPort(demoCluster.Processes[0].Addr)
 	fmt.Printf("\nThe world is running again. Connect to a balancer with a plain TCP client; lines end with CRLF:\n\n"+
 		"    printf 'OPEN 1 2 c=feed,d=1500\\r\\n' | nc -q 5 %s %s\n\nInterrupt ends it.\n", host, port)
 	if _, err := exec.LookPath("nc"); err != nil {
 		fmt.Printf("Without nc, in bash:\n\n    exec 3<>/dev/tcp/%s/%s; printf 'OPEN 1 2 c=feed,d=1500\\r\\n' >&3; head -n 1 <&3\n", host, port)
 	}
-	<-l.ctx.Done()
+	<-env.ctx.Done()
 	return nil
 }
--- a/cmd/testbed/feed_clients.go
+++ b/cmd/testbed/feed_clients.go
@@ -51,7 +51,7 @@
 	for i := range operatorClientCount {
 		name := fmt.Sprintf("tool-%d", i)
 		o.clients = append(o.clients, subscriber.Open(subscriber.Options{
-			Fleet:       scaleFleet,
+			Fleet:       scaleFleetName,
 			Name:        name,
 			ID:          name,
 			Incarnation: 1,
--- a/cmd/testbed/forwarders.go
+++ b/cmd/testbed/forwarders.go
@@ -73,8 +73,8 @@
 }
 
 // startForwarders starts a process that forwards to some of the members, and returns the address of each one's forwarder.
-func startForwarders(self string, members []netip.AddrPort, forwarded []int) (*forwarderProcess, map[int]netip.AddrPort, error) {
-	cmd := exec.Command(self, "fronts")
+func startForwarders(executable string, members []netip.AddrPort, forwarded []int) (*forwarderProcess, map[int]netip.AddrPort, error) {
+	cmd := exec.Command(executable, "fronts")
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	stdin, err := cmd.StdinPipe()
--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -27,10 +27,10 @@
 
 func (c *hollowCmd) Run() error {
 	runtime.GOMAXPROCS(hollowMaxProcs)
-	h := &hollowHost{out: gob.NewEncoder(os.Stdout), open: openFeedClient}
+	h := &hollowHost{messages: gob.NewEncoder(os.Stdout), openClient: openFeedClient}
 	err := h.run(gob.NewDecoder(os.Stdin))
 	if err != nil {
-		h.send(hollowMessage{Error: err.Error()})
+		h.sendMessage(hollowMessage{Error: err.Error()})
 	}
 	return err
 }
@@ -44,13 +44,13 @@
 
 // hollowHost runs all balancers of this process.
 type hollowHost struct {
-	open     func(config *hollowConfig, balancer hollowBalancer, onApplied func(version uint64)) feedClient
-	config   hollowConfig
-	clients  map[int]*hollowClient
-	finished hollowStatus // counters of incarnations that have ended
+	openClient func(config *hollowConfig, balancer hollowBalancer, onApplied func(version uint64)) feedClient
+	config     hollowConfig
+	clients    map[int]*hollowClient
+	finished   hollowStatus // counters of incarnations that have ended
 
-	sendMu sync.Mutex
-	out    *gob.Encoder
+	sendMu   sync.Mutex
+	messages *gob.Encoder
 
 	mu     sync.Mutex
 	events []hollowEvent
@@ -79,7 +79,7 @@
 	}
 	go func() {
 		for range time.Tick(eventFlushInterval) {
-			h.flush()
+			h.flushEvents()
 		}
 	}()
 	for {
@@ -91,48 +91,48 @@
 		if err != nil {
 			return err
 		}
-		h.handle(&request)
+		h.handleRequest(&request)
 	}
 }
 
-func (h *hollowHost) handle(request *hollowRequest) {
+func (h *hollowHost) handleRequest(request *hollowRequest) {
 	for _, index := range request.Stop {
-		h.stop(h.clients[index])
+		h.stopBalancer(h.clients[index])
 	}
 	for _, index := range request.Start {
-		h.start(h.clients[index])
+		h.startBalancer(h.clients[index])
 	}
 	if request.StatusNumber > 0 {
 		status := h.status(request.StatusNumber, request.WithFinal)
-		h.flush() // the events that led to this status go first
-		h.send(hollowMessage{Status: status})
+		h.flushEvents() // the events that led to this status go first
+		h.sendMessage(hollowMessage{Status: status})
 	}
 }
 
 // send sends a message, and ends the process if the parent does not read any more.
-func (h *hollowHost) send(message hollowMessage) {
+func (h *hollowHost) sendMessage(message hollowMessage) {
 	h.sendMu.Lock()
 	defer h.sendMu.Unlock()
-	if h.out.Encode(message) != nil {
+	if h.messages.Encode(message) != nil {
 		os.Exit(exitFailure)
 	}
 }
 
 // flush sends the events recorded so far.
-func (h *hollowHost) flush() {
+func (h *hollowHost) flushEvents() {
 	h.sendMu.Lock() // taken first, so that events are sent in the order in which they were recorded
 	defer h.sendMu.Unlock()
 	h.mu.Lock()
 	events := h.events
 	h.events = nil
 	h.mu.Unlock()
-	if len(events) > 0 && h.out.Encode(hollowMessage{Events: events}) != nil {
+	if len(events) > 0 && h.messages.Encode(hollowMessage{Events: events}) != nil {
 		os.Exit(exitFailure)
 	}
 }
 
 // record records an event unless its incarnation has stopped.
-func (h *hollowHost) record(event hollowEvent, stopped *bool) {
+func (h *hollowHost) recordEvent(event hollowEvent, stopped *bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !*stopped {
@@ -141,25 +141,25 @@
 }
 
 // start starts a new incarnation of a balancer that is stopped.
-func (h *hollowHost) start(b *hollowClient) {
+func (h *hollowHost) startBalancer(b *hollowClient) {
 	if b.client != nil {
 		return
 	}
 	b.Incarnation++
 	stopped := new(bool)
 	b.stopped = stopped
-	h.record(hollowEvent{Balancer: b.Index, Kind: eventStarted, At: boottime.Now()}, stopped)
-	b.client = h.open(&h.config, b.hollowBalancer, func(version uint64) {
-		h.record(hollowEvent{Balancer: b.Index, Kind: eventApplied, Version: version, At: boottime.Now()}, stopped)
+	h.recordEvent(hollowEvent{Balancer: b.Index, Kind: eventStarted, At: boottime.Now()}, stopped)
+	b.client = h.openClient(&h.config, b.hollowBalancer, func(version uint64) {
+		h.recordEvent(hollowEvent{Balancer: b.Index, Kind: eventApplied, Version: version, At: boottime.Now()}, stopped)
 	})
 }
 
 // stop ends the running incarnation of a balancer.
-func (h *hollowHost) stop(b *hollowClient) {
+func (h *hollowHost) stopBalancer(b *hollowClient) {
 	if b.client == nil {
 		return
 	}
-	h.record(hollowEvent{Balancer: b.Index, Kind: eventStopped, At: boottime.Now()}, b.stopped)
+	h.recordEvent(hollowEvent{Balancer: b.Index, Kind: eventStopped, At: boottime.Now()}, b.stopped)
 	h.mu.Lock()
 	*b.stopped = true
 	h.mu.Unlock()
--- a/cmd/testbed/hollow_process.go
+++ b/cmd/testbed/hollow_process.go
@@ -19,9 +19,9 @@
 
 // hollowProcess controls a process of hollow balancers, which may be started again after its end.
 type hollowProcess struct {
-	program  string // this binary
-	config   hollowConfig
-	onEvents func(h *hollowProcess, events []hollowEvent)
+	executable string // this binary
+	config     hollowConfig
+	onEvents   func(h *hollowProcess, events []hollowEvent)
 
 	mu            sync.Mutex
 	cmd           *exec.Cmd // nil while no process runs
@@ -37,7 +37,7 @@
 
 // start starts the process with all balancers stopped.
 func (h *hollowProcess) start() error {
-	cmd := exec.Command(h.program, "hollow")
+	cmd := exec.Command(h.executable, "hollow")
 	cmd.Stderr = os.Stderr
 	// Killed with this process as well, should it not notice that its standard input is closed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -108,7 +108,7 @@
 }
 
 // send sends a request; it is dropped while no process runs.
-func (h *hollowProcess) send(request hollowRequest) error {
+func (h *hollowProcess) sendRequest(request hollowRequest) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.requests == nil {
@@ -183,7 +183,7 @@
 	_ = cmd.Wait() // a killed process reports an error
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.addFinished(cmd.ProcessState)
+	h.addFinishedCounters(cmd.ProcessState)
 	h.cmd = nil
 	h.requests = nil
 	h.lastStatus = nil
@@ -193,7 +193,7 @@
 }
 
 // addFinished adds the counters of the process that has ended to those of earlier ones. The caller holds h.mu.
-func (h *hollowProcess) addFinished(state *os.ProcessState) {
+func (h *hollowProcess) addFinishedCounters(state *os.ProcessState) {
 	if h.lastStatus == nil {
 		return
 	}
--- a/cmd/testbed/hollow_test.go
+++ b/cmd/testbed/hollow_test.go
@@ -51,7 +51,7 @@
 		opened <- f
 		return f
 	}
-	h := &hollowHost{out: gob.NewEncoder(messageWriter), open: open}
+	h := &hollowHost{messages: gob.NewEncoder(messageWriter), openClient: open}
 	ended := make(chan error, 1)
 	go func() { ended <- h.run(gob.NewDecoder(requestReader)) }()
 	requests, decoder := gob.NewEncoder(requestWriter), gob.NewDecoder(messageReader)
--- a/cmd/testbed/machine.go
+++ b/cmd/testbed/machine.go
@@ -48,7 +48,7 @@
 }
 
 // openFiles is the limit of open descriptors of a process.
-func openFiles() (int, error) {
+func openFileLimit() (int, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, err
@@ -57,7 +57,7 @@
 }
 
 // readWrittenBytes is the number of bytes that a process has read and written.
-func readWrittenBytes(pid int) (int64, error) {
+func processIOBytes(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
 		return 0, err
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -22,7 +22,7 @@
 const (
 	exitPassed     = 0
 	exitFailure    = 1 // the testbed itself failed, or a target was missed
-	exitBadFile    = 2 // or a bad argument
+	exitBadInput   = 2 // or a bad argument
 	exitRuleBroken = 3
 )
 
@@ -30,23 +30,25 @@
 var errRuleBroken = errors.New("a rule was broken")
 
 // lab is shared by the subcommands.
-type lab struct {
-	ctx  context.Context
-	self string // this binary, which also runs the reference balancer
+type commandEnv struct {
+	ctx        context.Context
+	executable string // this binary, which also runs the reference balancer
 }
 
 // siblingProgram is the path of a program in the directory of this one.
-func (l *lab) siblingProgram(name string) string { return filepath.Join(filepath.Dir(l.self), name) }
+func (env *commandEnv) siblingProgram(name string) string {
+	return filepath.Join(filepath.Dir(env.executable), name)
+}
 
 // isTerminal reports whether standard error is a terminal: only then is progress shown.
-func isTerminal() bool {
+func stderrIsTerminal() bool {
 	_, err := unix.IoctlGetTermios(int(os.Stderr.Fd()), unix.TCGETS)
 	return err == nil
 }
 
 // progress shows a line that replaces the one before; "" clears it.
-func progress(format string, args ...any) {
-	if isTerminal() {
+func showProgress(format string, args ...any) {
+	if stderrIsTerminal() {
 		fmt.Fprintf(os.Stderr, "\r\x1b[K"+format, args...)
 	}
 }
@@ -67,17 +69,17 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "testbed:", err)
 		os.Exit(exitFailure)
 	}
 	command := kong.Parse(&cli, kong.Name("testbed"), kong.UsageOnError(), kong.Exit(func(code int) {
-		os.Exit(min(code, exitBadFile)) // kong's own code for a bad argument is 80
+		os.Exit(min(code, exitBadInput)) // kong's own code for a bad argument is 80
 	}), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Description("Balancers under test among emulated clients and servers, on loopback or in virtual time, checked against the four rules."))
-	err = command.Run(&lab{ctx: ctx, self: self})
-	progress("")
+	err = command.Run(&commandEnv{ctx: ctx, executable: executable})
+	showProgress("")
 	var diagnostics hclconfig.Diagnostics
 	var badArgument scale.BadArgument
 	switch {
@@ -89,10 +91,10 @@
 		os.Exit(exitFailure)
 	case errors.As(err, &badArgument):
 		fmt.Fprintln(os.Stderr, "testbed:", badArgument)
-		os.Exit(exitBadFile)
+		os.Exit(exitBadInput)
 	case errors.As(err, &diagnostics):
 		fmt.Fprintln(os.Stderr, diagnostics)
-		os.Exit(exitBadFile)
+		os.Exit(exitBadInput)
 	default:
 		fmt.Fprintln(os.Stderr, "testbed:", err)
 		os.Exit(exitFailure)
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -95,7 +95,7 @@
 		want string
 	}{
 		{small, exitPassed, "verdict ours seed 1: kept"},
-		{strings.Replace(small, "count = 3", "count = -3", 1), exitBadFile, "x.hcl:6:26: count: -3 lies outside 1 to 5000"},
+		{strings.Replace(small, "count = 3", "count = -3", 1), exitBadInput, "x.hcl:6:26: count: -3 lies outside 1 to 5000"},
 		// The capacity of the server is four connections; it restarts cold and receives all clients.
 		{strings.NewReplacer("{ count = 3 }", "{\n count = 1\n cores = 1\n fills = 4\n }").Replace(small) +
 			"fault \"crash\" {\n at = \"1s\"\n for = \"500ms\"\n part = 1\n}\narm \"hash\" { policy = \"hash\" }\n", exitRuleBroken, "4 cold servers are spared"},
@@ -110,7 +110,7 @@
 		if got := cmd.ProcessState.ExitCode(); got != c.code || !strings.Contains(string(out), c.want) {
 			t.Errorf("exit %d in place of %d: %s", got, c.code, out)
 		}
-		if c.code == exitBadFile {
+		if c.code == exitBadInput {
 			continue
 		}
 		for _, name := range []string{"report.json", "report.html"} {
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -33,7 +33,7 @@
 // maxViolationsPrinted is the number of violations printed for each run; the report has more.
 const maxViolationsPrinted = 3
 
-func (c *runCmd) Run(l *lab) error {
+func (c *runCmd) Run(env *commandEnv) error {
 	x, err := c.load()
 	if err != nil {
 		return err
@@ -55,11 +55,11 @@
 		Cores:   runtime.NumCPU(),
 	}
 	if x.Mode == experiment.Virtual {
-		err = c.runVirtual(l, x, r)
+		err = c.runVirtual(env, x, r)
 	} else {
-		err = c.runSockets(l, x, r)
+		err = c.runSockets(env, x, r)
 	}
-	progress("")
+	showProgress("")
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 }
 
 // jobs lists all runs of an experiment, seed by seed.
-func jobs(x *experiment.Experiment) []job {
+func listJobs(x *experiment.Experiment) []job {
 	var all []job
 	for _, seed := range x.Seeds {
 		for _, arm := range x.Arms {
@@ -133,29 +133,29 @@
 }
 
 // runVirtual runs the jobs concurrently: in virtual time they do not influence each other.
-func (c *runCmd) runVirtual(l *lab, x *experiment.Experiment, r *report.Report) error {
-	all := jobs(x)
+func (c *runCmd) runVirtual(env *commandEnv, x *experiment.Experiment, r *report.Report) error {
+	all := listJobs(x)
 	r.Runs = make([]report.Run, len(all))
 	errs := make([]error, len(all))
 	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
-	var running sync.WaitGroup
+	var pending sync.WaitGroup
 	var mu sync.Mutex
 	finished := 0
 	for i, j := range all {
 		slots <- struct{}{}
-		if l.ctx.Err() != nil {
-			return l.ctx.Err()
+		if env.ctx.Err() != nil {
+			return env.ctx.Err()
 		}
-		running.Go(func() {
+		pending.Go(func() {
 			r.Runs[i], errs[i] = c.simulate(x, j)
 			mu.Lock()
 			finished++
-			progress("%s: %d of %d runs", x.Name, finished, len(all))
+			showProgress("%s: %d of %d runs", x.Name, finished, len(all))
 			mu.Unlock()
 			<-slots
 		})
 	}
-	running.Wait()
+	pending.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -176,11 +176,11 @@
 }
 
 // runSockets runs the jobs one after the other, seed by seed, so that changes of the machine's speed affect all arms alike.
-func (c *runCmd) runSockets(l *lab, x *experiment.Experiment, r *report.Report) error {
-	all := jobs(x)
+func (c *runCmd) runSockets(env *commandEnv, x *experiment.Experiment, r *report.Report) error {
+	all := listJobs(x)
 	for i, j := range all {
-		progress("%s: run %d of %d, %s, %v", x.Name, i+1, len(all), j.arm.Name, x.World.Load.Length)
-		run, events, err := c.runOnSockets(l, x, j)
+		showProgress("%s: run %d of %d, %s, %v", x.Name, i+1, len(all), j.arm.Name, x.World.Load.Length)
+		run, events, err := c.runOnSockets(env, x, j)
 		if err != nil {
 			return fmt.Errorf("%s, seed %d: %w", j.arm.Name, j.seed, err)
 		}
@@ -193,38 +193,38 @@
 }
 
 // runOnSockets runs one job with real processes.
-func (c *runCmd) runOnSockets(l *lab, x *experiment.Experiment, j job) (report.Run, []history.Event, error) {
+func (c *runCmd) runOnSockets(env *commandEnv, x *experiment.Experiment, j job) (report.Run, []history.Event, error) {
 	world := x.World
 	world.Limits = j.arm.Limits
-	running, err := cluster.Start(world, cluster.Arm{Name: j.arm.Name, Command: l.command(j.arm), Env: j.arm.Env, Logs: c.Logs}, j.seed)
+	armCluster, err := cluster.Start(world, cluster.Arm{Name: j.arm.Name, Command: env.balancerCommand(j.arm), Env: j.arm.Env, Logs: c.Logs}, j.seed)
 	if err != nil {
 		return report.Run{}, nil, err
 	}
-	defer running.Close()
+	defer armCluster.Close()
 	var onStep func(time.Duration, string)
 	if c.Steps {
 		onStep = func(at time.Duration, text string) { fmt.Printf("%7.2fs %s\n", at.Seconds(), text) }
 	}
-	run, events, _, err := running.Run(l.ctx, onStep)
+	run, events, _, err := armCluster.Run(env.ctx, onStep)
 	run.Arm = j.arm.Name
 	run.Seed = j.seed
 	if err == nil {
-		err = l.ctx.Err()
+		err = env.ctx.Err()
 	}
 	return run, events, err
 }
 
 // command is the command that starts an arm's balancer.
-func (l *lab) command(a experiment.Arm) []string {
+func (env *commandEnv) balancerCommand(a experiment.Arm) []string {
 	switch {
 	case a.Policy != "":
-		return []string{l.self, "balancer", "--policy", a.Policy}
+		return []string{env.executable, "balancer", "--policy", a.Policy}
 	case a.Broken != "":
-		return []string{l.self, "balancer", "--broken", a.Broken}
+		return []string{env.executable, "balancer", "--broken", a.Broken}
 	case a.Binary != "":
 		return []string{a.Binary}
 	}
-	return []string{l.siblingProgram("sabletally")}
+	return []string{env.siblingProgram("sabletally")}
 }
 
 // saveEvents writes the events of a run if a folder for them was given.
@@ -248,7 +248,7 @@
 	Files []string `arg:"" help:"Experiment files."`
 }
 
-func (c *checkCmd) Run(*lab) error {
+func (c *checkCmd) Run(*commandEnv) error {
 	var all hclconfig.Diagnostics
 	for _, path := range c.Files {
 		x, err := experiment.Load(path)
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -32,9 +32,9 @@
 }
 
 // Run runs the scale test and prints its verdict, also when the run was aborted.
-func (c *scaleCmd) Run(l *lab) error {
+func (c *scaleCmd) Run(env *commandEnv) error {
 	if c.Binary == "" {
-		c.Binary = l.siblingProgram("sabletally")
+		c.Binary = env.siblingProgram("sabletally")
 	}
 	r, err := c.newRun()
 	if err != nil {
@@ -44,17 +44,17 @@
 	if err := r.checkMachine(hosts); err != nil {
 		return err
 	}
-	err = r.run(l, hosts)
-	progress("")
+	err = r.run(env, hosts)
+	showProgress("")
 	switch {
-	case l.ctx.Err() != nil:
+	case env.ctx.Err() != nil:
 		r.figures.Partial = "interrupted"
 	case r.abortReason != "":
 		r.figures.Partial = r.abortReason
 	case err != nil:
 		r.figures.Partial = err.Error()
 	}
-	return c.report(&r.figures)
+	return c.reportFigures(&r.figures)
 }
 
 // newRun checks the arguments and plans the run.
@@ -95,7 +95,7 @@
 }
 
 // report prints and writes the figures and the verdict; errTargetMissed if there is a target that was missed.
-func (c *scaleCmd) report(figures *scale.Figures) error {
+func (c *scaleCmd) reportFigures(figures *scale.Figures) error {
 	targets := &scale.DefaultTargets
 	if c.Judge == judgeCounts {
 		targets = nil
--- a/cmd/testbed/scale_cluster.go
+++ b/cmd/testbed/scale_cluster.go
@@ -38,30 +38,30 @@
 }
 
 // newScaleCluster starts the control processes of a plan. The cluster that it returns beside an error, if any, must be closed.
-func newScaleCluster(plan *scale.Plan, hosts [][]int, self, binary, logs string, ledger *scale.Ledger) (*scaleCluster, error) {
+func newScaleCluster(plan *scale.Plan, hosts [][]int, executable, binary, logs string, ledger *scale.Ledger) (*scaleCluster, error) {
 	dir, err := os.MkdirTemp("", "testbed-scale")
 	if err != nil {
 		return nil, err
 	}
-	w := &scaleCluster{plan: plan, dir: dir, balancersByHost: hosts, ledger: ledger}
+	s := &scaleCluster{plan: plan, dir: dir, balancersByHost: hosts, ledger: ledger}
 	if logs != "" {
 		if err := os.MkdirAll(logs, 0o755); err != nil {
-			return w, err
+			return s, err
 		}
 	}
-	tier := controlTier{plan: plan, self: self, binary: binary, dir: dir, log: func(name string) io.Writer { return createLog(logs, name) }}
+	tier := controlTier{plan: plan, executable: executable, controlBinary: binary, dir: dir, newLog: func(name string) io.Writer { return createLog(logs, name) }}
 	err = tier.create()
-	w.controls = tier.controls
-	w.forwarders = tier.forwarders
+	s.controls = tier.controls
+	s.forwarders = tier.forwarders
 	if err != nil {
-		return w, err
+		return s, err
 	}
-	for _, c := range w.controls {
+	for _, c := range s.controls {
 		if err := c.Launch(); err != nil {
-			return w, err
+			return s, err
 		}
 	}
-	return w, nil
+	return s, nil
 }
 
 // createLog creates the log file of a process, which is closed with this process; nil without a directory or if that fails.
@@ -77,23 +77,23 @@
 }
 
 // seeds are the addresses of all control processes.
-func (w *scaleCluster) seeds() (all []netip.AddrPort) {
-	for _, c := range w.controls {
+func (s *scaleCluster) seeds() (all []netip.AddrPort) {
+	for _, c := range s.controls {
 		all = append(all, c.Addr)
 	}
 	return all
 }
 
 // startBalancers starts the processes of balancers, and then all balancers at once.
-func (w *scaleCluster) startBalancers(self string) error {
-	for i, balancers := range w.balancersByHost {
-		h := &hollowProcess{program: self, onEvents: w.recordEvents, config: hollowConfig{
-			Fleet: scaleFleet,
-			Seeds: w.seeds(),
-			Seed:  w.plan.Seed*1_000_003 + uint64(i),
+func (s *scaleCluster) startBalancers(executable string) error {
+	for i, balancers := range s.balancersByHost {
+		h := &hollowProcess{executable: executable, onEvents: s.recordEvents, config: hollowConfig{
+			Fleet: scaleFleetName,
+			Seeds: s.seeds(),
+			Seed:  s.plan.Seed*1_000_003 + uint64(i),
 		}}
 		for _, b := range balancers {
-			place := w.plan.Balancer[b]
+			place := s.plan.Balancer[b]
 			h.config.Balancers = append(h.config.Balancers, hollowBalancer{
 				Index:   b,
 				Name:    fmt.Sprintf("b%d", b),
@@ -102,13 +102,13 @@
 				Site:    regionName(place),
 			})
 		}
-		w.hosts = append(w.hosts, h)
+		s.hosts = append(s.hosts, h)
 		if err := h.start(); err != nil {
 			return err
 		}
 	}
-	for i, h := range w.hosts {
-		if err := h.send(hollowRequest{Start: w.balancersByHost[i]}); err != nil {
+	for i, h := range s.hosts {
+		if err := h.sendRequest(hollowRequest{Start: s.balancersByHost[i]}); err != nil {
 			return err
 		}
 	}
@@ -116,28 +116,28 @@
 }
 
 // recordEvents records events of balancers in the ledger.
-func (w *scaleCluster) recordEvents(_ *hollowProcess, events []hollowEvent) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (s *scaleCluster) recordEvents(_ *hollowProcess, events []hollowEvent) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, event := range events {
 		switch event.Kind {
 		case eventStarted:
-			w.ledger.Up(event.Balancer, event.At)
+			s.ledger.Up(event.Balancer, event.At)
 		case eventStopped:
-			w.ledger.Down(event.Balancer, event.At)
+			s.ledger.Down(event.Balancer, event.At)
 		case eventApplied:
-			w.ledger.Applied(event.Balancer, event.Version, event.At)
+			s.ledger.Applied(event.Balancer, event.Version, event.At)
 		}
 	}
 }
 
 // status requests the status of all processes of balancers at once and sums it up.
-func (w *scaleCluster) status(withFinal bool) (*hollowStatus, error) {
-	number := w.nextStatusNumber()
-	statuses := make([]*hollowStatus, len(w.hosts))
-	errs := make([]error, len(w.hosts))
+func (s *scaleCluster) status(withFinal bool) (*hollowStatus, error) {
+	number := s.nextStatusNumber()
+	statuses := make([]*hollowStatus, len(s.hosts))
+	errs := make([]error, len(s.hosts))
 	var pending sync.WaitGroup
-	for i, h := range w.hosts {
+	for i, h := range s.hosts {
 		pending.Go(func() { statuses[i], errs[i] = h.status(number, withFinal) })
 	}
 	pending.Wait()
@@ -149,9 +149,9 @@
 }
 
 // spread is the distribution of the balancers' connections over the control processes that run.
-func (w *scaleCluster) spread(status *hollowStatus) scale.Spread {
+func (s *scaleCluster) connectionSpread(status *hollowStatus) scale.Spread {
 	var connections []int
-	for _, c := range w.controls {
+	for _, c := range s.controls {
 		if c.isRunning() {
 			connections = append(connections, status.Publishers[c.Addr.String()])
 		}
@@ -160,11 +160,11 @@
 }
 
 // nextStatusNumber numbers a status request.
-func (w *scaleCluster) nextStatusNumber() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastStatusNumber++
-	return w.lastStatusNumber
+func (s *scaleCluster) nextStatusNumber() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastStatusNumber++
+	return s.lastStatusNumber
 }
 
 // clusterMemory is the resident memory of the processes of a run, in MB.
@@ -182,18 +182,18 @@
 	return total
 }
 
-func (w *scaleCluster) memory() clusterMemory {
+func (s *scaleCluster) memoryUse() clusterMemory {
 	var memory clusterMemory
-	for _, h := range w.hosts {
+	for _, h := range s.hosts {
 		if pid := h.pid(); pid > 0 {
 			memory.balancersMB += residentMB(pid)
 		}
 	}
 	memory.otherMB = residentMB(os.Getpid())
-	for _, f := range w.forwarders {
+	for _, f := range s.forwarders {
 		memory.otherMB += residentMB(f.cmd.Process.Pid)
 	}
-	for _, c := range w.controls {
+	for _, c := range s.controls {
 		megabytes := 0.0
 		if c.isRunning() {
 			megabytes = residentMB(c.Pid())
@@ -204,50 +204,50 @@
 }
 
 // close ends all processes and removes their directories.
-func (w *scaleCluster) close() {
-	var running sync.WaitGroup
-	for _, h := range w.hosts {
-		running.Go(func() { h.stop(false) })
+func (s *scaleCluster) close() {
+	var pending sync.WaitGroup
+	for _, h := range s.hosts {
+		pending.Go(func() { h.stop(false) })
 	}
-	for _, c := range w.controls {
+	for _, c := range s.controls {
 		if c.Process == nil {
 			continue
 		}
-		running.Go(func() {
+		pending.Go(func() {
 			if c.Exited() != nil {
 				c.Kill()
 			}
 		})
 	}
-	running.Wait()
-	for _, f := range w.forwarders {
+	pending.Wait()
+	for _, f := range s.forwarders {
 		f.close()
 	}
-	if w.dir != "" {
-		_ = os.RemoveAll(w.dir)
+	if s.dir != "" {
+		_ = os.RemoveAll(s.dir)
 	}
 }
 
 // unreadyControls lists the control processes that do not run, do not see all others, or have not published a version; "" if there is none.
-func (w *scaleCluster) unreadyControls(version uint64) string {
-	problems := make([]string, len(w.controls))
+func (s *scaleCluster) unreadyControls(version uint64) string {
+	problems := make([]string, len(s.controls))
 	var pending sync.WaitGroup
-	for i, c := range w.controls {
-		pending.Go(func() { problems[i] = w.checkControl(c, version) })
+	for i, c := range s.controls {
+		pending.Go(func() { problems[i] = s.describeUnready(c, version) })
 	}
 	pending.Wait()
-	return strings.Join(slices.DeleteFunc(problems, func(s string) bool { return s == "" }), ", ")
+	return strings.Join(slices.DeleteFunc(problems, func(problem string) bool { return problem == "" }), ", ")
 }
 
 // checkControl describes why a control process is not ready, "" if it is.
-func (w *scaleCluster) checkControl(c *controlProcess, version uint64) string {
+func (s *scaleCluster) describeUnready(c *controlProcess, version uint64) string {
 	report, err := c.Fleet()
 	switch {
 	case !c.isRunning():
 		return c.Name + " does not run"
 	case err != nil:
 		return err.Error()
-	case report.Alive != len(w.controls) || report.Store == nil || report.Store.Members != len(w.controls):
+	case report.Alive != len(s.controls) || report.Store == nil || report.Store.Members != len(s.controls):
 		return fmt.Sprintf("%s sees %d control processes alive", c.Name, report.Alive)
 	case !isCurrent(report.Publisher, version):
 		return c.Name + " is not current"
@@ -265,9 +265,9 @@
 }
 
 // agreedState waits until all control processes that run have the same state, and returns it.
-func (w *scaleCluster) agreedState() (feedState, error) {
+func (s *scaleCluster) waitForAgreedState() (feedState, error) {
 	for deadline := time.Now().Add(agreementTimeout); ; time.Sleep(pollInterval) {
-		states, err := w.publisherStates()
+		states, err := s.publisherStates()
 		if err == nil && len(states) == 1 {
 			for state := range states {
 				return state, nil
@@ -281,9 +281,9 @@
 
 // publisherStates are the states of the control processes that run, each with the name of one that has it. After an error, they are those
 // of the processes that were queried before.
-func (w *scaleCluster) publisherStates() (map[feedState]string, error) {
+func (s *scaleCluster) publisherStates() (map[feedState]string, error) {
 	states := map[feedState]string{}
-	for _, c := range w.controls {
+	for _, c := range s.controls {
 		if !c.isRunning() {
 			continue
 		}
--- a/cmd/testbed/scale_faults.go
+++ b/cmd/testbed/scale_faults.go
@@ -10,66 +10,66 @@
 )
 
 // applyStep carries out one step of the fault schedule and returns once that is done.
-func (w *scaleCluster) applyStep(step scale.Step) error {
+func (s *scaleCluster) applyStep(step scale.Step) error {
 	switch step.Action {
 	case scale.Kill:
-		return w.eachControl(step.Targets, func(c *controlProcess) error {
+		return s.forEachControl(step.Targets, func(c *controlProcess) error {
 			c.kill()
 			return nil
 		})
 	case scale.End:
-		return w.eachControl(step.Targets, func(c *controlProcess) error {
+		return s.forEachControl(step.Targets, func(c *controlProcess) error {
 			c.shutDown()
 			return nil
 		})
 	case scale.Start:
-		return w.eachControl(step.Targets, (*controlProcess).restart)
+		return s.forEachControl(step.Targets, (*controlProcess).restart)
 	case scale.Cut:
-		return w.cutOff(step.Targets)
+		return s.cutOff(step.Targets)
 	case scale.Heal:
-		return w.cutOff(nil)
+		return s.cutOff(nil)
 	case scale.Down, scale.Up:
-		return w.setBalancers(step.Targets, step.Action == scale.Up)
+		return s.setBalancers(step.Targets, step.Action == scale.Up)
 	case scale.ZoneOff:
-		return w.eachHostOf(step.Targets[0], w.killHost)
+		return s.forEachHostInZone(step.Targets[0], s.killHost)
 	case scale.ZoneOn:
-		return w.eachHostOf(step.Targets[0], w.restartHost)
+		return s.forEachHostInZone(step.Targets[0], s.restartHost)
 	default:
 		return fmt.Errorf("unknown action %q", step.Action)
 	}
 }
 
 // eachControl calls do for several control processes concurrently.
-func (w *scaleCluster) eachControl(indices []int, do func(c *controlProcess) error) error {
-	var running sync.WaitGroup
+func (s *scaleCluster) forEachControl(indices []int, operation func(c *controlProcess) error) error {
+	var pending sync.WaitGroup
 	errs := make([]error, len(indices))
 	for i, index := range indices {
-		running.Go(func() { errs[i] = do(w.controls[index]) })
+		pending.Go(func() { errs[i] = operation(s.controls[index]) })
 	}
-	running.Wait()
+	pending.Wait()
 	return errors.Join(errs...)
 }
 
 // cutOff cuts control processes off from all others, and restores all other links.
-func (w *scaleCluster) cutOff(controls []int) error {
-	var running sync.WaitGroup
-	errs := make([]error, len(w.forwarders))
-	for i, f := range w.forwarders {
-		running.Go(func() { _, errs[i] = f.call(forwarderRequest{CutOff: controls}) })
+func (s *scaleCluster) cutOff(controls []int) error {
+	var pending sync.WaitGroup
+	errs := make([]error, len(s.forwarders))
+	for i, f := range s.forwarders {
+		pending.Go(func() { _, errs[i] = f.call(forwarderRequest{CutOff: controls}) })
 	}
-	running.Wait()
+	pending.Wait()
 	return errors.Join(errs...)
 }
 
 // setBalancers starts or stops balancers.
-func (w *scaleCluster) setBalancers(balancers []int, up bool) error {
+func (s *scaleCluster) setBalancers(balancers []int, up bool) error {
 	selected := map[int]bool{}
 	for _, b := range balancers {
 		selected[b] = true
 	}
-	for i, h := range w.hosts {
+	for i, h := range s.hosts {
 		var indices []int
-		for _, b := range w.balancersByHost[i] {
+		for _, b := range s.balancersByHost[i] {
 			if selected[b] {
 				indices = append(indices, b)
 			}
@@ -77,11 +77,11 @@
 		if len(indices) == 0 {
 			continue
 		}
-		order := hollowRequest{Stop: indices}
+		request := hollowRequest{Stop: indices}
 		if up {
-			order = hollowRequest{Start: indices}
+			request = hollowRequest{Start: indices}
 		}
-		if err := h.send(order); err != nil {
+		if err := h.sendRequest(request); err != nil {
 			return err
 		}
 	}
@@ -89,35 +89,35 @@
 }
 
 // eachHostOf calls do concurrently for each process of balancers of a zone.
-func (w *scaleCluster) eachHostOf(zone int, do func(host int) error) error {
-	var running sync.WaitGroup
-	errs := make([]error, len(w.hosts))
-	for i := range w.hosts {
-		if w.plan.Balancer[w.balancersByHost[i][0]].Zone == zone {
-			running.Go(func() { errs[i] = do(i) })
+func (s *scaleCluster) forEachHostInZone(zone int, operation func(host int) error) error {
+	var pending sync.WaitGroup
+	errs := make([]error, len(s.hosts))
+	for i := range s.hosts {
+		if s.plan.Balancer[s.balancersByHost[i][0]].Zone == zone {
+			pending.Go(func() { errs[i] = operation(i) })
 		}
 	}
-	running.Wait()
+	pending.Wait()
 	return errors.Join(errs...)
 }
 
 // restartHost starts a process of balancers again, and its balancers.
-func (w *scaleCluster) restartHost(host int) error {
-	if err := w.hosts[host].start(); err != nil {
+func (s *scaleCluster) restartHost(host int) error {
+	if err := s.hosts[host].start(); err != nil {
 		return err
 	}
-	return w.hosts[host].send(hollowRequest{Start: w.balancersByHost[host]})
+	return s.hosts[host].sendRequest(hollowRequest{Start: s.balancersByHost[host]})
 }
 
 // killHost kills a process of balancers, after it has reported the events so far.
-func (w *scaleCluster) killHost(host int) error {
-	_, _ = w.hosts[host].status(w.nextStatusNumber(), false) // it fails only if the process has ended
+func (s *scaleCluster) killHost(host int) error {
+	_, _ = s.hosts[host].status(s.nextStatusNumber(), false) // it fails only if the process has ended
 	now := boottime.Now()
-	w.hosts[host].stop(true)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, b := range w.balancersByHost[host] {
-		w.ledger.Down(b, now)
+	s.hosts[host].stop(true)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, b := range s.balancersByHost[host] {
+		s.ledger.Down(b, now)
 	}
 	return nil
 }
--- a/cmd/testbed/scale_measurement.go
+++ b/cmd/testbed/scale_measurement.go
@@ -36,7 +36,7 @@
 	status        *hollowStatus
 	statusAtEnd   *hollowStatus // nil before the end of the run
 	length        time.Duration // until statusAtEnd
-	settled       bool          // nothing more is to be waited for
+	complete      bool          // nothing more is to be waited for
 }
 
 // measure puts the changes, injects the faults, and takes the figures meanwhile.
@@ -55,8 +55,8 @@
 	m.faultResults = faultResults
 	faults.Go(func() { faultResults <- r.injectFaults(ctx) })
 
-	for !m.settled {
-		if err := m.poll(ctx); err != nil {
+	for !m.complete {
+		if err := m.waitForNext(ctx); err != nil {
 			return err
 		}
 	}
@@ -110,20 +110,20 @@
 }
 
 // poll waits for the end of the faults or the next status, whichever is first.
-func (m *measurement) poll(ctx context.Context) error {
+func (m *measurement) waitForNext(ctx context.Context) error {
 	select {
 	case m.faults = <-m.faultResults:
 		m.faultResults = nil
 		return nil
 	case <-time.After(m.statusInterval()):
-		return m.update()
+		return m.updateStatus()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
 // update requests the status and decides what it means for the run.
-func (m *measurement) update() error {
+func (m *measurement) updateStatus() error {
 	r := m.run
 	requiredVersion := m.newestVersion // the one of the status before: balancers have had time to receive it
 	r.mu.Lock()
@@ -137,8 +137,8 @@
 	m.status = status
 	now := boottime.Now()
 	steady, spread := r.isSteady(status, requiredVersion)
-	summary := r.summary(status, spread)
-	progress("scale: %v of %v, %d of %d changes accepted, %s", max(0, now-r.startTime).Round(time.Second), r.For, accepted, len(r.plan.Changes), summary)
+	summary := r.describeStatus(status, spread)
+	showProgress("scale: %v of %v, %d of %d changes accepted, %s", max(0, now-r.startTime).Round(time.Second), r.For, accepted, len(r.plan.Changes), summary)
 	r.figures.SpreadDescription = summary
 	// Control processes are queried only when it matters: it costs them processor time.
 	if steady && (m.isRecovering() || now >= m.endTime) {
@@ -149,7 +149,7 @@
 	}
 	if m.statusAtEnd != nil {
 		isComplete := accepted == len(r.plan.Changes) && requiredVersion == m.newestVersion
-		m.settled = m.faultResults == nil && steady && isComplete || now > m.endTime+settleTimeout
+		m.complete = m.faultResults == nil && steady && isComplete || now > m.endTime+settleTimeout
 		r.figures.Steady = steady
 	}
 	return nil
--- a/cmd/testbed/scale_run.go
+++ b/cmd/testbed/scale_run.go
@@ -40,7 +40,7 @@
 
 // checkMachine checks that the machine has the memory and the descriptors that the run needs, and sets the limit of memory.
 func (r *scaleRun) checkMachine(hosts [][]int) error {
-	files, err := openFiles()
+	files, err := openFileLimit()
 	if err != nil {
 		return err
 	}
@@ -53,11 +53,11 @@
 }
 
 // run starts all processes, waits until they have converged, and measures.
-func (r *scaleRun) run(l *lab, hosts [][]int) error {
-	ctx, stop := context.WithCancel(l.ctx)
+func (r *scaleRun) run(env *commandEnv, hosts [][]int) error {
+	ctx, stop := context.WithCancel(env.ctx)
 	defer stop()
-	progress("scale: starting %d control processes", r.Control)
-	cluster, err := newScaleCluster(r.plan, hosts, l.self, r.Binary, r.Logs, r.ledger)
+	showProgress("scale: starting %d control processes", r.Control)
+	cluster, err := newScaleCluster(r.plan, hosts, env.executable, r.Binary, r.Logs, r.ledger)
 	if cluster != nil {
 		defer cluster.close()
 	}
@@ -74,7 +74,7 @@
 	background.Go(func() { r.watchMemory(ctx, stop) })
 
 	started := time.Now()
-	if err := cluster.startBalancers(l.self); err != nil {
+	if err := cluster.startBalancers(env.executable); err != nil {
 		return err
 	}
 	if err := r.waitUntilSteady(ctx, time.Now().Add(convergenceTimeout)); err != nil {
@@ -91,7 +91,7 @@
 
 // isSteady reports whether all balancers are up and current, have a version, and are evenly spread over the control processes.
 func (r *scaleRun) isSteady(status *hollowStatus, version uint64) (bool, scale.Spread) {
-	spread := r.cluster.spread(status)
+	spread := r.cluster.connectionSpread(status)
 	steady := status.Up == r.Balancers && status.Current == r.Balancers && spread.Even()
 	for state := range status.States {
 		steady = steady && state.Version >= version
@@ -110,8 +110,8 @@
 		if steady {
 			return nil
 		}
-		summary := r.summary(status, spread)
-		progress("scale: %s", summary)
+		summary := r.describeStatus(status, spread)
+		showProgress("scale: %s", summary)
 		if time.Now().After(deadline) {
 			return fmt.Errorf("balancers have not converged within %v: %s", convergenceTimeout, summary)
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-func (r *scaleRun) summary(status *hollowStatus, spread scale.Spread) string {
+func (r *scaleRun) describeStatus(status *hollowStatus, spread scale.Spread) string {
 	return fmt.Sprintf("%d of %d balancers up, %d current; %v", status.Up, r.Balancers, status.Current, spread)
 }
 
@@ -154,14 +154,14 @@
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		version, err := clients.put(ctx, attempt, settingKey(change.Key), settingValue(index, change), operationID)
 		if err == nil {
-			r.setAccepted(index, version)
+			r.recordAccepted(index, version)
 			return
 		}
 		_ = sleep(ctx, putRetryInterval) // the loop ends with ctx
 	}
 }
 
-func (r *scaleRun) setAccepted(index int, version uint64) {
+func (r *scaleRun) recordAccepted(index int, version uint64) {
 	r.cluster.mu.Lock()
 	r.ledger.SetVersion(index, version)
 	r.cluster.mu.Unlock()
@@ -181,12 +181,12 @@
 func (r *scaleRun) injectFaults(ctx context.Context) faultResult {
 	var mu sync.Mutex
 	var result faultResult
-	var running sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, step := range r.plan.Steps {
 		if sleep(ctx, r.startTime+step.At-boottime.Now()) != nil {
 			break
 		}
-		running.Go(func() {
+		pending.Go(func() {
 			err := r.cluster.applyStep(step)
 			mu.Lock()
 			defer mu.Unlock()
@@ -194,7 +194,7 @@
 			result.endTime = max(result.endTime, boottime.Now())
 		})
 	}
-	running.Wait()
+	pending.Wait()
 	return result
 }
 
@@ -210,7 +210,7 @@
 
 // recordMemory reports whether the run must be aborted.
 func (r *scaleRun) recordMemory() bool {
-	memory := r.cluster.memory()
+	memory := r.cluster.memoryUse()
 	total := memory.total()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,7 +231,7 @@
 // closeLedger closes the ledger with the state that the control processes agree on and the changes that were accepted.
 func (r *scaleRun) closeLedger() error {
 	cluster := r.cluster
-	agreed, err := cluster.agreedState()
+	agreed, err := cluster.waitForAgreedState()
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -109,7 +109,7 @@
 		cmd, out := scaleCommand(t.TempDir(), args...)
 		err := cmd.Run()
 		var exit *exec.ExitError
-		if !errors.As(err, &exit) || exit.ExitCode() != exitBadFile || !strings.Contains(out.String(), want) {
+		if !errors.As(err, &exit) || exit.ExitCode() != exitBadInput || !strings.Contains(out.String(), want) {
 			t.Errorf("%v: %v, wanted %q\n%s", args, err, want, out)
 		}
 	}
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -36,7 +36,7 @@
 }
 
 // throughput is the figures of one arm: medians over all rounds. Latencies are microseconds.
-type throughput struct {
+type throughputFigures struct {
 	Arm            string
 	Cores          int
 	Setups         float64 // per second
@@ -53,7 +53,7 @@
 }
 
 // rounds are the figures of one arm, by round.
-type rounds struct {
+type roundFigures struct {
 	setups   []float64
 	lines    []float64
 	setupP50 []float64
@@ -65,8 +65,8 @@
 
 // throughputArm is one target, and the balancer there unless the target is the servers themselves.
 type throughputArm struct {
-	throughput
-	rounds  rounds
+	throughputFigures
+	rounds  roundFigures
 	command []string
 	process *cluster.Process
 	agent   *emulator.Agent
@@ -79,7 +79,7 @@
 	idleSettleTime = 2 * time.Second // in which a balancer releases the memory that set-ups needed
 )
 
-func (c *throughputCmd) Run(l *lab) error {
+func (c *throughputCmd) Run(env *commandEnv) error {
 	if c.Rounds < 1 || c.Lines < 1 || c.Window < 1 {
 		return errors.New("rounds, lines and window: one at least")
 	}
@@ -97,7 +97,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	balancers, err := c.balancerArms(l)
+	balancers, err := c.balancerArms(env)
 	if err != nil {
 		return err
 	}
@@ -108,9 +108,9 @@
 		defer arm.process.Kill()
 		defer arm.agent.Close()
 	}
-	direct := &throughputArm{throughput: throughput{Arm: "direct"}, target: bench.NewTarget(addrs...)}
+	direct := &throughputArm{throughputFigures: throughputFigures{Arm: "direct"}, target: bench.NewTarget(addrs...)}
 	arms := append([]*throughputArm{direct}, balancers...)
-	if err := c.measureRounds(l, arms); err != nil {
+	if err := c.measureRounds(env, arms); err != nil {
 		return err
 	}
 	if c.Idle > 0 {
@@ -118,20 +118,20 @@
 			return err
 		}
 	}
-	progress("")
+	showProgress("")
 	for _, arm := range arms {
 		arm.summarize()
-		arm.compare(direct)
+		arm.compareWithDirect(direct)
 	}
 	c.printTable(arms)
 	return c.writeReport(arms)
 }
 
 // balancerArms are the arms with a balancer: all binaries with all numbers of cores.
-func (c *throughputCmd) balancerArms(l *lab) ([]*throughputArm, error) {
+func (c *throughputCmd) balancerArms(env *commandEnv) ([]*throughputArm, error) {
 	binaries := c.Binary
 	if len(binaries) == 0 {
-		binaries = []string{"sabletally=" + l.siblingProgram("sabletally")}
+		binaries = []string{"sabletally=" + env.siblingProgram("sabletally")}
 	}
 	var arms []*throughputArm
 	for _, binary := range binaries {
@@ -140,7 +140,7 @@
 			return nil, fmt.Errorf("binary %q: wants NAME=PATH", binary)
 		}
 		for _, cores := range c.Cores {
-			arms = append(arms, &throughputArm{throughput: throughput{Arm: name, Cores: cores}, command: []string{path}})
+			arms = append(arms, &throughputArm{throughputFigures: throughputFigures{Arm: name, Cores: cores}, command: []string{path}})
 		}
 	}
 	return arms, nil
@@ -191,14 +191,14 @@
 }
 
 // measureRounds measures all arms in turn, in each round.
-func (c *throughputCmd) measureRounds(l *lab, arms []*throughputArm) error {
+func (c *throughputCmd) measureRounds(env *commandEnv, arms []*throughputArm) error {
 	for round := range c.Rounds {
 		for _, arm := range arms {
-			if l.ctx.Err() != nil {
-				return l.ctx.Err()
+			if env.ctx.Err() != nil {
+				return env.ctx.Err()
 			}
-			progress("throughput: round %d of %d, %s %d", round+1, c.Rounds, arm.Arm, arm.Cores)
-			if err := c.measureRound(l, arm); err != nil {
+			showProgress("throughput: round %d of %d, %s %d", round+1, c.Rounds, arm.Arm, arm.Cores)
+			if err := c.measureRound(env, arm); err != nil {
 				return fmt.Errorf("%s, %d cores: %w", arm.Arm, arm.Cores, err)
 			}
 		}
@@ -207,20 +207,20 @@
 }
 
 // measureRound measures all of an arm's figures once, except for memory.
-func (c *throughputCmd) measureRound(l *lab, arm *throughputArm) error {
+func (c *throughputCmd) measureRound(env *commandEnv, arm *throughputArm) error {
 	setups := bench.SetupRate(arm.target, setupWorkers, c.Span)
 	pacedSetups := bench.PacedSetups(arm.target, c.Setups, c.Span)
 	connections, err := bench.OpenConnections(arm.target, c.Lines)
 	if err != nil {
 		return err
 	}
-	lines := connections.Lines(l.ctx, c.Window, c.Span)
+	lines := connections.Lines(env.ctx, c.Window, c.Span)
 	pacedLines := connections.PacedLines(c.Rate, c.Span)
 	stopFlood, err := bench.StartFlood(arm.target)
 	if err != nil {
 		return err
 	}
-	besideFlood := connections.PacedLines(c.Rate, c.Span)
+	linesDuringFlood := connections.PacedLines(c.Rate, c.Span)
 	stopFlood()
 	connections.Close()
 	r := &arm.rounds
@@ -230,7 +230,7 @@
 	r.setupP99 = append(r.setupP99, pacedSetups.P99)
 	r.lineP50 = append(r.lineP50, pacedLines.P50)
 	r.lineP99 = append(r.lineP99, pacedLines.P99)
-	r.floodP99 = append(r.floodP99, besideFlood.P99)
+	r.floodP99 = append(r.floodP99, linesDuringFlood.P99)
 	arm.Failed += setups.Failed + pacedSetups.Failed + pacedLines.Failed
 	return nil
 }
@@ -239,7 +239,7 @@
 // that of the sessions.
 func (c *throughputCmd) measureIdle(balancers []*throughputArm) error {
 	for _, arm := range balancers {
-		progress("throughput: %d idle sessions at %s %d", c.Idle, arm.Arm, arm.Cores)
+		showProgress("throughput: %d idle sessions at %s %d", c.Idle, arm.Arm, arm.Cores)
 		arm.process.Kill()
 		if err := arm.process.Start(); err != nil {
 			return err
@@ -274,7 +274,7 @@
 }
 
 // compare sets the ratios to the direct arm.
-func (a *throughputArm) compare(direct *throughputArm) {
+func (a *throughputArm) compareWithDirect(direct *throughputArm) {
 	a.SetupsOfDirect = a.Setups / direct.Setups
 	a.LinesOfDirect = a.Lines / direct.Lines
 }
@@ -304,9 +304,9 @@
 	if c.Report == "" {
 		return nil
 	}
-	var figures []throughput
+	var figures []throughputFigures
 	for _, arm := range arms {
-		figures = append(figures, arm.throughput)
+		figures = append(figures, arm.throughputFigures)
 	}
 	if err := os.MkdirAll(filepath.Dir(c.Report), 0o755); err != nil {
 		return err
