--- a/cmd/testbed/balancer.go
+++ b/cmd/testbed/balancer.go
@@ -13,10 +13,10 @@
 	"sabletally/internal/lab/reference"
 )
 
-// drainTime is the time between the signal to end and the end of the balancer, in which its sessions migrate.
+// drainDuration is how long the balancer keeps running after a termination signal, so that its sessions can migrate.
 const drainDuration = 5 * time.Second
 
-// balancerCmd runs the reference balancer: with a baseline policy, or with a fault that the checker must find.
+// balancerCmd runs the reference balancer: with a baseline policy, or with a deliberate fault that the checker must find.
 type balancerCmd struct {
 	Policy string `default:"random" help:"Policy of the balancer."`
 	Broken string `help:"Fault of the balancer."`
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	// A signal ends this command only after its sessions have migrated; it ends the other commands at once.
+	// A termination signal cancels commandEnv.ctx at once. This command drains first, so it has a context of its own.
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	terminate := make(chan os.Signal, 1)
--- a/cmd/testbed/control_config.go
+++ b/cmd/testbed/control_config.go
@@ -17,10 +17,10 @@
 
 const (
 	scaleFleetName      = "scale"
-	maxSeeds            = 5     // control processes that are configured as seeds
-	maxReplicas         = 3     // of a shard
-	maxFollowers        = 10000 // that a configuration may allow
-	maxAddressAttempts  = 20
+	maxSeeds            = 5     // limit of the control processes that each configuration lists as seeds
+	maxReplicas         = 3     // limit of the replicas of a shard
+	maxFollowers        = 10000 // highest value that the setting "followers" accepts
+	maxAddressAttempts  = 20    // limit of the ports that freeAddress tries
 	controlConfigFormat = `fleet %q {
   role      = "control"
   listen    = %q
@@ -37,10 +37,10 @@
 `
 )
 
-// freeAddress finds an address that is free for datagrams and connections.
+// freeAddress returns a loopback address whose port is free for both TCP and UDP.
 func freeAddress() (netip.AddrPort, error) {
 	var lastError error
-	for range maxAddressAttempts { // a port that is free for the one may be taken for the other
+	for range maxAddressAttempts { // a port that is free for TCP may be taken for UDP
 		listener, err := net.Listen("tcp", emulator.Loopback())
 		if err != nil {
 			return netip.AddrPort{}, err
@@ -60,20 +60,20 @@
 func regionName(p scale.Place) string { return fmt.Sprintf("region-%d", p.Region) }
 func zoneName(p scale.Place) string   { return fmt.Sprintf("zone-%d", p.Zone) }
 
-// controlTier creates the control processes of a plan, and the forwarders before them.
+// controlTier creates the control processes of a plan and the forwarders in front of them.
 type controlTier struct {
 	plan          *scale.Plan
-	executable    string // this binary
-	controlBinary string // of the control processes
-	dir           string // of the configurations and the data
-	newLog        func(name string) io.Writer
-	listenAddrs   []netip.AddrPort // by control process
+	executable    string                      // path of this binary, which runs the forwarders
+	controlBinary string                      // path of the balancer binary, which runs the control processes
+	dir           string                      // directory of the configuration files and the data
+	newLog        func(name string) io.Writer // creates the log of a control process; nil for no log
+	listenAddrs   []netip.AddrPort            // listen address of each control process, by its index
 	controls      []*controlProcess
 	forwarders    []*forwarderProcess
 }
 
-// create creates all control processes and starts their forwarders; no control process is started. After an error, the forwarders that
-// were started are in t.
+// create prepares all control processes without starting them, and starts their forwarders. After an error, t.forwarders has those
+// that were started, and the caller must close them.
 func (t *controlTier) create() error {
 	for _, place := range t.plan.Control {
 		addr, err := freeAddress()
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// startForwarders starts a process of forwarders for each region that has control processes.
+// startForwarders starts a forwarder process for each region that has control processes.
 func (t *controlTier) startForwarders() error {
 	for region := range t.plan.Regions {
 		var members []int
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// configure writes the configuration of a control process and prepares its command.
+// configure writes the configuration file of a control process and prepares its command.
 func (t *controlTier) configure(index int) error {
 	name := fmt.Sprintf("c%d", index)
 	path := filepath.Join(t.dir, name+".hcl")
--- a/cmd/testbed/control_process.go
+++ b/cmd/testbed/control_process.go
@@ -14,20 +14,20 @@
 
 const (
 	bootstrapTimeout = time.Minute
-	shutdownTimeout  = 15 * time.Second // a graceful shutdown takes no longer, or the process is killed
-	pollInterval     = 100 * time.Millisecond
+	shutdownTimeout  = 15 * time.Second       // limit of a graceful shutdown; a process that exceeds it is killed
+	pollInterval     = 100 * time.Millisecond // time between two queries of the control processes while a state is waited for
 )
 
-// controlProcess is one control process, which may be ended and started again.
+// controlProcess is one control process of a scale test. It may be stopped and started again; each run is an incarnation.
 type controlProcess struct {
 	*cluster.Process
-	Addr  netip.AddrPort // where other processes reach it
+	Addr  netip.AddrPort // address that it advertises: its own, or that of its forwarder
 	place scale.Place
 
 	mu            sync.Mutex
-	finishedBytes int64 // read, written, sent and received by incarnations that have ended
-	streamBytes   int64 // read and written by the running incarnation, at the last reading
-	datagramBytes int64 // sent and received by the running incarnation, at the last reading
+	finishedBytes int64 // traffic of incarnations that have ended: stream and datagram bytes
+	streamBytes   int64 // bytes that the running incarnation had read and written when last measured
+	datagramBytes int64 // bytes of datagrams that the running incarnation had sent and received when last measured
 }
 
 // isRunning reports whether the latest incarnation is running.
@@ -44,13 +44,13 @@
 	}
 }
 
-// usage is what all incarnations together have used.
+// usage returns the processor time and the traffic of all incarnations together.
 func (c *controlProcess) usage() controlUsage {
 	c.measureTraffic()
 	return controlUsage{cpu: c.cpuTime(), bytes: c.traffic()}
 }
 
-// cpuTime is the processor time of all incarnations.
+// cpuTime returns the processor time of all incarnations together.
 func (c *controlProcess) cpuTime() time.Duration {
 	total, _ := c.TotalUsage()
 	if c.isRunning() {
@@ -59,8 +59,8 @@
 	return total
 }
 
-// measureTraffic reads how many bytes the running incarnation has read and written, over connections and files alike, and its own count
-// of datagrams, which the system's figures leave out.
+// measureTraffic updates the traffic of the running incarnation: the bytes that it has read and written, over connections and files
+// alike, and its own count of bytes in datagrams, which the system's figures leave out.
 func (c *controlProcess) measureTraffic() {
 	if !c.isRunning() {
 		return
@@ -79,7 +79,7 @@
 	c.datagramBytes = max(c.datagramBytes, datagrams)
 }
 
-// addFinished adds the traffic of the incarnation that ended to that of earlier ones.
+// addFinishedTraffic adds the traffic of the incarnation that has just ended to finishedBytes.
 func (c *controlProcess) addFinishedTraffic() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,21 +88,21 @@
 	c.datagramBytes = 0
 }
 
-// traffic is the number of bytes of all incarnations, at the last reading.
+// traffic returns the bytes of all incarnations together when last measured.
 func (c *controlProcess) traffic() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.finishedBytes + c.streamBytes + c.datagramBytes
 }
 
-// kill kills the process.
+// kill kills the process and keeps its traffic count.
 func (c *controlProcess) kill() {
 	c.measureTraffic()
 	c.Kill()
 	c.addFinishedTraffic()
 }
 
-// shutDown has the process shut down gracefully.
+// shutDown shuts the process down gracefully, and kills it after shutdownTimeout.
 func (c *controlProcess) shutDown() {
 	c.measureTraffic()
 	_ = c.Signal(syscall.SIGTERM) // it fails only if the process has ended
@@ -114,22 +114,22 @@
 	c.addFinishedTraffic()
 }
 
-// restart starts the process again once its last run has ended.
+// restart starts a new incarnation once the previous one has ended.
 func (c *controlProcess) restart() error {
 	select {
 	case <-c.Exited():
 	case <-time.After(shutdownTimeout + time.Second):
-		return fmt.Errorf("control process %s does not end", c.Name)
+		return fmt.Errorf("control process %s did not exit before its restart", c.Name)
 	}
 	return c.Launch()
 }
 
-// waitForBootstrap waits until all control processes see each other and are members of one cluster.
+// waitForBootstrap waits until all control processes see each other and are members of one store.
 func waitForBootstrap(ctx context.Context, controls []*controlProcess) error {
 	for deadline := time.Now().Add(bootstrapTimeout); ; {
 		for _, c := range controls {
 			if !c.isRunning() {
-				return fmt.Errorf("control process %s ended at its start: %s", c.Name, c.LogTail())
+				return fmt.Errorf("control process %s exited during bootstrap: %s", c.Name, c.LogTail())
 			}
 		}
 		err := checkBootstrap(controls)
@@ -137,7 +137,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("no bootstrap of the control processes within %v: %w", bootstrapTimeout, err)
+			return fmt.Errorf("control processes did not bootstrap within %v: %w", bootstrapTimeout, err)
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
 			return err
@@ -154,7 +154,8 @@
 		}
 		store := report.Store
 		if report.Alive != len(controls) || store == nil || store.ID == "" || store.Members != len(controls) {
-			return fmt.Errorf("control process %s: %s, %d of %d alive, %+v", c.Name, report.Standing, report.Alive, len(controls), store)
+			return fmt.Errorf("control process %s has not bootstrapped: standing %s, sees %d of %d alive, store %+v",
+				c.Name, report.Standing, report.Alive, len(controls), store)
 		}
 	}
 	return nil
--- a/cmd/testbed/count.go
+++ b/cmd/testbed/count.go
@@ -13,9 +13,9 @@
 	"sabletally/internal/lab/logstats"
 )
 
-const rowsByServer = "servers" // the value of --by for a table of connections by server
+const rowsByServer = "servers" // value of --by that prints a table of connections by server
 
-// countCmd prints statistics of the debug logs of many balancers.
+// countCmd prints statistics of the debug logs of many balancers: counts of events, or connections by server, over time.
 type countCmd struct {
 	Logs []string      `arg:"" help:"Files or folders of debug logs, one file for each balancer." type:"existingfile|existingdir"`
 	Step time.Duration `help:"Length of a row." default:"1s"`
@@ -44,7 +44,7 @@
 		return json.NewEncoder(os.Stdout).Encode(stats)
 	}
 	if len(stats.Rows) == 0 {
-		return errors.New("no log line of a balancer; were they started with SABLETALLY_LOG=debug?")
+		return errors.New("the logs have no line of a balancer; were the balancers started with SABLETALLY_LOG=debug?")
 	}
 	if c.By == rowsByServer {
 		return printServers(os.Stdout, stats)
@@ -52,7 +52,7 @@
 	return printEvents(os.Stdout, stats)
 }
 
-// logFiles returns the path itself, or the logs in it if it is a directory.
+// logFiles returns the path itself or, for a directory, its files named *.log.
 func logFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s holds no *.log", path)
+		return nil, fmt.Errorf("directory %s has no *.log files", path)
 	}
 	return files, nil
 }
@@ -76,11 +76,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // nothing was written
+	defer func() { _ = log.Close() }() // it fails only after a write
 	return reader.Read(name, log)
 }
 
-// logTable prints a table of log statistics. Write errors are reported when it is closed.
+// logTable prints a table of log statistics. Its methods ignore write errors, which close returns.
 type logTable struct{ *tabwriter.Writer }
 
 func newLogTable(out io.Writer, columns ...string) logTable {
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -18,7 +18,7 @@
 //go:embed demo.hcl
 var demoFile []byte
 
-// demoCmd runs a short experiment and prints what happens.
+// demoCmd runs the experiment of demo.hcl and prints its events as they happen.
 type demoCmd struct {
 	Keep bool `help:"Keep a world without faults running afterwards, and print how to connect to it."`
 }
@@ -30,7 +30,7 @@
 	}
 	binary := env.siblingProgram("sabletally")
 	if _, err := os.Stat(binary); err != nil {
-		return fmt.Errorf("%s is missing, both programs are built by: go build -o bin/ ./cmd/... (%w)", binary, err)
+		return fmt.Errorf("balancer binary %s not found, build both programs with: go build -o bin/ ./cmd/... (%w)", binary, err)
 	}
 	world := &x.World
 	plan := &world.Load
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// writeDemoConfig writes the first balancer's configuration to a file that stays, for the reader.
+// writeDemoConfig writes the first balancer's configuration to a temporary file and prints its path. The file is kept after the demo, as
+// an example for the user.
 func writeDemoConfig(world *topology.World, demoCluster *cluster.Cluster) error {
 	file, err := os.CreateTemp("", "sabletally-*.json")
 	if err != nil {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// keepRunning starts the world again, without faults or load, and keeps it running until it is interrupted.
+// keepRunning starts the world of the demo again, without faults or load, and keeps it running until the command is interrupted.
 func (c *demoCmd) keepRunning(env *commandEnv, x *experiment.Experiment) error {
 	x.World.Faults = nil
 	demoCluster, err := cluster.Start(x.World, cluster.Arm{Name: "demo", Command: []string{env.siblingProgram("sabletally")}}, 1)
--- a/cmd/testbed/drawsite.go
+++ b/cmd/testbed/drawsite.go
@@ -6,7 +6,7 @@
 	"sabletally/internal/lab/sitefile"
 )
 
-// drawSiteCmd prints a deployment drawn at random.
+// drawSiteCmd prints a site file with a deployment drawn at random.
 type drawSiteCmd struct {
 	Base string        `arg:"" help:"Site file that provides all other figures." type:"existingfile"`
 	Seed uint64        `help:"The same seed draws the same deployment." default:"1"`
--- a/cmd/testbed/feed_clients.go
+++ b/cmd/testbed/feed_clients.go
@@ -20,10 +20,10 @@
 	subscriberStatus = subscriber.Status
 )
 
-var errNoResponse = errors.New("no response")
+var errNoResponse = errors.New("no response to the put")
 
-// openFeedClient starts an incarnation of a hollow balancer. onApplied is called with each version that it has from then on; of a
-// snapshot, that is only the version at which it ends.
+// openFeedClient starts the changefeed client of a new incarnation of a hollow balancer. onApplied is called with each version that the
+// client reaches; after a snapshot, only with the version at which the snapshot ends.
 func openFeedClient(config *hollowConfig, balancer hollowBalancer, onApplied func(version uint64)) feedClient {
 	return subscriber.Open(subscriber.Options{
 		Fleet:       config.Fleet,
@@ -41,10 +41,11 @@
 	})
 }
 
-// operatorClients are the clients through which an operator would put settings. They have failure domains of their own.
+// operatorClients are clients that put settings, as an operator's tool does. Each is in a failure domain of its own, apart from those of
+// the plan.
 type operatorClients struct{ clients []*subscriberClient }
 
-const operatorClientCount = 2
+const operatorClientCount = 2 // retries alternate between the clients
 
 func openOperatorClients(seeds []netip.AddrPort, seed uint64) *operatorClients {
 	o := &operatorClients{}
@@ -67,7 +68,8 @@
 	return o
 }
 
-// put makes one attempt to put a value and returns the version that it got. Attempts with the same operationID take effect once.
+// put makes one attempt to put a value and returns the version that the value got. All attempts with one operationID take effect only
+// once.
 func (o *operatorClients) put(ctx context.Context, attempt int, key string, value []byte, operationID string) (version uint64, err error) {
 	responses := make(chan changefeed.PutResponse, 1)
 	client := o.clients[attempt%len(o.clients)]
@@ -92,7 +94,7 @@
 	}
 }
 
-// publisherState is the state that a control process publishes, zero if it has no publisher.
+// publisherState returns the state that a control process publishes, or zero if it has no publisher.
 func publisherState(report *fleet.Report) feedState {
 	if report.Publisher == nil {
 		return feedState{}
--- a/cmd/testbed/fleet_experiments_test.go
+++ b/cmd/testbed/fleet_experiments_test.go
@@ -7,9 +7,9 @@
 	"sabletally/internal/lab/simulation"
 )
 
-// TestLargeFleetExperiments: eighty balancers with a few connections each keep the four rules and serve a minimum of the demand. They run
-// in virtual time, so that the result is the same each time. In the experiment "herd" the store does 30 set-ups per second, in order,
-// also for clients that have given up.
+// TestLargeFleetExperiments guards against a policy that breaks a rule or serves too little of the demand when eighty balancers have only
+// a few connections each. The experiments run in virtual time with a fixed seed, so that each run gives the same result. In "herd", the
+// store completes 30 set-ups per second, in order, including those of clients that have given up.
 func TestLargeFleetExperiments(t *testing.T) {
 	for name, minServed := range map[string]float64{"herd": 0.6, "zone": 0.85, "join": 0.85, "full": 0.9} {
 		t.Run(name, func(t *testing.T) {
@@ -20,7 +20,7 @@
 			}
 			r, _, v, err := simulation.Run(x.World, "ours", 1)
 			if err != nil || len(v.Violations) > 0 || r.Served < minServed {
-				t.Fatalf("%.3f of %.3f served, %v, %v", r.Served, minServed, v, err)
+				t.Fatalf("served %.3f of the demand, want at least %.3f; verdict %v, error %v", r.Served, minServed, v, err)
 			}
 		})
 	}
--- a/cmd/testbed/forwarders.go
+++ b/cmd/testbed/forwarders.go
@@ -13,22 +13,22 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// forwarderRequest is one request to a process of forwarders; the first one has Members.
+// forwarderRequest is one request to a forwarder process. Only the first one has Members and Forwarded.
 type forwarderRequest struct {
-	Members   []netip.AddrPort // all control processes
-	Forwarded []int            // indices of the members that this process forwards to
-	CutOff    []int            // indices of the members that are cut off from all others; none: all links work
+	Members   []netip.AddrPort // listen addresses of all control processes
+	Forwarded []int            // indices of the members that the process forwards to
+	CutOff    []int            // indices of the members to cut off from all others; empty to restore all links
 }
 
 // forwarderResponse answers each request.
 type forwarderResponse struct {
-	Advertised map[int]netip.AddrPort // address of the forwarder by member, in the first response
-	Error      string
+	Advertised map[int]netip.AddrPort // address of the forwarder by index of its member; in the first response only
+	Error      string                 // reason why the process failed, "" otherwise
 }
 
-// forwardersCmd runs the forwarders in front of the control processes of one region of a scale test, so that links to other regions can
-// be cut. They run in processes of their own because of their descriptors: two for each forwarded connection. Requests are gob messages
-// on standard input, answered on standard output.
+// forwardersCmd runs the forwarders in front of the control processes of one region of a scale test, so that their links to other
+// regions can be cut. Forwarders need two descriptors for each connection and therefore run in processes of their own, each with its own
+// descriptor limit. Requests are gob messages on standard input; responses are gob messages on standard output.
 type forwardersCmd struct{}
 
 func (c *forwardersCmd) Run() error {
@@ -36,7 +36,7 @@
 	responses := gob.NewEncoder(os.Stdout)
 	var first forwarderRequest
 	if err := requests.Decode(&first); err != nil {
-		return fmt.Errorf("reading the configuration of forwarders: %w", err)
+		return fmt.Errorf("reading the first forwarder request: %w", err)
 	}
 	forwarders, err := emulator.NewForwarders(first.Members, first.Forwarded)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-// forwarderProcess controls a process of forwarders.
+// forwarderProcess is the parent's handle of a forwarder process.
 type forwarderProcess struct {
 	cmd       *exec.Cmd
 	stdin     io.Closer
@@ -72,7 +72,8 @@
 	responses *gob.Decoder
 }
 
-// startForwarders starts a process that forwards to some of the members, and returns the address of each one's forwarder.
+// startForwarders starts a process that forwards to the members whose indices are in forwarded, and returns the address of each forwarder
+// by the index of its member.
 func startForwarders(executable string, members []netip.AddrPort, forwarded []int) (*forwarderProcess, map[int]netip.AddrPort, error) {
 	cmd := exec.Command(executable, "fronts")
 	cmd.Stderr = os.Stderr
@@ -86,7 +87,7 @@
 		return nil, nil, err
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, nil, fmt.Errorf("starting forwarders: %w", err)
+		return nil, nil, fmt.Errorf("starting the forwarder process: %w", err)
 	}
 	p := &forwarderProcess{cmd: cmd, stdin: stdin, requests: gob.NewEncoder(stdin), responses: gob.NewDecoder(stdout)}
 	response, err := p.call(forwarderRequest{Members: members, Forwarded: forwarded})
@@ -101,18 +102,18 @@
 func (p *forwarderProcess) call(request forwarderRequest) (forwarderResponse, error) {
 	var response forwarderResponse
 	if err := p.requests.Encode(request); err != nil {
-		return response, fmt.Errorf("request to forwarders: %w", err)
+		return response, fmt.Errorf("sending a request to the forwarder process: %w", err)
 	}
 	if err := p.responses.Decode(&response); err != nil {
-		return response, fmt.Errorf("response of forwarders: %w", err)
+		return response, fmt.Errorf("reading a response of the forwarder process: %w", err)
 	}
 	if response.Error != "" {
-		return response, fmt.Errorf("forwarders: %s", response.Error)
+		return response, fmt.Errorf("forwarder process failed: %s", response.Error)
 	}
 	return response, nil
 }
 
-// close kills the process: it has no state that would be lost.
+// close kills the process, which has no state to save.
 func (p *forwarderProcess) close() {
 	_ = p.stdin.Close()
 	_ = p.cmd.Process.Kill() // it fails only if the process has ended
--- a/cmd/testbed/forwarders_test.go
+++ b/cmd/testbed/forwarders_test.go
@@ -11,7 +11,8 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// TestForwarderProcess starts a process of forwarders, as a scale test does, and has it cut a link and restore it.
+// TestForwarderProcess guards against forwarders that do not cut or restore a link on request, or that outlive their process. It starts a
+// forwarder process as a scale test does, and sends over a connection through one of its forwarders.
 func TestForwarderProcess(t *testing.T) {
 	t.Setenv("SABLELAB_CHILD", "1")
 	var members []netip.AddrPort
@@ -35,13 +36,13 @@
 			}
 		}()
 	}
-	p, reached, err := startForwarders(os.Args[0], members, []int{0})
+	p, advertised, err := startForwarders(os.Args[0], members, []int{0})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.close()
-	// From the other member's address, by which a forwarder knows it.
-	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: members[1].Addr().AsSlice()}}).Dial("tcp", reached[0].String())
+	// A forwarder recognizes a member by its address, so the connection is made from the other member's address.
+	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: members[1].Addr().AsSlice()}}).Dial("tcp", advertised[0].String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,17 +60,17 @@
 		t.Fatal(err)
 	}
 	if err := echo("two", 100*time.Millisecond); err == nil {
-		t.Error("the link is not cut")
+		t.Error("a line passed over a link that was cut")
 	}
 	if _, err := p.call(forwarderRequest{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := echo("three", 10*time.Second); err != nil { // reads "two" and a part of "three": what was held back arrives first
-		t.Errorf("the link is not restored: %v", err)
+	if err := echo("three", 10*time.Second); err != nil { // reads "two" and the start of "three", as the bytes that were held back arrive first
+		t.Errorf("no lines over a link that was restored: %v", err)
 	}
 	p.close()
-	if c, err := net.Dial("tcp", reached[0].String()); err == nil {
+	if c, err := net.Dial("tcp", advertised[0].String()); err == nil {
 		_ = c.Close()
-		t.Error("a forwarder listens after the end of its process")
+		t.Error("a forwarder still listens after its process was closed")
 	}
 }
--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -17,12 +17,13 @@
 )
 
 const (
-	eventFlushInterval = 250 * time.Millisecond
-	hollowMaxProcs     = 2 // GOMAXPROCS of a process of hollow balancers
+	eventFlushInterval = 250 * time.Millisecond // time between two messages with events
+	hollowMaxProcs     = 2                      // GOMAXPROCS of a hollow balancer process
 )
 
-// hollowCmd runs hollow balancers: many in one process, each with the shipped client of the control tier and nothing else. It
-// exchanges gob messages with its parent process over standard input and output, and ends once the former is closed.
+// hollowCmd runs many hollow balancers in one process. A hollow balancer is only the changefeed client of a balancer, the same code that
+// a real one uses: it subscribes to the control processes and serves no connections. The process exchanges gob messages with its parent
+// over standard input and output, and exits once its standard input is closed.
 type hollowCmd struct{}
 
 func (c *hollowCmd) Run() error {
@@ -35,19 +36,19 @@
 	return err
 }
 
-// feedClient is the part of a subscriber's client that a hollow balancer uses.
+// feedClient is the part of subscriber.Client that a hollow balancer uses.
 type feedClient interface {
 	Status() subscriberStatus
 	Get(key string) ([]byte, bool)
 	Close()
 }
 
-// hollowHost runs all balancers of this process.
+// hollowHost runs all hollow balancers of this process.
 type hollowHost struct {
 	openClient func(config *hollowConfig, balancer hollowBalancer, onApplied func(version uint64)) feedClient
 	config     hollowConfig
 	clients    map[int]*hollowClient
-	finished   hollowStatus // counters of incarnations that have ended
+	finished   hollowStatus // counters of all incarnations that have ended
 
 	sendMu   sync.Mutex
 	messages *gob.Encoder
@@ -56,21 +57,21 @@
 	events []hollowEvent
 }
 
-// hollowClient is one balancer of this process.
+// hollowClient is one hollow balancer of this process.
 type hollowClient struct {
 	hollowBalancer
-	client  feedClient // nil while it is stopped
-	stopped *bool      // under hollowHost.mu: later events of this incarnation are dropped
+	client  feedClient // nil while the balancer is stopped
+	stopped *bool      // whether the latest incarnation was stopped, after which its events are dropped; guarded by hollowHost.mu
 }
 
-// run handles requests until their stream ends, which is no error.
+// run handles requests until the end of their stream, which is not an error.
 func (h *hollowHost) run(requests *gob.Decoder) error {
 	var first hollowRequest
 	if err := requests.Decode(&first); err != nil {
-		return fmt.Errorf("reading the configuration of hollow balancers: %w", err)
+		return fmt.Errorf("reading the first hollow balancer request: %w", err)
 	}
 	if first.Config == nil {
-		return errors.New("the first request to hollow balancers has no configuration")
+		return errors.New("the first hollow balancer request has no configuration")
 	}
 	h.config = *first.Config
 	h.clients = map[int]*hollowClient{}
@@ -86,7 +87,7 @@
 		var request hollowRequest
 		err := requests.Decode(&request)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return nil // the parent process closed the stream or ended; open clients end with this process
+			return nil // the parent process closed the stream or ended; the clients end with this process
 		}
 		if err != nil {
 			return err
@@ -104,12 +105,12 @@
 	}
 	if request.StatusNumber > 0 {
 		status := h.status(request.StatusNumber, request.WithFinal)
-		h.flushEvents() // the events that led to this status go first
+		h.flushEvents() // events that precede the status are sent before it
 		h.sendMessage(hollowMessage{Status: status})
 	}
 }
 
-// send sends a message, and ends the process if the parent does not read any more.
+// sendMessage sends a message, and exits the process if the parent no longer reads.
 func (h *hollowHost) sendMessage(message hollowMessage) {
 	h.sendMu.Lock()
 	defer h.sendMu.Unlock()
@@ -118,9 +119,9 @@
 	}
 }
 
-// flush sends the events recorded so far.
+// flushEvents sends the events that were recorded since the last flush.
 func (h *hollowHost) flushEvents() {
-	h.sendMu.Lock() // taken first, so that events are sent in the order in which they were recorded
+	h.sendMu.Lock() // locked before h.mu, so that events are sent in the order in which they were recorded
 	defer h.sendMu.Unlock()
 	h.mu.Lock()
 	events := h.events
@@ -131,7 +132,7 @@
 	}
 }
 
-// record records an event unless its incarnation has stopped.
+// recordEvent records an event for the next flush unless its incarnation was stopped.
 func (h *hollowHost) recordEvent(event hollowEvent, stopped *bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -140,7 +141,7 @@
 	}
 }
 
-// start starts a new incarnation of a balancer that is stopped.
+// startBalancer starts a new incarnation of a balancer, unless one is running.
 func (h *hollowHost) startBalancer(b *hollowClient) {
 	if b.client != nil {
 		return
@@ -154,7 +155,7 @@
 	})
 }
 
-// stop ends the running incarnation of a balancer.
+// stopBalancer stops the running incarnation of a balancer, if any, and keeps its counters.
 func (h *hollowHost) stopBalancer(b *hollowClient) {
 	if b.client == nil {
 		return
@@ -169,6 +170,7 @@
 	b.client = nil
 }
 
+// status sums up the balancers of this process. With withFinal, it includes the final state of each balancer that runs.
 func (h *hollowHost) status(number int, withFinal bool) *hollowStatus {
 	sum := newHollowStatus(number)
 	sum.add(&h.finished)
@@ -195,7 +197,7 @@
 	return sum
 }
 
-// processCPUTime is the processor time that this process has used, 0 if the system does not say.
+// processCPUTime returns the processor time that this process has used, or 0 if it cannot be read.
 func processCPUTime() time.Duration {
 	var usage unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &usage) != nil {
--- a/cmd/testbed/hollow_messages.go
+++ b/cmd/testbed/hollow_messages.go
@@ -7,47 +7,47 @@
 	"sabletally/internal/lab/scale"
 )
 
-// hollowConfig configures a process of hollow balancers; the first request carries it.
+// hollowConfig configures a hollow balancer process; the first request carries it.
 type hollowConfig struct {
 	Fleet     string
-	Seeds     []netip.AddrPort // of the control tier
-	Seed      uint64           // of the clients' random draws
+	Seeds     []netip.AddrPort // addresses of the control processes
+	Seed      uint64           // base of the seeds of the clients' random generators
 	Balancers []hollowBalancer
 }
 
-// hollowBalancer identifies one balancer.
+// hollowBalancer identifies one hollow balancer and its failure domains.
 type hollowBalancer struct {
 	Index       int
-	Incarnation uint64 // of its latest run, 0 before the first
+	Incarnation uint64 // number of its latest incarnation, 0 before the first
 	Name        string
 	Machine     string
 	Zone        string
 	Site        string
 }
 
-// hollowRequest is one request to a process of hollow balancers. Its parts are carried out in the order of the fields.
+// hollowRequest is one request to a hollow balancer process, which carries out its parts in the order of the fields.
 type hollowRequest struct {
-	Config       *hollowConfig // in the first request, and only there
-	Stop         []int         // balancers by index
-	Start        []int
-	StatusNumber int  // the status sent in response carries this number; 0: no status is wanted
-	WithFinal    bool // the status includes what each balancer has received
+	Config       *hollowConfig // set in the first request only
+	Stop         []int         // indices of the balancers to stop
+	Start        []int         // indices of the balancers to start
+	StatusNumber int           // number that the status sent in response carries; 0 to request no status
+	WithFinal    bool          // whether the status includes the final state of each balancer
 }
 
-// hollowMessage is one message from a process of hollow balancers.
+// hollowMessage is one message from a hollow balancer process.
 type hollowMessage struct {
 	Events []hollowEvent
 	Status *hollowStatus
-	Error  string // the process failed, and this is its last message
+	Error  string // reason why the process failed; set in its last message only
 }
 
-// hollowEventKind says what happened to a balancer.
+// hollowEventKind is what happened to a hollow balancer.
 type hollowEventKind uint8
 
 const (
 	eventStarted hollowEventKind = iota
 	eventStopped
-	eventApplied
+	eventApplied // it reached a version
 )
 
 func (k hollowEventKind) String() string {
@@ -63,38 +63,39 @@
 	}
 }
 
-// hollowEvent is something that happened to one balancer.
+// hollowEvent is something that happened to one hollow balancer.
 type hollowEvent struct {
-	Balancer int
+	Balancer int // index
 	Kind     hollowEventKind
-	Version  uint64        // applied
-	At       time.Duration // boot clock, which all processes share
+	Version  uint64        // version that the balancer reached, for eventApplied
+	At       time.Duration // time on the boot clock, which all processes of the machine share
 }
 
-// feedState identifies the state that a subscriber or a publisher has.
+// feedState identifies the state of a subscriber or a publisher.
 type feedState struct{ Version, Digest uint64 }
 
-// hollowStatus sums up balancers. Counters include incarnations that have ended; the rest describes those that run.
+// hollowStatus sums up many hollow balancers. Its counters include incarnations that have ended; its other fields describe only the
+// balancers that run.
 type hollowStatus struct {
-	Number     int
-	Up         int
-	Current    int // balancers with a valid lease
-	States     map[feedState]int
-	Publishers map[string]int // connections by publisher address
+	Number     int               // number of the request that this status answers
+	Up         int               // number of balancers that run
+	Current    int               // number of balancers with a valid lease
+	States     map[feedState]int // number of balancers by state
+	Publishers map[string]int    // number of connections by address of the publisher
 
 	Sent          int64 // bytes
 	Received      int64 // bytes
 	Snapshots     uint64
 	LeaseExpiries uint64
-	Rejected      uint64 // messages that were invalid or had a wrong digest
+	Rejected      uint64 // number of messages that were invalid or had a wrong digest
 	Conflicts     uint64
 	Changes       uint64
 	Duplicates    uint64
 	Gaps          uint64
 	SyncRequests  uint64
-	CPU           time.Duration // of the whole process
+	CPU           time.Duration // processor time of the whole process
 
-	Finals map[int]scale.Final // by balancer, if they were requested
+	Finals map[int]scale.Final // final state by index of the balancer, if requested
 }
 
 func newHollowStatus(number int) *hollowStatus {
@@ -106,7 +107,7 @@
 	}
 }
 
-// add adds another status to s.
+// add adds the counters and figures of another status to s.
 func (s *hollowStatus) add(other *hollowStatus) {
 	s.Up += other.Up
 	s.Current += other.Current
--- a/cmd/testbed/hollow_process.go
+++ b/cmd/testbed/hollow_process.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// incarnationStep is added to the incarnations of a process's balancers when it ends: the new process must start above all that the
-// ended one may have used.
+// incarnationStep is added to the incarnation numbers of a process's balancers when the process ends, because those that the next process
+// uses must be above all that the ended one may have used.
 const incarnationStep = 1000
 
-// hollowProcess controls a process of hollow balancers, which may be started again after its end.
+// hollowProcess is the parent's handle of a hollow balancer process, which may be started again after it has ended.
 type hollowProcess struct {
-	executable string // this binary
+	executable string // path of this binary
 	config     hollowConfig
 	onEvents   func(h *hollowProcess, events []hollowEvent)
 
@@ -28,18 +28,18 @@
 	stdin         io.Closer
 	requests      *gob.Encoder
 	pendingStatus map[int]chan *hollowStatus
-	done          chan struct{} // closed once all messages of the process are handled
-	err           error         // of an unexpected end
-	lastStatus    *hollowStatus // of the running process
-	finished      *hollowStatus // counters of processes that have ended
-	ending        bool          // the end of the process is expected
+	done          chan struct{} // closed once all messages of the process have been handled
+	err           error         // reason why a process ended unexpectedly
+	lastStatus    *hollowStatus // latest status of the running process
+	finished      *hollowStatus // counters of all processes that have ended
+	ending        bool          // whether the end of the process is expected
 }
 
-// start starts the process with all balancers stopped.
+// start starts a process, in which all balancers are stopped at first.
 func (h *hollowProcess) start() error {
 	cmd := exec.Command(h.executable, "hollow")
 	cmd.Stderr = os.Stderr
-	// Killed with this process as well, should it not notice that its standard input is closed.
+	// The kernel kills the child with this process, in case it does not notice that its standard input is closed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
@@ -50,7 +50,7 @@
 		return err
 	}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("starting hollow balancers: %w", err)
+		return fmt.Errorf("starting the hollow balancer process: %w", err)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -68,7 +68,7 @@
 	return h.requests.Encode(hollowRequest{Config: &h.config})
 }
 
-// receive handles messages until the process ends.
+// receive handles the messages of a process until it ends.
 func (h *hollowProcess) receive(messages *gob.Decoder, done chan struct{}) {
 	defer close(done)
 	for {
@@ -92,11 +92,11 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.ending && h.err == nil {
-		h.err = fmt.Errorf("hollow balancers ended: %w", err)
+		h.err = fmt.Errorf("hollow balancer process ended unexpectedly: %w", err)
 	}
 }
 
-// setStatus records a status and passes it to whoever waits for it.
+// setStatus records a status and passes it to the caller that waits for it, if any.
 func (h *hollowProcess) setStatus(status *hollowStatus) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// send sends a request; it is dropped while no process runs.
+// sendRequest sends a request to the process. While no process runs, the request is dropped.
 func (h *hollowProcess) sendRequest(request hollowRequest) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -117,7 +117,8 @@
 	return h.requests.Encode(request)
 }
 
-// status requests the status of the process and waits for it. Without a running process it is the sum of those that have ended.
+// status requests the status of the process, waits for it, and adds the counters of the processes that have ended. While no process runs,
+// it returns only the latter.
 func (h *hollowProcess) status(number int, withFinal bool) (*hollowStatus, error) {
 	sum := newHollowStatus(number)
 	h.mu.Lock()
@@ -137,20 +138,20 @@
 			sum.add(status)
 			return sum, nil
 		case <-done:
-			err = errors.New("hollow balancers ended")
+			err = errors.New("hollow balancer process ended before it sent its status")
 		case <-time.After(responseTimeout):
-			err = fmt.Errorf("hollow balancers did not respond within %v", responseTimeout)
+			err = fmt.Errorf("hollow balancer process did not send its status within %v", responseTimeout)
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ending { // killed meanwhile, as planned
+	if h.ending { // stopped while the response was awaited
 		return sum, nil
 	}
 	return sum, errors.Join(err, h.err)
 }
 
-// pid is the process ID, 0 while no process runs.
+// pid returns the process ID, or 0 while no process runs.
 func (h *hollowProcess) pid() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -160,7 +161,8 @@
 	return h.cmd.Process.Pid
 }
 
-// stop ends the process by a signal (kill), or by closing its standard input, and returns once all of its messages are handled.
+// stop ends the process, by a signal if kill is set and by closing its standard input otherwise. It returns once all messages of the
+// process have been handled.
 func (h *hollowProcess) stop(kill bool) {
 	h.mu.Lock()
 	cmd, done := h.cmd, h.done
@@ -192,7 +194,7 @@
 	}
 }
 
-// addFinished adds the counters of the process that has ended to those of earlier ones. The caller holds h.mu.
+// addFinishedCounters adds the counters of the process that has just ended to h.finished. The caller holds h.mu.
 func (h *hollowProcess) addFinishedCounters(state *os.ProcessState) {
 	if h.lastStatus == nil {
 		return
--- a/cmd/testbed/hollow_test.go
+++ b/cmd/testbed/hollow_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fakeFeedClient is a subscriber whose state a test sets.
+// fakeFeedClient is a feedClient whose state the test sets.
 type fakeFeedClient struct {
 	balancer  hollowBalancer
 	onApplied func(uint64)
@@ -15,18 +15,18 @@
 	values    map[string][]byte
 }
 
-func (f *fakeFeedClient) Status() subscriberStatus { return f.status }
+func (c *fakeFeedClient) Status() subscriberStatus { return c.status }
 
-func (f *fakeFeedClient) Get(key string) ([]byte, bool) {
-	value, exists := f.values[key]
+func (c *fakeFeedClient) Get(key string) ([]byte, bool) {
+	value, exists := c.values[key]
 	return value, exists
 }
 
-func (f *fakeFeedClient) Close() {}
+func (c *fakeFeedClient) Close() {}
 
-func (f *fakeFeedClient) apply(version, digest uint64) {
-	f.status.Version, f.status.Digest = version, digest
-	f.onApplied(version)
+func (c *fakeFeedClient) apply(version, digest uint64) {
+	c.status.Version, c.status.Digest = version, digest
+	c.onApplied(version)
 }
 
 func eventsOf(messages []hollowMessage) (events []hollowEvent) {
@@ -36,24 +36,25 @@
 	return events
 }
 
-// TestHollowHostReportsEventsAndStatus sends requests over a pipe, as the parent process does, and checks the messages.
+// TestHollowHostReportsEventsAndStatus guards against lost or reordered events, events of an incarnation that was stopped, and counters that
+// are lost when a balancer stops. It sends requests over a pipe, as the parent process does, and checks the messages.
 func TestHollowHostReportsEventsAndStatus(t *testing.T) {
 	requestReader, requestWriter := io.Pipe()
 	messageReader, messageWriter := io.Pipe()
 	defer func() { _ = requestWriter.Close() }()
 	opened := make(chan *fakeFeedClient, 10)
 	open := func(_ *hollowConfig, balancer hollowBalancer, onApplied func(uint64)) feedClient {
-		f := &fakeFeedClient{balancer: balancer, onApplied: onApplied}
-		f.status.Current = true
-		f.status.Publishers = []string{"a", "b"}
-		f.status.Sent = 10
-		f.status.Stats.Snapshots = 1
-		opened <- f
-		return f
+		c := &fakeFeedClient{balancer: balancer, onApplied: onApplied}
+		c.status.Current = true
+		c.status.Publishers = []string{"a", "b"}
+		c.status.Sent = 10
+		c.status.Stats.Snapshots = 1
+		opened <- c
+		return c
 	}
 	h := &hollowHost{messages: gob.NewEncoder(messageWriter), openClient: open}
-	ended := make(chan error, 1)
-	go func() { ended <- h.run(gob.NewDecoder(requestReader)) }()
+	hostResult := make(chan error, 1)
+	go func() { hostResult <- h.run(gob.NewDecoder(requestReader)) }()
 	requests, decoder := gob.NewEncoder(requestWriter), gob.NewDecoder(messageReader)
 	var messages []hollowMessage
 	send := func(request hollowRequest) {
@@ -81,38 +82,38 @@
 	}
 	send(hollowRequest{Config: &hollowConfig{Fleet: "f", Balancers: []hollowBalancer{{Index: 4, Name: "b4"}, {Index: 7, Name: "b7"}}}})
 	send(hollowRequest{Start: []int{4, 7}})
-	four, seven := <-opened, <-opened
-	four.apply(5, 50)
-	seven.apply(5, 50)
-	seven.apply(6, 60)
-	l := status(1)
-	if l.Up != 2 || l.Current != 2 || l.States[feedState{5, 50}] != 1 || l.States[feedState{6, 60}] != 1 || l.Publishers["a"] != 2 || l.Sent != 20 ||
-		l.Finals[7].Version != 6 || l.CPU <= 0 {
-		t.Errorf("%+v", l)
+	client4, client7 := <-opened, <-opened
+	client4.apply(5, 50)
+	client7.apply(5, 50)
+	client7.apply(6, 60)
+	got := status(1)
+	if got.Up != 2 || got.Current != 2 || got.States[feedState{5, 50}] != 1 || got.States[feedState{6, 60}] != 1 || got.Publishers["a"] != 2 ||
+		got.Sent != 20 || got.Finals[7].Version != 6 || got.CPU <= 0 {
+		t.Errorf("unexpected status %+v", got)
 	}
 	send(hollowRequest{Stop: []int{7}})
-	if l = status(2); l.Up != 1 || l.Publishers["a"] != 1 || l.Sent != 20 || l.Snapshots != 2 {
-		t.Errorf("%+v", l) // counters include the incarnation that ended
+	if got = status(2); got.Up != 1 || got.Publishers["a"] != 1 || got.Sent != 20 || got.Snapshots != 2 {
+		t.Errorf("unexpected status %+v", got) // the counters must include the incarnation that ended
 	}
-	seven.onApplied(9) // of an incarnation that has ended
+	client7.onApplied(9) // an event of an incarnation that has ended, which must be dropped
 	send(hollowRequest{Start: []int{7}})
-	again := <-opened
-	if again.balancer.Incarnation != 2 || four.balancer.Incarnation != 1 {
-		t.Errorf("incarnations %d and %d", again.balancer.Incarnation, four.balancer.Incarnation)
+	restarted7 := <-opened
+	if restarted7.balancer.Incarnation != 2 || client4.balancer.Incarnation != 1 {
+		t.Errorf("incarnations %d of balancer 7 and %d of balancer 4, want 2 and 1", restarted7.balancer.Incarnation, client4.balancer.Incarnation)
 	}
-	again.apply(7, 70)
-	if l = status(3); l.Up != 2 || l.Sent != 30 || l.States[feedState{7, 70}] != 1 {
-		t.Errorf("%+v", l)
+	restarted7.apply(7, 70)
+	if got = status(3); got.Up != 2 || got.Sent != 30 || got.States[feedState{7, 70}] != 1 {
+		t.Errorf("unexpected status %+v", got)
 	}
-	var got []hollowEvent
-	for _, m := range eventsOf(messages) {
-		if m.At <= 0 {
-			t.Errorf("%+v", m)
+	var gotEvents []hollowEvent
+	for _, event := range eventsOf(messages) {
+		if event.At <= 0 {
+			t.Errorf("event without a time: %+v", event)
 		}
-		m.At = 0
-		got = append(got, m)
+		event.At = 0
+		gotEvents = append(gotEvents, event)
 	}
-	want := []hollowEvent{
+	wantEvents := []hollowEvent{
 		{Balancer: 4, Kind: eventStarted},
 		{Balancer: 7, Kind: eventStarted},
 		{Balancer: 4, Kind: eventApplied, Version: 5},
@@ -122,11 +123,11 @@
 		{Balancer: 7, Kind: eventStarted},
 		{Balancer: 7, Kind: eventApplied, Version: 7},
 	}
-	if !slices.Equal(got, want) {
-		t.Errorf("got %v\nwant %v", got, want)
+	if !slices.Equal(gotEvents, wantEvents) {
+		t.Errorf("got %v\nwant %v", gotEvents, wantEvents)
 	}
 	_ = requestWriter.Close()
-	if err := <-ended; err != nil {
-		t.Errorf("at the end of the requests: %v", err)
+	if err := <-hostResult; err != nil {
+		t.Errorf("error at the end of the requests: %v", err)
 	}
 }
--- a/cmd/testbed/machine.go
+++ b/cmd/testbed/machine.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-const megabyte = 1e6
+const megabyte = 1e6 // bytes
 
-// residentMB is the resident memory of a process, 0 if it is not known.
+// residentMB returns the resident memory of a process in MB, or 0 if it cannot be read.
 func residentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -25,7 +25,7 @@
 	return pages * float64(os.Getpagesize()) / megabyte
 }
 
-// machineMemory is the memory of this machine and the part of it that is available, in MB.
+// machineMemory returns the total and the available memory of this machine, in MB.
 func machineMemory() (total, available float64, err error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -47,16 +47,16 @@
 	return total, available, nil
 }
 
-// openFiles is the limit of open descriptors of a process.
+// openFileLimit returns the soft limit of open descriptors of this process.
 func openFileLimit() (int, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, err
 	}
-	return int(min(limit.Cur, 1<<30)), nil // an unlimited number does not fit an int
+	return int(min(limit.Cur, 1<<30)), nil // RLIM_INFINITY does not fit an int
 }
 
-// readWrittenBytes is the number of bytes that a process has read and written.
+// processIOBytes returns the number of bytes that a process has read and written, over files and connections alike.
 func processIOBytes(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed runs balancers under test among emulated clients and servers, with load and faults, and checks the rules from what
-// the emulators saw. It must never be needed to run a balancer.
+// Command testbed runs balancers under test between emulated clients and servers, with load and injected faults, and checks the rules
+// against the events that the emulators recorded. It is a test tool only: a balancer must run without it.
 package main
 
 import (
@@ -22,31 +22,31 @@
 const (
 	exitPassed     = 0
 	exitFailure    = 1 // the testbed itself failed, or a target was missed
-	exitBadInput   = 2 // or a bad argument
-	exitRuleBroken = 3
+	exitBadInput   = 2 // a file or an argument is invalid
+	exitRuleBroken = 3 // a run broke a rule
 )
 
-// errRuleBroken is returned if a run broke a rule; the verdict is printed before.
+// errRuleBroken is returned if a run broke a rule. The command prints the verdict before it returns this error, which is not printed.
 var errRuleBroken = errors.New("a rule was broken")
 
-// lab is shared by the subcommands.
+// commandEnv is what all subcommands get from main.
 type commandEnv struct {
 	ctx        context.Context
-	executable string // this binary, which also runs the reference balancer
+	executable string // path of this binary, which also runs the reference balancer
 }
 
-// siblingProgram is the path of a program in the directory of this one.
+// siblingProgram returns the path of a program in the directory of this binary.
 func (env *commandEnv) siblingProgram(name string) string {
 	return filepath.Join(filepath.Dir(env.executable), name)
 }
 
-// isTerminal reports whether standard error is a terminal: only then is progress shown.
+// stderrIsTerminal reports whether standard error is a terminal. Progress is shown only then.
 func stderrIsTerminal() bool {
 	_, err := unix.IoctlGetTermios(int(os.Stderr.Fd()), unix.TCGETS)
 	return err == nil
 }
 
-// progress shows a line that replaces the one before; "" clears it.
+// showProgress replaces the progress line on standard error; an empty format clears it.
 func showProgress(format string, args ...any) {
 	if stderrIsTerminal() {
 		fmt.Fprintf(os.Stderr, "\r\x1b[K"+format, args...)
@@ -75,7 +75,7 @@
 		os.Exit(exitFailure)
 	}
 	command := kong.Parse(&cli, kong.Name("testbed"), kong.UsageOnError(), kong.Exit(func(code int) {
-		os.Exit(min(code, exitBadInput)) // kong's own code for a bad argument is 80
+		os.Exit(min(code, exitBadInput)) // kong exits with 80 after a bad argument
 	}), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 		kong.Description("Balancers under test among emulated clients and servers, on loopback or in virtual time, checked against the four rules."))
 	err = command.Run(&commandEnv{ctx: ctx, executable: executable})
@@ -87,7 +87,7 @@
 		os.Exit(exitPassed)
 	case errors.Is(err, errRuleBroken):
 		os.Exit(exitRuleBroken)
-	case errors.Is(err, errTargetMissed): // its verdict is printed
+	case errors.Is(err, errTargetMissed): // the command has printed the verdict
 		os.Exit(exitFailure)
 	case errors.As(err, &badArgument):
 		fmt.Fprintln(os.Stderr, "testbed:", badArgument)
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -19,7 +19,7 @@
 	"sabletally/internal/lab/simulation"
 )
 
-// runCmd runs an experiment: all arms with all seeds.
+// runCmd runs an experiment, each arm with each seed, and reports whether the rules were kept.
 type runCmd struct {
 	File   string   `arg:"" help:"Experiment file (.hcl)."`
 	Report string   `help:"Folder for report.json and report.html." type:"path" placeholder:"DIR"`
@@ -30,7 +30,7 @@
 	Steps  bool     `help:"Print each step of the fault schedule as it is carried out (sockets)."`
 }
 
-// maxViolationsPrinted is the number of violations printed for each run; the report has more.
+// maxViolationsPrinted limits the violations printed for each run; the report has more.
 const maxViolationsPrinted = 3
 
 func (c *runCmd) Run(env *commandEnv) error {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// load reads the experiment with the seeds and arms that the flags select.
+// load reads the experiment and applies the flags that select seeds and arms.
 func (c *runCmd) load() (*experiment.Experiment, error) {
 	x, err := experiment.Load(c.File)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// selectArms returns the arms with the names, in the order of the names; without names, all arms.
+// selectArms returns the arms with the given names, in the order of the names. Without names, it returns all arms.
 func selectArms(arms []experiment.Arm, names []string) ([]experiment.Arm, error) {
 	if len(names) == 0 {
 		return arms, nil
@@ -108,20 +108,20 @@
 	for _, name := range names {
 		index := slices.IndexFunc(arms, func(a experiment.Arm) bool { return a.Name == name })
 		if index < 0 {
-			return nil, fmt.Errorf("the file has no arm %q", name)
+			return nil, fmt.Errorf("the experiment has no arm %q", name)
 		}
 		selected = append(selected, arms[index])
 	}
 	return selected, nil
 }
 
-// job is one run of an experiment.
+// job is one run of an experiment: an arm with a seed.
 type job struct {
 	arm  experiment.Arm
 	seed uint64
 }
 
-// jobs lists all runs of an experiment, seed by seed.
+// listJobs returns all runs of an experiment, ordered by seed.
 func listJobs(x *experiment.Experiment) []job {
 	var all []job
 	for _, seed := range x.Seeds {
@@ -132,7 +132,7 @@
 	return all
 }
 
-// runVirtual runs the jobs concurrently: in virtual time they do not influence each other.
+// runVirtual runs all jobs in virtual time. They run concurrently, as they do not influence each other.
 func (c *runCmd) runVirtual(env *commandEnv, x *experiment.Experiment, r *report.Report) error {
 	all := listJobs(x)
 	r.Runs = make([]report.Run, len(all))
@@ -175,7 +175,8 @@
 	return run, c.saveEvents(run, events)
 }
 
-// runSockets runs the jobs one after the other, seed by seed, so that changes of the machine's speed affect all arms alike.
+// runSockets runs all jobs with real processes, one at a time and ordered by seed, so that changes of the machine's speed affect all arms
+// alike.
 func (c *runCmd) runSockets(env *commandEnv, x *experiment.Experiment, r *report.Report) error {
 	all := listJobs(x)
 	for i, j := range all {
@@ -214,7 +215,7 @@
 	return run, events, err
 }
 
-// command is the command that starts an arm's balancer.
+// balancerCommand returns the command that starts an arm's balancer.
 func (env *commandEnv) balancerCommand(a experiment.Arm) []string {
 	switch {
 	case a.Policy != "":
@@ -227,7 +228,7 @@
 	return []string{env.siblingProgram("sabletally")}
 }
 
-// saveEvents writes the events of a run if a folder for them was given.
+// saveEvents writes the events of a run to a file if --events is set.
 func (c *runCmd) saveEvents(run report.Run, events []history.Event) error {
 	if c.Events == "" {
 		return nil
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -10,11 +10,12 @@
 	"sabletally/internal/lab/scale"
 )
 
-// errTargetMissed says that a target was missed; the verdict is printed before it is returned.
+// errTargetMissed is returned if a target was missed. The command prints the verdict before it returns this error, which is not printed.
 var errTargetMissed = errors.New("a target was missed")
 
-const judgeCounts = "counts" // the value of --judge that leaves timing targets out
+const judgeCounts = "counts" // value of --judge that leaves out the targets that depend on time
 
+// scaleCmd runs a scale test: real control processes and many hollow balancers that subscribe to them, with configuration changes and faults.
 type scaleCmd struct {
 	Balancers     int           `default:"100" help:"Hollow balancers, which have no client connections."`
 	Control       int           `default:"5" help:"Control processes."`
@@ -31,7 +32,7 @@
 	Logs          string        `help:"Folder for the control processes' logs." type:"path" placeholder:"DIR"`
 }
 
-// Run runs the scale test and prints its verdict, also when the run was aborted.
+// Run runs the scale test and prints its verdict, even if the run was aborted.
 func (c *scaleCmd) Run(env *commandEnv) error {
 	if c.Binary == "" {
 		c.Binary = env.siblingProgram("sabletally")
@@ -94,7 +95,8 @@
 	}, nil
 }
 
-// report prints and writes the figures and the verdict; errTargetMissed if there is a target that was missed.
+// reportFigures prints the figures and the verdict, and writes them to a file if --json is set. It returns errTargetMissed if a target was
+// missed.
 func (c *scaleCmd) reportFigures(figures *scale.Figures) error {
 	targets := &scale.DefaultTargets
 	if c.Judge == judgeCounts {
@@ -102,7 +104,7 @@
 	}
 	missed := figures.Check(targets)
 	figures.Verdict = scale.Verdict(missed)
-	if figures.Partial == "" { // the table of a partial run would show zeros that were not measured
+	if figures.Partial == "" { // the table of a partial run would show zeros for figures that were not measured
 		if err := figures.Print(os.Stdout, &scale.DefaultTargets); err != nil {
 			return err
 		}
--- a/cmd/testbed/scale_cluster.go
+++ b/cmd/testbed/scale_cluster.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	responseTimeout     = 20 * time.Second // of a process of balancers
-	agreementTimeout    = 10 * time.Second // of the control processes, at the end
-	balancersPerProcess = 300
+	responseTimeout     = 20 * time.Second // limit for a hollow balancer process to send its status or to exit
+	agreementTimeout    = 10 * time.Second // limit for the control processes to reach the same state after the run
+	balancersPerProcess = 300              // limit of the hollow balancers in one process
 )
 
-// scaleCluster is all processes of a run.
+// scaleCluster is all processes of a scale test.
 type scaleCluster struct {
 	plan            *scale.Plan
 	dir             string
 	controls        []*controlProcess
 	forwarders      []*forwarderProcess
 	hosts           []*hollowProcess
-	balancersByHost [][]int
+	balancersByHost [][]int // indices of the balancers of each process in hosts
 
 	mu               sync.Mutex
 	ledger           *scale.Ledger
 	lastStatusNumber int
 }
 
-// newScaleCluster starts the control processes of a plan. The cluster that it returns beside an error, if any, must be closed.
+// newScaleCluster starts the control processes of a plan. The caller must close the cluster, also one that is returned with an error.
 func newScaleCluster(plan *scale.Plan, hosts [][]int, executable, binary, logs string, ledger *scale.Ledger) (*scaleCluster, error) {
 	dir, err := os.MkdirTemp("", "testbed-scale")
 	if err != nil {
@@ -64,7 +64,8 @@
 	return s, nil
 }
 
-// createLog creates the log file of a process, which is closed with this process; nil without a directory or if that fails.
+// createLog creates the log file of a process; the file stays open until this process ends. It returns nil if dir is empty or the file
+// cannot be created.
 func createLog(dir, name string) io.Writer {
 	if dir == "" {
 		return nil
@@ -76,7 +77,7 @@
 	return file
 }
 
-// seeds are the addresses of all control processes.
+// seeds returns the advertised addresses of all control processes.
 func (s *scaleCluster) seeds() (all []netip.AddrPort) {
 	for _, c := range s.controls {
 		all = append(all, c.Addr)
@@ -84,7 +85,7 @@
 	return all
 }
 
-// startBalancers starts the processes of balancers, and then all balancers at once.
+// startBalancers starts the hollow balancer processes, and then all balancers at once.
 func (s *scaleCluster) startBalancers(executable string) error {
 	for i, balancers := range s.balancersByHost {
 		h := &hollowProcess{executable: executable, onEvents: s.recordEvents, config: hollowConfig{
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// recordEvents records events of balancers in the ledger.
+// recordEvents records the events of hollow balancers in the ledger.
 func (s *scaleCluster) recordEvents(_ *hollowProcess, events []hollowEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +132,7 @@
 	}
 }
 
-// status requests the status of all processes of balancers at once and sums it up.
+// status requests the status of all hollow balancer processes concurrently and returns the sum.
 func (s *scaleCluster) status(withFinal bool) (*hollowStatus, error) {
 	number := s.nextStatusNumber()
 	statuses := make([]*hollowStatus, len(s.hosts))
@@ -148,7 +149,7 @@
 	return sum, errors.Join(errs...)
 }
 
-// spread is the distribution of the balancers' connections over the control processes that run.
+// connectionSpread returns the distribution of the balancers' connections over the control processes that run.
 func (s *scaleCluster) connectionSpread(status *hollowStatus) scale.Spread {
 	var connections []int
 	for _, c := range s.controls {
@@ -159,7 +160,7 @@
 	return scale.NewSpread(connections)
 }
 
-// nextStatusNumber numbers a status request.
+// nextStatusNumber returns a new number for a status request.
 func (s *scaleCluster) nextStatusNumber() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,11 +168,11 @@
 	return s.lastStatusNumber
 }
 
-// clusterMemory is the resident memory of the processes of a run, in MB.
+// clusterMemory is the resident memory of the processes of a scale test, in MB.
 type clusterMemory struct {
-	balancersMB float64   // of all processes of balancers
-	controlMB   []float64 // by control process, 0 for those that do not run
-	otherMB     float64   // of this process and the forwarders
+	balancersMB float64   // sum of all hollow balancer processes
+	controlMB   []float64 // each control process by index, 0 for one that does not run
+	otherMB     float64   // sum of this process and the forwarder processes
 }
 
 func (m *clusterMemory) total() float64 {
@@ -203,7 +204,7 @@
 	return memory
 }
 
-// close ends all processes and removes their directories.
+// close ends all processes and removes their directory.
 func (s *scaleCluster) close() {
 	var pending sync.WaitGroup
 	for _, h := range s.hosts {
@@ -228,7 +229,8 @@
 	}
 }
 
-// unreadyControls lists the control processes that do not run, do not see all others, or have not published a version; "" if there is none.
+// unreadyControls describes the control processes that do not run, do not see all others, or have not published the version. It returns ""
+// if all are ready.
 func (s *scaleCluster) unreadyControls(version uint64) string {
 	problems := make([]string, len(s.controls))
 	var pending sync.WaitGroup
@@ -239,7 +241,7 @@
 	return strings.Join(slices.DeleteFunc(problems, func(problem string) bool { return problem == "" }), ", ")
 }
 
-// checkControl describes why a control process is not ready, "" if it is.
+// describeUnready returns the reason why a control process is not ready, or "" if it is.
 func (s *scaleCluster) describeUnready(c *controlProcess, version uint64) string {
 	report, err := c.Fleet()
 	switch {
@@ -256,7 +258,7 @@
 	}
 }
 
-// isCurrent reports whether a publisher has the version and a valid lease.
+// isCurrent reports whether a publisher has at least the version, and a valid lease.
 func isCurrent(publisher *fleet.PublisherReport, version uint64) bool {
 	if publisher == nil || publisher.Version < version {
 		return false
@@ -264,7 +266,7 @@
 	return publisher.Age >= 0 && publisher.Age <= changefeed.DefaultLease.Seconds()
 }
 
-// agreedState waits until all control processes that run have the same state, and returns it.
+// waitForAgreedState waits until all control processes that run have the same state, and returns it.
 func (s *scaleCluster) waitForAgreedState() (feedState, error) {
 	for deadline := time.Now().Add(agreementTimeout); ; time.Sleep(pollInterval) {
 		states, err := s.publisherStates()
@@ -274,13 +276,13 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			return feedState{}, errors.Join(err, fmt.Errorf("control processes have different states after %v: %v", agreementTimeout, states))
+			return feedState{}, errors.Join(err, fmt.Errorf("control processes have not reached the same state within %v: %v", agreementTimeout, states))
 		}
 	}
 }
 
-// publisherStates are the states of the control processes that run, each with the name of one that has it. After an error, they are those
-// of the processes that were queried before.
+// publisherStates returns the states that the running control processes publish, each with the name of one process that has it. With an
+// error, it returns the states of the processes that were queried before the error.
 func (s *scaleCluster) publisherStates() (map[feedState]string, error) {
 	states := map[feedState]string{}
 	for _, c := range s.controls {
--- a/cmd/testbed/scale_faults.go
+++ b/cmd/testbed/scale_faults.go
@@ -9,7 +9,7 @@
 	"sabletally/internal/lab/scale"
 )
 
-// applyStep carries out one step of the fault schedule and returns once that is done.
+// applyStep carries out one step of the fault schedule and returns once the step is complete.
 func (s *scaleCluster) applyStep(step scale.Step) error {
 	switch step.Action {
 	case scale.Kill:
@@ -35,11 +35,11 @@
 	case scale.ZoneOn:
 		return s.forEachHostInZone(step.Targets[0], s.restartHost)
 	default:
-		return fmt.Errorf("unknown action %q", step.Action)
+		return fmt.Errorf("fault schedule has the unknown action %q", step.Action)
 	}
 }
 
-// eachControl calls do for several control processes concurrently.
+// forEachControl calls operation concurrently for the control processes with the given indices.
 func (s *scaleCluster) forEachControl(indices []int, operation func(c *controlProcess) error) error {
 	var pending sync.WaitGroup
 	errs := make([]error, len(indices))
@@ -50,7 +50,7 @@
 	return errors.Join(errs...)
 }
 
-// cutOff cuts control processes off from all others, and restores all other links.
+// cutOff cuts the given control processes off from all others, and restores all other links.
 func (s *scaleCluster) cutOff(controls []int) error {
 	var pending sync.WaitGroup
 	errs := make([]error, len(s.forwarders))
@@ -61,7 +61,7 @@
 	return errors.Join(errs...)
 }
 
-// setBalancers starts or stops balancers.
+// setBalancers starts the given balancers if up is set, and stops them otherwise.
 func (s *scaleCluster) setBalancers(balancers []int, up bool) error {
 	selected := map[int]bool{}
 	for _, b := range balancers {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// eachHostOf calls do concurrently for each process of balancers of a zone.
+// forEachHostInZone calls operation concurrently for each hollow balancer process of a zone, with the index of the process.
 func (s *scaleCluster) forEachHostInZone(zone int, operation func(host int) error) error {
 	var pending sync.WaitGroup
 	errs := make([]error, len(s.hosts))
@@ -101,7 +101,7 @@
 	return errors.Join(errs...)
 }
 
-// restartHost starts a process of balancers again, and its balancers.
+// restartHost starts a hollow balancer process and all of its balancers again.
 func (s *scaleCluster) restartHost(host int) error {
 	if err := s.hosts[host].start(); err != nil {
 		return err
@@ -109,7 +109,7 @@
 	return s.hosts[host].sendRequest(hollowRequest{Start: s.balancersByHost[host]})
 }
 
-// killHost kills a process of balancers, after it has reported the events so far.
+// killHost kills a hollow balancer process after it has reported its events so far, and records the end of its balancers.
 func (s *scaleCluster) killHost(host int) error {
 	_, _ = s.hosts[host].status(s.nextStatusNumber(), false) // it fails only if the process has ended
 	now := boottime.Now()
--- a/cmd/testbed/scale_measurement.go
+++ b/cmd/testbed/scale_measurement.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	settleTimeout      = time.Minute // from the end of the run until all balancers have all changes
-	fastStatusInterval = 250 * time.Millisecond
-	slowStatusInterval = 2 * time.Second
+	settleTimeout      = time.Minute            // limit, after the end of the run, for all balancers to receive all changes
+	fastStatusInterval = 250 * time.Millisecond // time between two statuses while a steady state is waited for
+	slowStatusInterval = 2 * time.Second        // time between two statuses otherwise
 )
 
-// controlUsage is what a control process has used so far.
+// controlUsage is the processor time and the traffic of a control process since its first start.
 type controlUsage struct {
 	cpu   time.Duration
 	bytes int64
 }
 
-// measurement follows the measured part of a run. Times are of the boot clock; 0 is not yet.
+// measurement is the state of the measured part of a run. Times are on the boot clock; 0 means not yet reached.
 type measurement struct {
 	run           *scaleRun
-	statusBefore  *hollowStatus
-	controlBefore []controlUsage
-	endTime       time.Duration // of the run, as planned
+	statusBefore  *hollowStatus  // status at the start of the run
+	controlBefore []controlUsage // usage of each control process at the start of the run
+	endTime       time.Duration  // planned end of the run
 
-	faultResults <-chan faultResult // nil once the result is received
+	faultResults <-chan faultResult // nil once the result has been received
 	faults       faultResult
-	steadyTime   time.Duration // the first steady state after the faults
+	steadyTime   time.Duration // time of the first steady state after the faults
 
-	newestVersion uint64 // accepted when status was requested
-	status        *hollowStatus
-	statusAtEnd   *hollowStatus // nil before the end of the run
-	length        time.Duration // until statusAtEnd
-	complete      bool          // nothing more is to be waited for
+	newestVersion uint64        // newest accepted version when status was requested
+	status        *hollowStatus // latest status
+	statusAtEnd   *hollowStatus // status at the end of the run, nil before
+	length        time.Duration // actual length of the run, until statusAtEnd
+	complete      bool          // whether the measurement has ended: steady with all changes after the faults, or settleTimeout is over
 }
 
-// measure puts the changes, injects the faults, and takes the figures meanwhile.
+// measure runs the measured part: it puts the changes and injects the faults of the plan, and records the figures.
 func (r *scaleRun) measure(ctx context.Context, clients *operatorClients) error {
 	m, err := r.newMeasurement()
 	if err != nil {
@@ -49,7 +49,7 @@
 	defer puts.Wait()
 	defer faults.Wait()
 	ctx, stop := context.WithCancel(ctx)
-	defer stop() // runs first, so that both end
+	defer stop() // runs before the deferred waits, so that both goroutines end
 	puts.Go(func() { r.putChanges(ctx, clients, &puts) })
 	faultResults := make(chan faultResult, 1)
 	m.faultResults = faultResults
@@ -61,7 +61,7 @@
 		}
 	}
 	if m.faultResults != nil {
-		return fmt.Errorf("faults were not over %v after the run's end", settleTimeout)
+		return fmt.Errorf("fault schedule was not complete %v after the end of the run", settleTimeout)
 	}
 	stop()
 	puts.Wait()
@@ -73,7 +73,7 @@
 	return r.closeLedger()
 }
 
-// newMeasurement takes the figures before the run and starts it.
+// newMeasurement records the figures before the run, and sets the start of the run to the present time.
 func (r *scaleRun) newMeasurement() (*measurement, error) {
 	status, err := r.cluster.status(false)
 	if err != nil {
@@ -93,10 +93,10 @@
 	return m, nil
 }
 
-// isRecovering reports whether the faults are over and a steady state has not been reached since.
+// isRecovering reports whether the faults are over and no steady state has been reached since.
 func (m *measurement) isRecovering() bool { return m.faults.endTime > 0 && m.steadyTime == 0 }
 
-// statusInterval is the time until the next status: short while a steady state is waited for, and no longer than until the run's end.
+// statusInterval returns the time until the next status: short while a steady state is waited for, and never past the end of the run.
 func (m *measurement) statusInterval() time.Duration {
 	now := boottime.Now()
 	interval := slowStatusInterval
@@ -109,7 +109,7 @@
 	return interval
 }
 
-// poll waits for the end of the faults or the next status, whichever is first.
+// waitForNext waits for the end of the faults or the time of the next status, whichever is first.
 func (m *measurement) waitForNext(ctx context.Context) error {
 	select {
 	case m.faults = <-m.faultResults:
@@ -122,10 +122,10 @@
 	}
 }
 
-// update requests the status and decides what it means for the run.
+// updateStatus requests the status, and from it determines whether the run has ended and whether the measurement is complete.
 func (m *measurement) updateStatus() error {
 	r := m.run
-	requiredVersion := m.newestVersion // the one of the status before: balancers have had time to receive it
+	requiredVersion := m.newestVersion // as of the previous status, so that balancers have had time to receive it
 	r.mu.Lock()
 	m.newestVersion = r.newestVersion
 	accepted := r.accepted
@@ -140,7 +140,7 @@
 	summary := r.describeStatus(status, spread)
 	showProgress("scale: %v of %v, %d of %d changes accepted, %s", max(0, now-r.startTime).Round(time.Second), r.For, accepted, len(r.plan.Changes), summary)
 	r.figures.SpreadDescription = summary
-	// Control processes are queried only when it matters: it costs them processor time.
+	// Queries cost the control processes processor time, which is measured, and are made only where their result is needed.
 	if steady && (m.isRecovering() || now >= m.endTime) {
 		steady = m.checkControls(requiredVersion)
 	}
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// checkControls reports whether all control processes are ready too, and notes the first time that they are after the faults.
+// checkControls reports whether all control processes are ready as well, and records the first time after the faults at which they are.
 func (m *measurement) checkControls(version uint64) bool {
 	if unready := m.run.cluster.unreadyControls(version); unready != "" {
 		m.run.figures.SpreadDescription += "; " + unready
@@ -167,7 +167,7 @@
 	return true
 }
 
-// finishRun takes the figures at the end of the run.
+// finishRun records the figures at the end of the run.
 func (m *measurement) finishRun(now time.Duration) {
 	figures := &m.run.figures
 	m.statusAtEnd = m.status
@@ -180,7 +180,7 @@
 	}
 }
 
-// recordFigures sets the figures that are differences between the statuses before, at the end of and after the run.
+// recordFigures sets the figures that are differences between the statuses at the start, at the end and after the end of the run.
 func (m *measurement) recordFigures() {
 	figures := &m.run.figures
 	before, atEnd, last := m.statusBefore, m.statusAtEnd, m.status
--- a/cmd/testbed/scale_run.go
+++ b/cmd/testbed/scale_run.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	convergenceTimeout = 2 * time.Minute // from the start of the balancers until all are current
-	settleTime         = 3 * time.Second // between convergence and the measured run
-	putTimeout         = 2 * time.Second // of one attempt
+	convergenceTimeout = 2 * time.Minute // limit, after the start of the balancers, for all of them to become current
+	settleTime         = 3 * time.Second // time between convergence and the measured run
+	putTimeout         = 2 * time.Second // limit of one attempt to put a change
 	putRetryInterval   = 50 * time.Millisecond
 	memoryPollInterval = time.Second
 )
@@ -25,20 +25,20 @@
 	plan          *scale.Plan
 	cluster       *scaleCluster
 	figures       scale.Figures
-	memoryLimitMB float64 // of all processes together
+	memoryLimitMB float64 // limit of the memory of all processes together
 	ledger        *scale.Ledger
-	startTime     time.Duration // of the measured run, boot clock
+	startTime     time.Duration // start of the measured run, on the boot clock
 
 	mu             sync.Mutex
-	newestVersion  uint64 // of the accepted changes
-	accepted       int    // changes
-	maxPutDelay    time.Duration
-	maxBalancersMB float64   // of all balancers together
-	maxControlMB   []float64 // by control process
-	abortReason    string    // "" unless the run was aborted
+	newestVersion  uint64        // highest version of the accepted changes
+	accepted       int           // number of accepted changes
+	maxPutDelay    time.Duration // longest time from when a change is due until its first attempt
+	maxBalancersMB float64       // highest memory of all balancers together
+	maxControlMB   []float64     // highest memory of each control process, by index
+	abortReason    string        // reason why the run was aborted, "" otherwise
 }
 
-// checkMachine checks that the machine has the memory and the descriptors that the run needs, and sets the limit of memory.
+// checkMachine checks that the machine has the memory and the descriptors that the run needs, and sets memoryLimitMB.
 func (r *scaleRun) checkMachine(hosts [][]int) error {
 	files, err := openFileLimit()
 	if err != nil {
@@ -52,7 +52,7 @@
 	return r.plan.Requirements(hosts).Check(files, total, available)
 }
 
-// run starts all processes, waits until they have converged, and measures.
+// run starts all processes, waits until they have converged, and runs the measurement.
 func (r *scaleRun) run(env *commandEnv, hosts [][]int) error {
 	ctx, stop := context.WithCancel(env.ctx)
 	defer stop()
@@ -89,7 +89,7 @@
 	return r.measure(ctx, clients)
 }
 
-// isSteady reports whether all balancers are up and current, have a version, and are evenly spread over the control processes.
+// isSteady reports whether all balancers are up and current, have at least the version, and are evenly spread over the control processes.
 func (r *scaleRun) isSteady(status *hollowStatus, version uint64) (bool, scale.Spread) {
 	spread := r.cluster.connectionSpread(status)
 	steady := status.Up == r.Balancers && status.Current == r.Balancers && spread.Even()
@@ -113,7 +113,7 @@
 		summary := r.describeStatus(status, spread)
 		showProgress("scale: %s", summary)
 		if time.Now().After(deadline) {
-			return fmt.Errorf("balancers have not converged within %v: %s", convergenceTimeout, summary)
+			return fmt.Errorf("balancers did not converge within %v: %s", convergenceTimeout, summary)
 		}
 		if err := sleep(ctx, fastStatusInterval); err != nil {
 			return err
@@ -125,7 +125,7 @@
 	return fmt.Sprintf("%d of %d balancers up, %d current; %v", status.Up, r.Balancers, status.Current, spread)
 }
 
-// sleep waits for a duration or until ctx is done, and then returns its error.
+// sleep waits for a duration. If ctx is done first, it returns the error of ctx.
 func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -135,7 +135,7 @@
 	}
 }
 
-// putChanges puts the changes of the plan, each at its time even if earlier ones are still being retried.
+// putChanges puts each change of the plan when it is due, even if earlier ones are still being retried.
 func (r *scaleRun) putChanges(ctx context.Context, clients *operatorClients, puts *sync.WaitGroup) {
 	for i, change := range r.plan.Changes {
 		if sleep(ctx, r.startTime+change.Due-boottime.Now()) != nil {
@@ -148,7 +148,7 @@
 	}
 }
 
-// putChange puts a change, with retries until it is accepted.
+// putChange puts a change, and retries until it is accepted or ctx is done.
 func (r *scaleRun) putChange(ctx context.Context, clients *operatorClients, index int, change scale.Change) {
 	operationID := fmt.Sprintf("scale-%d-%d", r.Seed, index)
 	for attempt := 0; ctx.Err() == nil; attempt++ {
@@ -157,7 +157,7 @@
 			r.recordAccepted(index, version)
 			return
 		}
-		_ = sleep(ctx, putRetryInterval) // the loop ends with ctx
+		_ = sleep(ctx, putRetryInterval) // the loop condition checks ctx
 	}
 }
 
@@ -171,13 +171,13 @@
 	r.accepted++
 }
 
-// faultResult is the end of all faults of a run.
+// faultResult is the outcome of the fault schedule of a run.
 type faultResult struct {
-	endTime time.Duration // boot clock, 0 if the plan has no faults
+	endTime time.Duration // end of the last step, on the boot clock; 0 if the plan has no faults
 	err     error
 }
 
-// injectFaults carries out the fault schedule of the plan. A step that takes long does not delay the next one.
+// injectFaults carries out the fault schedule of the plan. A slow step does not delay the next one.
 func (r *scaleRun) injectFaults(ctx context.Context) faultResult {
 	var mu sync.Mutex
 	var result faultResult
@@ -208,7 +208,7 @@
 	}
 }
 
-// recordMemory reports whether the run must be aborted.
+// recordMemory records the memory of all processes, and reports whether it exceeds the limit, so that the run must be aborted.
 func (r *scaleRun) recordMemory() bool {
 	memory := r.cluster.memoryUse()
 	total := memory.total()
@@ -228,7 +228,8 @@
 	return r.abortReason != ""
 }
 
-// closeLedger closes the ledger with the state that the control processes agree on and the changes that were accepted.
+// closeLedger compares the final state of the balancers with the state that the control processes agree on and with the accepted changes,
+// and sets the figures that come from the ledger.
 func (r *scaleRun) closeLedger() error {
 	cluster := r.cluster
 	agreed, err := cluster.waitForAgreedState()
@@ -243,7 +244,7 @@
 	defer cluster.mu.Unlock()
 	version, changeByKey := r.ledger.Newest(func(i int) int { return r.plan.Changes[i].Key })
 	if agreed.Version < version {
-		return fmt.Errorf("control processes are at version %d, after version %d was accepted", agreed.Version, version)
+		return fmt.Errorf("control processes agree on version %d, but version %d was accepted", agreed.Version, version)
 	}
 	values := map[string][]byte{}
 	for key, change := range changeByKey {
@@ -263,7 +264,7 @@
 	return nil
 }
 
-// recordMaxima sets the figures that are maxima over the run.
+// recordMaxima sets the figures that are maxima over the run, apart from those that are updated during it.
 func (r *scaleRun) recordMaxima() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/testbed/scale_settings.go
+++ b/cmd/testbed/scale_settings.go
@@ -9,10 +9,10 @@
 	"sabletally/internal/lab/scale"
 )
 
-// settingKey is the key of a change.
+// settingKey returns the key of the setting that changes with this key number are made to.
 func settingKey(key int) string { return fmt.Sprintf("config/scale-%02d", key) }
 
-// settingValue is the value of a change, padded to the change's size.
+// settingValue returns the value that a change sets: JSON, unique to the change and padded to its size.
 func settingValue(change int, c scale.Change) []byte {
 	head := fmt.Appendf(nil, `{"change":%d,"due":%d,"rest":"`, change, c.Due)
 	const tail = `"}`
@@ -20,12 +20,12 @@
 	return append(append(head, padding...), tail...)
 }
 
-// hashValues hashes the values of all settings, as get returns them.
+// hashValues returns a hash over the values of all settings, which get looks up by key, and over which of them exist.
 func hashValues(get func(key string) ([]byte, bool)) uint64 {
 	h := xxhash.New()
 	for k := range scale.Keys {
 		value, exists := get(settingKey(k))
-		_, _ = fmt.Fprintf(h, "%d %v %d ", k, exists, len(value)) // a hash never fails
+		_, _ = fmt.Fprintf(h, "%d %v %d ", k, exists, len(value)) // Write of a hash never fails
 		_, _ = h.Write(value)
 	}
 	return h.Sum64()
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -15,7 +15,7 @@
 	"sabletally/internal/lab/scale"
 )
 
-// buildBalancer builds the balancer and returns its path.
+// buildBalancer builds the balancer binary and returns its path.
 func buildBalancer(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "sabletally")
@@ -25,7 +25,7 @@
 	return path
 }
 
-// scaleCommand is the scale test of this program, with temporary directories in tmp.
+// scaleCommand returns the command "testbed scale", with its temporary directories in tmp, and a buffer for its output.
 func scaleCommand(tmp string, args ...string) (*exec.Cmd, *bytes.Buffer) {
 	cmd := exec.Command(os.Args[0], append([]string{"scale"}, args...)...)
 	cmd.Env = append(os.Environ(), "SABLELAB_CHILD=1", "TMPDIR="+tmp)
@@ -34,7 +34,7 @@
 	return cmd, &out
 }
 
-// checkNothingLeft checks that neither a directory in tmp nor a process that was started with it is left.
+// checkNothingLeft fails the test if a directory in tmp is left, or a process that was started with tmp as TMPDIR.
 func checkNothingLeft(t *testing.T, tmp string) {
 	t.Helper()
 	if left, err := os.ReadDir(tmp); err != nil || len(left) > 0 {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestScaleZoneLoss is a small scale test: a hundred balancers, five control processes, the loss of a zone. Its verdict is by counts
-// only: all reachable balancers have all changes, none went back to an older version, and at the end all are current and evenly spread.
+// TestScaleZoneLoss guards against balancers that miss changes, go back to an older version or do not recover when a zone of a hundred
+// balancers and five control processes is lost. At the end all must be current and evenly spread. Timing targets are left out.
 func TestScaleZoneLoss(t *testing.T) {
 	t.Parallel()
 	tmp := t.TempDir()
@@ -64,18 +64,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var f scale.Figures
-	if err := json.Unmarshal(text, &f); err != nil {
+	var result scale.Figures
+	if err := json.Unmarshal(text, &result); err != nil {
 		t.Fatal(err)
 	}
-	// Each change was timed at each balancer, and the twenty of the zone returned.
-	if f.Verdict != "verdict: kept" || f.Missed != 0 || f.Samples < int64(f.Changes*80) || f.Changes < 50 || f.Returned != 20 || f.SteadyAfter <= 0 {
+	// Each change was timed at each balancer outside the lost zone, and the twenty balancers of the zone returned.
+	if result.Verdict != "verdict: kept" || result.Missed != 0 || result.Samples < int64(result.Changes*80) ||
+		result.Changes < 50 || result.Returned != 20 || result.SteadyAfter <= 0 {
 		t.Errorf("%s", text)
 	}
 	checkNothingLeft(t, tmp)
 }
 
-// TestInterruptedScaleLeavesNothing interrupts a scale test.
+// TestInterruptedScaleLeavesNothing guards against processes and directories that remain after a scale test is interrupted.
 func TestInterruptedScaleLeavesNothing(t *testing.T) {
 	t.Parallel()
 	tmp := t.TempDir()
@@ -83,14 +84,15 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) { // until a control process has written something
-		if is, _ := filepath.Glob(filepath.Join(tmp, "*", "c0", "*")); len(is) > 0 {
+	// Waits until a control process has written to its data directory
+	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+		if files, _ := filepath.Glob(filepath.Join(tmp, "*", "c0", "*")); len(files) > 0 {
 			break
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			_ = cmd.Process.Kill()
 			_ = cmd.Wait()
-			t.Fatalf("no control process has started\n%s", out)
+			t.Fatalf("no control process has written to its data directory\n%s", out)
 		}
 	}
 	_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -102,7 +104,7 @@
 	checkNothingLeft(t, tmp)
 }
 
-// TestScaleRejectsBadArguments: the error names the flag, and the exit code is 2.
+// TestScaleRejectsBadArguments guards against errors that do not name the bad flag, and against exit codes other than 2.
 func TestScaleRejectsBadArguments(t *testing.T) {
 	for want, args := range map[string][]string{"--faults: \"rock\" is none": {"--faults", "rock"}, "--regions: 4 lies outside 1 to 3": {"--regions", "4"},
 		"--binary: stat": {"--binary", "/nowhere"}, "--for: expected duration": {"--for", "3"}, "unknown flag --control-processes": {"--control-processes", "3"}} {
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -20,8 +20,8 @@
 	"sabletally/policy"
 )
 
-// throughputCmd measures the cost of a balancer: builds and numbers of cores are the arms, and the first arm is the same clients
-// connected to the servers directly.
+// throughputCmd measures set-ups and lines per second, latency and memory of balancers. Each pair of a binary and a number of cores is an
+// arm. The arm "direct", to which the others are compared, connects the same clients to the servers without a balancer.
 type throughputCmd struct {
 	Binary []string      `help:"Balancer binaries (NAME=PATH); by default the one beside the testbed." placeholder:"NAME=PATH"`
 	Cores  []int         `default:"1,2,4" help:"Cores of the balancer."`
@@ -35,24 +35,25 @@
 	Report string        `help:"File for the figures as JSON." type:"path" placeholder:"FILE"`
 }
 
-// throughput is the figures of one arm: medians over all rounds. Latencies are microseconds.
+// throughputFigures are the figures of one arm as written to the report. Rates and latencies are medians over the rounds; latencies are in
+// microseconds.
 type throughputFigures struct {
 	Arm            string
 	Cores          int
 	Setups         float64 // per second
 	Lines          float64 // per second
-	SetupP50       float64 // at the rate of --setups
+	SetupP50       float64 // latency of a set-up at --setups per second
 	SetupP99       float64
-	LineP50        float64 // at the rate of --rate
+	LineP50        float64 // latency of a line at --rate per second
 	LineP99        float64
-	FloodP99       float64 // of a line at the same rate, while another session sends at full speed
-	IdleKiB        float64 // memory of an idle session
+	FloodP99       float64 // latency of a line at --rate per second while another session sends at full speed
+	IdleKiB        float64 // resident memory of the balancer per idle session
 	SetupsOfDirect float64 // ratio to the direct arm
-	LinesOfDirect  float64
-	Failed         int
+	LinesOfDirect  float64 // ratio to the direct arm
+	Failed         int     // number of set-ups and lines that failed in all rounds
 }
 
-// rounds are the figures of one arm, by round.
+// roundFigures are the figures of one arm, with one value for each round.
 type roundFigures struct {
 	setups   []float64
 	lines    []float64
@@ -63,7 +64,7 @@
 	floodP99 []float64
 }
 
-// throughputArm is one target, and the balancer there unless the target is the servers themselves.
+// throughputArm is one arm of the measurement: a target and, except for the direct arm, the balancer that listens there.
 type throughputArm struct {
 	throughputFigures
 	rounds  roundFigures
@@ -75,13 +76,13 @@
 
 const (
 	benchServers   = 8
-	setupWorkers   = 64
-	idleSettleTime = 2 * time.Second // in which a balancer releases the memory that set-ups needed
+	setupWorkers   = 64              // number of concurrent set-ups while their rate is measured
+	idleSettleTime = 2 * time.Second // time for a balancer to release the memory that it needed only for set-ups
 )
 
 func (c *throughputCmd) Run(env *commandEnv) error {
 	if c.Rounds < 1 || c.Lines < 1 || c.Window < 1 {
-		return errors.New("rounds, lines and window: one at least")
+		return errors.New("--rounds, --lines and --window must be at least 1")
 	}
 	var addrs []string
 	for range benchServers {
@@ -127,7 +128,7 @@
 	return c.writeReport(arms)
 }
 
-// balancerArms are the arms with a balancer: all binaries with all numbers of cores.
+// balancerArms returns the arms with a balancer: each binary with each number of cores.
 func (c *throughputCmd) balancerArms(env *commandEnv) ([]*throughputArm, error) {
 	binaries := c.Binary
 	if len(binaries) == 0 {
@@ -137,7 +138,7 @@
 	for _, binary := range binaries {
 		name, path, found := strings.Cut(binary, "=")
 		if !found {
-			return nil, fmt.Errorf("binary %q: wants NAME=PATH", binary)
+			return nil, fmt.Errorf("--binary %q does not have the form NAME=PATH", binary)
 		}
 		for _, cores := range c.Cores {
 			arms = append(arms, &throughputArm{throughputFigures: throughputFigures{Arm: name, Cores: cores}, command: []string{path}})
@@ -146,7 +147,7 @@
 	return arms, nil
 }
 
-// startBalancer starts an arm's balancer without health checks and with as many descriptors as it needs.
+// startBalancer starts an arm's balancer without health checks and with enough descriptors for the idle sessions.
 func (a *throughputArm) startBalancer(index int, dir string, servers []string, idle int) error {
 	agent, err := emulator.NewAgent(index, &emulator.Clock{}, history.New(1000), func(string) int { return 0 })
 	if err != nil {
@@ -168,7 +169,7 @@
 	return a.process.Start()
 }
 
-// throughputWorld is the deployment of an arm's balancer.
+// throughputWorld returns the deployment of an arm's balancer.
 func throughputWorld(cores, idle int) *topology.World {
 	return &topology.World{
 		Balancers:        1,
@@ -190,7 +191,7 @@
 	}
 }
 
-// measureRounds measures all arms in turn, in each round.
+// measureRounds measures all arms, one after the other in each round.
 func (c *throughputCmd) measureRounds(env *commandEnv, arms []*throughputArm) error {
 	for round := range c.Rounds {
 		for _, arm := range arms {
@@ -206,7 +207,7 @@
 	return nil
 }
 
-// measureRound measures all of an arm's figures once, except for memory.
+// measureRound measures each figure of an arm once, except for the memory of idle sessions.
 func (c *throughputCmd) measureRound(env *commandEnv, arm *throughputArm) error {
 	setups := bench.SetupRate(arm.target, setupWorkers, c.Span)
 	pacedSetups := bench.PacedSetups(arm.target, c.Setups, c.Span)
@@ -235,8 +236,8 @@
 	return nil
 }
 
-// measureIdle measures the memory of idle sessions, in a new process of each arm: the memory that the rounds left allocated would hide
-// that of the sessions.
+// measureIdle measures the memory of idle sessions in a new process of each arm, because memory that the rounds left allocated would be
+// reused for the sessions and hide their share.
 func (c *throughputCmd) measureIdle(balancers []*throughputArm) error {
 	for _, arm := range balancers {
 		showProgress("throughput: %d idle sessions at %s %d", c.Idle, arm.Arm, arm.Cores)
@@ -256,13 +257,13 @@
 	return nil
 }
 
-// median sorts values and returns the median; of an even number, the higher of the two.
+// median sorts values and returns the median. For an even number of values, it is the higher of the middle two.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	return values[len(values)/2]
 }
 
-// summarize sets the arm's figures from those of its rounds.
+// summarize sets the arm's figures to the medians over its rounds.
 func (a *throughputArm) summarize() {
 	a.Setups = median(a.rounds.setups)
 	a.Lines = median(a.rounds.lines)
@@ -273,7 +274,7 @@
 	a.FloodP99 = median(a.rounds.floodP99)
 }
 
-// compare sets the ratios to the direct arm.
+// compareWithDirect sets the ratios to the direct arm.
 func (a *throughputArm) compareWithDirect(direct *throughputArm) {
 	a.SetupsOfDirect = a.Setups / direct.Setups
 	a.LinesOfDirect = a.Lines / direct.Lines
@@ -299,7 +300,7 @@
 	}
 }
 
-// writeReport writes the figures of all arms as JSON if a file for them was given.
+// writeReport writes the figures of all arms as JSON if --report is set.
 func (c *throughputCmd) writeReport(arms []*throughputArm) error {
 	if c.Report == "" {
 		return nil
