--- a/cmd/testbed/scale_settings.go
+++ b/cmd/testbed/scale_settings.go
@@ -9,7 +9,7 @@
 	"sabletally/internal/lab/scale"
 )
 
-// settingKey returns the key of the setting that changes with this key number are made to.
+// settingKey returns the key of the setting with the given number.
 func settingKey(key int) string { return fmt.Sprintf("config/scale-%02d", key) }
 
 // settingValue returns the value that a change sets: JSON, unique to the change and padded to its size.
