--- a/cmd/testbed/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -17,60 +17,61 @@
 )
 
 const (
-	eventFlushInterval = 250 * time.Millisecond
-	hollowMaxProcs     = 2 // GOMAXPROCS of a process of hollow balancers
+	eventFlushInterval = 250 * time.Millisecond // time between two messages with events
+	hollowMaxProcs     = 2                      // GOMAXPROCS of a hollow balancer process
 )
 
-// hollowCmd runs hollow balancers: many in one process, each with the shipped client of the control tier and nothing else. It
-// exchanges gob messages with its parent process over standard input and output, and ends once the former is closed.
+// hollowCmd runs many hollow balancers in one process. A hollow balancer is only the changefeed client of a balancer, the same code that
+// a real one uses: it subscribes to the control processes and serves no connections. The process exchanges gob messages with its parent
+// over standard input and output, and exits once its standard input is closed.
 type hollowCmd struct{}
 
 func (c *hollowCmd) Run() error {
 	runtime.GOMAXPROCS(hollowMaxProcs)
-	h := &hollowHost{out: gob.NewEncoder(os.Stdout), open: openFeedClient}
+	h := &hollowHost{messages: gob.NewEncoder(os.Stdout), openClient: openFeedClient}
 	err := h.run(gob.NewDecoder(os.Stdin))
 	if err != nil {
-		h.send(hollowMessage{Error: err.Error()})
+		h.sendMessage(hollowMessage{Error: err.Error()})
 	}
 	return err
 }
 
-// feedClient is the part of a subscriber's client that a hollow balancer uses.
+// feedClient is the part of subscriber.Client that a hollow balancer uses.
 type feedClient interface {
 	Status() subscriberStatus
 	Get(key string) ([]byte, bool)
 	Close()
 }
 
-// hollowHost runs all balancers of this process.
+// hollowHost runs all hollow balancers of this process.
 type hollowHost struct {
-	open     func(config *hollowConfig, balancer hollowBalancer, onApplied func(version uint64)) feedClient
-	config   hollowConfig
-	clients  map[int]*hollowClient
-	finished hollowStatus // counters of incarnations that have ended
+	openClient func(config *hollowConfig, balancer hollowBalancer, onApplied func(version uint64)) feedClient
+	config     hollowConfig
+	clients    map[int]*hollowClient
+	finished   hollowStatus // counters of all incarnations that have ended
 
-	sendMu sync.Mutex
-	out    *gob.Encoder
+	sendMu   sync.Mutex
+	messages *gob.Encoder
 
 	mu     sync.Mutex
 	events []hollowEvent
 }
 
-// hollowClient is one balancer of this process.
+// hollowClient is one hollow balancer of this process.
 type hollowClient struct {
 	hollowBalancer
-	client  feedClient // nil while it is stopped
-	stopped *bool      // under hollowHost.mu: later events of this incarnation are dropped
+	client  feedClient // nil while the balancer is stopped
+	stopped *bool      // whether the latest incarnation was stopped, after which its events are dropped; guarded by hollowHost.mu
 }
 
-// run handles requests until their stream ends, which is no error.
+// run handles requests until the end of their stream, which is not an error.
 func (h *hollowHost) run(requests *gob.Decoder) error {
 	var first hollowRequest
 	if err := requests.Decode(&first); err != nil {
-		return fmt.Errorf("reading the configuration of hollow balancers: %w", err)
+		return fmt.Errorf("reading the first hollow balancer request: %w", err)
 	}
 	if first.Config == nil {
-		return errors.New("the first request to hollow balancers has no configuration")
+		return errors.New("the first hollow balancer request has no configuration")
 	}
 	h.config = *first.Config
 	h.clients = map[int]*hollowClient{}
@@ -79,60 +80,60 @@
 	}
 	go func() {
 		for range time.Tick(eventFlushInterval) {
-			h.flush()
+			h.flushEvents()
 		}
 	}()
 	for {
 		var request hollowRequest
 		err := requests.Decode(&request)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return nil // the parent process closed the stream or ended; open clients end with this process
+			return nil // the parent process closed the stream or ended; the clients end with this process
 		}
 		if err != nil {
 			return err
 		}
-		h.handle(&request)
+		h.handleRequest(&request)
 	}
 }
 
-func (h *hollowHost) handle(request *hollowRequest) {
+func (h *hollowHost) handleRequest(request *hollowRequest) {
 	for _, index := range request.Stop {
-		h.stop(h.clients[index])
+		h.stopBalancer(h.clients[index])
 	}
 	for _, index := range request.Start {
-		h.start(h.clients[index])
+		h.startBalancer(h.clients[index])
 	}
 	if request.StatusNumber > 0 {
 		status := h.status(request.StatusNumber, request.WithFinal)
-		h.flush() // the events that led to this status go first
-		h.send(hollowMessage{Status: status})
+		h.flushEvents() // events that precede the status are sent before it
+		h.sendMessage(hollowMessage{Status: status})
 	}
 }
 
-// send sends a message, and ends the process if the parent does not read any more.
-func (h *hollowHost) send(message hollowMessage) {
+// sendMessage sends a message, and exits the process if the parent no longer reads.
+func (h *hollowHost) sendMessage(message hollowMessage) {
 	h.sendMu.Lock()
 	defer h.sendMu.Unlock()
-	if h.out.Encode(message) != nil {
+	if h.messages.Encode(message) != nil {
 		os.Exit(exitFailure)
 	}
 }
 
-// flush sends the events recorded so far.
-func (h *hollowHost) flush() {
-	h.sendMu.Lock() // taken first, so that events are sent in the order in which they were recorded
+// flushEvents sends the events that were recorded since the last flush.
+func (h *hollowHost) flushEvents() {
+	h.sendMu.Lock() // locked before h.mu, so that events are sent in the order in which they were recorded
 	defer h.sendMu.Unlock()
 	h.mu.Lock()
 	events := h.events
 	h.events = nil
 	h.mu.Unlock()
-	if len(events) > 0 && h.out.Encode(hollowMessage{Events: events}) != nil {
+	if len(events) > 0 && h.messages.Encode(hollowMessage{Events: events}) != nil {
 		os.Exit(exitFailure)
 	}
 }
 
-// record records an event unless its incarnation has stopped.
-func (h *hollowHost) record(event hollowEvent, stopped *bool) {
+// recordEvent records an event for the next flush unless its incarnation was stopped.
+func (h *hollowHost) recordEvent(event hollowEvent, stopped *bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !*stopped {
@@ -140,26 +141,26 @@
 	}
 }
 
-// start starts a new incarnation of a balancer that is stopped.
-func (h *hollowHost) start(b *hollowClient) {
+// startBalancer starts a new incarnation of a balancer, unless one is running.
+func (h *hollowHost) startBalancer(b *hollowClient) {
 	if b.client != nil {
 		return
 	}
 	b.Incarnation++
 	stopped := new(bool)
 	b.stopped = stopped
-	h.record(hollowEvent{Balancer: b.Index, Kind: eventStarted, At: boottime.Now()}, stopped)
-	b.client = h.open(&h.config, b.hollowBalancer, func(version uint64) {
-		h.record(hollowEvent{Balancer: b.Index, Kind: eventApplied, Version: version, At: boottime.Now()}, stopped)
+	h.recordEvent(hollowEvent{Balancer: b.Index, Kind: eventStarted, At: boottime.Now()}, stopped)
+	b.client = h.openClient(&h.config, b.hollowBalancer, func(version uint64) {
+		h.recordEvent(hollowEvent{Balancer: b.Index, Kind: eventApplied, Version: version, At: boottime.Now()}, stopped)
 	})
 }
 
-// stop ends the running incarnation of a balancer.
-func (h *hollowHost) stop(b *hollowClient) {
+// stopBalancer stops the running incarnation of a balancer, if any, and keeps its counters.
+func (h *hollowHost) stopBalancer(b *hollowClient) {
 	if b.client == nil {
 		return
 	}
-	h.record(hollowEvent{Balancer: b.Index, Kind: eventStopped, At: boottime.Now()}, b.stopped)
+	h.recordEvent(hollowEvent{Balancer: b.Index, Kind: eventStopped, At: boottime.Now()}, b.stopped)
 	h.mu.Lock()
 	*b.stopped = true
 	h.mu.Unlock()
@@ -169,6 +170,7 @@
 	b.client = nil
 }
 
+// status sums up the balancers of this process. With withFinal, it includes the final state of each balancer that runs.
 func (h *hollowHost) status(number int, withFinal bool) *hollowStatus {
 	sum := newHollowStatus(number)
 	sum.add(&h.finished)
@@ -195,7 +197,7 @@
 	return sum
 }
 
-// processCPUTime is the processor time that this process has used, 0 if the system does not say.
+// processCPUTime returns the processor time that this process has used, or 0 if it cannot be read.
 func processCPUTime() time.Duration {
 	var usage unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &usage) != nil {
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -19,7 +19,7 @@
 	"sabletally/internal/lab/simulation"
 )
 
-// runCmd runs an experiment: all arms with all seeds.
+// runCmd runs an experiment, each arm with each seed, and reports whether the rules were kept.
 type runCmd struct {
 	File   string   `arg:"" help:"Experiment file (.hcl)."`
 	Report string   `help:"Folder for report.json and report.html." type:"path" placeholder:"DIR"`
@@ -30,10 +30,10 @@
 	Steps  bool     `help:"Print each step of the fault schedule as it is carried out (sockets)."`
 }
 
-// maxViolationsPrinted is the number of violations printed for each run; the report has more.
+// maxViolationsPrinted limits the violations printed for each run; the report has more.
 const maxViolationsPrinted = 3
 
-func (c *runCmd) Run(l *lab) error {
+func (c *runCmd) Run(env *commandEnv) error {
 	x, err := c.load()
 	if err != nil {
 		return err
@@ -55,11 +55,11 @@
 		Cores:   runtime.NumCPU(),
 	}
 	if x.Mode == experiment.Virtual {
-		err = c.runVirtual(l, x, r)
+		err = c.runVirtual(env, x, r)
 	} else {
-		err = c.runSockets(l, x, r)
+		err = c.runSockets(env, x, r)
 	}
-	progress("")
+	showProgress("")
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// load reads the experiment with the seeds and arms that the flags select.
+// load reads the experiment and applies the flags that select seeds and arms.
 func (c *runCmd) load() (*experiment.Experiment, error) {
 	x, err := experiment.Load(c.File)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// selectArms returns the arms with the names, in the order of the names; without names, all arms.
+// selectArms returns the arms with the given names, in the order of the names. Without names, it returns all arms.
 func selectArms(arms []experiment.Arm, names []string) ([]experiment.Arm, error) {
 	if len(names) == 0 {
 		return arms, nil
@@ -108,21 +108,21 @@
 	for _, name := range names {
 		index := slices.IndexFunc(arms, func(a experiment.Arm) bool { return a.Name == name })
 		if index < 0 {
-			return nil, fmt.Errorf("the file has no arm %q", name)
+			return nil, fmt.Errorf("the experiment has no arm %q", name)
 		}
 		selected = append(selected, arms[index])
 	}
 	return selected, nil
 }
 
-// job is one run of an experiment.
+// job is one run of an experiment: an arm with a seed.
 type job struct {
 	arm  experiment.Arm
 	seed uint64
 }
 
-// jobs lists all runs of an experiment, seed by seed.
-func jobs(x *experiment.Experiment) []job {
+// listJobs returns all runs of an experiment, ordered by seed.
+func listJobs(x *experiment.Experiment) []job {
 	var all []job
 	for _, seed := range x.Seeds {
 		for _, arm := range x.Arms {
@@ -132,30 +132,30 @@
 	return all
 }
 
-// runVirtual runs the jobs concurrently: in virtual time they do not influence each other.
-func (c *runCmd) runVirtual(l *lab, x *experiment.Experiment, r *report.Report) error {
-	all := jobs(x)
+// runVirtual runs all jobs in virtual time. They run concurrently, as they do not influence each other.
+func (c *runCmd) runVirtual(env *commandEnv, x *experiment.Experiment, r *report.Report) error {
+	all := listJobs(x)
 	r.Runs = make([]report.Run, len(all))
 	errs := make([]error, len(all))
 	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
-	var running sync.WaitGroup
+	var pending sync.WaitGroup
 	var mu sync.Mutex
 	finished := 0
 	for i, j := range all {
 		slots <- struct{}{}
-		if l.ctx.Err() != nil {
-			return l.ctx.Err()
+		if env.ctx.Err() != nil {
+			return env.ctx.Err()
 		}
-		running.Go(func() {
+		pending.Go(func() {
 			r.Runs[i], errs[i] = c.simulate(x, j)
 			mu.Lock()
 			finished++
-			progress("%s: %d of %d runs", x.Name, finished, len(all))
+			showProgress("%s: %d of %d runs", x.Name, finished, len(all))
 			mu.Unlock()
 			<-slots
 		})
 	}
-	running.Wait()
+	pending.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -175,12 +175,13 @@
 	return run, c.saveEvents(run, events)
 }
 
-// runSockets runs the jobs one after the other, seed by seed, so that changes of the machine's speed affect all arms alike.
-func (c *runCmd) runSockets(l *lab, x *experiment.Experiment, r *report.Report) error {
-	all := jobs(x)
+// runSockets runs all jobs with real processes, one at a time and ordered by seed, so that changes of the machine's speed affect all arms
+// alike.
+func (c *runCmd) runSockets(env *commandEnv, x *experiment.Experiment, r *report.Report) error {
+	all := listJobs(x)
 	for i, j := range all {
-		progress("%s: run %d of %d, %s, %v", x.Name, i+1, len(all), j.arm.Name, x.World.Load.Length)
-		run, events, err := c.runOnSockets(l, x, j)
+		showProgress("%s: run %d of %d, %s, %v", x.Name, i+1, len(all), j.arm.Name, x.World.Load.Length)
+		run, events, err := c.runOnSockets(env, x, j)
 		if err != nil {
 			return fmt.Errorf("%s, seed %d: %w", j.arm.Name, j.seed, err)
 		}
@@ -193,41 +194,41 @@
 }
 
 // runOnSockets runs one job with real processes.
-func (c *runCmd) runOnSockets(l *lab, x *experiment.Experiment, j job) (report.Run, []history.Event, error) {
+func (c *runCmd) runOnSockets(env *commandEnv, x *experiment.Experiment, j job) (report.Run, []history.Event, error) {
 	world := x.World
 	world.Limits = j.arm.Limits
-	running, err := cluster.Start(world, cluster.Arm{Name: j.arm.Name, Command: l.command(j.arm), Env: j.arm.Env, Logs: c.Logs}, j.seed)
+	armCluster, err := cluster.Start(world, cluster.Arm{Name: j.arm.Name, Command: env.balancerCommand(j.arm), Env: j.arm.Env, Logs: c.Logs}, j.seed)
 	if err != nil {
 		return report.Run{}, nil, err
 	}
-	defer running.Close()
+	defer armCluster.Close()
 	var onStep func(time.Duration, string)
 	if c.Steps {
 		onStep = func(at time.Duration, text string) { fmt.Printf("%7.2fs %s\n", at.Seconds(), text) }
 	}
-	run, events, _, err := running.Run(l.ctx, onStep)
+	run, events, _, err := armCluster.Run(env.ctx, onStep)
 	run.Arm = j.arm.Name
 	run.Seed = j.seed
 	if err == nil {
-		err = l.ctx.Err()
+		err = env.ctx.Err()
 	}
 	return run, events, err
 }
 
-// command is the command that starts an arm's balancer.
-func (l *lab) command(a experiment.Arm) []string {
+// balancerCommand returns the command that starts an arm's balancer.
+func (env *commandEnv) balancerCommand(a experiment.Arm) []string {
 	switch {
 	case a.Policy != "":
-		return []string{l.self, "balancer", "--policy", a.Policy}
+		return []string{env.executable, "balancer", "--policy", a.Policy}
 	case a.Broken != "":
-		return []string{l.self, "balancer", "--broken", a.Broken}
+		return []string{env.executable, "balancer", "--broken", a.Broken}
 	case a.Binary != "":
 		return []string{a.Binary}
 	}
-	return []string{l.siblingProgram("sabletally")}
+	return []string{env.siblingProgram("sabletally")}
 }
 
-// saveEvents writes the events of a run if a folder for them was given.
+// saveEvents writes the events of a run to a file if --events is set.
 func (c *runCmd) saveEvents(run report.Run, events []history.Event) error {
 	if c.Events == "" {
 		return nil
@@ -248,7 +249,7 @@
 	Files []string `arg:"" help:"Experiment files."`
 }
 
-func (c *checkCmd) Run(*lab) error {
+func (c *checkCmd) Run(*commandEnv) error {
 	var all hclconfig.Diagnostics
 	for _, path := range c.Files {
 		x, err := experiment.Load(path)
--- a/cmd/testbed/scale_cluster.go
+++ b/cmd/testbed/scale_cluster.go
@@ -18,53 +18,54 @@
 )
 
 const (
-	responseTimeout     = 20 * time.Second // of a process of balancers
-	agreementTimeout    = 10 * time.Second // of the control processes, at the end
-	balancersPerProcess = 300
+	responseTimeout     = 20 * time.Second // limit for a hollow balancer process to send its status or to exit
+	agreementTimeout    = 10 * time.Second // limit for the control processes to reach the same state after the run
+	balancersPerProcess = 300              // limit of the hollow balancers in one process
 )
 
-// scaleCluster is all processes of a run.
+// scaleCluster is all processes of a scale test.
 type scaleCluster struct {
 	plan            *scale.Plan
 	dir             string
 	controls        []*controlProcess
 	forwarders      []*forwarderProcess
 	hosts           []*hollowProcess
-	balancersByHost [][]int
+	balancersByHost [][]int // indices of the balancers of each process in hosts
 
 	mu               sync.Mutex
 	ledger           *scale.Ledger
 	lastStatusNumber int
 }
 
-// newScaleCluster starts the control processes of a plan. The cluster that it returns beside an error, if any, must be closed.
-func newScaleCluster(plan *scale.Plan, hosts [][]int, self, binary, logs string, ledger *scale.Ledger) (*scaleCluster, error) {
+// newScaleCluster starts the control processes of a plan. The caller must close the cluster, also one that is returned with an error.
+func newScaleCluster(plan *scale.Plan, hosts [][]int, executable, binary, logs string, ledger *scale.Ledger) (*scaleCluster, error) {
 	dir, err := os.MkdirTemp("", "testbed-scale")
 	if err != nil {
 		return nil, err
 	}
-	w := &scaleCluster{plan: plan, dir: dir, balancersByHost: hosts, ledger: ledger}
+	s := &scaleCluster{plan: plan, dir: dir, balancersByHost: hosts, ledger: ledger}
 	if logs != "" {
 		if err := os.MkdirAll(logs, 0o755); err != nil {
-			return w, err
+			return s, err
 		}
 	}
-	tier := controlTier{plan: plan, self: self, binary: binary, dir: dir, log: func(name string) io.Writer { return createLog(logs, name) }}
+	tier := controlTier{plan: plan, executable: executable, controlBinary: binary, dir: dir, newLog: func(name string) io.Writer { return createLog(logs, name) }}
 	err = tier.create()
-	w.controls = tier.controls
-	w.forwarders = tier.forwarders
+	s.controls = tier.controls
+	s.forwarders = tier.forwarders
 	if err != nil {
-		return w, err
+		return s, err
 	}
-	for _, c := range w.controls {
+	for _, c := range s.controls {
 		if err := c.Launch(); err != nil {
-			return w, err
+			return s, err
 		}
 	}
-	return w, nil
+	return s, nil
 }
 
-// createLog creates the log file of a process, which is closed with this process; nil without a directory or if that fails.
+// createLog creates the log file of a process; the file stays open until this process ends. It returns nil if dir is empty or the file
+// cannot be created.
 func createLog(dir, name string) io.Writer {
 	if dir == "" {
 		return nil
@@ -76,24 +77,24 @@
 	return file
 }
 
-// seeds are the addresses of all control processes.
-func (w *scaleCluster) seeds() (all []netip.AddrPort) {
-	for _, c := range w.controls {
+// seeds returns the advertised addresses of all control processes.
+func (s *scaleCluster) seeds() (all []netip.AddrPort) {
+	for _, c := range s.controls {
 		all = append(all, c.Addr)
 	}
 	return all
 }
 
-// startBalancers starts the processes of balancers, and then all balancers at once.
-func (w *scaleCluster) startBalancers(self string) error {
-	for i, balancers := range w.balancersByHost {
-		h := &hollowProcess{program: self, onEvents: w.recordEvents, config: hollowConfig{
-			Fleet: scaleFleet,
-			Seeds: w.seeds(),
-			Seed:  w.plan.Seed*1_000_003 + uint64(i),
+// startBalancers starts the hollow balancer processes, and then all balancers at once.
+func (s *scaleCluster) startBalancers(executable string) error {
+	for i, balancers := range s.balancersByHost {
+		h := &hollowProcess{executable: executable, onEvents: s.recordEvents, config: hollowConfig{
+			Fleet: scaleFleetName,
+			Seeds: s.seeds(),
+			Seed:  s.plan.Seed*1_000_003 + uint64(i),
 		}}
 		for _, b := range balancers {
-			place := w.plan.BalancerPlaces[b]
+			place := s.plan.BalancerPlaces[b]
 			h.config.Balancers = append(h.config.Balancers, hollowBalancer{
 				Index:   b,
 				Name:    fmt.Sprintf("b%d", b),
@@ -102,42 +103,42 @@
 				Site:    regionName(place),
 			})
 		}
-		w.hosts = append(w.hosts, h)
+		s.hosts = append(s.hosts, h)
 		if err := h.start(); err != nil {
 			return err
 		}
 	}
-	for i, h := range w.hosts {
-		if err := h.send(hollowRequest{Start: w.balancersByHost[i]}); err != nil {
+	for i, h := range s.hosts {
+		if err := h.sendRequest(hollowRequest{Start: s.balancersByHost[i]}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// recordEvents records events of balancers in the ledger.
-func (w *scaleCluster) recordEvents(_ *hollowProcess, events []hollowEvent) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// recordEvents records the events of hollow balancers in the ledger.
+func (s *scaleCluster) recordEvents(_ *hollowProcess, events []hollowEvent) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, event := range events {
 		switch event.Kind {
 		case eventStarted:
-			w.ledger.RecordStart(event.Balancer, event.At)
+			s.ledger.RecordStart(event.Balancer, event.At)
 		case eventStopped:
-			w.ledger.RecordEnd(event.Balancer, event.At)
+			s.ledger.RecordEnd(event.Balancer, event.At)
 		case eventApplied:
-			w.ledger.RecordApplied(event.Balancer, event.Version, event.At)
+			s.ledger.RecordApplied(event.Balancer, event.Version, event.At)
 		}
 	}
 }
 
-// status requests the status of all processes of balancers at once and sums it up.
-func (w *scaleCluster) status(withFinal bool) (*hollowStatus, error) {
-	number := w.nextStatusNumber()
-	statuses := make([]*hollowStatus, len(w.hosts))
-	errs := make([]error, len(w.hosts))
+// status requests the status of all hollow balancer processes concurrently and returns the sum.
+func (s *scaleCluster) status(withFinal bool) (*hollowStatus, error) {
+	number := s.nextStatusNumber()
+	statuses := make([]*hollowStatus, len(s.hosts))
+	errs := make([]error, len(s.hosts))
 	var pending sync.WaitGroup
-	for i, h := range w.hosts {
+	for i, h := range s.hosts {
 		pending.Go(func() { statuses[i], errs[i] = h.status(number, withFinal) })
 	}
 	pending.Wait()
@@ -148,10 +149,10 @@
 	return sum, errors.Join(errs...)
 }
 
-// spread is the distribution of the balancers' connections over the control processes that run.
-func (w *scaleCluster) spread(status *hollowStatus) scale.Spread {
+// connectionSpread returns the distribution of the balancers' connections over the control processes that run.
+func (s *scaleCluster) connectionSpread(status *hollowStatus) scale.Spread {
 	var connections []int
-	for _, c := range w.controls {
+	for _, c := range s.controls {
 		if c.isRunning() {
 			connections = append(connections, status.Publishers[c.Addr.String()])
 		}
@@ -159,19 +160,19 @@
 	return scale.NewSpread(connections)
 }
 
-// nextStatusNumber numbers a status request.
-func (w *scaleCluster) nextStatusNumber() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastStatusNumber++
-	return w.lastStatusNumber
+// nextStatusNumber returns a new number for a status request.
+func (s *scaleCluster) nextStatusNumber() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastStatusNumber++
+	return s.lastStatusNumber
 }
 
-// clusterMemory is the resident memory of the processes of a run, in MB.
+// clusterMemory is the resident memory of the processes of a scale test, in MB.
 type clusterMemory struct {
-	balancersMB float64   // of all processes of balancers
-	controlMB   []float64 // by control process, 0 for those that do not run
-	otherMB     float64   // of this process and the forwarders
+	balancersMB float64   // sum of all hollow balancer processes
+	controlMB   []float64 // each control process by index, 0 for one that does not run
+	otherMB     float64   // sum of this process and the forwarder processes
 }
 
 func (m *clusterMemory) total() float64 {
@@ -182,18 +183,18 @@
 	return total
 }
 
-func (w *scaleCluster) memory() clusterMemory {
+func (s *scaleCluster) memoryUse() clusterMemory {
 	var memory clusterMemory
-	for _, h := range w.hosts {
+	for _, h := range s.hosts {
 		if pid := h.pid(); pid > 0 {
 			memory.balancersMB += residentMB(pid)
 		}
 	}
 	memory.otherMB = residentMB(os.Getpid())
-	for _, f := range w.forwarders {
+	for _, f := range s.forwarders {
 		memory.otherMB += residentMB(f.cmd.Process.Pid)
 	}
-	for _, c := range w.controls {
+	for _, c := range s.controls {
 		megabytes := 0.0
 		if c.isRunning() {
 			megabytes = residentMB(c.Pid())
@@ -203,51 +204,52 @@
 	return memory
 }
 
-// close ends all processes and removes their directories.
-func (w *scaleCluster) close() {
-	var running sync.WaitGroup
-	for _, h := range w.hosts {
-		running.Go(func() { h.stop(false) })
+// close ends all processes and removes their directory.
+func (s *scaleCluster) close() {
+	var pending sync.WaitGroup
+	for _, h := range s.hosts {
+		pending.Go(func() { h.stop(false) })
 	}
-	for _, c := range w.controls {
+	for _, c := range s.controls {
 		if c.Process == nil {
 			continue
 		}
-		running.Go(func() {
+		pending.Go(func() {
 			if c.Exited() != nil {
 				c.Kill()
 			}
 		})
 	}
-	running.Wait()
-	for _, f := range w.forwarders {
+	pending.Wait()
+	for _, f := range s.forwarders {
 		f.close()
 	}
-	if w.dir != "" {
-		_ = os.RemoveAll(w.dir)
+	if s.dir != "" {
+		_ = os.RemoveAll(s.dir)
 	}
 }
 
-// unreadyControls lists the control processes that do not run, do not see all others, or have not published a version; "" if there is none.
-func (w *scaleCluster) unreadyControls(version uint64) string {
-	problems := make([]string, len(w.controls))
+// unreadyControls describes the control processes that do not run, do not see all others, or have not published the version. It returns ""
+// if all are ready.
+func (s *scaleCluster) unreadyControls(version uint64) string {
+	problems := make([]string, len(s.controls))
 	var pending sync.WaitGroup
-	for i, c := range w.controls {
-		pending.Go(func() { problems[i] = w.checkControl(c, version) })
+	for i, c := range s.controls {
+		pending.Go(func() { problems[i] = s.describeUnready(c, version) })
 	}
 	pending.Wait()
-	return strings.Join(slices.DeleteFunc(problems, func(s string) bool { return s == "" }), ", ")
+	return strings.Join(slices.DeleteFunc(problems, func(problem string) bool { return problem == "" }), ", ")
 }
 
-// checkControl describes why a control process is not ready, "" if it is.
-func (w *scaleCluster) checkControl(c *controlProcess, version uint64) string {
+// describeUnready returns the reason why a control process is not ready, or "" if it is.
+func (s *scaleCluster) describeUnready(c *controlProcess, version uint64) string {
 	report, err := c.Fleet()
 	switch {
 	case !c.isRunning():
 		return c.Name + " does not run"
 	case err != nil:
 		return err.Error()
-	case report.Alive != len(w.controls) || report.Store == nil || report.Store.Members != len(w.controls):
+	case report.Alive != len(s.controls) || report.Store == nil || report.Store.Members != len(s.controls):
 		return fmt.Sprintf("%s sees %d control processes alive", c.Name, report.Alive)
 	case !isCurrent(report.Publisher, version):
 		return c.Name + " is not current"
@@ -256,7 +258,7 @@
 	}
 }
 
-// isCurrent reports whether a publisher has the version and a valid lease.
+// isCurrent reports whether a publisher has at least the version, and a valid lease.
 func isCurrent(publisher *fleet.PublisherReport, version uint64) bool {
 	if publisher == nil || publisher.Version < version {
 		return false
@@ -264,26 +266,26 @@
 	return publisher.Age >= 0 && publisher.Age <= changefeed.DefaultLease.Seconds()
 }
 
-// agreedState waits until all control processes that run have the same state, and returns it.
-func (w *scaleCluster) agreedState() (feedState, error) {
+// waitForAgreedState waits until all control processes that run have the same state, and returns it.
+func (s *scaleCluster) waitForAgreedState() (feedState, error) {
 	for deadline := time.Now().Add(agreementTimeout); ; time.Sleep(pollInterval) {
-		states, err := w.publisherStates()
+		states, err := s.publisherStates()
 		if err == nil && len(states) == 1 {
 			for state := range states {
 				return state, nil
 			}
 		}
 		if time.Now().After(deadline) {
-			return feedState{}, errors.Join(err, fmt.Errorf("control processes have different states after %v: %v", agreementTimeout, states))
+			return feedState{}, errors.Join(err, fmt.Errorf("control processes have not reached the same state within %v: %v", agreementTimeout, states))
 		}
 	}
 }
 
-// publisherStates are the states of the control processes that run, each with the name of one that has it. After an error, they are those
-// of the processes that were queried before.
-func (w *scaleCluster) publisherStates() (map[feedState]string, error) {
+// publisherStates returns the states that the running control processes publish, each with the name of one process that has it. With an
+// error, it returns the states of the processes that were queried before the error.
+func (s *scaleCluster) publisherStates() (map[feedState]string, error) {
 	states := map[feedState]string{}
-	for _, c := range w.controls {
+	for _, c := range s.controls {
 		if !c.isRunning() {
 			continue
 		}
--- a/cmd/testbed/scale_faults.go
+++ b/cmd/testbed/scale_faults.go
@@ -9,67 +9,67 @@
 	"sabletally/internal/lab/scale"
 )
 
-// applyStep carries out one step of the fault schedule and returns once that is done.
-func (w *scaleCluster) applyStep(step scale.Step) error {
+// applyStep carries out one step of the fault schedule and returns once the step is complete.
+func (s *scaleCluster) applyStep(step scale.Step) error {
 	switch step.Action {
 	case scale.KillControl:
-		return w.eachControl(step.Targets, func(c *controlProcess) error {
+		return s.forEachControl(step.Targets, func(c *controlProcess) error {
 			c.kill()
 			return nil
 		})
 	case scale.StopControl:
-		return w.eachControl(step.Targets, func(c *controlProcess) error {
+		return s.forEachControl(step.Targets, func(c *controlProcess) error {
 			c.shutDown()
 			return nil
 		})
 	case scale.StartControl:
-		return w.eachControl(step.Targets, (*controlProcess).restart)
+		return s.forEachControl(step.Targets, (*controlProcess).restart)
 	case scale.CutLinks:
-		return w.cutOff(step.Targets)
+		return s.cutOff(step.Targets)
 	case scale.RestoreLinks:
-		return w.cutOff(nil)
+		return s.cutOff(nil)
 	case scale.StopBalancers, scale.StartBalancers:
-		return w.setBalancers(step.Targets, step.Action == scale.StartBalancers)
+		return s.setBalancers(step.Targets, step.Action == scale.StartBalancers)
 	case scale.KillZone:
-		return w.eachHostOf(step.Targets[0], w.killHost)
+		return s.forEachHostInZone(step.Targets[0], s.killHost)
 	case scale.StartZone:
-		return w.eachHostOf(step.Targets[0], w.restartHost)
+		return s.forEachHostInZone(step.Targets[0], s.restartHost)
 	default:
-		return fmt.Errorf("unknown action %q", step.Action)
+		return fmt.Errorf("fault schedule has the unknown action %q", step.Action)
 	}
 }
 
-// eachControl calls do for several control processes concurrently.
-func (w *scaleCluster) eachControl(indices []int, do func(c *controlProcess) error) error {
-	var running sync.WaitGroup
+// forEachControl calls operation concurrently for the control processes with the given indices.
+func (s *scaleCluster) forEachControl(indices []int, operation func(c *controlProcess) error) error {
+	var pending sync.WaitGroup
 	errs := make([]error, len(indices))
 	for i, index := range indices {
-		running.Go(func() { errs[i] = do(w.controls[index]) })
+		pending.Go(func() { errs[i] = operation(s.controls[index]) })
 	}
-	running.Wait()
+	pending.Wait()
 	return errors.Join(errs...)
 }
 
-// cutOff cuts control processes off from all others, and restores all other links.
-func (w *scaleCluster) cutOff(controls []int) error {
-	var running sync.WaitGroup
-	errs := make([]error, len(w.forwarders))
-	for i, f := range w.forwarders {
-		running.Go(func() { _, errs[i] = f.call(forwarderRequest{CutOff: controls}) })
+// cutOff cuts the given control processes off from all others, and restores all other links.
+func (s *scaleCluster) cutOff(controls []int) error {
+	var pending sync.WaitGroup
+	errs := make([]error, len(s.forwarders))
+	for i, f := range s.forwarders {
+		pending.Go(func() { _, errs[i] = f.call(forwarderRequest{CutOff: controls}) })
 	}
-	running.Wait()
+	pending.Wait()
 	return errors.Join(errs...)
 }
 
-// setBalancers starts or stops balancers.
-func (w *scaleCluster) setBalancers(balancers []int, up bool) error {
+// setBalancers starts the given balancers if up is set, and stops them otherwise.
+func (s *scaleCluster) setBalancers(balancers []int, up bool) error {
 	selected := map[int]bool{}
 	for _, b := range balancers {
 		selected[b] = true
 	}
-	for i, h := range w.hosts {
+	for i, h := range s.hosts {
 		var indices []int
-		for _, b := range w.balancersByHost[i] {
+		for _, b := range s.balancersByHost[i] {
 			if selected[b] {
 				indices = append(indices, b)
 			}
@@ -77,47 +77,47 @@
 		if len(indices) == 0 {
 			continue
 		}
-		order := hollowRequest{Stop: indices}
+		request := hollowRequest{Stop: indices}
 		if up {
-			order = hollowRequest{Start: indices}
+			request = hollowRequest{Start: indices}
 		}
-		if err := h.send(order); err != nil {
+		if err := h.sendRequest(request); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// eachHostOf calls do concurrently for each process of balancers of a zone.
-func (w *scaleCluster) eachHostOf(zone int, do func(host int) error) error {
-	var running sync.WaitGroup
-	errs := make([]error, len(w.hosts))
-	for i := range w.hosts {
-		if w.plan.BalancerPlaces[w.balancersByHost[i][0]].Zone == zone {
-			running.Go(func() { errs[i] = do(i) })
+// forEachHostInZone calls operation concurrently for each hollow balancer process of a zone, with the index of the process.
+func (s *scaleCluster) forEachHostInZone(zone int, operation func(host int) error) error {
+	var pending sync.WaitGroup
+	errs := make([]error, len(s.hosts))
+	for i := range s.hosts {
+		if s.plan.BalancerPlaces[s.balancersByHost[i][0]].Zone == zone {
+			pending.Go(func() { errs[i] = operation(i) })
 		}
 	}
-	running.Wait()
+	pending.Wait()
 	return errors.Join(errs...)
 }
 
-// restartHost starts a process of balancers again, and its balancers.
-func (w *scaleCluster) restartHost(host int) error {
-	if err := w.hosts[host].start(); err != nil {
+// restartHost starts a hollow balancer process and all of its balancers again.
+func (s *scaleCluster) restartHost(host int) error {
+	if err := s.hosts[host].start(); err != nil {
 		return err
 	}
-	return w.hosts[host].send(hollowRequest{Start: w.balancersByHost[host]})
+	return s.hosts[host].sendRequest(hollowRequest{Start: s.balancersByHost[host]})
 }
 
-// killHost kills a process of balancers, after it has reported the events so far.
-func (w *scaleCluster) killHost(host int) error {
-	_, _ = w.hosts[host].status(w.nextStatusNumber(), false) // it fails only if the process has ended
+// killHost kills a hollow balancer process after it has reported its events so far, and records the end of its balancers.
+func (s *scaleCluster) killHost(host int) error {
+	_, _ = s.hosts[host].status(s.nextStatusNumber(), false) // it fails only if the process has ended
 	now := boottime.Now()
-	w.hosts[host].stop(true)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, b := range w.balancersByHost[host] {
-		w.ledger.RecordEnd(b, now)
+	s.hosts[host].stop(true)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, b := range s.balancersByHost[host] {
+		s.ledger.RecordEnd(b, now)
 	}
 	return nil
 }
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -20,8 +20,8 @@
 	"sabletally/policy"
 )
 
-// throughputCmd measures the cost of a balancer: builds and numbers of cores are the arms, and the first arm is the same clients
-// connected to the servers directly.
+// throughputCmd measures set-ups and lines per second, latency and memory of balancers. Each pair of a binary and a number of cores is an
+// arm. The arm "direct", to which the others are compared, connects the same clients to the servers without a balancer.
 type throughputCmd struct {
 	Binary []string      `help:"Balancer binaries (NAME=PATH); by default the one beside the testbed." placeholder:"NAME=PATH"`
 	Cores  []int         `default:"1,2,4" help:"Cores of the balancer."`
@@ -35,25 +35,26 @@
 	Report string        `help:"File for the figures as JSON." type:"path" placeholder:"FILE"`
 }
 
-// throughput is the figures of one arm: medians over all rounds. Latencies are microseconds.
-type throughput struct {
+// throughputFigures are the figures of one arm as written to the report. Rates and latencies are medians over the rounds; latencies are in
+// microseconds.
+type throughputFigures struct {
 	Arm            string
 	Cores          int
 	Setups         float64 // per second
 	Lines          float64 // per second
-	SetupP50       float64 // at the rate of --setups
+	SetupP50       float64 // latency of a set-up at --setups per second
 	SetupP99       float64
-	LineP50        float64 // at the rate of --rate
+	LineP50        float64 // latency of a line at --rate per second
 	LineP99        float64
-	FloodP99       float64 // of a line at the same rate, while another session sends at full speed
-	IdleKiB        float64 // memory of an idle session
+	FloodP99       float64 // latency of a line at --rate per second while another session sends at full speed
+	IdleKiB        float64 // resident memory of the balancer per idle session
 	SetupsOfDirect float64 // ratio to the direct arm
-	LinesOfDirect  float64
-	Failed         int
+	LinesOfDirect  float64 // ratio to the direct arm
+	Failed         int     // number of set-ups and lines that failed in all rounds
 }
 
-// rounds are the figures of one arm, by round.
-type rounds struct {
+// roundFigures are the figures of one arm, with one value for each round.
+type roundFigures struct {
 	setups   []float64
 	lines    []float64
 	setupP50 []float64
@@ -63,10 +64,10 @@
 	floodP99 []float64
 }
 
-// throughputArm is one target, and the balancer there unless the target is the servers themselves.
+// throughputArm is one arm of the measurement: a target and, except for the direct arm, the balancer that listens there.
 type throughputArm struct {
-	throughput
-	rounds  rounds
+	throughputFigures
+	rounds  roundFigures
 	command []string
 	process *cluster.Process
 	agent   *emulator.Agent
@@ -75,13 +76,13 @@
 
 const (
 	benchServers   = 8
-	setupWorkers   = 64
-	idleSettleTime = 2 * time.Second // in which a balancer releases the memory that set-ups needed
+	setupWorkers   = 64              // number of concurrent set-ups while their rate is measured
+	idleSettleTime = 2 * time.Second // time for a balancer to release the memory that it needed only for set-ups
 )
 
-func (c *throughputCmd) Run(l *lab) error {
+func (c *throughputCmd) Run(env *commandEnv) error {
 	if c.Rounds < 1 || c.Lines < 1 || c.Window < 1 {
-		return errors.New("rounds, lines and window: one at least")
+		return errors.New("--rounds, --lines and --window must be at least 1")
 	}
 	var addrs []string
 	for range benchServers {
@@ -97,7 +98,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	balancers, err := c.balancerArms(l)
+	balancers, err := c.balancerArms(env)
 	if err != nil {
 		return err
 	}
@@ -108,9 +109,9 @@
 		defer arm.process.Kill()
 		defer arm.agent.Close()
 	}
-	direct := &throughputArm{throughput: throughput{Arm: "direct"}, target: bench.NewTarget(addrs...)}
+	direct := &throughputArm{throughputFigures: throughputFigures{Arm: "direct"}, target: bench.NewTarget(addrs...)}
 	arms := append([]*throughputArm{direct}, balancers...)
-	if err := c.measureRounds(l, arms); err != nil {
+	if err := c.measureRounds(env, arms); err != nil {
 		return err
 	}
 	if c.Idle > 0 {
@@ -118,35 +119,35 @@
 			return err
 		}
 	}
-	progress("")
+	showProgress("")
 	for _, arm := range arms {
 		arm.summarize()
-		arm.compare(direct)
+		arm.compareWithDirect(direct)
 	}
 	c.printTable(arms)
 	return c.writeReport(arms)
 }
 
-// balancerArms are the arms with a balancer: all binaries with all numbers of cores.
-func (c *throughputCmd) balancerArms(l *lab) ([]*throughputArm, error) {
+// balancerArms returns the arms with a balancer: each binary with each number of cores.
+func (c *throughputCmd) balancerArms(env *commandEnv) ([]*throughputArm, error) {
 	binaries := c.Binary
 	if len(binaries) == 0 {
-		binaries = []string{"sabletally=" + l.siblingProgram("sabletally")}
+		binaries = []string{"sabletally=" + env.siblingProgram("sabletally")}
 	}
 	var arms []*throughputArm
 	for _, binary := range binaries {
 		name, path, found := strings.Cut(binary, "=")
 		if !found {
-			return nil, fmt.Errorf("binary %q: wants NAME=PATH", binary)
+			return nil, fmt.Errorf("--binary %q does not have the form NAME=PATH", binary)
 		}
 		for _, cores := range c.Cores {
-			arms = append(arms, &throughputArm{throughput: throughput{Arm: name, Cores: cores}, command: []string{path}})
+			arms = append(arms, &throughputArm{throughputFigures: throughputFigures{Arm: name, Cores: cores}, command: []string{path}})
 		}
 	}
 	return arms, nil
 }
 
-// startBalancer starts an arm's balancer without health checks and with as many descriptors as it needs.
+// startBalancer starts an arm's balancer without health checks and with enough descriptors for the idle sessions.
 func (a *throughputArm) startBalancer(index int, dir string, servers []string, idle int) error {
 	agent, err := emulator.NewAgent(index, &emulator.Clock{}, history.New(1000), func(string) int { return 0 })
 	if err != nil {
@@ -168,7 +169,7 @@
 	return a.process.Start()
 }
 
-// throughputWorld is the deployment of an arm's balancer.
+// throughputWorld returns the deployment of an arm's balancer.
 func throughputWorld(cores, idle int) *topology.World {
 	return &topology.World{
 		Balancers:        1,
@@ -190,15 +191,15 @@
 	}
 }
 
-// measureRounds measures all arms in turn, in each round.
-func (c *throughputCmd) measureRounds(l *lab, arms []*throughputArm) error {
+// measureRounds measures all arms, one after the other in each round.
+func (c *throughputCmd) measureRounds(env *commandEnv, arms []*throughputArm) error {
 	for round := range c.Rounds {
 		for _, arm := range arms {
-			if l.ctx.Err() != nil {
-				return l.ctx.Err()
+			if env.ctx.Err() != nil {
+				return env.ctx.Err()
 			}
-			progress("throughput: round %d of %d, %s %d", round+1, c.Rounds, arm.Arm, arm.Cores)
-			if err := c.measureRound(l, arm); err != nil {
+			showProgress("throughput: round %d of %d, %s %d", round+1, c.Rounds, arm.Arm, arm.Cores)
+			if err := c.measureRound(env, arm); err != nil {
 				return fmt.Errorf("%s, %d cores: %w", arm.Arm, arm.Cores, err)
 			}
 		}
@@ -206,21 +207,21 @@
 	return nil
 }
 
-// measureRound measures all of an arm's figures once, except for memory.
-func (c *throughputCmd) measureRound(l *lab, arm *throughputArm) error {
+// measureRound measures each figure of an arm once, except for the memory of idle sessions.
+func (c *throughputCmd) measureRound(env *commandEnv, arm *throughputArm) error {
 	setups := bench.SetupRate(arm.target, setupWorkers, c.Span)
 	pacedSetups := bench.PacedSetups(arm.target, c.Setups, c.Span)
 	connections, err := bench.OpenConnections(arm.target, c.Lines)
 	if err != nil {
 		return err
 	}
-	lines := connections.Lines(l.ctx, c.Window, c.Span)
+	lines := connections.Lines(env.ctx, c.Window, c.Span)
 	pacedLines := connections.PacedLines(c.Rate, c.Span)
 	stopFlood, err := bench.StartFlood(arm.target)
 	if err != nil {
 		return err
 	}
-	besideFlood := connections.PacedLines(c.Rate, c.Span)
+	linesDuringFlood := connections.PacedLines(c.Rate, c.Span)
 	stopFlood()
 	connections.Close()
 	r := &arm.rounds
@@ -230,16 +231,16 @@
 	r.setupP99 = append(r.setupP99, pacedSetups.P99)
 	r.lineP50 = append(r.lineP50, pacedLines.P50)
 	r.lineP99 = append(r.lineP99, pacedLines.P99)
-	r.floodP99 = append(r.floodP99, besideFlood.P99)
+	r.floodP99 = append(r.floodP99, linesDuringFlood.P99)
 	arm.Failed += setups.Failed + pacedSetups.Failed + pacedLines.Failed
 	return nil
 }
 
-// measureIdle measures the memory of idle sessions, in a new process of each arm: the memory that the rounds left allocated would hide
-// that of the sessions.
+// measureIdle measures the memory of idle sessions in a new process of each arm, because memory that the rounds left allocated would be
+// reused for the sessions and hide their share.
 func (c *throughputCmd) measureIdle(balancers []*throughputArm) error {
 	for _, arm := range balancers {
-		progress("throughput: %d idle sessions at %s %d", c.Idle, arm.Arm, arm.Cores)
+		showProgress("throughput: %d idle sessions at %s %d", c.Idle, arm.Arm, arm.Cores)
 		arm.process.Kill()
 		if err := arm.process.Start(); err != nil {
 			return err
@@ -256,13 +257,13 @@
 	return nil
 }
 
-// median sorts values and returns the median; of an even number, the higher of the two.
+// median sorts values and returns the median. For an even number of values, it is the higher of the middle two.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	return values[len(values)/2]
 }
 
-// summarize sets the arm's figures from those of its rounds.
+// summarize sets the arm's figures to the medians over its rounds.
 func (a *throughputArm) summarize() {
 	a.Setups = median(a.rounds.setups)
 	a.Lines = median(a.rounds.lines)
@@ -273,8 +274,8 @@
 	a.FloodP99 = median(a.rounds.floodP99)
 }
 
-// compare sets the ratios to the direct arm.
-func (a *throughputArm) compare(direct *throughputArm) {
+// compareWithDirect sets the ratios to the direct arm.
+func (a *throughputArm) compareWithDirect(direct *throughputArm) {
 	a.SetupsOfDirect = a.Setups / direct.Setups
 	a.LinesOfDirect = a.Lines / direct.Lines
 }
@@ -299,14 +300,14 @@
 	}
 }
 
-// writeReport writes the figures of all arms as JSON if a file for them was given.
+// writeReport writes the figures of all arms as JSON if --report is set.
 func (c *throughputCmd) writeReport(arms []*throughputArm) error {
 	if c.Report == "" {
 		return nil
 	}
-	var figures []throughput
+	var figures []throughputFigures
 	for _, arm := range arms {
-		figures = append(figures, arm.throughput)
+		figures = append(figures, arm.throughputFigures)
 	}
 	if err := os.MkdirAll(filepath.Dir(c.Report), 0o755); err != nil {
 		return err
