--- a/internal/fleet/changefeed/candidate.go
+++ b/internal/fleet/changefeed/candidate.go
@@ -41,14 +41,14 @@
 	zone         string
 	site         string
 	score        uint64 // rendezvousScore for this subscriber
-	isListed     bool   // the state or the configured seeds name it
-	dialedAsSeed bool   // it was dialed while its ID was unknown, and has not been chosen since
+	isListed     bool   // whether the state or the configured seeds name the publisher
+	dialedAsSeed bool   // whether the publisher was dialed while its ID was unknown, and has not been chosen since
 
 	consecutiveFailures int           // consecutive failures, which determine the backoff
-	hasFailed           bool          // it has failed and has not served for failureResetAfter since
+	hasFailed           bool          // whether the publisher has failed, and no healthy connection has lasted for failureResetAfter since
 	failedAt            time.Duration // time of the last failure
-	avoidUntil          time.Duration // time before which it is not chosen
-	hasRejected         bool          // its last connection ended with a Reject, which set avoidUntil
+	avoidUntil          time.Duration // time before which the publisher is not chosen
+	hasRejected         bool          // whether the last connection ended with a Reject, which set avoidUntil
 
 	state      connectionState
 	stateSince time.Duration // time at which the dial or the open connection began
--- a/internal/fleet/changefeed/item.go
+++ b/internal/fleet/changefeed/item.go
@@ -25,8 +25,8 @@
 
 // Estimated encoding overhead in bytes, which Size adds to the length of keys and values.
 const (
-	messageOverhead = 40 // for each message
-	itemOverhead    = 10 // for each item
+	messageOverhead = 40 // bytes of overhead of a message
+	itemOverhead    = 10 // bytes of overhead of an item
 )
 
 // Item is a key with its value, or a deletion of the key. Values are shared between states and messages, so they are never modified.
@@ -41,7 +41,7 @@
 	Version      uint64 `cbor:"1,keyasint"`
 	DigestBefore uint64 `cbor:"2,keyasint"`           // digest of the whole state before the change
 	DigestAfter  uint64 `cbor:"3,keyasint"`           // digest of the whole state after the change
-	Items        []Item `cbor:"4,keyasint,omitempty"` // at most one item for each key
+	Items        []Item `cbor:"4,keyasint,omitempty"` // the items that change, at most one for each key
 }
 
 // Snapshot is the complete state at one version, with its items ordered by key.
--- a/internal/fleet/changefeed/message.go
+++ b/internal/fleet/changefeed/message.go
@@ -80,7 +80,7 @@
 	Version       uint64 `cbor:"1,keyasint,omitempty"`
 	Digest        uint64 `cbor:"2,keyasint,omitempty"`
 	ForceSnapshot bool   `cbor:"3,keyasint,omitempty"` // send a snapshot even if the publisher has the changes
-	LastResponse  uint64 `cbor:"4,keyasint,omitempty"` // as in RenewRequest: sequence of the newest RenewResponse received
+	LastResponse  uint64 `cbor:"4,keyasint,omitempty"` // sequence of the newest RenewResponse that the subscriber has received
 }
 
 // Reject tells a subscriber to follow another publisher. The publisher closes the connection after it.
--- a/internal/fleet/changefeed/publisher.go
+++ b/internal/fleet/changefeed/publisher.go
@@ -24,15 +24,15 @@
 // Limits and timeouts of a publisher.
 const (
 	ackTimeout         = 30 * time.Second // a session with messages in flight is closed after this time without an acknowledgement
-	fullRetryAfter     = 15 * time.Second // in a Reject beyond MaxSubscribers; like the next two, jittered to between one and two times this
-	drainRetryAfter    = 30 * time.Second // in a Reject by a draining publisher
-	protocolRetryAfter = 60 * time.Second // in a Reject of a subscriber of another fleet or with a newer protocol
+	fullRetryAfter     = 15 * time.Second // retry time in a Reject beyond MaxSubscribers; like the next two, jittered to between one and two times this
+	drainRetryAfter    = 30 * time.Second // retry time in a Reject by a draining publisher
+	protocolRetryAfter = 60 * time.Second // retry time in a Reject of a subscriber of another fleet or with a newer protocol
 
-	maxUnreadResponses        = 16   // renew responses that a subscriber has not confirmed to have read, for each session
-	maxUnackedMessages        = 1024 // messages in flight, for each session
-	maxDistinctSnapshots      = 4    // different snapshots in flight to all sessions
-	maxPublisherConfirmations = 8    // pending confirmations of versions that the log does not have yet
-	maxNameBytes              = 256  // length of the ID and of each name in a Hello
+	maxUnreadResponses        = 16   // maximum number of renew responses of a session that the subscriber has not confirmed to have read
+	maxUnackedMessages        = 1024 // maximum number of messages in flight of a session
+	maxDistinctSnapshots      = 4    // maximum number of different snapshots in flight to all sessions
+	maxPublisherConfirmations = 8    // maximum number of pending confirmations of versions that the log does not have yet
+	maxNameBytes              = 256  // maximum length of the ID and of each name in a Hello
 )
 
 // publisherSeedStream separates a publisher's random number sequence from others with the same seed.
@@ -46,7 +46,7 @@
 	WindowBytes            int           // bytes in flight to one subscriber; a larger message is sent alone
 	SnapshotBytesPerSecond int           // rate limit of snapshots to all subscribers together
 	Lease                  time.Duration // zero: DefaultLease
-	Seed                   uint64        // of the random numbers that jitter retry times
+	Seed                   uint64        // seed of the random numbers that jitter retry times
 }
 
 // PublisherSend is a message to be sent on one connection. The messages to a connection have to be sent in the order in which Ready returns
@@ -60,7 +60,7 @@
 // been sent.
 type PublisherReady struct {
 	Sends      []PublisherSend
-	CloseConns []uint64 // IDs of the connections
+	CloseConns []uint64 // IDs of the connections to close
 	Events     []Event
 }
 
--- a/internal/fleet/changefeed/subscriber.go
+++ b/internal/fleet/changefeed/subscriber.go
@@ -10,11 +10,11 @@
 
 // Limits of a subscriber.
 const (
-	targetPublishers           = 2        // publishers that a subscriber follows; one more while it replaces one
-	maxCandidates              = 4096     // ranked publishers and seeds; further ones are ignored
-	maxPendingRenewals         = 8        // unanswered renewals for each connection; the oldest one is dropped first
-	maxConnectionConfirmations = 4        // pending confirmations for each connection, of versions that the state does not have yet
-	recentDigestCount          = 64       // newest versions whose digests are kept, to detect a conflicting history of a publisher that lags
+	targetPublishers           = 2        // number of publishers that a subscriber follows; one more while it replaces one
+	maxCandidates              = 4096     // maximum number of ranked publishers and seeds; further ones are ignored
+	maxPendingRenewals         = 8        // maximum number of unanswered renewals of a connection; the oldest one is dropped first
+	maxConnectionConfirmations = 4        // maximum number of pending confirmations of a connection, of versions that the state does not have yet
+	recentDigestCount          = 64       // number of newest versions whose digests are kept, to detect a conflicting history of a publisher that lags
 	ackThresholdBytes          = 64 << 10 // size of the changes from one publisher after which an Ack is sent before the next renewal
 )
 
@@ -32,7 +32,7 @@
 	Fleet       string        // ID of the fleet; empty: the fleet of the first state that is received
 	Seeds       []string      // addresses of publishers, ranked after the publishers that the state names
 	Lease       time.Duration // zero: DefaultLease
-	Seed        uint64        // of the random numbers that jitter intervals and delays
+	Seed        uint64        // seed of the random numbers that jitter intervals and delays
 }
 
 // SubscriberSend is a message to be sent to one publisher.
--- a/internal/fleet/close.go
+++ b/internal/fleet/close.go
@@ -14,7 +14,7 @@
 const handOverPoll = 50 * time.Millisecond
 
 // HandOver moves this member's replicas and leadership to other members before it leaves, and returns when that is done or after the timeout.
-// The other members repair what was not moved as if this machine had failed; it also remains on the disk here.
+// Replicas that were not moved remain on this machine's disk, and the other members replace them as if the machine had failed.
 func (f *Fleet) HandOver(timeout time.Duration) {
 	m := f.currentMember()
 	if m == nil {
--- a/internal/fleet/consensus/confirmation.go
+++ b/internal/fleet/consensus/confirmation.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	confirmInterval  = 500 * time.Millisecond // between two requests
-	maxConfirmations = 4                      // pending requests; the library stores each until it is answered
+	confirmInterval  = 500 * time.Millisecond // time between two requests for a confirmation
+	maxConfirmations = 4                      // maximum number of pending requests; the library stores each until it is answered
 	contextBytes     = 8                      // length of a read index request's context, which is the confirmation's number
 )
 
@@ -22,8 +22,8 @@
 	term       uint64         // the term in which the pending requests were sent
 	lastNumber uint64
 
-	confirmedAt   time.Duration // when the newest confirmed request was sent
-	everConfirmed bool          // confirmedAt is valid
+	confirmedAt   time.Duration // time at which the newest confirmed request was sent
+	everConfirmed bool          // whether confirmedAt is valid
 }
 
 // confirmation is one request. Once a majority has answered it and the log is applied up to its index, the state contains everything that
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -51,12 +51,12 @@
 
 	now              time.Duration
 	lastTick         time.Duration
-	electionDeadline time.Duration // when this voter campaigns, unless a leader contacts it before
+	electionDeadline time.Duration // time at which this voter campaigns, unless a leader contacts it before
 
 	state         *shardmap.State
 	appliedIndex  uint64
 	snapshotIndex uint64
-	votersChanged bool // the voters have changed since the snapshot: a new voter needs one that lists it as a voter
+	votersChanged bool // whether the voters have changed since the latest snapshot: a new voter needs a snapshot that lists it as a voter
 
 	pending       Ready // the result of the next call of Ready, without its messages
 	confirmations confirmations
--- a/internal/fleet/consensus/logger.go
+++ b/internal/fleet/consensus/logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// discardLogger discards the Raft library's log, as the packages that make decisions log them. It panics where the library expects the
-// process to be terminated.
+// discardLogger discards the Raft library's log messages: the packages that make decisions log these themselves. It panics where the
+// library expects the process to be terminated.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)                   {}
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -217,7 +217,7 @@
 	var encoded []Message
 	for _, message := range messages {
 		encoded = append(encoded, Message{To: message.GetTo(), Data: marshal(message)})
-		if message.GetType() == pb.MsgSnap { // if the snapshot is lost, the voter's next response shows it
+		if message.GetType() == pb.MsgSnap { // success is assumed: if the snapshot is lost, the voter's next response shows that
 			n.rawNode.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 		}
 	}
--- a/internal/fleet/datadir/datadir.go
+++ b/internal/fleet/datadir/datadir.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = directory.Close() }() // it was opened for reading only
+	defer func() { _ = directory.Close() }() // the directory was opened for reading only
 	return directory.Sync()
 }
 
--- a/internal/fleet/endpoint_list.go
+++ b/internal/fleet/endpoint_list.go
@@ -19,13 +19,13 @@
 // EndpointList is the stored form of the newest endpoint list. It serves balancers that start while discovery does not respond.
 type EndpointList struct {
 	Revision    uint64          `json:"rev"`
-	ConfirmedAt int64           `json:"at"` // when discovery last confirmed the list, in Unix seconds
+	ConfirmedAt int64           `json:"at"` // time at which discovery last confirmed the list, in Unix seconds
 	Endpoints   json.RawMessage `json:"known"`
 }
 
 // endpointListWriter is the state of the writes of the endpoint list. It is guarded by the fleet's lock.
 type endpointListWriter struct {
-	writtenAt       time.Time // when the latest write was started
+	writtenAt       time.Time // time at which the latest write was started
 	writtenRevision uint64    // revision of the list that was stored last
 	recordVersion   uint64    // version of the stored record, which the next write expects
 	isWriting       bool      // whether a write has no result yet
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -47,7 +47,7 @@
 	transport *gossip.Transport
 	agent     *gossip.Agent
 	node      *nodeserver.Server
-	publisher *publisher.Server // nil unless it is a control process
+	publisher *publisher.Server // nil unless this process is a control process
 }
 
 // Open opens the data directory and the listening address, and starts to look for the other members in the background. If waitForLock is
--- a/internal/fleet/gossip/agent.go
+++ b/internal/fleet/gossip/agent.go
@@ -20,7 +20,7 @@
 
 const (
 	maxQueuedEvents = 4096                   // events waiting for the table; if there are more, the table is synchronized with the library's list of members instead
-	leaveTimeout    = 500 * time.Millisecond // longest wait until an announcement that this member leaves was sent
+	leaveTimeout    = 500 * time.Millisecond // longest wait until the announcement that this member leaves is sent
 )
 
 // Options are the parameters of an agent.
@@ -60,7 +60,7 @@
 
 	isLeaving  atomic.Bool            // this member announced that it is about to leave
 	lastTickAt atomic.Int64           // time of the table's newest tick in nanoseconds of Options.Now
-	malformed  atomic.Int64           // Status.Malformed
+	malformed  atomic.Int64           // count that Status reports as Malformed
 	status     atomic.Pointer[Status] // status that was published last
 
 	mu         sync.Mutex
@@ -104,7 +104,7 @@
 	a.publish()
 	list, err := memberlist.Create(cfg)
 	if err != nil {
-		return nil, fmt.Errorf("start of the gossip library: %w", err)
+		return nil, fmt.Errorf("start the gossip library: %w", err)
 	}
 	a.memberlist = list
 	a.goroutines.Add(1)
@@ -173,7 +173,7 @@
 func (a *Agent) Close() {
 	a.closeOnce.Do(func() {
 		close(a.done)
-		_ = a.memberlist.Shutdown() // it returns the error of the transport's Shutdown, which never fails
+		_ = a.memberlist.Shutdown() // the only error is that of the transport's Shutdown, which never fails
 		a.goroutines.Wait()
 	})
 }
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -83,7 +83,7 @@
 		_ = t.tcp.Close() // the error of the UDP socket is returned
 		return nil, err
 	}
-	_ = t.udp.SetReadBuffer(receiveBufferBytes) // with a smaller buffer more datagrams are lost and have to be sent again
+	_ = t.udp.SetReadBuffer(receiveBufferBytes) // a failure is harmless: with a smaller buffer, more datagrams are lost and sent again
 	t.goroutines.Add(2)
 	go t.receiveDatagrams()
 	go t.acceptStreams()
@@ -171,7 +171,7 @@
 
 // identify reads the first byte of a stream, counts the stream among those of its kind and returns the receiver of that kind.
 func (t *Transport) identify(s *stream) (chan<- net.Conn, error) {
-	_ = s.SetReadDeadline(time.Now().Add(firstByteTimeout)) // if the connection is closed, the read reports it
+	_ = s.SetReadDeadline(time.Now().Add(firstByteTimeout)) // fails only on a closed connection, on which the read fails as well
 	n, err := io.ReadFull(s.Conn, s.firstByte[:])
 	_ = s.SetReadDeadline(time.Time{})
 	if err != nil {
--- a/internal/fleet/idempotency.go
+++ b/internal/fleet/idempotency.go
@@ -37,7 +37,7 @@
 type IdempotencyDecision struct {
 	idempotency.Decision
 	Answer        []byte        // recorded answer, if the decision is idempotency.Replay
-	WriteDeadline time.Duration // when the permission to write ends, by the clock of package boottime, if the decision is idempotency.Proceed
+	WriteDeadline time.Duration // end of the permission to write, by the clock of package boottime, if the decision is idempotency.Proceed
 }
 
 // Begin requests the permission to write the session's first byte to an endpoint.
--- a/internal/fleet/idempotency/idempotency.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -62,14 +62,14 @@
 type Claim struct {
 	Key       string
 	Owner     string
-	CreatedAt int64 // Unix seconds
+	CreatedAt int64 // creation time of the record, in Unix seconds
 	Answer    []byte
 
 	version            uint64 // version of the record that this owner wrote last
 	isOwner            bool   // a write of this owner is known to be committed
 	mustNotRun         bool   // the record shows another owner's attempt or answer, so this owner must not run the session
 	goal               goal
-	nextRecord         Record // the record to write
+	nextRecord         Record // the record that the current request writes
 	conflictsInRequest int    // number of conflicts in the current request
 	operations         int    // number of all operations so far, for their IDs
 }
--- a/internal/fleet/membership/conflict.go
+++ b/internal/fleet/membership/conflict.go
@@ -4,8 +4,8 @@
 
 // conflict tracks whether another process runs with this member's ID.
 type conflict struct {
-	probing   bool // a ProbeDuplicate action is in flight
-	confirmed bool // the other process responded; stays set until this process ends
+	probing   bool // whether a ProbeDuplicate action is in flight
+	confirmed bool // whether the other process responded; stays set until this process ends
 }
 
 // HandleConflict handles a report that this member's own ID was seen at another address. That is either this member's own previous address
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -103,14 +103,14 @@
 	rng          *rand.Rand
 	now          time.Duration // time of the newest tick
 	peers        map[string]*Peer
-	hasMetMember bool // another member was met, or there are no other seeds
+	hasMetMember bool // whether another member was met, or there are no other seeds
 	joins        joinAttempts
 	pings        pingRound
 	conflict     conflict
 	actions      []Action
 
 	lastStanding  Standing // standing that was reported last
-	lacksMachines bool     // last report: fewer machines are alive than ReplicationFactor
+	lacksMachines bool     // whether the last report said that fewer machines than ReplicationFactor are alive
 }
 
 // New returns a table without other members.
--- a/internal/fleet/membership/resume.go
+++ b/internal/fleet/membership/resume.go
@@ -9,7 +9,7 @@
 
 // pingRound pings members after a pause of this process, to learn whether they still respond. It ends once a majority has responded.
 type pingRound struct {
-	active    bool            // the process was paused, and no majority has responded since then
+	active    bool            // whether the process was paused and no majority has responded since then
 	startedAt time.Duration   // time of the newest round
 	responded map[string]bool // whether a member responded, by ID, for the members that were pinged
 }
--- a/internal/fleet/node/agreed.go
+++ b/internal/fleet/node/agreed.go
@@ -24,12 +24,12 @@
 	state *shardmap.State // the same state without operators' items
 
 	membersVersion uint64   // version at which this member learned the current list of members
-	shardVersions  []uint64 // by shard: version at which this member learned its current configuration
+	shardVersions  []uint64 // versions at which this member learned the shards' current configurations, by shard
 
 	confirmedAt   time.Duration // latest time at which the state was the newest agreed one
 	everConfirmed bool          // whether confirmedAt is valid
 
-	persistedFleetID string // fleet ID that is on disk, or part of a Ready to be written
+	persistedFleetID string // fleet ID that is on disk, or that a returned or pending Ready writes to it
 }
 
 func newAgreedState(fleetID string) agreedState {
--- a/internal/fleet/node/bootstrap.go
+++ b/internal/fleet/node/bootstrap.go
@@ -5,8 +5,8 @@
 // This file bootstraps a new fleet, once for all members: at the first seed.
 
 const (
-	bootstrapInterval = 500 * time.Millisecond // between attempts to bootstrap
-	emptySeedTTL      = 2 * time.Second        // how long a seed's response that it knows no fleet is valid
+	bootstrapInterval = 500 * time.Millisecond // time between two attempts to bootstrap
+	emptySeedTTL      = 2 * time.Second        // time for which a seed's response that it knows no fleet is valid
 )
 
 // tryBootstrap bootstraps a fleet, only at the first seed and only while all other seeds respond that they know no fleet. In this way a
--- a/internal/fleet/node/leader.go
+++ b/internal/fleet/node/leader.go
@@ -19,7 +19,7 @@
 	term              uint64               // term in which the planner was created
 	proposals         map[string]*proposal // puts that were proposed to the log, by operation ID
 	nextVoterChangeAt time.Duration        // earliest time of the next voter change or leadership transfer
-	votersChangedAt   time.Duration        // when the latest voter change was proposed
+	votersChangedAt   time.Duration        // time at which the latest voter change was proposed
 }
 
 // runLeader does the work of the log's leader: it places shards, chooses the voters, and transfers its leadership before it leaves.
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	maxMinReplicas = 2      // replicas that a write needs, unless the replication factor is smaller
+	maxMinReplicas = 2      // number of replicas that a write needs, unless the replication factor is smaller
 	randomStream   = 0xc02e // PCG stream, so that this package's random numbers differ from those of other packages with the same seed
 )
 
@@ -33,7 +33,7 @@
 
 	VoterCount        int // number of voters of the log; fewer while there are not as many machines
 	ReplicationFactor int
-	EvictAfter        time.Duration // how long a member has failed before the next epoch leaves it out
+	EvictAfter        time.Duration // time after which a failed member is left out of the next epoch
 	MaxJoiningShards  int           // maximum number of shards that are copied to new replicas at the same time
 	Seed              uint64        // seed of the random numbers
 
@@ -62,7 +62,7 @@
 	self  uint64        // this member's ID in the log
 	now   time.Duration // time of the latest tick
 	rng   *rand.Rand
-	ready Ready // collected for the next call of Ready
+	ready Ready // output collected for the next call of Ready
 
 	log      *consensus.Node
 	replicas *replication.Node
@@ -75,7 +75,7 @@
 	leaderID    string                 // member ID of the log's leader, empty while unknown
 
 	nextBootstrapAt time.Duration
-	emptySeeds      map[string]time.Duration // by seed address: when a response last said that no fleet is known there
+	emptySeeds      map[string]time.Duration // time of the last response that no fleet is known at a seed, by the seed's address
 
 	reportedFaults map[string]bool // messages of the faults that were reported
 	isLeaving      bool
--- a/internal/fleet/node/packet.go
+++ b/internal/fleet/node/packet.go
@@ -23,10 +23,10 @@
 	FleetID       string                     `cbor:"Fleet"` // empty while the sender knows no fleet
 	Raft          []byte                     `cbor:"Raft"`  // an encoded message of the log
 	Replication   []replication.Message      `cbor:"Copies"`
-	ReplicaReport *replication.ReplicaReport `cbor:"Complaint"` // for the log's leader
+	ReplicaReport *replication.ReplicaReport `cbor:"Complaint"` // report of a replica, sent to the log's leader
 	PollRequest   *PollRequest               `cbor:"Poll"`
 	PollResponse  *PollResponse              `cbor:"Told"`
-	PutRequest    *shardmap.Put              `cbor:"Put"` // for the log's leader
+	PutRequest    *shardmap.Put              `cbor:"Put"` // put that the log's leader has to propose
 	PutResult     *shardmap.PutResult        `cbor:"Done"`
 }
 
@@ -51,7 +51,7 @@
 	Addr     string                         `cbor:"Addr"`   // address of the responder
 
 	ProtocolVersion int                  `cbor:"Form"`
-	RequestNumber   uint64               `cbor:"Number"` // that of the request
+	RequestNumber   uint64               `cbor:"Number"` // the request's number
 	Digest          uint64               `cbor:"Digest"` // the responder's digest at Version
 	HasAge          bool                 `cbor:"Known"`  // whether Age is valid
 	Age             time.Duration        `cbor:"Age"`    // time since Version was last confirmed to be the newest version
--- a/internal/fleet/node/poll.go
+++ b/internal/fleet/node/poll.go
@@ -11,19 +11,19 @@
 const (
 	pollInterval      = 250 * time.Millisecond  // mean time between polls
 	stalePollInterval = 80 * time.Millisecond   // mean time between polls while the state was confirmed longer than staleAfter ago
-	staleAfter        = 1200 * time.Millisecond // after so long without confirmation the leader has most likely changed
-	maxPendingPolls   = 16                      // requests whose responses are awaited
+	staleAfter        = 1200 * time.Millisecond // time without a confirmation after which the leader has most likely changed
+	maxPendingPolls   = 16                      // maximum number of requests whose responses are awaited
 	maxResponseBytes  = 1 << 20                 // maximum size of the changes in one response
 
-	leaderResponseTimeout = 500 * time.Millisecond    // a leader that does not respond for so long is not preferred for polls
-	leaderSuspicionTime   = 4 * leaderResponseTimeout // after this time without a response the leader is preferred again
+	leaderResponseTimeout = 500 * time.Millisecond    // time without a response after which the leader is not preferred for polls
+	leaderSuspicionTime   = 4 * leaderResponseTimeout // time without a response after which the leader is preferred again
 )
 
 // pollState is the state of the polls by which a member learns the agreed state from others. Voters also learn it from the log.
 type pollState struct {
 	nextPollAt            time.Duration
-	sentAt                map[uint64]time.Duration // by request number: when the request was sent
-	leaderUnansweredSince time.Duration            // when the first unanswered poll of the leader was sent; 0 if there is none
+	sentAt                map[uint64]time.Duration // times at which the awaited requests were sent, by request number
+	leaderUnansweredSince time.Duration            // time at which the first unanswered poll of the leader was sent; 0 if there is none
 }
 
 // nextRequestNumber returns the number of a new request and records that it is sent. Beyond maxPendingPolls the oldest pending request is
@@ -39,7 +39,7 @@
 	if len(p.sentAt) >= maxPendingPolls {
 		delete(p.sentAt, oldest)
 	}
-	number := max(newest+1, uint64(now)) // greater than the numbers of an earlier process of this member
+	number := max(newest+1, uint64(now)) // the time makes it greater than the numbers of an earlier process of this member
 	p.sentAt[number] = now
 	return number
 }
@@ -90,7 +90,7 @@
 	return to
 }
 
-// answerPoll sends all changes of the agreed state since the requester's version.
+// answerPoll sends what the requester lacks of the agreed state; maxResponseBytes limits the changes in one response.
 func (n *Node) answerPoll(from string, request *PollRequest) {
 	state := n.agreedState.state
 	response := &PollResponse{
--- a/internal/fleet/node/put.go
+++ b/internal/fleet/node/put.go
@@ -11,7 +11,7 @@
 
 const (
 	maxPendingPuts   = 1024                   // maximum number of puts submitted to one member, and of puts proposed by the log's leader
-	putRetryInterval = 300 * time.Millisecond // between two requests to the leader for the same put
+	putRetryInterval = 300 * time.Millisecond // time between two requests to the leader for the same put
 	proposalInterval = time.Second            // minimum time before a put that is requested again is proposed again
 )
 
@@ -25,14 +25,14 @@
 type pendingPut struct {
 	put           shardmap.Put
 	deadline      time.Duration
-	nextRequestAt time.Duration // when the put is sent to the leader again
+	nextRequestAt time.Duration // earliest time at which the put is sent to the leader again
 }
 
 // proposal is a put that the log's leader has proposed and that is not committed yet.
 type proposal struct {
 	put            shardmap.Put
 	requesters     map[string]bool // IDs of the members that wait for the result
-	nextProposalAt time.Duration   // earliest time at which it is proposed again
+	nextProposalAt time.Duration   // earliest time at which the put is proposed again
 }
 
 // Put starts to change an operators' item. A later Ready contains its result, at the latest after the timeout. A put with the operation ID
--- a/internal/fleet/node/ready.go
+++ b/internal/fleet/node/ready.go
@@ -18,7 +18,7 @@
 	PutResults []shardmap.PutResult // results of puts submitted to this member
 	Events     []Event
 
-	Snapshot *changefeed.Snapshot // what the agreed state was replaced by; nil if it was not replaced
+	Snapshot *changefeed.Snapshot // snapshot that has replaced the agreed state; nil if the state was not replaced
 	Changes  []*changefeed.Change // changes of the agreed state after Snapshot, in order
 }
 
@@ -28,7 +28,7 @@
 	Detail  string
 	Epoch   uint64
 	Version uint64 // version of the agreed state
-	IsAlert bool   // whether it needs an operator's attention
+	IsAlert bool   // whether the event needs an operator's attention
 }
 
 // Ready returns the node's output since the previous call. An error comes from the log; the node can't be used after it.
--- a/internal/fleet/node/voters.go
+++ b/internal/fleet/node/voters.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	voterChangeInterval = 500 * time.Millisecond // between two voter changes, and between two attempts to transfer the leadership
-	minAliveTime        = time.Second            // how long a member must have been alive before it becomes a voter
+	voterChangeInterval = 500 * time.Millisecond // time between two voter changes, and between two attempts to transfer the leadership
+	minAliveTime        = time.Second            // time for which a member must have been alive before it becomes a voter
 	maxConfirmationAge  = 2 * time.Second        // maximum age of a majority's last response when a voter is replaced to spread voters better
 )
 
 // voterSpread counts voters by failure domain. Voters are spread over sites, then over zones, so that those that fail together are a minority.
 type voterSpread struct {
 	sites    map[string]int
-	zones    map[string]int // by zone key, which contains the site
+	zones    map[string]int // number of voters by zoneKey, which contains the site
 	machines map[string]int
 }
 
@@ -69,7 +69,7 @@
 type voterChange struct {
 	removed  uint64                     // ID in the log of the voter to remove, 0 for none
 	missing  int                        // number of voters to add
-	eligible func(shardmap.Member) bool // which members may be added
+	eligible func(shardmap.Member) bool // reports whether a member may be added
 }
 
 // changeVoters makes members voters, each on a machine without another voter: as many as are missing, all in one change, or one in place of a
--- a/internal/fleet/nodeserver/link.go
+++ b/internal/fleet/nodeserver/link.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	maxLinkQueue    = 1024                   // packets that wait for one member; more are dropped, and the nodes repeat what they need
-	dialTimeout     = time.Second            // for one attempt to connect to a member
+	maxLinkQueue    = 1024                   // maximum number of packets that wait for one member; more are dropped, and the nodes repeat what they need
+	dialTimeout     = time.Second            // time limit of one attempt to connect to a member
 	redialDelay     = 200 * time.Millisecond // minimum time between two attempts to connect to a member
-	writeTimeout    = 2 * time.Second        // for writing one frame
-	helloTimeout    = 3 * time.Second        // for reading the hello of a link that another member opened
-	linkIdleTimeout = time.Minute            // after which a link without packets is closed
-	readIdleTimeout = 2 * linkIdleTimeout    // after which the reader closes a link that carries no packets
+	writeTimeout    = 2 * time.Second        // time limit of writing one frame
+	helloTimeout    = 3 * time.Second        // time limit of reading the hello of a link that another member opened
+	linkIdleTimeout = time.Minute            // time without packets after which the sender closes a link
+	readIdleTimeout = 2 * linkIdleTimeout    // time without packets after which the reader closes a link
 	unackedTimeout  = 3 * time.Second        // TCP_USER_TIMEOUT: how long sent data may stay unacknowledged
 	readBufferBytes = 64 << 10
 )
--- a/internal/fleet/nodeserver/server.go
+++ b/internal/fleet/nodeserver/server.go
@@ -26,13 +26,13 @@
 // Options are the parameters of a server.
 type Options struct {
 	NodeConfig node.Config
-	FleetName  string // as in the fleet file
+	FleetName  string // name of the fleet in the fleet file
 	DataDir    string // data directory, which this process has locked
 	Transport  *gossip.Transport
 	Gossip     *gossip.Agent
 	Now        func() time.Duration // a clock that continues while the process is suspended
 	Log        *zap.Logger
-	Observer   Observer // nil for none
+	Observer   Observer // observer of the agreed state; nil if there is none
 }
 
 // Observer is notified of changes of the agreed state. Its methods are called from one goroutine and must not block.
@@ -67,9 +67,9 @@
 	store             *store.Store
 	pendingOperations map[string]func(replication.Result)   // callbacks by operation ID
 	pendingPuts       map[string][]func(shardmap.PutResult) // callbacks by operation ID
-	failure           error                                 // the first failure, after which nothing is confirmed; nil before
+	failure           error                                 // the first failure, after which nothing is confirmed; nil if there was none
 	observerIsBehind  bool                                  // whether the observer missed changes and needs a snapshot
-	statusPublishedAt time.Duration                         // when the status was last published
+	statusPublishedAt time.Duration                         // time at which the status was last published
 }
 
 // queue holds what the node has to handle in the next iteration.
@@ -119,8 +119,8 @@
 	return s, nil
 }
 
-// Submit executes an operation at the primary of its shard. done is called once from another goroutine, at the latest shortly after the
-// timeout; it must not block.
+// Submit executes an operation at the primary of its shard. done is called once, at the latest shortly after the timeout: from another
+// goroutine or, if the operation is rejected at once, before Submit returns. It must not block.
 func (s *Server) Submit(operation replication.Operation, timeout time.Duration, done func(replication.Result)) {
 	s.mu.Lock()
 	isRejected := s.isClosed || len(s.queue.operations) >= maxQueued
--- a/internal/fleet/open.go
+++ b/internal/fleet/open.go
@@ -35,7 +35,7 @@
 func (f *Fleet) openDirectory() error {
 	directory, err := datadir.Open(f.config.DataDir, f.config.FleetName, f.config.Machine)
 	if err != nil {
-		return fmt.Errorf("data: %w", err)
+		return fmt.Errorf("open the data directory: %w", err)
 	}
 	if f.config.Role == config.RoleBalancer {
 		f.openClient(directory)
@@ -83,7 +83,7 @@
 	}
 	transport, err := gossip.Listen(f.config.Listen, f.config.Advertise, streams)
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("open the fleet's address: %w", err)
 	}
 	self := f.selfMember(directory)
 	agent, err := gossip.Open(gossip.Options{
@@ -119,7 +119,7 @@
 	m.node, err = nodeserver.Open(nodeOptions)
 	if err != nil {
 		agent.Close()
-		return nil, fmt.Errorf("data: %w", err)
+		return nil, fmt.Errorf("start the member's node: %w", err)
 	}
 	if m.publisher != nil {
 		m.publisher.Start(m.node)
--- a/internal/fleet/placement/planner.go
+++ b/internal/fleet/placement/planner.go
@@ -57,7 +57,7 @@
 	lastEpochAt    time.Duration // time of the last proposal of an epoch
 	reports        reports
 
-	targets      [][]string // by shard: the replicas that it should have, the primary first
+	targets      [][]string // the replicas that each shard should have, the primary first, by shard
 	targetsEpoch uint64     // epoch for which targets was computed
 }
 
--- a/internal/fleet/placement/shard_plan.go
+++ b/internal/fleet/placement/shard_plan.go
@@ -12,7 +12,7 @@
 	shard     int
 	current   shardmap.Configuration // the present configuration
 	target    []string               // the replicas that the shard should have, the primary first
-	alive     map[string]bool        // by member ID: whether the member is alive
+	alive     map[string]bool        // whether a member is alive, by member ID
 	reports   *reports
 	minInSync int // number of in-sync replicas that the shard needs to accept writes
 	// mayStartJoining allows replicas to join even if the shard has no joining replicas yet.
@@ -83,7 +83,7 @@
 	return reported
 }
 
-// countSuspectedByPrimary returns the value of the field suspectedByPrimary.
+// countSuspectedByPrimary returns the number of live in-sync replicas that the primary suspects.
 func (p *shardPlan) countSuspectedByPrimary() int {
 	count := 0
 	for _, id := range p.current.InSync[1:] {
--- a/internal/fleet/publisher/conn.go
+++ b/internal/fleet/publisher/conn.go
@@ -15,7 +15,7 @@
 const (
 	writeTimeout  = 30 * time.Second // limit of one write; the core closes a session without acknowledgements after the same time
 	closeTimeout  = 2 * time.Second  // limit of the last write before the connection is closed
-	maxQueueParts = 2 * 4096         // headers and bodies in the send queue of a connection
+	maxQueueParts = 2 * 4096         // maximum number of headers and bodies in the send queue of a connection
 	maxQueueBytes = 8 << 20          // a queue of at most this size accepts one more message of any size
 )
 
@@ -99,7 +99,7 @@
 func (c *conn) write(readerClosed <-chan struct{}) {
 	defer c.server.goroutines.Done()
 	defer close(c.writerClosed)
-	defer func() { _ = c.netConn.Close() }() // after a failed write this ends the reader, too
+	defer func() { _ = c.netConn.Close() }() // closing the connection ends the reader, too
 	for {
 		queue, isClosing := c.takeQueue()
 		if len(queue) > 0 {
--- a/internal/fleet/publisher/operations.go
+++ b/internal/fleet/publisher/operations.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxOperationsPerConn = 256              // pending operations and puts of one subscriber
-	maxOperations        = 8192             // pending operations of all subscribers
+	maxOperationsPerConn = 256              // maximum number of pending operations and puts of one subscriber
+	maxOperations        = 8192             // maximum number of pending operations of all subscribers
 	maxOperationTimeout  = 10 * time.Second // limit of the timeout that a subscriber requests for an operation
 	putTimeout           = 5 * time.Second
 )
--- a/internal/fleet/publisher/serve.go
+++ b/internal/fleet/publisher/serve.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	helloTimeout     = 3 * time.Second             // from accepting a stream to receiving its Hello
-	idleTimeout      = 2 * changefeed.DefaultLease // the core closes the sessions of silent subscribers; this closes connections without a session
+	helloTimeout     = 3 * time.Second             // time limit from accepting a stream to receiving its Hello
+	idleTimeout      = 2 * changefeed.DefaultLease // time without a message after which a connection is closed; the core closes the sessions of silent subscribers before
 	maxGreetingBytes = 4 << 10                     // limit of the first body, the greeting
 	maxRequestBytes  = 1 << 20                     // limit of each later message from a subscriber
 	readBufferBytes  = 4 << 10
--- a/internal/fleet/publisher/server.go
+++ b/internal/fleet/publisher/server.go
@@ -24,8 +24,8 @@
 	drainTimeout      = 500 * time.Millisecond // limit of the wait for subscribers to disconnect
 	drainPollInterval = 10 * time.Millisecond
 
-	windowBytes            = 256 << 10 // unacknowledged bytes in flight to one subscriber
-	snapshotBytesPerSecond = 32 << 20  // rate of snapshots to all subscribers together
+	windowBytes            = 256 << 10 // maximum number of unacknowledged bytes in flight to one subscriber
+	snapshotBytesPerSecond = 32 << 20  // maximum rate of snapshots to all subscribers together
 	maxRetainedChanges     = 4096      // changes that are kept for subscribers with an older version; also the limit of unpublished changes
 	maxRetainedBytes       = 16 << 20
 )
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	operationTimeout  = 2 * time.Second        // for one operation on a record
-	writeRetryDelay   = time.Second            // between two attempts to write a record
-	readRetryDelay    = 200 * time.Millisecond // between two attempts to read a record
-	maxRecordAttempts = 30                     // attempts to read or write a record before giving up
+	operationTimeout  = 2 * time.Second        // timeout of one operation on a record
+	writeRetryDelay   = time.Second            // time between two attempts to write a record
+	readRetryDelay    = 200 * time.Millisecond // time between two attempts to read a record
+	maxRecordAttempts = 30                     // number of attempts to read or write a record before giving up
 )
 
 // recordStore executes operations on records: a member's node server, or a subscriber's client, which sends them to control processes.
--- a/internal/fleet/replication/client.go
+++ b/internal/fleet/replication/client.go
@@ -10,10 +10,10 @@
 // pendingOperation is an operation that was submitted at this member and does not have its result yet.
 type pendingOperation struct {
 	operation      Operation
-	deadline       time.Duration // when the operation is given up, as rejected or with an unknown outcome
-	nextAttempt    time.Duration // when it is passed to the primary again
-	mayBeCommitted bool          // a primary may have committed it already
-	sentCount      int           // how often it was sent to another member
+	deadline       time.Duration // time at which the operation is given up, as rejected or with an unknown outcome
+	nextAttempt    time.Duration // time at which the operation is passed to the primary again
+	mayBeCommitted bool          // whether a primary may have committed the operation already
+	sentCount      int           // number of times that the operation was sent to another member
 }
 
 // checkPendingOperations retries the operations that are due and ends those past their deadline.
--- a/internal/fleet/replication/config.go
+++ b/internal/fleet/replication/config.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	resendInterval      = 200 * time.Millisecond  // after which an unanswered message is sent again
-	retryInterval       = 150 * time.Millisecond  // after which an operation is tried again that no primary could serve yet
-	heartbeatInterval   = 250 * time.Millisecond  // between a primary's heartbeats to its replicas
-	replicaTimeout      = 800 * time.Millisecond  // how long an answer of a replica may be overdue before the replica is reported
-	primaryTimeout      = 1500 * time.Millisecond // how long a primary may be silent before it is reported
-	memberTTL           = time.Minute             // how long the time of a member's last message is stored
-	expiryInterval      = time.Second             // between two searches for expired records
+	resendInterval      = 200 * time.Millisecond  // time after which an unanswered message is sent again
+	retryInterval       = 150 * time.Millisecond  // time after which an operation that no primary could serve yet is tried again
+	heartbeatInterval   = 250 * time.Millisecond  // time between a primary's heartbeats to its replicas
+	replicaTimeout      = 800 * time.Millisecond  // time for which an answer of a replica may be outstanding before the replica is reported
+	primaryTimeout      = 1500 * time.Millisecond // time for which a primary may be silent before it is reported
+	memberTTL           = time.Minute             // time for which the arrival time of a member's last message is stored
+	expiryInterval      = time.Second             // time between two searches for expired records
 	maxExpiredPerShard  = 64                      // largest number of records that one search deletes from a shard
 	maxRecentWrites     = 128                     // number of writes kept for replicas that lack them; one that lacks more gets a snapshot
 	maxPastOperationIDs = 4                       // largest number of earlier operation IDs in one record
--- a/internal/fleet/replication/node.go
+++ b/internal/fleet/replication/node.go
@@ -23,14 +23,14 @@
 	// unixTime is the wall clock time in Unix seconds.
 	unixTime int64
 
-	shards []shard // by shard number
+	shards []shard // this member's state of each shard, by shard number
 	keys   int     // number of records stored, of all shards
 	bytes  int     // total size of their keys and values
 
-	pending      map[string]*pendingOperation // by operation ID
-	pendingOrder []string                     // operation IDs in the order of submission
+	pending      map[string]*pendingOperation // operations submitted here without a result, by operation ID
+	pendingOrder []string                     // IDs of the pending operations in the order of submission
 
-	lastHeard     map[string]time.Duration // when the last message of a member arrived, by member ID
+	lastHeard     map[string]time.Duration // time of the last message of a member, by member ID
 	lastHeartbeat time.Duration
 	lastExpiry    time.Duration
 
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -13,7 +13,7 @@
 // primaryState is the state of a shard's primary, apart from the records.
 type primaryState struct {
 	sequence     uint64                      // sequence number of the newest write of this ballot
-	replicas     map[string]*replicaProgress // by member ID
+	replicas     map[string]*replicaProgress // progress of the other replicas, by member ID
 	inFlight     []*inFlightWrite            // writes that not all required replicas have acknowledged, in order
 	recentWrites []*inFlightWrite            // newest writes of this ballot in order; the oldest element stands for its initial state until dropped
 
@@ -23,14 +23,14 @@
 
 // replicaProgress is what the primary knows about another replica.
 type replicaProgress struct {
-	ballotAdopted        bool // the replica has adopted this ballot
+	ballotAdopted        bool // whether the replica has adopted this ballot
 	joining              bool
-	acknowledgedSequence uint64        // all writes up to this one are on the replica's disk
+	acknowledgedSequence uint64        // sequence number up to which all writes are on the replica's disk
 	incarnation          uint64        // incarnation of the replica's process; 0 if not known yet
-	lastSent             time.Duration // when the last ballot, snapshot or resent writes were sent
-	waitingSince         time.Duration // since when an answer of the replica is outstanding; notWaiting if none is
+	lastSent             time.Duration // time at which the last ballot, snapshot or resent writes were sent
+	waitingSince         time.Duration // time since which an answer of the replica is outstanding; notWaiting if none is
 
-	caughtUp           bool // it was reported in this ballot to have caught up
+	caughtUp           bool // whether the replica was reported in this ballot to have caught up
 	caughtUpReportedAt time.Duration
 }
 
--- a/internal/fleet/replication/replica.go
+++ b/internal/fleet/replication/replica.go
@@ -4,7 +4,7 @@
 func (n *Node) becomeReplica(s *shard, ballot Ballot, inSync, joining []string) {
 	s.resign()
 	samePrimary := len(s.inSync) > 0 && len(inSync) > 0 && s.inSync[0] == inSync[0]
-	if !samePrimary { // if the primary stays the same, its silence still counts from its last message
+	if !samePrimary { // the silence of a primary that stays the same still counts from its last message
 		s.ballotSince = n.now
 	}
 	s.ballot = ballot
@@ -94,7 +94,7 @@
 			n.persist(s, m.Records, false)
 		}
 	}
-	n.answerPrimary(s, m.From, MessageWriteAck) // if a write was lost, this acknowledges only those before it
+	n.answerPrimary(s, m.From, MessageWriteAck) // acknowledges only the writes before the first one that was lost
 }
 
 // dropShard removes the records of a shard of which this member is no longer a replica.
--- a/internal/fleet/replication/retention.go
+++ b/internal/fleet/replication/retention.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// expireShard deletes the expired records of a shard. Such a deletion is replicated like any other write, but leaves no record that marks
+// expireShard deletes the expired records of a shard, at most maxExpiredPerShard. Such a deletion is replicated like any other write, but leaves no record that marks
 // the key as deleted.
 func (n *Node) expireShard(s *shard) {
 	var expired []string
--- a/internal/fleet/replication/shard.go
+++ b/internal/fleet/replication/shard.go
@@ -14,16 +14,16 @@
 	ballot  Ballot
 	inSync  []string          // the configuration's in-sync replicas, the primary first
 	joining []string          // the configuration's joining replicas
-	records map[string]Record // by key
+	records map[string]Record // the records here, by key
 	digest  uint64            // exclusive or of the digests of all records
 
 	// primary is the primary's state, nil if this member is not the shard's primary.
 	primary *primaryState
 
 	// The remaining fields are used by replicas.
-	ballotAdopted   bool          // the records equal those of the primary as of appliedSequence
+	ballotAdopted   bool          // whether the records equal those of the primary as of appliedSequence
 	appliedSequence uint64        // sequence number of the newest applied write of this ballot
-	ballotSince     time.Duration // since when a primary without any message counts as silent
+	ballotSince     time.Duration // time since which a primary without any message counts as silent
 }
 
 // isPrimary reports whether this member leads the shard.
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -21,9 +21,9 @@
 	Sent      int64          `json:"sent"`             // bytes of datagrams sent
 	Received  int64          `json:"heard"`            // bytes of datagrams received
 
-	Store      *StoreReport      `json:"held,omitempty"`       // for a member
-	Subscriber *SubscriberReport `json:"following,omitempty"`  // for the role of a balancer
-	Publisher  *PublisherReport  `json:"publishing,omitempty"` // for a control process
+	Store      *StoreReport      `json:"held,omitempty"`       // the replicas and the agreed state; nil unless this process is a member
+	Subscriber *SubscriberReport `json:"following,omitempty"`  // nil unless this process is a balancer that follows control processes
+	Publisher  *PublisherReport  `json:"publishing,omitempty"` // nil unless this process is a control process
 }
 
 // SubscriberReport describes a balancer that follows control processes.
@@ -58,7 +58,7 @@
 	LowestVersion      uint64  `json:"lowest"`    // lowest version that a connected subscriber has acknowledged
 	Version            uint64  `json:"version"`
 	Digest             uint64  `json:"digest"`
-	Age                float64 `json:"age"`       // as in SubscriberReport
+	Age                float64 `json:"age"`       // seconds since the state was last confirmed; -1 if it never was
 	Changes            uint64  `json:"changes"`   // changes sent
 	Snapshots          uint64  `json:"snapshots"` // snapshots sent
 	Accepted           uint64  `json:"came"`      // sessions of subscribers accepted
--- a/internal/fleet/store/read.go
+++ b/internal/fleet/store/read.go
@@ -30,7 +30,7 @@
 	state := node.PersistentState{Shards: map[int]node.ShardState{}}
 	meta := tx.Bucket(metaBucket)
 	if format := meta.Get(formatKey); len(format) != 1 || format[0] < 1 || format[0] > FormatVersion {
-		return state, fmt.Errorf("format version %d was written by a newer program; this one reads up to version %d", format, FormatVersion)
+		return state, fmt.Errorf("format version %d is invalid or of a newer program; this one reads versions 1 to %d", format, FormatVersion)
 	}
 	state.FleetID = string(meta.Get(fleetKey))
 	state.Log = consensus.PersistentState{HardState: bytes.Clone(meta.Get(hardStateKey)), Snapshot: bytes.Clone(meta.Get(snapshotKey))}
--- a/internal/fleet/subscriber/conn.go
+++ b/internal/fleet/subscriber/conn.go
@@ -15,7 +15,7 @@
 	writeTimeout      = 5 * time.Second        // limit of one write
 	disconnectTimeout = 500 * time.Millisecond // limit of the last write before the connection is closed
 	progressInterval  = 500 * time.Millisecond // minimum time between two reports of progress
-	maxQueuedBodies   = 8192                   // size of the send queue of a connection
+	maxQueuedBodies   = 8192                   // maximum number of bodies in the send queue of a connection
 	readBufferBytes   = 4 << 10
 )
 
--- a/internal/fleet/subscriber/request.go
+++ b/internal/fleet/subscriber/request.go
@@ -23,8 +23,8 @@
 	id             uint64
 	operationID    string
 	encodedMessage []byte
-	conn           *conn // connection that it was last sent on; nil if that has ended, or if it was never sent
-	wasSent        bool  // whether it was sent at least once
+	conn           *conn // connection on which the request was last sent; nil if that has ended, or if the request was never sent
+	wasSent        bool  // whether the request was sent at least once
 	timeoutTimer   *time.Timer
 	onNoResponse   func()
 	onResult       func(replication.Result)      // nil for a put
