--- a/internal/fleet/changefeed/delivery_test.go
+++ b/internal/fleet/changefeed/delivery_test.go
@@ -19,7 +19,7 @@
 	h.run(time.Second)
 	h.requireUpToDate(sub)
 	if sub.core.Stats.Snapshots != 1 || sub.core.Stats.Changes != 50 || sub.core.Stats.SyncRequests > 1 {
-		t.Errorf("%+v", sub.core.Stats)
+		t.Errorf("the subscriber skipped, repeated or replaced versions: %+v", sub.core.Stats)
 	}
 	for i, update := range sub.updates[len(sub.updates)-50:] {
 		if update.Version != from+uint64(i)+1 || update.Complete {
@@ -84,7 +84,7 @@
 				t.Errorf("%d snapshots were sent", got)
 			}
 			if slow.core.Stats.DigestMismatches+slow.core.Stats.Conflicts > 0 {
-				t.Errorf("%+v", slow.core.Stats)
+				t.Errorf("digest mismatches or conflicts of the slow subscriber: %+v", slow.core.Stats)
 			}
 		})
 	}
@@ -107,7 +107,7 @@
 	}
 	h.requireUpToDate(sub)
 	if sub.core.Stats.Conflicts+sub.core.Stats.DigestMismatches+sub.core.Stats.InvalidMessages > 0 || sub.core.Stats.Snapshots != 1 {
-		t.Errorf("%+v", sub.core.Stats)
+		t.Errorf("after duplicate messages: %+v", sub.core.Stats)
 	}
 	// Half of the other messages are lost: the subscriber requests the missing changes after a gap.
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -212,7 +212,7 @@
 	h.dropMessage = func(string, string, *Message) bool { return false }
 	clear(h.sentByKind)
 	laggingPublisher := h.publishers["r0"]
-	if err := laggingPublisher.log.Install(*h.source.Snapshot()); err != nil { // as if it lagged too far behind the logs of the others
+	if err := laggingPublisher.log.Install(*h.source.Snapshot()); err != nil { // what a publisher does that lags further than the logs of the others reach back
 		t.Fatal(err)
 	}
 	for _, a := range h.addresses {
--- a/internal/fleet/changefeed/failover_test.go
+++ b/internal/fleet/changefeed/failover_test.go
@@ -67,7 +67,7 @@
 				for i := range subscribers {
 					h.newSubscriber(fmt.Sprintf("b%d", i), fmt.Sprintf("s%d", i%3))
 				}
-				h.run(90 * time.Second) // until each subscriber follows its best ranked publishers
+				h.run(90 * time.Second) // by then each subscriber follows its best ranked publishers
 				lost := map[string]bool{}
 				for i, a := range h.addresses {
 					if !isLost(i) {
--- a/internal/fleet/changefeed/harness_test.go
+++ b/internal/fleet/changefeed/harness_test.go
@@ -31,11 +31,11 @@
 	log           *Log
 	core          *Publisher
 	conns         map[uint64]*testSubscriber
-	isDown        bool // the process has ended: dials fail, connections are closed
-	isBlackholed  bool // dials to it never complete, messages to it are dropped
-	isSuspended   bool // the process is suspended: events are queued
+	isDown        bool // whether the process has ended: dials fail, connections are closed
+	isBlackholed  bool // whether dials to the publisher never complete and messages to it are dropped
+	isSuspended   bool // whether the process is suspended: events are queued
 	queuedEvents  []func()
-	isPartitioned bool // it receives no changes and no confirmations
+	isPartitioned bool // whether the publisher receives no changes and no confirmations
 }
 
 // testSubscriber is a subscriber core with its connections and the updates that it has returned.
--- a/internal/fleet/changefeed/model_world_test.go
+++ b/internal/fleet/changefeed/model_world_test.go
@@ -104,7 +104,7 @@
 		w.subscribers = append(w.subscribers, sub)
 		w.startSubscriber(i)
 	}
-	for range 12 { // until all subscribers have the first version and no message is in transit
+	for range 12 { // enough ticks for all subscribers to get the first version and for all messages to arrive
 		w.tick()
 		w.replicateTo(0)
 		w.replicateTo(1)
--- a/internal/fleet/changefeed/state_test.go
+++ b/internal/fleet/changefeed/state_test.go
@@ -154,7 +154,7 @@
 		t.Fatal(err)
 	}
 	if a.Digest() != b.Digest() || a.Digest() != c.Digest() {
-		t.Errorf("%016x, %016x, %016x", a.Digest(), b.Digest(), c.Digest())
+		t.Errorf("digests of one state by changes %016x, by other changes %016x, by snapshot %016x", a.Digest(), b.Digest(), c.Digest())
 	}
 	seen := map[uint64]string{a.Digest(): "all items"}
 	for i := range items {
--- a/internal/fleet/config/config_test.go
+++ b/internal/fleet/config/config_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	if f.FleetName != "istanbul" || f.Advertise != f.Listen || len(f.Seeds) != 2 || f.ReplicationFactor != 3 || f.Machine != "m1" || f.ForgetAfter != 24*time.Hour {
-		t.Errorf("%+v", f)
+		t.Errorf("values of the complete file: %+v", f)
 	}
 }
 
--- a/internal/fleet/gossip/compare_test.go
+++ b/internal/fleet/gossip/compare_test.go
@@ -196,7 +196,7 @@
 		return all[len(all)/2]
 	}
 	result.death, result.stall, result.partition = detectionByHalf(), detectionByHalf(), detectionByHalf()
-	result.noQuorum = -1 // not applicable: the partitioned member still receives the heartbeats of all others
+	result.noQuorum = -1 // marks the figure as not applicable: the partitioned member still receives the heartbeats of all others
 	result.bytes = 4 * float64(members-1) * 40
 	return result
 }
--- a/internal/fleet/idempotency/idempotency.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -54,7 +54,7 @@
 	Proceed                     // the owner may write to the server
 	Replay                      // the session has a final answer, Claim.Answer
 	Abandoned                   // the session may have run and must not run again
-	Unavailable                 // nothing was recorded in time: after Begin, the session has not run here
+	Unavailable                 // no recording was confirmed in time: after Begin, the session has not run here
 	Recorded                    // the answer is recorded
 )
 
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -71,7 +71,7 @@
 	if got := table.Standing(2 * second); got != Quorum {
 		t.Fatal(got)
 	}
-	if got := table.Standing(2*second + StallThreshold + 1); got != Resuming { // before the first tick after the pause
+	if got := table.Standing(2*second + StallThreshold + 1); got != Resuming { // the process is resumed but has had no tick yet
 		t.Fatal(got)
 	}
 	table.Tick(7 * second)
@@ -206,7 +206,7 @@
 	b2 := member(9)
 	b2.Addr, b2.Machine = b.Addr, b.Machine
 	table.HandleAlive(b2)
-	if got := eventKinds(table.drain()); !slices.Equal(got, []EventKind{MemberJoined}) { // it is not known yet which of the two members is alive
+	if got := eventKinds(table.drain()); !slices.Equal(got, []EventKind{MemberJoined}) { // both members of the address count as alive until one has failed
 		t.Error(got)
 	}
 	table.HandleFailure(b.ID)
--- a/internal/fleet/node/put_test.go
+++ b/internal/fleet/node/put_test.go
@@ -18,7 +18,7 @@
 func TestPuts(t *testing.T) {
 	fleet := newTestFleet(t, 3, "a", "a", "a", "a", "a")
 	fleet.waitFor("there are three voters", 30*time.Second, func() bool { return len(fleet.voters()) == 3 && fleet.allAgree() })
-	fleet.run(5 * time.Second) // until the shards' configurations are stable
+	fleet.run(5 * time.Second) // by then the shards' configurations are stable
 	fleet.waitFor("all agree", 5*time.Second, fleet.allAgree)
 	for i := range fleet.nodes {
 		versionBefore := fleet.nodes[i].FeedState().Version()
@@ -54,9 +54,9 @@
 		t.Errorf("rejected puts changed the version to %d from %d", now, versionBefore)
 	}
 	if result := fleet.put(3, shardmap.Put{Key: "config/0", Delete: true, OperationID: "delete"}); result.Version != versionBefore+1 {
-		t.Errorf("%+v", result)
+		t.Errorf("deletion of an item: %+v", result)
 	}
-	newMember := fleet.join(3, "a") // it learns the state from a snapshot
+	newMember := fleet.join(3, "a") // the new member learns the state from a snapshot
 	fleet.waitFor("the new member agrees", 20*time.Second, func() bool { return fleet.allAgree() && len(fleet.nodes[newMember].State().Members) == 6 })
 	fleet.waitFor("the new member agrees with the state of the log", time.Second, func() bool {
 		logState := fleet.nodes[fleet.leader()].log.State()
@@ -66,7 +66,7 @@
 		t.Errorf("config/4 at the new member: %v, exists: %v", value, exists)
 	}
 	if len(fleet.alerts) > 0 {
-		t.Errorf("%q", fleet.alerts)
+		t.Errorf("alerts: %q", fleet.alerts)
 	}
 }
 
@@ -79,12 +79,12 @@
 		return len(fleet.voters()) == 3 && len(fleet.nodes[0].State().Members) == 4 && fleet.allAgree()
 	})
 	if result := fleet.put(1, shardmap.Put{Key: "config/a", OperationID: "a"}); !strings.Contains(result.Rejection, memberID(3)) {
-		t.Errorf("%+v", result)
+		t.Errorf("put while a member of an older program is in the fleet: %+v", result)
 	}
 	fleet.setDown(3, true)
 	fleet.waitFor("the older member has been evicted", 30*time.Second, func() bool { return len(fleet.nodes[0].State().Members) == 3 })
 	if result := fleet.put(1, shardmap.Put{Key: "config/a", OperationID: "b"}); result.Version == 0 {
-		t.Errorf("%+v", result)
+		t.Errorf("put after the older member was evicted: %+v", result)
 	}
 
 	node := fleet.nodes[0]
--- a/internal/fleet/node/testfleet_test.go
+++ b/internal/fleet/node/testfleet_test.go
@@ -29,14 +29,14 @@
 	cfgs      []Config
 	nodes     []*Node
 	down      map[int]bool
-	changedAt map[int]time.Duration // when a node was stopped or started last
+	changedAt map[int]time.Duration // time at which a node was stopped or started last, by node
 
 	isCut            func(from, to int) bool // whether packets on this path are lost
-	protocolVersions map[int]int             // by node: protocol version, if it is not ProtocolVersion
-	inTransit        []sentPacket            // sent in the last step
+	protocolVersions map[int]int             // protocol versions other than ProtocolVersion, by node
+	inTransit        []sentPacket            // packets sent in the last step
 
-	putResults map[string]shardmap.PutResult // by operation ID
-	alerts     []string                      // events that need an operator
+	putResults map[string]shardmap.PutResult // results of puts, by operation ID
+	alerts     []string                      // messages of the events that need an operator
 	afterStep  func()                        // called after each step
 }
 
--- a/internal/fleet/publisher/pending_updates.go
+++ b/internal/fleet/publisher/pending_updates.go
@@ -33,9 +33,9 @@
 
 // updateBatch holds the updates that are published together.
 type updateBatch struct {
-	snapshot     *changefeed.Snapshot // nil: the state is not replaced
-	changes      []*changefeed.Change // applied after snapshot
-	confirmation *confirmation        // nil: no new confirmation
+	snapshot     *changefeed.Snapshot // snapshot that replaces the state; nil if the state is not replaced
+	changes      []*changefeed.Change // changes that are applied after snapshot
+	confirmation *confirmation        // newest confirmation; nil if there is no new one
 }
 
 // hasChanges reports whether the batch changes the state.
--- a/internal/fleet/replication/bench_test.go
+++ b/internal/fleet/replication/bench_test.go
@@ -147,7 +147,7 @@
 			}
 			b.ReportMetric(float64(c.messages), "msgs/op")
 			b.ReportMetric(float64(c.wireBytes), "wire-B/op")
-			if size[0] == 1 { // with more replicas, the nodes of this process share each value's bytes
+			if size[0] == 1 { // only a single replica is measured: more replicas share each value's bytes in this process
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(size[1]), "stored-B/record")
 			}
 		})
--- a/internal/fleet/replication/replication_test.go
+++ b/internal/fleet/replication/replication_test.go
@@ -12,7 +12,7 @@
 // cluster is a set of three nodes whose messages are delivered at once, except those that a test drops.
 type cluster struct {
 	nodes     map[string]*Node
-	results   map[string]Result // by operation ID
+	results   map[string]Result // results of the submitted operations, by operation ID
 	now       time.Duration
 	isDropped func(Message) bool
 }
--- a/internal/fleet/shardmap/put_test.go
+++ b/internal/fleet/shardmap/put_test.go
@@ -64,7 +64,7 @@
 	if len(s.RecentPuts) != maxRecentPuts {
 		t.Errorf("%d recent puts are stored, want maxRecentPuts", len(s.RecentPuts))
 	}
-	if d := put(Put{Key: "config/b", Value: []byte("1"), OperationID: "four"}); d.Version != 5 { // its key was not put again since
+	if d := put(Put{Key: "config/b", Value: []byte("1"), OperationID: "four"}); d.Version != 5 { // the result is that of the item, whose key was not put again
 		t.Errorf("retried put of an item without newer puts: %+v", d)
 	}
 }
--- a/internal/fleet/subscriber/request.go
+++ b/internal/fleet/subscriber/request.go
@@ -27,8 +27,8 @@
 	wasSent        bool  // whether the request was sent at least once
 	timeoutTimer   *time.Timer
 	onNoResponse   func()
-	onResult       func(replication.Result)      // nil for a put
-	onPutResponse  func(*changefeed.PutResponse) // nil for an operation
+	onResult       func(replication.Result)      // callback of an operation; nil for a put
+	onPutResponse  func(*changefeed.PutResponse) // callback of a put; nil for an operation
 }
 
 // Submit submits an operation to a control process that is followed. done is called once, when the result arrives, soon after the timeout
