--- a/internal/fleet/changefeed/candidate.go
+++ b/internal/fleet/changefeed/candidate.go
@@ -13,7 +13,7 @@
 	failureResetAfter       = 10 * time.Second // a healthy connection of this age clears the publisher's failures
 	invalidPublisherBackoff = time.Minute      // mean backoff after an invalid message, or a message of another fleet or history
 	minRetryAfter           = time.Second      // minimum of the time that a publisher's Reject asks for
-	maxRetryAfter           = 5 * time.Minute  // maximum of that time
+	maxRetryAfter           = 5 * time.Minute  // maximum of the time that a publisher's Reject asks for
 	transferTimeout         = time.Minute      // limit for the transfer of one message while bytes of it arrive
 
 	isolatedBackoff       = 1500 * time.Millisecond // mean backoff after a failure while no connection is open
@@ -44,7 +44,7 @@
 	isListed     bool   // whether the state or the configured seeds name the publisher
 	dialedAsSeed bool   // whether the publisher was dialed while its ID was unknown, and has not been chosen since
 
-	consecutiveFailures int           // consecutive failures, which determine the backoff
+	consecutiveFailures int           // number of consecutive failures, which determines the backoff
 	hasFailed           bool          // whether the publisher has failed, and no healthy connection has lasted for failureResetAfter since
 	failedAt            time.Duration // time of the last failure
 	avoidUntil          time.Duration // time before which the publisher is not chosen
--- a/internal/fleet/changefeed/delivery.go
+++ b/internal/fleet/changefeed/delivery.go
@@ -118,7 +118,7 @@
 	for ; served < len(p.snapshotQueue) && p.snapshotBudget > 0; served++ {
 		s := p.snapshotQueue[served]
 		s.awaitingSnapshot = false
-		if !s.forceSnapshot && p.log.canReplayFrom(s.sentVersion, s.sentDigest) { // another publisher has brought it up to date
+		if !s.forceSnapshot && p.log.canReplayFrom(s.sentVersion, s.sentDigest) { // another publisher has brought the subscriber up to date
 			p.sendChanges(s)
 			continue
 		}
--- a/internal/fleet/changefeed/publisher.go
+++ b/internal/fleet/changefeed/publisher.go
@@ -41,11 +41,11 @@
 // PublisherConfig configures a Publisher. MaxSubscribers and WindowBytes limit its memory.
 type PublisherConfig struct {
 	ID                     string
-	Fleet                  string        // ID of the fleet; empty: the fleet of the log
-	MaxSubscribers         int           // number of sessions at a time; further subscribers are rejected
-	WindowBytes            int           // bytes in flight to one subscriber; a larger message is sent alone
+	Fleet                  string        // ID of the fleet; empty means the fleet of the log
+	MaxSubscribers         int           // maximum number of open sessions; further subscribers are rejected
+	WindowBytes            int           // maximum number of bytes in flight to one subscriber; a larger message is sent alone
 	SnapshotBytesPerSecond int           // rate limit of snapshots to all subscribers together
-	Lease                  time.Duration // zero: DefaultLease
+	Lease                  time.Duration // lease of the sessions; zero means DefaultLease
 	Seed                   uint64        // seed of the random numbers that jitter retry times
 }
 
--- a/internal/fleet/changefeed/ranking.go
+++ b/internal/fleet/changefeed/ranking.go
@@ -12,7 +12,7 @@
 
 const (
 	siteFailureWindow = 10 * time.Second // a site is suspect if publishers of two of its zones failed within this time
-	maxFailedSites    = 16               // sites with failures that suspectSites considers
+	maxFailedSites    = 16               // maximum number of sites with failures that suspectSites considers
 )
 
 // localityTier is a publisher's distance class, the first criterion by which a subscriber ranks publishers. A lower tier ranks first.
--- a/internal/fleet/changefeed/subscriber.go
+++ b/internal/fleet/changefeed/subscriber.go
@@ -29,9 +29,9 @@
 	Machine     string
 	Zone        string
 	Site        string
-	Fleet       string        // ID of the fleet; empty: the fleet of the first state that is received
+	Fleet       string        // ID of the fleet; empty means the fleet of the first state that is received
 	Seeds       []string      // addresses of publishers, ranked after the publishers that the state names
-	Lease       time.Duration // zero: DefaultLease
+	Lease       time.Duration // lease of the state; zero means DefaultLease
 	Seed        uint64        // seed of the random numbers that jitter intervals and delays
 }
 
@@ -62,11 +62,11 @@
 	Changes          uint64 // changes applied
 	Snapshots        uint64 // snapshots installed
 	Duplicates       uint64 // changes and snapshots that were not newer than the state
-	Gaps             uint64 // times that a message was found missing
+	Gaps             uint64 // number of times that a message was found missing
 	DigestMismatches uint64 // changes and snapshots with a digest that does not match
 	Conflicts        uint64 // messages that showed a conflicting history
 	InvalidMessages  uint64 // invalid messages, and messages of another fleet
-	LeaseExpiries    uint64 // times that the state became stale
+	LeaseExpiries    uint64 // number of times that the state became stale
 	SyncRequests     uint64 // SyncRequests sent
 	Dials            uint64 // dials started
 	DialFailures     uint64 // dials reported as failed
@@ -98,7 +98,7 @@
 
 	replacementDueAt    time.Duration // time at which a better candidate is dialed; zero: no replacement is scheduled
 	replacementIsUrgent bool          // the replacement was scheduled because an active publisher is failing
-	urgentReplacements  int           // consecutive replacements of failing publishers, which determine the backoff
+	urgentReplacements  int           // number of consecutive replacements of failing publishers, which determines the backoff
 	nextDialAt          time.Duration // earliest time to dial a failed candidate while no connection is open
 
 	ready SubscriberReady
--- a/internal/fleet/consensus/confirmation.go
+++ b/internal/fleet/consensus/confirmation.go
@@ -18,7 +18,7 @@
 // depend on any clock.
 type confirmations struct {
 	nextAt     time.Duration
-	pending    []confirmation // oldest first
+	pending    []confirmation // requests that are not completed, the oldest first
 	term       uint64         // the term in which the pending requests were sent
 	lastNumber uint64
 
--- a/internal/fleet/datadir/datadir.go
+++ b/internal/fleet/datadir/datadir.go
@@ -118,7 +118,7 @@
 		return err
 	}
 	var id [memberIDBytes]byte
-	_, _ = rand.Read(id[:]) // never fails
+	_, _ = rand.Read(id[:]) // rand.Read never fails
 	d.IsNew = true
 	d.Identity = Identity{Format: FormatVersion, FleetName: fleet, Machine: machine, MemberID: hex.EncodeToString(id[:])}
 	return nil
--- a/internal/fleet/gossip/agent.go
+++ b/internal/fleet/gossip/agent.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	maxQueuedEvents = 4096                   // events waiting for the table; if there are more, the table is synchronized with the library's list of members instead
+	maxQueuedEvents = 4096                   // maximum number of events waiting for the table; if there are more, the table is synchronized with the library's list of members instead
 	leaveTimeout    = 500 * time.Millisecond // longest wait until the announcement that this member leaves is sent
 )
 
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	maxQueuedDatagrams     = 4096                   // received datagrams waiting for the library; more are dropped, as a network may drop them
-	maxLibraryStreams      = 1024                   // open streams of the library that others opened
-	maxPeerStreams         = 1024                   // open streams for packets between members that others opened
-	maxUnidentifiedStreams = 256                    // unidentified streams beyond maxLibraryStreams if subscribers are accepted, as many may reconnect at once
+	maxQueuedDatagrams     = 4096                   // maximum number of received datagrams waiting for the library; more are dropped, as a network may drop them
+	maxLibraryStreams      = 1024                   // maximum number of open streams of the library that others opened
+	maxPeerStreams         = 1024                   // maximum number of open streams for packets between members that others opened
+	maxUnidentifiedStreams = 256                    // number of unidentified streams allowed beyond maxLibraryStreams if subscribers are accepted, as many of them may reconnect at once
 	firstByteTimeout       = 3 * time.Second        // longest wait for the first byte of a stream
 	acceptRetryDelay       = 100 * time.Millisecond // pause after a failed accept
 	maxDatagramBytes       = 64 << 10
--- a/internal/fleet/node/agreed.go
+++ b/internal/fleet/node/agreed.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxKeptChanges     = 4096    // changes of the agreed state that are kept for polls of other members
-	maxKeptChangeBytes = 4 << 20 // total size of the kept changes
+	maxKeptChanges     = 4096    // maximum number of changes of the agreed state that are kept for polls of other members
+	maxKeptChangeBytes = 4 << 20 // maximum total size of the kept changes
 )
 
 // agreedState is the newest agreed state that this member knows. Voters learn it from the log, all members from responses to their polls.
@@ -68,7 +68,7 @@
 	for _, change := range ready.Changes {
 		version := n.agreedState.feed.Version()
 		if change.Version <= version {
-			continue // learned from another member before
+			continue // the change was learned from another member before
 		}
 		if change.Version != version+1 {
 			n.installSnapshot(consensus.SnapshotOf(n.log.State()))
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	maxMinReplicas = 2      // number of replicas that a write needs, unless the replication factor is smaller
+	maxMinReplicas = 2      // number of in-sync replicas that a shard needs to accept writes, unless the replication factor is smaller
 	randomStream   = 0xc02e // PCG stream, so that this package's random numbers differ from those of other packages with the same seed
 )
 
--- a/internal/fleet/node/poll.go
+++ b/internal/fleet/node/poll.go
@@ -39,7 +39,7 @@
 	if len(p.sentAt) >= maxPendingPolls {
 		delete(p.sentAt, oldest)
 	}
-	number := max(newest+1, uint64(now)) // the time makes it greater than the numbers of an earlier process of this member
+	number := max(newest+1, uint64(now)) // the time makes it greater than the numbers of this member's processes since the machine was started
 	p.sentAt[number] = now
 	return number
 }
--- a/internal/fleet/node/ready.go
+++ b/internal/fleet/node/ready.go
@@ -70,7 +70,7 @@
 
 // sendReplication sends the replicas' messages, in one packet for each receiver.
 func (n *Node) sendReplication(messages []replication.Message) {
-	packetIndexes := map[string]int{} // index by member ID
+	packetIndexes := map[string]int{} // index of a member's packet in n.ready.Packets, by member ID
 	for _, message := range messages {
 		i, exists := packetIndexes[message.To]
 		if !exists {
--- a/internal/fleet/nodeserver/link.go
+++ b/internal/fleet/nodeserver/link.go
@@ -255,7 +255,7 @@
 func (t *linkTable) readPackets(conn net.Conn) error {
 	r := bufio.NewReaderSize(conn, readBufferBytes)
 	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout)) // a closed connection fails in the read
-	if _, err := r.Discard(1); err != nil {                // gossip.PeerStreamMark
+	if _, err := r.Discard(1); err != nil {                // skips gossip.PeerStreamMark
 		return err
 	}
 	var peerHello hello
--- a/internal/fleet/nodeserver/server.go
+++ b/internal/fleet/nodeserver/server.go
@@ -65,8 +65,8 @@
 
 	node              *node.Node
 	store             *store.Store
-	pendingOperations map[string]func(replication.Result)   // callbacks by operation ID
-	pendingPuts       map[string][]func(shardmap.PutResult) // callbacks by operation ID
+	pendingOperations map[string]func(replication.Result)   // callbacks of the operations without a result, by operation ID
+	pendingPuts       map[string][]func(shardmap.PutResult) // callbacks of the puts without a result, by operation ID
 	failure           error                                 // the first failure, after which nothing is confirmed; nil if there was none
 	observerIsBehind  bool                                  // whether the observer missed changes and needs a snapshot
 	statusPublishedAt time.Duration                         // time at which the status was last published
--- a/internal/fleet/nodeserver/status.go
+++ b/internal/fleet/nodeserver/status.go
@@ -32,8 +32,8 @@
 	// Replicas.
 	ReplicaCounts map[int]int    // number of shards by their number of in-sync replicas
 	LocalShards   int            // number of shards with an in-sync replica on this member
-	RecordCount   int            // records on this member
-	RecordBytes   int            // size of their keys and values
+	RecordCount   int            // number of records on this member
+	RecordBytes   int            // size of the records' keys and values
 	Rejections    map[string]int // number of rejected operations, by reason
 
 	// Disk.
--- a/internal/fleet/publisher/operations.go
+++ b/internal/fleet/publisher/operations.go
@@ -21,7 +21,7 @@
 // pendingOperation identifies who is waiting for the result of an operation.
 type pendingOperation struct {
 	conn      *conn
-	requestID uint64 // assigned by the subscriber
+	requestID uint64 // request ID that the subscriber has assigned
 }
 
 // submit executes a subscriber's operation. If an operation is submitted again while it is pending, it is executed once and the result goes
--- a/internal/fleet/publisher/pending_updates.go
+++ b/internal/fleet/publisher/pending_updates.go
@@ -21,7 +21,7 @@
 	changes             []*changefeed.Change
 	confirmation        confirmation
 	isConfirmed         bool          // whether confirmation is set
-	takenConfirmationAt time.Duration // the field "at" of the confirmation that was taken last
+	takenConfirmationAt time.Duration // time of the confirmation that was taken last
 	nextPublishAt       time.Duration // earliest time of the next publication of changes
 }
 
--- a/internal/fleet/publisher/server.go
+++ b/internal/fleet/publisher/server.go
@@ -26,7 +26,7 @@
 
 	windowBytes            = 256 << 10 // maximum number of unacknowledged bytes in flight to one subscriber
 	snapshotBytesPerSecond = 32 << 20  // maximum rate of snapshots to all subscribers together
-	maxRetainedChanges     = 4096      // changes that are kept for subscribers with an older version; also the limit of unpublished changes
+	maxRetainedChanges     = 4096      // maximum number of changes that are kept for subscribers with an older version, and of unpublished changes
 	maxRetainedBytes       = 16 << 20
 )
 
--- a/internal/fleet/replication/client.go
+++ b/internal/fleet/replication/client.go
@@ -21,7 +21,7 @@
 	for _, id := range slices.Clone(n.pendingOrder) {
 		p := n.pending[id]
 		switch {
-		case p == nil: // an earlier attempt in this loop has ended it
+		case p == nil: // an earlier attempt in this loop has ended the operation
 		case n.now >= p.deadline:
 			n.expirePending(p)
 		case n.now >= p.nextAttempt:
--- a/internal/fleet/replication/node.go
+++ b/internal/fleet/replication/node.go
@@ -25,7 +25,7 @@
 
 	shards []shard // this member's state of each shard, by shard number
 	keys   int     // number of records stored, of all shards
-	bytes  int     // total size of their keys and values
+	bytes  int     // total size of the stored records' keys and values
 
 	pending      map[string]*pendingOperation // operations submitted here without a result, by operation ID
 	pendingOrder []string                     // IDs of the pending operations in the order of submission
--- a/internal/fleet/replication/primary.go
+++ b/internal/fleet/replication/primary.go
@@ -45,8 +45,8 @@
 	record    Record // the record as written; the zero Record if nothing is written
 	operation Operation
 	client    string
-	result    Result // sent to the client once all required replicas have acknowledged the write
-	isExpiry  bool   // a retention rule deletes the record; there is no client
+	result    Result // result that is sent to the client once all required replicas have acknowledged the write
+	isExpiry  bool   // whether the write deletes an expired record; it has no client then
 }
 
 // changesKey reports whether the write changes a record.
@@ -166,7 +166,7 @@
 		result:    Result{OperationID: op.ID, Outcome: OutcomeCommitted, Record: current},
 	}
 	switch {
-	case !op.ReadOnly && wroteRecord(op, current): // an earlier attempt has written it
+	case !op.ReadOnly && wroteRecord(op, current): // an earlier attempt has written the record
 	case op.ReadOnly || !conditionHolds(op, current):
 		w.result.Outcome = OutcomeConflict
 	case !op.Delete && !current.exists() && !n.hasCapacity(op):
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -84,8 +84,8 @@
 	IsLeader         bool           `json:"leads"`               // whether this member leads the log
 	ShardsByReplicas map[int]int    `json:"slots"`               // number of shards by their number of in-sync replicas
 	LocalShards      int            `json:"mine"`                // number of shards with an in-sync replica on this member
-	Records          int            `json:"records"`             // records on this member
-	Bytes            int            `json:"bytes"`               // size of their keys and values
+	Records          int            `json:"records"`             // number of records on this member
+	Bytes            int            `json:"bytes"`               // size of the records' keys and values
 	FileBytes        int64          `json:"file"`                // size of the store's file
 	DiskError        string         `json:"disk,omitempty"`      // failure after which this member confirms nothing; empty if there was none
 	Rejections       map[string]int `json:"refusals,omitempty"`  // number of rejected operations, by reason
--- a/internal/hclconfig/hclconfig.go
+++ b/internal/hclconfig/hclconfig.go
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", d.File, d.Line, d.Column, d.Message)
 }
 
-// Diagnostics are all errors in a file, ordered by line and column.
+// Diagnostics are the errors in a file. Reader.Err orders them by line and column.
 type Diagnostics []Diagnostic
 
 func (d Diagnostics) Error() string {
