--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -98,23 +98,23 @@
 func (n *Node) loadState(saved PersistentState) error {
 	if len(saved.Snapshot) > 0 {
 		if err := n.loadSnapshot(saved.Snapshot); err != nil {
-			return fmt.Errorf("snapshot: %w", err)
+			return fmt.Errorf("load the snapshot: %w", err)
 		}
 	}
 	if len(saved.HardState) > 0 {
 		hardState := &pb.HardState{}
 		if err := proto.Unmarshal(saved.HardState, hardState); err != nil {
-			return fmt.Errorf("hard state: %w", err)
+			return fmt.Errorf("decode the hard state: %w", err)
 		}
 		_ = n.storage.SetHardState(hardState) // a MemoryStorage never fails here
 	}
 	for i, encoded := range saved.Entries {
 		entry := &pb.Entry{}
 		if err := proto.Unmarshal(encoded, entry); err != nil {
-			return fmt.Errorf("entry %d: %w", i, err)
+			return fmt.Errorf("decode log entry %d after the snapshot: %w", i, err)
 		}
 		if err := n.storage.Append([]*pb.Entry{entry}); err != nil {
-			return fmt.Errorf("entry %d: %w", i, err)
+			return fmt.Errorf("append log entry %d after the snapshot: %w", i, err)
 		}
 	}
 	return nil
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -86,7 +86,7 @@
 	}
 	for _, entry := range ready.CommittedEntries {
 		if err := n.applyEntry(entry); err != nil {
-			return fmt.Errorf("apply entry %d: %w", entry.GetIndex(), err)
+			return fmt.Errorf("apply log entry %d: %w", entry.GetIndex(), err)
 		}
 	}
 	for _, read := range ready.ReadStates {
--- a/internal/fleet/idempotency/idempotency_test.go
+++ b/internal/fleet/idempotency/idempotency_test.go
@@ -26,7 +26,7 @@
 	claims            [2]Claim
 	phase             [2]phase
 	operations        [2]replication.Operation
-	delayedOperations [2]replication.Operation // still in transit, after their sessions have stopped waiting for them
+	delayedOperations [2]replication.Operation // operations in transit for which the sessions no longer wait
 	ran               [2]bool                  // whether the session wrote to a server
 	replies           [2]string                // what the session sent to its client
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -7,7 +7,7 @@
 	Member    bool           `json:"member"`         // whether this process owns the data directory
 	Reason    string         `json:"why,omitempty"`  // why this process is not a member; empty if it is
 	Standing  string         `json:"standing,omitempty"`
-	Self      *MemberReport  `json:"self,omitempty"`   // this process
+	Self      *MemberReport  `json:"self,omitempty"`   // this process as a member
 	Others    []MemberReport `json:"others,omitempty"` // the other members that the gossip knows
 	Alive     int            `json:"here"`             // number of members that are alive, including this one
 	Replicas  int            `json:"copies"`           // replicas of each record (replication factor)
