--- a/internal/fleet/changefeed/subscriber.go
+++ b/internal/fleet/changefeed/subscriber.go
@@ -10,11 +10,11 @@
 
 // Limits of a subscriber.
 const (
-	targetPublishers           = 2        // publishers that a subscriber follows; one more while it replaces one
-	maxCandidates              = 4096     // ranked publishers and seeds; further ones are ignored
-	maxPendingRenewals         = 8        // unanswered renewals for each connection; the oldest one is dropped first
-	maxConnectionConfirmations = 4        // pending confirmations for each connection, of versions that the state does not have yet
-	recentDigestCount          = 64       // newest versions whose digests are kept, to detect a conflicting history of a publisher that lags
+	targetPublishers           = 2        // number of publishers that a subscriber follows; one more while it replaces one
+	maxCandidates              = 4096     // maximum number of ranked publishers and seeds; further ones are ignored
+	maxPendingRenewals         = 8        // maximum number of unanswered renewals of a connection; the oldest one is dropped first
+	maxConnectionConfirmations = 4        // maximum number of pending confirmations of a connection, of versions that the state does not have yet
+	recentDigestCount          = 64       // number of newest versions whose digests are kept, to detect a conflicting history of a publisher that lags
 	ackThresholdBytes          = 64 << 10 // size of the changes from one publisher after which an Ack is sent before the next renewal
 )
 
@@ -29,10 +29,10 @@
 	Machine     string
 	Zone        string
 	Site        string
-	Fleet       string        // ID of the fleet; empty: the fleet of the first state that is received
+	Fleet       string        // ID of the fleet; empty means the fleet of the first state that is received
 	Seeds       []string      // addresses of publishers, ranked after the publishers that the state names
-	Lease       time.Duration // zero: DefaultLease
-	Seed        uint64        // of the random numbers that jitter intervals and delays
+	Lease       time.Duration // lease of the state; zero means DefaultLease
+	Seed        uint64        // seed of the random numbers that jitter intervals and delays
 }
 
 // SubscriberSend is a message to be sent to one publisher.
@@ -62,11 +62,11 @@
 	Changes          uint64 // changes applied
 	Snapshots        uint64 // snapshots installed
 	Duplicates       uint64 // changes and snapshots that were not newer than the state
-	Gaps             uint64 // times that a message was found missing
+	Gaps             uint64 // number of times that a message was found missing
 	DigestMismatches uint64 // changes and snapshots with a digest that does not match
 	Conflicts        uint64 // messages that showed a conflicting history
 	InvalidMessages  uint64 // invalid messages, and messages of another fleet
-	LeaseExpiries    uint64 // times that the state became stale
+	LeaseExpiries    uint64 // number of times that the state became stale
 	SyncRequests     uint64 // SyncRequests sent
 	Dials            uint64 // dials started
 	DialFailures     uint64 // dials reported as failed
@@ -98,7 +98,7 @@
 
 	replacementDueAt    time.Duration // time at which a better candidate is dialed; zero: no replacement is scheduled
 	replacementIsUrgent bool          // the replacement was scheduled because an active publisher is failing
-	urgentReplacements  int           // consecutive replacements of failing publishers, which determine the backoff
+	urgentReplacements  int           // number of consecutive replacements of failing publishers, which determines the backoff
 	nextDialAt          time.Duration // earliest time to dial a failed candidate while no connection is open
 
 	ready SubscriberReady
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	maxQueuedDatagrams     = 4096                   // received datagrams waiting for the library; more are dropped, as a network may drop them
-	maxLibraryStreams      = 1024                   // open streams of the library that others opened
-	maxPeerStreams         = 1024                   // open streams for packets between members that others opened
-	maxUnidentifiedStreams = 256                    // unidentified streams beyond maxLibraryStreams if subscribers are accepted, as many may reconnect at once
+	maxQueuedDatagrams     = 4096                   // maximum number of received datagrams waiting for the library; more are dropped, as a network may drop them
+	maxLibraryStreams      = 1024                   // maximum number of open streams of the library that others opened
+	maxPeerStreams         = 1024                   // maximum number of open streams for packets between members that others opened
+	maxUnidentifiedStreams = 256                    // number of unidentified streams allowed beyond maxLibraryStreams if subscribers are accepted, as many of them may reconnect at once
 	firstByteTimeout       = 3 * time.Second        // longest wait for the first byte of a stream
 	acceptRetryDelay       = 100 * time.Millisecond // pause after a failed accept
 	maxDatagramBytes       = 64 << 10
@@ -83,7 +83,7 @@
 		_ = t.tcp.Close() // the error of the UDP socket is returned
 		return nil, err
 	}
-	_ = t.udp.SetReadBuffer(receiveBufferBytes) // with a smaller buffer more datagrams are lost and have to be sent again
+	_ = t.udp.SetReadBuffer(receiveBufferBytes) // a failure is harmless: with a smaller buffer, more datagrams are lost and sent again
 	t.goroutines.Add(2)
 	go t.receiveDatagrams()
 	go t.acceptStreams()
@@ -171,7 +171,7 @@
 
 // identify reads the first byte of a stream, counts the stream among those of its kind and returns the receiver of that kind.
 func (t *Transport) identify(s *stream) (chan<- net.Conn, error) {
-	_ = s.SetReadDeadline(time.Now().Add(firstByteTimeout)) // if the connection is closed, the read reports it
+	_ = s.SetReadDeadline(time.Now().Add(firstByteTimeout)) // fails only on a closed connection, on which the read fails as well
 	n, err := io.ReadFull(s.Conn, s.firstByte[:])
 	_ = s.SetReadDeadline(time.Time{})
 	if err != nil {
--- a/internal/fleet/idempotency/idempotency.go
+++ b/internal/fleet/idempotency/idempotency.go
@@ -54,7 +54,7 @@
 	Proceed                     // the owner may write to the server
 	Replay                      // the session has a final answer, Claim.Answer
 	Abandoned                   // the session may have run and must not run again
-	Unavailable                 // nothing was recorded in time: after Begin, the session has not run here
+	Unavailable                 // no recording was confirmed in time: after Begin, the session has not run here
 	Recorded                    // the answer is recorded
 )
 
@@ -62,14 +62,14 @@
 type Claim struct {
 	Key       string
 	Owner     string
-	CreatedAt int64 // Unix seconds
+	CreatedAt int64 // creation time of the record, in Unix seconds
 	Answer    []byte
 
 	version            uint64 // version of the record that this owner wrote last
 	isOwner            bool   // a write of this owner is known to be committed
 	mustNotRun         bool   // the record shows another owner's attempt or answer, so this owner must not run the session
 	goal               goal
-	nextRecord         Record // the record to write
+	nextRecord         Record // the record that the current request writes
 	conflictsInRequest int    // number of conflicts in the current request
 	operations         int    // number of all operations so far, for their IDs
 }
--- a/internal/fleet/publisher/operations.go
+++ b/internal/fleet/publisher/operations.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxOperationsPerConn = 256              // pending operations and puts of one subscriber
-	maxOperations        = 8192             // pending operations of all subscribers
+	maxOperationsPerConn = 256              // maximum number of pending operations and puts of one subscriber
+	maxOperations        = 8192             // maximum number of pending operations of all subscribers
 	maxOperationTimeout  = 10 * time.Second // limit of the timeout that a subscriber requests for an operation
 	putTimeout           = 5 * time.Second
 )
@@ -21,7 +21,7 @@
 // pendingOperation identifies who is waiting for the result of an operation.
 type pendingOperation struct {
 	conn      *conn
-	requestID uint64 // assigned by the subscriber
+	requestID uint64 // request ID that the subscriber has assigned
 }
 
 // submit executes a subscriber's operation. If an operation is submitted again while it is pending, it is executed once and the result goes
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -7,7 +7,7 @@
 	Member    bool           `json:"member"`         // whether this process owns the data directory
 	Reason    string         `json:"why,omitempty"`  // why this process is not a member; empty if it is
 	Standing  string         `json:"standing,omitempty"`
-	Self      *MemberReport  `json:"self,omitempty"`   // this process
+	Self      *MemberReport  `json:"self,omitempty"`   // this process as a member
 	Others    []MemberReport `json:"others,omitempty"` // the other members that the gossip knows
 	Alive     int            `json:"here"`             // number of members that are alive, including this one
 	Replicas  int            `json:"copies"`           // replicas of each record (replication factor)
@@ -21,9 +21,9 @@
 	Sent      int64          `json:"sent"`             // bytes of datagrams sent
 	Received  int64          `json:"heard"`            // bytes of datagrams received
 
-	Store      *StoreReport      `json:"held,omitempty"`       // for a member
-	Subscriber *SubscriberReport `json:"following,omitempty"`  // for the role of a balancer
-	Publisher  *PublisherReport  `json:"publishing,omitempty"` // for a control process
+	Store      *StoreReport      `json:"held,omitempty"`       // the replicas and the agreed state; nil unless this process is a member
+	Subscriber *SubscriberReport `json:"following,omitempty"`  // nil unless this process is a balancer that follows control processes
+	Publisher  *PublisherReport  `json:"publishing,omitempty"` // nil unless this process is a control process
 }
 
 // SubscriberReport describes a balancer that follows control processes.
@@ -58,7 +58,7 @@
 	LowestVersion      uint64  `json:"lowest"`    // lowest version that a connected subscriber has acknowledged
 	Version            uint64  `json:"version"`
 	Digest             uint64  `json:"digest"`
-	Age                float64 `json:"age"`       // as in SubscriberReport
+	Age                float64 `json:"age"`       // seconds since the state was last confirmed; -1 if it never was
 	Changes            uint64  `json:"changes"`   // changes sent
 	Snapshots          uint64  `json:"snapshots"` // snapshots sent
 	Accepted           uint64  `json:"came"`      // sessions of subscribers accepted
@@ -84,8 +84,8 @@
 	IsLeader         bool           `json:"leads"`               // whether this member leads the log
 	ShardsByReplicas map[int]int    `json:"slots"`               // number of shards by their number of in-sync replicas
 	LocalShards      int            `json:"mine"`                // number of shards with an in-sync replica on this member
-	Records          int            `json:"records"`             // records on this member
-	Bytes            int            `json:"bytes"`               // size of their keys and values
+	Records          int            `json:"records"`             // number of records on this member
+	Bytes            int            `json:"bytes"`               // size of the records' keys and values
 	FileBytes        int64          `json:"file"`                // size of the store's file
 	DiskError        string         `json:"disk,omitempty"`      // failure after which this member confirms nothing; empty if there was none
 	Rejections       map[string]int `json:"refusals,omitempty"`  // number of rejected operations, by reason
--- a/internal/fleet/subscriber/request.go
+++ b/internal/fleet/subscriber/request.go
@@ -23,12 +23,12 @@
 	id             uint64
 	operationID    string
 	encodedMessage []byte
-	conn           *conn // connection that it was last sent on; nil if that has ended, or if it was never sent
-	wasSent        bool  // whether it was sent at least once
+	conn           *conn // connection on which the request was last sent; nil if that has ended, or if the request was never sent
+	wasSent        bool  // whether the request was sent at least once
 	timeoutTimer   *time.Timer
 	onNoResponse   func()
-	onResult       func(replication.Result)      // nil for a put
-	onPutResponse  func(*changefeed.PutResponse) // nil for an operation
+	onResult       func(replication.Result)      // callback of an operation; nil for a put
+	onPutResponse  func(*changefeed.PutResponse) // callback of a put; nil for an operation
 }
 
 // Submit submits an operation to a control process that is followed. done is called once, when the result arrives, soon after the timeout
