--- a/cmd/sabletally/control_rig_test.go
+++ b/cmd/sabletally/control_rig_test.go
@@ -25,37 +25,38 @@
 )
 
 const (
-	inForce = 7 * time.Second // a change is in force everywhere
-	later   = time.Second     // sockets and a busy machine
+	propagationBound = 7 * time.Second // from a put's answer until every subscriber and balancer has the change
+	timingSlack      = time.Second     // added to each bound, for the delays of sockets and of a busy machine
 )
 
-// controlFleet is a fleet with control processes.
+// controlFleet is a fleet of control processes, with subscribers in this process and balancers that follow them.
 type controlFleet struct {
 	*cluster.MemberGroup
-	t         *testing.T
-	dir       string
-	control   []*cluster.Process
-	all       []int
-	followers []*fakeSubscriber
-	balancers []*cluster.Process
-	puts      int
+	t           *testing.T
+	dir         string
+	control     []*cluster.Process
+	all         []int
+	subscribers []*fakeSubscriber
+	balancers   []*cluster.Process
+	puts        int
 }
 
-// fakeSubscriber is a subscriber without a balancer, in this process.
+// fakeSubscriber is a subscriber in this process, without a balancer. It checks the order of the updates that it gets.
 type fakeSubscriber struct {
 	*subscriber.Client
-	at int // its place among the ways
+	member int // its index in the emulated links, after those of the control processes
 
-	mu   sync.Mutex
-	last uint64
-	bad  string
+	mu          sync.Mutex
+	lastVersion uint64
+	violation   string
 }
 
-// newControlFleet starts so many control processes in so many zones, and subscribers in this process.
-func newControlFleet(t *testing.T, control, zones, followers int) *controlFleet {
+// newControlFleet starts control processes that are spread over zones, and subscribers in this process. It returns once the control processes
+// have a quorum, every shard has its replicas and each of them publishes.
+func newControlFleet(t *testing.T, control, zones, subscribers int) *controlFleet {
 	t.Parallel()
 	dir := t.TempDir()
-	b, err := cluster.NewMemberGroup(control+followers, dir, 12)
+	b, err := cluster.NewMemberGroup(control+subscribers, dir, 12)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,21 +87,21 @@
 			}
 		}
 	})
-	m.waitFor("the control processes are together and publish", m.all, func(r fleet.Report) bool {
+	m.waitFor("the control processes have a quorum and publish", m.all, func(r fleet.Report) bool {
 		return cluster.SeesQuorumOf(control)(r) && repaired(r) && r.Publisher.Age >= 0 && r.Publisher.Age < changefeed.DefaultLease.Seconds()
 	})
-	for i := range followers {
-		f := &fakeSubscriber{at: control + i}
+	for i := range subscribers {
+		f := &fakeSubscriber{member: control + i}
 		f.Client = subscriber.Open(subscriber.Options{Fleet: "lab", Name: fmt.Sprint("f", i), ID: fmt.Sprint("follower-", i), Incarnation: 1, Zone: cluster.ZoneName(i % zones),
-			Site: "s", Seeds: m.seeds(), Seed: uint64(i), LocalAddr: b.Links.Listen(f.at).Addr(), Now: boottime.Now, Log: zap.NewNop(), OnUpdate: f.applied})
+			Site: "s", Seeds: m.seeds(), Seed: uint64(i), LocalAddr: b.Links.Listen(f.member).Addr(), Now: boottime.Now, Log: zap.NewNop(), OnUpdate: f.onUpdate})
 		t.Cleanup(f.Close)
-		m.followers = append(m.followers, f)
+		m.subscribers = append(m.subscribers, f)
 	}
 	t.Cleanup(func() {
-		for _, f := range m.followers {
+		for _, f := range m.subscribers {
 			f.mu.Lock()
-			if f.bad != "" {
-				t.Errorf("follower %d: %s", f.at, f.bad)
+			if f.violation != "" {
+				t.Errorf("subscriber %d: %s", f.member, f.violation)
 			}
 			f.mu.Unlock()
 		}
@@ -108,6 +109,7 @@
 	return m
 }
 
+// seeds returns the addresses at which subscribers find the control processes.
 func (m *controlFleet) seeds() (all []netip.AddrPort) {
 	for i := range m.control {
 		all = append(all, m.Links.Advertised(i))
@@ -115,27 +117,27 @@
 	return all
 }
 
-// applied notes an update that goes back or leaves a gap.
-func (f *fakeSubscriber) applied(update changefeed.Update) {
+// onUpdate records an update whose version is not newer than the last one or leaves a gap.
+func (f *fakeSubscriber) onUpdate(update changefeed.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if update.Version <= f.last || !update.Complete && update.Version != f.last+1 {
-		f.bad = fmt.Sprintf("version %d (complete %v) after %d", update.Version, update.Complete, f.last)
+	if update.Version <= f.lastVersion || !update.Complete && update.Version != f.lastVersion+1 {
+		f.violation = fmt.Sprintf("got version %d (complete: %v) after version %d", update.Version, update.Complete, f.lastVersion)
 	}
-	f.last = update.Version
+	f.lastVersion = update.Version
 }
 
 // waitFor waits until the reports of control processes satisfy a condition.
 func (m *controlFleet) waitFor(what string, who []int, is func(fleet.Report) bool) {
 	m.t.Helper()
 	began := time.Now()
-	if err := m.WaitUntil(what, 2*bound, who, is); err != nil {
+	if err := m.WaitUntil(what, 2*testTimeout, who, is); err != nil {
 		m.t.Fatal(err)
 	}
 	m.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
 }
 
-// waitWithin waits until a check passes, for some time at most.
+// waitWithin waits until a check passes, and fails the test if it doesn't within the given time and timingSlack.
 func (m *controlFleet) waitWithin(what string, within time.Duration, is func() error) {
 	m.t.Helper()
 	began := time.Now()
@@ -145,27 +147,27 @@
 			m.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
 			return
 		}
-		if time.Since(began) > within+later {
-			m.t.Fatalf("not within %v: %s: %v", within, what, err)
+		if time.Since(began) > within+timingSlack {
+			m.t.Fatalf("not within %v: %s: last check: %v", within, what, err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// each checks all subscribers but those left out.
-func (m *controlFleet) each(is func(subscriber.Status) bool, but ...*fakeSubscriber) func() error {
+// subscribersSatisfy returns a check of a condition on all subscribers but those left out.
+func (m *controlFleet) subscribersSatisfy(is func(subscriber.Status) bool, but ...*fakeSubscriber) func() error {
 	return func() error {
-		for _, f := range m.followers {
+		for _, f := range m.subscribers {
 			if s := f.Status(); !slices.Contains(but, f) && !is(s) {
-				return fmt.Errorf("follower %d: %+v", f.at, s)
+				return fmt.Errorf("subscriber %d: %+v", f.member, s)
 			}
 		}
 		return nil
 	}
 }
 
-// following checks all balancers.
-func (m *controlFleet) following(is func(*fleet.SubscriberReport) bool) func() error {
+// balancersSatisfy returns a check of a condition on all balancers.
+func (m *controlFleet) balancersSatisfy(is func(*fleet.SubscriberReport) bool) func() error {
 	return func() error {
 		for _, p := range m.balancers {
 			r, err := p.Fleet()
@@ -180,9 +182,10 @@
 	}
 }
 
-func current(s subscriber.Status) bool { return s.Current && len(s.Publishers) == 2 }
+// followsTwoPublishers reports whether a subscriber is current and follows two control processes, as many as each should.
+func followsTwoPublishers(s subscriber.Status) bool { return s.Current && len(s.Publishers) == 2 }
 
-// put changes an item through a control process and returns the version that has it.
+// put changes an item through a control process and returns the version that contains the change.
 func (m *controlFleet) put(i int, key, value string) uint64 {
 	m.t.Helper()
 	m.puts++
@@ -190,9 +193,9 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	for end := time.Now().Add(bound); ; time.Sleep(50 * time.Millisecond) { // the same operation until it is answered
+	for end := time.Now().Add(testTimeout); ; time.Sleep(50 * time.Millisecond) { // repeats the same operation until it is answered
 		req.Body, _ = req.GetBody()
-		r, err := (&http.Client{Timeout: bound}).Do(req)
+		r, err := (&http.Client{Timeout: testTimeout}).Do(req)
 		if err == nil {
 			var text bytes.Buffer
 			_, _ = text.ReadFrom(r.Body)
@@ -207,36 +210,36 @@
 			err = fmt.Errorf("%s: %s", r.Status, text.String())
 		}
 		if time.Now().After(end) {
-			m.t.Fatalf("%s is not put: %v", key, err)
+			m.t.Fatalf("put of %s: no success: %v", key, err)
 		}
 	}
 }
 
-// everywhere puts an item and waits until all subscribers and balancers have it.
-func (m *controlFleet) everywhere(i int, key, value string, but ...*fakeSubscriber) {
+// putEverywhere puts an item and waits until all balancers, and all subscribers but those left out, have it.
+func (m *controlFleet) putEverywhere(i int, key, value string, but ...*fakeSubscriber) {
 	m.t.Helper()
 	v := m.put(i, key, value)
-	m.waitWithin(fmt.Sprintf("%s is in force everywhere, as version %d", key, v), inForce, func() error {
-		if err := m.each(func(s subscriber.Status) bool { return s.Version >= v }, but...)(); err != nil {
+	m.waitWithin(fmt.Sprintf("%s is at all subscribers and balancers, as version %d", key, v), propagationBound, func() error {
+		if err := m.subscribersSatisfy(func(s subscriber.Status) bool { return s.Version >= v }, but...)(); err != nil {
 			return err
 		}
-		return m.following(func(f *fleet.SubscriberReport) bool { return f.Version >= v && f.Current })()
+		return m.balancersSatisfy(func(f *fleet.SubscriberReport) bool { return f.Version >= v && f.Current })()
 	})
-	for _, f := range m.followers {
+	for _, f := range m.subscribers {
 		if got, _ := f.Get(key); !slices.Contains(but, f) && string(got) != value {
-			m.t.Errorf("follower %d has %q under %s", f.at, got, key)
+			m.t.Errorf("subscriber %d has %q under %s", f.member, got, key)
 		}
 	}
 }
 
-// balancer makes a balancer that follows the control processes, on a machine of its own.
-func (m *controlFleet) balancer(name, machine string, shared bool) *cluster.Process {
+// startBalancer starts a balancer that follows the control processes and has a discovery of its own.
+func (m *controlFleet) startBalancer(name, machine string, shared bool) *cluster.Process {
 	m.t.Helper()
-	return m.balancerWith(name, machine, "", shared, agent(m.t))
+	return m.startBalancerWith(name, machine, "", shared, newAgent(m.t))
 }
 
-// balancerWith is balancer with a discovery; extra goes into its file.
-func (m *controlFleet) balancerWith(name, machine, extra string, shared bool, a *emulator.Agent) *cluster.Process {
+// startBalancerWith does the same with a given discovery; extra is added to the fleet file.
+func (m *controlFleet) startBalancerWith(name, machine, extra string, shared bool, a *emulator.Agent) *cluster.Process {
 	m.t.Helper()
 	dir := m.t.TempDir()
 	var seeds []string
--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -23,94 +23,98 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// These tests start control processes, and balancers that follow them: real ones, and subscribers in this process.
+// These tests start control processes, and balancers and in-process subscribers that follow them.
 
-// TestSubscribersThroughFaults kills, stops, cuts off and loses control processes under ten subscribers and two balancers. A change must be
-// everywhere in time; no subscriber may take old state for new, go back or stay with a control process that is lost; and after a restart not
-// everybody may need a snapshot.
+// TestSubscribersThroughFaults kills, stops, cuts off and loses control processes under ten subscribers and two balancers. It guards against a
+// change that arrives late, against a subscriber that takes old state for current, goes back to an older version or stays with a control process
+// that is lost, and against snapshots for all subscribers after a restart.
 func TestSubscribersThroughFaults(t *testing.T) {
 	m := newControlFleet(t, 5, 3, 10)
-	m.balancer("b0", "b0", false)
-	m.balancer("b1", "b1", false)
-	all := m.each(current)
-	fit := func(f *fleet.SubscriberReport) bool { return f.Current && len(f.Publishers) == 2 }
-	m.waitWithin("all follow two", bound, all)
-	m.waitWithin("the balancers as well", bound, m.following(fit))
-	m.everywhere(3, "config/limits", "one")
+	m.startBalancer("b0", "b0", false)
+	m.startBalancer("b1", "b1", false)
+	allCurrent := m.subscribersSatisfy(followsTwoPublishers)
+	balancerFollowsTwo := func(f *fleet.SubscriberReport) bool { return f.Current && len(f.Publishers) == 2 }
+	m.waitWithin("each subscriber follows two control processes", testTimeout, allCurrent)
+	m.waitWithin("each balancer follows two control processes", testTimeout, m.balancersSatisfy(balancerFollowsTwo))
+	m.putEverywhere(3, "config/limits", "one")
 
-	// One is killed: whoever followed it is elsewhere within the lease, and was current all the while.
+	// A control process is killed: its subscribers change to others within the lease, and are current all the time.
 	lost, most := 0, 0
 	for i := range m.control {
 		if r, err := m.control[i].Fleet(); err == nil && r.Publisher.Subscribers > most {
 			lost, most = i, r.Publisher.Subscribers
 		}
 	}
-	lapses := func() (n uint64) {
-		for _, f := range m.followers {
+	leaseExpiries := func() (n uint64) {
+		for _, f := range m.subscribers {
 			n += f.Status().Stats.LeaseExpiries
 		}
 		return n
 	}
-	was := lapses()
+	was := leaseExpiries()
 	m.control[lost].Kill()
-	away := m.Links.Advertised(lost).String()
-	m.waitWithin(fmt.Sprintf("c%d is lost, which %d follow: they are elsewhere", lost, most), changefeed.DefaultLease, m.each(func(s subscriber.Status) bool {
-		return current(s) && !slices.Contains(s.Publishers, away)
+	lostAddress := m.Links.Advertised(lost).String()
+	m.waitWithin(fmt.Sprintf("c%d is lost: its %d subscribers follow others", lost, most), changefeed.DefaultLease, m.subscribersSatisfy(func(s subscriber.Status) bool {
+		return followsTwoPublishers(s) && !slices.Contains(s.Publishers, lostAddress)
 	}))
-	if now := lapses(); now != was {
-		t.Errorf("%d followers were not current meanwhile", now-was)
+	if now := leaseExpiries(); now != was {
+		t.Errorf("%d leases expired, want none: subscribers were not current meanwhile", now-was)
 	}
-	m.everywhere((lost+1)%5, "config/limits", "two")
+	m.putEverywhere((lost+1)%5, "config/limits", "two")
 	if err := m.control[lost].Launch(); err != nil {
 		t.Fatal(err)
 	}
-	m.waitFor("it is back", m.all, cluster.SeesQuorumOf(5))
+	m.waitFor("the restarted control process is back", m.all, cluster.SeesQuorumOf(5))
 
-	// One is stopped, sleeps over changes and its followers' leases, and wakes on old state.
+	// A control process is stopped past a change and its subscribers' leases, and goes on with old state.
 	stopped := (lost + 2) % 5
 	suspend(t, m.control[stopped])
-	asleep := m.Links.Advertised(stopped).String()
-	m.waitWithin("its followers are elsewhere", changefeed.DefaultLease, m.each(func(s subscriber.Status) bool { return current(s) && !slices.Contains(s.Publishers, asleep) }))
-	m.everywhere((stopped+1)%5, "config/limits", "three")
+	stoppedAddress := m.Links.Advertised(stopped).String()
+	m.waitWithin("the stopped one's subscribers follow others", changefeed.DefaultLease, m.subscribersSatisfy(func(s subscriber.Status) bool {
+		return followsTwoPublishers(s) && !slices.Contains(s.Publishers, stoppedAddress)
+	}))
+	m.putEverywhere((stopped+1)%5, "config/limits", "three")
 	_ = m.control[stopped].Signal(syscall.SIGCONT)
-	m.waitFor("it has what it missed", m.all, func(r fleet.Report) bool {
+	m.waitFor("the resumed control process has the changes that it missed", m.all, func(r fleet.Report) bool {
 		return cluster.SeesQuorumOf(5)(r) && r.Publisher.Age >= 0 && r.Publisher.Age < changefeed.DefaultLease.Seconds()
 	})
-	m.everywhere(stopped, "config/limits", "four")
+	m.putEverywhere(stopped, "config/limits", "four")
 
-	// A follower is cut off, and knows that by itself.
-	alone := m.followers[4]
-	m.Links.Set(func(from, to int, tie *emulator.MemberLink) { tie.Cut = from == alone.at || to == alone.at })
-	m.waitWithin("one that is cut off says so", changefeed.DefaultLease, func() error {
-		if s := alone.Status(); s.Current {
+	// A subscriber is cut off, and detects that by itself.
+	isolated := m.subscribers[4]
+	m.Links.Set(func(from, to int, tie *emulator.MemberLink) {
+		tie.Cut = from == isolated.member || to == isolated.member
+	})
+	m.waitWithin("the subscriber that is cut off is no longer current", changefeed.DefaultLease, func() error {
+		if s := isolated.Status(); s.Current {
 			return fmt.Errorf("%+v", s)
 		}
 		return nil
 	})
-	m.everywhere(0, "config/limits", "five", alone)
-	if v, _ := alone.Get("config/limits"); string(v) != "four" {
-		t.Errorf("cut off it has %q", v)
+	m.putEverywhere(0, "config/limits", "five", isolated)
+	if v, _ := isolated.Get("config/limits"); string(v) != "four" {
+		t.Errorf("the subscriber that was cut off has %q, want the earlier value", v)
 	}
-	before := alone.Status().Stats.Snapshots
+	before := isolated.Status().Stats.Snapshots
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
-	m.waitWithin("it is current again", bound, all)
-	if s := alone.Status(); s.Stats.Snapshots != before {
-		t.Errorf("it was sent %d snapshots for a change that was kept", s.Stats.Snapshots-before)
+	m.waitWithin("the subscriber is current again", testTimeout, allCurrent)
+	if s := isolated.Status(); s.Stats.Snapshots != before {
+		t.Errorf("the subscriber got %d snapshots for a change that the publishers still had", s.Stats.Snapshots-before)
 	}
 
-	// All are killed at once and started again. Who has the version is sent no snapshot.
+	// All control processes are killed at once and started again. A subscriber that has the version gets no snapshot.
 	snapshots := func() (n uint64) {
-		for _, f := range m.followers {
+		for _, f := range m.subscribers {
 			n += f.Status().Stats.Snapshots
 		}
 		return n
 	}
-	m.waitWithin("all have all", bound, func() error {
+	m.waitWithin("all subscribers have the store's version", testTimeout, func() error {
 		r, err := m.control[0].Fleet()
 		if err != nil {
 			return err
 		}
-		return m.each(func(s subscriber.Status) bool { return s.Version == r.Store.Version })()
+		return m.subscribersSatisfy(func(s subscriber.Status) bool { return s.Version == r.Store.Version })()
 	})
 	had := snapshots()
 	for _, p := range m.control {
@@ -119,29 +123,29 @@
 	for _, p := range m.control {
 		p.Kill()
 	}
-	m.waitWithin("without any nobody is current", changefeed.DefaultLease, m.each(func(s subscriber.Status) bool { return !s.Current }))
-	m.waitWithin("nor is a balancer", changefeed.DefaultLease, m.following(func(f *fleet.SubscriberReport) bool { return !f.Current }))
+	m.waitWithin("without control processes no subscriber is current", changefeed.DefaultLease, m.subscribersSatisfy(func(s subscriber.Status) bool { return !s.Current }))
+	m.waitWithin("no balancer is current", changefeed.DefaultLease, m.balancersSatisfy(func(f *fleet.SubscriberReport) bool { return !f.Current }))
 	for _, p := range m.control {
 		if err := p.Launch(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m.waitWithin("all follow again", 2*bound, all)
+	m.waitWithin("all subscribers follow again", 2*testTimeout, allCurrent)
 	if n := snapshots() - had; n != 0 {
-		t.Errorf("%d snapshots after all were started again", n)
+		t.Errorf("%d snapshots after all control processes were restarted, want none", n)
 	}
-	m.everywhere(1, "config/limits", "six")
+	m.putEverywhere(1, "config/limits", "six")
 
-	// Most voters are lost: nobody can tell any more whether there is something newer.
-	m.waitFor("five vote", m.all, func(r fleet.Report) bool { return r.Store.Voters == 5 })
+	// Most voters are lost: the remaining control processes can't know whether there is a newer version.
+	m.waitFor("all five are voters", m.all, func(r fleet.Report) bool { return r.Store.Voters == 5 })
 	for _, p := range m.control[:3] {
 		_ = p.Signal(syscall.SIGKILL)
 	}
 	for _, p := range m.control[:3] {
 		p.Kill()
 	}
-	m.waitWithin("with most voters lost nobody is current", changefeed.DefaultLease, m.each(func(s subscriber.Status) bool { return !s.Current }))
-	m.waitWithin("nor is a balancer", changefeed.DefaultLease, m.following(func(f *fleet.SubscriberReport) bool { return !f.Current }))
+	m.waitWithin("with most voters lost no subscriber is current", changefeed.DefaultLease, m.subscribersSatisfy(func(s subscriber.Status) bool { return !s.Current }))
+	m.waitWithin("no balancer is current", changefeed.DefaultLease, m.balancersSatisfy(func(f *fleet.SubscriberReport) bool { return !f.Current }))
 	if code, text, err := m.control[4].Call(http.MethodGet, "/control/ready"); err != nil || code != http.StatusServiceUnavailable {
 		t.Errorf("c4 is ready with two of five voters: %d %s %v", code, text, err)
 	}
@@ -150,11 +154,11 @@
 			t.Fatal(err)
 		}
 	}
-	m.waitWithin("all are current again", 2*bound, all)
-	m.everywhere(2, "config/limits", "seven")
+	m.waitWithin("all subscribers are current again", 2*testTimeout, allCurrent)
+	m.putEverywhere(2, "config/limits", "seven")
 	for _, address := range []string{m.balancers[0].AdminAddr, m.control[1].AdminAddr} {
 		if code := command([]string{"fleet", "status", address}); code != 0 {
-			t.Errorf("status of %s: exit %d", address, code)
+			t.Errorf("fleet status %s: exit code %d, want 0", address, code)
 		}
 	}
 	for _, c := range []struct {
@@ -169,18 +173,19 @@
 		{[]string{"put", m.control[0].AdminAddr, "config/by-hand", "--gone"}, 0},
 	} {
 		if code := command(append([]string{"fleet"}, c.args...)); code != c.code {
-			t.Errorf("%q: exit %d, wanted %d", c.args, code, c.code)
+			t.Errorf("fleet %q: exit code %d, want %d", c.args, code, c.code)
 		}
 	}
 }
 
-// TestAdminStateIsKeptByASubscriber takes a balancer out of service that is no member, loses its machine, starts it elsewhere and then restarts
-// it hot. It must not take clients, and the hot restart must be one subscriber.
+// TestAdminStateIsKeptByASubscriber takes a balancer that is no member out of service, loses its machine and starts it on another one; a second
+// balancer is restarted hot. It guards against a balancer that forgets its admin state and takes clients, and against a hot restart that shows as
+// two subscribers.
 func TestAdminStateIsKeptByASubscriber(t *testing.T) {
 	m := newControlFleet(t, 3, 3, 0)
-	says := func(p *cluster.Process, want string) {
+	expectReadiness := func(p *cluster.Process, want string) {
 		t.Helper()
-		m.waitWithin(p.Name+" says "+want, bound, func() error {
+		m.waitWithin(p.Name+" reports readiness: "+want, testTimeout, func() error {
 			code, text, err := p.Call("GET", "/control/ready")
 			if err == nil && !strings.Contains(text, want) {
 				err = fmt.Errorf("%d %s", code, text)
@@ -188,60 +193,60 @@
 			return err
 		})
 	}
-	tells := func(p *cluster.Process, path, want string) {
+	putAndExpectLog := func(p *cluster.Process, path, want string) {
 		t.Helper()
 		if code, text, err := p.Call("PUT", path); code != 200 {
 			t.Fatal(code, text, err)
 		}
-		m.waitWithin(p.Name+" logs "+want, bound, func() error {
+		m.waitWithin(p.Name+" logs "+want, testTimeout, func() error {
 			if !strings.Contains(p.LogTail(), want) {
 				return fmt.Errorf("%s", p.LogTail())
 			}
 			return nil
 		})
 	}
-	p := m.balancer("b", "here", false)
-	says(p, "yes")
-	tells(p, "/control/out-of-service", `"fleet: admin state stored"`)
+	p := m.startBalancer("b", "here", false)
+	expectReadiness(p, "yes")
+	putAndExpectLog(p, "/control/out-of-service", `"fleet: admin state stored"`)
 	p.Kill()
 	m.balancers = nil
-	p = m.balancer("b", "there", false)
-	says(p, "out of service")
-	tells(p, "/control/in-service", `"out":false,"version":2`)
+	p = m.startBalancer("b", "there", false)
+	expectReadiness(p, "out of service")
+	putAndExpectLog(p, "/control/in-service", `"out":false,"version":2`)
 	p.Kill()
 
 	m.balancers = nil
-	p = m.balancer("u", "u", true)
-	says(p, "yes")
-	m.waitWithin("one that is to be upgraded follows", bound, m.following(func(f *fleet.SubscriberReport) bool { return f.Current }))
+	p = m.startBalancer("u", "u", true)
+	expectReadiness(p, "yes")
+	m.waitWithin("the balancer to be upgraded follows", testTimeout, m.balancersSatisfy(func(f *fleet.SubscriberReport) bool { return f.Current }))
 	was, err := p.Fleet()
 	if err != nil {
 		t.Fatal(err)
 	}
-	young, err := p.Successor()
+	successor, err := p.Successor()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(young.Kill)
-	if err := young.Launch(); err != nil {
+	t.Cleanup(successor.Kill)
+	if err := successor.Launch(); err != nil {
 		t.Fatal(err)
 	}
-	if err := young.WaitReady(); err != nil {
+	if err := successor.WaitReady(); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := young.Fleet(); err != nil || r.Member || r.Reason == "" {
-		t.Fatalf("two processes are the follower: %+v, %v", r, err)
+	if r, err := successor.Fleet(); err != nil || r.Member || r.Reason == "" {
+		t.Fatalf("the successor is a subscriber beside its predecessor: %+v, %v", r, err)
 	}
 	_ = p.Signal(syscall.SIGTERM)
 	<-p.Exited()
-	m.balancers = []*cluster.Process{young}
-	m.waitWithin("the new process follows", bound, m.following(func(f *fleet.SubscriberReport) bool { return f.Current }))
-	if r, err := young.Fleet(); err != nil || r.Self.ID != was.Self.ID || r.Self.Incarnation != was.Self.Incarnation+1 {
-		t.Errorf("%+v after %+v, %v", r.Self, was.Self, err)
+	m.balancers = []*cluster.Process{successor}
+	m.waitWithin("the successor follows", testTimeout, m.balancersSatisfy(func(f *fleet.SubscriberReport) bool { return f.Current }))
+	if r, err := successor.Fleet(); err != nil || r.Self.ID != was.Self.ID || r.Self.Incarnation != was.Self.Incarnation+1 {
+		t.Errorf("the successor is %+v after %+v, want the same ID and the next incarnation: %v", r.Self, was.Self, err)
 	}
 
-	// A control process that ends as planned hands over, and sends its followers elsewhere.
-	r, err := young.Fleet()
+	// A control process that shuts down hands over, and sends its subscribers to others.
+	r, err := successor.Fleet()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -249,29 +254,30 @@
 	_ = m.control[at].Signal(syscall.SIGTERM)
 	<-m.control[at].Exited()
 	if err := m.control[at].Err(); err != nil {
-		t.Errorf("c%d ended with %v", at, err)
+		t.Errorf("c%d exited with %v, want success", at, err)
 	}
-	m.waitWithin("its follower is elsewhere", changefeed.DefaultLease, m.following(func(f *fleet.SubscriberReport) bool {
+	m.waitWithin("its subscriber follows another control process", changefeed.DefaultLease, m.balancersSatisfy(func(f *fleet.SubscriberReport) bool {
 		return f.Current && len(f.Publishers) > 0 && !slices.Contains(f.Publishers, r.Subscriber.Publishers[0])
 	}))
 }
 
-// TestNoRequestIsServedTwiceOverSubscribers has sessions of a replicated class in flight at one balancer that follows, which is lost with its
-// disk, and sends each request again to another one.
+// TestNoRequestIsServedTwiceOverSubscribers has sessions of a replicated class in flight at a balancer that follows the control processes. That
+// balancer is killed, and each request is sent again to another one. It guards against a non-idempotent request that runs twice; the class that
+// is not replicated shows that the count can be above 0.
 func TestNoRequestIsServedTwiceOverSubscribers(t *testing.T) {
 	const many = 50
 	m := newControlFleet(t, 3, 3, 0)
-	a := agent(t)
-	script := fourServers(t, a, 4*many)
-	held := "hold \"intents\" { grades = [\"pay\"] }\n"
-	first, second := m.balancerWith("b0", "b0", held, false, a), m.balancerWith("b1", "b1", held, false, a)
+	a := newAgent(t)
+	script := listFourServers(t, a, 4*many)
+	replicatedPay := "hold \"intents\" { grades = [\"pay\"] }\n"
+	first, second := m.startBalancerWith("b0", "b0", replicatedPay, false, a), m.startBalancerWith("b1", "b1", replicatedPay, false, a)
 	for _, p := range m.balancers {
 		if err := p.WaitReady(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m.waitWithin("both follow", bound, m.following(func(f *fleet.SubscriberReport) bool { return f.Current }))
-	asks := func(p *cluster.Process, grade string, id int) *testClient {
+	m.waitWithin("both balancers follow", testTimeout, m.balancersSatisfy(func(f *fleet.SubscriberReport) bool { return f.Current }))
+	request := func(p *cluster.Process, grade string, id int) *testClient {
 		t.Helper()
 		c, err := net.Dial("tcp", p.Addr)
 		if err != nil {
@@ -279,29 +285,29 @@
 		}
 		script.Hold(c)
 		one := &testClient{c, bufio.NewReader(c), t}
-		one.write(fmt.Sprintf(openOf, id, grade, id))
+		one.write(fmt.Sprintf(openLineFormat, id, grade, id))
 		return one
 	}
-	ran := map[string]int{} // by id: first lines that came to a server
+	runsByID := map[string]int{} // number of first lines that reached a server, by session ID
 	session := func() *emulator.Session {
 		t.Helper()
 		select {
 		case e := <-script.Sessions:
-			ran[strings.Fields(e.First)[1]]++
+			runsByID[strings.Fields(e.First)[1]]++
 			return e
-		case <-time.After(bound):
-			t.Fatalf("only %d ran", len(ran))
+		case <-time.After(testTimeout):
+			t.Fatalf("timed out waiting for a request at a server; %d sessions ran so far", len(runsByID))
 			return nil
 		}
 	}
-	one := asks(first, "pay", 1)
+	one := request(first, "pay", 1)
 	_, _ = io.WriteString(session(), "UP 1\r\n")
 	one.expectLine("UP 1\r\n")
-	asks(second, "pay", 1).expectLine("UP 1\r\n") // a repeat gets the same answer
+	request(second, "pay", 1).expectLine("UP 1\r\n") // a repeated request gets the same answer
 	for lost, grade := range []string{"pay", "order"} {
 		base := 1000 * (lost + 1)
 		for id := range many {
-			asks(first, grade, base+id)
+			request(first, grade, base+id)
 		}
 		for range many {
 			session()
@@ -309,12 +315,12 @@
 		first.Kill()
 		var again []*testClient
 		for id := range many {
-			again = append(again, asks(second, grade, base+id))
+			again = append(again, request(second, grade, base+id))
 		}
 		if grade == "pay" {
 			for id, one := range again {
-				if got := one.lastLine(); got != "ERR\r\n" {
-					t.Errorf("pay %d asked again is answered %q", id, got)
+				if got := one.lineIfAny(); got != "ERR\r\n" {
+					t.Errorf("the repeated request %d of class pay got %q, want ERR", id, got)
 				}
 			}
 		} else {
@@ -323,13 +329,13 @@
 			}
 		}
 		twice := 0
-		for _, n := range ran {
+		for _, n := range runsByID {
 			if n > 1 {
 				twice++
 			}
 		}
 		if want := map[string]int{"pay": 0, "order": many}[grade]; twice != want {
-			t.Errorf("%s: %d of %d ran twice, wanted %d", grade, twice, many, want)
+			t.Errorf("%s: %d of %d requests ran twice, want %d", grade, twice, many, want)
 		}
 		if err := first.Launch(); err != nil {
 			t.Fatal(err)
@@ -340,7 +346,8 @@
 	}
 }
 
-// TestAFileOfAnotherRole starts a balancer with a control process's file, and a control process with others.
+// TestAFileOfAnotherRole starts a balancer with the fleet file of a control process, and a control process with those of other roles. Each must
+// exit with code 2 and say what is wrong.
 func TestAFileOfAnotherRole(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "f.hcl")
@@ -351,7 +358,7 @@
 			t.Fatal(err)
 		}
 	}
-	a := agent(t)
+	a := newAgent(t)
 	p, err := cluster.NewProcess("n", []string{os.Args[0]}, nil, dir, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -377,7 +384,7 @@
 			want = strings.ReplaceAll(want, `\"`, `"`)
 		}
 		if code := cmd.ProcessState.ExitCode(); code != 2 || !strings.Contains(string(out), want) {
-			t.Errorf("%q: exit %d, %s", c.role, code, out)
+			t.Errorf("role setting %q: exit code %d, %s; want code 2 and an error that says what is wrong", c.role, code, out)
 		}
 	}
 }
--- a/cmd/sabletally/descriptors_test.go
+++ b/cmd/sabletally/descriptors_test.go
@@ -16,24 +16,25 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// silentCrowd is clients that connect and send nothing, and connect again a little after they are ended.
-type silentCrowd struct {
-	stop chan struct{}
-	over sync.WaitGroup
-	came atomic.Int64
+// silentClients is a group of clients that connect, send nothing, and connect again some time after the balancer ends their connection.
+type silentClients struct {
+	stop        chan struct{}
+	running     sync.WaitGroup
+	connections atomic.Int64
 }
 
-const comesAgain = time.Second
+// reconnectDelay is how long a silent client waits before it connects again.
+const reconnectDelay = time.Second
 
-func newSilentCrowd(t *testing.T, addr string, many int) *silentCrowd {
-	c := &silentCrowd{stop: make(chan struct{})}
+func startSilentClients(t *testing.T, addr string, many int) *silentClients {
+	c := &silentClients{stop: make(chan struct{})}
 	for range many {
-		c.over.Add(1)
+		c.running.Add(1)
 		go func() {
-			defer c.over.Done()
+			defer c.running.Done()
 			for {
 				if nc, err := net.Dial("tcp", addr); err == nil {
-					c.came.Add(1)
+					c.connections.Add(1)
 					ended := make(chan struct{})
 					go func() { _, _ = io.Copy(io.Discard, nc); close(ended) }()
 					select {
@@ -43,7 +44,7 @@
 					_ = nc.Close()
 				}
 				select {
-				case <-time.After(comesAgain):
+				case <-time.After(reconnectDelay):
 				case <-c.stop:
 					return
 				}
@@ -54,16 +55,16 @@
 	return c
 }
 
-func (c *silentCrowd) end() {
+func (c *silentClients) end() {
 	select {
 	case <-c.stop:
 	default:
 		close(c.stop)
 	}
-	c.over.Wait()
+	c.running.Wait()
 }
 
-// openDescriptors returns what a process has open now.
+// openDescriptors returns the targets of the descriptors that a process has open now.
 func openDescriptors(t *testing.T, p *cluster.Process) []string {
 	t.Helper()
 	dir := fmt.Sprintf("/proc/%d/fd", p.Pid())
@@ -80,23 +81,24 @@
 	return held
 }
 
-// overloadedSite is a balancer of so many descriptors, by the kernel's limit too, that is started again while discovery is down.
+// overloadedSite is a balancer whose descriptors are limited by its configuration and by the kernel, and that is restarted while discovery is
+// down.
 type overloadedSite struct {
 	*site
-	files, most      int
-	back             func() // has discovery be there again
-	down             time.Time
-	served, rejected int
+	descriptorLimit, peakDescriptors int
+	restoreDiscovery                 func() // ends the outage of discovery
+	outageStart                      time.Time
+	served, rejected                 int
 }
 
 const (
-	downFor   = 8 * time.Second
-	heardIn   = 6 * time.Second
-	spentPart = 2  // so-many-th of one processor is the most that is used while clients come all the time,
-	idlePart  = 10 // and once they have gone
+	outageLength     = 8 * time.Second
+	listBound        = 6 * time.Second
+	loadedCPUDivisor = 2  // at most 1/2 of one processor's time is used while clients connect all the time
+	idleCPUDivisor   = 10 // at most 1/10 of one processor's time is used after they have left
 )
 
-// newOverloadedSite starts with a discovery that refuses connections, or that accepts them and says nothing.
+// newOverloadedSite restarts a balancer during an outage of discovery, which refuses connections or accepts them and sends nothing.
 func newOverloadedSite(t *testing.T, files int, refuses bool) *overloadedSite {
 	ln, err := net.Listen("tcp", emulator.Loopback())
 	if err != nil {
@@ -108,11 +110,11 @@
 		_ = ln.Close()
 		env = append(env, "EDGE_DISCOVERY="+addr)
 	}
-	s := &overloadedSite{files: files, site: startSite(t, env, "s-1")}
-	s.waitAllListed()
+	s := &overloadedSite{descriptorLimit: files, site: startSite(t, env, "s-1")}
+	s.acceptAllSessions()
 	s.child.Kill()
 	if refuses {
-		s.back = func() {
+		s.restoreDiscovery = func() {
 			ln, err := net.Listen("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
@@ -122,12 +124,12 @@
 		}
 	} else {
 		s.agent.Misbehave(emulator.Unresponsive)
-		s.back = func() { s.agent.Misbehave(emulator.Healthy) }
+		s.restoreDiscovery = func() { s.agent.Misbehave(emulator.Healthy) }
 	}
 	if err := s.child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.down = time.Now()
+	s.outageStart = time.Now()
 	return s
 }
 
@@ -151,13 +153,13 @@
 	}
 }
 
-// checkAnswers makes a call as operators do, and a request as a client.
+// checkAnswers calls the admin address, and opens a session as a client; both must be answered.
 func (s *overloadedSite) checkAnswers() {
 	s.t.Helper()
 	if code, says := s.call("GET", "/control/ready"); code != 200 {
-		s.t.Errorf("%d, %q", code, says)
+		s.t.Errorf("GET /control/ready: %d, %q, want 200", code, says)
 	}
-	a := s.client(open)
+	a := s.client(openLine)
 	defer func() { _ = a.Close() }()
 	switch got := a.line(); {
 	case strings.HasPrefix(got, "UP"):
@@ -165,31 +167,31 @@
 	case strings.HasPrefix(got, "BUSY"):
 		s.rejected++
 	default:
-		s.t.Errorf("a client among the idle got %q", got)
+		s.t.Errorf("a client beside the idle ones got %q, want UP or BUSY", got)
 	}
-	s.most = max(s.most, len(openDescriptors(s.t, s.child)))
+	s.peakDescriptors = max(s.peakDescriptors, len(openDescriptors(s.t, s.child)))
 }
 
-// checkThroughOutage checks answers until discovery is back, then that the list is applied, that a successor is linked, and that the process
-// is idle once the crowd has gone.
-func (s *overloadedSite) checkThroughOutage(many *silentCrowd) {
+// checkThroughOutage checks answers until discovery is back, then that the list is applied, that a successor connects, and that the process is
+// idle once the silent clients have left.
+func (s *overloadedSite) checkThroughOutage(clients *silentClients) {
 	s.t.Helper()
-	s.serve("s-2") // discovery says so once it is back
-	began, used, came := time.Now(), s.child.CPU(), many.came.Load()
-	for time.Since(s.down) < downFor {
+	s.serve("s-2") // a change that the balancer gets once discovery is back
+	began, used, came := time.Now(), s.child.CPU(), clients.connections.Load()
+	for time.Since(s.outageStart) < outageLength {
 		s.checkAnswers()
 		time.Sleep(50 * time.Millisecond)
 	}
 	spent, over := s.child.CPU()-used, time.Since(began)
-	s.back()
+	s.restoreDiscovery()
 	back := time.Now()
 	s.waitLog(`"server":"s-2"`)
 	heard := time.Since(back)
 	s.checkAnswers()
-	s.t.Logf("%d served, %d rejected, %d descriptors at most, %d came, %v of processor time in %v; heard %v after its return",
-		s.served, s.rejected, s.most, many.came.Load()-came, spent, over, heard)
-	if s.served+s.rejected == 0 || s.most > s.files || spent > over/spentPart || heard > heardIn {
-		s.t.Error("not as it must be")
+	s.t.Logf("%d served, %d rejected, %d descriptors at most, %d silent connections, %v of processor time in %v; the list applied %v after the outage",
+		s.served, s.rejected, s.peakDescriptors, clients.connections.Load()-came, spent, over, heard)
+	if s.served+s.rejected == 0 || s.peakDescriptors > s.descriptorLimit || spent > over/loadedCPUDivisor || heard > listBound {
+		s.t.Error("no client answered, too many descriptors, too much processor time or a late list: see the line above")
 	}
 	began = time.Now()
 	old := s.startSuccessor()
@@ -199,48 +201,49 @@
 		s.t.Error(err)
 	}
 	s.checkAnswers()
-	s.t.Logf("linked %v after the next process began; the two hold %d", linked, len(openDescriptors(s.t, old))+len(openDescriptors(s.t, s.child)))
+	s.t.Logf("the successor connected %v after its start; both processes hold %d descriptors", linked, len(openDescriptors(s.t, old))+len(openDescriptors(s.t, s.child)))
 	_ = old.Signal(syscall.SIGTERM)
 	waitForExit(s.t, old)
 	s.checkAnswers()
-	many.end()
+	clients.end()
 	s.mu.Lock()
 	text := s.log.String()
 	s.mu.Unlock()
 	if n := strings.Count(text, "too many open files"); n > 0 {
-		s.t.Errorf("no descriptor was left %d times", n)
+		s.t.Errorf("ran out of descriptors %d times", n)
 	}
 	used, began = s.child.CPU(), time.Now()
 	time.Sleep(2 * time.Second)
 	spent, over = s.child.CPU()-used, time.Since(began)
-	if s.t.Logf("%v of processor time in %v without anybody", spent, over); spent > over/idlePart {
-		s.t.Error("it spins")
+	if s.t.Logf("%v of processor time in %v without clients", spent, over); spent > over/idleCPUDivisor {
+		s.t.Error("the process uses too much processor time without clients")
 	}
 }
 
-// TestSilentClientsLeaveReservedDescriptors fills a balancer with silent clients while discovery refuses, at the start and for 8 s. Operators
-// are answered all the time, and a client is served by the earlier list or rejected; discovery is heard soon after its return, and a hot
-// restart's link is opened. Nothing spins.
+// TestSilentClientsLeaveReservedDescriptors fills a balancer with silent clients while discovery refuses connections, from the start on and for
+// 8 s. It guards against clients that use up the descriptors reserved for operators, for discovery and for a hot restart, and against a loop that
+// spins without descriptors: operators are answered all the time, a client is served from the earlier list or rejected, the list is applied soon
+// after the outage, and a successor connects.
 func TestSilentClientsLeaveReservedDescriptors(t *testing.T) {
 	for _, files := range []int{64, 1024} {
 		t.Run(fmt.Sprint(files), func(t *testing.T) {
 			s := newOverloadedSite(t, files, true)
-			many := newSilentCrowd(t, s.child.Addr, 3*files)
-			for began := time.Now(); many.came.Load() < int64(3*files); time.Sleep(time.Millisecond) {
-				if time.Since(began) > bound {
-					t.Fatalf("%d have come", many.came.Load())
+			many := startSilentClients(t, s.child.Addr, 3*files)
+			for began := time.Now(); many.connections.Load() < int64(3*files); time.Sleep(time.Millisecond) {
+				if time.Since(began) > testTimeout {
+					t.Fatalf("only %d silent clients have connected", many.connections.Load())
 				}
 			}
 			s.checkThroughOutage(many)
 			if s.served == 0 {
-				t.Error("nobody was served")
+				t.Error("no client was served")
 			}
 		})
 	}
 }
 
 // TestIdleSessionsLeaveReservedDescriptors does the same with sessions that arrive all at once, as many as are admitted, and with silent clients
-// behind them, while discovery says nothing.
+// after them, while discovery accepts connections and sends nothing.
 func TestIdleSessionsLeaveReservedDescriptors(t *testing.T) {
 	for _, files := range []int{64, 1024} {
 		t.Run(fmt.Sprint(files), func(t *testing.T) {
@@ -254,15 +257,15 @@
 					busy++
 					_ = a.Close()
 				default:
-					t.Errorf("%q", got)
+					t.Errorf("a client got %q, want UP or BUSY", got)
 				}
-				s.most = max(s.most, len(openDescriptors(t, s.child)))
+				s.peakDescriptors = max(s.peakDescriptors, len(openDescriptors(t, s.child)))
 			}
 			type answer struct {
 				a   *testClient
 				got string
 			}
-			answers, long := make(chan answer, files), strings.Replace(open, "d=1500", "d=4000", 1)
+			answers, long := make(chan answer, files), strings.Replace(openLine, "d=1500", "d=4000", 1)
 			for range files {
 				a := s.client(long)
 				go func() {
@@ -274,14 +277,14 @@
 				one := <-answers
 				answered(one.a, one.got)
 			}
-			for began := time.Now(); up < files/8 && time.Since(began) < bound; { // of the rush hardly any may find room
+			for began := time.Now(); up < files/8 && time.Since(began) < testTimeout; { // hardly any of the sessions that arrive at once may be admitted
 				a := s.client(long)
 				answered(a, a.line())
 			}
 			if t.Logf("%d up, %d busy", up, busy); up < files/8 || busy == 0 {
-				t.Error("it is not full")
+				t.Error("the balancer is not full: too few sessions established, or none rejected")
 			}
-			s.checkThroughOutage(newSilentCrowd(t, s.child.Addr, files))
+			s.checkThroughOutage(startSilentClients(t, s.child.Addr, files))
 		})
 	}
 }
--- a/cmd/sabletally/end_pairs_test.go
+++ b/cmd/sabletally/end_pairs_test.go
@@ -41,7 +41,7 @@
 	{name: "the client resets", toServer: true, begin: func(s *waitingSession) { resetConn(s.writer) }, byReset: true},
 	{name: "the client ends its sending", toServer: true, begin: func(s *waitingSession) { _ = s.writer.(*net.TCPConn).CloseWrite() }, endsSending: true},
 	{name: "the server's line is too long", begin: func(s *waitingSession) {
-		_ = s.writer.SetWriteDeadline(time.Now().Add(bound))
+		_ = s.writer.SetWriteDeadline(time.Now().Add(testTimeout))
 		go func() { _, _ = io.WriteString(s.writer, strings.Repeat("x", 5000)) }()
 	}, byReset: true},
 	{name: "it is migrated", begin: func(s *waitingSession) {
@@ -116,7 +116,7 @@
 
 // expectLines reads to the end and expects the lines that are owed, and the end behind them.
 func (s *waitingSession) expectLines(owed int, first firstEvent, eitherEnd bool) error {
-	_ = s.reader.SetReadDeadline(time.Now().Add(bound))
+	_ = s.reader.SetReadDeadline(time.Now().Add(testTimeout))
 	got := 0
 	last := ""
 	var end error
--- a/cmd/sabletally/fleet_cost_test.go
+++ b/cmd/sabletally/fleet_cost_test.go
@@ -16,13 +16,14 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// The cost of a held grade: go test ./cmd/sabletally -run TestReplicationCost -cost -v
-var cost = flag.Bool("cost", false, "measure what holding costs; takes a minute")
+// measureCost enables the measurement: go test ./cmd/sabletally -run TestReplicationCost -cost -v
+var measureCost = flag.Bool("cost", false, "measure what replicating a class costs; takes a minute")
 
-// TestReplicationCost establishes sessions at a rate, of a class that is replicated and of one that is not, over links of several latencies.
+// TestReplicationCost measures how much longer the set-up of a session takes for a replicated class than for one that is not, at a fixed rate and
+// over links of several latencies. It fails for no figure.
 func TestReplicationCost(t *testing.T) {
-	if !*cost {
-		t.Skip("by hand")
+	if !*measureCost {
+		t.Skip("a measurement: run it with -cost")
 	}
 	for _, many := range []int{3, 5} {
 		for _, late := range []time.Duration{0, 100 * time.Microsecond, time.Millisecond, 5 * time.Millisecond} {
@@ -31,18 +32,18 @@
 	}
 }
 
-func measureFleetCost(t *testing.T, many int, late time.Duration) {
+func measureFleetCost(t *testing.T, members int, delay time.Duration) {
 	const rate, count = 100, 500
-	a := agent(t)
-	script := fourServers(t, a, 100)
+	a := newAgent(t)
+	script := listFourServers(t, a, 100)
 	go func() {
 		for e := range script.Sessions {
 			_, _ = io.WriteString(e, "UP 1\r\n")
 		}
 	}()
-	m := newTestFleetAt(t, many, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
-	m.waitFor("every slot has its holders", m.all, repaired)
-	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Delay = late })
+	m := newSerialTestFleet(t, members, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
+	m.waitFor("every shard has its replicas", m.all, repaired)
+	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Delay = delay })
 	if err := m.procs[0].WaitReady(); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +65,7 @@
 				}
 				defer func() { _ = c.Close() }()
 				id := 1 + 1000*(n+1) + i
-				_, _ = fmt.Fprintf(c, openOf, id, grade, id)
+				_, _ = fmt.Fprintf(c, openLineFormat, id, grade, id)
 				got, _ := bufio.NewReader(c).ReadString('\n')
 				mu.Lock()
 				defer mu.Unlock()
--- a/cmd/sabletally/fleet_rig_test.go
+++ b/cmd/sabletally/fleet_rig_test.go
@@ -16,7 +16,7 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// testFleet is a fleet of processes of the program.
+// testFleet is a fleet whose members are balancer processes. Its members have indexes from 0 on.
 type testFleet struct {
 	*cluster.MemberGroup
 	t     *testing.T
@@ -24,27 +24,31 @@
 	all   []int
 }
 
+// newTestFleet starts a fleet, in parallel with other tests, and waits until all members see each other. With shared, members can be restarted hot.
 func newTestFleet(t *testing.T, many int, shared bool) *testFleet {
-	return newTestFleetWith(t, many, shared, "", agent(t))
+	return newTestFleetWithBlocks(t, many, shared, "", newAgent(t))
 }
 
-func newTestFleetWith(t *testing.T, many int, shared bool, more string, a *emulator.Agent) *testFleet {
+// newTestFleetWithBlocks does the same with extra blocks in the fleet files and a given discovery.
+func newTestFleetWithBlocks(t *testing.T, many int, shared bool, extraBlocks string, a *emulator.Agent) *testFleet {
 	t.Parallel()
-	return newTestFleetAt(t, many, shared, more, a)
+	return newSerialTestFleet(t, many, shared, extraBlocks, a)
 }
 
-func newTestFleetAt(t *testing.T, many int, shared bool, more string, a *emulator.Agent) *testFleet {
-	return newTestFleetOf(t, many, shared, "", more, a)
+// newSerialTestFleet does the same without running the test in parallel with others.
+func newSerialTestFleet(t *testing.T, many int, shared bool, extraBlocks string, a *emulator.Agent) *testFleet {
+	return newTestFleetWithSettings(t, many, shared, "", extraBlocks, a)
 }
 
-func newTestFleetOf(t *testing.T, many int, shared bool, less, more string, a *emulator.Agent) *testFleet {
+// newTestFleetWithSettings does the same with extra settings in the fleet block of their files.
+func newTestFleetWithSettings(t *testing.T, many int, shared bool, extraSettings, extraBlocks string, a *emulator.Agent) *testFleet {
 	dir := t.TempDir()
 	b, err := cluster.NewMemberGroup(many, dir, 11)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	b.ExtraSettings, b.ExtraBlocks = less, more
+	b.ExtraSettings, b.ExtraBlocks = extraSettings, extraBlocks
 	m := &testFleet{MemberGroup: b, t: t}
 	for i := range many {
 		p, err := cluster.NewProcess(fmt.Sprintf("n%d", i), []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
@@ -80,8 +84,8 @@
 	return m
 }
 
-// startAgain kills all members at once and starts them again.
-func (m *testFleet) startAgain() {
+// restartAll kills all members at once and starts them again.
+func (m *testFleet) restartAll() {
 	m.t.Helper()
 	for _, p := range m.procs {
 		_ = p.Signal(syscall.SIGKILL)
@@ -94,55 +98,55 @@
 	}
 }
 
-// fourServers are scripted servers that a discovery lists.
-func fourServers(t *testing.T, a *emulator.Agent, most int) *emulator.Script {
-	script := emulator.NewScript(most, 4*bound)
+// listFourServers starts four scripted servers and adds them to a discovery's list.
+func listFourServers(t *testing.T, a *emulator.Agent, most int) *emulator.Script {
+	script := emulator.NewScript(most, 4*testTimeout)
 	t.Cleanup(script.Close)
 	for _, uid := range []string{"s-1", "s-2", "s-3", "s-4"} {
 		addr, err := script.Listen(uid)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Set(entry(uid, addr, emulator.InService))
+		a.Set(newEndpoint(uid, addr, emulator.InService))
 	}
 	return script
 }
 
-// logsOf waits until a process's log contains a text.
-func (m *testFleet) logsOf(p *cluster.Process, word string) {
+// waitForLog waits until a process's log contains a text.
+func (m *testFleet) waitForLog(p *cluster.Process, word string) {
 	m.t.Helper()
-	for end := time.Now().Add(bound); !strings.Contains(p.LogTail(), word); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(p.LogTail(), word); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			m.t.Fatalf("%s does not log %s: %s", p.Name, word, p.LogTail())
+			m.t.Fatalf("the log of %s does not contain %s: %s", p.Name, word, p.LogTail())
 		}
 	}
 }
 
-// logs waits until a member's log contains a text.
-func (m *testFleet) logs(i int, word string) {
+// waitForMemberLog waits until a member's log contains a text; if it fails, it logs the members' stores.
+func (m *testFleet) waitForMemberLog(i int, word string) {
 	m.t.Helper()
-	for end := time.Now().Add(bound); !strings.Contains(m.procs[i].LogTail(), word); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(m.procs[i].LogTail(), word); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			for j := range m.procs {
 				m.t.Logf("n%d: %+v", j, m.report(j).Store)
 			}
-			m.t.Fatalf("n%d does not log %s", i, word)
+			m.t.Fatalf("the log of n%d does not contain %s", i, word)
 		}
 	}
 }
 
-// startOutsider starts a balancer beside the members that is none.
-func (m *testFleet) startOutsider() *cluster.Process {
+// startStandaloneBalancer starts a balancer that belongs to no fleet.
+func (m *testFleet) startStandaloneBalancer() *cluster.Process {
 	m.t.Helper()
-	p := m.unstarted(agent(m.t))
+	p := m.newStandaloneBalancer(newAgent(m.t))
 	if err := p.Start(); err != nil {
 		m.t.Fatal(err)
 	}
 	return p
 }
 
-// unstarted returns a process that is still to be started.
-func (m *testFleet) unstarted(a *emulator.Agent) *cluster.Process {
+// newStandaloneBalancer returns a balancer process that belongs to no fleet and has not been started.
+func (m *testFleet) newStandaloneBalancer(a *emulator.Agent) *cluster.Process {
 	m.t.Helper()
 	dir := m.t.TempDir()
 	p, err := cluster.NewProcess("single", []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
@@ -159,12 +163,13 @@
 	return p
 }
 
-// nodeConfig is a balancer's configuration.
+// nodeConfig returns a balancer's configuration file. Beside feed it has two non-idempotent classes, pay and order.
 func nodeConfig(name string, p *cluster.Process, a *emulator.Agent, seed int) []byte {
 	return fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":2048},
-		"known":%s,"settings":%s}`, name, p.Addr, a.Addr(), seed, a.InitialList(), strings.Replace(settings, `[{"Name":"feed"`, `[`+serviceClass("pay")+serviceClass("order")+`{"Name":"feed"`, 1))
+		"known":%s,"settings":%s}`, name, p.Addr, a.Addr(), seed, a.InitialList(), strings.Replace(policySettings, `[{"Name":"feed"`, `[`+serviceClass("pay")+serviceClass("order")+`{"Name":"feed"`, 1))
 }
 
+// serviceClass returns a non-idempotent class of a configuration file, with a comma behind it.
 func serviceClass(name string) string {
 	return fmt.Sprintf(`{"Name":%q,"Effect":"non_idempotent","Group":"all","LatencyGoalUs":300000,"OuterLimitUs":9000000,"Utility":1},`, name)
 }
@@ -173,21 +178,24 @@
 func (m *testFleet) waitFor(what string, who []int, is func(fleet.Report) bool) {
 	m.t.Helper()
 	began := time.Now()
-	if err := m.WaitUntil(what, 2*bound, who, is); err != nil {
+	if err := m.WaitUntil(what, 2*testTimeout, who, is); err != nil {
 		m.t.Fatal(err)
 	}
 	m.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
 }
 
+// waitForQuorum waits until all members see each other.
 func (m *testFleet) waitForQuorum() {
 	m.t.Helper()
-	m.waitFor("all see all", m.all, cluster.SeesQuorumOf(len(m.all)))
+	m.waitFor("all members see each other", m.all, cluster.SeesQuorumOf(len(m.all)))
 }
 
+// without returns the indexes of all members but one.
 func (m *testFleet) without(i int) []int {
 	return slices.DeleteFunc(slices.Clone(m.all), func(j int) bool { return j == i })
 }
 
+// report returns a member's report.
 func (m *testFleet) report(i int) fleet.Report {
 	m.t.Helper()
 	r, err := m.procs[i].Fleet()
@@ -197,27 +205,27 @@
 	return r
 }
 
-// repaired reports whether every shard has three replicas, as this member knows.
+// repaired reports whether every shard has three replicas, as far as the reporting member knows.
 func repaired(r fleet.Report) bool { return r.Store != nil && r.Store.ShardsByReplicas[3] == 256 }
 
-// lastLine returns the line that a client gets, empty where there is none.
-func (a *testClient) lastLine() string {
+// lineIfAny returns the next line that a client gets, or what came before the end where there is none.
+func (a *testClient) lineIfAny() string {
 	text, _ := a.r.ReadString('\n')
 	return text
 }
 
-// requestOnce opens a session on a connection of its own and returns the answer.
+// requestOnce opens a session on a connection of its own and returns the answer, which is empty if there is none.
 func requestOnce(addr, grade string, id int) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return ""
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(bound))
-	_, _ = fmt.Fprintf(c, openOf, id, grade, id)
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	_, _ = fmt.Fprintf(c, openLineFormat, id, grade, id)
 	text, _ := bufio.NewReader(c).ReadString('\n')
 	return text
 }
 
-// openOf is the first line of a session with an ID and a class.
-const openOf = "OPEN %016x 7f3a9c21e0b4d655 c=%s,t=acme,d=8000,g=%x\r\n"
+// openLineFormat formats the first line of a session with an ID and a class; the ID is its group too.
+const openLineFormat = "OPEN %016x 7f3a9c21e0b4d655 c=%s,t=acme,d=8000,g=%x\r\n"
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -21,10 +21,11 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// These tests start several processes of the program as members of a fleet and put faults between them.
+// These tests start several balancer processes as members of a fleet, and kill, stop or cut off some of them.
 
-// TestAFleetThroughFaults stops, kills and cuts off members of five, loses a machine with its disk and starts the whole fleet again. Members
-// must find each other again, a lost disk's member must not be taken for the old one, and a stopped one must not go on as if nothing had been.
+// TestAFleetThroughFaults stops and cuts off members of a fleet of five, loses a machine with its disk and restarts the whole fleet. It guards
+// against members that don't find each other again, a member without its disk that is taken for the old one, a stopped one that doesn't notice its
+// pause, and a cut-off minority that goes on as a quorum.
 func TestAFleetThroughFaults(t *testing.T) {
 	m := newTestFleet(t, 5, false)
 	gone := func(i int) func(fleet.Report) bool {
@@ -37,71 +38,72 @@
 		*tie = emulator.MemberLink{Loss: 0.3, Duplicated: 0.3, Delay: 20 * time.Millisecond}
 	})
 	suspend(t, m.procs[4])
-	m.waitFor("the stopped one is missed, over bad ways", m.without(4), gone(4))
+	m.waitFor("the others notice the stopped member over lossy links", m.without(4), gone(4))
 	_ = m.procs[4].Signal(syscall.SIGCONT)
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
 	m.waitForQuorum()
 	if r := m.report(4); r.Pauses == 0 || r.Self.Incarnation != 1 {
-		t.Errorf("the one that was stopped knows of no stall: %+v", r)
+		t.Errorf("the stopped member reports no pause, or is another incarnation: %+v", r)
 	}
 
 	was := m.report(3).Self.ID
 	if err := m.LoseMachine(3); err != nil {
 		t.Fatal(err)
 	}
-	m.waitFor("the lost one is missed", m.without(3), gone(3))
+	m.waitFor("the others notice the lost member", m.without(3), gone(3))
 	if err := m.procs[3].Launch(); err != nil {
 		t.Fatal(err)
 	}
 	m.waitForQuorum()
 	if is := m.report(3).Self; is.ID == was || is.Incarnation != 1 {
-		t.Errorf("a member that lost its disk came back as itself: %+v", is)
+		t.Errorf("a member that lost its disk has its old ID or incarnation: %+v", is)
 	}
-	m.waitFor("the old one is known for lost for good", m.without(3), func(r fleet.Report) bool {
+	m.waitFor("the others know that the lost member is replaced", m.without(3), func(r fleet.Report) bool {
 		return slices.ContainsFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was && o.State == "gone" && o.ReplacedBy != "" })
 	})
 
 	m.Links.Set(func(from, to int, tie *emulator.MemberLink) { tie.Cut = from < 2 != (to < 2) })
-	m.waitFor("two stand apart", []int{0, 1}, func(r fleet.Report) bool { return r.Standing == "apart" && r.Alive == 2 })
-	m.waitFor("three go on", []int{2, 3, 4}, cluster.SeesQuorumOf(3))
+	m.waitFor("the minority of two knows that it is cut off", []int{0, 1}, func(r fleet.Report) bool { return r.Standing == "apart" && r.Alive == 2 })
+	m.waitFor("the majority of three goes on", []int{2, 3, 4}, cluster.SeesQuorumOf(3))
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
 	m.waitForQuorum()
 
-	m.Links.Set(func(from, _ int, tie *emulator.MemberLink) { tie.Cut = from == 1 }) // what it sends is lost, what it is sent is not
-	m.waitFor("one that nobody hears is missed", m.without(1), gone(1))
-	m.waitFor("and knows that it is apart", []int{1}, func(r fleet.Report) bool { return r.Standing == "apart" })
+	m.Links.Set(func(from, _ int, tie *emulator.MemberLink) { tie.Cut = from == 1 }) // its outgoing messages are lost, the incoming ones arrive
+	m.waitFor("the others notice the member that nobody hears", m.without(1), gone(1))
+	m.waitFor("that member knows that it is cut off", []int{1}, func(r fleet.Report) bool { return r.Standing == "apart" })
 	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
 	m.waitForQuorum()
 
-	m.startAgain()
+	m.restartAll()
 	m.waitForQuorum()
 	if is := m.report(0).Self; is.Incarnation != 2 {
-		t.Errorf("%+v", is)
+		t.Errorf("the restarted member is %+v, want incarnation 2", is)
 	}
 	_ = m.procs[2].Signal(syscall.SIGTERM)
-	m.waitFor("one that leaves says so", m.without(2), func(r fleet.Report) bool { return cluster.MemberState(r, "n2") == "left" && r.Standing == "together" })
+	m.waitFor("the others know that a member has left as planned", m.without(2), func(r fleet.Report) bool { return cluster.MemberState(r, "n2") == "left" && r.Standing == "together" })
 	<-m.procs[2].Exited()
 }
 
 // TestAdminStateOutlivesMachines takes a balancer out of service, then loses machine after machine with its disk, the balancer's first, and
-// kills the whole fleet at once. The balancer must not start and take clients, and no record may be on fewer machines than was promised.
+// kills the whole fleet at once. It guards against a balancer that forgets its admin state and takes clients, and against a record on fewer
+// machines than its replication promises.
 func TestAdminStateOutlivesMachines(t *testing.T) {
 	m := newTestFleet(t, 5, false)
-	m.waitFor("every slot has its holders", m.all, repaired)
-	say := func(i int, path, want string) {
+	m.waitFor("every shard has its replicas", m.all, repaired)
+	putAndExpectLog := func(i int, path, want string) {
 		t.Helper()
 		if code, text, err := m.procs[i].Call("PUT", path); code != 200 {
 			t.Fatal(code, text, err)
 		}
-		m.logs(i, want)
+		m.waitForMemberLog(i, want)
 	}
-	starts := func(i int, want string) {
+	expectStart := func(i int, want string) {
 		t.Helper()
-		for end := time.Now().Add(bound); ; time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 			code, text, err := m.procs[i].Call("GET", "/control/ready")
 			if err == nil && !strings.Contains(text, "starting") {
 				if !strings.Contains(text, want) {
-					t.Fatalf("n%d starts with %d %s, wanted %q: %s", i, code, text, want, m.procs[i].LogTail())
+					t.Fatalf("n%d starts with %d %s, want %q: %s", i, code, text, want, m.procs[i].LogTail())
 				}
 				return
 			}
@@ -110,7 +112,7 @@
 			}
 		}
 	}
-	say(3, "/control/out-of-service", `"fleet: admin state stored"`)
+	putAndExpectLog(3, "/control/out-of-service", `"fleet: admin state stored"`)
 	for _, lost := range []int{3, 0, 4, 1} {
 		was := m.report(lost)
 		if err := m.LoseMachine(lost); err != nil {
@@ -119,97 +121,98 @@
 		if err := m.procs[lost].Launch(); err != nil {
 			t.Fatal(err)
 		}
-		starts(lost, map[bool]string{true: "out of service", false: "yes"}[lost == 3])
-		m.waitFor(fmt.Sprintf("what n%d held is copied anew", lost), m.all, func(r fleet.Report) bool {
+		expectStart(lost, map[bool]string{true: "out of service", false: "yes"}[lost == 3])
+		m.waitFor(fmt.Sprintf("the replicas that n%d had are copied to other members", lost), m.all, func(r fleet.Report) bool {
 			old := slices.IndexFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was.Self.ID && o.State == "here" })
 			return cluster.SeesQuorumOf(5)(r) && repaired(r) && r.Store.Epoch > was.Store.Epoch && r.Store.Members == 5 && old < 0
 		})
 	}
-	// One that leaves as planned hands over before it ends.
+	// A member that shuts down hands its replicas over before it exits.
 	_ = m.procs[2].Signal(syscall.SIGTERM)
 	<-m.procs[2].Exited()
 	if tail := m.procs[2].LogTail(); !strings.Contains(tail, `"fleet: handed over","name":"n2","all":true`) {
-		t.Errorf("it left with what it held: %s", tail)
+		t.Errorf("n2 exited without handing over all its replicas: %s", tail)
 	}
-	// A slot has four for as long as one that has joined is a holder and the one that leaves is not yet none; and a member hears of
-	// what is agreed a moment after the one that has left did. None may see one of fewer than three, or see four for good.
-	m.waitFor("after one has left", m.without(2), func(r fleet.Report) bool {
+	// A shard has four replicas while the new one is in place and the leaving one is not yet removed, and a member learns of the agreed change
+	// a moment after the one that left did. No member may ever see a shard with fewer than three replicas, or one that stays at four.
+	m.waitFor("every shard has its replicas after a member has left", m.without(2), func(r fleet.Report) bool {
 		if r.Store == nil {
 			return false
 		}
 		for holders, slots := range r.Store.ShardsByReplicas {
 			if holders < 3 {
-				t.Errorf("%d slots have %d holders after one has left as planned", slots, holders)
+				t.Errorf("%d shards have %d replicas after a member has left as planned, want 3 or more", slots, holders)
 			}
 		}
 		return repaired(r) && r.Store.Members == 4
 	})
-	m.startAgain()
-	starts(3, "out of service")
-	say(3, "/control/in-service", `"out":false,"version":2`)
+	m.restartAll()
+	expectStart(3, "out of service")
+	putAndExpectLog(3, "/control/in-service", `"out":false,"version":2`)
 	m.procs[3].Kill()
 	if err := m.procs[3].Launch(); err != nil {
 		t.Fatal(err)
 	}
-	starts(3, "yes")
-	starts(4, "yes") // it was started anew too, and nobody has asked it yet
+	expectStart(3, "yes")
+	expectStart(4, "yes") // it was restarted as well, and its readiness has not been requested since
 	if code := command([]string{"fleet", "status", m.procs[4].AdminAddr}); code != 0 {
-		t.Errorf("status: exit %d", code)
+		t.Errorf("fleet status: exit code %d, want 0", code)
 	}
 	if code := command([]string{"fleet", "verify", m.DataDir(4)}); code != 1 {
-		t.Errorf("verify of a directory that a process has: exit %d", code)
+		t.Errorf("fleet verify of a directory in use: exit code %d, want 1", code)
 	}
 	m.procs[4].Kill()
 	if code := command([]string{"fleet", "verify", m.DataDir(4)}); code != 0 {
-		t.Errorf("verify: exit %d", code)
+		t.Errorf("fleet verify: exit code %d, want 0", code)
 	}
 }
 
 // TestNoRequestIsServedTwiceOverBalancers has 200 non-idempotent sessions in flight when their balancer is lost with its disk, and sends each
-// request again elsewhere: of a class that is replicated, and of one that is not, which shows that the count can be above 0.
+// request again to another balancer. It guards against a request of a replicated class that runs twice. The same with a class that is not
+// replicated shows that the count can be above 0.
 func TestNoRequestIsServedTwiceOverBalancers(t *testing.T) {
 	const many = 200
-	a := agent(t)
-	script := fourServers(t, a, 4*many)
-	m := newTestFleetWith(t, 5, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
-	m.waitFor("every slot has its holders", m.all, repaired)
+	a := newAgent(t)
+	script := listFourServers(t, a, 4*many)
+	m := newTestFleetWithBlocks(t, 5, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
+	m.waitFor("every shard has its replicas", m.all, repaired)
 	for _, p := range m.procs {
 		if err := p.WaitReady(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	asks := func(i int, grade string, id int) *testClient {
+	request := func(i int, grade string, id int) *testClient {
 		c, err := net.Dial("tcp", m.procs[i].Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		script.Hold(c)
 		one := &testClient{c, bufio.NewReader(c), t}
-		one.write(fmt.Sprintf(openOf, id, grade, id))
+		one.write(fmt.Sprintf(openLineFormat, id, grade, id))
 		return one
 	}
-	ran := map[string]int{} // by id: first lines that came to a server
+	runsByID := map[string]int{} // number of first lines that reached a server, by session ID
 	session := func() *emulator.Session {
 		select {
 		case e := <-script.Sessions:
-			ran[strings.Fields(e.First)[1]]++
+			runsByID[strings.Fields(e.First)[1]]++
 			return e
-		case <-time.After(bound):
-			t.Fatalf("only %d ran", len(ran))
+		case <-time.After(testTimeout):
+			t.Fatalf("timed out waiting for a request at a server; %d sessions ran so far", len(runsByID))
 			return nil
 		}
 	}
-	// A repeat gets the same answer.
+	// A repeated request gets the same answer.
 	for id := 1; id <= 5; id++ {
-		first := asks(1, "pay", id)
+		first := request(1, "pay", id)
 		_, _ = io.WriteString(session(), fmt.Sprintf("UP %d\r\n", id))
 		first.expectLine(fmt.Sprintf("UP %d\r\n", id))
-		asks(2, "pay", id).expectLine(fmt.Sprintf("UP %d\r\n", id))
+		request(2, "pay", id).expectLine(fmt.Sprintf("UP %d\r\n", id))
 	}
 	for lost, grade := range []string{"pay", "order"} {
 		base := 1000 * (lost + 1)
 		for id := range many {
-			asks(lost, grade, base+id)
+			request(lost, grade, base+id)
 		}
 		for range many {
 			session()
@@ -220,16 +223,16 @@
 		began, slowest := time.Now(), time.Duration(0)
 		var again []*testClient
 		for id := range many {
-			again = append(again, asks(2+id%3, grade, base+id))
+			again = append(again, request(2+id%3, grade, base+id))
 		}
 		if grade == "pay" {
 			var all sync.WaitGroup
-			var nacked, wrong atomic.Int64
+			var busyAnswers, wrong atomic.Int64
 			var longest atomic.Int64
 			for id, one := range again {
 				all.Go(func() {
-					got := one.lastLine()
-					for ; strings.HasPrefix(got, "BUSY ") && time.Since(began) < bound; nacked.Add(1) { // no promise in time: it comes again
+					got := one.lineIfAny()
+					for ; strings.HasPrefix(got, "BUSY ") && time.Since(began) < testTimeout; busyAnswers.Add(1) { // no answer from the shard's primary in time: the client tries again
 						time.Sleep(100 * time.Millisecond)
 						got = requestOnce(m.procs[2+id%3].Addr, grade, base+id)
 					}
@@ -245,35 +248,35 @@
 			}
 			all.Wait()
 			if slowest = time.Duration(longest.Load()); wrong.Load() > 0 {
-				t.Errorf("%d of %d asked again were answered in another way than broken off", wrong.Load(), many)
+				t.Errorf("%d of %d repeated requests got another answer than ERR", wrong.Load(), many)
 			}
-			t.Logf("%d nacks until the lost one's slots had another primary", nacked.Load())
+			t.Logf("%d BUSY answers until the lost member's shards had another primary", busyAnswers.Load())
 		} else {
 			for range many {
 				session()
 			}
 		}
 		twice := 0
-		for _, n := range ran {
+		for _, n := range runsByID {
 			if n > 1 {
 				twice++
 			}
 		}
 		if want := map[string]int{"pay": 0, "order": many}[grade]; twice != want {
-			t.Errorf("%s: %d of %d ran twice, wanted %d", grade, twice, many, want)
+			t.Errorf("%s: %d of %d requests ran twice, want %d", grade, twice, many, want)
 		}
-		t.Logf("%s: %d of %d ran twice; all answered after %v", grade, twice, many, slowest)
+		t.Logf("%s: %d of %d requests ran twice; all answered after %v", grade, twice, many, slowest)
 	}
 }
 
-// TestAStartWhileDiscoveryIsSilent starts a balancer without a list while discovery says nothing: with a recent recovered list, with an old one
-// of which most servers are gone, with one that is too old, and without a fleet. It must not wait for discovery with servers at hand, nor send
-// to the servers of an old list unchecked.
+// TestAStartWhileDiscoveryIsSilent starts a balancer without a list of its own while discovery sends nothing: the fleet has a recent list, an old
+// one of which most servers are gone, or one that is too old, or there is no fleet. It guards against a balancer that waits for discovery although
+// it can recover a list, and against one that sends sessions to the servers of an old list unchecked.
 func TestAStartWhileDiscoveryIsSilent(t *testing.T) {
 	for _, c := range []struct {
-		name, less string
-		served     bool
-		candidates bool
+		name, extraSettings string
+		served              bool
+		candidates          bool
 	}{
 		{"young", "", true, false},
 		{"old", "list_young = \"0s\"", true, true},
@@ -282,30 +285,30 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			a := agent(t)
-			script := emulator.NewScript(50, 4*bound)
+			a := newAgent(t)
+			script := emulator.NewScript(50, 4*testTimeout)
 			t.Cleanup(script.Close)
 			addr, err := script.Listen("s-1")
 			if err != nil {
 				t.Fatal(err)
 			}
-			a.Set(entry("s-1", addr, emulator.InService))
+			a.Set(newEndpoint("s-1", addr, emulator.InService))
 			drains, err := script.Listen("s-2")
 			if err != nil {
 				t.Fatal(err)
 			}
-			a.Set(entry("s-2", drains, emulator.Terminating))
-			if c.candidates { // a young list is as good as discovery's: these would be tried
+			a.Set(newEndpoint("s-2", drains, emulator.Terminating))
+			if c.candidates { // only with an old list: servers of a recent one would be tried without a check
 				for _, uid := range []string{"dead-1", "dead-2", "dead-3"} {
-					a.Set(entry(uid, closedAddress(t), emulator.InService))
+					a.Set(newEndpoint(uid, closedAddress(t), emulator.InService))
 				}
 			}
-			m := newTestFleetOf(t, 3, false, c.less, "", a)
-			m.waitFor("the list is held", m.all, func(r fleet.Report) bool { return repaired(r) && r.Store.Records > 0 })
+			m := newTestFleetWithSettings(t, 3, false, c.extraSettings, "", a)
+			m.waitFor("the list is stored in the fleet", m.all, func(r fleet.Report) bool { return repaired(r) && r.Store.Records > 0 })
 			a.Misbehave(emulator.Unresponsive)
 			p := m.procs[2]
 			if c.name == "no fleet" {
-				p = m.unstarted(a)
+				p = m.newStandaloneBalancer(a)
 			}
 			p.Kill()
 			text := nodeConfig(p.Name, p, a, 5)
@@ -331,7 +334,7 @@
 			one.write("OPEN 00000000000000a1 7f3a9c21e0b4d655 c=feed,t=acme,d=1500,g=1\r\n")
 			if !c.served {
 				if got := one.line(); !strings.HasPrefix(got, "BUSY") {
-					t.Errorf("served without a list: %q", got)
+					t.Errorf("a client of a balancer without a list got %q, want BUSY", got)
 				}
 				t.Logf("ready after %v, rejected", ready)
 				return
@@ -339,78 +342,80 @@
 			select {
 			case e := <-script.Sessions:
 				if e.UID != "s-1" {
-					t.Errorf("sent to %s, which drains", e.UID)
+					t.Errorf("the session went to %s, which drains, want s-1", e.UID)
 				}
 				_, _ = io.WriteString(e, "UP 1\r\n")
-			case <-time.After(bound):
-				t.Fatal("no server was asked")
+			case <-time.After(testTimeout):
+				t.Fatal("no server got the session")
 			}
 			one.expectLine("UP 1\r\n")
 			t.Logf("ready after %v, served after %v", ready, time.Since(began))
 			_ = p.Signal(syscall.SIGUSR1)
-			m.logsOf(p, `"why":"asked"`)
+			m.waitForLog(p, `"why":"asked"`)
 			tail := p.LogTail()
 			tail = tail[strings.LastIndex(tail, `"why":"asked"`):]
 			if none := strings.Contains(tail, `"candidates":0`); none == c.candidates || !strings.Contains(tail, `"ended-connect-failed":0`) {
-				t.Errorf("candidates asked %v, wanted %v, and no try at an absent server: %s", !none, c.candidates, tail)
+				t.Errorf("candidates checked: %v, want %v, and no attempt at an absent server: %s", !none, c.candidates, tail)
 			}
 		})
 	}
 }
 
-// TestAHotRestartIsOneMember starts a new process beside a member's. There must be one member of one balancer at all times.
+// TestAHotRestartIsOneMember starts a successor beside a member's process. It guards against two members for one balancer, and against a hot restart
+// that the other members take for a failure or a leave.
 func TestAHotRestartIsOneMember(t *testing.T) {
 	m := newTestFleet(t, 3, true)
 	was := m.report(1).Self
-	young, err := m.procs[1].Successor()
+	successor, err := m.procs[1].Successor()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(young.Kill)
-	if err := young.Launch(); err != nil {
+	t.Cleanup(successor.Kill)
+	if err := successor.Launch(); err != nil {
 		t.Fatal(err)
 	}
-	if err := young.WaitReady(); err != nil {
+	if err := successor.WaitReady(); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := young.Fleet(); err != nil || r.Member || r.Reason == "" {
-		t.Fatalf("two processes are the member: %+v, %v", r, err)
+	if r, err := successor.Fleet(); err != nil || r.Member || r.Reason == "" {
+		t.Fatalf("the successor is a member beside its predecessor: %+v, %v", r, err)
 	}
 	_ = m.procs[1].Signal(syscall.SIGTERM)
 	<-m.procs[1].Exited()
-	m.procs[1] = young
-	for end := time.Now().Add(bound); ; time.Sleep(10 * time.Millisecond) {
-		if r, err := young.Fleet(); err == nil && cluster.SeesQuorumOf(3)(r) {
+	m.procs[1] = successor
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		if r, err := successor.Fleet(); err == nil && cluster.SeesQuorumOf(3)(r) {
 			if r.Self.ID != was.ID || r.Self.Incarnation != was.Incarnation+1 {
-				t.Fatalf("%+v after %+v", r.Self, was)
+				t.Fatalf("the successor is %+v after %+v, want the same ID and the next incarnation", r.Self, was)
 			}
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal(young.LogTail())
+			t.Fatal(successor.LogTail())
 		}
 	}
-	m.waitFor("the others know the new process", []int{0, 2}, func(r fleet.Report) bool {
+	m.waitFor("the others know the successor", []int{0, 2}, func(r fleet.Report) bool {
 		return slices.ContainsFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was.ID && o.Incarnation == was.Incarnation+1 })
 	})
 	for _, i := range []int{0, 2} {
 		if tail := m.procs[i].LogTail(); strings.Contains(tail, "fleet: member failed") || strings.Contains(tail, "fleet: member left") {
-			t.Errorf("it was missed meanwhile: %s", tail)
+			t.Errorf("another member took the hot restart for a failure or a leave: %s", tail)
 		}
 	}
 }
 
-// TestWithoutAFileThereIsNoFleet counts a process's descriptors and goroutines with a fleet file and without.
+// TestWithoutAFileThereIsNoFleet looks at a process's descriptors and goroutines with a fleet file and without. It guards against a balancer outside
+// a fleet that pays for one.
 func TestWithoutAFileThereIsNoFleet(t *testing.T) {
 	m := newTestFleet(t, 2, false)
-	off := m.startOutsider()
+	standalone := m.startStandaloneBalancer()
 	count := func(p *cluster.Process) (fds, fleet int) {
 		dir := fmt.Sprintf("/proc/%d/fd", p.Pid())
 		all, err := os.ReadDir(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range all { // what lives for a moment only: connections of a call or to discovery
+		for _, e := range all { // counted by name, as connections to the admin address or to discovery come and go
 			if to, _ := os.Readlink(filepath.Join(dir, e.Name())); strings.Contains(to, "data-") {
 				fleet++
 			}
@@ -418,27 +423,28 @@
 		return len(all), fleet
 	}
 	_, on := count(m.procs[0])
-	_, none := count(off)
+	_, none := count(standalone)
 	if on != 2 || none != 0 {
-		t.Errorf("descriptors of a fleet's directory: %d with a file, %d without", on, none)
+		t.Errorf("descriptors of a fleet's data directory: %d with a fleet file, %d without, want 2 and 0", on, none)
 	}
 	for _, c := range []struct {
 		p    *cluster.Process
 		want bool
-	}{{m.procs[0], true}, {off, false}} {
-		_ = c.p.Signal(syscall.SIGQUIT) // which writes where each goroutine is, and ends it
+	}{{m.procs[0], true}, {standalone, false}} {
+		_ = c.p.Signal(syscall.SIGQUIT) // prints the stack of each goroutine and ends the process
 		<-c.p.Exited()
 		text := c.p.LogTail()
 		if !strings.Contains(text, "internal/balancer.(*Loop).Run") {
-			t.Fatalf("no goroutines are told: %s", text)
+			t.Fatalf("no stacks of goroutines in the output: %s", text)
 		}
 		if has := strings.Contains(text, "sabletally/internal/fleet") || strings.Contains(text, "hashicorp/memberlist"); has != c.want {
-			t.Errorf("goroutines of a fleet: %v, wanted %v", has, c.want)
+			t.Errorf("goroutines of the fleet packages: %v, want %v", has, c.want)
 		}
 	}
 }
 
-// TestABadFleetFileNamesItsPlace starts the program with faulty files, and with a directory that another process uses.
+// TestABadFleetFileNamesItsPlace starts the program with invalid fleet files, and with a data directory that another process uses. It must exit
+// with code 2 and an error that names the place or the reason.
 func TestABadFleetFileNamesItsPlace(t *testing.T) {
 	m := newTestFleet(t, 2, false)
 	dir := t.TempDir()
@@ -455,7 +461,7 @@
 		if err := os.WriteFile(file, []byte(strings.Replace(string(text), c.old, c.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if c.old != "" { // the lock is looked at first
+		if c.old != "" { // the lock on the directory is checked before the machine
 			m.procs[0].Kill()
 		} else if err := m.procs[0].Start(); err != nil {
 			t.Fatal(err)
@@ -465,7 +471,7 @@
 			"EDGE_LISTEN=127.0.0.1:0")
 		out, _ := cmd.CombinedOutput()
 		if code := cmd.ProcessState.ExitCode(); code != 2 || !strings.Contains(string(out), c.want) {
-			t.Errorf("exit %d, %s; wanted %q", code, out, c.want)
+			t.Errorf("exit code %d, %s; want code 2 and %q", code, out, c.want)
 		}
 	}
 }
--- a/cmd/sabletally/golden_test.go
+++ b/cmd/sabletally/golden_test.go
@@ -8,7 +8,8 @@
 	"sabletally/internal/deployment"
 )
 
-// TestTheConfigurationFileKeepsItsKeys reads a file with every key set, as earlier releases take it.
+// TestTheConfigurationFileKeepsItsKeys reads a configuration file with every key set, as earlier releases accept it. It guards against a key that
+// is renamed, or whose value is read in another unit.
 func TestTheConfigurationFileKeepsItsKeys(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"EDGE_CONFIG": "testdata/config.json"}[name]
@@ -35,7 +36,7 @@
 		{"what only a start takes in", s.StartupOnly, "n7127.0.0.1:14001127.0.0.1:14003{2.5 96 777}abc"},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: %v, not %v", c.key, c.got, c.want)
+			t.Errorf("%s: got %v, want %v", c.key, c.got, c.want)
 		}
 	}
 }
--- a/cmd/sabletally/line_delivery_test.go
+++ b/cmd/sabletally/line_delivery_test.go
@@ -231,7 +231,7 @@
 		}
 	}()
 	time.Sleep(readsAfter)
-	_ = to.SetReadDeadline(time.Now().Add(bound))
+	_ = to.SetReadDeadline(time.Now().Add(testTimeout))
 	got, end := countBulk(r)
 	owed := <-acknowledged / len(bulkLine(0))
 	if got < owed || owed == 0 {
@@ -397,7 +397,7 @@
 		for _, a := range clients {
 			_ = a.Close()
 		}
-		for end := time.Now().Add(bound); s.counter("open") > 0; {
+		for end := time.Now().Add(testTimeout); s.counter("open") > 0; {
 			if time.Now().After(end) {
 				t.Fatal("clients that have left are still held")
 			}
--- a/cmd/sabletally/main_test.go
+++ b/cmd/sabletally/main_test.go
@@ -17,10 +17,10 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// These tests start the program and speak to it over loopback. Its servers and its discovery are emulated;
-// nothing waits but for what must arrive, within a bound that only a failure reaches.
+// These tests start the program and talk to it over the loopback interface; its servers and its discovery are emulated. They wait for events,
+// not for fixed times, and give up after testTimeout.
 
-// TestMain is the program itself where a test starts it.
+// TestMain runs the program in place of the tests where SABLETALLY_CHILD is set: the tests start this binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("SABLETALLY_CHILD") == "" {
 		os.Exit(m.Run())
@@ -34,21 +34,22 @@
 	main()
 }
 
+// TestASessionFromFirstLineToEnd checks what a server gets as the first line, and that lines pass unchanged in both directions until the end.
 func TestASessionFromFirstLineToEnd(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	a, e := s.establish()
 	var left int
 	if n, err := fmt.Sscanf(e.First, "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme,d=%d,g=5c0f6e1a2b3d4c59,x=y\r\n",
 		&left); n != 1 || err != nil || left < 1 || left > 1500 {
-		t.Fatalf("%q, %v", e.First, err)
+		t.Fatalf("the server got the first line %q (%v)", e.First, err)
 	}
 	a.write("M 1 abc\r\nM 2 d")
 	if l, _ := e.R.ReadString('\n'); l != "M 1 abc\r\n" {
-		t.Fatalf("%q", l)
+		t.Fatalf("the server read %q", l)
 	}
 	a.write("ef\r\n")
 	if l, _ := e.R.ReadString('\n'); l != "M 2 def\r\n" {
-		t.Fatalf("%q", l)
+		t.Fatalf("the server read %q", l)
 	}
 	_, _ = io.WriteString(e, "LOAD 18410.797\r\nM 1 abc\r\nBYE\r\n")
 	_ = e.Close()
@@ -58,6 +59,7 @@
 	expectEnd(t, a.r, false)
 }
 
+// TestEndsAreForwarded checks that an end in order and a reset on one side reach the other side as such.
 func TestEndsAreForwarded(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	a, e := s.establish()
@@ -73,39 +75,43 @@
 	expectEnd(t, a.r, true)
 }
 
+// TestAClientThatLeavesEndsItsAttempt guards against an attempt that goes on for a client that is gone.
 func TestAClientThatLeavesEndsItsAttempt(t *testing.T) {
 	s := startSite(t, nil, "s-1")
-	a := s.client(open)
+	a := s.client(openLine)
 	e := s.session()
 	_ = a.Close()
 	expectEnd(t, e.R, false)
 	if l := s.counter("left"); l != 1 {
-		t.Fatalf("%d left", l)
+		t.Fatalf("%d clients counted as left, want 1", l)
 	}
 }
 
+// TestAttemptsAreMadeOneAtATime has one server reject an attempt and the next one say nothing. It guards against two attempts of a session that
+// overlap, and against a server that is tried twice.
 func TestAttemptsAreMadeOneAtATime(t *testing.T) {
 	s := startSite(t, nil, "s-1", "s-2", "s-3", "dead-1", "dead-2")
-	a := s.client(open)
+	a := s.client(openLine)
 	first := s.session()
 	_, _ = io.WriteString(first, "BUSY\r\n")
 	second := s.session()
-	expectEnd(t, first.R, false) // the old one is closed by then
-	// It says nothing: given up in time for a third, which comes only after this one's end.
+	expectEnd(t, first.R, false) // the first attempt's connection is closed before the second one is opened
+	// The second server says nothing: the attempt is given up early enough for a third one, which starts only after the second one's end.
 	expectEnd(t, second.R, false)
 	third := s.session()
 	if first.UID == second.UID || third.UID == second.UID || third.UID == first.UID {
-		t.Fatalf("%s, %s, %s", first.UID, second.UID, third.UID)
+		t.Fatalf("attempts at servers %s, %s and %s, want three different ones", first.UID, second.UID, third.UID)
 	}
 	_, _ = io.WriteString(third, "UP 3\r\n")
 	a.expectLine("UP 3\r\n")
 }
 
+// TestASessionIsAnsweredBeforeItsDeadline has servers that say nothing or fail. It guards against a client that is answered after its deadline.
 func TestASessionIsAnsweredBeforeItsDeadline(t *testing.T) {
 	s := startSite(t, nil, "s-1", "s-2")
 	for _, say := range []string{"", "ERR\r\n"} {
 		began := time.Now()
-		a := s.client(strings.Replace(open, "d=1500", "d=700", 1))
+		a := s.client(strings.Replace(openLine, "d=1500", "d=700", 1))
 		answered := make(chan struct{})
 		go func() {
 			for {
@@ -119,29 +125,32 @@
 		}()
 		got := a.line()
 		if took := time.Since(began); !strings.HasPrefix(got, "BUSY") || took > 750*time.Millisecond {
-			t.Fatalf("%q after %v", got, took)
+			t.Fatalf("got %q after %v, want BUSY within 750ms", got, took)
 		}
 		close(answered)
 		expectEnd(t, a.r, false)
 	}
 }
 
+// TestRefusedDialsAreRetried lists only servers that refuse connections: each attempt fails as a connection, and the client gets BUSY.
 func TestRefusedDialsAreRetried(t *testing.T) {
 	s := startSite(t, nil, "dead-1", "dead-2")
-	a := s.client(open)
+	a := s.client(openLine)
 	if got := a.line(); !strings.HasPrefix(got, "BUSY") {
-		t.Fatalf("%q", got)
+		t.Fatalf("got %q, want BUSY", got)
 	}
 	if n, m := s.counter("ended-connect-failed"), s.counter("tries"); n != m || n == 0 {
-		t.Fatalf("%d of %d attempts", n, m)
+		t.Fatalf("%d of %d attempts failed to connect, want all and at least one", n, m)
 	}
 }
 
+// TestAServerThatRejectsBeforeTheRequest adds a server that answers and ends, or resets, before it has read the request. It guards against clients
+// that get anything but UP or BUSY or wait for that server, and against bytes other than a request sent to it.
 func TestAServerThatRejectsBeforeTheRequest(t *testing.T) {
 	s := startSite(t, nil, "s-1")
-	s.waitAllListed()
+	s.acceptAllSessions()
 	for n, say := range []string{"", "BUSY\r\n", "HELLO\r\n"} {
-		ln, uid := listen(t), fmt.Sprintf("rude-%d", n)
+		ln, uid := newListener(t), fmt.Sprintf("rude-%d", n)
 		said := make(chan string, 100)
 		go func() {
 			for {
@@ -164,36 +173,38 @@
 		s.waitLog(uid)
 		began := time.Now()
 		for range 8 {
-			if got := s.client(open).line(); got != "UP 1\r\n" && !strings.HasPrefix(got, "BUSY ") {
-				t.Errorf("%q: a client got %q", say, got)
+			if got := s.client(openLine).line(); got != "UP 1\r\n" && !strings.HasPrefix(got, "BUSY ") {
+				t.Errorf("server that says %q: a client got %q, want UP or BUSY", say, got)
 			}
 		}
 		if took := time.Since(began); took > 2*time.Second {
-			t.Errorf("%q: eight sessions took %v", say, took)
+			t.Errorf("server that says %q: eight sessions took %v, want 2s at most", say, took)
 		}
 		for len(said) > 0 {
 			if got := <-said; got != "" && !strings.HasPrefix(got, "OPEN ") {
-				t.Errorf("%q was told %q", say, got)
+				t.Errorf("server that says %q got %q, want a request or nothing", say, got)
 			}
 		}
 		s.listServer(uid, "", "terminated")
 	}
 }
 
+// TestAServerThatRefusesItsProbeGetsNoAttempt lists servers that refuse connections, with probes on: the probe's failure must spare the attempt.
 func TestAServerThatRefusesItsProbeGetsNoAttempt(t *testing.T) {
 	s := startSite(t, []string{"PROBES=yes"}, "dead-1", "dead-2")
-	if got := s.client(open).line(); !strings.HasPrefix(got, "BUSY ") {
-		t.Fatalf("%q", got)
+	if got := s.client(openLine).line(); !strings.HasPrefix(got, "BUSY ") {
+		t.Fatalf("got %q, want BUSY", got)
 	}
 	if n, m := s.counter("tries"), s.counter("probes"); n != 0 || m == 0 {
-		t.Fatalf("%d attempts, %d probes", n, m)
+		t.Fatalf("%d attempts and %d probes, want no attempt and at least one probe", n, m)
 	}
 }
 
+// TestADrainingServersClientsAreMigrated marks a server as terminating: its client is sent elsewhere, and new sessions avoid the server.
 func TestADrainingServersClientsAreMigrated(t *testing.T) {
 	s := startSite(t, nil, "s-1", "s-2")
 	a, e := s.establish()
-	_, _ = io.WriteString(e, "LOAD 1000\r\nhalf a li") // a line that is not whole is not passed on
+	_, _ = io.WriteString(e, "LOAD 1000\r\nhalf a li") // an incomplete line is not forwarded
 	a.expectLine("LOAD 1000\r\n")
 	s.listServer(e.UID, "", "terminating")
 	a.expectLine("MOVE\r\n")
@@ -206,20 +217,23 @@
 	}
 }
 
+// TestASilentServersClientsAreMigrated has a server leave a line unanswered. It guards against clients that stay with a server that hangs.
 func TestASilentServersClientsAreMigrated(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	a, e := s.establish()
 	began := time.Now()
 	a.write("M 1 x\r\n")
 	a.expectLine("MOVE\r\n")
-	// The message goal is 250 ms. Five seconds, once, were lost to all the clients of a zone that went.
+	// The message goal is 250 ms. A bound of 3.5 s guards against an earlier fault: when a zone failed, all its clients lost 5 s.
 	if took := time.Since(began); took < 1500*time.Millisecond || took > 3500*time.Millisecond {
-		t.Fatalf("after %v", took)
+		t.Fatalf("migrated after %v, want 1.5s to 3.5s", took)
 	}
 	_, _ = e.R.ReadString('\n')
 	expectEnd(t, e.R, true)
 }
 
+// TestAShutdownMigratesAllAndRejectsNewClients sends SIGTERM during established sessions and an active attempt: all are migrated, the process exits
+// without an error, and its last counters cover all sessions.
 func TestAShutdownMigratesAllAndRejectsNewClients(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	var clients []*testClient
@@ -227,12 +241,12 @@
 		a, _ := s.establish()
 		clients = append(clients, a)
 	}
-	late := s.client(open) // its attempt is active when the signal arrives
+	late := s.client(openLine) // its attempt is active when the signal arrives
 	e := s.session()
 	_ = s.child.Signal(syscall.SIGTERM)
 	s.waitLog("shutting down")
-	if got := s.client(open).line(); !strings.HasPrefix(got, "BUSY ") {
-		t.Fatalf("a newcomer got %q", got)
+	if got := s.client(openLine).line(); !strings.HasPrefix(got, "BUSY ") {
+		t.Fatalf("a new client during the shutdown got %q, want BUSY", got)
 	}
 	_, _ = io.WriteString(e, "UP 9\r\n")
 	late.expectLine("UP 9\r\n")
@@ -245,8 +259,8 @@
 		if err := s.child.Err(); err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(bound):
-		t.Fatal("it does not exit")
+	case <-time.After(testTimeout):
+		t.Fatal("the process does not exit after SIGTERM")
 	}
 	if text := s.waitLog(`"why":"exit"`); !strings.Contains(text, `"taken":7,`) || !strings.Contains(text, `"moves":6,`) ||
 		!strings.Contains(text, `"open":0,`) {
@@ -254,35 +268,35 @@
 	}
 }
 
-// TestAShutdownAnswersWaitingSessions ends a process whose servers hang, with deadlines that are later than the process may live: each waiting
-// session gets its one answer before that, according to its idempotency.
+// TestAShutdownAnswersWaitingSessions ends a process whose servers hang, while sessions wait whose deadlines are later than the process may live.
+// It guards against sessions that the exit leaves unanswered: each gets one answer before, according to its idempotency.
 func TestAShutdownAnswersWaitingSessions(t *testing.T) {
 	s := startSite(t, []string{"LONG"}, "s-1")
-	harmless := s.client(strings.Replace(open, "d=1500", "d=50000", 1))
+	idempotent := s.client(strings.Replace(openLine, "d=1500", "d=50000", 1))
 	s.session()
-	once := s.client(strings.Replace(strings.Replace(open, "d=1500", "d=50000", 1), "c=feed", "c=pay", 1))
+	nonIdempotent := s.client(strings.Replace(strings.Replace(openLine, "d=1500", "d=50000", 1), "c=feed", "c=pay", 1))
 	s.session()
-	before := s.client(strings.Replace(open, "d=1500", "d=50000,at=s-1", 1))
+	reattaching := s.client(strings.Replace(openLine, "d=1500", "d=50000,at=s-1", 1))
 	s.session()
 	_ = s.child.Signal(syscall.SIGTERM)
 	signalled := time.Now()
-	_ = s.child.Signal(syscall.SIGTERM) // twice is as good as once
+	_ = s.child.Signal(syscall.SIGTERM) // a second SIGTERM changes nothing
 	_ = s.child.Signal(syscall.SIGHUP)
-	before.expectLine("ERR\r\n")
-	if got := harmless.line(); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("%q for one that may run again", got)
+	reattaching.expectLine("ERR\r\n")
+	if got := idempotent.line(); !strings.HasPrefix(got, "BUSY") {
+		t.Errorf("an idempotent session got %q, want BUSY", got)
 	}
-	once.expectLine("ERR\r\n")
-	for _, a := range []*testClient{harmless, once, before} {
+	nonIdempotent.expectLine("ERR\r\n")
+	for _, a := range []*testClient{idempotent, nonIdempotent, reattaching} {
 		expectEnd(t, a.r, false)
 	}
 	if took := time.Since(signalled); took > 3700*time.Millisecond {
-		t.Errorf("answered %v after the signal, when it may be killed", took)
+		t.Errorf("answered %v after the signal, want 3.7s at most: the process may be killed then", took)
 	}
 }
 
-// TestNoSignalIsLostBehindOthers holds a reload half way, at a file that does not end, during a rush of other signals: a shutdown begins all the
-// same, and the file is applied once it ends.
+// TestNoSignalIsLostBehindOthers blocks a reload on a named pipe while many other signals arrive. It guards against a signal that is lost behind
+// them: the shutdown begins all the same, and the configuration is applied once it can be read.
 func TestNoSignalIsLostBehindOthers(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	a, _ := s.establish()
@@ -295,11 +309,11 @@
 		t.Fatal(err)
 	}
 	_ = s.child.Signal(syscall.SIGHUP)
-	file, err := os.OpenFile(s.config, os.O_WRONLY, 0) // comes back once it is read
+	file, err := os.OpenFile(s.config, os.O_WRONLY, 0) // returns once the program has opened the pipe for reading
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 50 { // those that are the same may fall together on their way
+	for range 50 { // the kernel may merge pending signals of the same kind
 		_ = s.child.Signal(syscall.SIGUSR1)
 		time.Sleep(time.Millisecond)
 	}
@@ -308,7 +322,7 @@
 	s.waitLog(`"shutting down"`)
 	a.expectLine("MOVE\r\n")
 	_, _ = file.Write(text)
-	if again, err := os.CreateTemp(filepath.Dir(s.config), ""); err != nil { // for the second
+	if again, err := os.CreateTemp(filepath.Dir(s.config), ""); err != nil { // read by the second reload
 		t.Fatal(err)
 	} else {
 		_, _ = again.Write(text)
@@ -320,13 +334,13 @@
 	s.waitLog(`"why":"asked"`)
 }
 
-// TestMalformedAnswers has servers answer a request with what is no answer, for each kind of idempotency: idempotent sessions are retried
-// elsewhere, only once the server has seen the connection before end; others fail.
+// TestMalformedAnswers has servers answer a request with something that is no answer, for each kind of idempotency. A session that may run again
+// must be retried elsewhere, and only once the first server's connection has ended; one that may not must fail.
 func TestMalformedAnswers(t *testing.T) {
-	spoilt := []struct {
+	malformed := []struct {
 		name, text string
-		how        string // what follows the text
-		ran        bool   // it may have run
+		how        string // how the server ends the connection after the text: reset, end, or not at all
+		ran        bool   // the request may have run, so a non-idempotent one must not be retried
 	}{
 		{"without an end", strings.Repeat("U", 5000), "", true},
 		{"in pieces that stop", "U", "", true},
@@ -342,10 +356,10 @@
 		{"turned away, and up a moment later", "BUSY\r\nUP 1\r\n", "end", false},
 	}
 	for _, grade := range []string{"feed", "pay", "book"} {
-		for _, c := range spoilt {
+		for _, c := range malformed {
 			t.Run(grade+" "+c.name, func(t *testing.T) {
 				s := startSite(t, []string{"LONG"}, "s-1", "s-2", "s-3")
-				a := s.client(strings.Replace(strings.Replace(open, "c=feed", "c="+grade, 1), "d=1500", "d=3000", 1))
+				a := s.client(strings.Replace(strings.Replace(openLine, "c=feed", "c="+grade, 1), "d=1500", "d=3000", 1))
 				first := s.session()
 				_, _ = io.WriteString(first, c.text)
 				switch c.how {
@@ -360,8 +374,8 @@
 					expectEnd(t, a.r, false)
 				} else {
 					second := s.session()
-					if c.how != "reset" && !hasEnded(t, first.Conn) {
-						t.Error("the second try came before the end of the first")
+					if c.how != "reset" && !endedByPeer(t, first.Conn) {
+						t.Error("the second attempt came before the end of the first")
 					}
 					_, _ = io.WriteString(second, "UP 2\r\n")
 					a.expectLine("UP 2\r\n")
@@ -369,31 +383,34 @@
 					expectEnd(t, second.R, false)
 				}
 				if n := s.counter("panics"); n != 0 {
-					t.Fatalf("%d panics", n)
+					t.Fatalf("%d panics, want none", n)
 				}
 				if len(s.Sessions) > 0 {
-					t.Fatal("one try too many")
+					t.Fatal("a server got one attempt too many")
 				}
 			})
 		}
 	}
 }
 
+// TestAnOpenSessionIsReattached has clients name the server of their open session: they must get that server, and be migrated when it drains.
 func TestAnOpenSessionIsReattached(t *testing.T) {
 	s := startSite(t, nil, "s-1", "s-2", "s-3")
 	for n, uid := range []string{"s-1", "s-2"} {
 		a := s.client(fmt.Sprint("OPEN ", n) + " 2 c=feed,d=40000,at=" + uid + "\r\n")
 		e := s.session()
 		if e.UID != uid {
-			t.Fatalf("%s in place of %s", e.UID, uid)
+			t.Fatalf("the session went to %s, want %s", e.UID, uid)
 		}
 		_, _ = io.WriteString(e, "UP 1\r\n")
 		a.expectLine("UP 1\r\n")
-		s.listServer(uid, "", "terminating") // the module knows of it: it moves
+		s.listServer(uid, "", "terminating") // the policy knows the session's server: it migrates the session
 		a.expectLine("MOVE\r\n")
 	}
 }
 
+// TestBadListsKeepTheOldOne has discovery answer with malformed lists. It guards against a balancer that applies one or loses its list, and
+// against one that no longer follows discovery afterwards.
 func TestBadListsKeepTheOldOne(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	for _, text := range []string{"{", `{"rev":9}`, `{"rev":9,"all":true,"targets":[{"uid":"s-2","state":"odd"}]}`} {
@@ -410,18 +427,18 @@
 	s.serve("s-2")
 	s.listServer("s-1", "", "terminated")
 	s.waitLog("s-2")
-	for end := time.Now().Add(bound); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		if _, e := s.establish(); e.UID == "s-2" {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the new list is not followed")
+			t.Fatal("the next valid list is not applied")
 		}
 	}
 }
 
-// TestAReloadFollowsTheNewDiscovery replaces the file during an established session. SIGHUP must not end the program; the new address wins over
-// the old one in EDGE_DISCOVERY, and late lists of the old watch are ignored.
+// TestAReloadFollowsTheNewDiscovery replaces the configuration file during an established session. SIGHUP must not end the program, the new
+// address must win over the old one in EDGE_DISCOVERY, and late lists of the old watch must be ignored.
 func TestAReloadFollowsTheNewDiscovery(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	a, e := s.establish()
@@ -443,21 +460,21 @@
 	for _, bad := range []string{"", string(text[:len(text)/2]), strings.Replace(string(text), `"discovery":"`, `"discovery":"?`, 1)} {
 		reload([]byte(bad), "can't reload")
 	}
-	other := agent(t)
+	other := newAgent(t)
 	servers, err := s.Listen("s-2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.Set(entry("s-2", servers, emulator.InService))
+	other.Set(newEndpoint("s-2", servers, emulator.InService))
 	old := strings.Split(strings.SplitN(string(text), `"discovery":"`, 2)[1], `"`)[0]
 	again := []byte(strings.Replace(string(text), old, other.Addr(), 1))
 	reload(again, `"server":"s-2"`)
 	reload(again, `"reloaded"`)
-	s.listServer("s-3", "127.0.0.1:1", "in_service") // a list of the old one, on a watch that has ended
-	other.Set(entry("s-4", servers, emulator.InService))
+	s.listServer("s-3", "127.0.0.1:1", "in_service") // a list from the old discovery, whose watch has ended
+	other.Set(newEndpoint("s-4", servers, emulator.InService))
 	s.waitLog(`"server":"s-4"`)
 	if s.mu.Lock(); strings.Contains(s.log.String(), `"server":"s-3"`) {
-		t.Error("the old discovery is still heard")
+		t.Error("a list of the old discovery was applied")
 	}
 	s.mu.Unlock()
 	if _, err := io.WriteString(e, "M 1\r\n"); err != nil {
@@ -465,10 +482,10 @@
 	}
 	a.expectLine("M 1\r\n")
 	if _, e := s.establish(); e.UID != "s-2" {
-		t.Fatalf("a session went to %s", e.UID)
+		t.Fatalf("a session went to %s, want s-2", e.UID)
 	}
 	if good, bad, errs := s.counter("reloads"), s.counter("reload-errors"), s.counter("list-errors"); good != 2 || bad != 3 || errs != 0 {
-		t.Fatalf("%d reloads, %d refused, %d list errors", good, bad, errs)
+		t.Fatalf("%d reloads, %d failed ones, %d list errors, want 2, 3 and 0", good, bad, errs)
 	}
 	_ = s.child.Signal(syscall.SIGTERM)
 	s.waitLog(`"shutting down"`)
@@ -476,9 +493,10 @@
 	a.expectLine("MOVE\r\n")
 }
 
+// TestABadConfigurationNamesTheKey starts the program with one invalid value at a time: it must exit with an error that names the key.
 func TestABadConfigurationNamesTheKey(t *testing.T) {
 	whole := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c",
-		"limits":{"cores":1,"memory_mb":192,"sockets":64},"known":{"rev":1,"all":true,"targets":[]},"settings":%s}`, settings)
+		"limits":{"cores":1,"memory_mb":192,"sockets":64},"known":{"rev":1,"all":true,"targets":[]},"settings":%s}`, policySettings)
 	for key, change := range map[string][2]string{
 		"listen": {"127.0.0.1:0", "nowhere"}, "mgmt": {`"listen"`, `"mgmt":"nowhere","listen"`}, "discovery": {"127.0.0.1:1", ""}, "seed": {`"8c"`, `"8z"`},
 		"limits.cores": {`"cores":1`, `"cores":-1`}, "limits.memory_mb": {`"memory_mb":192`, `"memory":1`},
@@ -492,7 +510,7 @@
 		out, err := child.CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() == 0 || !strings.Contains(string(out), key) {
-			t.Errorf("%s: %v, %s", key, err, out)
+			t.Errorf("invalid %s: the program ended with %v and printed %s, want an error that names the key", key, err, out)
 		}
 	}
 }
--- a/cmd/sabletally/migration_delivery_test.go
+++ b/cmd/sabletally/migration_delivery_test.go
@@ -99,7 +99,7 @@
 // Guards against incident 0fd2d2's class: a migration dropped what a server was still writing when it got the balancer's end.
 func TestALineThatAServerIsWritingArrivesBeforeItsMigration(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SABLETALLY_FILES=1024"}, "s-1")
-	started := afterSessions(func() { s.expectYes("PUT", "/control/out-of-service") })
+	started := afterSessions(func() { s.expectOK("PUT", "/control/out-of-service") })
 	s.expectHalvedLines(60*time.Millisecond, started)
 }
 
@@ -127,7 +127,7 @@
 func TestLinesForASlowReaderArriveBeforeItsMigration(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SABLETALLY_FILES=1024"}, "s-1")
 	var written, arrived atomic.Int64
-	started := afterSessions(func() { s.expectYes("PUT", "/control/out-of-service") })
+	started := afterSessions(func() { s.expectOK("PUT", "/control/out-of-service") })
 	s.inSessions(func(a *testClient, e *emulator.Session) (int, error) {
 		writeUntilEnded(e, 0, &written)
 		started()
--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -16,6 +16,7 @@
 	"sabletally/internal/lab/emulator"
 )
 
+// call sends a request to the admin address and returns the status and the body.
 func (s *site) call(method, path string) (int, string) {
 	s.t.Helper()
 	code, says, err := s.child.Call(method, path)
@@ -25,14 +26,16 @@
 	return code, says
 }
 
-func (s *site) expectYes(method, path string) {
+// expectOK sends a request to the admin address, which must answer with status 200.
+func (s *site) expectOK(method, path string) {
 	s.t.Helper()
 	if code, says := s.call(method, path); code != 200 {
-		s.t.Fatalf("%s %s: %d, %q", method, path, code, says)
+		s.t.Fatalf("%s %s: %d, %q, want status 200", method, path, code, says)
 	}
 }
 
-// Guards against counters that an operator asks for and never gets: their lines shared the bound on those that clients cause.
+// TestEachRequestForCountersIsAnswered guards against an earlier fault: an operator asked for the counters and never got them, as their log lines
+// shared the rate limit of the lines that clients cause.
 func TestEachRequestForCountersIsAnswered(t *testing.T) {
 	s := startSite(t, nil)
 	for range 3 * maxEqualLines {
@@ -40,28 +43,28 @@
 	}
 }
 
-// TestADrainAndBackIntoService drains a balancer twice, once to the end and once ended half way. It must not say that it is ready while it drains,
-// nor keep a client for 4 s, and there must be a way back.
+// TestADrainAndBackIntoService drains a balancer twice, once to the end and once ended half way. It guards against a balancer that reports ready
+// while it drains, keeps a client for 4 s (checked with 1 s of slack), or can't be put back into service.
 func TestADrainAndBackIntoService(t *testing.T) {
 	s := startSite(t, []string{"MGMT"}, "s-1")
 	s.client("PING\r\n").expectLine("PONG\r\n")
-	s.expectYes("GET", "/control/ready")
+	s.expectOK("GET", "/control/ready")
 	var clients []*testClient
 	for range 8 {
 		a, _ := s.establish()
 		clients = append(clients, a)
 	}
-	late := s.client(open) // its attempt is active at the call
+	late := s.client(openLine) // its attempt is active when the drain starts
 	e := s.session()
 	began := time.Now()
-	s.expectYes("PUT", "/control/out-of-service")
-	s.expectYes("PUT", "/control/out-of-service")
+	s.expectOK("PUT", "/control/out-of-service")
+	s.expectOK("PUT", "/control/out-of-service")
 	s.client("PING\r\n").expectLine("NO\r\n")
-	_ = s.child.Signal(syscall.SIGHUP) // which ends no drain
+	_ = s.child.Signal(syscall.SIGHUP) // a reload must not end the drain
 	s.waitLog(`"reloaded"`)
 	s.client("PING\r\n").expectLine("NO\r\n")
 	if code, says := s.call("GET", "/control/ready"); code != 503 || !strings.Contains(says, "out of service") {
-		t.Fatalf("%d, %q", code, says)
+		t.Fatalf("readiness during the drain: %d, %q, want 503 and \"out of service\"", code, says)
 	}
 	_, _ = io.WriteString(e, "UP 9\r\n")
 	late.expectLine("UP 9\r\n")
@@ -70,17 +73,17 @@
 		expectEnd(t, a.r, false)
 	}
 	if took := time.Since(began); took < 300*time.Millisecond || took > 5*time.Second {
-		t.Fatalf("emptied within %v", took)
+		t.Fatalf("drained within %v, want 300ms to 5s", took)
 	}
-	if got := s.client(open).line(); !strings.HasPrefix(got, "BUSY ") {
-		t.Fatalf("a newcomer got %q", got)
+	if got := s.client(openLine).line(); !strings.HasPrefix(got, "BUSY ") {
+		t.Fatalf("a new client during the drain got %q, want BUSY", got)
 	}
-	s.expectYes("PUT", "/control/in-service")
+	s.expectOK("PUT", "/control/in-service")
 	s.client("PING\r\n").expectLine("PONG\r\n")
-	s.expectYes("GET", "/control/ready")
+	s.expectOK("GET", "/control/ready")
 	a, _ := s.establish()
-	s.expectYes("PUT", "/control/out-of-service")
-	s.expectYes("PUT", "/control/in-service") // before the first move
+	s.expectOK("PUT", "/control/out-of-service")
+	s.expectOK("PUT", "/control/in-service") // before the first session is migrated
 	s.establish()
 	if n := s.counter("drains"); n != 2 {
 		t.Fatal(n)
@@ -91,14 +94,14 @@
 		var method, path string
 		_, _ = fmt.Sscan(call, &method, &path)
 		if code, says := s.call(method, path); code != want {
-			t.Errorf("%s while it leaves: %d, %q", call, code, says)
+			t.Errorf("%s during the shutdown: %d, %q", call, code, says)
 		}
 	}
 	a.expectLine("MOVE\r\n")
 }
 
-// TestAReloadDuringSessions drops a class during an established session and one whose attempt is active, and brings it back with another
-// idempotency and fewer attempts. A session must be judged by the rules that it was admitted under.
+// TestAReloadDuringSessions removes a class during an established session and during active attempts, and adds it again with another idempotency
+// and fewer attempts. It guards against a session that is handled by other rules than those under which it was admitted.
 func TestAReloadDuringSessions(t *testing.T) {
 	s := startSite(t, nil, "s-1", "s-2", "s-3", "s-4")
 	text, err := os.ReadFile(s.config)
@@ -109,68 +112,69 @@
 	first := strings.Replace(string(text), `[{"Name":"feed"`, `[{`+grade+`},{"Name":"feed"`, 1)
 	s.reloadAndWait(first, `"reloaded"`)
 	order := func() (*testClient, *emulator.Session) {
-		a := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(open))
+		a := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(openLine))
 		return a, s.session()
 	}
-	stands, at := order()
+	established, at := order()
 	_, _ = io.WriteString(at, "UP 1\r\n")
-	stands.expectLine("UP 1\r\n")
-	waits, out := order()
-	late, never := order()
+	established.expectLine("UP 1\r\n")
+	waiting, out := order()
+	retried, never := order()
 	s.reloadAndWait(string(text), `"reloaded"`)
-	unknown := s.client(strings.Replace(open, "c=feed", "c=order", 1))
+	unknown := s.client(strings.Replace(openLine, "c=feed", "c=order", 1))
 	unknown.expectLine("ERR SYNTAX\r\n")
 	s.reloadAndWait(strings.NewReplacer("non_idempotent", "read_like", `"MostSetupTries":6`, `"MostSetupTries":2`).Replace(first), `"reloaded"`)
-	_, _ = io.WriteString(out, "ERR\r\n") // it may have run: never again
-	waits.expectLine("ERR\r\n")
-	for range 2 { // never ran: it goes on, as often as it was promised
+	_, _ = io.WriteString(out, "ERR\r\n") // the request may have run: no further attempt
+	waiting.expectLine("ERR\r\n")
+	for range 2 { // the request has not run: retried as often as the settings at its admission allow
 		_, _ = io.WriteString(never, "BUSY\r\n")
 		never = s.session()
 	}
 	_, _ = io.WriteString(never, "UP 3\r\n")
-	late.expectLine("UP 3\r\n")
-	// A first line that waits in the socket's buffer at a switch is answered by the old rules or the new ones.
+	retried.expectLine("UP 3\r\n")
+	// A first line that is in the socket's buffer at a reload is answered by the old rules or the new ones.
 	suspend(t, s.child)
 	s.reloadWith(strings.Replace(first, `"order"`, `"other"`, 1))
-	buffered := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(open))
+	buffered := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(openLine))
 	_ = s.child.Signal(syscall.SIGCONT)
 	answered := make(chan bool)
 	go func() {
 		for {
 			select {
 			case e := <-s.Sessions:
-				_, _ = io.WriteString(e, "UP 4\r\n") // one more failure, and the retry budget could reject what follows
+				_, _ = io.WriteString(e, "UP 4\r\n") // not ERR: one more failure, and the retry budget could reject the next sessions
 			case <-answered:
 				return
 			}
 		}
 	}()
 	if got := buffered.line(); got != "ERR SYNTAX\r\n" && got != "UP 4\r\n" {
-		t.Fatalf("%q", got)
+		t.Fatalf("the buffered first line got %q, want ERR SYNTAX or UP 4", got)
 	}
-	answered <- true        // once it is taken no session goes there any more
-	s.waitLog(`"reloaded"`) // otherwise the next reload could take this line for its own
+	answered <- true        // after this the goroutine takes no further session
+	s.waitLog(`"reloaded"`) // otherwise the wait for the next reload could match this line
 	s.reloadAndWait(strings.NewReplacer("non_idempotent", "read_like", `"MostSetupTries":6`, `"MostSetupTries":2`).Replace(first), `"reloaded"`)
-	again, try := order() // by the new rules
+	again, try := order() // admitted by the new rules
 	_, _ = io.WriteString(try, "ERR\r\n")
 	_, _ = io.WriteString(s.session(), "ERR\r\n")
 	if got := again.line(); !strings.HasPrefix(got, "BUSY ") {
-		t.Fatalf("%q after two attempts of two", got)
+		t.Fatalf("got %q after two attempts of two, want BUSY", got)
 	}
-	stands.write("M 1\r\n")
+	established.write("M 1\r\n")
 	if l, _ := at.R.ReadString('\n'); l != "M 1\r\n" {
 		t.Fatalf("%q", l)
 	}
 }
 
-// TestAFaultyFileIsNotApplied has files as a program that fails half way may leave them. Each names other servers too.
+// TestAFaultyFileIsNotApplied reloads files that are cut short, lack a key or have an invalid value, as a program that fails half way may leave
+// them. Each also names another discovery, so that a file that is applied in part shows.
 func TestAFaultyFileIsNotApplied(t *testing.T) {
-	s := startSite(t, []string{"MGMT", "SABLETALLY_LOG=debug"}, "s-1") // else ten lines a second are logged
+	s := startSite(t, []string{"MGMT", "SABLETALLY_LOG=debug"}, "s-1") // at other levels ten lines a second at most are logged
 	text, err := os.ReadFile(s.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := agent(t)
+	other := newAgent(t)
 	whole := strings.Replace(string(text), s.agent.Addr(), other.Addr(), 1)
 	n := 0
 	for _, x := range [][3]string{
@@ -191,17 +195,17 @@
 		said := s.log.String()
 		s.mu.Unlock()
 		if !strings.Contains(said, x[2]) || strings.Contains(said, "reloaded") {
-			t.Errorf("%v: %s", x, said)
+			t.Errorf("reload of the file changed by %v logged %s", x, said)
 		}
 	}
-	s.listServer("s-2", "127.0.0.1:1", emulator.InService) // still from the old discovery
+	s.listServer("s-2", "127.0.0.1:1", emulator.InService) // the old discovery is still in use
 	s.waitLog(`"server":"s-2"`)
 	if good, bad := s.counter("reloads"), s.counter("reload-errors"); good != 0 || bad != n {
-		t.Fatalf("%d reloads, %d refused", good, bad)
+		t.Fatalf("%d reloads, %d failed ones", good, bad)
 	}
 }
 
-// newSuccessor starts another process beside the site's and waits until it is ready; startSuccessor does not wait.
+// newSuccessor starts a successor of the site's process, waits until it is ready and returns the old process; startSuccessor doesn't wait.
 func (s *site) newSuccessor() *cluster.Process {
 	s.t.Helper()
 	old := s.startSuccessor()
@@ -226,6 +230,7 @@
 	return old
 }
 
+// waitForExit waits until a process exits, which it must do with success.
 func waitForExit(t *testing.T, p *cluster.Process) {
 	t.Helper()
 	select {
@@ -233,14 +238,14 @@
 		if err := p.Err(); err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(bound):
-		t.Fatal("the old process does not end")
+	case <-time.After(testTimeout):
+		t.Fatal("the old process does not exit")
 	}
 }
 
-// TestHotRestartsHandOverSessions restarts twice in a row during established sessions, with half a line on its way on either side, a client
-// that has sent half its first line, one that has sent nothing and one whose attempt is active. No line may be lost or doubled, and every
-// client must be read by one process.
+// TestHotRestartsHandOverSessions restarts a balancer hot twice in a row during established sessions with half a line under way in each direction,
+// with a client that has sent half its first line, one that has sent nothing and one whose attempt is active. It guards against a line that is lost
+// or delivered twice, and against a client that no process or both processes read.
 func TestHotRestartsHandOverSessions(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
 	var clients []*testClient
@@ -251,13 +256,13 @@
 		if l, _ := e.R.ReadString('\n'); l != "M 1 x\r\n" {
 			t.Fatalf("%q", l)
 		}
-		_, _ = io.WriteString(e, "M 1 x\r\nM 0 hal") // answered, or it would count as a server that says nothing
+		_, _ = io.WriteString(e, "M 1 x\r\nM 0 hal") // answers the client's line; otherwise the server would count as silent
 		a.expectLine("M 1 x\r\n")
 		clients, ends = append(clients, a), append(ends, e)
 	}
 	for round := range 2 {
 		half, silent := s.client("OPEN 77"), s.client("")
-		out := s.client(strings.Replace(open, "d=1500", "d=8000", 1))
+		out := s.client(strings.Replace(openLine, "d=1500", "d=8000", 1))
 		at := s.session()
 		old := s.newSuccessor()
 		_ = old.Signal(syscall.SIGTERM)
@@ -287,17 +292,17 @@
 			a.expectLine("M 2 y\r\n")
 		}
 		if n, m := s.counter("inherited"), s.counter("open"); n != 23+3*round || m != 23+3*round {
-			t.Fatalf("%d inherited, %d open", n, m)
+			t.Fatalf("%d sessions inherited, %d open", n, m)
 		}
 	}
 	if n := s.counter("moves"); n != 0 {
-		t.Fatalf("%d moves", n)
+		t.Fatalf("%d sessions moved, want none", n)
 	}
 	s.establish()
 }
 
-// TestASignalBeforeTheSuccessorIsReady ends the old process before it knows that the new one is ready, which the platform and the old process
-// learn in different ways. Its clients must be handed over all the same.
+// TestASignalBeforeTheSuccessorIsReady sends SIGTERM to the old process before it knows that its successor is ready: the platform and the old
+// process learn that in different ways. It guards against clients that are then migrated in place of being handed over.
 func TestASignalBeforeTheSuccessorIsReady(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
 	a, e := s.establish()
@@ -314,8 +319,8 @@
 	}
 }
 
-// TestASuccessorThatHangs stops the new process before it takes anything over. What it was sent goes on once it runs again, the others are
-// migrated by the old one, and no client is left waiting.
+// TestASuccessorThatHangs stops the successor before it takes any session over. Sessions that were sent to it go on once it runs again, the old
+// process migrates the others. It guards against clients that are left waiting between the two.
 func TestASuccessorThatHangs(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
 	clients, ends := map[*testClient]*emulator.Session{}, 24
@@ -324,7 +329,7 @@
 		clients[a] = e
 	}
 	old := s.newSuccessor()
-	s.waitLog("successor is ready to take over") // which may come after the new one has told clients that it is ready
+	s.waitLog("successor is ready to take over") // may be logged after the successor has told clients that it is ready
 	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	waitForExit(t, old)
@@ -337,16 +342,16 @@
 			moved++
 		case "M 1\r\n":
 		default:
-			t.Fatalf("%q", got)
+			t.Fatalf("a client got %q, want MOVE or its server's line", got)
 		}
 	}
 	if n := s.counter("inherited"); n+moved != ends || moved == 0 || n == 0 {
-		t.Fatalf("%d of %d go on, %d were moved", n, ends, moved)
+		t.Fatalf("%d of %d sessions go on, %d were migrated, want some of each", n, ends, moved)
 	}
 }
 
-// TestASuccessorThatHangsAndIsKilled stops the new process before it takes anything over, and kills it once what it was not sent is migrated.
-// What it had not confirmed belongs to the old one again, which migrates all.
+// TestASuccessorThatHangsAndIsKilled stops the successor before it takes any session over, and kills it once the first client is migrated. The
+// sessions that it had not confirmed belong to the old process again, which must migrate them all.
 func TestASuccessorThatHangsAndIsKilled(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
 	var clients []*testClient
@@ -355,7 +360,7 @@
 		clients = append(clients, a)
 	}
 	old := s.newSuccessor()
-	s.waitLog("successor is ready to take over") // which may come after the new one has told clients that it is ready
+	s.waitLog("successor is ready to take over") // may be logged after the successor has told clients that it is ready
 	suspend(t, s.child)
 	_ = old.Signal(syscall.SIGTERM)
 	got := make(chan string, len(clients))
@@ -367,7 +372,7 @@
 	}
 	for n := range clients {
 		if text := <-got; text != `"MOVE\r\n", <nil>` {
-			t.Errorf("client %d of %d: %s", n+1, len(clients), text)
+			t.Errorf("client %d of %d got %s, want MOVE", n+1, len(clients), text)
 		}
 		if n == 0 {
 			s.child.Kill()
@@ -376,7 +381,8 @@
 	waitForExit(t, old)
 }
 
-// TestAnOldProcessThatIsKilled kills the old process: its clients connect anew, and the next hot restart finds the new process.
+// TestAnOldProcessThatIsKilled kills the old process after its successor is ready. Its clients connect anew, and the next hot restart must find the
+// process that is left.
 func TestAnOldProcessThatIsKilled(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
 	a, _ := s.establish()
@@ -390,20 +396,20 @@
 	old = s.newSuccessor()
 	_ = old.Signal(syscall.SIGTERM)
 	waitForExit(t, old)
-	// The new process confirms before it takes, so the end of the old one does not tell that it has counted yet.
-	for end := time.Now().Add(bound); ; {
+	// The successor confirms a session before it takes it over, so it may count the session after the old process has exited.
+	for end := time.Now().Add(testTimeout); ; {
 		n := s.counter("inherited")
 		if n == 1 {
 			break
 		}
 		if n > 1 || time.Now().After(end) {
-			t.Fatalf("%d inherited; the old process: %s; the new one: %s", n, old.LogTail(), s.child.LogTail())
+			t.Fatalf("%d sessions inherited, want 1; the old process: %s; the new one: %s", n, old.LogTail(), s.child.LogTail())
 		}
 	}
 }
 
-// TestASuccessorThatFails has a new process that dies early, and one whose directory is not the old one's: the old process goes on, and then
-// migrates its clients.
+// TestASuccessorThatFails kills two successors after they are ready. The old process must go on with its sessions and new ones, and migrate its
+// clients when it shuts down.
 func TestASuccessorThatFails(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
 	a, e := s.establish()
@@ -416,7 +422,7 @@
 	if l, _ := e.R.ReadString('\n'); l != "M 1\r\n" {
 		t.Fatalf("%q", l)
 	}
-	s.establish() // the old one accepts
+	s.establish() // the old process accepts clients
 	old := s.newSuccessor()
 	s.child.Kill()
 	s.waitLog("successor disconnected")
@@ -426,24 +432,25 @@
 	waitForExit(t, old)
 }
 
-// TestADrainOutlivesAHotRestart drains a balancer and restarts it hot: the new process must not take clients.
+// TestADrainOutlivesAHotRestart drains a balancer and restarts it hot. It guards against a successor that takes clients although the balancer is out
+// of service.
 func TestADrainOutlivesAHotRestart(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1")
-	s.expectYes("PUT", "/control/out-of-service")
-	old := s.newSuccessor() // it says yes: it may take over
+	s.expectOK("PUT", "/control/out-of-service")
+	old := s.newSuccessor() // it reports ready for the handover while the balancer is out of service
 	_ = old.Signal(syscall.SIGTERM)
 	waitForExit(t, old)
 	s.client("PING\r\n").expectLine("NO\r\n")
-	s.expectYes("PUT", "/control/in-service")
+	s.expectOK("PUT", "/control/in-service")
 	s.client("PING\r\n").expectLine("PONG\r\n")
 	s.establish()
 }
 
-// TestTheAdminAddressBesideACrowd has more clients connect than there are descriptors, half of them with half a line, and more silent callers of
-// the operators' address than it admits. Operators must be answered.
+// TestTheAdminAddressBesideACrowd connects more clients than there are descriptors, half of them with half a line, and more silent callers of the
+// admin address than it admits. It guards against operators who get no answer, and against memory that grows with idle connections.
 func TestTheAdminAddressBesideACrowd(t *testing.T) {
-	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1") // 512 descriptors
-	s.waitAllListed()
+	s := startSite(t, []string{"MGMT", "SHARED"}, "s-1") // SHARED sets the limit to 512 descriptors
+	s.acceptAllSessions()
 	for n := range 1500 {
 		if n%10 == 0 {
 			c, err := net.Dial("tcp", s.child.AdminAddr)
@@ -456,24 +463,25 @@
 		s.client([]string{"", "OPEN 12"}[n%2])
 		if n%300 == 299 {
 			began := time.Now()
-			s.expectYes("GET", "/control/ready")
+			s.expectOK("GET", "/control/ready")
 			if took := time.Since(began); took > time.Second {
-				t.Fatalf("answered after %v", took)
+				t.Fatalf("the admin address answered after %v, want 1s at most", took)
 			}
-			if got := s.client(open).line(); got != "UP 1\r\n" {
-				t.Fatalf("%q for a true client", got)
+			if got := s.client(openLine).line(); got != "UP 1\r\n" {
+				t.Fatalf("a client that sends a whole line got %q, want UP", got)
 			}
 		}
 	}
 	if n := s.counter("shed"); n < 500 {
-		t.Fatalf("%d shed", n)
+		t.Fatalf("%d idle clients evicted, want 500 or more", n)
 	}
 	if kb := s.child.RSS(); kb > 64<<10 {
-		t.Fatalf("%d KiB", kb)
+		t.Fatalf("%d KiB of memory, want 64 MiB at most", kb)
 	}
 }
 
-// TestABadAcceptDescriptorNamesTheVariable checks that a new process does not start with a descriptor that it can't accept from.
+// TestABadAcceptDescriptorNamesTheVariable starts the program with descriptors that it can't accept from: it must exit with code 2 and name the
+// variable.
 func TestABadAcceptDescriptorNamesTheVariable(t *testing.T) {
 	s := startSite(t, nil)
 	for _, number := range []string{"x", "2", "77", "0", "4294967299"} {
@@ -482,7 +490,7 @@
 		out, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 2 || !strings.Contains(string(out), "EDGE_ACCEPT_FD") {
-			t.Errorf("%s: %v, %s", number, err, out)
+			t.Errorf("EDGE_ACCEPT_FD=%s: the program ended with %v and printed %s, want code 2", number, err, out)
 		}
 	}
 }
--- a/cmd/sabletally/ready_test.go
+++ b/cmd/sabletally/ready_test.go
@@ -19,18 +19,18 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// These tests restart many processes at once and measure the time from each one's start to its first PONG, as a client sees it. All of them
-// share one of the machine's processors with programs that never rest, so that each starts on a twentieth of it or less.
+// These tests restart many processes at once and measure the time from the start of each one to its first PONG, as a client sees it. All of them
+// share one of the machine's processors with programs in busy loops, so that each starts on a twentieth of a processor or less.
 
 const (
-	readyBy       = 10 * time.Second // nine in ten are ready by then
-	readyAll      = 30 * time.Second // and the last by then
-	pollInterval  = 20 * time.Millisecond
-	startsPerKind = 8  // processes of each kind that are restarted at once
-	listed        = 90 // servers in the list
+	mostReadyBound = 10 * time.Second // nine in ten processes are ready within this time after their start
+	allReadyBound  = 30 * time.Second // all processes are ready within this time
+	pollInterval   = 20 * time.Millisecond
+	startsPerKind  = 8  // number of processes of each kind that are restarted at once
+	listedServers  = 90 // number of servers in the endpoint list
 )
 
-// keepBusy runs programs on the processor that the balancers are bound to, until the test ends.
+// keepBusy runs busy loops on the processor that the balancers are bound to, until the test ends.
 func keepBusy(t *testing.T, programs int) {
 	dir := t.TempDir()
 	for i := range programs {
@@ -46,10 +46,10 @@
 	}
 }
 
-// durations is how long processes took, in ascending order.
+// durations are the times that processes took to become ready, in ascending order.
 type durations []time.Duration
 
-// percentile returns what so many in a hundred took at most.
+// percentile returns the time within which the given percentage of the processes were ready.
 func (s durations) percentile(percent int) time.Duration {
 	return s[(len(s)*percent+99)/100-1].Round(time.Millisecond)
 }
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("p50 %v, p90 %v, worst %v of %d", s.percentile(50), s.percentile(90), s.percentile(100), len(s))
 }
 
-// startAll starts processes at once and expects nine in ten of each kind to be ready within readyBy.
+// startAll starts processes at once. Nine in ten of each kind must be ready within mostReadyBound, and all within allReadyBound.
 func startAll(t *testing.T, procs []*cluster.Process, kind func(i int) string) {
 	t.Helper()
 	took, faults := make([]time.Duration, len(procs)), make([]error, len(procs))
@@ -68,7 +68,7 @@
 		all.Go(func() {
 			began := time.Now()
 			if faults[i] = p.Launch(); faults[i] == nil {
-				faults[i] = firstPong(p)
+				faults[i] = waitForPong(p)
 			}
 			took[i] = time.Since(began)
 		})
@@ -85,18 +85,18 @@
 		s := kinds[name]
 		slices.Sort(s)
 		t.Logf("%s: first PONG after %v", name, s)
-		if s.percentile(90) > readyBy {
-			t.Errorf("%s: nine in ten are not ready within %v", name, readyBy)
+		if s.percentile(90) > mostReadyBound {
+			t.Errorf("%s: fewer than nine in ten are ready within %v", name, mostReadyBound)
 		}
 	}
 }
 
-// firstPong waits for the first PONG, as a client that connects again while it is refused or closed.
-func firstPong(p *cluster.Process) error {
-	for end := time.Now().Add(readyAll); time.Now().Before(end); time.Sleep(pollInterval) {
+// waitForPong waits for a process's first PONG, as a client that connects again while its connection is refused or closed.
+func waitForPong(p *cluster.Process) error {
+	for end := time.Now().Add(allReadyBound); time.Now().Before(end); time.Sleep(pollInterval) {
 		select {
 		case <-p.Exited():
-			return fmt.Errorf("%s ended at its start: %s", p.Name, p.LogTail())
+			return fmt.Errorf("%s exited during its start: %s", p.Name, p.LogTail())
 		default:
 		}
 		c, err := net.Dial("tcp", p.Addr)
@@ -111,23 +111,23 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s is not ready within %v: %s", p.Name, readyAll, p.LogTail())
+	return fmt.Errorf("%s is not ready within %v: %s", p.Name, allReadyBound, p.LogTail())
 }
 
-// TestManyRestartedAtOnceAreReady kills and restarts processes together for each way in which discovery can be slow, failing or down: with an
-// agent of their own and with one that all share, with a known list and without.
+// TestManyRestartedAtOnceAreReady kills and restarts many processes together while discovery is healthy, slow, failing or down; with an agent of
+// their own or a shared one, with a known list or without. It guards against a start that waits for discovery.
 func TestManyRestartedAtOnceAreReady(t *testing.T) {
 	const none = `{"rev":0,"all":true,"targets":[]}`
-	keepBusy(t, 8) // beside 32 balancers
+	keepBusy(t, 8) // 8 busy loops beside 32 balancers
 	script := emulator.NewScript(1, 10*time.Minute)
 	t.Cleanup(script.Close)
 	server, err := script.Listen("s")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := agent(t)
-	for i := range listed {
-		a.Set(entry(fmt.Sprintf("s-%d", i), server, emulator.InService))
+	a := newAgent(t)
+	for i := range listedServers {
+		a.Set(newEndpoint(fmt.Sprintf("s-%d", i), server, emulator.InService))
 	}
 	known := string(a.InitialList())
 	kind := func(i int) string {
@@ -143,12 +143,12 @@
 		t.Cleanup(p.Kill)
 		procs = append(procs, p)
 	}
-	settings := strings.Replace(strings.Replace(settings, `"PeersTotal":1`, `"PeersTotal":300`, 1), `"Probes":false`, `"Probes":true`, 1)
+	settings := strings.Replace(strings.Replace(policySettings, `"PeersTotal":1`, `"PeersTotal":300`, 1), `"Probes":false`, `"Probes":true`, 1)
 	for _, c := range []struct {
 		name      string
 		discovery string
 		fault     emulator.Fault
-		desk      *emulator.WatchHub
+		hub       *emulator.WatchHub
 	}{
 		{"sound", a.Addr(), emulator.Healthy, nil},
 		{"slow", a.Addr(), emulator.Healthy, emulator.NewWatchHub(200*time.Millisecond, 2*time.Second)},
@@ -159,7 +159,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a.Misbehave(c.fault)
-			a.UseHub(c.desk)
+			a.UseHub(c.hub)
 			for _, p := range procs {
 				_ = p.Signal(syscall.SIGKILL)
 			}
@@ -176,14 +176,14 @@
 	}
 }
 
-// TestAFleetRestartedAtOnceIsReady kills all members together and restarts them: with discovery, without it, and cut off from each other, where
-// nobody knows the service state.
+// TestAFleetRestartedAtOnceIsReady kills all members together and restarts them: with discovery, without it, and cut off from each other, so that no
+// member can read its stored service state. It guards against a start that waits for a quorum or for discovery.
 func TestAFleetRestartedAtOnceIsReady(t *testing.T) {
-	a := agent(t)
-	fourServers(t, a, 1)
-	m := newTestFleetAt(t, 9, false, "", a)
-	m.waitFor("every slot has its holders", m.all, repaired)
-	keepBusy(t, 12) // beside nine balancers
+	a := newAgent(t)
+	listFourServers(t, a, 1)
+	m := newSerialTestFleet(t, 9, false, "", a)
+	m.waitFor("every shard has its replicas", m.all, repaired)
+	keepBusy(t, 12) // 12 busy loops beside nine balancers
 	for _, c := range []struct {
 		name  string
 		fault emulator.Fault
@@ -199,26 +199,27 @@
 			}
 			m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Cut = c.cut })
 			startAll(t, m.procs, func(int) string { return "members" })
-			if alone := "ready without the stored service state"; c.cut {
+			if startedWithoutState := "ready without the stored service state"; c.cut {
 				for _, p := range m.procs {
-					m.logsOf(p, alone)
+					m.waitForLog(p, startedWithoutState)
 				}
 			}
 		})
 	}
 }
 
-// TestClientsThatPingAreEvictedLast fills the descriptors with silent clients while a health checker waits for PONG, which it must get.
+// TestClientsThatPingAreEvictedLast uses up the descriptors with silent clients while a health check waits for PONG. It guards against a health
+// check that is evicted in place of a silent client, which would take a live balancer out of service.
 func TestClientsThatPingAreEvictedLast(t *testing.T) {
 	t.Parallel()
-	a := agent(t)
+	a := newAgent(t)
 	a.Misbehave(emulator.Unresponsive)
 	p, err := cluster.NewProcess("n0", []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1"}, t.TempDir(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := p.WriteConfig(fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"7","limits":{"cores":1,"memory_mb":192,"sockets":64},
-		"known":{"rev":0,"all":true,"targets":[]},"settings":%s}`, p.Addr, a.Addr(), settings)); err != nil {
+		"known":{"rev":0,"all":true,"targets":[]},"settings":%s}`, p.Addr, a.Addr(), policySettings)); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.Launch(); err != nil {
@@ -226,11 +227,11 @@
 	}
 	t.Cleanup(p.Kill)
 	dial := func() *bufio.Reader {
-		for end := time.Now().Add(bound); ; time.Sleep(pollInterval) {
+		for end := time.Now().Add(testTimeout); ; time.Sleep(pollInterval) {
 			c, err := net.Dial("tcp", p.Addr)
 			if err == nil {
 				t.Cleanup(func() { _ = c.Close() })
-				_ = c.SetDeadline(time.Now().Add(bound))
+				_ = c.SetDeadline(time.Now().Add(testTimeout))
 				_, _ = io.WriteString(c, "PING\r\n")
 				return bufio.NewReader(c)
 			}
@@ -240,7 +241,7 @@
 		}
 	}
 	asks := dial()
-	shed := make(chan struct{}) // idle clients hear that there is no room
+	shed := make(chan struct{}) // closed once an idle client has got BUSY
 	var once sync.Once
 	for range 100 {
 		c, err := net.Dial("tcp", p.Addr)
@@ -248,7 +249,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		_ = c.SetDeadline(time.Now().Add(bound))
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		go func() {
 			if text, _ := bufio.NewReader(c).ReadString('\n'); strings.HasPrefix(text, "BUSY") {
 				once.Do(func() { close(shed) })
@@ -256,11 +257,11 @@
 		}()
 	}
 	if text, err := asks.ReadString('\n'); text != "PONG\r\n" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("the health check got %q, %v, want PONG", text, err)
 	}
 	select {
 	case <-shed:
-	case <-time.After(bound):
-		t.Error("no idle client was shed: there was no crowd")
+	case <-time.After(testTimeout):
+		t.Error("no idle client was evicted: the descriptors were not used up")
 	}
 }
--- a/cmd/sabletally/restart_delivery_test.go
+++ b/cmd/sabletally/restart_delivery_test.go
@@ -66,7 +66,7 @@
 		{"in order", func(_ *site, e *emulator.Session) { _ = e.Close() }, ""},
 		{"bad line", func(_ *site, e *emulator.Session) { _, _ = io.WriteString(e, strings.Repeat("x", 5000)) }, ""},
 		{"list change", func(s *site, e *emulator.Session) { s.listServer(e.UID, "", emulator.Terminating) }, "MOVE\r\n"},
-		{"out of service", func(s *site, _ *emulator.Session) { s.expectYes("PUT", "/control/out-of-service") }, "MOVE\r\n"},
+		{"out of service", func(s *site, _ *emulator.Session) { s.expectOK("PUT", "/control/out-of-service") }, "MOVE\r\n"},
 		{"hot restart", func(s *site, e *emulator.Session) {
 			_ = s.newSuccessor().Signal(syscall.SIGTERM)
 			time.Sleep(100 * time.Millisecond)
--- a/cmd/sabletally/site_test.go
+++ b/cmd/sabletally/site_test.go
@@ -21,36 +21,39 @@
 	"sabletally/internal/lab/history"
 )
 
-const bound = 20 * time.Second
+// testTimeout is how long a test waits for something that must happen; only a failure reaches it.
+const testTimeout = 20 * time.Second
 
-const settings = `{"PeersTotal":1,"Zone":0,"Areas":["a","b"],"RegistryMode":"pushed","ServiceGrades":[{"Name":"feed",
+// policySettings is the settings block of a configuration file: one idempotent class, one tenant, neither probes nor gossip.
+const policySettings = `{"PeersTotal":1,"Zone":0,"Areas":["a","b"],"RegistryMode":"pushed","ServiceGrades":[{"Name":"feed",
  "Effect":"read_like","Group":"all","LatencyGoalUs":300000,"OuterLimitUs":1800000,"Utility":1}],"Accounts":[{"Name":"acme"}],
  "Guarantees":{"ColdFrom":0.2,"ColdUs":20000000,"DrainGraceUs":750000,"FallMultiple":3,"FallUs":1500000},
  "Limits":{"ConnectTimeoutUs":200000,"MostSetupTries":6,"MaxRetryAfterUs":1000000,"RetryAfter":true,"Probes":false,"Peers":false},"Weights":"rough",
  "Report":{"How":"none"},"Specifics":{"MessageAimUs":[250000]}}`
 
-// site is one balancer with its emulated discovery and servers.
+// site is one balancer process with its emulated discovery and servers. It also receives the process's log.
 type site struct {
 	*emulator.Script
-	t      *testing.T
-	agent  *emulator.Agent
-	child  *cluster.Process
-	config string // the configuration's file
-	mu     sync.Mutex
-	addrs  map[string]string // of the servers in the list
-	asked  uint64            // sessions requested
-	log    strings.Builder
-	logged chan struct{}
+	t         *testing.T
+	agent     *emulator.Agent
+	child     *cluster.Process
+	config    string // path of the configuration file
+	mu        sync.Mutex
+	addrs     map[string]string // address of each server in the endpoint list, by UID
+	requested uint64            // number of clients that have connected; it makes session IDs unique
+	log       strings.Builder
+	logged    chan struct{}
 }
 
-// testClient is a client's connection with its first line written.
+// testClient is a client's connection, with a buffered reader over it.
 type testClient struct {
 	net.Conn
 	r *bufio.Reader
 	t *testing.T
 }
 
-func listen(t *testing.T) net.Listener {
+// newListener listens on a free port of the loopback address until the test ends.
+func newListener(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +62,7 @@
 	return ln
 }
 
-// closedAddress returns an address that nobody listens at and nobody else is given.
+// closedAddress returns an address that refuses connections and that the kernel gives to no other socket during the test.
 func closedAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -76,12 +79,13 @@
 	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 }
 
-// startSite starts discovery, the named servers and the program. Nobody listens for a server whose name begins with "dead".
+// startSite starts discovery, the named servers and the program. A server whose name begins with "dead" is listed with an address that refuses
+// connections. env is the program's environment; some of its entries also change the configuration file, as the branches below show.
 func startSite(t *testing.T, env []string, servers ...string) *site {
 	t.Parallel()
-	s := &site{t: t, Script: emulator.NewScript(200, bound), addrs: map[string]string{}, logged: make(chan struct{}, 1)}
+	s := &site{t: t, Script: emulator.NewScript(200, testTimeout), addrs: map[string]string{}, logged: make(chan struct{}, 1)}
 	t.Cleanup(s.Close)
-	s.agent = agent(t)
+	s.agent = newAgent(t)
 	for _, uid := range servers {
 		if strings.HasPrefix(uid, "dead") {
 			s.listServer(uid, closedAddress(t), emulator.InService)
@@ -103,24 +107,24 @@
 	s.child, s.config = child, filepath.Join(dir, "n0.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":64},"known":%s,"settings":%s}`,
-		child.Addr, s.agent.Addr(), s.agent.InitialList(), settings)
-	if slices.Contains(env, "PROBES=yes") { // else a probe that is late on a busy machine could steer a test
+		child.Addr, s.agent.Addr(), s.agent.InitialList(), policySettings)
+	if slices.Contains(env, "PROBES=yes") { // off by default: a probe that a busy machine delays would change which server is selected
 		text = strings.Replace(text, `"Probes":false`, `"Probes":true`, 1)
 	}
-	if slices.Contains(env, "SLOW_CONNECT=yes") { // else a connection that a busy machine delays counts as failed and its server is suspended
+	if slices.Contains(env, "SLOW_CONNECT=yes") { // the default of 200 ms lets a connection that a busy machine delays count as failed, which suspends its server
 		text = strings.Replace(text, `"ConnectTimeoutUs":200000`, `"ConnectTimeoutUs":1000000`, 1)
 	}
-	if slices.Contains(env, "SLOW_MESSAGES=yes") { // else a busy machine's slow answers have the policy move sessions
+	if slices.Contains(env, "SLOW_MESSAGES=yes") { // with the default of 250 ms a busy machine's slow answers make the policy migrate sessions
 		text = strings.Replace(text, `"MessageAimUs":[250000]`, `"MessageAimUs":[60000000]`, 1)
 	}
-	if slices.Contains(env, "LONG") { // outer limits longer than a process that leaves has
+	if slices.Contains(env, "LONG") { // outer limits longer than a process that shuts down may live, and classes of the other kinds of idempotency
 		text = strings.Replace(text, `"OuterLimitUs":1800000,"Utility":1}`, `"OuterLimitUs":60000000,"Utility":1},{"Name":"pay",
 			"Effect":"non_idempotent","LatencyGoalUs":300000,"OuterLimitUs":60000000,"Utility":1},{"Name":"book","Effect":"idempotency_key",
 			"Group":"cell","WindowUs":5000000,"LatencyGoalUs":300000,"OuterLimitUs":60000000,"Utility":1}`, 1)
 	}
 	if slices.Contains(env, "SABLETALLY_FILES=1024") {
 		text = strings.Replace(text, `"sockets":64`, `"sockets":1024`, 1)
-	} else if slices.Contains(env, "SHARED") && !slices.Contains(env, "SABLETALLY_FILES=64") { // two processes hold them together
+	} else if slices.Contains(env, "SHARED") && !slices.Contains(env, "SABLETALLY_FILES=64") { // enough descriptors for the two processes of a hot restart
 		text = strings.Replace(text, `"sockets":64`, `"sockets":512`, 1)
 	}
 	if slices.Contains(env, "MGMT") {
@@ -144,8 +148,8 @@
 	return s
 }
 
-// agent is a discovery whose lists nobody checks here.
-func agent(t *testing.T) *emulator.Agent {
+// newAgent starts an emulated discovery. Its history is discarded: these tests don't check the lists it sent.
+func newAgent(t *testing.T) *emulator.Agent {
 	a, err := emulator.NewAgent(0, &emulator.Clock{}, history.New(0), func(string) int { return 0 })
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +158,7 @@
 	return a
 }
 
-// Write receives the program's log.
+// Write appends to the program's log and wakes up waitLog.
 func (s *site) Write(text []byte) (int, error) {
 	s.mu.Lock()
 	s.log.Write(text)
@@ -166,7 +170,7 @@
 	return len(text), nil
 }
 
-// serve adds a server, which is listed.
+// serve starts a server and adds it to the endpoint list, in service.
 func (s *site) serve(uid string) {
 	s.t.Helper()
 	addr, err := s.Listen(uid)
@@ -176,7 +180,7 @@
 	s.listServer(uid, addr, emulator.InService)
 }
 
-// listServer changes one entry of the endpoint list.
+// listServer changes or adds one entry of the endpoint list. An empty address stands for the server's present one.
 func (s *site) listServer(uid, addr, state string) {
 	s.mu.Lock()
 	if addr == "" {
@@ -184,26 +188,28 @@
 	}
 	s.addrs[uid] = addr
 	s.mu.Unlock()
-	s.agent.Set(entry(uid, addr, state))
+	s.agent.Set(newEndpoint(uid, addr, state))
 }
 
-func entry(uid, addr, state string) emulator.Endpoint {
+// newEndpoint returns an entry of the endpoint list; all entries share a zone, a machine type and a failure domain.
+func newEndpoint(uid, addr, state string) emulator.Endpoint {
 	return emulator.Endpoint{UID: uid, Address: addr, Zone: "a", MachineType: "m", FailureDomain: 1, State: state, Weight: 1}
 }
 
+// session waits for the next first line that reaches a server.
 func (s *site) session() *emulator.Session {
 	select {
 	case e := <-s.Sessions:
 		return e
-	case <-time.After(bound):
+	case <-time.After(testTimeout):
 		s.t.Helper()
-		s.t.Fatal("no server got a line")
+		s.t.Fatal("no first line reached a server")
 		return nil
 	}
 }
 
-// waitAllListed has the servers accept every session from here on.
-func (s *site) waitAllListed() {
+// acceptAllSessions has the servers accept every session from now until the test ends.
+func (s *site) acceptAllSessions() {
 	done := make(chan struct{})
 	s.t.Cleanup(func() { close(done) })
 	go func() {
@@ -218,10 +224,10 @@
 	}()
 }
 
-// waitLog waits for a text in the program's log.
+// waitLog waits until the program's log contains a text, and returns the log from there on.
 func (s *site) waitLog(word string) string {
 	s.t.Helper()
-	for end := time.After(bound); ; {
+	for end := time.After(testTimeout); ; {
 		s.mu.Lock()
 		text := s.log.String()
 		s.mu.Unlock()
@@ -231,11 +237,12 @@
 		select {
 		case <-s.logged:
 		case <-end:
-			s.t.Fatalf("nothing of %q in the log", word)
+			s.t.Fatalf("the log does not contain %q", word)
 		}
 	}
 }
 
+// client connects to the balancer and writes text. The session ID of openLine is replaced by one that is unique in this site.
 func (s *site) client(line string) *testClient {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.child.Addr)
@@ -244,8 +251,8 @@
 	}
 	s.Hold(c)
 	s.mu.Lock()
-	line = strings.Replace(line, "9b1f03aa5c7e2d41", fmt.Sprintf("%x", uint64(0x9b1f03aa5c7e2d41)+s.asked), 1)
-	s.asked++
+	line = strings.Replace(line, "9b1f03aa5c7e2d41", fmt.Sprintf("%x", uint64(0x9b1f03aa5c7e2d41)+s.requested), 1)
+	s.requested++
 	s.mu.Unlock()
 	a := &testClient{c, bufio.NewReader(c), s.t}
 	a.write(line)
@@ -259,11 +266,12 @@
 	}
 }
 
+// line reads one line, which must arrive.
 func (a *testClient) line() string {
 	a.t.Helper()
 	text, err := a.r.ReadString('\n')
 	if err != nil {
-		a.t.Fatalf("%q, %v", text, err)
+		a.t.Fatalf("reading a line: got %q, %v", text, err)
 	}
 	return text
 }
@@ -271,25 +279,26 @@
 func (a *testClient) expectLine(text string) {
 	a.t.Helper()
 	if got := a.line(); got != text {
-		a.t.Fatalf("%q in place of %q", got, text)
+		a.t.Fatalf("client read %q, want %q", got, text)
 	}
 }
 
-// expectEnd expects the end of a connection, nothing before it, and by a reset or not.
+// expectEnd fails the test unless a connection ends before any further byte, by a reset or in order according to reset.
 func expectEnd(t *testing.T, r *bufio.Reader, reset bool) {
 	t.Helper()
 	b, err := r.ReadByte()
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.ECONNRESET) != reset {
-		t.Fatalf("byte %q, %v", b, err)
+		t.Fatalf("read byte %q and error %v, want the connection to end as expected", b, err)
 	}
 }
 
-const open = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme,d=1500,g=5c0f6e1a2b3d4c59,x=y\r\n"
+// openLine is the first line of a session of class feed; client replaces its session ID.
+const openLine = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=acme,d=1500,g=5c0f6e1a2b3d4c59,x=y\r\n"
 
-// establish opens a session and returns both its ends.
+// establish opens a session, has its server accept it and returns both ends.
 func (s *site) establish() (*testClient, *emulator.Session) {
 	s.t.Helper()
-	a := s.client(open)
+	a := s.client(openLine)
 	e := s.session()
 	_, _ = io.WriteString(e, "UP 77 receipt\r\n")
 	a.expectLine("UP 77 receipt\r\n")
@@ -306,7 +315,7 @@
 	text, _, _ := strings.Cut(s.waitLog(`"why":"asked"`), "\n")
 	fields := map[string]any{}
 	if err := json.Unmarshal([]byte("{"+text), &fields); err != nil {
-		s.t.Fatalf("%q, %v", text, err)
+		s.t.Fatalf("decoding the counters from the log line %q: %v", text, err)
 	}
 	n, ok := fields[name].(float64)
 	if !ok {
@@ -315,8 +324,8 @@
 	return int(n)
 }
 
-// hasEnded reports whether the other side of a connection has ended it by now.
-func hasEnded(t *testing.T, c net.Conn) bool {
+// endedByPeer reports whether the other side has ended a connection by now.
+func endedByPeer(t *testing.T, c net.Conn) bool {
 	t.Helper()
 	ended, err := isEndedByPeer(c)
 	if err != nil {
--- a/cmd/sabletally/slow_reader_test.go
+++ b/cmd/sabletally/slow_reader_test.go
@@ -109,7 +109,7 @@
 			results <- err
 		}()
 	}
-	crowd := newSilentCrowd(t, s.child.Addr, 100)
+	crowd := startSilentClients(t, s.child.Addr, 100)
 	defer crowd.end()
 	for range sessions {
 		if err := <-results; err != nil {
--- a/cmd/sabletally/soak_client_test.go
+++ b/cmd/sabletally/soak_client_test.go
@@ -76,7 +76,7 @@
 		return
 	}
 	r := bufio.NewReader(conn)
-	_ = conn.SetReadDeadline(time.Now().Add(bound))
+	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
 	answer, err := r.ReadString('\n')
 	s.mu.Lock()
 	if err != nil {
--- a/cmd/sabletally/soak_link_test.go
+++ b/cmd/sabletally/soak_link_test.go
@@ -134,7 +134,7 @@
 			return
 		case err != nil:
 			l.pass()
-			for end := time.Now().Add(bound); unacknowledgedBytes(to.TCPConn) > 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); unacknowledgedBytes(to.TCPConn) > 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			resetConn(to.TCPConn)
--- a/cmd/sabletally/soak_test.go
+++ b/cmd/sabletally/soak_test.go
@@ -114,7 +114,7 @@
 
 func playSoak(t *testing.T, seed uint64) {
 	t.Parallel()
-	k := &soak{t: t, rng: rand.New(rand.NewPCG(seed, 0)), model: newModel(), agent: agent(t)}
+	k := &soak{t: t, rng: rand.New(rand.NewPCG(seed, 0)), model: newModel(), agent: newAgent(t)}
 	k.startServers(seed)
 	plan := faultPlan{Seed: seed}
 	if seed%2 == 0 {
@@ -131,7 +131,7 @@
 	}
 	done, judging := make(chan struct{}), make(chan struct{})
 	for i, n := range k.nodes {
-		n.link = newSoakLink(listen(t), n.address, seed+uint64(i)<<32, done)
+		n.link = newSoakLink(newListener(t), n.address, seed+uint64(i)<<32, done)
 	}
 	go k.model.watchStalls(judging)
 	for _, n := range k.nodes {
@@ -194,10 +194,10 @@
 
 func (k *soak) startServers(seed uint64) {
 	for i := range soakServers {
-		v := &soakServer{uid: fmt.Sprintf("s-%d", i), listener: listen(k.t), model: k.model, rng: rand.New(rand.NewPCG(seed, 500+uint64(i))),
+		v := &soakServer{uid: fmt.Sprintf("s-%d", i), listener: newListener(k.t), model: k.model, rng: rand.New(rand.NewPCG(seed, 500+uint64(i))),
 			signals: &k.signals}
 		k.servers = append(k.servers, v)
-		k.agent.Set(entry(v.uid, v.listener.Addr().String(), emulator.InService))
+		k.agent.Set(newEndpoint(v.uid, v.listener.Addr().String(), emulator.InService))
 		go v.serve()
 	}
 }
@@ -251,7 +251,7 @@
 			if state == emulator.InService {
 				k.model.setListed(v.uid, true)
 			}
-			k.agent.Set(entry(v.uid, v.listener.Addr().String(), state))
+			k.agent.Set(newEndpoint(v.uid, v.listener.Addr().String(), state))
 			k.signals.now()
 			if state != emulator.InService {
 				k.model.setListed(v.uid, false)
--- a/cmd/sabletally/suspend_test.go
+++ b/cmd/sabletally/suspend_test.go
@@ -18,14 +18,14 @@
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(bound); !isSuspended(t, p.Pid()); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !isSuspended(t, p.Pid()); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("process %d does not stop", p.Pid())
+			t.Fatalf("process %d is not stopped by SIGSTOP", p.Pid())
 		}
 	}
 }
 
-// isSuspended reports whether every thread of a process is stopped, as its state in /proc tells.
+// isSuspended reports whether every thread of a process is stopped, by the state that /proc shows.
 func isSuspended(t *testing.T, pid int) bool {
 	t.Helper()
 	threads := fmt.Sprintf("/proc/%d/task", pid)
--- a/cmd/sabletally/switch_test.go
+++ b/cmd/sabletally/switch_test.go
@@ -14,7 +14,7 @@
 	"sabletally/internal/loadgossip"
 )
 
-// newPeer is a fake of another balancer: it receives gossip.
+// newPeer stands in for another balancer: it returns a socket that receives gossip.
 func newPeer(t *testing.T) *net.UDPConn {
 	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	if err != nil {
@@ -24,7 +24,7 @@
 	return c
 }
 
-// reloadAndWait replaces the configuration and waits for a text in the log; reloadWith does not wait.
+// reloadAndWait replaces the configuration file, sends SIGHUP and waits for a text in the log; reloadWith doesn't wait.
 func (s *site) reloadAndWait(text, word string) {
 	s.t.Helper()
 	s.reloadWith(text)
@@ -42,8 +42,9 @@
 	_ = s.child.Signal(syscall.SIGHUP)
 }
 
-// TestMovingToOtherSettingsAndBack reloads settings of another shape and back during an established session and an active attempt: other
-// classes and zones, no tenants, gossip. Nothing is lost, and nothing reaches a server twice.
+// TestMovingToOtherSettingsAndBack reloads settings with other classes and zones, no tenants, and gossip, and then the earlier ones, during an
+// established session and an active attempt. It guards against a session that a reload loses, a request that reaches a server twice, and an
+// invalid file that is applied.
 func TestMovingToOtherSettingsAndBack(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	before, err := os.ReadFile(s.config)
@@ -59,8 +60,8 @@
 	).Replace(string(before))
 	back := string(before)
 	for round := range 2 {
-		stands, e := s.establish()
-		waits := s.client(strings.Replace(open, "d=1500", "d=15000", 1)) // as long as the reloads may take
+		established, e := s.establish()
+		waiting := s.client(strings.Replace(openLine, "d=1500", "d=15000", 1)) // 15 s, as the session waits during all reloads
 		out := s.session()
 		for n, bad := range []string{
 			strings.Replace(moved, `"peers"`, `"pears"`, 1), strings.Replace(moved, `"PeersTotal":2`, `"PeersTotal":3`, 1),
@@ -71,10 +72,10 @@
 		}
 		s.reloadAndWait(moved, `"settings applied"`)
 		_, _ = io.WriteString(out, "UP 5\r\n")
-		waits.expectLine("UP 5\r\n")
-		_ = peer.SetReadDeadline(time.Now().Add(bound))
+		waiting.expectLine("UP 5\r\n")
+		_ = peer.SetReadDeadline(time.Now().Add(testTimeout))
 		text, held := make([]byte, loadgossip.MaxDatagramSize), 0.0
-		for held == 0 { // until the established session is gossiped
+		for held == 0 { // until a datagram reports the established session's load
 			n, _, err := peer.ReadFromUDPAddrPort(text)
 			if err != nil {
 				t.Fatal(err)
@@ -87,35 +88,35 @@
 				held += load
 			}
 		}
-		for n, c := range []*testClient{stands, waits} {
+		for n, c := range []*testClient{established, waiting} {
 			end := []io.Writer{e, out}[n]
 			if _, err := io.WriteString(end, "M 1\r\n"); err != nil {
 				t.Fatal(err)
 			}
 			c.expectLine("M 1\r\n")
 		}
-		viewer := s.client(strings.NewReplacer("c=feed,t=acme", "c=viewer", "d=1500", "d=15000").Replace(open))
+		viewer := s.client(strings.NewReplacer("c=feed,t=acme", "c=viewer", "d=1500", "d=15000").Replace(openLine))
 		at := s.session()
-		s.reloadAndWait(back, `"settings applied"`) // its session is still in the table
+		s.reloadAndWait(back, `"settings applied"`) // the class is removed while its session is still open
 		_, _ = io.WriteString(at, "BYE\r\n")
 		viewer.expectLine("BYE\r\n")
-		ended := s.client(strings.Replace(open, "c=feed", "c=desk", 1))
-		ended.expectLine("ERR SYNTAX\r\n") // an unknown class
+		ended := s.client(strings.Replace(openLine, "c=feed", "c=desk", 1))
+		ended.expectLine("ERR SYNTAX\r\n") // a class of neither settings
 		if c, _ := s.establish(); c == nil {
 			t.Fatal(round)
 		}
 		_, _ = io.WriteString(e, "BYE\r\n")
-		stands.expectLine("BYE\r\n")
+		established.expectLine("BYE\r\n")
 		select {
 		case again := <-s.Sessions:
-			t.Fatalf("%q reached a server again", again.First)
+			t.Fatalf("the request %q reached a server again", again.First)
 		default:
 		}
 	}
 	if taken, served, tries := s.counter("taken"), s.counter("served"), s.counter("tries"); taken != 10 || served != 8 || tries != 8 {
-		t.Fatalf("%d admitted, %d served, %d attempts", taken, served, tries)
+		t.Fatalf("%d admitted, %d served, %d attempts, want 10, 8 and 8", taken, served, tries)
 	}
 	if good, bad := s.counter("reloads"), s.counter("reload-errors"); good != 4 || bad != 12 {
-		t.Fatalf("%d reloads, %d refused", good, bad)
+		t.Fatalf("%d reloads, %d failed ones, want 4 and 12", good, bad)
 	}
 }
--- a/cmd/sabletally/system_calls_test.go
+++ b/cmd/sabletally/system_calls_test.go
@@ -110,7 +110,7 @@
 	for _, c := range []struct{ line, answer string }{
 		{"PING\r\n", "PONG\r\n"},
 		{"OPEN what\r\n", "ERR SYNTAX\r\n"},
-		{strings.Replace(open, "c=feed", "c=none", 1), "ERR SYNTAX\r\n"},
+		{strings.Replace(openLine, "c=feed", "c=none", 1), "ERR SYNTAX\r\n"},
 	} {
 		for range 40 {
 			a := s.client(c.line)
--- a/cmd/sabletally/world_test.go
+++ b/cmd/sabletally/world_test.go
@@ -11,8 +11,8 @@
 	"sabletally/internal/lab/report"
 )
 
-// small is a world for faults that lie close together.
-const small = `
+// smallWorld is an experiment of 14 s with two balancers and eight servers; it is followed by a fault schedule.
+const smallWorld = `
 experiment {
   mode   = "sockets"
   length = "14s"
@@ -47,8 +47,8 @@
 }
 `
 
-// faults are of most kinds.
-const faults = `
+// faultSchedule injects most kinds of faults, of servers, discovery, clients and balancers.
+const faultSchedule = `
 fault "crash" {
   at   = "2s"
   for  = "2s"
@@ -101,8 +101,9 @@
 }
 `
 
-// operators is operators' work on every balancer while clients come in pieces and crowds.
-const operators = `
+// operatorSchedule restarts every balancer hot twice, reloads changed settings and drains half of the balancers, while clients send their lines in
+// pieces and arrive in crowds.
+const operatorSchedule = `
 fault "upgrade" {
   at   = "1500ms"
   for  = "1s"
@@ -133,27 +134,28 @@
 }
 `
 
-// TestFaultsKeepTheRules plays the program through a fault schedule and has the lab's checker read the history.
+// TestFaultsKeepTheRules runs the program through a fault schedule and has the lab's checker verify the history. It guards against a fault, or
+// several that overlap, leading to a forbidden retry, an unanswered client or another broken rule.
 func TestFaultsKeepTheRules(t *testing.T) {
 	t.Parallel()
-	v, run := playWorld(t, faults)
+	v, run := runWorld(t, faultSchedule)
 	if v.Sessions < 200 || run.Setups < 150 || run.MisbehavingClients < 50 || run.UnansweredClients > 0 {
-		t.Errorf("%d sessions, %d set-ups, %d bad clients, %d of them unanswered", v.Sessions, run.Setups, run.MisbehavingClients, run.UnansweredClients)
+		t.Errorf("too little traffic or unanswered clients: %d sessions, %d set-ups, %d misbehaving clients, %d of them unanswered", v.Sessions, run.Setups, run.MisbehavingClients, run.UnansweredClients)
 	}
 }
 
-// TestOperatorsWorkKeepsTheRules plays two hot restarts of each balancer, a drain, reloads and a crowd.
+// TestOperatorsWorkKeepsTheRules does the same with two hot restarts of each balancer, a drain, reloads and a crowd of clients.
 func TestOperatorsWorkKeepsTheRules(t *testing.T) {
 	t.Parallel()
-	v, run := playWorld(t, operators)
+	v, run := runWorld(t, operatorSchedule)
 	if v.Sessions < 200 || run.Setups < 150 {
-		t.Errorf("%d sessions, %d set-ups", v.Sessions, run.Setups)
+		t.Errorf("too little traffic: %d sessions, %d set-ups", v.Sessions, run.Setups)
 	}
 }
 
-// playWorld plays the small world on sockets; a broken rule fails the test.
-func playWorld(t *testing.T, timetable string) (checker.Verdict, report.Run) {
-	x, err := experiment.Parse([]byte(small+timetable), "world.hcl")
+// runWorld runs the small world on sockets with a fault schedule; a broken rule fails the test.
+func runWorld(t *testing.T, schedule string) (checker.Verdict, report.Run) {
+	x, err := experiment.Parse([]byte(smallWorld+schedule), "world.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +169,7 @@
 		t.Fatal(err)
 	}
 	if !v.Passed() {
-		t.Errorf("%v\n%v", v, run.Broken)
+		t.Errorf("the checker found broken rules: %v\n%v", v, run.Broken)
 	}
 	return v, run
 }
