--- a/cmd/sabletally/control_rig_test.go
+++ b/cmd/sabletally/control_rig_test.go
@@ -34,11 +34,11 @@
 	*cluster.MemberGroup
 	t           *testing.T
 	dir         string
-	control     []*cluster.Process
-	all         []int
+	control     []*cluster.Process // control processes, by index
+	all         []int              // indexes of all control processes
 	subscribers []*fakeSubscriber
 	balancers   []*cluster.Process
-	puts        int
+	puts        int // number of puts so far; it makes operation IDs unique
 }
 
 // fakeSubscriber is a subscriber in this process, without a balancer. It checks the order of the updates that it gets.
@@ -47,8 +47,8 @@
 	member int // its index in the emulated links, after those of the control processes
 
 	mu          sync.Mutex
-	lastVersion uint64
-	violation   string
+	lastVersion uint64 // version of the last update
+	violation   string // the last update out of order, empty if there was none
 }
 
 // newControlFleet starts control processes that are spread over zones, and subscribers in this process. It returns once the control processes
@@ -128,21 +128,21 @@
 }
 
 // waitFor waits until the reports of control processes satisfy a condition.
-func (m *controlFleet) waitFor(what string, who []int, is func(fleet.Report) bool) {
+func (m *controlFleet) waitFor(what string, members []int, condition func(fleet.Report) bool) {
 	m.t.Helper()
 	began := time.Now()
-	if err := m.WaitUntil(what, 2*testTimeout, who, is); err != nil {
+	if err := m.WaitUntil(what, 2*testTimeout, members, condition); err != nil {
 		m.t.Fatal(err)
 	}
 	m.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
 }
 
 // waitWithin waits until a check passes, and fails the test if it doesn't within the given time and timingSlack.
-func (m *controlFleet) waitWithin(what string, within time.Duration, is func() error) {
+func (m *controlFleet) waitWithin(what string, within time.Duration, condition func() error) {
 	m.t.Helper()
 	began := time.Now()
 	for {
-		err := is()
+		err := condition()
 		if err == nil {
 			m.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
 			return
@@ -155,10 +155,10 @@
 }
 
 // subscribersSatisfy returns a check of a condition on all subscribers but those left out.
-func (m *controlFleet) subscribersSatisfy(is func(subscriber.Status) bool, but ...*fakeSubscriber) func() error {
+func (m *controlFleet) subscribersSatisfy(condition func(subscriber.Status) bool, except ...*fakeSubscriber) func() error {
 	return func() error {
 		for _, f := range m.subscribers {
-			if s := f.Status(); !slices.Contains(but, f) && !is(s) {
+			if s := f.Status(); !slices.Contains(except, f) && !condition(s) {
 				return fmt.Errorf("subscriber %d: %+v", f.member, s)
 			}
 		}
@@ -167,14 +167,14 @@
 }
 
 // balancersSatisfy returns a check of a condition on all balancers.
-func (m *controlFleet) balancersSatisfy(is func(*fleet.SubscriberReport) bool) func() error {
+func (m *controlFleet) balancersSatisfy(condition func(*fleet.SubscriberReport) bool) func() error {
 	return func() error {
 		for _, p := range m.balancers {
 			r, err := p.Fleet()
 			if err != nil {
 				return err
 			}
-			if r.Subscriber == nil || !is(r.Subscriber) {
+			if r.Subscriber == nil || !condition(r.Subscriber) {
 				return fmt.Errorf("%s: %+v", p.Name, r.Subscriber)
 			}
 		}
@@ -216,17 +216,17 @@
 }
 
 // putEverywhere puts an item and waits until all balancers, and all subscribers but those left out, have it.
-func (m *controlFleet) putEverywhere(i int, key, value string, but ...*fakeSubscriber) {
+func (m *controlFleet) putEverywhere(i int, key, value string, except ...*fakeSubscriber) {
 	m.t.Helper()
 	v := m.put(i, key, value)
 	m.waitWithin(fmt.Sprintf("%s is at all subscribers and balancers, as version %d", key, v), propagationBound, func() error {
-		if err := m.subscribersSatisfy(func(s subscriber.Status) bool { return s.Version >= v }, but...)(); err != nil {
+		if err := m.subscribersSatisfy(func(s subscriber.Status) bool { return s.Version >= v }, except...)(); err != nil {
 			return err
 		}
 		return m.balancersSatisfy(func(f *fleet.SubscriberReport) bool { return f.Version >= v && f.Current })()
 	})
 	for _, f := range m.subscribers {
-		if got, _ := f.Get(key); !slices.Contains(but, f) && string(got) != value {
+		if got, _ := f.Get(key); !slices.Contains(except, f) && string(got) != value {
 			m.t.Errorf("subscriber %d has %q under %s", f.member, got, key)
 		}
 	}
--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -25,7 +25,7 @@
 
 // These tests start control processes, and balancers and in-process subscribers that follow them.
 
-// TestSubscribersThroughFaults kills, stops, cuts off and loses control processes under ten subscribers and two balancers. It guards against a
+// TestSubscribersThroughFaults kills, stops and restarts control processes of five, with ten subscribers and two balancers, and cuts off a subscriber. It guards against a
 // change that arrives late, against a subscriber that takes old state for current, goes back to an older version or stays with a control process
 // that is lost, and against snapshots for all subscribers after a restart.
 func TestSubscribersThroughFaults(t *testing.T) {
@@ -82,8 +82,8 @@
 
 	// A subscriber is cut off, and detects that by itself.
 	isolated := m.subscribers[4]
-	m.Links.Set(func(from, to int, tie *emulator.MemberLink) {
-		tie.Cut = from == isolated.member || to == isolated.member
+	m.Links.Set(func(from, to int, link *emulator.MemberLink) {
+		link.Cut = from == isolated.member || to == isolated.member
 	})
 	m.waitWithin("the subscriber that is cut off is no longer current", changefeed.DefaultLease, func() error {
 		if s := isolated.Status(); s.Current {
@@ -96,7 +96,7 @@
 		t.Errorf("the subscriber that was cut off has %q, want the earlier value", v)
 	}
 	before := isolated.Status().Stats.Snapshots
-	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
+	m.Links.Set(func(_, _ int, link *emulator.MemberLink) { *link = emulator.MemberLink{} })
 	m.waitWithin("the subscriber is current again", testTimeout, allCurrent)
 	if s := isolated.Status(); s.Stats.Snapshots != before {
 		t.Errorf("the subscriber got %d snapshots for a change that the publishers still had", s.Stats.Snapshots-before)
@@ -265,10 +265,10 @@
 // balancer is killed, and each request is sent again to another one. It guards against a non-idempotent request that runs twice; the class that
 // is not replicated shows that the count can be above 0.
 func TestNoRequestIsServedTwiceOverSubscribers(t *testing.T) {
-	const many = 50
+	const requests = 50
 	m := newControlFleet(t, 3, 3, 0)
 	a := newAgent(t)
-	script := listFourServers(t, a, 4*many)
+	script := listFourServers(t, a, 4*requests)
 	replicatedPay := "hold \"intents\" { grades = [\"pay\"] }\n"
 	first, second := m.startBalancerWith("b0", "b0", replicatedPay, false, a), m.startBalancerWith("b1", "b1", replicatedPay, false, a)
 	for _, p := range m.balancers {
@@ -277,7 +277,7 @@
 		}
 	}
 	m.waitWithin("both balancers follow", testTimeout, m.balancersSatisfy(func(f *fleet.SubscriberReport) bool { return f.Current }))
-	request := func(p *cluster.Process, grade string, id int) *testClient {
+	request := func(p *cluster.Process, class string, id int) *testClient {
 		t.Helper()
 		c, err := net.Dial("tcp", p.Addr)
 		if err != nil {
@@ -285,7 +285,7 @@
 		}
 		script.Hold(c)
 		one := &testClient{c, bufio.NewReader(c), t}
-		one.write(fmt.Sprintf(openLineFormat, id, grade, id))
+		one.write(fmt.Sprintf(openLineFormat, id, class, id))
 		return one
 	}
 	runsByID := map[string]int{} // number of first lines that reached a server, by session ID
@@ -304,27 +304,27 @@
 	_, _ = io.WriteString(session(), "UP 1\r\n")
 	one.expectLine("UP 1\r\n")
 	request(second, "pay", 1).expectLine("UP 1\r\n") // a repeated request gets the same answer
-	for lost, grade := range []string{"pay", "order"} {
+	for lost, class := range []string{"pay", "order"} {
 		base := 1000 * (lost + 1)
-		for id := range many {
-			request(first, grade, base+id)
+		for id := range requests {
+			request(first, class, base+id)
 		}
-		for range many {
+		for range requests {
 			session()
 		}
 		first.Kill()
 		var again []*testClient
-		for id := range many {
-			again = append(again, request(second, grade, base+id))
+		for id := range requests {
+			again = append(again, request(second, class, base+id))
 		}
-		if grade == "pay" {
+		if class == "pay" {
 			for id, one := range again {
 				if got := one.lineIfAny(); got != "ERR\r\n" {
 					t.Errorf("the repeated request %d of class pay got %q, want ERR", id, got)
 				}
 			}
 		} else {
-			for range many {
+			for range requests {
 				session()
 			}
 		}
@@ -334,8 +334,8 @@
 				twice++
 			}
 		}
-		if want := map[string]int{"pay": 0, "order": many}[grade]; twice != want {
-			t.Errorf("%s: %d of %d requests ran twice, want %d", grade, twice, many, want)
+		if want := map[string]int{"pay": 0, "order": requests}[class]; twice != want {
+			t.Errorf("%s: %d of %d requests ran twice, want %d", class, twice, requests, want)
 		}
 		if err := first.Launch(); err != nil {
 			t.Fatal(err)
--- a/cmd/sabletally/descriptors_test.go
+++ b/cmd/sabletally/descriptors_test.go
@@ -18,17 +18,18 @@
 
 // silentClients is a group of clients that connect, send nothing, and connect again some time after the balancer ends their connection.
 type silentClients struct {
-	stop        chan struct{}
+	stop        chan struct{} // closed to end all clients
 	running     sync.WaitGroup
-	connections atomic.Int64
+	connections atomic.Int64 // number of connections opened so far
 }
 
 // reconnectDelay is how long a silent client waits before it connects again.
 const reconnectDelay = time.Second
 
-func startSilentClients(t *testing.T, addr string, many int) *silentClients {
+// startSilentClients starts silent clients of an address, which end with the test.
+func startSilentClients(t *testing.T, addr string, clients int) *silentClients {
 	c := &silentClients{stop: make(chan struct{})}
-	for range many {
+	for range clients {
 		c.running.Add(1)
 		go func() {
 			defer c.running.Done()
@@ -55,6 +56,7 @@
 	return c
 }
 
+// end disconnects all clients and waits for them; it may be called again.
 func (c *silentClients) end() {
 	select {
 	case <-c.stop:
@@ -72,30 +74,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var held []string
+	var targets []string
 	for _, e := range all {
 		if to, err := os.Readlink(dir + "/" + e.Name()); err == nil {
-			held = append(held, to)
+			targets = append(targets, to)
 		}
 	}
-	return held
+	return targets
 }
 
 // overloadedSite is a balancer whose descriptors are limited by its configuration and by the kernel, and that is restarted while discovery is
 // down.
 type overloadedSite struct {
 	*site
-	descriptorLimit, peakDescriptors int
+	descriptorLimit, peakDescriptors int    // limit of the configuration and the kernel; most descriptors seen open at once
 	restoreDiscovery                 func() // ends the outage of discovery
 	outageStart                      time.Time
-	served, rejected                 int
+	served, rejected                 int // number of clients of checkAnswers that got UP and BUSY
 }
 
 const (
-	outageLength     = 8 * time.Second
-	listBound        = 6 * time.Second
-	loadedCPUDivisor = 2  // at most 1/2 of one processor's time is used while clients connect all the time
-	idleCPUDivisor   = 10 // at most 1/10 of one processor's time is used after they have left
+	outageLength     = 8 * time.Second // duration of discovery's outage
+	listBound        = 6 * time.Second // the list must be applied within this time after the outage
+	loadedCPUDivisor = 2               // at most 1/2 of one processor's time is used while clients connect all the time
+	idleCPUDivisor   = 10              // at most 1/10 of one processor's time is used after they have left
 )
 
 // newOverloadedSite restarts a balancer during an outage of discovery, which refuses connections or accepts them and sends nothing.
@@ -142,13 +144,13 @@
 		}
 		go func() {
 			defer func() { _ = near.Close() }()
-			far, err := net.Dial("tcp", to)
+			target, err := net.Dial("tcp", to)
 			if err != nil {
 				return
 			}
-			defer func() { _ = far.Close() }()
-			go func() { _, _ = io.Copy(far, near); _ = far.Close() }()
-			_, _ = io.Copy(near, far)
+			defer func() { _ = target.Close() }()
+			go func() { _, _ = io.Copy(target, near); _ = target.Close() }()
+			_, _ = io.Copy(near, target)
 		}()
 	}
 }
@@ -156,8 +158,8 @@
 // checkAnswers calls the admin address, and opens a session as a client; both must be answered.
 func (s *overloadedSite) checkAnswers() {
 	s.t.Helper()
-	if code, says := s.call("GET", "/control/ready"); code != 200 {
-		s.t.Errorf("GET /control/ready: %d, %q, want 200", code, says)
+	if code, body := s.call("GET", "/control/ready"); code != 200 {
+		s.t.Errorf("GET /control/ready: %d, %q, want 200", code, body)
 	}
 	a := s.client(openLine)
 	defer func() { _ = a.Close() }()
@@ -177,20 +179,20 @@
 func (s *overloadedSite) checkThroughOutage(clients *silentClients) {
 	s.t.Helper()
 	s.serve("s-2") // a change that the balancer gets once discovery is back
-	began, used, came := time.Now(), s.child.CPU(), clients.connections.Load()
+	began, cpuBefore, connectionsBefore := time.Now(), s.child.CPU(), clients.connections.Load()
 	for time.Since(s.outageStart) < outageLength {
 		s.checkAnswers()
 		time.Sleep(50 * time.Millisecond)
 	}
-	spent, over := s.child.CPU()-used, time.Since(began)
+	cpuTime, elapsed := s.child.CPU()-cpuBefore, time.Since(began)
 	s.restoreDiscovery()
 	back := time.Now()
 	s.waitLog(`"server":"s-2"`)
-	heard := time.Since(back)
+	listDelay := time.Since(back)
 	s.checkAnswers()
 	s.t.Logf("%d served, %d rejected, %d descriptors at most, %d silent connections, %v of processor time in %v; the list applied %v after the outage",
-		s.served, s.rejected, s.peakDescriptors, clients.connections.Load()-came, spent, over, heard)
-	if s.served+s.rejected == 0 || s.peakDescriptors > s.descriptorLimit || spent > over/loadedCPUDivisor || heard > listBound {
+		s.served, s.rejected, s.peakDescriptors, clients.connections.Load()-connectionsBefore, cpuTime, elapsed, listDelay)
+	if s.served+s.rejected == 0 || s.peakDescriptors > s.descriptorLimit || cpuTime > elapsed/loadedCPUDivisor || listDelay > listBound {
 		s.t.Error("no client answered, too many descriptors, too much processor time or a late list: see the line above")
 	}
 	began = time.Now()
@@ -212,10 +214,10 @@
 	if n := strings.Count(text, "too many open files"); n > 0 {
 		s.t.Errorf("ran out of descriptors %d times", n)
 	}
-	used, began = s.child.CPU(), time.Now()
+	cpuBefore, began = s.child.CPU(), time.Now()
 	time.Sleep(2 * time.Second)
-	spent, over = s.child.CPU()-used, time.Since(began)
-	if s.t.Logf("%v of processor time in %v without clients", spent, over); spent > over/idleCPUDivisor {
+	cpuTime, elapsed = s.child.CPU()-cpuBefore, time.Since(began)
+	if s.t.Logf("%v of processor time in %v without clients", cpuTime, elapsed); cpuTime > elapsed/idleCPUDivisor {
 		s.t.Error("the process uses too much processor time without clients")
 	}
 }
@@ -228,13 +230,13 @@
 	for _, files := range []int{64, 1024} {
 		t.Run(fmt.Sprint(files), func(t *testing.T) {
 			s := newOverloadedSite(t, files, true)
-			many := startSilentClients(t, s.child.Addr, 3*files)
-			for began := time.Now(); many.connections.Load() < int64(3*files); time.Sleep(time.Millisecond) {
+			clients := startSilentClients(t, s.child.Addr, 3*files)
+			for began := time.Now(); clients.connections.Load() < int64(3*files); time.Sleep(time.Millisecond) {
 				if time.Since(began) > testTimeout {
-					t.Fatalf("only %d silent clients have connected", many.connections.Load())
+					t.Fatalf("only %d silent clients have connected", clients.connections.Load())
 				}
 			}
-			s.checkThroughOutage(many)
+			s.checkThroughOutage(clients)
 			if s.served == 0 {
 				t.Error("no client was served")
 			}
--- a/cmd/sabletally/fleet_cost_test.go
+++ b/cmd/sabletally/fleet_cost_test.go
@@ -25,13 +25,14 @@
 	if !*measureCost {
 		t.Skip("a measurement: run it with -cost")
 	}
-	for _, many := range []int{3, 5} {
-		for _, late := range []time.Duration{0, 100 * time.Microsecond, time.Millisecond, 5 * time.Millisecond} {
-			t.Run(fmt.Sprintf("%d members, %v", many, late), func(t *testing.T) { measureFleetCost(t, many, late) })
+	for _, members := range []int{3, 5} {
+		for _, delay := range []time.Duration{0, 100 * time.Microsecond, time.Millisecond, 5 * time.Millisecond} {
+			t.Run(fmt.Sprintf("%d members, %v", members, delay), func(t *testing.T) { measureFleetCost(t, members, delay) })
 		}
 	}
 }
 
+// measureFleetCost logs the percentiles of the time until UP, for each class twice, on a fleet with the given link delay.
 func measureFleetCost(t *testing.T, members int, delay time.Duration) {
 	const rate, count = 100, 500
 	a := newAgent(t)
@@ -43,11 +44,11 @@
 	}()
 	m := newSerialTestFleet(t, members, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
 	m.waitFor("every shard has its replicas", m.all, repaired)
-	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Delay = delay })
+	m.Links.Set(func(_, _ int, link *emulator.MemberLink) { link.Delay = delay })
 	if err := m.procs[0].WaitReady(); err != nil {
 		t.Fatal(err)
 	}
-	for n, grade := range []string{"order", "pay", "order", "pay"} {
+	for n, class := range []string{"order", "pay", "order", "pay"} {
 		h := hdrhistogram.New(1, int64(10*time.Second/time.Microsecond), 3)
 		var mu sync.Mutex
 		var all sync.WaitGroup
@@ -65,7 +66,7 @@
 				}
 				defer func() { _ = c.Close() }()
 				id := 1 + 1000*(n+1) + i
-				_, _ = fmt.Fprintf(c, openLineFormat, id, grade, id)
+				_, _ = fmt.Fprintf(c, openLineFormat, id, class, id)
 				got, _ := bufio.NewReader(c).ReadString('\n')
 				mu.Lock()
 				defer mu.Unlock()
@@ -77,7 +78,7 @@
 			}()
 		}
 		all.Wait()
-		t.Logf("%s: p50 %.2f ms, p99 %.2f ms, %d failed", grade, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, failed)
+		t.Logf("%s: p50 %.2f ms, p99 %.2f ms, %d failed", class, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, failed)
 	}
 	r := m.report(0).Store
 	t.Logf("n0: %d records, %d bytes, file %d, %d writes, sent %d", r.Records, r.Bytes, r.FileBytes, r.Writes, r.Sent)
--- a/cmd/sabletally/fleet_rig_test.go
+++ b/cmd/sabletally/fleet_rig_test.go
@@ -20,37 +20,37 @@
 type testFleet struct {
 	*cluster.MemberGroup
 	t     *testing.T
-	procs []*cluster.Process
-	all   []int
+	procs []*cluster.Process // members' processes, by index
+	all   []int              // indexes of all members
 }
 
 // newTestFleet starts a fleet, in parallel with other tests, and waits until all members see each other. With shared, members can be restarted hot.
-func newTestFleet(t *testing.T, many int, shared bool) *testFleet {
-	return newTestFleetWithBlocks(t, many, shared, "", newAgent(t))
+func newTestFleet(t *testing.T, members int, shared bool) *testFleet {
+	return newTestFleetWithBlocks(t, members, shared, "", newAgent(t))
 }
 
 // newTestFleetWithBlocks does the same with extra blocks in the fleet files and a given discovery.
-func newTestFleetWithBlocks(t *testing.T, many int, shared bool, extraBlocks string, a *emulator.Agent) *testFleet {
+func newTestFleetWithBlocks(t *testing.T, members int, shared bool, extraBlocks string, a *emulator.Agent) *testFleet {
 	t.Parallel()
-	return newSerialTestFleet(t, many, shared, extraBlocks, a)
+	return newSerialTestFleet(t, members, shared, extraBlocks, a)
 }
 
 // newSerialTestFleet does the same without running the test in parallel with others.
-func newSerialTestFleet(t *testing.T, many int, shared bool, extraBlocks string, a *emulator.Agent) *testFleet {
-	return newTestFleetWithSettings(t, many, shared, "", extraBlocks, a)
+func newSerialTestFleet(t *testing.T, members int, shared bool, extraBlocks string, a *emulator.Agent) *testFleet {
+	return newTestFleetWithSettings(t, members, shared, "", extraBlocks, a)
 }
 
 // newTestFleetWithSettings does the same with extra settings in the fleet block of their files.
-func newTestFleetWithSettings(t *testing.T, many int, shared bool, extraSettings, extraBlocks string, a *emulator.Agent) *testFleet {
+func newTestFleetWithSettings(t *testing.T, members int, shared bool, extraSettings, extraBlocks string, a *emulator.Agent) *testFleet {
 	dir := t.TempDir()
-	b, err := cluster.NewMemberGroup(many, dir, 11)
+	b, err := cluster.NewMemberGroup(members, dir, 11)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
 	b.ExtraSettings, b.ExtraBlocks = extraSettings, extraBlocks
 	m := &testFleet{MemberGroup: b, t: t}
-	for i := range many {
+	for i := range members {
 		p, err := cluster.NewProcess(fmt.Sprintf("n%d", i), []string{os.Args[0]}, []string{"SABLETALLY_CHILD=1", "EDGE_DISCOVERY=" + a.Addr()}, dir, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -99,8 +99,8 @@
 }
 
 // listFourServers starts four scripted servers and adds them to a discovery's list.
-func listFourServers(t *testing.T, a *emulator.Agent, most int) *emulator.Script {
-	script := emulator.NewScript(most, 4*testTimeout)
+func listFourServers(t *testing.T, a *emulator.Agent, maxSessions int) *emulator.Script {
+	script := emulator.NewScript(maxSessions, 4*testTimeout)
 	t.Cleanup(script.Close)
 	for _, uid := range []string{"s-1", "s-2", "s-3", "s-4"} {
 		addr, err := script.Listen(uid)
@@ -113,24 +113,24 @@
 }
 
 // waitForLog waits until a process's log contains a text.
-func (m *testFleet) waitForLog(p *cluster.Process, word string) {
+func (m *testFleet) waitForLog(p *cluster.Process, text string) {
 	m.t.Helper()
-	for end := time.Now().Add(testTimeout); !strings.Contains(p.LogTail(), word); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(p.LogTail(), text); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			m.t.Fatalf("the log of %s does not contain %s: %s", p.Name, word, p.LogTail())
+			m.t.Fatalf("the log of %s does not contain %s: %s", p.Name, text, p.LogTail())
 		}
 	}
 }
 
 // waitForMemberLog waits until a member's log contains a text; if it fails, it logs the members' stores.
-func (m *testFleet) waitForMemberLog(i int, word string) {
+func (m *testFleet) waitForMemberLog(i int, text string) {
 	m.t.Helper()
-	for end := time.Now().Add(testTimeout); !strings.Contains(m.procs[i].LogTail(), word); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.Contains(m.procs[i].LogTail(), text); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			for j := range m.procs {
 				m.t.Logf("n%d: %+v", j, m.report(j).Store)
 			}
-			m.t.Fatalf("the log of n%d does not contain %s", i, word)
+			m.t.Fatalf("the log of n%d does not contain %s", i, text)
 		}
 	}
 }
@@ -175,10 +175,10 @@
 }
 
 // waitFor waits until the reports of members satisfy a condition.
-func (m *testFleet) waitFor(what string, who []int, is func(fleet.Report) bool) {
+func (m *testFleet) waitFor(what string, members []int, condition func(fleet.Report) bool) {
 	m.t.Helper()
 	began := time.Now()
-	if err := m.WaitUntil(what, 2*testTimeout, who, is); err != nil {
+	if err := m.WaitUntil(what, 2*testTimeout, members, condition); err != nil {
 		m.t.Fatal(err)
 	}
 	m.t.Logf("%s: %v", what, time.Since(began).Round(10*time.Millisecond))
@@ -215,14 +215,14 @@
 }
 
 // requestOnce opens a session on a connection of its own and returns the answer, which is empty if there is none.
-func requestOnce(addr, grade string, id int) string {
+func requestOnce(addr, class string, id int) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return ""
 	}
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	_, _ = fmt.Fprintf(c, openLineFormat, id, grade, id)
+	_, _ = fmt.Fprintf(c, openLineFormat, id, class, id)
 	text, _ := bufio.NewReader(c).ReadString('\n')
 	return text
 }
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -28,19 +28,19 @@
 // pause, and a cut-off minority that goes on as a quorum.
 func TestAFleetThroughFaults(t *testing.T) {
 	m := newTestFleet(t, 5, false)
-	gone := func(i int) func(fleet.Report) bool {
+	reportedGone := func(i int) func(fleet.Report) bool {
 		return func(r fleet.Report) bool {
 			return cluster.MemberState(r, fmt.Sprintf("n%d", i)) == "gone" && r.Standing == "together"
 		}
 	}
 
-	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) {
-		*tie = emulator.MemberLink{Loss: 0.3, Duplicated: 0.3, Delay: 20 * time.Millisecond}
+	m.Links.Set(func(_, _ int, link *emulator.MemberLink) {
+		*link = emulator.MemberLink{Loss: 0.3, Duplicated: 0.3, Delay: 20 * time.Millisecond}
 	})
 	suspend(t, m.procs[4])
-	m.waitFor("the others notice the stopped member over lossy links", m.without(4), gone(4))
+	m.waitFor("the others notice the stopped member over lossy links", m.without(4), reportedGone(4))
 	_ = m.procs[4].Signal(syscall.SIGCONT)
-	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
+	m.Links.Set(func(_, _ int, link *emulator.MemberLink) { *link = emulator.MemberLink{} })
 	m.waitForQuorum()
 	if r := m.report(4); r.Pauses == 0 || r.Self.Incarnation != 1 {
 		t.Errorf("the stopped member reports no pause, or is another incarnation: %+v", r)
@@ -50,34 +50,34 @@
 	if err := m.LoseMachine(3); err != nil {
 		t.Fatal(err)
 	}
-	m.waitFor("the others notice the lost member", m.without(3), gone(3))
+	m.waitFor("the others notice the lost member", m.without(3), reportedGone(3))
 	if err := m.procs[3].Launch(); err != nil {
 		t.Fatal(err)
 	}
 	m.waitForQuorum()
-	if is := m.report(3).Self; is.ID == was || is.Incarnation != 1 {
-		t.Errorf("a member that lost its disk has its old ID or incarnation: %+v", is)
+	if self := m.report(3).Self; self.ID == was || self.Incarnation != 1 {
+		t.Errorf("a member that lost its disk has its old ID or incarnation: %+v", self)
 	}
 	m.waitFor("the others know that the lost member is replaced", m.without(3), func(r fleet.Report) bool {
 		return slices.ContainsFunc(r.Others, func(o fleet.MemberReport) bool { return o.ID == was && o.State == "gone" && o.ReplacedBy != "" })
 	})
 
-	m.Links.Set(func(from, to int, tie *emulator.MemberLink) { tie.Cut = from < 2 != (to < 2) })
+	m.Links.Set(func(from, to int, link *emulator.MemberLink) { link.Cut = from < 2 != (to < 2) })
 	m.waitFor("the minority of two knows that it is cut off", []int{0, 1}, func(r fleet.Report) bool { return r.Standing == "apart" && r.Alive == 2 })
 	m.waitFor("the majority of three goes on", []int{2, 3, 4}, cluster.SeesQuorumOf(3))
-	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
+	m.Links.Set(func(_, _ int, link *emulator.MemberLink) { *link = emulator.MemberLink{} })
 	m.waitForQuorum()
 
-	m.Links.Set(func(from, _ int, tie *emulator.MemberLink) { tie.Cut = from == 1 }) // its outgoing messages are lost, the incoming ones arrive
-	m.waitFor("the others notice the member that nobody hears", m.without(1), gone(1))
+	m.Links.Set(func(from, _ int, link *emulator.MemberLink) { link.Cut = from == 1 }) // its outgoing messages are lost, the incoming ones arrive
+	m.waitFor("the others notice the member that nobody hears", m.without(1), reportedGone(1))
 	m.waitFor("that member knows that it is cut off", []int{1}, func(r fleet.Report) bool { return r.Standing == "apart" })
-	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { *tie = emulator.MemberLink{} })
+	m.Links.Set(func(_, _ int, link *emulator.MemberLink) { *link = emulator.MemberLink{} })
 	m.waitForQuorum()
 
 	m.restartAll()
 	m.waitForQuorum()
-	if is := m.report(0).Self; is.Incarnation != 2 {
-		t.Errorf("the restarted member is %+v, want incarnation 2", is)
+	if self := m.report(0).Self; self.Incarnation != 2 {
+		t.Errorf("the restarted member is %+v, want incarnation 2", self)
 	}
 	_ = m.procs[2].Signal(syscall.SIGTERM)
 	m.waitFor("the others know that a member has left as planned", m.without(2), func(r fleet.Report) bool { return cluster.MemberState(r, "n2") == "left" && r.Standing == "together" })
@@ -139,9 +139,9 @@
 		if r.Store == nil {
 			return false
 		}
-		for holders, slots := range r.Store.ShardsByReplicas {
-			if holders < 3 {
-				t.Errorf("%d shards have %d replicas after a member has left as planned, want 3 or more", slots, holders)
+		for replicas, shards := range r.Store.ShardsByReplicas {
+			if replicas < 3 {
+				t.Errorf("%d shards have %d replicas after a member has left as planned, want 3 or more", shards, replicas)
 			}
 		}
 		return repaired(r) && r.Store.Members == 4
@@ -171,9 +171,9 @@
 // request again to another balancer. It guards against a request of a replicated class that runs twice. The same with a class that is not
 // replicated shows that the count can be above 0.
 func TestNoRequestIsServedTwiceOverBalancers(t *testing.T) {
-	const many = 200
+	const requests = 200
 	a := newAgent(t)
-	script := listFourServers(t, a, 4*many)
+	script := listFourServers(t, a, 4*requests)
 	m := newTestFleetWithBlocks(t, 5, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
 	m.waitFor("every shard has its replicas", m.all, repaired)
 	for _, p := range m.procs {
@@ -181,14 +181,14 @@
 			t.Fatal(err)
 		}
 	}
-	request := func(i int, grade string, id int) *testClient {
+	request := func(i int, class string, id int) *testClient {
 		c, err := net.Dial("tcp", m.procs[i].Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		script.Hold(c)
 		one := &testClient{c, bufio.NewReader(c), t}
-		one.write(fmt.Sprintf(openLineFormat, id, grade, id))
+		one.write(fmt.Sprintf(openLineFormat, id, class, id))
 		return one
 	}
 	runsByID := map[string]int{} // number of first lines that reached a server, by session ID
@@ -209,12 +209,12 @@
 		first.expectLine(fmt.Sprintf("UP %d\r\n", id))
 		request(2, "pay", id).expectLine(fmt.Sprintf("UP %d\r\n", id))
 	}
-	for lost, grade := range []string{"pay", "order"} {
+	for lost, class := range []string{"pay", "order"} {
 		base := 1000 * (lost + 1)
-		for id := range many {
-			request(lost, grade, base+id)
+		for id := range requests {
+			request(lost, class, base+id)
 		}
-		for range many {
+		for range requests {
 			session()
 		}
 		if err := m.LoseMachine(lost); err != nil {
@@ -222,10 +222,10 @@
 		}
 		began, slowest := time.Now(), time.Duration(0)
 		var again []*testClient
-		for id := range many {
-			again = append(again, request(2+id%3, grade, base+id))
+		for id := range requests {
+			again = append(again, request(2+id%3, class, base+id))
 		}
-		if grade == "pay" {
+		if class == "pay" {
 			var all sync.WaitGroup
 			var busyAnswers, wrong atomic.Int64
 			var longest atomic.Int64
@@ -234,7 +234,7 @@
 					got := one.lineIfAny()
 					for ; strings.HasPrefix(got, "BUSY ") && time.Since(began) < testTimeout; busyAnswers.Add(1) { // no answer from the shard's primary in time: the client tries again
 						time.Sleep(100 * time.Millisecond)
-						got = requestOnce(m.procs[2+id%3].Addr, grade, base+id)
+						got = requestOnce(m.procs[2+id%3].Addr, class, base+id)
 					}
 					if got != "ERR\r\n" {
 						wrong.Add(1)
@@ -248,11 +248,11 @@
 			}
 			all.Wait()
 			if slowest = time.Duration(longest.Load()); wrong.Load() > 0 {
-				t.Errorf("%d of %d repeated requests got another answer than ERR", wrong.Load(), many)
+				t.Errorf("%d of %d repeated requests got another answer than ERR", wrong.Load(), requests)
 			}
 			t.Logf("%d BUSY answers until the lost member's shards had another primary", busyAnswers.Load())
 		} else {
-			for range many {
+			for range requests {
 				session()
 			}
 		}
@@ -262,10 +262,10 @@
 				twice++
 			}
 		}
-		if want := map[string]int{"pay": 0, "order": many}[grade]; twice != want {
-			t.Errorf("%s: %d of %d requests ran twice, want %d", grade, twice, many, want)
+		if want := map[string]int{"pay": 0, "order": requests}[class]; twice != want {
+			t.Errorf("%s: %d of %d requests ran twice, want %d", class, twice, requests, want)
 		}
-		t.Logf("%s: %d of %d requests ran twice; all answered after %v", grade, twice, many, slowest)
+		t.Logf("%s: %d of %d requests ran twice; all answered after %v", class, twice, requests, slowest)
 	}
 }
 
--- a/cmd/sabletally/main_test.go
+++ b/cmd/sabletally/main_test.go
@@ -109,7 +109,7 @@
 // TestASessionIsAnsweredBeforeItsDeadline has servers that say nothing or fail. It guards against a client that is answered after its deadline.
 func TestASessionIsAnsweredBeforeItsDeadline(t *testing.T) {
 	s := startSite(t, nil, "s-1", "s-2")
-	for _, say := range []string{"", "ERR\r\n"} {
+	for _, answer := range []string{"", "ERR\r\n"} {
 		began := time.Now()
 		a := s.client(strings.Replace(openLine, "d=1500", "d=700", 1))
 		answered := make(chan struct{})
@@ -117,7 +117,7 @@
 			for {
 				select {
 				case e := <-s.Sessions:
-					_, _ = io.WriteString(e, say)
+					_, _ = io.WriteString(e, answer)
 				case <-answered:
 					return
 				}
@@ -149,7 +149,7 @@
 func TestAServerThatRejectsBeforeTheRequest(t *testing.T) {
 	s := startSite(t, nil, "s-1")
 	s.acceptAllSessions()
-	for n, say := range []string{"", "BUSY\r\n", "HELLO\r\n"} {
+	for n, answer := range []string{"", "BUSY\r\n", "HELLO\r\n"} {
 		ln, uid := newListener(t), fmt.Sprintf("rude-%d", n)
 		said := make(chan string, 100)
 		go func() {
@@ -158,8 +158,8 @@
 				if err != nil {
 					return
 				}
-				_, _ = io.WriteString(c, say)
-				if say == "" {
+				_, _ = io.WriteString(c, answer)
+				if answer == "" {
 					_ = c.(*net.TCPConn).SetLinger(0)
 				} else {
 					_ = c.(*net.TCPConn).CloseWrite()
@@ -174,15 +174,15 @@
 		began := time.Now()
 		for range 8 {
 			if got := s.client(openLine).line(); got != "UP 1\r\n" && !strings.HasPrefix(got, "BUSY ") {
-				t.Errorf("server that says %q: a client got %q, want UP or BUSY", say, got)
+				t.Errorf("server that says %q: a client got %q, want UP or BUSY", answer, got)
 			}
 		}
 		if took := time.Since(began); took > 2*time.Second {
-			t.Errorf("server that says %q: eight sessions took %v, want 2s at most", say, took)
+			t.Errorf("server that says %q: eight sessions took %v, want 2s at most", answer, took)
 		}
 		for len(said) > 0 {
 			if got := <-said; got != "" && !strings.HasPrefix(got, "OPEN ") {
-				t.Errorf("server that says %q got %q, want a request or nothing", say, got)
+				t.Errorf("server that says %q got %q, want a request or nothing", answer, got)
 			}
 		}
 		s.listServer(uid, "", "terminated")
@@ -355,11 +355,11 @@
 		{"turned away", "BUSY\r\n", "end", false},
 		{"turned away, and up a moment later", "BUSY\r\nUP 1\r\n", "end", false},
 	}
-	for _, grade := range []string{"feed", "pay", "book"} {
+	for _, class := range []string{"feed", "pay", "book"} {
 		for _, c := range malformed {
-			t.Run(grade+" "+c.name, func(t *testing.T) {
+			t.Run(class+" "+c.name, func(t *testing.T) {
 				s := startSite(t, []string{"LONG"}, "s-1", "s-2", "s-3")
-				a := s.client(strings.Replace(strings.Replace(openLine, "c=feed", "c="+grade, 1), "d=1500", "d=3000", 1))
+				a := s.client(strings.Replace(strings.Replace(openLine, "c=feed", "c="+class, 1), "d=1500", "d=3000", 1))
 				first := s.session()
 				_, _ = io.WriteString(first, c.text)
 				switch c.how {
@@ -369,7 +369,7 @@
 				case "end":
 					_ = first.Conn.(*net.TCPConn).CloseWrite()
 				}
-				if grade == "pay" && c.ran {
+				if class == "pay" && c.ran {
 					a.expectLine("ERR\r\n")
 					expectEnd(t, a.r, false)
 				} else {
@@ -446,7 +446,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reload := func(text []byte, word string) {
+	reload := func(text []byte, logText string) {
 		t.Helper()
 		if err := os.WriteFile(s.config, text, 0o600); err != nil {
 			t.Fatal(err)
@@ -455,7 +455,7 @@
 		s.log.Reset()
 		s.mu.Unlock()
 		_ = s.child.Signal(syscall.SIGHUP)
-		s.waitLog(word)
+		s.waitLog(logText)
 	}
 	for _, bad := range []string{"", string(text[:len(text)/2]), strings.Replace(string(text), `"discovery":"`, `"discovery":"?`, 1)} {
 		reload([]byte(bad), "can't reload")
--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -19,18 +19,18 @@
 // call sends a request to the admin address and returns the status and the body.
 func (s *site) call(method, path string) (int, string) {
 	s.t.Helper()
-	code, says, err := s.child.Call(method, path)
+	code, body, err := s.child.Call(method, path)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return code, says
+	return code, body
 }
 
 // expectOK sends a request to the admin address, which must answer with status 200.
 func (s *site) expectOK(method, path string) {
 	s.t.Helper()
-	if code, says := s.call(method, path); code != 200 {
-		s.t.Fatalf("%s %s: %d, %q, want status 200", method, path, code, says)
+	if code, body := s.call(method, path); code != 200 {
+		s.t.Fatalf("%s %s: %d, %q, want status 200", method, path, code, body)
 	}
 }
 
@@ -63,8 +63,8 @@
 	_ = s.child.Signal(syscall.SIGHUP) // a reload must not end the drain
 	s.waitLog(`"reloaded"`)
 	s.client("PING\r\n").expectLine("NO\r\n")
-	if code, says := s.call("GET", "/control/ready"); code != 503 || !strings.Contains(says, "out of service") {
-		t.Fatalf("readiness during the drain: %d, %q, want 503 and \"out of service\"", code, says)
+	if code, body := s.call("GET", "/control/ready"); code != 503 || !strings.Contains(body, "out of service") {
+		t.Fatalf("readiness during the drain: %d, %q, want 503 and \"out of service\"", code, body)
 	}
 	_, _ = io.WriteString(e, "UP 9\r\n")
 	late.expectLine("UP 9\r\n")
@@ -93,8 +93,8 @@
 	for call, want := range map[string]int{"GET /control/ready": 503, "PUT /control/out-of-service": 200, "PUT /control/in-service": 409} {
 		var method, path string
 		_, _ = fmt.Sscan(call, &method, &path)
-		if code, says := s.call(method, path); code != want {
-			t.Errorf("%s during the shutdown: %d, %q", call, code, says)
+		if code, body := s.call(method, path); code != want {
+			t.Errorf("%s during the shutdown: %d, %q", call, code, body)
 		}
 	}
 	a.expectLine("MOVE\r\n")
@@ -108,8 +108,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	grade := `"Name":"order","Effect":"non_idempotent","Group":"all","LatencyGoalUs":300000,"OuterLimitUs":9000000,"Utility":1`
-	first := strings.Replace(string(text), `[{"Name":"feed"`, `[{`+grade+`},{"Name":"feed"`, 1)
+	classSettings := `"Name":"order","Effect":"non_idempotent","Group":"all","LatencyGoalUs":300000,"OuterLimitUs":9000000,"Utility":1`
+	first := strings.Replace(string(text), `[{"Name":"feed"`, `[{`+classSettings+`},{"Name":"feed"`, 1)
 	s.reloadAndWait(first, `"reloaded"`)
 	order := func() (*testClient, *emulator.Session) {
 		a := s.client(strings.NewReplacer("c=feed", "c=order", "d=1500", "d=8000").Replace(openLine))
@@ -154,8 +154,8 @@
 	answered <- true        // after this the goroutine takes no further session
 	s.waitLog(`"reloaded"`) // otherwise the wait for the next reload could match this line
 	s.reloadAndWait(strings.NewReplacer("non_idempotent", "read_like", `"MostSetupTries":6`, `"MostSetupTries":2`).Replace(first), `"reloaded"`)
-	again, try := order() // admitted by the new rules
-	_, _ = io.WriteString(try, "ERR\r\n")
+	again, attempt := order() // admitted by the new rules
+	_, _ = io.WriteString(attempt, "ERR\r\n")
 	_, _ = io.WriteString(s.session(), "ERR\r\n")
 	if got := again.line(); !strings.HasPrefix(got, "BUSY ") {
 		t.Fatalf("got %q after two attempts of two, want BUSY", got)
--- a/cmd/sabletally/ready_test.go
+++ b/cmd/sabletally/ready_test.go
@@ -197,7 +197,7 @@
 			for _, p := range m.procs {
 				p.Kill()
 			}
-			m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Cut = c.cut })
+			m.Links.Set(func(_, _ int, link *emulator.MemberLink) { link.Cut = c.cut })
 			startAll(t, m.procs, func(int) string { return "members" })
 			if startedWithoutState := "ready without the stored service state"; c.cut {
 				for _, p := range m.procs {
@@ -240,8 +240,8 @@
 			}
 		}
 	}
-	asks := dial()
-	shed := make(chan struct{}) // closed once an idle client has got BUSY
+	healthCheck := dial()
+	evicted := make(chan struct{}) // closed once an idle client has got BUSY
 	var once sync.Once
 	for range 100 {
 		c, err := net.Dial("tcp", p.Addr)
@@ -252,15 +252,15 @@
 		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		go func() {
 			if text, _ := bufio.NewReader(c).ReadString('\n'); strings.HasPrefix(text, "BUSY") {
-				once.Do(func() { close(shed) })
+				once.Do(func() { close(evicted) })
 			}
 		}()
 	}
-	if text, err := asks.ReadString('\n'); text != "PONG\r\n" {
+	if text, err := healthCheck.ReadString('\n'); text != "PONG\r\n" {
 		t.Errorf("the health check got %q, %v, want PONG", text, err)
 	}
 	select {
-	case <-shed:
+	case <-evicted:
 	case <-time.After(testTimeout):
 		t.Error("no idle client was evicted: the descriptors were not used up")
 	}
--- a/cmd/sabletally/site_test.go
+++ b/cmd/sabletally/site_test.go
@@ -42,7 +42,7 @@
 	addrs     map[string]string // address of each server in the endpoint list, by UID
 	requested uint64            // number of clients that have connected; it makes session IDs unique
 	log       strings.Builder
-	logged    chan struct{}
+	logged    chan struct{} // signals that the log has grown
 }
 
 // testClient is a client's connection, with a buffered reader over it.
@@ -225,19 +225,19 @@
 }
 
 // waitLog waits until the program's log contains a text, and returns the log from there on.
-func (s *site) waitLog(word string) string {
+func (s *site) waitLog(want string) string {
 	s.t.Helper()
 	for end := time.After(testTimeout); ; {
 		s.mu.Lock()
 		text := s.log.String()
 		s.mu.Unlock()
-		if at := strings.Index(text, word); at >= 0 {
+		if at := strings.Index(text, want); at >= 0 {
 			return text[at:]
 		}
 		select {
 		case <-s.logged:
 		case <-end:
-			s.t.Fatalf("the log does not contain %q", word)
+			s.t.Fatalf("the log does not contain %q", want)
 		}
 	}
 }
--- a/cmd/sabletally/switch_test.go
+++ b/cmd/sabletally/switch_test.go
@@ -25,10 +25,10 @@
 }
 
 // reloadAndWait replaces the configuration file, sends SIGHUP and waits for a text in the log; reloadWith doesn't wait.
-func (s *site) reloadAndWait(text, word string) {
+func (s *site) reloadAndWait(text, want string) {
 	s.t.Helper()
 	s.reloadWith(text)
-	s.waitLog(word)
+	s.waitLog(want)
 }
 
 func (s *site) reloadWith(text string) {
@@ -74,18 +74,18 @@
 		_, _ = io.WriteString(out, "UP 5\r\n")
 		waiting.expectLine("UP 5\r\n")
 		_ = peer.SetReadDeadline(time.Now().Add(testTimeout))
-		text, held := make([]byte, loadgossip.MaxDatagramSize), 0.0
-		for held == 0 { // until a datagram reports the established session's load
+		text, totalLoad := make([]byte, loadgossip.MaxDatagramSize), 0.0
+		for totalLoad == 0 { // until a datagram reports the established session's load
 			n, _, err := peer.ReadFromUDPAddrPort(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			told, err := loadgossip.Decode(text[:n])
+			message, err := loadgossip.Decode(text[:n])
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, load := range told.Loads {
-				held += load
+			for _, load := range message.Loads {
+				totalLoad += load
 			}
 		}
 		for n, c := range []*testClient{established, waiting} {
