--- a/cmd/sabletally/end_pairs_test.go
+++ b/cmd/sabletally/end_pairs_test.go
@@ -41,7 +41,7 @@
 	{name: "the client resets", toServer: true, begin: func(s *pendingSession) { resetConn(s.writer) }, expectReset: true},
 	{name: "the client ends its sending", toServer: true, begin: func(s *pendingSession) { _ = s.writer.(*net.TCPConn).CloseWrite() }, closesWrite: true},
 	{name: "the server's line is too long", begin: func(s *pendingSession) {
-		_ = s.writer.SetWriteDeadline(time.Now().Add(bound))
+		_ = s.writer.SetWriteDeadline(time.Now().Add(testTimeout))
 		go func() { _, _ = io.WriteString(s.writer, strings.Repeat("x", 5000)) }()
 	}, expectReset: true},
 	{name: "it is migrated", begin: func(s *pendingSession) {
@@ -118,7 +118,7 @@
 // expectLines reads until the connection ends and checks that at least the expected number of lines arrived, followed by the end that the
 // first event causes. With anyEnd the kind of the end is not checked.
 func (s *pendingSession) expectLines(expected int, first firstEvent, anyEnd bool) error {
-	_ = s.reader.SetReadDeadline(time.Now().Add(bound))
+	_ = s.reader.SetReadDeadline(time.Now().Add(testTimeout))
 	got := 0
 	last := ""
 	var end error
--- a/cmd/sabletally/fleet_cost_test.go
+++ b/cmd/sabletally/fleet_cost_test.go
@@ -16,37 +16,39 @@
 	"sabletally/internal/lab/emulator"
 )
 
-// The cost of a held grade: go test ./cmd/sabletally -run TestReplicationCost -cost -v
-var cost = flag.Bool("cost", false, "measure what holding costs; takes a minute")
+// measureCost enables the measurement: go test ./cmd/sabletally -run TestReplicationCost -cost -v
+var measureCost = flag.Bool("cost", false, "measure what replicating a class costs; takes a minute")
 
-// TestReplicationCost establishes sessions at a rate, of a class that is replicated and of one that is not, over links of several latencies.
+// TestReplicationCost measures how much longer the set-up of a session takes for a replicated class than for one that is not, at a fixed rate and
+// over links of several latencies. It fails for no figure.
 func TestReplicationCost(t *testing.T) {
-	if !*cost {
-		t.Skip("by hand")
+	if !*measureCost {
+		t.Skip("a measurement: run it with -cost")
 	}
-	for _, many := range []int{3, 5} {
-		for _, late := range []time.Duration{0, 100 * time.Microsecond, time.Millisecond, 5 * time.Millisecond} {
-			t.Run(fmt.Sprintf("%d members, %v", many, late), func(t *testing.T) { measureFleetCost(t, many, late) })
+	for _, members := range []int{3, 5} {
+		for _, delay := range []time.Duration{0, 100 * time.Microsecond, time.Millisecond, 5 * time.Millisecond} {
+			t.Run(fmt.Sprintf("%d members, %v", members, delay), func(t *testing.T) { measureFleetCost(t, members, delay) })
 		}
 	}
 }
 
-func measureFleetCost(t *testing.T, many int, late time.Duration) {
+// measureFleetCost logs the percentiles of the time until UP, for each class twice, on a fleet with the given link delay.
+func measureFleetCost(t *testing.T, members int, delay time.Duration) {
 	const rate, count = 100, 500
-	a := agent(t)
-	script := fourServers(t, a, 100)
+	a := newAgent(t)
+	script := listFourServers(t, a, 100)
 	go func() {
 		for e := range script.Sessions {
 			_, _ = io.WriteString(e, "UP 1\r\n")
 		}
 	}()
-	m := newTestFleetAt(t, many, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
-	m.waitFor("every slot has its holders", m.all, repaired)
-	m.Links.Set(func(_, _ int, tie *emulator.MemberLink) { tie.Delay = late })
+	m := newSerialTestFleet(t, members, false, "hold \"intents\" { grades = [\"pay\"] }\n", a)
+	m.waitFor("every shard has its replicas", m.all, repaired)
+	m.Links.Set(func(_, _ int, link *emulator.MemberLink) { link.Delay = delay })
 	if err := m.procs[0].WaitReady(); err != nil {
 		t.Fatal(err)
 	}
-	for n, grade := range []string{"order", "pay", "order", "pay"} {
+	for n, class := range []string{"order", "pay", "order", "pay"} {
 		h := hdrhistogram.New(1, int64(10*time.Second/time.Microsecond), 3)
 		var mu sync.Mutex
 		var all sync.WaitGroup
@@ -64,7 +66,7 @@
 				}
 				defer func() { _ = c.Close() }()
 				id := 1 + 1000*(n+1) + i
-				_, _ = fmt.Fprintf(c, openOf, id, grade, id)
+				_, _ = fmt.Fprintf(c, openLineFormat, id, class, id)
 				got, _ := bufio.NewReader(c).ReadString('\n')
 				mu.Lock()
 				defer mu.Unlock()
@@ -76,7 +78,7 @@
 			}()
 		}
 		all.Wait()
-		t.Logf("%s: p50 %.2f ms, p99 %.2f ms, %d failed", grade, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, failed)
+		t.Logf("%s: p50 %.2f ms, p99 %.2f ms, %d failed", class, float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, failed)
 	}
 	r := m.report(0).Store
 	t.Logf("n0: %d records, %d bytes, file %d, %d writes, sent %d", r.Records, r.Bytes, r.FileBytes, r.Writes, r.Sent)
--- a/cmd/sabletally/migration_delivery_test.go
+++ b/cmd/sabletally/migration_delivery_test.go
@@ -99,7 +99,7 @@
 // Guards against a migration that dropped a line which the server was still writing when it got the balancer's end (incident 0fd2d2).
 func TestALineThatAServerIsWritingArrivesBeforeItsMigration(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SABLETALLY_FILES=1024"}, "s-1")
-	started := afterSessions(func() { s.expectYes("PUT", "/control/out-of-service") })
+	started := afterSessions(func() { s.expectOK("PUT", "/control/out-of-service") })
 	s.expectSplitLines(60*time.Millisecond, started)
 }
 
@@ -127,7 +127,7 @@
 func TestLinesForASlowReaderArriveBeforeItsMigration(t *testing.T) {
 	s := startSite(t, []string{"MGMT", "SABLETALLY_FILES=1024"}, "s-1")
 	var written, arrived atomic.Int64
-	started := afterSessions(func() { s.expectYes("PUT", "/control/out-of-service") })
+	started := afterSessions(func() { s.expectOK("PUT", "/control/out-of-service") })
 	s.inSessions(func(a *testClient, e *emulator.Session) (int, error) {
 		writeUntilEnded(e, 0, &written)
 		started()
--- a/cmd/sabletally/soak_link_test.go
+++ b/cmd/sabletally/soak_link_test.go
@@ -135,7 +135,7 @@
 			return
 		case err != nil:
 			l.delayChunk()
-			for end := time.Now().Add(bound); unacknowledgedBytes(to.TCPConn) > 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); unacknowledgedBytes(to.TCPConn) > 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			resetConn(to.TCPConn)
