--- a/internal/lab/scale/plan_faults.go
+++ b/internal/lab/scale/plan_faults.go
@@ -57,7 +57,7 @@
 
 // drawControlPlace draws the place of a control process.
 func (p *Plan) drawControlPlace(rng *rand.Rand) Place {
-	return p.ControlPlaces[rng.IntN(p.Options.Control)]
+	return p.ControlPlaces[rng.IntN(p.Control)]
 }
 
 // matchingPlaces returns the indices of the places that match.
@@ -91,7 +91,7 @@
 		p.addFault(StopBalancers, StartBalancers, p.Length/10+time.Duration(rng.Float64()*span), length, []int{balancer})
 	}
 	endActions := []Action{KillControl, StopControl}
-	for i, control := range rng.Perm(p.Options.Control)[:min(controlLosses, p.Options.Control-1)] {
+	for i, control := range rng.Perm(p.Control)[:min(controlLosses, p.Options.Control-1)] {
 		at := p.faultStart() + time.Duration(i)*p.Length/4
 		p.addFault(endActions[i%len(endActions)], StartControl, at, controlRestartTime, []int{control})
 	}
--- a/internal/lab/scale/requirements.go
+++ b/internal/lab/scale/requirements.go
@@ -31,8 +31,8 @@
 	ledgerMB := ledgerBytesPerChange * float64(len(p.Changes)) * balancers / 1e6
 	r := Requirements{
 		Changes:   len(p.Changes),
-		Processes: 1 + len(hosts) + p.Options.Control,
-		MemoryMB: testMB + float64(p.Options.Control)*controlMB + controlPerBalancerMB*2*balancers +
+		Processes: 1 + len(hosts) + p.Control,
+		MemoryMB: testMB + float64(p.Control)*controlMB + controlPerBalancerMB*2*balancers +
 			float64(len(hosts))*hostMB + hostPerBalancerMB*balancers +
 			ledgerMB,
 	}
