--- a/internal/lab/scale/plan_faults.go
+++ b/internal/lab/scale/plan_faults.go
@@ -91,7 +91,7 @@
 		p.addFault(StopBalancers, StartBalancers, p.Length/10+time.Duration(rng.Float64()*span), length, []int{balancer})
 	}
 	endActions := []Action{KillControl, StopControl}
-	for i, control := range rng.Perm(p.Control)[:min(controlLosses, p.Options.Control-1)] {
+	for i, control := range rng.Perm(p.Control)[:min(controlLosses, p.Control-1)] {
 		at := p.faultStart() + time.Duration(i)*p.Length/4
 		p.addFault(endActions[i%len(endActions)], StartControl, at, controlRestartTime, []int{control})
 	}
