--- a/cmd/testbed/control_process.go
+++ b/cmd/testbed/control_process.go
@@ -105,7 +105,7 @@
 // shutDown shuts the process down gracefully, and kills it after shutdownTimeout.
 func (c *controlProcess) shutDown() {
 	c.measureTraffic()
-	_ = c.Signal(syscall.SIGTERM) // it fails only if the process has ended
+	_ = c.Signal(syscall.SIGTERM) // the signal fails only if the process has ended
 	select {
 	case <-c.Exited():
 	case <-time.After(shutdownTimeout):
--- a/cmd/testbed/count.go
+++ b/cmd/testbed/count.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // it fails only after a write
+	defer func() { _ = log.Close() }() // closing a file that was only read does not fail
 	return reader.Read(name, log)
 }
 
--- a/cmd/testbed/forwarders.go
+++ b/cmd/testbed/forwarders.go
@@ -116,6 +116,6 @@
 // close kills the process, which has no state to save.
 func (p *forwarderProcess) close() {
 	_ = p.stdin.Close()
-	_ = p.cmd.Process.Kill() // it fails only if the process has ended
+	_ = p.cmd.Process.Kill() // the kill fails only if the process has ended
 	_ = p.cmd.Wait()         // a killed process reports an error
 }
--- a/cmd/testbed/hollow_messages.go
+++ b/cmd/testbed/hollow_messages.go
@@ -47,7 +47,7 @@
 const (
 	eventStarted hollowEventKind = iota
 	eventStopped
-	eventApplied // it reached a version
+	eventApplied // the balancer reached a version
 )
 
 func (k hollowEventKind) String() string {
@@ -65,7 +65,7 @@
 
 // hollowEvent is something that happened to one hollow balancer.
 type hollowEvent struct {
-	Balancer int // index
+	Balancer int // index of the balancer
 	Kind     hollowEventKind
 	Version  uint64        // version that the balancer reached, for eventApplied
 	At       time.Duration // time on the boot clock, which all processes of the machine share
@@ -83,8 +83,8 @@
 	States     map[feedState]int // number of balancers by state
 	Publishers map[string]int    // number of connections by address of the publisher
 
-	Sent          int64 // bytes
-	Received      int64 // bytes
+	Sent          int64 // bytes that the balancers sent
+	Received      int64 // bytes that the balancers received
 	Snapshots     uint64
 	LeaseExpiries uint64
 	Rejected      uint64 // number of messages that were invalid or had a wrong digest
--- a/cmd/testbed/hollow_process.go
+++ b/cmd/testbed/hollow_process.go
@@ -172,7 +172,7 @@
 	}
 	h.ending = true
 	if kill {
-		_ = cmd.Process.Kill() // it fails only if the process has ended
+		_ = cmd.Process.Kill() // the kill fails only if the process has ended
 	}
 	_ = h.stdin.Close()
 	h.mu.Unlock()
--- a/cmd/testbed/scale_faults.go
+++ b/cmd/testbed/scale_faults.go
@@ -109,9 +109,9 @@
 	return s.hosts[host].sendRequest(hollowRequest{Start: s.balancersByHost[host]})
 }
 
-// killHost kills a hollow balancer process after it has reported its events so far, and records the end of its balancers.
+// killHost kills a hollow balancer process, after it was asked to report its events so far, and records the end of its balancers.
 func (s *scaleCluster) killHost(host int) error {
-	_, _ = s.hosts[host].status(s.nextStatusNumber(), false) // it fails only if the process has ended
+	_, _ = s.hosts[host].status(s.nextStatusNumber(), false) // the process is killed whether or not it has sent its status
 	now := boottime.Now()
 	s.hosts[host].stop(true)
 	s.mu.Lock()
--- a/cmd/testbed/scale_measurement.go
+++ b/cmd/testbed/scale_measurement.go
@@ -125,7 +125,7 @@
 // updateStatus requests the status, and from it determines whether the run has ended and whether the measurement is complete.
 func (m *measurement) updateStatus() error {
 	r := m.run
-	requiredVersion := m.newestVersion // as of the previous status, so that balancers have had time to receive it
+	requiredVersion := m.newestVersion // version as of the previous status, which balancers have had time to receive
 	r.mu.Lock()
 	m.newestVersion = r.newestVersion
 	accepted := r.accepted
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -81,14 +81,14 @@
 type session struct {
 	id          policy.SessionID
 	affinityKey uint64
-	deadline    time.Duration // time of the run
+	deadline    time.Duration // time of the run by which the set-up must be complete
 	objective   time.Duration // objective of the set-up time
-	idempotent  bool          // an attempt that may have had an effect may be retried
+	idempotent  bool          // whether an attempt that may have had an effect may be retried
 	attempts    int           // number of attempts so far
 	server      int           // index of the current server, or noServer
 	inAttempt   bool
 	tried       []int // indices of the servers of all attempts
-	neverSent   bool  // no attempt may have had an effect
+	neverSent   bool  // whether it is certain that no attempt has had an effect
 }
 
 // canRetry reports whether a further attempt is safe.
@@ -106,7 +106,7 @@
 	index        map[policy.EndpointID]int // server indices
 	ready        []bool                    // whether each server is ready, by server index
 	sessionCount []int                     // sessions and attempts of each server, by server index
-	draining     bool                      // new sessions are rejected, and at migrateAt all others migrate
+	draining     bool                      // whether new sessions are rejected, and all others migrate at migrateAt
 	migrateAt    time.Duration
 	migrated     bool              // whether the migrations were decided
 	decisions    []policy.Decision // migrations that Next has not returned yet
--- a/internal/lab/bench/bench.go
+++ b/internal/lab/bench/bench.go
@@ -29,7 +29,7 @@
 // Target is what clients connect to: balancers, or servers directly.
 type Target struct {
 	Addrs []string
-	ids   *atomic.Uint64 // the newest session ID
+	ids   *atomic.Uint64 // newest session ID that was used
 }
 
 // NewTarget returns a target with addresses that clients use in turn.
@@ -78,7 +78,7 @@
 	_ = c.Close()
 }
 
-// exchange sends lines, of which there are count, and reads as many.
+// exchange sends lines, which are count lines of text, and reads the same number of lines.
 func (c *connection) exchange(lines []byte, count int) error {
 	if _, err := c.Write(lines); err != nil {
 		return err
@@ -95,7 +95,7 @@
 type Result struct {
 	PerSecond float64 // operations that succeeded per second
 	P50       float64 // median latency in microseconds, from the time at which an operation was due
-	P99       float64 // the same for the 99th percentile
+	P99       float64 // 99th percentile of the latency in microseconds, from the time at which an operation was due
 	Failed    int     // number of operations that failed
 }
 
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -16,7 +16,7 @@
 // Rules are the limits that a run is checked against.
 type Rules struct {
 	DrainGrace   time.Duration  // time after the notification within which a drained server may still get attempts
-	Slack        time.Duration  // tolerance for events that the emulators observe late: 50 ms on sockets, 0 in virtual time
+	Slack        time.Duration  // tolerance for events that the emulators observe late: 50 ms on sockets, 5 ms in virtual time
 	MaxLineDelay time.Duration  // longest delay of a line in a balancer
 	CloseTimeout time.Duration  // time within which a balancer passes on the end of a connection
 	Warmup       model.Warmup   // warm-up and overload of servers
@@ -45,7 +45,7 @@
 
 // Violation is one violated rule or one loss.
 type Violation struct {
-	At      time.Duration // since the start of the run
+	At      time.Duration // time of the violation, since the start of the run
 	Rule    Rule
 	Session uint64 // session ID; 0 if the violation concerns no session
 	Detail  string
@@ -93,7 +93,7 @@
 	sentAt        time.Duration
 	ended         bool
 	endedAt       time.Duration
-	endedBy       string  // "refused", "server" or "peer"
+	endedBy       string  // who or what ended the attempt: "refused", "failed", "server" or "peer"
 	effectApplied bool    // whether the request took effect at the server
 	receipt       float64 // receipt that the server has given
 }
@@ -103,8 +103,8 @@
 	balancer       int32 // -1 for a session that no client has opened
 	class          int16
 	requestSentAt  time.Duration
-	deadline       time.Duration // relative to requestSentAt
-	answers        int           // final answers
+	deadline       time.Duration // time within which the final answer is due, from requestSentAt on
+	answers        int           // number of final answers that the client has read
 	established    bool
 	receipt        float64
 	migrated       bool // whether the client was told to migrate
@@ -112,7 +112,7 @@
 	clientClosedAt time.Duration
 	ended          bool // whether the client has seen the end of the connection
 	endedAt        time.Duration
-	balancerKilled bool // a killed balancer has no further obligations for the session
+	balancerKilled bool // whether the balancer was killed, which ends its obligations for the session
 	attempts       []attempt
 }
 
@@ -383,7 +383,7 @@
 		run.report(s.requestSentAt+s.deadline, OneFinalAnswer, id, "no answer before its deadline")
 	}
 	last := s.latestAttempt()
-	if !s.established || concurrent { // of concurrent attempts, it is not known which one was established
+	if !s.established || concurrent { // it is not known which one of concurrent attempts was established
 		return
 	}
 	if last == nil || !last.effectApplied || last.receipt != s.receipt {
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -60,8 +60,8 @@
 	closers   []io.Closer     // log files of the balancers
 
 	mu              sync.Mutex
-	receiving       []bool             // by balancer: whether new clients are sent to it
-	incarnations    []int              // by balancer: number of starts
+	receiving       []bool             // whether new clients are sent to a balancer, by its index
+	incarnations    []int              // number of starts of a balancer, by its index
 	stopMisbehaving context.CancelFunc // ends the misbehaving clients
 	replaced        []*Process         // predecessors that were replaced by an upgrade
 	errs            []error            // errors of the testbed itself
--- a/internal/lab/cluster/member_group.go
+++ b/internal/lab/cluster/member_group.go
@@ -86,7 +86,7 @@
 	return os.RemoveAll(g.DataDir(i))
 }
 
-// setLinks gives the links between some members, a bit for each, and all others a condition.
+// setLinks sets the condition of the links between some members and all others. members has a bit for each of the former.
 func (g *MemberGroup) setLinks(members uint64, condition faults.MemberLink) {
 	g.Links.Set(func(from, to int, link *emulator.MemberLink) {
 		out, in := members>>from&1 == 1, members>>to&1 == 1
@@ -96,8 +96,8 @@
 	})
 }
 
-// waitForQuorum restores all links between members and waits until all running members see each other. A fleet that stays
-// partitioned on healthy links is a fault of the program, even if no client noticed it.
+// waitForQuorum restores all links between members, continues suspended members and waits until all running ones see each other. A
+// fleet that stays partitioned on healthy links is a fault of the program, even if no client noticed it.
 func (c *Cluster) waitForQuorum() error {
 	c.members.Links.Set(func(_, _ int, link *emulator.MemberLink) { *link = emulator.MemberLink{} })
 	var running []int
@@ -155,7 +155,8 @@
 	return func(r fleet.Report) bool { return r.Standing == "together" && r.Alive == count }
 }
 
-// MemberState returns the state that a report gives for the member with a name, or "" if the report does not know the name.
+// MemberState returns the state that a report gives for the member with a name, or "" if the report has no such
+// member, or only one that was replaced.
 func MemberState(r fleet.Report, name string) (state string) {
 	for _, o := range r.Others {
 		if o.Name == name && o.ReplacedBy == "" {
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -44,7 +44,7 @@
 	FragmentLines atomic.Bool // whether first lines are written in fragments
 
 	lastID        atomic.Uint64
-	maxStartDelay atomic.Int64 // nanoseconds by which a client started late at most
+	maxStartDelay atomic.Int64 // maximum delay with which a client started, in nanoseconds
 	mu            sync.Mutex
 	established   map[*runningClient]bool // clients with an established session
 	running       sync.WaitGroup
--- a/internal/lab/emulator/client_session.go
+++ b/internal/lab/emulator/client_session.go
@@ -23,12 +23,12 @@
 	client   *runningClient
 	conn     net.Conn
 	reader   *bufio.Reader
-	id       uint64 // sent in the first line
+	id       uint64 // session ID that the client sends in its first line
 	balancer int    // index of the balancer that the client has dialed
 
 	mu         sync.Mutex
 	unanswered map[time.Duration]bool // due times of the lines that are sent and not answered
-	ended      chan load.Ending       // receives once how the session ended, when read returns
+	ended      chan load.Ending       // receives one value when read returns: the way in which the session ended
 }
 
 // newClientSession returns a session with a new ID over a connection to a balancer.
--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -73,7 +73,7 @@
 	fault          Fault
 	malformedCount int       // malformed responses so far
 	fixedResponse  string    // response to each request, unless it is empty
-	hub            *WatchHub // where requests wait for their turn; nil if they do not wait
+	hub            *WatchHub // hub at which requests wait for their turn; nil if they do not wait
 	ln             net.Listener
 	srv            *http.Server
 }
--- a/internal/lab/emulator/forwarders.go
+++ b/internal/lab/emulator/forwarders.go
@@ -14,7 +14,7 @@
 
 const (
 	forwardBufferSize = 4096             // bytes, for each direction of a connection
-	unansweredTimeout = 10 * time.Second // time after which a connection over a link that stays cut is reset
+	unansweredTimeout = 10 * time.Second // time after which a new connection over a link that stays cut is reset
 )
 
 // Forwarders forward connections and datagrams to some of the members. The sender is identified by its source IP address; traffic from
--- a/internal/lab/emulator/link.go
+++ b/internal/lab/emulator/link.go
@@ -12,7 +12,7 @@
 
 const (
 	linkChunk         = 4096 // bytes read at a time
-	maxChunksInFlight = 64   // chunks that are delayed, for each direction of a connection
+	maxChunksInFlight = 64   // limit of the chunks in transit, for each direction of a connection
 
 	retransmitDelay = 200 * time.Millisecond // additional delay for each time that a chunk is retransmitted
 )
@@ -26,9 +26,9 @@
 	ExtraDelayIn    time.Duration // additional delay in direction in
 	ExtraDelayOut   time.Duration // additional delay in direction out
 	RetransmitShare float64       // probability that a chunk is lost and retransmitted, which adds retransmitDelay each time
-	Stall           bool          // all data is held back, and nothing is lost
-	CutOut          bool          // data in direction out is held back
-	CutIn           bool          // data in direction in is held back
+	Stall           bool          // whether all data is held back, without loss
+	CutOut          bool          // whether data in direction out is held back
+	CutIn           bool          // whether data in direction in is held back
 }
 
 // Link relays connections to an address.
@@ -150,8 +150,8 @@
 // chunk is data in transit, or the end of a direction.
 type chunk struct {
 	text []byte
-	due  time.Time // when it is delivered
-	err  error     // why the sender's side ended; nil if it goes on
+	due  time.Time // earliest time at which the chunk is delivered
+	err  error     // error with which reading from the sender's side ended; nil if it goes on
 }
 
 // copyDelayed relays one direction of a connection; an orderly close is relayed as a close, a reset as a reset.
--- a/internal/lab/emulator/network_links.go
+++ b/internal/lab/emulator/network_links.go
@@ -19,7 +19,7 @@
 
 // MemberLink is the condition of the link from one member to another.
 type MemberLink struct {
-	Cut        bool          // datagrams are lost; data of streams is held back
+	Cut        bool          // whether datagrams are lost and the data of streams is held back
 	Loss       float64       // share of datagrams that are lost; streams are retransmitted instead
 	Delay      time.Duration // delay of datagrams and streams
 	Duplicated float64       // share of datagrams that are duplicated and reordered
@@ -51,7 +51,7 @@
 	for range memberCount {
 		// The member's own address is free for TCP and UDP: both are opened on it and closed again before the member listens.
 		member, err := listenTCPAndUDP()
-		for err == nil && t.sender(member.addr.Addr()) >= 0 { // its IP address must differ from those of the other members, as it identifies the sender
+		for err == nil && t.sender(member.addr.Addr()) >= 0 { // an IP address identifies its member as a sender, so no two members may have the same one
 			member.close()
 			member, err = listenTCPAndUDP()
 		}
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -22,10 +22,10 @@
 
 // WireFaults are the ways in which a server misbehaves on the wire.
 type WireFaults struct {
-	Silent   bool // writes nothing
-	HalfOpen bool // accepts connections and reads nothing
-	Drip     bool // writes one byte at a time
-	Torn     bool // resets the connection in the middle of a line
+	Silent   bool // whether the server writes nothing
+	HalfOpen bool // whether the server accepts connections and reads nothing
+	Drip     bool // whether the server writes one byte at a time
+	Torn     bool // whether the server resets the connection in the middle of a line
 }
 
 const (
--- a/internal/lab/emulator/server_session.go
+++ b/internal/lab/emulator/server_session.go
@@ -27,11 +27,11 @@
 	id          uint64 // session ID of the first line
 	load        float64
 	group       uint64
-	requested   bool // an OPEN was received and has not been rejected
-	admitted    bool // the model counts the session
+	requested   bool // whether an OPEN was received and has not been rejected
+	admitted    bool // whether the model counts the session
 	established bool
 	ended       bool
-	endedBy     string // AttemptEnded text: who ended the connection
+	endedBy     string // who ended the connection, as the text of an AttemptEnded event
 }
 
 // reset closes a connection with a TCP reset.
--- a/internal/lab/emulator/watch_hub.go
+++ b/internal/lab/emulator/watch_hub.go
@@ -19,7 +19,7 @@
 	serviceTime, maxWait time.Duration // time that a request takes, and the wait after which it is rejected
 
 	mu      sync.Mutex
-	freeAt  time.Time     // when all requests so far are served
+	freeAt  time.Time     // time at which all requests so far have been served
 	rev     int           // revision of the list
 	text    string        // response to watches from an older revision
 	changed chan struct{} // closed by Publish
--- a/internal/lab/feedsim/processes.go
+++ b/internal/lab/feedsim/processes.go
@@ -81,7 +81,7 @@
 	if !sub.up || sub.stalledUntil > w.now {
 		return
 	}
-	w.checkCurrent(sub) // after a stall, what the subscriber reports before its tick must be right too
+	w.checkCurrent(sub) // what a subscriber reports after a stall must be right even before its tick
 	w.runDeferred(&sub.process, func() {
 		sub.core.Tick(w.clock(&sub.process))
 		w.handleSubscriberOutput(sub)
--- a/internal/lab/feedsim/world.go
+++ b/internal/lab/feedsim/world.go
@@ -79,7 +79,8 @@
 	LeaseExpiries, SyncRequests, DigestMismatches    uint64
 	RejectedMessages                                 int // messages that subscribers rejected
 
-	// Tests set these to replace a message that a subscriber receives, or its answer whether its version is current.
+	// Functions that tests set: replaceMessage replaces messages that subscribers receive, isCurrent their reports of whether they are
+	// current.
 	replaceMessage func(sub *subscriber, addr string, m changefeed.Message) changefeed.Message
 	isCurrent      func(sub *subscriber, now time.Duration) bool
 
--- a/internal/lab/feedsim/world_test.go
+++ b/internal/lab/feedsim/world_test.go
@@ -114,7 +114,7 @@
 		"snapshot over a newer state": {VersionRegressed, func(w *World) {
 			w.replaceMessage = func(sub *subscriber, _ string, m changefeed.Message) changefeed.Message {
 				if s := m.Snapshot; s != nil && s.Version < sub.core.State().Version() {
-					w.recordUpdate(sub, changefeed.Update{Version: s.Version, Items: s.Items, Complete: true}) // as if the subscriber had applied it
+					w.recordUpdate(sub, changefeed.Update{Version: s.Version, Items: s.Items, Complete: true}) // records the snapshot as if the subscriber had applied it
 				}
 				return m
 			}
--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -19,7 +19,7 @@
 
 const (
 	tickInterval          = 50 * time.Millisecond
-	viewInterval          = 200 * time.Millisecond // between updates of the member list that a member observes
+	viewInterval          = 200 * time.Millisecond // time between two updates of the member list that a member observes
 	networkDelay          = 500 * time.Microsecond
 	delayJitter           = 4 * time.Millisecond   // upper limit of the random delay that is added
 	failureDetectionTime  = 3 * time.Second        // time until an unreachable member is observed as dead
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -23,7 +23,7 @@
 type Burst struct {
 	At     time.Duration // begin, since the start of the run
 	For    time.Duration // duration of the burst
-	Factor float64       // multiplies the rate
+	Factor float64       // factor by which the rate is multiplied
 }
 
 // Plan describes the clients of a run.
@@ -34,7 +34,7 @@
 	WarmupTime     time.Duration // time of the run from which the other clients arrive and figures are collected
 	Length         time.Duration // end of the arrivals, as time of the run
 	MeanLifetime   time.Duration // mean of the time for which a client wants a connection
-	Groups         int           // number of groups; 0: no groups
+	Groups         int           // number of groups of clients; 0: no groups
 	LoadSigma      float64       // sigma of the clients' loads, a log-normal distribution with mean 1; 0: all have load 1
 	Classes        int
 	Tenants        int
@@ -45,9 +45,9 @@
 type Client struct {
 	At     time.Duration // arrival, since the start of the run
 	Until  time.Duration // end of the time for which the client wants a connection, since the start of the run
-	Load   float64       // mean 1
+	Load   float64       // load of the client's sessions; the mean over all clients is 1
 	Key    uint64        // deduplication and affinity key
-	Group  uint64        // 0: no group
+	Group  uint64        // number of the group that the client belongs to; 0: no group
 	Class  int
 	Tenant int
 }
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -14,7 +14,7 @@
 	Cores           int
 	Speed           float64       // speed of a core, relative to a reference core
 	SessionsPerCore int           // connections of load 1 that fill a core of speed 1
-	MaxSessions     int           // sessions above which new ones are rejected
+	MaxSessions     int           // number of sessions at which further ones are rejected
 	Setup           time.Duration // work of one set-up on a core of speed 1
 	Message         time.Duration // time of a message on an idle server of speed 1
 }
@@ -24,8 +24,8 @@
 type Warmup struct {
 	Floor            float64       // share of the capacity at the start of the process
 	Window           time.Duration // duration of the warm-up
-	OverloadMultiple float64       // see Warmup
-	OverloadWindow   time.Duration // see Warmup
+	OverloadMultiple float64       // multiple of the acceptable new sessions above which a cold server is overloaded
+	OverloadWindow   time.Duration // time over which new sessions are counted for OverloadMultiple
 }
 
 const (
@@ -195,7 +195,7 @@
 	Time   time.Duration // duration of one call
 	Slow   float64       // factor by which the store is slower; less than 1 counts as 1
 	Wait   time.Duration // timeout of a call in the queue; 0: none
-	freeAt time.Duration // when all calls so far have left the queue
+	freeAt time.Duration // time at which all calls so far have left the queue
 }
 
 // Call returns the time that a call takes, and whether it succeeds.
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	worstWindow       = 10 * time.Second                      // length of the time that Run.Worst is about
+	worstWindow       = 10 * time.Second                      // length of the window over which Run.Worst is computed
 	maxRecordedMicros = int64(time.Minute / time.Microsecond) // longer durations are recorded as this one
 	precision         = 3                                     // significant digits of the histograms
 )
@@ -20,8 +20,8 @@
 	mu       sync.Mutex
 	from, to time.Duration // figures are collected between these times of the run
 	run      Run           // the figures that are counted directly
-	current  Point         // the second in progress
-	points   []Point       // the seconds that are over
+	current  Point         // figures of the second in progress
+	points   []Point       // figures of the seconds that are over
 	setups   *hdrhistogram.Histogram
 	messages *hdrhistogram.Histogram
 	ticks    float64 // number of ticks between from and to
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -29,22 +29,22 @@
 	Arm                string
 	Seed               uint64
 	Served             float64 // connection time served, as a share of the time requested
-	Worst              float64 // the smallest such share in any 10 seconds
+	Worst              float64 // smallest share of the requested connection time that was served in any 10 seconds
 	Setups             int     // number of sessions that were set up
 	Rejections         int     `json:"Nacks"`  // number of rejections
 	Migrations         int     `json:"Moves"`  // number of sessions that migrated
 	Attempts           int     `json:"Tries"`  // number of attempts
 	HealthChecks       int     `json:"Probes"` // number of health checks
-	SetupP50           float64 // quantiles of set-up times, from a client's first request, with rejections and waits in between
-	SetupP90           float64
-	SetupP99           float64
+	SetupP50           float64 // median set-up time, from a client's first request, including rejections and waits
+	SetupP90           float64 // 90th percentile of the set-up times
+	SetupP99           float64 // 99th percentile of the set-up times
 	SetupMost          float64 // longest set-up time
 	WorstLoad          float64 // highest utilization of a ready server, as the mean over one second
 	Spread             float64 // standard deviation over mean of the ready servers' utilization, as the mean over the run
 	Groups             int     // number of groups of clients with sessions at the end of the run
-	GroupServers       int     // number of servers that have sessions of a group then, summed over the groups
-	MessageP50         float64 `json:",omitempty"` // quantile of the response times of messages, sockets only
-	MessageP99         float64 `json:",omitempty"` // quantile of the response times of messages, sockets only
+	GroupServers       int     // number of servers with sessions of a group at the end of the run, summed over the groups
+	MessageP50         float64 `json:",omitempty"` // median of the response times of messages, sockets only
+	MessageP99         float64 `json:",omitempty"` // 99th percentile of the response times of messages, sockets only
 	BalancerCPU        float64 `json:",omitempty"` // CPU time of all balancers together, in seconds
 	BalancerMB         float64 `json:",omitempty"` // maximum memory of the largest balancer, in MiB
 	Balancers          []Usage `json:",omitempty"`
--- a/internal/lab/scale/account.go
+++ b/internal/lab/scale/account.go
@@ -35,7 +35,7 @@
 	byVersion        []int           // indices of the changes, by ascending version
 	changes          []plannedChange // changes of the ledger
 	longestStaleness time.Duration   // time that SlowestChange took to be in force
-	nextApplied      []int           // for each process of the current balancer, the first applied version that may include the next change
+	nextApplied      []int           // index of the first applied version that may include the next change, for each process of the current balancer
 }
 
 // ComputeAccount returns the account of a run that has ended. Control is the final state of the control processes.
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -20,10 +20,10 @@
 	MissedChanges            int     `json:"missed"`                    // missed changes, counted for each balancer
 	BalancerCore             float64 `json:"balancer_core_percent"`     // user and system time of a balancer, including the part of the test itself
 	BalancerMB               float64 `json:"balancer_memory_mb"`        // maximum of the resident memory of the host processes divided by the number of balancers
-	BalancerBytes            float64 `json:"balancer_bytes_per_second"` // bytes sent and received by a balancer, without TCP and IP headers
+	BalancerBytes            float64 `json:"balancer_bytes_per_second"` // bytes per second that a balancer sent and received, without TCP and IP headers
 	ControlCore              float64 `json:"control_core_percent_worst"`
 	ControlMB                float64 `json:"control_memory_mb_worst"`
-	ControlBytes             float64 `json:"control_bytes_per_second_worst"` // bytes read and written by a control process, including its disk
+	ControlBytes             float64 `json:"control_bytes_per_second_worst"` // bytes per second that a control process read and wrote, including its disk
 	ConvergenceAfterFaultsMs float64 `json:"steady_after_ms"`                // time from the end of the last fault until the run was steady; 0 without faults
 
 	Zones              int     `json:"zones"`
@@ -45,16 +45,16 @@
 	LeaseExpiries      uint64  `json:"lapses"`        // leases of balancers that expired
 	RejectedMessages   uint64  `json:"refused"`       // messages that balancers rejected, and digests that did not match
 	AppliedChanges     uint64  `json:"changes_taken"` // changes that balancers applied
-	DuplicateChanges   uint64  `json:"changes_had"`   // changes that balancers already had: from their other control process, or sent again
+	DuplicateChanges   uint64  `json:"changes_had"`   // changes that balancers received although they had them: from their other control process, or sent again
 	Gaps               uint64  `json:"gaps"`          // changes that arrived before an earlier one
 	SyncRequests       uint64  `json:"asked_again"`   // sync requests that balancers sent
 	Conflicts          uint64  `json:"conflicts"`
-	Steady             bool    `json:"steady"`      // whether all balancers were current and evenly spread at the end
-	SpreadDescription  string  `json:"even_spread"` // description of how many balancers are current and how their connections are spread
-	ConvergenceMs      float64 `json:"together_ms"` // time from the start of the balancers until all were current
-	MaxPutDelayMs      float64 `json:"late_ms"`     // maximum delay with which the test itself put a change
-	Partial            string  `json:"partial,omitempty"`
-	MemoryMB           float64 `json:"memory_mb"` // maximum memory of all processes together
+	Steady             bool    `json:"steady"`            // whether all balancers were current and evenly spread at the end
+	SpreadDescription  string  `json:"even_spread"`       // description of how many balancers are current and how their connections are spread
+	ConvergenceMs      float64 `json:"together_ms"`       // time from the start of the balancers until all were current
+	MaxPutDelayMs      float64 `json:"late_ms"`           // maximum delay with which the test itself put a change
+	Partial            string  `json:"partial,omitempty"` // reason why the run is incomplete, "" if it is complete
+	MemoryMB           float64 `json:"memory_mb"`         // maximum memory of all processes together
 	Verdict            string  `json:"verdict"`
 }
 
@@ -95,8 +95,8 @@
 	f.Regressions = a.Regressions
 }
 
-// Check returns a description of each target that was missed. Counts are always checked. Times and sizes, which also depend on the machine, are
-// checked only if targets are given.
+// Check returns a description of each target that was missed. Counts are always checked; times and sizes, which also depend on the machine,
+// only if targets are given. For an incomplete run, it returns only the reason why it is incomplete.
 func (f *Figures) Check(targets *Targets) []string {
 	if f.Partial != "" { // an incomplete run neither meets nor misses a target
 		return []string{"partial: " + f.Partial}
--- a/internal/lab/scale/ledger.go
+++ b/internal/lab/scale/ledger.go
@@ -29,7 +29,7 @@
 // process is one process of a balancer.
 type process struct {
 	startedAt time.Duration
-	endedAt   time.Duration    // 0 while the process runs
+	endedAt   time.Duration    // end of the process, 0 while it runs
 	applied   []appliedVersion // versions that the process had, in ascending order
 }
 
--- a/internal/lab/scale/plan_faults.go
+++ b/internal/lab/scale/plan_faults.go
@@ -20,8 +20,8 @@
 	replacementTime    = 5 * time.Second // time until a lost balancer is replaced
 	controlRestartTime = 2 * time.Second // time until a lost control process is started again
 
-	minFaultLength = 6 * time.Second // longer than a lease
-	maxFaultLength = 30 * time.Second
+	minFaultLength = 6 * time.Second  // lower limit of the length of a single fault; longer than a lease
+	maxFaultLength = 30 * time.Second // upper limit of the length of a single fault
 )
 
 // drawFaults draws the steps of the fault schedule, in any order, and describes them.
--- a/internal/lab/simulation/balancers.go
+++ b/internal/lab/simulation/balancers.go
@@ -26,14 +26,14 @@
 	index     int32
 	zone      int
 	decider   baseline.Decider
-	start     time.Duration // the zero of the decider's clock
+	start     time.Duration // time of the run at which the decider's clock is 0
 	alive     bool
 	draining  bool
 	wakeAt    time.Duration // time of the pending call to runDecisions, -1 if there is none
 	sessions  map[policy.SessionID]*session
 	lastID    policy.SessionID
-	endpoints []policy.Endpoint // by server index: the newest entry of the endpoint list that was delivered
-	known     []bool            // by server index: whether an entry was delivered
+	endpoints []policy.Endpoint // newest entry of the endpoint list that was delivered for a server, by server index
+	known     []bool            // whether an entry was delivered for a server, by server index
 }
 
 // startBalancer starts the next process of a balancer. The first process gets the entries of all servers; a later one starts with
--- a/internal/lab/simulation/servers.go
+++ b/internal/lab/simulation/servers.go
@@ -21,12 +21,12 @@
 	listed             bool // whether the endpoint list contains it
 	state              policy.EndpointState
 	started            time.Duration
-	down               bool               // its machine refuses connections
-	silent             bool               // its machine answers nothing
+	down               bool               // whether the machine refuses connections
+	silent             bool               // whether the machine answers nothing
 	sessions           []*upstreamSession // sessions that are being set up or are established
 	served             int                // number of sessions whose clients have been answered
 	sessionsByBalancer map[int32]int      // number of sessions by balancer index
-	slowReported       map[int32]bool     // by balancer index: whether the newest latency report said that the server is slow
+	slowReported       map[int32]bool     // whether the newest latency report to a balancer said that the server is slow, by balancer index
 }
 
 // addServer adds a server whose process started at a time, without announcing it.
@@ -108,7 +108,7 @@
 	s, srv := up.session, up.server
 	w.removeUpstream(up)
 	w.record(history.Event{Kind: history.AttemptEnded, Session: s.number, Server: int32(srv.index), Text: "server"})
-	w.after(w.networkDelay(s.balancer, srv), func() { // arrives after any answer that is already on its way
+	w.after(w.networkDelay(s.balancer, srv), func() { // the delay lets an answer that is already on its way arrive first
 		if s.upstream == up && s.balancer.alive && (s.state == attempting || s.state == established) {
 			w.endAttempt(s, outcome)
 		}
--- a/internal/lab/simulation/sessions.go
+++ b/internal/lab/simulation/sessions.go
@@ -15,7 +15,7 @@
 type sessionState uint8
 
 const (
-	awaitingAttempt sessionState = iota // not answered yet, and no attempt is in progress
+	awaitingAttempt sessionState = iota // no final answer was sent yet, and no attempt is in progress
 	attempting                          // an attempt is in progress
 	established
 	ended
--- a/internal/lab/sitefile/draw.go
+++ b/internal/lab/sitefile/draw.go
@@ -31,7 +31,7 @@
 	largeCore        = logRange{16, 400}   // connections that fill a core, for LargeSize
 	coldFrom         = logRange{0.05, 0.4} // share of its capacity that a server starts with
 	coldSeconds      = logRange{5, 60}     // length of a warm-up, in seconds
-	fallMillis       = logRange{500, 6000} // length of the window of the rule, in milliseconds
+	fallMillis       = logRange{500, 6000} // value of fall_ms in the rules: window of the rule, in milliseconds
 	fallMultiple     = logRange{1.5, 4}    // value of fall_multiple in the rules
 	kindSpeedRatio   = logRange{1, 4}      // ratio between the speeds of the fastest and the slowest machine type
 	classLoadRatio   = logRange{1, 30}     // ratio between the loads of the heaviest and the lightest class
@@ -92,7 +92,7 @@
 		}
 		key, _, isValue := strings.Cut(line, "=")
 		key = strings.TrimSpace(key)
-		if isValue && section == "" && key == "stock" { // with this key, the drawn deployment would have the days of the original one
+		if isValue && section == "" && key == "stock" { // left out, as it would give the drawn deployment the days of the original one
 			continue
 		}
 		if value := d.value(section, key, sectionCounts[section]); isValue && value != "" {
--- a/internal/lab/topology/topology.go
+++ b/internal/lab/topology/topology.go
@@ -24,7 +24,7 @@
 	Machines                               []Machine
 	Warmup                                 model.Warmup
 	Store                                  model.Store
-	Deployment                             policy.Config    // without Zone and Balancers, which are set when a balancer starts
+	Deployment                             policy.Config    // configuration of the policy; its Zone and Balancers are set when a balancer starts
 	ClassNames                             []string         // names on the wire, by class
 	Deadlines                              []time.Duration  // deadlines of a session's set-up, by class
 	MessageObjective                       time.Duration    // an answer to a line within this time counts as served
@@ -45,9 +45,9 @@
 
 // Limits are the resource limits of one balancer process.
 type Limits struct {
-	Cores    float64 // CPU cores
+	Cores    float64 // limit of the number of CPU cores
 	MemoryMB int
-	Sockets  int // number of open sockets
+	Sockets  int // limit of the number of open sockets
 }
 
 // Rules returns the rules that a run is checked against. slack is the tolerance for events that the emulators observe late.
