--- a/policy/config.go
+++ b/policy/config.go
@@ -75,7 +75,7 @@
 	NinesWeight        float64       // weight of availability in the objective of the deployment; no decision uses it
 	TargetNines        float64       // target availability; no decision uses it
 	HasLoadReports     bool          // health checks return load reports
-	HasEndpointReports bool          // the endpoints send these load reports themselves; otherwise the host measures them
+	HasEndpointReports bool          // the endpoints send the load reports themselves; otherwise the host measures their load
 }
 
 // RemapIndex returns the new index of an old one, or last if remap has no new index for it.
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -53,12 +53,12 @@
 	passedChecks   int           // number of successful health checks in a row while ejected
 	nextCheckAt    time.Duration
 	latency        time.Duration   // last recorded latency of messages
-	latencyAt      time.Duration   // when latency was recorded
+	latencyAt      time.Duration   // time at which latency was recorded
 	demand         float64         // demand in the newest load report, relative to the capacity
-	reportedAt     time.Duration   // when the newest load report came
-	capacity       float64         // load of own sessions that the endpoint is assumed to handle without overload
+	reportedAt     time.Duration   // time of the newest load report
+	capacity       float64         // load that the endpoint is assumed to handle without overload; knownLoad is compared with it
 	provenLoad     float64         // load of own sessions at which a load report showed spare capacity
-	migratedAt     time.Duration   // when sessions last migrated away because of overload
+	migratedAt     time.Duration   // time of the newest migration away because of overload
 	attemptedAt    time.Duration   // start of the newest attempt
 	warmupAttempts []warmupAttempt // attempts within the last overload window of the slow start
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -23,13 +23,13 @@
 	nextAt      time.Duration // time of the next message, never if gossip is disabled
 	newSessions int           // number of sessions that arrived since the last message
 	peers       []peerGossip  // received loads by balancer index, nil if gossip is disabled
-	isCurrent   bool          // messages of most balancers have come within gossipTTL
+	isCurrent   bool          // messages of at least half of the other balancers have come within gossipTTL
 }
 
 // peerGossip holds the loads received from one other balancer.
 type peerGossip struct {
 	loads      []float64     // load by endpoint.index, nil before the first message
-	receivedAt time.Duration // when the newest message came
+	receivedAt time.Duration // time of the newest message
 }
 
 // resetGossip discards the received loads and schedules the first message if gossip is enabled.
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -9,10 +9,10 @@
 	reportTTL           = 4 * time.Second        // age beyond which a load report is ignored
 	freshReportTTL      = 2 * time.Second        // age beyond which a load report is polled again before an attempt
 	reportInterval      = 700 * time.Millisecond // time between two polls of an endpoint by all balancers together
-	firstReportInterval = 50 * time.Millisecond  // the same as reportInterval, for the first poll of an endpoint
+	firstReportInterval = 50 * time.Millisecond  // longest delay of the first poll of an endpoint, divided by the number of balancers
 	distrustTTL         = 10 * time.Second       // time for which reports of spare capacity are ignored after one was wrong
 	maxPolledPerSession = 4                      // endpoints in the pool for each active session, above which none is polled regularly
-	maxPolls            = 3                      // number of load reports that one session waits for
+	maxPolls            = 3                      // maximum number of load reports that one session waits for
 	pollTimeoutDivisor  = 4                      // divides the setup objective into the longest wait of a session for one load report
 	targetDemand        = 0.85                   // demand relative to the capacity up to which endpoints with load reports are filled
 	provenLoadGrowth    = 2.0                    // factor by which an endpoint's load may grow after a report of spare capacity
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -6,7 +6,7 @@
 	ejectionThreshold        = 2.0             // failure score from which an endpoint is ejected
 	minEjectionTime          = time.Second     // duration of the first ejection; each further one lasts twice as long
 	maxEjectionTime          = 8 * time.Second // duration of the longest ejection
-	readyPerEjected          = 3               // at most one of this many ready endpoints is ejected at a time
+	readyPerEjected          = 3               // number of ready endpoints for each one that may be ejected at a time
 	healthyThreshold         = 2               // number of successful health checks in a row that end an ejection
 	successFailureFactor     = 0.5             // factor on the failure score when a session succeeds
 	establishedFailureFactor = 0.3             // factor on the failure score when an attempt establishes its session
@@ -25,7 +25,7 @@
 		e.failures *= successFailureFactor
 	case !wasEstablished:
 		e.failures += failureScores[outcome]
-	case outcome == Reset: // indicates overload rather than a fault
+	case outcome == Reset: // the end of an established session by a reset indicates overload rather than a fault
 		b.distrustReports(e)
 	}
 	hasCapacity := b.reportsSpareCapacity(e, skipThreshold.demand/2)
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -11,11 +11,11 @@
 	affinityOverflow    = 2    // number of endpoints outside its affinity set that a group may use
 	crossZoneCostFactor = 12   // ratio of the weight reduction of a remote endpoint to CrossZoneCost
 	minRemoteZoneFactor = 0.02 // lower bound of the factor on the weight of a remote endpoint
-	minRemoteFactor     = 0.25 // the same bound where the weight determines limits and shares
+	minRemoteFactor     = 0.25 // lower bound of the factor on the weight of a remote endpoint where the weight determines limits and shares
 
 	// With fewer sessions than both limits, groups are too small for an affinity set in each zone.
-	minSessionsForZones      = 7   // sessions of this balancer
-	minFleetSessionsForZones = 500 // estimated sessions of all balancers
+	minSessionsForZones      = 7   // number of active sessions of this balancer
+	minFleetSessionsForZones = 500 // estimated number of active sessions of all balancers
 
 	// While endpoints warm up, groups with fewer members on average are too small for that as well, because the
 	// warming endpoints split them.
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -9,12 +9,12 @@
 const (
 	migrationInterval         = time.Second     // time between two migrations away from an overloaded endpoint
 	overloadMigrationFraction = 0.12            // fraction of the load that migrates away from an overloaded endpoint at a time
-	excessMigrationFraction   = 0.8             // fraction of the load above targetDemand in a load report; migrates instead if it is more
+	excessMigrationFraction   = 0.8             // fraction of the load beyond targetDemand, by a load report, that migrates at a time if this is more
 	drainMigrationDivisor     = 8               // divides the load of a draining endpoint into the part that migrates in a round
-	refillInterval            = 4 * time.Second // mean time between two checks whether a session should move to a warming endpoint
-	maxRefillsPerRound        = 16              // maximum number of sessions that are checked for such a move in a round
+	refillInterval            = 4 * time.Second // mean time between two checks of one session for a move to a warming endpoint
+	maxRefillsPerRound        = 16              // maximum number of sessions that are checked in a round for a move to a warming endpoint
 	capacityGrowth            = 0.015           // relative growth of an assumed capacity in a round without overload
-	capacityStep              = 0.3             // further growth as a fraction of the mean session load, so that it also grows from near 0
+	capacityStep              = 0.3             // further growth in a round without overload, as a fraction of the mean session load, so that a capacity near 0 grows too
 )
 
 // growCapacity raises the assumed capacity of an endpoint that is not overloaded.
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -7,7 +7,7 @@
 
 const (
 	recentWindow               = 3 * time.Second // time constant of the decay of recent counts
-	baseAttempts               = 9.0             // pending attempts that all balancers together may have while some fail
+	baseAttempts               = 9.0             // pending attempts that all balancers together may have, beyond the expected ones, while some attempts fail
 	lateDivisor                = 3               // divides the setup objective into the time beyond which a setup is late, which indicates a queue
 	maxRejectsInARow           = 12              // rejects in a row after which an attempt is made, so that a recovery is noticed
 	minOverloadFractionForLate = 0.2             // fraction of overloaded endpoints from which late setups do not count as failures
@@ -60,9 +60,9 @@
 }
 
 // isRetryBudgetSpent reports whether a session gets no attempt because attempts fail at all endpoints alike. No
-// attempt is made during a pause or while the pending attempts use up the budget; otherwise sessions are denied
-// an attempt at random, with the probability of failure. After many rejects in a row and no attempt for
-// recentWindow, one is made in any case, so that a recovery is noticed.
+// attempt is made during a pause, or while attempts fail and the pending ones use up the budget; otherwise
+// sessions are denied an attempt at random, with a probability that grows with the fraction of failed attempts. After many
+// rejects in a row and no attempt for recentWindow, one is made in any case, so that a recovery is noticed.
 func (b *Balancer) isRetryBudgetSpent(s *session) bool {
 	established := b.recentCounts.established
 	failed := b.recentCounts.failed + b.recentCounts.late
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -4,9 +4,9 @@
 
 const (
 	maxSessionsOverMean   = 2.0 // maximum number of sessions at an endpoint, as a multiple of its share of the sessions
-	extraSessions         = 2   // added to that maximum
+	extraSessions         = 2   // number of sessions that an endpoint may have beyond maxSessionsOverMean
 	maxUnprovenLoadFactor = 2.0 // maximum load at an endpoint relative to its fair share, while no report shows spare capacity
-	maxGossipLoadFactor   = 1.2 // the same if gossip provides the loads of the other balancers
+	maxGossipLoadFactor   = 1.2 // maximum load at an endpoint relative to its fair share, if gossip provides the loads of the other balancers
 	minFairSessions       = 4.0 // number of sessions per endpoint for which the fair share is computed if there are fewer
 	minTakeoverFactor     = 0.7 // lower bound of the factor on maxUnprovenLoadFactor after a sudden growth of active sessions
 	warmupKeyFactor       = 1.7 // ratio of the fraction of its keys that a warming endpoint accepts to its slow-start factor
@@ -16,10 +16,10 @@
 type relaxation int
 
 const (
-	relaxNone     relaxation = iota // all reasons count
+	relaxNone     relaxation = iota // all reasons to skip an endpoint count
 	relaxLimits                     // ignores limits on sessions, fair shares of the load and the accepted keys of warming endpoints
-	relaxSkipping                   // also ignores skipThreshold
-	relaxEjection                   // also ignores ejections and earlier attempts, so that only overload counts
+	relaxSkipping                   // ignores the limits and skipThreshold
+	relaxEjection                   // ignores the limits, skipThreshold, ejections and earlier attempts, so that only overload counts
 )
 
 // selection is the search for the endpoint of one session.
--- a/policy/session.go
+++ b/policy/session.go
@@ -72,10 +72,10 @@
 	classIndex  int
 	tenantIndex int
 	deadline    time.Duration // time by which the session must be established; never once it is
-	load        float64       // in microseconds of work per second
+	load        float64       // newest known or usual load, in microseconds of work per second
 
 	state              sessionState
-	hasAnswer          bool // the final answer has been given or is no longer wanted
+	hasAnswer          bool // the final answer is decided, or the client no longer waits for one
 	migrationPlanned   bool
 	attempts           int
 	maxAttempts        int
@@ -85,10 +85,10 @@
 	position           int           // index in endpoint.sessions
 	pool               *pool         // pool that placed the newest attempt
 	mayHaveRunOn       *endpoint     // first endpoint at which the request may have run, nil if there is none
-	mayHaveRunAt       time.Duration // start of the attempt there
+	mayHaveRunAt       time.Duration // start of the attempt at mayHaveRunOn
 
 	polledEndpoint        *endpoint     // endpoint whose load report the session last waited for
-	reportDeadline        time.Duration // end of the wait for that report, reset to 0 by the next decision
+	reportDeadline        time.Duration // end of the wait for the load report of polledEndpoint, reset to 0 by the next decision
 	polls                 int           // number of load reports that the session has waited for
 	countedInWarmupDemand bool          // the session is counted in recentCounts.warmupDemand
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -13,7 +13,7 @@
 // each one uses its own share of a lower bound of N.
 const (
 	coreCapacity       = 1e6 // work of one core in microseconds per second; an endpoint has at least one core
-	priorSamples       = 4.0 // weight of the prior assumption that the load is unknown, in load samples
+	priorSamples       = 4.0 // weight, in load samples, of the prior assumption that a core can handle no session
 	maxArrivalMultiple = 1.0 // sessions assumed to reach a warming endpoint in a window, relative to its fair share of the active ones
 	minHeavySessions   = 3.0 // number of sessions of a heavy class that a window must be able to admit
 	minClassSamples    = 3   // number of load samples below which a class is taken for heavy if there are several classes
@@ -28,9 +28,9 @@
 
 // observedCapacity is the load that the warm endpoints of one machine type are seen to handle.
 type observedCapacity struct {
-	load          float64 // total load of those that are not overloaded
-	weight        float64 // total weight of all of them
-	loadPerWeight float64 // averaged over recentWindow, because a load that is new does not show that it can be handled
+	load          float64 // total load of the warm endpoints that are not overloaded
+	weight        float64 // total weight of all warm endpoints
+	loadPerWeight float64 // load divided by weight, averaged over recentWindow because a new load does not show that it can be handled
 }
 
 // slowStartFactor returns the fraction of its full capacity that an endpoint has at least, according to its age.
@@ -150,7 +150,7 @@
 	if ownShare >= 1 { // the rounded shares of all balancers add up to the capacity
 		return usedLoad+load <= math.Floor(ownShare+2*deviation/balancers+b.roundingOffset(e))
 	}
-	ownShare *= min(1+1/deviation, deviation/2) // less if the capacity is so small that a few heavy sessions exceed it
+	ownShare *= min(1+1/deviation, deviation/2) // the factor is below 1 if the capacity is so small that a few heavy sessions exceed it
 	return usedLoad < math.Ceil(ownShare*b.warmupAdmissionFactor(e)/load-b.warmupThreshold(s, e))
 }
 
