--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -14,7 +14,7 @@
 
 const (
 	firstLineTimeout = 2500 * time.Millisecond // time for a client's first line after the accept or after its last PING
-	expireInterval   = 100 * time.Millisecond
+	expireInterval   = 100 * time.Millisecond  // time between two checks for clients whose first line is late
 	// evictionReserveDivisor sets the descriptors that are kept free of connections without a session: 1/4 of all.
 	evictionReserveDivisor = 4
 )
@@ -23,10 +23,10 @@
 type connKey struct{}
 
 // Serve accepts clients until the listener fails. If the listener is shared with another process, it accepts the first client only once
-// this process is ready. After Shutdown it returns nil.
+// this process is ready. It returns nil once Shutdown has stopped the listener, which it does only if the listener is shared.
 func (l *Loop) Serve(listener *Listener) error {
 	if listener.shared {
-		<-l.becameReady // until then the predecessor, which knows the servers, accepts the clients
+		<-l.becameReady // before this process is ready, the predecessor, which knows the servers, accepts the clients
 	}
 	onRequest := func(ctx context.Context, netConn netpoll.Connection) error {
 		return ctx.Value(connKey{}).(*conn).onReadable(ctx, netConn)
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -69,7 +69,7 @@
 		l.attemptEnded(session, policy.ConnectFailed, err)
 	case session.upstream.state != policy.Ready && !session.reattaching: // the endpoint list has changed during the dial
 		l.attemptEnded(session, policy.NeverSent, nil)
-	case l.now >= session.attemptDeadline: // after a stall, this event is handled before the attempt's timeout
+	case l.now >= session.attemptDeadline: // after a stall, this event is handled before the timer of the attempt's timeout
 		l.attemptEnded(session, policy.NeverSent, nil)
 	case !session.reattaching && l.deferUntilFresh(resume):
 	case !l.mayWrite(session, resume):
--- a/internal/balancer/conn_write.go
+++ b/internal/balancer/conn_write.go
@@ -20,7 +20,7 @@
 	minWriteRetryDelay = time.Millisecond
 	maxWriteRetryDelay = 20 * time.Millisecond
 
-	maxUnbufferedWrites = 5
+	maxUnbufferedWrites = 5 // maximum number of writes of a line by writeUnbuffered while the kernel is short of memory
 	// maxUnreadRounds bounds the reads of unread input from a client that is rejected at once. It covers twice the initial size of the
 	// client's send buffer and our receive buffer together.
 	maxUnreadRounds = 2 * maxQueuedInput / protocol.MaxLineBytes
--- a/internal/balancer/descriptors.go
+++ b/internal/balancer/descriptors.go
@@ -12,7 +12,7 @@
 	gossipDescriptors    = 2 // the gossip transport, and the previous one during a reload
 	handoverDescriptors  = 3 // the listener for a successor, the link to the successor or predecessor, and a link that replaces it
 	fileDescriptors      = 2 // the configuration file and a name lookup
-	probeDescriptors     = 2 // probes while connections hold all their descriptors
+	probeDescriptors     = 2 // probes that run while connections hold all descriptors that they may have
 	transientDescriptors = 2 // a client accepted before another one is evicted, and the duplicate of a connection being detached
 )
 
--- a/internal/balancer/handover_successor.go
+++ b/internal/balancer/handover_successor.go
@@ -167,7 +167,7 @@
 // handoverOutcomeHandler returns the function to call with the outcome of a session or client that was sent over link. takeBack is
 // called if it is returned to this process. The loop may have handled the end of the link before that.
 func (l *Loop) handoverOutcomeHandler(link *hotrestart.Link, takeBack func()) func(hotrestart.Outcome) {
-	settled := func(outcome hotrestart.Outcome) {
+	handleOutcome := func(outcome hotrestart.Outcome) {
 		h := l.handover
 		h.pending--
 		switch outcome {
@@ -183,7 +183,7 @@
 		l.HandedOver.Add(1)
 	}
 	return func(outcome hotrestart.Outcome) {
-		l.post(event{run: func() { settled(outcome) }})
+		l.post(event{run: func() { handleOutcome(outcome) }})
 	}
 }
 
--- a/internal/balancer/listener.go
+++ b/internal/balancer/listener.go
@@ -76,8 +76,8 @@
 	return listener, unix.SetNonblock(fd, true)
 }
 
-// Accept accepts a connection. If none is queued, it returns nil and no error. After Shutdown it returns net.ErrClosed, after which
-// netpoll does not poll the socket any more.
+// Accept accepts a connection. If none is queued, it returns nil and no error. Once Shutdown has stopped the listener, it returns
+// net.ErrClosed, after which netpoll does not poll the socket any more.
 func (l *Listener) Accept() (net.Conn, error) {
 	if l.stopped.Load() {
 		return nil, net.ErrClosed
--- a/internal/balancer/loop.go
+++ b/internal/balancer/loop.go
@@ -78,7 +78,7 @@
 
 	// Readiness.
 	ready              bool
-	readyDue           bool          // only awaitsServiceState keeps the balancer from being ready
+	readyDue           bool          // whether the balancer is ready but for awaitsServiceState
 	awaitsServiceState bool          // the service state that operators set before the start is still unknown
 	pendingPings       []*conn       // clients whose PING is answered once the balancer is ready
 	becameReady        chan struct{} // closed when the balancer becomes ready
--- a/internal/balancer/readiness.go
+++ b/internal/balancer/readiness.go
@@ -12,7 +12,7 @@
 
 // This file tracks whether the balancer is ready for clients, and the service state that operators set.
 
-// readyTimeout is how long after its start a balancer is ready without an endpoint list.
+// readyTimeout is the time after its start at which a balancer becomes ready even without an endpoint list.
 const readyTimeout = 2 * time.Second
 
 var (
