--- a/cmd/sabletally/control.go
+++ b/cmd/sabletally/control.go
@@ -64,6 +64,6 @@
 
 func randomSeed() uint64 {
 	var seed [8]byte
-	_, _ = rand.Read(seed[:]) // never fails
+	_, _ = rand.Read(seed[:]) // rand.Read never fails
 	return binary.BigEndian.Uint64(seed[:])
 }
--- a/cmd/sabletally/control_handler.go
+++ b/cmd/sabletally/control_handler.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	changeTimeout = 4 * time.Second // below callTimeout, so that a command gets the response
-	itemPath      = "/control/" + shardmap.ConfigPrefix
-	versionHeader = "Sabletally-Version" // HTTP header with the version of the published state
+	changeTimeout = 4 * time.Second                     // time for the fleet to make a change; below callTimeout, so that a command gets the response
+	itemPath      = "/control/" + shardmap.ConfigPrefix // path of all items, before an item's name
+	versionHeader = "Sabletally-Version"                // HTTP header with the version of the published state
 )
 
 // controlHandler serves the operators' requests to a control process: its report, its readiness, and the items of configuration.
--- a/cmd/sabletally/items.go
+++ b/cmd/sabletally/items.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // no data depends on the error: the body was read
+	defer func() { _ = response.Body.Close() }() // an error loses no data, as the body was read
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
--- a/cmd/sabletally/log.go
+++ b/cmd/sabletally/log.go
@@ -45,7 +45,7 @@
 	return loggers{log: l.log.With(field), requested: l.requested.With(field)}
 }
 
-func (l loggers) sync() { _ = l.log.Sync() } // ignores the error: standard error may not support syncing
+func (l loggers) sync() { _ = l.log.Sync() } // the error is ignored, as standard error may not support syncing
 
 // libraryLog writes the log output of a library. All its lines have the library's name as message, so that their number is limited like
 // that of any other message.
--- a/cmd/sabletally/start.go
+++ b/cmd/sabletally/start.go
@@ -164,7 +164,7 @@
 	// keep their processor for up to 10 ms meanwhile; without the extra processors the loop would have to wait for it.
 	runtime.GOMAXPROCS(2*cores + 1)
 	debug.SetMemoryLimit(int64(p.config.MemoryMB) << 20 * 3 / 4)
-	_ = netpoll.Configure(netpoll.Config{ // fails only after netpoll has started
+	_ = netpoll.Configure(netpoll.Config{ // the call fails only after netpoll has started
 		PollerNum:    balancer.PollerCount(cores),
 		BufferSize:   pollBufferSize,
 		LoggerOutput: libraryLog{p.log, "netpoll"},
--- a/cmd/sabletally/status.go
+++ b/cmd/sabletally/status.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // no data depends on the error: the body was read
+	defer func() { _ = response.Body.Close() }() // an error loses no data, as the body was read
 	text, err := io.ReadAll(response.Body)
 	switch {
 	case err != nil:
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -9,8 +9,8 @@
 // connKey is the context key of a request's connection.
 type connKey struct{}
 
-// boundedListener keeps at most maxConns connections open. One more closes the oldest connection that has sent no complete
-// request, so that idle connections do not lock operators out.
+// boundedListener keeps at most maxConns connections open. One more closes the oldest connection whose request headers are
+// not read yet, so that idle connections do not lock operators out.
 type boundedListener struct {
 	net.Listener
 	maxConns int
@@ -49,8 +49,8 @@
 	return c, nil
 }
 
-// evict removes and returns the connection to close: the oldest without a complete request, or the oldest if all have one.
-// The caller holds mu.
+// evict removes and returns the connection to close: the oldest whose request headers are not read yet, or the oldest of
+// all if there is none. The caller holds mu.
 func (b *boundedListener) evict() *conn {
 	found := b.conns.Front()
 	for e := found; e != nil; e = e.Next() {
--- a/internal/deployment/replacement.go
+++ b/internal/deployment/replacement.go
@@ -20,7 +20,7 @@
 	required := maps.Clone(previous.document)
 	delete(required, "known") // discovery.Decode has checked its keys
 	if !next.Settings.Policy.CanGossip {
-		delete(required, "peers") // unused without gossip
+		delete(required, "peers") // without gossip the key is not used
 	}
 	if path := missingKey(required, next.document, ""); path != "" {
 		return &KeyError{path[1:], "is missing; the file in force has it"}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -39,15 +39,16 @@
 	// The retry interval is the time between two requests of a balancer while none is answered. Each interval is shortened by
 	// a random part of up to a sixth.
 	retryIntervalPerBalancer = 400 * time.Millisecond
-	maxRetryInterval         = 4800 * time.Millisecond // leaves 1.2 s of the 6 s for the response
+	// maxRetryInterval leaves 1.2 s for the response, of the 6 s within which a change must be known.
+	maxRetryInterval = 4800 * time.Millisecond
 
 	// A round is the time in which a service that is sized for this number of balancers can serve one request of each. The
 	// first request of a process is sent at a random time within a round, but within maxRetryInterval at the latest.
 	roundPerBalancer = 100 * time.Millisecond
 	maxRound         = 10 * time.Second
 	maxReloadDelay   = 3200 * time.Millisecond // longest random delay of the first request after a reload
-	// overloadedAfter is the number of consecutive requests that were rejected after a wait from which on the service counts
-	// as overloaded. The pauses are then one to three rounds, doubled with each further rejection. While pacing.hasCapacity is
+	// overloadedAfter is the number of consecutive requests after which the service counts as overloaded, if it rejected each of
+	// them after a wait. The pauses are then one to three rounds, doubled with each further rejection. While pacing.hasCapacity is
 	// false, as at the start if a round is longer than maxRetryInterval, one such rejection is enough.
 	overloadedAfter  = 3
 	maxRoundDoubling = 10 // largest number of doublings of a round
@@ -209,7 +210,7 @@
 		sleepRandom(ctx, 2*round)
 	case isWatchBroken: // the watches of all balancers may have broken at the same moment: spread the next requests
 		if !isRejected {
-			elapsed = 0 // the 6 s start when the watch broke, not when it was sent
+			elapsed = 0 // the 6 s within which a change must be known start when the watch broke, not when it was sent
 		}
 		sleepRandom(ctx, w.retryInterval-elapsed)
 	default: // the time of the next request must not depend on how this one failed, so that requests stay spread
--- a/internal/loadgossip/codec.go
+++ b/internal/loadgossip/codec.go
@@ -18,10 +18,10 @@
 // version hash (uint32), the offset (uint16) and the unit of load (float32). Each byte holds the load of an
 // endpoint in that unit and, in its highest bit, whether the endpoint is overloaded.
 const (
-	headerSize    = 10   // bytes
+	headerSize    = 10   // size of the header in bytes
 	maxLoads      = 240  // largest number of endpoints in one datagram
 	maxUnits      = 127  // largest load in units; the unit is chosen so that the largest load of a datagram has this value
-	overloadedBit = 0x80 // bit of a load byte: the endpoint is overloaded
+	overloadedBit = 0x80 // bit of a load byte that is set if the endpoint is overloaded
 )
 
 var (
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -59,7 +59,7 @@
 type Line struct {
 	Kind    Kind
 	Raw     []byte             // the line as received, including its ending
-	Value   float64            // load of a KindLoad line, or Retry-After of a KindRejected line in milliseconds
+	Value   float64            // load of a KindLoad line in microseconds of work per second, or Retry-After of a KindRejected line in milliseconds
 	Fields  map[string]float64 // names and values of a load report
 	Request *SessionRequest    // decoded session request
 	Err     error              // why the line is malformed, nil if it is well-formed
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -12,13 +12,13 @@
 // SessionRequest is the first line of a client, which requests a session.
 type SessionRequest struct {
 	ID             uint64
-	Key            uint64 // key of the client
+	Key            uint64 // hash key of the client
 	Class          string
 	Tenant         string
-	Group          uint64
+	Group          uint64        // group whose sessions share servers, 0 if there is none
 	Timeout        time.Duration // how long the client waits for an answer, counted from when it sent the line
 	HasTimeout     bool
-	LoadHint       float64 // the client's estimate of the session's load, 0 if there is none
+	LoadHint       float64 // the client's estimate of the session's load in microseconds of work per second, 0 if there is none
 	StickyEndpoint string  // server of the client's previous session, "" if there is none
 
 	raw          []byte
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -155,7 +155,7 @@
 	if !c.closed {
 		c.countUnsentLocked()
 		reset := unix.Linger{Onoff: 1}
-		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &reset) // without this option the close is an orderly one
+		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &reset) // if the call fails, the close is an orderly one
 	}
 	c.closeLocked()
 }
--- a/internal/simprotocol/event.go
+++ b/internal/simprotocol/event.go
@@ -30,7 +30,7 @@
 const (
 	recordCodeAt     = 0
 	recordInstanceAt = 1
-	recordSessionAt  = 5 // only in records about a session
+	recordSessionAt  = 5 // offset of the session's ID, in records about a session only
 )
 
 // Kinds of measurement events.
@@ -47,9 +47,9 @@
 // Modes of an endpoint list.
 const (
 	listUnavailable = 0 // discovery has no list; the previous one stays in force
-	listComplete    = 1 // all endpoints
-	listCached      = 3 // all endpoints, from a cache
-	listChanges     = 4 // only the endpoints that have changed
+	listComplete    = 1 // the list has all endpoints
+	listCached      = 3 // the list has all endpoints, and comes from a cache
+	listChanges     = 4 // the list has only the endpoints that have changed
 )
 
 // Availabilities of an entry of an endpoint list.
