--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -40,7 +40,7 @@
 	sessionLoad        average          // load of one session, in microseconds of work per second
 	loadByClass        []average        // sessionLoad by class index; the last element is for classes that no longer exist
 	tenantQuota        float64          // sum of the connection quotas of all tenants, for all balancers together
-	rankBuffer         []rankedEndpoint // reused by rankEndpoints
+	rankBuffer         []rankedEndpoint // buffer that rankEndpoints reuses
 	plannedDecisions   []Decision       // migrations and health checks planned by the newest round
 	nextRoundAt        time.Duration
 
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkByGroups measures the same by the number of groups.
+// BenchmarkByGroups measures one session from arrival to end, by the number of groups.
 func BenchmarkByGroups(b *testing.B) {
 	for _, groups := range []int{100, 1000, 10000, 30000, 100000} {
 		b.Run(fmt.Sprintf("endpoints=100/sessions=100000/groups=%d", groups), func(b *testing.B) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// BenchmarkByEndpoints measures the same by the number of endpoints.
+// BenchmarkByEndpoints measures one session from arrival to end, by the number of endpoints.
 func BenchmarkByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{10, 100, 300, 1000, 2300, 5000} {
 		b.Run(fmt.Sprintf("sessions=100000/groups=100000/endpoints=%d", endpoints), func(b *testing.B) {
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -11,7 +11,7 @@
 }
 
 // HealthCheckEnded records the outcome of a health check. A load report that came with the check must be
-// recorded before.
+// recorded before Next is called, which decides on the sessions that have waited for it.
 func (b *Balancer) HealthCheckEnded(id EndpointID, outcome Outcome) {
 	e, isKnown := b.endpointByID[id]
 	if !isKnown || !e.checkPending {
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -49,8 +49,9 @@
 	return b.now-e.reportedAt <= reportTTL && e.demand > threshold.demand
 }
 
-// markOverloaded makes an endpoint count as overloaded for latencyTTL. The released load, of a session that is
-// just ending there, does not count towards the capacity.
+// markOverloaded lowers the assumed capacity of an endpoint to its load and, if a class has a message objective,
+// makes it count as overloaded for latencyTTL. The released load, of a session that is just ending there, does
+// not count towards the capacity.
 func (b *Balancer) markOverloaded(e *endpoint, released float64) {
 	if b.exceeds(e, terminateThreshold) {
 		return
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -83,7 +83,7 @@
 	report := func(first float64) {
 		for _, l := range warmEndpointList(4) {
 			b.RecordLoadReport(l.ID, LoadReport{Demand: first, Backlog: -1, Utilization: -1})
-			first = 0.1 // at the other endpoints
+			first = 0.1 // demand of the other endpoints
 		}
 	}
 	report(0.1)
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -17,8 +17,8 @@
 	minSessionsForZones      = 7   // number of active sessions of this balancer
 	minFleetSessionsForZones = 500 // estimated number of active sessions of all balancers
 
-	// While endpoints warm up, groups with fewer members on average are too small for that as well, because the
-	// warming endpoints split them.
+	// While endpoints warm up, groups with fewer members on average are too small for an affinity set in each
+	// zone as well, because the warming endpoints split them.
 	minMembersPerGroup = 1.7 // mean number of members of a group at this balancer
 	extraGroups        = 5   // added to the number of groups when the mean is computed
 )
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -61,8 +61,9 @@
 
 // isRetryBudgetSpent reports whether a session gets no attempt because attempts fail at all endpoints alike. No
 // attempt is made during a pause, or while attempts fail and the pending ones use up the budget; otherwise
-// sessions are denied an attempt at random, with a probability that grows with the fraction of failed attempts. After many
-// rejects in a row and no attempt for recentWindow, one is made in any case, so that a recovery is noticed.
+// sessions are denied an attempt at random, with a probability that grows with the fraction of failed attempts.
+// After many rejects in a row and no attempt for recentWindow, one is made in any case, so that a recovery is
+// noticed.
 func (b *Balancer) isRetryBudgetSpent(s *session) bool {
 	established := b.recentCounts.established
 	failed := b.recentCounts.failed + b.recentCounts.late
--- a/policy/slow_start_model_test.go
+++ b/policy/slow_start_model_test.go
@@ -36,7 +36,7 @@
 	config       Config
 	endpoints    int
 	capacity     float64 // capacity of the larger machine type once it is warm, in sessions of mean load
-	smallerRatio float64 // capacity of the other machine type relative to it
+	smallerRatio float64 // capacity of the smaller machine type relative to that of the larger one
 	usedFraction float64 // used fraction of the total capacity while all endpoints are warm
 	cores        float64 // number of cores of the smaller machine type
 	heavyRatio   float64 // load of one session in ten, relative to that of the others
--- a/policy/slow_start_run_test.go
+++ b/policy/slow_start_run_test.go
@@ -19,7 +19,7 @@
 	balancer     int     // index of the balancer to which the client is connected, -1 for none
 	endpoint     int     // index of its endpoint, -1 before an attempt
 	session      SessionID
-	returnsAt    time.Duration // when the client reconnects
+	returnsAt    time.Duration // time at which the client reconnects
 }
 
 // modelAttempt is an attempt at an endpoint.
@@ -256,7 +256,7 @@
 	if x.fault == faultBalancersKilled {
 		for k := range x.balancers {
 			if x.IntN(10) < 7 {
-				for _, c := range x.clients { // in a fixed order, because a random delay is drawn for each
+				for _, c := range x.clients { // the order is fixed, because a random delay is drawn for each client
 					if c.balancer != k {
 						continue
 					}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -87,7 +87,7 @@
 // the first choice of a whole group. The clients of the group come within a second, each to another balancer,
 // which does not know of the others.
 func TestManyBalancersDoNotReturnGroupsAtOnce(t *testing.T) {
-	for _, members := range []int{38, 60} { // as many as one endpoint has when full, and more
+	for _, members := range []int{38, 60} { // as many members as a full endpoint has sessions, and more
 		list := startingAt(warmEndpointList(80), 0, 20, time.Second)
 		all := newBalancers(t, 300, 3000, testConfig(), list[20:])
 		began := 5 * time.Second
