--- a/internal/balancer/client_left_test.go
+++ b/internal/balancer/client_left_test.go
@@ -65,7 +65,7 @@
 			lc.runUntil("the server is probed", func() bool { return lc.server.lineCount() == 1 })
 			lc.leave()
 			lc.runUntil("an attempt is decided", func() bool { return session.attempts == 1 })
-			lc.expectNoMoreAttempts(1, 1) // of the probe
+			lc.expectNoMoreAttempts(1, 1) // the connection and the line are those of the probe
 		}},
 		{"for an attempt's answer, and another attempt follows", func(t *testing.T, ending string) {
 			lc := newLeavingClient(t, ending, "BUSY\r\n")
--- a/internal/balancer/counters.go
+++ b/internal/balancer/counters.go
@@ -11,10 +11,10 @@
 // Counters count a balancer's events since its start. They are safe for concurrent use and do not influence any decision. The method
 // fields defines the names under which they are logged.
 type Counters struct {
-	Accepted  atomic.Int64 // connections accepted from clients
+	Accepted  atomic.Int64 // clients' connections that were accepted, or taken over from another process
 	Sessions  atomic.Int64 // requests for a session, each of which is owed one final answer
 	Malformed atomic.Int64 // first lines that are not a valid request
-	BadLines  atomic.Int64 // lines of clients that could not be parsed
+	BadLines  atomic.Int64 // lines of clients that could not be parsed, or that the clients may not send
 	Attempts  atomic.Int64
 	Probes    atomic.Int64
 
@@ -33,7 +33,7 @@
 	ListErrors          atomic.Int64 // failed requests to discovery
 	Errors              atomic.Int64 // connections that broke or could not be relayed or taken over
 	Panics              atomic.Int64
-	DescriptorShortages atomic.Int64 // clients, dials and probes for which no descriptor was free
+	DescriptorShortages atomic.Int64 // clients, dials, probes and established sessions for which no descriptor was free
 	Reloads             atomic.Int64
 	ReloadErrors        atomic.Int64
 	Drains              atomic.Int64
--- a/internal/balancer/load_estimator.go
+++ b/internal/balancer/load_estimator.go
@@ -40,7 +40,7 @@
 // probeTimes holds the response times of one server's probes.
 type probeTimes struct {
 	last     time.Duration
-	previous time.Duration   // time of the probe before the last one, 0 if there was none
+	previous time.Duration   // response time of the probe before the last one, 0 if there was none
 	endedAt  time.Duration   // loop time at which the last probe ended
 	shortest []time.Duration // the keptShortestTimes shortest times, in ascending order
 }
--- a/internal/balancer/load_estimator_test.go
+++ b/internal/balancer/load_estimator_test.go
@@ -115,7 +115,7 @@
 		took time.Duration
 		want bool
 	}{{7, false}, {8, false}, {28, true}} {
-		for probed := map[policy.EndpointID]bool{}; !probed[1]; at += 10 * ms { // until the server's regular probe
+		for probed := map[policy.EndpointID]bool{}; !probed[1]; at += 10 * ms { // the loop ends with the server's regular probe
 			l.policy.AdvanceClock(at)
 			l.now = at
 			_, probed = next()
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -153,7 +153,7 @@
 		l.runOnce()
 	}
 	c := <-up
-	for c.CheckOpen() == nil { // until the server's end of the connection has arrived
+	for c.CheckOpen() == nil { // wait until the server's end of the connection has arrived
 		time.Sleep(time.Millisecond)
 	}
 	l.upstreamDialed(session, 1, c, nil)
--- a/internal/balancer/race_test.go
+++ b/internal/balancer/race_test.go
@@ -161,7 +161,7 @@
 	sl := newSteppedLoop(t, policy.NonIdempotent)
 	c := sl.session.client
 	c.mu.Lock()
-	c.writing = true // has the same effect: the detach has to be retried
+	c.writing = true // has the same effect as a lack of descriptors: the detach has to be retried
 	c.mu.Unlock()
 	sl.session.dial.finished, sl.session.dial, sl.session.upstreamConn = true, nil, sl.upstreamConn
 	sl.l.now = time.Since(sl.l.startTime)
