--- a/cmd/sabletally/log.go
+++ b/cmd/sabletally/log.go
@@ -11,8 +11,8 @@
 
 const (
 	logLevelVariable = "SABLETALLY_LOG" // environment variable with the lowest level that is logged
-	// maxLinesPerMessage bounds the log lines per second with the same message, so that clients can't fill the log. Counters record how
-	// often the events occurred.
+	// maxLinesPerMessage bounds the log lines per second with the same message, except at debug level, so that clients can't fill the
+	// log. Counters record how often the events occurred.
 	maxLinesPerMessage = 10
 )
 
--- a/cmd/sabletally/start.go
+++ b/cmd/sabletally/start.go
@@ -63,7 +63,7 @@
 	member       *fleet.Fleet // nil where the balancer is in no fleet
 	cleanup      []func()     // functions that close runs, the last one first
 
-	drained    chan struct{}    // closed once a shutdown has left no session open
+	drained    chan struct{}    // closed once a shutdown has left no session, connection or pending handover; never if the listener is not shared
 	handedOver chan struct{}    // closed once the member's handover has ended, finished or not
 	exit       <-chan time.Time // fires when the process exits whatever is still open; nil before a shutdown
 }
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -26,7 +26,7 @@
 	Opened(*Link)
 	// Received delivers a message. The handler owns the descriptors.
 	Received(*Link, Message, []int)
-	// Closed announces the end of a link and the reason for it. Nothing is received on the link afterwards.
+	// Closed announces the end of a link and the reason for it. At most a message that had been read by then is received afterwards.
 	Closed(*Link, error)
 }
 
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -27,7 +27,8 @@
 
 var errClosedLocally = errors.New("closed by this process")
 
-// Link is one connection to the other process. Its methods are safe for concurrent use; its handler is called by one goroutine at a time.
+// Link is one connection to the other process. Its methods are safe for concurrent use. Its handler's Closed may be called while Received is
+// still running on another goroutine.
 type Link struct {
 	conn    *net.UnixConn
 	handler Handler
