--- a/cmd/sabletally/start.go
+++ b/cmd/sabletally/start.go
@@ -63,7 +63,7 @@
 	member       *fleet.Fleet // nil where the balancer is in no fleet
 	cleanup      []func()     // functions that close runs, the last one first
 
-	drained    chan struct{}    // closed once a shutdown has left no session open
+	drained    chan struct{}    // closed once a shutdown has left no session, connection or pending handover; never if the listener is not shared
 	handedOver chan struct{}    // closed once the member's handover has ended, finished or not
 	exit       <-chan time.Time // fires when the process exits whatever is still open; nil before a shutdown
 }
@@ -164,7 +164,7 @@
 	// keep their processor for up to 10 ms meanwhile; without the extra processors the loop would have to wait for it.
 	runtime.GOMAXPROCS(2*cores + 1)
 	debug.SetMemoryLimit(int64(p.config.MemoryMB) << 20 * 3 / 4)
-	_ = netpoll.Configure(netpoll.Config{ // fails only after netpoll has started
+	_ = netpoll.Configure(netpoll.Config{ // the call fails only after netpoll has started
 		PollerNum:    balancer.PollerCount(cores),
 		BufferSize:   pollBufferSize,
 		LoggerOutput: libraryLog{p.log, "netpoll"},
