--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "sabletally")
 	if text, err := exec.Command("go", "build", "-o", path, "../sabletally").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, text)
+		t.Fatalf("build of the balancer binary: %v: %s", err, text)
 	}
 	return path
 }
@@ -58,7 +58,7 @@
 	cmd, out := scaleCommand(tmp, "--binary", buildBalancer(t), "--balancers", "100", "--control", "5", "--zones", "5", "--regions", "3", "--changes-per-day", "200000",
 		"--burst", "50", "--for", "15s", "--seed", "5", "--faults", "zone", "--judge", "counts", "--json", figures)
 	if err := cmd.Run(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("scale test failed: %v\n%s", err, out)
 	}
 	text, err := os.ReadFile(figures)
 	if err != nil {
@@ -71,7 +71,7 @@
 	// Each change was timed at each balancer outside the lost zone, and the twenty balancers of the zone returned.
 	if result.Verdict != "verdict: kept" || result.MissedChanges != 0 || result.Samples < int64(result.Changes*80) ||
 		result.Changes < 50 || result.ReturnedBalancers != 20 || result.ConvergenceAfterFaultsMs <= 0 {
-		t.Errorf("%s", text)
+		t.Errorf("unexpected figures: %s", text)
 	}
 	checkNothingLeft(t, tmp)
 }
@@ -99,7 +99,7 @@
 	err := cmd.Wait()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != exitFailure || !strings.Contains(out.String(), "verdict: not kept: partial: interrupted") {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("interrupted scale test: unexpected exit code or verdict: %v\n%s", err, out)
 	}
 	checkNothingLeft(t, tmp)
 }
--- a/cmd/testbed/throughput.go
+++ b/cmd/testbed/throughput.go
@@ -40,17 +40,17 @@
 type throughputFigures struct {
 	Arm            string
 	Cores          int
-	Setups         float64 // per second
-	Lines          float64 // per second
-	SetupP50       float64 // latency of a set-up at --setups per second
-	SetupP99       float64
-	LineP50        float64 // latency of a line at --rate per second
-	LineP99        float64
-	FloodP99       float64 // latency of a line at --rate per second while another session sends at full speed
+	Setups         float64 // number of set-ups per second, by setupWorkers that never pause
+	Lines          float64 // number of lines per second, with --window in flight on each session
+	SetupP50       float64 // median latency of a set-up at --setups per second
+	SetupP99       float64 // 99th percentile of the latency of a set-up at --setups per second
+	LineP50        float64 // median latency of a line at --rate per second
+	LineP99        float64 // 99th percentile of the latency of a line at --rate per second
+	FloodP99       float64 // 99th percentile of the latency of a line at --rate per second while another session sends at full speed
 	IdleKiB        float64 // resident memory of the balancer per idle session
-	SetupsOfDirect float64 // ratio to the direct arm
-	LinesOfDirect  float64 // ratio to the direct arm
-	Failed         int     // number of set-ups and lines that failed in all rounds
+	SetupsOfDirect float64 // ratio of Setups to that of the direct arm
+	LinesOfDirect  float64 // ratio of Lines to that of the direct arm
+	Failed         int     // number of failed set-ups and of failed lines at --rate, summed over all rounds
 }
 
 // roundFigures are the figures of one arm, with one value for each round.
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -81,7 +81,7 @@
 type session struct {
 	id          policy.SessionID
 	affinityKey uint64
-	deadline    time.Duration // time of the run by which the set-up must be complete
+	deadline    time.Duration // time, by the policy's clock, by which the set-up must be complete
 	objective   time.Duration // objective of the set-up time
 	idempotent  bool          // whether an attempt that may have had an effect may be retried
 	attempts    int           // number of attempts so far
--- a/internal/lab/bench/bench.go
+++ b/internal/lab/bench/bench.go
@@ -78,7 +78,7 @@
 	_ = c.Close()
 }
 
-// exchange sends lines, which are count lines of text, and reads the same number of lines.
+// exchange sends lines, a text of count lines, and reads the same number of lines.
 func (c *connection) exchange(lines []byte, count int) error {
 	if _, err := c.Write(lines); err != nil {
 		return err
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -64,7 +64,7 @@
 	incarnations    []int              // number of starts of a balancer, by its index
 	stopMisbehaving context.CancelFunc // ends the misbehaving clients
 	replaced        []*Process         // predecessors that were replaced by an upgrade
-	errs            []error            // errors of the testbed itself
+	errs            []error            // errors of the testbed, and operations on balancers that failed
 }
 
 // Start sets up a world and starts its balancers. Close ends all of them.
@@ -255,7 +255,7 @@
 	c.receiving[b] = false
 }
 
-// recordError stores an error of the testbed itself, unless it is nil.
+// recordError stores an error of the testbed, or of an operation on a balancer, unless it is nil. Run returns the first one.
 func (c *Cluster) recordError(err error) {
 	if err != nil {
 		c.mu.Lock()
--- a/internal/lab/cluster/fault_steps.go
+++ b/internal/lab/cluster/fault_steps.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// cutLink cuts the direction from a server to the balancers, or restores it. Connections that waited on the cut link are stale once
-// it is restored and are reset.
+// cutLink cuts the direction from a server to the balancers, or restores it. All connections over a restored link are reset, as those
+// that waited are stale.
 func (c *Cluster) cutLink(server int, cut bool) {
 	if cut {
 		c.Log.Add(history.Event{At: c.Clock.Now(), Kind: history.ServerStopped, Server: int32(server), Balancer: -1, Text: "link"})
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -16,7 +16,8 @@
 )
 
 // Run runs the world to its end and returns its figures, its events and the checker's verdict. onStep, if it is not nil, is called
-// with the description of each step of the fault schedule. Errors are those of the testbed itself.
+// with the description of each step of the fault schedule. An error means that the testbed itself failed, or a balancer in an
+// operation that the rules do not cover: a start, an upgrade, a drain or the return to its fleet.
 func (c *Cluster) Run(ctx context.Context, onStep func(at time.Duration, text string)) (report.Run, []history.Event, checker.Verdict, error) {
 	w := &c.World
 	steps, _, err := faults.Expand(w.Faults, len(w.Machines), w.Balancers, c.seed)
--- a/internal/lab/emulator/client.go
+++ b/internal/lab/emulator/client.go
@@ -89,7 +89,7 @@
 // MaxStartDelay returns the longest delay with which a client was started: how far the testbed itself fell behind.
 func (c *Clients) MaxStartDelay() time.Duration { return time.Duration(c.maxStartDelay.Load()) }
 
-// Drop makes a share of the established clients disconnect within a time; they reconnect at once.
+// Drop makes a share of the established clients disconnect within a time. They reconnect as after a migration.
 func (c *Clients) Drop(share float64, within time.Duration, rng *rand.Rand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +133,7 @@
 }
 
 // connect opens one session and runs it to its end. It returns how the session ended, the Retry-After of a rejection, and whether
-// the session was established. A client wants a connection since the time given.
+// the session was established. since is the time from which on the client has wanted a connection.
 func (r *runningClient) connect(ctx context.Context, since time.Duration) (ending load.Ending, retryAfter time.Duration, established bool) {
 	c := r.clients
 	balancer, address, ok := c.PickBalancer(r.rng)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -114,11 +114,11 @@
 	_, err := Parse([]byte(strings.NewReplacer(`"10s"`, `10`, "count = 3", "count = 0", "rate = 5", "rate = -1").Replace(completeFile)), "f.hcl")
 	var faults hclconfig.Diagnostics
 	if !errors.As(err, &faults) || len(faults) < 4 || faults[0].Line != 3 || faults[len(faults)-1].Line < 9 {
-		t.Errorf("%v", err)
+		t.Errorf("a file with four errors gave: %v", err)
 	}
 	if _, err := Parse([]byte("experiment {\n  mode = 5\n}\n"), "f.hcl"); err == nil || !strings.Contains(err.Error(), "f.hcl:2:10: mode: must be a quoted string") ||
 		!strings.Contains(err.Error(), `requires a block "world"`) {
-		t.Errorf("%v", err)
+		t.Errorf("a file with a number as mode and without a world gave: %v", err)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none.hcl")); !os.IsNotExist(err) {
 		t.Error(err)
--- a/internal/lab/faults/step.go
+++ b/internal/lab/faults/step.go
@@ -32,11 +32,11 @@
 	StartBalancer                       // a balancer that was killed starts again
 	RestartBalancer                     // the balancer shuts down gracefully, and starts again once its process has ended
 	ReloadAll                           // all balancers read a new configuration
-	SetMisbehavingClients               // Value: misbehaving clients per second
+	SetMisbehavingClients               // Value: misbehaving clients per second; 0 ends the fault
 	UpgradeBalancer                     // the balancer is replaced by hot restart
 	DrainBalancer                       // an operator drains the balancer; For: time until it is in service again
 	SetMoreClasses                      // Value: 1 configures one more class, 0 removes it
-	SetSilentClients                    // Value: silent clients per second
+	SetSilentClients                    // Value: silent clients per second; For: duration of the fault
 	SetFragmentedLines                  // clients write their first lines in fragments
 	SetLinkDelay                        // For: additional delay of the link to the server; 0 ends the fault
 	SetLinkCut                          // nothing that the server sends passes its link
--- a/internal/lab/feedsim/checker.go
+++ b/internal/lab/feedsim/checker.go
@@ -135,7 +135,7 @@
 				return
 			}
 			if latency := w.now - committed.at; latency > w.MaxPropagationTime && deadlineOf(committed) >= w.now {
-				w.MaxPropagationTime = latency // measured to checkInterval
+				w.MaxPropagationTime = latency // measured with a resolution of checkInterval
 			}
 		}
 	}
--- a/internal/lab/feedsim/log.go
+++ b/internal/lab/feedsim/log.go
@@ -130,7 +130,8 @@
 	return w.delay(&from.process, &to.process)
 }
 
-// watchLeader elects a leader when there has been none for electionTimeout, and records which processes can't be reached.
+// watchLeader elects a leader when there has been none for electionTimeout, records which processes can't be reached, and then
+// calls checkInForce.
 func (w *World) watchLeader() {
 	w.after(checkInterval, w.watchLeader)
 	if w.leader >= 0 && w.canLead(w.publishers[w.leader]) {
--- a/internal/lab/feedsim/network.go
+++ b/internal/lab/feedsim/network.go
@@ -58,8 +58,8 @@
 	})
 }
 
-// send sends a message on a connection, and loses or duplicates it during that fault. A nil message is the end of the connection, which is
-// never lost.
+// send sends a message on a connection. While loss is above 0, the message may be lost or duplicated. A nil message is the end of the
+// connection, which is never lost.
 func (w *World) send(c *conn, direction int, m *changefeed.Message) {
 	copies := 1
 	if m != nil && w.loss > 0 {
--- a/internal/lab/fleetsim/faults.go
+++ b/internal/lab/fleetsim/faults.go
@@ -86,7 +86,8 @@
 }
 
 // canLoseMachine reports whether the fleet has to survive the loss of a machine now: each shard has two more replicas in
-// sync, and the log keeps a quorum of voters. Machines that are down keep their disks and count.
+// sync, or one with a replication factor of 2, and the log keeps a quorum of voters. Machines that are down keep their disks and
+// count.
 func (w *World) canLoseMachine(n *member) bool {
 	newest, _ := w.newestState()
 	if newest == nil {
--- a/internal/lab/fleetsim/network.go
+++ b/internal/lab/fleetsim/network.go
@@ -11,7 +11,7 @@
 	"sabletally/internal/fleet/replication"
 )
 
-// send sends a packet, and loses, duplicates or reorders it during that fault.
+// send sends a packet. While loss is above 0, the packet may be lost, duplicated or reordered.
 func (w *World) send(from *member, p node.Packet) {
 	to := w.byID[p.To]
 	if to == nil {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -117,14 +117,14 @@
 	Failed                 // any other negative response, or none in time
 	Broken                 // the established connection broke
 	Moved                  // the balancer told the client to migrate
-	Dropped                // the client closed the connection and reconnects at once
+	Dropped                // the client closed the connection, and reconnects like after a migration
 )
 
 // RetryPolicy configures the delays before clients retry. They retry as long as they want a connection.
 type RetryPolicy struct {
 	Backoff    time.Duration // delay after a rejection without Retry-After or after a failure; doubles with each consecutive one
 	MaxDelay   time.Duration // limit of the doubled Backoff
-	MoveDelay  time.Duration // delay after a migration
+	MoveDelay  time.Duration // delay after a migration, or after the client has closed the connection
 	BreakDelay time.Duration // delay after a broken connection
 }
 
--- a/internal/lab/report/meter.go
+++ b/internal/lab/report/meter.go
@@ -42,7 +42,7 @@
 // isCollecting reports whether figures are collected at a time.
 func (m *Meter) isCollecting(now time.Duration) bool { return now >= m.from && now <= m.to }
 
-// Setup counts a set-up. took is the time since the first request of its client.
+// Setup counts a set-up. took is the time for which its client has wanted a connection, including rejections and waits.
 func (m *Meter) Setup(now, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -35,7 +35,7 @@
 	Migrations         int     `json:"Moves"`  // number of sessions that migrated
 	Attempts           int     `json:"Tries"`  // number of attempts
 	HealthChecks       int     `json:"Probes"` // number of health checks
-	SetupP50           float64 // median set-up time, from a client's first request, including rejections and waits
+	SetupP50           float64 // median set-up time, from when a client wants a connection, including rejections and waits
 	SetupP90           float64 // 90th percentile of the set-up times
 	SetupP99           float64 // 99th percentile of the set-up times
 	SetupMost          float64 // longest set-up time
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -232,7 +232,7 @@
 	}).ComputeAccount(milliseconds(1000), completeState)
 	if a.MissedChanges+a.Regressions+a.ChangesNotAccepted+a.BalancersDiffering+a.BalancersSilent+a.BalancersBehind != 0 || a.InForceTimes.TotalCount() != 2 || (a.InForceTimes.Min()+500)/1000 != 50 || // rounded as in the histogram
 		a.InForceTimes.Max()/1000 != 60 || a.SlowestChange != 1 {
-		t.Errorf("%+v, %d to %d us", a, a.InForceTimes.Min(), a.InForceTimes.Max())
+		t.Errorf("account %+v, changes in force after %d to %d us", a, a.InForceTimes.Min(), a.InForceTimes.Max())
 	}
 }
 
@@ -243,7 +243,7 @@
 		l.SetFinal(0, completeState)
 	}).ComputeAccount(milliseconds(1000), completeState)
 	if a.MissedChanges != 0 || a.InForceTimes.TotalCount() != 2 || a.InForceTimes.Max()/1000 != 200 {
-		t.Errorf("%+v, %d us", a, a.InForceTimes.Max())
+		t.Errorf("account %+v, changes in force after up to %d us", a, a.InForceTimes.Max())
 	}
 }
 
@@ -256,7 +256,7 @@
 		l.SetFinal(0, completeState)
 	}).ComputeAccount(milliseconds(1000), completeState)
 	if a.MissedChanges != 0 || a.InForceTimes.TotalCount() != 2 || a.InForceTimes.Max()/1000 != 30 || a.ReturnTimes.TotalCount() != 1 || a.ReturnTimes.Max()/1000 != 30 {
-		t.Errorf("%+v, %d us", a, a.InForceTimes.Max())
+		t.Errorf("account %+v, changes in force after up to %d us", a, a.InForceTimes.Max())
 	}
 }
 
@@ -270,7 +270,7 @@
 		l.SetFinal(0, completeState)
 	}).ComputeAccount(milliseconds(1000), completeState)
 	if a.MissedChanges != 0 || a.InForceTimes.Max()/1000 != 700 {
-		t.Errorf("%+v, %d us", a, a.InForceTimes.Max())
+		t.Errorf("account %+v, changes in force after up to %d us", a, a.InForceTimes.Max())
 	}
 }
 
@@ -278,7 +278,7 @@
 func TestUnreachableAtEndMissesNothing(t *testing.T) {
 	a := newTestLedger(func(l *Ledger) { l.RecordEnd(0, milliseconds(50)) }).ComputeAccount(milliseconds(1000), completeState)
 	if a.MissedChanges != 0 || a.BalancersSilent != 0 || a.InForceTimes.TotalCount() != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("account of a balancer that is down at the end: %+v", a)
 	}
 }
 
