--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -103,7 +103,7 @@
 	sessions     map[policy.SessionID]*session
 	queue        []*session                // sessions that wait for a decision
 	endpoints    []policy.EndpointID       // endpoints, by server index
-	index        map[policy.EndpointID]int // server indices
+	index        map[policy.EndpointID]int // server indices, by endpoint
 	ready        []bool                    // whether each server is ready, by server index
 	sessionCount []int                     // sessions and attempts of each server, by server index
 	draining     bool                      // whether new sessions are rejected, and all others migrate at migrateAt
--- a/internal/lab/checker/checker.go
+++ b/internal/lab/checker/checker.go
@@ -98,7 +98,7 @@
 	receipt       float64 // receipt that the server has given
 }
 
-// session is the state of one session that the events show.
+// session is the state of one session as the events so far show it.
 type session struct {
 	balancer       int32 // -1 for a session that no client has opened
 	class          int16
--- a/internal/lab/cluster/proc.go
+++ b/internal/lab/cluster/proc.go
@@ -55,7 +55,7 @@
 	cmd    *exec.Cmd     // the newest run
 	exited chan struct{} // closed once the newest run has ended
 	tail   []byte        // the end of the log
-	err    error         // how the newest run ended
+	err    error         // error with which the newest run ended; nil for exit status 0
 	cpu    time.Duration // CPU time of all runs that have ended
 	rss    int64         // maximum resident memory of all runs that have ended, in KiB
 }
--- a/internal/lab/emulator/clock.go
+++ b/internal/lab/emulator/clock.go
@@ -34,7 +34,7 @@
 	return time.Now().Add(d)
 }
 
-var loopbackCount atomic.Uint32 // addresses that Loopback has returned
+var loopbackCount atomic.Uint32 // number of addresses that Loopback has returned
 
 // Loopback returns a loopback address, with port 0, that other processes are unlikely to use, so that no other process takes a port
 // between its closing and its reopening.
--- a/internal/lab/emulator/link.go
+++ b/internal/lab/emulator/link.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	linkChunk         = 4096 // bytes read at a time
+	linkChunk         = 4096 // limit of the bytes that are read at a time
 	maxChunksInFlight = 64   // limit of the chunks in transit, for each direction of a connection
 
 	retransmitDelay = 200 * time.Millisecond // additional delay for each time that a chunk is retransmitted
--- a/internal/lab/faults/expand.go
+++ b/internal/lab/faults/expand.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	defaultDrain = 4 * time.Second // time between drain and stop of a server without a time of its own
+	defaultDrain = 4 * time.Second // time between drain and stop of a server if its fault sets none
 	maxMembers   = 64              // number of bits of Step.Members
 )
 
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -135,8 +135,8 @@
 	Share      float64       // share of the servers, balancers or clients
 	BatchShare float64       // share of the servers that a release replaces at a time
 	Drain      time.Duration // time between drain and stop of a server; 0: the default
-	Factor     float64       // see the kinds
-	Rate       float64       // see the kinds
-	Delay      time.Duration // additional delay
+	Factor     float64       // factor of a slowdown
+	Rate       float64       // share of set-ups or messages, or number of clients per second; see the kinds
+	Delay      time.Duration // additional delay of a link or of the endpoint list
 	Direction  string        // direction of a fault between members, from the point of view of Share: "both", "in" or "out"
 }
--- a/internal/lab/faults/step.go
+++ b/internal/lab/faults/step.go
@@ -61,8 +61,8 @@
 	Action  Action
 	Target  int           // index of a server, or of a balancer for actions on balancers
 	Machine int           // index of the machine whose place a started server takes
-	Value   float64       // see the actions
-	For     time.Duration // see the actions
+	Value   float64       // value whose meaning depends on the action; see the actions
+	For     time.Duration // time whose meaning depends on the action; see the actions
 	Members uint64        // set of members of SetMemberLinks, with a bit for each member
 	Link    MemberLink    // new state of the links of SetMemberLinks
 }
--- a/internal/lab/feedsim/world.go
+++ b/internal/lab/feedsim/world.go
@@ -41,7 +41,7 @@
 	Length      time.Duration // length of the time with faults
 	Rate        float64       // changes per second
 	Faults      float64       // faults per second
-	Loss        float64       // share of messages that are lost, and share that are duplicated, while that fault lasts
+	Loss        float64       // share of messages that are lost, and share that are duplicated, while the fault that loses messages lasts
 }
 
 // DefaultPlan returns the plan of a history with 17 publishers in 3 regions and 11 zones.
--- a/internal/lab/fleetsim/world.go
+++ b/internal/lab/fleetsim/world.go
@@ -50,7 +50,7 @@
 	Keys              int
 	Faults            float64 // faults per second
 	LoseMachines      bool    // whether machines are lost with their disks, as far as the fleet has to survive that
-	Loss              float64 // share of packets that are lost, and share that are duplicated, while that fault lasts
+	Loss              float64 // share of packets that are lost, and share that are duplicated, while the fault that loses packets lasts
 	Defect            Defect
 }
 
