--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -81,7 +81,7 @@
 type session struct {
 	id          policy.SessionID
 	affinityKey uint64
-	deadline    time.Duration // time of the run by which the set-up must be complete
+	deadline    time.Duration // time, by the policy's clock, by which the set-up must be complete
 	objective   time.Duration // objective of the set-up time
 	idempotent  bool          // whether an attempt that may have had an effect may be retried
 	attempts    int           // number of attempts so far
@@ -103,7 +103,7 @@
 	sessions     map[policy.SessionID]*session
 	queue        []*session                // sessions that wait for a decision
 	endpoints    []policy.EndpointID       // endpoints, by server index
-	index        map[policy.EndpointID]int // server indices
+	index        map[policy.EndpointID]int // server indices, by endpoint
 	ready        []bool                    // whether each server is ready, by server index
 	sessionCount []int                     // sessions and attempts of each server, by server index
 	draining     bool                      // whether new sessions are rejected, and all others migrate at migrateAt
