--- a/internal/balancer/load_estimator_test.go
+++ b/internal/balancer/load_estimator_test.go
@@ -108,7 +108,7 @@
 		l.policy.AddSession(policy.SessionRequest{ID: id + 1, Key: uint64(id + 1), Timeout: time.Second})
 	}
 	if attempts, _ := next(); attempts[0] > 0 || attempts[1] == 0 || attempts[2] == 0 || attempts[3] == 0 {
-		t.Fatalf("%v", attempts)
+		t.Fatalf("attempts by server are %v, want none at the overloaded server 0 and some at each other", attempts)
 	}
 	at := time.Second
 	for _, c := range []struct {
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -99,16 +99,16 @@
 	_, _ = r.ReadString('\n')
 	panicFor(1)
 	if got, err := waiting.ReadString('\n'); !strings.HasPrefix(got, "ERR") {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("the client whose session waited received %q, %v; want ERR", got, err)
 	}
 	panicFor(2)
 	if _, err := established.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Fatal(err)
+		t.Fatalf("the connection of the established session is still open: %v", err)
 	}
 	runInLoop(func() { panic("test panic for no session") })
 	_, _ = io.WriteString(surviving, "M 1\r\n")
 	if got, _ := bufio.NewReader(other).ReadString('\n'); got != "M 1\r\n" {
-		t.Fatalf("%q", got)
+		t.Fatalf("the server of the surviving session received %q", got)
 	}
 	runInLoop(func() {
 		if n := l.Panics.Load(); n != 3 || len(l.sessions) != 1 || l.openSessions != 1 {
