--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -232,7 +232,8 @@
 			for id, one := range again {
 				all.Go(func() {
 					got := one.lineIfAny()
-					for ; strings.HasPrefix(got, "BUSY ") && time.Since(began) < testTimeout; busyAnswers.Add(1) { // no answer from the shard's primary in time: the client tries again
+					// The shard's primary didn't answer in time: the client tries again.
+					for ; strings.HasPrefix(got, "BUSY ") && time.Since(began) < testTimeout; busyAnswers.Add(1) {
 						time.Sleep(100 * time.Millisecond)
 						got = requestOnce(m.procs[2+id%3].Addr, class, base+id)
 					}
--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -162,7 +162,7 @@
 	}
 	established.write("M 1\r\n")
 	if l, _ := at.R.ReadString('\n'); l != "M 1\r\n" {
-		t.Fatalf("%q", l)
+		t.Fatalf("the server read %q", l)
 	}
 }
 
@@ -254,7 +254,7 @@
 		a, e := s.establish()
 		a.write("M 1 x\r\nM 2 ")
 		if l, _ := e.R.ReadString('\n'); l != "M 1 x\r\n" {
-			t.Fatalf("%q", l)
+			t.Fatalf("the server read %q", l)
 		}
 		_, _ = io.WriteString(e, "M 1 x\r\nM 0 hal") // answers the client's line; otherwise the server would count as silent
 		a.expectLine("M 1 x\r\n")
@@ -278,7 +278,7 @@
 		waitForExit(t, old)
 		out.write("M 9\r\n")
 		if l, _ := at.R.ReadString('\n'); l != "M 9\r\n" {
-			t.Fatalf("%q", l)
+			t.Fatalf("the server read %q", l)
 		}
 		_, _ = io.WriteString(at, "M 9\r\n")
 		for n, a := range clients {
@@ -286,7 +286,7 @@
 			a.expectLine("M 0 half\r\n")
 			a.write("y\r\nM 2 ")
 			if l, _ := ends[n].R.ReadString('\n'); l != "M 2 y\r\n" {
-				t.Fatalf("%q", l)
+				t.Fatalf("the server read %q", l)
 			}
 			_, _ = io.WriteString(ends[n], "M 2 y\r\nM 0 hal")
 			a.expectLine("M 2 y\r\n")
@@ -312,7 +312,7 @@
 	waitForExit(t, old)
 	a.write("M 1\r\n")
 	if l, _ := e.R.ReadString('\n'); l != "M 1\r\n" {
-		t.Fatalf("%q", l)
+		t.Fatalf("the server read %q", l)
 	}
 	if n := s.counter("inherited"); n != 1 {
 		t.Fatal(n)
@@ -420,7 +420,7 @@
 	s.child = first
 	a.write("M 1\r\n")
 	if l, _ := e.R.ReadString('\n'); l != "M 1\r\n" {
-		t.Fatalf("%q", l)
+		t.Fatalf("the server read %q", l)
 	}
 	s.establish() // the old process accepts clients
 	old := s.newSuccessor()
--- a/cmd/sabletally/site_test.go
+++ b/cmd/sabletally/site_test.go
@@ -108,23 +108,27 @@
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":64},"known":%s,"settings":%s}`,
 		child.Addr, s.agent.Addr(), s.agent.InitialList(), policySettings)
-	if slices.Contains(env, "PROBES=yes") { // off by default: a probe that a busy machine delays would change which server is selected
+	// Probes are off by default: one that a busy machine delays would change which server is selected.
+	if slices.Contains(env, "PROBES=yes") {
 		text = strings.Replace(text, `"Probes":false`, `"Probes":true`, 1)
 	}
-	if slices.Contains(env, "SLOW_CONNECT=yes") { // the default of 200 ms lets a connection that a busy machine delays count as failed, which suspends its server
+	// With the default of 200 ms a connection that a busy machine delays counts as failed, which suspends its server.
+	if slices.Contains(env, "SLOW_CONNECT=yes") {
 		text = strings.Replace(text, `"ConnectTimeoutUs":200000`, `"ConnectTimeoutUs":1000000`, 1)
 	}
-	if slices.Contains(env, "SLOW_MESSAGES=yes") { // with the default of 250 ms a busy machine's slow answers make the policy migrate sessions
+	// With the default of 250 ms a busy machine's slow answers make the policy migrate sessions.
+	if slices.Contains(env, "SLOW_MESSAGES=yes") {
 		text = strings.Replace(text, `"MessageAimUs":[250000]`, `"MessageAimUs":[60000000]`, 1)
 	}
-	if slices.Contains(env, "LONG") { // outer limits longer than a process that shuts down may live, and classes of the other kinds of idempotency
+	// LONG sets outer limits longer than a process that shuts down may live, and adds classes of the other kinds of idempotency.
+	if slices.Contains(env, "LONG") {
 		text = strings.Replace(text, `"OuterLimitUs":1800000,"Utility":1}`, `"OuterLimitUs":60000000,"Utility":1},{"Name":"pay",
 			"Effect":"non_idempotent","LatencyGoalUs":300000,"OuterLimitUs":60000000,"Utility":1},{"Name":"book","Effect":"idempotency_key",
 			"Group":"cell","WindowUs":5000000,"LatencyGoalUs":300000,"OuterLimitUs":60000000,"Utility":1}`, 1)
 	}
 	if slices.Contains(env, "SABLETALLY_FILES=1024") {
 		text = strings.Replace(text, `"sockets":64`, `"sockets":1024`, 1)
-	} else if slices.Contains(env, "SHARED") && !slices.Contains(env, "SABLETALLY_FILES=64") { // enough descriptors for the two processes of a hot restart
+	} else if slices.Contains(env, "SHARED") && !slices.Contains(env, "SABLETALLY_FILES=64") { // enough for two processes
 		text = strings.Replace(text, `"sockets":64`, `"sockets":512`, 1)
 	}
 	if slices.Contains(env, "MGMT") {
