--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -91,7 +91,7 @@
 		}
 	}
 	if f.calls != "out out in in " {
-		t.Fatalf("calls that change the state: %q", f.calls)
+		t.Fatal(f.calls)
 	}
 }
 
@@ -112,7 +112,7 @@
 		_, _ = io.WriteString(c, part)
 	}
 	if code, _, _ := readResponse(t, c); code != 200 {
-		t.Fatalf("the request got status %d", code)
+		t.Fatal(code)
 	}
 	for n, c := range silent[:30-8] { // the oldest connections are closed before their timeout
 		if _, err := io.Copy(io.Discard, c); errors.Is(err, net.ErrClosed) || err != nil && strings.Contains(err.Error(), "timeout") {
@@ -134,6 +134,6 @@
 		}
 	}
 	if f.calls != "" {
-		t.Fatalf("calls that change the state: %q, want none", f.calls)
+		t.Fatal(f.calls)
 	}
 }
--- a/internal/balancer/handover_rig_test.go
+++ b/internal/balancer/handover_rig_test.go
@@ -62,7 +62,7 @@
 		_, _ = fmt.Fprintf(rw, "OPEN %d 2 c=feed,d=20000\r\n", n+1)
 		_ = rw.Flush()
 		if got, err := rw.ReadString('\n'); got != "UP 1\r\n" {
-			t.Fatalf("client %d received %q, %v; want UP", n, got, err)
+			t.Fatalf("a client received %q, %v; want UP", got, err)
 		}
 		f.clients = append(f.clients, rw)
 	}
--- a/internal/balancer/loop_test.go
+++ b/internal/balancer/loop_test.go
@@ -103,7 +103,7 @@
 	}
 	panicFor(2)
 	if _, err := established.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Fatalf("the connection of the established session is still open: %v", err)
+		t.Fatal(err)
 	}
 	runInLoop(func() { panic("test panic for no session") })
 	_, _ = io.WriteString(surviving, "M 1\r\n")
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -25,7 +25,7 @@
 				encoded := Encode(list)
 				decoded, err := Decode(encoded)
 				if err != nil || len(decoded.Endpoints) != servers {
-					b.Fatalf("%d endpoints are decoded, error %v", len(decoded.Endpoints), err)
+					b.Fatal(len(decoded.Endpoints), err)
 				}
 				size = len(encoded)
 			}
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -312,7 +312,7 @@
 	handler := newRecorder()
 	path, _ := SocketPath(t.TempDir(), "n0")
 	if l, err := Dial(path, handler); l != nil || err != nil {
-		t.Fatalf("Dial without a socket file returned %v, %v", l, err)
+		t.Fatal(l, err)
 	}
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
@@ -321,7 +321,7 @@
 	listener.SetUnlinkOnClose(false)
 	_ = listener.Close() // the socket file is left behind, as by a process that was killed
 	if l, err := Dial(path, handler); l != nil || err != nil {
-		t.Fatalf("Dial at the socket of an ended process returned %v, %v", l, err)
+		t.Fatal(l, err)
 	}
 	if err := Listen(path, handler); err != nil {
 		t.Fatal(err)
@@ -329,11 +329,11 @@
 	_ = os.Remove(path)
 	_ = os.WriteFile(path, nil, 0o600) // the path is a file that is not a socket
 	if l, err := Dial(path, handler); l != nil || err != nil {
-		t.Fatalf("Dial at a regular file returned %v, %v", l, err)
+		t.Fatal(l, err)
 	}
 	for _, invalid := range [][2]string{{"", "n0"}, {"/tmp", "../n0"}, {"/tmp", "a/b"}, {filepath.Join("/tmp", strings.Repeat("x", 100)), "n0"}} {
 		if path, err := SocketPath(invalid[0], invalid[1]); err == nil {
-			t.Errorf("SocketPath(%q, %q) returned %q", invalid[0], invalid[1], path)
+			t.Error(path)
 		}
 	}
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if f := Decode([]byte("PONG x0=0.5,x1=2 cpu=z\r\n")).Fields; len(f) != 2 || f["x0"] != 0.5 || f["x1"] != 2 {
-		t.Errorf("the load report is decoded as %v", f)
+		t.Error(f)
 	}
 	for _, text := range []string{
 		"LOAD\r\n", "LOAD -1\r\n", "LOAD NaN\r\n", "LOAD 1e999\r\n", "BUSY x\r\n", "UP\n", "OPEN 1\r\n", "OPEN  1 2\r\n", "OPEN 1 2 3 4\r\n",
@@ -58,10 +58,10 @@
 		}
 	}
 	if got := string(RejectLine(1500 * time.Microsecond)); got != "BUSY 1\r\n" {
-		t.Errorf("a rejection with a Retry-After of 1.5 ms is %q", got)
+		t.Error(got)
 	}
 	if got := string(RejectLine(0)); got != "BUSY\r\n" {
-		t.Errorf("a rejection without Retry-After is %q", got)
+		t.Error(got)
 	}
 }
 
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -125,7 +125,7 @@
 						continue
 					}
 					if err != nil || n == 0 {
-						b.Fatalf("read returned %d bytes, error %v", n, err)
+						b.Fatal(n, err)
 					}
 					got += n
 				}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -34,7 +34,7 @@
 	_, _ = io.WriteString(server, "LOAD 1\r\nUP 1\r\nhal") // only one line may be reported at a time, however many have arrived
 	c.AwaitLine()
 	if got := receive(t, b.lines); got != "LOAD 1\r\n" {
-		t.Fatalf("the first line reported is %q", got)
+		t.Fatal(got)
 	}
 	select {
 	case got := <-b.lines:
@@ -43,7 +43,7 @@
 	}
 	c.AwaitLine()
 	if got := receive(t, b.lines); got != "UP 1\r\n" {
-		t.Fatalf("the second line reported is %q", got)
+		t.Fatal(got)
 	}
 	c.AwaitLine()
 	_ = server.Close()
@@ -105,7 +105,7 @@
 		waitUntil(func() bool { return hasUnread(6) })
 		c.AwaitLine()
 		if got := receive(t, b.lines); got != "UP 1\r\n" {
-			t.Fatalf("the line reported is %q", got)
+			t.Fatal(got)
 		}
 		_, _ = io.WriteString(server, "UP 2\r\n")
 		waitUntil(func() bool { return hasUnread(6) })
@@ -187,7 +187,7 @@
 	client.expectText("BYE\r\n")
 	client.expectEnd(false)
 	if e := receive(t, b.ended); e.EndedBy != Server || e.Abrupt || e.Fault != nil || !e.Pair.Completed() || e.Pair.MoveRequested() {
-		t.Fatalf("the server closed the connection after BYE: got %+v", e)
+		t.Fatal(e)
 	}
 	_ = client.Close()
 
@@ -195,28 +195,28 @@
 	_ = client.Close()
 	server.expectEnd(false)
 	if e := receive(t, b.ended); e.EndedBy != Client || e.Abrupt {
-		t.Fatalf("the client closed the connection: got %+v", e)
+		t.Fatal(e)
 	}
 	_, client, server = b.pair()
 	_ = client.Conn.(*net.TCPConn).SetLinger(0)
 	_ = client.Close()
 	server.expectEnd(true)
 	if e := receive(t, b.ended); e.EndedBy != Client || !e.Abrupt {
-		t.Fatalf("the client reset the connection: got %+v", e)
+		t.Fatal(e)
 	}
 	_, client, server = b.pair()
 	_ = server.Conn.(*net.TCPConn).SetLinger(0)
 	_ = server.Close()
 	client.expectEnd(true)
 	if e := receive(t, b.ended); e.EndedBy != Server || !e.Abrupt {
-		t.Fatalf("the server reset the connection: got %+v", e)
+		t.Fatal(e)
 	}
 	for _, bad := range []string{"M 1\n", strings.Repeat("x", 5000), strings.Repeat("x", 4095) + "\r\n"} {
 		_, client, server = b.pair()
 		_, _ = io.WriteString(client, bad)
 		server.expectEnd(true)
 		if e := receive(t, b.ended); e.EndedBy != Client || !e.Abrupt || e.Fault == nil {
-			t.Fatalf("the client sent an invalid line: got %+v", e)
+			t.Fatal(e)
 		}
 	}
 	for deadline := time.Now().Add(testTimeout); b.descriptors.Load() > 2; { // the connections of the first two clients are still lingering
@@ -311,7 +311,7 @@
 	b.CollectResponseTimes(0) // the client has read since it was blocked, which counts as progress
 	b.CollectResponseTimes(0)
 	if e := receive(t, b.ended); !errors.Is(e.Fault, ErrSlowReader) || e.Pair != p {
-		t.Fatalf("want an end because of a slow reader, got %+v", e)
+		t.Fatal(e)
 	}
 	_ = server.Close()
 	_, _ = io.WriteString(otherClient, "M 1\r\n")
@@ -342,7 +342,7 @@
 	}
 	_, _ = io.Copy(io.Discard, client.r)
 	if e := receive(t, b.ended); e.EndedBy != Server || !e.Abrupt {
-		t.Fatalf("want a reset by the server, got %+v", e)
+		t.Fatal(e)
 	}
 }
 
@@ -418,13 +418,13 @@
 		t.Fatalf("%d pairs are silent, want the one without an answer", len(all))
 	}
 	if all := b.SilentPairs(time.Hour); len(all) != 0 {
-		t.Fatalf("%d pairs count as silent for an hour", len(all))
+		t.Fatal(all)
 	}
 	if times := b.CollectResponseTimes(time.Millisecond)[7]; len(times) != 2 || max(times[0], times[1]) < 20*time.Millisecond || min(times[0], times[1]) < 5*time.Millisecond {
 		t.Fatalf("response times are %v, want one of 20 ms and an unanswered line's of 5 ms at least", times)
 	}
 	if all := b.CollectResponseTimes(0); len(all) != 0 {
-		t.Fatalf("response times %v were collected twice", all)
+		t.Fatal(all)
 	}
 }
 
@@ -442,7 +442,7 @@
 	_, _ = io.WriteString(server, "M 1\r\n")
 	receive(t, b.panics)
 	if e := receive(t, b.ended); !errors.Is(e.Fault, ErrPanic) {
-		t.Fatalf("want an end because of a panic, got %+v", e)
+		t.Fatal(e)
 	}
 	client.expectEnd(true)
 	server.expectEnd(true)
@@ -514,7 +514,7 @@
 	for range b.N {
 		_, _ = client.Write(text)
 		if _, err := io.ReadFull(client.r, buf); err != nil || !bytes.Equal(buf, text) {
-			b.Fatalf("the client received %q, error %v", buf, err)
+			b.Fatal(err, string(buf))
 		}
 	}
 }
@@ -575,6 +575,6 @@
 		b.CollectResponseTimes(0)
 	}
 	if len(b.ended) > 0 {
-		t.Fatalf("the pair ended: %v", receive(t, b.ended).Fault)
+		t.Fatal(receive(t, b.ended).Fault)
 	}
 }
--- a/internal/relay/testbed_test.go
+++ b/internal/relay/testbed_test.go
@@ -134,7 +134,7 @@
 	_, _ = io.WriteString(server, "UP 1\r\n")
 	c.AwaitLine()
 	if raw := receive(b.t, b.lines); raw != "UP 1\r\n" {
-		b.t.Fatalf("the first line reported is %q", raw)
+		b.t.Fatal(raw)
 	}
 	clientConn, err := net.Dial("tcp", b.listener.Addr().String())
 	if err != nil {
