--- a/cmd/sabletally/clients_test.go
+++ b/cmd/sabletally/clients_test.go
@@ -25,7 +25,7 @@
 					if err != nil {
 						return
 					}
-					s.Hold(c)
+					s.KeepOpen(c)
 					r := bufio.NewReader(c)
 					if text, err := r.ReadString('\n'); err == nil && text == "PING\r\n" {
 						lines <- &testClient{c, r, t}
--- a/cmd/sabletally/control_test.go
+++ b/cmd/sabletally/control_test.go
@@ -283,7 +283,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		script.Hold(c)
+		script.KeepOpen(c)
 		one := &testClient{c, bufio.NewReader(c), t}
 		one.write(fmt.Sprintf(openLineFormat, id, class, id))
 		return one
--- a/cmd/sabletally/fleet_test.go
+++ b/cmd/sabletally/fleet_test.go
@@ -186,7 +186,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		script.Hold(c)
+		script.KeepOpen(c)
 		one := &testClient{c, bufio.NewReader(c), t}
 		one.write(fmt.Sprintf(openLineFormat, id, class, id))
 		return one
@@ -330,7 +330,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			script.Hold(conn)
+			script.KeepOpen(conn)
 			one := &testClient{conn, bufio.NewReader(conn), t}
 			one.write("OPEN 00000000000000a1 7f3a9c21e0b4d655 c=feed,t=acme,d=1500,g=1\r\n")
 			if !c.served {
--- a/cmd/sabletally/operations_test.go
+++ b/cmd/sabletally/operations_test.go
@@ -457,7 +457,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Hold(c)
+			s.KeepOpen(c)
 			_, _ = io.WriteString(c, "PUT /control/out")
 		}
 		s.client([]string{"", "OPEN 12"}[n%2])
--- a/cmd/sabletally/site_test.go
+++ b/cmd/sabletally/site_test.go
@@ -253,7 +253,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.Hold(c)
+	s.KeepOpen(c)
 	s.mu.Lock()
 	line = strings.Replace(line, "9b1f03aa5c7e2d41", fmt.Sprintf("%x", uint64(0x9b1f03aa5c7e2d41)+s.requested), 1)
 	s.requested++
--- a/cmd/testbed/forwarders.go
+++ b/cmd/testbed/forwarders.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			return err
 		}
-		forwarders.Cut(request.CutOff)
+		forwarders.CutLinks(request.CutOff)
 		response = forwarderResponse{}
 	}
 }
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -81,7 +81,7 @@
 		scaleCmd: c,
 		plan:     plan,
 		ledger:   scale.NewLedger(c.Balancers, len(plan.Changes)),
-		figures: scale.Figures{
+		figures: scale.RunFigures{
 			Balancers:        c.Balancers,
 			Control:          c.Control,
 			Changes:          len(plan.Changes),
@@ -97,7 +97,7 @@
 
 // reportFigures prints the figures and the verdict, and writes them to a file if --json is set. It returns errTargetMissed if a target was
 // missed.
-func (c *scaleCmd) reportFigures(figures *scale.Figures) error {
+func (c *scaleCmd) reportFigures(figures *scale.RunFigures) error {
 	targets := &scale.DefaultTargets
 	if c.Judge == judgeCounts {
 		targets = nil
--- a/cmd/testbed/scale_run.go
+++ b/cmd/testbed/scale_run.go
@@ -24,7 +24,7 @@
 	*scaleCmd
 	plan          *scale.Plan
 	cluster       *scaleCluster
-	figures       scale.Figures
+	figures       scale.RunFigures
 	memoryLimitMB float64 // limit of the memory of all processes together
 	ledger        *scale.Ledger
 	startTime     time.Duration // start of the measured run, on the boot clock
@@ -92,7 +92,7 @@
 // isSteady reports whether all balancers are up and current, have at least the version, and are evenly spread over the control processes.
 func (r *scaleRun) isSteady(status *hollowStatus, version uint64) (bool, scale.Spread) {
 	spread := r.cluster.connectionSpread(status)
-	steady := status.Up == r.Balancers && status.Current == r.Balancers && spread.Even()
+	steady := status.Up == r.Balancers && status.Current == r.Balancers && spread.WithinAllowed()
 	for state := range status.States {
 		steady = steady && state.Version >= version
 	}
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var result scale.Figures
+	var result scale.RunFigures
 	if err := json.Unmarshal(text, &result); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/config/parse.go
+++ b/internal/fleet/config/parse.go
@@ -114,7 +114,7 @@
 	}
 	f.Listen = p.addressAttribute("listen")
 	f.Advertise = f.Listen
-	if p.Has("advertise") {
+	if p.HasAttribute("advertise") {
 		f.Advertise = p.addressAttribute("advertise")
 	}
 	if f.Advertise.IsValid() && f.Advertise.Addr().IsUnspecified() {
@@ -129,7 +129,7 @@
 // parseDataDir reads the path of the data directory.
 func (f *File) parseDataDir(p *fleetParser) {
 	f.DataDir = p.String("data", "")
-	if p.Has("data") && !filepath.IsAbs(f.DataDir) {
+	if p.HasAttribute("data") && !filepath.IsAbs(f.DataDir) {
 		p.attributeErrorf("data", "%q is not an absolute path; a relative one depends on the directory in which the program is started", f.DataDir)
 	}
 }
@@ -170,7 +170,7 @@
 // checkAvailable reports the attributes that are set but not available with the role.
 func (p *fleetParser) checkAvailable(role Role) {
 	for _, attribute := range unavailableAttributes[role].attributes {
-		if p.Has(attribute) {
+		if p.HasAttribute(attribute) {
 			p.attributeErrorf(attribute, "%s", unavailableAttributes[role].reason)
 		}
 	}
@@ -178,7 +178,7 @@
 
 // nameAttribute reads an attribute that is a name. It returns an empty string if the attribute is not set.
 func (p *fleetParser) nameAttribute(attribute string) string {
-	if !p.Has(attribute) {
+	if !p.HasAttribute(attribute) {
 		return ""
 	}
 	return p.checkName(attribute, p.String(attribute, "-"), p.AttributeRange(attribute))
@@ -199,7 +199,7 @@
 // addressAttribute reads an attribute that is an address. The result is not valid if the attribute is not set.
 func (p *fleetParser) addressAttribute(attribute string) netip.AddrPort {
 	text := p.String(attribute, "")
-	if !p.Has(attribute) {
+	if !p.HasAttribute(attribute) {
 		return netip.AddrPort{}
 	}
 	return p.parseAddress(attribute, text, p.AttributeRange(attribute))
--- a/internal/fleet/consensus/confirmation.go
+++ b/internal/fleet/consensus/confirmation.go
@@ -35,9 +35,9 @@
 	index    uint64
 }
 
-// AsOf returns the latest time at which this member's state is known to have contained everything that was agreed. It returns false if the
-// member was never confirmed as the leader.
-func (n *Node) AsOf() (time.Duration, bool) {
+// ConfirmedAt returns the latest time at which this member's state is known to have contained everything that was agreed. It returns
+// false if the member was never confirmed as the leader.
+func (n *Node) ConfirmedAt() (time.Duration, bool) {
 	return n.confirmations.confirmedAt, n.confirmations.everConfirmed
 }
 
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -94,7 +94,7 @@
 func TestConfirmationHasTheAgeOfItsRequest(t *testing.T) {
 	l := newTestLog(t)
 	l.advance(2 * time.Second)
-	if at, known := l.leader.AsOf(); !known || l.now-at > time.Second {
+	if at, known := l.leader.ConfirmedAt(); !known || l.now-at > time.Second {
 		t.Fatalf("before the pause: confirmed up to %v at %v, ever confirmed: %v", at, l.now, known)
 	}
 	requestedAt := l.now + confirmInterval
@@ -106,7 +106,7 @@
 	l.deliver(toAll)
 	l.leader.Tick(resumedAt)
 	l.collect()
-	at, _ := l.leader.AsOf()
+	at, _ := l.leader.ConfirmedAt()
 	if at > requestedAt {
 		t.Errorf("requested at %v, but confirmed up to %v after the leader resumed at %v", requestedAt, at, resumedAt)
 	}
@@ -115,7 +115,7 @@
 	}
 	l.now = resumedAt
 	l.advance(time.Second)
-	if at, _ := l.leader.AsOf(); at < resumedAt {
+	if at, _ := l.leader.ConfirmedAt(); at < resumedAt {
 		t.Errorf("confirmed up to %v only, a second after the leader resumed at %v", at, resumedAt)
 	}
 }
@@ -133,7 +133,7 @@
 			t.Fatal(err)
 		}
 	}
-	if at, _ := l.leader.AsOf(); at > last {
+	if at, _ := l.leader.ConfirmedAt(); at > last {
 		t.Errorf("confirmed up to %v, but no other voter has responded since %v", at, last)
 	}
 	if n := len(l.leader.confirmations.pending); n > maxConfirmations {
@@ -142,7 +142,7 @@
 	l.advance(3 * time.Second)
 	for _, n := range l.nodes {
 		if n.IsLeader() {
-			if at, known := n.AsOf(); !known || l.now-at > time.Second {
+			if at, known := n.ConfirmedAt(); !known || l.now-at > time.Second {
 				t.Errorf("with all voters connected again, the leader is confirmed up to %v only at %v", at, l.now)
 			}
 			return
--- a/internal/fleet/gossip/agent.go
+++ b/internal/fleet/gossip/agent.go
@@ -43,7 +43,7 @@
 // Status is a member's view of the fleet at one moment.
 type Status struct {
 	Self        membership.Member
-	Standing    membership.Standing
+	Standing    membership.QuorumState
 	Peers       []membership.Peer // all other members, sorted by name
 	HealthScore int               // health score of the library: 0 is healthy, each point lengthens this member's own timeouts by one unit
 	Stalls      int               // number of pauses of this process
@@ -182,7 +182,7 @@
 func (a *Agent) publish() {
 	s := &Status{
 		Self:     a.opt.Self,
-		Standing: a.table.Standing(time.Duration(a.lastTickAt.Load())),
+		Standing: a.table.QuorumState(time.Duration(a.lastTickAt.Load())),
 		Peers:    a.table.Peers(),
 		Stalls:   a.table.Stalls,
 		Rejected: a.table.Rejected,
--- a/internal/fleet/membership/conflict.go
+++ b/internal/fleet/membership/conflict.go
@@ -19,7 +19,7 @@
 }
 
 // HandleProbeResult handles the result of ProbeDuplicate: whether a process with this member's ID responded. If one did, both processes stay
-// in the standing Duplicate, as neither can know which of them owns the records.
+// in the quorum state Duplicate, as neither can know which of them owns the records.
 func (t *Table) HandleProbeResult(addr netip.AddrPort, isRunning bool) {
 	t.conflict.probing = false
 	if isRunning && !t.conflict.confirmed {
--- a/internal/fleet/membership/events.go
+++ b/internal/fleet/membership/events.go
@@ -15,7 +15,7 @@
 	MemberReplaced                     // Member's address is used by a member with another data directory; Member's own is lost
 	MemberForgotten                    // Member failed longer than ForgetAfter ago and is no longer part of the fleet
 	ProcessResumed                     // this process was paused for Duration and runs again
-	StandingChanged                    // this member's standing is now Standing; Alive of Total members are alive
+	StandingChanged                    // this member's quorum state is now Standing; Alive of Total members are alive
 	TooFewMachines                     // Alive machines are fewer than the Total replicas of a record
 	EnoughMachines                     // Alive machines suffice again for the Total replicas of a record
 	DuplicateDetected                  // another process at Member.Addr has a copy of this member's data directory
@@ -26,7 +26,7 @@
 	Kind     EventKind
 	Member   Member
 	Returns  int
-	Standing Standing
+	Standing QuorumState
 	Duration time.Duration
 	Alive    int
 	Total    int
@@ -40,9 +40,9 @@
 	t.report(Event{Kind: kind, Member: peer.Member, Returns: peer.Returns, Alive: t.aliveCount() + 1, Total: t.fleetSize() + 1})
 }
 
-// reportChanges reports a change of this member's standing, and whether enough machines are alive for all replicas, since the last call.
+// reportChanges reports a change of this member's quorum state, and whether enough machines are alive for all replicas, since the last call.
 func (t *Table) reportChanges() {
-	if standing := t.Standing(t.now); standing != t.lastStanding {
+	if standing := t.QuorumState(t.now); standing != t.lastStanding {
 		t.lastStanding = standing
 		t.report(Event{Kind: StandingChanged, Standing: standing, Alive: t.aliveCount() + 1, Total: t.fleetSize() + 1})
 	}
--- a/internal/fleet/membership/golden_test.go
+++ b/internal/fleet/membership/golden_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestDecisionsMatchTheGoldenDigest guards against an unintended change of the table's decisions. It draws events from fixed seeds and
-// compares the digests of the table's actions and standings with those of an earlier build.
+// compares the digests of the table's actions and quorum states with those of an earlier build.
 func TestDecisionsMatchTheGoldenDigest(t *testing.T) {
 	got := ""
 	for seed := uint64(1); seed <= 4; seed++ {
@@ -89,7 +89,7 @@
 			event.Duration, event.Alive, event.Total)
 		r.answer(action)
 	}
-	r.write(uint8(r.table.Standing(r.now)), r.table.Rejected, r.table.Stalls)
+	r.write(uint8(r.table.QuorumState(r.now)), r.table.Rejected, r.table.Stalls)
 	if r.rng.IntN(50) == 0 {
 		for _, peer := range r.table.Peers() {
 			r.write(peer.Member, uint8(peer.State), peer.Since, peer.Returns, peer.ReplacedBy)
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -67,20 +67,20 @@
 // isLost reports whether the peer will not come back, as another member uses its address.
 func (p *Peer) isLost() bool { return p.ReplacedBy != "" }
 
-// Standing says whether a member may rely on its view of the fleet, and if not, why.
-type Standing uint8
+// QuorumState says whether a member may rely on its view of the fleet, and if not, why.
+type QuorumState uint8
 
-// The standings. A member may rely on its view only in Quorum.
+// The quorum states. A member may rely on its view only in Quorum.
 const (
-	Joining   Standing = iota // this member has not met another member yet
-	Quorum                    // more than half of all known members are alive, this one included
-	NoQuorum                  // half of all known members or fewer are alive; the others may have continued without this member
-	Resuming                  // the process was paused, and too few members have responded since then
-	Duplicate                 // another process runs with a copy of the data directory
+	Joining   QuorumState = iota // this member has not met another member yet
+	Quorum                       // more than half of all known members are alive, this one included
+	NoQuorum                     // half of all known members or fewer are alive; the others may have continued without this member
+	Resuming                     // the process was paused, and too few members have responded since then
+	Duplicate                    // another process runs with a copy of the data directory
 )
 
-// String returns the name of the standing in reports for operators.
-func (s Standing) String() string {
+// String returns the name of the quorum state in reports for operators.
+func (s QuorumState) String() string {
 	return [...]string{"joining", "together", "apart", "waking", "doubled"}[s]
 }
 
@@ -109,8 +109,8 @@
 	conflict     conflict
 	actions      []Action
 
-	lastStanding  Standing // standing that was reported last
-	lacksMachines bool     // whether the last report said that fewer machines than ReplicationFactor are alive
+	lastStanding  QuorumState // quorum state that was reported last
+	lacksMachines bool        // whether the last report said that fewer machines than ReplicationFactor are alive
 }
 
 // New returns a table without other members.
@@ -129,13 +129,13 @@
 		}
 	}
 	t.hasMetMember = len(t.joins.targets) == 0
-	t.lastStanding = t.Standing(now)
+	t.lastStanding = t.QuorumState(now)
 	return t
 }
 
-// Standing returns this member's standing at the given time. The caller must read the clock for each call: a process that has just resumed
-// from a pause may not have had a tick yet.
-func (t *Table) Standing(now time.Duration) Standing {
+// QuorumState returns the state of this member's quorum at the given time. The caller must read the clock for each call: a process that
+// has just resumed from a pause may not have had a tick yet.
+func (t *Table) QuorumState(now time.Duration) QuorumState {
 	switch {
 	case t.conflict.confirmed:
 		return Duplicate
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -61,17 +61,17 @@
 }
 
 // TestResumedProcessNeedsMajority guards against a member that relies on its view after a pause, in which the others may have continued
-// without it. It pauses one of five members for five seconds: its standing is Resuming until a majority has responded.
+// without it. It pauses one of five members for five seconds: its quorum state is Resuming until a majority has responded.
 func TestResumedProcessNeedsMajority(t *testing.T) {
 	table := newTable(100)
 	for i := 1; i < 5; i++ {
 		table.HandleAlive(member(i))
 	}
 	table.runUntil(2 * second)
-	if got := table.Standing(2 * second); got != Quorum {
+	if got := table.QuorumState(2 * second); got != Quorum {
 		t.Fatal(got)
 	}
-	if got := table.Standing(2*second + StallThreshold + 1); got != Resuming { // the process is resumed but has had no tick yet
+	if got := table.QuorumState(2*second + StallThreshold + 1); got != Resuming { // the process is resumed but has had no tick yet
 		t.Fatal(got)
 	}
 	table.Tick(7 * second)
@@ -81,17 +81,17 @@
 			pinged[a.ID] = true
 		}
 	}
-	if len(pinged) != 4 || table.Standing(7*second) != Resuming {
-		t.Fatal(pinged, table.Standing(7*second))
+	if len(pinged) != 4 || table.QuorumState(7*second) != Resuming {
+		t.Fatal(pinged, table.QuorumState(7*second))
 	}
 	table.HandlePingResult(member(1).ID, true)
 	table.HandlePingResult(member(1).ID, true) // a second response of one member does not count
 	table.HandlePingResult(member(2).ID, false)
-	if got := table.Standing(7 * second); got != Resuming {
+	if got := table.QuorumState(7 * second); got != Resuming {
 		t.Fatal(got)
 	}
 	table.HandlePingResult(member(3).ID, true)
-	if got := table.Standing(7 * second); got != Quorum {
+	if got := table.QuorumState(7 * second); got != Quorum {
 		t.Fatal(got)
 	}
 	table.Tick(20 * second)
@@ -102,21 +102,21 @@
 			pings++
 		}
 	}
-	if pings != 4*3 || table.Standing(table.now) != Resuming || table.Stalls != 2 {
-		t.Fatal(pings, table.Standing(table.now), table.Stalls)
+	if pings != 4*3 || table.QuorumState(table.now) != Resuming || table.Stalls != 2 {
+		t.Fatal(pings, table.QuorumState(table.now), table.Stalls)
 	}
 	for i := 1; i < 5; i++ {
 		table.HandleFailure(member(i).ID)
 	}
-	if table.runUntil(25 * second); table.Standing(table.now) != NoQuorum {
-		t.Fatal(table.Standing(table.now))
+	if table.runUntil(25 * second); table.QuorumState(table.now) != NoQuorum {
+		t.Fatal(table.QuorumState(table.now))
 	}
 }
 
 // TestQuorumNeedsMajority guards against a quorum without a majority. It loses four of five members one by one: members that failed still
 // count towards the size of the fleet, members that left do not. A departure that arrives late must not end a later incarnation.
 func TestQuorumNeedsMajority(t *testing.T) {
-	for announced, want := range map[bool][]Standing{false: {Quorum, Quorum, NoQuorum, NoQuorum}, true: {Quorum, Quorum, Quorum, Quorum}} {
+	for announced, want := range map[bool][]QuorumState{false: {Quorum, Quorum, NoQuorum, NoQuorum}, true: {Quorum, Quorum, Quorum, Quorum}} {
 		table := newTable(100)
 		for i := 1; i < 5; i++ {
 			table.HandleAlive(member(i))
@@ -125,7 +125,7 @@
 			if table.HandleFailure(member(i).ID); announced && !table.HandleLeave(member(i).ID, 1) {
 				t.Error("the departure of a failed member was not reported as news")
 			}
-			if got := table.Standing(0); got != want[i-1] {
+			if got := table.QuorumState(0); got != want[i-1] {
 				t.Errorf("%d members lost, departures announced %v: unexpected standing %v", i, announced, got)
 			}
 		}
@@ -214,7 +214,7 @@
 		t.Error(got)
 	}
 	table.HandleFailure(b2.ID)
-	if got := table.Standing(0); got != Quorum { // two of three members are alive, as the replaced one does not count
+	if got := table.QuorumState(0); got != Quorum { // two of three members are alive, as the replaced one does not count
 		t.Error(got)
 	}
 	if got := eventKinds(table.drain()); !slices.Contains(got, TooFewMachines) {
@@ -278,8 +278,8 @@
 					failed++
 				}
 			}
-			if len(table.peers) > maxMembers || table.Standing(table.now) == Quorum && alive+1 <= failed {
-				t.Fatalf("event %d: %d other members known, %d alive, %d failed, standing %v", n, len(table.peers), alive, failed, table.Standing(table.now))
+			if len(table.peers) > maxMembers || table.QuorumState(table.now) == Quorum && alive+1 <= failed {
+				t.Fatalf("event %d: %d other members known, %d alive, %d failed, standing %v", n, len(table.peers), alive, failed, table.QuorumState(table.now))
 			}
 		}
 	})
--- a/internal/fleet/node/agreed.go
+++ b/internal/fleet/node/agreed.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// AsOf returns the latest time at which this member's state was the newest agreed one, as far as is confirmed; false if it never was.
-func (n *Node) AsOf() (time.Duration, bool) {
-	asOf, known := n.log.AsOf()
+// ConfirmedAt returns the latest time at which this member's state was the newest agreed one, as far as is confirmed; false if it never was.
+func (n *Node) ConfirmedAt() (time.Duration, bool) {
+	asOf, known := n.log.ConfirmedAt()
 	if n.agreedState.everConfirmed {
 		return max(asOf, n.agreedState.confirmedAt), true
 	}
--- a/internal/fleet/node/poll.go
+++ b/internal/fleet/node/poll.go
@@ -47,7 +47,7 @@
 // schedulePoll draws a random time for the next poll: half to one and a half times the interval from now.
 func (n *Node) schedulePoll() {
 	interval := pollInterval
-	if asOf, known := n.AsOf(); known && n.now-asOf > staleAfter {
+	if asOf, known := n.ConfirmedAt(); known && n.now-asOf > staleAfter {
 		interval = stalePollInterval
 	}
 	n.polls.nextPollAt = n.now + interval/2 + time.Duration(n.rng.Float64()*float64(interval))
@@ -104,7 +104,7 @@
 		RequestNumber:   request.RequestNumber,
 		Digest:          n.agreedState.feed.Digest(),
 	}
-	if asOf, known := n.AsOf(); known {
+	if asOf, known := n.ConfirmedAt(); known {
 		response.HasAge = true
 		response.Age = n.now - asOf
 	}
--- a/internal/fleet/node/poll_test.go
+++ b/internal/fleet/node/poll_test.go
@@ -13,11 +13,11 @@
 // majority: neither may have its state confirmed for a time after the cut.
 func TestAsOfIsNeverTooNew(t *testing.T) {
 	fleet := newTestFleet(t, 3, "a", "a", "a", "a", "a")
-	if _, known := fleet.nodes[4].AsOf(); known {
-		t.Error("AsOf is known before anything was received")
+	if _, known := fleet.nodes[4].ConfirmedAt(); known {
+		t.Error("ConfirmedAt is known before anything was received")
 	}
 	isConfirmed := func(i int) bool {
-		asOf, known := fleet.nodes[i].AsOf()
+		asOf, known := fleet.nodes[i].ConfirmedAt()
 		return known && fleet.now-asOf < 2*time.Second
 	}
 	allConfirmed := func() bool {
@@ -38,8 +38,8 @@
 	fleet.isCut = func(from, to int) bool { return minority[from] != minority[to] }
 	fleet.afterStep = func() {
 		for i := range minority {
-			if asOf, _ := fleet.nodes[i].AsOf(); asOf > cutAt {
-				t.Fatalf("member %d: AsOf is %v, but it was cut off from the majority at %v", i, asOf, cutAt)
+			if asOf, _ := fleet.nodes[i].ConfirmedAt(); asOf > cutAt {
+				t.Fatalf("member %d: ConfirmedAt is %v, but it was cut off from the majority at %v", i, asOf, cutAt)
 			}
 		}
 	}
@@ -68,7 +68,7 @@
 		fleet.isCut = func(from, to int) bool { return from == leader || to == leader }
 		fleet.afterStep = func() {
 			for i, node := range fleet.nodes {
-				if asOf, known := node.AsOf(); i != leader && known {
+				if asOf, known := node.ConfirmedAt(); i != leader && known {
 					maxAge = max(maxAge, fleet.now-asOf)
 				}
 			}
--- a/internal/fleet/node/voters.go
+++ b/internal/fleet/node/voters.go
@@ -113,7 +113,7 @@
 // findVoterOfMajoritySite returns a voter at a site that has a majority of the voters. It returns none while any voter is not alive and while no
 // majority has responded since the last change, because the voter to remove may be needed then.
 func (n *Node) findVoterOfMajoritySite(e electorate) (shardmap.Member, bool) {
-	asOf, known := n.log.AsOf()
+	asOf, known := n.log.ConfirmedAt()
 	if !known || n.now-asOf > maxConfirmationAge || asOf <= n.leadership.votersChangedAt {
 		return shardmap.Member{}, false
 	}
--- a/internal/fleet/nodeserver/loop.go
+++ b/internal/fleet/nodeserver/loop.go
@@ -192,7 +192,7 @@
 	if snapshot != nil || len(changes) > 0 {
 		s.observerIsBehind = !observer.StateChanged(snapshot, changes)
 	}
-	if asOf, known := s.node.AsOf(); known {
+	if asOf, known := s.node.ConfirmedAt(); known {
 		observer.VersionConfirmed(asOf, s.node.FeedState().Version())
 	}
 }
--- a/internal/fleet/nodeserver/status.go
+++ b/internal/fleet/nodeserver/status.go
@@ -73,7 +73,7 @@
 		PacketsDropped: s.links.packetsDropped.Load() + s.droppedPackets.Load(),
 		Malformed:      s.links.malformedCount.Load(),
 	}
-	status.AsOf, status.HasAsOf = s.node.AsOf()
+	status.AsOf, status.HasAsOf = s.node.ConfirmedAt()
 	status.RecordCount, status.RecordBytes = s.node.Replicas().Usage()
 	for _, configuration := range state.Configurations {
 		status.ReplicaCounts[len(configuration.InSync)]++
--- a/internal/fleet/publisher/server.go
+++ b/internal/fleet/publisher/server.go
@@ -24,7 +24,7 @@
 	drainTimeout      = 500 * time.Millisecond // limit of the wait for subscribers to disconnect
 	drainPollInterval = 10 * time.Millisecond
 
-	windowBytes            = 256 << 10 // maximum number of unacknowledged bytes in flight to one subscriber
+	maxUnackedBytes        = 256 << 10 // maximum number of unacknowledged bytes in flight to one subscriber
 	snapshotBytesPerSecond = 32 << 20  // maximum rate of snapshots to all subscribers together
 	maxRetainedChanges     = 4096      // maximum number of changes that are kept for subscribers with an older version, and of unpublished changes
 	maxRetainedBytes       = 16 << 20
@@ -121,7 +121,7 @@
 	s.core = changefeed.NewPublisher(changefeed.PublisherConfig{
 		ID:                     options.ID,
 		MaxSubscribers:         options.MaxSubscribers,
-		WindowBytes:            windowBytes,
+		WindowBytes:            maxUnackedBytes,
 		SnapshotBytesPerSecond: snapshotBytesPerSecond,
 		Lease:                  changefeed.DefaultLease,
 		Seed:                   options.Seed,
--- a/internal/hclconfig/hclconfig.go
+++ b/internal/hclconfig/hclconfig.go
@@ -128,13 +128,13 @@
 	return all[0]
 }
 
-// Has reports whether an attribute is present.
-func (b *Block) Has(name string) bool { return b.attrs[name] != nil }
+// HasAttribute reports whether an attribute is present.
+func (b *Block) HasAttribute(name string) bool { return b.attrs[name] != nil }
 
 // Require adds an error for each attribute that is missing.
 func (b *Block) Require(names ...string) {
 	for _, n := range names {
-		if !b.Has(n) {
+		if !b.HasAttribute(n) {
 			b.reader.Errorf(b.Range, "%s requires the attribute %q", b.name, n)
 		}
 	}
--- a/internal/hotrestart/sender.go
+++ b/internal/hotrestart/sender.go
@@ -71,7 +71,7 @@
 	l.closeSend()
 	out.settle(Returned)
 	if !isClosedByPeer(err) { // after a close by the peer, the receiver still reads the messages that the peer sent before
-		l.giveUpSending(fmt.Errorf("write message: %w", err))
+		l.closeAfterConfirmations(fmt.Errorf("write message: %w", err))
 	}
 }
 
@@ -104,7 +104,7 @@
 // onConfirmTimeout runs when the oldest unconfirmed message was not confirmed in time, because the other process hangs.
 func (l *Link) onConfirmTimeout() {
 	if l.hasUnconfirmed() {
-		l.giveUpSending(errNoConfirmation)
+		l.closeAfterConfirmations(errNoConfirmation)
 	}
 }
 
@@ -114,9 +114,9 @@
 	return len(l.unconfirmed) > 0
 }
 
-// giveUpSending stops sending and gives the other process some time to confirm the messages that it was sent. If it ends in the meantime,
-// the messages that it has not confirmed return to the caller.
-func (l *Link) giveUpSending(reason error) {
+// closeAfterConfirmations stops sending and gives the other process some time to confirm the messages that it was sent. If it ends in
+// the meantime, the messages that it has not confirmed return to the caller.
+func (l *Link) closeAfterConfirmations(reason error) {
 	l.closeSend()
 	if !l.hasUnconfirmed() {
 		// There is no half-close here: if the other process then sends descriptors that this one can't confirm, it must see that this
--- a/internal/lab/emulator/forwarders.go
+++ b/internal/lab/emulator/forwarders.go
@@ -51,9 +51,9 @@
 // Advertised returns the address of a member's forwarder.
 func (f *Forwarders) Advertised(member int) netip.AddrPort { return f.sockets[member].addr }
 
-// Cut cuts the links between the given members and all others, in both directions, and restores all other links; nil restores all.
+// CutLinks cuts the links between the given members and all others, in both directions, and restores all other links; nil restores all.
 // Datagrams over a cut link are lost; the data of connections is held back until the link is restored.
-func (f *Forwarders) Cut(group []int) {
+func (f *Forwarders) CutLinks(group []int) {
 	cut := make([]bool, len(f.members))
 	for _, m := range group {
 		cut[m] = true
@@ -75,7 +75,7 @@
 	conns := f.conns
 	f.conns = nil
 	f.mu.Unlock()
-	f.Cut(nil)
+	f.CutLinks(nil)
 	for c := range conns {
 		_ = c.Close()
 	}
--- a/internal/lab/emulator/forwarders_test.go
+++ b/internal/lab/emulator/forwarders_test.go
@@ -78,7 +78,7 @@
 			t.Fatalf("%s before the cut: read %q, error %v, want the echo", name, text, err)
 		}
 	}
-	f.Cut([]int{2})
+	f.CutLinks([]int{2})
 	for name, c := range map[string]net.Conn{"external": external, "same group": sameGroup, "other group": otherGroup} {
 		_, _ = io.WriteString(c, "two\n")
 		within := 5 * time.Second
@@ -103,7 +103,7 @@
 	if text, err := readLine(late, 200*time.Millisecond); err == nil {
 		t.Errorf("read %q over a cut link", text)
 	}
-	f.Cut(nil)
+	f.CutLinks(nil)
 	if text, err := readLine(otherGroup, 5*time.Second); err != nil || text != "two\n" {
 		t.Errorf("data that was held back: read %q, error %v, want the echo", text, err)
 	}
--- a/internal/lab/emulator/script.go
+++ b/internal/lab/emulator/script.go
@@ -49,15 +49,15 @@
 			if err != nil {
 				return
 			}
-			s.Hold(c)
+			s.KeepOpen(c)
 			go s.serve(c, uid)
 		}
 	}()
 	return ln.Addr().String(), nil
 }
 
-// Hold keeps a connection open until Close or the end of its lifetime.
-func (s *Script) Hold(c net.Conn) {
+// KeepOpen keeps a connection open until Close or the end of its lifetime.
+func (s *Script) KeepOpen(c net.Conn) {
 	_ = c.SetDeadline(time.Now().Add(s.maxAge))
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/feedsim/processes.go
+++ b/internal/lab/feedsim/processes.go
@@ -17,7 +17,7 @@
 	}
 	pub.incarnation++
 	pub.up, pub.machineOff, pub.stalledUntil, pub.deferred, pub.conns, pub.startedAt, pub.unreachableAt = true, false, 0, nil, map[uint64]*conn{}, w.now, w.now
-	pub.core = changefeed.NewPublisher(changefeed.PublisherConfig{ID: pub.addr, MaxSubscribers: 4 * w.plan.Subscribers, WindowBytes: windowBytes, SnapshotBytesPerSecond: snapshotBytesPerSecond, Seed: w.plan.Seed<<16 ^ uint64(pub.index)<<8 ^ pub.incarnation},
+	pub.core = changefeed.NewPublisher(changefeed.PublisherConfig{ID: pub.addr, MaxSubscribers: 4 * w.plan.Subscribers, WindowBytes: maxUnackedBytes, SnapshotBytesPerSecond: snapshotBytesPerSecond, Seed: w.plan.Seed<<16 ^ uint64(pub.index)<<8 ^ pub.incarnation},
 		pub.log, w.clock(&pub.process))
 }
 
--- a/internal/lab/feedsim/world.go
+++ b/internal/lab/feedsim/world.go
@@ -27,7 +27,7 @@
 	voters                 = 5
 	inForceDeadline        = 7 * time.Second  // time limit from a commit until the change is in force at every reachable subscriber
 	firstSnapshotTimeout   = 10 * time.Second // time from a subscriber's start to its first snapshot, within which no change is due at it
-	windowBytes            = 64 << 10
+	maxUnackedBytes        = 64 << 10
 	snapshotBytesPerSecond = 32 << 20
 )
 
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Figures are the results of a run. Rates are averages over the length of the run, without the time before and after it. Figures of a balancer
-// cover its subscription to the control tier only.
-type Figures struct {
+// RunFigures are the results of a run. Rates are averages over the length of the run, without the time before and after it. Figures of a
+// balancer cover its subscription to the control tier only.
+type RunFigures struct {
 	Balancers                int     `json:"balancers"`
 	Control                  int     `json:"control"`
 	Changes                  int     `json:"changes"` // changes put during the run, including the burst
@@ -79,7 +79,7 @@
 }
 
 // AddAccount sets the figures that come from an account.
-func (f *Figures) AddAccount(a Account) {
+func (f *RunFigures) AddAccount(a Account) {
 	milliseconds := func(microseconds int64) float64 { return float64(microseconds) / 1000 }
 	f.Samples = a.InForceTimes.TotalCount()
 	f.InForceP50 = milliseconds(a.InForceTimes.ValueAtQuantile(50))
@@ -97,7 +97,7 @@
 
 // Check returns a description of each target that was missed. Counts are always checked; times and sizes, which also depend on the machine,
 // only if targets are given. For an incomplete run, it returns only the reason why it is incomplete.
-func (f *Figures) Check(targets *Targets) []string {
+func (f *RunFigures) Check(targets *Targets) []string {
 	if f.Partial != "" { // an incomplete run neither meets nor misses a target
 		return []string{"partial: " + f.Partial}
 	}
@@ -109,7 +109,7 @@
 }
 
 // checkCounts checks the figures that do not depend on the speed of the machine.
-func (f *Figures) checkCounts() (missed []string) {
+func (f *RunFigures) checkCounts() (missed []string) {
 	check := func(isMissed bool, format string, args ...any) {
 		if isMissed {
 			missed = append(missed, fmt.Sprintf(format, args...))
@@ -127,7 +127,7 @@
 }
 
 // checkTargets checks times and sizes against their limits.
-func (f *Figures) checkTargets(targets *Targets) (missed []string) {
+func (f *RunFigures) checkTargets(targets *Targets) (missed []string) {
 	check := func(name string, value, limit float64, unit string) {
 		if value > limit {
 			missed = append(missed, fmt.Sprintf("%s %.4g %s, allowed %.4g", name, value, unit, limit))
@@ -153,7 +153,7 @@
 }
 
 // Print writes a table of the figures and their targets.
-func (f *Figures) Print(to io.Writer, targets *Targets) error {
+func (f *RunFigures) Print(to io.Writer, targets *Targets) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	balancers := float64(max(1, f.Balancers))
 	row := func(name, format string, args ...any) {
--- a/internal/lab/scale/plan_faults.go
+++ b/internal/lab/scale/plan_faults.go
@@ -34,7 +34,7 @@
 	case FaultsRack:
 		p.drawRack(rng)
 	case FaultsZone:
-		p.drawZone(rng)
+		p.drawZoneLoss(rng)
 	case FaultsRegion:
 		p.drawRegion(rng)
 	}
@@ -113,8 +113,8 @@
 		len(control), len(balancers), rack.Zone, rack.Rack, length)
 }
 
-// drawZone draws the loss of a zone with a control process.
-func (p *Plan) drawZone(rng *rand.Rand) {
+// drawZoneLoss draws the loss of a zone with a control process.
+func (p *Plan) drawZoneLoss(rng *rand.Rand) {
 	zone := p.drawControlPlace(rng).Zone
 	isInZone := func(place Place) bool { return place.Zone == zone }
 	control := matchingPlaces(p.ControlPlaces, isInZone)
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -339,43 +339,43 @@
 
 // TestSpreadIsEven checks the limit of twice the mean plus ten.
 func TestSpreadIsEven(t *testing.T) {
-	if s := NewSpread([]int{10, 30, 0}); !s.Even() || s.Allowed != 36 {
+	if s := NewSpread([]int{10, 30, 0}); !s.WithinAllowed() || s.Allowed != 36 {
 		t.Error(s)
 	}
-	if s := NewSpread([]int{100, 500, 0}); s.Even() {
+	if s := NewSpread([]int{100, 500, 0}); s.WithinAllowed() {
 		t.Error(s)
 	}
-	if s := NewSpread(nil); !s.Even() {
+	if s := NewSpread(nil); !s.WithinAllowed() {
 		t.Error(s)
 	}
 }
 
 // TestEachTargetIsChecked misses one target at a time, which the verdict has to name. Without targets, only counts are checked.
 func TestEachTargetIsChecked(t *testing.T) {
-	kept := Figures{Samples: 1, Steady: true, InForceWorst: 7000, BalancerCore: 1.6, BalancerMB: 128, BalancerBytes: 3000, ControlCore: 100, ControlMB: 4096}
+	kept := RunFigures{Samples: 1, Steady: true, InForceWorst: 7000, BalancerCore: 1.6, BalancerMB: 128, BalancerBytes: 3000, ControlCore: 100, ControlMB: 4096}
 	if missed := kept.Check(&DefaultTargets); len(missed) != 0 || Verdict(missed) != "verdict: kept" {
 		t.Error(missed)
 	}
 	for want, c := range map[string]struct {
-		change  func(*Figures)
+		change  func(*RunFigures)
 		isCount bool
 	}{
-		"in force 7001 ms, allowed 7000":                                        {func(f *Figures) { f.InForceWorst++ }, false},
-		"first state after a return 8000 ms, allowed 7000":                      {func(f *Figures) { f.ReturnedWorst = 8000 }, false},
-		"balancer 1.7 % of a core, allowed 1.6":                                 {func(f *Figures) { f.BalancerCore = 1.7 }, false},
-		"balancer 129 MB, allowed 128":                                          {func(f *Figures) { f.BalancerMB++ }, false},
-		"balancer 3001 bytes a second, allowed 3000":                            {func(f *Figures) { f.BalancerBytes++ }, false},
-		"control process 101 % of a core, allowed 100":                          {func(f *Figures) { f.ControlCore++ }, false},
-		"control process 4097 MB, allowed 4096":                                 {func(f *Figures) { f.ControlMB++ }, false},
-		"5 changes missed, at 1 balancers that are behind, 0 that differ and 0": {func(f *Figures) { f.MissedChanges, f.BalancersBehind = 5, 1 }, true},
-		"1 balancers differ":                                                    {func(f *Figures) { f.BalancersDiffering = 1 }, true},
-		"2 balancers are silent":                                                {func(f *Figures) { f.BalancersSilent = 2 }, true},
-		"1 changes were not accepted":                                           {func(f *Figures) { f.ChangesNotAccepted = 1 }, true},
-		"1 times a balancer went back":                                          {func(f *Figures) { f.Regressions = 1 }, true},
-		"1 conflicts":                                                           {func(f *Figures) { f.Conflicts = 1 }, true},
-		"not steady in the end: all at one":                                     {func(f *Figures) { f.Steady, f.SpreadDescription = false, "all at one" }, true},
-		"no change was timed":                                                   {func(f *Figures) { f.Samples = 0 }, true},
-		"partial: memory":                                                       {func(f *Figures) { f.Partial = "memory" }, true},
+		"in force 7001 ms, allowed 7000":                                        {func(f *RunFigures) { f.InForceWorst++ }, false},
+		"first state after a return 8000 ms, allowed 7000":                      {func(f *RunFigures) { f.ReturnedWorst = 8000 }, false},
+		"balancer 1.7 % of a core, allowed 1.6":                                 {func(f *RunFigures) { f.BalancerCore = 1.7 }, false},
+		"balancer 129 MB, allowed 128":                                          {func(f *RunFigures) { f.BalancerMB++ }, false},
+		"balancer 3001 bytes a second, allowed 3000":                            {func(f *RunFigures) { f.BalancerBytes++ }, false},
+		"control process 101 % of a core, allowed 100":                          {func(f *RunFigures) { f.ControlCore++ }, false},
+		"control process 4097 MB, allowed 4096":                                 {func(f *RunFigures) { f.ControlMB++ }, false},
+		"5 changes missed, at 1 balancers that are behind, 0 that differ and 0": {func(f *RunFigures) { f.MissedChanges, f.BalancersBehind = 5, 1 }, true},
+		"1 balancers differ":                                                    {func(f *RunFigures) { f.BalancersDiffering = 1 }, true},
+		"2 balancers are silent":                                                {func(f *RunFigures) { f.BalancersSilent = 2 }, true},
+		"1 changes were not accepted":                                           {func(f *RunFigures) { f.ChangesNotAccepted = 1 }, true},
+		"1 times a balancer went back":                                          {func(f *RunFigures) { f.Regressions = 1 }, true},
+		"1 conflicts":                                                           {func(f *RunFigures) { f.Conflicts = 1 }, true},
+		"not steady in the end: all at one":                                     {func(f *RunFigures) { f.Steady, f.SpreadDescription = false, "all at one" }, true},
+		"no change was timed":                                                   {func(f *RunFigures) { f.Samples = 0 }, true},
+		"partial: memory":                                                       {func(f *RunFigures) { f.Partial = "memory" }, true},
 	} {
 		f := kept
 		c.change(&f)
--- a/internal/lab/scale/spread.go
+++ b/internal/lab/scale/spread.go
@@ -27,8 +27,8 @@
 	return Spread{Least: slices.Min(connections), Most: slices.Max(connections), Mean: mean, Allowed: int(2*mean) + 10}
 }
 
-// Even reports whether no control process has too many connections.
-func (s Spread) Even() bool { return s.Most <= s.Allowed }
+// WithinAllowed reports whether no control process has too many connections.
+func (s Spread) WithinAllowed() bool { return s.Most <= s.Allowed }
 
 func (s Spread) String() string {
 	return fmt.Sprintf("%d to %d connections at a control process, %.1f on the mean, %d allowed", s.Least, s.Most, s.Mean, s.Allowed)
--- a/internal/relay/read.go
+++ b/internal/relay/read.go
@@ -169,7 +169,7 @@
 	case len(rest) > 0 && len(c.partial) > 0:
 		c.partial = append(c.partial[:0], rest...)
 	case len(rest) > 0:
-		c.partial = append(w.takeBuffer(&w.partialBuffers, protocol.MaxLineBytes/4), rest...)
+		c.partial = append(w.spareOrNewBuffer(&w.partialBuffers, protocol.MaxLineBytes/4), rest...)
 	case c.partial != nil:
 		w.returnBuffer(&w.partialBuffers, c.partial, 2*protocol.MaxLineBytes)
 		c.partial = nil
--- a/internal/relay/worker.go
+++ b/internal/relay/worker.go
@@ -262,8 +262,8 @@
 	w.freeSlots = append(w.freeSlots, c.slot)
 }
 
-// takeBuffer returns a buffer from a list of spare ones, partialBuffers or writeBuffers, or allocates one.
-func (w *worker) takeBuffer(spare *[][]byte, size int) []byte {
+// spareOrNewBuffer returns a buffer from a list of spare ones, partialBuffers or writeBuffers, or allocates one.
+func (w *worker) spareOrNewBuffer(spare *[][]byte, size int) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := len(*spare)
--- a/internal/relay/write.go
+++ b/internal/relay/write.go
@@ -53,7 +53,7 @@
 // bufferLocked appends text to the write buffer.
 func (c *Conn) bufferLocked(text []byte) {
 	if c.writeBuffer == nil {
-		c.writeBuffer = c.worker.takeBuffer(&c.worker.writeBuffers, readBufferSize)
+		c.writeBuffer = c.worker.spareOrNewBuffer(&c.worker.writeBuffers, readBufferSize)
 	}
 	c.writeBuffer = append(c.writeBuffer, text...)
 }
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -69,7 +69,7 @@
 		delete(h.instances, in.number)
 		return nil
 	}
-	h.touch(in)
+	h.markTouched(in)
 	if in.balancer == nil {
 		return nil
 	}
@@ -77,8 +77,8 @@
 	return in.apply(e, in.now(h.clock))
 }
 
-// touch records that an instance has an event in the current frame.
-func (h *host) touch(in *instance) {
+// markTouched records that an instance has an event in the current frame.
+func (h *host) markTouched(in *instance) {
 	if in.isTouched {
 		return
 	}
@@ -94,7 +94,7 @@
 	}
 	in := &instance{number: e.instance(), openedAt: h.clock}
 	h.instances[in.number] = in
-	h.touch(in)
+	h.markTouched(in)
 	settings, err := deployment.ParseSettings(text)
 	if err != nil {
 		h.reply.addFailure(in.number, "BootInfo: "+err.Error())
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -84,7 +84,7 @@
 	if s.attempts < s.maxAttempts && s.class.Idempotency != NonIdempotent && !b.areRetriesFutile() {
 		halfRemaining := max(timeout/2, min(timeout, s.class.SetupObjective))
 		timeout -= s.class.SetupObjective
-		if timeout < halfRemaining || b.isSmallDeployment() {
+		if timeout < halfRemaining || b.attemptPauseDisabled() {
 			timeout = halfRemaining
 		}
 	}
--- a/policy/attempt_pause.go
+++ b/policy/attempt_pause.go
@@ -28,9 +28,9 @@
 	return minPause
 }
 
-// isSmallDeployment reports whether there are so few balancers that each sees enough attempts to rely on its own
-// counts.
-func (b *Balancer) isSmallDeployment() bool { return b.pause.minLength == 0 }
+// attemptPauseDisabled reports whether attempts are never paused, as in a small deployment: its balancers are so few that
+// each sees enough attempts to rely on its own counts.
+func (b *Balancer) attemptPauseDisabled() bool { return b.pause.minLength == 0 }
 
 // pauseAttempts starts a pause that is twice as long as the previous one, within the limits.
 func (b *Balancer) pauseAttempts() {
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -5,7 +5,7 @@
 // RequestHealthCheck schedules an immediate health check of an endpoint whose newest load report may be an
 // outlier. It has no effect in large deployments, where other balancers check the endpoint anyway.
 func (b *Balancer) RequestHealthCheck(id EndpointID) {
-	if b.isSmallDeployment() {
+	if b.attemptPauseDisabled() {
 		b.endpointFor(id).nextCheckAt = b.now
 	}
 }
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -52,7 +52,7 @@
 	}
 	// Each load report is used once. In a large deployment it is not used, because all balancers together would
 	// migrate too much.
-	if b.isSmallDeployment() && e.reportedAt > e.migratedAt {
+	if b.attemptPauseDisabled() && e.reportedAt > e.migratedAt {
 		fraction = max(fraction, excessMigrationFraction*(1-targetDemand/e.demand))
 	}
 	e.migratedAt = b.now
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -126,7 +126,7 @@
 // isOutsideWarmupShare reports whether a warming endpoint does not accept the client's key yet. In large
 // deployments every key is accepted, because canAttemptWarming limits the sessions at random instead.
 func (search *selection) isOutsideWarmupShare(e *endpoint) bool {
-	if !search.isSmallDeployment() || search.gossip.isCurrent {
+	if !search.attemptPauseDisabled() || search.gossip.isCurrent {
 		return false
 	}
 	return unitInterval(hashPair(search.session.clientKey, ^uint64(e.ID))) >= warmupKeyFactor*search.slowStartFactor(e)
